--- a/moorusher/__main__.py
+++ b/moorusher/__main__.py
@@ -11,7 +11,7 @@
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
 
 if len(sys.argv) == 1:
-    from .start import serve
+    from .server.main import serve
 
     sys.exit(serve())
 from .cli import main
--- a/moorusher/admin.py
+++ b/moorusher/admin/api.py
@@ -10,13 +10,13 @@
 
 from twisted.web import resource, server
 
-from . import __version__
-from .config_tier import server_of
-from .core.decide import Decider
-from .report import Reporter
-from .section import ConfigError, Section
-from .standing.policy import MOST_MAINTENANCE_S, MOST_REASON
-from .standing.words import haproxy
+from .. import __version__
+from ..config.load_balancing import server_of
+from ..config.section import ConfigError, Section
+from ..core.request_engine import Decider
+from ..health.formatting import haproxy
+from ..health.policy import MOST_MAINTENANCE_S, MOST_REASON
+from ..server.health_report import Reporter
 
 # Twisted's web classes carry no types; named once here, so that the rest is checked.
 Resource: Any = resource.Resource
@@ -356,19 +356,19 @@
     if fleet is not None:
         root.putChild(b"fleet", _Fleet(token, fleet))
         if fleet.duties is not None:
-            from .admin_duties import DutyPages
+            from .leadership import DutyPages
 
             root.putChild(b"duties", DutyPages(token, fleet.duties))
     if namespaces is not None:
-        from .admin_namespaces import NamespacePages
+        from .namespaces import NamespacePages
 
         root.putChild(b"namespaces", NamespacePages(token, namespaces))
     if forecast is not None:
-        from .admin_forecast import ForecastPages
+        from .forecast import ForecastPages
 
         root.putChild(b"forecast", ForecastPages(token, forecast))
     if outage is not None:
-        from .admin_outage import OutagePages
+        from .maintenance import OutagePages
 
         root.putChild(b"outage", OutagePages(token, outage))
     root.putChild(b"tenants", _Tenants(core))
--- a/moorusher/admin_forecast.py
+++ b/moorusher/admin/forecast.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from .admin import Guarded, later, reply
-from .forecast.demand import Key
-from .forecasting.messages import Past
-from .links.forecast import ForecastLink
+from ..cluster_transport.forecast import ForecastLink
+from ..forecast_service.messages import Past
+from ..forecasting.demand import Key
+from .api import Guarded, later, reply
 
 MOST_PAST = 400 << 10  # bytes
 MOST_HOURS = 8 * 168
--- a/moorusher/admin_duties.py
+++ b/moorusher/admin/leadership.py
@@ -7,8 +7,8 @@
 
 from typing import Any
 
-from .admin import Guarded, later, reply
-from .links.duties import DutyLink
+from ..cluster_transport.leadership import DutyLink
+from .api import Guarded, later, reply
 
 
 class DutyPages(Guarded):
--- a/moorusher/admin_outage.py
+++ b/moorusher/admin/maintenance.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from .admin import BadBody, Guarded, later, reply
-from .links.outage import MOST_ID, MOST_TEXT, MOST_WAIT_S, OutageLink
+from ..cluster_transport.maintenance import MOST_ID, MOST_TEXT, MOST_WAIT_S, OutageLink
+from .api import BadBody, Guarded, later, reply
 
 MOST_S = 30 * 86_400.0
 MOST_PRIORITY = 9
--- a/moorusher/admin_namespaces.py
+++ b/moorusher/admin/namespaces.py
@@ -8,11 +8,11 @@
 import os
 from typing import Any
 
-from .admin import Guarded, later, reply
-from .links.namespaces import NamespaceLink
-from .namespaces.errors import Malformed
-from .namespaces.revisions import MOST_BY, Submission
-from .namespaces.rules import Asked
+from ..cluster_transport.config_distribution import NamespaceLink
+from ..namespaces.errors import Malformed
+from ..namespaces.revisions import MOST_BY, Submission
+from ..namespaces.rules import Asked
+from .api import Guarded, later, reply
 
 MOST_DRAFT = 768 << 10
 MOST_ID = 64
--- a/moorusher/links/announce.py
+++ b/moorusher/backends/announce.py
@@ -9,10 +9,10 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
+from ..config.section import Address
 from ..core.clock import MS
-from ..core.decide import Decider
-from ..section import Address
-from .http import HttpClient
+from ..core.request_engine import Decider
+from .http_client import HttpClient
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/database.py
+++ b/moorusher/backends/database.py
@@ -8,14 +8,14 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from peattack.repeats import Evidence, may_repeat, may_run_twice
+from moorusher.scheduling.retry_policy import Evidence, may_repeat, may_run_twice
 
+from ..config.section import Address
 from ..core.call import Asked
 from ..core.clock import MS, SECOND, Alarm
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..section import Address
-from .http import HttpClient
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from .http_client import HttpClient
 
 SETTLE = 20 * MS  # after a reply, for what should not follow it
 IDLE = 7 * SECOND  # the other side closes after 10 s: a call must not cross that close
--- a/moorusher/links/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -12,11 +12,11 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
+from ..config.section import Address
 from ..core.clock import MS, SECOND, Alarm
-from ..core.decide import Decider
-from ..core.endings import Ending
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
 from ..core.run import NOT_WRITTEN
-from ..section import Address
 from .kernel_messages import (
     Booted,
     CallNeeded,
--- a/moorusher/links/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, Union
 
-from ..core.endings import Ending
+from ..core.outcomes import Ending
 
 RUN_ENDS = {
     "PASS": Ending.RUN_PASSED,
--- a/moorusher/links/tier.py
+++ b/moorusher/backends/server_pool.py
@@ -9,13 +9,13 @@
 from ..core.call import Asked
 from ..core.clock import MS, Alarm, Alarms, Clock
 from ..core.counters import Counters
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..knowledge.value import Condition, Knowledge, make
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..load_balancing.policy import Policy, Server, Speaks
+from ..load_balancing.router import Action, Cancel, End, Over, Router, Send
 from ..routing.grants import Grants
 from ..routing.ways import Ways
-from ..tier.policy import Policy, Server, Speaks
-from ..tier.router import Action, Cancel, End, Over, Router, Send
+from ..warm_start.learned_state import Condition, Knowledge, make
 from .database import DatabasePool
 from .uwsgi import UwsgiCalls
 
--- a/moorusher/links/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -7,12 +7,12 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
+from ..config.section import Address
 from ..core.call import Asked
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..fronts.uwsgi_packets import VARS, build_packet
-from ..section import Address
-from .http import HttpClient
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..frontends.uwsgi_packets import VARS, build_packet
+from .http_client import HttpClient
 
 
 def call_packet(asked: Asked) -> bytes:
--- a/moorusher/cli/__init__.py
+++ b/moorusher/cli/__init__.py
@@ -9,7 +9,7 @@
 import click
 
 from .. import __version__
-from ..start import FAULTY
+from ..server.main import FAULTY
 
 FRONTS = click.option(
     "--fronts", type=click.Path(path_type=Path), help="What else listens (default: deploy/fronts.toml)."
@@ -50,7 +50,7 @@
 @FRONTS
 def serve(fronts: Path | None = None) -> None:
     """Run one runner in the foreground."""
-    from .. import start
+    from ..server import main as start
 
     raise SystemExit(start.serve(fronts))
 
--- a/moorusher/cli/configuration.py
+++ b/moorusher/cli/configuration.py
@@ -7,8 +7,8 @@
 
 import click
 
-from ..config import Config, load
-from ..section import Address, ConfigError
+from ..config.loader import Config, load
+from ..config.section import Address, ConfigError
 from . import FRONTS, JSON, Shown, show
 
 
--- a/moorusher/cli/namespace.py
+++ b/moorusher/cli/namespace.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..start import REFUSED
+from ..server.main import REFUSED
 from . import JSON, show
 from .runner import Api, api
 
--- a/moorusher/cli/outage.py
+++ b/moorusher/cli/outage.py
@@ -12,7 +12,7 @@
 
 import click
 
-from ..start import REFUSED, UNREACHED
+from ..server.main import REFUSED, UNREACHED
 from . import JSON, Shown, show
 from .runner import Api, api
 
--- a/moorusher/cli/runner.py
+++ b/moorusher/cli/runner.py
@@ -14,9 +14,9 @@
 
 import click
 
-from ..config import FRONTS_FILE, load, read_fronts
-from ..section import ConfigError, parse_address
-from ..start import NOT_ROUTABLE, REFUSED, UNREACHED
+from ..config.loader import FRONTS_FILE, load, read_fronts
+from ..config.section import ConfigError, parse_address
+from ..server.main import NOT_ROUTABLE, REFUSED, UNREACHED
 from . import JSON, Shown, show
 
 TIMEOUT_S = 5.0
--- a/moorusher/links/namespaces.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -16,23 +16,23 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ..config_namespaces import NamespacesConfig
+from ..config.namespaces import NamespacesConfig
+from ..config_distribution.messages import At
+from ..config_distribution.publisher import Publisher
+from ..config_distribution.replica import GONE, Error, Replica
 from ..core.clock import MS
 from ..core.requests import Arrival
-from ..duties.errors import DutyError
-from ..duties.ownership import Ownership
+from ..leadership.errors import DutyError
+from ..leadership.lease_holder import Ownership
 from ..namespaces.customers import Revision
 from ..namespaces.document import Namespace, read
 from ..namespaces.errors import NamespaceError, NoSuchCustomer
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, difference
 from ..namespaces.rules import Asked
-from ..publishing.messages import At
-from ..publishing.publisher import Publisher
-from ..publishing.replica import GONE, Error, Replica
 from ..routing.way import Ruling, rule
-from .duties import DutyLink
-from .revisions import Store
+from ..storage.revisions import Store
+from .leadership import DutyLink
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -18,13 +18,13 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
+from ..backends.http_client import HttpClient
+from ..config.section import parse_address
 from ..core.clock import MS, Alarm
-from ..core.decide import Decider
-from ..duties.effects import Told
-from ..duties.fence import Fence
-from ..duties.post import Intent
-from ..section import parse_address
-from .http import HttpClient
+from ..core.request_engine import Decider
+from ..leadership.effects import Told
+from ..leadership.fencing_token import Fence
+from ..leadership.lease_record import Intent
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -12,18 +12,18 @@
 
 from ..core.demand import Demand
 from ..core.requests import Request
-from ..duties.errors import DutyError
-from ..duties.ownership import Ownership
-from ..fleet.member import MS
-from ..forecast.demand import Key
-from ..forecast.ledger import Series
-from ..forecast.policy import Policy
-from ..forecasting.errors import ForecastError, NoNumpy, NotYet
-from ..forecasting.forecaster import Forecaster, label
-from ..forecasting.member import Member
-from ..forecasting.messages import Past
-from .duties import DutyLink
-from .namespaces import SWITCH_S, Pool
+from ..forecast_service.errors import ForecastError, NoNumpy, NotYet
+from ..forecast_service.forecaster import Forecaster, label
+from ..forecast_service.member import Member
+from ..forecast_service.messages import Past
+from ..forecasting.demand import Key
+from ..forecasting.ledger import Series
+from ..forecasting.policy import Policy
+from ..leadership.errors import DutyError
+from ..leadership.lease_holder import Ownership
+from ..membership.failure_detector import MS
+from .config_distribution import SWITCH_S, Pool
+from .leadership import DutyLink
 
 log = logging.getLogger("moorusher")
 
@@ -133,7 +133,7 @@
         then: Callable[[Any], None],
     ) -> None:
         def work() -> Any:
-            from ..forecast.week import week_ahead
+            from ..forecasting.week import week_ahead
 
             return week_ahead(series, customers, last, self.policy.calendars)
 
@@ -141,7 +141,7 @@
 
     def correct(self, week: Any, hours: Mapping[str, list[float]], then: Callable[[Any], None]) -> None:
         def work() -> Any:
-            from ..forecast.week import corrected
+            from ..forecasting.week import corrected
 
             return corrected(week, hours)
 
--- a/moorusher/links/succession.py
+++ b/moorusher/cluster_transport/hot_restart.py
@@ -1,6 +1,7 @@
 """The link between two processes of one runner: a Unix socket in $TMPDIR, frames of a JSON head and a result.
 
-What is to be done when is `succession/role.py`'s; who holds which key `core/claims.py`'s. Here both are carried out.
+What is to be done when is `hot_restart/process_role.py`'s; who holds which key `core/key_claims.py`'s. Here
+both are carried out.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from ..core.clock import MS, Alarm
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..core.keys import Entry, Key
-from ..succession.budget import Load
-from ..succession.role import WAITS_MS, Event, Life, State, Step
+from ..core.idempotency_keys import Entry, Key
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..hot_restart.process_role import WAITS_MS, Event, Life, State, Step
+from ..hot_restart.shared_budget import Load
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from ..core.answer import Answer
-from ..core.decide import Decider
-from ..core.keys import Entry
-from ..core.keys import Key as CoreKey
+from ..core.idempotency_keys import Entry
+from ..core.idempotency_keys import Key as CoreKey
+from ..core.request_engine import Decider
 from ..core.requests import Arrival, Request
-from ..fleet.node import Node
-from ..fleet.work import Key, Order, key_of
+from ..replication.node import Node
+from ..replication.work_record import Key, Order, key_of
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/duties.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 from ..core.clock import MS
-from ..duties.effects import Told
-from ..duties.errors import DutyError
-from ..duties.fence import Fence
-from ..duties.ownership import Ownership
-from ..duties.participant import Participant, Reading, Worker
-from ..duties.policy import Policy
-from ..duties.post import Intent, Life, Post, Settle, key_of
-from ..duties.report import KIND as REPORT
-from ..duties.report import Reporting
-from ..fleet.journal import Image
-from ..fleet.registers import LASTING
-from .fleet import FleetLink
-from .receivers import Receivers
+from ..leadership.effects import Told
+from ..leadership.errors import DutyError
+from ..leadership.fencing_token import Fence
+from ..leadership.heartbeat import KIND as REPORT
+from ..leadership.heartbeat import Reporting
+from ..leadership.lease_holder import Ownership
+from ..leadership.lease_record import Intent, Life, Post, Settle, key_of
+from ..leadership.participant import Participant, Reading, Worker
+from ..leadership.policy import Policy
+from ..replication.journal import Image
+from ..replication.register_space import LASTING
+from .effect_receivers import Receivers
+from .replication import FleetLink
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/outage.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -11,19 +11,19 @@
 import xxhash
 
 from ..core.clock import MS
-from ..core.decide import Decider
-from ..fleet.journal import Image
-from ..fleet.registers import SHARED
-from ..outage.coordinator import OutageCoordinator, Waited
-from ..outage.errors import NoSuchSeat, NotHere, OutageError
-from ..outage.gauge import Gauge
-from ..outage.machine import Doing, Own
-from ..outage.plan import foretold
-from ..outage.policy import Policy
-from ..outage.roster import Ask, Ends, How, Roster, Stage, Turn
-from ..report import Reporter
-from ..standing.states import Standing
-from .fleet import FleetLink
+from ..core.request_engine import Decider
+from ..health.states import Standing
+from ..maintenance.coordinator import OutageCoordinator, Waited
+from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
+from ..maintenance.load_report import Gauge
+from ..maintenance.local_machine import Doing, Own
+from ..maintenance.next_step import foretold
+from ..maintenance.policy import Policy
+from ..maintenance.schedule import Ask, Ends, How, Roster, Stage, Turn
+from ..replication.journal import Image
+from ..replication.register_space import SHARED
+from ..server.health_report import Reporter
+from .replication import FleetLink
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -14,9 +14,9 @@
 from twisted.python.failure import Failure
 
 from ..core.clock import MS, Alarm
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..fleet.messages import MOST_FRAME, For, Hello, Message, Refused, decode, encode
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..replication.messages import MOST_FRAME, For, Hello, Message, Refused, decode, encode
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/fleet.py
+++ b/moorusher/cluster_transport/replication.py
@@ -1,6 +1,6 @@
 """One runner's part in a fleet, carried out: the core's seam to what the runners settle, and the links among them.
 
-What is settled how is decided in `fleet/`; `links/peers.py` has the connections.
+What is settled how is decided in `fleet/`; `cluster_transport/peers.py` has the connections.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config_fleet import FleetConfig
+from ..config.fleet import FleetConfig
 from ..core.clock import MS
-from ..core.decide import Decider
-from ..core.keys import window_end
-from ..fleet.journal import Image
-from ..fleet.keeper import Keeper
-from ..fleet.messages import VERSION, Hello, Message
-from ..fleet.node import Node
-from ..fleet.registers import WORK
-from ..fleet.seats import Seats
-from .disk import Disk, Opened, journal
+from ..core.idempotency_keys import window_end
+from ..core.request_engine import Decider
+from ..membership.placement import Seats
+from ..replication.acceptor import Keeper
+from ..replication.journal import Image
+from ..replication.messages import VERSION, Hello, Message
+from ..replication.node import Node
+from ..replication.register_space import WORK
+from ..storage.journal_files import Disk, Opened, journal
+from .keyed_work import HeldWork
 from .peers import Dial, Peer
-from .work import HeldWork
 
 log = logging.getLogger("moorusher")
 
@@ -71,7 +71,7 @@
         self._away = False  # what is held here is for others to take
         self.closed = False
         if config.duties.on:
-            from .duties import DutyLink
+            from .leadership import DutyLink
 
             self.duties = DutyLink(self, config.duties)
         core.coordinator = self
--- a/moorusher/config_fleet.py
+++ b/moorusher/config/fleet.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import Any
 
-from .core.requests import is_word
-from .duties.policy import Policy as Duties
-from .duties.policy import Report
-from .fleet.policy import MOST_SEATS, Seat
-from .fleet.policy import Policy as FleetPolicy
+from ..core.requests import is_word
+from ..leadership.policy import Policy as Duties
+from ..leadership.policy import Report
+from ..replication.policy import MOST_SEATS, Seat
+from ..replication.policy import Policy as FleetPolicy
 from .section import Address, ConfigError, Section, inside
 
 # What each figure may be: `most` slots of some 300 bytes, `most` times `state_bytes` of memory at the very most.
--- a/moorusher/config_forecast.py
+++ b/moorusher/config/forecast.py
@@ -5,7 +5,7 @@
 from datetime import date
 from typing import Any
 
-from .forecast.policy import Days, Policy, Scaling
+from ..forecasting.policy import Days, Policy, Scaling
 from .section import ConfigError, Section, inside
 
 FIGURES: dict[str, tuple[float, float]] = {
@@ -28,7 +28,7 @@
 
 
 def _calendar(one: Section) -> tuple[str, Days]:
-    from .forecast.zones import zone_of
+    from ..forecasting.zones import zone_of
 
     one.unknown({"customer", "zone", "days"})
     name, zone = one.get("customer", ""), one.get("zone", "UTC")
--- a/moorusher/config_tier.py
+++ b/moorusher/config/load_balancing.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from .core.requests import is_word
+from ..core.requests import is_word
+from ..load_balancing.policy import MOST_SERVERS, Policy, Server, Speaks
 from .section import ConfigError, Section
-from .tier.policy import MOST_SERVERS, Policy, Server, Speaks
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/config.py
+++ b/moorusher/config/loader.py
@@ -14,19 +14,19 @@
 from pathlib import Path
 from typing import Any
 
-from peattack import interface as api
-from peattack.wire import WireError, parse_settings
-
-from .config_fleet import FleetConfig, read_fleet
-from .config_namespaces import NamespacesConfig, read_namespaces
-from .config_tier import TierConfig, read_tier
-from .forecast.policy import Policy as ForecastPolicy
-from .outage.policy import Policy as OutagePolicy
+from moorusher.scheduling import interface as api
+from moorusher.simulator.wire import WireError, parse_settings
+
+from ..forecasting.policy import Policy as ForecastPolicy
+from ..health.formatting import Codes
+from ..health.policy import Policy
+from ..maintenance.policy import Policy as OutagePolicy
+from .fleet import FleetConfig, read_fleet
+from .load_balancing import TierConfig, read_tier
+from .namespaces import NamespacesConfig, read_namespaces
 from .section import Address, ConfigError, Section, loopback, parse_address, unreadable
-from .standing.policy import Policy
-from .standing.words import Codes
 
-FRONTS_FILE = Path(__file__).resolve().parent.parent / "deploy" / "fronts.toml"
+FRONTS_FILE = Path(__file__).resolve().parents[2] / "deploy" / "fronts.toml"
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
 def _forecast(section: Section, fleet: FleetConfig) -> ForecastPolicy:
     if not section.data:
         return ForecastPolicy()
-    from .config_forecast import read_forecast
+    from .forecast import read_forecast
 
     return read_forecast(section, fleet.duties.on, fleet.duties.state_bytes)
 
@@ -157,7 +157,7 @@
 def _outage(section: Section, fleet: FleetConfig) -> OutagePolicy:
     if not section.data:
         return OutagePolicy()
-    from .config_outage import read_outage
+    from .maintenance import read_outage
 
     return read_outage(section, fleet.listen is not None)
 
--- a/moorusher/config_outage.py
+++ b/moorusher/config/maintenance.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from .outage.policy import Policy
+from ..maintenance.policy import Policy
 from .section import ConfigError, Section
 
 FIGURES: dict[str, tuple[float, float]] = {
--- a/moorusher/config_namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any
 
-from .namespaces.policy import SMALL, Bounds, Budget, Granted
-from .routing.grants import Grants, Pool
+from ..namespaces.policy import SMALL, Bounds, Budget, Granted
+from ..routing.grants import Grants, Pool
 from .section import ConfigError, Section
 
 MOST_CUSTOMERS = 10_000
@@ -147,7 +147,7 @@
 
 
 def _name(one: Section, others: dict[str, Any]) -> str:
-    from .namespaces.names import MOST, is_normal  # where there are some: the platform has none
+    from ..namespaces.names import MOST, is_normal  # where there are some: the platform has none
 
     name = one.get("name", "")
     if not is_normal(name) or name in others:
--- a/moorusher/section.py
+++ b/moorusher/config/section.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar, cast
 
-from .transient import PASSING
+from ..transient_errors import PASSING
 
 T = TypeVar("T")
 Address = tuple[str, int]
--- a/moorusher/publishing/compare.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -13,8 +13,8 @@
 
 import xxhash
 
-from ..fleet.member import MS
-from ..fleet.seats import majority
+from ..membership.failure_detector import MS
+from ..membership.placement import majority
 from .messages import At, Compare, Differ
 
 PARTS = 64
--- a/moorusher/publishing/cast.py
+++ b/moorusher/config_distribution/dissemination.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from ..fleet.member import MS
+from ..membership.failure_detector import MS
 from .messages import At, Cast, Covered, Heard
 
 FAN = 4
--- a/moorusher/publishing/messages.py
+++ b/moorusher/config_distribution/messages.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..fleet.messages import Said, spoken
 from ..namespaces.revisions import Submission
+from ..replication.messages import Said, spoken
 
 PART = "namespaces"  # of `fleet.messages.For`
 At = tuple[int, int]  # the incarnation of a namespace, and the number of a revision in it
--- a/moorusher/publishing/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..duties.effects import Made, OnFleet, Outcome
-from ..duties.errors import Busy, DutyError, NoMajority
-from ..duties.ownership import Ownership
+from ..leadership.effects import Made, OnFleet, Outcome
+from ..leadership.errors import Busy, DutyError, NoMajority
+from ..leadership.lease_holder import Ownership
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
 from ..namespaces.revisions import Book, Submission, drafted, pack, published, unpack
--- a/moorusher/publishing/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -12,22 +12,22 @@
 
 import msgspec
 
-from ..duties.errors import ERRORS as DUTY_ERRORS
-from ..duties.errors import Busy, DutyError, NoMajority, Superseded, Unknown
-from ..duties.ownership import Ownership
-from ..duties.participant import Participant, Reading
-from ..duties.post import Life, Post
-from ..fleet.member import MS, State
-from ..fleet.messages import For
+from ..leadership.errors import ERRORS as DUTY_ERRORS
+from ..leadership.errors import Busy, DutyError, NoMajority, Superseded, Unknown
+from ..leadership.lease_holder import Ownership
+from ..leadership.lease_record import Life, Post
+from ..leadership.participant import Participant, Reading
+from ..membership.failure_detector import MS, State
 from ..namespaces.customers import Customers, Revision, Stale
 from ..namespaces.document import Namespace
 from ..namespaces.errors import ERRORS as NAMESPACE_ERRORS
 from ..namespaces.errors import NamespaceError, NoSuchCustomer, Retired
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
+from ..replication.messages import For
 from . import messages
-from .cast import MOST_LACKING, Casting, Lacking
-from .compare import Comparing
+from .anti_entropy import Comparing
+from .dissemination import MOST_LACKING, Casting, Lacking
 from .messages import PART, At, Cast, Compare, Covered, Differ, Given, Heard, Submit, Submitted, Want
 from .publisher import KIND, Publisher, duty_of
 
--- a/moorusher/core/actions.py
+++ b/moorusher/core/action_executor.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
 from .answer import Answer, Cause, Verdict
 from .call import Asked
@@ -15,7 +15,7 @@
 from .run import Kernel
 
 if TYPE_CHECKING:
-    from .decide import Decider
+    from .request_engine import Decider
 
 log = logging.getLogger("moorusher")
 
@@ -23,7 +23,7 @@
 
 
 class Actions:
-    """One method for each kind of action of `peattack.interface`."""
+    """One method for each kind of action of `moorusher.scheduling.interface`."""
 
     def __init__(self, core: Decider, kernel: Kernel) -> None:
         self._core, self._kernel = core, kernel
--- a/moorusher/core/call.py
+++ b/moorusher/core/call.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from peattack.interface import Effect
+from moorusher.scheduling.interface import Effect
 
 from .clock import MS, Alarm, Alarms, Clock
-from .endings import Ending
+from .outcomes import Ending
 
 
 @dataclass(slots=True, frozen=True)
--- a/moorusher/core/former_keys.py
+++ b/moorusher/core/former_key_classes.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass, replace
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
-from .keys import window_end
+from .idempotency_keys import window_end
 
 MOST = 256  # classes that are remembered
 
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -4,12 +4,12 @@
 
 from enum import Enum
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
 from .answer import Reply
 from .clock import MS, SECOND, Clock
-from .former_keys import FormerKeys
-from .keys import Keys, digest, window_end
+from .former_key_classes import FormerKeys
+from .idempotency_keys import Keys, digest, window_end
 from .requests import Arrival, Request, Table
 
 # A held request takes its body, 2 KiB, and small change; the module refuses long before by its own memory.
--- a/moorusher/core/claims.py
+++ b/moorusher/core/key_claims.py
@@ -14,7 +14,7 @@
 
 from .clock import MS, Alarm, Alarms, Clock
 from .counters import Counters
-from .keys import Entry, Key, Keys
+from .idempotency_keys import Entry, Key, Keys
 from .requests import Request, Table
 
 WAIT = 250 * MS  # for the other process to answer a claim: it takes a turn of its loop, or it hangs
--- a/moorusher/core/endings.py
+++ b/moorusher/core/outcomes.py
@@ -4,8 +4,8 @@
 
 from enum import Enum
 
-from peattack.interface import Outcome
-from peattack.repeats import Evidence
+from moorusher.scheduling.interface import Outcome
+from moorusher.scheduling.retry_policy import Evidence
 
 
 class Ending(Enum):
--- a/moorusher/core/retune.py
+++ b/moorusher/core/reconfiguration.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, fields, replace
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
 # Facts about the machine and its kernel, or what the module has sized itself by: they hold until the next start.
 FIXED = (
--- a/moorusher/core/others.py
+++ b/moorusher/core/remote_claims.py
@@ -7,18 +7,18 @@
 import logging
 from typing import TYPE_CHECKING
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
 from .answer import Answer, Cause, Reply, Verdict
 from .clock import MS
-from .endings import Ending
+from .idempotency_keys import Key
 from .intake import BUSY_MS, Fault
-from .keys import Key
+from .outcomes import Ending
 from .requests import Arrival, Request, Stage
 from .routes import Ruling
 
 if TYPE_CHECKING:
-    from .decide import Decider
+    from .request_engine import Decider
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/core/decide.py
+++ b/moorusher/core/request_engine.py
@@ -6,26 +6,26 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from peattack import interface as api
-from peattack.balance import Balancer
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.balancer import Balancer
 
-from .actions import Actions
+from .action_executor import Actions
 from .answer import Answer, Cause, Reply, Verdict
 from .call import Calls, OpenCalls
-from .claims import Claims
 from .clock import MS, Alarms, Clock
 from .coordination import KeyCoordinator, NoCoordinator
 from .counters import Counters
 from .demand import Demand
-from .endings import OUTCOMES, Ending
+from .idempotency_keys import Keys, window_end
 from .intake import BUSY_MS, Fault, Intake
-from .keys import Keys, window_end
-from .others import Others
+from .key_claims import Claims
+from .observer import Watch
+from .outcomes import OUTCOMES, Ending
+from .reconfiguration import Plan
+from .remote_claims import Others
 from .requests import UNDER_WAY, Arrival, Request, Stage, Table
-from .retune import Plan
 from .routes import NoRoutes, Routes
 from .run import Kernel, Runs
-from .watch import Watch
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Any
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
 from .answer import Reply
 from .clock import MS
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from peattack.interface import Effect
-from peattack.repeats import Evidence, may_repeat
+from moorusher.scheduling.interface import Effect
+from moorusher.scheduling.retry_policy import Evidence, may_repeat
 
 from .clock import Clock
+from .observer import Watch
 from .requests import Request
-from .watch import Watch
 
 NOT_WRITTEN = 0  # the place of a command that was dropped, as the link was down
 # The kernel takes a reply for whichever call the run waits for: a copy could be given to a later call.
--- a/moorusher/fleet/__init__.py
+++ /dev/null
@@ -1,4 +0,0 @@
-"""Runners that talk: who is there, what may have run, and who goes on with what another has left.
-
-Pure: no I/O, no clock, no randomness of its own. `links/fleet.py` carries it out; `docs/design/takeover.md` says why.
-"""
--- a/moorusher/forecasting/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from ..duties.effects import Fenced, Made, OnFleet, Outcome
-from ..duties.errors import DutyError
-from ..duties.ownership import Ownership
-from ..fleet.member import MS
-from ..forecast.demand import BUCKET_MS, HOUR_BUCKETS, pack_key, unpack_key
-from ..forecast.hints import Hints, Need, hints
-from ..forecast.ledger import Ledger, Series
-from ..forecast.policy import Policy, Scaling
+from ..forecasting.demand import BUCKET_MS, HOUR_BUCKETS, pack_key, unpack_key
+from ..forecasting.hints import Hints, Need, hints
+from ..forecasting.ledger import Ledger, Series
+from ..forecasting.policy import Policy, Scaling
+from ..leadership.effects import Fenced, Made, OnFleet, Outcome
+from ..leadership.errors import DutyError
+from ..leadership.lease_holder import Ownership
+from ..membership.failure_detector import MS
 from .errors import BadPast, ForecastError, NotYet, Unreadable
 from .messages import Past, Report, Took
 
--- a/moorusher/forecasting/member.py
+++ b/moorusher/forecast_service/member.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from ..duties.errors import DutyError, NoMajority
-from ..duties.ownership import Ownership
-from ..duties.participant import Participant, Reading
-from ..fleet.member import MS
-from ..fleet.messages import For
-from ..forecast.demand import Tally
-from ..forecast.policy import Policy
+from ..forecasting.demand import Tally
+from ..forecasting.policy import Policy
+from ..leadership.errors import DutyError, NoMajority
+from ..leadership.lease_holder import Ownership
+from ..leadership.participant import Participant, Reading
+from ..membership.failure_detector import MS
+from ..replication.messages import For
 from . import messages
 from .errors import ERRORS, ForecastError, NotYet
 from .forecaster import KIND, NAME, Forecaster
--- a/moorusher/forecasting/messages.py
+++ b/moorusher/forecast_service/messages.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..fleet.messages import Said, spoken
-from ..forecast.demand import Key, Part
+from ..forecasting.demand import Key, Part
+from ..replication.messages import Said, spoken
 
 PART = "forecast"  # of `fleet.messages.For`
 
--- a/moorusher/forecasting/__init__.py
+++ b/moorusher/forecasting/__init__.py
@@ -1,3 +1,4 @@
-"""The duty `forecast`: runners' counts come to its owner, which keeps them, forecasts by them and hints. Pure;
-`links/forecast.py` carries it out.
+"""Demand per route, a week ahead: counted without loss or doubling, forecast at three levels, turned into hints. Pure.
+
+`docs/design/forecast.md` says why it is so. What needs numpy is imported by the owner of the duty alone.
 """
--- a/moorusher/forecast/policy.py
+++ b/moorusher/forecasting/policy.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What the operator sets of the forecast; `config_forecast.py` reads and bounds it."""
+    """What the operator sets of the forecast; `config/forecast.py` reads and bounds it."""
 
     on: bool = False
     report_ms: float = 20_000.0  # how often counts are told
--- a/moorusher/fronts/agent.py
+++ b/moorusher/frontends/agent.py
@@ -6,10 +6,10 @@
 
 from twisted.internet.protocol import Protocol
 
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..report import Reporter
-from ..standing.words import haproxy
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..health.formatting import haproxy
+from ..server.health_report import Reporter
 from .probes import SILENCE, ProbeFront
 
 MOST_SENT = 256  # bytes of `agent-send`; more is no balancer's
--- a/moorusher/fronts/places.py
+++ b/moorusher/frontends/connection_limits.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from ..core.clock import MS, SECOND, Alarm
-from ..core.decide import Decider
-from ..core.endings import Ending
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
 
 GRACE = 300 * MS  # a connection that is younger, or idle for less, goes only if there is no other
 ASKED = 2 * SECOND  # for the other side to close what it was asked to close
--- a/moorusher/fronts/console.py
+++ b/moorusher/frontends/console.py
@@ -13,11 +13,11 @@
 from twisted.internet.protocol import Factory
 
 from ..core.clock import MS
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..report import Reporter
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..server.health_report import Reporter
+from .connection_limits import Places
 from .http import HttpConnection, Said, not_allowed
-from .places import Places
 
 SILENCE = 500 * MS  # for a call to come whole; an answer is owed within a second
 MOST_BODY = 1024  # of a call: none needs one, and some tools send `{}`
--- a/moorusher/fronts/health.py
+++ b/moorusher/frontends/health.py
@@ -4,9 +4,9 @@
 
 import json
 
-from ..core.decide import Decider
-from ..report import Reporter
-from ..standing import words
+from ..core.request_engine import Decider
+from ..health import formatting as words
+from ..server.health_report import Reporter
 from .http import HttpConnection, Said, not_allowed
 from .probes import LoadReport, ProbeFront
 
--- a/moorusher/fronts/http.py
+++ b/moorusher/frontends/http.py
@@ -12,8 +12,8 @@
 from twisted.protocols.basic import LineReceiver
 
 from ..core.clock import SECOND
-from ..core.endings import Ending
-from .pending import read_pending
+from ..core.outcomes import Ending
+from .unread_input import read_pending
 
 MOST_HEAD = 4096  # bytes of a call before its body, all lines together
 LINGER = 2 * SECOND  # for an answer to be read, and for the other side to close
--- a/moorusher/fronts/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -11,10 +11,11 @@
 
 from ..core.answer import Answer, Cause
 from ..core.clock import MS, SECOND
-from ..core.decide import Decider
-from ..core.endings import Ending
 from ..core.intake import BUSY_MS, NEVER_RAN, Fault
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
 from ..core.requests import Request
+from .connection_limits import Places
 from .jsonrpc_messages import (
     BAD_PARAMS,
     FAILED,
@@ -32,9 +33,8 @@
     read_message,
     result_line,
 )
-from .pending import read_pending
-from .placed import PlacedFront
-from .places import Places
+from .limited_protocol import PlacedFront
+from .unread_input import read_pending
 
 MOST_OPEN = 32  # requests on one connection
 MOST_FAULTS = (
--- a/moorusher/fronts/placed.py
+++ b/moorusher/frontends/limited_protocol.py
@@ -1,4 +1,4 @@
-"""What fronts with a bounded number of connections have in common: their side of `fronts/places.py`."""
+"""What fronts with a bounded number of connections have in common: their side of `frontends/connection_limits.py`."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from twisted.internet.protocol import Factory
 
-from ..core.decide import Decider
-from ..core.endings import Ending
-from .places import Places
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from .connection_limits import Places
 
 
 class PlacedFront(Factory):
--- a/moorusher/fronts/probes.py
+++ b/moorusher/frontends/probes.py
@@ -9,11 +9,11 @@
 from twisted.internet.protocol import Factory
 
 from ..core.clock import SECOND
-from ..core.decide import Decider
-from ..core.endings import Ending
-from ..report import Reporter
-from ..standing.words import orca
-from .places import Places
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
+from ..health.formatting import orca
+from ..server.health_report import Reporter
+from .connection_limits import Places
 
 MOST = 128  # connections of balancers at a time, for each listener
 MOST_OF_ONE = 48  # of them from one address: a flood from there must leave places to the others
--- a/moorusher/fronts/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -11,13 +11,13 @@
 
 from ..core.answer import Answer, Cause, Verdict
 from ..core.clock import SECOND, Alarm
-from ..core.decide import Decider
-from ..core.endings import Ending
 from ..core.intake import BUSY_MS, NEVER_RAN, Fault
+from ..core.outcomes import Ending
+from ..core.request_engine import Decider
 from ..core.requests import Request
-from .pending import read_pending
-from .placed import PlacedFront
-from .places import Places
+from .connection_limits import Places
+from .limited_protocol import PlacedFront
+from .unread_input import read_pending
 from .uwsgi_packets import (
     FAILED_STATUS,
     FAULT_STATUS,
--- a/moorusher/standing/words.py
+++ b/moorusher/health/formatting.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from .states import Standing
-from .track import Report
+from .tracker import Report
 
 MOST_WORDS = 120  # of a reason: HAProxy keeps the first line, and logs it
 
--- a/moorusher/standing/policy.py
+++ b/moorusher/health/policy.py
@@ -1,4 +1,4 @@
-"""What the operator sets of the standing. Defaults and bounds; `config.py` reads them from `[standing]`."""
+"""What the operator sets of the standing. Defaults and bounds; `config/loader.py` reads them from `[standing]`."""
 
 from __future__ import annotations
 
--- a/moorusher/standing/pace.py
+++ b/moorusher/health/throughput.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from .crowd import Counts, History
+from .congestion import Counts, History
 
 FADES = 300_000_000  # us in which the best pace is forgotten: a slowness that stays is what the machine is
 LEAST_ENDED = 12  # stretches in a window under which a pace says nothing
--- a/moorusher/standing/track.py
+++ b/moorusher/health/tracker.py
@@ -5,13 +5,13 @@
 import math
 from dataclasses import dataclass, field
 
-from .ages import LinkWatch, trust
 from .balancers import Balancers
-from .crowd import Counts, History, highest_mean, survived
-from .observe import Gauge, Maintenance, Observation
-from .pace import Pace
+from .congestion import Counts, History, highest_mean, survived
+from .observation import Gauge, Maintenance, Observation
 from .policy import Policy
+from .staleness import LinkWatch, trust
 from .states import Standing, step
+from .throughput import Pace
 from .weight import Governor, Zone, step_down
 
 LEAST_ASKED = 8  # requests in a window under which the refused share says nothing
--- a/moorusher/lab/below.py
+++ b/moorusher/lab/below.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from peattack.interface import Effect
+from moorusher.scheduling.interface import Effect
 
-from ..tier.policy import Policy, Server
-from ..tier.router import Action, Cancel, End, Over, Router, Send
+from ..load_balancing.policy import Policy, Server
+from ..load_balancing.router import Action, Cancel, End, Over, Router, Send
 
 MS = 1_000
 
--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -6,7 +6,7 @@
 import heapq
 from dataclasses import dataclass
 
-from ..standing.crowd import History, survived
+from ..health.congestion import History, survived
 
 FAR = 1 << 60
 
--- a/moorusher/lab/courses.py
+++ b/moorusher/lab/courses.py
@@ -8,8 +8,8 @@
 import numpy as np
 import numpy.typing as npt
 
-from ..forecast.policy import Days
-from ..forecast.season import WEEK, hours_of_week
+from ..forecasting.policy import Days
+from ..forecasting.season import WEEK, hours_of_week
 
 Floats = npt.NDArray[np.float64]
 WEEKS = 8
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -16,12 +16,12 @@
 
 from twisted.internet.threads import deferToThread
 
-from ..check.duties import DutyProcess, DutySimulation
-from ..check.fleets import SECOND, Course
-from ..duties.effects import Fenced, Outcome
-from ..duties.fence import Fence
-from ..duties.ownership import Ownership
-from ..duties.participant import Participant
+from ..leadership.effects import Fenced, Outcome
+from ..leadership.fencing_token import Fence
+from ..leadership.lease_holder import Ownership
+from ..leadership.participant import Participant
+from ..model_checking.cluster_simulation import SECOND, Course
+from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
 from .experiment import Experiment, Plot, Result
 from .load import Kind
 from .receiver import Book, Receiver
--- a/moorusher/lab/experiment.py
+++ b/moorusher/lab/experiment.py
@@ -122,7 +122,7 @@
 
 def run(name: str, quick: bool, seed: int, folder: Path, say: Callable[[str], None]) -> bool:
     """Play it on a reactor of its own, write its report, say its verdicts; True where all criteria hold."""
-    from .. import loop
+    from ..server import reactor as loop
 
     reactor = loop.install()
     from twisted.internet.defer import Deferred
--- a/moorusher/lab/fleet.py
+++ b/moorusher/lab/fleet.py
@@ -11,9 +11,9 @@
 
 import numpy as np
 
-from ..standing.observe import Observation
-from ..standing.policy import Policy
-from ..standing.track import Facts, Tracker
+from ..health.observation import Observation
+from ..health.policy import Policy
+from ..health.tracker import Facts, Tracker
 
 STEP_S = 0.1
 KEPT_S = 0.5  # a report is worked out so often at most: the real ones are shared for 10 ms
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -17,14 +17,14 @@
 import numpy as np
 from twisted.internet.threads import deferToThread
 
-from ..forecast.choose import choose, cleaned
-from ..forecast.hints import steps
-from ..forecast.ledger import WHOLE, Series
-from ..forecast.models import Known, last_week
-from ..forecast.policy import Days, Scaling
-from ..forecast.quantiles import quantiles
-from ..forecast.season import WEEK, hours_of_week
-from ..forecast.week import week_ahead
+from ..forecasting.choose import choose, cleaned
+from ..forecasting.hints import steps
+from ..forecasting.ledger import WHOLE, Series
+from ..forecasting.models import Known, last_week
+from ..forecasting.policy import Days, Scaling
+from ..forecasting.quantiles import quantiles
+from ..forecasting.season import WEEK, hours_of_week
+from ..forecasting.week import week_ahead
 from .courses import FIRST, KINDS, WEEKS, Drawn, Floats, draw
 from .experiment import Experiment, Plot, Result
 
--- a/moorusher/lab/many.py
+++ b/moorusher/lab/many.py
@@ -290,7 +290,7 @@
 
 def up(count: int, seconds: float, load: float, say: Callable[[str], None]) -> int:
     """Until ^C, or for `seconds`."""
-    from .. import loop
+    from ..server import reactor as loop
 
     reactor = loop.install()
     many = Many(reactor, count, load, say)
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -24,11 +24,11 @@
 from twisted.internet.threads import deferToThread
 from twisted.internet.utils import getProcessValue
 
-from ..outage.changes import Accept, AskFor, Go, Grant, Return, Warm
-from ..outage.plan import plan
-from ..outage.policy import Policy
-from ..outage.roster import EMPTY, Ask, Roster, Stage, pack, unpack
-from ..outage.spare import View
+from ..maintenance.disruption_budget import View
+from ..maintenance.next_step import plan
+from ..maintenance.policy import Policy
+from ..maintenance.schedule import EMPTY, Ask, Roster, Stage, pack, unpack
+from ..maintenance.transitions import Accept, AskFor, Go, Grant, Return, Warm
 from .balancer import Choice, Prober, Server
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
@@ -404,8 +404,8 @@
 
 def messages(seats: int) -> float:
     """A member a second, while the fleet goes round, all asked for."""
-    from ..check.fleets import Course
-    from ..check.outage_seeds import OutageSimulation
+    from ..model_checking.cluster_simulation import Course
+    from ..model_checking.maintenance_simulation import OutageSimulation
 
     sim = OutageSimulation(1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0, seconds=20), asks=0)
     sim.run(3_000_000)
@@ -538,7 +538,7 @@
 
 def main(seed: int, way: str, path: str) -> None:
     """One arm of it, in a process of its own."""
-    from .. import loop
+    from ..server import reactor as loop
 
     reactor = loop.install()
     reap_children(reactor)
--- a/moorusher/lab/receiver.py
+++ b/moorusher/lab/receiver.py
@@ -14,8 +14,8 @@
 import msgspec
 from twisted.web import resource, server
 
-from ..admin import quiet_site
-from ..duties.fence import Fence, Verdict, judge
+from ..admin.api import quiet_site
+from ..leadership.fencing_token import Fence, Verdict, judge
 from .stand_ins import HOST
 
 Resource: Any = resource.Resource
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -16,11 +16,11 @@
 
 from ..core.call import NoCalls
 from ..core.clock import Alarms, Clock
-from ..core.decide import Decider
-from ..fronts.agent import AgentFront
-from ..loop import LoopTimer
-from ..report import Reporter
-from ..standing.policy import Policy
+from ..core.request_engine import Decider
+from ..frontends.agent import AgentFront
+from ..health.policy import Policy
+from ..server.health_report import Reporter
+from ..server.reactor import LoopTimer
 from .balancer import Choice, Prober, Server, ask
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
@@ -208,7 +208,7 @@
 async def notices(reactor: Any, seed: int) -> list[float]:
     """Runners of the program's own core in this process, each on a real port and asked by a prober of its own; each
     gets its notice at a random phase. How many probe intervals until a prober has read of it."""
-    from peattack.wire import parse_settings
+    from moorusher.simulator.wire import parse_settings
 
     rng = random.Random(seed)
     settings = parse_settings(json.dumps(settings_of(KINDS, TENANTS, CORES)).encode(), 1)
@@ -282,7 +282,7 @@
 
 def flood(port: int) -> None:
     """FLOOD_PER_S agent probes a second for FLOOD_S; prints how many were answered."""
-    from .. import loop
+    from ..server import reactor as loop
 
     reactor = loop.install()
     got, sent, began = [0], [0], now_us()
--- a/moorusher/lab/tier.py
+++ b/moorusher/lab/tier.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from peattack.interface import Effect
+from moorusher.scheduling.interface import Effect
 
-from ..tier.choose import rank
-from ..tier.member import Member
-from ..tier.policy import Policy, Server
-from ..tier.router import End, Router, Send
+from ..load_balancing.endpoint import Member
+from ..load_balancing.picker import rank
+from ..load_balancing.policy import Policy, Server
+from ..load_balancing.router import End, Router, Send
 from .below import Below, Mood, Told, World
 from .experiment import Experiment, Plot, Result
 
--- a/moorusher/lab/up.py
+++ b/moorusher/lab/up.py
@@ -25,7 +25,7 @@
 
 def up(seconds: float, load: float, say: Callable[[str], None]) -> int:
     """Until ^C, or for `seconds`; 0 where the runner left in order."""
-    from .. import loop
+    from ..server import reactor as loop
 
     reactor = loop.install()
     below = Database(reactor, 200, delay=0.03)
--- a/moorusher/lab/warm.py
+++ b/moorusher/lab/warm.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from ..knowledge.merge import merge
-from ..knowledge.snapshot import read, write
-from ..knowledge.trial import Trial
-from ..knowledge.value import Condition, Knowledge, make
-from ..tier.router import Router
+from ..load_balancing.router import Router
+from ..warm_start.learned_state import Condition, Knowledge, make
+from ..warm_start.merge import merge
+from ..warm_start.snapshot import read, write
+from ..warm_start.verification import Trial
 from .below import Below, Mood, Told, World
 from .experiment import Experiment, Plot, Result
 
--- a/moorusher/duties/spread.py
+++ b/moorusher/leadership/candidates.py
@@ -12,8 +12,8 @@
 
 import xxhash
 
-from ..fleet.seats import score
-from ..fleet.work import Key
+from ..membership.placement import score
+from ..replication.work_record import Key
 
 ROOM = 1.25  # times the mean that one may be given,
 TOO_MANY = 1.5  # and more than which it gives some up
--- a/moorusher/duties/pieces.py
+++ b/moorusher/leadership/chunks.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ..fleet.work import Key
-from .post import Post, Version
+from ..replication.work_record import Key
+from .lease_record import Post, Version
 
 PIECE = 32 << 10  # bytes
 Mark = tuple[int, int, int]  # born, term, number
--- a/moorusher/duties/effects.py
+++ b/moorusher/leadership/effects.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from .errors import DutyError
-from .fence import Fence
-from .post import Intent, Settle
+from .fencing_token import Fence
+from .lease_record import Intent, Settle
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/duties/tending.py
+++ b/moorusher/leadership/election.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..fleet.member import MS, Members
-from ..fleet.work import Key, Owner
+from ..membership.failure_detector import MS, Members
+from ..replication.work_record import Key, Owner
+from .candidates import Seen, Steady, mean, order
+from .lease_record import Life, Post
 from .messages import Offer
-from .post import Life, Post
-from .spread import Seen, Steady, mean, order
 
 RANKS = 250 * MS  # between the keepers of a register, in their order, until the next one sees to it
 LOOK_AGAIN = 400 * MS
--- a/moorusher/duties/errors.py
+++ b/moorusher/leadership/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..errors import Remediable
-from ..fleet.work import Owner
+from ..replication.work_record import Owner
 
 
 class DutyError(Remediable):
--- a/moorusher/duties/report.py
+++ b/moorusher/leadership/heartbeat.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from ..fleet.member import MS
+from ..membership.failure_detector import MS
 from .effects import Fenced, LatestState, Made, OnFleet, Outcome
 from .errors import DutyError
-from .ownership import Ownership
+from .lease_holder import Ownership
 from .policy import Report
 
 KIND = "report"
--- a/moorusher/duties/journal.py
+++ b/moorusher/leadership/journal.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..fleet.journal import Image, PieceOf
-from ..fleet.keeper import Keeper
-from ..fleet.work import Key
-from .pieces import Shelf
-from .post import unpack
+from ..replication.acceptor import Keeper
+from ..replication.journal import Image, PieceOf
+from ..replication.work_record import Key
+from .chunks import Shelf
+from .lease_record import unpack
 
 
 @dataclass(slots=True)
--- a/moorusher/duties/ownership.py
+++ b/moorusher/leadership/lease_holder.py
@@ -11,10 +11,10 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from ..fleet.member import MS
-from ..fleet.register import Done, Hold
-from ..fleet.work import Key, Owner
-from . import pieces
+from ..membership.failure_detector import MS
+from ..replication.proposer import Done, Hold
+from ..replication.work_record import Key, Owner
+from . import chunks as pieces
 from .effects import Effect, Fenced, LatestState, Made, OnFleet, Outcome, Told
 from .errors import (
     Busy,
@@ -27,10 +27,8 @@
     Uncertain,
     Unreached,
 )
-from .fence import Fence
-from .library import Library
-from .policy import Policy
-from .post import (
+from .fencing_token import Fence
+from .lease_record import (
     MOST_WHAT,
     Advance,
     Change,
@@ -48,7 +46,9 @@
     Yield,
     unpack,
 )
-from .post import Outcome as OutcomeChange
+from .lease_record import Outcome as OutcomeChange
+from .policy import Policy
+from .state_replication import Library
 
 MOST_WAITING = 64  # effects before one duty's owner
 FETCH = 3_000 * MS  # for the state that the last owner has left
--- a/moorusher/duties/post.py
+++ b/moorusher/leadership/lease_record.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ..fleet.work import Key, Owner
+from ..replication.work_record import Key, Owner
 
 MOST_NAME = 128  # bytes
 MOST_WHAT = 512  # bytes of an intent
--- a/moorusher/duties/messages.py
+++ b/moorusher/leadership/messages.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..fleet.messages import Said, spoken
-from ..fleet.work import Key, Owner
-from .pieces import Mark
+from ..replication.messages import Said, spoken
+from ..replication.work_record import Key, Owner
+from .chunks import Mark
 
 PART = "duties"  # of `fleet.messages.For`
 
--- a/moorusher/duties/participant.py
+++ b/moorusher/leadership/participant.py
@@ -12,24 +12,23 @@
 
 import msgspec
 
-from ..fleet.keeper import Slot
-from ..fleet.member import MS
-from ..fleet.messages import For
-from ..fleet.node import Node
-from ..fleet.register import Done, Hold
-from ..fleet.registers import LASTING, Registers
-from ..fleet.work import Key, Owner
+from ..membership.failure_detector import MS
+from ..replication.acceptor import Slot
+from ..replication.messages import For
+from ..replication.node import Node
+from ..replication.proposer import Done, Hold
+from ..replication.register_space import LASTING, Registers
+from ..replication.work_record import Key, Owner
 from . import messages
+from .candidates import Steady, mean, too_many
+from .chunks import Shelf
 from .effects import Told
+from .election import Tending
 from .errors import Busy, Damaged, DutyError, NoMajority, OverBudget, SetAside, Unknown
-from .fence import Fence
+from .fencing_token import Fence
 from .journal import LastingKeeper
-from .library import Library
-from .messages import Declined, Fetch, Fetched, Keep, Kept, Named, Offer, Passed
-from .ownership import Ownership
-from .pieces import Shelf
-from .policy import Policy
-from .post import (
+from .lease_holder import Ownership
+from .lease_record import (
     MOST_NAME,
     Accept,
     Change,
@@ -44,8 +43,9 @@
     key_of,
     unpack,
 )
-from .spread import Steady, mean, too_many
-from .tending import Tending
+from .messages import Declined, Fetch, Fetched, Keep, Kept, Named, Offer, Passed
+from .policy import Policy
+from .state_replication import Library
 
 FOREVER = 1 << 60  # us
 LOOK = 500 * MS
--- a/moorusher/duties/policy.py
+++ b/moorusher/leadership/policy.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What the operator sets of duties; `config_fleet.py` reads and bounds it."""
+    """What the operator sets of duties; `config/fleet.py` reads and bounds it."""
 
     on: bool = False
     reports: tuple[Report, ...] = ()
--- a/moorusher/duties/library.py
+++ b/moorusher/leadership/state_replication.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..fleet.member import MS
-from ..fleet.seats import majority
-from ..fleet.work import Key
-from . import pieces
+from ..membership.failure_detector import MS
+from ..membership.placement import majority
+from ..replication.work_record import Key
+from . import chunks as pieces
+from .chunks import Mark, Shelf
+from .lease_record import Post, Version, pack, unpack
 from .messages import Fetch, Fetched, Keep, Kept, Named
-from .pieces import Mark, Shelf
-from .post import Post, Version, pack, unpack
 
 AGAIN = 150 * MS
 MEND = 1_000 * MS
--- a/moorusher/tier/member.py
+++ b/moorusher/load_balancing/endpoint.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from .concurrency_limit import Limit
 from .latency import Latency
-from .limit import Limit
 from .policy import Policy, Server
 from .prior import OWN, Prior
 from .slow_start import LEAST_RAMP, SlotCounter, StartBudget, phase_of
--- a/moorusher/tier/roster.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from .choose import rank, two
+from .endpoint import Member, State, Why
 from .latency import median
-from .member import Member, State, Why
+from .picker import rank, two
 from .policy import MOST_SERVERS, Policy, Server
 from .prior import BELIEVED, OnTrial, Prior
 
--- a/moorusher/tier/choose.py
+++ b/moorusher/load_balancing/picker.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from .member import Member
+from .endpoint import Member
 
 TRIES = 3  # pairs that are drawn before all are looked at
 
--- a/moorusher/tier/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -1,4 +1,4 @@
-"""What the operator sets of the tier. Defaults; `config.py` reads and bounds them from `[tier]`."""
+"""What the operator sets of the tier. Defaults; `config/loader.py` reads and bounds them from `[tier]`."""
 
 from __future__ import annotations
 
--- a/moorusher/tier/router.py
+++ b/moorusher/load_balancing/router.py
@@ -14,13 +14,13 @@
 from itertools import count
 from typing import Union
 
-from peattack.interface import Effect
-from peattack.repeats import Evidence, may_repeat, may_run_twice
+from moorusher.scheduling.interface import Effect
+from moorusher.scheduling.retry_policy import Evidence, may_repeat, may_run_twice
 
-from .budget import Budget, backoff_us
-from .member import Member
+from .endpoint import Member
+from .endpoint_set import Roster
 from .policy import Policy, Server
-from .roster import Roster
+from .retry_budget import Budget, backoff_us
 
 LEAST_LEFT = 5_000  # us of a call's time under which a further attempt is no use
 MOST_TRIES = 1 << 30  # no bound but the budget
@@ -29,7 +29,7 @@
 
 
 class End(Enum):
-    """How an attempt ended, for the decisions here; `links/tier.py` maps the wire's endings to it."""
+    """How an attempt ended, for the decisions here; `backends/server_pool.py` maps the wire's endings to it."""
 
     ANSWERED = "answered"
     TURNED_AWAY = "turned away"  # it never ran: the server said so
--- a/moorusher/outage/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -10,21 +10,21 @@
 
 import msgspec
 
-from ..fleet.keeper import Keeper, Slot
-from ..fleet.member import MS
-from ..fleet.messages import For
-from ..fleet.node import Node
-from ..fleet.register import Done
-from ..fleet.registers import FOREVER, SHARED, Registers
-from ..fleet.work import Key
+from ..membership.failure_detector import MS
+from ..replication.acceptor import Keeper, Slot
+from ..replication.messages import For
+from ..replication.node import Node
+from ..replication.proposer import Done
+from ..replication.register_space import FOREVER, SHARED, Registers
+from ..replication.work_record import Key
 from . import messages
-from .changes import AskFor, Cancel, Change, Go, Hold, Over, Resume
 from .errors import NoMajority, NoSuchSeat, NotHere, OutageError
-from .machine import Do, Doing, Own, decide, proves
+from .local_machine import Do, Doing, Own, decide, proves
 from .messages import Changed
 from .planner import Planner
 from .policy import Policy
-from .roster import EMPTY, KEY, Ask, Ended, Ends, How, Roster, Stage, Turn, unpack
+from .schedule import EMPTY, KEY, Ask, Ended, Ends, How, Roster, Stage, Turn, unpack
+from .transitions import AskFor, Cancel, Change, Go, Hold, Over, Resume
 
 TICK = 200 * MS
 MINE = (
--- a/moorusher/outage/spare.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ..fleet.seats import majority
+from ..membership.placement import majority
 from .policy import Policy
-from .roster import Ask, Roster
+from .schedule import Ask, Roster
 
 SICK = 50  # percent of weight, under which a machine is mended before others
 FULL = 100
--- a/moorusher/outage/machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .changes import Accept, Change, GiveBack, Go, Return, Warm
 from .policy import Policy
-from .roster import Ends, Stage, Turn
+from .schedule import Ends, Stage, Turn
+from .transitions import Accept, Change, GiveBack, Go, Return, Warm
 
 
 class Doing(Enum):
--- a/moorusher/outage/messages.py
+++ b/moorusher/maintenance/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..fleet.messages import Said, spoken
+from ..replication.messages import Said, spoken
 
 PART = "outages"  # of `fleet.messages.For`
 
--- a/moorusher/outage/plan.py
+++ b/moorusher/maintenance/next_step.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from .order import waiting
+from .disruption_budget import Spare, View
 from .policy import Policy
-from .roster import Ask, Roster, Stage
-from .spare import Spare, View
+from .queue_order import waiting
+from .schedule import Ask, Roster, Stage
 
 SHRUNK = 0.98  # of its capacity: less than that, and what stays has shrunk
 AROUND_S = 10.0  # guessed for what goes before and after the work, where the order is foretold
--- a/moorusher/outage/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Sequence
 
-from ..fleet.member import MS, Members
-from ..fleet.seats import Seats
-from .changes import Grant
-from .plan import Calm, Step, plan
+from ..membership.failure_detector import MS, Members
+from ..membership.placement import Seats
+from .disruption_budget import Spare, View
+from .next_step import Calm, Step, plan
 from .policy import Policy
-from .roster import Roster, Stage
-from .spare import Spare, View
+from .schedule import Roster, Stage
+from .transitions import Grant
 
 TURN = 1_500 * MS  # nothing has happened for so long: the next keeper tries
 AGAIN = 1_000 * MS  # a grant that its machine has not taken up is told again
--- a/moorusher/outage/order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from .disruption_budget import Spare
 from .policy import Policy
-from .roster import Ask, Roster
-from .spare import Spare
+from .schedule import Ask, Roster
 
 PRESSING = 2.0  # times what the work lasts, before its due time, from which nothing else goes first
 
--- a/moorusher/outage/roster.py
+++ b/moorusher/maintenance/schedule.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..fleet.seats import WIDE
+from ..membership.placement import WIDE
 
 KEY = WIDE + b"outages"
 
--- a/moorusher/outage/changes.py
+++ b/moorusher/maintenance/transitions.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .errors import NoSuchAsk, NotOut, OtherAsk, OutageError, TooLate, TooMany
-from .roster import Ask, Ended, How, Roster, Stage, Turn, pack, unpack
+from .schedule import Ask, Ended, How, Roster, Stage, Turn, pack, unpack
 
 MOST_TRIES = 2  # grants that came to nothing, after which a person must look
 MOST_FALLS = 2  # the same of returns
--- a/moorusher/fleet/member.py
+++ b/moorusher/membership/failure_detector.py
@@ -15,7 +15,7 @@
 from math import ceil, log2
 from typing import Protocol
 
-from .messages import About, Ping, PingFor, Pong, Word
+from ..replication.messages import About, Ping, PingFor, Pong, Word
 
 MS = 1_000
 PERIOD = 200 * MS  # one member is asked in each
--- a/moorusher/check/fleets.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -11,12 +11,12 @@
 from random import Random
 from typing import Any
 
-from ..fleet.journal import VERSION as JOURNAL
-from ..fleet.journal import Whose, pack, read
-from ..fleet.node import Node
-from ..fleet.policy import Policy, Seat
-from ..fleet.seats import Seats
-from ..fleet.work import Key, Order, Owner
+from ..membership.placement import Seats
+from ..replication.journal import VERSION as JOURNAL
+from ..replication.journal import Whose, pack, read
+from ..replication.node import Node
+from ..replication.policy import Policy, Seat
+from ..replication.work_record import Key, Order, Owner
 
 MS, SECOND = 1_000, 1_000_000
 MARGIN = 500 * MS
--- a/moorusher/check/forecasts.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -12,20 +12,20 @@
 from functools import partial
 from typing import Any
 
-from ..duties import pieces
-from ..duties.ownership import Ownership
-from ..duties.participant import Worker
-from ..duties.post import key_of
-from ..fleet.keeper import NEVER
-from ..fleet.node import Node
-from ..forecast.demand import BUCKET_MS, HOUR_BUCKETS, Key, unpack_key
-from ..forecast.ledger import WHOLE, Ledger, Series
-from ..forecast.policy import Policy
-from ..forecasting.errors import NotYet
-from ..forecasting.forecaster import NAME, Forecaster
-from ..forecasting.member import Member
-from .duties import DutyProcess, DutySimulation, _post
-from .fleets import MS, SECOND, Course, Simulation
+from ..forecast_service.errors import NotYet
+from ..forecast_service.forecaster import NAME, Forecaster
+from ..forecast_service.member import Member
+from ..forecasting.demand import BUCKET_MS, HOUR_BUCKETS, Key, unpack_key
+from ..forecasting.ledger import WHOLE, Ledger, Series
+from ..forecasting.policy import Policy
+from ..leadership import chunks as pieces
+from ..leadership.lease_holder import Ownership
+from ..leadership.lease_record import key_of
+from ..leadership.participant import Worker
+from ..replication.acceptor import NEVER
+from ..replication.node import Node
+from .cluster_simulation import MS, SECOND, Course, Simulation
+from .leadership_simulation import DutyProcess, DutySimulation, _post
 
 FAST = 600
 HOUR_MS = BUCKET_MS * HOUR_BUCKETS
--- a/moorusher/check/terms.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..duties.fence import Fence, Verdict, judge
-from ..duties.post import Accept, Advance, Intend, Life, Own, Post, Settle, Step, pack, unpack
-from ..fleet.keeper import Slot
-from ..fleet.messages import FAST
-from ..fleet.register import Hold
-from ..fleet.work import Owner
-from .registers import KEY, SEATS, Limits, Registers, Runner
+from ..leadership.fencing_token import Fence, Verdict, judge
+from ..leadership.lease_record import Accept, Advance, Intend, Life, Own, Post, Settle, Step, pack, unpack
+from ..replication.acceptor import Slot
+from ..replication.messages import FAST
+from ..replication.proposer import Hold
+from ..replication.work_record import Owner
+from .register_interleavings import KEY, SEATS, Limits, Registers, Runner
 
 WHAT = b"job"
 
--- a/moorusher/check/duties.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -12,19 +12,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..duties.effects import Fenced, Made, Once, OnFleet, Outcome, Told
-from ..duties.errors import DutyError
-from ..duties.fence import Fence, Verdict, judge
-from ..duties.journal import LastingKeeper
-from ..duties.ownership import Ownership, Stage
-from ..duties.participant import Participant, Reading
-from ..duties.policy import Policy
-from ..duties.post import Intent, Life, Post, Settle, key_of
-from ..fleet.journal import Whose, pack, read
-from ..fleet.keeper import NEVER
-from ..fleet.node import Node
-from ..fleet.registers import LASTING
-from .fleets import MS, SECOND, Course, Process, Simulation
+from ..leadership.effects import Fenced, Made, Once, OnFleet, Outcome, Told
+from ..leadership.errors import DutyError
+from ..leadership.fencing_token import Fence, Verdict, judge
+from ..leadership.journal import LastingKeeper
+from ..leadership.lease_holder import Ownership, Stage
+from ..leadership.lease_record import Intent, Life, Post, Settle, key_of
+from ..leadership.participant import Participant, Reading
+from ..leadership.policy import Policy
+from ..replication.acceptor import NEVER
+from ..replication.journal import Whose, pack, read
+from ..replication.node import Node
+from ..replication.register_space import LASTING
+from .cluster_simulation import MS, SECOND, Course, Process, Simulation
 
 POLICY = Policy(on=True, steady_ms=1_000)
 
@@ -374,7 +374,7 @@
 
 
 def _post(value: Any) -> Post:
-    from ..duties.post import unpack
+    from ..leadership.lease_record import unpack
 
     post = unpack(value)
     assert post is not None
--- a/moorusher/check/outages.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -1,7 +1,8 @@
 """Outages of three machines, one at a time allowed: every interleaving of looking, planning, draining, going, coming
 back, of changes that arrive late or not at all, of one withdrawal and one crash.
 
-The register is one that takes a change at one moment (`check/registers.py` has how it does that); who sent the change
+The register is one that takes a change at one moment (`model_checking/register_interleavings.py` has how it
+does that); who sent the change
 may give it up and do something else, and it may come about at any later time all the same. A machine that is cut off
 is one that looks at nothing, and whose changes don't arrive. What is checked is not the roster but the machines
 themselves: how many of them may be worked on.
@@ -14,12 +15,12 @@
 from functools import lru_cache
 from typing import Any
 
-from ..outage.changes import AskFor, Cancel, Change, Go, Grant
-from ..outage.machine import Doing, Own, decide
-from ..outage.policy import Policy
-from ..outage.roster import Ask, Roster, Stage, unpack
-from ..outage.spare import Spare, View
-from .registers import copy
+from ..maintenance.disruption_budget import Spare, View
+from ..maintenance.local_machine import Doing, Own, decide
+from ..maintenance.policy import Policy
+from ..maintenance.schedule import Ask, Roster, Stage, unpack
+from ..maintenance.transitions import AskFor, Cancel, Change, Go, Grant
+from .register_interleavings import copy
 
 SEATS = ("a", "b", "c")
 POLICY = Policy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
--- a/moorusher/check/outage_seeds.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -12,14 +12,14 @@
 
 from msgspec import structs
 
-from ..fleet.keeper import Keeper
-from ..fleet.node import Node
-from ..fleet.seats import majority
-from ..outage.coordinator import OutageCoordinator, Waited
-from ..outage.machine import Doing, Own
-from ..outage.policy import Policy
-from ..outage.roster import Ask, Stage
-from .fleets import MS, SECOND, Course, Process, Simulation
+from ..maintenance.coordinator import OutageCoordinator, Waited
+from ..maintenance.local_machine import Doing, Own
+from ..maintenance.policy import Policy
+from ..maintenance.schedule import Ask, Stage
+from ..membership.placement import majority
+from ..replication.acceptor import Keeper
+from ..replication.node import Node
+from .cluster_simulation import MS, SECOND, Course, Process, Simulation
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
--- a/moorusher/check/publishes.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..duties.effects import Made, OnFleet, Outcome
-from ..duties.errors import DutyError, NoMajority, Superseded
-from ..duties.fence import Fence
+from ..config_distribution.messages import At
+from ..config_distribution.publisher import Publisher
+from ..leadership.effects import Made, OnFleet, Outcome
+from ..leadership.errors import DutyError, NoMajority, Superseded
+from ..leadership.fencing_token import Fence
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
 from ..namespaces.revisions import Book, Submission, unpack
-from ..publishing.messages import At
-from ..publishing.publisher import Publisher
 
 CUSTOMER, NAME = "acme", "namespace/acme"
 SUBMISSIONS = {id: Submission(CUSTOMER, id, -1, "x", id.encode()) for id in ("s1", "s2")}
--- a/moorusher/check/publishing.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -15,21 +15,21 @@
 
 import msgspec
 
-from ..duties import pieces
-from ..duties.ownership import Ownership
-from ..duties.participant import Worker
-from ..duties.post import Life, key_of
-from ..fleet.keeper import NEVER
-from ..fleet.node import Node
+from ..config_distribution.messages import At
+from ..config_distribution.publisher import duty_of
+from ..config_distribution.replica import GONE, Error, Replica
+from ..leadership import chunks as pieces
+from ..leadership.lease_holder import Ownership
+from ..leadership.lease_record import Life, key_of
+from ..leadership.participant import Worker
 from ..namespaces.document import Namespace, read
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
-from ..publishing.messages import At
-from ..publishing.publisher import duty_of
-from ..publishing.replica import GONE, Error, Replica
-from .duties import DutyProcess, DutySimulation, _post
-from .fleets import MS, SECOND, Course, Simulation
+from ..replication.acceptor import NEVER
+from ..replication.node import Node
+from .cluster_simulation import MS, SECOND, Course, Simulation
+from .leadership_simulation import DutyProcess, DutySimulation, _post
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANTED = Granted(frozenset({"s"}))
--- a/moorusher/check/registers.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -8,10 +8,10 @@
 from functools import cache
 from typing import Any, TypeVar
 
-from ..fleet.keeper import Keeper, Slot
-from ..fleet.messages import FAST, Ask, Slots, Sync, Vote
-from ..fleet.register import Hold, Writer
-from ..fleet.work import Begin, Claim, Free, Order, Owner, State, Take, Work
+from ..replication.acceptor import Keeper, Slot
+from ..replication.messages import FAST, Ask, Slots, Sync, Vote
+from ..replication.proposer import Hold, Writer
+from ..replication.work_record import Begin, Claim, Free, Order, Owner, State, Take, Work
 
 T = TypeVar("T")
 KEY = b"k"
--- a/moorusher/fleet/keeper.py
+++ b/moorusher/replication/acceptor.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ..membership.placement import majority
 from .journal import Heard, Image, Line, Remembers
 from .messages import FAST, Ask, Ballot, Incs, Slots, Vote
-from .seats import majority
-from .work import Key
+from .work_record import Key
 
 NEVER: Ballot = (-1, 0, 0)
 CLOSED: Ballot = (1, 0, 0)  # under every classic ballot, over FAST
--- a/moorusher/fleet/journal.py
+++ b/moorusher/replication/journal.py
@@ -1,4 +1,4 @@
-"""What a keeper has written down: records in, records out, pure. The disk itself is `links/disk.py`.
+"""What a keeper has written down: records in, records out, pure. The disk itself is `storage/journal_files.py`.
 
 A record is its length, a checksum and a message. The first one names whose it is; a slot's last record counts. What
 follows the last whole record was never confirmed, unless a whole one comes after it: then the file is damaged.
@@ -14,7 +14,7 @@
 import xxhash
 
 from .messages import Ballot, Incs
-from .work import Key, Work
+from .work_record import Key, Work
 
 VERSION = 1
 MOST = 1 << 20  # bytes of one record
--- a/moorusher/fleet/tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from .register import Hold
-from .work import Key, Order, Owner, State
+from .proposer import Hold
+from .work_record import Key, Order, Owner, State
 
 
 class Stage(Enum):
--- a/moorusher/fleet/messages.py
+++ b/moorusher/replication/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .work import Key, Owner, Work
+from .work_record import Key, Owner, Work
 
 VERSION = 4
 MOST_FRAME = (
--- a/moorusher/fleet/node.py
+++ b/moorusher/replication/node.py
@@ -11,18 +11,18 @@
 from itertools import count
 from typing import Any
 
+from ..membership.failure_detector import Members
+from ..membership.placement import Seats
+from .acceptor import Keeper, Slot
 from .journal import Image
-from .keeper import Keeper, Slot
-from .left import Left
-from .member import Members
+from .key_tenure import Host, Stage, Tenure
 from .messages import Ask, Begin, For, Had, Has, Ping, PingFor, Pong, Slots, Sync, Take, Vote, Word
 from .owned_work import OwnedWork
 from .policy import Policy
-from .registers import SHARED, WORK, Registers
-from .seats import Seats
-from .tenure import Host, Stage, Tenure
+from .register_space import SHARED, WORK, Registers
 from .watched_work import WatchedWork
-from .work import Key, Owner
+from .work_record import Key, Owner
+from .work_takeover import Left
 
 
 class Node:
--- a/moorusher/fleet/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from .member import MS
+from ..membership.failure_detector import MS
+from .key_tenure import Stage, Tenure
 from .messages import Had
-from .register import Change, Done
-from .tenure import Stage, Tenure
-from .work import Begin as BeginWork
-from .work import Claim, Free, Key, Order, Settle, State, Withdraw, Work
+from .proposer import Change, Done
+from .work_record import Begin as BeginWork
+from .work_record import Claim, Free, Key, Order, Settle, State, Withdraw, Work
 
 if TYPE_CHECKING:
     from .node import Node
--- a/moorusher/fleet/register.py
+++ b/moorusher/replication/proposer.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ..membership.placement import majority
 from .messages import FAST, Ask, Ballot, Incs, Vote
-from .seats import majority
-from .work import Key
+from .work_record import Key
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/fleet/registers.py
+++ b/moorusher/replication/register_space.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from .keeper import NEVER, Keeper
-from .member import MS
+from ..membership.failure_detector import MS
+from ..membership.placement import SLICES, majority
+from .acceptor import NEVER, Keeper
 from .messages import FAST, Ask, Begin, Slots, Sync, Vote
-from .register import Change, Done, Hold, Writer
-from .seats import SLICES, majority
-from .work import Key
+from .proposer import Change, Done, Hold, Writer
+from .work_record import Key
 
 NUDGE = 6 * MS  # a first write goes on with a majority
 AGAIN = 40 * MS  # a round without a majority is asked again, with a higher ballot; twice as late each time
--- a/moorusher/fleet/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from .member import MS
+from ..membership.failure_detector import MS
+from .key_tenure import Stage, Tenure
 from .messages import Had, Has
-from .register import Change, Done
-from .tenure import Stage, Tenure
-from .work import Bury, Claim, Look, State, Work
-from .work import Take as TakeWork
+from .proposer import Change, Done
+from .work_record import Bury, Claim, Look, State, Work
+from .work_record import Take as TakeWork
 
 if TYPE_CHECKING:
     from .node import Node
--- a/moorusher/fleet/left.py
+++ b/moorusher/replication/work_takeover.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from .keeper import Slot
-from .member import MS
+from ..membership.failure_detector import MS
+from .acceptor import Slot
+from .key_tenure import Stage, Tenure
 from .messages import Take
-from .register import Done
-from .tenure import Stage, Tenure
-from .work import Bury, Key, Owner, State, Work
-from .work import Take as TakeWork
+from .proposer import Done
+from .work_record import Bury, Key, Owner, State, Work
+from .work_record import Take as TakeWork
 
 if TYPE_CHECKING:
     from .node import Node
--- a/moorusher/routing/ways.py
+++ b/moorusher/routing/ways.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from peattack.interface import Effect
-from peattack.repeats import may_repeat
+from moorusher.scheduling.interface import Effect
+from moorusher.scheduling.retry_policy import may_repeat
 
-from ..tier.policy import Policy, Server
-from ..tier.router import LEAST_LEFT, Action, Cancel, End, Over, Router, Send
+from ..load_balancing.policy import Policy, Server
+from ..load_balancing.router import LEAST_LEFT, Action, Cancel, End, Over, Router, Send
 from .grants import Grants
 from .way import Hop, Way
 
--- a/peattack/balance.py
+++ b/moorusher/scheduling/balancer.py
@@ -1,4 +1,4 @@
-"""The decisions of one server: what it takes, runs and turns away. Types: `peattack/interface.py`.
+"""The decisions of one server: what it takes, runs and turns away. Types: `scheduling/interface.py`.
 
 The ordinary path is 2DFQ^E (2DFQ paper, sections 4 and 5, Figure 7). Work is counted in core milliseconds;
 weights are scaled to a mean of 1, so start tags S_f, the virtual time v and L_max/phi_f share that unit.
@@ -9,9 +9,9 @@
 from collections import deque
 from collections.abc import Sequence
 
-from peattack import interface as api
-from peattack.interface import Below, Effect, Halting, Outcome, SignalKind
-from peattack.repeats import EVIDENCE_OF_OUTCOME, may_repeat
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.interface import Below, Effect, Halting, Outcome, SignalKind
+from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME, may_repeat
 
 NEVER = float("inf")
 ALPHA, LEARN = 0.99, 0.1  # decay of L_max at each completion; weight of a new sample in a running mean
--- a/peattack/interface.py
+++ b/moorusher/scheduling/interface.py
@@ -1,4 +1,4 @@
-"""What a server tells peattack and what peattack answers: settings, events, actions, outcomes.
+"""What a server tells the scheduler and what the scheduler answers: settings, events, actions, outcomes.
 
 All times are milliseconds. `Balancer.step(now, events)` takes a clock that never steps back (a step
 back raises ValueError) and returns the actions in the order in which they are to be carried out.
--- a/peattack/repeats.py
+++ b/moorusher/scheduling/retry_policy.py
@@ -9,7 +9,7 @@
 
 from enum import Enum
 
-from peattack.interface import Effect, Outcome
+from moorusher.scheduling.interface import Effect, Outcome
 
 
 class Evidence(Enum):
--- /dev/null
+++ b/moorusher/server/__init__.py
@@ -0,0 +1,1 @@
+"""One runner process: its parts put together, started, reconfigured, drained and ended."""
--- a/moorusher/leaving.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -5,12 +5,12 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from peattack.balance import SERVE_ON
+from moorusher.scheduling.balancer import SERVE_ON
 
-from .core.clock import MS
+from ..core.clock import MS
 
 if TYPE_CHECKING:
-    from .service import Service
+    from .server import Service
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/report.py
+++ b/moorusher/server/health_report.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from dataclasses import asdict, replace
 
-from peattack.balance import CROWD_FILL
-from peattack.interface import Settings
-
-from .core.clock import MS
-from .core.decide import Decider
-from .core.watch import Watch
-from .standing.observe import Maintenance, Observation
-from .standing.policy import Policy
-from .standing.states import Impossible, Standing
-from .standing.track import Facts, Report, Tracker, gauge_of
+from moorusher.scheduling.balancer import CROWD_FILL
+from moorusher.scheduling.interface import Settings
+
+from ..core.clock import MS
+from ..core.observer import Watch
+from ..core.request_engine import Decider
+from ..health.observation import Maintenance, Observation
+from ..health.policy import Policy
+from ..health.states import Impossible, Standing
+from ..health.tracker import Facts, Report, Tracker, gauge_of
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/listening.py
+++ b/moorusher/server/listeners.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from .loop import AcceptingPort, listener, listens_at
-from .section import Address
+from ..config.section import Address
+from .reactor import AcceptingPort, listener, listens_at
 
 ACCEPTS_SHARE = (
     8  # for one in so many spare descriptors a listening socket may accept one more client in a turn
--- a/moorusher/start.py
+++ b/moorusher/server/main.py
@@ -11,10 +11,10 @@
 from functools import partial
 from pathlib import Path
 
-from .config import load
-from .section import ConfigError, ConfigUnreadable
-from .succession.budget import path_for, room_for_two
-from .transient import persist
+from ..config.loader import load
+from ..config.section import ConfigError, ConfigUnreadable
+from ..hot_restart.shared_budget import path_for, room_for_two
+from ..transient_errors import persist
 
 log = logging.getLogger("moorusher")
 
@@ -63,12 +63,12 @@
             taken,
         )
         return FAULTY
-    from . import loop  # the loop is installed before any module can import Twisted's default one
+    from . import reactor as loop  # the loop is installed before any module can import Twisted's default one
 
     reactor = loop.install()
     from twisted.python.log import PythonLoggingObserver
 
-    PythonLoggingObserver("moorusher.loop").start()  # type: ignore[no-untyped-call]
-    from . import service
+    PythonLoggingObserver("moorusher.server.reactor").start()  # type: ignore[no-untyped-call]
+    from . import server as service
 
     return service.serve(config, reactor, read, hangups)
--- a/moorusher/loop.py
+++ b/moorusher/server/reactor.py
@@ -14,8 +14,8 @@
 
 from twisted.internet import epollreactor, main, tcp
 
-from .limited_log import LimitedLog
-from .transient import NO_ROOM, persist
+from ..rate_limited_log import LimitedLog
+from ..transient_errors import NO_ROOM, persist
 
 ACCEPT_ALL = 1024  # the longest queue that a listening socket has here
 ROOM_AGAIN_S = 0.01
--- a/moorusher/reloading.py
+++ b/moorusher/server/reload.py
@@ -7,18 +7,18 @@
 from dataclasses import fields, replace
 from typing import TYPE_CHECKING, Any
 
-from .config import Config
-from .core.retune import Plan, plan
-from .limited_log import LimitedLog
-from .section import Address, ConfigError, ConfigUnreadable
-from .transient import AGAIN_S
+from ..config.loader import Config
+from ..config.section import Address, ConfigError, ConfigUnreadable
+from ..core.reconfiguration import Plan, plan
+from ..rate_limited_log import LimitedLog
+from ..transient_errors import AGAIN_S
 
 if TYPE_CHECKING:
-    from .service import Service
+    from .server import Service
 
 log = logging.getLogger("moorusher")
 
-# What SIGHUP changes; the rest is for the next start, and so are some of the settings (`core/retune.py`).
+# What SIGHUP changes; the rest is for the next start, and so are some of the settings (`core/reconfiguration.py`).
 LIVE = frozenset(
     {
         "kernel",
@@ -144,7 +144,7 @@
     if service.agent is not None:
         service.agent.maxconn = probes.maxconn
     if service.health is not None:
-        from .fronts.probes import LoadReport
+        from ..frontends.probes import LoadReport
 
         service.health.codes = probes.codes
         load = service.health.load or LoadReport(service.core, service.reporter)
--- a/moorusher/service.py
+++ b/moorusher/server/server.py
@@ -10,26 +10,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from .config import Config, Limits
-from .core.call import Calls, NoCalls
-from .core.clock import MS, SECOND, Alarms, Clock
-from .core.decide import Decider
-from .core.watch import Watch
-from .fronts.jsonrpc import JsonRpcFront
-from .fronts.uwsgi import UwsgiFront
-from .leaving import Departure
-from .links.announce import Announcer
-from .links.database import MOST_IDLE, DatabasePool
-from .links.kernel import KernelLink
-from .links.uwsgi import UwsgiCalls
-from .listening import Listeners
-from .loop import LoopTimer, descriptors, limited, listener
-from .reloading import Reloads
-from .report import Reporter
-from .section import Address
-from .standing.observe import Maintenance
-from .succession.budget import Load, path_for
-from .transient import passes
+from ..backends.announce import Announcer
+from ..backends.database import MOST_IDLE, DatabasePool
+from ..backends.kernel import KernelLink
+from ..backends.uwsgi import UwsgiCalls
+from ..config.loader import Config, Limits
+from ..config.section import Address
+from ..core.call import Calls, NoCalls
+from ..core.clock import MS, SECOND, Alarms, Clock
+from ..core.observer import Watch
+from ..core.request_engine import Decider
+from ..frontends.jsonrpc import JsonRpcFront
+from ..frontends.uwsgi import UwsgiFront
+from ..health.observation import Maintenance
+from ..hot_restart.shared_budget import Load, path_for
+from ..transient_errors import passes
+from .graceful_shutdown import Departure
+from .health_report import Reporter
+from .listeners import Listeners
+from .reactor import LoopTimer, descriptors, limited, listener
+from .reload import Reloads
 
 log = logging.getLogger("moorusher")
 
@@ -60,7 +60,7 @@
         below: DatabasePool | UwsgiCalls | None = None
         self.tier: Any = None  # many servers below, imported only where they are set
         if config.tier.servers:
-            from .links.tier import TierCalls
+            from ..backends.server_pool import TierCalls
 
             self.tier = TierCalls(
                 reactor,
@@ -118,7 +118,7 @@
         self.succession: Any = None
         self.fleet: Any = None  # other runners, imported only where they are set
         if config.fleet.listen is not None:
-            from .links.fleet import FleetLink
+            from ..cluster_transport.replication import FleetLink
 
             self.fleet = FleetLink(
                 reactor,
@@ -130,17 +130,17 @@
             )
         self.namespaces: Any = None  # customers' rules, imported only where they are set
         if config.namespaces.on:
-            from .links.namespaces import NamespaceLink
+            from ..cluster_transport.config_distribution import NamespaceLink
 
             self.namespaces = NamespaceLink(self.fleet.duties, config.namespaces, reactor)
         self.forecast: Any = None  # of demand, imported only where it is set
         if config.forecast.on:
-            from .links.forecast import ForecastLink
+            from ..cluster_transport.forecast import ForecastLink
 
             self.forecast = ForecastLink(self.fleet.duties, config.forecast, reactor)
         self.outage: Any = None  # machines' outages, imported only where they are set
         if config.outage.on:
-            from .links.outage import OutageLink
+            from ..cluster_transport.maintenance import OutageLink
 
             self.outage = OutageLink(self.fleet, config.outage, self.reporter)
         self.serving = False  # clients are let in, here or by the process that replaces this one
@@ -150,7 +150,7 @@
     def start(self) -> None:
         config = self.config
         if config.console is not None:  # first: it tells operators what is still missing
-            from .fronts.console import Console
+            from ..frontends.console import Console
 
             self.console = Console(self.core, self.reporter, self._console_places(), lambda: self.serving)
             self._open_console(config.console)
@@ -159,30 +159,30 @@
         if config.uwsgi.listen is not None:
             planned["uwsgi"] = config.uwsgi.listen, self.uwsgi
         if self.fleet is not None and config.fleet.listen is not None:
-            from .links.peers import PeerFactory
+            from ..cluster_transport.peers import PeerFactory
 
             planned["fleet"] = config.fleet.listen, PeerFactory(self.fleet)
         probes = config.probes
         if probes.agent is not None:
-            from .fronts.agent import AgentFront
+            from ..frontends.agent import AgentFront
 
             self.agent = AgentFront(self.core, self.reporter, probes.maxconn)
             planned["agent"] = probes.agent, self.agent
         if probes.health is not None or config.uwsgi.load_report:
-            from .fronts.probes import LoadReport
+            from ..frontends.probes import LoadReport
 
             load = LoadReport(self.core, self.reporter)
             if config.uwsgi.load_report:
                 self.uwsgi.load = load.text
         if probes.health is not None:
-            from .fronts.health import HealthFront
+            from ..frontends.health import HealthFront
 
             self.health = HealthFront(
                 self.core, self.reporter, probes.codes, load if probes.load_report else None
             )
             planned["health"] = probes.health, self.health
         if config.admin.listen is not None:
-            from .admin import admin_site  # Twisted's web server: 6 MB that the platform does not need
+            from ..admin.api import admin_site  # Twisted's web server: 6 MB that the platform does not need
 
             site = admin_site(
                 self.core,
@@ -199,14 +199,14 @@
             )
             planned["admin"] = config.admin.listen, site
         if self.tier is not None and config.tier.knowledge is not None:
-            from .links.knowledge import Keeper
+            from ..storage.warm_start import Keeper
 
             self.keeper = Keeper(self.core, self.tier, config.tier.knowledge, self._condition)
             self.keeper.start()
         self.kernel.start()
         path = None
         if folder := os.environ.get("TMPDIR"):
-            from .links.succession import Succession
+            from ..cluster_transport.hot_restart import Succession
 
             path = path_for(folder, config.name, config.listen)
         if path is not None:
@@ -318,14 +318,14 @@
 
     def _fit_for_more(self) -> bool:
         """For work that another runner has left: not where there is too much already."""
-        from .standing.states import Standing
+        from ..health.states import Standing
 
         return self.reporter.fit and self.reporter.report().standing is not Standing.CROWDED
 
     def _condition(self) -> Any:
         """How this runner is, for whoever is told what it knows."""
-        from .knowledge.value import Condition
-        from .standing.states import Standing
+        from ..health.states import Standing
+        from ..warm_start.learned_state import Condition
 
         standing = self.reporter.report().standing
         return {Standing.CROWDED: Condition.CROWDED, Standing.WARMING: Condition.COLD}.get(
--- a/peattack/simhost.py
+++ b/moorusher/simulator/host.py
@@ -1,13 +1,13 @@
-"""`python -m peattack.simhost`: many instances of the module behind the simulator's wire."""
+"""`python -m moorusher.simulator.host`: many instances of the module behind the simulator's wire."""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from peattack import wire
-from peattack.balance import Balancer
-from peattack.interface import Action, Event
+from moorusher.scheduling.balancer import Balancer
+from moorusher.scheduling.interface import Action, Event
+from moorusher.simulator import wire
 
 
 class Host:
@@ -61,7 +61,7 @@
         return 1
     except Exception as exc:  # whatever the cause, it is said once on both outputs and the process ends
         text = f"{type(exc).__name__}: {exc}".replace("\n", " ")
-        print(f"peattack: {text}", file=sys.stderr)
+        print(f"moorusher.scheduling: {text}", file=sys.stderr)
         sink.write(wire.encode_reply(seq, [], fatal=text))
         sink.flush()
         return 1
--- a/peattack/wire.py
+++ b/moorusher/simulator/wire.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire <-> the types of `peattack.interface`. Nothing is decided here."""
+"""Frames of the simulator's wire <-> the types of `moorusher.scheduling.interface`. Nothing is decided here."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any, TypeVar, Union, cast
 
-from peattack import interface as api
+from moorusher.scheduling import interface as api
 
 
 class WireError(ValueError):
--- a/moorusher/links/disk.py
+++ b/moorusher/storage/journal_files.py
@@ -1,6 +1,7 @@
 """The folder in which a keeper's lives leave what they have promised: one file a life, written before votes leave.
 
-What is written is decided in `fleet/journal.py` and the keeper. Here: one write and one fsync at a time, in a thread of
+What is written is decided in `replication/journal.py` and the keeper. Here: one write and one fsync at a time,
+in a thread of
 the reactor's pool, for all that has gathered since the last; whole files by rename; a lock, so that nobody reads a file
 that is still written. A file that a failed write has touched is never appended to.
 """
@@ -20,10 +21,10 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 
-from ..config_fleet import FleetConfig
-from ..fleet.journal import VERSION, Image, Whose, pack, read
-from ..fleet.keeper import Keeper
-from ..section import ConfigError
+from ..config.fleet import FleetConfig
+from ..config.section import ConfigError
+from ..replication.acceptor import Keeper
+from ..replication.journal import VERSION, Image, Whose, pack, read
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -17,8 +17,8 @@
 from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
-from ..publishing.messages import At
-from ..transient import persist
+from ..config_distribution.messages import At
+from ..transient_errors import persist
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/links/knowledge.py
+++ b/moorusher/storage/warm_start.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from ..backends.server_pool import TierCalls
 from ..core.clock import SECOND, Alarm
-from ..core.decide import Decider
-from ..knowledge.merge import merge
-from ..knowledge.snapshot import MOST, Refused, read, write
-from ..knowledge.trial import Trial
-from ..knowledge.value import Condition, Knowledge
-from .tier import TierCalls
+from ..core.request_engine import Decider
+from ..warm_start.learned_state import Condition, Knowledge
+from ..warm_start.merge import merge
+from ..warm_start.snapshot import MOST, Refused, read, write
+from ..warm_start.verification import Trial
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/knowledge/value.py
+++ b/moorusher/warm_start/learned_state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..tier.member import Member, State
+from ..load_balancing.endpoint import Member, State
 
 MOST_SERVERS = 1000
 MOST_NAME = 64
--- a/moorusher/knowledge/merge.py
+++ b/moorusher/warm_start/merge.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Iterable, Sequence
 
-from ..tier.latency import median
-from ..tier.prior import Prior
-from .value import Condition, Knowledge, ServerFacts
+from ..load_balancing.latency import median
+from ..load_balancing.prior import Prior
+from .learned_state import Condition, Knowledge, ServerFacts
 
 HALF_LATENCY_S, HALF_FAULTS_S = 60.0, 20.0  # half-lives: a server's speed lasts longer than its trouble
 FULL_SAMPLES = 30  # of a server, from which its donor's word counts whole
--- a/moorusher/knowledge/snapshot.py
+++ b/moorusher/warm_start/snapshot.py
@@ -9,7 +9,7 @@
 import msgspec
 import xxhash
 
-from .value import MOST_NAME, MOST_SERVERS, Knowledge
+from .learned_state import MOST_NAME, MOST_SERVERS, Knowledge
 
 MAGIC = b"MRKN"
 MAJOR, MINOR = 1, 0  # a newer minor adds fields, which are passed over; a newer major is refused
--- a/moorusher/knowledge/trial.py
+++ b/moorusher/warm_start/verification.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from ..tier.prior import Prior
+from ..load_balancing.prior import Prior
 
 ENOUGH = 4  # own samples that are held against a prior
 WRONG = 2.5  # times as fast or slow as told
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import Any
 
-from moorusher.fleet.policy import Seat
-from moorusher.fleet.seats import Seats
-from moorusher.fleet.work import key_of
 from moorusher.lab.relays import Relay
+from moorusher.membership.placement import Seats
+from moorusher.replication.policy import Seat
+from moorusher.replication.work_record import key_of
 
 from .stand_ins import HOST, SETTINGS, FrontEnd, Kernel, Runner, exchange, free_port, reactor, until
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Any, TypeVar
 
-from peattack import Balancer
-from peattack.interface import (
+from moorusher.scheduling import Balancer
+from moorusher.scheduling.interface import (
     Action,
     Effect,
     Event,
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,7 +20,7 @@
 
 from twisted.internet.asyncioreactor import AsyncioSelectorReactor
 
-from moorusher.fronts.uwsgi_packets import VARS, build_packet
+from moorusher.frontends.uwsgi_packets import VARS, build_packet
 from moorusher.lab import runners, stand_ins
 
 HOST, ROOT, free_port = stand_ins.HOST, runners.ROOT, runners.free_port
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from moorusher.core.endings import Ending
-from moorusher.fronts.jsonrpc import MOST_LINE, SILENCE, JsonRpcFront
-from moorusher.fronts.places import ASKED, CLOSING
-from moorusher.fronts.uwsgi import UwsgiFront
-from moorusher.leaving import Departure
-from moorusher.loop import ROOM_AGAIN_S, AcceptingPort, listener
+from moorusher.core.outcomes import Ending
+from moorusher.frontends.connection_limits import ASKED, CLOSING
+from moorusher.frontends.jsonrpc import MOST_LINE, SILENCE, JsonRpcFront
+from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.server.graceful_shutdown import Departure
+from moorusher.server.reactor import ROOM_AGAIN_S, AcceptingPort, listener
 
 from .by_hand import HOST, Client, Loop
 from .stand_ins import status, uwsgi_request
--- a/tests/test_config_namespaces.py
+++ b/tests/test_config_namespaces.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from moorusher.config_namespaces import NamespacesConfig, read_namespaces
+from moorusher.config.namespaces import NamespacesConfig, read_namespaces
+from moorusher.config.section import ConfigError, Section
 from moorusher.namespaces.policy import Budget, Granted
-from moorusher.section import ConfigError, Section
 
 SERVERS = {"a1", "a2", "b1", "p1", "free"}
 ACME = {"name": "acme", "servers": ["a1", "a2"], "pools": {"shared": 0.5}}
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from moorusher.fronts.console import Console
-from moorusher.fronts.jsonrpc import JsonRpcFront
-from moorusher.fronts.uwsgi import UwsgiFront
-from moorusher.fronts.uwsgi_packets import HEAD, PING
-from moorusher.report import Reporter
-from moorusher.standing.policy import Policy
+from moorusher.frontends.console import Console
+from moorusher.frontends.jsonrpc import JsonRpcFront
+from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.uwsgi_packets import HEAD, PING
+from moorusher.health.policy import Policy
+from moorusher.server.health_report import Reporter
 
 from .test_core import World
 from .test_fronts import Transport, said
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -5,7 +5,7 @@
 import pytest
 
 from moorusher.core.answer import Verdict
-from moorusher.core.endings import Ending
+from moorusher.core.outcomes import Ending
 from moorusher.core.requests import Arrival, Request
 
 from .test_core import World
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,14 +10,14 @@
 from moorusher.core.answer import Answer, Verdict
 from moorusher.core.call import Asked
 from moorusher.core.clock import SECOND, Alarms, Clock
-from moorusher.core.decide import Decider
-from moorusher.core.endings import Ending
+from moorusher.core.idempotency_keys import MARGIN, Keys
 from moorusher.core.intake import Fault
-from moorusher.core.keys import MARGIN, Keys
+from moorusher.core.outcomes import Ending
+from moorusher.core.request_engine import Decider
 from moorusher.core.requests import Arrival, Request
 from moorusher.core.run import NOT_WRITTEN
-from peattack import interface as api
-from peattack.balance import Balancer
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.balancer import Balancer
 
 from .helpers import settings
 
--- a/tests/test_core_shape.py
+++ b/tests/test_core_shape.py
@@ -11,23 +11,23 @@
 WIRES = {"twisted", "json", "base64", "binascii", "socket", "struct", "asyncio", "threading"}
 ALLOWED_PARENTS = {
     None,
-    "actions",
-    "watch",
+    "action_executor",
+    "observer",
     "answer",
     "call",
     "coordination",
-    "claims",
+    "key_claims",
     "clock",
     "counters",
     "demand",
-    "endings",
-    "former_keys",
+    "outcomes",
+    "former_key_classes",
     "intake",
-    "keys",
-    "others",
-    "decide",
+    "idempotency_keys",
+    "remote_claims",
+    "request_engine",
     "requests",
-    "retune",
+    "reconfiguration",
     "routes",
     "run",
     "wall_clock",
@@ -51,17 +51,17 @@
         "clock",
         "requests",
         "intake",
-        "decide",
+        "request_engine",
         "run",
         "call",
-        "keys",
+        "idempotency_keys",
         "answer",
-        "endings",
+        "outcomes",
         "counters",
     } <= {p.stem for p in CORE}
 
 
-PURE = ("standing", "succession", "tier", "knowledge", "fleet")
+PURE = ("health", "hot_restart", "load_balancing", "warm_start", "replication", "membership")
 DECIDES = [p for name in PURE for p in sorted((CORE[0].parent.parent / name).glob("*.py"))]
 CALCULATES = {
     "__future__",
@@ -76,7 +76,10 @@
     "msgspec",
     "xxhash",
 }
-RULES = {"peattack.interface", "peattack.repeats"}  # what test_module_shape.py holds to the same
+RULES = {
+    "moorusher.scheduling.interface",
+    "moorusher.scheduling.retry_policy",
+}  # what test_module_shape.py holds to the same
 
 
 @pytest.mark.parametrize("path", DECIDES, ids=lambda p: f"{p.parent.name}-{p.stem}")
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -14,19 +14,19 @@
 
 import pytest
 
+from moorusher.backends.announce import Announcer
+from moorusher.backends.kernel import KernelConnection, KernelLink
+from moorusher.backends.uwsgi import UwsgiCalls
+from moorusher.cluster_transport.hot_restart import Peer
 from moorusher.core.call import Asked
-from moorusher.fronts.agent import AgentFront
-from moorusher.fronts.health import HealthFront
-from moorusher.fronts.uwsgi import UwsgiFront
-from moorusher.fronts.uwsgi_packets import HEAD, PING
-from moorusher.links.announce import Announcer
-from moorusher.links.kernel import KernelConnection, KernelLink
-from moorusher.links.succession import Peer
-from moorusher.links.uwsgi import UwsgiCalls
-from moorusher.report import Reporter
-from moorusher.standing.policy import Policy
-from moorusher.standing.words import Codes
-from peattack.interface import Effect
+from moorusher.frontends.agent import AgentFront
+from moorusher.frontends.health import HealthFront
+from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.uwsgi_packets import HEAD, PING
+from moorusher.health.formatting import Codes
+from moorusher.health.policy import Policy
+from moorusher.scheduling.interface import Effect
+from moorusher.server.health_report import Reporter
 
 from .stand_ins import uwsgi_request
 from .test_core import World
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -11,11 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from moorusher.check import forecasts as check
-from moorusher.check.forecasts import ForecastSimulation
-from moorusher.duties.effects import Fence, Made
-from moorusher.duties.errors import NoMajority
-from moorusher.forecast.demand import (
+from moorusher.forecast_service.errors import ERRORS, BadPast, ForecastError, NotYet, Unreadable
+from moorusher.forecast_service.forecaster import Forecaster
+from moorusher.forecast_service.messages import Past, Report, Took
+from moorusher.forecasting.demand import (
     BUCKET_MS,
     HOUR_BUCKETS,
     MOST_BUCKETS,
@@ -26,11 +25,12 @@
     pack_key,
     unpack_key,
 )
-from moorusher.forecast.ledger import HOURS, PATIENCE_MS, WHOLE, Ledger, Series
-from moorusher.forecast.policy import Policy
-from moorusher.forecasting.errors import ERRORS, BadPast, ForecastError, NotYet, Unreadable
-from moorusher.forecasting.forecaster import Forecaster
-from moorusher.forecasting.messages import Past, Report, Took
+from moorusher.forecasting.ledger import HOURS, PATIENCE_MS, WHOLE, Ledger, Series
+from moorusher.forecasting.policy import Policy
+from moorusher.leadership.effects import Fence, Made
+from moorusher.leadership.errors import NoMajority
+from moorusher.model_checking import forecast_simulation as check
+from moorusher.model_checking.forecast_simulation import ForecastSimulation
 
 HOUR_MS = BUCKET_MS * HOUR_BUCKETS
 T0 = 500_000 * HOUR_MS
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -13,23 +13,25 @@
 
 import pytest
 
-from moorusher.check.duties import COURSE, DISKS, POLICY, DutyProcess, DutySimulation, search
-from moorusher.check.explore import explore
-from moorusher.check.fleets import SECOND, Course
-from moorusher.check.registers import Limits
-from moorusher.check.terms import Terms
-from moorusher.config_fleet import read_fleet
-from moorusher.duties import ownership as ownership_module
-from moorusher.duties.effects import Effect, Once, OnFleet
-from moorusher.duties.errors import ERRORS, DutyError, Forgotten, NoMajority, OverBudget, Superseded, Unknown
-from moorusher.duties.fence import Fence, Verdict, judge
-from moorusher.duties.library import Library
-from moorusher.duties.messages import Fetched, Offer
-from moorusher.duties.ownership import Ownership
-from moorusher.duties.participant import Participant, Reading
-from moorusher.duties.pieces import PIECE, Shelf, cut, digest, order, whole
-from moorusher.duties.policy import Policy
-from moorusher.duties.post import (
+from moorusher.config.fleet import read_fleet
+from moorusher.config.section import ConfigError, Section
+from moorusher.leadership import lease_holder as ownership_module
+from moorusher.leadership.candidates import Seen, Steady, mean, room, too_many
+from moorusher.leadership.candidates import order as turn
+from moorusher.leadership.chunks import PIECE, Shelf, cut, digest, order, whole
+from moorusher.leadership.effects import Effect, Once, OnFleet
+from moorusher.leadership.errors import (
+    ERRORS,
+    DutyError,
+    Forgotten,
+    NoMajority,
+    OverBudget,
+    Superseded,
+    Unknown,
+)
+from moorusher.leadership.fencing_token import Fence, Verdict, judge
+from moorusher.leadership.lease_holder import Ownership
+from moorusher.leadership.lease_record import (
     Accept,
     Advance,
     Create,
@@ -50,13 +52,26 @@
     pack,
     unpack,
 )
-from moorusher.duties.spread import Seen, Steady, mean, room, too_many
-from moorusher.duties.spread import order as turn
-from moorusher.fleet.member import State
-from moorusher.fleet.messages import Word
-from moorusher.fleet.registers import Registers
-from moorusher.fleet.work import Owner
-from moorusher.section import ConfigError, Section
+from moorusher.leadership.messages import Fetched, Offer
+from moorusher.leadership.participant import Participant, Reading
+from moorusher.leadership.policy import Policy
+from moorusher.leadership.state_replication import Library
+from moorusher.membership.failure_detector import State
+from moorusher.model_checking.cluster_simulation import SECOND, Course
+from moorusher.model_checking.explorer import explore
+from moorusher.model_checking.leadership_interleavings import Terms
+from moorusher.model_checking.leadership_simulation import (
+    COURSE,
+    DISKS,
+    POLICY,
+    DutyProcess,
+    DutySimulation,
+    search,
+)
+from moorusher.model_checking.register_interleavings import Limits
+from moorusher.replication.messages import Word
+from moorusher.replication.register_space import Registers
+from moorusher.replication.work_record import Owner
 
 A, B = Owner("a", 1), Owner("b", 2)
 KEY = key_of("d")
--- a/tests/test_duties_real.py
+++ b/tests/test_duties_real.py
@@ -16,9 +16,9 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from moorusher.duties.fence import Fence
 from moorusher.lab.receiver import Book, Receiver
 from moorusher.lab.relays import Relay
+from moorusher.leadership.fencing_token import Fence
 
 from .fleets import Fleet, fleet
 from .stand_ins import HOST, Kernel, reactor, until
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from moorusher.core.former_keys import MOST, FormerKeys
-from peattack import interface as api
+from moorusher.core.former_key_classes import MOST, FormerKeys
+from moorusher.scheduling import interface as api
 
 from .helpers import settings as base_settings
 from .stand_ins import SETTINGS, FrontEnd, Kernel, Runner, content, running
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,21 +10,32 @@
 
 import pytest
 
-from moorusher.check.explore import explore, replay
-from moorusher.check.fleets import Course, Process, Simulation, search
-from moorusher.check.registers import Limits, Registers
-from moorusher.fleet import left as left_module
-from moorusher.fleet import node as node_module
-from moorusher.fleet import watched_work as watched_module
-from moorusher.fleet.keeper import Keeper
-from moorusher.fleet.member import Members, State
-from moorusher.fleet.messages import FAST, Ask, Ping, Pong, decode, encode
-from moorusher.fleet.messages import Begin as BeginFleet
-from moorusher.fleet.policy import Seat
-from moorusher.fleet.register import Writer
-from moorusher.fleet.seats import Seats
-from moorusher.fleet.work import Begin, Bury, Claim, Free, Order, Owner, Settle, Take, Work, key_of
-from moorusher.fleet.work import State as WorkState
+from moorusher.membership.failure_detector import Members, State
+from moorusher.membership.placement import Seats
+from moorusher.model_checking.cluster_simulation import Course, Process, Simulation, search
+from moorusher.model_checking.explorer import explore, replay
+from moorusher.model_checking.register_interleavings import Limits, Registers
+from moorusher.replication import node as node_module
+from moorusher.replication import watched_work as watched_module
+from moorusher.replication import work_takeover as left_module
+from moorusher.replication.acceptor import Keeper
+from moorusher.replication.messages import FAST, Ask, Ping, Pong, decode, encode
+from moorusher.replication.messages import Begin as BeginFleet
+from moorusher.replication.policy import Seat
+from moorusher.replication.proposer import Writer
+from moorusher.replication.work_record import (
+    Begin,
+    Bury,
+    Claim,
+    Free,
+    Order,
+    Owner,
+    Settle,
+    Take,
+    Work,
+    key_of,
+)
+from moorusher.replication.work_record import State as WorkState
 
 ORDER = Order("r", "write", None, "t", b"body", 0.0, None, 0, 1.0, 0.0, None)
 A, B = Owner("a", 1), Owner("b", 2)
@@ -440,7 +451,7 @@
 
 
 def m_about(seat: str, inc: int, version: int, state: State) -> Any:
-    from moorusher.fleet.messages import About, Word
+    from moorusher.replication.messages import About, Word
 
     return About(seat, inc, version, state.value, Word(True, 2))
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -9,19 +9,19 @@
 import numpy as np
 import pytest
 
-from moorusher.config_forecast import read_forecast
-from moorusher.forecast.choose import PLAIN, choose, cleaned
-from moorusher.forecast.clean import begun, filled, median, odd_hours
-from moorusher.forecast.hints import Need, cores_of, hints, steps
-from moorusher.forecast.ledger import WHOLE, Series
-from moorusher.forecast.level import levelled
-from moorusher.forecast.models import MODELS, Known
-from moorusher.forecast.policy import Days, Scaling
-from moorusher.forecast.quantiles import quantiles
-from moorusher.forecast.season import WEEK, hours_of_week, kinds_of_days
-from moorusher.forecast.week import corrected, week_ahead
+from moorusher.config.forecast import read_forecast
+from moorusher.config.section import ConfigError, Section
+from moorusher.forecasting.choose import PLAIN, choose, cleaned
+from moorusher.forecasting.clean import begun, filled, median, odd_hours
+from moorusher.forecasting.hints import Need, cores_of, hints, steps
+from moorusher.forecasting.ledger import WHOLE, Series
+from moorusher.forecasting.level import levelled
+from moorusher.forecasting.models import MODELS, Known
+from moorusher.forecasting.policy import Days, Scaling
+from moorusher.forecasting.quantiles import quantiles
+from moorusher.forecasting.season import WEEK, hours_of_week, kinds_of_days
+from moorusher.forecasting.week import corrected, week_ahead
 from moorusher.lab.courses import draw
-from moorusher.section import ConfigError, Section
 
 FIRST = 491_000 - 491_000 % WEEK
 HOURS = 8 * WEEK
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -10,11 +10,11 @@
 from twisted.internet.testing import StringTransport
 
 from moorusher.core.answer import Answer, Cause, Verdict
-from moorusher.core.endings import Ending
-from moorusher.fronts.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_UNSENT, JsonRpcConnection, JsonRpcFront
-from moorusher.fronts.uwsgi import UwsgiFront
-from moorusher.fronts.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
-from peattack.interface import SignalKind
+from moorusher.core.outcomes import Ending
+from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_UNSENT, JsonRpcConnection, JsonRpcFront
+from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
+from moorusher.scheduling.interface import SignalKind
 
 from .stand_ins import uwsgi_request
 from .test_core import World
--- a/tests/test_hangups.py
+++ b/tests/test_hangups.py
@@ -63,7 +63,8 @@
 
 
 @pytest.mark.parametrize(
-    "module", ["moorusher.start", "moorusher.config", "twisted.internet", "moorusher.service"]
+    "module",
+    ["moorusher.server.main", "moorusher.config.loader", "twisted.internet", "moorusher.server.server"],
 )
 @sockets
 async def test_a_hangup_as_a_process_begins_does_not_end_it(module: str) -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -15,15 +15,15 @@
 
 import pytest
 
-from moorusher.check.fleets import Course, Process, search
-from moorusher.config import read_fronts
-from moorusher.fleet.journal import VERSION, Heard, Line, Remembers, Whose, pack, read
-from moorusher.fleet.keeper import Keeper
-from moorusher.fleet.messages import FAST, Ask
-from moorusher.fleet.work import Owner, State, Work
-from moorusher.links import disk
-from moorusher.links.disk import Files, Folder, opened
-from moorusher.section import ConfigError
+from moorusher.config.loader import read_fronts
+from moorusher.config.section import ConfigError
+from moorusher.model_checking.cluster_simulation import Course, Process, search
+from moorusher.replication.acceptor import Keeper
+from moorusher.replication.journal import VERSION, Heard, Line, Remembers, Whose, pack, read
+from moorusher.replication.messages import FAST, Ask
+from moorusher.replication.work_record import Owner, State, Work
+from moorusher.storage import journal_files as disk
+from moorusher.storage.journal_files import Files, Folder, opened
 
 from .fleets import Fleet, fleet, token
 from .test_sockets import has, sockets
@@ -250,7 +250,7 @@
             elder.rewrite(pack([WHOSE, line(2), Remembers()]))
         lock(file, how)
 
-    monkeypatch.setattr("moorusher.links.disk.fcntl.flock", flock)
+    monkeypatch.setattr("moorusher.storage.journal_files.fcntl.flock", flock)
     _, image, why = younger.open(3)
     assert image is None and "another process" in why
     elder.close()
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -15,18 +15,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from moorusher.knowledge import snapshot
-from moorusher.knowledge.merge import LEAST_WEIGHT, merge
-from moorusher.knowledge.snapshot import HEAD, MAGIC, MAJOR, MOST, Refused, Why, read, write
-from moorusher.knowledge.trial import Trial
-from moorusher.knowledge.value import Condition, Knowledge, ServerFacts, make
 from moorusher.lab.below import Below, Mood, World
-from moorusher.links.knowledge import load, save
-from moorusher.tier.member import State
-from moorusher.tier.policy import Policy, Server
-from moorusher.tier.prior import Prior
-from moorusher.tier.router import End, Router, Send
-from peattack.interface import Effect
+from moorusher.load_balancing.endpoint import State
+from moorusher.load_balancing.policy import Policy, Server
+from moorusher.load_balancing.prior import Prior
+from moorusher.load_balancing.router import End, Router, Send
+from moorusher.scheduling.interface import Effect
+from moorusher.storage.warm_start import load, save
+from moorusher.warm_start import snapshot
+from moorusher.warm_start.learned_state import Condition, Knowledge, ServerFacts, make
+from moorusher.warm_start.merge import LEAST_WEIGHT, merge
+from moorusher.warm_start.snapshot import HEAD, MAGIC, MAJOR, MOST, Refused, Why, read, write
+from moorusher.warm_start.verification import Trial
 
 from .stand_ins import Database, FrontEnd, Kernel, running
 from .test_sockets import has, sockets
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,14 +10,14 @@
 
 import pytest
 
+from moorusher.health.formatting import haproxy
+from moorusher.health.states import Standing
 from moorusher.lab.balancer import Choice, Server
 from moorusher.lab.cores import FAR, Cores, Machine
 from moorusher.lab.experiment import Experiment, Plot, Result, write
 from moorusher.lab.fleet import Fleet, play
 from moorusher.lab.load import Kind, draw
 from moorusher.lab.runners import ROOT
-from moorusher.standing.states import Standing
-from moorusher.standing.words import haproxy
 
 from .test_standing import report
 
@@ -182,9 +182,9 @@
 
 def test_serving_imports_neither_the_laboratory_nor_the_command_line() -> None:
     code = (
-        "import sys, moorusher.start, moorusher.service; "
+        "import sys, moorusher.server.main, moorusher.server.server; "
         "print([m for m in sys.modules if m.startswith(('click', 'moorusher.lab', 'moorusher.cli', 'numpy', "
-        "'twisted.web', 'moorusher.fronts.health'))])"
+        "'twisted.web', 'moorusher.frontends.health'))])"
     )
     got = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert got.stdout.strip() == "[]"
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -25,11 +25,12 @@
     path.write_text(json.dumps({{"name": "n1", "listen": "127.0.0.1:1", "kernel": "127.0.0.1:2", "settings": settings,
                                 "db": "127.0.0.1:3", "announce": "127.0.0.1:4", "console": "127.0.0.1:5"}}))
     os.environ["GW_CONFIG"] = str(path)
-    from moorusher import config, loop, start
-    reactor = loop.install()
-    from moorusher.service import Service
-    Service(config.load(), reactor)
-    import moorusher.links.succession, moorusher.fronts.console
+    from moorusher.config import loader
+    from moorusher.server import main, reactor as event_loop
+    reactor = event_loop.install()
+    from moorusher.server.server import Service
+    Service(loader.load(), reactor)
+    import moorusher.cluster_transport.hot_restart, moorusher.frontends.console
 print(" ".join(sorted(m for m in sys.modules if m.startswith("moorusher."))))
 """
 
@@ -52,15 +53,17 @@
     assert not pinned & set(EXTRAS), "one of them is installed by the build: it need not be missing here"
     loaded = done.stdout.split()
     parts = {
-        "fleet",
-        "duties",
+        "replication",
+        "membership",
+        "leadership",
         "namespaces",
-        "publishing",
+        "config_distribution",
         "routing",
-        "tier",
-        "knowledge",
-        "forecast",
-        "check",
+        "load_balancing",
+        "warm_start",
+        "forecasting",
+        "forecast_service",
+        "model_checking",
         "lab",
     }
     odd = [
@@ -68,9 +71,9 @@
     ]
     assert not odd
     assert not {
-        "moorusher.links.fleet",
-        "moorusher.links.duties",
-        "moorusher.links.namespaces",
-        "moorusher.links.tier",
-        "moorusher.admin",
+        "moorusher.cluster_transport.replication",
+        "moorusher.cluster_transport.leadership",
+        "moorusher.cluster_transport.config_distribution",
+        "moorusher.backends.server_pool",
+        "moorusher.admin.api",
     } & set(loaded)
--- a/tests/test_limited_log.py
+++ b/tests/test_limited_log.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from moorusher.limited_log import LimitedLog
+from moorusher.rate_limited_log import LimitedLog
 
 
 def test_a_kind_is_written_once_a_second_and_tells_what_was_left_out(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,13 +9,13 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
+from moorusher.backends.database import IDLE, SETTLE, DatabasePool
+from moorusher.backends.kernel import MOST_UNREAD, QUIET, SURE, KernelConnection, KernelLink
+from moorusher.cluster_transport.peers import Dial
 from moorusher.core.answer import Verdict
 from moorusher.core.call import Asked
-from moorusher.core.endings import Ending
-from moorusher.links.database import IDLE, SETTLE, DatabasePool
-from moorusher.links.kernel import MOST_UNREAD, QUIET, SURE, KernelConnection, KernelLink
-from moorusher.links.peers import Dial
-from peattack.interface import Below, Effect
+from moorusher.core.outcomes import Ending
+from moorusher.scheduling.interface import Below, Effect
 
 from .test_core import World
 from .test_fronts import Transport
--- a/tests/test_module_shape.py
+++ b/tests/test_module_shape.py
@@ -10,9 +10,9 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-MODULE = ROOT / "peattack" / "balance.py"
-MOST_LINES = {"balance.py": 555, "repeats.py": 100}  # not blank
-TYPES = ROOT / "peattack" / "interface.py"
+MODULE = ROOT / "moorusher" / "scheduling" / "balancer.py"
+MOST_LINES = {"balancer.py": 555, "retry_policy.py": 100}  # not blank
+TYPES = ROOT / "moorusher" / "scheduling" / "interface.py"
 POLICY = [ROOT / path for path in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]]
 
 
@@ -27,7 +27,7 @@
 
 def test_the_docstring_names_the_interface_first() -> None:
     doc = ast.get_docstring(ast.parse(MODULE.read_text())) or ""
-    assert "peattack/interface.py" in doc.splitlines()[0]
+    assert "scheduling/interface.py" in doc.splitlines()[0]
 
 
 @pytest.mark.parametrize("path", [*POLICY, TYPES], ids=lambda path: path.name)
@@ -40,9 +40,9 @@
         "collections",
         "__future__",
         "collections.abc",
-        "peattack",
-        "peattack.interface",
-        "peattack.repeats",
+        "moorusher.scheduling",
+        "moorusher.scheduling.interface",
+        "moorusher.scheduling.retry_policy",
         "random",
         "math",
         "enum",
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -10,11 +10,15 @@
 import pytest
 from msgspec import structs
 
-from moorusher.check.explore import explore, replay
-from moorusher.check.outage_seeds import COURSE, OutageSimulation, search
-from moorusher.check.outages import Limits, Outages
-from moorusher.outage import errors
-from moorusher.outage.changes import (
+from moorusher.maintenance import errors
+from moorusher.maintenance.coordinator import OutageCoordinator, Waited
+from moorusher.maintenance.disruption_budget import Spare, View
+from moorusher.maintenance.load_report import Gauge
+from moorusher.maintenance.local_machine import Doing, Own, decide
+from moorusher.maintenance.next_step import Calm, foretold, plan
+from moorusher.maintenance.policy import Policy
+from moorusher.maintenance.schedule import EMPTY, Ask, Ends, Roster, Stage, Turn, pack, unpack
+from moorusher.maintenance.transitions import (
     Accept,
     AskFor,
     Cancel,
@@ -28,13 +32,9 @@
     Return,
     Warm,
 )
-from moorusher.outage.coordinator import OutageCoordinator, Waited
-from moorusher.outage.gauge import Gauge
-from moorusher.outage.machine import Doing, Own, decide
-from moorusher.outage.plan import Calm, foretold, plan
-from moorusher.outage.policy import Policy
-from moorusher.outage.roster import EMPTY, Ask, Ends, Roster, Stage, Turn, pack, unpack
-from moorusher.outage.spare import Spare, View
+from moorusher.model_checking.explorer import explore, replay
+from moorusher.model_checking.maintenance_interleavings import Limits, Outages
+from moorusher.model_checking.maintenance_simulation import COURSE, OutageSimulation, search
 
 KEPT = 8
 POLICY = Policy(on=True, most=2, most_zone=1, least_share=0.5, fill=0.9)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,16 +9,17 @@
 
 import pytest
 
-from moorusher import config, section
-from moorusher import config_fleet as settings
-from moorusher.config_namespaces import NamespacesConfig
-from moorusher.config_tier import TIER_BOUNDS, TierConfig
-from moorusher.core.endings import OUTCOMES, Ending
-from moorusher.forecast.policy import Policy as ForecastPolicy
-from moorusher.fronts import jsonrpc_messages, uwsgi_packets
-from moorusher.links import database
-from moorusher.links.http import HttpClient
-from moorusher.outage.policy import Policy as OutagePolicy
+from moorusher.backends import database
+from moorusher.backends.http_client import HttpClient
+from moorusher.config import fleet as settings
+from moorusher.config import loader as config
+from moorusher.config import section
+from moorusher.config.load_balancing import TIER_BOUNDS, TierConfig
+from moorusher.config.namespaces import NamespacesConfig
+from moorusher.core.outcomes import OUTCOMES, Ending
+from moorusher.forecasting.policy import Policy as ForecastPolicy
+from moorusher.frontends import jsonrpc_messages, uwsgi_packets
+from moorusher.maintenance.policy import Policy as OutagePolicy
 from moorusher.routing.grants import Grants
 
 GOOD = {
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -9,13 +9,13 @@
 from twisted.internet.address import IPv4Address
 
 from moorusher.core.answer import Answer, Verdict
-from moorusher.fronts.agent import MOST_SENT, AgentFront
-from moorusher.fronts.health import HealthFront, wants_json
-from moorusher.fronts.probes import MOST, MOST_OF_ONE, LoadReport
-from moorusher.fronts.uwsgi import UwsgiFront
-from moorusher.report import Reporter
-from moorusher.standing.policy import Policy
-from moorusher.standing.words import Codes
+from moorusher.frontends.agent import MOST_SENT, AgentFront
+from moorusher.frontends.health import HealthFront, wants_json
+from moorusher.frontends.probes import MOST, MOST_OF_ONE, LoadReport
+from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.health.formatting import Codes
+from moorusher.health.policy import Policy
+from moorusher.server.health_report import Reporter
 
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
 from .test_core import World
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -12,21 +12,21 @@
 
 import pytest
 
-from moorusher.check import publishing as check
-from moorusher.check.explore import explore, replay
-from moorusher.check.publishes import Publishes
-from moorusher.check.publishing import PublishSimulation, draft_of
-from moorusher.duties.effects import Fence, Made, Outcome
-from moorusher.duties.errors import NoMajority, Superseded
+from moorusher.config_distribution.anti_entropy import Comparing
+from moorusher.config_distribution.dissemination import FAN, SMALL, Casting
+from moorusher.config_distribution.messages import At, Cast, Compare, Covered, Differ, Heard
+from moorusher.config_distribution.publisher import Publisher
+from moorusher.config_distribution.replica import GONE, Replica
+from moorusher.leadership.effects import Fence, Made, Outcome
+from moorusher.leadership.errors import NoMajority, Superseded
+from moorusher.model_checking import publish_simulation as check
+from moorusher.model_checking.explorer import explore, replay
+from moorusher.model_checking.publish_interleavings import Publishes
+from moorusher.model_checking.publish_simulation import PublishSimulation, draft_of
 from moorusher.namespaces.customers import Customers, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
 from moorusher.namespaces.policy import Bounds
 from moorusher.namespaces.revisions import Book, Submission, drafted, pack, published, unpack
-from moorusher.publishing.cast import FAN, SMALL, Casting
-from moorusher.publishing.compare import Comparing
-from moorusher.publishing.messages import At, Cast, Compare, Covered, Differ, Heard
-from moorusher.publishing.publisher import Publisher
-from moorusher.publishing.replica import GONE, Replica
 
 # ---- books ----
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -6,8 +6,15 @@
 
 import pytest
 
-from peattack.interface import Effect, Outcome
-from peattack.repeats import EVIDENCE_OF_OUTCOME, Evidence, Repeat, may_repeat, may_run_twice, repeat
+from moorusher.scheduling.interface import Effect, Outcome
+from moorusher.scheduling.retry_policy import (
+    EVIDENCE_OF_OUTCOME,
+    Evidence,
+    Repeat,
+    may_repeat,
+    may_run_twice,
+    repeat,
+)
 
 from .stand_ins import SETTINGS, Database, FrontEnd, Kernel, running
 from .test_sockets import has, key, sockets
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -11,7 +11,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from moorusher.succession.budget import path_for
+from moorusher.hot_restart.shared_budget import path_for
 
 from .faults.day import INJECT
 from .stand_ins import HOST, FrontEnd, Kernel, Runner, content, running, until
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,28 +12,24 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher import config, section
-from moorusher import config_fleet as settings_of_fleet
-from moorusher.config_namespaces import NamespacesConfig
-from moorusher.config_tier import TierConfig
+from moorusher.backends.database import MOST_IDLE, DatabasePool
+from moorusher.config import fleet as settings_of_fleet
+from moorusher.config import loader as config
+from moorusher.config import section
+from moorusher.config.load_balancing import TierConfig
+from moorusher.config.namespaces import NamespacesConfig
 from moorusher.core.answer import Verdict
-from moorusher.core.endings import Ending
 from moorusher.core.intake import Fault
+from moorusher.core.outcomes import Ending
+from moorusher.core.reconfiguration import NEW, plan
 from moorusher.core.requests import Arrival
-from moorusher.core.retune import NEW, plan
-from moorusher.fleet.policy import Seat
-from moorusher.forecast.policy import Policy as ForecastPolicy
-from moorusher.fronts.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
-from moorusher.links.database import MOST_IDLE, DatabasePool
-from moorusher.outage.policy import Policy as OutagePolicy
-from moorusher.service import (
-    FIXED_SOCKETS,
-    IDLE_CALLS_SHARE,
-    LEAST_CONSOLE,
-    Service,
-)
-from peattack import Balancer
-from peattack import interface as api
+from moorusher.forecasting.policy import Policy as ForecastPolicy
+from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
+from moorusher.maintenance.policy import Policy as OutagePolicy
+from moorusher.replication.policy import Seat
+from moorusher.scheduling import Balancer
+from moorusher.scheduling import interface as api
+from moorusher.server.server import FIXED_SOCKETS, IDLE_CALLS_SHARE, LEAST_CONSOLE, Service
 
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
 from .stand_ins import SETTINGS
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from moorusher.links import revisions
-from moorusher.links.namespaces import Pool
-from moorusher.links.revisions import Store, connect
+from moorusher.cluster_transport.config_distribution import Pool
+from moorusher.storage import revisions
+from moorusher.storage.revisions import Store, connect
 
 from .stand_ins import reactor
 from .test_sockets import has, sockets
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,14 +8,14 @@
 
 import pytest
 
+from moorusher.load_balancing.policy import Policy, Server
+from moorusher.load_balancing.router import Cancel, End, Over, Send
 from moorusher.namespaces.customers import Customers
 from moorusher.namespaces.rules import Asked
 from moorusher.routing.grants import Grants, Pool
 from moorusher.routing.way import Hop, Way, rule
 from moorusher.routing.ways import MOST_ROUTERS, Ways
-from moorusher.tier.policy import Policy, Server
-from moorusher.tier.router import Cancel, End, Over, Send
-from peattack.interface import Effect
+from moorusher.scheduling.interface import Effect
 
 S = 1_000_000
 GRANTS = Grants(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from peattack import Balancer
-from peattack import interface as api
-from peattack.balance import LAST_STRETCH
-from peattack.interface import Outcome, Tenant
+from moorusher.scheduling import Balancer
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.balancer import LAST_STRETCH
+from moorusher.scheduling.interface import Outcome, Tenant
 
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -4,8 +4,17 @@
 
 from typing import Any
 
-from peattack.balance import SERVE_ON, Balancer
-from peattack.interface import DrainNotice, Outcome, RequestClass, RunEnded, Signal, SignalKind, Tenant, Timer
+from moorusher.scheduling.balancer import SERVE_ON, Balancer
+from moorusher.scheduling.interface import (
+    DrainNotice,
+    Outcome,
+    RequestClass,
+    RunEnded,
+    Signal,
+    SignalKind,
+    Tenant,
+    Timer,
+)
 
 from .helpers import done, only, opened, request, started
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from peattack import interface as api
-from peattack.interface import Outcome, Tenant
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.interface import Outcome, Tenant
 
 from .helpers import KEYED, SAFE, opened, request
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from moorusher.tier.policy import Policy, Server
-from moorusher.tier.router import Action, Cancel, End, Over, Router, Send
-from moorusher.tier.slow_start import LEAST_RAMP, SlotCounter, StartBudget, phase_of
-from peattack.interface import Effect
+from moorusher.load_balancing.policy import Policy, Server
+from moorusher.load_balancing.router import Action, Cancel, End, Over, Router, Send
+from moorusher.load_balancing.slow_start import LEAST_RAMP, SlotCounter, StartBudget, phase_of
+from moorusher.scheduling.interface import Effect
 
 S, MS = 1_000_000, 1_000
 WINDOW = S
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -10,14 +10,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from moorusher.standing import weight, words
-from moorusher.standing.ages import LinkWatch, trust
-from moorusher.standing.balancers import MOST, Balancers
-from moorusher.standing.crowd import BUCKET, Counts, History, highest_mean, survived
-from moorusher.standing.observe import Gauge, Maintenance, Observation
-from moorusher.standing.policy import Policy
-from moorusher.standing.states import TRANSITIONS, Impossible, Standing, step
-from moorusher.standing.track import Facts, Report, Tracker
+from moorusher.health import formatting as words
+from moorusher.health import weight
+from moorusher.health.balancers import MOST, Balancers
+from moorusher.health.congestion import BUCKET, Counts, History, highest_mean, survived
+from moorusher.health.observation import Gauge, Maintenance, Observation
+from moorusher.health.policy import Policy
+from moorusher.health.staleness import LinkWatch, trust
+from moorusher.health.states import TRANSITIONS, Impossible, Standing, step
+from moorusher.health.tracker import Facts, Report, Tracker
 
 S = 1_000_000
 T0 = 1_000 * S
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -12,14 +12,14 @@
 import pytest
 
 from moorusher.core.answer import Verdict
-from moorusher.core.claims import WAIT
 from moorusher.core.clock import MS
-from moorusher.core.endings import Ending
+from moorusher.core.idempotency_keys import MARGIN
 from moorusher.core.intake import Fault
-from moorusher.core.keys import MARGIN
+from moorusher.core.key_claims import WAIT
+from moorusher.core.outcomes import Ending
 from moorusher.core.requests import Arrival
-from moorusher.succession.budget import path_for, room_for_two
-from moorusher.succession.role import TABLE, WAITS_MS, Event, Life, State, Step
+from moorusher.hot_restart.process_role import TABLE, WAITS_MS, Event, Life, State, Step
+from moorusher.hot_restart.shared_budget import path_for, room_for_two
 
 from .test_core import World
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from moorusher.core.answer import Cause
-from moorusher.fleet.messages import VERSION, Hello, Refused, decode, encode
-from moorusher.fleet.tenure import Stage
+from moorusher.replication.key_tenure import Stage
+from moorusher.replication.messages import VERSION, Hello, Refused, decode, encode
 
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, SETTINGS, Kernel, body_of, content, exchange, status, until, uwsgi_request
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 
 from moorusher.lab.below import Below, Mood, World
-from moorusher.tier.budget import Budget, backoff_us
-from moorusher.tier.choose import rank
-from moorusher.tier.latency import LEAST, Latency, median
-from moorusher.tier.limit import Limit
-from moorusher.tier.member import InFlight, Member, State, Why
-from moorusher.tier.policy import Policy, Server
-from moorusher.tier.router import Action, Cancel, End, Over, Router, Send
-from peattack.interface import Effect
+from moorusher.load_balancing.concurrency_limit import Limit
+from moorusher.load_balancing.endpoint import InFlight, Member, State, Why
+from moorusher.load_balancing.latency import LEAST, Latency, median
+from moorusher.load_balancing.picker import rank
+from moorusher.load_balancing.policy import Policy, Server
+from moorusher.load_balancing.retry_budget import Budget, backoff_us
+from moorusher.load_balancing.router import Action, Cancel, End, Over, Router, Send
+from moorusher.scheduling.interface import Effect
 
 S, MS = 1_000_000, 1_000
 HOST = "127.0.0.1"
--- a/tests/test_tier_links.py
+++ b/tests/test_tier_links.py
@@ -10,10 +10,10 @@
 import pytest
 
 from moorusher import cli
-from moorusher.core.endings import EVIDENCE_OF_CALL, OUTCOMES, Ending
-from moorusher.links.tier import ENDS
-from moorusher.tier.router import End
-from peattack.repeats import EVIDENCE_OF_OUTCOME
+from moorusher.backends.server_pool import ENDS
+from moorusher.core.outcomes import EVIDENCE_OF_CALL, OUTCOMES, Ending
+from moorusher.load_balancing.router import End
+from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME
 
 from .stand_ins import HOST, WAIT, Database, FrontEnd, Kernel, UwsgiPeer, body_of, exchange, running, status
 from .test_sockets import has, key, sockets
--- a/tests/test_transient.py
+++ b/tests/test_transient.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from moorusher.transient import AGAIN_S, NO_ROOM, passes, persist
+from moorusher.transient_errors import AGAIN_S, NO_ROOM, passes, persist
 
 
 class Machine:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,8 +8,8 @@
 
 from moorusher.core.answer import Verdict
 from moorusher.core.clock import MS, SECOND, Clock
-from moorusher.core.endings import Ending
-from moorusher.core.keys import MARGIN
+from moorusher.core.idempotency_keys import MARGIN
+from moorusher.core.outcomes import Ending
 from moorusher.core.wall_clock import MOST_OFFSETS, WallClock
 
 from .test_core import World
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from peattack import interface as api
-from peattack import simhost, wire
+from moorusher.scheduling import interface as api
+from moorusher.simulator import host as simhost
+from moorusher.simulator import wire
 
 EXAMPLE = bytes.fromhex(
     "78000000 00000000206ec040 05000000 0c000000"
