--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -12,7 +12,7 @@
 
 import msgspec
 import pytest
-from twisted.internet.testing import MemoryReactorClock, StringTransport
+from twisted.internet.testing import MemoryReactorClock
 
 from moorusher.duties.fence import Fence
 from moorusher.duties.post import Intent
@@ -21,7 +21,7 @@
 from ..test_core import World
 from .golden import assert_golden
 from .test_pages import begun
-from .whole_runner import Runner, runner
+from .whole_runner import Connection, Runner, runner
 
 __all__ = ["runner"]
 
@@ -36,25 +36,6 @@
 }
 
 
-class Connection:
-    """One that has been made by the program, without a socket."""
-
-    def __init__(self, factory: Any) -> None:
-        transport: Any = StringTransport()  # type: ignore[no-untyped-call]
-        transport.setTcpNoDelay = lambda on: None
-        transport.abortConnection = lambda: None
-        self._transport = transport
-        self._protocol = factory.buildProtocol(None)
-        self._protocol.makeConnection(self._transport)
-
-    def written(self) -> list[str]:
-        return str(self._transport.value().decode()).splitlines()
-
-    def answer(self, status: int, body: str) -> None:
-        head = f"HTTP/1.1 {status} So\r\nContent-Length: {len(body)}\r\n\r\n"
-        self._protocol.dataReceived((head + body).encode())
-
-
 def test_first_words_of_a_runner_are_the_same(runner: Runner) -> None:
     begun(runner)
     told: dict[str, list[str]] = {}
--- a/tests/compatibility/test_pages.py
+++ b/tests/compatibility/test_pages.py
@@ -16,7 +16,7 @@
 from moorusher.errors import Remediable
 
 from .golden import assert_golden
-from .whole_runner import Runner, runner
+from .whole_runner import Connection, Runner, runner
 
 __all__ = ["runner"]
 
@@ -96,6 +96,9 @@
 )
 
 
+LAST_HOUR = 1_700_000_000 // 3600 - 1
+
+
 class Course:
     """Calls and their answers, in order."""
 
@@ -152,6 +155,26 @@
     assert_golden("pages_end", course.read_all())
 
 
+def test_a_forecast_and_its_hints_are_told_alike(runner: Runner) -> None:
+    """Of eight weeks with as many requests in each hour, whose figures are the same everywhere."""
+    begun(runner)
+    runner.wait(12)
+    weeks = HOUR | {"first_hour": LAST_HOUR - 8 * 168, "asked": [40] * 8 * 168, "core_ms": 200_000}
+    course = Course(runner)
+    course.call("POST", "forecast", [weeks])
+    runner.wait(6)
+    for path in ("forecast", "forecast/acme", "forecast/nobody"):
+        course.call("GET", path)
+        for route in course.said[-1][2]["routes"]:
+            route["hours"] = [len(route["hours"]), *set(route["hours"])]
+    assert_golden("pages_forecast", {"pages": course.said, "hints": first_words(runner.calls_to(9300))})
+
+
+def first_words(calls: list[Any]) -> list[str]:
+    """Of the first connection to such an address."""
+    return Connection(calls[0]).written()
+
+
 def test_changes_without_the_token_are_turned_away_alike(runner: Runner) -> None:
     told = [
         [path, *runner.page(method, path, None, token="")] for method, path, *_ in CHANGES if method != "GET"
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -62,6 +62,25 @@
         self.advance(seconds)
 
 
+class Connection:
+    """One that has been made by the program, without a socket."""
+
+    def __init__(self, factory: Any) -> None:
+        transport: Any = StringTransport()  # type: ignore[no-untyped-call]
+        transport.setTcpNoDelay = lambda on: None
+        transport.abortConnection = lambda: None
+        self._transport = transport
+        self._protocol = factory.buildProtocol(None)
+        self._protocol.makeConnection(self._transport)
+
+    def written(self) -> list[str]:
+        return str(self._transport.value().decode()).splitlines()
+
+    def answer(self, status: int, body: str) -> None:
+        head = f"HTTP/1.1 {status} So\r\nContent-Length: {len(body)}\r\n\r\n"
+        self._protocol.dataReceived((head + body).encode())
+
+
 class Runner:
     """The names of the program are used here alone."""
 
@@ -180,6 +199,10 @@
             connection.dataReceived(sent)
         return list(transport.value().decode().splitlines())
 
+    def calls_to(self, port: int) -> list[Any]:
+        """What has been asked of the reactor to connect there, in order."""
+        return [factory for _, to, factory, *_ in self.reactor.tcpClients if to == port]
+
     def labels(self) -> list[str]:
         return list(self.planned)
 
