--- a/tests/compatibility/test_pages.py
+++ b/tests/compatibility/test_pages.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import json
 from collections.abc import Iterator
 from typing import Any
 
@@ -185,6 +186,64 @@
     }
 
 
+MATCH = {"key": ["k*"], "class": ["submit"], "caller": [[0, 9]], "subject": [[1, 8]], "rank": [[0, 0.5]]}
+ROUTES = {"main": {"servers": {"s1": 1}}, "side": {"servers": {"s2": 2}, "limit": 3, "tries": 2}}
+WHOLE = {
+    "default": "main",
+    "routes": ROUTES,
+    "rules": {"all": {"match": MATCH, "split": {"main": 9, "side": 1}}},
+    "teams": {
+        "lab": {"match": {"key": ["z*"]}, "rules": {"in": {"match": {"class": ["check"]}, "to": "side"}}}
+    },
+}
+ODD: tuple[dict[str, Any], ...] = (
+    {"odd": 1},
+    {"routes": {"main": {"odd": 1}}},
+    {"rules": {"r": {"odd": 1}}},
+    {"rules": {"r": {"match": {"odd": 1}, "to": "main"}}},
+    {"rules": {"r": {"match": MATCH, "to": "nowhere"}}},
+    {"teams": {"t": {"odd": 1}}},
+    {"rules": {"a": {"match": MATCH, "to": "main"}, "b": {"match": MATCH, "to": "side"}}},
+    {
+        "rules": {
+            "a": {"match": {"class": ["submit"]}, "to": "main"},
+            "b": {"match": {"key": ["k"]}, "to": "side"},
+        }
+    },
+    {
+        "rules": {
+            "a": {"match": {"caller": [[0, 5]]}, "to": "main"},
+            "b": {"match": {"subject": [[0, 5]]}, "to": "side"},
+        }
+    },
+    {
+        "rules": {
+            "a": {"match": {"rank": [[0, 0.5]]}, "to": "main"},
+            "b": {"match": {"key": ["k"]}, "to": "side"},
+        }
+    },
+    {"routes": ROUTES | {"main": {"pool": "nowhere"}}},
+    {"routes": ROUTES | {"main": {"servers": {"s1": 1}, "fall_back": "main"}}},
+)
+
+
+def test_customers_drafts_have_the_same_keys_and_faults(runner: Runner) -> None:
+    begun(runner)
+    course = Course(runner)
+    for i, odd in enumerate(ODD):
+        course.call("PUT", f"namespaces/acme?by=me&id=odd{i}", json.dumps(WHOLE | odd).encode())
+    course.call("PUT", "namespaces/acme?by=me&id=good", json.dumps(WHOLE).encode())
+    runner.wait(1)
+    for query in (
+        "class=submit&key=k1&caller=5&subject=5&rank=0.25",
+        "class=submit&key=k1&caller=5&subject=5&rank=0.75",
+        "class=check&key=z1",
+        "class=check&key=a1",
+    ):
+        course.call("GET", f"namespaces/acme/explain?{query}")
+    assert_golden("pages_drafts", course.said)
+
+
 # ---- words for what others have written ----
 
 
