--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -17,8 +17,9 @@
 
 import pytest
 
-from moorusher import cli, config
-from moorusher.section import ConfigError
+from moorusher import cli
+from moorusher.config import loader as config
+from moorusher.config.section import ConfigError
 
 from .golden import FOLDER, assert_golden
 
--- a/tests/compatibility/test_counters.py
+++ b/tests/compatibility/test_counters.py
@@ -14,10 +14,10 @@
 
 import moorusher
 from moorusher.core.answer import Cause, Verdict
-from moorusher.core.endings import Ending
-from moorusher.outage.machine import Doing
-from moorusher.standing.states import Standing
-from moorusher.succession.role import State
+from moorusher.core.outcomes import Ending
+from moorusher.health.states import Standing
+from moorusher.hot_restart.process_role import State
+from moorusher.maintenance.local_machine import Doing
 
 from .golden import assert_golden, read_golden
 
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -12,15 +12,15 @@
 
 import pytest
 
-from moorusher.duties import messages as duties
-from moorusher.fleet import messages as fleet
-from moorusher.fleet import work
-from moorusher.fleet.member import State as MemberState
-from moorusher.forecasting import member as forecasting_member
-from moorusher.forecasting import messages as forecasting
-from moorusher.outage import messages as outage
-from moorusher.publishing import messages as publishing
-from moorusher.publishing import replica
+from moorusher.config_distribution import messages as publishing
+from moorusher.config_distribution import replica
+from moorusher.forecast_service import member as forecasting_member
+from moorusher.forecast_service import messages as forecasting
+from moorusher.leadership import messages as duties
+from moorusher.maintenance import messages as outage
+from moorusher.membership.failure_detector import State as MemberState
+from moorusher.replication import messages as fleet
+from moorusher.replication import work_record as work
 
 from .forms import told
 from .golden import assert_golden, read_golden
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -14,9 +14,9 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher.duties.fence import Fence
-from moorusher.duties.post import Intent
-from moorusher.links.receivers import Receivers
+from moorusher.cluster_transport.effect_receivers import Receivers
+from moorusher.leadership.fencing_token import Fence
+from moorusher.leadership.lease_record import Intent
 
 from ..test_core import World
 from .golden import assert_golden
--- a/tests/compatibility/test_pages.py
+++ b/tests/compatibility/test_pages.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from moorusher.admin import later
+from moorusher.admin.api import later
 from moorusher.errors import Remediable
 
 from .golden import assert_golden
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -16,22 +16,23 @@
 import msgspec
 import pytest
 
-from moorusher.duties import pieces, post
-from moorusher.duties import report as duty_report
-from moorusher.duties.journal import LastingKeeper
-from moorusher.fleet import journal
-from moorusher.fleet.policy import Seat
-from moorusher.fleet.seats import Seats
-from moorusher.forecast import demand, hints
-from moorusher.forecast.ledger import Ledger
-from moorusher.forecasting import forecaster
-from moorusher.knowledge import snapshot
-from moorusher.knowledge.value import Knowledge
-from moorusher.links.disk import opened
-from moorusher.links.revisions import Store
+from moorusher.config_distribution import publisher
+from moorusher.forecast_service import forecaster
+from moorusher.forecasting import demand, hints
+from moorusher.forecasting.ledger import Ledger
+from moorusher.leadership import chunks as pieces
+from moorusher.leadership import heartbeat as duty_report
+from moorusher.leadership import lease_record as post
+from moorusher.leadership.journal import LastingKeeper
+from moorusher.maintenance import schedule as roster
+from moorusher.membership.placement import Seats
 from moorusher.namespaces import revisions
-from moorusher.outage import roster
-from moorusher.publishing import publisher
+from moorusher.replication import journal
+from moorusher.replication.policy import Seat
+from moorusher.storage.journal_files import opened
+from moorusher.storage.revisions import Store
+from moorusher.warm_start import snapshot
+from moorusher.warm_start.learned_state import Knowledge
 
 from .forms import Samples, form, told
 from .golden import assert_golden, read_golden
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from moorusher.core.endings import Ending
-from moorusher.links.succession import Peer, Succession
-from moorusher.report import Reporter
-from moorusher.service import Service
-from moorusher.standing.policy import Policy
-from moorusher.succession.budget import Load
-from moorusher.succession.role import Event, State
+from moorusher.cluster_transport.hot_restart import Peer, Succession
+from moorusher.core.outcomes import Ending
+from moorusher.health.policy import Policy
+from moorusher.hot_restart.process_role import Event, State
+from moorusher.hot_restart.shared_budget import Load
+from moorusher.server.health_report import Reporter
+from moorusher.server.server import Service
 
 from ..test_core import World
 from .golden import assert_golden
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -21,14 +21,15 @@
 from twisted.web import resource
 from twisted.web.test.requesthelper import DummyRequest
 
-from moorusher import config, service
+from moorusher.config import loader as config
 from moorusher.core.clock import Clock
-from moorusher.core.endings import Ending
+from moorusher.core.outcomes import Ending
 from moorusher.core.requests import Arrival
-from moorusher.duties.post import Post
-from moorusher.fleet.member import State
-from moorusher.outage.roster import Roster
-from moorusher.service import Service
+from moorusher.leadership.lease_record import Post
+from moorusher.maintenance.schedule import Roster
+from moorusher.membership.failure_detector import State
+from moorusher.server import server as service
+from moorusher.server.server import Service
 
 from .golden import FOLDER
 
