--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -47,6 +47,7 @@
     assert "admin.listen" in capsys.readouterr().err
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_runner_that_cannot_listen_ends_with_an_error() -> None:
     with socket.socket() as taken:
@@ -57,6 +58,7 @@
             assert r.process.returncode == 1 and "could not start" in r.text()
 
 
+@pytest.mark.processes
 @sockets
 async def test_verbs_on_a_runner_over_its_api() -> None:
     async with running(Kernel()) as r:
--- a/tests/test_duties_real.py
+++ b/tests/test_duties_real.py
@@ -16,6 +16,8 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
+import pytest
+
 from moorusher.lab.receiver import Book, Receiver
 from moorusher.lab.relays import Relay
 from moorusher.leadership.fencing_token import Fence
@@ -24,6 +26,8 @@
 from .stand_ins import HOST, Kernel, reactor, until
 from .test_sockets import has, sockets
 
+pytestmark = pytest.mark.processes
+
 EVERY_MS = 30
 
 
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -41,6 +41,7 @@
     return [body for _, _, body in kernel.runs]
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("more", [(), ({"effect": KEYED},), ({"effect": FREE}, {"effect": ONCE})])
 @sockets
 async def test_a_key_counts_for_its_window_though_its_class_has_none_any_more(
@@ -55,6 +56,7 @@
         assert ran(kernel) == [b"one"]
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_repeat_of_a_run_that_goes_on_waits_for_it_though_its_class_has_no_keys_any_more() -> None:
     kernel, token = Kernel(work=0.6), key()
@@ -67,6 +69,7 @@
         assert ran(kernel) == [b"one"]
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_repeat_under_the_class_that_took_the_place_of_a_keyed_one_runs_nothing() -> None:
     kernel, token = Kernel(work=0.05), key()
@@ -78,6 +81,7 @@
         assert ran(kernel) == [b"one"]
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_class_beside_a_keyed_one_takes_no_result_of_it() -> None:
     kernel, token = Kernel(work=0.05), key()
@@ -122,6 +126,7 @@
     return "error" in answer and bool(answer["error"]["code"] == -32014)
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("case", ["held ones run", "held ones are refused", "all are answered before"])
 @sockets
 async def test_held_requests_keep_the_effect_that_they_were_taken_with(case: str) -> None:
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -16,6 +16,8 @@
 from .test_sockets import has, sockets
 from .test_takeover import ask_again, once, refused, served
 
+pytestmark = pytest.mark.processes
+
 FROM_S, TO_S = 0.5, 2.5  # after the test has said so
 ROUNDS = 12
 AT_ONCE = 4
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -18,6 +18,8 @@
 from .stand_ins import FrontEnd, Kernel, running
 from .test_sockets import has, sockets
 
+pytestmark = pytest.mark.processes
+
 SEED = 1
 AT_ONCE = 6
 GROUPS = [KINDS[i : i + AT_ONCE] for i in range(0, len(KINDS), AT_ONCE)]
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -16,6 +16,8 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
+import pytest
+
 from moorusher.lab.receiver import Book, Receiver
 from moorusher.lab.relays import Relay
 
@@ -23,6 +25,8 @@
 from .stand_ins import HOST, exchange, reactor, until
 from .test_sockets import has, sockets
 
+pytestmark = pytest.mark.processes
+
 WEEKS = 3
 
 
--- a/tests/test_hangups.py
+++ b/tests/test_hangups.py
@@ -12,6 +12,8 @@
 from .stand_ins import HOST, FrontEnd, Kernel, running
 from .test_sockets import has, sockets
 
+pytestmark = pytest.mark.processes
+
 
 def environment(error: str, start: Path | None, until_s: float) -> dict[str, str]:
     plan = json.dumps([("open", error, 0, until_s, 1.0)])
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -436,6 +436,7 @@
         await remembers(f, i)
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_fleet_that_lost_its_power_remembers_and_goes_on() -> None:
     """Nobody is left who could tell the others, and nobody says that the fleet is new."""
@@ -458,6 +459,7 @@
         once(f, [over, *asked])
 
 
+@pytest.mark.processes
 @sockets
 async def test_held_work_is_gone_on_with_though_nobody_asks_and_its_owner_does_not_come_back() -> None:
     async with fleet(3, work=0.4, journals=True, aim_ms=8000) as f:
@@ -474,6 +476,7 @@
         once(f, asked)
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_keeper_whose_disk_is_full_has_no_vote_until_it_can_write_again() -> None:
     # A vote that is given counts, however late a busy machine lets it come: only one that is never given must not.
@@ -505,6 +508,7 @@
             raise AssertionError("the disk takes writes again, and the keeper does not vote")
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_keeper_with_a_disk_votes_at_once_after_it_was_killed() -> None:
     """Without one, two that forget within a window leave its keys without a majority."""
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -180,6 +180,7 @@
     assert load(tmp_path) is None  # a folder
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_runner_keeps_what_it_learnt_and_the_next_one_learns_from_it() -> None:
     servers = [Database(500), Database(), Database(), Database()]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -24,6 +24,7 @@
     assert stale([KnownRed("x", "", ""), KnownRed("y", "", "")], ["y", "z"]) == ["x"]
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize(
     "lines, exit_code, said",
     [
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -155,6 +155,7 @@
     )
 
 
+@pytest.mark.processes
 def test_a_small_fleet_in_virtual_time_plays_the_same_twice() -> None:
     fleet = Fleet(runners=20, balancers=4, seconds=20, slow_at=3, slow_until=15, load=0.6)
     with_report, again, without = play(fleet, 3, True), play(fleet, 3, True), play(fleet, 3, False)
@@ -165,6 +166,7 @@
 # ---- the command line ----
 
 
+@pytest.mark.processes
 def test_lab_verbs_name_what_is_wrong_and_up_serves_and_leaves_in_order() -> None:
     def moorusher(*args: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
@@ -180,6 +182,7 @@
     assert sum(int(line.split()[1]) for line in up.stdout.splitlines() if line.startswith("served")) > 0
 
 
+@pytest.mark.processes
 def test_serving_imports_neither_the_laboratory_nor_the_command_line() -> None:
     code = (
         "import sys, moorusher.server.main, moorusher.server.server; "
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -6,6 +6,10 @@
 import sys
 from pathlib import Path
 
+import pytest
+
+pytestmark = pytest.mark.processes
+
 ROOT = Path(__file__).resolve().parent.parent
 # Libraries of features that are off as shipped, and of the laboratory: a platform's build does not install them.
 EXTRAS = ("msgspec", "numpy", "matplotlib", "hdrh", "hypothesis", "pytest", "sqlite3")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -5,9 +5,13 @@
 import asyncio
 import signal
 
+import pytest
+
 from .stand_ins import HOST, WAIT, FrontEnd, Kernel, exchange, running, status, uwsgi_request
 from .test_sockets import has, key, sockets
 
+pytestmark = pytest.mark.processes
+
 
 @sockets
 async def test_a_new_stop_time_holds_for_the_notice_that_follows_it() -> None:
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -12,11 +12,15 @@
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, Database, Kernel, content, exchange, until
 from .test_sockets import has, sockets
 from .test_takeover import ask_again, many, once, served
 
+pytestmark = pytest.mark.processes
+
 SERVERS = ("a1", "a2", "b1", "p1", "free")
 TOML = """[duties]
 on = true
--- a/tests/test_outage_real.py
+++ b/tests/test_outage_real.py
@@ -18,10 +18,14 @@
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from .fleets import TOKEN, Fleet, fleet, token
 from .stand_ins import HOST, Kernel, exchange, until
 from .test_sockets import sockets
 
+pytestmark = pytest.mark.processes
+
 FIGURES = (
     "settle_s = 0.2\ndrain_s = 10.0\nleast_share = 0.3\nfill = 1.0\n"
     "[standing]\nprobe_ms = 200\nreaction_ms = 50\n"
--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -8,11 +8,15 @@
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from .fleets import Fleet, fleet, token
 from .stand_ins import Kernel, until
 from .test_sockets import has, sockets
 from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
 
+pytestmark = pytest.mark.processes
+
 
 def slowly(f: Fleet, s: float) -> None:
     """Each word between two runners takes so long, so that a moment between two steps can be met."""
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -218,6 +218,7 @@
     assert p.get("/health")[0] == 503
 
 
+@pytest.mark.processes
 @sockets
 async def test_over_sockets_a_kernel_that_is_cut_off_and_an_operator_are_heard() -> None:
     async with running(kernel := Kernel(work=0.05)) as r:
@@ -252,6 +253,7 @@
         await says(b"ready up")
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_reload_changes_what_probes_are_told() -> None:
     async with running(Kernel()) as r:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -63,6 +63,7 @@
     assert EVIDENCE_OF_OUTCOME[outcome].proves_never_ran is outcome.never_ran
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("effect, repeated", [("free", True), ("guarded", False), ("single_shot", False)])
 def test_a_call_cut_off_on_a_connection_that_was_used_before(effect: str, repeated: bool) -> None:
     """The other side has read the call when the connection breaks: that proves nothing."""
@@ -81,6 +82,7 @@
     run()
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("effect, repeated", [("free", True), ("guarded", False), ("single_shot", False)])
 def test_an_attempt_of_the_tier_that_may_have_run(effect: str, repeated: bool) -> None:
     @sockets
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -11,12 +11,16 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
+import pytest
+
 from moorusher.hot_restart.shared_budget import path_for
 
 from .faults.day import INJECT
 from .stand_ins import HOST, FrontEnd, Kernel, Runner, content, running, until
 from .test_sockets import has, key, sockets
 
+pytestmark = pytest.mark.processes
+
 
 class Both:
     """A runner with two processes' kernels."""
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -34,6 +34,8 @@
     uwsgi_request,
 )
 
+pytestmark = pytest.mark.processes
+
 P = ParamSpec("P")
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -10,6 +10,8 @@
 from contextlib import suppress
 from typing import Any
 
+import pytest
+
 from moorusher.core.answer import Cause
 from moorusher.replication.key_tenure import Stage
 from moorusher.replication.messages import VERSION, Hello, Refused, decode, encode
@@ -18,6 +20,8 @@
 from .stand_ins import HOST, SETTINGS, Kernel, body_of, content, exchange, status, until, uwsgi_request
 from .test_sockets import has, sockets
 
+pytestmark = pytest.mark.processes
+
 
 @sockets
 async def test_a_repeat_at_another_runner_gets_the_one_result() -> None:
--- a/tests/test_tier_links.py
+++ b/tests/test_tier_links.py
@@ -51,6 +51,7 @@
             assert evidence.proves_never_ran is EVIDENCE_OF_OUTCOME[outcome].proves_never_ran
 
 
+@pytest.mark.processes
 @sockets
 async def test_calls_are_spread_and_every_reply_comes_through_over_both_protocols() -> None:
     servers = [Database(), Database(), UwsgiPeer()]
@@ -70,6 +71,7 @@
     close(servers)
 
 
+@pytest.mark.processes
 @sockets
 async def test_one_that_fails_and_one_that_is_not_there_cost_no_safe_call() -> None:
     failing, gone, well = Database(500), Database(), Database()
@@ -85,6 +87,7 @@
     close([failing, well])
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("script, calls", [((500,), 1), (("reset",), 1), ((503, 200), 2)])
 def test_a_keyed_call_is_made_again_only_after_a_proof(script: tuple[int | str, ...], calls: int) -> None:
     @sockets
@@ -99,6 +102,7 @@
     play()
 
 
+@pytest.mark.processes
 @sockets
 async def test_a_server_that_hangs_is_passed_by_with_a_second_copy() -> None:
     servers = [Database("hang"), Database()]
@@ -111,6 +115,7 @@
     close(servers)
 
 
+@pytest.mark.processes
 @sockets
 async def test_servers_change_under_load_by_api_and_by_sighup() -> None:
     servers = [Database(), Database(), Database()]
