--- a/moorusher/config/section.py
+++ b/moorusher/config/section.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar, cast
 
-from ..transient_errors import PASSING
+from ..transient_errors import TRANSIENT
 
 T = TypeVar("T")
 Address = tuple[str, int]
@@ -22,7 +22,7 @@
 
 
 # The system had no room, or the disk failed: neither says anything of the file.
-READ_LATER = PASSING | {errno.EIO}
+READ_LATER = TRANSIENT | {errno.EIO}
 
 
 def unreadable(key: str, exc: OSError) -> ConfigError:
--- a/moorusher/frontends/limited_protocol.py
+++ b/moorusher/frontends/limited_protocol.py
@@ -12,7 +12,7 @@
 
 
 class PlacedFront(Factory):
-    """The listening side of a front. `loop.AcceptingPort` asks it for a place before it accepts."""
+    """The listening side of a front. `server/accepting_port.py` asks it for a place before it accepts."""
 
     noisy = False
     counted_as = "connections"
--- /dev/null
+++ b/moorusher/server/composition.py
@@ -0,0 +1,89 @@
+"""Builds the parts of a runner that its configuration asks for. What is off is not imported: memory is scarce."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from ..backends.database import DatabasePool
+from ..backends.uwsgi import UwsgiCalls
+from ..config.loader import Config
+
+if TYPE_CHECKING:
+    from ..backends.server_pool import TierCalls
+    from ..core.request_engine import Decider
+    from .health_report import Reporter
+
+
+def build_backend(config: Config, reactor: Any) -> TierCalls | UwsgiCalls | DatabasePool | None:
+    """Build what runs' downstream calls go to: a pool of servers, a uwsgi peer, the database, or nothing."""
+    if config.tier.servers:
+        from ..backends.server_pool import TierCalls
+
+        return TierCalls(
+            reactor,
+            config.tier.servers,
+            config.tier.policy,
+            config.name,
+            random.Random(config.settings.seed).random,
+            config.namespaces.grants,
+        )
+    if config.uwsgi.below is not None:
+        return UwsgiCalls(reactor, config.uwsgi.below)
+    if config.db is not None:
+        return DatabasePool(reactor, config.db)
+    return None
+
+
+@dataclass(slots=True)
+class ClusterParts:
+    """Parts that need the other runners of a cluster; None where they are off.
+
+    `replication`: the runner's part in the cluster, on which the others rest. `config_distribution`: customers' routing
+    rules. `forecast`: demand a week ahead. `maintenance`: machines taken out for work.
+    """
+
+    replication: Any = None
+    config_distribution: Any = None
+    forecast: Any = None
+    maintenance: Any = None
+
+
+def build_cluster_parts(
+    config: Config, reactor: Any, core: Decider, reporter: Reporter, accepts_more_work: Callable[[], bool]
+) -> ClusterParts:
+    """Build the parts that the configuration switches on."""
+    parts = ClusterParts()
+    if config.fleet.listen is not None:
+        from ..cluster_transport.replication import FleetLink
+
+        parts.replication = FleetLink(
+            reactor,
+            core,
+            config.fleet,
+            config.name,
+            accepts_more_work,
+            random.Random(config.name).random,
+        )
+    if config.namespaces.on:
+        from ..cluster_transport.config_distribution import NamespaceLink
+
+        parts.config_distribution = NamespaceLink(parts.replication.duties, config.namespaces, reactor)
+    if config.forecast.on:
+        from ..cluster_transport.forecast import ForecastLink
+
+        parts.forecast = ForecastLink(parts.replication.duties, config.forecast, reactor)
+    if config.outage.on:
+        from ..cluster_transport.maintenance import OutageLink
+
+        parts.maintenance = OutageLink(parts.replication, config.outage, reporter)
+    return parts
+
+
+def reports_health(config: Config) -> bool:
+    """Whether anybody polls this runner's health state: otherwise no run spends time on observing it."""
+    probes = config.probes
+    listens = probes.agent or probes.health or config.admin.listen or config.fleet.listen
+    return bool(listens or config.uwsgi.load_report or config.tier.servers)
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -1,4 +1,4 @@
-"""The sockets that a runner listens on: opened, shared with another process of it, and closed in order."""
+"""The listening sockets of a runner: opened, shared with another process of it, and closed."""
 
 from __future__ import annotations
 
@@ -7,68 +7,86 @@
 from typing import Any
 
 from ..config.section import Address
-from .reactor import AcceptingPort, listener, listens_at
+from .accepting_port import AcceptingPort
+from .sockets import is_bound_to, open_listening_socket
 
 ACCEPTS_SHARE = (
-    8  # for one in so many spare descriptors a listening socket may accept one more client in a turn
+    8  # for one in so many reserved descriptors a listening socket accepts one connection more a turn
 )
 
 
 class Listeners:
-    """By label; `planned` says where each is to listen, and for which front."""
+    """The open listening sockets by label, such as `listen`, `uwsgi` or `admin`.
 
-    def __init__(self, reactor: Any, spare: int, count: Callable[[str], None]) -> None:
-        self._reactor, self._count = reactor, count
-        self._accepts = max(1, spare // ACCEPTS_SHARE)
+    `planned`: address and Twisted factory of each listener that the configuration asks for, by label. Labels go over
+    the wire between two processes of one runner.
+    """
+
+    def __init__(self, reactor: Any, reserved_descriptors: int, count: Callable[[str], None]) -> None:
+        self._reactor = reactor
+        self._count = count
+        self._max_accepts_per_turn = max(1, reserved_descriptors // ACCEPTS_SHARE)
         self.planned: dict[str, tuple[Address, Any]] = {}
-        self._ports: dict[str, Any] = {}
-        self._paused: set[str] = set()  # of them, those on which a further process accepts
-
-    def adopt(self, made: socket.socket, factory: Any) -> Any:
-        """Accept on this socket, which is Twisted's from here on. Raises OSError, and closes it."""
-        with made:
-            return AcceptingPort.of(self._reactor, made, factory, self._accepts, self._count)
-
-    def _adopt_handed(self, descriptor: int, factory: Any) -> Any:
-        """As `adopt`. Where that fails the descriptor stays open for another try: the process that handed it over no
-        longer accepts on it, and connections wait there."""
-        made = socket.socket(fileno=descriptor)
+        self._ports: dict[str, AcceptingPort] = {}
+        self._paused: set[str] = set()  # labels of `_ports` on which another process accepts
+
+    def adopt(self, opened: socket.socket, factory: Any) -> AcceptingPort:
+        """Accept on this socket, which is closed here: Twisted keeps a duplicate.
+
+        :raises OSError: the system has no descriptor for the duplicate.
+        """
+        with opened:
+            return self._accept_on(opened, factory)
+
+    def _accept_on(self, opened: socket.socket, factory: Any) -> AcceptingPort:
+        return AcceptingPort.of(self._reactor, opened, factory, self._max_accepts_per_turn, self._count)
+
+    def _adopt_handed_over(self, descriptor: int, factory: Any) -> AcceptingPort:
+        """As `adopt`, but where that fails the descriptor stays open for another attempt.
+
+        The process that handed it over no longer accepts on it: closing it would reset the connections of its backlog.
+        """
+        opened = socket.socket(fileno=descriptor)
         try:
-            port = AcceptingPort.of(self._reactor, made, factory, self._accepts, self._count)
+            port = self._accept_on(opened, factory)
         except OSError:
-            made.detach()
+            opened.detach()
             raise
-        made.close()
+        opened.close()
         return port
 
-    def open(self, handed: dict[str, int]) -> None:
-        """Each planned listener that is not open yet, on the descriptor that was handed over for it or on a socket of
-        its own. Raises OSError where an address is not free; what is open by then stays."""
+    def open(self, handed_over: dict[str, int]) -> None:
+        """Open each planned listener that is not open, on the descriptor handed over for its label or a new socket.
+
+        Descriptors that are used are removed from `handed_over`.
+
+        :raises OSError: an address is not free, or the system has no capacity; what is open by then stays open.
+        """
         for label, (address, factory) in self.planned.items():
             if label in self._ports:
                 continue
-            if label in handed:
-                self._ports[label] = self._adopt_handed(handed[label], factory)
-                del handed[label]
+            if label in handed_over:
+                self._ports[label] = self._adopt_handed_over(handed_over[label], factory)
+                del handed_over[label]
             else:
-                self._ports[label] = self.adopt(listener(address), factory)
+                self._ports[label] = self.adopt(open_listening_socket(address), factory)
 
-    def usable(self, handed: dict[str, int]) -> dict[str, int]:
-        """Of descriptors handed over, those at the addresses of planned listeners that are not open."""
+    def usable(self, handed_over: dict[str, int]) -> dict[str, int]:
+        """Return those descriptors, by label, that are bound to the address of a planned listener not yet open."""
         return {
             label: descriptor
-            for label, descriptor in handed.items()
+            for label, descriptor in handed_over.items()
             if label in self.planned
             and label not in self._ports
-            and listens_at(descriptor, self.planned[label][0])
+            and is_bound_to(descriptor, self.planned[label][0])
         }
 
     def descriptors(self) -> dict[str, int]:
-        """Of all that are open."""
+        """Return the descriptors of all open listeners by label."""
         return {label: port.fileno() for label, port in self._ports.items()}
 
     def pause(self, shared: set[str]) -> None:
-        """Another process accepts on the shared ones: they are kept, should that one die. The others close."""
+        """Stop accepting: another process does. Shared sockets stay open, should that process die; others close."""
         for label in list(self._ports):
             if label in shared:
                 self._ports[label].stopReading()
@@ -77,18 +95,17 @@
                 self.close(label)
 
     def resume(self) -> None:
-        """Accept again on all that are paused."""
+        """Accept again on all paused listeners."""
         for label in self._paused:
             self._ports[label].startReading()
         self._paused.clear()
 
     def close(self, label: str) -> None:
-        """A connection that waits to be accepted may have a request on it: closing would lose that one. Where another
-        process accepts on the same socket, it stays its."""
+        """Close a listener, if it is open, after accepting its backlog unless another process accepts on the socket."""
         port = self._ports.pop(label, None)
         if port is not None and label not in self._paused:
             port.accept_last()
 
     def accepting(self) -> set[str]:
-        """The labels of those on which this process accepts."""
+        """Return the labels of the listeners on which this process accepts."""
         return self._ports.keys() - self._paused
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -14,61 +14,75 @@
 from ..config.loader import load
 from ..config.section import ConfigError, ConfigUnreadable
 from ..hot_restart.shared_budget import path_for, room_for_two
-from ..transient_errors import persist
+from ..transient_errors import retry_transient
 
 log = logging.getLogger("moorusher")
 
-CONFIG_WITHIN_S = 8.0  # a process is to be ready within ten
+CONFIG_TIMEOUT_S = 8.0  # a process is to be ready within ten
+PEER_TIMEOUT_S = 0.2
+KB_PER_MB = 1024
 
-OK, UNREACHED, FAULTY, REFUSED, NOT_ROUTABLE = range(5)  # exit codes of all commands; README.md has the table
+# Exit codes of all commands; README.md has the table.
+OK = 0
+UNREACHED = 1
+FAULTY = 2
+REFUSED = 3
+NOT_ROUTABLE = 4
 
 
-def _taken_beside(path: str | None) -> float:
-    """MB that a process of this runner which is in service already takes; 0 where there is none. Asked before anything
-    large is imported."""
+def _memory_of_other_process_mb(path: str | None) -> float:
+    """Memory of a process of this runner that is in service, in MB; 0 where there is none.
+
+    Asked before anything large is imported: two processes must fit into the limit together.
+    """
     try:
-        with socket.socket(socket.AF_UNIX) as there:
-            there.settimeout(0.2)
-            there.connect(path or "")
-            pid, _, _ = struct.unpack("3i", there.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
-        told = Path(f"/proc/{pid}/status").read_text()
-        return next(int(line.split()[1]) / 1024 for line in told.splitlines() if line.startswith("RssAnon"))
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.settimeout(PEER_TIMEOUT_S)
+            connection.connect(path or "")
+            credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
+        pid, _, _ = struct.unpack("3i", credentials)
+        status = Path(f"/proc/{pid}/status").read_text()
+        resident = next(line for line in status.splitlines() if line.startswith("RssAnon"))
+        return int(resident.split()[1]) / KB_PER_MB
     except (OSError, ValueError, StopIteration):
         return 0.0
 
 
-def _can_be_read_later(exc: Exception) -> bool:
-    return isinstance(exc, ConfigUnreadable)
+def _can_be_read_later(error: Exception) -> bool:
+    return isinstance(error, ConfigUnreadable)
 
 
 def serve(fronts: Path | None = None) -> int:
-    """One runner in the foreground, until it has left; the exit code. `fronts` says what else listens."""
+    """Run one runner in the foreground until it has shut down. Returns the exit code.
+
+    :param fronts: the operator's file, which says what listens besides; that of the distribution where None.
+    """
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
-    # Nothing has been read yet: until the service takes the signal over, leaving is ending.
+    # Nothing has been read yet: until the service takes the signal over, to shut down is to end.
     signal.signal(signal.SIGTERM, lambda *_: os._exit(OK))
-    # A new configuration that comes meanwhile is read once there is who can follow it.
-    hangups: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
-    read = partial(load, fronts=fronts)
+    # A new configuration that comes meanwhile is read once the service can follow it.
+    early_hangups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
+    read_config = partial(load, fronts=fronts)
     try:
-        config = persist(read, CONFIG_WITHIN_S, may_pass=_can_be_read_later)
-    except ConfigError as exc:
-        print(f"moorusher: {exc}", file=sys.stderr)
+        config = retry_transient(read_config, CONFIG_TIMEOUT_S, may_pass=_can_be_read_later)
+    except ConfigError as error:
+        print(f"moorusher: {error}", file=sys.stderr)
         return FAULTY
-    taken = _taken_beside(path_for(os.environ.get("TMPDIR", ""), config.name, config.listen))
-    if not room_for_two(config.limits.memory_mb, taken):
+    taken_mb = _memory_of_other_process_mb(path_for(os.environ.get("TMPDIR", ""), config.name, config.listen))
+    if not room_for_two(config.limits.memory_mb, taken_mb):
         log.error(
             "limits.memory_mb: %g is too little for a second process: the one in service takes %.0f MB",
             config.limits.memory_mb,
-            taken,
+            taken_mb,
         )
         return FAULTY
-    from . import reactor as loop  # the loop is installed before any module can import Twisted's default one
+    from . import reactor  # installed before any module can import Twisted's default one
 
-    reactor = loop.install()
+    loop = reactor.install()
     from twisted.python.log import PythonLoggingObserver
 
-    PythonLoggingObserver("moorusher.server.reactor").start()  # type: ignore[no-untyped-call]
-    from . import server as service
+    PythonLoggingObserver("moorusher.twisted").start()  # type: ignore[no-untyped-call]
+    from .signals import run_service
 
-    return service.serve(config, reactor, read, hangups)
+    return run_service(config, loop, read_config, early_hangups)
--- /dev/null
+++ b/moorusher/server/secondary_listeners.py
@@ -0,0 +1,68 @@
+"""Plans the listeners beside the platform's frontend: uwsgi, peers, health checks and the administration API."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from .server import Service
+
+
+def plan_listeners(service: Service) -> None:
+    """Enter every configured listener in `service.listeners.planned`."""
+    config = service.config
+    planned = service.listeners.planned
+    planned["listen"] = config.listen, service.jsonrpc
+    if config.uwsgi.listen is not None:
+        planned["uwsgi"] = config.uwsgi.listen, service.uwsgi
+    if service.cluster.replication is not None and config.fleet.listen is not None:
+        from ..cluster_transport.peers import PeerFactory
+
+        planned["fleet"] = config.fleet.listen, PeerFactory(service.cluster.replication)
+    _plan_health_checks(service)
+    if config.admin.listen is not None:
+        planned["admin"] = config.admin.listen, _admin_site(service)
+
+
+def _plan_health_checks(service: Service) -> None:
+    config = service.config
+    probes = config.probes
+    planned = service.listeners.planned
+    if probes.agent is not None:
+        from ..frontends.agent import AgentFront
+
+        service.agent_check = AgentFront(service.core, service.reporter, probes.maxconn)
+        planned["agent"] = probes.agent, service.agent_check
+    if probes.health is None and not config.uwsgi.load_report:
+        return
+    from ..frontends.probes import LoadReport
+
+    load_report = LoadReport(service.core, service.reporter)
+    if config.uwsgi.load_report:
+        service.uwsgi.load = load_report.text
+    if probes.health is not None:
+        from ..frontends.health import HealthFront
+
+        service.health_check = HealthFront(
+            service.core, service.reporter, probes.codes, load_report if probes.load_report else None
+        )
+        planned["health"] = probes.health, service.health_check
+
+
+def _admin_site(service: Service) -> object:
+    from ..admin.api import admin_site  # Twisted's web server: 6 MB that the platform does not need
+
+    cluster = service.cluster
+    return admin_site(
+        service.core,
+        service.reporter,
+        service.config.name,
+        service.config.admin.token,
+        service.leave,
+        service.server_pool,
+        service.load_condition,
+        cluster.replication,
+        cluster.config_distribution,
+        cluster.forecast,
+        cluster.maintenance,
+    )
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -18,7 +18,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from ..config_distribution.messages import At
-from ..transient_errors import persist
+from ..transient_errors import retry_transient
 
 log = logging.getLogger("moorusher")
 
@@ -83,7 +83,7 @@
     def open(self) -> list[Stored]:
         """What was had last. Called once, before the loop has work to do."""
         try:
-            return persist(self._open, PATIENCE_S, may_pass=lambda exc: not is_damage(exc))
+            return retry_transient(self._open, PATIENCE_S, may_pass=lambda exc: not is_damage(exc))
         except (OSError, sqlite3.Error) as exc:
             self._drop()
             if is_damage(exc):
--- a/moorusher/transient_errors.py
+++ b/moorusher/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the operating system that pass by themselves: it had no room at that moment."""
+"""Errors of the operating system that pass by themselves: it had no capacity at that moment."""
 
 from __future__ import annotations
 
@@ -7,32 +7,34 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
-NO_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-PASSING = NO_ROOM | {errno.EINTR, errno.EAGAIN}
-AGAIN_S = 0.05
+NO_CAPACITY = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+TRANSIENT = NO_CAPACITY | {errno.EINTR, errno.EAGAIN}
+RETRY_INTERVAL_S = 0.05
 
 
-def passes(exc: Exception) -> bool:
+def is_transient(error: Exception) -> bool:
     """Whether the same call may succeed a moment later, with nothing changed by anybody."""
-    return isinstance(exc, OSError) and exc.errno in PASSING
+    return isinstance(error, OSError) and error.errno in TRANSIENT
 
 
-def persist(
-    action: Callable[[], T],
-    within_s: float,
+def retry_transient(
+    action: Callable[[], Result],
+    timeout_s: float,
     sleep: Callable[[float], None] = time.sleep,
     clock: Callable[[], float] = time.monotonic,
-    may_pass: Callable[[Exception], bool] = passes,
-) -> T:
-    """Do it again until it succeeds, as long as its errors may pass by themselves. Blocks: for the time before the loop
-    runs. Raises the last error."""
-    until = clock() + within_s
+    may_pass: Callable[[Exception], bool] = is_transient,
+) -> Result:
+    """Call `action` until it succeeds, while its errors may pass. Blocks: only for the time before the loop runs.
+
+    :raises Exception: the error of the last attempt, once `timeout_s` is over or an error can't pass.
+    """
+    deadline_s = clock() + timeout_s
     while True:
         try:
             return action()
-        except Exception as exc:
-            if not may_pass(exc) or clock() >= until:
+        except Exception as error:
+            if not may_pass(error) or clock() >= deadline_s:
                 raise
-        sleep(AGAIN_S)
+        sleep(RETRY_INTERVAL_S)
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -154,13 +154,13 @@
     # ---- what its pages would tell of values that others have written ----
 
     def duty_told(self, array: list[Any]) -> Any:
-        return self.service.fleet.duties._told(msgspec.convert(array, Post))
+        return self.service.cluster.replication.duties._told(msgspec.convert(array, Post))
 
     def outages_told(self, array: list[Any]) -> Any:
-        return self.service.outage._told(msgspec.convert(array, Roster), True)
+        return self.service.cluster.maintenance._told(msgspec.convert(array, Roster), True)
 
     def member_told(self, state: int) -> Any:
-        self.service.fleet.node.members.by_seat["n1"].state = State(state)
+        self.service.cluster.replication.node.members.by_seat["n1"].state = State(state)
         return self.page("GET", "fleet")[1]["members"][0]["state"]
 
     # ---- who calls it ----
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -14,8 +14,10 @@
 from moorusher.frontends.connection_limits import ASKED, CLOSING
 from moorusher.frontends.jsonrpc import MOST_LINE, SILENCE, JsonRpcFront
 from moorusher.frontends.uwsgi import UwsgiFront
-from moorusher.server.graceful_shutdown import Departure
-from moorusher.server.reactor import ROOM_AGAIN_S, AcceptingPort, listener
+from moorusher.server.accepting_port import ACCEPT_RETRY_S, AcceptingPort
+from moorusher.server.composition import ClusterParts
+from moorusher.server.graceful_shutdown import GracefulShutdown
+from moorusher.server.sockets import open_listening_socket
 
 from .by_hand import HOST, Client, Loop
 from .stand_ins import status, uwsgi_request
@@ -156,7 +158,7 @@
 
 def test_a_new_connection_waits_unaccepted_while_each_place_has_a_request_open() -> None:
     s = Served(cores=8)
-    made = listener((HOST, 0))
+    made = open_listening_socket((HOST, 0))
     address = made.getsockname()
     counts: list[str] = []
     with made:
@@ -168,13 +170,13 @@
     assert len(s.front.connections) == ROOM and counts
     assert sorted(s.world.core.table.by_rid) == ["r0", "r1", "r2"]
     s.run_over("r0")  # its connection rests from here on, and makes way
-    time.sleep(2 * ROOM_AGAIN_S)
+    time.sleep(2 * ACCEPT_RETRY_S)
     s.loop.turn()
     assert sorted(s.world.core.table.by_rid) == ["r1", "r2", "r3"]
     assert b'"id":1' in clients[0].recv(1000), "who makes way has had its answer"
     for rid in ("r1", "r2", "r3"):
         s.run_over(rid)
-        time.sleep(2 * ROOM_AGAIN_S)
+        time.sleep(2 * ACCEPT_RETRY_S)
         s.loop.turn()
     assert sorted(s.world.core.table.by_rid) == ["r4"]
     for client in clients:
@@ -184,7 +186,7 @@
 
 def test_a_fault_over_one_connection_does_not_end_the_listening_socket() -> None:
     s = Served()
-    made = listener((HOST, 0))
+    made = open_listening_socket((HOST, 0))
     address = made.getsockname()
     with made:
         port = AcceptingPort.of(s.loop.reactor, made, s.front, 8, lambda name: None)
@@ -281,17 +283,17 @@
         core=s.world.core,
         clock=s.world.core.clock,
         reactor=s.loop.reactor,
-        front=s.front,
+        jsonrpc=s.front,
         uwsgi=s.uwsgi,
         listeners=nothing,
         reporter=nothing,
         kernel=nothing,
-        keeper=None,
-        succession=None,
-        fleet=None,
+        warm_start_store=None,
+        hot_restart=None,
+        cluster=ClusterParts(),
         serving=True,
     )
-    Departure(service).end()
+    GracefulShutdown(service).end()
     s.loop.turn()
 
 
@@ -336,7 +338,7 @@
 @pytest.mark.parametrize("late", [False, True])
 def test_who_waits_at_a_listening_socket_as_it_closes_is_let_in(late: bool) -> None:
     s = Served()
-    listening = listener((HOST, 0))
+    listening = open_listening_socket((HOST, 0))
     address = listening.getsockname()
     with listening:
         port = AcceptingPort.of(s.loop.reactor, listening, s.front, 1, s.world.core.counters.add)
--- a/tests/test_limited_log.py
+++ b/tests/test_limited_log.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from moorusher.rate_limited_log import LimitedLog
+from moorusher.rate_limited_log import RateLimitedLog
 
 
 def test_a_kind_is_written_once_a_second_and_tells_what_was_left_out(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     now = [100.0]
-    limited = LimitedLog(logging.getLogger("moorusher"), lambda: now[0])
+    limited = RateLimitedLog(logging.getLogger("moorusher"), lambda: now[0])
     for i in range(20):
         limited.write(logging.WARNING, "a", "a %d", i)
         limited.write(logging.WARNING, "b", "b")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -29,7 +29,8 @@
 from moorusher.replication.policy import Seat
 from moorusher.scheduling import Balancer
 from moorusher.scheduling import interface as api
-from moorusher.server.server import FIXED_SOCKETS, IDLE_CALLS_SHARE, LEAST_CONSOLE, Service
+from moorusher.server.connection_budget import FIXED_DESCRIPTORS, IDLE_BACKEND_SHARE, MIN_CONSOLE_CONNECTIONS
+from moorusher.server.server import Service
 
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
 from .stand_ins import SETTINGS
@@ -260,15 +261,15 @@
     taken = OSError(errno.EADDRINUSE, "Address already in use")
     failing: list[OSError] = [taken]
 
-    def opened(handed: dict[str, int]) -> None:
+    def opened(handed_over: dict[str, int]) -> None:
         if failing:
             raise failing.pop()
 
     service.listeners.open = opened  # type: ignore[method-assign]
     service.accept({})
-    assert service._listen_since is not None and not service.serving
+    assert service._listen_retry.failing_since_us is not None and not service.serving
     service.accept({})
-    assert service._listen_since is None and service.serving
+    assert service._listen_retry.failing_since_us is None and service.serving
     service.clock.now += 3_600_000_000
     failing.append(taken)
     service.accept({})
@@ -282,18 +283,18 @@
     assert r.reload(json.dumps(new))
     core = r.service.core
     assert list(core.intake.classes) == ["check", "submit", "lint"]
-    assert core.keys.most_bytes < 20_000_000 and r.service.front.places.most < 128
+    assert core.keys.most_bytes < 20_000_000 and r.service.jsonrpc.places.most < 128
 
 
 def test_connections_below_that_are_kept_without_a_call_follow_the_descriptors() -> None:
     r = Running(db="127.0.0.1:7700")
-    below = r.service.below
+    below = r.service.backend
     assert isinstance(below, DatabasePool) and below.most_idle == MOST_IDLE
     assert r.reload(json.dumps(r.config | {"limits": {"cores": 1.0, "memory_mb": 80, "sockets": 60}}))
-    spare, places = 60 // 2, r.service.front.places.most
-    assert below.most_idle == spare // IDLE_CALLS_SHARE and below.most_open >= 1
+    spare, places = 60 // 2, r.service.jsonrpc.places.most
+    assert below.most_idle == spare // IDLE_BACKEND_SHARE and below.most_open >= 1
     assert places == 30, "front ends may open half of them"
-    assert places + LEAST_CONSOLE + FIXED_SOCKETS + below.most_idle + below.most_open <= 60
+    assert places + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + below.most_idle + below.most_open <= 60
 
 
 def test_a_file_cut_at_any_byte_changes_nothing() -> None:
@@ -361,7 +362,7 @@
 ) -> None:
     here, there = Seat("n1", ("127.0.0.1", 1)), Seat("n2", ("127.0.0.1", 2))
     running = Running(fleet(here, there))
-    link = running.service.fleet
+    link = running.service.cluster.replication
     running.fleet = fleet(here, Seat("n2", ("127.0.0.1", 3)))
     with caplog.at_level("INFO"):
         assert running.reload(json.dumps(CONFIG))
