--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -13,7 +13,7 @@
 from .. import __version__
 from ..config.load_balancing import server_of
 from ..config.section import ConfigError, Section
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy
 from ..health.policy import MOST_MAINTENANCE_S, MOST_REASON
 from ..server.health_report import Reporter
@@ -134,14 +134,18 @@
         return reply(
             request,
             409,
-            {"error": "the runner is leaving" if self._reporter.core.draining else "no maintenance is set"},
+            {
+                "error": "the runner is leaving"
+                if self._reporter.core.drain_state.draining
+                else "no maintenance is set"
+            },
         )
 
 
 class _Servers(Guarded):
     """/servers, and /servers/NAME with PUT and DELETE; POST /servers/NAME/drain."""
 
-    def __init__(self, token: str, tier: Any, core: Decider) -> None:
+    def __init__(self, token: str, tier: Any, core: RequestEngine) -> None:
         super().__init__(token)
         self._tier, self._core = tier, core
 
@@ -149,7 +153,7 @@
         return [p.decode("utf-8", "replace") for p in request.postpath if p]
 
     def _told(self) -> list[dict[str, object]]:
-        self._core.touch()
+        self._core.begin_turn()
         told: list[dict[str, object]] = self._tier.router.told(self._core.clock.now)
         return told
 
@@ -172,7 +176,7 @@
     def _change(self, request: Any, change: Callable[[str], bool]) -> bytes:
         if not self.allowed(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
-        self._core.touch()
+        self._core.begin_turn()
         name = self._path(request)[0] if self._path(request) else ""
         if not change(name):
             return reply(request, 404, {"error": "no such server"})
@@ -193,7 +197,7 @@
             return reply(request, 400, {"error": str(exc)})
         if server is None:
             return reply(request, 401, {"error": "a bearer token is needed"})
-        self._core.touch()
+        self._core.begin_turn()
         try:
             self._tier.put(server)
         except ValueError as exc:
@@ -214,7 +218,7 @@
 
     isLeaf = True
 
-    def __init__(self, core: Decider) -> None:
+    def __init__(self, core: RequestEngine) -> None:
         super().__init__()
         self._core = core
 
@@ -272,23 +276,23 @@
     return server.NOT_DONE_YET
 
 
-def status_of(core: Decider, reporter: Reporter, name: str) -> dict[str, object]:
+def status_of(core: RequestEngine, reporter: Reporter, name: str) -> dict[str, object]:
     """What `GET /status` tells of this runner."""
     return {
         "name": name,
         "version": __version__,
         "state": haproxy(reporter.report()),
-        "draining": core.draining,
+        "draining": core.drain_state.draining,
         "kernel_up": core.ready,
-        "healthy": core.healthy,
-        "hint": core.hint,
-        "load": core.load(),
+        "healthy": core.state.healthy,
+        "hint": core.state.load_signal,
+        "load": core.kernel_status.cpu_busy(),
         "requests": len(core.table),
-        "owed": core.owed,
+        "owed": core.table.unanswered,
         "runs": len(core.runs),
         "calls": len(core.calls),
         "keys": len(core.keys),
-        "key_bytes": core.keys.bytes,
+        "key_bytes": core.keys.result_bytes,
     }
 
 
@@ -321,7 +325,7 @@
 
 
 def admin_site(
-    core: Decider,
+    core: RequestEngine,
     reporter: Reporter,
     name: str,
     token: str,
@@ -348,7 +352,7 @@
         from msgspec import to_builtins  # MessagePack and JSON of the same value
 
         def knowledge() -> object:
-            core.touch()
+            core.begin_turn()
             return to_builtins(tier.knowledge(condition()))
 
         root.putChild(b"servers", _Servers(token, tier, core))
--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -11,7 +11,7 @@
 
 from ..config.section import Address
 from ..core.clock import MS
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from .http_client import HttpClient
 
 log = logging.getLogger("moorusher")
@@ -62,7 +62,7 @@
 
     def __init__(self, reactor: Any, address: Address, name: str) -> None:
         self._reactor, self._address, self._name = reactor, address, name
-        self.core: Decider  # set by the owner
+        self.core: RequestEngine  # set by the owner
         self.fit: Callable[[], bool] = lambda: True  # what is reported; set by the owner
         self._connection: _Connection | None = None
         self._dialling: Any = None  # the connector under way
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -11,10 +11,10 @@
 from moorusher.scheduling.retry_policy import Evidence, may_repeat, may_run_twice
 
 from ..config.section import Address
-from ..core.call import Asked
+from ..core.call import CallRequest
 from ..core.clock import MS, SECOND, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from .http_client import HttpClient
 
 SETTLE = 20 * MS  # after a reply, for what should not follow it
@@ -23,28 +23,28 @@
 MOST_OPEN = 1024
 
 
-def ending_of(status: int, headers: dict[bytes, bytes]) -> Ending:
+def ending_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
     """How a call ended, by its reply; without a proof it may have run."""
     never = headers.get(b"never-started") == b"1"
     if status == 200:
-        return Ending.CALL_ANSWERED
+        return EndReason.CALL_ANSWERED
     if status == 503 and never:
-        return Ending.CALL_TURNED_AWAY
+        return EndReason.CALL_REJECTED
     if status == 409 and never:
-        return Ending.CALL_STRAY
+        return EndReason.CALL_NOT_AWAITED
     if status == 504:
-        return Ending.CALL_OUT_OF_TIME
-    return Ending.CALL_FAILED  # without the proof it may have had its effect
+        return EndReason.CALL_DEADLINE_EXCEEDED
+    return EndReason.CALL_FAILED  # without the proof it may have had its effect
 
 
 class DatabaseConnection(HttpClient):
     """A connection to the database: one call at a time."""
 
-    def __init__(self, pool: DatabasePool, first: tuple[int, Asked]) -> None:
+    def __init__(self, pool: DatabasePool, first: tuple[int, CallRequest]) -> None:
         super().__init__()
         self.pool, self.first, self.address = pool, first, pool.address
         self.number: int | None = None  # the request whose call is on it
-        self.call: Asked | None = None
+        self.call: CallRequest | None = None
         self.idle_since = 0
         self.reused = False
 
@@ -52,7 +52,7 @@
         self.transport.setTcpNoDelay(True)
         self.send(*self.first)
 
-    def send(self, number: int, asked: Asked) -> None:
+    def send(self, number: int, asked: CallRequest) -> None:
         self.number, self.call = number, asked
         self.asked()
         self.transport.write(
@@ -62,7 +62,7 @@
         )
 
     def replied(self, status: int, headers: dict[bytes, bytes], body: bytes, keep: bool) -> None:
-        self.pool.core.touch()
+        self.pool.core.begin_turn()
         number, self.number = self.number, None
         if number is None or not keep or self.address != self.pool.address:
             self.transport.loseConnection()
@@ -80,7 +80,7 @@
         number, self.number = self.number, None
         self.transport.abortConnection()
         if number is not None:
-            self.pool.over(number, Ending.CALL_GARBLED, b"")
+            self.pool.over(number, EndReason.CALL_REPLY_UNREADABLE, b"")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         self.pool.lost(self)
@@ -92,7 +92,7 @@
             self.pool.core.counters.add("calls sent again: a connection that was idle broke")
             self.pool.dial(number, call)  # forgotten by the other side while idle, most likely
         else:
-            self.pool.over(number, Ending.CALL_CUT_OFF, b"")
+            self.pool.over(number, EndReason.CALL_CONNECTION_LOST, b"")
 
 
 class _Dial(ClientFactory):
@@ -100,7 +100,7 @@
 
     noisy = False
 
-    def __init__(self, pool: DatabasePool, number: int, asked: Asked) -> None:
+    def __init__(self, pool: DatabasePool, number: int, asked: CallRequest) -> None:
         self.pool, self.number, self.given_up = pool, number, False
         self.call = (number, asked)
         self.address, self.connector = pool.address, None  # type: Address, Any
@@ -122,7 +122,7 @@
         if self.address != self.pool.address:
             self.dial(self.pool.address)  # nothing was written yet: the call goes where the database is now
         else:
-            self.pool.over(self.number, Ending.CALL_NOT_CONNECTED, b"")
+            self.pool.over(self.number, EndReason.CALL_NOT_CONNECTED, b"")
 
 
 class DatabasePool:
@@ -131,7 +131,7 @@
     def __init__(self, reactor: Any, address: Address, most_idle: int = MOST_IDLE) -> None:
         self.reactor, self.address, self.most_idle = reactor, address, most_idle
         self.most_open = MOST_OPEN  # connections that carry or are made for a call
-        self.core: Decider  # set by the owner
+        self.core: RequestEngine  # set by the owner
         self._idle: deque[DatabaseConnection] = deque()  # oldest first; the newest is used first
         self._dialling: dict[int, _Dial] = {}
         self._busy: dict[int, DatabaseConnection] = {}
@@ -139,7 +139,7 @@
 
     # ---- from the core ----
 
-    def call(self, number: int, asked: Asked) -> None:
+    def call(self, number: int, asked: CallRequest) -> None:
         self._close_old()
         connection = self._settled() if may_run_twice(asked.effect) else None
         if connection is None:
@@ -156,10 +156,10 @@
         latest = self.core.clock.now - SETTLE
         return next((c for c in reversed(self._idle) if c.idle_since <= latest), None)
 
-    def dial(self, number: int, asked: Asked) -> None:
+    def dial(self, number: int, asked: CallRequest) -> None:
         """On a fresh connection; where none may be made, nothing was sent."""
         if len(self._busy) + len(self._dialling) >= self.most_open:
-            return self.over(number, Ending.CALL_NOT_CONNECTED, b"")
+            return self.over(number, EndReason.CALL_NOT_CONNECTED, b"")
         dial = self._dialling[number] = _Dial(self, number, asked)
         dial.dial(self.address)
 
@@ -200,10 +200,10 @@
         self._dialling.pop(number, None)
         self._busy[number] = connection
 
-    def over(self, number: int, ending: Ending, body: bytes) -> None:
+    def over(self, number: int, ending: EndReason, body: bytes) -> None:
         self._dialling.pop(number, None)
         self._busy.pop(number, None)
-        self.core.call_over(number, ending, body)
+        self.core.execution.call_ended(number, ending, body)
 
     def spare(self, connection: DatabaseConnection) -> None:
         connection.idle_since = self.core.clock.now
--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -14,8 +14,8 @@
 
 from ..config.section import Address
 from ..core.clock import MS, SECOND, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..core.run import NOT_WRITTEN
 from .kernel_messages import (
     Booted,
@@ -83,7 +83,7 @@
             log.exception("the kernel sent %r", line[:200])
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self.link.core.counters.add("kernel link: " + Ending.LINE_TOO_LONG.value)
+        self.link.core.counters.add("kernel link: " + EndReason.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
@@ -98,7 +98,7 @@
 
     def __init__(self, reactor: Any, address: Address) -> None:
         self._reactor, self._address = reactor, address
-        self.core: Decider  # set by the owner: core and link need each other
+        self.core: RequestEngine  # set by the owner: core and link need each other
         self.connection: KernelConnection | None = None
         self.last = 0
         self._unread = self._unread_after = 0
@@ -140,11 +140,11 @@
         return KernelConnection(self)
 
     def opened(self, connection: KernelConnection) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         before, self.connection = self.connection, connection
         self._made = self.core.clock.now
         if before is not None:
-            self.core.link_lost()  # until the new one has had its answer
+            self.core.kernel_status.link_lost()  # until the new one has had its answer
         self._dialling, self._state = None, LinkState.OPENING
         self._watch()
         if before is not None:
@@ -161,7 +161,7 @@
 
     def lost(self, connection: KernelConnection, why: str = "") -> None:
         if connection is self.connection:
-            self.core.link_lost()
+            self.core.kernel_status.link_lost()
             log.info(
                 "kernel link to %s:%d lost after %d ms, %s: last notice %d, %d commands not known to be read%s",
                 *self._address,
@@ -172,12 +172,12 @@
                 why and f" ({why})",
             )
             self.connection, self._state = None, LinkState.DOWN
-            self.core.counters.add("kernel link: " + Ending.LOST.value)
+            self.core.counters.add("kernel link: " + EndReason.CONNECTION_LOST.value)
             self._again()
 
     def _again(self) -> None:
         if not self._closing and self._dialling is None:  # else a new link is on its way already
-            self.core.touch()
+            self.core.begin_turn()
             if self._alarm is not None:
                 self._alarm.cancel()
             self._alarm = self.core.alarms.at(self.core.clock.now + self._pause, self.start)
@@ -188,7 +188,7 @@
     def heard(self, connection: KernelConnection) -> None:
         """Bytes have come, whatever they say."""
         if connection is self.connection:
-            self.core.touch()
+            self.core.begin_turn()
             self._heard, self._doubted = self.core.clock.now, False
 
     def _watch(self) -> None:
@@ -209,7 +209,7 @@
             log.warning(
                 "the link to the kernel has been quiet for %.1f s: a new one is dialled", quiet / SECOND
             )
-            self.core.counters.add("kernel link: " + Ending.SILENT.value)
+            self.core.counters.add("kernel link: " + EndReason.READ_TIMEOUT.value)
             self._redial()  # the quiet one serves until the new one is up
         elif quiet >= ASK_EVERY:
             self.ask_gauges()
@@ -227,7 +227,7 @@
     def unreadable(self, connection: KernelConnection, line: bytes) -> None:
         """Read on from the last whole notice, on a new link. Where that gives the same again, it is passed over."""
         log.error("the kernel sent what can't be read: %r", line[:200])
-        self.core.touch()
+        self.core.begin_turn()
         self.core.counters.add("kernel lines unread")
         self._unread = self._unread + 1 if self._unread_after == self.last else 1
         self._unread_after = self.last
@@ -244,14 +244,14 @@
         elif isinstance(message, Gauges):
             if message.mark == SYNC:
                 self._state = LinkState.UP
-                self.core.kernel_read_again(self._read)
+                self.core.execution.reconnected(self._read)
             elif message.mark.startswith(READ) and message.mark[len(READ) :].isdecimal():
                 self._read = max(self._read, min(int(message.mark[len(READ) :]), self._written))
-            self.core.gauges(message.values)
+            self.core.kernel_status.gauges_received(message.values)
         elif isinstance(message, Booted):
             self._booted(message)
         elif isinstance(message, CommandRefused):
-            self.core.command_refused(message.command, message.rid)
+            self.core.execution.command_rejected(message.command, message.rid)
         else:
             log.warning("the kernel sent an unknown message %r", message.kind)
 
@@ -260,9 +260,9 @@
             return  # replayed or written twice, and read before
         self.last = notice.number
         if isinstance(notice, CallNeeded):
-            self.core.call_needed(notice.rid, notice.number, notice.body)
+            self.core.execution.call_needed(notice.rid, notice.number, notice.body)
         elif isinstance(notice, RunOver):
-            self.core.run_over(notice.rid, notice.ending, notice.body)
+            self.core.execution.run_ended(notice.rid, notice.ending, notice.body)
 
     def _booted(self, booted: Booted) -> None:
         self._pause = RETRY
@@ -275,7 +275,7 @@
             self.connection.say({"t": "SYSINFO", "mark": SYNC})
         else:
             self._state, self._was_up = LinkState.UP, True
-        self.core.link_up()
+        self.core.kernel_status.link_up()
         self.core.kernel_up(cold=booted.cold, age_ms=booted.age_ms)
 
     # ---- commands ----
--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any, Union
 
-from ..core.outcomes import Ending
+from ..core.outcomes import EndReason
 
 RUN_ENDS = {
-    "PASS": Ending.RUN_PASSED,
-    "FAIL": Ending.RUN_FAILED,
-    "KILLED": Ending.RUN_KILLED,
-    "NOOP": Ending.RUN_NEVER_BEGAN,
+    "PASS": EndReason.RUN_SUCCEEDED,
+    "FAIL": EndReason.RUN_FAILED,
+    "KILLED": EndReason.RUN_KILLED,
+    "NOOP": EndReason.RUN_NEVER_STARTED,
 }
 COLD = "EMPTY"
 
@@ -43,7 +43,7 @@
     """A run has ended."""
 
     rid: str
-    ending: Ending
+    ending: EndReason
     body: bytes
 
 
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 from typing import Any
 
-from ..core.call import Asked
+from ..core.call import CallRequest
 from ..core.clock import MS, Alarm, Alarms, Clock
 from ..core.counters import Counters
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..load_balancing.policy import Policy, Server, Speaks
 from ..load_balancing.router import Action, Cancel, End, Over, Router, Send
 from ..routing.grants import Grants
@@ -22,19 +22,20 @@
 MOST_IDLE = 4  # kept connections to one server: there are many
 
 # What is not here proves nothing: the call may have run.
-ENDS: dict[Ending, End] = {
-    Ending.CALL_ANSWERED: End.ANSWERED,
-    Ending.CALL_TURNED_AWAY: End.TURNED_AWAY,
-    Ending.CALL_STRAY: End.STRAY,
-    Ending.CALL_NOT_CONNECTED: End.UNREACHED,
+ENDS: dict[EndReason, End] = {
+    EndReason.CALL_ANSWERED: End.ANSWERED,
+    EndReason.CALL_REJECTED: End.TURNED_AWAY,
+    EndReason.CALL_NOT_AWAITED: End.STRAY,
+    EndReason.CALL_NOT_CONNECTED: End.UNREACHED,
 }
 
 
 class _Side:
-    """What a server's link takes for the core: its calls are numbered by attempt."""
+    """What a server's link takes for the engine: its calls are numbered by attempt."""
 
     def __init__(self, tier: TierCalls) -> None:
         self._tier = tier
+        self.execution = self  # a link reports to `core.execution.call_ended`
 
     @property
     def clock(self) -> Clock:
@@ -48,15 +49,15 @@
     def counters(self) -> Counters:
         return self._tier.core.counters
 
-    def touch(self) -> None:
-        self._tier.core.touch()
+    def begin_turn(self) -> None:
+        self._tier.core.begin_turn()
 
-    def call_over(self, attempt: int, ending: Ending, body: bytes) -> None:
+    def call_ended(self, attempt: int, ending: EndReason, body: bytes) -> None:
         self._tier.attempt_over(attempt, ending, body)
 
 
 class TierCalls:
-    """Stands behind the `Calls` protocol of `core/call.py`."""
+    """Stands behind the `CallTransport` protocol of `core/call.py`."""
 
     def __init__(
         self,
@@ -67,12 +68,12 @@
         draw: Callable[[], float],
         grants: Grants | None = None,
     ) -> None:
-        self.core: Decider  # set by the owner
+        self.core: RequestEngine  # set by the owner
         self._reactor, self._policy, self._runner, self._draw = reactor, policy, runner, draw
         self._servers, self._grants = list(servers), grants or Grants()
         self._ways: Ways | None = None
         self._links: dict[str, DatabasePool | UwsgiCalls] = {}
-        self._asked: dict[int, Asked] = {}
+        self._asked: dict[int, CallRequest] = {}
         self._via: dict[int, DatabasePool | UwsgiCalls] = {}  # by attempt
         self._alarm: Alarm | None = None
         self._alarm_at = self._born = 0
@@ -110,10 +111,10 @@
 
     # ---- from the core ----
 
-    def call(self, number: int, asked: Asked) -> None:
+    def call(self, number: int, asked: CallRequest) -> None:
         now = self.core.clock.now
         self._asked[number] = asked
-        self._do(self.ways.call(now, number, asked.effect, now + asked.timeout_ms * MS, asked.way))
+        self._do(self.ways.call(now, number, asked.effect, now + asked.timeout_ms * MS, asked.route))
 
     def give_up(self, number: int) -> None:
         self._asked.pop(number, None)
@@ -121,16 +122,16 @@
 
     # ---- from the links ----
 
-    def attempt_over(self, attempt: int, ending: Ending, body: bytes) -> None:
+    def attempt_over(self, attempt: int, ending: EndReason, body: bytes) -> None:
         if self._via.pop(attempt, None) is None:
             return
-        self.core.touch()
+        self.core.begin_turn()
         actions = self.ways.ended(self.core.clock.now, attempt, ENDS.get(ending, End.FAILED))
         self._do(actions, (attempt, ending, body))
 
     # ---- what was decided ----
 
-    def _do(self, actions: list[Action], ended: tuple[int, Ending, bytes] | None = None) -> None:
+    def _do(self, actions: list[Action], ended: tuple[int, EndReason, bytes] | None = None) -> None:
         for action in actions:
             if isinstance(action, Send):
                 server = self.ways.named(action.server)
@@ -147,13 +148,15 @@
                 self._over(action, ended)
         self._watch()
 
-    def _over(self, over: Over, ended: tuple[int, Ending, bytes] | None) -> None:
+    def _over(self, over: Over, ended: tuple[int, EndReason, bytes] | None) -> None:
         self._asked.pop(over.number, None)
         if ended is not None and over.attempt == ended[0]:
-            self.core.call_over(over.number, ended[1], ended[2])
+            self.core.execution.call_ended(over.number, ended[1], ended[2])
         else:  # no attempt was made, or its server was taken away under it: that proves nothing
-            ending = Ending.CALL_TURNED_AWAY if over.end is End.TURNED_AWAY else Ending.CALL_CUT_OFF
-            self.core.call_over(over.number, ending, b"")
+            ending = (
+                EndReason.CALL_REJECTED if over.end is End.TURNED_AWAY else EndReason.CALL_CONNECTION_LOST
+            )
+            self.core.execution.call_ended(over.number, ending, b"")
 
     def _watch(self) -> None:
         """One alarm for the earliest of repeats and second copies."""
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -48,7 +48,7 @@
     key = arrival.token or ""
     subject = -1 if arrival.subject is None else arrival.subject
     return Asked(
-        arrival.klass,
+        arrival.class_name,
         arrival.caller,
         subject,
         arrival.rank,
@@ -69,7 +69,7 @@
 
 
 class NamespaceLink:
-    """`publishing.replica.Host` towards the fleet, `core.routes.Routes` towards the core."""
+    """`publishing.replica.Host` towards the fleet, `core.hooks.routes.Routes` towards the core."""
 
     def __init__(self, duties: DutyLink, config: NamespacesConfig, reactor: Any) -> None:
         self.duties, self.config, self.core = duties, config, duties.core
@@ -85,7 +85,7 @@
         )
         duties.namespaces = self
         duties.fleet.rules = self
-        self.core.routes = self
+        self.core.hooks.routes = self
 
     def start(self) -> None:
         self.ready = False
@@ -155,7 +155,7 @@
                 gc.enable()
 
         def done(got: Any) -> None:
-            self.core.touch()
+            self.core.begin_turn()
             then(got)
 
         deferToThreadPool(self._reactor, self._pool, work).addCallback(done).addErrback(
@@ -193,7 +193,7 @@
     # ---- for operators ----
 
     def listed(self) -> dict[str, Any]:
-        self.core.touch()
+        self.core.begin_turn()
         replica = self.replica
         node = replica.participant.node
         up = sum(m.up for m in node.members.by_seat.values())
@@ -217,7 +217,7 @@
         }
 
     def _known(self, customer: str, then: Told) -> bool:
-        self.core.touch()
+        self.core.begin_turn()
         if customer in self.config.customers:
             return True
         then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -21,7 +21,7 @@
 from ..backends.http_client import HttpClient
 from ..config.section import parse_address
 from ..core.clock import MS, Alarm
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..leadership.effects import Told
 from ..leadership.fencing_token import Fence
 from ..leadership.lease_record import Intent
@@ -104,14 +104,14 @@
         if then is not None:
             self._late.cancel()
             self._link.open -= 1
-            self._link.core.touch()
+            self._link.core.begin_turn()
             then(told)
 
 
 class Receivers:
     """All exchanges of this runner with receivers outside."""
 
-    def __init__(self, reactor: Any, core: Decider) -> None:
+    def __init__(self, reactor: Any, core: RequestEngine) -> None:
         self.reactor, self.core, self.open = reactor, core, 0
 
     def _send(self, to: str, path: bytes, body: dict[str, Any], then: Callable[[Told], None]) -> None:
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.threads import deferToThreadPool
 
-from ..core.demand import Demand
+from ..core.demand import DemandObserver
 from ..core.requests import Request
 from ..forecast_service.errors import ForecastError, NoNumpy, NotYet
 from ..forecast_service.forecaster import Forecaster, label
@@ -28,7 +28,7 @@
 log = logging.getLogger("moorusher")
 
 
-class Counting(Demand):
+class Counting(DemandObserver):
     """First tries, by the customer's route that they were given when they were read."""
 
     def __init__(self, link: ForecastLink) -> None:
@@ -40,13 +40,13 @@
         route = "" if way is None else way.hops[0].route
         return Key(request.tenant or "", 0 if ruling is None else ruling.at[0], route, self._link.member.zone)
 
-    def asked(self, request: Request) -> None:
-        self._link.add(self._key(request), asked=1, worth=request.cls.worth)
+    def requested(self, request: Request) -> None:
+        self._link.add(self._key(request), asked=1, worth=request.request_class.worth)
 
-    def refused(self, request: Request) -> None:
+    def rejected(self, request: Request) -> None:
         self._link.add(self._key(request), refused=1)
 
-    def ran(self, request: Request, core_us: int) -> None:
+    def run_ended(self, request: Request, core_us: int) -> None:
         self._link.add(self._key(request), runs=1, core_us=core_us)
 
 
@@ -59,7 +59,7 @@
         self.member = Member(duties.participant, self, policy)
         duties.forecast = self
         duties.fleet.forecast = self
-        self.core.demand = Counting(self)
+        self.core.hooks.demand = Counting(self)
 
     def start(self) -> None:
         self._pool.start()
@@ -116,7 +116,7 @@
                 return NoNumpy(f"this runner owns the forecast, and can't work it out: {exc}")
 
         def done(got: Any) -> None:
-            self.core.touch()
+            self.core.begin_turn()
             then(got)
 
         def failed(failure: Any) -> None:
@@ -150,11 +150,11 @@
     # ---- for operators ----
 
     def show(self, customer: str, then: Callable[[bytes | ForecastError | DutyError], None]) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.member.ask(customer, then)
 
     def load(self, past: list[Past], then: Callable[[bytes | ForecastError | DutyError], None]) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.member.load(past, then)
 
     def told(self) -> dict[str, Any]:
--- a/moorusher/cluster_transport/hot_restart.py
+++ b/moorusher/cluster_transport/hot_restart.py
@@ -27,9 +27,9 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from ..core.clock import MS, Alarm
-from ..core.idempotency_keys import Entry, Key
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.idempotency_keys import Key, KeyEntry
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..hot_restart.process_role import WAITS_MS, Event, Life, State, Step
 from ..hot_restart.shared_budget import Load
 
@@ -74,7 +74,7 @@
         self.link, self.came = link, came  # to us, as a further process does
         self.handed: list[int] = []
         self.severed = self.gone = False
-        self._entries: Iterator[Entry] | None = None
+        self._entries: Iterator[KeyEntry] | None = None
         self._paused = False
 
     # ---- the connection ----
@@ -95,16 +95,16 @@
         if self.gone:
             return
         head, _, blob = string.partition(b"\n")
-        self.link.core.touch()
+        self.link.core.begin_turn()
         try:
             message = json.loads(head)
             self.link.heard(self, message, blob)
         except (ValueError, KeyError, TypeError, RecursionError) as exc:
             log.error("the other process said %r: %s", head[:200], exc)
-            self.link.core.counters.add("succession: " + Ending.BAD_FRAME.value)
+            self.link.core.counters.add("succession: " + EndReason.FRAMING_LOST.value)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.link.core.counters.add("succession: " + Ending.LINE_TOO_LONG.value)
+        self.link.core.counters.add("succession: " + EndReason.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
@@ -143,7 +143,7 @@
     def stopProducing(self) -> None:
         self._entries = None
 
-    def hand_keys(self, entries: Iterator[Entry]) -> None:
+    def hand_keys(self, entries: Iterator[KeyEntry]) -> None:
         self._entries = entries
         self.transport.registerProducer(self, True)
         self._pump()
@@ -161,9 +161,9 @@
                 "KEY",
                 entry.result or b"",
                 k=entry.key,
-                b=entry.body,
-                u=entry.until,
-                o=entry.over,
+                b=entry.body_digest,
+                u=entry.expires_us,
+                o=entry.finished,
                 r=entry.result is not None,
             )
         self.link.soon(self._pump)
@@ -243,7 +243,7 @@
 class Succession:
     """Carries out the life of this process beside another one of its runner."""
 
-    def __init__(self, reactor: Any, core: Decider, owner: Owner, path: str, name: str) -> None:
+    def __init__(self, reactor: Any, core: RequestEngine, owner: Owner, path: str, name: str) -> None:
         self._reactor, self.core, self._owner, self._path, self._name = reactor, core, owner, path, name
         self.life = Life()
         self.peer: Peer | None = None
@@ -254,7 +254,7 @@
         self._told = Load()
         self._unsure_until = 0  # what the other process does not know itself
         self._shared: set[str] = set()  # labels of the sockets that the new process listens on as well
-        core.claims.unanswered = self._unanswered
+        core.key_claims.peer_unresponsive = self._unanswered
 
     # ---- events ----
 
@@ -280,7 +280,7 @@
             self._alarm.cancel()
             self._alarm = None
         if (wait := WAITS_MS.get(self.life.state)) is not None:
-            self.core.touch()
+            self.core.begin_turn()
             self._alarm = self.core.alarms.at(
                 self.core.clock.now + round(wait * MS), lambda: self.hear(Event.LATE)
             )
@@ -289,7 +289,7 @@
         """A claim: before GO this process may go on without the new one, afterwards it may not."""
         if self.life.state is State.HANDING:
             self.hear(Event.LATE)
-        return self.core.claims.peer is None
+        return self.core.key_claims.peer is None
 
     def kernel_up(self) -> None:
         self.hear(Event.KERNEL_UP)
@@ -323,11 +323,11 @@
             self._look_later()
 
     def _look_later(self) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.core.alarms.at(self.core.clock.now + AGAIN, self._look)
 
     def not_found(self, code: int | None) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         if code == errno.ECONNREFUSED:
             self.hear(Event.DEAD)
         elif code == errno.ENOENT:
@@ -341,19 +341,19 @@
         self._reactor.callLater(0, action)
 
     def connected(self, peer: Peer) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         if not peer.came:
             self.peer = peer
             peer.say("HELLO", v=VERSION, name=self._name, pid=os.getpid())
 
     def lost(self, peer: Peer) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         if peer is self.peer:
             self.peer = None
             self.hear(Event.LOST)
 
     def heard(self, peer: Peer, m: dict[str, Any], blob: bytes) -> None:
-        kind, claims = m["t"], self.core.claims
+        kind, claims = m["t"], self.core.key_claims
         if kind == "HELLO":
             if m["v"] != VERSION or m["name"] != self._name:
                 return log.warning(
@@ -380,7 +380,7 @@
             self._owner.take_out(m["out"])
             self._owner.follows(int(m.get("fleet", 0)))
             self._unsure_until = int(m["unsure"])
-            self.core.keys.beside(m["bytes"])
+            self.core.keys.share_memory_with(m["bytes"])
             self.hear(Event.WELCOME)
         elif kind == "BUSY":
             peer.gone, self.peer = True, None
@@ -391,9 +391,9 @@
             peer.transport.loseConnection()
             self.hear(Event.SEVERED)
         elif kind == "KEY":
-            claims.taken(key_of(m), m["b"], m["u"], m["o"], blob if m["r"] else None)
+            claims.snapshot_entry(key_of(m), m["b"], m["u"], m["o"], blob if m["r"] else None)
         elif kind == "CLAIM":
-            claims.claimed(m["n"], key_of(m), m["b"], m["u"])
+            claims.peer_claims(m["n"], key_of(m), m["b"], m["u"])
         elif kind == "GRANTED":
             claims.granted(m["n"], key_of(m))
         elif kind == "HELD":
@@ -425,7 +425,7 @@
     # ---- steps ----
 
     def _carry_out(self, step: Step) -> None:
-        core, claims, peer = self.core, self.core.claims, self.peer
+        core, claims, peer = self.core, self.core.key_claims, self.peer
         if step is Step.LOOK:
             self._look_later()
         elif step is Step.LISTEN or step is Step.TAKE_UP:
@@ -436,7 +436,7 @@
         elif step is Step.TAKE_PLACE:
             self._take_place()
         elif step is Step.WELCOME and peer is not None:
-            claims.peer, claims.first = peer, False
+            claims.peer, claims.is_successor = peer, False
             listeners = self._owner.handed_over()
             for fd in listeners.values():
                 peer.transport.sendFileDescriptor(fd)
@@ -445,15 +445,15 @@
                 v=VERSION,
                 labels=list(listeners),
                 out=self._owner.taken_out(),
-                bytes=core.keys.size,
-                unsure=core.keys.unsure_until,
+                bytes=core.keys.size_bytes,
+                unsure=core.keys.unknown_until,
                 fleet=self._owner.incarnation(),
             )
             peer.hand_keys(claims.snapshot())
             self._told = Load()
             self._tell()
         elif step is Step.JOIN and peer is not None:
-            claims.peer, claims.first = peer, True
+            claims.peer, claims.is_successor = peer, True
         elif step is Step.SAY_READY and peer is not None:
             peer.say("READY", labels=list(self._handed))
         elif step is Step.SAY_GO and peer is not None:
@@ -466,14 +466,14 @@
             self.peer = None
             peer.bye()
         elif step is Step.UNSURE:
-            core.keys.unsure_until = 1 << 62
+            core.keys.unknown_until = 1 << 62
         elif step is Step.UNSURE_FOR_A_WINDOW:
-            core.unsure_for_a_window()
+            core.state.forget_keys_for_a_window()
         elif step is Step.SURE:
-            core.keys.unsure_until = self._unsure_until
+            core.keys.unknown_until = self._unsure_until
         elif step is Step.FORGET or step is Step.BURY:
-            claims.alone(died=step is Step.BURY)
-            core.keys.beside(None)
+            claims.peer_gone(died=step is Step.BURY)
+            core.keys.share_memory_with(None)
             self._owner.beside(Load())
             if step is Step.FORGET:
                 handed, self._handed = self._handed, {}
@@ -515,8 +515,8 @@
 
     def _take_place_later(self) -> None:
         """Once $TMPDIR has room, unless this process ends, or another has the place by now."""
-        if not self.core.leaving and not self._is_taken():
-            self.core.touch()
+        if not self.core.drain_state.shutting_down and not self._is_taken():
+            self.core.begin_turn()
             self._take_place()
 
     def _is_taken(self) -> bool:
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from ..core.answer import Answer
-from ..core.idempotency_keys import Entry
 from ..core.idempotency_keys import Key as CoreKey
-from ..core.request_engine import Decider
+from ..core.idempotency_keys import KeyEntry
+from ..core.request_engine import RequestEngine
 from ..core.requests import Arrival, Request
 from ..replication.node import Node
 from ..replication.work_record import Key, Order, key_of
@@ -32,7 +32,7 @@
     node: Node
     rules: Any  # customers' namespaces, where there are some
 
-    def __init__(self, core: Decider, alone: bool) -> None:
+    def __init__(self, core: RequestEngine, alone: bool) -> None:
         self.core, self._alone = core, alone
         self._names: dict[Key, CoreKey] = {}
         self._ruled: set[Key] = set()  # taken up, and its rules are being looked for
@@ -41,24 +41,24 @@
     def count(self, name: str) -> None:
         self.core.counters.add(name)
 
-    # ---- for the core: `KeyCoordinator` and `keys.Told` ----
+    # ---- for the core: `KeyCoordinator` and `KeyObserver` ----
 
-    def hold_back(self, request: Request) -> bool:
-        entry = None if request.key is None else self.core.keys.of_try(request.number)
-        if entry is None or entry.number != request.number or entry.theirs:
+    def acquire_key(self, request: Request) -> bool:
+        entry = None if request.key is None else self.core.keys.of_attempt(request.number)
+        if entry is None or entry.number != request.number or entry.remote:
             return False  # not keyed, or a repeat of what is known here
         a, key = request.arrival, key_of(*entry.key)
         self._names[key] = entry.key
         self.node.claim(
             key,
-            entry.body,
+            entry.body_digest,
             Order(
                 a.rid,
-                request.cls.name,
+                request.request_class.name,
                 request.tenant,
                 entry.key[1],
                 request.body,
-                self.core.clock.to_unix_ms(request.came),
+                self.core.clock.to_unix_ms(request.arrived_us),
                 a.budget_ms,
                 a.caller,
                 a.memory_kb,
@@ -66,17 +66,17 @@
                 a.subject,
                 None if request.ruling is None else request.ruling.at,
             ),
-            entry.until,
+            entry.expires_us,
         )
         return True
 
-    def begins(self, request: Request) -> bool:
+    def announce_start(self, request: Request) -> bool:
         return request.key is not None and self.node.begin(key_of(*request.key))
 
-    def freed(self, entry: Entry) -> None:
+    def key_released(self, entry: KeyEntry) -> None:
         self.node.free(key_of(*entry.key))
 
-    def settled(self, entry: Entry) -> None:
+    def key_finished(self, entry: KeyEntry) -> None:
         self.node.settle(key_of(*entry.key), entry.result)
 
     # ---- what the fleet has settled ----
@@ -90,51 +90,51 @@
         if (request := self._request(key)) is not None:
             tenure = self.node.tenures.get(key)
             if tenure is not None and tenure.attempt > 1:
-                request.first = False  # an earlier try was turned away, here or elsewhere
-            self.core.others.granted(request)
+                request.uncounted = False  # an earlier try was turned away, here or elsewhere
+            self.core.remote_claims.granted(request)
 
     def theirs(self, key: Key) -> None:
         if (request := self._request(key)) is not None:
-            self.core.others.joined(request)
+            self.core.remote_claims.joined(request)
 
     def differs(self, key: Key) -> None:
         if (request := self._request(key)) is not None:
-            self.core.others.uncovered(request, "this token came before with another body")
+            self.core.remote_claims.unavailable(request, "this token came before with another body")
 
     def uncovered(self, key: Key, why: str, proven: bool) -> None:
         request = self._request(key)
         if request is None:
             return
         if self._alone:
-            self.core.others.granted(request)
+            self.core.remote_claims.granted(request)
         else:
-            self.core.others.uncovered(request, why, proven)
+            self.core.remote_claims.unavailable(request, why, proven)
 
     def over(self, key: Key, result: bytes | None) -> None:
         if (request := self._request(key)) is not None:  # found while it was being claimed
-            self.core.others.joined(request)
+            self.core.remote_claims.joined(request)
         name = self._names.get(key)
         if name is not None:
-            self.core.others.result_of_another(name, result)
+            self.core.remote_claims.result_received(name, result)
 
     def none_ran(self, key: Key) -> None:
         if (name := self._names.get(key)) is not None:
-            self.core.others.none_ran(name)
+            self.core.remote_claims.never_ran(name)
 
     def begun(self, key: Key) -> None:
         if (request := self._request(key)) is not None:
-            self.core.others.begun(request)
+            self.core.remote_claims.start_confirmed(request)
 
     def lost(self, key: Key) -> None:
         self.given(key)
 
     def not_begun(self, key: Key, why: str) -> None:
         if (request := self._request(key)) is not None:
-            self.core.others.not_begun(request, why)
+            self.core.remote_claims.start_unconfirmed(request, why)
 
     def given(self, key: Key) -> None:
         if (request := self._request(key)) is not None:
-            self.core.others.given(request)
+            self.core.remote_claims.moved_away(request)
 
     def take_up(self, key: Key, body: int, order: Order, until: int) -> bool:
         self._names[key] = (order.tenant, order.token)
@@ -180,7 +180,7 @@
             self.node.free(key, turned=True)
 
     def _take_up(self, arrival: Arrival, ruling: Any) -> bool:
-        taken = self.core.others.take_up(arrival, self._sink, 0, ruling)
+        taken = self.core.remote_claims.take_over(arrival, self._sink, 0, ruling)
         if not isinstance(taken, Request):
             log.warning("fleet: %s of another runner can't be taken up: %s", arrival.token, taken.value)
             return False
@@ -191,12 +191,12 @@
             return True, False, None
         name = self._names.get(key)
         entry = None if name is None else self.core.keys.find(name, self.core.clock.now)
-        if entry is None and self.core.claims.peer is not None:  # of the other process of this runner?
-            entry = next((e for e in self.core.keys.entries() if e.theirs and key_of(*e.key) == key), None)
+        if entry is None and self.core.key_claims.peer is not None:  # of the other process of this runner?
+            entry = next((e for e in self.core.keys.entries() if e.remote and key_of(*e.key) == key), None)
         if entry is None:
             return False, False, None
-        ours = not entry.theirs or self.core.claims.peer is not None
-        return ours and not entry.over, entry.over, entry.result
+        ours = not entry.remote or self.core.key_claims.peer is not None
+        return ours and not entry.finished, entry.finished, entry.result
 
     def forgot(self, key: Key) -> None:
         self._names.pop(key, None)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -93,7 +93,7 @@
 
     def listed(self) -> list[dict[str, Any]]:
         """What is known here without asking others: duties that this runner has, or whose registers it keeps."""
-        self.core.touch()
+        self.core.begin_turn()
         posts = {
             **self.participant.tending.posts,
             **{key: t.post for key, t in self.participant.ownerships.items()},
@@ -143,11 +143,11 @@
             state = None if reading.state is None else reading.state.decode("utf-8", "replace")
             return then(self._told(reading.post) | {"state": state, "current": True})
 
-        self.core.touch()
+        self.core.begin_turn()
         self.participant.read(name, got)
 
     def resume(self, name: str, then: Callable[[dict[str, Any] | DutyError], None]) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.participant.resume(
             name, lambda got: then(got if isinstance(got, DutyError) else self._told(got))
         )
@@ -156,7 +156,7 @@
         self, name: str, number: int, how: str, then: Callable[[dict[str, Any] | DutyError], None]
     ) -> None:
         """`how`: what the operator has found; the intent is closed either way."""
-        self.core.touch()
+        self.core.begin_turn()
         log.warning("duties: an operator says of %d of %s that it is %s", number, name, how)
         self.participant.settle(
             name, number, lambda got: then(got if isinstance(got, DutyError) else self._told(got))
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from ..core.clock import MS
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..health.states import Standing
 from ..maintenance.coordinator import OutageCoordinator, Waited
 from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
@@ -50,7 +50,7 @@
 
     def __init__(self, fleet: FleetLink, policy: Policy, reporter: Reporter) -> None:
         self.fleet, self.policy, self.reporter = fleet, policy, reporter
-        self.core: Decider = fleet.core
+        self.core: RequestEngine = fleet.core
         self.mark = mark_of(policy.machine_id)
         self.away = False  # nothing new is taken, what is held goes to others
         self._since = 0
@@ -116,7 +116,8 @@
         """Nothing is open or runs, nothing of it is the fleet's, and whoever sends had the time to hear of it."""
         core, horizon = self.core, self.reporter.tracker.horizon(self.core.clock.now)
         return (
-            not (core.owed or len(core.runs) or self.fleet.busy) and core.clock.now - self._since >= horizon
+            not (core.table.unanswered or len(core.runs) or self.fleet.busy)
+            and core.clock.now - self._since >= horizon
         )
 
     def do(self, doing: Doing, why: str) -> None:
@@ -156,7 +157,7 @@
 
     def ask(self, sent: dict[str, Any], then: Told) -> None:
         """`sent` was read and checked by the page."""
-        self.core.touch()
+        self.core.begin_turn()
         seats, bound = self._seats(sent), bool(sent.get("bound"))
         if not seats:
             return then(NoSuchSeat("no seat of that zone or group"))
@@ -180,28 +181,28 @@
         return self.coordinator.ask(ask, self._then(then))
 
     def cancel(self, id: str, seats: Sequence[str], by: str, then: Told) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.cancel(id, list(seats), by, self._then(then))
 
     def hold(self, why: str, then: Told) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.hold(why, self._then(then))
 
     def resume(self, seat: str, then: Told) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.resume(seat, self._then(then))
 
     def over(self, seat: str, by: str, then: Told) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.over(seat, by, self._then(then))
 
     def show(self, then: Told) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.read(lambda roster, current: then(self._told(roster, current)))
 
     def wait(self, id: str, seat: str, for_s: float, then: Told) -> Callable[[], None]:
         """What is returned says that whoever asked has gone. Raises NotHere."""
-        self.core.touch()
+        self.core.begin_turn()
         seat = seat or self.fleet.name
 
         def waited(got: Waited) -> None:
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -14,8 +14,8 @@
 from twisted.python.failure import Failure
 
 from ..core.clock import MS, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..replication.messages import MOST_FRAME, For, Hello, Message, Refused, decode, encode
 
 log = logging.getLogger("moorusher")
@@ -30,7 +30,7 @@
 class Link(Protocol):
     """Whose connections they are: who is let in, and who hears what is said."""
 
-    core: Decider
+    core: RequestEngine
     reactor: Any
     closed: bool
     open: set[Peer]
@@ -62,7 +62,7 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         core = self.link.core
-        core.touch()
+        core.begin_turn()
         if self.dialled:
             self.put([self.link.hello()])
             self.link.made(self)
@@ -71,7 +71,7 @@
             self._late = core.alarms.at(core.clock.now + GREETED_WITHIN, self._not_greeted)
 
     def _not_greeted(self) -> None:
-        self.link.count("fleet links: " + Ending.SILENT.value)
+        self.link.count("fleet links: " + EndReason.READ_TIMEOUT.value)
         self.transport.abortConnection()
 
     def put(self, messages: list[Message]) -> None:
@@ -97,18 +97,18 @@
             len(getattr(self.transport, "dataBuffer", b"")) + sum(map(len, self.transport._tempDataBuffer))
             > MOST_UNSENT
         ):
-            self.link.count("fleet links: " + Ending.READS_TOO_SLOWLY.value)
+            self.link.count("fleet links: " + EndReason.SLOW_READER.value)
             return
         self.put(out)
 
     def stringReceived(self, string: bytes) -> None:
         core = self.link.core
-        core.touch()
+        core.begin_turn()
         try:
             messages = decode(string)
         except ValueError as exc:
             log.warning("fleet: a peer sent what can't be read: %s", exc)
-            self.link.count("fleet links: " + Ending.BAD_FRAME.value)
+            self.link.count("fleet links: " + EndReason.FRAMING_LOST.value)
             self.transport.abortConnection()
             return
         for message in messages:
@@ -129,13 +129,13 @@
                 self.link.heard(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.link.count("fleet links: " + Ending.LINE_TOO_LONG.value)
+        self.link.count("fleet links: " + EndReason.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         if self._late is not None:
             self._late.cancel()
-        self.link.core.touch()
+        self.link.core.begin_turn()
         self.link.hung_up(self)
 
 
@@ -191,7 +191,7 @@
         self._pause = min(DIAL_MOST, self._pause * 2)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.link.core.touch()
+        self.link.core.begin_turn()
         self._dialling = False
         self.waiting.clear()
         self._later()
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -13,7 +13,7 @@
 from ..config.fleet import FleetConfig
 from ..core.clock import MS
 from ..core.idempotency_keys import window_end
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..membership.placement import Seats
 from ..replication.acceptor import Keeper
 from ..replication.journal import Image
@@ -36,7 +36,7 @@
     def __init__(
         self,
         reactor: Any,
-        core: Decider,
+        core: RequestEngine,
         config: FleetConfig,
         name: str,
         fit: Callable[[], bool],
@@ -74,11 +74,11 @@
             from .leadership import DutyLink
 
             self.duties = DutyLink(self, config.duties)
-        core.coordinator = self
-        core.keys.told.append(self)
+        core.hooks.coordinator = self
+        core.keys.observers.append(self)
 
     def start(self) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         if self._image is not None:
             self.node.recall(self._image)
             self._image = None
@@ -109,7 +109,7 @@
 
     def longest(self) -> int:
         """The longest window, with its margin, in us."""
-        return window_end(0, max(self.core.keyed_windows(), default=0.0))
+        return window_end(0, self.core.state.longest_key_window_ms())
 
     # ---- links ----
 
@@ -170,7 +170,7 @@
             self._hearing = None
 
     def now(self) -> int:
-        self.core.touch()
+        self.core.begin_turn()
         return self.core.clock.now
 
     def durable(self, then: Callable[[], None], space: int) -> None:
@@ -219,12 +219,21 @@
 
     def _look(self) -> None:
         core = self.core
-        predecessor = self.predecessor if core.claims.first and core.claims.peer is not None else 0
+        predecessor = (
+            self.predecessor if core.key_claims.is_successor and core.key_claims.peer is not None else 0
+        )
         if self.outage is not None:
             self.outage.look()
         self.node.tell(predecessor, core.settings.cores)
-        gone = core.link_since is not None and core.clock.now - core.link_since >= KERNEL_GONE
-        if core.draining or (gone and core.ready) or (self.outage is not None and self.outage.away):
+        gone = (
+            core.kernel_status.link_lost_at is not None
+            and core.clock.now - core.kernel_status.link_lost_at >= KERNEL_GONE
+        )
+        if (
+            core.drain_state.draining
+            or (gone and core.ready)
+            or (self.outage is not None and self.outage.away)
+        ):
             if not self._away:
                 log.info("fleet: what is held here and has not begun goes to others")
             if not self._away and self.forecast is not None:
@@ -242,11 +251,11 @@
 
     def begin(self, lost: bool) -> str | None:
         """The reason, where the fleet can't be taken for a new one, or what it has lost for nothing."""
-        self.core.touch()
+        self.core.begin_turn()
         return self.node.begin_fleet(lost)
 
     def told(self) -> dict[str, object]:
-        self.core.touch()
+        self.core.begin_turn()
         node, now = self.node, self.core.clock.now
         members = [
             {
@@ -276,7 +285,7 @@
 
     def work(self) -> dict[str, object]:
         """Keys that this runner has in hand or waits for, without their bodies and tokens."""
-        self.core.touch()
+        self.core.begin_turn()
         now = self.core.clock.now
         return {
             "work": [
@@ -325,4 +334,9 @@
             self.node.ring()
 
     def fit(self) -> bool:
-        return self.core.ready and not self.core.leaving and self.core.link_since is None and self._fit()
+        return (
+            self.core.ready
+            and not self.core.drain_state.shutting_down
+            and self.core.kernel_status.link_lost_at is None
+            and self._fit()
+        )
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..core.requests import is_word
+from ..core.requests import is_identifier
 from ..leadership.policy import Policy as Duties
 from ..leadership.policy import Report
 from ..replication.policy import MOST_SEATS, Seat
@@ -55,7 +55,7 @@
         one = Section(raw, f"{section.key('report')}[{i}]")
         one.unknown({"name", "to", "every_ms"})
         name, to = one.get("name", ""), inside(one.address("to"), one.key("to"))
-        if not is_word(name, 64) or any(name == r.name for r in reports):
+        if not is_identifier(name, 64) or any(name == r.name for r in reports):
             raise ConfigError(
                 f"{one.key('name')}: expected letters, digits and -_.: that no other has, got {name!r}"
             )
@@ -86,7 +86,7 @@
             raise ConfigError(f"{duties.key('on')}: duties need a fleet: set {section.key('listen')}")
         return FleetConfig(policy=policy)
     name = section.get("name", "")
-    if not is_word(name, 64):
+    if not is_identifier(name, 64):
         raise ConfigError(f"{section.key('name')}: expected letters, digits and -_.:, got {name!r}")
     journal = section.get("journal", "")
     if journal and not Path(journal).is_absolute():
@@ -99,7 +99,7 @@
         one = Section(raw, f"{section.key('seat')}[{i}]")
         one.unknown({"name", "address", "zone", "group"})
         seat, address = one.get("name", ""), inside(one.address("address"), one.key("address"))
-        if not is_word(seat, 64) or any(seat == s.name for s in seats):
+        if not is_identifier(seat, 64) or any(seat == s.name for s in seats):
             raise ConfigError(
                 f"{one.key('name')}: expected letters, digits and -_.: that no other has, got {seat!r}"
             )
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..core.requests import is_word
+from ..core.requests import is_identifier
 from ..load_balancing.policy import MOST_SERVERS, Policy, Server, Speaks
 from .section import ConfigError, Section
 
@@ -49,7 +49,7 @@
     """One server below. Raises ConfigError with the faulty key."""
     section.unknown({"name", "address", "weight", "zone", "protocol"})
     name, address = section.get("name", ""), section.address("address")
-    if not is_word(name, 64):
+    if not is_identifier(name, 64):
         raise ConfigError(f"{section.key('name')}: expected letters, digits and -_.:, got {name!r}")
     if address is None:
         raise ConfigError(f"{section.key('address')}: required, as HOST:PORT")
--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -1,32 +1,40 @@
-"""What the decision module wants done, carried out on the core's tables and links."""
+"""Carries out what the scheduler decides: one method for each action of `moorusher.scheduling.interface`."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from moorusher.scheduling import interface as api
 
 from .answer import Answer, Cause, Verdict
-from .call import Asked
+from .call import CallRequest
 from .clock import MS
-from .requests import UNDER_WAY, Stage
-from .run import Kernel
-
-if TYPE_CHECKING:
-    from .request_engine import Decider
+from .completion import Completion
+from .engine_state import EngineState
+from .execution import Execution
+from .kernel_status import KernelStatus
+from .outcomes import EndReason
+from .requests import STARTED_STAGES, Stage
 
 log = logging.getLogger("moorusher")
 
 GAUGE_LEAD = 25 * MS  # gauges are asked for so long before a timer is due, to be fresh when it is
 
 
-class Actions:
-    """One method for each kind of action of `moorusher.scheduling.interface`."""
+class ActionExecutor:
+    """Carries out actions on the engine's tables, the kernel and the calls."""
 
-    def __init__(self, core: Decider, kernel: Kernel) -> None:
-        self._core, self._kernel = core, kernel
+    def __init__(
+        self, state: EngineState, completion: Completion, execution: Execution, kernel_status: KernelStatus
+    ) -> None:
+        self._state = state
+        self._completion = completion
+        self._execution = execution
+        self._kernel_status = kernel_status
+        self._turn = state.turn
+        self._table = state.table
         self._methods: dict[type, Callable[[Any], None]] = {
             api.Start: self._start,
             api.Stop: self._stop,
@@ -36,7 +44,7 @@
             api.SkipCall: self._skip_call,
             api.Remember: self._remember,
             api.Forget: self._forget,
-            api.ShareResult: self._share,
+            api.ShareResult: self._share_result,
             api.SetHealth: self._set_health,
             api.Signal: self._signal,
             api.TrimConnections: self._trim_connections,
@@ -45,102 +53,113 @@
         }
 
     def carry_out(self, action: api.Action) -> None:
-        """One action, at once."""
+        """Carry out one action, at once."""
         self._methods[type(action)](action)
 
     def _start(self, action: api.Start) -> None:
-        core = self._core
-        request = core.table.by_number.get(action.id)
-        if request is None or request.stage is not Stage.HELD:
-            core.events.append(api.RunEnded(action.id, api.Outcome.MOOT))
-            core.touch()
-        elif request.key is not None and core.coordinator.begins(request):
-            request.stage = Stage.BEGINNING
+        request = self._table.by_number.get(action.id)
+        if request is None or request.stage is not Stage.QUEUED:
+            self._turn.events.append(api.RunEnded(action.id, api.Outcome.MOOT))
+            self._turn.begin()
+        elif request.key is not None and self._state.hooks.coordinator.announce_start(request):
+            request.stage = Stage.STARTING
         else:
-            core.command(request)
+            self._execution.start(request)
 
     def _stop(self, action: api.Stop) -> None:
-        request = self._core.table.by_number.get(action.id)
-        if request is not None and request.stage is Stage.BEGINNING:
-            self._core.unwanted.add(action.id)
+        request = self._table.by_number.get(action.id)
+        if request is not None and request.stage is Stage.STARTING:
+            request.stop_requested = True
         else:
-            self._core.runs.stop(action.id)
+            self._state.runs.stop(action.id)
 
     def _reject(self, action: api.Reject) -> None:
-        core = self._core
-        if (request := core.table.by_number.get(action.id)) is None:
+        request = self._table.by_number.get(action.id)
+        if request is None:
+            return
+        if request.stage is not Stage.QUEUED:
+            # It has run, or waits for an attempt that may have: a rejection would promise that it never ran.
+            log.error("the scheduler rejected a request that had started: request=%s", request.rid)
+            self._fail(api.Fail(action.id))
             return
-        if request.stage is not Stage.HELD:
-            # It has run, or waits for one that may have: the promise of a refusal can't be given.
-            log.error("request %s was to be refused after a run", request.rid)
-            return self._fail(api.Fail(action.id))
-        core.watch.refused(core.clock.now)
-        core.answer(
-            request, Answer(Verdict.REFUSED, b"", Cause.TURNED_AWAY, action.retry_after_ms, action.final)
+        self._state.hooks.observer.request_rejected(self._state.clock.now)
+        self._completion.answer(
+            request, Answer(Verdict.REJECTED, b"", Cause.REJECTED, action.retry_after_ms, action.final)
         )
-        core.drop_unrun(action.id)
+        self._completion.drop_unstarted(action.id)
 
     def _fail(self, action: api.Fail) -> None:
-        if (request := self._core.table.by_number.get(action.id)) is None:
+        request = self._table.by_number.get(action.id)
+        if request is None:
             return
-        self._core.answer(request, Answer(Verdict.FAILED, cause=Cause.GIVEN_UP))
-        if request.stage not in UNDER_WAY:
-            self._core.drop_unrun(action.id)
+        self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.ABANDONED))
+        if request.stage not in STARTED_STAGES:
+            self._completion.drop_unstarted(action.id)
 
     def _call(self, action: api.Call) -> None:
-        core = self._core
-        run = core.runs.get(action.id)
+        run = self._state.runs.get(action.id)
         if run is None or not run.notice:
             return
-        core.counters.add("calls")
+        self._state.counters.add("calls")
         request = run.request
-        token = request.key and f"{request.key[1]}.{run.calls}"
-        way = None if request.ruling is None else request.ruling.way
-        timeout_ms = max(1, round(action.timeout_ms))
-        effect = request.cls.effect
-        asked = Asked(request.rid, run.route, request.tenant, effect, token, run.call, timeout_ms, way)
-        core.calls.make(action.id, asked, core)
+        call = CallRequest(
+            request.rid,
+            run.route,
+            request.tenant,
+            request.request_class.effect,
+            request.key and f"{request.key[1]}.{run.calls}",
+            run.call_body,
+            max(1, round(action.timeout_ms)),
+            None if request.ruling is None else request.ruling.way,
+        )
+        number = action.id
+        self._state.calls.make(
+            number, call, lambda: self._execution.call_ended(number, EndReason.CALL_TIMED_OUT, b"")
+        )
 
     def _skip_call(self, action: api.SkipCall) -> None:
-        self._core.counters.add("calls left out")
-        self._core.calls.drop(action.id)
-        self._core.runs.go_on(action.id, None)
+        self._state.counters.add("calls left out")
+        self._state.calls.drop(action.id)
+        self._state.runs.resume(action.id, None)
 
     def _remember(self, action: api.Remember) -> None:
-        self._core.keys.keep_until(action.id, self._core.clock.now + round(action.ttl_ms * MS))
+        self._state.keys.extend(action.id, self._state.clock.now + round(action.ttl_ms * MS))
 
     def _forget(self, action: api.Forget) -> None:
-        self._core.drop_unrun(action.id)
+        self._completion.drop_unstarted(action.id)
 
-    def _share(self, action: api.ShareResult) -> None:
-        """From the result of the try that holds the key, or once that has one."""
-        core = self._core
-        if (request := core.table.by_number.get(action.id)) is None:
+    def _share_result(self, action: api.ShareResult) -> None:
+        """From the result of the attempt that has the key, or once that has one."""
+        request = self._table.by_number.get(action.id)
+        if request is None:
             return
-        entry = None if request.repeats is None else core.keys.of_try(request.repeats)
-        request.stage = Stage.SHARING
-        if entry is not None and not entry.over:
+        entry = None if request.retry_of is None else self._state.keys.of_attempt(request.retry_of)
+        request.stage = Stage.AWAITING_SHARED_RESULT
+        if entry is not None and not entry.finished:
             entry.waiters.append(action.id)
         else:
-            core.shared(action.id, entry.result if entry is not None else None)
+            self._completion.share_result(action.id, entry.result if entry is not None else None)
 
     def _set_health(self, action: api.SetHealth) -> None:
-        self._core.healthy = action.healthy
+        self._state.healthy = action.healthy
 
     def _signal(self, action: api.Signal) -> None:
-        self._core.hint = action.value
+        self._state.load_signal = action.value
 
     def _trim_connections(self, action: api.TrimConnections) -> None:
-        self._core.trim(round(action.idle_ms * MS))
+        self._state.hooks.trim_connections(round(action.idle_ms * MS))
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        core = self._core
-        due = core.clock.now + max(0, round(action.delay_ms * MS))
-        if due - core.clock.now <= GAUGE_LEAD:
-            self._kernel.ask_gauges()
+        state = self._state
+        due = state.clock.now + max(0, round(action.delay_ms * MS))
+        if due - state.clock.now <= GAUGE_LEAD:
+            state.kernel.ask_gauges()
         else:
-            core.alarms.at(due - GAUGE_LEAD, self._kernel.ask_gauges)
-        core.alarms.at(due, lambda: core.events.append(api.Timer(action.token, core.told_gauges())))
+            state.alarms.at(due - GAUGE_LEAD, state.kernel.ask_gauges)
+        state.alarms.at(due, lambda: self._timer_due(action.token))
+
+    def _timer_due(self, token: int) -> None:
+        self._turn.events.append(api.Timer(token, self._kernel_status.gauges))
 
     def _log(self, action: api.Log) -> None:
-        log.info("module: %s", action.text)
+        log.info("scheduler: %s", action.text)
--- a/moorusher/core/clock.py
+++ b/moorusher/core/clock.py
@@ -1,6 +1,6 @@
-"""Time: whole microseconds on the monotonic clock, read once a turn of the loop.
+"""Time: whole microseconds of the monotonic clock, read once a turn of the event loop.
 
-Unix time (`t0`) and the module's milliseconds are converted here and nowhere else.
+Unix time (`t0`) and the scheduler's milliseconds are converted here and nowhere else.
 """
 
 from __future__ import annotations
@@ -15,54 +15,63 @@
 
 log = logging.getLogger("moorusher")
 
-MS = 1_000
-SECOND = 1_000_000
-TOGETHER = 2 * MS  # two readings of clocks count as one moment
-READINGS = 4
+MS = 1_000  # us
+SECOND = 1_000_000  # us
+SAME_MOMENT = 2 * MS  # two clocks that are read within it count as read at once
+MOST_READINGS = 4  # of both clocks, until they are read at one moment
 
 
 class Clock:
-    """`now` stands still within a turn, so that all of its events happen at one time."""
+    """The engine's clock.
+
+    Attributes:
+        now: in us; it stands still within a turn, so that all of its events happen at one time.
+        wall: Unix time on the monotonic clock.
+    """
 
     def __init__(
         self, monotonic_ns: Callable[[], int] = time.monotonic_ns, unix_ns: Callable[[], int] = time.time_ns
     ) -> None:
-        self._monotonic, self._unix = monotonic_ns, unix_ns
-        self.now = self._zero = 0
-        self._gap = 0  # since the turn before: what is read now has not waited for longer
+        self._monotonic_ns = monotonic_ns
+        self._unix_ns = unix_ns
+        self.now = 0
         self.wall = WallClock()
         self.read()
-        self._zero = self.now  # the module's clock starts near 0, where floats are finest
-        self._gap = 0
+        self._scheduler_zero = self.now  # the scheduler's clock starts near 0, where floats are finest
+        self._turn_gap = 0  # us since the turn before: what is read now has not waited for longer
 
     def read(self) -> int:
-        """Both clocks, at the beginning of a turn."""
-        before, self.now = self.now, self._monotonic() // 1_000
-        self._gap = self.now - before
-        unix = self._unix() // 1_000
-        # A process that was held up between the two has read a step that there was not.
-        for _ in range(READINGS):
-            if (after := self._monotonic() // 1_000) - self.now < TOGETHER:
+        """Read both clocks, at the beginning of a turn. Returns `now`."""
+        before = self.now
+        self.now = self._monotonic_ns() // 1_000
+        self._turn_gap = self.now - before
+        unix = self._unix_ns() // 1_000
+        # A process that is paused between the two readings would see a step of the Unix clock that there was not.
+        for _ in range(MOST_READINGS):
+            after = self._monotonic_ns() // 1_000
+            if after - self.now < SAME_MOMENT:
                 break
-            self.now, unix = after, self._unix() // 1_000
+            self.now = after
+            unix = self._unix_ns() // 1_000
         self.wall.follow(self.now, unix)
         return self.now
 
-    def stamped(self, unix_ms: float, waited: int = 0) -> int:
-        """When a sender's message was made, by the Unix time that it states. `waited`: how long ago its first byte was
-        read."""
-        return self.wall.stamped(round(unix_ms * MS), self.now, self._gap + waited)
+    def from_unix_ms(self, unix_ms: float, waited_us: int = 0) -> int:
+        """When a message was made, by the Unix time that its sender states. `waited_us`: how long ago its first byte
+        was read."""
+        return self.wall.from_unix(round(unix_ms * MS), self.now, self._turn_gap + waited_us)
 
-    def to_unix_ms(self, at: int) -> float:
-        """For another machine."""
-        return self.wall.to_unix(at) / MS
+    def to_unix_ms(self, at_us: int) -> float:
+        """A time of this clock, for another machine."""
+        return self.wall.to_unix(at_us) / MS
 
-    def module_ms(self, at: int | None = None) -> float:
-        return ((self.now if at is None else at) - self._zero) / MS
+    def scheduler_ms(self, at_us: int | None = None) -> float:
+        """A time of this clock as the scheduler counts it; None: now."""
+        return ((self.now if at_us is None else at_us) - self._scheduler_zero) / MS
 
 
 class Alarm:
-    """One thing to do at a time; `cancel` leaves a husk that is skipped."""
+    """A function to be called at a time. Cancelled alarms stay in the heap, and are skipped."""
 
     __slots__ = ("action",)
 
@@ -70,19 +79,23 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """The function is not called any more."""
         self.action = None
 
 
 class Alarms:
-    """All waits of the program in one heap, with one timer of the loop for the earliest of them."""
+    """All waits of the program in one heap, with one timer of the event loop for the earliest of them."""
 
     def __init__(self, clock: Clock, arm: Callable[[int], None]) -> None:
-        self._clock, self._arm = clock, arm
-        self._heap: list[tuple[int, int, Alarm]] = []
+        """`arm` sets the event loop's timer, which then has `ring` called, to a time of the clock."""
+        self._clock = clock
+        self._arm = arm
+        self._heap: list[tuple[int, int, Alarm]] = []  # (time in us, serial number, alarm)
         self._order = count()
-        self._armed: int | None = None
+        self._armed: int | None = None  # the time that the timer is set to
 
     def at(self, when: int, action: Callable[[], None]) -> Alarm:
+        """Have a function called at a time of the clock, in us."""
         alarm = Alarm(action)
         heapq.heappush(self._heap, (when, next(self._order), alarm))
         self._rearm()
@@ -96,7 +109,7 @@
             self._arm(self._armed)
 
     def ring(self) -> None:
-        """Carry out what is due by the clock of this turn."""
+        """Call what is due by the clock of this turn."""
         self._armed = None
         while self._heap and self._heap[0][0] <= self._clock.now:
             alarm = heapq.heappop(self._heap)[2]
--- /dev/null
+++ b/moorusher/core/completion.py
@@ -0,0 +1,73 @@
+"""The last stage of a request: the one place where it is answered, and where it leaves the tables."""
+
+from __future__ import annotations
+
+from moorusher.scheduling import interface as api
+
+from .answer import Answer, Cause, Verdict
+from .clock import MS
+from .engine_state import EngineState
+from .outcomes import SCHEDULER_OUTCOMES, EndReason
+from .requests import STARTED_STAGES, Request
+
+
+class Completion:
+    """Answers requests and ends them."""
+
+    def __init__(self, state: EngineState) -> None:
+        self._state = state
+        self._turn = state.turn
+        self._table = state.table
+        self._keys = state.keys
+        self._counters = state.counters
+
+    def answer(self, request: Request, answer: Answer) -> None:
+        """Give the request its answer. A second one, or one after its caller has gone, goes nowhere: the reply is taken
+        off the request with the first."""
+        reply = request.reply
+        request.reply = None
+        if reply is None:
+            return
+        self._counters.add(answer.verdict.value, request.tenant)
+        if answer.verdict is Verdict.REJECTED:
+            self._state.hooks.demand.rejected(request)
+        if answer.verdict is Verdict.FAILED:
+            self._counters.add("failed: " + answer.cause.value)
+        reply.answer(request.tag, answer, self._state.load_signal)
+
+    def end(self, request: Request, reason: EndReason) -> None:
+        """The run of a request is over, or its wait for another attempt's result: the scheduler is told."""
+        took_ms = (self._state.clock.now - request.arrived_us) / MS
+        self._turn.events.append(api.RunEnded(request.number, SCHEDULER_OUTCOMES[reason], took_ms))
+        self._turn.begin()
+        self._table.remove(request)
+
+    def drop_unstarted(self, number: int) -> None:
+        """A request is over without a run of its own, and its key is free again.
+
+        Nothing happens to one that has started, or that is still owed an answer: the scheduler drops a key before it
+        ends the request, and the table keeps the request until then.
+        """
+        request = self._table.by_number.get(number)
+        if request is None or request.stage in STARTED_STAGES or request.reply is not None:
+            return
+        self._table.remove(request)
+        self.fail_waiters(self._keys.release(number))
+
+    def fail_waiters(self, waiters: list[int]) -> None:
+        """The attempt that these requests waited for gives no result."""
+        for waiter in waiters:
+            self.share_result(waiter, None)
+
+    def share_result(self, number: int, result: bytes | None) -> None:
+        """Answer a request that waited for another attempt's result; None: there is none."""
+        request = self._table.by_number.get(number)
+        if request is None:
+            return
+        self._turn.begin()
+        if result is None:
+            self.answer(request, Answer(Verdict.FAILED, cause=Cause.NO_SHARED_RESULT))
+            self.end(request, EndReason.RUN_FAILED)
+        else:
+            self.answer(request, Answer(Verdict.SERVED, result))
+            self.end(request, EndReason.RUN_SUCCEEDED)
--- a/moorusher/core/coordination.py
+++ b/moorusher/core/coordination.py
@@ -1,7 +1,8 @@
-"""Who else has a word on keyed work: the seam between the core and a fleet of runners.
+"""The seam between the engine and the other runners of a cluster, where they have a say in idempotency keys.
 
-The core asks before the module hears of a request, and before a run is commanded; what became of a try is told by the
-keys (`keys.Told`). Where there is no fleet, as on the platform, nothing waits.
+The engine asks before the scheduler hears of a request, and before a run is commanded. What became of an attempt is
+notified by the key table (`idempotency_keys.KeyObserver`). The cluster's answers come back through
+`remote_claims.RemoteClaims`.
 """
 
 from __future__ import annotations
@@ -12,20 +13,24 @@
 
 
 class KeyCoordinator(Protocol):
-    """What the core asks of a fleet about keyed requests."""
+    """What the engine asks of the cluster about requests with an idempotency key."""
 
-    def hold_back(self, request: Request) -> bool:
-        """True where the key is asked for first: one of the `Decider`'s `granted`, `joined` and `uncovered` follows."""
+    def acquire_key(self, request: Request) -> bool:
+        """True where the cluster is asked for the key first: `RemoteClaims.granted`, `joined` or `unavailable`
+        follows."""
 
-    def begins(self, request: Request) -> bool:
-        """True where others must know first: `begun`, `given` or `not_begun` follows."""
+    def announce_start(self, request: Request) -> bool:
+        """True where a majority must know of the run first: `RemoteClaims.start_confirmed`, `moved_away` or
+        `start_unconfirmed` follows."""
 
 
 class NoCoordinator:
-    """One runner by itself."""
+    """One runner by itself: nothing waits."""
 
-    def hold_back(self, request: Request) -> bool:
+    def acquire_key(self, request: Request) -> bool:
+        """The key is this runner's."""
         return False
 
-    def begins(self, request: Request) -> bool:
+    def announce_start(self, request: Request) -> bool:
+        """The run may start."""
         return False
--- a/moorusher/core/demand.py
+++ b/moorusher/core/demand.py
@@ -1,18 +1,18 @@
-"""Who counts what is asked for: the seam between the core and a forecast. Nobody does on the platform."""
+"""The seam between the engine and whoever counts demand, such as the forecast."""
 
 from __future__ import annotations
 
 from .requests import Request
 
 
-class Demand:
-    """Hears nothing."""
+class DemandObserver:
+    """Is notified of demand as the engine learns of it. This one, the default, ignores it."""
 
-    def asked(self, request: Request) -> None:
-        """A first try, whatever becomes of it: it is told once its key is known to be new."""
+    def requested(self, request: Request) -> None:
+        """A first attempt, whatever becomes of it. Called once it is known that no earlier attempt has its key."""
 
-    def refused(self, request: Request) -> None:
-        """One was turned away."""
+    def rejected(self, request: Request) -> None:
+        """A request got the answer `REJECTED`."""
 
-    def ran(self, request: Request, core_us: int) -> None:
-        """A run is over; about so much of a core it took."""
+    def run_ended(self, request: Request, core_us: int) -> None:
+        """A run is over; `core_us` estimates the processor time that it took."""
--- /dev/null
+++ b/moorusher/core/dispatch.py
@@ -0,0 +1,122 @@
+"""One turn: the events that it has gathered are given to the scheduler once, and its actions are carried out in their
+order."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from dataclasses import replace
+
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.balancer import Balancer
+
+from .action_executor import ActionExecutor
+from .answer import Answer, Cause, Verdict
+from .clock import MS
+from .completion import Completion
+from .engine_state import EngineState
+from .kernel_status import KernelStatus
+from .requests import STARTED_STAGES
+
+log = logging.getLogger("moorusher")
+
+
+class Dispatcher:
+    """The scheduler, and the turns in which it is asked.
+
+    Attributes:
+        scheduler: None until the kernel is up.
+        coexisting: what another process of this runner takes, as the scheduler was told last.
+    """
+
+    def __init__(
+        self,
+        state: EngineState,
+        completion: Completion,
+        executor: ActionExecutor,
+        kernel_status: KernelStatus,
+        make_scheduler: Callable[[api.Settings], Balancer],
+    ) -> None:
+        self._state = state
+        self._completion = completion
+        self._executor = executor
+        self._kernel_status = kernel_status
+        self._make_scheduler = make_scheduler
+        self._turn = state.turn
+        self._turn.on_end = self.end_turn
+        self.scheduler: Balancer | None = None
+        self.coexisting = api.Beside()
+        self._opened_cold = False  # what the scheduler was told of the kernel
+
+    def open(self) -> None:
+        """Make a scheduler and let it begin, now, whatever the kernel's age where that is warm: the scheduler's first
+        window reaches back to its opening.
+
+        The kernel tells whether it is cold: the settings say only how things were when they were written.
+        """
+        state = self._state
+        self._opened_cold = self._kernel_status.is_warming_up()
+        scheduler = self._make_scheduler(replace(state.settings, cold=self._opened_cold))
+        self.scheduler = scheduler
+        opened_at_us = self._kernel_status.born_us if self._opened_cold else state.clock.now
+        for action in scheduler.open(state.clock.scheduler_ms(opened_at_us)):
+            self._executor.carry_out(action)
+        self._turn.events.append(self.coexisting)
+        drain_state = state.drain_state
+        if drain_state.shutting_down:
+            self._turn.events.append(api.DrainNotice(drain_state.remaining_us / MS, drain_state.replaced))
+
+    def end_turn(self) -> None:
+        """Ask the scheduler what follows from the turn's events, and carry it out."""
+        events = self._turn.close()
+        scheduler = self.scheduler
+        if scheduler is not None and events:
+            try:
+                actions = scheduler.step(self._state.clock.scheduler_ms(), events)
+            except Exception:
+                log.exception("the scheduler failed and is replaced: events=%s", events)
+                self._replace_scheduler()
+                actions = []
+            for action in actions:
+                try:
+                    self._executor.carry_out(action)
+                except Exception:
+                    log.exception("an action of the scheduler failed: action=%s", action)
+                    self._fail_request(getattr(action, "id", 0))
+        if self._state.drain_state.stop_at_us is not None:
+            self._state.hooks.turn_ended_while_draining()
+
+    def _replace_scheduler(self) -> None:
+        """After an exception in a step the scheduler's state can't be trusted: every request that is owed an answer
+        fails, and a new scheduler goes on.
+
+        The key table stays, so that nothing runs twice; runs go on, and their ends are ignored by the new one.
+        """
+        self._state.counters.add("faults")
+        for number in list(self._state.table.by_number):
+            self._fail_request(number)
+        self.open()
+
+    def _fail_request(self, number: int) -> None:
+        request = self._state.table.by_number.get(number)
+        if request is None:
+            return
+        self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.INTERNAL_ERROR))
+        if request.stage not in STARTED_STAGES:
+            self._completion.drop_unstarted(number)
+        elif request.request_class.effect is api.Effect.SAFE:
+            self._state.runs.stop(number)
+
+    def coexist(self, coexisting: api.Beside) -> None:
+        """Another process of this runner takes so much of the cores and the memory."""
+        self._turn.begin()
+        self.coexisting = coexisting
+        self._turn.events.append(coexisting)
+
+    def settings_changed(
+        self, settings: api.Settings, classes: tuple[int, ...], tenants: tuple[int, ...]
+    ) -> None:
+        """Tell the scheduler of new settings, and which of the former classes and tenants theirs were."""
+        if self.scheduler is not None:
+            settings = replace(settings, cold=self._opened_cold)
+            self._turn.events.append(api.Retune(settings, classes, tenants))
--- /dev/null
+++ b/moorusher/core/execution.py
@@ -0,0 +1,156 @@
+"""The middle stage of a request: its run in the kernel, from the command to the end, calls included.
+
+The kernel's connection and the call transports report here.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from moorusher.scheduling import interface as api
+
+from .answer import Answer, Cause, Verdict
+from .completion import Completion
+from .engine_state import EngineState
+from .outcomes import SCHEDULER_OUTCOMES, EndReason
+from .requests import Request, Stage
+
+log = logging.getLogger("moorusher")
+
+MOST_IDS_LOGGED = 8  # requests named in one line of the log
+
+
+class Execution:
+    """Starts runs, and takes in what the kernel and the call transports report of them."""
+
+    def __init__(self, state: EngineState, completion: Completion) -> None:
+        self._state = state
+        self._completion = completion
+        self._turn = state.turn
+        self._table = state.table
+        self._runs = state.runs
+        self._calls = state.calls
+        self._keys = state.keys
+        self._counters = state.counters
+
+    def start(self, request: Request) -> None:
+        """Command the kernel to run a request, unless another attempt has its key.
+
+        That guard holds whatever the scheduler decides: a key is marked as started in the same step as its run is
+        commanded, so a scheduler at fault can't have it run twice.
+        """
+        if request.key is not None and not self._keys.start(
+            request.number, self._state.clock.now, request.request_class.window_ms
+        ):
+            log.error(
+                "the scheduler started a request whose idempotency key another attempt has: request=%s",
+                request.rid,
+            )
+            self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.INTERNAL_ERROR))
+            self._completion.end(request, EndReason.RUN_UNKNOWN_TO_KERNEL)
+            return
+        request.stage = Stage.RUNNING
+        self._counters.add("runs", request.tenant)
+        self._runs.start(request)
+
+    # ---- reports of the kernel ----
+
+    def run_ended(self, rid: str, reason: EndReason, body: bytes) -> None:
+        """A run is over; `body` is its result. A second report of the same run is ignored."""
+        self._turn.begin()
+        request = self._table.by_rid.get(rid)
+        run = None if request is None else self._runs.end(request.number)
+        if request is None or run is None:
+            return
+        if reason is EndReason.RUN_UNKNOWN_TO_KERNEL and run.acknowledged:
+            log.error("the kernel disowns a run that it had started: request=%s", rid)
+        self._calls.drop(request.number)
+        state = self._state
+        sharing = self._runs.on_cores + 1
+        state.hooks.demand.run_ended(request, run.core_us(state.clock.now, state.settings.cores, sharing))
+        succeeded = reason is EndReason.RUN_SUCCEEDED
+        self._counters.add("runs " + ("passed" if succeeded else "not passed"), request.tenant)
+        self._completion.answer(request, _answer_of_run(reason, body))
+        result = body if succeeded else None
+        self._completion.end(request, reason)
+        for waiter in self._keys.finish(request.number, result):
+            self._completion.share_result(waiter, result)
+
+    def command_rejected(self, command: str, rid: str) -> None:
+        """The kernel answered a command with EINVAL. Only a run that it never took up ends by it; other commands came
+        too late."""
+        self._counters.add("commands refused")
+        request = self._table.by_rid.get(rid)
+        run = self._runs.get(request.number) if request else None
+        log.warning("the kernel rejected a command: command=%s request=%s", command, rid)
+        if command == "SCHED" and run is not None and not run.acknowledged:
+            self.run_ended(rid, EndReason.RUN_UNKNOWN_TO_KERNEL, b"")
+
+    def call_needed(self, rid: str, notice: int, body: bytes) -> None:
+        """A run asks for a call with this body, by a notice of this number."""
+        self._turn.begin()
+        request = self._table.by_rid.get(rid)
+        if request is not None and self._runs.call_needed(request.number, notice, body):
+            self._calls.drop(request.number)
+            self._turn.events.append(api.CallNeeded(request.number))
+
+    def reconnected(self, read: int) -> None:
+        """A new connection has read the kernel's replay. `read`: how many commands the kernel is known to have read."""
+        self._turn.begin()
+        sent = self._runs.send_again(read, self._is_awaited)
+        self._counters.add("kernel commands said again", by=len(sent.runs) + len(sent.replies))
+        self._counters.add("kernel replies that may be lost", by=len(sent.uncertain))
+        for number in sent.uncertain:
+            self._stop_at_deadline(number)
+        for number in sent.unwanted:
+            run = self._runs.get(number)
+            if run is not None:
+                self.run_ended(run.request.rid, EndReason.RUN_NEVER_STARTED, b"")
+        if sent.runs or sent.replies or sent.uncertain:
+            log.info(
+                "commands sent again on a new connection to the kernel: runs=%d replies=%d uncertain=%s",
+                len(sent.runs),
+                len(sent.replies),
+                self._request_ids(sent.uncertain) or "none",
+            )
+
+    def _is_awaited(self, request: Request) -> bool:
+        """Whether its caller waits, or that of a retry of it."""
+        if request.reply is not None:
+            return True
+        entry = self._keys.of_attempt(request.number)
+        return entry is not None and bool(entry.waiters)
+
+    def _request_ids(self, numbers: list[int]) -> str:
+        by_number = self._table.by_number
+        return " ".join(by_number[number].rid for number in numbers[:MOST_IDS_LOGGED] if number in by_number)
+
+    def _stop_at_deadline(self, number: int) -> None:
+        """A run whose reply may be lost is stopped once nobody waits for it."""
+        request = self._table.by_number.get(number)
+        if request is not None:
+            due = max(request.deadline_us, self._state.clock.now)
+            self._state.alarms.at(due, lambda: self._runs.stop_uncertain(number))
+
+    # ---- reports of the call transports ----
+
+    def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
+        """The call of a request has ended; `body` is the reply. A call that was given up before is ignored."""
+        self._turn.begin()
+        took_ms = self._calls.end(number, reason)
+        if took_ms is None:
+            return
+        outcome = SCHEDULER_OUTCOMES[reason]
+        answered = outcome is api.Outcome.OK
+        self._counters.add("calls " + ("answered" if answered else reason.value))
+        if answered:
+            self._runs.resume(number, body)
+        self._turn.events.append(api.CallEnded(number, outcome, took_ms))
+
+
+def _answer_of_run(reason: EndReason, body: bytes) -> Answer:
+    if reason is EndReason.RUN_SUCCEEDED:
+        return Answer(Verdict.SERVED, body)
+    if reason is EndReason.RUN_UNKNOWN_TO_KERNEL:
+        return Answer(Verdict.FAILED, cause=Cause.UNKNOWN_TO_KERNEL)
+    return Answer(Verdict.FAILED, cause=Cause.RUN_FAILED)
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -1,7 +1,7 @@
-"""Classes whose requests had keys under earlier settings: a key counts for its whole window, whatever is set meanwhile.
+"""Classes whose requests had idempotency keys under earlier settings: a key counts for its whole window.
 
-Further tries of a request may come after new settings have given its class another effect, or put another class in its
-place. Until the last key of that class is over, a request with a token is taken as one of a keyed class.
+Retries of a request may come after new settings have given its class another effect, or put another class in its place.
+Until the last key of that class has expired, a request with a token is taken as one of a class with keys.
 """
 
 from __future__ import annotations
@@ -12,60 +12,65 @@
 
 from .idempotency_keys import window_end
 
-MOST = 256  # classes that are remembered
+MOST_CLASSES = 256  # former classes that are remembered
 
 
 @dataclass(slots=True, frozen=True)
-class _Former:
-    until: int  # us
+class _FormerClass:
+    expires_us: int
     window_ms: float
 
 
-def _keyed(settings: api.Settings) -> dict[str, api.RequestClass]:
-    return {c.name: c for c in settings.classes if c.effect is api.Effect.KEYED}
+def _keyed_classes(settings: api.Settings) -> dict[str, api.RequestClass]:
+    return {cls.name: cls for cls in settings.classes if cls.effect is api.Effect.KEYED}
 
 
-def _former(cls: api.RequestClass, now: int) -> _Former:
-    """What is held now may begin as late as its deadline, and its key counts from then."""
-    return _Former(window_end(now, cls.deadline_ms + cls.window_ms), cls.window_ms)
+def _former_class(cls: api.RequestClass, now: int) -> _FormerClass:
+    """A request that is queued now may start as late as its deadline, and its key counts from then."""
+    return _FormerClass(window_end(now, cls.deadline_ms + cls.window_ms), cls.window_ms)
 
 
-class FormerKeys:
-    """By class, until when a token still names a key, and the class as it is taken until then."""
+class FormerKeyClasses:
+    """By the name of a class: until when a token names a key, and the class as it is taken until then."""
 
     def __init__(self) -> None:
-        self._former: dict[str, _Former] = {}
-        self._taken_as: dict[str, api.RequestClass] = {}
-
-    def follow(self, now: int, before: api.Settings, after: api.Settings) -> None:
-        """New settings hold from now on."""
-        had, has = _keyed(before), _keyed(after)
-        ended = {name: _former(cls, now) for name, cls in had.items() if name not in has}
-        current = {name: former for name, former in self._former.items() if former.until > now}
+        self._former: dict[str, _FormerClass] = {}
+        self._effective: dict[str, api.RequestClass] = {}
+
+    def settings_changed(self, now: int, before: api.Settings, after: api.Settings) -> None:
+        """New settings hold from now (us) on."""
+        keyed_before = _keyed_classes(before)
+        keyed_after = _keyed_classes(after)
+        ended = {
+            name: _former_class(cls, now) for name, cls in keyed_before.items() if name not in keyed_after
+        }
+        current = {name: former for name, former in self._former.items() if former.expires_us > now}
         current |= ended
-        self._former = dict(list(current.items())[-MOST:])
+        self._former = dict(list(current.items())[-MOST_CLASSES:])
         self._adopt_successors(before, after, ended)
-        self._taken_as = {
-            c.name: replace(c, effect=api.Effect.KEYED, window_ms=self._former[c.name].window_ms)
-            for c in after.classes
-            if c.name in self._former and c.name not in has
+        self._effective = {
+            cls.name: replace(cls, effect=api.Effect.KEYED, window_ms=self._former[cls.name].window_ms)
+            for cls in after.classes
+            if cls.name in self._former and cls.name not in keyed_after
         }
 
-    def _adopt_successors(self, before: api.Settings, after: api.Settings, ended: dict[str, _Former]) -> None:
-        """Where keyed classes are dropped, each new class may be the one that further tries come under."""
-        names = {c.name for c in after.classes}
-        dropped = [former for name, former in ended.items() if name not in names]
+    def _adopt_successors(
+        self, before: api.Settings, after: api.Settings, ended: dict[str, _FormerClass]
+    ) -> None:
+        """Where classes with keys are dropped, retries may come under any class that is new."""
+        names_after = {cls.name for cls in after.classes}
+        dropped = [former for name, former in ended.items() if name not in names_after]
         if not dropped:
             return
-        longest = max(dropped, key=lambda former: former.until)
-        known = {c.name for c in before.classes}
+        longest = max(dropped, key=lambda former: former.expires_us)
+        names_before = {cls.name for cls in before.classes}
         for cls in after.classes:
-            if cls.name not in known:
+            if cls.name not in names_before:
                 self._former.setdefault(cls.name, longest)
 
-    def taken_as(self, cls: api.RequestClass, now: int) -> api.RequestClass:
+    def effective_class(self, cls: api.RequestClass, now: int) -> api.RequestClass:
         """The class that a request with a token is taken under."""
-        former = self._taken_as.get(cls.name)
-        if former is None or now >= self._former[cls.name].until:
+        former = self._effective.get(cls.name)
+        if former is None or now >= self._former[cls.name].expires_us:
             return cls
         return former
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -1,4 +1,7 @@
-"""Keys of requests that must not run twice: the try that holds each key, its window, its kept result."""
+"""The table of idempotency keys: the attempt that has each key, how long the key counts, the cached result.
+
+A key counts for the whole window of its class, so that no two attempts of one request run within it.
+"""
 
 from __future__ import annotations
 
@@ -10,202 +13,255 @@
 
 from .clock import MS, SECOND
 
-# Tenant, by name, and token: tenants never share results. Not the class: where one takes another's place in new
-# settings, front ends send further tries of an open request under the new name.
+# Tenant, by name, and token: tenants never share results. Not the class: where new settings put one class in another's
+# place, front ends send retries of an open request under the new name.
 Key = tuple[str | None, str]
 
-# The rule counts from t0 of the try that ran to the writing of a repeat, with 50 ms on top; a repeat may
-# also lie unread for a while. Serving a kept result late is allowed, a second run is not.
+# The window counts from t0 of the attempt that ran to the writing of a retry, with 50 ms on top; a retry may also lie
+# unread for a while. Serving a cached result late is allowed, a second run is not.
 MARGIN = 2 * SECOND
-# Results of up to 4 KiB: 8,000 of them are 32 MB, some 180 runs a second for 44 s. No more than that is kept in any
-# process, and less where its limit on memory leaves less: it is killed above it, and every key is lost.
 MOST_ENTRIES = 8_000
-MOST_BYTES = 40_000_000
+MOST_RESULT_BYTES = 40_000_000
 PROCESS_BYTES = 26_000_000  # what the program takes with its connections, before any key
 ENTRY_BYTES = 1_000  # of an entry without its result
+LEAST_TABLE_BYTES = 2_000_000  # kept for the table however little the process may take
+RECHECK = SECOND  # how long an attempt that is still open keeps a key whose window has passed, at a time
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
-    """A key, the try that holds it, and what became of that."""
+class KeyEntry:
+    """A key, the attempt that has it, and what became of that attempt.
+
+    Attributes:
+        number: the attempt that has the key.
+        body_digest: of the body that all attempts share; see `digest`.
+        expires_us: the key is not free before then, nor while its attempt is open.
+        started: the attempt runs or has run, or may have.
+        finished: its outcome is known.
+        result: cached where the run succeeded.
+        waiters: numbers of the requests that wait for the result.
+        remote: another process or runner has the key; it counts as started, since it may have been.
+        former_numbers: numbers of the attempts that had the key before.
+    """
 
     key: Key
-    number: int  # the try that holds the key
-    body: int  # of what all tries share; see `digest`
-    until: int = 0  # in no case before then is the key free, and in none while that try is open
-    ran: bool = False
-    over: bool = False
-    result: bytes | None = None  # kept where the run passed
+    number: int
+    body_digest: int
+    expires_us: int = 0
+    started: bool = False
+    finished: bool = False
+    result: bytes | None = None
     waiters: list[int] = field(default_factory=list)
-    theirs: bool = False  # held by the runner's other process; counts as run, since it may have been
-    also: list[int] = field(default_factory=list)  # numbers that it went by before another try held the key
+    remote: bool = False
+    former_numbers: list[int] = field(default_factory=list)
+
 
+class KeyObserver(Protocol):
+    """Is notified of the end of this process's own attempts."""
 
-class Told(Protocol):
-    """Who hears of it when a try of ours is over."""
+    def key_released(self, entry: KeyEntry) -> None:
+        """The attempt is over and never ran: its key is free again."""
 
-    def freed(self, entry: Entry) -> None: ...
-    def settled(self, entry: Entry) -> None: ...
+    def key_finished(self, entry: KeyEntry) -> None:
+        """The run is over; `entry.result` is its result, None where it failed."""
 
 
 def digest(body: bytes) -> int:
-    """The same in each process, as Python's own hash is not."""
+    """A hash that is the same in each process, as Python's own is not."""
     return xxhash.xxh64_intdigest(body)
 
 
-def window_end(came: int, window_ms: float) -> int:
-    """Of a request that runs: the latest at which its key still counts."""
-    return came + round(window_ms * MS) + MARGIN
+def window_end(arrived_us: int, window_ms: float) -> int:
+    """Until when the key of a request counts that arrived then, in us."""
+    return arrived_us + round(window_ms * MS) + MARGIN
+
 
+class KeyTable:
+    """All keys that count. Entries that have expired are removed as new ones come: there is no timer.
 
-class Keys:
-    """Entries go when their time has run out, looked at as new ones come: no timer sweeps them."""
+    Attributes:
+        most_bytes: of cached results.
+        most_entries: of keys.
+        result_bytes: of results cached now.
+        observers: notified of the end of own attempts.
+        unknown_until: before this time (us) a key that is new here may have run in a process that is gone.
+    """
 
     def __init__(self, memory_mb: float = 192.0) -> None:
-        self.limit(memory_mb)
-        self._by_key: dict[Key, Entry] = {}
-        self._by_number: dict[int, Entry] = {}
-        self._ends: list[
-            tuple[int, int]
-        ] = []  # (until, number of the try); stale where the entry says otherwise
-        self.bytes = 0
-        self._theirs_most: int | None = None  # of bytes; how far the other process's results are kept
-        self.told: list[Told] = []
-        self.unsure_until = (
-            0  # what ran before, and where, is not known: until then a new key may be an old one's
-        )
+        self.set_memory_limit(memory_mb)
+        self._by_key: dict[Key, KeyEntry] = {}
+        self._by_number: dict[int, KeyEntry] = {}
+        # (expires_us, number of the attempt); stale where the entry's own time is later
+        self._expiry_heap: list[tuple[int, int]] = []
+        self.result_bytes = 0
+        self._most_remote_bytes: int | None = None  # up to here results of the other process are cached
+        self.observers: list[KeyObserver] = []
+        self.unknown_until = 0
 
     def __len__(self) -> int:
         return len(self._by_key)
 
-    def limit(self, memory_mb: float) -> None:
-        """Of the process, or of two while one replaces the other. What is kept already stays."""
-        # Half of what is left, since Python gives freed memory back late; and never so little that nothing is kept.
-        room = max(2_000_000, round(memory_mb * 1e6 - PROCESS_BYTES) // 2)
-        self.most_bytes = min(MOST_BYTES, room * 2 // 3)
-        self.most_entries = min(MOST_ENTRIES, room // 3 // ENTRY_BYTES)
-        self._tables = (
-            max(4_000_000, round(memory_mb * 1e6) - 2 * PROCESS_BYTES) // 2
-        )  # room for those of both
+    # ---- limits ----
+
+    def set_memory_limit(self, memory_mb: float) -> None:
+        """The limit of the process, or of two of them while one replaces the other. Cached results stay."""
+        # Half of what is left, since Python gives freed memory back late.
+        available = max(LEAST_TABLE_BYTES, round(memory_mb * 1e6 - PROCESS_BYTES) // 2)
+        self.most_bytes = min(MOST_RESULT_BYTES, available * 2 // 3)
+        self.most_entries = min(MOST_ENTRIES, available // 3 // ENTRY_BYTES)
+        self._both_tables_bytes = max(2 * LEAST_TABLE_BYTES, round(memory_mb * 1e6) - 2 * PROCESS_BYTES) // 2
 
     @property
-    def size(self) -> int:
-        """Of the whole table, about."""
-        return self.bytes + len(self._by_key) * ENTRY_BYTES
+    def size_bytes(self) -> int:
+        """About what the whole table takes."""
+        return self.result_bytes + len(self._by_key) * ENTRY_BYTES
 
-    def beside(self, size: int | None) -> None:
+    def share_memory_with(self, size_bytes: int | None) -> None:
         """Another process of this runner has a table of that size, under the same limit; None: there is none."""
-        self._theirs_most = None if size is None else max(0, self._tables - 2 * size)
+        self._most_remote_bytes = (
+            None if size_bytes is None else max(0, self._both_tables_bytes - 2 * size_bytes)
+        )
+
+    def is_full(self) -> bool:
+        """No further key may be entered."""
+        return len(self._by_key) >= self.most_entries or self.result_bytes >= self.most_bytes
 
-    def full(self) -> bool:
-        return len(self._by_key) >= self.most_entries or self.bytes >= self.most_bytes
+    # ---- look-ups ----
 
-    def find(self, key: Key, now: int) -> Entry | None:
-        self._expire(now)
+    def find(self, key: Key, now: int) -> KeyEntry | None:
+        """The entry of a key that counts at this time."""
+        self._remove_expired(now)
         return self._by_key.get(key)
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[KeyEntry]:
+        """All entries, as they are now."""
         return list(self._by_key.values())
 
-    def of_try(self, number: int) -> Entry | None:
+    def of_attempt(self, number: int) -> KeyEntry | None:
+        """The entry whose key this attempt has, or had before another attempt got it."""
         return self._by_number.get(number)
 
-    def hold(self, key: Key, number: int, body: int = 0, until: int = 0) -> Entry:
-        """From the moment that it is read, so that a repeat in the same turn is known as one."""
-        entry = self._by_key[key] = self._by_number[number] = Entry(key, number, body)
-        self.keep_until(number, until)
-        return entry
+    # ---- who has a key ----
 
-    def theirs(self, key: Key, number: int, body: int, until: int) -> Entry:
-        """The other process holds it from now on."""
-        entry = self.hold(key, number, body, until)
-        entry.theirs = entry.ran = True
+    def reserve(self, key: Key, number: int, body_digest: int = 0, expires_us: int = 0) -> KeyEntry:
+        """An attempt of this process has the key from the moment that it is read, so that a retry in the same turn is
+        known as one."""
+        entry = KeyEntry(key, number, body_digest)
+        self._by_key[key] = entry
+        self._by_number[number] = entry
+        self.extend(number, expires_us)
         return entry
 
-    def give(self, entry: Entry, number: int, body: int, until: int) -> None:
-        """A try of ours gives way to one of the other process, and goes on as a repeat of it."""
-        entry.also.append(entry.number)
-        entry.number, entry.body = number, body
-        entry.theirs = entry.ran = True
-        self._by_number[number] = entry
-        self.keep_until(number, until)
+    def reserve_remote(self, key: Key, number: int, body_digest: int, expires_us: int) -> KeyEntry:
+        """Another process has the key from now on."""
+        entry = self.reserve(key, number, body_digest, expires_us)
+        entry.remote = True
+        entry.started = True
+        return entry
 
-    def take_up(self, entry: Entry, number: int, until: int) -> None:
-        """What another held is ours to run from now on; those that wait for its result go on waiting."""
-        entry.also.append(entry.number)
+    def cede(self, entry: KeyEntry, number: int, body_digest: int, expires_us: int) -> None:
+        """An attempt of this process gives the key up to a remote one, `number`, and goes on as its retry."""
+        entry.body_digest = body_digest
+        entry.remote = True
+        entry.started = True
+        self._pass_to(entry, number, expires_us)
+
+    def take_over(self, entry: KeyEntry, number: int, expires_us: int) -> None:
+        """A remote attempt's key passes to this process's attempt `number`. Waiters for the result go on waiting."""
+        entry.remote = False
+        entry.started = False
+        self._pass_to(entry, number, expires_us)
+
+    def _pass_to(self, entry: KeyEntry, number: int, expires_us: int) -> None:
+        entry.former_numbers.append(entry.number)
         entry.number = number
-        entry.theirs = entry.ran = False
         self._by_number[number] = entry
-        self.keep_until(number, until)
+        self.extend(number, expires_us)
 
-    def widen(self, by: int) -> None:
-        """The window of a class has become longer: what was read before counts for the longer one as well. All of it:
-        that a key is kept for too long costs a place, and nothing runs twice."""
-        for entry in list(self._by_key.values()):
-            self.keep_until(entry.number, entry.until + by)
-
-    def forget(self, entry: Entry) -> list[int]:
-        """The other process never ran it: the key is free again. Those that waited for it get no result."""
+    def release_remote(self, entry: KeyEntry) -> list[int]:
+        """The remote attempt never ran: its key is free again. Returns who waited for its result."""
         self._remove(entry)
         return entry.waiters
 
-    def keep_until(self, number: int, until: int) -> None:
+    # ---- how long a key counts ----
+
+    def extend(self, number: int, expires_us: int) -> None:
+        """The key of this attempt counts until then at least."""
         entry = self._by_number.get(number)
-        if entry is not None and until > entry.until:
-            entry.until = until
-            heapq.heappush(self._ends, (until, number))
+        if entry is not None and expires_us > entry.expires_us:
+            entry.expires_us = expires_us
+            heapq.heappush(self._expiry_heap, (expires_us, number))
+
+    def extend_all(self, by_us: int) -> None:
+        """The window of some class is longer from now on. All keys are extended, as an entry doesn't name its class:
+        that one is kept for too long costs a place, and nothing runs twice."""
+        for entry in list(self._by_key.values()):
+            self.extend(entry.number, entry.expires_us + by_us)
+
+    # ---- what becomes of an attempt ----
+
+    def start(self, number: int, now: int, window_ms: float) -> bool:
+        """The attempt is about to run; False where it must not: another attempt has its key, or it has run already.
 
-    def runs(self, number: int, now: int, window_ms: float) -> bool:
-        """The try is about to run. False where it may not: its key is another's, or it has run already. Its window
-        counts from here at the earliest, whatever time its sender has stated."""
+        The window counts from here at the earliest, whatever time its sender has stated.
+        """
         entry = self._by_number.get(number)
-        if entry is None or entry.ran or entry.number != number:
+        if entry is None or entry.started or entry.number != number:
             return False
-        entry.ran = True
-        self.keep_until(number, window_end(now, window_ms))
+        entry.started = True
+        self.extend(number, window_end(now, window_ms))
         return True
 
-    def settle(self, number: int, result: bytes | None) -> list[int]:
-        """The run is over; those that wait for its result are returned once."""
+    def finish(self, number: int, result: bytes | None) -> list[int]:
+        """The run is over. Returns who waits for its result, each once."""
         entry = self._by_number.get(number)
         if entry is None or entry.number != number:
             return []
-        entry.over = True
-        # The other process's results are kept as far as there is room: without one a repeat fails, and runs nothing.
-        most = self.most_bytes if self._theirs_most is None else min(self.most_bytes, self._theirs_most)
-        if result is not None and entry.result is None and not (entry.theirs and self.bytes >= most):
+        entry.finished = True
+        if result is not None and entry.result is None and self._has_room_for_result(entry):
             entry.result = result
-            self.bytes += len(result)
-        if not entry.theirs:
-            for told in self.told:
-                told.settled(entry)
-        waiters, entry.waiters = entry.waiters, []
+            self.result_bytes += len(result)
+        if not entry.remote:
+            for observer in self.observers:
+                observer.key_finished(entry)
+        waiters = entry.waiters
+        entry.waiters = []
         return waiters
 
-    def drop(self, number: int) -> list[int]:
-        """The try is over and never ran: its key is free again. Those that waited for it get no result."""
+    def _has_room_for_result(self, entry: KeyEntry) -> bool:
+        """A remote result is cached only while there is room: without it a retry fails, and nothing runs twice."""
+        if not entry.remote:
+            return True
+        most = self.most_bytes
+        if self._most_remote_bytes is not None:
+            most = min(most, self._most_remote_bytes)
+        return self.result_bytes < most
+
+    def release(self, number: int) -> list[int]:
+        """The attempt is over and never ran: its key is free again. Returns who waited for its result."""
         entry = self._by_number.get(number)
-        if entry is None or entry.ran:
+        if entry is None or entry.started:
             return []
         self._remove(entry)
-        for told in self.told:
-            told.freed(entry)
+        for observer in self.observers:
+            observer.key_released(entry)
         return entry.waiters
 
-    def _expire(self, now: int) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            entry = self._by_number.get(heapq.heappop(self._ends)[1])
-            # An open try keeps its key however long it takes: else a repeat would run beside it.
-            if entry is not None and entry.until <= now:
-                if entry.over:
-                    self._remove(entry)
-                else:
-                    entry.until = now + SECOND
-                    heapq.heappush(self._ends, (entry.until, entry.number))
-
-    def _remove(self, entry: Entry) -> None:
+    def _remove_expired(self, now: int) -> None:
+        while self._expiry_heap and self._expiry_heap[0][0] <= now:
+            entry = self._by_number.get(heapq.heappop(self._expiry_heap)[1])
+            if entry is None or entry.expires_us > now:
+                continue
+            if entry.finished:
+                self._remove(entry)
+            else:
+                # However long an attempt stays open, it keeps its key: else a retry would run beside it.
+                entry.expires_us = now + RECHECK
+                heapq.heappush(self._expiry_heap, (entry.expires_us, entry.number))
+
+    def _remove(self, entry: KeyEntry) -> None:
         del self._by_key[entry.key]
         del self._by_number[entry.number]
-        for number in entry.also:
+        for number in entry.former_numbers:
             self._by_number.pop(number, None)
-        self.bytes -= len(entry.result or b"")
+        self.result_bytes -= len(entry.result or b"")
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -1,138 +1,140 @@
-"""What comes in: checked against the settings, numbered, and tied to the try that it repeats."""
+"""The first stages of a request, up to the scheduler: it is registered, its idempotency key is claimed with the other
+process of this runner and with the other runners, its customer's rules are applied, then the scheduler is told.
+
+Each step may hold the request back until an answer comes; the next one goes on from there.
+"""
 
 from __future__ import annotations
 
-from enum import Enum
+import logging
 
 from moorusher.scheduling import interface as api
 
-from .answer import Reply
-from .clock import MS, SECOND, Clock
-from .former_key_classes import FormerKeys
-from .idempotency_keys import Keys, digest, window_end
-from .requests import Arrival, Request, Table
-
-# A held request takes its body, 2 KiB, and small change; the module refuses long before by its own memory.
-MOST_REQUESTS = 10_000
-MOST_FORMER = 256  # names of dropped classes that are remembered
-# A machine may pause, and a clock be stepped; what came an hour ago, or will, is a mistake or a try to be served
-# outside of its window.
-MOST_SKEW = 3_600 * SECOND
-
-
-# Nothing of such a request has run, nor any earlier try of it that is known here: it may go elsewhere.
-BUSY_MS = 1_000.0
-
+from .answer import Answer, Cause, Reply, Verdict
+from .completion import Completion
+from .engine_state import EngineState
+from .key_claims import KeyClaims
+from .registration import RETRY_AFTER_MS, InvalidArrival, Registrar
+from .requests import STARTED_STAGES, Arrival, Request
+from .routes import Ruling
 
-class Fault(Enum):
-    """Why something that was read is no request: the sender's mistake, except for the last five."""
+log = logging.getLogger("moorusher")
 
-    NO_SUCH_CLASS = "no such class"
-    NO_SUCH_TENANT = "no such tenant"
-    NO_SUCH_TIME = "its time of arrival is not of today"
-    TOKEN_MISSING = "a request of this class needs a token"
-    BODY_DIFFERS = "this token came before with another body"
-    RID_IN_USE = "a request with this rid is open"
-    TOO_MANY = "too many requests are open"
-    KEY_UNSURE = "it may be a repeat of what ran in a process that can't be asked"
-    KEYS_FULL = "no room for a further key"
-    NOT_READY = "the kernel is not up yet"
-    RULES_UNKNOWN = "customers' rules are not known here yet"
 
+class Intake:
+    """Brings requests to the scheduler.
+
+    Attributes:
+        registrar: checks arrivals.
+        key_claims: claims keys with another process of this runner.
+    """
+
+    def __init__(self, state: EngineState, completion: Completion) -> None:
+        self._state = state
+        self._completion = completion
+        self._turn = state.turn
+        self.registrar = Registrar(state.settings, state.clock, state.table, state.keys)
+        self.key_claims = KeyClaims(
+            state.keys,
+            state.table,
+            state.clock,
+            state.alarms,
+            state.counters,
+            self,
+            completion.share_result,
+        )
 
-NEVER_RAN = {Fault.KEY_UNSURE, Fault.KEYS_FULL, Fault.NOT_READY, Fault.RULES_UNKNOWN}
-
+    def submit(self, arrival: Arrival, reply: Reply, tag: int) -> Request | InvalidArrival:
+        """A frontend has read a request. What is invalid is answered by the frontend, in its protocol's words."""
+        self._turn.begin()
+        state = self._state
+        if not state.hooks.routes.ready:
+            return self.invalid(InvalidArrival.RULES_UNKNOWN)
+        request = self.registrar.register(arrival, reply, tag)
+        if isinstance(request, InvalidArrival):
+            return self.invalid(request)
+        request.ruling = state.hooks.routes.rule(arrival, request.tenant)
+        request.uncounted = not arrival.is_retry
+        state.counters.add("taken", request.tenant)
+        state.hooks.observer.request_arrived(state.clock.now)
+        if not self.key_claims.claim(request):
+            self.key_claimed(request)
+        return request
 
-class Intake:
-    """Checks what was read against the settings, and makes a request of it."""
-
-    def __init__(self, settings: api.Settings, clock: Clock, table: Table, keys: Keys) -> None:
-        self._clock, self._table, self._keys = clock, table, keys
-        self.former: dict[str, float] = {}  # classes that were dropped, with their windows; the latest last
-        self._former_keys = FormerKeys()
-        self._know(settings)
-
-    def _know(self, settings: api.Settings) -> None:
-        self.settings = settings
-        self.classes = {c.name: i for i, c in enumerate(settings.classes)}
-        self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
-
-    def follow(self, settings: api.Settings) -> None:
-        """New settings hold for what is read from here on."""
-        self._former_keys.follow(self._clock.now, self.settings, settings)
-        windows = self.former | {c.name: c.window_ms for c in self.settings.classes}
-        self._know(settings)
-        longer = [cls.window_ms - windows.pop(cls.name, cls.window_ms) for cls in settings.classes]
-        if max(longer) > 0:
-            self._keys.widen(round(max(longer) * MS))
-        self.former = dict(list(windows.items())[-MOST_FORMER:])
-
-    def take(self, a: Arrival, reply: Reply, tag: int, takes_up: bool = False) -> Request | Fault:
-        """The request, in the table. `takes_up`: it goes on with what another runner held under this key."""
-        klass, now = self.classes.get(a.klass), self._clock.now
-        if klass is None:
-            return Fault.NO_SUCH_CLASS
-        tenant = (a.tenant or "") if self.tenants else None
-        if tenant is not None and tenant not in self.tenants:  # whoever names none is nobody's
-            return Fault.NO_SUCH_TENANT
-        cls = self.settings.classes[klass]
-        if a.token:
-            cls = self._former_keys.taken_as(cls, now)
-        keyed = cls.effect is api.Effect.KEYED
-        if keyed and not a.token:
-            return Fault.TOKEN_MISSING
-        if a.rid in self._table.by_rid:
-            return Fault.RID_IN_USE
-        if len(self._table) >= MOST_REQUESTS:
-            return Fault.TOO_MANY
-        came = now if a.came is None else a.came
-        if a.t0_unix_ms is not None:
-            stamped = self._clock.stamped(a.t0_unix_ms, 0 if a.came is None else now - a.came)
-            if abs(now - stamped) > MOST_SKEW:
-                return Fault.NO_SUCH_TIME
-            came = min(now, stamped)
-        request = Request(self._table.number(), a.rid, cls, tenant, a.body, came, reply, tag, a)
-        if keyed and a.token:
-            request.key = (tenant, a.token)
-            entry = self._keys.find(request.key, now)
-            body = digest(a.body)
-            if entry is not None:
-                if entry.body != body:
-                    return Fault.BODY_DIFFERS  # another request under this key: its result would be wrong
-                if takes_up and entry.theirs and not entry.over:
-                    self._keys.take_up(entry, request.number, window_end(came, cls.window_ms))
-                else:
-                    request.repeats = entry.number
-            elif now < self._keys.unsure_until and not takes_up:
-                return Fault.KEY_UNSURE
-            elif self._keys.full():
-                return Fault.KEYS_FULL  # without its key remembered it could run twice
-            else:
-                self._keys.hold(request.key, request.number, body, window_end(came, cls.window_ms))
-        self._table.add(request)
+    def invalid(self, reason: InvalidArrival) -> InvalidArrival:
+        """Count an arrival that is no request."""
+        self._state.counters.add("faulty")
+        return reason
+
+    def submit_taken_over(
+        self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None
+    ) -> Request | InvalidArrival:
+        """Work of another runner that this one goes on with. Its key is this runner's already, and its rules are those
+        that it was read under there."""
+        self._turn.begin()
+        state = self._state
+        request = self.registrar.register(arrival, reply, tag, takes_over=True)
+        if isinstance(request, Request):
+            request.ruling = ruling
+            state.counters.add("taken up", request.tenant)
+            state.hooks.observer.request_arrived(state.clock.now)
+            self.schedule(request)
         return request
 
-    def event(self, request: Request) -> api.Request:
-        """What the module is told of a request: how long it has waited is a matter of when that is."""
-        a, waited = request.arrival, (self._clock.now - request.came) / MS
-        left = None if a.budget_ms is None else max(0.0, a.budget_ms - waited)
-        klass, tenant = self.classes.get(request.cls.name, -1), None
-        if request.tenant is not None:
-            tenant = self.tenants.get(request.tenant)  # one that is gone meanwhile counts as nobody's
-        same = klass >= 0 and self.settings.classes[klass] is request.cls
-        return api.Request(
-            request.number,
-            klass,
-            a.memory_kb,
-            waited,
-            left,
-            a.caller,
-            tenant,
-            a.is_retry,
-            request.key is not None,
-            request.repeats,
-            a.rank,
-            a.subject,
-            a.hint_ms,
-            None if same else request.cls,
+    def key_claimed(self, request: Request) -> None:
+        """No other process of this runner has its key: the other runners are asked next."""
+        if not self._state.hooks.coordinator.acquire_key(request):
+            self.schedule(request)
+
+    def schedule(self, request: Request) -> None:
+        """Its key is this runner's, or it retries an attempt that is known here: the scheduler is told, unless the
+        customer's rules reject it. Only now is it certain that such a rejection comes after no run."""
+        self._turn.begin()
+        self._count_demand(request)
+        if request.ruling is not None and request.ruling.refusal and request.retry_of is None:
+            self._reject_by_rules(request)
+            return
+        self._turn.events.append(self.registrar.scheduler_event(request))
+
+    def _reject_by_rules(self, request: Request) -> None:
+        """Final: no other runner would serve it."""
+        self._state.counters.add("ruled out", request.tenant)
+        reason = request.ruling.refusal.encode()
+        answer = Answer(Verdict.REJECTED, reason, Cause.FORBIDDEN_BY_RULES, RETRY_AFTER_MS, final=True)
+        self._completion.answer(request, answer)
+        self._completion.drop_unstarted(request.number)
+
+    def reject_before_scheduling(self, request: Request, why: str, never_ran: bool = True) -> None:
+        """Its key can't be had. `never_ran`: it is certain that no attempt of it runs; else it fails, without that
+        promise."""
+        self._turn.begin()
+        self._count_demand(request)
+        log.warning(
+            "request rejected before scheduling: request=%s tenant=%s reason=%r",
+            request.rid,
+            request.tenant,
+            why,
         )
+        if never_ran:
+            answer = Answer(Verdict.REJECTED, b"", Cause.KEY_STATE_UNKNOWN, RETRY_AFTER_MS)
+        else:
+            answer = Answer(Verdict.FAILED, cause=Cause.MAY_RUN_ELSEWHERE)
+        self._completion.answer(request, answer)
+        self._completion.drop_unstarted(request.number)
+
+    def _count_demand(self, request: Request) -> None:
+        """Once, and only where no earlier attempt is known, here or at other runners."""
+        if request.uncounted and request.retry_of is None:
+            self._state.hooks.demand.requested(request)
+        request.uncounted = False
+
+    def caller_gone(self, request: Request) -> None:
+        """Its caller has cancelled it, or the connection is lost: no answer is owed."""
+        if request.reply is None:
+            return
+        self._turn.begin()
+        request.reply = None
+        self._state.counters.add("gone", request.tenant)
+        self._turn.events.append(api.CallerGone(request.number))
+        if request.stage not in STARTED_STAGES:
+            self._completion.drop_unstarted(request.number)
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -1,9 +1,8 @@
-"""Who may run which key while two processes are one runner.
+"""Who may run which idempotency key while two processes are one runner (a hot restart).
 
-A key that is new here is claimed with the other process before the module hears of its request. GRANTED means that the
-other one has noted it as one that may have run: whoever survives knows. Of two claims that cross, the successor's
-counts.
-Nothing here knows how the other process is reached.
+A key that is new here is claimed with the other process before the scheduler hears of its request. A grant means that
+the other one has noted the key as one that may have run: whichever process survives knows. Of two claims that cross,
+the successor's counts. How the other process is reached is not known here.
 """
 
 from __future__ import annotations
@@ -14,197 +13,254 @@
 
 from .clock import MS, Alarm, Alarms, Clock
 from .counters import Counters
-from .idempotency_keys import Entry, Key, Keys
-from .requests import Request, Table
+from .idempotency_keys import Key, KeyEntry, KeyTable
+from .requests import Request, RequestTable
 
-WAIT = 250 * MS  # for the other process to answer a claim: it takes a turn of its loop, or it hangs
+CLAIM_TIMEOUT = 250 * MS  # an answer takes the other process a turn of its loop, unless it hangs
 
 
-class Peer(Protocol):
-    """The other process. What is said arrives in its order, or not at all."""
+class ClaimPeer(Protocol):
+    """The other process. It receives these messages in their order; after a lost one, none."""
 
-    def claim(self, serial: int, key: Key, body: int, until: int) -> None: ...
-    def granted(self, serial: int, key: Key) -> None: ...
-    def held(self, serial: int, key: Key, body: int, until: int) -> None: ...
-    def full(self, serial: int, key: Key) -> None: ...
-    def freed(self, key: Key) -> None: ...
-    def settled(self, key: Key, body: int, until: int, result: bytes | None) -> None: ...
+    def claim(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+        """This process wants to run the key; `serial` is repeated in the answer."""
+
+    def granted(self, serial: int, key: Key) -> None:
+        """The claimed key is yours."""
+
+    def held(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+        """The claimed key belongs to an attempt here."""
+
+    def full(self, serial: int, key: Key) -> None:
+        """The claimed key can't be noted here."""
+
+    def freed(self, key: Key) -> None:
+        """The attempt here that had the key is over and never ran."""
+
+    def settled(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+        """The run here that had the key is over."""
+
+
+class ClaimListener(Protocol):
+    """Goes on with requests whose claim has been decided."""
+
+    def key_claimed(self, request: Request) -> None:
+        """No other process of this runner has the key, or the request waits for its attempt there."""
+
+    def reject_before_scheduling(self, request: Request, why: str, never_ran: bool = True) -> None:
+        """The key can't be had."""
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingClaim:
     request: Request
     serial: int
-    alarm: Alarm
+    timeout: Alarm
+
 
+class KeyClaims:
+    """Claims keys with the other process, and answers its claims.
 
-class Claims:
-    """`go` hands a request on to the module, `refuse` answers one that never ran, `shared` those that waited."""
+    Attributes:
+        peer: the other process, while there is one to claim keys with.
+        is_successor: of two claims that cross, this process's counts.
+        peer_unresponsive: called when a claim gets no answer; True where the other process is given up, and every key
+            is this one's.
+    """
 
     def __init__(
         self,
-        keys: Keys,
-        table: Table,
+        keys: KeyTable,
+        table: RequestTable,
         clock: Clock,
         alarms: Alarms,
         counters: Counters,
-        go: Callable[[Request], None],
-        refuse: Callable[[Request, str], None],
-        shared: Callable[[int, bytes | None], None],
+        listener: ClaimListener,
+        share_result: Callable[[int, bytes | None], None],
     ) -> None:
-        self._keys, self._table, self._clock, self._alarms = keys, table, clock, alarms
-        self._counters, self._go, self._refuse, self._shared = counters, go, refuse, shared
-        self.peer: Peer | None = None
-        self.first = False  # the successor: of two claims that cross, this one's counts
-        self.unanswered: Callable[[], bool] = lambda: (
-            False
-        )  # True where the other is given up, and all is ours
-        self._asked: dict[Key, _Asked] = {}
+        """`share_result` answers a request that waited for another attempt's result."""
+        self._keys = keys
+        self._table = table
+        self._clock = clock
+        self._alarms = alarms
+        self._counters = counters
+        self._listener = listener
+        self._share_result = share_result
+        self.peer: ClaimPeer | None = None
+        self.is_successor = False
+        self.peer_unresponsive: Callable[[], bool] = lambda: False
+        self._pending: dict[Key, _PendingClaim] = {}
         self._serial = 0
-        keys.told.append(self)
+        keys.observers.append(self)
 
-    # ---- from here ----
+    # ---- this process's claims ----
 
-    def hold_back(self, request: Request) -> bool:
-        """True where the other process is asked first; `go` or `refuse` follows."""
-        entry = None if request.key is None else self._keys.of_try(request.number)
-        if self.peer is None or entry is None:
-            return False  # not keyed, or a repeat of what is known here
+    def claim(self, request: Request) -> bool:
+        """True where the other process is asked first: the listener is called with its answer."""
+        if self.peer is None:
+            return False
+        entry = None if request.key is None else self._keys.of_attempt(request.number)
+        if entry is None:
+            return False  # without a key, or a retry of what is known here
         self._serial += 1
-        alarm = self._alarms.at(self._clock.now + WAIT, lambda: self._late(entry.key))
-        self._asked[entry.key] = _Asked(request, self._serial, alarm)
+        timeout = self._alarms.at(self._clock.now + CLAIM_TIMEOUT, lambda: self._timed_out(entry.key))
+        self._pending[entry.key] = _PendingClaim(request, self._serial, timeout)
         self._counters.add("keys claimed")
-        self.peer.claim(self._serial, entry.key, entry.body, entry.until)
+        self.peer.claim(self._serial, entry.key, entry.body_digest, entry.expires_us)
         return True
 
-    def _late(self, key: Key) -> None:
-        if key not in self._asked:
+    def _timed_out(self, key: Key) -> None:
+        if key not in self._pending:
             return
         self._counters.add("claims unanswered")
-        if self.unanswered():
+        if self.peer_unresponsive():
             return
-        asked = self._asked.pop(key)
-        if asked.request.number in self._table.by_number:
-            self._refuse(asked.request, "the other process does not answer for this key")
-
-    def freed(self, entry: Entry) -> None:
-        """From the keys: a try of ours is over and never ran."""
-        if (asked := self._asked.pop(entry.key, None)) is not None:
-            asked.alarm.cancel()
-        if self.peer is not None and not entry.theirs:
+        pending = self._pending.pop(key)
+        if pending.request.number in self._table.by_number:
+            self._listener.reject_before_scheduling(
+                pending.request, "the other process does not answer for this key"
+            )
+
+    def key_released(self, entry: KeyEntry) -> None:
+        """From the key table: an attempt of this process is over and never ran."""
+        pending = self._pending.pop(entry.key, None)
+        if pending is not None:
+            pending.timeout.cancel()
+        if self.peer is not None and not entry.remote:
             self.peer.freed(entry.key)
 
-    def settled(self, entry: Entry) -> None:
-        """From the keys: a run of ours is over."""
+    def key_finished(self, entry: KeyEntry) -> None:
+        """From the key table: a run of this process is over."""
         if self.peer is not None:
-            self.peer.settled(entry.key, entry.body, entry.until, entry.result)
+            self.peer.settled(entry.key, entry.body_digest, entry.expires_us, entry.result)
 
-    # ---- from the other process ----
+    # ---- the other process's answers ----
 
-    def _mine(self, serial: int, key: Key) -> Request | None:
+    def _take_pending(self, serial: int, key: Key) -> Request | None:
         """The request whose claim is answered; None where it is over, or the answer is to an older claim."""
-        asked = self._asked.get(key)
-        if asked is None or asked.serial != serial:
+        pending = self._pending.get(key)
+        if pending is None or pending.serial != serial:
             return None
-        del self._asked[key]
-        asked.alarm.cancel()
-        return asked.request if asked.request.number in self._table.by_number else None
+        del self._pending[key]
+        pending.timeout.cancel()
+        return pending.request if pending.request.number in self._table.by_number else None
 
     def granted(self, serial: int, key: Key) -> None:
-        if (request := self._mine(serial, key)) is not None:
-            self._go(request)
+        """The key is this process's."""
+        request = self._take_pending(serial, key)
+        if request is not None:
+            self._listener.key_claimed(request)
 
-    def held(self, serial: int, key: Key, body: int, until: int) -> None:
-        """The other one holds it: ours waits for that try's result."""
-        if (request := self._mine(serial, key)) is not None:
-            self._yield(request, key, body, until)
+    def held(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+        """An attempt of the other process has the key: the request here waits for its result."""
+        request = self._take_pending(serial, key)
+        if request is not None:
+            self._cede(request, key, body_digest, expires_us)
 
     def full(self, serial: int, key: Key) -> None:
-        if (request := self._mine(serial, key)) is not None:
-            self._refuse(request, "no room for a further key")
+        """The other process can't note a further key."""
+        request = self._take_pending(serial, key)
+        if request is not None:
+            self._listener.reject_before_scheduling(request, "no room for a further key")
 
-    def _yield(self, request: Request, key: Key, body: int, until: int) -> None:
+    def _cede(self, request: Request, key: Key, body_digest: int, expires_us: int) -> None:
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
             return
-        same = entry.body == body
-        self._keys.give(entry, self._table.number(), body, until)
-        request.repeats = entry.number
+        same_body = entry.body_digest == body_digest
+        self._keys.cede(entry, self._table.take_number(), body_digest, expires_us)
+        request.retry_of = entry.number
         self._counters.add("keys held by the other process")
-        if same:
-            self._go(request)
+        if same_body:
+            self._listener.key_claimed(request)
         else:
-            self._refuse(request, "this token came before with another body")
+            self._listener.reject_before_scheduling(request, "this token came before with another body")
 
-    def claimed(self, serial: int, key: Key, body: int, until: int) -> None:
-        """The other one wants to run it."""
-        if self.peer is None:
+    # ---- the other process's attempts ----
+
+    def peer_claims(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+        """The other process wants to run the key."""
+        peer = self.peer
+        if peer is None:
             return
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
-            if self._keys.full():
-                return self.peer.full(serial, key)
-            self._keys.theirs(key, self._table.number(), body, until)
-            return self.peer.granted(serial, key)
-        if entry.theirs and not entry.over:
-            return self.peer.granted(serial, key)
-        asked = self._asked.get(key)
-        if asked is not None and not self.first:
-            del self._asked[key]
-            asked.alarm.cancel()
-            self.peer.granted(serial, key)
-            if asked.request.number in self._table.by_number:
-                self._yield(asked.request, key, body, until)
+            if self._keys.is_full():
+                peer.full(serial, key)
+                return
+            self._keys.reserve_remote(key, self._table.take_number(), body_digest, expires_us)
+            peer.granted(serial, key)
             return
-        self.peer.held(serial, key, entry.body, entry.until)
-        if entry.over:
-            self.peer.settled(key, entry.body, entry.until, entry.result)
+        if entry.remote and not entry.finished:
+            peer.granted(serial, key)
+            return
+        pending = self._pending.get(key)
+        if pending is not None and not self.is_successor:  # two claims cross, and the successor's counts
+            del self._pending[key]
+            pending.timeout.cancel()
+            peer.granted(serial, key)
+            if pending.request.number in self._table.by_number:
+                self._cede(pending.request, key, body_digest, expires_us)
+            return
+        peer.held(serial, key, entry.body_digest, entry.expires_us)
+        if entry.finished:
+            peer.settled(key, entry.body_digest, entry.expires_us, entry.result)
 
     def peer_freed(self, key: Key) -> None:
-        """Its try never ran; whoever waits for it here has no result to wait for."""
+        """The attempt there never ran; who waits for it here gets no result."""
         entry = self._keys.find(key, self._clock.now)
-        if entry is not None and entry.theirs and not entry.over:
-            for waiter in self._keys.forget(entry):
-                self._shared(waiter, None)
+        if entry is not None and entry.remote and not entry.finished:
+            for waiter in self._keys.release_remote(entry):
+                self._share_result(waiter, None)
+
+    def peer_settled(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+        """The run there is over."""
+        entry = self._find_or_note(key, body_digest, expires_us)
+        if entry.remote:  # else it is this process's, which knows better
+            self._finish_remote(entry, result)
 
-    def peer_settled(self, key: Key, body: int, until: int, result: bytes | None) -> None:
+    def _find_or_note(self, key: Key, body_digest: int, expires_us: int) -> KeyEntry:
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
-            entry = self._keys.theirs(key, self._table.number(), body, until)
-        if not entry.theirs:
-            return  # ours: what we know of it is better
-        for waiter in self._keys.settle(entry.number, result):
-            self._shared(waiter, entry.result)
+            entry = self._keys.reserve_remote(key, self._table.take_number(), body_digest, expires_us)
+        return entry
 
-    # ---- the whole ----
+    def _finish_remote(self, entry: KeyEntry, result: bytes | None) -> None:
+        for waiter in self._keys.finish(entry.number, result):
+            self._share_result(waiter, entry.result)
 
-    def snapshot(self) -> Iterator[Entry]:
-        """All that the other process has to know, as things stand when each is handed out: what changes later is
-        said in its own message, after it."""
+    # ---- the whole table ----
+
+    def snapshot(self) -> Iterator[KeyEntry]:
+        """The keys of this process, each as it stands when it is handed out: what changes later follows in a message
+        of its own."""
         for entry in self._keys.entries():
-            if not entry.theirs:
+            if not entry.remote:
                 yield entry
 
-    def taken(self, key: Key, body: int, until: int, over: bool, result: bytes | None) -> None:
-        """One entry of a snapshot."""
-        entry = self._keys.find(key, self._clock.now)
-        if entry is None:
-            entry = self._keys.theirs(key, self._table.number(), body, until)
-        if over and entry.theirs:
-            for waiter in self._keys.settle(entry.number, result):
-                self._shared(waiter, entry.result)
-
-    def alone(self, died: bool) -> None:
-        """There is no other process any more. Where it died, what it left open may have run: it is over, without a
-        result, and never runs again in its window. Where it only turned away, nothing of it counts."""
+    def snapshot_entry(
+        self, key: Key, body_digest: int, expires_us: int, finished: bool, result: bytes | None
+    ) -> None:
+        """One entry of the other process's snapshot."""
+        entry = self._find_or_note(key, body_digest, expires_us)
+        if finished and entry.remote:
+            self._finish_remote(entry, result)
+
+    def peer_gone(self, died: bool) -> None:
+        """There is no other process any more.
+
+        Where it died, what it left open may have run: those keys are finished without a result, and don't run again in
+        their window. Where it only rejected requests, none of its keys counts.
+        """
         self.peer = None
         for entry in list(self._keys.entries()):
-            if not entry.theirs or entry.over:
+            if not entry.remote or entry.finished:
                 continue
-            for waiter in self._keys.settle(entry.number, None) if died else self._keys.forget(entry):
-                self._shared(waiter, None)
-        asked, self._asked = list(self._asked.values()), {}
-        for one in asked:  # it could run none of these: it had no grant
-            one.alarm.cancel()
-            if one.request.number in self._table.by_number:
-                self._go(one.request)
+            for waiter in self._keys.finish(entry.number, None) if died else self._keys.release_remote(entry):
+                self._share_result(waiter, None)
+        pending = list(self._pending.values())
+        self._pending = {}
+        for claim in pending:  # the other one could run none of these: it had no grant
+            claim.timeout.cancel()
+            if claim.request.number in self._table.by_number:
+                self._listener.key_claimed(claim.request)
--- a/moorusher/core/observer.py
+++ b/moorusher/core/observer.py
@@ -1,27 +1,31 @@
-"""What the core tells of itself as it happens, to whoever judges how it stands. Nobody does on the platform."""
+"""The seam between the engine and whoever judges its health."""
 
 from __future__ import annotations
 
 
-class Watch:
-    """Hears nothing. Times are those of the core's clock, in us."""
+class EngineObserver:
+    """Is notified of what happens in the engine. This one, the default, ignores it.
 
-    def crowd_is(self, now: int, on_cores: int) -> None:
-        """So many runs take a core from now on: those in the kernel that wait for no call."""
+    `now` is the time of the engine's clock, in microseconds.
+    """
 
-    def came(self, now: int) -> None:
+    def runs_on_cores(self, now: int, on_cores: int) -> None:
+        """How many runs compete for the cores from now on: those in the kernel that wait for no call."""
+
+    def request_arrived(self, now: int) -> None:
         """A request has been read."""
 
-    def ended(self, now: int) -> None:
-        """A run is over for good: it comes back from no call."""
+    def run_ended(self, now: int) -> None:
+        """A run is over."""
 
-    def refused(self, now: int) -> None:
-        """One was turned away."""
+    def request_rejected(self, now: int) -> None:
+        """The scheduler has rejected a request."""
 
     def link_up(self, now: int) -> None:
-        """The kernel has answered on its link."""
+        """The kernel has answered on its connection."""
 
-    def link_lost(self, now: int) -> None: ...
+    def link_lost(self, now: int) -> None:
+        """The connection to the kernel is lost."""
 
-    def changed(self) -> None:
-        """Something that must be in the very next report: a notice to leave, closed listening sockets."""
+    def state_changed(self) -> None:
+        """Something that must not wait for a cached load report to expire: the notice to shut down, say."""
--- a/moorusher/core/outcomes.py
+++ b/moorusher/core/outcomes.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or what was asked over one, can end; mapped to the module's outcome here."""
+"""Every way in which a run, a call or a connection can end, and what the scheduler is told of it."""
 
 from __future__ import annotations
 
@@ -8,67 +8,67 @@
 from moorusher.scheduling.retry_policy import Evidence
 
 
-class Ending(Enum):
-    """How a run, a call or a connection ended; each has one value."""
+class EndReason(Enum):
+    """Why a run, a call or a connection ended. The values are parts of counter names."""
 
     # A run, as the kernel reports it.
-    RUN_PASSED = "run passed"
+    RUN_SUCCEEDED = "run passed"
     RUN_FAILED = "run failed"
     RUN_KILLED = "run killed"
-    RUN_NEVER_BEGAN = "run never began"
-    RUN_NOT_ACCEPTED = "run not accepted by the kernel"
-    # A call below.
+    RUN_NEVER_STARTED = "run never began"
+    RUN_UNKNOWN_TO_KERNEL = "run not accepted by the kernel"
+    # A downstream call.
     CALL_ANSWERED = "call answered"
     CALL_FAILED = "call failed"
-    CALL_TURNED_AWAY = "call turned away"
-    CALL_STRAY = "no run waits for the call"
-    CALL_OUT_OF_TIME = "call out of time"
-    CALL_GIVEN_UP = "call given up"
+    CALL_REJECTED = "call turned away"
+    CALL_NOT_AWAITED = "no run waits for the call"
+    CALL_DEADLINE_EXCEEDED = "call out of time"
+    CALL_TIMED_OUT = "call given up"
     CALL_NOT_CONNECTED = "no connection for the call"
-    CALL_CUT_OFF = "connection lost during the call"
-    CALL_GARBLED = "reply to the call could not be read"
+    CALL_CONNECTION_LOST = "connection lost during the call"
+    CALL_REPLY_UNREADABLE = "reply to the call could not be read"
     # A connection.
     CLOSED_BY_PEER = "closed by the other side"
-    CLOSED_BY_US = "closed by us"
-    LOST = "lost"
-    REFUSED = "refused"
+    CLOSED_LOCALLY = "closed by us"
+    CONNECTION_LOST = "lost"
+    CONNECTION_REFUSED = "refused"
     LINE_TOO_LONG = "line too long"
-    BAD_FRAME = "framing lost"
-    READS_TOO_SLOWLY = "other side reads too slowly"
-    TOO_MANY = "too many connections"
-    IDLE = "idle for too long"
-    SILENT = "nothing whole came in time"
-    MADE_WAY = "idle, and its place was needed"
-    TOO_FAULTY = "too many faults"
+    FRAMING_LOST = "framing lost"
+    SLOW_READER = "other side reads too slowly"
+    TOO_MANY_CONNECTIONS = "too many connections"
+    IDLE_TIMEOUT = "idle for too long"
+    READ_TIMEOUT = "nothing whole came in time"
+    EVICTED_WHILE_IDLE = "idle, and its place was needed"
+    TOO_MANY_ERRORS = "too many faults"
 
 
-# Only what stands here is ever told to the module: the other endings are those of connections alone.
-OUTCOMES: dict[Ending, Outcome] = {
-    Ending.RUN_PASSED: Outcome.OK,
-    Ending.RUN_FAILED: Outcome.ERROR,
-    Ending.RUN_KILLED: Outcome.CANCELLED,
-    Ending.RUN_NEVER_BEGAN: Outcome.MOOT,
-    Ending.RUN_NOT_ACCEPTED: Outcome.ERROR,
-    Ending.CALL_ANSWERED: Outcome.OK,
-    Ending.CALL_FAILED: Outcome.ERROR,
-    Ending.CALL_TURNED_AWAY: Outcome.FULL,
-    Ending.CALL_STRAY: Outcome.MOOT,
-    Ending.CALL_OUT_OF_TIME: Outcome.TIMEOUT,
-    Ending.CALL_GIVEN_UP: Outcome.TIMEOUT,
-    Ending.CALL_NOT_CONNECTED: Outcome.CONNECT_FAILED,
-    Ending.CALL_CUT_OFF: Outcome.RESET,  # proves nothing: the call may have run
-    Ending.CALL_GARBLED: Outcome.ERROR,
+# What the scheduler is told. The reasons that are missing here are those of connections: it never hears of them.
+SCHEDULER_OUTCOMES: dict[EndReason, Outcome] = {
+    EndReason.RUN_SUCCEEDED: Outcome.OK,
+    EndReason.RUN_FAILED: Outcome.ERROR,
+    EndReason.RUN_KILLED: Outcome.CANCELLED,
+    EndReason.RUN_NEVER_STARTED: Outcome.MOOT,
+    EndReason.RUN_UNKNOWN_TO_KERNEL: Outcome.ERROR,
+    EndReason.CALL_ANSWERED: Outcome.OK,
+    EndReason.CALL_FAILED: Outcome.ERROR,
+    EndReason.CALL_REJECTED: Outcome.FULL,
+    EndReason.CALL_NOT_AWAITED: Outcome.MOOT,
+    EndReason.CALL_DEADLINE_EXCEEDED: Outcome.TIMEOUT,
+    EndReason.CALL_TIMED_OUT: Outcome.TIMEOUT,
+    EndReason.CALL_NOT_CONNECTED: Outcome.CONNECT_FAILED,
+    EndReason.CALL_CONNECTION_LOST: Outcome.RESET,  # proves nothing: the call may have run
+    EndReason.CALL_REPLY_UNREADABLE: Outcome.ERROR,
 }
 
-# What the end of a call tells of whether it ran. What does not stand here proves nothing.
-EVIDENCE_OF_CALL: dict[Ending, Evidence] = {
-    Ending.CALL_ANSWERED: Evidence.SUCCEEDED,
-    Ending.CALL_FAILED: Evidence.FAILED,
-    Ending.CALL_TURNED_AWAY: Evidence.TURNED_AWAY,
-    Ending.CALL_STRAY: Evidence.NOT_AWAITED,
-    Ending.CALL_OUT_OF_TIME: Evidence.OUT_OF_TIME,
-    Ending.CALL_GIVEN_UP: Evidence.GIVEN_UP,
-    Ending.CALL_NOT_CONNECTED: Evidence.NOT_CONNECTED,
-    Ending.CALL_CUT_OFF: Evidence.CONNECTION_BROKE,
-    Ending.CALL_GARBLED: Evidence.UNREADABLE,
+# What the end of a call proves about whether it ran. A reason that is missing here proves nothing.
+EVIDENCE_OF_CALL: dict[EndReason, Evidence] = {
+    EndReason.CALL_ANSWERED: Evidence.SUCCEEDED,
+    EndReason.CALL_FAILED: Evidence.FAILED,
+    EndReason.CALL_REJECTED: Evidence.TURNED_AWAY,
+    EndReason.CALL_NOT_AWAITED: Evidence.NOT_AWAITED,
+    EndReason.CALL_DEADLINE_EXCEEDED: Evidence.OUT_OF_TIME,
+    EndReason.CALL_TIMED_OUT: Evidence.GIVEN_UP,
+    EndReason.CALL_NOT_CONNECTED: Evidence.NOT_CONNECTED,
+    EndReason.CALL_CONNECTION_LOST: Evidence.CONNECTION_BROKE,
+    EndReason.CALL_REPLY_UNREADABLE: Evidence.UNREADABLE,
 }
--- a/moorusher/core/reconfiguration.py
+++ b/moorusher/core/reconfiguration.py
@@ -1,6 +1,6 @@
-"""From the settings that hold and new ones to a plan: what holds from now on, and where each class and tenant was.
+"""Compares the settings in force with new ones: what holds from now on, and where each class and tenant was before.
 
-Pure. It is taken between two turns of the loop by `Decider.retune`.
+The plan is carried out by `RequestEngine.reconfigure`, between two turns.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 
 from moorusher.scheduling import interface as api
 
-# Facts about the machine and its kernel, or what the module has sized itself by: they hold until the next start.
-FIXED = (
+# Facts about the machine and its kernel, or what the scheduler has sized itself by: they hold until the next start.
+FIXED_UNTIL_RESTART = (
     "seed",
     "cores",
     "memory_kb",
@@ -27,61 +27,84 @@
     "call_window_ms",
     "gauges",
 )
-NEW = -1
+NEW = -1  # in place of a former index: there was no such class or tenant
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What new settings change, and what of them has to wait."""
+    """What new settings change, and what of them has to wait.
 
-    settings: api.Settings  # these hold from now on
-    classes: tuple[int, ...]  # for each of their classes, which of the old ones it was; NEW
+    Attributes:
+        settings: hold from now on.
+        classes: for each of their classes, the index that it had before, or `NEW`.
+        tenants: the same of tenants.
+        added, dropped, redefined: names of classes.
+        deferred: settings that differ, and wait for the next start.
+    """
+
+    settings: api.Settings
+    classes: tuple[int, ...]
     tenants: tuple[int, ...]
-    added: tuple[str, ...]  # classes
+    added: tuple[str, ...]
     dropped: tuple[str, ...]
     redefined: tuple[str, ...]
-    later: tuple[str, ...]  # settings that differ, and wait for the next start
+    deferred: tuple[str, ...]
 
     @property
-    def changes(self) -> bool:
+    def has_changes(self) -> bool:
+        """Something holds from now on that did not before."""
         return (
             bool(self.added or self.dropped or self.redefined)
-            or self._moved(self.classes)
-            or self._moved(self.tenants)
+            or _is_reordered(self.classes)
+            or _is_reordered(self.tenants)
         )
 
-    @staticmethod
-    def _moved(places: tuple[int, ...]) -> bool:
-        return places != tuple(range(len(places)))
-
-    def words(self) -> str:
-        """For the log."""
-        told = [
-            f"{what} {', '.join(names)}"
-            for what, names in (("added", self.added), ("dropped", self.dropped), ("changed", self.redefined))
+    def summary(self) -> str:
+        """The changes of classes, for the log; "" where there are none."""
+        parts = [
+            f"{change} {', '.join(names)}"
+            for change, names in (
+                ("added", self.added),
+                ("dropped", self.dropped),
+                ("changed", self.redefined),
+            )
             if names
         ]
-        return "; classes: " + "; ".join(told) if told else ""
+        return "; classes: " + "; ".join(parts) if parts else ""
+
+
+def _is_reordered(indexes: tuple[int, ...]) -> bool:
+    return indexes != tuple(range(len(indexes)))
 
 
 def plan(old: api.Settings, new: api.Settings) -> Plan:
-    """Compare the settings that hold with new ones."""
-    was = {c.name: i for i, c in reversed(list(enumerate(old.classes)))}
-    tenant_was = {t.name: i for i, t in reversed(list(enumerate(old.tenants)))}
-    names = {c.name for c in new.classes}
-    changed = tuple(c.name for c in new.classes if c.name in was and old.classes[was[c.name]] != c)
+    """Compare the settings in force with new ones."""
+    old_classes = {cls.name: cls for cls in reversed(old.classes)}  # of one name twice, the first counts
+    new_names = {cls.name for cls in new.classes}
     return Plan(
-        replace(new, **{name: getattr(old, name) for name in FIXED}),
-        tuple(was.pop(c.name, NEW) for c in new.classes),  # one name is one class, and once
-        tuple(tenant_was.pop(t.name, NEW) for t in new.tenants),
-        tuple(c.name for c in new.classes if all(c.name != o.name for o in old.classes)),
-        tuple(c.name for c in old.classes if c.name not in names),
-        changed,
-        tuple(
-            f.name
-            for f in fields(api.Settings)
-            if f.name in FIXED
-            and f.name not in ("seed", "cold")
-            and getattr(old, f.name) != getattr(new, f.name)
+        settings=replace(new, **{name: getattr(old, name) for name in FIXED_UNTIL_RESTART}),
+        classes=_former_indexes([cls.name for cls in old.classes], [cls.name for cls in new.classes]),
+        tenants=_former_indexes([tenant.name for tenant in old.tenants], [t.name for t in new.tenants]),
+        added=tuple(cls.name for cls in new.classes if cls.name not in old_classes),
+        dropped=tuple(cls.name for cls in old.classes if cls.name not in new_names),
+        redefined=tuple(
+            cls.name for cls in new.classes if cls.name in old_classes and old_classes[cls.name] != cls
         ),
+        deferred=tuple(name for name in _SETTING_NAMES if _is_deferred(name, old, new)),
     )
+
+
+_SETTING_NAMES = tuple(field.name for field in fields(api.Settings))
+
+
+def _is_deferred(name: str, old: api.Settings, new: api.Settings) -> bool:
+    """The seed and the kernel's state at the start mean nothing to a runner that has started."""
+    if name not in FIXED_UNTIL_RESTART or name in ("seed", "cold"):
+        return False
+    return bool(getattr(old, name) != getattr(new, name))
+
+
+def _former_indexes(old: list[str], new: list[str]) -> tuple[int, ...]:
+    """For each new name its index among the old ones, or `NEW`. Each old one is given once."""
+    index = {name: place for place, name in reversed(list(enumerate(old)))}
+    return tuple(index.pop(name, NEW) for name in new)
--- /dev/null
+++ b/moorusher/core/registration.py
@@ -0,0 +1,179 @@
+"""The first stage of a request: what was read is checked against the settings and entered in the tables of requests and
+idempotency keys."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from moorusher.scheduling import interface as api
+
+from .answer import Reply
+from .clock import MS, SECOND, Clock
+from .former_key_classes import FormerKeyClasses
+from .idempotency_keys import KeyTable, digest, window_end
+from .requests import Arrival, Request, RequestTable
+
+# An open request takes its body, 2 KiB, and small change; the scheduler rejects long before, by its own memory.
+MOST_REQUESTS = 10_000
+MOST_FORMER_CLASSES = 256  # names of dropped classes that are remembered
+# A machine may pause, and a clock be stepped: what arrived an hour ago, or will, is a mistake.
+MOST_SKEW = 3_600 * SECOND
+RETRY_AFTER_MS = 1_000.0  # said with rejections that come before the scheduler
+
+
+class InvalidArrival(Enum):
+    """Why something that was read is no request. The values are read in error messages.
+
+    It is the sender's mistake, except for the last five: those are the runner's state.
+    """
+
+    UNKNOWN_CLASS = "no such class"
+    UNKNOWN_TENANT = "no such tenant"
+    ARRIVAL_TIME_IMPLAUSIBLE = "its time of arrival is not of today"
+    IDEMPOTENCY_KEY_MISSING = "a request of this class needs a token"
+    BODY_MISMATCH = "this token came before with another body"
+    DUPLICATE_REQUEST_ID = "a request with this rid is open"
+    TOO_MANY_REQUESTS = "too many requests are open"
+    KEY_STATE_UNKNOWN = "it may be a repeat of what ran in a process that can't be asked"
+    KEY_TABLE_FULL = "no room for a further key"
+    NOT_READY = "the kernel is not up yet"
+    RULES_UNKNOWN = "customers' rules are not known here yet"
+
+
+# Neither this attempt nor, as far as is known here, an earlier one has run: the request may go elsewhere.
+NEVER_RAN = {
+    InvalidArrival.KEY_STATE_UNKNOWN,
+    InvalidArrival.KEY_TABLE_FULL,
+    InvalidArrival.NOT_READY,
+    InvalidArrival.RULES_UNKNOWN,
+}
+
+
+class Registrar:
+    """Makes requests of arrivals.
+
+    Attributes:
+        settings: those that arrivals are checked against.
+        classes: place of each class in the settings, by name.
+        tenants: place of each tenant in the settings, by name.
+        former_classes: windows in ms of classes that were dropped, by name; the latest last.
+    """
+
+    def __init__(self, settings: api.Settings, clock: Clock, table: RequestTable, keys: KeyTable) -> None:
+        self._clock = clock
+        self._table = table
+        self._keys = keys
+        self.former_classes: dict[str, float] = {}
+        self._former_key_classes = FormerKeyClasses()
+        self._set_settings(settings)
+
+    def _set_settings(self, settings: api.Settings) -> None:
+        self.settings = settings
+        self.classes = {cls.name: place for place, cls in enumerate(settings.classes)}
+        self.tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
+
+    def settings_changed(self, settings: api.Settings) -> None:
+        """New settings hold for what is read from here on."""
+        self._former_key_classes.settings_changed(self._clock.now, self.settings, settings)
+        windows = self.former_classes | {cls.name: cls.window_ms for cls in self.settings.classes}
+        self._set_settings(settings)
+        longer = [cls.window_ms - windows.pop(cls.name, cls.window_ms) for cls in settings.classes]
+        if max(longer) > 0:
+            self._keys.extend_all(round(max(longer) * MS))
+        self.former_classes = dict(list(windows.items())[-MOST_FORMER_CLASSES:])
+
+    def register(
+        self, arrival: Arrival, reply: Reply, tag: int, takes_over: bool = False
+    ) -> Request | InvalidArrival:
+        """The request, entered in the tables. `takes_over`: it goes on with another runner's attempt under its key."""
+        now = self._clock.now
+        place = self.classes.get(arrival.class_name)
+        if place is None:
+            return InvalidArrival.UNKNOWN_CLASS
+        tenant = (arrival.tenant or "") if self.tenants else None
+        if tenant is not None and tenant not in self.tenants:
+            return InvalidArrival.UNKNOWN_TENANT
+        cls = self.settings.classes[place]
+        if arrival.token:
+            cls = self._former_key_classes.effective_class(cls, now)
+        keyed = cls.effect is api.Effect.KEYED
+        if keyed and not arrival.token:
+            return InvalidArrival.IDEMPOTENCY_KEY_MISSING
+        if arrival.rid in self._table.by_rid:
+            return InvalidArrival.DUPLICATE_REQUEST_ID
+        if len(self._table) >= MOST_REQUESTS:
+            return InvalidArrival.TOO_MANY_REQUESTS
+        arrived_us = self._arrival_time(arrival, now)
+        if arrived_us is None:
+            return InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE
+        number = self._table.take_number()
+        request = Request(number, arrival.rid, cls, tenant, arrival.body, arrived_us, reply, tag, arrival)
+        if keyed and arrival.token:
+            invalid = self._enter_key(request, (tenant, arrival.token), takes_over)
+            if invalid is not None:
+                return invalid
+        self._table.add(request)
+        return request
+
+    def _arrival_time(self, arrival: Arrival, now: int) -> int | None:
+        """By the engine's clock; None where the sender's stamp can't be right."""
+        read_us = now if arrival.arrived_us is None else arrival.arrived_us
+        if arrival.t0_unix_ms is None:
+            return read_us
+        stamped = self._clock.from_unix_ms(arrival.t0_unix_ms, now - read_us)
+        if abs(now - stamped) > MOST_SKEW:
+            return None
+        return min(now, stamped)
+
+    def _enter_key(
+        self, request: Request, key: tuple[str | None, str], takes_over: bool
+    ) -> InvalidArrival | None:
+        now = self._clock.now
+        request.key = key
+        entry = self._keys.find(key, now)
+        body_digest = digest(request.body)
+        expires_us = window_end(request.arrived_us, request.request_class.window_ms)
+        if entry is not None:
+            if entry.body_digest != body_digest:
+                return (
+                    InvalidArrival.BODY_MISMATCH
+                )  # another request under this key: its result would be wrong
+            if takes_over and entry.remote and not entry.finished:
+                self._keys.take_over(entry, request.number, expires_us)
+            else:
+                request.retry_of = entry.number
+        elif now < self._keys.unknown_until and not takes_over:
+            return InvalidArrival.KEY_STATE_UNKNOWN
+        elif self._keys.is_full():
+            return InvalidArrival.KEY_TABLE_FULL  # without its key remembered it could run twice
+        else:
+            self._keys.reserve(key, request.number, body_digest, expires_us)
+        return None
+
+    def scheduler_event(self, request: Request) -> api.Request:
+        """What the scheduler is told of a request now: `waited_ms` and `ttl_ms` count from this moment."""
+        arrival = request.arrival
+        waited_ms = (self._clock.now - request.arrived_us) / MS
+        ttl_ms = None if arrival.budget_ms is None else max(0.0, arrival.budget_ms - waited_ms)
+        cls = request.request_class
+        place = self.classes.get(cls.name, -1)
+        tenant = None
+        if request.tenant is not None:
+            tenant = self.tenants.get(request.tenant)  # one that was dropped meanwhile counts as none
+        unchanged = place >= 0 and self.settings.classes[place] is cls
+        return api.Request(
+            request.number,
+            place,
+            arrival.memory_kb,
+            waited_ms,
+            ttl_ms,
+            arrival.caller,
+            tenant,
+            arrival.is_retry,
+            request.key is not None,
+            request.retry_of,
+            arrival.rank,
+            arrival.subject,
+            arrival.cost_hint_ms,
+            None if unchanged else cls,
+        )
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -1,144 +1,158 @@
-"""What becomes of requests where other runners have a word on their keys: granted here, joined with a try of another,
-given away, taken up. Answers to what the core has asked its `KeyCoordinator`; nothing is decided of a key here.
+"""What becomes of requests whose idempotency keys the other runners of the cluster have a say in.
+
+Carries out in the engine what the cluster has decided of a key: granted to this runner, had by another runner's
+attempt, moved away, taken over. Nothing is decided here; the questions are asked through `coordination.KeyCoordinator`.
 """
 
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
 from moorusher.scheduling import interface as api
 
 from .answer import Answer, Cause, Reply, Verdict
 from .clock import MS
-from .idempotency_keys import Key
-from .intake import BUSY_MS, Fault
-from .outcomes import Ending
+from .completion import Completion
+from .engine_state import EngineState
+from .execution import Execution
+from .idempotency_keys import Key, KeyEntry
+from .intake import Intake
+from .outcomes import EndReason
+from .registration import RETRY_AFTER_MS, InvalidArrival
 from .requests import Arrival, Request, Stage
 from .routes import Ruling
 
-if TYPE_CHECKING:
-    from .request_engine import Decider
-
 log = logging.getLogger("moorusher")
 
 
-class Others:
-    """Carries out in the core what the fleet has settled of a key."""
+class RemoteClaims:
+    """The cluster's answers, by request or by key."""
+
+    def __init__(
+        self, state: EngineState, completion: Completion, intake: Intake, execution: Execution
+    ) -> None:
+        self._state = state
+        self._completion = completion
+        self._intake = intake
+        self._execution = execution
+        self._turn = state.turn
+        self._table = state.table
+        self._keys = state.keys
 
-    def __init__(self, core: Decider) -> None:
-        self._core = core
+    # ---- answers to `acquire_key` ----
 
     def granted(self, request: Request) -> None:
         """Its key is this runner's."""
-        if request.number in self._core.table.by_number:
-            self._core.hand_on(request)
+        if request.number in self._table.by_number:
+            self._intake.schedule(request)
 
     def joined(self, request: Request) -> None:
-        """Another runner has its key: it waits for that try's result, as a repeat of it."""
-        self._give(request)
-        if request.number in self._core.table.by_number:
-            self._core.hand_on(request)
-
-    def uncovered(self, request: Request, why: str, proven: bool = True) -> None:
-        """`proven`: nobody else knows of it. Else it is told without the promise that it never runs."""
-        if request.number in self._core.table.by_number:
-            self._core.turn_away(request, why, proven)
-
-    def _give(self, request: Request) -> None:
-        entry = self._core.keys.of_try(request.number)
-        if entry is not None and not entry.theirs:
-            self._core.keys.give(entry, self._core.table.number(), entry.body, entry.until)
-            request.repeats = entry.number
-
-    def given(self, request: Request) -> None:
-        """Another runner has what the module here held or had started: it waits for the result beside the module, until
-        it is due."""
-        entry = self._core.keys.of_try(request.number)
-        if request.number not in self._core.table.by_number or entry is None:
+        """Another runner's attempt has its key: the request waits for that result, as a retry of it."""
+        self._cede_key(request)
+        if request.number in self._table.by_number:
+            self._intake.schedule(request)
+
+    def unavailable(self, request: Request, why: str, never_ran: bool = True) -> None:
+        """No majority has answered for its key. `never_ran`: nobody else knows of it, so it can't run anywhere."""
+        if request.number in self._table.by_number:
+            self._intake.reject_before_scheduling(request, why, never_ran)
+
+    # ---- answers to `announce_start` ----
+
+    def start_confirmed(self, request: Request) -> None:
+        """A majority knows that it may run."""
+        if not self._is_starting(request):
             return
-        self._core.touch()
-        self._give(request)
-        self._core.events.append(
-            api.RunEnded(request.number, api.Outcome.MOOT)
-            if request.stage is Stage.BEGINNING
-            else api.CallerGone(request.number)
-        )
-        request.stage = Stage.SHARING
-        if request.reply is None:
-            self._core.table.remove(request)
+        self._turn.begin()
+        if request.reply is None or request.stop_requested:
+            self._end_unstarted(request)
+        else:
+            self._execution.start(request)
+
+    def start_unconfirmed(self, request: Request, why: str) -> None:
+        """No majority could be told: it is not commanded here, and never will be. The others may take this runner for
+        dead and run it, so that its caller gets no promise."""
+        if not self._is_starting(request):
             return
-        entry.waiters.append(request.number)
-        due = request.due - round(self._core.settings.answer_slack_ms * MS)
-        self._core.alarms.at(max(due, self._core.clock.now), lambda: self._core.shared(request.number, None))
-
-    def begun(self, request: Request) -> None:
-        """Enough others know that it may run."""
-        if (
-            self._core.table.by_number.get(request.number) is not request
-            or request.stage is not Stage.BEGINNING
-        ):
+        self._turn.begin()
+        log.warning(
+            "request failed before its run: request=%s tenant=%s reason=%r", request.rid, request.tenant, why
+        )
+        self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.MAY_RUN_ELSEWHERE))
+        self._end_unstarted(request)
+
+    def _is_starting(self, request: Request) -> bool:
+        return self._table.by_number.get(request.number) is request and request.stage is Stage.STARTING
+
+    def _end_unstarted(self, request: Request) -> None:
+        """The scheduler has started it, and it was not commanded."""
+        if request.reply is not None:
+            self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.ABANDONED))
+        self._turn.events.append(api.RunEnded(request.number, api.Outcome.MOOT))
+        self._table.remove(request)
+        self._completion.fail_waiters(self._keys.release(request.number))
+
+    # ---- keys that move ----
+
+    def moved_away(self, request: Request) -> None:
+        """Another runner has what was queued or starting here: the request waits for the result beside the scheduler,
+        until its deadline."""
+        entry = self._keys.of_attempt(request.number)
+        if request.number not in self._table.by_number or entry is None:
             return
-        self._core.touch()
-        if request.reply is None or request.number in self._core.unwanted:
-            self._never(request)
+        self._turn.begin()
+        self._cede_key(request)
+        if request.stage is Stage.STARTING:
+            self._turn.events.append(api.RunEnded(request.number, api.Outcome.MOOT))
         else:
-            self._core.command(request)
-
-    def not_begun(self, request: Request, why: str) -> None:
-        """Nobody could be told: it is not commanded here, and never will be. Others may take this runner for lost, and
-        run it: its caller gets no promise."""
-        if (
-            self._core.table.by_number.get(request.number) is not request
-            or request.stage is not Stage.BEGINNING
-        ):
+            self._turn.events.append(api.CallerGone(request.number))
+        request.stage = Stage.AWAITING_SHARED_RESULT
+        if request.reply is None:
+            self._table.remove(request)
             return
-        self._core.touch()
-        log.warning("request %s turned away: %s", request.rid, why)
-        self._core.answer(request, Answer(Verdict.FAILED, cause=Cause.MAY_GO_ON))
-        self._never(request)
-
-    def _never(self, request: Request) -> None:
-        """Started by the module, and not commanded."""
-        self._core.unwanted.discard(request.number)
-        if request.reply is not None:
-            self._core.answer(request, Answer(Verdict.FAILED, cause=Cause.GIVEN_UP))
-        self._core.events.append(api.RunEnded(request.number, api.Outcome.MOOT))
-        self._core.table.remove(request)
-        for waiter in self._core.keys.drop(request.number):
-            self._core.shared(waiter, None)
-
-    def take_up(
+        entry.waiters.append(request.number)
+        state = self._state
+        due = request.deadline_us - round(state.settings.answer_slack_ms * MS)
+        number = request.number
+        state.alarms.at(max(due, state.clock.now), lambda: self._completion.share_result(number, None))
+
+    def _cede_key(self, request: Request) -> None:
+        entry = self._keys.of_attempt(request.number)
+        if entry is not None and not entry.remote:
+            self._keys.cede(entry, self._table.take_number(), entry.body_digest, entry.expires_us)
+            request.retry_of = entry.number
+
+    def take_over(
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None = None
-    ) -> Request | Fault:
-        """Work that another runner held. Its key is this runner's already, and its rules are those it was read under
-        there."""
-        self._core.touch()
-        if not self._core.opened:
-            return Fault.NOT_READY
-        taken = self._core.intake.take(arrival, reply, tag, takes_up=True)
-        if isinstance(taken, Request):
-            taken.ruling = ruling
-            self._core.counters.add("taken up", taken.tenant)
-            self._core.watch.came(self._core.clock.now)
-            self._core.hand_on(taken)
-        return taken
-
-    def result_of_another(self, key: Key, result: bytes | None) -> None:
-        """What another runner held under this key is over."""
-        self._core.touch()
-        entry = self._core.keys.find(key, self._core.clock.now)
-        if entry is not None and entry.theirs and not entry.over:
-            for waiter in self._core.keys.settle(entry.number, result):
-                self._core.shared(waiter, result)
-
-    def none_ran(self, key: Key) -> None:
-        """What another runner held under this key never ran, and nobody goes on with it: who waits here may return."""
-        self._core.touch()
-        entry = self._core.keys.find(key, self._core.clock.now)
-        if entry is None or not entry.theirs or entry.over:
+    ) -> Request | InvalidArrival:
+        """Go on with work of another runner whose key this runner has acquired."""
+        return self._intake.submit_taken_over(arrival, reply, tag, ruling)
+
+    # ---- the end of other runners' attempts ----
+
+    def result_received(self, key: Key, result: bytes | None) -> None:
+        """Another runner's attempt under this key is over; None: without a result."""
+        self._turn.begin()
+        entry = self._open_remote_entry(key)
+        if entry is not None:
+            for waiter in self._keys.finish(entry.number, result):
+                self._completion.share_result(waiter, result)
+
+    def never_ran(self, key: Key) -> None:
+        """Another runner's attempt under this key never ran, and nobody goes on with it: who waits here may retry."""
+        self._turn.begin()
+        entry = self._open_remote_entry(key)
+        if entry is None:
             return
-        for number in self._core.keys.forget(entry):
-            if (request := self._core.table.by_number.get(number)) is not None:
-                self._core.answer(request, Answer(Verdict.REFUSED, b"", Cause.TURNED_AWAY, BUSY_MS))
-                self._core.over(request, Ending.RUN_NEVER_BEGAN)
+        for number in self._keys.release_remote(entry):
+            request = self._table.by_number.get(number)
+            if request is not None:
+                answer = Answer(Verdict.REJECTED, b"", Cause.REJECTED, RETRY_AFTER_MS)
+                self._completion.answer(request, answer)
+                self._completion.end(request, EndReason.RUN_NEVER_STARTED)
+
+    def _open_remote_entry(self, key: Key) -> KeyEntry | None:
+        entry = self._keys.find(key, self._state.clock.now)
+        if entry is None or not entry.remote or entry.finished:
+            return None
+        return entry
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -1,4 +1,4 @@
-"""The table of requests and the life of one: held, running or sharing, then over."""
+"""A request from its arrival until it is over, and the table of those that are open."""
 
 from __future__ import annotations
 
@@ -11,59 +11,79 @@
 from .answer import Reply
 from .clock import MS
 
+MOST_REQUEST_NUMBERS = 0xFFFF_FFFF  # then the numbering starts again at 1
+
 
 class Stage(Enum):
     """How far a request has come."""
 
-    HELD = "held"
-    BEGINNING = "beginning"  # the module has started it; others must know before it is commanded
+    QUEUED = "queued"  # the scheduler, or who has a say in its key, has not decided yet
+    STARTING = "starting"  # the scheduler has started it; a majority must know before the kernel is commanded
     RUNNING = "running"  # from the command to the kernel until its end is known, calls included
-    SHARING = "sharing"  # waits for the result of another try
+    AWAITING_SHARED_RESULT = "awaiting shared result"  # waits for the result of an earlier attempt
+
 
+STARTED_STAGES = (Stage.STARTING, Stage.RUNNING)  # for the scheduler, it runs
 
-UNDER_WAY = (Stage.BEGINNING, Stage.RUNNING)  # for the module: it runs
 
+def is_identifier(text: str, most: int) -> bool:
+    """Whether a text has only the characters allowed in request ids and idempotency tokens, and at most so many.
 
-def is_word(text: str, most: int) -> bool:
-    """Of the characters that rids and tokens may have. They go on into lines and headers of other protocols: a
-    line end in one would let a client write headers of its own."""
+    They are passed on in lines and headers of other protocols: with a line end in one, a client could inject headers.
+    """
     return 0 < len(text) <= most and text.isascii() and all(c.isalnum() or c in "-_.:" for c in text)
 
 
 @dataclass(slots=True, frozen=True)
-class Range:
-    """The values that a figure of a request may have, whichever front it comes over. NaN is in none."""
+class ValueRange:
+    """The values that a number in a request may have, whichever frontend reads it. NaN is in no range."""
 
-    least: float
-    most: float
-    above: bool = False  # the least itself is not allowed,
-    under: bool = False  # nor the most
+    minimum: float
+    maximum: float
+    excludes_minimum: bool = False
+    excludes_maximum: bool = False
 
-    def has(self, value: float) -> bool:
-        return (self.least < value if self.above else self.least <= value) and (
-            value < self.most if self.under else value <= self.most
-        )
+    def contains(self, value: float) -> bool:
+        """Whether the value is in the range."""
+        above = self.minimum < value if self.excludes_minimum else self.minimum <= value
+        return above and (value < self.maximum if self.excludes_maximum else value <= self.maximum)
 
     def __str__(self) -> str:
-        return f"{'above' if self.above else 'from'} {self.least:g} {'and under' if self.under else 'to'} {self.most:g}"
+        lower = "above" if self.excludes_minimum else "from"
+        upper = "and under" if self.excludes_maximum else "to"
+        return f"{lower} {self.minimum:g} {upper} {self.maximum:g}"
 
 
-MEMORY_KB = Range(0, 2_000, above=True, under=True)
-RANK = Range(0, 1, under=True)
-PEER = Range(0, 2**32, under=True)
-UNIX_MS = Range(0, 1e15)
-BUDGET_MS = Range(0, 86_400_000)  # nobody waits longer than a day
+MEMORY_KB = ValueRange(0, 2_000, excludes_minimum=True, excludes_maximum=True)
+RANK = ValueRange(0, 1, excludes_maximum=True)
+PEER = ValueRange(0, 2**32, excludes_maximum=True)
+UNIX_MS = ValueRange(0, 1e15)
+BUDGET_MS = ValueRange(0, 86_400_000)  # nobody waits longer than a day
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """What a front has read: checked in form, not yet against the settings."""
+    """What a frontend has read: checked in form, not yet against the settings.
+
+    Attributes:
+        rid: the id of the request, unique among those that are open.
+        class_name: the class of requests that the caller names.
+        t0_unix_ms: when it came to the machine, by the sender's clock.
+        arrived_us: the same by the engine's clock; None for now.
+        budget_ms: how long its caller waits, from its arrival.
+        caller: the number of the front end that sent it.
+        memory_kb: what it takes while it is open.
+        token: the idempotency key's part that the caller chooses.
+        subject: the user or session that the request is for.
+        is_retry: the sender says that there was an earlier attempt.
+        cost_hint_ms: the sender's estimate of its service time.
+    """
 
     rid: str
-    klass: str
+    class_name: str
     body: bytes
-    t0_unix_ms: float | None = None  # when it came to the machine, by the sender's word,
-    came: int | None = None  # or by the front's clock; else now
+    t0_unix_ms: float | None = None
+    arrived_us: int | None = None
     budget_ms: float | None = None
     tenant: str | None = None
     caller: int = 0
@@ -72,56 +92,94 @@
     token: str | None = None
     subject: int | None = None
     is_retry: bool = False
-    hint_ms: float | None = None
+    cost_hint_ms: float | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that was taken in, until it is over."""
-
-    number: int  # the module's id of it
-    rid: str  # the kernel's
-    cls: api.RequestClass  # as it was when this was read: new settings change nothing for what is open
+    """A request that was registered, until it is over.
+
+    Attributes:
+        number: its id for the scheduler, the key table and the calls.
+        rid: its id for the kernel and in the log.
+        request_class: as it was when the request was read: new settings change nothing for what is open.
+        arrived_us: when it came to the machine, by the engine's clock.
+        reply: where the answer is owed; None once it is answered or its caller has gone.
+        tag: what `reply` knows the request by.
+        key: tenant and token, where its class is idempotent by key.
+        retry_of: the number of the attempt that holds its key.
+        uncounted: a first attempt, as far as is known yet, that has not been counted as demand.
+        stop_requested: the scheduler has stopped it while it was `STARTING`.
+        ruling: a `routes.Ruling`, by the rules under which it was read.
+    """
+
+    number: int
+    rid: str
+    request_class: api.RequestClass
     tenant: str | None
     body: bytes
-    came: int  # when it came to the machine, in microseconds of the monotonic clock
-    reply: Reply | None  # None once it is answered or the caller has gone
+    arrived_us: int
+    reply: Reply | None
     tag: int
     arrival: Arrival
     key: tuple[str | None, str] | None = None
-    stage: Stage = Stage.HELD
-    repeats: int | None = None
-    first: bool = False  # a first try, as far as is known yet, that has not been counted
-    ruling: Any = None  # `routes.Ruling`: by the rules under which it was read
+    stage: Stage = Stage.QUEUED
+    retry_of: int | None = None
+    uncounted: bool = False
+    stop_requested: bool = False
+    ruling: Any = None
 
     @property
-    def due(self) -> int:
-        """When its caller stops waiting, in microseconds of the monotonic clock."""
-        budget_ms, deadline_ms = self.arrival.budget_ms, self.cls.deadline_ms
-        return self.came + round(min(deadline_ms, deadline_ms if budget_ms is None else budget_ms) * MS)
+    def deadline_us(self) -> int:
+        """When its caller stops waiting, by the engine's clock."""
+        wait_ms = self.request_class.deadline_ms
+        budget_ms = self.arrival.budget_ms
+        if budget_ms is not None:
+            wait_ms = min(wait_ms, budget_ms)
+        return self.arrived_us + round(wait_ms * MS)
 
 
-class Table:
-    """Requests that are owed an answer or whose run is not over, by both of their names."""
+class RequestTable:
+    """The requests that are owed an answer or whose run is not over, by number and by request id."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, Request] = {}
         self.by_rid: dict[str, Request] = {}
-        self._next = 1
+        self._next_number = 1
+
+    def __len__(self) -> int:
+        return len(self.by_number)
 
-    def number(self) -> int:
-        n = self._next
-        self._next = n % 0xFFFF_FFFF + 1
-        return n
+    def take_number(self) -> int:
+        """A number that no open request has."""
+        number = self._next_number
+        self._next_number = number % MOST_REQUEST_NUMBERS + 1
+        return number
 
     def add(self, request: Request) -> None:
+        """Enter a request."""
         self.by_number[request.number] = request
         self.by_rid[request.rid] = request
 
     def remove(self, request: Request) -> None:
+        """The request is over."""
         self.by_number.pop(request.number, None)
         if self.by_rid.get(request.rid) is request:
             del self.by_rid[request.rid]
 
-    def __len__(self) -> int:
-        return len(self.by_number)
+    @property
+    def unanswered(self) -> int:
+        """How many requests are owed an answer."""
+        return sum(request.reply is not None for request in self.by_number.values())
+
+    def queued(self, now: int) -> tuple[int, int]:
+        """How many requests are queued, and the age of the oldest of them in us."""
+        arrivals = [r.arrived_us for r in self.by_number.values() if r.stage is Stage.QUEUED]
+        return len(arrivals), max(0, now - min(arrivals)) if arrivals else 0
+
+    def memory_kb(self, run_memory_factor: float) -> float:
+        """About what the open requests take in the kernel; one that runs takes `run_memory_factor` times as much."""
+        return sum(
+            request.arrival.memory_kb * (run_memory_factor if request.stage is Stage.RUNNING else 1.0)
+            for request in self.by_number.values()
+        )
