--- a/moorusher/core/routes.py
+++ b/moorusher/core/routes.py
@@ -1,7 +1,6 @@
-"""What a customer's own rules say of a request: the seam between the core and whoever knows them.
+"""The seam between the engine and the customers' own rules.
 
-The core asks once, when a request is read, and the request keeps the answer until its final one. Where there are no
-rules, as on the platform, nothing is asked.
+The engine asks once, when a request is read, and the request keeps the ruling until its final answer.
 """
 
 from __future__ import annotations
@@ -15,27 +14,34 @@
     """What customers' rules say of one request."""
 
     @property
-    def at(self) -> tuple[int, int]: ...  # the revision: incarnation and number
+    def at(self) -> tuple[int, int]:
+        """The revision of the rules: incarnation and number."""
+
     @property
-    def refusal(self) -> str: ...  # the reason, where it is turned away; "" where not
+    def refusal(self) -> str:
+        """Why the request is rejected; "" where it is not."""
+
     @property
-    def way(self) -> object: ...  # for the link that makes its calls
+    def way(self) -> object:
+        """The route of its calls, in the form that the call transport knows."""
 
 
 class Routes(Protocol):
-    """Who rules on requests as they are read."""
+    """Applies customers' rules to requests as they are read."""
 
     @property
-    def ready(self) -> bool: ...  # what there is at other runners is known here, or can't be
+    def ready(self) -> bool:
+        """The newest revision in the cluster is known here, or can't be had."""
 
     def rule(self, arrival: Arrival, tenant: str | None) -> Ruling | None:
-        """Under what is current; None where no customer's rules are for it."""
+        """By the current revision; None where no customer's rules apply."""
 
 
 class NoRoutes:
-    """No customer has rules of its own."""
+    """No customer has rules."""
 
     ready = True
 
     def rule(self, arrival: Arrival, tenant: str | None) -> Ruling | None:
+        """No rules apply."""
         return None
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -1,196 +1,269 @@
-"""Runs in the kernel: what was asked for, what the kernel is known to have read, what to say again."""
+"""Runs in the kernel: what was commanded, what the kernel is known to have read, what to send again.
+
+Commands are numbered in the order in which they are written. After a lost connection the kernel tells how many it has
+read, and what it may have missed is sent again, as far as `retry_policy.may_repeat` allows.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from moorusher.scheduling.interface import Effect
 from moorusher.scheduling.retry_policy import Evidence, may_repeat
 
 from .clock import Clock
-from .observer import Watch
+from .hooks import EngineHooks
 from .requests import Request
 
-NOT_WRITTEN = 0  # the place of a command that was dropped, as the link was down
+NOT_WRITTEN = 0  # the number of a command that was dropped, as there was no connection
+NO_CALL = 0  # in place of a notice's number: the run waits for no call
 # The kernel takes a reply for whichever call the run waits for: a copy could be given to a later call.
 EFFECT_OF_REPLY = Effect.UNSAFE
 
 
-class Kernel(Protocol):
-    """A link to the kernel. It may drop what it is given while it is down: `Runs.say_again` makes up for it. Commands
-    are numbered in the order in which they are written; NOT_WRITTEN is returned for those that are dropped."""
+class KernelTransport(Protocol):
+    """The connection to the kernel. Commands return their number, or `NOT_WRITTEN` while there is no connection:
+    `Runs.send_again` makes up for those."""
+
+    def run(self, rid: str, route: str, body: bytes) -> int:
+        """Run the request."""
+
+    def stop(self, rid: str) -> int:
+        """Stop the run."""
+
+    def call_done(self, rid: str, body: bytes) -> int:
+        """The reply to the call that the run waits for."""
 
-    def run(self, rid: str, route: str, body: bytes) -> int: ...
-    def stop(self, rid: str) -> int: ...
-    def call_done(self, rid: str, body: bytes) -> int: ...
-    def call_left_out(self, rid: str, notice: int) -> int: ...
-    def ask_gauges(self) -> None: ...
+    def call_left_out(self, rid: str, notice: int) -> int:
+        """The run goes on without the call that it has asked for by this notice."""
+
+    def ask_gauges(self) -> None:
+        """Have the kernel tell its gauges."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallReply:
-    """What was said to a run about its call: the reply, or None to go on without it."""
+    """What the kernel was sent about a run's call.
+
+    Attributes:
+        notice: the number of the notice by which the run asked for the call.
+        content: the reply; None to go on without the call.
+        written: the number of the command.
+    """
 
-    notice: int  # of the call
+    notice: int
     content: bytes | None
-    written: int  # the place of the command
+    written: int
 
 
 @dataclass(slots=True, frozen=True)
-class SaidAgain:
-    """What a new link was told of runs, by request number."""
+class SentAgain:
+    """What a new connection was sent again, by request number.
+
+    Attributes:
+        uncertain: a reply may be lost; nothing proves it, so it must not be sent again.
+        unwanted: never written, and nobody waits any more: these runs are not started.
+    """
 
-    runs: list[int]
-    replies: list[int]
-    uncertain: list[int]  # a reply may be lost, and nothing proves it: it must not be said again
-    unwanted: list[int]  # never written, and nobody waits any more: it is not begun
+    runs: list[int] = field(default_factory=list)
+    replies: list[int] = field(default_factory=list)
+    uncertain: list[int] = field(default_factory=list)
+    unwanted: list[int] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """A request that the kernel was told to run, and what was said about it."""
+    """A request that the kernel was commanded to run.
+
+    Attributes:
+        acknowledged: the kernel has told something of the run, so it has read the command.
+        notice: the number of the notice of the call that it waits for, or `NO_CALL`.
+        calls: how many calls it has asked for, this one included.
+        call_body: of the call that it waits for.
+        command_number: of the command to run it.
+        last_reply: what the kernel was sent about its last call.
+        reply_uncertain: nothing tells whether the kernel has read that.
+        started_us: when it was commanded.
+        at_calls_us: how long it has been at calls, up to the last one that has ended.
+        call_since_us: when it went to the call that it waits for.
+    """
 
     request: Request
     route: str
-    known: bool = False  # the kernel has told something of it, so it has read the command
+    acknowledged: bool = False
     stopped: bool = False
-    notice: int = 0  # of the call that it waits for; 0 where it waits for none
-    calls: int = 0  # calls that it has asked for, this one included
-    call: bytes = b""
-    commanded: int = NOT_WRITTEN  # the place of the command to run it
-    told: CallReply | None = None  # about its last call
-    uncertain: bool = False  # whether the kernel has read that
-    began: int = 0  # us
-    away: int = 0  # us, at calls
-    left: int = 0  # when it went to the call that it waits for
+    notice: int = NO_CALL
+    calls: int = 0
+    call_body: bytes = b""
+    command_number: int = NOT_WRITTEN
+    last_reply: CallReply | None = None
+    reply_uncertain: bool = False
+    started_us: int = 0
+    at_calls_us: int = 0
+    call_since_us: int = 0
 
     def core_us(self, now: int, cores: int, sharing: int) -> int:
-        """About what it took of a core, where `sharing` runs share the cores at its end."""
-        wall = now - self.began - self.away - (now - self.left if self.notice else 0)
-        return max(0, round(wall * min(1.0, cores / max(1, sharing))))
+        """An estimate of its processor time, where `sharing` runs share the cores at its end."""
+        at_calls = self.at_calls_us
+        if self.notice:
+            at_calls += now - self.call_since_us
+        elapsed = now - self.started_us - at_calls
+        return max(0, round(elapsed * min(1.0, cores / max(1, sharing))))
 
 
 class Runs:
-    """All runs that are not over, and the commands to the kernel for them."""
+    """All runs that are not over, by request number, and the commands to the kernel for them.
 
-    def __init__(self, kernel: Kernel, clock: Clock) -> None:
-        self._kernel, self._clock = kernel, clock
+    Attributes:
+        at_calls: how many of them wait for a call.
+    """
+
+    def __init__(self, kernel: KernelTransport, clock: Clock, hooks: EngineHooks) -> None:
+        self._kernel = kernel
+        self._clock = clock
+        self._hooks = hooks
         self._runs: dict[int, Run] = {}
-        self.at_calls = 0  # of them
-        self.watch = Watch()
+        self.at_calls = 0
+
+    def __len__(self) -> int:
+        return len(self._runs)
 
     @property
     def on_cores(self) -> int:
+        """How many runs compete for the cores."""
         return len(self._runs) - self.at_calls
 
-    def _crowd(self) -> None:
-        self.watch.crowd_is(self._clock.now, self.on_cores)
-
-    def __len__(self) -> int:
-        return len(self._runs)
-
     def get(self, number: int) -> Run | None:
+        """The run of a request."""
         return self._runs.get(number)
 
     def start(self, request: Request) -> None:
-        run = self._runs[request.number] = Run(request, request.cls.name, began=self._clock.now)
-        run.commanded = self._kernel.run(request.rid, run.route, request.body)
-        self._crowd()
+        """Command the kernel to run a request."""
+        run = Run(request, request.request_class.name, started_us=self._clock.now)
+        self._runs[request.number] = run
+        run.command_number = self._kernel.run(request.rid, run.route, request.body)
+        self._notify_on_cores()
 
     def stop(self, number: int) -> None:
-        if (run := self._runs.get(number)) is not None and not run.stopped:
+        """Command the kernel to stop a run, once."""
+        run = self._runs.get(number)
+        if run is not None and not run.stopped:
             run.stopped = True
             self._kernel.stop(run.request.rid)
 
     def stop_uncertain(self, number: int) -> None:
-        """Nobody waits for it any more, and it may wait for a reply that is lost: it would keep its memory for good."""
-        if (run := self._runs.get(number)) is not None and run.uncertain:
+        """Stop a run that may wait for a lost reply. Nobody waits for it any more, and it would keep its memory for
+        good."""
+        run = self._runs.get(number)
+        if run is not None and run.reply_uncertain:
             self.stop(number)
 
-    def needs_call(self, number: int, notice: int, body: bytes) -> bool:
-        """False where that notice was read before."""
+    def call_needed(self, number: int, notice: int, body: bytes) -> bool:
+        """A run asks for a call. False where this notice was read before, or the run is over."""
         run = self._runs.get(number)
-        if run is None or notice <= run.notice or (run.told is not None and notice <= run.told.notice):
+        if run is None or notice <= run.notice:
+            return False
+        if run.last_reply is not None and notice <= run.last_reply.notice:
             return False
         if not run.notice:
             self.at_calls += 1
-            run.left = self._clock.now
-        run.known, run.notice, run.call, run.told, run.uncertain = True, notice, body, None, False
+            run.call_since_us = self._clock.now
+        run.acknowledged = True
+        run.notice = notice
+        run.call_body = body
+        run.last_reply = None
+        run.reply_uncertain = False
         run.calls += 1
-        self._crowd()
+        self._notify_on_cores()
         return True
 
-    def go_on(self, number: int, reply: bytes | None) -> None:
-        """With the reply to its call, or without the call."""
+    def resume(self, number: int, reply: bytes | None) -> None:
+        """Have a run go on with the reply to its call, or without the call where `reply` is None."""
         run = self._runs.get(number)
         if run is None or not run.notice:
-            return  # it waits for no call: the kernel would take this for a fault
-        notice, run.notice, run.call = run.notice, 0, b""
-        run.away += self._clock.now - run.left
+            return  # the kernel takes a reply to a run that waits for no call for an error
+        notice = run.notice
+        run.notice = NO_CALL
+        run.call_body = b""
+        run.at_calls_us += self._clock.now - run.call_since_us
         self.at_calls -= 1
-        self._crowd()
-        self._tell(run, notice, reply)
+        self._notify_on_cores()
+        self._send_reply(run, notice, reply)
+
+    def end(self, number: int) -> Run | None:
+        """A run is over; None where it was before."""
+        run = self._runs.pop(number, None)
+        if run is not None:
+            self.at_calls -= run.notice != NO_CALL
+            self._hooks.observer.run_ended(self._clock.now)
+            self._notify_on_cores()
+        return run
+
+    def _notify_on_cores(self) -> None:
+        self._hooks.observer.runs_on_cores(self._clock.now, self.on_cores)
 
-    def _tell(self, run: Run, notice: int, reply: bytes | None) -> None:
+    def _send_reply(self, run: Run, notice: int, reply: bytes | None) -> None:
         if reply is None:
             written = self._kernel.call_left_out(run.request.rid, notice)
         else:
             written = self._kernel.call_done(run.request.rid, reply)
-        run.told = CallReply(notice, reply, written)
+        run.last_reply = CallReply(notice, reply, written)
 
-    def over(self, number: int) -> Run | None:
-        run = self._runs.pop(number, None)
-        if run is not None:
-            self.at_calls -= run.notice != 0
-            self.watch.ended(self._clock.now)
-            self._crowd()
-        return run
+    # ---- after a lost connection ----
+
+    def send_again(
+        self, read: int, is_awaited: Callable[[Request], bool] = lambda request: True
+    ) -> SentAgain:
+        """Send again what the kernel may have missed, once its own replay has been read.
 
-    def say_again(self, read: int, wanted: Callable[[Request], bool] = lambda request: True) -> SaidAgain:
-        """After a broken link, once the kernel's replay has been read. `read`: how many commands it is known to have
-        read; `wanted`: whether somebody still waits for a request."""
-        said = SaidAgain([], [], [], [])
+        Args:
+            read: how many commands the kernel is known to have read.
+            is_awaited: whether somebody still waits for a request.
+        """
+        sent = SentAgain()
         for number, run in list(self._runs.items()):
-            if not run.known and run.commanded == NOT_WRITTEN and not wanted(run.request):
-                said.unwanted.append(number)
+            never_written = not run.acknowledged and run.command_number == NOT_WRITTEN
+            if never_written and not is_awaited(run.request):
+                sent.unwanted.append(number)
                 continue
-            if not run.known and _evidence(run.commanded, read) is not Evidence.SUCCEEDED:
-                self._command_again(number, run, said)
-            if run.told is not None:
-                self._tell_again(number, run, run.told, read, said)
+            if not run.acknowledged and _evidence(run.command_number, read) is not Evidence.SUCCEEDED:
+                self._command_again(number, run, sent)
+            if run.last_reply is not None:
+                self._reply_again(number, run, run.last_reply, read, sent)
             if run.stopped:
                 self._kernel.stop(run.request.rid)
-        return said
+        return sent
 
-    def _command_again(self, number: int, run: Run, said: SaidAgain) -> None:
-        """The kernel ignores a command to run what it runs already."""
-        if not may_repeat(run.request.cls.effect, Evidence.COPIES_IGNORED):
+    def _command_again(self, number: int, run: Run, sent: SentAgain) -> None:
+        # The kernel ignores a command to run what it runs already.
+        if not may_repeat(run.request.request_class.effect, Evidence.COPIES_IGNORED):
             return
-        run.commanded = self._kernel.run(run.request.rid, run.route, run.request.body)
-        said.runs.append(number)
+        run.command_number = self._kernel.run(run.request.rid, run.route, run.request.body)
+        sent.runs.append(number)
 
-    def _tell_again(self, number: int, run: Run, told: CallReply, read: int, said: SaidAgain) -> None:
-        if told.content is None:  # names its notice: it can be taken for no other call
-            if _evidence(told.written, read) is not Evidence.SUCCEEDED:
-                self._tell(run, told.notice, None)
+    def _reply_again(self, number: int, run: Run, reply: CallReply, read: int, sent: SentAgain) -> None:
+        evidence = _evidence(reply.written, read)
+        if evidence is Evidence.SUCCEEDED:
+            return
+        if reply.content is None:  # it names its notice, so it can be taken for no other call
+            self._send_reply(run, reply.notice, None)
             return
-        evidence = _evidence(told.written, read)
-        if evidence is Evidence.SUCCEEDED or run.uncertain:
+        if run.reply_uncertain:
             return
         if may_repeat(EFFECT_OF_REPLY, evidence):
-            self._tell(run, told.notice, told.content)
-            said.replies.append(number)
+            self._send_reply(run, reply.notice, reply.content)
+            sent.replies.append(number)
             return
-        run.uncertain = True
-        said.uncertain.append(number)
-        if run.request.cls.worth_without_call > 0:  # where it waits on, it goes on without
-            self._tell(run, told.notice, None)
+        run.reply_uncertain = True
+        sent.uncertain.append(number)
+        if run.request.request_class.worth_without_call > 0:
+            self._send_reply(run, reply.notice, None)  # if it still waits, it goes on without
 
 
 def _evidence(written: int, read: int) -> Evidence:
-    """What is known of a command by its place, where the kernel has read so many."""
+    """What is known of a command by its number, where the kernel has read so many."""
     if written == NOT_WRITTEN:
         return Evidence.NOT_SENT
     return Evidence.SUCCEEDED if written <= read else Evidence.NOT_HEARD_OF
--- a/moorusher/core/wall_clock.py
+++ b/moorusher/core/wall_clock.py
@@ -1,28 +1,32 @@
 """Unix time on the monotonic clock, where the Unix clock may be stepped.
 
-Spans are measured on the monotonic clock alone. Unix time is needed only to read when a sender says that a request
-came, and to write that on to another machine. A step changes the offset between the two clocks for this process, for
-the senders, or for both, and a message stamped before it may be read after it. So former offsets are remembered, and
-a time that can't be right by the offset in force is read by one that was.
+Durations are measured on the monotonic clock alone. Unix time is needed only to read when a sender says that a request
+arrived, and to pass that on to another machine. A step changes the offset between the two clocks for this process, for
+the senders, or for both, and a message stamped before it may be read after it. So former offsets are remembered, and a
+time that can't be right by the offset in force is read by a former one.
 """
 
 from __future__ import annotations
 
-MS = 1_000
+MS = 1_000  # us
 STEP = 50 * MS  # a smaller change is drift, or the moment between two readings
-MOST_OFFSETS = 8
-SENDING = 1_000 * MS  # a message may lie so long with its sender, or on its way
+MOST_OFFSETS = 8  # that are remembered
+MOST_TRANSIT = 1_000 * MS  # a message may be so long with its sender, or on its way
 
 
 class WallClock:
-    """The offsets of Unix time to the monotonic clock: the one in force, and those before it."""
+    """The offsets of Unix time to the monotonic clock: the one in force, and those before it. All times are in us.
+
+    Attributes:
+        steps: how often the Unix clock was stepped.
+    """
 
     def __init__(self) -> None:
-        self._offsets: list[int] = []  # microseconds; the one in force first
+        self._offsets: list[int] = []  # the one in force first
         self.steps = 0
 
     def follow(self, now: int, unix: int) -> None:
-        """Both clocks, read at one moment, in microseconds."""
+        """Both clocks, read at one moment."""
         offset = unix - now
         if not self._offsets:
             self._offsets = [offset]
@@ -34,13 +38,13 @@
             self._offsets = [offset, *former][:MOST_OFFSETS]
 
     def to_unix(self, at: int) -> int:
-        """By the offset in force."""
+        """A monotonic time, by the offset in force."""
         return at + self._offsets[0]
 
-    def stamped(self, unix: int, now: int, unread: int) -> int:
-        """When something happened that its sender stamped with this time, on the monotonic clock; after `now` where no
-        offset makes sense of it. `unread`: how long it may have waited here to be read."""
-        longest = unread + SENDING
+    def from_unix(self, unix: int, now: int, unread: int) -> int:
+        """The monotonic time of an event that its sender stamped with this Unix time; after `now` where no offset makes
+        sense of it. `unread`: how long the message may have waited here to be read."""
+        longest = unread + MOST_TRANSIT
         ages = [now + offset - unix for offset in self._offsets]
         if not -STEP <= ages[0] <= longest:  # stamps are whole milliseconds: a fresh one may seem to be ahead
             plausible = [age for age in ages[1:] if 0 <= age <= longest]
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -6,8 +6,8 @@
 
 from twisted.internet.protocol import Protocol
 
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy
 from ..server.health_report import Reporter
 from .probes import SILENCE, ProbeFront
@@ -27,7 +27,7 @@
 
     def __init__(self, owner: AgentFront) -> None:
         self.owner, self.core = owner, owner.core
-        self._ending: Ending | None = None
+        self._ending: EndReason | None = None
         self._sent = b""
 
     def connectionMade(self) -> None:
@@ -43,25 +43,25 @@
     def dataReceived(self, data: bytes) -> None:
         self._sent += data[: MOST_SENT + 1 - len(self._sent)]
         if len(self._sent) > MOST_SENT:
-            self._ending = self._ending or Ending.LINE_TOO_LONG
+            self._ending = self._ending or EndReason.LINE_TOO_LONG
             self.transport.abortConnection()
 
     def leave(self) -> None:
         """Nothing can be asked of a balancer here."""
 
-    def end(self, ending: Ending) -> bool:
+    def end(self, ending: EndReason) -> bool:
         self._ending = self._ending or ending
         self.transport.abortConnection()
         return True
 
     def cut(self) -> None:
         if self in self.owner.places.all:
-            self.end(Ending.READS_TOO_SLOWLY)
+            self.end(EndReason.SLOW_READER)
 
     def connectionLost(self, reason: object = None) -> None:
         self._alarm.cancel()
         self.owner.left(self)
-        self.core.counters.add("probes: " + (self._ending or Ending.CLOSED_BY_PEER).value)
+        self.core.counters.add("probes: " + (self._ending or EndReason.CLOSED_BY_PEER).value)
         if self._sent:
             self.owner.heard(self.host, self._sent)
 
@@ -69,7 +69,7 @@
 class AgentFront(ProbeFront):
     """Listens for HAProxy's agent checks."""
 
-    def __init__(self, core: Decider, reporter: Reporter, maxconn: bool = False) -> None:
+    def __init__(self, core: RequestEngine, reporter: Reporter, maxconn: bool = False) -> None:
         super().__init__(core, reporter, AgentConnection)
         self.maxconn = maxconn
 
@@ -77,5 +77,5 @@
         """`agent-send` may name its sender: balancers behind one address are then told apart by their intervals."""
         name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MOST_NAME]
         if name:
-            self.core.touch()
+            self.core.begin_turn()
             self.reporter.tracker.balancers.asked(self.core.clock.now, f"{host} {name}")
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from ..core.clock import MS, SECOND, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 
 GRACE = 300 * MS  # a connection that is younger, or idle for less, goes only if there is no other
 ASKED = 2 * SECOND  # for the other side to close what it was asked to close
@@ -27,14 +27,14 @@
     @property
     def reading(self) -> bool: ...  # a message has begun, and its rest may still come
     def leave(self) -> None: ...  # ask the other side to close
-    def end(self, ending: Ending) -> bool: ...  # False where a request had come unread, and it stays
+    def end(self, ending: EndReason) -> bool: ...  # False where a request had come unread, and it stays
     def cut(self) -> None: ...  # at once, whatever is unsent
 
 
 class Places:
     """The connections of one front: how many there may be, and when each has to go."""
 
-    def __init__(self, core: Decider, most: int, silence: int, idleness: int) -> None:
+    def __init__(self, core: RequestEngine, most: int, silence: int, idleness: int) -> None:
         self.core, self.most, self.silence, self.idleness = core, most, silence, idleness
         self.all: set[Placed] = set()
         self._closing: dict[Placed, int] = {}
@@ -127,7 +127,7 @@
         for c in list(islice(listed, MOST_LOOKED_AT)):
             if listed.get(c, since + 1) > since:
                 return False
-            if (mid_message or not c.reading) and c.end(Ending.MADE_WAY):
+            if (mid_message or not c.reading) and c.end(EndReason.EVICTED_WHILE_IDLE):
                 return True
         return False
 
@@ -175,6 +175,6 @@
                     self._asked[c] = now
                     c.leave()
                 else:
-                    if c.end(Ending.SILENT if listed is self._silent else Ending.IDLE):
+                    if c.end(EndReason.READ_TIMEOUT if listed is self._silent else EndReason.IDLE_TIMEOUT):
                         listed.pop(c, None)
         self._watch()
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -13,8 +13,8 @@
 from twisted.internet.protocol import Factory
 
 from ..core.clock import MS
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..server.health_report import Reporter
 from .connection_limits import Places
 from .http import HttpConnection, Said, not_allowed
@@ -33,9 +33,9 @@
     def leave(self) -> None:
         """It is told by its answer."""
 
-    def _close(self, ending: Ending) -> None:
+    def _close(self, ending: EndReason) -> None:
         """Silent for too long, or its place is needed: told so, and closed."""
-        if ending in (Ending.SILENT, Ending.MADE_WAY):
+        if ending in (EndReason.READ_TIMEOUT, EndReason.EVICTED_WHILE_IDLE):
             self._write(Said(408, b"the call did not come whole in time\n"), False)
         super()._close(ending)
 
@@ -49,7 +49,9 @@
     noisy = False
     counts = "console connections"
 
-    def __init__(self, core: Decider, reporter: Reporter, most: int, serving: Callable[[], bool]) -> None:
+    def __init__(
+        self, core: RequestEngine, reporter: Reporter, most: int, serving: Callable[[], bool]
+    ) -> None:
         self.core, self.reporter, self._serving = core, reporter, serving
         self.places = Places(core, most, SILENCE, 0)
         self._calls: dict[str, tuple[str, Callable[[], Said]]] = {
@@ -59,9 +61,9 @@
         }
 
     def buildProtocol(self, addr: object) -> ConsoleConnection | None:
-        self.core.touch()
+        self.core.begin_turn()
         if not self.places.room():
-            self.core.counters.add("console connections: " + Ending.TOO_MANY.value)
+            self.core.counters.add("console connections: " + EndReason.TOO_MANY_CONNECTIONS.value)
             return None
         return ConsoleConnection(self)
 
@@ -82,8 +84,8 @@
         told = {
             "ready": self._ready,
             "kernel": self.core.ready,
-            "leaving": self.core.draining,
-            "replaced": self.core.replaced,
+            "leaving": self.core.drain_state.draining,
+            "replaced": self.core.drain_state.replaced,
             "quiesced": None if maintenance is None else maintenance.reason,
         }
         return Said(status, json.dumps(told).encode() + b"\n", "application/json")
@@ -104,4 +106,4 @@
 
     def _resume(self) -> Said:
         self.reporter.put_back()
-        return self._told(409 if self.core.draining else 200)
+        return self._told(409 if self.core.drain_state.draining else 200)
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -4,7 +4,7 @@
 
 import json
 
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..health import formatting as words
 from ..server.health_report import Reporter
 from .http import HttpConnection, Said, not_allowed
@@ -34,7 +34,7 @@
     """Listens for health checks over HTTP."""
 
     def __init__(
-        self, core: Decider, reporter: Reporter, codes: words.Codes, load: LoadReport | None
+        self, core: RequestEngine, reporter: Reporter, codes: words.Codes, load: LoadReport | None
     ) -> None:
         super().__init__(core, reporter, HttpConnection)
         self.codes, self.load = codes, load
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -12,7 +12,7 @@
 from twisted.protocols.basic import LineReceiver
 
 from ..core.clock import SECOND
-from ..core.outcomes import Ending
+from ..core.outcomes import EndReason
 from .unread_input import read_pending
 
 MOST_HEAD = 4096  # bytes of a call before its body, all lines together
@@ -54,7 +54,7 @@
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.core = owner, owner.core
-        self._ending: Ending | None = None
+        self._ending: EndReason | None = None
         self._alarm: Any = None
         self._calls = 0  # answered
         self._begin()
@@ -84,7 +84,7 @@
         super().resumeProducing()  # type: ignore[no-untyped-call]
 
     def _unread(self) -> None:
-        self._ending = self._ending or Ending.READS_TOO_SLOWLY
+        self._ending = self._ending or EndReason.SLOW_READER
         self.cut()
 
     def connectionLost(self, reason: object = None) -> None:
@@ -92,7 +92,7 @@
             self._alarm.cancel()
         self.transport.unregisterProducer()
         self.owner.left(self)
-        self.core.counters.add(f"{self.owner.counts}: {(self._ending or Ending.CLOSED_BY_PEER).value}")
+        self.core.counters.add(f"{self.owner.counts}: {(self._ending or EndReason.CLOSED_BY_PEER).value}")
 
     @property
     def reading(self) -> bool:
@@ -100,12 +100,12 @@
 
     def leave(self) -> None:
         """An idle connection is asked for its place: HTTP has no word for it but the close."""
-        self.end(Ending.IDLE)
+        self.end(EndReason.IDLE_TIMEOUT)
 
-    def end(self, ending: Ending) -> bool:
+    def end(self, ending: EndReason) -> bool:
         """Close. False where a call had come unread: it has its answer now, and the connection stays."""
         before = self._calls
-        if self._ending is None and ending is not Ending.CLOSED_BY_US:
+        if self._ending is None and ending is not EndReason.CLOSED_LOCALLY:
             read_pending(self.transport)
             if self._calls > before and self._ending is None:
                 return False
@@ -113,7 +113,7 @@
             self._close(ending)
         return True
 
-    def _close(self, ending: Ending) -> None:
+    def _close(self, ending: EndReason) -> None:
         self._ending = ending
         self.owner.places.closing(self)
         read_pending(
@@ -133,11 +133,11 @@
 
     def dataReceived(self, data: bytes) -> None:
         if self._ending is None:
-            self.core.touch()
+            self.core.begin_turn()
             super().dataReceived(data)  # type: ignore[no-untyped-call]
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self._refuse(431, "the head is too long", Ending.LINE_TOO_LONG)
+        self._refuse(431, "the head is too long", EndReason.LINE_TOO_LONG)
 
     # ---- a call ----
 
@@ -147,14 +147,14 @@
         line = line.removesuffix(b"\r")
         self._read += len(line) + 2
         if self._read > MOST_HEAD:
-            return self._refuse(431, "the head is too long", Ending.LINE_TOO_LONG)
+            return self._refuse(431, "the head is too long", EndReason.LINE_TOO_LONG)
         if self._request is None:
             if line:  # empty lines before a request are passed over, as HTTP advises
                 self._request = line
         elif line:
             name, colon, value = line.partition(b":")
             if not colon or not name or name != name.strip():
-                return self._refuse(400, "a header can't be read", Ending.BAD_FRAME)
+                return self._refuse(400, "a header can't be read", EndReason.FRAMING_LOST)
             self._headers[name.decode("latin-1").lower()] = value.strip().decode("latin-1")
         else:
             self._head_over(self._request)
@@ -162,13 +162,13 @@
     def _head_over(self, request: bytes) -> None:
         parts = request.split()
         if len(parts) != 3 or not parts[2].startswith(b"HTTP/1."):
-            return self._refuse(400, "no HTTP/1 request", Ending.BAD_FRAME)
+            return self._refuse(400, "no HTTP/1 request", EndReason.FRAMING_LOST)
         length = self._headers.get("content-length", "0")
         # isdigit alone lets other scripts' digits pass; int alone lets '+5' and '1_0' pass.
         if not (length.isascii() and length.isdigit()):
-            return self._refuse(400, "Content-Length: expected a whole number", Ending.BAD_FRAME)
+            return self._refuse(400, "Content-Length: expected a whole number", EndReason.FRAMING_LOST)
         if len(length) > 12 or int(length) > self.most_body or "transfer-encoding" in self._headers:
-            return self._refuse(413, "no such body is taken here", Ending.BAD_FRAME)
+            return self._refuse(413, "no such body is taken here", EndReason.FRAMING_LOST)
         self._body_left = int(length)
         if self._body_left:
             self.setRawMode()  # type: ignore[no-untyped-call]
@@ -192,7 +192,7 @@
         said = self.owner.called(method, path.partition("?")[0], headers, self.host)
         self._say(said, keep, method != "HEAD")
 
-    def _refuse(self, status: int, text: str, ending: Ending) -> None:
+    def _refuse(self, status: int, text: str, ending: EndReason) -> None:
         """Where the next call begins is not known: our half is closed, so that the error can be read."""
         self.core.counters.add("faulty")
         self._ending = ending
@@ -206,7 +206,7 @@
         if keep:
             self.owner.places.rested(self)
         else:
-            self.end(Ending.CLOSED_BY_US)
+            self.end(EndReason.CLOSED_LOCALLY)
 
     def _write(self, said: Said, keep: bool, body: bool = True) -> None:
         lines = [
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -11,9 +11,9 @@
 
 from ..core.answer import Answer, Cause
 from ..core.clock import MS, SECOND
-from ..core.intake import BUSY_MS, NEVER_RAN, Fault
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.registration import NEVER_RAN, RETRY_AFTER_MS, InvalidArrival
+from ..core.request_engine import RequestEngine
 from ..core.requests import Request
 from .connection_limits import Places
 from .jsonrpc_messages import (
@@ -66,12 +66,12 @@
         self.active = self.faults = 0  # when something last came; what was malformed
         self._begun = 0  # when the message began whose end has not come yet; 0 where there is none
         self.leaving = False
-        self.last_ending: Ending | None = (
+        self.last_ending: EndReason | None = (
             None  # nothing more is read; it closes once what is open has its answer
         )
         self.unsent = 0  # since the other side stopped reading; 0 where it reads
         self._produces = False  # it is registered as the transport's producer
-        self.ending: Ending | None = None
+        self.ending: EndReason | None = None
 
     # ---- the connection ----
 
@@ -81,7 +81,7 @@
         # A front end that does not read is not read either; what is already owed is bounded in `_send`.
         self.transport.registerProducer(self, True)
         self._produces = True
-        self.core.touch()
+        self.core.begin_turn()
         self.active = self.core.clock.now
         self.owner.places.joined(self)
         self.core.counters.add("connections")
@@ -108,32 +108,32 @@
         self._stop_producing()
         clean = reason is None or reason.check(ConnectionDone)  # type: ignore[no-untyped-call]
         self.owner.places.left(self)
-        ending = self.ending or (Ending.CLOSED_BY_PEER if clean else Ending.LOST)
+        ending = self.ending or (EndReason.CLOSED_BY_PEER if clean else EndReason.CONNECTION_LOST)
         self.core.counters.add("connections: " + ending.value)
         requests, self.open = list(self.open.values()), {}
         self.by_rid.clear()
         for request in requests:
-            self.core.gone(request)
+            self.core.caller_gone(request)
 
-    def end(self, ending: Ending) -> bool:
+    def end(self, ending: EndReason) -> bool:
         """Close. What has come unread is read first: with a request among it the connection stays; False then."""
-        if self.ending is None and ending is not Ending.READS_TOO_SLOWLY and not self.unsent:
+        if self.ending is None and ending is not EndReason.SLOW_READER and not self.unsent:
             read_pending(self.transport)
             if self.ending is None and self.open:
                 return False
-            if self.ending is None and ending is Ending.IDLE and self.reading:
+            if self.ending is None and ending is EndReason.IDLE_TIMEOUT and self.reading:
                 self.owner.places.asked(self)
                 return False
         if self.ending is None:
             self._close(ending)
         return True
 
-    def _close(self, ending: Ending) -> None:
-        if ending is Ending.MADE_WAY:
+    def _close(self, ending: EndReason) -> None:
+        if ending is EndReason.EVICTED_WHILE_IDLE:
             self.leave()  # whoever rests hears why, and sends nothing new
         self.ending = ending
         self.owner.places.closing(self)
-        if ending is Ending.READS_TOO_SLOWLY:
+        if ending is EndReason.SLOW_READER:
             self.transport.abortConnection()
         else:
             self._stop_producing()  # with a producer that is paused, Twisted would never close
@@ -141,15 +141,15 @@
 
     def lineLengthExceeded(self, line: bytes) -> None:
         self._send(error_line(None, PARSE, f"a line of more than {self.MAX_LENGTH} bytes"))
-        self._stop_reading(Ending.LINE_TOO_LONG)  # where the next message starts is not known
+        self._stop_reading(EndReason.LINE_TOO_LONG)  # where the next message starts is not known
 
-    def _stop_reading(self, ending: Ending) -> None:
+    def _stop_reading(self, ending: EndReason) -> None:
         if self.last_ending is None:
             self.last_ending = ending
             self.owner.places.busy(self)
             self._end_if_answered()
 
-    def _half_close(self, ending: Ending) -> None:
+    def _half_close(self, ending: EndReason) -> None:
         """A close with input unread would reset the connection, and the other side might never see the error: our
         half is closed, and what still comes is thrown away."""
         if self.ending is None:
@@ -164,7 +164,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         if self.ending is None and self.last_ending is None:
-            self.core.touch()
+            self.core.begin_turn()
             super().dataReceived(data)  # type: ignore[no-untyped-call]
             if not self._buffer:
                 self._begun = 0
@@ -189,7 +189,7 @@
     def close(self) -> None:
         """The runner ends, and all that was open has its answer."""
         if self.ending is None:
-            self._close(Ending.CLOSED_BY_US)
+            self._close(EndReason.CLOSED_LOCALLY)
 
     def _rested(self) -> None:
         if not self.open:
@@ -200,7 +200,7 @@
         if self.unsent:
             self.unsent += len(line)
             if self.unsent > MOST_UNSENT:
-                self.end(Ending.READS_TOO_SLOWLY)
+                self.end(EndReason.SLOW_READER)
 
     # ---- what comes ----
 
@@ -209,7 +209,7 @@
             return
         if not line.strip():
             return
-        self.core.touch()
+        self.core.begin_turn()
         self.active = self.core.clock.now
         try:
             message = read_message(line)
@@ -223,9 +223,11 @@
             self._request(message.method, message.tag, message.params)
 
     def _request(self, method: str, tag: int, params: Any) -> None:
-        if method not in self.core.intake.classes:
+        if method not in self.core.registrar.classes:
             # Front ends learn late of a class that was dropped: no reason to end their connection.
-            return self._fault(tag, NO_METHOD, "no such method", method not in self.core.intake.former)
+            return self._fault(
+                tag, NO_METHOD, "no such method", method not in self.core.registrar.former_classes
+            )
         if tag < 1 or tag in self.open:
             return self._fault(tag, INVALID, "id: expected one from 1 on that is not in use")
         if len(self.open) >= MOST_OPEN:
@@ -234,11 +236,13 @@
             arrival = read_arrival(method, params, self._begun or None)
         except BadParams as exc:
             return self._fault(tag, BAD_PARAMS, str(exc))
-        taken = self.core.take(arrival, self, tag)
-        if isinstance(taken, Fault) and taken in NEVER_RAN:
-            self._send(error_line(tag, REFUSED, taken.value, self.core.hint, backoff=BUSY_MS))
+        taken = self.core.submit(arrival, self, tag)
+        if isinstance(taken, InvalidArrival) and taken in NEVER_RAN:
+            self._send(
+                error_line(tag, REFUSED, taken.value, self.core.state.load_signal, backoff=RETRY_AFTER_MS)
+            )
             return self._rested()
-        if isinstance(taken, Fault):
+        if isinstance(taken, InvalidArrival):
             return self._fault(tag, FAULT_CODES.get(taken, FAILED), taken.value, taken in FAULT_CODES)
         self.owner.places.busy(self)
         self.open[tag] = taken
@@ -256,7 +260,7 @@
         if self.faults == MOST_FAULTS:
             self.leave()  # one that knows the protocol sends nothing new here; what is on its way has its answers
         if self.faults >= END_FAULTS:
-            self._stop_reading(Ending.TOO_FAULTY)
+            self._stop_reading(EndReason.TOO_MANY_ERRORS)
 
     def _end_if_answered(self) -> None:
         if self.last_ending is not None and not self.open:
@@ -264,8 +268,8 @@
 
     def _heartbeat(self, tag: int | None) -> None:
         result: dict[str, object] = {"fit": self.owner.fit()}
-        if self.core.hint is not None:
-            result["hint"] = self.core.hint
+        if self.core.state.load_signal is not None:
+            result["hint"] = self.core.state.load_signal
         self.core.counters.add("health checks")
         self._send(result_line(tag, result))
         self._rested()
@@ -280,7 +284,7 @@
         request = self.open.pop(number, None) if isinstance(number, int) else None
         if request is not None:
             self.by_rid.pop(request.rid, None)
-            self.core.gone(request)
+            self.core.caller_gone(request)
             self._rested()
         if tag is not None and tag not in self.open:
             self._send(result_line(tag, {}))
@@ -293,7 +297,7 @@
             self.by_rid.pop(request.rid, None)
             self._rested()
         self._send(answer_line(tag, answer, hint))
-        if answer.cause is Cause.NOT_ACCEPTED:
+        if answer.cause is Cause.UNKNOWN_TO_KERNEL:
             self._blame()
         self._end_if_answered()
 
@@ -301,7 +305,7 @@
 class JsonRpcFront(PlacedFront):
     """The listening side: its connections, their bound, and leaving."""
 
-    def __init__(self, core: Decider, most: int, fit: Callable[[], bool]) -> None:
+    def __init__(self, core: RequestEngine, most: int, fit: Callable[[], bool]) -> None:
         idleness = round(core.settings.idle_connection_ms * MS) or IDLENESS
         super().__init__(core, Places(core, most, SILENCE, idleness))
         self.draining = False
--- a/moorusher/frontends/jsonrpc_messages.py
+++ b/moorusher/frontends/jsonrpc_messages.py
@@ -8,19 +8,19 @@
 from typing import Any
 
 from ..core.answer import Answer, Verdict
-from ..core.intake import Fault
-from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, Range, is_word
+from ..core.registration import InvalidArrival
+from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, ValueRange, is_identifier
 
 PARSE, INVALID, NO_METHOD, BAD_PARAMS, FAILED, REFUSED = -32700, -32600, -32601, -32602, -32000, -32014
 MOST_BODY = 2048
 LEAVING = b'{"jsonrpc":"2.0","method":"leaving"}\n'
 FAULT_CODES = {
-    Fault.NO_SUCH_CLASS: NO_METHOD,
-    Fault.NO_SUCH_TENANT: BAD_PARAMS,
-    Fault.NO_SUCH_TIME: BAD_PARAMS,
-    Fault.TOKEN_MISSING: BAD_PARAMS,
-    Fault.RID_IN_USE: BAD_PARAMS,
-    Fault.BODY_DIFFERS: BAD_PARAMS,
+    InvalidArrival.UNKNOWN_CLASS: NO_METHOD,
+    InvalidArrival.UNKNOWN_TENANT: BAD_PARAMS,
+    InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE: BAD_PARAMS,
+    InvalidArrival.IDEMPOTENCY_KEY_MISSING: BAD_PARAMS,
+    InvalidArrival.DUPLICATE_REQUEST_ID: BAD_PARAMS,
+    InvalidArrival.BODY_MISMATCH: BAD_PARAMS,
 }
 
 
@@ -61,17 +61,17 @@
     """The params of a request break the protocol; the text names the key and what is expected there."""
 
 
-def _number(params: dict[str, Any], key: str, allowed: Range) -> float | None:
+def _number(params: dict[str, Any], key: str, allowed: ValueRange) -> float | None:
     value = params.get(key)
     if value is None:
         return None
     # Not by isinstance alone: True is an int, and JSON as Python reads it has NaN and Infinity, in no range.
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not allowed.has(value):
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not allowed.contains(value):
         raise BadParams(f"{key}: expected a number {allowed}")
     return value
 
 
-def _needed(params: dict[str, Any], key: str, allowed: Range) -> float:
+def _needed(params: dict[str, Any], key: str, allowed: ValueRange) -> float:
     value = _number(params, key, allowed)
     if value is None:
         raise BadParams(f"{key}: required")
@@ -101,9 +101,9 @@
     if not isinstance(params, dict):
         raise BadParams("params: expected an object")
     rid, token = _text(params, "rid", 64), _text(params, "token", 128)
-    if rid is None or not is_word(rid, 64):
+    if rid is None or not is_identifier(rid, 64):
         raise BadParams("rid: required, of letters, digits and -_.:")
-    if token is not None and not is_word(token, 128):
+    if token is not None and not is_identifier(token, 128):
         raise BadParams("token: expected letters, digits and -_.:")
     content = params.get("content", "")
     if not isinstance(content, str):
@@ -163,7 +163,7 @@
         return served_line(tag, answer.content, hint)
     if answer.verdict is Verdict.FAILED:
         return error_line(tag, FAILED, answer.cause.value, hint)
-    data: dict[str, object] = {"backoff": answer.backoff_ms}
+    data: dict[str, object] = {"backoff": answer.retry_after_ms}
     if answer.final:
         data["final"] = 1
-    return error_line(tag, REFUSED, answer.words, hint, **data)
+    return error_line(tag, REFUSED, answer.rejection_message, hint, **data)
--- a/moorusher/frontends/limited_protocol.py
+++ b/moorusher/frontends/limited_protocol.py
@@ -6,8 +6,8 @@
 
 from twisted.internet.protocol import Factory
 
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from .connection_limits import Places
 
 
@@ -17,7 +17,7 @@
     noisy = False
     counted_as = "connections"
 
-    def __init__(self, core: Decider, places: Places) -> None:
+    def __init__(self, core: RequestEngine, places: Places) -> None:
         self.core, self.places = core, places
 
     def connection(self) -> Any:
@@ -26,9 +26,9 @@
 
     def buildProtocol(self, addr: object) -> Any:
         """None where each place is of use, and this one was accepted all the same."""
-        self.core.touch()
+        self.core.begin_turn()
         if not self.places.room():
-            self.core.counters.add(f"{self.counted_as}: {Ending.TOO_MANY.value}")
+            self.core.counters.add(f"{self.counted_as}: {EndReason.TOO_MANY_CONNECTIONS.value}")
             return None
         return self.connection()
 
@@ -38,10 +38,10 @@
 
     def promise_place(self) -> bool:
         """For the connection that waits to be accepted. False where each place is of use."""
-        self.core.touch()
+        self.core.begin_turn()
         return self.places.promise()
 
     def make_way(self) -> None:
         """The process has no descriptor for one more connection."""
-        self.core.touch()
+        self.core.begin_turn()
         self.places.make_way()
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -9,8 +9,8 @@
 from twisted.internet.protocol import Factory
 
 from ..core.clock import SECOND
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..health.formatting import orca
 from ..server.health_report import Reporter
 from .connection_limits import Places
@@ -28,16 +28,16 @@
     most = MOST
     counts = "probes"
 
-    def __init__(self, core: Decider, reporter: Reporter, build: Callable[[Any], Any]) -> None:
+    def __init__(self, core: RequestEngine, reporter: Reporter, build: Callable[[Any], Any]) -> None:
         self.core, self.reporter, self._build = core, reporter, build
         self.places = Places(core, self.most, SILENCE, IDLENESS)
         self._of: Counter[str] = Counter()  # places by address; those that have none are not in it
 
     def buildProtocol(self, addr: object) -> Any:
-        self.core.touch()
+        self.core.begin_turn()
         host = str(getattr(addr, "host", ""))
         if self._of[host] >= MOST_OF_ONE or not self.places.room():
-            self.core.counters.add("probes: " + Ending.TOO_MANY.value)
+            self.core.counters.add("probes: " + EndReason.TOO_MANY_CONNECTIONS.value)
             return None
         self._of[host] += 1
         made = self._build(self)
@@ -58,7 +58,7 @@
 class Rates:
     """Requests and failures a second since the last time, for load reports."""
 
-    def __init__(self, core: Decider) -> None:
+    def __init__(self, core: RequestEngine) -> None:
         self._core = core
         self._at, self._served, self._failed = core.clock.now, 0, 0
         self.rps = self.eps = 0.0
@@ -77,7 +77,7 @@
 class LoadReport:
     """ORCA's text form of the standing, for whoever answers with it."""
 
-    def __init__(self, core: Decider, reporter: Reporter) -> None:
+    def __init__(self, core: RequestEngine, reporter: Reporter) -> None:
         self._reporter, self._rates = reporter, Rates(core)
 
     def text(self) -> str:
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -11,9 +11,9 @@
 
 from ..core.answer import Answer, Cause, Verdict
 from ..core.clock import SECOND, Alarm
-from ..core.intake import BUSY_MS, NEVER_RAN, Fault
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.registration import NEVER_RAN, RETRY_AFTER_MS, InvalidArrival
+from ..core.request_engine import RequestEngine
 from ..core.requests import Request
 from .connection_limits import Places
 from .limited_protocol import PlacedFront
@@ -53,7 +53,7 @@
         self.owner, self.core = owner, owner.core
         self.state = State.VARS
         self.request: Request | None = None
-        self.ending: Ending | None = None
+        self.ending: EndReason | None = None
         self._data = bytearray()
         self._since = 0
         self._vars: dict[str, str] = {}
@@ -74,7 +74,7 @@
     def leave(self) -> None:
         """uwsgi has no word for it: an idle client is simply told that it was too slow."""
 
-    def end(self, ending: Ending) -> bool:
+    def end(self, ending: EndReason) -> bool:
         """It has not come whole: in time, or as its place was needed. False where its rest was only unread."""
         self.read_rest()
         if self.state is State.ASKED:
@@ -82,25 +82,28 @@
         if self.state is not State.OVER:
             self.ending = self.ending or ending
             self._finish(
-                response(408, b"the request did not come whole in time"), at_once=ending is Ending.MADE_WAY
+                response(408, b"the request did not come whole in time"),
+                at_once=ending is EndReason.EVICTED_WHILE_IDLE,
             )
         return True
 
     def cut(self) -> None:
         """Answered, and the answer is not being read."""
         if self in self.owner.places.all:
-            self.ending = self.ending or Ending.IDLE
+            self.ending = self.ending or EndReason.IDLE_TIMEOUT
             self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
         self.owner.places.left(self)
-        ending = self.ending or (Ending.CLOSED_BY_US if self.state is State.OVER else Ending.CLOSED_BY_PEER)
+        ending = self.ending or (
+            EndReason.CLOSED_LOCALLY if self.state is State.OVER else EndReason.CLOSED_BY_PEER
+        )
         self.core.counters.add("uwsgi connections: " + ending.value)
         # In the packet or its body: nothing has entered the core. After it: the caller is gone.
         if self.request is not None:
-            self.core.gone(self.request)
+            self.core.caller_gone(self.request)
         self.state, self.request = State.OVER, None
 
     def dataReceived(self, data: bytes) -> None:
@@ -136,12 +139,12 @@
     def _ask(self, body: bytes) -> None:
         self._data.clear()
         arrival = read_arrival(self._vars, body, self._since)
-        taken = self.core.take(arrival, self, 0)
-        if isinstance(taken, Fault):
+        taken = self.core.submit(arrival, self, 0)
+        if isinstance(taken, InvalidArrival):
             status = FAULT_STATUS[taken]
             more: dict[str, object] = {"Retry_After": 1} if status == 503 else {}
             if taken in NEVER_RAN:
-                more |= {"X_Moorusher_Backoff_Ms": round(BUSY_MS), "X_Moorusher_Never_Ran": 1}
+                more |= {"X_Moorusher_Backoff_Ms": round(RETRY_AFTER_MS), "X_Moorusher_Never_Ran": 1}
             return self._finish(response(status, taken.value.encode(), **more))
         self.state, self.request = State.ASKED, taken
         self.owner.places.busy(self)  # from here the core sees to the time
@@ -154,7 +157,7 @@
     def close(self) -> None:
         """The runner ends: what has not come whole never entered the core, and may go elsewhere."""
         if self.state in (State.VARS, State.BODY) and self._data:
-            said = response(503, Cause.STOPPING.value.encode(), Retry_After=1, X_Moorusher_Never_Ran=1)
+            said = response(503, Cause.SHUTTING_DOWN.value.encode(), Retry_After=1, X_Moorusher_Never_Ran=1)
             self._finish(said, at_once=True)
         else:
             self.transport.loseConnection()
@@ -165,15 +168,15 @@
             more["endpoint_load_metrics"] = self.owner.load()
         if answer.verdict is Verdict.SERVED:
             return self._finish(response(200, answer.content, **more))
-        if answer.verdict is Verdict.REFUSED:
+        if answer.verdict is Verdict.REJECTED:
             # Whole seconds are all that Retry-After can say; the exact wait stands beside it.
             more |= {
-                "Retry_After": max(1, math.ceil(answer.backoff_ms / 1000)),
-                "X_Moorusher_Backoff_Ms": round(answer.backoff_ms),
+                "Retry_After": max(1, math.ceil(answer.retry_after_ms / 1000)),
+                "X_Moorusher_Backoff_Ms": round(answer.retry_after_ms),
                 "X_Moorusher_Never_Ran": 1,
                 "X_Moorusher_Final": int(answer.final),
             }
-            return self._finish(response(503, answer.words.encode(), **more))
+            return self._finish(response(503, answer.rejection_message.encode(), **more))
         self._finish(response(FAILED_STATUS[answer.cause], answer.cause.value.encode(), **more))
 
     def _finish(self, data: bytes, at_once: bool = False) -> None:
@@ -196,7 +199,7 @@
     counted_as = "uwsgi connections"
 
     def __init__(
-        self, core: Decider, most: int, most_body: int, idle_s: float, fit: Callable[[], bool]
+        self, core: RequestEngine, most: int, most_body: int, idle_s: float, fit: Callable[[], bool]
     ) -> None:
         super().__init__(core, Places(core, most, round(idle_s * SECOND), 0))
         self.most_body, self.fit = most_body, fit
--- a/moorusher/frontends/uwsgi_packets.py
+++ b/moorusher/frontends/uwsgi_packets.py
@@ -10,8 +10,8 @@
 import struct
 
 from ..core.answer import Cause
-from ..core.intake import Fault
-from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, Range, is_word
+from ..core.registration import InvalidArrival
+from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, ValueRange, is_identifier
 
 HEAD = struct.Struct("<BHB")  # modifier1, size of the variables, modifier2
 LENGTH = struct.Struct("<H")
@@ -33,27 +33,27 @@
 }
 
 FAULT_STATUS = {
-    Fault.NO_SUCH_CLASS: 404,
-    Fault.NO_SUCH_TENANT: 403,
-    Fault.TOKEN_MISSING: 400,
-    Fault.RID_IN_USE: 409,
-    Fault.BODY_DIFFERS: 422,
-    Fault.NO_SUCH_TIME: 400,
-    Fault.KEY_UNSURE: 503,
-    Fault.TOO_MANY: 503,
-    Fault.KEYS_FULL: 503,
-    Fault.NOT_READY: 503,
-    Fault.RULES_UNKNOWN: 503,
+    InvalidArrival.UNKNOWN_CLASS: 404,
+    InvalidArrival.UNKNOWN_TENANT: 403,
+    InvalidArrival.IDEMPOTENCY_KEY_MISSING: 400,
+    InvalidArrival.DUPLICATE_REQUEST_ID: 409,
+    InvalidArrival.BODY_MISMATCH: 422,
+    InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE: 400,
+    InvalidArrival.KEY_STATE_UNKNOWN: 503,
+    InvalidArrival.TOO_MANY_REQUESTS: 503,
+    InvalidArrival.KEY_TABLE_FULL: 503,
+    InvalidArrival.NOT_READY: 503,
+    InvalidArrival.RULES_UNKNOWN: 503,
 }
 # A gateway's two words: what stood behind it failed (502), or did not answer in time (504).
 FAILED_STATUS = {
     Cause.RUN_FAILED: 502,
-    Cause.NOT_ACCEPTED: 502,
-    Cause.NO_RESULT: 502,
-    Cause.FAULT: 502,
-    Cause.GIVEN_UP: 504,
-    Cause.STOPPING: 504,
-    Cause.MAY_GO_ON: 504,
+    Cause.UNKNOWN_TO_KERNEL: 502,
+    Cause.NO_SHARED_RESULT: 502,
+    Cause.INTERNAL_ERROR: 502,
+    Cause.ABANDONED: 504,
+    Cause.SHUTTING_DOWN: 504,
+    Cause.MAY_RUN_ELSEWHERE: 504,
 }
 REASONS = {
     200: "OK",
@@ -125,7 +125,7 @@
     return int(text)
 
 
-def _number(variables: dict[str, str], name: str, allowed: Range) -> float | None:
+def _number(variables: dict[str, str], name: str, allowed: ValueRange) -> float | None:
     text = variables.get(VARS[name], "")
     if not text:
         return None
@@ -133,7 +133,7 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    if not allowed.has(value):
+    if not allowed.contains(value):
         raise BadPacket(400, f"{VARS[name]}: expected a number {allowed}")
     return value
 
@@ -144,7 +144,7 @@
         raise BadPacket(400, f"{VARS['class']}: required")
     rid = variables.get(VARS["rid"], "") or secrets.token_hex(8)
     token = variables.get(VARS["token"], "") or None
-    if not is_word(rid, 64) or (token is not None and not is_word(token, 128)):
+    if not is_identifier(rid, 64) or (token is not None and not is_identifier(token, 128)):
         raise BadPacket(400, f"{VARS['rid']}, {VARS['token']}: expected letters, digits and -_.:")
     subject = variables.get(VARS["obj"], "")
     try:
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -14,9 +14,9 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.internet.task import deferLater
 
-from ..core.call import NoCalls
+from ..core.call import NoCallTransport
 from ..core.clock import Alarms, Clock
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..frontends.agent import AgentFront
 from ..health.policy import Policy
 from ..server.health_report import Reporter
@@ -216,10 +216,15 @@
     probers, ports = [], []
     for i in range(NOTICES):
         clock = Clock()
-        cores: list[Decider] = []
-        timer = LoopTimer(reactor, lambda cores=cores: cores[0].ring())  # type: ignore[misc]
-        core = Decider(
-            settings, clock, Alarms(clock, timer.arm), _Quiet(), NoCalls(), lambda f: reactor.callLater(0, f)
+        cores: list[RequestEngine] = []
+        timer = LoopTimer(reactor, lambda cores=cores: cores[0].fire_timers())  # type: ignore[misc]
+        core = RequestEngine(
+            settings,
+            clock,
+            Alarms(clock, timer.arm),
+            _Quiet(),
+            NoCallTransport(),
+            lambda f: reactor.callLater(0, f),
         )
         cores.append(core)
         core.kernel_up(False, 0)
@@ -230,7 +235,7 @@
         seen: Deferred[float] = Deferred()
         waits.append(seen)
 
-        def notice(core: Decider = core, server: Server = server, seen: Deferred[float] = seen) -> None:
+        def notice(core: RequestEngine = core, server: Server = server, seen: Deferred[float] = seen) -> None:
             core.drain(4000)
             at = now_us()
 
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from ..backends.server_pool import TierCalls
-    from ..core.request_engine import Decider
+    from ..core.request_engine import RequestEngine
     from .health_report import Reporter
 
 
@@ -52,7 +52,11 @@
 
 
 def build_cluster_parts(
-    config: Config, reactor: Any, core: Decider, reporter: Reporter, accepts_more_work: Callable[[], bool]
+    config: Config,
+    reactor: Any,
+    core: RequestEngine,
+    reporter: Reporter,
+    accepts_more_work: Callable[[], bool],
 ) -> ClusterParts:
     """Build the parts that the configuration switches on."""
     parts = ClusterParts()
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -43,7 +43,7 @@
         """Begin to leave with nobody who serves on. No effect where the process leaves already."""
         service = self._service
         core = service.core
-        if core.leaving:
+        if core.drain_state.shutting_down:
             return
         stop_ms = min(service.config.stop_ms, self._earliest_kill_ms())
         log.info("leaving within %.0f ms", stop_ms)
@@ -58,7 +58,7 @@
     def finish(self) -> None:
         """Begin to leave as another process serves on. No effect where the process leaves already."""
         core = self._service.core
-        if core.leaving:
+        if core.drain_state.shutting_down:
             return
         stop_ms = self._earliest_kill_ms()
         log.info("replaced: ends within %.0f ms", stop_ms)
@@ -73,7 +73,7 @@
     def _end_within(self, stop_ms: float) -> None:
         core = self._service.core
         self._active_at_us = core.clock.now
-        core.settled = self._end_if_quiet
+        core.hooks.turn_ended_while_draining = self._end_if_quiet
         core.alarms.at(core.clock.now + round(stop_ms * MS) - KILL_MARGIN_US, self.end)
         self._schedule_check()
 
@@ -99,10 +99,13 @@
         service = self._service
         core = service.core
         accepts = bool(service.listeners.accepting() & set(CLIENT_LISTENERS))
-        hands_results_over = bool(core.replaced and len(core.runs))
+        hands_results_over = bool(core.drain_state.replaced and len(core.runs))
         replication = service.cluster.replication
         return bool(
-            core.owed or accepts or hands_results_over or (replication is not None and replication.busy)
+            core.table.unanswered
+            or accepts
+            or hands_results_over
+            or (replication is not None and replication.busy)
         )
 
     def _end_if_quiet(self) -> None:
@@ -130,7 +133,7 @@
         service = self._service
         if service.warm_start_store is not None:
             service.warm_start_store.stop()
-        if not service.core.replaced:
+        if not service.core.drain_state.replaced:
             self._close_client_listeners()
         connections = self._client_connections()
         for connection in connections:
--- a/moorusher/server/health_report.py
+++ b/moorusher/server/health_report.py
@@ -11,8 +11,8 @@
 from moorusher.scheduling.interface import Settings
 
 from ..core.clock import MS
-from ..core.observer import Watch
-from ..core.request_engine import Decider
+from ..core.observer import EngineObserver
+from ..core.request_engine import RequestEngine
 from ..health.observation import Maintenance, Observation
 from ..health.policy import Policy
 from ..health.states import Impossible, Standing
@@ -26,10 +26,10 @@
 # must not have each of them walk through what is held
 
 
-class Reporter(Watch):
+class Reporter(EngineObserver):
     """One runner's standing, worked out as it is asked for."""
 
-    def __init__(self, core: Decider, policy: Policy, name: str) -> None:
+    def __init__(self, core: RequestEngine, policy: Policy, name: str) -> None:
         s = core.settings
         self.core = core
         self.doors_closed = False
@@ -38,7 +38,7 @@
         self.tracker = Tracker(self._facts(s, phase), policy, core.clock.now)
         self._last: Report | None = None
         self._at = 0
-        core.watched_by(self)
+        core.hooks.observer = self
 
     @staticmethod
     def _facts(s: Settings, phase: float) -> Facts:
@@ -58,16 +58,16 @@
 
     # ---- as it happens ----
 
-    def crowd_is(self, now: int, on_cores: int) -> None:
+    def runs_on_cores(self, now: int, on_cores: int) -> None:
         self.tracker.crowd_is(now, on_cores)
 
-    def came(self, now: int) -> None:
+    def request_arrived(self, now: int) -> None:
         self.tracker.came(now)
 
-    def ended(self, now: int) -> None:
+    def run_ended(self, now: int) -> None:
         self.tracker.ended(now)
 
-    def refused(self, now: int) -> None:
+    def request_rejected(self, now: int) -> None:
         self.tracker.refused(now)
 
     def link_up(self, now: int) -> None:
@@ -78,7 +78,7 @@
         self.tracker.link.lost(now)
         self._last = None
 
-    def changed(self) -> None:
+    def state_changed(self) -> None:
         self._last = None
 
     def stop_accepting(self) -> None:
@@ -93,11 +93,11 @@
     def maintain(self, reason: str, for_s: float | None = None) -> bool:
         """False where the runner leaves already. The one state behind maintenance and quiesce: health is bad from
         this turn on, and whatever still comes is served."""
-        self.core.touch()
+        self.core.begin_turn()
         log.info("taken out: %s", reason)
         now = self.core.clock.now
         self._last = None
-        if self.core.draining:
+        if self.core.drain_state.draining:
             return False
         taken = self.tracker.maintain(
             Maintenance(reason, now, None if for_s is None else now + round(for_s * 1e6))
@@ -107,10 +107,10 @@
 
     def put_back(self) -> bool:
         """False where no maintenance was set."""
-        self.core.touch()
+        self.core.begin_turn()
         was = self.tracker.maintenance
         self._last = None
-        back = not self.core.draining and self.tracker.maintain(None) and was is not None
+        back = not self.core.drain_state.draining and self.tracker.maintain(None) and was is not None
         if back:
             log.info("put back")
             self.told()
@@ -118,7 +118,7 @@
 
     def follow(self, maintenance: Maintenance | None) -> None:
         """As an operator has told another process of this runner."""
-        self.core.touch()
+        self.core.begin_turn()
         self._last = None
         self.tracker.maintain(maintenance)
 
@@ -134,33 +134,33 @@
         that is gone for a moment would take a runner off lists that learn of its return seconds late
         (docs/design/standing.md has what that cost)."""
         core = self.core
-        return core.ready and core.healthy and not core.draining and self.wanted
+        return core.ready and core.state.healthy and not core.drain_state.draining and self.wanted
 
     # ---- as probes ask ----
 
     def observe(self) -> Observation:
         core = self.core
-        held, oldest = core.held()
-        values = core.told_gauges()
+        held, oldest = core.table.queued(core.clock.now)
+        values = core.kernel_status.gauges
         return Observation(
             core.clock.now,
             core.ready,
-            core.speed(),
+            core.kernel_status.warm_up_speed(),
             False,
             core.runs.on_cores,
             core.runs.at_calls,
             held,
             oldest,
-            core.owed,
-            core.healthy,
-            core.draining,
+            core.table.unanswered,
+            core.state.healthy,
+            core.drain_state.draining,
             self.doors_closed,
-            core.left_us,
-            gauge_of(core.settings.gauges, values, core.gauges_at) if values else None,
+            core.drain_state.remaining_us,
+            gauge_of(core.settings.gauges, values, core.kernel_status.gauges_at) if values else None,
         )
 
     def report(self, source: str = "") -> Report:
-        self.core.touch()
+        self.core.begin_turn()
         now = self.core.clock.now
         if self._last is not None and now - self._at < KEPT:
             if source:
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -91,7 +91,7 @@
     deferred = _deferred_fields(old, new)
     backend = new.uwsgi.below or new.db if old.uwsgi.below is None else new.uwsgi.below
     _check_no_restart_needed(service, new, backend)
-    service.core.touch()
+    service.core.begin_turn()
     settings_plan = plan(service.core.settings, new.settings)
     fleet = old.fleet if "fleet" in deferred else new.fleet
     service.config = replace(old, **{name: getattr(new, name) for name in LIVE_FIELDS}, fleet=fleet)
@@ -103,7 +103,7 @@
     _move_connections(service, new, backend)
     service.core.counters.add("configurations read")
     waits = f"; {', '.join(deferred)}: changed, for the next start" if deferred else ""
-    log.info("configuration read again: kernel %s:%d%s%s", *new.kernel, settings_plan.words(), waits)
+    log.info("configuration read again: kernel %s:%d%s%s", *new.kernel, settings_plan.summary(), waits)
 
 
 def _deferred_fields(old: Config, new: Config) -> list[str]:
@@ -139,9 +139,9 @@
 def _apply_settings(service: Service, settings_plan: Plan) -> list[str]:
     """Return the names of the settings that wait for the next start."""
     if settings_plan.settings != service.core.settings:
-        service.core.retune(settings_plan)
+        service.core.reconfigure(settings_plan)
         service.reporter.retune(settings_plan.settings)
-    return [f"settings.{name}" for name in settings_plan.later]
+    return [f"settings.{name}" for name in settings_plan.deferred]
 
 
 def _apply_health_checks(service: Service, new: Config) -> None:
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -12,10 +12,10 @@
 from ..backends.kernel import KernelLink
 from ..config.loader import Config, Limits
 from ..config.section import Address
-from ..core.call import Calls, NoCalls
+from ..core.call import CallTransport, NoCallTransport
 from ..core.clock import Alarms, Clock
-from ..core.observer import Watch
-from ..core.request_engine import Decider
+from ..core.observer import EngineObserver
+from ..core.request_engine import RequestEngine
 from ..frontends.jsonrpc import JsonRpcFront
 from ..frontends.uwsgi import UwsgiFront
 from ..health.observation import Maintenance
@@ -49,15 +49,15 @@
         self.reactor = reactor
         self._reloader = ConfigReloader(self, reactor)
         self.clock = Clock()
-        self.alarms = Alarms(self.clock, LoopTimer(reactor, lambda: self.core.ring()).arm)
+        self.alarms = Alarms(self.clock, LoopTimer(reactor, lambda: self.core.fire_timers()).arm)
         self._listen_retry = ListenRetry(self.clock, self.alarms)
         self.kernel = KernelLink(reactor, config.kernel)
         self.backend = build_backend(config, reactor)
         self.server_pool: Any = self.backend if config.tier.servers else None
-        self.core = self._build_core(self.backend or NoCalls())
+        self.core = self._build_core(self.backend or NoCallTransport())
         self.reporter = Reporter(self.core, config.probes.policy, config.name)
         if not reports_health(config):
-            self.core.watched_by(Watch())
+            self.core.hooks.observer = EngineObserver()
         self.announcer = Announcer(reactor, config.announce, config.name) if config.announce else None
         self._peer_process_connections = 0
         self.apply_limits(config.limits)
@@ -70,7 +70,7 @@
         self.health_check: Any = None
         self.console: Any = None
         self.warm_start_store: Any = None
-        self.core.trim = self.jsonrpc.trim
+        self.core.hooks.trim_connections = self.jsonrpc.trim
         self.listeners = Listeners(reactor, self._budget.reserved, self.core.counters.add)
         self.shutdown = GracefulShutdown(self)
         self.hot_restart: Any = None
@@ -78,8 +78,8 @@
         self.serving = False
         self.failed = False
 
-    def _build_core(self, calls: Calls) -> Decider:
-        core = Decider(
+    def _build_core(self, calls: CallTransport) -> RequestEngine:
+        core = RequestEngine(
             self.config.settings,
             self.clock,
             self.alarms,
@@ -124,7 +124,7 @@
             self.accept({})
             return
         self.hot_restart = Succession(self.reactor, self.core, self, path, self.config.name)
-        self.core.up = self.hot_restart.kernel_up
+        self.core.hooks.kernel_up = self.hot_restart.kernel_up
         self.reporter.told = self.hot_restart.say_out
         self.hot_restart.start()
 
@@ -140,7 +140,7 @@
 
     def accept(self, handed: dict[str, int]) -> None:
         """Accept clients on the sockets that another process has handed over, and on others that it may share."""
-        if self.core.draining:
+        if self.core.drain_state.draining:
             return  # an address that became free too late: whoever came in now would only be sent away
         first = not self.serving
         try:
@@ -165,7 +165,7 @@
             self._retry_listening(error, lambda: self._open_console(address))
 
     def _retry_listening(self, error: OSError, attempt: Callable[[], None]) -> None:
-        self.core.touch()
+        self.core.begin_turn()
         if not self._listen_retry.failed(error, attempt):
             self.failed = True
             self.reactor.stop()
@@ -179,7 +179,7 @@
 
     def resume(self) -> None:
         """The process that was to replace this one is gone."""
-        if self.core.leaving:
+        if self.core.drain_state.shutting_down:
             return
         self._bound_backend_connections()
         self.jsonrpc.draining = False
@@ -192,13 +192,13 @@
         return Load(
             runs.on_cores,
             len(runs),
-            self.core.memory_kb(),
+            self.core.table.memory_kb(self.core.settings.run_memory_factor),
             len(self.jsonrpc.connections) + len(self.uwsgi.connections),
         )
 
     def beside(self, load: Load) -> None:
         """Keep within what another process of this runner leaves of its limits."""
-        self.core.beside(load.on_cores, load.running, load.memory_kb)
+        self.core.coexist(load.on_cores, load.running, load.memory_kb)
         self._peer_process_connections = load.connections
         self.apply_connection_limits()
 
@@ -242,7 +242,7 @@
         """Size tables and connection pools by the limits. What is open stays open."""
         request_frontends = 1 if self.config.uwsgi.listen is None else 2
         self._budget = ConnectionBudget.of(raise_descriptor_limit(limits.sockets), request_frontends)
-        self.core.keys.limit(limits.memory_mb)
+        self.core.keys.set_memory_limit(limits.memory_mb)
         self._bound_backend_connections()
 
     def _bound_backend_connections(self) -> None:
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -10,7 +10,7 @@
 
 from ..backends.server_pool import TierCalls
 from ..core.clock import SECOND, Alarm
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..warm_start.learned_state import Condition, Knowledge
 from ..warm_start.merge import merge
 from ..warm_start.snapshot import MOST, Refused, read, write
@@ -62,7 +62,7 @@
     """Has the tier learn from the file, and writes what it knows. `condition`: how this runner is."""
 
     def __init__(
-        self, core: Decider, tier: TierCalls, path: Path, condition: Callable[[], Condition]
+        self, core: RequestEngine, tier: TierCalls, path: Path, condition: Callable[[], Condition]
     ) -> None:
         self.core, self.tier, self.path = core, tier, path
         self._condition = condition
--- a/tests/compatibility/test_counters.py
+++ b/tests/compatibility/test_counters.py
@@ -14,7 +14,7 @@
 
 import moorusher
 from moorusher.core.answer import Cause, Verdict
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.health.states import Standing
 from moorusher.hot_restart.process_role import State
 from moorusher.maintenance.local_machine import Doing
@@ -30,7 +30,7 @@
     "standing: ": Standing,
     "outage: ": Doing,
     "failed: ": Cause,
-    "connections: ": Ending,
+    "connections: ": EndReason,
     "": Verdict,
 }
 
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -16,7 +16,7 @@
 import pytest
 
 from moorusher.cluster_transport.hot_restart import Peer, Succession
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.health.policy import Policy
 from moorusher.hot_restart.process_role import Event, State
 from moorusher.hot_restart.shared_budget import Load
@@ -122,11 +122,11 @@
         self.world.turn()
 
     def ends_run(self, rid: str, result: bytes) -> None:
-        self.world.core.run_over(rid, Ending.RUN_PASSED, result)
+        self.world.core.execution.run_ended(rid, EndReason.RUN_SUCCEEDED, result)
         self.world.turn()
 
     def fails_run(self, rid: str) -> None:
-        self.world.core.run_over(rid, Ending.RUN_NEVER_BEGAN, b"")
+        self.world.core.execution.run_ended(rid, EndReason.RUN_NEVER_STARTED, b"")
         self.world.turn()
 
     def taken_out(self, reason: str, for_s: float | None) -> None:
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -23,7 +23,7 @@
 
 from moorusher.config import loader as config
 from moorusher.core.clock import Clock
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import Post
 from moorusher.maintenance.schedule import Roster
@@ -123,29 +123,29 @@
         for _ in range(max(1, round(seconds * 1e9 / TURN_NS))):
             self.at_ns += TURN_NS
             self.reactor.turn(TURN_NS / 1e9)
-            self.service.core.ring()
+            self.service.core.fire_timers()
 
     def kernel_up(self) -> None:
-        self.service.core.link_up()
+        self.service.core.kernel_status.link_up()
         self.service.core.kernel_up(False, 0)
 
     def kernel_lost(self) -> None:
-        self.service.core.link_lost()
+        self.service.core.kernel_status.link_lost()
 
     def gauges(self, *values: float) -> None:
         """As the kernel tells them, in the order of the settings."""
-        self.service.core.gauges(values)
+        self.service.core.kernel_status.gauges_received(values)
 
     def take(self, rid: str, klass: str, token: str | None = None) -> None:
         arrival = Arrival(rid, klass, b"body", tenant="acme", token=token, memory_kb=10.0)
-        self.service.core.take(arrival, self, 1)
+        self.service.core.submit(arrival, self, 1)
         self.wait(0.005)
 
     def answer(self, tag: int, answer: Any, hint: float | None) -> None:
         """To a request that was taken: nobody waits for it."""
 
     def ends_run(self, rid: str) -> None:
-        self.service.core.run_over(rid, Ending.RUN_PASSED, b"result")
+        self.service.core.execution.run_ended(rid, EndReason.RUN_SUCCEEDED, b"result")
         self.wait(0.005)
 
     def leaves(self) -> None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.frontends.connection_limits import ASKED, CLOSING
 from moorusher.frontends.jsonrpc import MOST_LINE, SILENCE, JsonRpcFront
 from moorusher.frontends.uwsgi import UwsgiFront
@@ -54,7 +54,7 @@
         self.world.wait(us / 1000)
 
     def run_over(self, rid: str) -> None:
-        self.world.core.run_over(rid, Ending.RUN_PASSED, b"done")
+        self.world.core.execution.run_ended(rid, EndReason.RUN_SUCCEEDED, b"done")
         self.loop.turn()
 
 
@@ -110,7 +110,7 @@
     s.loop.turn()
     s.pass_by(ASKED + SILENCE + 100_000)
     s.loop.turn()
-    assert client.ended and client.protocol.ending is Ending.IDLE
+    assert client.ended and client.protocol.ending is EndReason.IDLE_TIMEOUT
 
 
 def test_a_request_that_comes_as_its_place_is_needed_keeps_it_and_another_makes_way() -> None:
@@ -211,7 +211,7 @@
     assert [m["error"]["code"] for m in client.messages()] == [-32700] and not client.ended
     s.run_over("r1")
     assert answered(client)["id"] == 1 and client.ended
-    assert client.protocol.ending is Ending.LINE_TOO_LONG
+    assert client.protocol.ending is EndReason.LINE_TOO_LONG
 
 
 def test_a_connection_that_ends_while_the_other_side_does_not_read_closes_once_it_has_read() -> None:
@@ -220,7 +220,7 @@
     client.transport.write(bytes(8_000_000))  # more than the system holds back for the client
     s.loop.turn()
     assert client.protocol.unsent
-    assert client.protocol.end(Ending.IDLE)
+    assert client.protocol.end(EndReason.IDLE_TIMEOUT)
     while not client.ended:
         before = len(client.read())
         s.loop.turn()
@@ -232,7 +232,7 @@
     client = s.connect()
     client.transport.write(bytes(8_000_000))
     s.loop.turn()
-    client.protocol.end(Ending.IDLE)
+    client.protocol.end(EndReason.IDLE_TIMEOUT)
     s.loop.turn()
     assert len(s.front.places) == 1
     s.pass_by(CLOSING + 10_000)
@@ -260,7 +260,7 @@
     client = s.connect(s.uwsgi)
     client.send(uwsgi_request("read", b"body", tenant="", rid="u1"))
     s.loop.turn()
-    s.world.core.run_over("u1", Ending.RUN_PASSED, b"done")
+    s.world.core.execution.run_ended("u1", EndReason.RUN_SUCCEEDED, b"done")
     client.send(
         b"more than was announced"
     )  # as the answer goes out: closed over it, the connection would be reset
@@ -304,7 +304,7 @@
     s.loop.turn()
     held.send(call(rid="b"))
     s.loop.turn()
-    assert s.world.runs() == ["a"] and s.world.core.owed == 2
+    assert s.world.runs() == ["a"] and s.world.core.table.unanswered == 2
     unread.send(call(rid="c"))
     over_uwsgi.send(uwsgi_request("read", b"body", tenant="", rid="d"))
     s.world.core.drain(4000.0)
@@ -317,7 +317,9 @@
     codes = [answer["error"]["code"] for answer in answers]
     assert codes == [-32000, -32014, -32014]
     assert status(over_uwsgi.read()) == 503 and b"X-Moorusher-Never-Ran: 1" in over_uwsgi.read()
-    assert s.world.runs() == ["a"] and s.world.core.owed == 0 and running.ended and over_uwsgi.ended
+    assert (
+        s.world.runs() == ["a"] and s.world.core.table.unanswered == 0 and running.ended and over_uwsgi.ended
+    )
 
 
 def test_half_a_request_counts_as_reading_until_its_time_is_over() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,12 +8,12 @@
 import pytest
 
 from moorusher.core.answer import Answer, Verdict
-from moorusher.core.call import Asked
+from moorusher.core.call import CallRequest
 from moorusher.core.clock import SECOND, Alarms, Clock
-from moorusher.core.idempotency_keys import MARGIN, Keys
-from moorusher.core.intake import Fault
-from moorusher.core.outcomes import Ending
-from moorusher.core.request_engine import Decider
+from moorusher.core.idempotency_keys import MARGIN, KeyTable
+from moorusher.core.outcomes import EndReason
+from moorusher.core.registration import InvalidArrival
+from moorusher.core.request_engine import RequestEngine
 from moorusher.core.requests import Arrival, Request
 from moorusher.core.run import NOT_WRITTEN
 from moorusher.scheduling import interface as api
@@ -54,10 +54,10 @@
 
 class Calls:
     def __init__(self) -> None:
-        self.made: list[Asked] = []
+        self.made: list[CallRequest] = []
         self.given_up: list[int] = []
 
-    def call(self, number: int, asked: Asked) -> None:
+    def call(self, number: int, asked: CallRequest) -> None:
         self.made.append(asked)
 
     def give_up(self, number: int) -> None:
@@ -72,7 +72,7 @@
         clock = Clock(lambda: self.at, lambda: self.at + 10**18)
         self.kernel, self.calls = Kernel(), Calls()
         self.answers: list[tuple[int, Answer]] = []
-        self.core = Decider(
+        self.core = RequestEngine(
             settings(**changes),
             clock,
             Alarms(clock, lambda when: None),
@@ -93,7 +93,7 @@
         """In steps, as the loop's timer would ring."""
         for _ in range(max(1, round(ms / 5))):
             self.at += 5_000_000
-            self.core.ring()
+            self.core.fire_timers()
             self.turn()
 
     def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
@@ -102,7 +102,7 @@
     def take(
         self, rid: str, tag: int = 0, klass: str = "write", token: str | None = "t", **more: Any
     ) -> Request:
-        taken = self.core.take(Arrival(rid, klass, b"x", token=token, memory_kb=10.0, **more), self, tag)
+        taken = self.core.submit(Arrival(rid, klass, b"x", token=token, memory_kb=10.0, **more), self, tag)
         assert isinstance(taken, Request)
         return taken
 
@@ -119,7 +119,7 @@
     w.take("b", 2)
     w.turn()
     assert w.runs() == ["a"]
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     assert sorted(w.verdicts(), key=str) == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
     assert [a.content for _, a in w.answers] == [b"r", b"r"]
@@ -129,8 +129,8 @@
     w = World()
     w.take("a", 1)
     w.turn()
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
-    w.core.run_over("a", Ending.RUN_FAILED, b"")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
     w.turn()
     assert w.verdicts() == [(1, Verdict.SERVED)]
 
@@ -139,7 +139,7 @@
     w = World()
     w.take("a", 1)
     w.turn()
-    w.core.run_over("a", Ending.RUN_FAILED, b"")
+    w.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
     w.wait(7_990)
     w.take("b", 2)
     w.wait(60)
@@ -155,15 +155,15 @@
     for i in range(12):
         w.take(f"r{i}", i, token=f"t{i}")
     w.turn()
-    refused = [tag for tag, a in w.answers if a.verdict is Verdict.REFUSED and 0 < a.backoff_ms <= 500]
+    refused = [tag for tag, a in w.answers if a.verdict is Verdict.REJECTED and 0 < a.retry_after_ms <= 500]
     assert refused and len(w.core.keys) == 12 - len(refused)
-    assert w.take("again", 99, token=f"t{refused[0]}").repeats is None
-    assert w.take("same", 98, token="t0").repeats == 1
+    assert w.take("again", 99, token=f"t{refused[0]}").retry_of is None
+    assert w.take("same", 98, token="t0").retry_of == 1
 
 
 def test_a_caller_that_leaves_while_its_try_is_held_frees_the_key() -> None:
     w = World()
-    w.core.gone(w.take("a", 1))
+    w.core.caller_gone(w.take("a", 1))
     w.take("b", 2)
     w.turn()
     assert w.runs() == ["b"] and len(w.core.table) == 1
@@ -173,10 +173,10 @@
     w = World()
     first = w.take("a", 1)
     w.turn()
-    w.core.gone(first)
-    w.core.gone(first)
+    w.core.caller_gone(first)
+    w.core.caller_gone(first)
     w.turn()
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     w.take("b", 2)
     w.turn()
@@ -189,7 +189,7 @@
         w.take(rid, i, token=rid)
     w.turn()
     for i, rid in enumerate(rids):
-        w.core.call_needed(rid, i + 1, b"ask")
+        w.core.execution.call_needed(rid, i + 1, b"ask")
     w.turn()
 
 
@@ -197,7 +197,7 @@
     """What is said on a new link, where the kernel has shown that it read so many commands."""
     w.kernel.said.clear()
     w.kernel.up = True
-    w.core.kernel_read_again(read)
+    w.core.execution.reconnected(read)
     return w.kernel.said
 
 
@@ -226,7 +226,7 @@
     assert w.verdicts() == [(0, Verdict.FAILED), (1, Verdict.FAILED)]
     assert again(w, read=0) == [("run", "a")]
     assert len(w.core.runs) == 1
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     assert w.verdicts()[2:] == [(2, Verdict.SERVED)]
     w.take("d", 3, token="b")
@@ -237,7 +237,7 @@
 def test_a_replayed_notice_makes_no_second_call() -> None:
     w = World(below=api.Below.TIER)
     calling(w, "a")
-    w.core.call_needed("a", 1, b"ask")
+    w.core.execution.call_needed("a", 1, b"ask")
     w.turn()
     assert [c.token for c in w.calls.made] == ["a.1"]
 
@@ -245,19 +245,19 @@
 def test_a_reply_that_was_dropped_is_said_on_the_next_link_and_one_that_was_read_is_not() -> None:
     w = World(below=api.Below.TIER)
     calling(w, "a", "b")
-    w.core.call_over(1, Ending.CALL_ANSWERED, b"reply")
+    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     read = w.kernel.written
     w.kernel.up = False
-    w.core.call_over(2, Ending.CALL_ANSWERED, b"reply")
+    w.core.execution.call_ended(2, EndReason.CALL_ANSWERED, b"reply")
     assert again(w, read) == [("done", "b", b"reply")]
-    w.core.call_needed("b", 3, b"ask")  # it was read
+    w.core.execution.call_needed("b", 3, b"ask")  # it was read
     assert again(w, read) == []
 
 
 def test_a_reply_that_may_have_been_read_is_never_said_again_and_its_run_does_not_stay_for_good() -> None:
     w = World(below=api.Below.TIER, halting=api.Halting.DISCARD)
     calling(w, "a")
-    w.core.call_over(1, Ending.CALL_ANSWERED, b"reply")
+    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     w.turn()
     assert again(w, w.kernel.written - 1) == []
     assert again(w, w.kernel.written - 1) == []
@@ -269,15 +269,15 @@
 def test_a_run_that_shows_that_it_got_its_uncertain_reply_goes_on_to_its_end() -> None:
     w = World(below=api.Below.TIER)
     calling(w, "a")
-    w.core.call_over(1, Ending.CALL_ANSWERED, b"reply")
+    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     w.turn()
     assert again(w, w.kernel.written - 1) == []
-    w.core.call_needed("a", 2, b"ask")
+    w.core.execution.call_needed("a", 2, b"ask")
     w.turn()
     assert [c.token for c in w.calls.made] == ["a.1", "a.2"]
-    w.core.call_over(1, Ending.CALL_ANSWERED, b"second")
+    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"second")
     w.turn()
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     w.wait(3_100)
     assert w.verdicts() == [(0, Verdict.SERVED)] and ("stop", "a") not in w.kernel.said
@@ -288,9 +288,9 @@
     w = World(below=api.Below.TIER, classes=(reading,))
     w.take("a", 1, klass="read", token=None)
     w.turn()
-    w.core.call_needed("a", 7, b"ask")
+    w.core.execution.call_needed("a", 7, b"ask")
     w.turn()
-    w.core.call_over(1, Ending.CALL_ANSWERED, b"reply")
+    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     w.turn()
     assert again(w, w.kernel.written - 1) == [("left out", "a", 7)], "which names the call that it is about"
 
@@ -300,10 +300,10 @@
     a = w.take("a", 1, token="a", budget_ms=2000.0)
     b = w.take("b", 2, token="b", budget_ms=2000.0)
     w.turn()
-    w.core.call_needed("a", 1, b"")
-    w.core.call_needed("b", 2, b"")
+    w.core.execution.call_needed("a", 1, b"")
+    w.core.execution.call_needed("b", 2, b"")
     w.turn()
-    w.core.run_over("b", Ending.RUN_KILLED, b"")
+    w.core.execution.run_ended("b", EndReason.RUN_KILLED, b"")
     w.turn()
     assert w.calls.given_up == [b.number]
     w.wait(2_100)
@@ -315,10 +315,10 @@
     w = World()
     w.take("a", 1)
     w.turn()
-    w.core.call_needed("a", 1, b"")
-    w.core.command_refused("SCHED", "a")
-    w.core.command_refused("IODONE", "a")
-    w.core.command_refused("SCHED", "unknown")
+    w.core.execution.call_needed("a", 1, b"")
+    w.core.execution.command_rejected("SCHED", "a")
+    w.core.execution.command_rejected("IODONE", "a")
+    w.core.execution.command_rejected("SCHED", "unknown")
     w.turn()
     assert w.answers == []
 
@@ -337,7 +337,7 @@
     w.take("bad", 2, token="u", rank=0.95)
     w.turn()
     assert sorted(w.verdicts(), key=str) == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.take("c", 3)  # the key outlived the module's fault: its result is served and nothing runs twice
     w.turn()
     assert w.runs() == ["a"] and w.verdicts()[-1] == (3, Verdict.SERVED)
@@ -362,10 +362,10 @@
         return made[-1]
 
     w = World(make, warm_after_ms=17_000.0)
-    w.core._balancer = None
+    w.core.dispatcher.scheduler = None
     w.core.kernel_up(cold, age_ms)
     assert made[-1].s.cold is is_cold
-    assert w.core.clock.module_ms() - made[-1].started == pytest.approx(since)
+    assert w.core.clock.scheduler_ms() - made[-1].started == pytest.approx(since)
 
 
 class Eager(Balancer):
@@ -388,41 +388,41 @@
 @pytest.mark.parametrize(
     "arrival, fault",
     [
-        (Arrival("r", "nothing", b""), Fault.NO_SUCH_CLASS),
-        (Arrival("r", "write", b""), Fault.TOKEN_MISSING),
-        (Arrival("a", "read", b""), Fault.RID_IN_USE),
-        (Arrival("r", "write", b"y", token="t"), Fault.BODY_DIFFERS),
+        (Arrival("r", "nothing", b""), InvalidArrival.UNKNOWN_CLASS),
+        (Arrival("r", "write", b""), InvalidArrival.IDEMPOTENCY_KEY_MISSING),
+        (Arrival("a", "read", b""), InvalidArrival.DUPLICATE_REQUEST_ID),
+        (Arrival("r", "write", b"y", token="t"), InvalidArrival.BODY_MISMATCH),
     ],
 )
-def test_faults_of_intake(arrival: Arrival, fault: Fault) -> None:
+def test_faults_of_intake(arrival: Arrival, fault: InvalidArrival) -> None:
     w = World()
     w.take("a", 1)
-    assert w.core.take(arrival, w, 2) is fault
+    assert w.core.submit(arrival, w, 2) is fault
     assert len(w.core.table) == 1
 
 
 def test_keys_are_bounded_and_go_when_their_time_is_over() -> None:
-    keys = Keys()
+    keys = KeyTable()
     for i in range(3):
-        keys.hold(("acme", str(i)), i)
-    assert keys.runs(0, 0, 1000.0) and not keys.runs(0, 0, 1000.0)
-    keys.settle(0, b"12345")
-    assert keys.bytes == 5
+        keys.reserve(("acme", str(i)), i)
+    assert keys.start(0, 0, 1000.0) and not keys.start(0, 0, 1000.0)
+    keys.finish(0, b"12345")
+    assert keys.result_bytes == 5
     end = SECOND + MARGIN
     assert keys.find(("acme", "0"), end - 1) is not None and keys.find(("acme", "0"), end) is None
-    assert keys.bytes == 0 and len(keys) == 2
-    keys.runs(1, 0, 1000.0)  # a run that does not end keeps its key
+    assert keys.result_bytes == 0 and len(keys) == 2
+    keys.start(1, 0, 1000.0)  # a run that does not end keeps its key
     assert keys.find(("acme", "1"), end * 5) is not None
 
 
 @pytest.mark.parametrize("memory_mb, entries", [(8, 666), (32, 1_000), (80, 8_000), (192, 8_000)])
 def test_the_bounds_of_keys_follow_the_limit_on_memory(memory_mb: float, entries: int) -> None:
-    keys = Keys(memory_mb)
+    keys = KeyTable(memory_mb)
     assert keys.most_entries == entries and keys.most_bytes <= max(2e6, memory_mb * 1e6 - 26e6)
     for i in range(entries):
-        assert not keys.full()
-        keys.hold(("acme", str(i)), i)
-    assert keys.full()
+        assert not keys.is_full()
+        keys.reserve(("acme", str(i)), i)
+    assert keys.is_full()
 
 
 def test_alarms_ring_in_order_and_only_when_due() -> None:
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -18,7 +18,7 @@
 from moorusher.backends.kernel import KernelConnection, KernelLink
 from moorusher.backends.uwsgi import UwsgiCalls
 from moorusher.cluster_transport.hot_restart import Peer
-from moorusher.core.call import Asked
+from moorusher.core.call import CallRequest
 from moorusher.frontends.agent import AgentFront
 from moorusher.frontends.health import HealthFront
 from moorusher.frontends.uwsgi import UwsgiFront
@@ -43,9 +43,10 @@
         self.said: list[Any] = []
         self.clock, self.alarms, self.counters = world.core.clock, world.core.alarms, world.core.counters
         self.ready = True
+        self.execution = self.kernel_status = self
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *args, **named: self.said.append((name, args, named)) if name != "touch" else None
+        return lambda *args, **named: self.said.append((name, args, named)) if name != "begin_turn" else None
 
 
 def seen(world: World, transport: Transport) -> object:
@@ -100,7 +101,7 @@
 
 def database() -> Fed:
     pool = Pool(World())
-    pool.call(1, Asked("r1", "read", None, Effect.SAFE, None, b"q", 500))
+    pool.call(1, CallRequest("r1", "read", None, Effect.SAFE, None, b"q", 500))
     connection, transport = pool.up()
     return connection, lambda: (pool.ends, transport.aborted, transport.disconnecting)
 
@@ -109,7 +110,7 @@
     world, dialled = World(), []
     link = UwsgiCalls(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
     link.core = heard = Heard(world)  # type: ignore[assignment]
-    link.call(1, Asked("r1", "read", None, Effect.SAFE, None, b"q", 500))
+    link.call(1, CallRequest("r1", "read", None, Effect.SAFE, None, b"q", 500))
     connection, transport = dialled[0].buildProtocol(None), Transport()
     connection.makeConnection(transport)
     return connection, lambda: (heard.said, transport.aborted, transport.disconnecting)
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from moorusher.core.former_key_classes import MOST, FormerKeys
+from moorusher.core.former_key_classes import MOST_CLASSES, FormerKeyClasses
 from moorusher.scheduling import interface as api
 
 from .helpers import settings as base_settings
@@ -194,40 +194,42 @@
 
 
 def test_a_class_counts_as_keyed_until_the_last_of_its_keys_is_over() -> None:
-    former, before, after = FormerKeys(), of(a=api.Effect.KEYED), of(a=api.Effect.UNSAFE)
-    former.follow(0, before, after)
+    former, before, after = FormerKeyClasses(), of(a=api.Effect.KEYED), of(a=api.Effect.UNSAFE)
+    former.settings_changed(0, before, after)
     cls = after.classes[0]
     last = (WINDOW_S + DEADLINE_S + MARGIN_S) * S
-    assert former.taken_as(cls, last - 1).effect is api.Effect.KEYED
-    assert former.taken_as(cls, last) is cls
+    assert former.effective_class(cls, last - 1).effect is api.Effect.KEYED
+    assert former.effective_class(cls, last) is cls
 
 
 def test_settings_in_a_row_do_not_shorten_that_and_one_that_is_keyed_again_is_itself() -> None:
     former, keyed, safe, unsafe = (
-        FormerKeys(),
+        FormerKeyClasses(),
         *(of(a=e) for e in (api.Effect.KEYED, api.Effect.SAFE, api.Effect.UNSAFE)),
     )
-    former.follow(0, keyed, safe)
-    former.follow(1 * S, safe, unsafe)
-    former.follow(2 * S, unsafe, of(b=api.Effect.SAFE))
-    former.follow(3 * S, of(b=api.Effect.SAFE), unsafe)
-    assert former.taken_as(unsafe.classes[0], 10 * S).effect is api.Effect.KEYED
-    former.follow(11 * S, unsafe, keyed)
-    assert former.taken_as(keyed.classes[0], 12 * S) is keyed.classes[0]
+    former.settings_changed(0, keyed, safe)
+    former.settings_changed(1 * S, safe, unsafe)
+    former.settings_changed(2 * S, unsafe, of(b=api.Effect.SAFE))
+    former.settings_changed(3 * S, of(b=api.Effect.SAFE), unsafe)
+    assert former.effective_class(unsafe.classes[0], 10 * S).effect is api.Effect.KEYED
+    former.settings_changed(11 * S, unsafe, keyed)
+    assert former.effective_class(keyed.classes[0], 12 * S) is keyed.classes[0]
 
 
 def test_only_classes_that_are_new_as_a_keyed_one_goes_may_stand_for_it() -> None:
-    former = FormerKeys()
+    former = FormerKeyClasses()
     before = of(a=api.Effect.KEYED, b=api.Effect.UNSAFE)
     after = of(b=api.Effect.UNSAFE, c=api.Effect.UNSAFE)
-    former.follow(0, before, after)
+    former.settings_changed(0, before, after)
     b, c = after.classes
-    assert former.taken_as(b, S) is b
-    assert former.taken_as(c, S).effect is api.Effect.KEYED
+    assert former.effective_class(b, S) is b
+    assert former.effective_class(c, S).effect is api.Effect.KEYED
 
 
 def test_what_is_remembered_of_former_classes_is_bounded() -> None:
-    former = FormerKeys()
+    former = FormerKeyClasses()
     for number in range(1_000):
-        former.follow(0, of(**{f"c{number}": api.Effect.KEYED}), of(**{f"c{number + 1}": api.Effect.KEYED}))
-    assert len(former._former) <= MOST + 1
+        former.settings_changed(
+            0, of(**{f"c{number}": api.Effect.KEYED}), of(**{f"c{number + 1}": api.Effect.KEYED})
+        )
+    assert len(former._former) <= MOST_CLASSES + 1
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -10,7 +10,7 @@
 from twisted.internet.testing import StringTransport
 
 from moorusher.core.answer import Answer, Cause, Verdict
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_UNSENT, JsonRpcConnection, JsonRpcFront
 from moorusher.frontends.uwsgi import UwsgiFront
 from moorusher.frontends.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
@@ -37,7 +37,7 @@
 
 def front(**changes: Any) -> tuple[World, JsonRpcFront, JsonRpcConnection, Transport]:
     world = World(**changes)
-    factory = JsonRpcFront(world.core, 10, lambda: world.core.healthy)
+    factory = JsonRpcFront(world.core, 10, lambda: world.core.state.healthy)
     connection, transport = factory.buildProtocol(None), Transport()
     assert connection is not None
     connection.makeConnection(transport)
@@ -99,7 +99,9 @@
     connection.dataReceived(b"x" * 9000)
     connection.dataReceived(b"x" * 9000 + b"\n" + call())
     assert [m["error"]["code"] for m in said(transport)] == [-32700]
-    assert transport.half_closed and not transport.disconnecting and connection.ending is Ending.LINE_TOO_LONG
+    assert (
+        transport.half_closed and not transport.disconnecting and connection.ending is EndReason.LINE_TOO_LONG
+    )
     world.wait(1_100)
     assert transport.aborted and world.runs() == []
 
@@ -116,11 +118,13 @@
 
 def test_answers_carry_the_free_value_and_refusals_say_when_to_come_back() -> None:
     world, _, connection, transport = front(signal=SignalKind.ALLOWANCE)
-    world.core.hint = 2.5
-    connection.answer(1, Answer(Verdict.SERVED, b"\0"), world.core.hint)
-    connection.answer(2, Answer(Verdict.REFUSED, b"", Cause.TURNED_AWAY, 250.0, True), world.core.hint)
-    connection.answer(3, Answer(Verdict.REFUSED, b"", Cause.TURNED_AWAY, 250.0, False), None)
-    connection.answer(4, Answer(Verdict.FAILED, b"", Cause.GIVEN_UP), world.core.hint)
+    world.core.state.load_signal = 2.5
+    connection.answer(1, Answer(Verdict.SERVED, b"\0"), world.core.state.load_signal)
+    connection.answer(
+        2, Answer(Verdict.REJECTED, b"", Cause.REJECTED, 250.0, True), world.core.state.load_signal
+    )
+    connection.answer(3, Answer(Verdict.REJECTED, b"", Cause.REJECTED, 250.0, False), None)
+    connection.answer(4, Answer(Verdict.FAILED, b"", Cause.ABANDONED), world.core.state.load_signal)
     connection.dataReceived(b'{"jsonrpc":"2.0","id":5,"method":"heartbeat"}\n')
     served, refused, softly, failed, health = said(transport)
     assert served["result"] == {"content": base64.b64encode(b"\0").decode(), "hint": 2.5}
@@ -138,7 +142,7 @@
     assert transport.producerState == "paused"
     for i in range(MOST_UNSENT // 4000 + 1):
         connection.answer(i, Answer(Verdict.SERVED, bytes(4096)), None)
-    assert transport.aborted and connection.ending is Ending.READS_TOO_SLOWLY
+    assert transport.aborted and connection.ending is EndReason.SLOW_READER
 
 
 def more(factory: JsonRpcFront, count: int) -> list[tuple[JsonRpcConnection, Transport]]:
@@ -167,7 +171,7 @@
     ):  # who never said anything goes first, then the idlest
         more(factory, 1)[0][0].dataReceived(call(i + 1, rid=f"n{i}"))
         world.turn()
-        assert transport.disconnecting and one.ending is Ending.MADE_WAY
+        assert transport.disconnecting and one.ending is EndReason.EVICTED_WHILE_IDLE
         one.connectionLost()
         assert len(factory.connections) == 10
     assert factory.buildProtocol(None) is None and connection.ending is None
@@ -184,7 +188,7 @@
     world.wait(2_400)
     assert connection.ending is None
     world.wait(150)
-    assert connection.ending is Ending.SILENT and transport.disconnecting and said(transport) == []
+    assert connection.ending is EndReason.READ_TIMEOUT and transport.disconnecting and said(transport) == []
 
 
 def test_a_long_idle_connection_is_asked_to_close_and_then_closed() -> None:
@@ -192,13 +196,13 @@
     connection.dataReceived(call())
     world.wait(800)
     assert said(transport) == []  # its request is open, however long that takes
-    world.core.run_over("r1", Ending.RUN_PASSED, b"")
+    world.core.execution.run_ended("r1", EndReason.RUN_SUCCEEDED, b"")
     world.wait(450)
     assert len(said(transport)) == 1
     world.wait(100)
     assert [m["method"] for m in said(transport)] == ["leaving"] and not transport.disconnecting
     world.wait(2_100)
-    assert connection.ending is Ending.IDLE and transport.disconnecting
+    assert connection.ending is EndReason.IDLE_TIMEOUT and transport.disconnecting
 
 
 def test_runs_that_the_kernel_does_not_know_count_as_faults() -> None:
@@ -207,12 +211,12 @@
         assert connection.ending is None
         connection.dataReceived(call(i))
         world.turn()
-        world.core.command_refused("SCHED", f"r{i}")
+        world.core.execution.command_rejected("SCHED", f"r{i}")
         world.turn()
     got = said(transport)
     assert got.pop(MOST_FAULTS)["method"] == "leaving"  # it is asked first
     assert [m["error"]["code"] for m in got] == [-32000] * END_FAULTS
-    assert connection.ending is Ending.TOO_FAULTY and transport.half_closed
+    assert connection.ending is EndReason.TOO_MANY_ERRORS and transport.half_closed
 
 
 def test_after_many_faults_a_connection_is_closed_once_the_errors_can_be_read() -> None:
@@ -222,7 +226,7 @@
     assert len(said(transport)) == END_FAULTS + 1 and world.runs() == []
     assert transport.half_closed and not transport.aborted
     world.wait(1_100)
-    assert transport.aborted and connection.ending is Ending.TOO_FAULTY
+    assert transport.aborted and connection.ending is EndReason.TOO_MANY_ERRORS
 
 
 def test_a_lost_connection_makes_its_callers_gone() -> None:
@@ -230,7 +234,7 @@
     connection.dataReceived(call(1) + call(2))
     world.turn()
     connection.connectionLost()
-    assert world.core.owed == 0 and world.core.counters.total["gone"] == 2
+    assert world.core.table.unanswered == 0 and world.core.counters.total["gone"] == 2
     assert not factory.connections
 
 
@@ -240,7 +244,7 @@
     if why.startswith("no room"):
         world.core.keys.most_entries = 0
     else:
-        world.core._balancer = None
+        world.core.dispatcher.scheduler = None
     connection.dataReceived(call(1, "write", token="t"))
     (refused,) = said(transport)
     assert refused["error"] == {"code": -32014, "message": why, "data": {"backoff": 1000.0}}
@@ -271,8 +275,8 @@
 def test_every_cause_and_fault_has_its_status() -> None:
     assert set(FAILED_STATUS) == set(Cause) - {
         Cause.NONE,
-        Cause.TURNED_AWAY,
-        Cause.KEY_UNSURE,
-        Cause.RULED_OUT,
+        Cause.REJECTED,
+        Cause.KEY_STATE_UNKNOWN,
+        Cause.FORBIDDEN_BY_RULES,
     }
     assert {*FAILED_STATUS.values(), *FAULT_STATUS.values()} <= set(REASONS)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,8 +13,8 @@
 from moorusher.backends.kernel import MOST_UNREAD, QUIET, SURE, KernelConnection, KernelLink
 from moorusher.cluster_transport.peers import Dial
 from moorusher.core.answer import Verdict
-from moorusher.core.call import Asked
-from moorusher.core.outcomes import Ending
+from moorusher.core.call import CallRequest
+from moorusher.core.outcomes import EndReason
 from moorusher.scheduling.interface import Below, Effect
 
 from .test_core import World
@@ -23,9 +23,9 @@
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 
 
-def asked(number: int, effect: Effect = Effect.SAFE) -> Asked:
+def asked(number: int, effect: Effect = Effect.SAFE) -> CallRequest:
     token = f"t.{number}" if effect is Effect.KEYED else None
-    return Asked(f"r{number}", "read", None, effect, token, b"q", 500)
+    return CallRequest(f"r{number}", "read", None, effect, token, b"q", 500)
 
 
 class Pool(DatabasePool):
@@ -33,7 +33,7 @@
 
     def __init__(self, world: World) -> None:
         super().__init__(self, ("127.0.0.1", 1))
-        self.core, self.dialled, self.ends = world.core, list[Any](), list[tuple[int, Ending]]()
+        self.core, self.dialled, self.ends = world.core, list[Any](), list[tuple[int, EndReason]]()
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
         self.dialled.append(factory)
@@ -43,7 +43,7 @@
         connection.makeConnection(transport)
         return connection, transport
 
-    def over(self, number: int, ending: Ending, body: bytes) -> None:
+    def over(self, number: int, ending: EndReason, body: bytes) -> None:
         self.ends.append((number, ending))
         super().over(number, ending, body)
 
@@ -58,7 +58,7 @@
     connection, transport = pool.up()
     for part in (REPLY, more) if later else (REPLY + more,):
         connection.dataReceived(part)
-    assert pool.ends == [(1, Ending.CALL_ANSWERED)] and transport.aborted is closed
+    assert pool.ends == [(1, EndReason.CALL_ANSWERED)] and transport.aborted is closed
     pool.call(2, asked(2))  # at once: whatever else may follow the reply could still be on its way
     world.wait(SETTLE / 1000 + 5)
     pool.call(3, asked(3))
@@ -80,7 +80,10 @@
     connection.connectionLost()
     assert len(pool.dialled) == 3
     pool.up()[0].connectionLost()  # a fresh one that breaks is no such case
-    assert pool.ends[1:] == [(2, Ending.CALL_CUT_OFF), (3, Ending.CALL_CUT_OFF)] and len(pool.dialled) == 3
+    assert (
+        pool.ends[1:] == [(2, EndReason.CALL_CONNECTION_LOST), (3, EndReason.CALL_CONNECTION_LOST)]
+        and len(pool.dialled) == 3
+    )
 
 
 def test_calls_go_to_the_address_that_is_in_force() -> None:
@@ -93,7 +96,7 @@
     pool.move(("127.0.0.1", 2))
     assert transport.disconnecting and not busy_transport.disconnecting
     busy.dataReceived(REPLY)  # may end at the old one, but nothing new goes there
-    assert pool.ends[-1] == (2, Ending.CALL_ANSWERED) and busy_transport.disconnecting
+    assert pool.ends[-1] == (2, EndReason.CALL_ANSWERED) and busy_transport.disconnecting
     world.wait(100)
     pool.call(3, asked(3))
     assert len(pool.dialled) == 3 and pool.dialled[-1].address == ("127.0.0.1", 2)
@@ -104,13 +107,13 @@
     pool.most_open = 2
     for number in (1, 2, 3):
         pool.call(number, asked(number))
-    assert pool.ends == [(3, Ending.CALL_NOT_CONNECTED)] and len(pool.dialled) == 2
+    assert pool.ends == [(3, EndReason.CALL_NOT_CONNECTED)] and len(pool.dialled) == 2
     connection, _ = pool.up()
     pool.call(4, asked(4))
-    assert pool.ends[1:] == [(4, Ending.CALL_NOT_CONNECTED)], "the call that is out counts as the dial did"
+    assert pool.ends[1:] == [(4, EndReason.CALL_NOT_CONNECTED)], "the call that is out counts as the dial did"
     connection.dataReceived(REPLY)
     pool.call(5, asked(5))
-    assert len(pool.dialled) == 3 and pool.ends[2:] == [(2, Ending.CALL_ANSWERED)]
+    assert len(pool.dialled) == 3 and pool.ends[2:] == [(2, EndReason.CALL_ANSWERED)]
 
 
 def test_a_spare_database_connection_is_closed_before_the_other_side_does() -> None:
@@ -208,13 +211,13 @@
     say(connection, BOOTED)
     world.take("a", 1)
     world.turn()
-    world.core.call_needed("a", 1, b"q")
+    world.core.execution.call_needed("a", 1, b"q")
     world.turn()
     connection.connectionLost()
     connection, transport = link.up()
     say(connection, BOOTED)
     transport.clear()
-    world.core.call_over(world.core.table.by_rid["a"].number, Ending.CALL_ANSWERED, b"reply")
+    world.core.execution.call_ended(world.core.table.by_rid["a"].number, EndReason.CALL_ANSWERED, b"reply")
     assert transport.value() == b""
     say(connection, {"t": "INFO", "mark": "replayed", "v": [0.5]})
     said = [json.loads(m) for m in transport.value().splitlines()]
@@ -334,7 +337,7 @@
     connection, _ = link.up()
     say(connection, BOOTED)
     world.at += 10_000_000_000
-    world.core.ring()  # timers come before what is read
+    world.core.fire_timers()  # timers come before what is read
     world.turn()
     say(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
     world.wait(SURE / 1000 + 10)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -16,7 +16,7 @@
 from moorusher.config import section
 from moorusher.config.load_balancing import TIER_BOUNDS, TierConfig
 from moorusher.config.namespaces import NamespacesConfig
-from moorusher.core.outcomes import OUTCOMES, Ending
+from moorusher.core.outcomes import SCHEDULER_OUTCOMES, EndReason
 from moorusher.forecasting.policy import Policy as ForecastPolicy
 from moorusher.frontends import jsonrpc_messages, uwsgi_packets
 from moorusher.maintenance.policy import Policy as OutagePolicy
@@ -217,27 +217,27 @@
 @pytest.mark.parametrize(
     "status, never, ending",
     [
-        (200, False, Ending.CALL_ANSWERED),
-        (503, True, Ending.CALL_TURNED_AWAY),
-        (503, False, Ending.CALL_FAILED),
-        (409, True, Ending.CALL_STRAY),
-        (409, False, Ending.CALL_FAILED),
-        (500, False, Ending.CALL_FAILED),
-        (504, False, Ending.CALL_OUT_OF_TIME),
-        (404, False, Ending.CALL_FAILED),
+        (200, False, EndReason.CALL_ANSWERED),
+        (503, True, EndReason.CALL_REJECTED),
+        (503, False, EndReason.CALL_FAILED),
+        (409, True, EndReason.CALL_NOT_AWAITED),
+        (409, False, EndReason.CALL_FAILED),
+        (500, False, EndReason.CALL_FAILED),
+        (504, False, EndReason.CALL_DEADLINE_EXCEEDED),
+        (404, False, EndReason.CALL_FAILED),
     ],
 )
-def test_endings_of_calls(status: int, never: bool, ending: Ending) -> None:
+def test_endings_of_calls(status: int, never: bool, ending: EndReason) -> None:
     assert database.ending_of(status, {b"never-started": b"1"} if never else {}) is ending
 
 
 def test_only_endings_that_prove_it_say_that_nothing_ran() -> None:
-    proofs = {e for e, o in OUTCOMES.items() if o.never_ran}
+    proofs = {e for e, o in SCHEDULER_OUTCOMES.items() if o.never_ran}
     assert proofs == {
-        Ending.RUN_NEVER_BEGAN,
-        Ending.CALL_TURNED_AWAY,
-        Ending.CALL_STRAY,
-        Ending.CALL_NOT_CONNECTED,
+        EndReason.RUN_NEVER_STARTED,
+        EndReason.CALL_REJECTED,
+        EndReason.CALL_NOT_AWAITED,
+        EndReason.CALL_NOT_CONNECTED,
     }
 
 
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -193,10 +193,10 @@
     assert p.line() == "maint #maintenance: disk?ready up 100%\n"
     assert p.reporter.put_back() and not p.reporter.put_back()
     assert p.line().startswith("ready up 5%")
-    core.link_lost()
+    core.kernel_status.link_lost()
     p.world.wait(1000)
     assert p.line().startswith("ready fail #failed: kernel link gone for 1.0 s")
-    core.link_up()
+    core.kernel_status.link_up()
     p.world.wait(1000)
     assert p.line().startswith("ready up")
     core.drain(4000)
@@ -209,11 +209,13 @@
 def test_what_contradicts_itself_is_said_as_failed_and_ends_nothing() -> None:
     p = Probes()
     p.line()
-    p.world.core._stop_at = p.world.core.clock.now
-    p.reporter.changed()
+    p.world.core.drain_state.stop_at_us = p.world.core.clock.now
+    p.reporter.state_changed()
     p.line()
-    p.world.core._stop_at = None  # no code does this: the table must hold against code that will
-    p.reporter.changed()
+    p.world.core.drain_state.stop_at_us = (
+        None  # no code does this: the table must hold against code that will
+    )
+    p.reporter.state_changed()
     assert p.line() == "ready fail #failed: standing unknown: from draining to serving\n"
     assert p.get("/health")[0] == 503
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -19,9 +19,9 @@
 from moorusher.config.load_balancing import TierConfig
 from moorusher.config.namespaces import NamespacesConfig
 from moorusher.core.answer import Verdict
-from moorusher.core.intake import Fault
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.core.reconfiguration import NEW, plan
+from moorusher.core.registration import InvalidArrival
 from moorusher.core.requests import Arrival
 from moorusher.forecasting.policy import Policy as ForecastPolicy
 from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
@@ -63,12 +63,12 @@
 ) -> None:
     p = plan(settings(), classes(*new))
     assert (p.classes, p.added, p.dropped, p.redefined) == (places, added, dropped, redefined)
-    assert p.settings.classes == new and not p.later
+    assert p.settings.classes == new and not p.deferred
 
 
 def test_facts_about_the_machine_wait_and_are_named() -> None:
     p = plan(settings(), settings(cores=9, memory_kb=5.0, gauges=("x",), cold=True, drain_grace_ms=7.0))
-    assert p.later == ("cores", "memory_kb", "gauges")
+    assert p.deferred == ("cores", "memory_kb", "gauges")
     assert p.settings == replace(settings(), drain_grace_ms=7.0)
 
 
@@ -120,7 +120,7 @@
 
 
 def follow(w: World, new: api.Settings) -> None:
-    w.core.retune(plan(w.core.settings, new))
+    w.core.reconfigure(plan(w.core.settings, new))
     w.turn()
 
 
@@ -132,8 +132,8 @@
     follow(w, classes(SAFE))
     assert w.runs() == ["a", "b"]
     w.take("c", 3, klass="read", token=None)
-    assert w.core.take(Arrival("d", "write", b"x", token="t"), w, 4) is Fault.NO_SUCH_CLASS
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    assert w.core.submit(Arrival("d", "write", b"x", token="t"), w, 4) is InvalidArrival.UNKNOWN_CLASS
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     assert (1, Verdict.SERVED) in w.verdicts()
 
@@ -142,12 +142,12 @@
     w = World()
     w.take("a", 1)
     w.turn()
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     follow(w, classes(SAFE))
     w.wait(1000)
     follow(w, classes(FAST, replace(KEYED, window_ms=20_000), SAFE))  # back, elsewhere in the list
     w.at += 15_000 * 1_000_000
-    w.core.touch()
+    w.core.begin_turn()
     w.turn()
     w.take("b", 2)
     w.turn()
@@ -166,7 +166,7 @@
     w.take("b", 2, klass="write-next")
     w.turn()
     assert w.runs() == ["a"]
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     assert sorted(tag for tag, verdict in w.verdicts() if verdict is Verdict.SERVED) == [1, 2]
 
@@ -177,11 +177,11 @@
             return lambda *args: None
 
     w = World()
-    w.core.claims.peer = Silent()
+    w.core.key_claims.peer = Silent()
     w.take("a", 1)
     key = ("", "t")
     follow(w, classes(SAFE))
-    w.core.claims.granted(1, key)
+    w.core.key_claims.granted(1, key)
     w.turn()
     assert w.runs() == ["a"]
 
@@ -190,7 +190,7 @@
     world, _, connection, transport = front()
     connection.dataReceived(call(1, "read", rid="r1"))
     world.turn()
-    world.core.retune(plan(world.core.settings, classes(KEYED)))
+    world.core.reconfigure(plan(world.core.settings, classes(KEYED)))
     for i in range(2, 60):
         connection.dataReceived(call(i, "read"))
     assert not transport.disconnecting and not transport.half_closed
@@ -201,7 +201,7 @@
         connection.dataReceived(call(i, "never was"))
     assert not transport.half_closed  # too faulty by now, and still owed an answer
     said(transport)
-    world.core.run_over("r1", Ending.RUN_PASSED, b"did")
+    world.core.execution.run_ended("r1", EndReason.RUN_SUCCEEDED, b"did")
     assert said(transport)[-1]["id"] == 1 and transport.half_closed
 
 
@@ -282,7 +282,7 @@
     new["limits"] = {"cores": 1.0, "memory_mb": 40, "sockets": 128}
     assert r.reload(json.dumps(new))
     core = r.service.core
-    assert list(core.intake.classes) == ["check", "submit", "lint"]
+    assert list(core.registrar.classes) == ["check", "submit", "lint"]
     assert core.keys.most_bytes < 20_000_000 and r.service.jsonrpc.places.most < 128
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -14,9 +14,9 @@
 from moorusher.core.answer import Verdict
 from moorusher.core.clock import MS
 from moorusher.core.idempotency_keys import MARGIN
-from moorusher.core.intake import Fault
-from moorusher.core.key_claims import WAIT
-from moorusher.core.outcomes import Ending
+from moorusher.core.key_claims import CLAIM_TIMEOUT
+from moorusher.core.outcomes import EndReason
+from moorusher.core.registration import InvalidArrival
 from moorusher.core.requests import Arrival
 from moorusher.hot_restart.process_role import TABLE, WAITS_MS, Event, Life, State, Step
 from moorusher.hot_restart.shared_budget import path_for, room_for_two
@@ -150,12 +150,12 @@
         self.said: tuple[deque[Any], deque[Any]] = deque(), deque()
         self.dead: set[int] = set()
         for i, world in enumerate(self.both):
-            world.core.claims.peer, world.core.claims.first = Said(self.said[i]), i == 1
+            world.core.key_claims.peer, world.core.key_claims.is_successor = Said(self.said[i]), i == 1
 
     def read(self, by: int, most: int = 1_000) -> None:
         """What the other one has said."""
-        claims: Any = self.both[by].core.claims
-        names = {"claim": "claimed", "freed": "peer_freed", "settled": "peer_settled"}
+        claims: Any = self.both[by].core.key_claims
+        names = {"claim": "peer_claims", "freed": "peer_freed", "settled": "peer_settled"}
         while self.said[1 - by] and most:
             kind, args = self.said[1 - by].popleft()
             getattr(claims, names.get(kind, kind))(*args)
@@ -173,7 +173,7 @@
         """What it said before reaches the other one, as over a socket; nothing more."""
         self.dead.add(which)
         self.read(1 - which)
-        self.both[1 - which].core.claims.alone(died=True)
+        self.both[1 - which].core.key_claims.peer_gone(died=True)
         self.both[1 - which].turn()
 
     def runs(self) -> Counter[str]:
@@ -199,7 +199,7 @@
     new.take("k-2", 2, token="k")
     p.settle()
     assert not new.runs() and not new.answers
-    old.core.run_over("k-1", Ending.RUN_PASSED, b"did")
+    old.core.execution.run_ended("k-1", EndReason.RUN_SUCCEEDED, b"did")
     p.settle()
     assert new.verdicts() == [(2, Verdict.SERVED)] and new.answers[0][1].content == b"did"
     new.take("k-3", 3, token="k")  # over by now, and known here
@@ -214,7 +214,7 @@
     new.take("k-2", 2, token="k")
     p.settle()
     assert p.runs() == {"k": 1} and new.runs() == ["k-2"]
-    new.core.run_over("k-2", Ending.RUN_PASSED, b"did")
+    new.core.execution.run_ended("k-2", EndReason.RUN_SUCCEEDED, b"did")
     p.settle()
     assert old.verdicts() == [(1, Verdict.SERVED)] and new.verdicts() == [(2, Verdict.SERVED)]
 
@@ -224,7 +224,7 @@
     old, new = p.both
     first = old.take("k-1", 1, token="k")
     second = new.take("k-2", 2, token="k")
-    new.core.gone(second)
+    new.core.caller_gone(second)
     p.settle()
     assert not p.runs() and old.verdicts() == [(1, Verdict.FAILED)]  # it waited for what never ran
     old.take("k-3", 3, token="k")
@@ -236,7 +236,7 @@
     new.take("k-2", 2, token="k")
     p.read(1)  # the successor goes first: it hears the claim of the other, and keeps its own
     p.read(0)
-    old.core.gone(first)
+    old.core.caller_gone(first)
     p.settle()
     assert new.runs() == ["k-2"]
 
@@ -260,7 +260,7 @@
 
 
 def give_up(world: World) -> bool:
-    world.core.claims.alone(died=False)
+    world.core.key_claims.peer_gone(died=False)
     return True
 
 
@@ -269,11 +269,11 @@
         p = Pair()
         old = p.both[0]
         if before_go:
-            old.core.claims.unanswered = partial(give_up, old)
+            old.core.key_claims.peer_unresponsive = partial(give_up, old)
         old.take("k-1", 1, token="k")
-        old.wait(WAIT / MS + 10)
+        old.wait(CLAIM_TIMEOUT / MS + 10)
         assert old.runs() == (["k-1"] if before_go else [])
-        assert old.verdicts() == ([] if before_go else [(1, Verdict.REFUSED)])
+        assert old.verdicts() == ([] if before_go else [(1, Verdict.REJECTED)])
         p.settle()  # an answer that comes late changes nothing
         assert len(old.runs()) == before_go
 
@@ -282,11 +282,12 @@
     p = Pair()
     old, new = p.both
     old.take("k-1", 1, token="k")
-    new.core.take(Arrival("k-2", "write", b"other", token="k", memory_kb=10.0), new, 2)
+    new.core.submit(Arrival("k-2", "write", b"other", token="k", memory_kb=10.0), new, 2)
     p.settle()  # both in one moment: the successor's goes first
-    assert old.verdicts() == [(1, Verdict.REFUSED)] and p.runs() == {"k": 1}
+    assert old.verdicts() == [(1, Verdict.REJECTED)] and p.runs() == {"k": 1}
     assert (
-        old.core.take(Arrival("k-3", "write", b"x", token="k", memory_kb=10.0), old, 3) is Fault.BODY_DIFFERS
+        old.core.submit(Arrival("k-3", "write", b"x", token="k", memory_kb=10.0), old, 3)
+        is InvalidArrival.BODY_MISMATCH
     )
 
 
@@ -295,19 +296,21 @@
     for i, rid in enumerate(("k-1", "m-1")):
         old.take(rid, i, token=rid[0])
     old.turn()
-    old.core.run_over("k-1", Ending.RUN_PASSED, b"did")
-    for entry in old.core.claims.snapshot():
-        new.core.claims.taken(entry.key, entry.body, entry.until, entry.over, entry.result)
+    old.core.execution.run_ended("k-1", EndReason.RUN_SUCCEEDED, b"did")
+    for entry in old.core.key_claims.snapshot():
+        new.core.key_claims.snapshot_entry(
+            entry.key, entry.body_digest, entry.expires_us, entry.finished, entry.result
+        )
     new.take("k-2", 1, token="k")
     new.take("m-2", 2, token="m")
     new.turn()
     assert new.verdicts() == [(1, Verdict.SERVED)] and not new.runs()
-    new.core.claims.alone(died=True)
+    new.core.key_claims.peer_gone(died=True)
     new.turn()
     assert new.verdicts()[1] == (2, Verdict.FAILED)
-    new.core.unsure_for_a_window()
+    new.core.state.forget_keys_for_a_window()
     arrival = Arrival("n-1", "write", b"x", token="n", memory_kb=10.0)
-    assert new.core.take(arrival, new, 3) is Fault.KEY_UNSURE
+    assert new.core.submit(arrival, new, 3) is InvalidArrival.KEY_STATE_UNKNOWN
     new.turn()
     new.at += 8_000 * 1_000_000 + MARGIN * 1_000
     new.take("n-2", 4, token="n")
@@ -330,7 +333,9 @@
             p.read(i, 0 if p.dead else r.randint(1, 3))
         elif what < 0.85 and world.runs():
             rid = str(r.choice(world.runs()))
-            world.core.run_over(rid, r.choice([Ending.RUN_PASSED, Ending.RUN_FAILED]), b"did")
+            world.core.execution.run_ended(
+                rid, r.choice([EndReason.RUN_SUCCEEDED, EndReason.RUN_FAILED]), b"did"
+            )
         elif what < 0.95:
             world.turn()
         elif what > 0.985 and not p.dead:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -275,7 +275,7 @@
             if t in lost:
                 assert not served(t, answer)
             elif not served(t, answer):
-                assert answer["error"]["message"] == Cause.NO_RESULT.value, answer
+                assert answer["error"]["message"] == Cause.NO_SHARED_RESULT.value, answer
                 assert t not in f.began(*living), "a living runner has begun it, and its result is withheld"
         await only_begun_elsewhere(f, 1 + second % 5, set(asked) - kept, living)
         once(f, asked)
--- a/tests/test_tier_links.py
+++ b/tests/test_tier_links.py
@@ -11,7 +11,7 @@
 
 from moorusher import cli
 from moorusher.backends.server_pool import ENDS
-from moorusher.core.outcomes import EVIDENCE_OF_CALL, OUTCOMES, Ending
+from moorusher.core.outcomes import EVIDENCE_OF_CALL, SCHEDULER_OUTCOMES, EndReason
 from moorusher.load_balancing.router import End
 from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME
 
@@ -43,7 +43,7 @@
 
 
 def test_endings_prove_to_the_router_what_they_prove_to_the_module() -> None:
-    for ending, outcome in OUTCOMES.items():
+    for ending, outcome in SCHEDULER_OUTCOMES.items():
         if ending.name.startswith("CALL_"):
             evidence = ENDS.get(ending, End.FAILED).evidence
             assert evidence.proves_never_ran is outcome.never_ran
@@ -161,4 +161,4 @@
 
 
 def test_a_call_out_of_turn_is_given_up_at_its_server() -> None:
-    assert Ending.CALL_GIVEN_UP not in ENDS  # our own doing is never told to the router as a server's
+    assert EndReason.CALL_TIMED_OUT not in ENDS  # our own doing is never told to the router as a server's
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,7 +9,7 @@
 from moorusher.core.answer import Verdict
 from moorusher.core.clock import MS, SECOND, Clock
 from moorusher.core.idempotency_keys import MARGIN
-from moorusher.core.outcomes import Ending
+from moorusher.core.outcomes import EndReason
 from moorusher.core.wall_clock import MOST_OFFSETS, WallClock
 
 from .test_core import World
@@ -48,7 +48,7 @@
         c.go_on(SECOND)
         stamp, at = c.stamp(), c.real
     c.go_on(30 * MS)
-    assert c.clock.stamped(stamp) == pytest.approx(at, abs=MS)
+    assert c.clock.from_unix_ms(stamp) == pytest.approx(at, abs=MS)
 
 
 @pytest.mark.parametrize("by", STEPS)
@@ -58,7 +58,7 @@
         c.ours += offset
         c.theirs += offset
         c.go_on(SECOND)
-        assert c.clock.stamped(c.stamp()) == pytest.approx(c.real, abs=MS)
+        assert c.clock.from_unix_ms(c.stamp()) == pytest.approx(c.real, abs=MS)
     assert len(c.clock.wall._offsets) == 2
 
 
@@ -70,7 +70,7 @@
     stamp, at = c.stamp(), c.real
     c.real += 6 * SECOND  # no turn meanwhile
     c.clock.read()
-    assert c.clock.stamped(stamp) == pytest.approx(at, abs=MS)
+    assert c.clock.from_unix_ms(stamp) == pytest.approx(at, abs=MS)
 
 
 def test_a_message_whose_first_byte_came_long_ago_is_as_old() -> None:
@@ -80,14 +80,14 @@
     c.go_on(SECOND)
     stamp, at = c.stamp(), c.real
     c.go_on(2_200 * MS)
-    assert c.clock.stamped(stamp, waited=2_200 * MS) == pytest.approx(at, abs=MS)
+    assert c.clock.from_unix_ms(stamp, waited_us=2_200 * MS) == pytest.approx(at, abs=MS)
 
 
 def test_without_a_step_a_sender_is_believed() -> None:
     c = Clocks()
     c.go_on(SECOND)
     for age in (0, 3 * SECOND, 50 * SECOND, 2 * HOUR, -2 * HOUR):
-        assert c.clock.stamped(c.stamp() - age / MS) == pytest.approx(c.real - age, abs=MS)
+        assert c.clock.from_unix_ms(c.stamp() - age / MS) == pytest.approx(c.real - age, abs=MS)
 
 
 @pytest.mark.parametrize("by", [-MS * 300, MS * 300, -2 * SECOND, 2 * SECOND])
@@ -96,7 +96,7 @@
     c.ours += by
     c.theirs += by
     c.go_on(SECOND)
-    assert c.clock.stamped(c.stamp() + 1) == pytest.approx(c.real, abs=2 * MS)
+    assert c.clock.from_unix_ms(c.stamp() + 1) == pytest.approx(c.real, abs=2 * MS)
 
 
 def test_drift_is_no_step() -> None:
@@ -120,7 +120,7 @@
     def __init__(self, **changes: Any) -> None:
         super().__init__(**changes)
         self.by = 0
-        self.core.clock._unix = lambda: self.at + 10**18 + self.by * 1_000
+        self.core.clock._unix_ns = lambda: self.at + 10**18 + self.by * 1_000
 
     def stamp(self) -> float:
         return (self.at + 10**18 + self.by * 1_000) / 10**6
@@ -158,7 +158,7 @@
     w.turn()
     w.by += by if when == "while it runs" else 0
     w.wait(100)
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     w.by += by if when == "after its run" else 0
     w.wait(7_900)  # the window is 8 s
@@ -175,7 +175,7 @@
     w = SteppedWorld()
     w.take("a", 1, klass="write", t0_unix_ms=w.stamp() - 300)
     w.turn()
-    w.core.run_over("a", Ending.RUN_PASSED, b"r")
+    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
     w.wait(8_000 + MARGIN / MS - 100)
     w.take("b", 2)
