--- a/moorusher/config/loader.py
+++ b/moorusher/config/loader.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 from moorusher.scheduling import interface as api
-from moorusher.simulator.wire import WireError, parse_settings
 
 from ..forecasting.policy import Policy as ForecastPolicy
 from ..health.formatting import Codes
@@ -24,6 +23,7 @@
 from .fleet import FleetConfig, read_fleet
 from .load_balancing import TierConfig, read_tier
 from .namespaces import NamespacesConfig, read_namespaces
+from .scheduler_settings import parse_settings
 from .section import Address, ConfigError, Section, loopback, parse_address, unreadable
 
 FRONTS_FILE = Path(__file__).resolve().parents[2] / "deploy" / "fronts.toml"
@@ -313,9 +313,7 @@
         raise ConfigError(f"seed: expected hexadecimal digits, got {seed_text!r}") from None
     try:
         settings = parse_settings(json.dumps(root.section("settings").data).encode(), seed)
-    except WireError as exc:
-        raise ConfigError(f"settings: {exc}") from exc
-    except (ValueError, OverflowError) as exc:  # the interface's own checks name the setting too
+    except (ValueError, OverflowError) as exc:  # the text names the setting
         raise ConfigError(f"settings: {exc}") from exc
     for listed, names in (
         ("classes", [c.name for c in settings.classes]),
--- /dev/null
+++ b/moorusher/config/scheduler_settings.py
@@ -0,0 +1,178 @@
+"""The scheduler's settings: their names in the platform's JSON, and the fields of `scheduling/interface.py`.
+
+The platform's file and the simulator's start record hold the same object. Its themed names stand here alone.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from enum import Enum
+from typing import Any, TypeVar, cast
+
+from moorusher.scheduling import interface as api
+
+
+class SettingsError(ValueError):
+    """The settings cannot be used; the text names the setting."""
+
+
+EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
+HALTING = {member.value: member for member in api.Halting}
+SIGNALS = {member.value: member for member in api.SignalKind}
+DEPENDENCIES = {"off": api.Below.OFF, "one_for_all": api.Below.SHARED, "tier": api.Below.TIER}
+
+ValueT = TypeVar("ValueT")
+EnumT = TypeVar("EnumT", bound=Enum)
+
+
+class _Object:
+    """One JSON object; a missing or wrong value raises `SettingsError` with the setting's path."""
+
+    def __init__(self, data: Any, path: str = "") -> None:
+        if not isinstance(data, Mapping):
+            raise SettingsError(f"setting {path or 'setup'}: expected an object, got {data!r}")
+        self.data = data
+        self.path = path
+
+    def get(self, key: str, default: ValueT) -> ValueT:
+        """An optional value of the default's type; whole numbers pass for fractional ones."""
+        value = self.data.get(key)
+        if value is None:
+            return default
+        kind = type(default)
+        fits = isinstance(value, (int, float) if kind is float else kind)
+        if not fits or isinstance(value, bool) is not (kind is bool):
+            raise SettingsError(f"setting {self.path}{key}: expected {kind.__name__}, got {value!r}")
+        return cast(ValueT, float(value)) if kind is float else cast(ValueT, value)
+
+    def require(self, key: str, kind: type[ValueT]) -> ValueT:
+        """A value of that type that must be there."""
+        if self.data.get(key) is None:
+            raise SettingsError(f"setting {self.path}{key}: required, expected {kind.__name__}")
+        return self.get(key, kind())
+
+    def choice(self, key: str, options: Mapping[str, EnumT], default: EnumT) -> EnumT:
+        """An optional member of an Enum, by its name in the JSON."""
+        value = self.data.get(key)
+        if value is None:
+            return default
+        if not isinstance(value, str) or value not in options:
+            expected = ", ".join(options)
+            raise SettingsError(f"setting {self.path}{key}: expected one of {expected}, got {value!r}")
+        return options[value]
+
+    def object(self, key: str) -> _Object:
+        """An optional object; empty where it is absent."""
+        return _Object(self.data.get(key) or {}, f"{self.path}{key}.")
+
+    def values(self, key: str, kind: type[ValueT]) -> list[ValueT]:
+        """A list of plain values of that type; the error names the item."""
+        listed: list[Any] = self.get(key, [])
+        items = _Object({str(i): value for i, value in enumerate(listed)}, f"{self.path}{key}.")
+        return [items.require(str(i), kind) for i in range(len(listed))]
+
+    def objects(self, key: str) -> list[_Object]:
+        """A list of objects; the error names the item."""
+        listed: list[Any] = self.get(key, [])
+        return [_Object(item, f"{self.path}{key}[{i}].") for i, item in enumerate(listed)]
+
+
+def parse_settings(text: bytes, seed: int = 0) -> api.Settings:
+    """The settings from the platform's JSON; unknown keys are ignored.
+
+    Raises:
+        SettingsError: no valid JSON, or a setting is missing or of another type; the text names it.
+        ValueError: a value is outside its bounds; the text names the field of `api.Settings`.
+    """
+    try:
+        root = _Object(json.loads(text))
+    except (UnicodeDecodeError, json.JSONDecodeError, RecursionError) as exc:
+        raise SettingsError(f"the settings are not valid JSON: {exc}") from exc
+    extra = root.object("extra")
+    invariants = root.object("invariants")
+    limits = root.object("limits")
+    return api.Settings(
+        cores=extra.require("cpus", int),
+        memory_kb=extra.require("memoryKb", float),
+        classes=_parse_classes(root, extra),
+        seed=seed,
+        tenants=_parse_tenants(root),
+        run_memory_factor=extra.get("blowup", 1.0),
+        key_entry_kb=extra.get("entryKb", 0.0),
+        answer_slack_ms=invariants.get("graceToAnswerMs", 50.0),
+        drain_grace_ms=invariants.get("stopSendingWithinMs", 1000.0),
+        crowd_per_core=invariants.get("tipMultiple", 3.0),
+        crowd_window_ms=invariants.get("overloadForMs", 2000.0),
+        cold=extra.get("cold", False),
+        cold_speed=invariants.get("coldShare", 1.0),
+        warm_after_ms=invariants.get("warmAfterMs", 0.0),
+        halting=extra.choice("halt", HALTING, api.Halting.OFF),
+        signal=extra.choice("say", SIGNALS, api.SignalKind.OFF),
+        signal_heard_ms=extra.get("heardForMs", 1000.0),
+        callers=extra.get("upstreams", 1),
+        peers=root.get("peersTotal", 1),
+        below=extra.choice("below", DEPENDENCIES, api.Below.OFF),
+        fair_calls=extra.get("fairCalls", 0.0),
+        call_window_ms=extra.get("depWindowMs", 5000.0),
+        abandoned_call_stays_ms=extra.get("staysForMs", 0.0),
+        share_answers_ms=extra.get("freshForMs", 0.0),
+        deep_checks=extra.get("deepChecks", False),
+        passes_deadline=extra.get("passesDeadline", False),
+        list_follows_health=extra.get("registryFollows", False),
+        tells_gone=extra.get("tellsGone", False),
+        retries_marked=root.object("callers").get("marksRetry", False),
+        idle_connection_ms=extra.get("keepaliveMaxMs", 0.0),
+        retry_after_max_ms=_parse_max_retry_after_ms(limits),
+        over_share_worth=root.get("overShareWorth", 1.0),
+        gauges=tuple(extra.values("gauges", str)),
+    )
+
+
+def _parse_classes(root: _Object, extra: _Object) -> tuple[api.RequestClass, ...]:
+    """The classes; what they may call, and are worth without, is listed apart and may be shorter."""
+    may_call = extra.values("classCalls", bool)
+    worth_without_call = extra.values("worthWithout", float)
+    return tuple(
+        _parse_class(
+            item,
+            may_call[i] if i < len(may_call) else False,
+            worth_without_call[i] if i < len(worth_without_call) else 0.0,
+        )
+        for i, item in enumerate(root.objects("classes"))
+    )
+
+
+def _parse_class(item: _Object, may_call: bool, worth_without_call: float) -> api.RequestClass:
+    try:
+        return api.RequestClass(
+            aim_ms=item.require("aimMs", float),
+            deadline_ms=item.require("deadlineMs", float),
+            name=item.get("name", ""),
+            worth=item.get("worth", 1.0),
+            late_share=item.get("lateShare", 0.0),
+            aim_stretch=item.get("aimStretch", 0.0),
+            effect=item.choice("effect", EFFECTS, api.Effect.SAFE),
+            window_ms=item.get("windowMs", 0.0),
+            may_call=may_call,
+            worth_without_call=worth_without_call,
+        )
+    except SettingsError:
+        raise
+    except (ValueError, OverflowError) as exc:  # which of the classes, the interface does not know
+        raise SettingsError(str(exc).replace("classes[].", item.path)) from exc
+
+
+def _parse_tenants(root: _Object) -> tuple[api.Tenant, ...]:
+    return tuple(
+        api.Tenant(
+            share=item.get("share", 1.0), name=item.get("name", ""), quota_per_s=item.get("quotaRps", 0.0)
+        )
+        for item in root.objects("realms")
+    )
+
+
+def _parse_max_retry_after_ms(limits: _Object) -> float:
+    """0, so that no pause is ever asked for, where the platform does not pass Retry-After on."""
+    max_ms = limits.get("maxRetryAfterMs", 0.0)
+    return max_ms if limits.get("retryAfter", True) else 0.0
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -208,7 +208,7 @@
 async def notices(reactor: Any, seed: int) -> list[float]:
     """Runners of the program's own core in this process, each on a real port and asked by a prober of its own; each
     gets its notice at a random phase. How many probe intervals until a prober has read of it."""
-    from moorusher.simulator.wire import parse_settings
+    from moorusher.config.scheduler_settings import parse_settings
 
     rng = random.Random(seed)
     settings = parse_settings(json.dumps(settings_of(KINDS, TENANTS, CORES)).encode(), 1)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from moorusher.config.scheduler_settings import SettingsError, parse_settings
 from moorusher.scheduling import interface as api
 from moorusher.simulator import host as simhost
 from moorusher.simulator import wire
@@ -39,7 +40,7 @@
 def test_the_documented_batch_is_read() -> None:
     batch = wire.decode_batch(EXAMPLE)
     assert batch.now == 8412.25
-    assert batch.seq == 12
+    assert batch.sequence == 12
     (first, events), (second, gone) = batch.groups
     assert (first, second) == (3, 5)
     req = events[0]
@@ -101,7 +102,7 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    s = wire.parse_settings(json.dumps(SETUP).encode(), 7)
+    s = parse_settings(json.dumps(SETUP).encode(), 7)
     assert s.classes[0].effect is api.Effect.KEYED and s.halting is api.Halting.DISCARD
     assert s.signal is api.SignalKind.FLOOR and s.below is api.Below.OFF and s.tenants == ()
 
@@ -119,7 +120,7 @@
 def test_a_bad_setting_is_named(key: str, value: object, said: str) -> None:
     setup = {**SETUP, "extra": {**SETUP["extra"], key: value}}  # type: ignore[dict-item]
     with pytest.raises(ValueError, match=said):
-        wire.parse_settings(json.dumps(setup).encode())
+        parse_settings(json.dumps(setup).encode())
 
 
 def test_embedders_get_a_value_error_that_names_the_field() -> None:
@@ -168,7 +169,7 @@
             for server in (0, 1):
                 events: list[wire.HostEvent] = []
                 if step == 0:
-                    events.append(wire.Begin(wire.parse_settings(json.dumps(SETUP).encode(), 7)))
+                    events.append(wire.InstanceStarted(parse_settings(json.dumps(SETUP).encode(), 7)))
                 events += [api.Request(step * 10 + server * 3 + i, 0, 10.0, caller=i) for i in range(3)]
                 events.append(api.Timer(0, (0.9,)))
                 out += hosts[server].handle(wire.Batch(step * 25.0, step, [(server, events)]))
@@ -183,7 +184,7 @@
 def test_stated_waits_reach_the_module_where_they_are_passed_on() -> None:
     """A wait of 0 was read as "not told", and such a request was held to be due a deadline later."""
     setup = {**SETUP, "extra": {**SETUP["extra"], "passesDeadline": True}}  # type: ignore[dict-item]
-    assert wire.parse_settings(json.dumps(setup).encode()).passes_deadline
+    assert parse_settings(json.dumps(setup).encode()).passes_deadline
     record = struct.pack("<HIdHIdHBIfQdf", 257, 9, 0.0, 1, 0, 40.0, 0, 0, 0, 0.5, 0, 0.0, 20.0)
     ((_, events),) = wire.decode_batch(frame(struct.pack("<HI", 265, 0) + record, 2)).groups
     assert isinstance(events[0], api.Request)
@@ -201,5 +202,5 @@
 )
 def test_lists_of_settings_are_checked_item_by_item(key: str, listed: list[object], item: str) -> None:
     setup = {**SETUP, "extra": {**SETUP["extra"], key: listed}}  # type: ignore[dict-item]
-    with pytest.raises(wire.WireError, match=f"extra.{item}: expected"):
-        wire.parse_settings(json.dumps(setup).encode())
+    with pytest.raises(SettingsError, match=f"extra.{item}: expected"):
+        parse_settings(json.dumps(setup).encode())
