--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -5,13 +5,12 @@
 import hmac
 import json
 from collections.abc import Callable
-from dataclasses import asdict
 from typing import Any
 
 from twisted.web import resource, server
 
 from .. import __version__
-from ..config.load_balancing import server_of
+from ..config.load_balancing import endpoint_of
 from ..config.section import ConfigError, Section
 from ..core.request_engine import Decider
 from ..health.formatting import haproxy
@@ -150,20 +149,15 @@
 
     def _told(self) -> list[dict[str, object]]:
         self._core.touch()
-        told: list[dict[str, object]] = self._tier.router.told(self._core.clock.now)
+        told: list[dict[str, object]] = self._tier.servers_json()
         return told
 
     def render_GET(self, request: Any) -> bytes:
         path = self._path(request)
         if not path:
-            router = self._tier.router
-            counts = asdict(router.counts) | {
-                "ejections": router.roster.ejections,
-                "panics": router.roster.panics,
-            }
-            return reply(
-                request, 200, {"servers": self._told(), "counts": counts, "open": self._tier.router.open}
-            )
+            counts = self._tier.counts_json()
+            open_calls = self._tier.balancer.open_calls
+            return reply(request, 200, {"servers": self._told(), "counts": counts, "open": open_calls})
         found = [s for s in self._told() if s["name"] == path[0]]
         if len(path) > 1 or not found:
             return reply(request, 404, {"error": "no such server"})
@@ -185,7 +179,7 @@
             return reply(request, 404, {"error": "expected /servers/NAME"})
         try:
             server = (
-                server_of(Section({"name": path[0]} | self.body(request), ""))
+                endpoint_of(Section({"name": path[0]} | self.body(request), ""))
                 if self.allowed(request)
                 else None
             )
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -1,9 +1,9 @@
-"""Calls below to a tier of servers: carries out what `tier.router` decides, over a link for each server."""
+"""Calls to many servers below: carries out what load balancing decides, over a backend for each server."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 from ..core.call import Asked
@@ -11,199 +11,259 @@
 from ..core.counters import Counters
 from ..core.outcomes import Ending
 from ..core.request_engine import Decider
-from ..load_balancing.policy import Policy, Server, Speaks
-from ..load_balancing.router import Action, Cancel, End, Over, Router, Send
+from ..load_balancing.load_balancer import LoadBalancer
+from ..load_balancing.messages import (
+    NO_ATTEMPT,
+    AttemptOutcome,
+    CancelAttempt,
+    CompleteCall,
+    Instruction,
+    SendAttempt,
+)
+from ..load_balancing.policy import EndpointConfig, EndpointProtocol, LoadBalancingPolicy
+from ..load_balancing.status import counts_json, servers_json
 from ..routing.grants import Grants
 from ..routing.ways import Ways
 from ..warm_start.learned_state import Condition, Knowledge, make
 from .database import DatabasePool
 from .uwsgi import UwsgiCalls
 
-MOST_IDLE = 4  # kept connections to one server: there are many
+MAX_IDLE_CONNECTIONS = 4  # that are kept to one server: there are many servers
 
-# What is not here proves nothing: the call may have run.
-ENDS: dict[Ending, End] = {
-    Ending.CALL_ANSWERED: End.ANSWERED,
-    Ending.CALL_TURNED_AWAY: End.TURNED_AWAY,
-    Ending.CALL_STRAY: End.STRAY,
-    Ending.CALL_NOT_CONNECTED: End.UNREACHED,
+# Any other ending proves nothing: the call may have run, and counts as FAILED.
+OUTCOME_OF_ENDING: dict[Ending, AttemptOutcome] = {
+    Ending.CALL_ANSWERED: AttemptOutcome.ANSWERED,
+    Ending.CALL_TURNED_AWAY: AttemptOutcome.REJECTED,
+    Ending.CALL_STRAY: AttemptOutcome.NOT_AWAITED,
+    Ending.CALL_NOT_CONNECTED: AttemptOutcome.NOT_CONNECTED,
 }
 
 
-class _Side:
-    """What a server's link takes for the core: its calls are numbered by attempt."""
+@dataclass(slots=True, frozen=True)
+class AttemptReply:
+    """What a backend reported of an attempt."""
 
-    def __init__(self, tier: TierCalls) -> None:
-        self._tier = tier
+    attempt_id: int
+    ending: Ending
+    body: bytes
+
+
+class _AttemptReceiver:
+    """What a server's backend takes for the request engine: its calls are attempts, numbered by attempt id."""
+
+    def __init__(self, pool: ServerPool) -> None:
+        self._pool = pool
 
     @property
     def clock(self) -> Clock:
-        return self._tier.core.clock
+        return self._pool.core.clock
 
     @property
     def alarms(self) -> Alarms:
-        return self._tier.core.alarms
+        return self._pool.core.alarms
 
     @property
     def counters(self) -> Counters:
-        return self._tier.core.counters
+        return self._pool.core.counters
 
     def touch(self) -> None:
-        self._tier.core.touch()
+        self._pool.core.touch()
 
-    def call_over(self, attempt: int, ending: Ending, body: bytes) -> None:
-        self._tier.attempt_over(attempt, ending, body)
+    def call_over(self, attempt_id: int, ending: Ending, body: bytes) -> None:
+        self._pool.attempt_ended(AttemptReply(attempt_id, ending, body))
 
 
-class TierCalls:
-    """Stands behind the `Calls` protocol of `core/call.py`."""
+class ServerPool:
+    """The servers of `[tier]`, behind the `Calls` protocol of `core/call.py`.
+
+    core: the request engine that calls come from; set by the owner.
+    """
 
     def __init__(
         self,
         reactor: Any,
-        servers: Iterable[Server],
-        policy: Policy,
+        servers: Iterable[EndpointConfig],
+        policy: LoadBalancingPolicy,
         runner: str,
         draw: Callable[[], float],
         grants: Grants | None = None,
     ) -> None:
-        self.core: Decider  # set by the owner
-        self._reactor, self._policy, self._runner, self._draw = reactor, policy, runner, draw
-        self._servers, self._grants = list(servers), grants or Grants()
+        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1."""
+        self.core: Decider
+        self._reactor = reactor
+        self._servers = list(servers)
+        self._policy = policy
+        self._runner = runner
+        self._draw = draw
+        self._grants = grants or Grants()
         self._ways: Ways | None = None
-        self._links: dict[str, DatabasePool | UwsgiCalls] = {}
-        self._asked: dict[int, Asked] = {}
-        self._via: dict[int, DatabasePool | UwsgiCalls] = {}  # by attempt
+        self._backends: dict[str, DatabasePool | UwsgiCalls] = {}  # by server
+        self._calls: dict[int, Asked] = {}  # open calls by id
+        self._backend_of: dict[int, DatabasePool | UwsgiCalls] = {}  # by attempt in flight
         self._alarm: Alarm | None = None
-        self._alarm_at = self._born = 0
+        self._alarm_at = 0
+        self._started_at = 0
 
     @property
     def ways(self) -> Ways:
         """Made with the first need of it: the clock comes with the core."""
         if self._ways is None:
-            now = self._born = self.core.clock.now
+            now = self._started_at = self.core.clock.now
             self._ways = Ways(self._servers, self._policy, self._runner, self._draw, now, self._grants)
         return self._ways
 
     @property
-    def router(self) -> Router:
-        """The platform's, for requests that no customer's rules are for."""
+    def balancer(self) -> LoadBalancer:
+        """The load balancer of the platform's servers, for requests that no customer's rules are for."""
         return self.ways.default
 
-    def _link(self, server: Server) -> DatabasePool | UwsgiCalls:
-        link = self._links.get(server.name)
-        if link is not None and isinstance(link, UwsgiCalls) is not (server.speaks is Speaks.UWSGI):
-            link.close()  # it speaks otherwise now; what is under way there ends as it does
-            link = None
-        if link is None:
-            link = (
-                UwsgiCalls(self._reactor, server.address)
-                if server.speaks is Speaks.UWSGI
-                else DatabasePool(self._reactor, server.address, MOST_IDLE)
-            )
-            side: Any = _Side(self)
-            link.core = side
-            self._links[server.name] = link
-        elif link.address != server.address:
-            link.move(server.address)
-        return link
-
-    # ---- from the core ----
+    # ---- from the request engine ----
 
     def call(self, number: int, asked: Asked) -> None:
+        """Make a call for request `number`; its end is reported through `call_over` of the core."""
         now = self.core.clock.now
-        self._asked[number] = asked
-        self._do(self.ways.call(now, number, asked.effect, now + asked.timeout_ms * MS, asked.way))
+        self._calls[number] = asked
+        self._execute(self.ways.call(now, number, asked.effect, now + asked.timeout_ms * MS, asked.way))
 
     def give_up(self, number: int) -> None:
-        self._asked.pop(number, None)
-        self._do(self.ways.give_up(self.core.clock.now, number))
+        """Cancel the call of request `number`, if it has one; nothing is reported."""
+        self._calls.pop(number, None)
+        self._execute(self.ways.give_up(self.core.clock.now, number))
 
-    # ---- from the links ----
+    # ---- from the backends ----
 
-    def attempt_over(self, attempt: int, ending: Ending, body: bytes) -> None:
-        if self._via.pop(attempt, None) is None:
+    def attempt_ended(self, reply: AttemptReply) -> None:
+        """Take a backend's report; one of an attempt that was cancelled is ignored."""
+        if self._backend_of.pop(reply.attempt_id, None) is None:
             return
         self.core.touch()
-        actions = self.ways.ended(self.core.clock.now, attempt, ENDS.get(ending, End.FAILED))
-        self._do(actions, (attempt, ending, body))
-
-    # ---- what was decided ----
-
-    def _do(self, actions: list[Action], ended: tuple[int, Ending, bytes] | None = None) -> None:
-        for action in actions:
-            if isinstance(action, Send):
-                server = self.ways.named(action.server)
-                asked = self._asked.get(action.number)
-                if server is None or asked is None:
-                    continue
-                via = self._via[action.attempt] = self._link(server)
-                via.call(action.attempt, replace(asked, timeout_ms=max(1, action.timeout_us // MS)))
-            elif isinstance(action, Cancel):
-                gone = self._via.pop(action.attempt, None)
-                if gone is not None:
-                    gone.give_up(action.attempt)
-            else:
-                self._over(action, ended)
-        self._watch()
-
-    def _over(self, over: Over, ended: tuple[int, Ending, bytes] | None) -> None:
-        self._asked.pop(over.number, None)
-        if ended is not None and over.attempt == ended[0]:
-            self.core.call_over(over.number, ended[1], ended[2])
-        else:  # no attempt was made, or its server was taken away under it: that proves nothing
-            ending = Ending.CALL_TURNED_AWAY if over.end is End.TURNED_AWAY else Ending.CALL_CUT_OFF
-            self.core.call_over(over.number, ending, b"")
-
-    def _watch(self) -> None:
-        """One alarm for the earliest of repeats and second copies."""
+        outcome = OUTCOME_OF_ENDING.get(reply.ending, AttemptOutcome.FAILED)
+        self._execute(self.ways.ended(self.core.clock.now, reply.attempt_id, outcome), reply)
+
+    # ---- instructions ----
+
+    def _execute(self, instructions: list[Instruction], reply: AttemptReply | None = None) -> None:
+        """Carry out instructions in order. `reply`: that they follow from."""
+        for instruction in instructions:
+            match instruction:
+                case SendAttempt():
+                    self._send(instruction)
+                case CancelAttempt():
+                    backend = self._backend_of.pop(instruction.attempt_id, None)
+                    if backend is not None:
+                        backend.give_up(instruction.attempt_id)
+                case CompleteCall():
+                    self._complete(instruction, reply)
+        self._arm_timer()
+
+    def _send(self, send: SendAttempt) -> None:
+        server = self.ways.named(send.endpoint)
+        call = self._calls.get(send.call_id)
+        if server is None or call is None:
+            return
+        backend = self._backend(server)
+        self._backend_of[send.attempt_id] = backend
+        backend.call(send.attempt_id, replace(call, timeout_ms=max(1, send.timeout_us // MS)))
+
+    def _complete(self, completed: CompleteCall, reply: AttemptReply | None) -> None:
+        self._calls.pop(completed.call_id, None)
+        if reply is not None and reply.attempt_id == completed.attempt_id != NO_ATTEMPT:
+            self.core.call_over(completed.call_id, reply.ending, reply.body)
+            return
+        # No attempt was made, or its server was removed under it; the latter proves nothing.
+        was_rejected = completed.outcome is AttemptOutcome.REJECTED
+        ending = Ending.CALL_TURNED_AWAY if was_rejected else Ending.CALL_CUT_OFF
+        self.core.call_over(completed.call_id, ending, b"")
+
+    def _arm_timer(self) -> None:
+        """One alarm for the earliest of all timers; one that is too early is harmless."""
         due = self.ways.wake()
         if due is None or (self._alarm is not None and self._alarm_at <= due):
             return
         if self._alarm is not None:
             self._alarm.cancel()
-        self._alarm_at, self._alarm = due, self.core.alarms.at(due, self._ring)
+        self._alarm_at = due
+        self._alarm = self.core.alarms.at(due, self._timer_fired)
 
-    def _ring(self) -> None:
+    def _timer_fired(self) -> None:
         self._alarm = None
-        self._do(self.ways.ring(self.core.clock.now))
-
-    def knowledge(self, condition: Condition) -> Knowledge:
-        """What has been learnt of the servers, as a value; `condition`: how this runner is."""
-        now = self.core.clock.now
-        return make(self._runner, self.router.members.values(), now, now - self._born, condition)
+        self._execute(self.ways.ring(self.core.clock.now))
+
+    # ---- backends ----
+
+    def _backend(self, server: EndpointConfig) -> DatabasePool | UwsgiCalls:
+        """The backend of a server, made or moved to its present address and protocol."""
+        backend = self._backends.get(server.name)
+        speaks_uwsgi = server.protocol is EndpointProtocol.UWSGI
+        if backend is not None and isinstance(backend, UwsgiCalls) is not speaks_uwsgi:
+            backend.close()  # the protocol has changed; attempts in flight end as they do
+            backend = None
+        if backend is None:
+            backend = self._backends[server.name] = self._make_backend(server)
+        elif backend.address != server.address:
+            backend.move(server.address)
+        return backend
+
+    def _make_backend(self, server: EndpointConfig) -> DatabasePool | UwsgiCalls:
+        backend: DatabasePool | UwsgiCalls
+        if server.protocol is EndpointProtocol.UWSGI:
+            backend = UwsgiCalls(self._reactor, server.address)
+        else:
+            backend = DatabasePool(self._reactor, server.address, MAX_IDLE_CONNECTIONS)
+        receiver: Any = _AttemptReceiver(self)
+        backend.core = receiver
+        return backend
+
+    def _close_backend(self, name: str) -> None:
+        if self.ways.named(name) is None and (backend := self._backends.pop(name, None)) is not None:
+            backend.close()
 
     # ---- membership ----
 
-    def put(self, server: Server) -> None:
-        """A new one, or one whose address, weight or zone changes. Raises ValueError where there are too many."""
+    def put(self, server: EndpointConfig) -> None:
+        """Add a server, or change the address, weight, zone or protocol of the one with its name.
+
+        Raises TooManyEndpoints.
+        """
         self.ways.put(self.core.clock.now, server)
-        if server.name in self._links:
-            self._link(server)
+        if server.name in self._backends:
+            self._backend(server)
 
     def drain(self, name: str) -> bool:
-        """No new calls to it. False where there is none of that name."""
+        """Send no new calls to a server. False where there is none of that name."""
         return self.ways.drain(self.core.clock.now, name) or name in self.ways.servers
 
     def remove(self, name: str) -> bool:
-        """At once, with what is under way there."""
+        """Remove a server at once, with its attempts in flight. False where there is none of that name."""
         if self.ways.named(name) is None:
             return False
-        self._do(self.ways.remove(self.core.clock.now, name))
-        self._unlink(name)
+        self._execute(self.ways.remove(self.core.clock.now, name))
+        self._close_backend(name)
         return True
 
-    def _unlink(self, name: str) -> None:
-        if self.ways.named(name) is None and (link := self._links.pop(name, None)) is not None:
-            link.close()
-
-    def follow(self, servers: Iterable[Server], grants: Grants | None = None) -> None:
-        """A new configuration: who is no longer in it gets no new calls, and goes once the last has ended."""
-        wanted = {server.name: server for server in servers}
+    def follow(self, servers: Iterable[EndpointConfig], grants: Grants | None = None) -> None:
+        """Take a new configuration: a server that is no longer listed is retired."""
+        listed = {server.name: server for server in servers}
         if grants is not None:
             self.ways.grant(self.core.clock.now, grants)
-        for name in [n for n in self.ways.servers if n not in wanted]:
+        for name in [name for name in self.ways.servers if name not in listed]:
             self.ways.retire(self.core.clock.now, name)
-            self._unlink(name)
-        for server in wanted.values():
+            self._close_backend(name)
+        for server in listed.values():
             self.put(server)
+
+    # ---- for operators, and for the next start ----
+
+    def servers_json(self) -> list[dict[str, object]]:
+        """Each server as `GET /servers` shows it."""
+        return servers_json(self.balancer, self.core.clock.now)
+
+    def counts_json(self) -> dict[str, int]:
+        """What was done since the start, as `GET /servers` shows it."""
+        return counts_json(self.balancer)
+
+    def knowledge(self, condition: Condition) -> Knowledge:
+        """What has been learnt of the servers; `condition`: how this runner is."""
+        endpoints = self.balancer.endpoints.by_name.values()
+        now = self.core.clock.now
+        return make(self._runner, endpoints, now, now - self._started_at, condition)
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -1,4 +1,4 @@
-"""`[tier]` of the operator's file, read and checked."""
+"""`[tier]` of the operator's file, read and checked; its keys are mapped to the fields of the policy here alone."""
 
 from __future__ import annotations
 
@@ -7,22 +7,30 @@
 from typing import Any
 
 from ..core.requests import is_word
-from ..load_balancing.policy import MOST_SERVERS, Policy, Server, Speaks
+from ..load_balancing.policy import MAX_ENDPOINTS, EndpointConfig, EndpointProtocol, LoadBalancingPolicy
 from .section import ConfigError, Section
 
 
 @dataclass(frozen=True, slots=True)
 class TierConfig:
-    """Servers below, in place of the one address of `db` or `uwsgi.below`."""
+    """Several servers below, in place of the one address of `db` or `uwsgi.below`.
 
-    servers: tuple[Server, ...] = ()
-    policy: Policy = field(default_factory=Policy)
-    knowledge: Path | None = None  # the file in which what was learnt of them lasts
+    servers: without any, there is no tier.
+    policy: how calls are balanced over them.
+    warm_start_file: keeps what was learnt of them over a restart; None: nothing does.
+    """
 
+    servers: tuple[EndpointConfig, ...] = ()
+    policy: LoadBalancingPolicy = field(default_factory=LoadBalancingPolicy)
+    warm_start_file: Path | None = None
 
-# Bounds of `[tier]`.
+
+MAX_NAME_LENGTH = 64
+WEIGHT_BOUNDS = (0.01, 1000.0)
+
+# Bounds of the figures of `[tier]`, by key.
 TIER_BOUNDS: dict[str, tuple[float, float]] = {
-    "subset": (0, MOST_SERVERS),
+    "subset": (0, MAX_ENDPOINTS),
     "spill": (1, 100),
     "least_limit": (1, 1000),
     "most_limit": (1, 10_000),
@@ -44,40 +52,89 @@
     "runners": (1, 10_000),
 }
 
+# The field of LoadBalancingPolicy that each of these keys sets.
+POLICY_FIELDS: dict[str, str] = {
+    "subset": "subset_size",
+    "spill": "zone_spill_ratio",
+    "least_limit": "min_concurrency",
+    "most_limit": "max_concurrency",
+    "queue": "max_queued_calls",
+    "consecutive": "consecutive_failures",
+    "failure_share": "max_failure_rate",
+    "outlier": "outlier_latency_ratio",
+    "eject_s": "base_ejection_s",
+    "most_eject_s": "max_ejection_s",
+    "most_ejected": "max_ejected_fraction",
+    "panic": "panic_threshold",
+    "retry_share": "retry_budget_ratio",
+    "retry_floor_per_s": "min_retries_per_s",
+    "backoff_ms": "base_backoff_ms",
+    "most_backoff_ms": "max_backoff_ms",
+    "slow_start_s": "slow_start_s",
+    "slow_start_calls": "slow_start_calls",
+    "slow_start_window_ms": "slow_start_window_ms",
+    "runners": "runners",
+}
+
 
-def server_of(section: Section) -> Server:
-    """One server below. Raises ConfigError with the faulty key."""
+def endpoint_of(section: Section) -> EndpointConfig:
+    """Read one server of `[[tier.server]]` or of the API. Raises ConfigError with the faulty key."""
     section.unknown({"name", "address", "weight", "zone", "protocol"})
-    name, address = section.get("name", ""), section.address("address")
-    if not is_word(name, 64):
+    name = section.get("name", "")
+    address = section.address("address")
+    if not is_word(name, MAX_NAME_LENGTH):
         raise ConfigError(f"{section.key('name')}: expected letters, digits and -_.:, got {name!r}")
     if address is None:
         raise ConfigError(f"{section.key('address')}: required, as HOST:PORT")
-    speaks = section.get("protocol", Speaks.HTTP.value)
-    if speaks not in {s.value for s in Speaks}:
-        raise ConfigError(f"{section.key('protocol')}: expected one of http, uwsgi, got {speaks!r}")
-    return Server(
-        name, address, section.between("weight", 1.0, 0.01, 1000), section.get("zone", ""), Speaks(speaks)
-    )
+    protocol = section.get("protocol", EndpointProtocol.HTTP.value)
+    if protocol not in {known.value for known in EndpointProtocol}:
+        raise ConfigError(f"{section.key('protocol')}: expected one of http, uwsgi, got {protocol!r}")
+    weight = section.between("weight", 1.0, *WEIGHT_BOUNDS)
+    return EndpointConfig(name, address, weight, section.get("zone", ""), EndpointProtocol(protocol))
 
 
 def read_tier(section: Section, folder: Path, runners: int = 1) -> TierConfig:
-    """`[tier]` with its servers, read and checked; `runners`: how many call them where the file does not say. Raises
-    ConfigError."""
+    """Read and check `[tier]` with its servers.
+
+    `folder`: that paths are relative to. `runners`: how many call the servers where the file does not say. Raises
+    ConfigError with the faulty key.
+    """
     section.unknown({*TIER_BOUNDS, "zone", "hedge", "server", "knowledge_file"})
+    endpoints = _read_endpoints(section)
+    policy = _read_policy(section, runners)
+    file_name = section.get("knowledge_file", "")
+    if not file_name:
+        return TierConfig(endpoints, policy)
+    path = folder / file_name
+    if not path.parent.is_dir():
+        raise ConfigError(f"{section.key('knowledge_file')}: there is no folder {path.parent}")
+    return TierConfig(endpoints, policy, path)
+
+
+def _read_endpoints(section: Section) -> tuple[EndpointConfig, ...]:
     listed: list[Any] = section.get("server", [])
-    servers = tuple(server_of(Section(one, f"{section.key('server')}[{i}]")) for i, one in enumerate(listed))
-    names = [s.name for s in servers]
-    if twice := sorted({n for n in names if names.count(n) > 1}):
-        raise ConfigError(f"{section.key('server')}: the name {twice[0]} is used more than once")
-    if len(servers) > MOST_SERVERS:
-        raise ConfigError(f"{section.key('server')}: more than {MOST_SERVERS}")
-    d = Policy(runners=runners)
-    figures = {name: section.between(name, getattr(d, name), *bounds) for name, bounds in TIER_BOUNDS.items()}
-    policy = Policy(zone=section.get("zone", ""), hedge=section.get("hedge", True), **figures)
-    if policy.least_limit > policy.most_limit:
-        raise ConfigError(f"{section.key('least_limit')}: expected at most most_limit, {policy.most_limit}")
-    kept = section.get("knowledge_file", "")
-    if kept and not (folder / kept).parent.is_dir():
-        raise ConfigError(f"{section.key('knowledge_file')}: there is no folder {(folder / kept).parent}")
-    return TierConfig(servers, policy, folder / kept if kept else None)
+    endpoints = tuple(
+        endpoint_of(Section(table, f"{section.key('server')}[{index}]")) for index, table in enumerate(listed)
+    )
+    names = [endpoint.name for endpoint in endpoints]
+    if duplicates := sorted({name for name in names if names.count(name) > 1}):
+        raise ConfigError(f"{section.key('server')}: the name {duplicates[0]} is used more than once")
+    if len(endpoints) > MAX_ENDPOINTS:
+        raise ConfigError(f"{section.key('server')}: more than {MAX_ENDPOINTS}")
+    return endpoints
+
+
+def _read_policy(section: Section, runners: int) -> LoadBalancingPolicy:
+    defaults = LoadBalancingPolicy(runners=runners)
+    figures: dict[str, Any] = {
+        POLICY_FIELDS[key]: section.between(key, getattr(defaults, POLICY_FIELDS[key]), *bounds)
+        for key, bounds in TIER_BOUNDS.items()
+    }
+    policy = LoadBalancingPolicy(
+        zone=section.get("zone", ""), hedging_enabled=section.get("hedge", True), **figures
+    )
+    if policy.min_concurrency > policy.max_concurrency:
+        raise ConfigError(
+            f"{section.key('least_limit')}: expected at most most_limit, {policy.max_concurrency}"
+        )
+    return policy
--- a/moorusher/lab/below.py
+++ b/moorusher/lab/below.py
@@ -12,8 +12,19 @@
 
 from moorusher.scheduling.interface import Effect
 
-from ..load_balancing.policy import Policy, Server
-from ..load_balancing.router import Action, Cancel, End, Over, Router, Send
+from ..load_balancing.load_balancer import LoadBalancer
+from ..load_balancing.messages import (
+    AttemptEnded,
+    AttemptOutcome,
+    CallCancelled,
+    CallStarted,
+    CancelAttempt,
+    CompleteCall,
+    Instruction,
+    SendAttempt,
+    TimerFired,
+)
+from ..load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 
 MS = 1_000
 
@@ -90,8 +101,8 @@
         aim_ms: float = 400.0,
         deadline_ms: float = 1500.0,
         keyed: float = 0.15,
-        policy: Policy | None = None,
-        prepare: Callable[[Router], None] = lambda r: None,
+        policy: LoadBalancingPolicy | None = None,
+        prepare: Callable[[LoadBalancer], None] = lambda r: None,
         events: list[tuple[float, Callable[[World], None]]] | None = None,
         chance: int | None = None,
         bins: float = 1.0,
@@ -120,9 +131,9 @@
         self._turn = itertools.cycle(servers)
         self._wakes_at: int | None = None
         self._attempts = itertools.count(1 << 40)
-        self.router = Router(
-            [Server(s.name, ("127.0.0.1", 1)) for s in servers],
-            policy or Policy(),
+        self.router = LoadBalancer(
+            [EndpointConfig(s.name, ("127.0.0.1", 1)) for s in servers],
+            policy or LoadBalancingPolicy(),
             "r1",
             self.chance.random,
             0,
@@ -157,7 +168,9 @@
         due = self.now + round(self.deadline * MS)
         self._after(round(self.deadline * MS), lambda: self._due(number))
         if self.way == "tier":
-            self.do(self.router.call(self.now, number, Effect.KEYED if keyed else Effect.SAFE, due))
+            self.do(
+                self.router.handle(CallStarted(self.now, number, Effect.KEYED if keyed else Effect.SAFE, due))
+            )
         else:
             server = self.chance.choice(self.order) if self.way == "plain" else next(self._turn)
             self._send(number, next(self._attempts), server)
@@ -167,26 +180,26 @@
             del self._came[number]
             self.told.ends["out of time"] += 1
             if self.way == "tier":
-                self.do(self.router.give_up(self.now, number))
+                self.do(self.router.handle(CallCancelled(self.now, number)))
             else:
                 for attempt in [a for a, n in self._number_of.items() if n == number]:
                     self._drop(attempt)
 
-    def do(self, effects: list[Action]) -> None:
+    def do(self, effects: list[Instruction]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
-                self._send(effect.number, effect.attempt, self.servers[effect.server])
-            elif isinstance(effect, Cancel):
-                self._drop(effect.attempt)
-            elif isinstance(effect, Over):
-                self._over(effect.number, effect.end)
-
-    def _over(self, number: int, end: End) -> None:
+            if isinstance(effect, SendAttempt):
+                self._send(effect.call_id, effect.attempt_id, self.servers[effect.endpoint])
+            elif isinstance(effect, CancelAttempt):
+                self._drop(effect.attempt_id)
+            elif isinstance(effect, CompleteCall):
+                self._over(effect.call_id, effect.outcome)
+
+    def _over(self, number: int, end: AttemptOutcome) -> None:
         came = self._came.pop(number, None)
         if came is None:
             return
         self.told.ends[end.value] += 1
-        if end is End.ANSWERED:
+        if end is AttemptOutcome.ANSWERED:
             took = (self.now - came[0]) / MS
             self.told.took.append(took)
             if took <= self.aim:
@@ -195,14 +208,14 @@
 
     def _watch(self) -> None:
         """One event for the router's earliest time, as a link has one alarm."""
-        due = self.router.wake()
+        due = self.router.next_timer()
         if due is not None and (self._wakes_at is None or due < self._wakes_at):
             self._wakes_at = due
             self._after(max(0, due - self.now), self._ring)
 
     def _ring(self) -> None:
         self._wakes_at = None
-        self.do(self.router.ring(self.now))
+        self.do(self.router.handle(TimerFired(self.now)))
 
     # ---- servers ----
 
@@ -213,9 +226,8 @@
         self._at[attempt], self._number_of[attempt] = server, number
         mood = server.mood_at(self.now)
         if mood in ("fail", "turn"):
-            self._after(
-                1 * MS, lambda: self._ended(attempt, End.FAILED if mood == "fail" else End.TURNED_AWAY)
-            )
+            faulty = AttemptOutcome.FAILED if mood == "fail" else AttemptOutcome.REJECTED
+            self._after(1 * MS, lambda: self._ended(attempt, faulty))
             if mood == "fail":
                 self._runs(number)
             return
@@ -238,16 +250,16 @@
         if mood == "hang":
             return
         factor = server.mood.factor if mood == "slow" and server.mood is not None else 1.0
-        self._after(round(work * factor), lambda: self._ended(attempt, End.ANSWERED))
+        self._after(round(work * factor), lambda: self._ended(attempt, AttemptOutcome.ANSWERED))
 
-    def _ended(self, attempt: int, end: End) -> None:
+    def _ended(self, attempt: int, end: AttemptOutcome) -> None:
         server = self._at.pop(attempt, None)
         if server is None:
             return
         number = self._number_of.pop(attempt)
         self._free(server, attempt)
         if self.way == "tier":
-            self.do(self.router.ended(self.now, attempt, end))
+            self.do(self.router.handle(AttemptEnded(self.now, attempt, end)))
         else:
             self._over(number, end)
 
--- a/moorusher/lab/tier.py
+++ b/moorusher/lab/tier.py
@@ -10,10 +10,11 @@
 
 from moorusher.scheduling.interface import Effect
 
-from ..load_balancing.endpoint import Member
-from ..load_balancing.picker import rank
-from ..load_balancing.policy import Policy, Server
-from ..load_balancing.router import End, Router, Send
+from ..load_balancing.endpoint import Endpoint
+from ..load_balancing.load_balancer import LoadBalancer
+from ..load_balancing.messages import AttemptEnded, AttemptOutcome, CallStarted, SendAttempt
+from ..load_balancing.picker import subset_order
+from ..load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 from .below import Below, Mood, Told, World
 from .experiment import Experiment, Plot, Result
 
@@ -35,17 +36,17 @@
 
 def _cost(count: int, rounds: int = 4000) -> float:
     """us a choice, on this machine."""
-    servers = [Server(f"s{i}", ("127.0.0.1", 1)) for i in range(count)]
-    router = Router(servers, Policy(), "r", random.Random(1).random, 0)
+    servers = [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(count)]
+    router = LoadBalancer(servers, LoadBalancingPolicy(), "r", random.Random(1).random, 0)
     for i in range(1000):  # every server has its figures
-        for effect in router.call(i * 1000, i, Effect.KEYED, i * 1000 + 10**6):
-            if isinstance(effect, Send):
-                router.ended(i * 1000 + 500, effect.attempt, End.ANSWERED)
+        for effect in router.handle(CallStarted(i * 1000, i, Effect.KEYED, i * 1000 + 10**6)):
+            if isinstance(effect, SendAttempt):
+                router.handle(AttemptEnded(i * 1000 + 500, effect.attempt_id, AttemptOutcome.ANSWERED))
     best = float("inf")
     for _ in range(3):
         began = time.perf_counter()
         for i in range(rounds):
-            router.choose(2_000_000 + i * 100, True)
+            router.endpoints.select(2_000_000 + i * 100, True)
         best = min(best, (time.perf_counter() - began) / rounds * 1e6)
     return best
 
@@ -53,10 +54,12 @@
 def _spread() -> tuple[float, int, int]:
     """Of many runners on subsets of many servers: the most loaded server over the mean, and connections a server
     (most, and a runner's own)."""
-    members = [Member(Server(f"s{i}", ("127.0.0.1", 1)), Policy(), 0) for i in range(MANY)]
+    members = [
+        Endpoint(EndpointConfig(f"s{i}", ("127.0.0.1", 1)), LoadBalancingPolicy(), 0) for i in range(MANY)
+    ]
     load: Counter[str] = Counter()
     for r in range(RUNNERS):
-        load.update(m.server.name for m in rank(f"runner-{r}", members)[:SUBSET])
+        load.update(m.config.name for m in subset_order(f"runner-{r}", members)[:SUBSET])
     return max(load.values()) / (RUNNERS * SUBSET / MANY), max(load.values()), SUBSET
 
 
--- a/moorusher/lab/warm.py
+++ b/moorusher/lab/warm.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..load_balancing.router import Router
+from ..load_balancing.load_balancer import LoadBalancer
 from ..warm_start.learned_state import Condition, Knowledge, make
 from ..warm_start.merge import merge
 from ..warm_start.snapshot import read, write
@@ -34,7 +34,7 @@
     """What an instance that has served for so long knows."""
     world = World(_servers(FAULTY if faulty is None else faulty), "tier", seed + 500, RATE, seconds)
     world.play()
-    return make("donor", world.router.members.values(), world.now, round(seconds * 1e6))
+    return make("donor", world.router.endpoints.by_name.values(), world.now, round(seconds * 1e6))
 
 
 def _slow(knowledge: Knowledge) -> Knowledge:
@@ -79,9 +79,9 @@
 def _begin(way: str, seed: int) -> World:
     told = [read(write(k)) for k in _told(way, seed)]  # as it comes over the wire
 
-    def prepare(router: Router) -> None:
-        priors = merge(told, router.members)
-        router.learn(0, priors, Trial(priors, router.unlearn))
+    def prepare(router: LoadBalancer) -> None:
+        priors = merge(told, router.endpoints.by_name)
+        router.endpoints.learn(priors, Trial(priors, router.endpoints.unlearn))
 
     return World(
         _servers(FAULTY),
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -1,225 +1,249 @@
-"""The servers of a tier as one router sees them: who is in, who is usable now, which one a call goes to."""
+"""The endpoints of one load balancer: membership, who is in service now, and the selection for a call."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
+from typing import NamedTuple
 
-from .endpoint import Member, State, Why
+from .ejection import EjectionControl
+from .endpoint import Endpoint, EndpointState
+from .errors import TooManyEndpoints
 from .latency import median
-from .picker import rank, two
-from .policy import MOST_SERVERS, Policy, Server
-from .prior import BELIEVED, OnTrial, Prior
+from .messages import AttemptOutcome
+from .picker import Picker, subset_order
+from .policy import MAX_ENDPOINTS, EndpointConfig, LoadBalancingPolicy
+from .prior import MIN_WEIGHT_TO_EJECT, Prior, PriorVerifier
 
-TYPICAL_EVERY = 250_000  # us; the tier's median is worked out anew so often
+TYPICAL_LATENCY_PERIOD_US = 250_000  # between two calculations of the median latency
 
 
-class Roster:
-    """`draw` gives numbers from 0 to under 1. `runner` is this instance's name, for its subset."""
+class Selection(NamedTuple):
+    """The endpoint for a call, and whether the call is its health check."""
+
+    endpoint: Endpoint
+    is_health_check: bool = False
+
+
+class EndpointSet:
+    """A set of endpoints as one load balancer sees them.
+
+    by_name: all endpoints, draining ones included (dict of Endpoint).
+    ejection: who is ejected and returns (EjectionControl).
+    """
 
     def __init__(
-        self, servers: Iterable[Server], policy: Policy, runner: str, draw: Callable[[], float], now: int
+        self,
+        configs: Iterable[EndpointConfig],
+        policy: LoadBalancingPolicy,
+        runner: str,
+        draw: Callable[[], float],
+        now: int,
     ) -> None:
-        self.policy, self.runner, self._draw = policy, runner, draw
-        self.members: dict[str, Member] = {}
-        self.panics = self.ejections = 0
-        self._usable: list[Member] = []  # that calls go to
-        self._near: list[Member] = []  # of them, in this runner's zone,
-        self._far: list[Member] = []  # and not in it
-        self._probed: list[Member] = []  # that wait for a call to show whether they are well
-        self._ranked: list[Member] = []
-        self.trial: OnTrial | None = None
-        self._stale_at: int | None = 0  # when the lists have to be made anew; None: not by time alone
-        self._typical, self._typical_at = 0.0, -TYPICAL_EVERY
-        for server in servers:
-            self.add(now, server, established=True)
+        """`runner`: this instance's name, for its subset. `draw` returns random numbers from 0 to under 1."""
+        self._policy = policy
+        self._runner = runner
+        self.by_name: dict[str, Endpoint] = {}
+        self.ejection = EjectionControl(policy, self.by_name)
+        self._picker = Picker(draw, policy.zone_spill_ratio)
+        self._verifier: PriorVerifier | None = None
+        # All endpoints in the runner's order.
+        self._ordered: list[Endpoint] = []
+        # What `_rebuild` derives: endpoints that calls go to, those of them in and out of this runner's zone (both
+        # empty where the runner has no zone), and those that wait for their health check.
+        self._in_service: list[Endpoint] = []
+        self._local: list[Endpoint] = []
+        self._remote: list[Endpoint] = []
+        self._awaiting_health_check: list[Endpoint] = []
+        # When to rebuild, in microseconds; None: not by time alone.
+        self._rebuild_at: int | None = 0
+        self._typical_latency_us = 0.0
+        self._typical_latency_at = -TYPICAL_LATENCY_PERIOD_US
+        for config in configs:
+            self.add(now, config, established=True)
 
     # ---- membership ----
 
-    def add(self, now: int, server: Server, established: bool = False) -> None:
-        """A new one gets traffic gradually; one that is there has its address, weight or zone changed. Raises
-        ValueError where there are too many."""
-        known = self.members.get(server.name)
+    def add(self, now: int, config: EndpointConfig, established: bool = False) -> None:
+        """Add an endpoint in slow start, or change the address, weight or zone of the one with that name.
+
+        `established`: without slow start. Raises TooManyEndpoints.
+        """
+        known = self.by_name.get(config.name)
         if known is not None:
-            known.server = server
-            if known.state is State.LEAVING:
-                known.state, known.retires = State.IN, False
-        elif len(self.members) >= MOST_SERVERS:
-            raise ValueError(f"more than {MOST_SERVERS} servers")
+            known.config = config
+            if known.state is EndpointState.DRAINING:
+                known.state = EndpointState.ACTIVE
+                known.retiring = False
+        elif len(self.by_name) >= MAX_ENDPOINTS:
+            raise TooManyEndpoints(MAX_ENDPOINTS)
         else:
-            self.members[server.name] = Member(server, self.policy, now, established, self.runner)
-        self._ranked = rank(self.runner, list(self.members.values()))
-        self._stale_at = now
-
-    def drain(self, now: int, name: str) -> bool:
-        """No new calls to it; those in flight end as they do. False where there is none of that name."""
-        if (member := self.members.get(name)) is None:
+            self.by_name[config.name] = Endpoint(config, self._policy, now, established, self._runner)
+        self._ordered = subset_order(self._runner, list(self.by_name.values()))
+        self._request_rebuild()
+
+    def drain(self, name: str) -> bool:
+        """Send no new calls to an endpoint; those in flight end as they do. False where there is none of the name."""
+        endpoint = self.by_name.get(name)
+        if endpoint is None:
             return False
-        member.state = State.LEAVING
-        self._stale_at = now
+        endpoint.state = EndpointState.DRAINING
+        self._request_rebuild()
         return True
 
-    def retire(self, now: int, name: str) -> None:
-        """No new calls to it, and it is forgotten once those in flight have ended."""
-        if self.drain(now, name):
-            self.members[name].retires = True
-            self.forget(self.members[name])
-
-    def forget(self, member: Member) -> None:
-        if member.retires and member.state is State.LEAVING and not member.in_flight:
-            self.members.pop(member.server.name, None)
-            self._ranked = [m for m in self._ranked if m is not member]
-            self._stale_at = 0
-
-    # ---- lists ----
-
-    def _refresh(self, now: int) -> None:
-        """Who is usable: the first of the runner's order that are in, as many as its subset has."""
-        wanted = self.policy.subset or len(self._ranked)
-        open_ = [m for m in self._ranked if m.state is not State.LEAVING]
-        for m in open_:
-            if m.state is State.EJECTED and now >= m.until:
-                m.state = State.PROBED
-        self._probed = [m for m in open_ if m.state is State.PROBED]
-        usable = [m for m in open_ if m.state is State.IN][:wanted]
-        whole = sum(m.server.weight for m in open_[:wanted])
-        if whole and sum(m.server.weight for m in usable) < self.policy.panic * whole:
-            # Too many are out for the rest to bear it: what looks like many faults is one, and most likely not theirs.
-            usable = open_[:wanted]
-            self.panics += 1
-        self._usable = usable
-        zone = self.policy.zone
-        self._near = [m for m in usable if m.server.zone == zone] if zone else []
-        self._far = [m for m in usable if m.server.zone != zone] if zone else []
-        ends = [m.until for m in open_ if m.state is State.EJECTED]
-        self._stale_at = min(ends) if ends else None
-
-    def typical(self, now: int) -> float:
-        """The median of the servers' short latencies, in us; 0 while nothing is known."""
-        if now - self._typical_at >= TYPICAL_EVERY:
-            self._typical_at = now
-            self._typical = median([m.latency.short for m in self.members.values() if m.latency.samples])
-        return self._typical
-
-    # ---- what others told ----
-
-    def learn(self, now: int, priors: Mapping[str, Prior], trial: OnTrial) -> None:
-        """Priors for servers that have not been asked yet. One that was out has to show by a probe that it is well,
-        as far as the share that may be out allows."""
-        self.trial = trial
-        out = sum(m.state in (State.EJECTED, State.PROBED) for m in self.members.values())
+    def retire(self, name: str) -> None:
+        """Drain an endpoint, and forget it once its calls in flight have ended."""
+        if self.drain(name):
+            endpoint = self.by_name[name]
+            endpoint.retiring = True
+            self._forget_if_retired(endpoint)
+
+    def remove(self, name: str) -> Endpoint | None:
+        """Forget an endpoint at once and return it; its attempts in flight are the caller's to end."""
+        endpoint = self.by_name.get(name)
+        if endpoint is not None:
+            endpoint.state = EndpointState.DRAINING
+            self._forget(endpoint)
+        return endpoint
+
+    def _forget_if_retired(self, endpoint: Endpoint) -> None:
+        if endpoint.retiring and endpoint.state is EndpointState.DRAINING and not endpoint.in_flight:
+            self._forget(endpoint)
+
+    def _forget(self, endpoint: Endpoint) -> None:
+        self.by_name.pop(endpoint.config.name, None)
+        self._ordered = [other for other in self._ordered if other is not endpoint]
+        self._request_rebuild()
+
+    # ---- who is in service ----
+
+    def _request_rebuild(self) -> None:
+        self._rebuild_at = 0
+
+    def _rebuild(self, now: int) -> None:
+        """Derive who is in service: the first active ones of the runner's order, as many as its subset has."""
+        size = self._policy.subset_size or len(self._ordered)
+        members = [endpoint for endpoint in self._ordered if endpoint.state is not EndpointState.DRAINING]
+        self.ejection.begin_health_checks(now, members)
+        self._awaiting_health_check = [endpoint for endpoint in members if endpoint.awaits_health_check]
+        active = [endpoint for endpoint in members if endpoint.state is EndpointState.ACTIVE][:size]
+        self._in_service = self.ejection.or_all_in_panic(members[:size], active)
+        self._local = []
+        self._remote = []
+        if zone := self._policy.zone:
+            self._local = [endpoint for endpoint in self._in_service if endpoint.config.zone == zone]
+            self._remote = [endpoint for endpoint in self._in_service if endpoint.config.zone != zone]
+        self._rebuild_at = self.ejection.next_health_check(members)
+
+    def in_order(self) -> list[Endpoint]:
+        """Return all endpoints in this runner's order."""
+        return list(self._ordered)
+
+    def is_in_service(self, endpoint: Endpoint) -> bool:
+        """Whether calls went to the endpoint as the lists were last derived."""
+        return endpoint in self._in_service
+
+    def typical_latency(self, now: int) -> float:
+        """Return the median of the endpoints' short-term latencies in microseconds; 0 while none is known."""
+        if now - self._typical_latency_at >= TYPICAL_LATENCY_PERIOD_US:
+            self._typical_latency_at = now
+            measured = [e.latency.short for e in self.by_name.values() if e.latency.samples]
+            self._typical_latency_us = median(measured)
+        return self._typical_latency_us
+
+    # ---- selection ----
+
+    def select(self, now: int, may_run_twice: bool, avoid: Endpoint | None = None) -> Selection | None:
+        """Select an endpoint with capacity for a call; None where there is none.
+
+        `may_run_twice`: the call may serve as a health check. `avoid`: not this one.
+        """
+        if self._rebuild_at is not None and now >= self._rebuild_at:
+            self._rebuild(now)
+        typical_us = self.typical_latency(now)
+        if may_run_twice and self._awaiting_health_check:
+            unchecked = self._find_unchecked(now, avoid)
+            if unchecked is not None:
+                return Selection(unchecked, is_health_check=True)
+        picked = None
+        if self._local:
+            picked = self._picker.pick_by_zone(self._local, self._remote, now, typical_us, avoid)
+        if picked is None:
+            picked = self._picker.pick(self._in_service, now, typical_us, avoid)
+        return None if picked is None else Selection(picked)
+
+    def _find_unchecked(self, now: int, avoid: Endpoint | None) -> Endpoint | None:
+        """Find an endpoint that waits for its health check and has no call in flight."""
+        for endpoint in self._awaiting_health_check:
+            if not endpoint.awaits_health_check or endpoint.in_flight or endpoint is avoid:
+                continue
+            if endpoint.slow_start_allows_call(now):
+                return endpoint
+        return None
+
+    def next_slot(self, now: int) -> int | None:
+        """Return when slow start allows a call to an endpoint in service (us); None where none has to be waited for."""
+        slots = [slot for e in self._in_service if (slot := e.next_slot(now)) is not None]
+        return min(slots, default=None)
+
+    # ---- ends of attempts ----
+
+    def attempt_ended(
+        self, now: int, endpoint: Endpoint, attempt_id: int, outcome: AttemptOutcome, hung: bool = False
+    ) -> None:
+        """Take what an attempt's end says of its endpoint. `hung`: it was cancelled after hanging."""
+        answered = outcome is AttemptOutcome.ANSWERED
+        if hung or outcome is AttemptOutcome.REJECTED:
+            endpoint.limit.overloaded()
+        is_conclusive = hung or outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_AWAITED)
+        was_health_check = endpoint.attempt_ended(now, attempt_id, answered, is_conclusive)
+        if endpoint.state is EndpointState.DRAINING:
+            self._forget_if_retired(endpoint)
+            return
+        typical_us = self.typical_latency(now)
+        if answered:
+            self._verify_prior(endpoint, was_health_check, typical_us)
+        if was_health_check:
+            self.ejection.health_check_ended(now, endpoint, answered, typical_us)
+            self._request_rebuild()
+        elif self.ejection.attempt_ended(now, endpoint, hung, typical_us):
+            self._request_rebuild()
+
+    # ---- priors ----
+
+    def learn(self, priors: Mapping[str, Prior], verifier: PriorVerifier) -> None:
+        """Take priors for endpoints that were not called yet.
+
+        One that was ejected elsewhere has to pass a health check first, as far as the fraction that may be out allows.
+        """
+        self._verifier = verifier
+        unavailable = self.ejection.unavailable()
         for name, prior in priors.items():
-            member = self.members.get(name)
-            if member is None or member.latency.samples or member.failures:
-                continue  # known by itself
-            member.prior = prior
-            if (
-                prior.out
-                and prior.weight >= BELIEVED
-                and out + 1 <= self.policy.most_ejected * len(self.members)
-            ):
-                member.state, out = State.PROBED, out + 1
-        self._stale_at = now
+            endpoint = self.by_name.get(name)
+            if endpoint is None or endpoint.latency.samples or endpoint.failures:
+                continue  # own samples count for more
+            endpoint.prior = prior
+            believed = prior.ejected and prior.weight >= MIN_WEIGHT_TO_EJECT
+            if believed and self.ejection.allows(unavailable + 1):
+                endpoint.state = EndpointState.AWAITING_HEALTH_CHECK
+                unavailable += 1
+        self._request_rebuild()
 
     def unlearn(self, name: str) -> None:
-        """What was told of a server counts no more."""
-        if (member := self.members.get(name)) is not None:
-            member.prior = None
-            if member.state is State.PROBED and not member.ejections:
-                member.state, self._stale_at = State.IN, 0
-
-    # ---- choice ----
-
-    def choose(self, now: int, safe: bool, avoid: Member | None = None) -> tuple[Member, bool] | None:
-        """A server, and whether the call is its probe; None where none has room."""
-        if self._stale_at is not None and now >= self._stale_at:
-            self._refresh(now)
-        typical = self.typical(now)
-        if safe:  # one that was ejected shows by a call that may be made again whether it is well
-            for m in self._probed:
-                if m.state is State.PROBED and not m.in_flight and m is not avoid and m.may_get(now):
-                    return m, True
-        if self._near:
-            near = two(self._near, now, typical, self._draw, avoid)
-            if near is not None:
-                other = two(self._far, now, typical, self._draw, avoid)
-                if other is None or near.cost(now, typical) <= self.policy.spill * other.cost(now, typical):
-                    return near, False
-                return other, False
-        found = two(self._usable, now, typical, self._draw, avoid)
-        return None if found is None else (found, False)
-
-    def next_turn(self, now: int) -> int | None:
-        """When a server in slow start may get a call again; None where none has to wait for its turn."""
-        turns = [turn for m in self._usable if (turn := m.next_turn(now)) is not None]
-        return min(turns, default=None)
-
-    # ---- what an attempt's end tells of its server ----
-
-    def taken_away(self, now: int, name: str) -> Member | None:
-        """At once; what it has in flight is its router's to end."""
-        if (member := self.members.pop(name, None)) is None:
-            return None
-        member.state = State.LEAVING
-        self._ranked = [m for m in self._ranked if m is not member]
-        self._stale_at = now
-        return member
-
-    def judge(self, now: int, member: Member, answered: bool, silent: bool, was_probe: bool) -> None:
-        """`silent`: it was given up after hanging for long."""
-        if member.state is State.LEAVING:
-            return self.forget(member)
-        typical = self.typical(now)
-        if self.trial is not None and answered:
-            if was_probe:
-                self.trial.well(member.server.name)
-            if others := self._others(member, typical):
-                self.trial.measured(member.server.name, member.latency.short / others, member.latency.samples)
-        if was_probe:
-            slow = typical and member.latency.short > self.policy.outlier * typical
-            if answered and not slow:
-                member.back(now)
-                self._stale_at = now
-            else:
-                self._eject(now, member, Why.PROBE, force=True)
-        elif member.state is State.IN and (why := member.faulty(self._others(member, typical))) is not None:
-            self._eject(now, member, Why.HANGS if silent and why is Why.CONSECUTIVE else why)
-        return None
-
-    def _others(self, member: Member, typical: float) -> float:
-        """The tier's median counts only where others were measured too."""
-        known = sum(m.latency.samples > 0 for m in self.members.values() if m is not member)
-        return typical if known >= 2 else 0.0
+        """Drop the prior of an endpoint, and what followed from it."""
+        endpoint = self.by_name.get(name)
+        if endpoint is None:
+            return
+        endpoint.prior = None
+        if endpoint.awaits_health_check and not endpoint.outliers.ejections:
+            endpoint.state = EndpointState.ACTIVE
+            self._request_rebuild()
 
-    def _eject(self, now: int, member: Member, why: Why, force: bool = False) -> None:
-        """At most a share of the servers at a time: the last ones have to bear what there is."""
-        out = sum(m.state in (State.EJECTED, State.PROBED) for m in self.members.values())
-        if not force and out + 1 > self.policy.most_ejected * len(self.members):
+    def _verify_prior(self, endpoint: Endpoint, was_health_check: bool, typical_us: float) -> None:
+        if self._verifier is None:
             return
-        member.eject(now, why)
-        self.ejections += 1
-        self._stale_at = now
-
-    def told(self, now: int) -> list[dict[str, object]]:
-        """Each server, for `GET /servers`. Times in ms."""
-        return [
-            {
-                "name": m.server.name,
-                "address": f"{m.server.address[0]}:{m.server.address[1]}",
-                "zone": m.server.zone,
-                "weight": m.server.weight,
-                "state": m.state.value,
-                "why": m.why.value if m.why else None,
-                "back_in_ms": max(0, m.until - now) / 1000 if m.state is State.EJECTED else None,
-                "in_flight": len(m.in_flight),
-                "limit": int(m.limit.value),
-                "calls": m.calls,
-                "failures": m.failures,
-                "answered_share": m.answered_share(),
-                "ejections": m.ejections,
-                "ramp": m.ramp(now),
-                "short_ms": m.latency.short / 1000,
-                "long_ms": m.latency.long / 1000,
-                "usable": m in self._usable,
-            }
-            for m in self._ranked
-        ]
+        name = endpoint.config.name
+        if was_health_check:
+            self._verifier.health_check_passed(name)
+        if median_us := self.ejection.comparable_median(endpoint, typical_us):
+            latency = endpoint.latency
+            self._verifier.latency_measured(name, latency.short / median_us, latency.samples)
--- a/moorusher/load_balancing/latency.py
+++ b/moorusher/load_balancing/latency.py
@@ -1,61 +1,78 @@
-"""What a server's answers have taken: peak-sensitive for choosing, short and long means for limits, a quantile."""
+"""Latency estimates of one endpoint: a decaying peak to choose by, means to limit by, and quantiles to hedge by."""
 
 from __future__ import annotations
 
 import math
 
-DECAY = 5_000_000  # us in which a peak fades to a third, where answers are faster
-SHORT, LONG = 0.2, 0.02  # weight of a new sample in the short and the long mean
-RECENT = 64  # samples that the quantile is taken from
-LEAST = 20  # samples under which there is no quantile
+PEAK_DECAY_US = 5_000_000  # time constant with which a peak decays towards faster answers
+SHORT_WEIGHT = 0.2  # of a new sample in the short-term mean
+LONG_WEIGHT = 0.02  # of a new sample in the long-term mean
+QUANTILE_WINDOW = 64  # samples that a quantile is taken from
+MIN_QUANTILE_SAMPLES = 20
 
 
-class Latency:
-    """Times in us. Only answers count: what fails at once is not fast."""
+class LatencyEstimate:
+    """Latencies of answered calls, in microseconds. Failures never enter: what fails at once is not fast.
+
+    peak: the highest latency, decaying with time (float).
+    short, long: exponentially weighted means (float).
+    spread: exponentially weighted mean deviation from `short` (float).
+    samples: answers recorded so far (int).
+    """
 
     def __init__(self) -> None:
-        self.peak = self.short = self.long = self.spread = 0.0
+        """Start without a sample."""
+        self.peak = 0.0
+        self.short = 0.0
+        self.long = 0.0
+        self.spread = 0.0
         self.samples = 0
-        self._at = 0
+        self._last_sample_at = 0
         self._recent: list[float] = []
-        self._sorted: list[float] | None = None
+        self._sorted_recent: list[float] | None = None  # None: `_recent` has changed since it was sorted
 
-    def add(self, now: int, took: float) -> None:
+    def add(self, now: int, latency_us: float) -> None:
+        """Record one answer."""
         if not self.samples:
-            self.peak = self.short = self.long = took
+            self.peak = self.short = self.long = latency_us
         else:
-            fades = math.exp(-(now - self._at) / DECAY) if now > self._at else 1.0
-            # Up at once, down by time: a server that has just become slow must not look fast on average.
-            self.peak = max(took, took + (self.peak - took) * fades)
-            self.spread += SHORT * (abs(took - self.short) - self.spread)
-            self.short += SHORT * (took - self.short)
-            self.long += max(LONG, 1 / (self.samples + 1)) * (took - self.long)
-        self._at = max(self._at, now)
-        if len(self._recent) < RECENT:
-            self._recent.append(took)
+            # Up at once, down by time: an endpoint that has just become slow must not look fast on average.
+            self.peak = max(latency_us, latency_us + (self.peak - latency_us) * self._decay(now))
+            self.spread += SHORT_WEIGHT * (abs(latency_us - self.short) - self.spread)
+            self.short += SHORT_WEIGHT * (latency_us - self.short)
+            self.long += max(LONG_WEIGHT, 1 / (self.samples + 1)) * (latency_us - self.long)
+        self._last_sample_at = max(self._last_sample_at, now)
+        if len(self._recent) < QUANTILE_WINDOW:
+            self._recent.append(latency_us)
         else:
-            self._recent[self.samples % RECENT] = took
+            self._recent[self.samples % QUANTILE_WINDOW] = latency_us
         self.samples += 1
-        self._sorted = None
+        self._sorted_recent = None
+
+    def _decay(self, now: int) -> float:
+        """The factor by which a peak has decayed since the last sample."""
+        if now <= self._last_sample_at:
+            return 1.0
+        return math.exp(-(now - self._last_sample_at) / PEAK_DECAY_US)
 
     def expected(self, now: int) -> float:
-        """The peak as it has faded by now, never under the short mean; 0 where nothing is known."""
+        """Return the decayed peak, at least the short-term mean, in microseconds; 0 without samples."""
         if not self.samples:
             return 0.0
-        faded = self.peak * math.exp(-(now - self._at) / DECAY) if now > self._at else self.peak
-        return max(self.short, faded)
+        return max(self.short, self.peak * self._decay(now))
 
-    def quantile(self, share: float) -> float | None:
-        """Of the last answers; None while they are too few to tell."""
-        if len(self._recent) < LEAST:
+    def quantile(self, fraction: float) -> float | None:
+        """Return a quantile of the recent answers in microseconds; None while they are too few."""
+        if len(self._recent) < MIN_QUANTILE_SAMPLES:
             return None
-        if self._sorted is None:
-            self._sorted = sorted(self._recent)
-        return self._sorted[min(len(self._sorted) - 1, int(share * len(self._sorted)))]
+        if self._sorted_recent is None:
+            self._sorted_recent = sorted(self._recent)
+        index = min(len(self._sorted_recent) - 1, int(fraction * len(self._sorted_recent)))
+        return self._sorted_recent[index]
 
 
 def median(values: list[float]) -> float:
-    """0 of none."""
+    """Return the median; 0 of an empty list."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- /dev/null
+++ b/moorusher/load_balancing/load_balancer.py
@@ -0,0 +1,267 @@
+"""The state machine of calls and their attempts: events in, instructions out.
+
+A call is sent to an endpoint, waits in the queue where none has capacity, or is rejected where the queue is full. A
+failed attempt may be retried, one that takes long may be hedged. Whoever owns the load balancer carries out what
+`handle` returns, in order, and sends TimerFired at the time that `next_timer` names.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from itertools import count
+
+from .call_queue import CallQueue
+from .calls import Call, CallState
+from .endpoint import Endpoint
+from .endpoint_set import EndpointSet, Selection
+from .hedging import hedge_at, hedge_still_useful, may_hedge
+from .messages import (
+    NO_ATTEMPT,
+    AttemptEnded,
+    AttemptOutcome,
+    CallCancelled,
+    CallStarted,
+    CancelAttempt,
+    CompleteCall,
+    EndpointRemoved,
+    Event,
+    Instruction,
+    SendAttempt,
+    TimerFired,
+)
+from .outlier_detection import is_hanging
+from .policy import EndpointConfig, LoadBalancingPolicy
+from .retry import RetryAt, decide_retry, has_time_left
+from .retry_budget import RetryBudget
+from .timers import NO_CALL, TimerKind, Timers
+
+
+@dataclass(slots=True)
+class Counts:
+    """What a load balancer has done; `status` gives the counts their names in the JSON of /servers."""
+
+    calls: int = 0
+    attempts: int = 0
+    retries: int = 0
+    hedges: int = 0
+    hedges_won: int = 0  # the second copy was answered first
+    queued: int = 0
+    queue_full: int = 0  # calls that were rejected for it
+    denied_by_budget: int = 0  # retries and hedges that the budget had no token for
+
+
+class LoadBalancer:
+    """The load balancer of one set of endpoints.
+
+    endpoints: its endpoints (EndpointSet); they are added, drained and retired there.
+    counts: see Counts.
+    """
+
+    def __init__(
+        self,
+        configs: Iterable[EndpointConfig],
+        policy: LoadBalancingPolicy,
+        runner: str,
+        draw: Callable[[], float],
+        now: int,
+        attempt_ids: Iterator[int] | None = None,
+    ) -> None:
+        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1; `now` in microseconds.
+
+        `attempt_ids`: where several load balancers share them.
+        """
+        self._policy = policy
+        self._draw = draw
+        self.endpoints = EndpointSet(configs, policy, runner, draw, now)
+        self.counts = Counts()
+        self._budget = RetryBudget(policy.retry_budget_ratio, policy.min_retries_per_s, now)
+        self._queue = CallQueue(policy.max_queued_calls)
+        self._timers = Timers()
+        self._slot_timer_at = 0  # the time of the newest SLOT timer, in microseconds
+        self._attempt_ids = count(1) if attempt_ids is None else attempt_ids
+        # Calls that have not ended, by id.
+        self._calls: dict[int, Call] = {}
+        # By attempt in flight: `_call_of[a]` is a call of `_calls`, and `a` is one of its `attempts`.
+        self._call_of: dict[int, Call] = {}
+
+    @property
+    def open_calls(self) -> int:
+        """Return the number of calls that have not ended."""
+        return len(self._calls)
+
+    def next_timer(self) -> int | None:
+        """Return when TimerFired is due next (us); None where nothing waits for a time."""
+        return self._timers.next_time()
+
+    def handle(self, event: Event) -> list[Instruction]:
+        """Take one event, and return what is to be done, in order."""
+        match event:
+            case CallStarted():
+                return self._on_call_started(event)
+            case AttemptEnded():
+                return self._on_attempt_ended(event.now, event.attempt_id, event.outcome)
+            case CallCancelled():
+                return self._on_call_cancelled(event.now, event.call_id)
+            case TimerFired():
+                return self._on_timer_fired(event.now)
+            case EndpointRemoved():
+                return self._on_endpoint_removed(event.now, event.name)
+
+    # ---- events ----
+
+    def _on_call_started(self, event: CallStarted) -> list[Instruction]:
+        instructions = self._on_call_cancelled(event.now, event.call_id)
+        self.counts.calls += 1
+        self._budget.call_started()
+        call = Call(event.call_id, event.effect, event.deadline, event.max_attempts)
+        self._calls[event.call_id] = call
+        return instructions + self._start_attempt(event.now, call)
+
+    def _on_call_cancelled(self, now: int, call_id: int) -> list[Instruction]:
+        call = self._calls.pop(call_id, None)
+        if call is None:
+            return []
+        self._queue.discard(call)
+        return self._cancel_attempts(now, call) + self._serve_queue(now)
+
+    def _on_attempt_ended(self, now: int, attempt_id: int, outcome: AttemptOutcome) -> list[Instruction]:
+        call = self._call_of.pop(attempt_id, None)
+        if call is None:
+            return []
+        endpoint = call.attempts.pop(attempt_id)
+        self.endpoints.attempt_ended(now, endpoint, attempt_id, outcome)
+        if outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.NOT_AWAITED):
+            if call.hedged and outcome is AttemptOutcome.ANSWERED and endpoint is call.last_endpoint:
+                self.counts.hedges_won += 1
+            return self._complete(now, call, attempt_id, outcome)
+        if call.attempts:
+            return self._serve_queue(now)  # its other copy may still be answered
+        decision = decide_retry(now, call, outcome, self._policy, self._budget, self._draw)
+        if isinstance(decision, RetryAt):
+            return self._transition_in_flight_backing_off(now, call, decision.at)
+        if decision.budget_spent:
+            self.counts.denied_by_budget += 1
+        return self._complete(now, call, attempt_id, outcome)
+
+    def _on_timer_fired(self, now: int) -> list[Instruction]:
+        instructions: list[Instruction] = []
+        while (timer := self._timers.pop_due(now)) is not None:
+            at, call_id, kind = timer
+            call = self._calls.get(call_id)
+            if call is None:
+                continue
+            if kind is TimerKind.RETRY:
+                if call.state is CallState.BACKING_OFF and call.retry_at == at:
+                    instructions += self._start_attempt(now, call, avoid=call.last_endpoint)
+            elif kind is TimerKind.HEDGE and hedge_still_useful(now, call):
+                instructions += self._hedge(now, call)
+        return instructions + self._serve_queue(now)
+
+    def _on_endpoint_removed(self, now: int, name: str) -> list[Instruction]:
+        endpoint = self.endpoints.remove(name)
+        instructions: list[Instruction] = []
+        for attempt_id in [] if endpoint is None else list(endpoint.in_flight):
+            instructions.append(CancelAttempt(attempt_id))
+            instructions += self._on_attempt_ended(now, attempt_id, AttemptOutcome.FAILED)
+        return instructions
+
+    # ---- transitions of a call ----
+
+    def _start_attempt(self, now: int, call: Call, avoid: Endpoint | None = None) -> list[Instruction]:
+        """From STARTING or BACKING_OFF: send an attempt, wait in the queue, or reject the call."""
+        selection = self.endpoints.select(now, call.may_run_twice, avoid)
+        if selection is None and avoid is not None:
+            selection = self.endpoints.select(now, call.may_run_twice)
+        if selection is not None:
+            return [self._transition_to_in_flight(now, call, selection)]
+        if self._queue.is_full:
+            self.counts.queue_full += 1
+            del self._calls[call.call_id]
+            return [CompleteCall(call.call_id, NO_ATTEMPT, AttemptOutcome.REJECTED)]
+        self._transition_to_queued(now, call)
+        return []
+
+    def _transition_to_in_flight(self, now: int, call: Call, selection: Selection) -> Instruction:
+        endpoint = selection.endpoint
+        attempt_id = next(self._attempt_ids)
+        call.state = CallState.IN_FLIGHT
+        call.attempts_made += 1
+        call.last_endpoint = endpoint
+        call.attempts[attempt_id] = endpoint
+        self._call_of[attempt_id] = call
+        self.counts.attempts += 1
+        endpoint.attempt_sent(now, attempt_id, selection.is_health_check)
+        if may_hedge(call, self._policy, selection.is_health_check):
+            at = hedge_at(now, call, endpoint, self.endpoints.typical_latency(now))
+            if at is not None:
+                self._timers.add(at, call.call_id, TimerKind.HEDGE)
+        timeout_us = max(1, call.deadline - now)
+        return SendAttempt(call.call_id, attempt_id, endpoint.config.name, timeout_us)
+
+    def _transition_to_queued(self, now: int, call: Call) -> None:
+        self.counts.queued += 1
+        self._queue.push(call)
+        self._set_slot_timer(now)
+
+    def _transition_in_flight_backing_off(self, now: int, call: Call, at: int) -> list[Instruction]:
+        self.counts.retries += 1
+        call.state = CallState.BACKING_OFF
+        call.retry_at = at
+        self._timers.add(at, call.call_id, TimerKind.RETRY)
+        return self._serve_queue(now)
+
+    def _complete(self, now: int, call: Call, attempt_id: int, outcome: AttemptOutcome) -> list[Instruction]:
+        """From IN_FLIGHT: the call ends as one of its attempts did, and other copies are cancelled."""
+        del self._calls[call.call_id]
+        completed: list[Instruction] = [CompleteCall(call.call_id, attempt_id, outcome)]
+        return completed + self._cancel_attempts(now, call) + self._serve_queue(now)
+
+    def _cancel_attempts(self, now: int, call: Call) -> list[Instruction]:
+        """Cancel what is in flight; an attempt that has hung counts against its endpoint all the same."""
+        instructions: list[Instruction] = []
+        for attempt_id, endpoint in call.attempts.items():
+            age_us = now - endpoint.in_flight[attempt_id].sent_at
+            hung = is_hanging(age_us, self.endpoints.typical_latency(now))
+            del self._call_of[attempt_id]
+            self.endpoints.attempt_ended(now, endpoint, attempt_id, AttemptOutcome.CANCELLED, hung)
+            instructions.append(CancelAttempt(attempt_id))
+        call.attempts.clear()
+        return instructions
+
+    def _hedge(self, now: int, call: Call) -> list[Instruction]:
+        """Send a second copy where another endpoint has capacity and the budget allows it."""
+        first = next(iter(call.attempts.values()))
+        selection = self.endpoints.select(now, call.may_run_twice, avoid=first)
+        if selection is None:
+            return []
+        if not self._budget.try_take(now):
+            self.counts.denied_by_budget += 1
+            return []
+        call.hedged = True
+        self.counts.hedges += 1
+        return [self._transition_to_in_flight(now, call, selection)]
+
+    # ---- the queue ----
+
+    def _serve_queue(self, now: int) -> list[Instruction]:
+        """Capacity may have become free: send what waits, the earliest deadline first."""
+        instructions: list[Instruction] = []
+        while (call := self._queue.first()) is not None:
+            selection = self.endpoints.select(now, call.may_run_twice)
+            if selection is None:
+                self._set_slot_timer(now)
+                break
+            self._queue.pop_first()
+            if has_time_left(now, call.deadline):
+                instructions.append(self._transition_to_in_flight(now, call, selection))
+            else:
+                call.state = CallState.EXPIRED
+        return instructions
+
+    def _set_slot_timer(self, now: int) -> None:
+        """Wake for the next slot of an endpoint in slow start: nothing else might, while calls wait for it."""
+        slot = self.endpoints.next_slot(now)
+        if slot is not None and not now < self._slot_timer_at <= slot:
+            self._slot_timer_at = slot
+            self._timers.add(slot, NO_CALL, TimerKind.SLOT)
--- a/moorusher/load_balancing/picker.py
+++ b/moorusher/load_balancing/picker.py
@@ -1,4 +1,8 @@
-"""Which servers a runner keeps to, and which of them gets a call."""
+"""Which endpoints a runner keeps to, and which of them gets a call.
+
+Subset: weighted rendezvous hashing of the runner's name. Choice: power of two choices, by the expected wait (`cost`) of
+each; the own zone first, until its choice is `zone_spill_ratio` times as costly as that of the other zones.
+"""
 
 from __future__ import annotations
 
@@ -7,43 +11,70 @@
 
 import xxhash
 
-from .endpoint import Member
+from .endpoint import Endpoint
+
+MAX_DRAWN_PAIRS = 3  # before all endpoints are looked at
+
+
+def subset_order(runner: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+    """Return the endpoints in the runner's own order; its subset is the first ones.
+
+    The order of two endpoints does not depend on any other, so one that comes or goes moves no call between others.
+    """
 
-TRIES = 3  # pairs that are drawn before all are looked at
+    def score(endpoint: Endpoint) -> float:
+        digest = xxhash.xxh3_64_intdigest(f"{runner}\0{endpoint.config.name}".encode())
+        drawn = (digest + 1) / (2**64 + 2)  # over 0 and under 1
+        return -endpoint.config.weight / math.log(drawn)
 
+    return sorted(endpoints, key=score, reverse=True)
 
-def rank(runner: str, servers: Sequence[Member]) -> list[Member]:
-    """Weighted rendezvous hashing: each runner has an order of its own, in which a server that comes or goes moves no
-    other. The first `subset` of it are the runner's."""
 
-    def score(member: Member) -> float:
-        drawn = (xxhash.xxh3_64_intdigest(f"{runner}\0{member.server.name}".encode()) + 1) / (2**64 + 2)
-        return -member.server.weight / math.log(drawn)
+class Picker:
+    """Draws an endpoint at random in a way that prefers those with a short expected wait.
 
-    return sorted(servers, key=score, reverse=True)
+    Latencies are in microseconds; `typical_us` is the set's median.
+    """
 
+    def __init__(self, draw: Callable[[], float], zone_spill_ratio: float) -> None:
+        """`draw` returns random numbers from 0 to under 1."""
+        self._draw = draw
+        self._zone_spill_ratio = zone_spill_ratio
 
-def _drawn(members: Sequence[Member], now: int, draw: Callable[[], float]) -> Member | None:
-    """One at random; one in slow start only as often as its ramp says."""
-    member = members[int(draw() * len(members))]
-    ramp = member.ramp(now)
-    return member if ramp >= 1.0 or draw() < ramp else None
+    def pick_by_zone(
+        self,
+        local: Sequence[Endpoint],
+        remote: Sequence[Endpoint],
+        now: int,
+        typical_us: float,
+        avoid: Endpoint | None = None,
+    ) -> Endpoint | None:
+        """Return an endpoint of the own zone, or one elsewhere that is clearly better; None if no local one can."""
+        nearby = self.pick(local, now, typical_us, avoid)
+        if nearby is None:
+            return None
+        elsewhere = self.pick(remote, now, typical_us, avoid)
+        if elsewhere is None:
+            return nearby
+        tolerated = self._zone_spill_ratio * elsewhere.cost(now, typical_us)
+        return nearby if nearby.cost(now, typical_us) <= tolerated else elsewhere
 
+    def pick(
+        self, endpoints: Sequence[Endpoint], now: int, typical_us: float, avoid: Endpoint | None = None
+    ) -> Endpoint | None:
+        """Return the better of two drawn at random with capacity; all are compared only if draws find none."""
+        if not endpoints:
+            return None
+        for _ in range(MAX_DRAWN_PAIRS):
+            pair = (self._draw_one(endpoints, now), self._draw_one(endpoints, now))
+            able = [e for e in pair if e is not None and e is not avoid and e.has_capacity(now)]
+            if able:
+                return min(able, key=lambda endpoint: endpoint.cost(now, typical_us))
+        able = [e for e in endpoints if e is not avoid and e.has_capacity(now)]
+        return min(able, key=lambda e: e.cost(now, typical_us) / e.ramp(now)) if able else None
 
-def two(
-    members: Sequence[Member],
-    now: int,
-    typical: float,
-    draw: Callable[[], float],
-    avoid: Member | None = None,
-) -> Member | None:
-    """The better of two at random that have room; all are looked at only where chance finds none."""
-    if not members:
-        return None
-    for _ in range(TRIES):
-        pair = (_drawn(members, now, draw), _drawn(members, now, draw))
-        able = [m for m in pair if m is not None and m is not avoid and m.has_room(now)]
-        if able:
-            return min(able, key=lambda m: m.cost(now, typical))
-    able = [m for m in members if m is not avoid and m.has_room(now)]
-    return min(able, key=lambda m: m.cost(now, typical) / m.ramp(now)) if able else None
+    def _draw_one(self, endpoints: Sequence[Endpoint], now: int) -> Endpoint | None:
+        """Draw one; one in slow start counts only as often as its ramp says."""
+        endpoint = endpoints[int(self._draw() * len(endpoints))]
+        ramp = endpoint.ramp(now)
+        return endpoint if ramp >= 1.0 or self._draw() < ramp else None
--- a/moorusher/load_balancing/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -1,56 +1,64 @@
-"""What the operator sets of the tier. Defaults; `config/loader.py` reads and bounds them from `[tier]`."""
+"""The operator's settings of load balancing; `config/load_balancing.py` reads and bounds them from `[tier]`."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_SERVERS = 1000
+MAX_ENDPOINTS = 1000
 
 
-class Speaks(Enum):
-    """What a server understands."""
+class EndpointProtocol(Enum):
+    """The protocol an endpoint speaks. The values are those of the key `protocol` in settings and API."""
 
-    HTTP = "http"  # the platform's form of calls
+    HTTP = "http"  # calls as the platform sends them
     UWSGI = "uwsgi"
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
-    """One below, as the operator names it. The name stays; the address may change."""
+class EndpointConfig:
+    """One server as the operator lists it. The name is its identity; everything else may change in service."""
 
     name: str
-    address: tuple[str, int]
-    weight: float = 1.0
+    address: tuple[str, int]  # host and port
+    weight: float = 1.0  # its share of the calls, relative to the others' weights
     zone: str = ""
-    speaks: Speaks = Speaks.HTTP
+    protocol: EndpointProtocol = EndpointProtocol.HTTP
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
-    """Times in ms where the name ends in `_ms`, in seconds in `_s`; shares from 0 to 1."""
-
-    zone: str = ""  # this runner's own
-    subset: int = 0  # servers that this runner keeps to; 0: all
-    spill: float = 2.0  # times the expected wait elsewhere, from which a call leaves its zone
-    least_limit: int = 2  # calls in flight at a server, however slow,
-    most_limit: int = 256  # and however fast
-    queue: int = 64  # calls that may wait for a server
-    consecutive: int = 5  # failures one after the other that eject a server
-    failure_share: float = 0.5  # of the last calls, that ejects it
-    outlier: float = 4.0  # times the tier's median latency, that ejects it
-    eject_s: float = 5.0  # the first time; doubled with each further one
-    most_eject_s: float = 120.0
-    most_ejected: float = 0.34  # share of the servers that may be ejected at a time
-    panic: float = 0.5  # share of usable weight under which nobody counts as ejected
-    retry_share: float = 0.08  # of the calls: further attempts, second copies included
-    retry_floor_per_s: float = 0.5  # further attempts that there are always
-    backoff_ms: float = 10.0  # of the first repeat: any time up to it, twice as much with each
-    most_backoff_ms: float = 250.0
-    hedge: bool = True  # a second copy of a safe call, after its server's 95th percentile
-    slow_start_s: float = 10.0  # until a new or returned server has its whole share
-    slow_start_calls: int = (
-        0  # that it may get in a window as that ends, from all runners together; 0: no bound
+class LoadBalancingPolicy:
+    """Limits and thresholds. Units are in the names; ratios and fractions run from 0 to 1 where nothing else is said.
+
+    `POLICY_FIELDS` in `config/load_balancing.py` maps the keys of `[tier]` to these fields.
+    """
+
+    # Choice of an endpoint.
+    zone: str = ""  # this runner's own; endpoints in it are preferred
+    subset_size: int = 0  # endpoints that this runner keeps to; 0: all
+    zone_spill_ratio: float = (
+        2.0  # expected wait in the own zone over that elsewhere from which a call leaves the zone
     )
+    # Limits.
+    min_concurrency: int = 2  # calls in flight at an endpoint, however slow it is
+    max_concurrency: int = 256  # calls in flight at an endpoint, however fast it is
+    max_queued_calls: int = 64  # calls that may wait for an endpoint
+    # Outlier detection and ejection.
+    consecutive_failures: int = 5  # that eject an endpoint
+    max_failure_rate: float = 0.5  # of its last calls; more ejects it
+    outlier_latency_ratio: float = 4.0  # its mean latency over the set's median; more ejects it
+    base_ejection_s: float = 5.0  # the first ejection; each further one lasts twice as long
+    max_ejection_s: float = 120.0
+    max_ejected_fraction: float = 0.34  # of the endpoints
+    panic_threshold: float = 0.5  # fraction of the weight in service under which ejections are ignored
+    # Retries and hedged requests.
+    retry_budget_ratio: float = 0.08  # retries and hedged requests a call
+    min_retries_per_s: float = 0.5  # retries that are allowed however few calls there are
+    base_backoff_ms: float = 10.0  # bound of the first backoff; doubled with each attempt
+    max_backoff_ms: float = 250.0
+    hedging_enabled: bool = True
+    # Slow start.
+    slow_start_s: float = 10.0  # until a new or returning endpoint gets its full share
+    slow_start_calls: int = 0  # calls a window from all runners together as slow start ends; 0: no bound
     slow_start_window_ms: float = 1_000.0
-    runners: int = 1  # that call these servers
+    runners: int = 1  # that call these endpoints
--- a/moorusher/load_balancing/retry_budget.py
+++ b/moorusher/load_balancing/retry_budget.py
@@ -1,31 +1,34 @@
-"""Further attempts come from a budget: a share of the calls, and a little time has earned. An outage must not be
-answered with more calls than there were."""
+"""The budget that retries and hedged requests share: a fraction of the calls, and a trickle by time.
+
+It bounds retry storms: an outage of all endpoints must not be answered with many more attempts than there are calls.
+"""
 
 from __future__ import annotations
 
-BURST = 10.0  # attempts that can be saved up
+MAX_SAVED_ATTEMPTS = 10.0
+INITIAL_ATTEMPTS = 1.0
 
 
-class Budget:
-    """Tokens for further attempts: each call earns a part of one, and so does time."""
+class RetryBudget:
+    """A token bucket; one token pays for one further attempt."""
 
-    def __init__(self, share: float, floor_per_s: float, now: int) -> None:
-        self.share, self.floor = share, floor_per_s
-        self._tokens, self._at = 1.0, now
+    def __init__(self, attempts_per_call: float, min_attempts_per_s: float, now: int) -> None:
+        """`attempts_per_call`: earned by each call; `min_attempts_per_s`: earned by time; `now` in microseconds."""
+        self._attempts_per_call = attempts_per_call
+        self._min_attempts_per_s = min_attempts_per_s
+        self._tokens = INITIAL_ATTEMPTS
+        self._refilled_at = now
 
-    def called(self) -> None:
-        self._tokens = min(BURST, self._tokens + self.share)
+    def call_started(self) -> None:
+        """Earn what one call is worth."""
+        self._tokens = min(MAX_SAVED_ATTEMPTS, self._tokens + self._attempts_per_call)
 
-    def take(self, now: int) -> bool:
-        self._tokens = min(BURST, self._tokens + self.floor * (now - self._at) / 1e6)
-        self._at = now
+    def try_take(self, now: int) -> bool:
+        """Pay for one further attempt; False where the budget is spent."""
+        earned = self._min_attempts_per_s * (now - self._refilled_at) / 1e6
+        self._tokens = min(MAX_SAVED_ATTEMPTS, self._tokens + earned)
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
-
-
-def backoff_us(tries: int, base_ms: float, most_ms: float, draw: float) -> int:
-    """Full jitter: anything up to a bound that doubles. `draw` from 0 to under 1; `tries` from 1 on."""
-    most = min(most_ms, base_ms * (1 << min(tries - 1, 20)))
-    return round(draw * most * 1000)
--- a/moorusher/routing/ways.py
+++ b/moorusher/routing/ways.py
@@ -17,8 +17,21 @@
 from moorusher.scheduling.interface import Effect
 from moorusher.scheduling.retry_policy import may_repeat
 
-from ..load_balancing.policy import Policy, Server
-from ..load_balancing.router import LEAST_LEFT, Action, Cancel, End, Over, Router, Send
+from ..load_balancing.load_balancer import LoadBalancer
+from ..load_balancing.messages import (
+    AttemptEnded,
+    AttemptOutcome,
+    CallCancelled,
+    CallStarted,
+    CancelAttempt,
+    CompleteCall,
+    EndpointRemoved,
+    Instruction,
+    SendAttempt,
+    TimerFired,
+)
+from ..load_balancing.policy import EndpointConfig, LoadBalancingPolicy
+from ..load_balancing.retry import has_time_left
 from .grants import Grants
 from .way import Hop, Way
 
@@ -37,12 +50,12 @@
 
 
 class Ways:
-    """The part of `tier.router.Router` that links need, for all of them."""
+    """The part of `tier.router.LoadBalancer` that links need, for all of them."""
 
     def __init__(
         self,
-        servers: Iterable[Server],
-        policy: Policy,
+        servers: Iterable[EndpointConfig],
+        policy: LoadBalancingPolicy,
         runner: str,
         draw: Callable[[], float],
         now: int,
@@ -52,7 +65,7 @@
         self.servers = {s.name: s for s in servers}
         self.grants = grants
         self._attempts = count(1)
-        self.default = Router(
+        self.default = LoadBalancer(
             [s for s in self.servers.values() if s.name not in grants.taken()],
             policy,
             runner,
@@ -60,19 +73,19 @@
             now,
             self._attempts,
         )
-        self._routers: OrderedDict[Label, Router] = OrderedDict()
+        self._routers: OrderedDict[Label, LoadBalancer] = OrderedDict()
         self._hops: dict[Label, Hop] = {}
         self._going: dict[int, _Going] = {}
-        self._via: dict[int, Router] = {}  # by attempt
-        self._wakes: list[tuple[int, int, Router]] = []
-        self._noted: dict[Router, int] = {}  # of each, the earliest of those
+        self._via: dict[int, LoadBalancer] = {}  # by attempt
+        self._wakes: list[tuple[int, int, LoadBalancer]] = []
+        self._noted: dict[LoadBalancer, int] = {}  # of each, the earliest of those
         self._order = count()
         self._on: dict[Label, int] = {}  # calls under way
         self._in_pool: dict[tuple[str, str], int] = {}  # by customer and pool
 
     # ---- routers ----
 
-    def _router(self, now: int, way: Way, hop: Hop) -> Router | None:
+    def _router(self, now: int, way: Way, hop: Hop) -> LoadBalancer | None:
         """None where none of its servers is there, and granted, at this time."""
         own = self.grants.own.get(way.customer, frozenset())
         if hop.pool:
@@ -92,7 +105,7 @@
         made = self._routers.get(label)
         if made is None:
             self._forget_some()
-            made = self._routers[label] = Router(
+            made = self._routers[label] = LoadBalancer(
                 there, self._policy, self._runner, self._draw, now, self._attempts
             )
         else:
@@ -103,35 +116,39 @@
         return made
 
     @staticmethod
-    def _follow(now: int, router: Router, servers: list[Server]) -> None:
+    def _follow(now: int, router: LoadBalancer, servers: list[EndpointConfig]) -> None:
         wanted = {s.name: s for s in servers}
-        for name in [n for n in router.members if n not in wanted]:
-            router.retire(now, name)
+        for name in [n for n in router.endpoints.by_name if n not in wanted]:
+            router.endpoints.retire(name)
         for server in servers:
-            known = router.members.get(server.name)
-            if known is None or known.server != server:
-                router.add(now, server, established=known is not None)
+            known = router.endpoints.by_name.get(server.name)
+            if known is None or known.config != server:
+                router.endpoints.add(now, server, established=known is not None)
 
     def _forget_some(self) -> None:
         if len(self._routers) >= MOST_ROUTERS:
-            for label in [name for name, r in self._routers.items() if not r.open][: MOST_ROUTERS // 10]:
+            for label in [name for name, r in self._routers.items() if not r.open_calls][
+                : MOST_ROUTERS // 10
+            ]:
                 del self._routers[label]
                 self._hops.pop(label, None)
 
-    def _all(self) -> list[Router]:
+    def _all(self) -> list[LoadBalancer]:
         return [self.default, *self._routers.values()]
 
     # ---- calls ----
 
-    def call(self, now: int, number: int, effect: Effect, due: int, way: Way | None) -> list[Action]:
+    def call(self, now: int, number: int, effect: Effect, due: int, way: Way | None) -> list[Instruction]:
         """`way` is None where no customer's rules are for it."""
         out = self.give_up(now, number)
         if way is None:
-            return out + self._seen(self.default, self.default.call(now, number, effect, due), now)
+            return out + self._seen(
+                self.default, self.default.handle(CallStarted(now, number, effect, due)), now
+            )
         going = self._going[number] = _Going(way, effect, due)
-        return out + self._next(now, number, going, Over(number, 0, End.TURNED_AWAY))
+        return out + self._next(now, number, going, CompleteCall(number, 0, AttemptOutcome.REJECTED))
 
-    def _next(self, now: int, number: int, going: _Going, last: Over) -> list[Action]:
+    def _next(self, now: int, number: int, going: _Going, last: CompleteCall) -> list[Instruction]:
         """On the next hop that can; `last`: how it ends where there is none."""
         while going.hop < len(going.way.hops):
             hop = going.way.hops[going.hop]
@@ -139,7 +156,9 @@
             router = self._router(now, going.way, hop)
             if router is None or not self._enter(going, hop):
                 continue
-            return self._seen(router, router.call(now, number, going.effect, going.due, hop.tries), now)
+            return self._seen(
+                router, router.handle(CallStarted(now, number, going.effect, going.due, hop.tries)), now
+            )
         self._going.pop(number, None)
         return [last]
 
@@ -173,45 +192,51 @@
         if not table[key]:
             del table[key]
 
-    def _seen(self, router: Router, actions: list[Action], now: int) -> list[Action]:
+    def _seen(self, router: LoadBalancer, actions: list[Instruction], now: int) -> list[Instruction]:
         """What a router wants done: its attempts are noted, and an end on one hop may be a beginning on the next."""
-        out: list[Action] = []
+        out: list[Instruction] = []
         self._note(router)
         for action in actions:
-            if isinstance(action, Send):
-                self._via[action.attempt] = router
-            elif isinstance(action, Cancel):
-                self._via.pop(action.attempt, None)
-            elif (going := self._going.get(action.number)) is not None:
+            if isinstance(action, SendAttempt):
+                self._via[action.attempt_id] = router
+            elif isinstance(action, CancelAttempt):
+                self._via.pop(action.attempt_id, None)
+            elif (going := self._going.get(action.call_id)) is not None:
                 self._leave(going)
                 if self._may_go_on(now, going, action):
-                    out += self._next(now, action.number, going, action)
+                    out += self._next(now, action.call_id, going, action)
                     continue
-                del self._going[action.number]
+                del self._going[action.call_id]
             out.append(action)
         return out
 
     @staticmethod
-    def _may_go_on(now: int, going: _Going, over: Over) -> bool:
-        if over.end in (End.ANSWERED, End.STRAY, End.GIVEN_UP) or now + LEAST_LEFT >= going.due:
+    def _may_go_on(now: int, going: _Going, over: CompleteCall) -> bool:
+        if over.outcome in (
+            AttemptOutcome.ANSWERED,
+            AttemptOutcome.NOT_AWAITED,
+            AttemptOutcome.CANCELLED,
+        ) or not has_time_left(now, going.due):
             return False
-        return may_repeat(going.effect, over.end.evidence)
+        return may_repeat(going.effect, over.outcome.evidence)
 
-    def give_up(self, now: int, number: int) -> list[Action]:
+    def give_up(self, now: int, number: int) -> list[Instruction]:
         going = self._going.pop(number, None)
         if going is None:
-            return self._seen(self.default, self.default.give_up(now, number), now)
+            return self._seen(self.default, self.default.handle(CallCancelled(now, number)), now)
         router = None if going.label is None else self._routers.get(going.label)
         self._leave(going)
-        return [] if router is None else self._seen(router, router.give_up(now, number), now)
+        return [] if router is None else self._seen(router, router.handle(CallCancelled(now, number)), now)
 
-    def ended(self, now: int, attempt: int, end: End) -> list[Action]:
+    def ended(self, now: int, attempt: int, end: AttemptOutcome) -> list[Instruction]:
         router = self._via.pop(attempt, None)
-        return [] if router is None else self._seen(router, router.ended(now, attempt, end), now)
+        return (
+            [] if router is None else self._seen(router, router.handle(AttemptEnded(now, attempt, end)), now)
+        )
 
-    def _note(self, router: Router) -> None:
+    def _note(self, router: LoadBalancer) -> None:
         """When it next wants to be rung, among all of them."""
-        at = router.wake()
+        at = router.next_timer()
         if at is not None and self._noted.get(router) != at:
             self._noted[router] = at
             heapq.heappush(self._wakes, (at, next(self._order), router))
@@ -219,7 +244,7 @@
     def wake(self) -> int | None:
         while self._wakes:
             at, _, router = self._wakes[0]
-            if router.wake() == at:
+            if router.next_timer() == at:
                 return at
             heapq.heappop(self._wakes)
             if self._noted.get(router) == at:
@@ -227,36 +252,40 @@
             self._note(router)
         return None
 
-    def ring(self, now: int) -> list[Action]:
-        out: list[Action] = []
+    def ring(self, now: int) -> list[Instruction]:
+        out: list[Instruction] = []
         while (at := self.wake()) is not None and at <= now:
             _, _, router = heapq.heappop(self._wakes)
             self._noted.pop(router, None)
-            out += self._seen(router, router.ring(now), now)
+            out += self._seen(router, router.handle(TimerFired(now)), now)
         return out
 
     # ---- membership ----
 
-    def put(self, now: int, server: Server) -> None:
+    def put(self, now: int, server: EndpointConfig) -> None:
         """A new one, or one that is changed. Raises ValueError where there are too many."""
         self.servers[server.name] = server
         if server.name not in self.grants.taken():
-            self.default.add(now, server)
+            self.default.endpoints.add(now, server)
         self._hops.clear()  # each route looks anew at what is there, with its next call
 
     def drain(self, now: int, name: str) -> bool:
-        return any([router.drain(now, name) for router in self._all()])
+        return any([router.endpoints.drain(name) for router in self._all()])
 
     def retire(self, now: int, name: str) -> None:
         self.servers.pop(name, None)
         for router in self._all():
-            router.retire(now, name)
+            router.endpoints.retire(name)
         self._hops.clear()
 
-    def remove(self, now: int, name: str) -> list[Action]:
+    def remove(self, now: int, name: str) -> list[Instruction]:
         self.servers.pop(name, None)
         self._hops.clear()
-        return [e for router in self._all() for e in self._seen(router, router.remove(now, name), now)]
+        return [
+            e
+            for router in self._all()
+            for e in self._seen(router, router.handle(EndpointRemoved(now, name)), now)
+        ]
 
     def grant(self, now: int, grants: Grants) -> None:
         """Other settings: what was granted to one is taken from the platform's, and the other way round."""
@@ -264,21 +293,23 @@
         taken = grants.taken()
         for name, server in self.servers.items():
             if name in taken:
-                self.default.retire(now, name)
-            elif name not in self.default.members:
-                self.default.add(now, server)
+                self.default.endpoints.retire(name)
+            elif name not in self.default.endpoints.by_name:
+                self.default.endpoints.add(now, server)
         self._hops.clear()
 
-    def named(self, name: str) -> Server | None:
+    def named(self, name: str) -> EndpointConfig | None:
         """Also one that is leaving, and has calls under way."""
         found = self.servers.get(name)
         if found is None:
-            found = next((r.members[name].server for r in self._all() if name in r.members), None)
+            found = next(
+                (r.endpoints.by_name[name].config for r in self._all() if name in r.endpoints.by_name), None
+            )
         return found
 
     @property
     def open(self) -> int:
-        return sum(r.open for r in self._all())
+        return sum(r.open_calls for r in self._all())
 
     def told(self) -> list[dict[str, object]]:
         """The routes that have been used, for their customers."""
@@ -289,7 +320,7 @@
                 "calls": r.counts.calls,
                 "attempts": r.counts.attempts,
                 "open": self._on.get((c, born, route), 0),
-                "servers": sorted(r.members),
+                "servers": sorted(r.endpoints.by_name),
             }
             for (c, born, route), r in self._routers.items()
         ]
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -60,9 +60,9 @@
         below: DatabasePool | UwsgiCalls | None = None
         self.tier: Any = None  # many servers below, imported only where they are set
         if config.tier.servers:
-            from ..backends.server_pool import TierCalls
+            from ..backends.server_pool import ServerPool
 
-            self.tier = TierCalls(
+            self.tier = ServerPool(
                 reactor,
                 config.tier.servers,
                 config.tier.policy,
@@ -198,10 +198,10 @@
                 self.outage,
             )
             planned["admin"] = config.admin.listen, site
-        if self.tier is not None and config.tier.knowledge is not None:
+        if self.tier is not None and config.tier.warm_start_file is not None:
             from ..storage.warm_start import Keeper
 
-            self.keeper = Keeper(self.core, self.tier, config.tier.knowledge, self._condition)
+            self.keeper = Keeper(self.core, self.tier, config.tier.warm_start_file, self._condition)
             self.keeper.start()
         self.kernel.start()
         path = None
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ..backends.server_pool import TierCalls
+from ..backends.server_pool import ServerPool
 from ..core.clock import SECOND, Alarm
 from ..core.request_engine import Decider
 from ..warm_start.learned_state import Condition, Knowledge
@@ -62,7 +62,7 @@
     """Has the tier learn from the file, and writes what it knows. `condition`: how this runner is."""
 
     def __init__(
-        self, core: Decider, tier: TierCalls, path: Path, condition: Callable[[], Condition]
+        self, core: Decider, tier: ServerPool, path: Path, condition: Callable[[], Condition]
     ) -> None:
         self.core, self.tier, self.path = core, tier, path
         self._condition = condition
@@ -72,10 +72,10 @@
     def start(self) -> None:
         told = load(self.path)
         if told is not None:
-            router = self.tier.router
-            priors = merge([told], router.members)
-            self.trial = Trial(priors, router.unlearn)
-            router.learn(self.core.clock.now, priors, self.trial)
+            router = self.tier.balancer
+            priors = merge([told], router.endpoints.by_name)
+            self.trial = Trial(priors, router.endpoints.unlearn)
+            router.endpoints.learn(priors, self.trial)
             self.core.counters.add("servers known from before", by=len(priors))
         self._alarm = self.core.alarms.at(self.core.clock.now + EVERY, self._again)
 
--- a/moorusher/warm_start/learned_state.py
+++ b/moorusher/warm_start/learned_state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..load_balancing.endpoint import Member, State
+from ..load_balancing.endpoint import Endpoint, EndpointState
 
 MOST_SERVERS = 1000
 MOST_NAME = 64
@@ -53,25 +53,25 @@
 
 
 def make(
-    donor: str, members: Iterable[Member], now: int, up_us: int, condition: Condition = Condition.WELL
+    donor: str, members: Iterable[Endpoint], now: int, up_us: int, condition: Condition = Condition.WELL
 ) -> Knowledge:
     """Of a router's members, at `now` (us). Servers that were never measured nor out are left out: they say nothing."""
     facts = [
         ServerFacts(
-            m.server.name,
+            m.config.name,
             m.latency.short,
             m.latency.long,
             m.latency.spread,
             m.latency.samples,
-            m.answered_share(),
+            m.outliers.success_rate(),
             m.limit.value,
-            m.state in (State.EJECTED, State.PROBED),
-            m.ejections,
+            m.is_unavailable,
+            m.outliers.ejections,
             (now - m.first_seen) / 1e6,
             (now - m.last_seen) / 1e6,
         )
         for m in members
-        if m.latency.samples or m.failures or m.state is not State.IN
+        if m.latency.samples or m.failures or m.state is not EndpointState.ACTIVE
     ]
     facts.sort(key=lambda f: f.last_seen_s)
     return Knowledge(donor, condition, up_us / 1e6, 0.0, tuple(facts[:MOST_SERVERS]))
--- a/moorusher/warm_start/verification.py
+++ b/moorusher/warm_start/verification.py
@@ -29,13 +29,13 @@
     def __len__(self) -> int:
         return len(self._open)
 
-    def measured(self, name: str, ratio: float, samples: int) -> None:
+    def latency_measured(self, name: str, latency_ratio: float, samples: int) -> None:
         """A server's own latency against the tier's own median, from so many samples."""
         prior = self._open.get(name)
-        if prior is None or samples < ENOUGH or ratio <= 0:
+        if prior is None or samples < ENOUGH or latency_ratio <= 0:
             return
         del self._open[name]
-        wrong = not 1 / WRONG <= ratio / prior.ratio <= WRONG
+        wrong = not 1 / WRONG <= latency_ratio / prior.latency_ratio <= WRONG
         if wrong:
             self._drop(name)
         for donor in prior.donors:
@@ -44,9 +44,9 @@
             if self._checked[donor] >= LEAST_HEARD and self._wrong[donor] > MOST_WRONG * self._checked[donor]:
                 self._refuse(donor)
 
-    def well(self, name: str) -> None:
+    def health_check_passed(self, name: str) -> None:
         """One that was told to be out has answered: that word was wrong, or is over."""
-        if (prior := self._open.get(name)) is not None and prior.out:
+        if (prior := self._open.get(name)) is not None and prior.ejected:
             del self._open[name]
             self._drop(name)
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -16,10 +16,11 @@
 from hypothesis import strategies as st
 
 from moorusher.lab.below import Below, Mood, World
-from moorusher.load_balancing.endpoint import State
-from moorusher.load_balancing.policy import Policy, Server
+from moorusher.load_balancing.endpoint import EndpointState
+from moorusher.load_balancing.load_balancer import LoadBalancer
+from moorusher.load_balancing.messages import AttemptEnded, AttemptOutcome, CallStarted, SendAttempt
+from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 from moorusher.load_balancing.prior import Prior
-from moorusher.load_balancing.router import End, Router, Send
 from moorusher.scheduling.interface import Effect
 from moorusher.storage.warm_start import load, save
 from moorusher.warm_start import snapshot
@@ -235,8 +236,8 @@
     well = knowledge(facts("a", 40), facts("b", 40), facts("c", 200))
     slow = knowledge(facts("a", 400), facts("b", 400), facts("c", 2000), condition=Condition.SLOW)
     assert (
-        [p.ratio for p in merge([well], names).values()]
-        == [p.ratio for p in merge([slow], names).values()]
+        [p.latency_ratio for p in merge([well], names).values()]
+        == [p.latency_ratio for p in merge([slow], names).values()]
         == [1, 1, 5]
     )
 
@@ -247,9 +248,9 @@
     )
     both = merge([one, liar], ["c"])["c"]
     assert both.weight == pytest.approx(0.5) and set(both.donors) == {"d200", "d10"}
-    assert merge([one, two, liar], ["c"])["c"].ratio == pytest.approx(5.0)
+    assert merge([one, two, liar], ["c"])["c"].latency_ratio == pytest.approx(5.0)
     out = [knowledge(facts("a"), facts("c", out=o), donor=str(i)) for i, o in enumerate((True, True, False))]
-    assert merge(out, ["c"])["c"].out and not merge(out[1:], ["a"])["a"].out
+    assert merge(out, ["c"])["c"].ejected and not merge(out[1:], ["a"])["a"].ejected
 
 
 @given(
@@ -274,7 +275,11 @@
 )
 def test_whatever_is_told_a_prior_stays_in_its_bounds(told: list[Knowledge]) -> None:
     for prior in merge(told, ["a"]).values():
-        assert 0.1 <= prior.ratio <= 10 and 0 <= prior.answered <= 1 and LEAST_WEIGHT / 2 <= prior.weight <= 1
+        assert (
+            0.1 <= prior.latency_ratio <= 10
+            and 0 <= prior.success_rate <= 1
+            and LEAST_WEIGHT / 2 <= prior.weight <= 1
+        )
         assert prior.donors
 
 
@@ -287,39 +292,50 @@
         f"s{i}": Prior(1.0, 1.0, 1.0, False, ("liar",) if i < 8 else ("honest", "liar")) for i in range(10)
     }
     trial = Trial(priors, dropped.append)
-    trial.measured("s0", 5.0, 3)  # too few samples to say
+    trial.latency_measured("s0", 5.0, 3)  # too few samples to say
     assert not dropped
-    trial.measured("s0", 5.0, 4)
-    trial.measured("s1", 1.2, 4)
+    trial.latency_measured("s0", 5.0, 4)
+    trial.latency_measured("s1", 1.2, 4)
     assert dropped == ["s0"] and not trial.dropped_donors
-    trial.measured("s2", 0.2, 9)
-    trial.measured("s3", 4.0, 9)
+    trial.latency_measured("s2", 0.2, 9)
+    trial.latency_measured("s3", 4.0, 9)
     assert trial.dropped_donors == {"liar"} and set(dropped) == {f"s{i}" for i in range(8)} - {"s1"}
     assert len(trial) == 2  # what an honest donor told, too, stays
 
 
 def test_one_told_to_be_out_shows_by_one_call_that_it_is_well() -> None:
-    servers = [Server(f"s{i}", ("127.0.0.1", 1)) for i in range(4)]
-    r = Router(servers, Policy(hedge=False), "r", random.Random(1).random, 0)
+    servers = [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(4)]
+    r = LoadBalancer(servers, LoadBalancingPolicy(hedging_enabled=False), "r", random.Random(1).random, 0)
     priors = {"s0": Prior(1.0, 0.1, 0.9, True, ("d",)), "s9": Prior(1.0, 1.0, 1.0, True, ("d",))}
-    r.learn(0, priors, Trial(priors, r.unlearn))
-    assert r.members["s0"].state is State.PROBED
-    (first,) = (e for e in r.call(0, 1, Effect.SAFE, S) if isinstance(e, Send))
-    assert first.server == "s0"
-    others = [e.server for i in range(5) for e in r.call(0, 2 + i, Effect.SAFE, S) if isinstance(e, Send)]
+    r.endpoints.learn(priors, Trial(priors, r.endpoints.unlearn))
+    assert r.endpoints.by_name["s0"].state is EndpointState.AWAITING_HEALTH_CHECK
+    (first,) = (e for e in r.handle(CallStarted(0, 1, Effect.SAFE, S)) if isinstance(e, SendAttempt))
+    assert first.endpoint == "s0"
+    others = [
+        e.endpoint
+        for i in range(5)
+        for e in r.handle(CallStarted(0, 2 + i, Effect.SAFE, S))
+        if isinstance(e, SendAttempt)
+    ]
     assert "s0" not in others
-    r.ended(10 * MS, first.attempt, End.ANSWERED)
-    member = r.members["s0"]
-    assert str(member.state) == "State.IN" and member.prior is None and member.ramp(10 * MS) == 1.0
+    r.handle(AttemptEnded(10 * MS, first.attempt_id, AttemptOutcome.ANSWERED))
+    member = r.endpoints.by_name["s0"]
+    assert (
+        str(member.state) == "EndpointState.ACTIVE" and member.prior is None and member.ramp(10 * MS) == 1.0
+    )
 
 
 def test_at_most_the_share_that_may_be_out_is_kept_out_by_what_was_told() -> None:
-    r = Router(
-        [Server(f"s{i}", ("127.0.0.1", 1)) for i in range(6)], Policy(), "r", random.Random(1).random, 0
+    r = LoadBalancer(
+        [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(6)],
+        LoadBalancingPolicy(),
+        "r",
+        random.Random(1).random,
+        0,
     )
     priors = {f"s{i}": Prior(1.0, 0.0, 1.0, True, ("liar",)) for i in range(6)}
-    r.learn(0, priors, Trial(priors, r.unlearn))
-    assert sum(m.state is State.PROBED for m in r.members.values()) == 2
+    r.endpoints.learn(priors, Trial(priors, r.endpoints.unlearn))
+    assert sum(m.state is EndpointState.AWAITING_HEALTH_CHECK for m in r.endpoints.by_name.values()) == 2
 
 
 def test_what_one_knows_spares_another_the_faulty_servers() -> None:
@@ -330,12 +346,12 @@
 
     donor = World(servers(), "tier", 1, seconds=20)
     donor.play()
-    told = read(write(make("donor", donor.router.members.values(), donor.now, donor.now)))
+    told = read(write(make("donor", donor.router.endpoints.by_name.values(), donor.now, donor.now)))
     assert {f.name for f in told.servers} == {f"s{i}" for i in range(6)}
 
-    def prepare(router: Router) -> None:
-        priors = merge([told], router.members)
-        router.learn(0, priors, Trial(priors, router.unlearn))
+    def prepare(router: LoadBalancer) -> None:
+        priors = merge([told], router.endpoints.by_name)
+        router.endpoints.learn(priors, Trial(priors, router.endpoints.unlearn))
 
     lost = {
         name: sum(
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from moorusher.load_balancing.policy import Policy, Server
-from moorusher.load_balancing.router import Cancel, End, Over, Send
+from moorusher.load_balancing.messages import AttemptOutcome, CancelAttempt, CompleteCall, SendAttempt
+from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 from moorusher.namespaces.customers import Customers
 from moorusher.namespaces.rules import Asked
 from moorusher.routing.grants import Grants, Pool
@@ -23,11 +23,17 @@
     {"acme": {"shared": 0.5}, "bolt": {"shared": 0.25}},
     {"shared": Pool("shared", ("p1",), 4)},
 )
-POLICY = Policy(hedge=False, backoff_ms=0.0, most_backoff_ms=0.0, retry_floor_per_s=100.0, queue=0)
+POLICY = LoadBalancingPolicy(
+    hedging_enabled=False,
+    base_backoff_ms=0.0,
+    max_backoff_ms=0.0,
+    min_retries_per_s=100.0,
+    max_queued_calls=0,
+)
 
 
-def ways(grants: Grants = GRANTS, policy: Policy = POLICY) -> Ways:
-    servers = [Server(n, ("127.0.0.1", 1)) for n in ("a1", "a2", "b1", "p1", "free")]
+def ways(grants: Grants = GRANTS, policy: LoadBalancingPolicy = POLICY) -> Ways:
+    servers = [EndpointConfig(n, ("127.0.0.1", 1)) for n in ("a1", "a2", "b1", "p1", "free")]
     return Ways(servers, policy, "r", random.Random(1).random, 0, grants)
 
 
@@ -40,7 +46,7 @@
 
 
 def sent(effects: list[Any]) -> list[str]:
-    return [e.server for e in effects if isinstance(e, Send)]
+    return [e.endpoint for e in effects if isinstance(e, SendAttempt)]
 
 
 def call(w: Ways, number: int, to: Way | None, effect: Effect = Effect.SAFE, now: int = 0) -> list[Any]:
@@ -48,7 +54,7 @@
 
 
 def attempt(effects: list[Any]) -> int:
-    return next(e.attempt for e in effects if isinstance(e, Send))
+    return next(e.attempt_id for e in effects if isinstance(e, SendAttempt))
 
 
 def test_who_has_no_rules_goes_to_servers_that_are_nobodys() -> None:
@@ -59,49 +65,57 @@
 def test_a_route_reaches_what_is_granted_and_nothing_else() -> None:
     w = ways()
     assert sent(call(w, 1, way(hop("main", "b1", "a2", "free", "nowhere")))) == ["a2"]
-    assert call(w, 2, way(hop("main", "b1"))) == [Over(2, 0, End.TURNED_AWAY)]
-    assert call(w, 3, way(hop("main", pool="shared"), customer="nobody")) == [Over(3, 0, End.TURNED_AWAY)]
+    assert call(w, 2, way(hop("main", "b1"))) == [CompleteCall(2, 0, AttemptOutcome.REJECTED)]
+    assert call(w, 3, way(hop("main", pool="shared"), customer="nobody")) == [
+        CompleteCall(3, 0, AttemptOutcome.REJECTED)
+    ]
     assert sent(call(w, 4, way(hop("main", pool="shared"), customer="bolt"))) == ["p1"]
 
 
 @pytest.mark.parametrize(
     ("end", "effect", "goes_on"),
     [
-        (End.UNREACHED, Effect.KEYED, True),
-        (End.TURNED_AWAY, Effect.UNSAFE, True),
-        (End.FAILED, Effect.SAFE, True),
-        (End.FAILED, Effect.KEYED, False),
-        (End.FAILED, Effect.UNSAFE, False),
-        (End.ANSWERED, Effect.SAFE, False),
-        (End.STRAY, Effect.SAFE, False),
+        (AttemptOutcome.NOT_CONNECTED, Effect.KEYED, True),
+        (AttemptOutcome.REJECTED, Effect.UNSAFE, True),
+        (AttemptOutcome.FAILED, Effect.SAFE, True),
+        (AttemptOutcome.FAILED, Effect.KEYED, False),
+        (AttemptOutcome.FAILED, Effect.UNSAFE, False),
+        (AttemptOutcome.ANSWERED, Effect.SAFE, False),
+        (AttemptOutcome.NOT_AWAITED, Effect.SAFE, False),
     ],
 )
 def test_a_call_goes_on_to_the_next_hop_only_where_nothing_ran_or_it_may_run_twice(
-    end: End, effect: Effect, goes_on: bool
+    end: AttemptOutcome, effect: Effect, goes_on: bool
 ) -> None:
     w = ways()
     first = attempt(call(w, 1, way(hop("main", "a1"), hop("spare", pool="shared")), effect))
     then = w.ended(1_000, first, end)
     assert sent(then) == (["p1"] if goes_on else [])
-    assert [e for e in then if isinstance(e, Over)] == ([] if goes_on else [Over(1, first, end)])
+    assert [e for e in then if isinstance(e, CompleteCall)] == (
+        [] if goes_on else [CompleteCall(1, first, end)]
+    )
     if goes_on:
         last = attempt(then)
-        assert w.ended(2_000, last, End.FAILED) == [Over(1, last, End.FAILED)], "there is no further hop"
+        assert w.ended(2_000, last, AttemptOutcome.FAILED) == [
+            CompleteCall(1, last, AttemptOutcome.FAILED)
+        ], "there is no further hop"
     assert not w.open and not w._on and not w._in_pool and not w._via
 
 
 def test_a_call_whose_time_is_over_goes_nowhere_else() -> None:
     w = ways()
     first = attempt(w.call(0, 1, Effect.SAFE, S, way(hop("main", "a1"), hop("spare", pool="shared"))))
-    assert w.ended(S - 1_000, first, End.UNREACHED) == [Over(1, first, End.UNREACHED)]
+    assert w.ended(S - 1_000, first, AttemptOutcome.NOT_CONNECTED) == [
+        CompleteCall(1, first, AttemptOutcome.NOT_CONNECTED)
+    ]
 
 
 def test_further_tries_on_a_route_are_as_many_as_it_says() -> None:
     w = ways()
     first = call(w, 1, way(hop("main", "a1", "a2", tries=2), hop("spare", pool="shared")))
-    again = w.ended(1_000, attempt(first), End.UNREACHED) + w.ring(2_000)
+    again = w.ended(1_000, attempt(first), AttemptOutcome.NOT_CONNECTED) + w.ring(2_000)
     assert {*sent(first), *sent(again)} == {"a1", "a2"}, "the other server of the route"
-    assert sent(w.ended(3_000, attempt(again), End.UNREACHED)) == ["p1"]
+    assert sent(w.ended(3_000, attempt(again), AttemptOutcome.NOT_CONNECTED)) == ["p1"]
 
 
 def test_limits_of_a_route_and_shares_of_a_pool_hold_and_are_given_back() -> None:
@@ -109,36 +123,44 @@
     limited = way(hop("main", "a1", limit=2), hop("spare", pool="shared"))
     calls = {n: call(w, n, limited) for n in range(1, 6)}
     assert [sent(calls[n]) for n in range(1, 6)] == [["a1"], ["a1"], ["p1"], ["p1"], []]
-    assert calls[5] == [Over(5, 0, End.TURNED_AWAY)], "its share is two of four"
+    assert calls[5] == [CompleteCall(5, 0, AttemptOutcome.REJECTED)], "its share is two of four"
     assert sent(call(w, 9, way(hop("x", pool="shared"), customer="bolt"))) == ["p1"], "bolt's is its own"
-    assert call(w, 10, way(hop("x", pool="shared"), customer="bolt")) == [Over(10, 0, End.TURNED_AWAY)]
-    assert [type(e) for e in w.give_up(5_000, 1)] == [Cancel]
-    w.ended(5_000, attempt(calls[3]), End.ANSWERED)
+    assert call(w, 10, way(hop("x", pool="shared"), customer="bolt")) == [
+        CompleteCall(10, 0, AttemptOutcome.REJECTED)
+    ]
+    assert [type(e) for e in w.give_up(5_000, 1)] == [CancelAttempt]
+    w.ended(5_000, attempt(calls[3]), AttemptOutcome.ANSWERED)
     assert sent(call(w, 6, limited)) == ["a1"] and sent(call(w, 7, limited)) == ["p1"]
 
 
 def test_what_one_customers_calls_have_met_decides_nothing_for_anothers_nor_for_one_made_anew() -> None:
     w = ways(
-        policy=Policy(
-            hedge=False,
-            consecutive=2,
-            most_ejected=1.0,
-            panic=0.0,
-            retry_share=0.0,
-            retry_floor_per_s=0.0,
-            queue=0,
+        policy=LoadBalancingPolicy(
+            hedging_enabled=False,
+            consecutive_failures=2,
+            max_ejected_fraction=1.0,
+            panic_threshold=0.0,
+            retry_budget_ratio=0.0,
+            min_retries_per_s=0.0,
+            max_queued_calls=0,
         )
     )
     mine, theirs = way(hop("main", pool="shared")), way(hop("main", pool="shared"), customer="bolt")
     for n in range(1, 6):
         effects = call(w, n, mine, now=n)
         if sent(effects):
-            w.ended(n, attempt(effects), End.FAILED)
+            w.ended(n, attempt(effects), AttemptOutcome.FAILED)
     label = ("acme", 1, "main")
-    assert w._routers[label].roster.ejections >= 1
-    assert sent(call(w, 20, theirs, now=20)) == ["p1"] and not w._routers["bolt", 1, "main"].roster.ejections
+    assert w._routers[label].endpoints.ejection.ejections >= 1
+    assert (
+        sent(call(w, 20, theirs, now=20)) == ["p1"]
+        and not w._routers["bolt", 1, "main"].endpoints.ejection.ejections
+    )
     anew = way(hop("main", pool="shared"), born=2)
-    assert sent(call(w, 21, anew, now=21)) == ["p1"] and not w._routers["acme", 2, "main"].roster.ejections
+    assert (
+        sent(call(w, 21, anew, now=21)) == ["p1"]
+        and not w._routers["acme", 2, "main"].endpoints.ejection.ejections
+    )
 
 
 def test_a_server_that_is_taken_from_a_customer_is_called_by_it_no_more() -> None:
@@ -147,8 +169,10 @@
     assert sent(call(w, 1, to)) and sent(call(w, 2, None)) == ["free"]
     w.grant(1_000, Grants({"acme": frozenset({"a2"})}))
     assert {sent(call(w, n, to, now=2_000))[0] for n in range(3, 12)} == {"a2"}
-    assert set(w.default.members) == {"a1", "b1", "p1", "free"}
-    assert w.remove(3_000, "a2") and call(w, 30, to, now=4_000) == [Over(30, 0, End.TURNED_AWAY)]
+    assert set(w.default.endpoints.by_name) == {"a1", "b1", "p1", "free"}
+    assert w.remove(3_000, "a2") and call(w, 30, to, now=4_000) == [
+        CompleteCall(30, 0, AttemptOutcome.REJECTED)
+    ]
 
 
 def test_a_new_revisions_weights_hold_from_the_next_call_on() -> None:
@@ -163,9 +187,11 @@
     kept = call(w, 1, way(hop("main", "a1"), born=0))
     for born in range(1, MOST_ROUTERS + 300):
         effects = call(w, 2, way(hop("main", "a1"), born=born))
-        w.ended(0, attempt(effects), End.ANSWERED)
+        w.ended(0, attempt(effects), AttemptOutcome.ANSWERED)
     assert len(w._routers) <= MOST_ROUTERS
-    assert w.ended(1, attempt(kept), End.ANSWERED) == [Over(1, attempt(kept), End.ANSWERED)]
+    assert w.ended(1, attempt(kept), AttemptOutcome.ANSWERED) == [
+        CompleteCall(1, attempt(kept), AttemptOutcome.ANSWERED)
+    ]
 
 
 def test_a_ruling_is_a_value_of_its_revision() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -8,16 +8,27 @@
 
 import pytest
 
-from moorusher.load_balancing.policy import Policy, Server
-from moorusher.load_balancing.router import Action, Cancel, End, Over, Router, Send
-from moorusher.load_balancing.slow_start import LEAST_RAMP, SlotCounter, StartBudget, phase_of
+from moorusher.load_balancing.load_balancer import LoadBalancer
+from moorusher.load_balancing.messages import (
+    AttemptEnded,
+    AttemptOutcome,
+    CallCancelled,
+    CallStarted,
+    CancelAttempt,
+    CompleteCall,
+    Instruction,
+    SendAttempt,
+    TimerFired,
+)
+from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
+from moorusher.load_balancing.slow_start import MIN_RAMP, SlotCounter, SlowStartBudget, slot_phase
 from moorusher.scheduling.interface import Effect
 
 S, MS = 1_000_000, 1_000
 WINDOW = S
 SLOW_S = 10.0
 CALL = 60 * MS  # until it is answered
-NEW = Server("new", ("127.0.0.1", 9))
+NEW = EndpointConfig("new", ("127.0.0.1", 9))
 
 
 def slack(calls: float) -> float:
@@ -29,43 +40,45 @@
     """Runners that know nothing of each other, at servers that answer all; one server is new, or back."""
 
     def __init__(self, count: int, calls: int, others: int, seed: int) -> None:
-        policy = Policy(slow_start_s=SLOW_S, slow_start_calls=calls, runners=count, hedge=False)
+        policy = LoadBalancingPolicy(
+            slow_start_s=SLOW_S, slow_start_calls=calls, runners=count, hedging_enabled=False
+        )
         self.rng = random.Random(seed)
-        warm = [Server(f"s{i}", ("127.0.0.1", i + 1)) for i in range(others)]
-        self.routers = [Router(warm, policy, f"r{i}", self.rng.random, 0) for i in range(count)]
+        warm = [EndpointConfig(f"s{i}", ("127.0.0.1", i + 1)) for i in range(others)]
+        self.routers = [LoadBalancer(warm, policy, f"r{i}", self.rng.random, 0) for i in range(count)]
         for router in self.routers:
-            router.add(0, NEW)
+            router.endpoints.add(0, NEW)
         self.calls, self.sent = calls, list[int]()
-        self._ends: list[tuple[int, Router, int]] = []
+        self._ends: list[tuple[int, LoadBalancer, int]] = []
         self._number = 0
 
-    def ask(self, now: int, router: Router) -> None:
+    def ask(self, now: int, router: LoadBalancer) -> None:
         self._number += 1
-        self._do(now, router, router.call(now, self._number, Effect.SAFE, now + 2 * S))
+        self._do(now, router, router.handle(CallStarted(now, self._number, Effect.SAFE, now + 2 * S)))
 
-    def _do(self, now: int, router: Router, effects: list[Action]) -> None:
+    def _do(self, now: int, router: LoadBalancer, effects: list[Instruction]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
-                if effect.server == NEW.name:
+            if isinstance(effect, SendAttempt):
+                if effect.endpoint == NEW.name:
                     self.sent.append(now)
-                self._ends.append((now + CALL, router, effect.attempt))
+                self._ends.append((now + CALL, router, effect.attempt_id))
 
     def go_on(self, now: int) -> None:
         """What is answered by now, and what waits for its time."""
         due = [e for e in self._ends if e[0] <= now]
         self._ends = [e for e in self._ends if e[0] > now]
         for _, router, attempt in due:
-            self._do(now, router, router.ended(now, attempt, End.ANSWERED))
+            self._do(now, router, router.handle(AttemptEnded(now, attempt, AttemptOutcome.ANSWERED)))
         for router in self.routers:
-            while (wake := router.wake()) is not None and wake <= now:
-                self._do(wake, router, router.ring(wake))
+            while (wake := router.next_timer()) is not None and wake <= now:
+                self._do(wake, router, router.handle(TimerFired(wake)))
 
     def worst(self) -> float:
         """The most by which a window went over what was allowed in it; negative where none did."""
         over = -math.inf
         self.sent.sort()
         for i, at in enumerate(self.sent):
-            budget = self.calls * min(1.0, max(LEAST_RAMP, (at + WINDOW) / (SLOW_S * S)))
+            budget = self.calls * min(1.0, max(MIN_RAMP, (at + WINDOW) / (SLOW_S * S)))
             got = bisect_left(self.sent, at + WINDOW) - i
             over = max(over, got - budget - slack(budget))
         return over
@@ -93,71 +106,79 @@
 
 
 def test_calls_that_wait_for_a_server_in_slow_start_go_out_in_its_turn_without_another_event() -> None:
-    policy = Policy(slow_start_s=SLOW_S, slow_start_calls=10, runners=20)
-    router = Router([], policy, "r1", random.Random(1).random, 0)
-    router.add(0, NEW)
-    got = [e for n in range(3) for e in router.call(0, n, Effect.SAFE, 60 * S)]
+    policy = LoadBalancingPolicy(slow_start_s=SLOW_S, slow_start_calls=10, runners=20)
+    router = LoadBalancer([], policy, "r1", random.Random(1).random, 0)
+    router.endpoints.add(0, NEW)
+    got = [e for n in range(3) for e in router.handle(CallStarted(0, n, Effect.SAFE, 60 * S))]
     assert len(got) <= 1
     now = 0
     while len(got) < 3:
-        wake = router.wake()
+        wake = router.next_timer()
         assert wake is not None and now < wake < 60 * S, "nothing else would ever look at them"
         now = wake
-        got += [e for e in router.ring(now) if isinstance(e, Send)]
-    assert not any(isinstance(e, Cancel | Over) for e in got)
+        got += [e for e in router.handle(TimerFired(now)) if isinstance(e, SendAttempt)]
+    assert not any(isinstance(e, CancelAttempt | CompleteCall) for e in got)
 
 
 def test_probes_of_a_server_that_was_ejected_take_their_turns_too() -> None:
     runners = 30
-    policy = Policy(
+    policy = LoadBalancingPolicy(
         slow_start_s=SLOW_S,
         slow_start_calls=10,
         runners=runners,
-        consecutive=1,
-        most_ejected=1.0,
-        hedge=False,
-        retry_share=0.0,
-        retry_floor_per_s=0.0,
-        panic=0.0,
+        consecutive_failures=1,
+        max_ejected_fraction=1.0,
+        hedging_enabled=False,
+        retry_budget_ratio=0.0,
+        min_retries_per_s=0.0,
+        panic_threshold=0.0,
     )
     probes = 0
     for i in range(runners):
-        router = Router([NEW, Server("other", ("127.0.0.1", 1))], policy, f"r{i}", random.Random(i).random, 0)
-        while router.members[NEW.name].in_flight == {}:
-            router.call(0, 1, Effect.SAFE, S)
-        attempt = next(iter(router.members[NEW.name].in_flight))
-        router.ended(0, attempt, End.FAILED)
-        back = router.members[NEW.name].until
-        got = router.call(back, 2, Effect.SAFE, back + S)
-        probes += any(isinstance(e, Send) and e.server == NEW.name for e in got)
-    budget = policy.slow_start_calls * LEAST_RAMP
+        router = LoadBalancer(
+            [NEW, EndpointConfig("other", ("127.0.0.1", 1))], policy, f"r{i}", random.Random(i).random, 0
+        )
+        while router.endpoints.by_name[NEW.name].in_flight == {}:
+            router.handle(CallStarted(0, 1, Effect.SAFE, S))
+        attempt = next(iter(router.endpoints.by_name[NEW.name].in_flight))
+        router.handle(AttemptEnded(0, attempt, AttemptOutcome.FAILED))
+        back = router.endpoints.by_name[NEW.name].outliers.ejected_until
+        got = router.handle(CallStarted(back, 2, Effect.SAFE, back + S))
+        probes += any(isinstance(e, SendAttempt) and e.endpoint == NEW.name for e in got)
+    budget = policy.slow_start_calls * MIN_RAMP
     assert probes <= budget + slack(budget)
 
 
 def test_slots_are_one_call_each_and_an_idle_runners_is_lost_soon() -> None:
-    budget = StartBudget(calls=100, window_us=S, runners=10)
+    budget = SlowStartBudget(calls=100, window_us=S, runners=10)
     slots = SlotCounter(budget, 0.0, 0)
     assert slots.is_open(0, 1.0)
-    slots.sent(0, 1.0)
+    slots.call_sent(0, 1.0)
     assert not slots.is_open(1, 1.0) and slots.opens_at(1, 1.0) == 100 * MS
     assert slots.is_open(100 * MS, 1.0) and slots.is_open(450 * MS, 1.0)
-    rare = SlotCounter(StartBudget(calls=10, window_us=S, runners=100), 0.0, 0)
+    rare = SlotCounter(SlowStartBudget(calls=10, window_us=S, runners=100), 0.0, 0)
     assert rare.is_open(0, 1.0) and not rare.is_open(5 * S, 1.0) and rare.is_open(10 * S, 1.0)
-    assert len({phase_of(f"r{i}", "s") for i in range(100)}) == 100
+    assert len({slot_phase(f"r{i}", "s") for i in range(100)}) == 100
 
 
 @pytest.mark.parametrize("others", [1, 3, 9])
 def test_without_a_budget_the_share_of_a_server_in_slow_start_follows_its_ramp(others: int) -> None:
     """Also where the tier is idle, so that its calls in flight tell nothing; and where two draws can meet."""
-    warm = [Server(f"s{i}", ("127.0.0.1", i + 1)) for i in range(others)]
-    router = Router(warm, Policy(slow_start_s=SLOW_S, hedge=False), "r1", random.Random(3).random, 0)
-    router.add(0, NEW)
-    for ramp in (LEAST_RAMP, 0.5):
+    warm = [EndpointConfig(f"s{i}", ("127.0.0.1", i + 1)) for i in range(others)]
+    router = LoadBalancer(
+        warm,
+        LoadBalancingPolicy(slow_start_s=SLOW_S, hedging_enabled=False),
+        "r1",
+        random.Random(3).random,
+        0,
+    )
+    router.endpoints.add(0, NEW)
+    for ramp in (MIN_RAMP, 0.5):
         now, got, calls = round(ramp * SLOW_S * S), 0, 4_000
         for number in range(calls):
-            (send,) = router.call(now, number, Effect.SAFE, now + S)
-            assert isinstance(send, Send)
-            got += send.server == NEW.name
-            router.give_up(now, number)
+            (send,) = router.handle(CallStarted(now, number, Effect.SAFE, now + S))
+            assert isinstance(send, SendAttempt)
+            got += send.endpoint == NEW.name
+            router.handle(CallCancelled(now, number))
         fair = ramp / (others + ramp)
         assert 0.5 * fair < got / calls < 1.8 * fair
--- a/tests/test_tier_links.py
+++ b/tests/test_tier_links.py
@@ -10,9 +10,9 @@
 import pytest
 
 from moorusher import cli
-from moorusher.backends.server_pool import ENDS
+from moorusher.backends.server_pool import OUTCOME_OF_ENDING
 from moorusher.core.outcomes import EVIDENCE_OF_CALL, OUTCOMES, Ending
-from moorusher.load_balancing.router import End
+from moorusher.load_balancing.messages import AttemptOutcome
 from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME
 
 from .stand_ins import HOST, WAIT, Database, FrontEnd, Kernel, UwsgiPeer, body_of, exchange, running, status
@@ -45,7 +45,7 @@
 def test_endings_prove_to_the_router_what_they_prove_to_the_module() -> None:
     for ending, outcome in OUTCOMES.items():
         if ending.name.startswith("CALL_"):
-            evidence = ENDS.get(ending, End.FAILED).evidence
+            evidence = OUTCOME_OF_ENDING.get(ending, AttemptOutcome.FAILED).evidence
             assert evidence.proves_never_ran is outcome.never_ran
             assert evidence.proves_never_ran is EVIDENCE_OF_CALL[ending].proves_never_ran
             assert evidence.proves_never_ran is EVIDENCE_OF_OUTCOME[outcome].proves_never_ran
@@ -156,4 +156,6 @@
 
 
 def test_a_call_out_of_turn_is_given_up_at_its_server() -> None:
-    assert Ending.CALL_GIVEN_UP not in ENDS  # our own doing is never told to the router as a server's
+    assert (
+        Ending.CALL_GIVEN_UP not in OUTCOME_OF_ENDING
+    )  # our own doing is never told to the router as a server's
