--- a/moorusher/load_balancing/endpoint.py
+++ b/moorusher/load_balancing/endpoint.py
@@ -139,7 +139,8 @@
         if flight is None:
             return False
         if not is_conclusive:
-            if flight.is_health_check:
+            # A draining endpoint stays so: a health check that was cancelled must not bring it back.
+            if flight.is_health_check and self.state is not EndpointState.DRAINING:
                 self.state = EndpointState.AWAITING_HEALTH_CHECK
             return False
         self.last_seen = now
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -290,6 +290,25 @@
     )
 
 
+@pytest.mark.parametrize("retired", [False, True])
+def test_a_health_check_that_is_cancelled_while_its_server_drains_brings_no_call_back(retired: bool) -> None:
+    """An operator drains or retires a server while its health check is under way, and the call is cancelled. The end
+    of that call used to put the server back among those that wait for a health check: it got calls again, and one
+    that was to be forgotten stayed for ever."""
+    r = router(4, hedging_enabled=False)
+    fail(r, "s0", 5)
+    now = r.endpoints.by_name["s0"].outliers.ejected_until
+    (health_check,) = sends(r.handle(CallStarted(now, 1, Effect.SAFE, now + S)))
+    assert health_check.endpoint == "s0"
+    (r.endpoints.retire if retired else r.endpoints.drain)("s0")
+    r.handle(CallCancelled(now + MS, 1))
+    assert ("s0" in r.endpoints.by_name) is not retired
+    later = [
+        sends(r.handle(CallStarted(now + 2 * MS, number, Effect.SAFE, now + S))) for number in range(2, 12)
+    ]
+    assert "s0" not in {send.endpoint for (send,) in later}
+
+
 def test_at_most_a_share_is_ejected_and_the_tier_is_never_empty() -> None:
     r = router(6, hedging_enabled=False)
     for i in range(6):
