--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -14,21 +14,23 @@
 from ..load_balancing.load_balancer import LoadBalancer
 from ..load_balancing.messages import (
     NO_ATTEMPT,
+    AttemptEnded,
     AttemptOutcome,
+    CallCancelled,
+    CallStarted,
     CancelAttempt,
     CompleteCall,
+    EndpointRemoved,
     Instruction,
     SendAttempt,
+    TimerFired,
 )
-from ..load_balancing.policy import EndpointConfig, EndpointProtocol, LoadBalancingPolicy
+from ..load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 from ..load_balancing.status import counts_json, servers_json
 from ..routing.grants import Grants
-from ..routing.ways import Ways
+from ..routing.route_table import RouteTable
 from ..warm_start.learned_state import Condition, Knowledge, make
-from .database import DatabasePool
-from .uwsgi import UwsgiCalls
-
-MAX_IDLE_CONNECTIONS = 4  # that are kept to one server: there are many servers
+from .server_backends import Backend, ServerBackends
 
 # Any other ending proves nothing: the call may have run, and counts as FAILED.
 OUTCOME_OF_ENDING: dict[Ending, AttemptOutcome] = {
@@ -90,32 +92,33 @@
     ) -> None:
         """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1."""
         self.core: Decider
-        self._reactor = reactor
         self._servers = list(servers)
         self._policy = policy
         self._runner = runner
         self._draw = draw
         self._grants = grants or Grants()
-        self._ways: Ways | None = None
-        self._backends: dict[str, DatabasePool | UwsgiCalls] = {}  # by server
+        self._routes: RouteTable | None = None
+        self._backends = ServerBackends(reactor, _AttemptReceiver(self))
         self._calls: dict[int, Asked] = {}  # open calls by id
-        self._backend_of: dict[int, DatabasePool | UwsgiCalls] = {}  # by attempt in flight
+        self._backend_of: dict[int, Backend] = {}  # by attempt in flight
         self._alarm: Alarm | None = None
         self._alarm_at = 0
         self._started_at = 0
 
     @property
-    def ways(self) -> Ways:
-        """Made with the first need of it: the clock comes with the core."""
-        if self._ways is None:
+    def routes(self) -> RouteTable:
+        """The routes; they are made at first use, since the clock comes with the core."""
+        if self._routes is None:
             now = self._started_at = self.core.clock.now
-            self._ways = Ways(self._servers, self._policy, self._runner, self._draw, now, self._grants)
-        return self._ways
+            self._routes = RouteTable(
+                self._servers, self._policy, self._runner, self._draw, now, self._grants
+            )
+        return self._routes
 
     @property
     def balancer(self) -> LoadBalancer:
         """The load balancer of the platform's servers, for requests that no customer's rules are for."""
-        return self.ways.default
+        return self.routes.balancers.default
 
     # ---- from the request engine ----
 
@@ -123,12 +126,13 @@
         """Make a call for request `number`; its end is reported through `call_over` of the core."""
         now = self.core.clock.now
         self._calls[number] = asked
-        self._execute(self.ways.call(now, number, asked.effect, now + asked.timeout_ms * MS, asked.way))
+        started = CallStarted(now, number, asked.effect, now + asked.timeout_ms * MS)
+        self._execute(self.routes.handle(started, asked.way))
 
     def give_up(self, number: int) -> None:
         """Cancel the call of request `number`, if it has one; nothing is reported."""
         self._calls.pop(number, None)
-        self._execute(self.ways.give_up(self.core.clock.now, number))
+        self._execute(self.routes.handle(CallCancelled(self.core.clock.now, number)))
 
     # ---- from the backends ----
 
@@ -138,7 +142,8 @@
             return
         self.core.touch()
         outcome = OUTCOME_OF_ENDING.get(reply.ending, AttemptOutcome.FAILED)
-        self._execute(self.ways.ended(self.core.clock.now, reply.attempt_id, outcome), reply)
+        ended = AttemptEnded(self.core.clock.now, reply.attempt_id, outcome)
+        self._execute(self.routes.handle(ended), reply)
 
     # ---- instructions ----
 
@@ -157,11 +162,11 @@
         self._arm_timer()
 
     def _send(self, send: SendAttempt) -> None:
-        server = self.ways.named(send.endpoint)
+        server = self.routes.balancers.find_server(send.endpoint)
         call = self._calls.get(send.call_id)
         if server is None or call is None:
             return
-        backend = self._backend(server)
+        backend = self._backends.get(server)
         self._backend_of[send.attempt_id] = backend
         backend.call(send.attempt_id, replace(call, timeout_ms=max(1, send.timeout_us // MS)))
 
@@ -177,7 +182,7 @@
 
     def _arm_timer(self) -> None:
         """One alarm for the earliest of all timers; one that is too early is harmless."""
-        due = self.ways.wake()
+        due = self.routes.next_timer()
         if due is None or (self._alarm is not None and self._alarm_at <= due):
             return
         if self._alarm is not None:
@@ -187,36 +192,7 @@
 
     def _timer_fired(self) -> None:
         self._alarm = None
-        self._execute(self.ways.ring(self.core.clock.now))
-
-    # ---- backends ----
-
-    def _backend(self, server: EndpointConfig) -> DatabasePool | UwsgiCalls:
-        """The backend of a server, made or moved to its present address and protocol."""
-        backend = self._backends.get(server.name)
-        speaks_uwsgi = server.protocol is EndpointProtocol.UWSGI
-        if backend is not None and isinstance(backend, UwsgiCalls) is not speaks_uwsgi:
-            backend.close()  # the protocol has changed; attempts in flight end as they do
-            backend = None
-        if backend is None:
-            backend = self._backends[server.name] = self._make_backend(server)
-        elif backend.address != server.address:
-            backend.move(server.address)
-        return backend
-
-    def _make_backend(self, server: EndpointConfig) -> DatabasePool | UwsgiCalls:
-        backend: DatabasePool | UwsgiCalls
-        if server.protocol is EndpointProtocol.UWSGI:
-            backend = UwsgiCalls(self._reactor, server.address)
-        else:
-            backend = DatabasePool(self._reactor, server.address, MAX_IDLE_CONNECTIONS)
-        receiver: Any = _AttemptReceiver(self)
-        backend.core = receiver
-        return backend
-
-    def _close_backend(self, name: str) -> None:
-        if self.ways.named(name) is None and (backend := self._backends.pop(name, None)) is not None:
-            backend.close()
+        self._execute(self.routes.handle(TimerFired(self.core.clock.now)))
 
     # ---- membership ----
 
@@ -225,30 +201,36 @@
 
         Raises TooManyEndpoints.
         """
-        self.ways.put(self.core.clock.now, server)
-        if server.name in self._backends:
-            self._backend(server)
+        self.routes.balancers.put(self.core.clock.now, server)
+        self._backends.update(server)
 
     def drain(self, name: str) -> bool:
         """Send no new calls to a server. False where there is none of that name."""
-        return self.ways.drain(self.core.clock.now, name) or name in self.ways.servers
+        balancers = self.routes.balancers
+        return balancers.drain(name) or name in balancers.servers
 
     def remove(self, name: str) -> bool:
         """Remove a server at once, with its attempts in flight. False where there is none of that name."""
-        if self.ways.named(name) is None:
+        if self.routes.balancers.find_server(name) is None:
             return False
-        self._execute(self.ways.remove(self.core.clock.now, name))
-        self._close_backend(name)
+        self._execute(self.routes.handle(EndpointRemoved(self.core.clock.now, name)))
+        self._close_if_unused(name)
         return True
 
+    def _close_if_unused(self, name: str) -> None:
+        """Close a server's backend, unless the server is draining and needs it."""
+        if self.routes.balancers.find_server(name) is None:
+            self._backends.close(name)
+
     def follow(self, servers: Iterable[EndpointConfig], grants: Grants | None = None) -> None:
         """Take a new configuration: a server that is no longer listed is retired."""
         listed = {server.name: server for server in servers}
+        balancers = self.routes.balancers
         if grants is not None:
-            self.ways.grant(self.core.clock.now, grants)
-        for name in [name for name in self.ways.servers if name not in listed]:
-            self.ways.retire(self.core.clock.now, name)
-            self._close_backend(name)
+            balancers.set_grants(self.core.clock.now, grants)
+        for name in [name for name in balancers.servers if name not in listed]:
+            balancers.retire(name)
+            self._close_if_unused(name)
         for server in listed.values():
             self.put(server)
 
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -30,7 +30,7 @@
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, difference
 from ..namespaces.rules import Asked
-from ..routing.way import Ruling, rule
+from ..routing.route import RoutingDecision, decide_route
 from ..storage.revisions import Store
 from .leadership import DutyLink
 
@@ -106,17 +106,19 @@
 
     # ---- for the core: `Routes` ----
 
-    def rule(self, arrival: Arrival, tenant: str | None) -> Ruling | None:
+    def rule(self, arrival: Arrival, tenant: str | None) -> RoutingDecision | None:
         if tenant is None or tenant not in self.config.customers:
             return None
         revision = self.replica.customers.of(tenant)
         if revision is None:
             return None
-        return rule(revision, asked_of(arrival))
+        return decide_route(revision, asked_of(arrival))
 
     # ---- for work of other runners ----
 
-    def ruling(self, arrival: Arrival, at: At | None, then: Callable[[Ruling | Error | None], None]) -> None:
+    def ruling(
+        self, arrival: Arrival, at: At | None, then: Callable[[RoutingDecision | Error | None], None]
+    ) -> None:
         """By the very revision that it was read under; `at` is None where there was none."""
         customer = arrival.tenant
         if at is None or customer is None:
@@ -124,7 +126,9 @@
         return self.replica.revision(
             customer,
             at,
-            lambda found: then(rule(found, asked_of(arrival)) if isinstance(found, Revision) else found),
+            lambda found: then(
+                decide_route(found, asked_of(arrival)) if isinstance(found, Revision) else found
+            ),
         )
 
     # ---- for the desk ----
@@ -307,7 +311,7 @@
         revision = self.replica.customers.of(customer)
         if revision is None:
             return then({"customer": customer, "revision": 0, "decides": "the platform's default"})
-        ruling = rule(revision, asked)
+        ruling = decide_route(revision, asked)
         matching = [r.label for r in revision.namespace.table.rules if asked in r.match]
         hops = (
             []
@@ -317,8 +321,8 @@
                     "route": h.route,
                     "servers": dict(h.servers),
                     "pool": h.pool,
-                    "limit": h.limit,
-                    "tries": h.tries,
+                    "limit": h.max_in_flight,
+                    "tries": h.max_attempts,
                 }
                 for h in ruling.way.hops
             ]
--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -112,7 +112,7 @@
         if not servers:
             raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
     grants = Grants(own, shares, pools)
-    if on and not servers - grants.taken():
+    if on and not servers - grants.reserved_servers():
         raise ConfigError(
             f"{section.key('customer')}: all servers of the tier are granted to customers or in pools, "
             "and none is left for who has no rules"
--- a/moorusher/routing/grants.py
+++ b/moorusher/routing/grants.py
@@ -1,4 +1,4 @@
-"""What the platform's settings grant to whom. Imports nothing: it is read where there are no customers, too."""
+"""Which servers the platform's settings grant to which customer. Imports nothing: it is read without customers, too."""
 
 from __future__ import annotations
 
@@ -8,8 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Of the platform, for several customers. `limit`: calls at a time from this runner, all customers together; each
-    has its share of that and no more, whatever the others use."""
+    """Servers of the platform for several customers.
+
+    name: the pool's.
+    servers: by name.
+    limit: calls in flight from this runner, all customers together; each has its quota of that and no more, whatever
+        the others use.
+    """
 
     name: str
     servers: tuple[str, ...]
@@ -18,19 +23,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Grants:
-    """Of the platform's settings: servers by customer, shares of pools by customer."""
+    """What customers may use.
 
-    own: Mapping[str, frozenset[str]] = field(default_factory=dict)
-    shares: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
-    pools: Mapping[str, Pool] = field(default_factory=dict)
+    dedicated: the servers of each customer, by its name.
+    pool_shares: of each customer's name, the fraction of each pool's limit, by the pool's name.
+    pools: by name.
+    """
 
-    def taken(self) -> set[str]:
-        """Servers that are not for everybody."""
-        return {s for servers in self.own.values() for s in servers} | {
-            s for pool in self.pools.values() for s in pool.servers
-        }
+    dedicated: Mapping[str, frozenset[str]] = field(default_factory=dict)
+    pool_shares: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
+    pools: Mapping[str, Pool] = field(default_factory=dict)
 
-    def share(self, customer: str, pool: str) -> int:
-        """Calls at a time; at least one where there is a share at all."""
-        share, there = self.shares.get(customer, {}).get(pool, 0.0), self.pools.get(pool)
-        return 0 if not share or there is None else max(1, int(share * there.limit))
+    def reserved_servers(self) -> set[str]:
+        """Return the servers that requests without rules do not go to."""
+        dedicated = {name for servers in self.dedicated.values() for name in servers}
+        pooled = {name for pool in self.pools.values() for name in pool.servers}
+        return dedicated | pooled
+
+    def pool_quota(self, customer: str, pool_name: str) -> int:
+        """Return the calls a customer may have in flight in a pool; at least one where it has any share of it."""
+        share = self.pool_shares.get(customer, {}).get(pool_name, 0.0)
+        pool = self.pools.get(pool_name)
+        if not share or pool is None:
+            return 0
+        return max(1, int(share * pool.limit))
--- /dev/null
+++ b/moorusher/routing/route.py
@@ -0,0 +1,78 @@
+"""What a customer's rules decide of one request. It is decided when the request is read, and holds until its answer."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from ..namespaces.customers import Revision
+from ..namespaces.rules import Asked
+
+
+class RouteKey(NamedTuple):
+    """Tells one route of one customer apart.
+
+    `incarnation` is the namespace's: what calls on an earlier one's routes have met is not this one's.
+    """
+
+    customer: str
+    incarnation: int
+    route: str
+
+
+@dataclass(frozen=True, slots=True)
+class Hop:
+    """One route as the customer wrote it. The grants at the time of a call decide which of its servers count.
+
+    route: its name.
+    servers: names with weights; none where it is a pool.
+    pool: the pool's name, "" where it is servers.
+    max_in_flight: calls at a time from this runner; 0 for no limit.
+    max_attempts: of one call on this hop.
+    """
+
+    route: str
+    servers: tuple[tuple[str, int], ...]
+    pool: str
+    max_in_flight: int
+    max_attempts: int
+
+
+@dataclass(frozen=True, slots=True)
+class RoutePath:
+    """The hops that the calls of one request may take, in order; each after the first is the fallback of the last."""
+
+    customer: str
+    incarnation: int
+    hops: tuple[Hop, ...]
+
+    def key_of(self, hop: Hop) -> RouteKey:
+        """Return the key of the hop's route."""
+        return RouteKey(self.customer, self.incarnation, hop.route)
+
+
+@dataclass(frozen=True, slots=True)
+class RoutingDecision:
+    """A customer's decision on one request; at, refusal and way are those of `core.routes.Ruling`.
+
+    at: the revision of the rules, as incarnation and number.
+    rule: the label of the rule that decided, "" for the customer's default.
+    refusal: the reason where the request is rejected, else "".
+    way: where its calls go; None where it is rejected.
+    """
+
+    at: tuple[int, int]
+    rule: str
+    refusal: str
+    way: RoutePath | None
+
+
+def decide_route(revision: Revision, asked: Asked) -> RoutingDecision:
+    """Apply a revision of a customer's rules to one request."""
+    decision, routes = revision.decide(asked)
+    label = "" if decision.rule is None else decision.rule.label
+    if decision.route is None:
+        return RoutingDecision(revision.at, label, decision.reason, None)
+    hops = tuple(Hop(route.name, route.servers, route.pool, route.limit, route.tries) for route in routes)
+    path = RoutePath(revision.customer, revision.at[0], hops)
+    return RoutingDecision(revision.at, label, "", path)
--- /dev/null
+++ b/moorusher/routing/route_balancers.py
@@ -0,0 +1,158 @@
+"""A load balancer for each route of each customer, and one for requests without rules.
+
+Each has its own estimates, ejections and retry budget: what one customer's calls have met decides nothing for others.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable, Iterable
+from dataclasses import replace
+from itertools import count
+
+from ..load_balancing.load_balancer import LoadBalancer
+from ..load_balancing.policy import EndpointConfig, LoadBalancingPolicy
+from .grants import Grants
+from .route import Hop, RouteKey, RoutePath
+
+MAX_BALANCERS = 2_000  # of routes; the least recently used without open calls are forgotten beyond
+
+
+class RouteBalancers:
+    """The load balancers over the tier's servers.
+
+    servers: those that are listed, by name (dict of EndpointConfig).
+    grants: what customers may use now (Grants).
+    default: for requests that no customer's rules are for; it has the servers that are granted to nobody.
+    """
+
+    def __init__(
+        self,
+        servers: Iterable[EndpointConfig],
+        policy: LoadBalancingPolicy,
+        runner: str,
+        draw: Callable[[], float],
+        now: int,
+        grants: Grants,
+    ) -> None:
+        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1; `now` in microseconds."""
+        self._policy = policy
+        self._runner = runner
+        self._draw = draw
+        self._attempt_ids = count(1)  # shared, so that an attempt is known by its id alone
+        self.servers = {server.name: server for server in servers}
+        self.grants = grants
+        reserved = grants.reserved_servers()
+        self.default = self._make([s for s in self.servers.values() if s.name not in reserved], now)
+        # Least recently used first.
+        self._by_route: OrderedDict[RouteKey, LoadBalancer] = OrderedDict()
+        # The hop that each balancer's endpoints were last taken from; without an entry they are taken anew.
+        self._hops: dict[RouteKey, Hop] = {}
+
+    def _make(self, servers: list[EndpointConfig], now: int) -> LoadBalancer:
+        return LoadBalancer(servers, self._policy, self._runner, self._draw, now, self._attempt_ids)
+
+    def all(self) -> list[LoadBalancer]:
+        """Return all load balancers."""
+        return [self.default, *self._by_route.values()]
+
+    def get(self, key: RouteKey) -> LoadBalancer | None:
+        """Return the load balancer of a route that was used lately."""
+        return self._by_route.get(key)
+
+    def for_hop(self, now: int, path: RoutePath, hop: Hop) -> LoadBalancer | None:
+        """Return the load balancer of a hop; None where none of its servers is listed and granted at this time."""
+        servers = self._granted_servers(path.customer, hop)
+        if not servers:
+            return None
+        key = path.key_of(hop)
+        balancer = self._by_route.get(key)
+        if balancer is None:
+            self._forget_unused()
+            balancer = self._by_route[key] = self._make(servers, now)
+        else:
+            self._by_route.move_to_end(key)
+            if self._hops.get(key) is not hop:
+                self._update(now, balancer, servers)
+        self._hops[key] = hop
+        return balancer
+
+    def _granted_servers(self, customer: str, hop: Hop) -> list[EndpointConfig]:
+        if hop.pool:
+            if not self.grants.pool_quota(customer, hop.pool):
+                return []
+            weights = dict.fromkeys(self.grants.pools[hop.pool].servers, 1)
+        else:
+            dedicated = self.grants.dedicated.get(customer, frozenset())
+            weights = {name: weight for name, weight in hop.servers if weight and name in dedicated}
+        return [
+            replace(self.servers[name], weight=self.servers[name].weight * weight)
+            for name, weight in weights.items()
+            if name in self.servers
+        ]
+
+    @staticmethod
+    def _update(now: int, balancer: LoadBalancer, servers: list[EndpointConfig]) -> None:
+        endpoints = balancer.endpoints
+        wanted = {server.name for server in servers}
+        for name in [name for name in endpoints.by_name if name not in wanted]:
+            endpoints.retire(name)
+        for server in servers:
+            known = endpoints.by_name.get(server.name)
+            if known is None or known.config != server:
+                endpoints.add(now, server, established=known is not None)
+
+    def _forget_unused(self) -> None:
+        """Make space: forget a tenth of the balancers, those that were not used for longest."""
+        if len(self._by_route) < MAX_BALANCERS:
+            return
+        unused = [key for key, balancer in self._by_route.items() if not balancer.open_calls]
+        for key in unused[: MAX_BALANCERS // 10]:
+            del self._by_route[key]
+            self._hops.pop(key, None)
+
+    # ---- membership ----
+
+    def put(self, now: int, server: EndpointConfig) -> None:
+        """Add a server or change the one with its name. Raises TooManyEndpoints."""
+        self.servers[server.name] = server
+        if server.name not in self.grants.reserved_servers():
+            self.default.endpoints.add(now, server)
+        self._hops.clear()  # routes take it up with their next calls
+
+    def drain(self, name: str) -> bool:
+        """Send no new calls to a server. False where no balancer knows it."""
+        drained = [balancer.endpoints.drain(name) for balancer in self.all()]
+        return any(drained)
+
+    def retire(self, name: str) -> None:
+        """Drain a server that is no longer listed, and forget it with its last call."""
+        self.servers.pop(name, None)
+        for balancer in self.all():
+            balancer.endpoints.retire(name)
+        self._hops.clear()
+
+    def forget(self, name: str) -> None:
+        """Take a server off the list; its removal from each balancer is the caller's."""
+        self.servers.pop(name, None)
+        self._hops.clear()
+
+    def set_grants(self, now: int, grants: Grants) -> None:
+        """Take new grants: a server that is granted to a customer leaves the default balancer, and the reverse."""
+        self.grants = grants
+        reserved = grants.reserved_servers()
+        for name, server in self.servers.items():
+            if name in reserved:
+                self.default.endpoints.retire(name)
+            elif name not in self.default.endpoints.by_name:
+                self.default.endpoints.add(now, server)
+        self._hops.clear()
+
+    def find_server(self, name: str) -> EndpointConfig | None:
+        """Return a server by name, also one that is draining with calls in flight."""
+        if (listed := self.servers.get(name)) is not None:
+            return listed
+        for balancer in self.all():
+            if (endpoint := balancer.endpoints.by_name.get(name)) is not None:
+                return endpoint.config
+        return None
--- a/tests/test_config_namespaces.py
+++ b/tests/test_config_namespaces.py
@@ -30,8 +30,8 @@
     )
     assert got.customers["acme"].bounds.keep == 3 and got.customers["bolt"].bounds.keep == 8
     assert got.customers["bolt"].granted.budget.rules == 50
-    assert got.grants.share("acme", "shared") == 5 and got.grants.share("nobody", "shared") == 0
-    assert got.grants.taken() == SERVERS - {"free"}
+    assert got.grants.pool_quota("acme", "shared") == 5 and got.grants.pool_quota("nobody", "shared") == 0
+    assert got.grants.reserved_servers() == SERVERS - {"free"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,13 +8,24 @@
 
 import pytest
 
-from moorusher.load_balancing.messages import AttemptOutcome, CancelAttempt, CompleteCall, SendAttempt
+from moorusher.load_balancing.messages import (
+    AttemptEnded,
+    AttemptOutcome,
+    CallCancelled,
+    CallStarted,
+    CancelAttempt,
+    CompleteCall,
+    EndpointRemoved,
+    SendAttempt,
+    TimerFired,
+)
 from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 from moorusher.namespaces.customers import Customers
 from moorusher.namespaces.rules import Asked
 from moorusher.routing.grants import Grants, Pool
-from moorusher.routing.way import Hop, Way, rule
-from moorusher.routing.ways import MOST_ROUTERS, Ways
+from moorusher.routing.route import Hop, RouteKey, RoutePath, decide_route
+from moorusher.routing.route_balancers import MAX_BALANCERS
+from moorusher.routing.route_table import RouteTable
 from moorusher.scheduling.interface import Effect
 
 S = 1_000_000
@@ -32,25 +43,27 @@
 )
 
 
-def ways(grants: Grants = GRANTS, policy: LoadBalancingPolicy = POLICY) -> Ways:
+def route_table(grants: Grants = GRANTS, policy: LoadBalancingPolicy = POLICY) -> RouteTable:
     servers = [EndpointConfig(n, ("127.0.0.1", 1)) for n in ("a1", "a2", "b1", "p1", "free")]
-    return Ways(servers, policy, "r", random.Random(1).random, 0, grants)
+    return RouteTable(servers, policy, "r", random.Random(1).random, 0, grants)
 
 
-def hop(route: str, *servers: str, pool: str = "", limit: int = 0, tries: int = 1) -> Hop:
-    return Hop(route, tuple((s, 1) for s in servers), pool, limit, tries)
+def hop(route: str, *servers: str, pool: str = "", max_in_flight: int = 0, max_attempts: int = 1) -> Hop:
+    return Hop(route, tuple((s, 1) for s in servers), pool, max_in_flight, max_attempts)
 
 
-def way(*hops: Hop, customer: str = "acme", born: int = 1) -> Way:
-    return Way(customer, born, hops)
+def path(*hops: Hop, customer: str = "acme", incarnation: int = 1) -> RoutePath:
+    return RoutePath(customer, incarnation, hops)
 
 
 def sent(effects: list[Any]) -> list[str]:
     return [e.endpoint for e in effects if isinstance(e, SendAttempt)]
 
 
-def call(w: Ways, number: int, to: Way | None, effect: Effect = Effect.SAFE, now: int = 0) -> list[Any]:
-    return w.call(now, number, effect, now + 10 * S, to)
+def call(
+    w: RouteTable, number: int, to: RoutePath | None, effect: Effect = Effect.SAFE, now: int = 0
+) -> list[Any]:
+    return w.handle(CallStarted(now, number, effect, now + 10 * S), to)
 
 
 def attempt(effects: list[Any]) -> int:
@@ -58,18 +71,18 @@
 
 
 def test_who_has_no_rules_goes_to_servers_that_are_nobodys() -> None:
-    w = ways()
+    w = route_table()
     assert {sent(call(w, n, None))[0] for n in range(5)} == {"free"}
 
 
 def test_a_route_reaches_what_is_granted_and_nothing_else() -> None:
-    w = ways()
-    assert sent(call(w, 1, way(hop("main", "b1", "a2", "free", "nowhere")))) == ["a2"]
-    assert call(w, 2, way(hop("main", "b1"))) == [CompleteCall(2, 0, AttemptOutcome.REJECTED)]
-    assert call(w, 3, way(hop("main", pool="shared"), customer="nobody")) == [
+    w = route_table()
+    assert sent(call(w, 1, path(hop("main", "b1", "a2", "free", "nowhere")))) == ["a2"]
+    assert call(w, 2, path(hop("main", "b1"))) == [CompleteCall(2, 0, AttemptOutcome.REJECTED)]
+    assert call(w, 3, path(hop("main", pool="shared"), customer="nobody")) == [
         CompleteCall(3, 0, AttemptOutcome.REJECTED)
     ]
-    assert sent(call(w, 4, way(hop("main", pool="shared"), customer="bolt"))) == ["p1"]
+    assert sent(call(w, 4, path(hop("main", pool="shared"), customer="bolt"))) == ["p1"]
 
 
 @pytest.mark.parametrize(
@@ -87,54 +100,63 @@
 def test_a_call_goes_on_to_the_next_hop_only_where_nothing_ran_or_it_may_run_twice(
     end: AttemptOutcome, effect: Effect, goes_on: bool
 ) -> None:
-    w = ways()
-    first = attempt(call(w, 1, way(hop("main", "a1"), hop("spare", pool="shared")), effect))
-    then = w.ended(1_000, first, end)
+    w = route_table()
+    first = attempt(call(w, 1, path(hop("main", "a1"), hop("spare", pool="shared")), effect))
+    then = w.handle(AttemptEnded(1_000, first, end))
     assert sent(then) == (["p1"] if goes_on else [])
     assert [e for e in then if isinstance(e, CompleteCall)] == (
         [] if goes_on else [CompleteCall(1, first, end)]
     )
     if goes_on:
         last = attempt(then)
-        assert w.ended(2_000, last, AttemptOutcome.FAILED) == [
+        assert w.handle(AttemptEnded(2_000, last, AttemptOutcome.FAILED)) == [
             CompleteCall(1, last, AttemptOutcome.FAILED)
         ], "there is no further hop"
-    assert not w.open and not w._on and not w._in_pool and not w._via
+    assert (
+        not w.open_calls
+        and not w._limits.in_flight
+        and not w._limits.in_flight_in_pool
+        and not w._balancer_of
+    )
 
 
 def test_a_call_whose_time_is_over_goes_nowhere_else() -> None:
-    w = ways()
-    first = attempt(w.call(0, 1, Effect.SAFE, S, way(hop("main", "a1"), hop("spare", pool="shared"))))
-    assert w.ended(S - 1_000, first, AttemptOutcome.NOT_CONNECTED) == [
+    w = route_table()
+    first = attempt(
+        w.handle(CallStarted(0, 1, Effect.SAFE, S), path(hop("main", "a1"), hop("spare", pool="shared")))
+    )
+    assert w.handle(AttemptEnded(S - 1_000, first, AttemptOutcome.NOT_CONNECTED)) == [
         CompleteCall(1, first, AttemptOutcome.NOT_CONNECTED)
     ]
 
 
 def test_further_tries_on_a_route_are_as_many_as_it_says() -> None:
-    w = ways()
-    first = call(w, 1, way(hop("main", "a1", "a2", tries=2), hop("spare", pool="shared")))
-    again = w.ended(1_000, attempt(first), AttemptOutcome.NOT_CONNECTED) + w.ring(2_000)
+    w = route_table()
+    first = call(w, 1, path(hop("main", "a1", "a2", max_attempts=2), hop("spare", pool="shared")))
+    again = w.handle(AttemptEnded(1_000, attempt(first), AttemptOutcome.NOT_CONNECTED)) + w.handle(
+        TimerFired(2_000)
+    )
     assert {*sent(first), *sent(again)} == {"a1", "a2"}, "the other server of the route"
-    assert sent(w.ended(3_000, attempt(again), AttemptOutcome.NOT_CONNECTED)) == ["p1"]
+    assert sent(w.handle(AttemptEnded(3_000, attempt(again), AttemptOutcome.NOT_CONNECTED))) == ["p1"]
 
 
 def test_limits_of_a_route_and_shares_of_a_pool_hold_and_are_given_back() -> None:
-    w = ways()
-    limited = way(hop("main", "a1", limit=2), hop("spare", pool="shared"))
+    w = route_table()
+    limited = path(hop("main", "a1", max_in_flight=2), hop("spare", pool="shared"))
     calls = {n: call(w, n, limited) for n in range(1, 6)}
     assert [sent(calls[n]) for n in range(1, 6)] == [["a1"], ["a1"], ["p1"], ["p1"], []]
     assert calls[5] == [CompleteCall(5, 0, AttemptOutcome.REJECTED)], "its share is two of four"
-    assert sent(call(w, 9, way(hop("x", pool="shared"), customer="bolt"))) == ["p1"], "bolt's is its own"
-    assert call(w, 10, way(hop("x", pool="shared"), customer="bolt")) == [
+    assert sent(call(w, 9, path(hop("x", pool="shared"), customer="bolt"))) == ["p1"], "bolt's is its own"
+    assert call(w, 10, path(hop("x", pool="shared"), customer="bolt")) == [
         CompleteCall(10, 0, AttemptOutcome.REJECTED)
     ]
-    assert [type(e) for e in w.give_up(5_000, 1)] == [CancelAttempt]
-    w.ended(5_000, attempt(calls[3]), AttemptOutcome.ANSWERED)
+    assert [type(e) for e in w.handle(CallCancelled(5_000, 1))] == [CancelAttempt]
+    w.handle(AttemptEnded(5_000, attempt(calls[3]), AttemptOutcome.ANSWERED))
     assert sent(call(w, 6, limited)) == ["a1"] and sent(call(w, 7, limited)) == ["p1"]
 
 
 def test_what_one_customers_calls_have_met_decides_nothing_for_anothers_nor_for_one_made_anew() -> None:
-    w = ways(
+    w = route_table(
         policy=LoadBalancingPolicy(
             hedging_enabled=False,
             consecutive_failures=2,
@@ -145,51 +167,51 @@
             max_queued_calls=0,
         )
     )
-    mine, theirs = way(hop("main", pool="shared")), way(hop("main", pool="shared"), customer="bolt")
+    mine, theirs = path(hop("main", pool="shared")), path(hop("main", pool="shared"), customer="bolt")
     for n in range(1, 6):
         effects = call(w, n, mine, now=n)
         if sent(effects):
-            w.ended(n, attempt(effects), AttemptOutcome.FAILED)
-    label = ("acme", 1, "main")
-    assert w._routers[label].endpoints.ejection.ejections >= 1
+            w.handle(AttemptEnded(n, attempt(effects), AttemptOutcome.FAILED))
+    label = RouteKey("acme", 1, "main")
+    assert w.balancers._by_route[label].endpoints.ejection.ejections >= 1
     assert (
         sent(call(w, 20, theirs, now=20)) == ["p1"]
-        and not w._routers["bolt", 1, "main"].endpoints.ejection.ejections
+        and not w.balancers._by_route[RouteKey("bolt", 1, "main")].endpoints.ejection.ejections
     )
-    anew = way(hop("main", pool="shared"), born=2)
+    anew = path(hop("main", pool="shared"), incarnation=2)
     assert (
         sent(call(w, 21, anew, now=21)) == ["p1"]
-        and not w._routers["acme", 2, "main"].endpoints.ejection.ejections
+        and not w.balancers._by_route[RouteKey("acme", 2, "main")].endpoints.ejection.ejections
     )
 
 
 def test_a_server_that_is_taken_from_a_customer_is_called_by_it_no_more() -> None:
-    w = ways()
-    to = way(hop("main", "a1", "a2"))
+    w = route_table()
+    to = path(hop("main", "a1", "a2"))
     assert sent(call(w, 1, to)) and sent(call(w, 2, None)) == ["free"]
-    w.grant(1_000, Grants({"acme": frozenset({"a2"})}))
+    w.balancers.set_grants(1_000, Grants({"acme": frozenset({"a2"})}))
     assert {sent(call(w, n, to, now=2_000))[0] for n in range(3, 12)} == {"a2"}
-    assert set(w.default.endpoints.by_name) == {"a1", "b1", "p1", "free"}
-    assert w.remove(3_000, "a2") and call(w, 30, to, now=4_000) == [
+    assert set(w.balancers.default.endpoints.by_name) == {"a1", "b1", "p1", "free"}
+    assert w.handle(EndpointRemoved(3_000, "a2")) and call(w, 30, to, now=4_000) == [
         CompleteCall(30, 0, AttemptOutcome.REJECTED)
     ]
 
 
 def test_a_new_revisions_weights_hold_from_the_next_call_on() -> None:
-    w = ways()
-    assert sent(call(w, 1, way(Hop("main", (("a1", 1), ("a2", 0)), "", 0, 1)))) == ["a1"]
-    later = way(Hop("main", (("a1", 0), ("a2", 3)), "", 0, 1))
+    w = route_table()
+    assert sent(call(w, 1, path(Hop("main", (("a1", 1), ("a2", 0)), "", 0, 1)))) == ["a1"]
+    later = path(Hop("main", (("a1", 0), ("a2", 3)), "", 0, 1))
     assert {sent(call(w, n, later))[0] for n in range(2, 9)} == {"a2"}
 
 
 def test_routes_that_are_not_used_are_forgotten_and_those_with_calls_are_not() -> None:
-    w = ways()
-    kept = call(w, 1, way(hop("main", "a1"), born=0))
-    for born in range(1, MOST_ROUTERS + 300):
-        effects = call(w, 2, way(hop("main", "a1"), born=born))
-        w.ended(0, attempt(effects), AttemptOutcome.ANSWERED)
-    assert len(w._routers) <= MOST_ROUTERS
-    assert w.ended(1, attempt(kept), AttemptOutcome.ANSWERED) == [
+    w = route_table()
+    kept = call(w, 1, path(hop("main", "a1"), incarnation=0))
+    for incarnation in range(1, MAX_BALANCERS + 300):
+        effects = call(w, 2, path(hop("main", "a1"), incarnation=incarnation))
+        w.handle(AttemptEnded(0, attempt(effects), AttemptOutcome.ANSWERED))
+    assert len(w.balancers._by_route) <= MAX_BALANCERS
+    assert w.handle(AttemptEnded(1, attempt(kept), AttemptOutcome.ANSWERED)) == [
         CompleteCall(1, attempt(kept), AttemptOutcome.ANSWERED)
     ]
 
@@ -205,8 +227,10 @@
         "rules": {"no": {"match": {"class": ["admin"]}, "refuse": "not here"}},
     }
     found = customers.take("acme", (4, 2), json.dumps(draft).encode(), None)
-    ruled = rule(found, Asked("check"))
+    ruled = decide_route(found, Asked("check"))
     customers.delete("acme", (4, 3))
-    assert ruled.way == way(hop("main", "a1", tries=3), hop("spare", pool="shared", limit=7), born=4)
-    refused = rule(found, Asked("admin"))
+    assert ruled.way == path(
+        hop("main", "a1", max_attempts=3), hop("spare", pool="shared", max_in_flight=7), incarnation=4
+    )
+    refused = decide_route(found, Asked("admin"))
     assert (refused.refusal, refused.way, refused.rule, refused.at) == ("not here", None, "no", (4, 2))
