--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -343,7 +343,7 @@
 
         def knowledge() -> object:
             core.touch()
-            return to_builtins(tier.knowledge(condition()))
+            return to_builtins(tier.learned_state(condition()))
 
         root.putChild(b"servers", _Servers(token, tier, core))
         root.putChild(b"knowledge", _Json(knowledge))
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -29,7 +29,7 @@
 from ..load_balancing.status import counts_json, servers_json
 from ..routing.grants import Grants
 from ..routing.route_table import RouteTable
-from ..warm_start.learned_state import Condition, Knowledge, make
+from ..warm_start.learned_state import DonorCondition, LearnedState, capture_learned_state
 from .server_backends import Backend, ServerBackends
 
 # Any other ending proves nothing: the call may have run, and counts as FAILED.
@@ -244,8 +244,8 @@
         """What was done since the start, as `GET /servers` shows it."""
         return counts_json(self.balancer)
 
-    def knowledge(self, condition: Condition) -> Knowledge:
+    def learned_state(self, condition: DonorCondition) -> LearnedState:
         """What has been learnt of the servers; `condition`: how this runner is."""
         endpoints = self.balancer.endpoints.by_name.values()
         now = self.core.clock.now
-        return make(self._runner, endpoints, now, now - self._started_at, condition)
+        return capture_learned_state(self._runner, endpoints, now, now - self._started_at, condition)
--- a/moorusher/lab/warm.py
+++ b/moorusher/lab/warm.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from ..load_balancing.load_balancer import LoadBalancer
-from ..warm_start.learned_state import Condition, Knowledge, make
-from ..warm_start.merge import merge
-from ..warm_start.snapshot import read, write
-from ..warm_start.verification import Trial
+from ..warm_start.learned_state import DonorCondition, LearnedState, capture_learned_state
+from ..warm_start.merge import merge_priors
+from ..warm_start.snapshot import decode_snapshot, encode_snapshot
+from ..warm_start.verification import PriorVerification
 from .below import Below, Mood, Told, World
 from .experiment import Experiment, Plot, Result
 
@@ -30,41 +30,46 @@
     ]
 
 
-def _donor(seed: int, seconds: float = DONOR_S, faulty: dict[int, str] | None = None) -> Knowledge:
+def _donor(seed: int, seconds: float = DONOR_S, faulty: dict[int, str] | None = None) -> LearnedState:
     """What an instance that has served for so long knows."""
     world = World(_servers(FAULTY if faulty is None else faulty), "tier", seed + 500, RATE, seconds)
     world.play()
-    return make("donor", world.router.endpoints.by_name.values(), world.now, round(seconds * 1e6))
+    return capture_learned_state(
+        "donor", world.router.endpoints.by_name.values(), world.now, round(seconds * 1e6)
+    )
 
 
-def _slow(knowledge: Knowledge) -> Knowledge:
+def _slow(knowledge: LearnedState) -> LearnedState:
     """The donor's own loop was slow: all that it measured took four times as long."""
     facts = tuple(
-        msgspec.structs.replace(f, short_us=4 * f.short_us, long_us=4 * f.long_us) for f in knowledge.servers
+        msgspec.structs.replace(
+            f, short_latency_us=4 * f.short_latency_us, long_latency_us=4 * f.long_latency_us
+        )
+        for f in knowledge.endpoints
     )
-    return msgspec.structs.replace(knowledge, condition=Condition.SLOW, servers=facts)
+    return msgspec.structs.replace(knowledge, condition=DonorCondition.SLOW, endpoints=facts)
 
 
-def _lies(knowledge: Knowledge) -> Knowledge:
+def _lies(knowledge: LearnedState) -> LearnedState:
     """Well is told as out, out as well, slow as fast: by a donor that is named well."""
     facts = tuple(
         msgspec.structs.replace(
             f,
-            out=not f.out and i % 2 == 0,
-            short_us=4e9 / max(1e3, f.short_us),
-            answered=1.0 if f.out else 0.3,
+            ejected=not f.ejected and i % 2 == 0,
+            short_latency_us=4e9 / max(1e3, f.short_latency_us),
+            success_rate=1.0 if f.ejected else 0.3,
             samples=max(50, f.samples),
         )
-        for i, f in enumerate(knowledge.servers)
+        for i, f in enumerate(knowledge.endpoints)
     )
-    return msgspec.structs.replace(knowledge, donor="liar", servers=facts)
+    return msgspec.structs.replace(knowledge, donor="liar", endpoints=facts)
 
 
-def _told(way: str, seed: int) -> list[Knowledge]:
+def _told(way: str, seed: int) -> list[LearnedState]:
     if way in ("cold", "again"):
         return []
     if way == "stale":  # other servers were faulty then, and it was an hour ago
-        return [_donor(seed, faulty={1: "slow", 3: "fail", 7: "slow"}).older(3600)]
+        return [_donor(seed, faulty={1: "slow", 3: "fail", 7: "slow"}).aged(3600)]
     if way == "young donor":  # in a rolling deploy donors are new themselves
         return [_donor(seed, 5.0)]
     honest = _donor(seed)
@@ -77,11 +82,11 @@
 
 
 def _begin(way: str, seed: int) -> World:
-    told = [read(write(k)) for k in _told(way, seed)]  # as it comes over the wire
+    told = [decode_snapshot(encode_snapshot(k)) for k in _told(way, seed)]  # as it comes over the wire
 
     def prepare(router: LoadBalancer) -> None:
-        priors = merge(told, router.endpoints.by_name)
-        router.endpoints.learn(priors, Trial(priors, router.endpoints.unlearn))
+        priors = merge_priors(told, router.endpoints.by_name)
+        router.endpoints.learn(priors, PriorVerification(priors, router.endpoints.unlearn))
 
     return World(
         _servers(FAULTY),
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -199,9 +199,9 @@
             )
             planned["admin"] = config.admin.listen, site
         if self.tier is not None and config.tier.warm_start_file is not None:
-            from ..storage.warm_start import Keeper
+            from ..storage.warm_start import WarmStartFile
 
-            self.keeper = Keeper(self.core, self.tier, config.tier.warm_start_file, self._condition)
+            self.keeper = WarmStartFile(self.core, self.tier, config.tier.warm_start_file, self._condition)
             self.keeper.start()
         self.kernel.start()
         path = None
@@ -325,11 +325,11 @@
     def _condition(self) -> Any:
         """How this runner is, for whoever is told what it knows."""
         from ..health.states import Standing
-        from ..warm_start.learned_state import Condition
+        from ..warm_start.learned_state import DonorCondition
 
         standing = self.reporter.report().standing
-        return {Standing.CROWDED: Condition.CROWDED, Standing.WARMING: Condition.COLD}.get(
-            standing, Condition.WELL
+        return {Standing.CROWDED: DonorCondition.OVERLOADED, Standing.WARMING: DonorCondition.WARMING_UP}.get(
+            standing, DonorCondition.HEALTHY
         )
 
     # ---- limits and new settings ----
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -1,4 +1,4 @@
-"""What was learnt of the tier, on a disk that lasts: read at the start, written now and then and at the end."""
+"""The snapshot of what was learnt, on a disk that lasts: read at the start, written now and then and at the end."""
 
 from __future__ import annotations
 
@@ -11,91 +11,109 @@
 from ..backends.server_pool import ServerPool
 from ..core.clock import SECOND, Alarm
 from ..core.request_engine import Decider
-from ..warm_start.learned_state import Condition, Knowledge
-from ..warm_start.merge import merge
-from ..warm_start.snapshot import MOST, Refused, read, write
-from ..warm_start.verification import Trial
+from ..warm_start.errors import InvalidSnapshot
+from ..warm_start.learned_state import DonorCondition, LearnedState
+from ..warm_start.merge import merge_priors
+from ..warm_start.snapshot import MAX_SNAPSHOT_BYTES, decode_snapshot, encode_snapshot
+from ..warm_start.verification import PriorVerification
 
 log = logging.getLogger("moorusher")
 
-EVERY = 30 * SECOND  # a crash loses no more; one write takes some ms
+SAVE_PERIOD_US = 30 * SECOND  # a crash loses no more; a write takes some milliseconds
 
 
-def save(path: Path, raw: bytes) -> None:
-    """The old bytes or the new ones stay, whatever the machine does meanwhile. Raises OSError."""
-    beside = path.with_name(f".{path.name}.{os.getpid()}")
+def save_snapshot(path: Path, raw: bytes) -> None:
+    """Replace the file atomically: after a crash at any step it has the old bytes or the new ones. Raises OSError."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(raw)
             file.flush()
-            os.fsync(file.fileno())  # the name must not point to what is not on the disk yet
-        os.replace(beside, path)
+            os.fsync(
+                file.fileno()
+            )  # before the rename: else the name could point to bytes that are not on the disk
+        os.replace(temporary, path)
     except OSError:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
     folder = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)  # nor be the old one after a crash
+        os.fsync(folder)  # the rename itself: else a crash could bring the old file back
     finally:
         os.close(folder)
 
 
-def load(path: Path, unix_s: float | None = None) -> Knowledge | None:
-    """None, with the reason in the log, where there is nothing to be trusted: the start is cold then. The age is that
-    of the file, by this machine's clock; one from the future is of no known age."""
+def load_snapshot(path: Path, unix_s: float | None = None) -> LearnedState | None:
+    """Return the state in a file, aged by the file's modification time; `unix_s`: the time now, for tests.
+
+    None where there is no file, or, with a line in the log, none that can be used. A file from the future is of unknown
+    age, and is not used.
+    """
     try:
         with open(path, "rb") as file:
-            age = (time.time() if unix_s is None else unix_s) - os.fstat(file.fileno()).st_mtime
-            raw = file.read(MOST + 1)
-        if age < 0:
-            log.warning("knowledge of %s not used: it is from the future", path.name)
+            now_s = time.time() if unix_s is None else unix_s
+            age_s = now_s - os.fstat(file.fileno()).st_mtime
+            raw = file.read(MAX_SNAPSHOT_BYTES + 1)
+        if age_s < 0:
+            log.warning("warm start without snapshot: file=%s reason=its time is in the future", path.name)
             return None
-        return read(raw).older(age)
+        return decode_snapshot(raw).aged(age_s)
     except FileNotFoundError:
         return None
-    except (OSError, Refused) as exc:
-        log.warning("knowledge of %s not used: %s", path.name, exc)
+    except (OSError, InvalidSnapshot) as exc:
+        log.warning("warm start without snapshot: file=%s reason=%s", path.name, exc)
         return None
 
 
-class Keeper:
-    """Has the tier learn from the file, and writes what it knows. `condition`: how this runner is."""
+class WarmStartFile:
+    """Lets the server pool learn from the snapshot, and writes what it has learnt.
+
+    verification: of the priors that were read (PriorVerification), None where none were.
+    """
 
     def __init__(
-        self, core: Decider, tier: ServerPool, path: Path, condition: Callable[[], Condition]
+        self, core: Decider, pool: ServerPool, path: Path, condition: Callable[[], DonorCondition]
     ) -> None:
-        self.core, self.tier, self.path = core, tier, path
+        """`condition` returns how this runner is."""
+        self._core = core
+        self._pool = pool
+        self._path = path
         self._condition = condition
         self._alarm: Alarm | None = None
-        self.trial: Trial | None = None
+        self.verification: PriorVerification | None = None
 
     def start(self) -> None:
-        told = load(self.path)
-        if told is not None:
-            router = self.tier.balancer
-            priors = merge([told], router.endpoints.by_name)
-            self.trial = Trial(priors, router.endpoints.unlearn)
-            router.endpoints.learn(priors, self.trial)
-            self.core.counters.add("servers known from before", by=len(priors))
-        self._alarm = self.core.alarms.at(self.core.clock.now + EVERY, self._again)
-
-    def _again(self) -> None:
-        self._alarm = self.core.alarms.at(self.core.clock.now + EVERY, self._again)
-        self.keep()
-
-    def keep(self) -> None:
-        """A disk that is full or gone costs the knowledge, not the service."""
-        known = self.tier.knowledge(self._condition())
-        if not known.servers:
-            return  # nothing was learnt: what is there from before is worth more
+        """Read the snapshot, and begin to write it periodically."""
+        state = load_snapshot(self._path)
+        if state is not None:
+            endpoints = self._pool.balancer.endpoints
+            priors = merge_priors([state], endpoints.by_name)
+            self.verification = PriorVerification(priors, endpoints.unlearn)
+            endpoints.learn(priors, self.verification)
+            self._core.counters.add("servers known from before", by=len(priors))
+        self._schedule()
+
+    def _schedule(self) -> None:
+        self._alarm = self._core.alarms.at(self._core.clock.now + SAVE_PERIOD_US, self._save_periodically)
+
+    def _save_periodically(self) -> None:
+        self._schedule()
+        self.save()
+
+    def save(self) -> None:
+        """Write the snapshot. A disk that is full or gone costs the snapshot, not the service."""
+        state = self._pool.learned_state(self._condition())
+        if not state.endpoints:
+            return  # nothing was learnt: what the file has is worth more
         try:
-            save(self.path, write(known))
-            self.core.counters.add("knowledge kept")
-        except (OSError, Refused) as exc:
-            self.core.counters.add("knowledge not kept")
-            log.warning("knowledge not kept in %s: %s", self.path.name, exc)
+            save_snapshot(self._path, encode_snapshot(state))
+            self._core.counters.add("knowledge kept")
+        except (OSError, InvalidSnapshot) as exc:
+            self._core.counters.add("knowledge not kept")
+            log.warning("snapshot for the warm start not written: file=%s reason=%s", self._path.name, exc)
 
     def stop(self) -> None:
+        """Write the snapshot for the last time."""
         if self._alarm is not None:
             self._alarm.cancel()
-        self.keep()
+        self.save()
--- a/moorusher/warm_start/__init__.py
+++ b/moorusher/warm_start/__init__.py
@@ -1,4 +1,6 @@
-"""What a runner has learnt of the servers below, as a value: made, kept, handed on, weighed, and given up.
+"""Warm start: what a runner has learnt of its endpoints is kept, and spares the next one to learn it anew. Pure.
 
-No I/O, no clock and no randomness of its own. docs/design/warm-start.md has the ways that were weighed.
+`learned_state` is the value, `snapshot` its bytes, `merge` turns what several donors have learnt into priors, and
+`verification` drops priors that own calls contradict. `storage/warm_start.py` keeps the snapshot on disk.
+docs/design/warm-start.md has the alternatives that were weighed.
 """
--- a/moorusher/warm_start/learned_state.py
+++ b/moorusher/warm_start/learned_state.py
@@ -1,4 +1,8 @@
-"""The value itself. Nothing of tenants, bodies or tokens is in it; ages instead of times, since clocks differ."""
+"""What one runner has learnt of its endpoints, as a value.
+
+Nothing of tenants, bodies or tokens is in it. It has ages in place of times, since clocks differ. The names on disk and
+in `GET /knowledge` are older than those of the fields; they are mapped in the `rename` of each struct alone.
+"""
 
 from __future__ import annotations
 
@@ -9,69 +13,112 @@
 
 from ..load_balancing.endpoint import Endpoint, EndpointState
 
-MOST_SERVERS = 1000
-MOST_NAME = 64
+MAX_ENDPOINTS = 1000
+MAX_NAME_LENGTH = 64
+
 
+class DonorCondition(Enum):
+    """How the donor itself was when its state was captured: it decides how far its figures are trusted.
 
-class Condition(Enum):
-    """How the donor itself was when it made the value: it decides how far its figures are believed."""
+    The values are on disk and in `GET /knowledge`.
+    """
 
-    WELL = "well"
+    HEALTHY = "well"
     SLOW = "slow"
-    CROWDED = "crowded"
-    COLD = "cold"
+    OVERLOADED = "crowded"
+    WARMING_UP = "cold"
     PAUSED = "paused"
 
 
-class ServerFacts(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One server as one runner knows it. Times in us of the donor's calls, ages in seconds at the time of making."""
+_STATS_NAMES = {
+    "short_latency_us": "short_us",
+    "long_latency_us": "long_us",
+    "latency_spread_us": "spread_us",
+    "success_rate": "answered",
+    "concurrency_limit": "limit",
+    "ejected": "out",
+}
+
+
+class EndpointStats(msgspec.Struct, frozen=True, omit_defaults=True, rename=_STATS_NAMES):
+    """One endpoint as one runner knows it.
+
+    name: the endpoint's.
+    short_latency_us, long_latency_us, latency_spread_us: means and mean deviation, in microseconds.
+    samples: answered calls that the latencies come from.
+    success_rate: the fraction of the last calls that were answered.
+    concurrency_limit: calls.
+    ejected: ejected, or waiting for its health check.
+    ejections: in all.
+    first_seen_s, last_seen_s: ages when the state was captured, in seconds.
+    """
 
     name: str
-    short_us: float = 0.0
-    long_us: float = 0.0
-    spread_us: float = 0.0
+    short_latency_us: float = 0.0
+    long_latency_us: float = 0.0
+    latency_spread_us: float = 0.0
     samples: int = 0
-    answered: float = 1.0  # share of the last calls
-    limit: float = 0.0
-    out: bool = False  # ejected, or waiting for its probe
+    success_rate: float = 1.0
+    concurrency_limit: float = 0.0
+    ejected: bool = False
     ejections: int = 0
     first_seen_s: float = 0.0
     last_seen_s: float = 0.0
 
 
-class Knowledge(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What one runner knew at one moment. `age_s` is what had passed since when it was made or handed on."""
+_STATE_NAMES = {"uptime_s": "up_s", "endpoints": "servers"}
+
+
+class LearnedState(msgspec.Struct, frozen=True, omit_defaults=True, rename=_STATE_NAMES):
+    """What one runner knew at one moment.
+
+    donor: the runner's name.
+    condition: how it was then.
+    uptime_s: how long it had served, in seconds; a young donor knows little.
+    age_s: seconds since the state was captured.
+    endpoints: those that anything is known of.
+    """
 
     donor: str
-    condition: Condition = Condition.WELL
-    up_s: float = 0.0  # how long the donor had served: what is five seconds old knows little
+    condition: DonorCondition = DonorCondition.HEALTHY
+    uptime_s: float = 0.0
     age_s: float = 0.0
-    servers: tuple[ServerFacts, ...] = ()
+    endpoints: tuple[EndpointStats, ...] = ()
 
-    def older(self, by_s: float) -> Knowledge:
+    def aged(self, by_s: float) -> LearnedState:
+        """Return the state as it is so many seconds later."""
         return msgspec.structs.replace(self, age_s=self.age_s + max(0.0, by_s))
 
 
-def make(
-    donor: str, members: Iterable[Endpoint], now: int, up_us: int, condition: Condition = Condition.WELL
-) -> Knowledge:
-    """Of a router's members, at `now` (us). Servers that were never measured nor out are left out: they say nothing."""
-    facts = [
-        ServerFacts(
-            m.config.name,
-            m.latency.short,
-            m.latency.long,
-            m.latency.spread,
-            m.latency.samples,
-            m.outliers.success_rate(),
-            m.limit.value,
-            m.is_unavailable,
-            m.outliers.ejections,
-            (now - m.first_seen) / 1e6,
-            (now - m.last_seen) / 1e6,
-        )
-        for m in members
-        if m.latency.samples or m.failures or m.state is not EndpointState.ACTIVE
-    ]
-    facts.sort(key=lambda f: f.last_seen_s)
-    return Knowledge(donor, condition, up_us / 1e6, 0.0, tuple(facts[:MOST_SERVERS]))
+def capture_learned_state(
+    donor: str,
+    endpoints: Iterable[Endpoint],
+    now: int,
+    uptime_us: int,
+    condition: DonorCondition = DonorCondition.HEALTHY,
+) -> LearnedState:
+    """Capture what is known of endpoints at `now` (us); those that nothing is known of are left out."""
+    stats = [_stats_of(endpoint, now) for endpoint in endpoints if _is_known(endpoint)]
+    stats.sort(key=lambda one: one.last_seen_s)
+    return LearnedState(donor, condition, uptime_us / 1e6, 0.0, tuple(stats[:MAX_ENDPOINTS]))
+
+
+def _is_known(endpoint: Endpoint) -> bool:
+    was_called = endpoint.latency.samples > 0 or endpoint.failures > 0
+    return was_called or endpoint.state is not EndpointState.ACTIVE
+
+
+def _stats_of(endpoint: Endpoint, now: int) -> EndpointStats:
+    return EndpointStats(
+        name=endpoint.config.name,
+        short_latency_us=endpoint.latency.short,
+        long_latency_us=endpoint.latency.long,
+        latency_spread_us=endpoint.latency.spread,
+        samples=endpoint.latency.samples,
+        success_rate=endpoint.outliers.success_rate(),
+        concurrency_limit=endpoint.limit.value,
+        ejected=endpoint.is_unavailable,
+        ejections=endpoint.outliers.ejections,
+        first_seen_s=(now - endpoint.first_seen) / 1e6,
+        last_seen_s=(now - endpoint.last_seen) / 1e6,
+    )
--- a/moorusher/warm_start/snapshot.py
+++ b/moorusher/warm_start/snapshot.py
@@ -1,85 +1,81 @@
-"""The value as bytes: a head that says what it is, a checksum, MessagePack. What can't be trusted whole is refused."""
+"""A learned state as bytes: a header with magic, version, length and checksum, and a body in MessagePack.
+
+A snapshot is used as a whole or not at all.
+"""
 
 from __future__ import annotations
 
 import math
 import struct
-from enum import Enum
 
 import msgspec
 import xxhash
 
-from .learned_state import MOST_NAME, MOST_SERVERS, Knowledge
+from .errors import InvalidSnapshot, SnapshotFault
+from .learned_state import MAX_ENDPOINTS, MAX_NAME_LENGTH, LearnedState
 
 MAGIC = b"MRKN"
-MAJOR, MINOR = 1, 0  # a newer minor adds fields, which are passed over; a newer major is refused
-HEAD = struct.Struct("<4sBBxxIQ")  # magic, major, minor, length of the body, its checksum
-MOST = 256 * 1024  # bytes in all
-
-
-class Why(Enum):
-    """A snapshot was refused."""
-
-    FOREIGN = "it is no snapshot of this program"
-    FUTURE = "it is of a later version"
-    TRUNCATED = "it is not whole"
-    OVERSIZED = "it is larger than any snapshot"
-    DAMAGED = "its checksum does not fit"
-    FAULTY = "its values can't be"
-
-
-class Refused(ValueError):
-    """The file can't be used; the text says why, and the start is cold."""
-
-    def __init__(self, why: Why, more: str = "") -> None:
-        super().__init__(why.value + (f": {more}" if more else ""))
-        self.why = why
+MAJOR_VERSION = 1  # a snapshot of a newer one is invalid
+MINOR_VERSION = 0  # a newer one may add fields, which are ignored
+HEADER = struct.Struct("<4sBBxxIQ")  # magic, major, minor, length of the body in bytes, its xxh3 checksum
+MAX_SNAPSHOT_BYTES = 256 * 1024
+MAX_NUMBER = 1e15  # no figure comes near it
 
 
-def write(knowledge: Knowledge) -> bytes:
-    """Raises Refused where it would be too large."""
-    body = msgspec.msgpack.encode(knowledge)
-    if HEAD.size + len(body) > MOST:
-        raise Refused(Why.OVERSIZED, f"{len(body)} bytes")
-    return HEAD.pack(MAGIC, MAJOR, MINOR, len(body), xxhash.xxh3_64_intdigest(body)) + body
+def encode_snapshot(state: LearnedState) -> bytes:
+    """Return the bytes of a state. Raises InvalidSnapshot where they would be too many."""
+    body = msgspec.msgpack.encode(state)
+    if HEADER.size + len(body) > MAX_SNAPSHOT_BYTES:
+        raise InvalidSnapshot(SnapshotFault.OVERSIZED, f"{len(body)} bytes")
+    checksum = xxhash.xxh3_64_intdigest(body)
+    return HEADER.pack(MAGIC, MAJOR_VERSION, MINOR_VERSION, len(body), checksum) + body
 
 
-def read(raw: bytes) -> Knowledge:
-    """Raises Refused, and nothing else, whatever the bytes are."""
-    if len(raw) > MOST:
-        raise Refused(Why.OVERSIZED, f"{len(raw)} bytes")
-    if raw[:4] != MAGIC[: len(raw[:4])]:
-        raise Refused(Why.FOREIGN)
-    if len(raw) < HEAD.size:
-        raise Refused(Why.TRUNCATED)
-    _, major, minor, length, checksum = HEAD.unpack_from(raw)
-    if major > MAJOR:
-        raise Refused(Why.FUTURE, f"{major}.{minor}, this is {MAJOR}.{MINOR}")
-    body = raw[HEAD.size :]
-    if len(body) < length:
-        raise Refused(Why.TRUNCATED, f"{len(body)} of {length} bytes")
-    if len(body) > length or xxhash.xxh3_64_intdigest(body) != checksum:
-        raise Refused(Why.DAMAGED)
+def decode_snapshot(raw: bytes) -> LearnedState:
+    """Return the state that the bytes hold. Raises InvalidSnapshot, and nothing else, whatever the bytes are."""
+    body = _checked_body(raw)
     try:
-        knowledge = msgspec.msgpack.decode(body, type=Knowledge)
+        state = msgspec.msgpack.decode(body, type=LearnedState)
     except (msgspec.MsgspecError, RecursionError, ValueError) as exc:
-        raise Refused(Why.FAULTY, str(exc)[:100]) from None
-    _check(knowledge)
-    return knowledge
-
-
-def _check(knowledge: Knowledge) -> None:
-    """What the types can't say. A checksum proves that nothing was changed on the way, not that it was right."""
-    if len(knowledge.servers) > MOST_SERVERS:
-        raise Refused(Why.FAULTY, f"{len(knowledge.servers)} servers")
-    if not knowledge.donor or len(knowledge.donor) > MOST_NAME:
-        raise Refused(Why.FAULTY, "donor")
-    names = set[str]()
-    for owner in (knowledge, *knowledge.servers):
-        for name, value in msgspec.structs.asdict(owner).items():
-            if isinstance(value, (int, float)) and not (math.isfinite(value) and 0 <= value < 1e15):
-                raise Refused(Why.FAULTY, name)
-    for facts in knowledge.servers:
-        if not 0 < len(facts.name) <= MOST_NAME or facts.name in names or facts.answered > 1:
-            raise Refused(Why.FAULTY, f"server {facts.name[:MOST_NAME]!r}")
-        names.add(facts.name)
+        raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, str(exc)[:100]) from None
+    _check_values(state)
+    return state
+
+
+def _checked_body(raw: bytes) -> bytes:
+    """Return the body of a snapshot whose header and checksum are right."""
+    if len(raw) > MAX_SNAPSHOT_BYTES:
+        raise InvalidSnapshot(SnapshotFault.OVERSIZED, f"{len(raw)} bytes")
+    if raw[: len(MAGIC)] != MAGIC[: len(raw)]:
+        raise InvalidSnapshot(SnapshotFault.FOREIGN)
+    if len(raw) < HEADER.size:
+        raise InvalidSnapshot(SnapshotFault.TRUNCATED)
+    _, major, minor, length, checksum = HEADER.unpack_from(raw)
+    if major > MAJOR_VERSION:
+        supported = f"{MAJOR_VERSION}.{MINOR_VERSION}"
+        raise InvalidSnapshot(SnapshotFault.NEWER_VERSION, f"{major}.{minor}, this is {supported}")
+    body = raw[HEADER.size :]
+    if len(body) < length:
+        raise InvalidSnapshot(SnapshotFault.TRUNCATED, f"{len(body)} of {length} bytes")
+    if len(body) > length or xxhash.xxh3_64_intdigest(body) != checksum:
+        raise InvalidSnapshot(SnapshotFault.CORRUPT)
+    return body
+
+
+def _check_values(state: LearnedState) -> None:
+    """Check what the types can't say: a checksum proves that nothing was changed, not that it was right."""
+    if len(state.endpoints) > MAX_ENDPOINTS:
+        raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, f"{len(state.endpoints)} servers")
+    if not state.donor or len(state.donor) > MAX_NAME_LENGTH:
+        raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, "donor")
+    for record in (state, *state.endpoints):
+        for name, value in msgspec.structs.asdict(record).items():
+            if isinstance(value, (int, float)) and not (math.isfinite(value) and 0 <= value < MAX_NUMBER):
+                raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, name)
+    names: set[str] = set()
+    for stats in state.endpoints:
+        name_is_valid = 0 < len(stats.name) <= MAX_NAME_LENGTH and stats.name not in names
+        if not name_is_valid or stats.success_rate > 1:
+            detail = f"server {stats.name[:MAX_NAME_LENGTH]!r}"
+            raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, detail)
+        names.add(stats.name)
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -32,7 +32,7 @@
 from moorusher.storage.journal_files import opened
 from moorusher.storage.revisions import Store
 from moorusher.warm_start import snapshot
-from moorusher.warm_start.learned_state import Knowledge
+from moorusher.warm_start.learned_state import LearnedState
 
 from .forms import Samples, form, told
 from .golden import assert_golden, read_golden
@@ -48,7 +48,7 @@
 pack_file, read_record = journal.pack, journal._decoder.decode
 REPORTS, read_reports = duty_report.Told, msgspec.json.Decoder(duty_report.Told).decode
 write_json = msgspec.json.Encoder().encode
-write_snapshot, read_snapshot = snapshot.write, snapshot.read
+write_snapshot, read_snapshot = snapshot.encode_snapshot, snapshot.decode_snapshot
 HINTS, ANSWERS_OF_DEMAND = hints.Hints, demand.Part
 
 
@@ -261,9 +261,9 @@
 
 
 def test_a_snapshot_of_what_is_known_is_read_and_written_as_it_was() -> None:
-    written = write_snapshot(msgspec.convert(KNOWN, Knowledge)).hex()
-    bare = write_snapshot(msgspec.convert({"donor": "n1"}, Knowledge)).hex()
-    assert_golden("stored_knowledge", {"form": form(Knowledge), "written": written, "bare": bare})
+    written = write_snapshot(msgspec.convert(KNOWN, LearnedState)).hex()
+    bare = write_snapshot(msgspec.convert({"donor": "n1"}, LearnedState)).hex()
+    assert_golden("stored_knowledge", {"form": form(LearnedState), "written": written, "bare": bare})
     read = read_snapshot(bytes.fromhex(read_golden("stored_knowledge")["written"]))
     assert json.loads(msgspec.json.encode(read)) == KNOWN and write_snapshot(read).hex() == written
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -22,12 +22,25 @@
 from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
 from moorusher.load_balancing.prior import Prior
 from moorusher.scheduling.interface import Effect
-from moorusher.storage.warm_start import load, save
+from moorusher.storage.warm_start import load_snapshot, save_snapshot
 from moorusher.warm_start import snapshot
-from moorusher.warm_start.learned_state import Condition, Knowledge, ServerFacts, make
-from moorusher.warm_start.merge import LEAST_WEIGHT, merge
-from moorusher.warm_start.snapshot import HEAD, MAGIC, MAJOR, MOST, Refused, Why, read, write
-from moorusher.warm_start.verification import Trial
+from moorusher.warm_start.errors import InvalidSnapshot, SnapshotFault
+from moorusher.warm_start.learned_state import (
+    DonorCondition,
+    EndpointStats,
+    LearnedState,
+    capture_learned_state,
+)
+from moorusher.warm_start.merge import MIN_WEIGHT, merge_priors
+from moorusher.warm_start.snapshot import (
+    HEADER,
+    MAGIC,
+    MAJOR_VERSION,
+    MAX_SNAPSHOT_BYTES,
+    decode_snapshot,
+    encode_snapshot,
+)
+from moorusher.warm_start.verification import PriorVerification
 
 from .stand_ins import Database, FrontEnd, Kernel, running
 from .test_sockets import has, sockets
@@ -36,14 +49,19 @@
 S, MS = 1_000_000, 1_000
 
 
-def facts(name: str, ms: float = 40.0, **more: Any) -> ServerFacts:
-    base: dict[str, Any] = {"short_us": ms * MS, "long_us": ms * MS, "samples": 60, "limit": 16.0}
-    return ServerFacts(name, **(base | more))
+def facts(name: str, ms: float = 40.0, **more: Any) -> EndpointStats:
+    base: dict[str, Any] = {
+        "short_latency_us": ms * MS,
+        "long_latency_us": ms * MS,
+        "samples": 60,
+        "concurrency_limit": 16.0,
+    }
+    return EndpointStats(name, **(base | more))
 
 
-def knowledge(*servers: ServerFacts, **more: Any) -> Knowledge:
-    base: dict[str, Any] = {"donor": "d", "up_s": 100.0, "servers": servers}
-    return Knowledge(**(base | more))
+def knowledge(*servers: EndpointStats, **more: Any) -> LearnedState:
+    base: dict[str, Any] = {"donor": "d", "uptime_s": 100.0, "endpoints": servers}
+    return LearnedState(**(base | more))
 
 
 # ---- bytes ----
@@ -51,52 +69,55 @@
 
 def test_a_thousand_servers_fit_and_come_back_as_they_were() -> None:
     told = knowledge(*(facts(f"server-{i:04}.zone-{i % 7}", 1.234567 * i) for i in range(1000)))
-    raw = write(told)
-    assert len(raw) <= MOST and read(raw) == told
+    raw = encode_snapshot(told)
+    assert len(raw) <= MAX_SNAPSHOT_BYTES and decode_snapshot(raw) == told
 
 
-def sealed(body: bytes, magic: bytes = MAGIC, major: int = MAJOR, minor: int = 0) -> bytes:
+def sealed(body: bytes, magic: bytes = MAGIC, major: int = MAJOR_VERSION, minor: int = 0) -> bytes:
     import xxhash
 
-    return HEAD.pack(magic, major, minor, len(body), xxhash.xxh3_64_intdigest(body)) + body
+    return HEADER.pack(magic, major, minor, len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
-GOOD = write(knowledge(facts("a")))
+GOOD = encode_snapshot(knowledge(facts("a")))
 
 
 @pytest.mark.parametrize(
     "raw, why",
     [
-        (b"", Why.TRUNCATED),
-        (GOOD[:3], Why.TRUNCATED),
-        (GOOD[:-1], Why.TRUNCATED),
-        (b"HTTP/1.1 200 OK", Why.FOREIGN),
-        (GOOD + b"x", Why.DAMAGED),
-        (GOOD[:-2] + b"zz", Why.DAMAGED),
-        (b"x" * (MOST + 1), Why.OVERSIZED),
-        (sealed(b"\x80", major=MAJOR + 1), Why.FUTURE),
-        (sealed(b""), Why.FAULTY),
-        (sealed(b"\xc1"), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode({"donor": 5})), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode({})), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode({"donor": "d", "condition": "odd"})), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a"), facts("a")))), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a", float("inf"))))), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a", -1)))), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a", answered=1.5)))), Why.FAULTY),
-        (sealed(msgspec.msgpack.encode(knowledge(donor=""))), Why.FAULTY),
-        (sealed(b"\x91" * 100_000), Why.FAULTY),
+        (b"", SnapshotFault.TRUNCATED),
+        (GOOD[:3], SnapshotFault.TRUNCATED),
+        (GOOD[:-1], SnapshotFault.TRUNCATED),
+        (b"HTTP/1.1 200 OK", SnapshotFault.FOREIGN),
+        (GOOD + b"x", SnapshotFault.CORRUPT),
+        (GOOD[:-2] + b"zz", SnapshotFault.CORRUPT),
+        (b"x" * (MAX_SNAPSHOT_BYTES + 1), SnapshotFault.OVERSIZED),
+        (sealed(b"\x80", major=MAJOR_VERSION + 1), SnapshotFault.NEWER_VERSION),
+        (sealed(b""), SnapshotFault.INVALID_VALUE),
+        (sealed(b"\xc1"), SnapshotFault.INVALID_VALUE),
+        (sealed(msgspec.msgpack.encode({"donor": 5})), SnapshotFault.INVALID_VALUE),
+        (sealed(msgspec.msgpack.encode({})), SnapshotFault.INVALID_VALUE),
+        (sealed(msgspec.msgpack.encode({"donor": "d", "condition": "odd"})), SnapshotFault.INVALID_VALUE),
+        (sealed(msgspec.msgpack.encode(knowledge(facts("a"), facts("a")))), SnapshotFault.INVALID_VALUE),
+        (sealed(msgspec.msgpack.encode(knowledge(facts("a", float("inf"))))), SnapshotFault.INVALID_VALUE),
+        (sealed(msgspec.msgpack.encode(knowledge(facts("a", -1)))), SnapshotFault.INVALID_VALUE),
+        (
+            sealed(msgspec.msgpack.encode(knowledge(facts("a", success_rate=1.5)))),
+            SnapshotFault.INVALID_VALUE,
+        ),
+        (sealed(msgspec.msgpack.encode(knowledge(donor=""))), SnapshotFault.INVALID_VALUE),
+        (sealed(b"\x91" * 100_000), SnapshotFault.INVALID_VALUE),
     ],
 )
-def test_what_cannot_be_trusted_whole_is_refused_with_its_reason(raw: bytes, why: Why) -> None:
-    with pytest.raises(Refused) as caught:
-        read(raw)
-    assert caught.value.why is why
+def test_what_cannot_be_trusted_whole_is_refused_with_its_reason(raw: bytes, why: SnapshotFault) -> None:
+    with pytest.raises(InvalidSnapshot) as caught:
+        decode_snapshot(raw)
+    assert caught.value.fault is why
 
 
 def test_a_newer_minor_version_is_read_and_its_new_fields_passed_over() -> None:
     body = msgspec.to_builtins(knowledge(facts("a"))) | {"colour": "red"}
-    assert read(sealed(msgspec.msgpack.encode(body), minor=9)) == knowledge(facts("a"))
+    assert decode_snapshot(sealed(msgspec.msgpack.encode(body), minor=9)) == knowledge(facts("a"))
 
 
 @given(st.binary(max_size=300), st.integers(0, len(GOOD) - 1), st.integers(0, 255))
@@ -104,22 +125,22 @@
     changed = bytearray(GOOD)
     changed[at] = byte
     for raw in (noise, MAGIC + noise, sealed(noise), bytes(changed), GOOD[:at]):
-        with suppress(Refused):
-            assert isinstance(read(raw), Knowledge)
+        with suppress(InvalidSnapshot):
+            assert isinstance(decode_snapshot(raw), LearnedState)
 
 
 def test_too_much_is_not_written() -> None:
-    with pytest.raises(Refused) as caught:
-        write(
+    with pytest.raises(InvalidSnapshot) as caught:
+        encode_snapshot(
             knowledge(
                 *(
-                    facts("x" * 60 + str(i), 1.5, first_seen_s=1.5, last_seen_s=2.5, spread_us=1.1)
+                    facts("x" * 60 + str(i), 1.5, first_seen_s=1.5, last_seen_s=2.5, latency_spread_us=1.1)
                     for i in range(5000)
                 )
             )
         )
-    assert caught.value.why is Why.OVERSIZED
-    assert struct.calcsize(HEAD.format) == HEAD.size == snapshot.HEAD.size
+    assert caught.value.fault is SnapshotFault.OVERSIZED
+    assert struct.calcsize(HEADER.format) == HEADER.size == snapshot.HEADER.size
 
 
 # ---- on disk ----
@@ -129,8 +150,12 @@
 def test_a_writer_that_dies_at_any_step_leaves_the_old_or_the_new(
     step: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    path, old, new = tmp_path / "known", write(knowledge(facts("old"))), write(knowledge(facts("new")))
-    save(path, old)
+    path, old, new = (
+        tmp_path / "known",
+        encode_snapshot(knowledge(facts("old"))),
+        encode_snapshot(knowledge(facts("new"))),
+    )
+    save_snapshot(path, old)
     real_open, real_fsync, synced = open, os.fsync, [0]
 
     class Dies(BaseException):
@@ -158,27 +183,27 @@
     if step == "os.replace":
         monkeypatch.setattr(os, "replace", die)
     with pytest.raises(Dies):
-        save(path, new)
+        save_snapshot(path, new)
     monkeypatch.undo()
     assert path.read_bytes() == (new if step == "folder" else old)
-    found = load(path)
-    assert found is not None and found.servers[0].name == ("new" if step == "folder" else "old")
+    found = load_snapshot(path)
+    assert found is not None and found.endpoints[0].name == ("new" if step == "folder" else "old")
 
 
 def test_what_is_on_disk_is_as_old_as_its_file_and_what_cannot_be_used_means_a_cold_start(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "known"
-    assert load(path) is None
-    save(path, GOOD)
+    assert load_snapshot(path) is None
+    save_snapshot(path, GOOD)
     at = path.stat().st_mtime
-    found = load(path, at + 90)
+    found = load_snapshot(path, at + 90)
     assert found is not None and found.age_s == pytest.approx(90)
-    assert load(path, at - 5) is None  # from the future: of no known age
-    for raw in (b"", GOOD[:-1], b"x" * 2 * MOST):
+    assert load_snapshot(path, at - 5) is None  # from the future: of no known age
+    for raw in (b"", GOOD[:-1], b"x" * 2 * MAX_SNAPSHOT_BYTES):
         path.write_bytes(raw)
-        assert load(path) is None
-    assert load(tmp_path) is None  # a folder
+        assert load_snapshot(path) is None
+    assert load_snapshot(tmp_path) is None  # a folder
 
 
 @pytest.mark.processes
@@ -198,8 +223,8 @@
         r.process.send_signal(signal.SIGTERM)
         await has(lambda: r.process.poll() is not None)
         known = (r.fronts.parent / "known").read_bytes()
-    told = {s.name: s for s in read(known).servers}
-    assert set(told) == {"s0", "s1", "s2", "s3"} and told["s0"].out
+    told = {s.name: s for s in decode_snapshot(known).endpoints}
+    assert set(told) == {"s0", "s1", "s2", "s3"} and told["s0"].ejected
     async with running(Kernel(calls=True), more=text, beside={"known": known}) as r:
         # That donor had served for a second or two: what it says of the three that answered counts, and not for much.
         assert (await r.counters())["servers known from before"] >= 3
@@ -218,14 +243,14 @@
         ({}, 1.0),
         ({"age_s": 60.0}, 0.5),
         ({"age_s": 3600.0}, None),
-        ({"condition": Condition.SLOW}, 0.6),
-        ({"condition": Condition.PAUSED}, 0.25),
-        ({"up_s": 5.0}, 0.5),
-        ({"up_s": 0.1}, None),
+        ({"condition": DonorCondition.SLOW}, 0.6),
+        ({"condition": DonorCondition.PAUSED}, 0.25),
+        ({"uptime_s": 5.0}, 0.5),
+        ({"uptime_s": 0.1}, None),
     ],
 )
 def test_a_word_weighs_by_its_age_and_its_donor(more: dict[str, Any], weight: float | None) -> None:
-    prior = merge([knowledge(facts("a"), facts("b", 120), **more)], ["a", "b", "c"])
+    prior = merge_priors([knowledge(facts("a"), facts("b", 120), **more)], ["a", "b", "c"])
     if weight is None:
         assert not prior
     else:
@@ -235,10 +260,10 @@
 def test_servers_are_compared_within_a_donor_so_a_slow_one_tells_the_same() -> None:
     names = ["a", "b", "c"]
     well = knowledge(facts("a", 40), facts("b", 40), facts("c", 200))
-    slow = knowledge(facts("a", 400), facts("b", 400), facts("c", 2000), condition=Condition.SLOW)
+    slow = knowledge(facts("a", 400), facts("b", 400), facts("c", 2000), condition=DonorCondition.SLOW)
     assert (
-        [p.latency_ratio for p in merge([well], names).values()]
-        == [p.latency_ratio for p in merge([slow], names).values()]
+        [p.latency_ratio for p in merge_priors([well], names).values()]
+        == [p.latency_ratio for p in merge_priors([slow], names).values()]
         == [1, 1, 5]
     )
 
@@ -247,11 +272,13 @@
     one, two, liar = (
         knowledge(facts("a", 40), facts("b", 40), facts("c", ms), donor=f"d{ms}") for ms in (200, 220, 10)
     )
-    both = merge([one, liar], ["c"])["c"]
+    both = merge_priors([one, liar], ["c"])["c"]
     assert both.weight == pytest.approx(0.5) and set(both.donors) == {"d200", "d10"}
-    assert merge([one, two, liar], ["c"])["c"].latency_ratio == pytest.approx(5.0)
-    out = [knowledge(facts("a"), facts("c", out=o), donor=str(i)) for i, o in enumerate((True, True, False))]
-    assert merge(out, ["c"])["c"].ejected and not merge(out[1:], ["a"])["a"].ejected
+    assert merge_priors([one, two, liar], ["c"])["c"].latency_ratio == pytest.approx(5.0)
+    out = [
+        knowledge(facts("a"), facts("c", ejected=o), donor=str(i)) for i, o in enumerate((True, True, False))
+    ]
+    assert merge_priors(out, ["c"])["c"].ejected and not merge_priors(out[1:], ["a"])["a"].ejected
 
 
 @given(
@@ -263,23 +290,23 @@
                 st.just("a"),
                 st.floats(0, 1e6),
                 samples=st.integers(0, 1000),
-                answered=st.floats(0, 1),
-                out=st.booleans(),
+                success_rate=st.floats(0, 1),
+                ejected=st.booleans(),
                 last_seen_s=st.floats(0, 1e4),
             ),
-            up_s=st.floats(0, 1e4),
+            uptime_s=st.floats(0, 1e4),
             age_s=st.floats(0, 1e4),
-            condition=st.sampled_from(Condition),
+            condition=st.sampled_from(DonorCondition),
         ),
         max_size=5,
     )
 )
-def test_whatever_is_told_a_prior_stays_in_its_bounds(told: list[Knowledge]) -> None:
-    for prior in merge(told, ["a"]).values():
+def test_whatever_is_told_a_prior_stays_in_its_bounds(told: list[LearnedState]) -> None:
+    for prior in merge_priors(told, ["a"]).values():
         assert (
             0.1 <= prior.latency_ratio <= 10
             and 0 <= prior.success_rate <= 1
-            and LEAST_WEIGHT / 2 <= prior.weight <= 1
+            and MIN_WEIGHT / 2 <= prior.weight <= 1
         )
         assert prior.donors
 
@@ -292,15 +319,15 @@
     priors = {
         f"s{i}": Prior(1.0, 1.0, 1.0, False, ("liar",) if i < 8 else ("honest", "liar")) for i in range(10)
     }
-    trial = Trial(priors, dropped.append)
+    trial = PriorVerification(priors, dropped.append)
     trial.latency_measured("s0", 5.0, 3)  # too few samples to say
     assert not dropped
     trial.latency_measured("s0", 5.0, 4)
     trial.latency_measured("s1", 1.2, 4)
-    assert dropped == ["s0"] and not trial.dropped_donors
+    assert dropped == ["s0"] and not trial.rejected_donors
     trial.latency_measured("s2", 0.2, 9)
     trial.latency_measured("s3", 4.0, 9)
-    assert trial.dropped_donors == {"liar"} and set(dropped) == {f"s{i}" for i in range(8)} - {"s1"}
+    assert trial.rejected_donors == {"liar"} and set(dropped) == {f"s{i}" for i in range(8)} - {"s1"}
     assert len(trial) == 2  # what an honest donor told, too, stays
 
 
@@ -308,7 +335,7 @@
     servers = [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(4)]
     r = LoadBalancer(servers, LoadBalancingPolicy(hedging_enabled=False), "r", random.Random(1).random, 0)
     priors = {"s0": Prior(1.0, 0.1, 0.9, True, ("d",)), "s9": Prior(1.0, 1.0, 1.0, True, ("d",))}
-    r.endpoints.learn(priors, Trial(priors, r.endpoints.unlearn))
+    r.endpoints.learn(priors, PriorVerification(priors, r.endpoints.unlearn))
     assert r.endpoints.by_name["s0"].state is EndpointState.AWAITING_HEALTH_CHECK
     (first,) = (e for e in r.handle(CallStarted(0, 1, Effect.SAFE, S)) if isinstance(e, SendAttempt))
     assert first.endpoint == "s0"
@@ -335,7 +362,7 @@
         0,
     )
     priors = {f"s{i}": Prior(1.0, 0.0, 1.0, True, ("liar",)) for i in range(6)}
-    r.endpoints.learn(priors, Trial(priors, r.endpoints.unlearn))
+    r.endpoints.learn(priors, PriorVerification(priors, r.endpoints.unlearn))
     assert sum(m.state is EndpointState.AWAITING_HEALTH_CHECK for m in r.endpoints.by_name.values()) == 2
 
 
@@ -347,12 +374,16 @@
 
     donor = World(servers(), "tier", 1, seconds=20)
     donor.play()
-    told = read(write(make("donor", donor.router.endpoints.by_name.values(), donor.now, donor.now)))
-    assert {f.name for f in told.servers} == {f"s{i}" for i in range(6)}
+    told = decode_snapshot(
+        encode_snapshot(
+            capture_learned_state("donor", donor.router.endpoints.by_name.values(), donor.now, donor.now)
+        )
+    )
+    assert {f.name for f in told.endpoints} == {f"s{i}" for i in range(6)}
 
     def prepare(router: LoadBalancer) -> None:
-        priors = merge([told], router.endpoints.by_name)
-        router.endpoints.learn(priors, Trial(priors, router.endpoints.unlearn))
+        priors = merge_priors([told], router.endpoints.by_name)
+        router.endpoints.learn(priors, PriorVerification(priors, router.endpoints.unlearn))
 
     lost = {
         name: sum(
