--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -12,17 +12,17 @@
 from ..config.loader import Config
 
 if TYPE_CHECKING:
-    from ..backends.server_pool import TierCalls
+    from ..backends.server_pool import ServerPool
     from ..core.request_engine import Decider
     from .health_report import Reporter
 
 
-def build_backend(config: Config, reactor: Any) -> TierCalls | UwsgiCalls | DatabasePool | None:
+def build_backend(config: Config, reactor: Any) -> ServerPool | UwsgiCalls | DatabasePool | None:
     """Build what runs' downstream calls go to: a pool of servers, a uwsgi peer, the database, or nothing."""
     if config.tier.servers:
-        from ..backends.server_pool import TierCalls
+        from ..backends.server_pool import ServerPool
 
-        return TierCalls(
+        return ServerPool(
             reactor,
             config.tier.servers,
             config.tier.policy,
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -102,11 +102,11 @@
             self.console = Console(self.core, self.reporter, self._budget.console, lambda: self.serving)
             self._open_console(config.console)
         plan_listeners(self)
-        if self.server_pool is not None and config.tier.knowledge is not None:
-            from ..storage.warm_start import Keeper
+        if self.server_pool is not None and config.tier.warm_start_file is not None:
+            from ..storage.warm_start import WarmStartFile
 
-            self.warm_start_store = Keeper(
-                self.core, self.server_pool, config.tier.knowledge, self.load_condition
+            self.warm_start_store = WarmStartFile(
+                self.core, self.server_pool, config.tier.warm_start_file, self.load_condition
             )
             self.warm_start_store.start()
         self.kernel.start()
@@ -229,11 +229,11 @@
     def load_condition(self) -> Any:
         """The condition under which this runner's latencies were measured, for whoever learns from them."""
         from ..health.states import Standing
-        from ..warm_start.learned_state import Condition
+        from ..warm_start.learned_state import DonorCondition
 
         standing = self.reporter.report().standing
-        return {Standing.CROWDED: Condition.CROWDED, Standing.WARMING: Condition.COLD}.get(
-            standing, Condition.WELL
+        return {Standing.CROWDED: DonorCondition.OVERLOADED, Standing.WARMING: DonorCondition.WARMING_UP}.get(
+            standing, DonorCondition.HEALTHY
         )
 
     # ---- limits and new settings ----
