--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -178,7 +178,7 @@
     def became_ready(self) -> None:
         self.ready = True
         log.info("namespaces: %d customers' rules are known here", len(self.replica.customers))
-        if not self.replica.others() and len(self.duties.fleet.node.seats.names) > 1:
+        if not self.replica.others() and len(self.duties.fleet.node.placement.names) > 1:
             log.warning(
                 "namespaces: no other runner was heard of: who is not known here gets the platform's default, "
                 "and rules may be older than elsewhere, until one is"
@@ -196,12 +196,12 @@
         self.core.touch()
         replica = self.replica
         node = replica.participant.node
-        up = sum(m.up for m in node.members.by_seat.values())
+        up = sum(m.is_alive for m in node.detector.by_seat.values())
         return {
             "ready": self.ready,
-            "seats": len(node.seats.names),
+            "seats": len(node.placement.names),
             "seats_up": up,
-            "cut_off": up * 2 <= len(node.seats.names),
+            "cut_off": up * 2 <= len(node.placement.names),
             "store": None if self.store is None else self.store.failing or "written",
             "namespaces": [self._told(name) for name in sorted(self.config.customers)],
         }
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -81,7 +81,7 @@
         return self.member.work(ownership)
 
     def worker(self, ownership: Ownership) -> Forecaster:
-        seats = {name: seat.zone for name, seat in self.duties.fleet.node.seats.by_name.items()}
+        seats = {name: seat.zone for name, seat in self.duties.fleet.node.placement.by_name.items()}
         return Forecaster(ownership, self, self.policy, seats)
 
     def say(self, seat: str, message: Any) -> None:
@@ -102,9 +102,9 @@
     def running(self) -> Mapping[str, int]:
         node = self.duties.fleet.node
         made: dict[str, int] = {}
-        for m in node.members.by_seat.values():
-            zone = node.seats.by_name[m.seat].zone
-            made[zone] = made.get(zone, 0) + m.up
+        for m in node.detector.by_seat.values():
+            zone = node.placement.by_name[m.seat].zone
+            made[zone] = made.get(zone, 0) + m.is_alive
         return made
 
     def _in_thread(self, work: Callable[[], Any], then: Callable[[Any], None]) -> None:
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -13,7 +13,7 @@
 from ..core.request_engine import Decider
 from ..core.requests import Arrival, Request
 from ..replication.node import Node
-from ..replication.work_record import Key, Order, key_of
+from ..replication.work_record import Key, WorkRequest, key_of
 
 log = logging.getLogger("moorusher")
 
@@ -52,7 +52,7 @@
         self.node.claim(
             key,
             entry.body,
-            Order(
+            WorkRequest(
                 a.rid,
                 request.cls.name,
                 request.tenant,
@@ -71,13 +71,13 @@
         return True
 
     def begins(self, request: Request) -> bool:
-        return request.key is not None and self.node.begin(key_of(*request.key))
+        return request.key is not None and self.node.start_work(key_of(*request.key))
 
     def freed(self, entry: Entry) -> None:
-        self.node.free(key_of(*entry.key))
+        self.node.release_work(key_of(*entry.key))
 
     def settled(self, entry: Entry) -> None:
-        self.node.settle(key_of(*entry.key), entry.result)
+        self.node.finish_work(key_of(*entry.key), entry.result)
 
     # ---- what the fleet has settled ----
 
@@ -136,18 +136,18 @@
         if (request := self._request(key)) is not None:
             self.core.others.given(request)
 
-    def take_up(self, key: Key, body: int, order: Order, until: int) -> bool:
+    def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool:
         self._names[key] = (order.tenant, order.token)
         rid = (
-            order.rid
-            if order.rid not in self.core.table.by_rid
-            else f"{order.rid[:56]}.{len(self.core.table)}"
+            order.request_id
+            if order.request_id not in self.core.table.by_rid
+            else f"{order.request_id[:56]}.{len(self.core.table)}"
         )
         arrival = Arrival(
             rid,
-            order.klass,
+            order.request_class,
             order.content,
-            order.t0_unix_ms,
+            order.arrived_unix_ms,
             None,
             order.budget_ms,
             order.tenant,
@@ -157,27 +157,27 @@
             order.token,
             order.subject,
         )
-        if order.ruled is None:
+        if order.rules_revision is None:
             return self._take_up(arrival, None)
         if self.rules is None:
             log.warning("fleet: %s of another runner was read under rules that are not set here", order.token)
             return False
         self._ruled.add(key)
-        self.rules.ruling(arrival, order.ruled, lambda got: self._with_rules(key, arrival, got))
+        self.rules.ruling(arrival, order.rules_revision, lambda got: self._with_rules(key, arrival, got))
         return True
 
     def _with_rules(self, key: Key, arrival: Arrival, got: Any) -> None:
         """The revision that it was read under is here, or can't be had: then another may have it."""
         self._ruled.discard(key)
         tenure = self.node.tenures.get(key)
-        if tenure is None or not tenure.is_mine:
+        if tenure is None or not tenure.is_held:
             return  # it went to another meanwhile
         if isinstance(got, Exception):
             self.count("fleet: not taken up without its rules")
             log.warning("fleet: %s of another runner can't be taken up: %s", arrival.token, got)
-            self.node.free(key, turned=True)
+            self.node.release_work(key, turned=True)
         elif not self._take_up(arrival, got):
-            self.node.free(key, turned=True)
+            self.node.release_work(key, turned=True)
 
     def _take_up(self, arrival: Arrival, ruling: Any) -> bool:
         taken = self.core.others.take_up(arrival, self._sink, 0, ruling)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -16,7 +16,7 @@
 from ..leadership.lease_record import Intent, Life, Post, Settle, key_of
 from ..leadership.participant import Participant, Reading, Worker
 from ..leadership.policy import Policy
-from ..replication.journal import Image
+from ..replication.journal import JournalImage
 from ..replication.register_space import LASTING
 from .effect_receivers import Receivers
 from .replication import FleetLink
@@ -32,7 +32,7 @@
 
     def __init__(self, fleet: FleetLink, policy: Policy) -> None:
         self.fleet, self.policy, self.core = fleet, policy, fleet.core
-        self._image: Image | None = None
+        self._image: JournalImage | None = None
         self.namespaces: Any = None  # who does the work of those duties, where there are some
         self.forecast: Any = None
         self._receivers = Receivers(fleet.reactor, fleet.core)
@@ -49,7 +49,7 @@
     def start(self) -> None:
         """Before the fleet's own start, which asks others for what is not here."""
         if self._image is not None:
-            self.participant.keeper.recall(self.core.clock.now, self._image)
+            self.participant.keeper.restore(self.core.clock.now, self._image)
             self.participant.recalled()
             self._image = None
         self.participant.start()
@@ -81,11 +81,11 @@
         return None
 
     def _members(self) -> dict[str, Any]:
-        members = self.fleet.node.members.by_seat.values()
+        members = self.fleet.node.detector.by_seat.values()
         return {
             "fleet": self.fleet.config.name,
             "by": self.fleet.name,
-            "up": sum(m.up for m in members),
+            "up": sum(m.is_alive for m in members),
             "seats": len(members),
         }
 
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -20,7 +20,7 @@
 from ..maintenance.next_step import foretold
 from ..maintenance.policy import Policy
 from ..maintenance.schedule import Ask, Ends, How, Roster, Stage, Turn
-from ..replication.journal import Image
+from ..replication.journal import JournalImage
 from ..replication.register_space import SHARED
 from ..server.health_report import Reporter
 from .replication import FleetLink
@@ -56,21 +56,21 @@
         self._since = 0
         self._digested: Any = None
         self._settings = ""
-        self._image: Image | None = None
+        self._image: JournalImage | None = None
         self._gauge = Gauge(self.core.settings.cores, round(policy.peak_s * 1e6))
         found = fleet.journal_of("outage")
         if found is not None:
             self._image = found.image
         self.coordinator = OutageCoordinator(fleet.node, self, policy)
         if found is not None:
-            self.coordinator.keeper.notes = fleet.node.lasting = True
+            self.coordinator.keeper.journaled = fleet.node.is_durable = True
             fleet.write_to(found, SHARED, self.coordinator.keeper)
         fleet.outage = self
 
     def start(self) -> None:
         """Before the fleet's own start, which asks others for what is not here."""
         if self._image is not None:
-            self.coordinator.keeper.recall(self.core.clock.now, self._image)
+            self.coordinator.keeper.restore(self.core.clock.now, self._image)
             self._image = None
         self.coordinator.start()
 
@@ -84,7 +84,7 @@
         now, cores = self.core.clock.now, self.core.settings.cores
         self._gauge.cores = cores
         load, peak = self._gauge.sample(now, self.core.runs.on_cores)
-        self.fleet.node.capacity = self.reporter.report().weight, load, peak
+        self.fleet.node.load_figures = self.reporter.report().weight, load, peak
 
     # ---- for the desk ----
 
@@ -102,7 +102,7 @@
             self._digest(),
             self.away and self._drained(),
             warm=made.standing in WARM,
-            whole=all(s.keeper.remembers for s in spaces),
+            whole=all(s.acceptor.recovered for s in spaces),
         )
 
     def _digest(self) -> str:
@@ -144,7 +144,7 @@
     # ---- for operators ----
 
     def _seats(self, sent: dict[str, Any]) -> tuple[str, ...]:
-        seats = self.fleet.node.seats.by_name
+        seats = self.fleet.node.placement.by_name
         if sent.get("all") or sent.get("zone") or sent.get("group"):
             return tuple(
                 name
@@ -214,7 +214,7 @@
 
     def _told(self, roster: Roster, current: bool) -> dict[str, Any]:
         now_s, coordinator = self.unix_s(), self.coordinator
-        step, seats = coordinator.shown(), self.fleet.node.seats.by_name
+        step, seats = coordinator.shown(), self.fleet.node.placement.by_name
         when = foretold(roster, step.order, {n: s.zone for n, s in seats.items()}, self.policy, now_s)
         return {
             "seat": self.fleet.name,
@@ -265,8 +265,8 @@
         }
 
     def _turn(self, turn: Turn, roster: Roster, now_s: float) -> dict[str, Any]:
-        member, ask = self.fleet.node.members.by_seat.get(turn.seat), roster.ask(turn.ask)
-        up, for_s = member is not None and member.up, now_s - turn.since_s
+        member, ask = self.fleet.node.detector.by_seat.get(turn.seat), roster.ask(turn.ask)
+        up, for_s = member is not None and member.is_alive, now_s - turn.since_s
         stage = turn.at.name.lower()
         if turn.at is Stage.OUT:
             stage = "may go" if up else "overdue" if for_s > turn.lasts_s * self.policy.overdue else "out"
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -16,7 +16,15 @@
 from ..core.clock import MS, Alarm
 from ..core.outcomes import Ending
 from ..core.request_engine import Decider
-from ..replication.messages import MOST_FRAME, For, Hello, Message, Refused, decode, encode
+from ..replication.messages import (
+    MAX_FRAME_BYTES,
+    ComponentMessage,
+    HandshakeRejected,
+    Hello,
+    Message,
+    decode,
+    encode,
+)
 
 log = logging.getLogger("moorusher")
 
@@ -50,7 +58,7 @@
     """A connection to or from another seat's process."""
 
     transport: Any
-    MAX_LENGTH = MOST_FRAME
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self, link: Link, seat: str = "") -> None:
         self.link, self.seat, self.inc = link, seat, 0
@@ -78,8 +86,8 @@
         frame: list[Message] = []
         size = 0
         for message in messages:
-            more = len(message.body) if isinstance(message, For) else 0
-            if len(frame) >= FRAME or size + more > MOST_FRAME // 2:
+            more = len(message.body) if isinstance(message, ComponentMessage) else 0
+            if len(frame) >= FRAME or size + more > MAX_FRAME_BYTES // 2:
                 self.sendString(encode(frame))  # type: ignore[no-untyped-call]
                 frame, size = [], 0
             frame.append(message)
@@ -116,14 +124,14 @@
                 if (why := self.link.greeted(self, message)) is not None:
                     log.warning("fleet: %s of %s refused: %s", message.seat, message.fleet, why)
                     self.link.count("fleet links: refused")
-                    self.put([Refused(why)])
+                    self.put([HandshakeRejected(why)])
                     self.transport.loseConnection()
                     return
                 if self._late is not None:
                     self._late.cancel()
                     self._late = None
-            elif isinstance(message, Refused):
-                self.link.refused(self, message.why)
+            elif isinstance(message, HandshakeRejected):
+                self.link.refused(self, message.reason)
                 return
             elif self.inc:
                 self.link.heard(self, message)
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -14,10 +14,10 @@
 from ..core.clock import MS
 from ..core.idempotency_keys import window_end
 from ..core.request_engine import Decider
-from ..membership.placement import Seats
-from ..replication.acceptor import Keeper
-from ..replication.journal import Image
-from ..replication.messages import VERSION, Hello, Message
+from ..membership.placement import Placement
+from ..replication.acceptor import Acceptor
+from ..replication.journal import JournalImage
+from ..replication.messages import PROTOCOL_VERSION, Hello, Message
 from ..replication.node import Node
 from ..replication.register_space import WORK
 from ..storage.journal_files import Disk, Opened, journal
@@ -45,10 +45,10 @@
         super().__init__(core, config.policy.alone)
         self.reactor, self.config, self.name = reactor, config, name
         self._fit, self._random = fit, random
-        seats = Seats(config.seats, config.policy.copies)
+        seats = Placement(config.seats, config.policy.copies)
         self.digest = seats.digest()
         inc = time.time_ns() // 1000
-        self._image: Image | None = None
+        self._image: JournalImage | None = None
         self.disks: dict[int, Disk] = {}  # by the space whose keeper writes there
         self.duties: Any = None  # imported only where they are set
         self.rules: Any = None  # customers' namespaces, where there are some
@@ -59,7 +59,7 @@
             inc, self._image = found.inc, found.image
         self.node = Node(name, inc, seats, self, config.policy, self.longest())
         if found is not None:
-            self.write_to(found, WORK, self.node.keeper)
+            self.write_to(found, WORK, self.node.acceptor)
         self._dials = {
             seat.name: Dial(self, seat.name, seat.address) for seat in config.seats if seat.name != name
         }
@@ -80,7 +80,7 @@
     def start(self) -> None:
         self.core.touch()
         if self._image is not None:
-            self.node.recall(self._image)
+            self.node.restore(self._image)
             self._image = None
         if self.duties is not None:
             self.duties.start()
@@ -90,18 +90,18 @@
             self.forecast.start()
         if self.outage is not None:
             self.outage.start()
-        self.node.tell(self.predecessor, self.core.settings.cores)
+        self.node.publish_status(self.predecessor, self.core.settings.cores)
         self.node.start()
         self._look()
 
     def journal_of(self, part: str) -> Opened | None:
         """The journal of a part of this runner beside keyed work. Its file may show that this life is a later one."""
-        found = journal(self.config, part, self.digest, self.name, self.node.owner.inc)
-        if found is not None and found.inc > self.node.owner.inc:
-            self.node.raised(found.inc)
+        found = journal(self.config, part, self.digest, self.name, self.node.owner.incarnation)
+        if found is not None and found.inc > self.node.owner.incarnation:
+            self.node.raise_incarnation(found.inc)
         return found
 
-    def write_to(self, found: Opened, space: int, keeper: Keeper) -> None:
+    def write_to(self, found: Opened, space: int, keeper: Acceptor) -> None:
         """What this keeper promises is written there before it is said. It has no vote while nothing can be."""
         disk = self.disks[space] = Disk(self.reactor, found.folder, keeper, self.now, self.count)
         if not found.written:
@@ -114,29 +114,29 @@
     # ---- links ----
 
     def hello(self) -> Hello:
-        return Hello(VERSION, self.config.name, self.digest, self.name, self.node.owner.inc)
+        return Hello(PROTOCOL_VERSION, self.config.name, self.digest, self.name, self.node.owner.incarnation)
 
     def greeted(self, peer: Peer, m: Hello) -> str | None:
         """Why it is not taken for one of this fleet."""
-        if m.version != VERSION:
-            return f"version {m.version} of the messages, and {VERSION} is spoken here"
+        if m.version != PROTOCOL_VERSION:
+            return f"version {m.version} of the messages, and {PROTOCOL_VERSION} is spoken here"
         if m.fleet != self.config.name:
             return f"another fleet, {m.fleet!r}"
-        if m.seats != self.digest:
+        if m.seats_digest != self.digest:
             return "other seats in its file"
-        if m.seat not in self.node.members.by_seat or (m.seat == self.name and not peer.dialled):
+        if m.seat not in self.node.detector.by_seat or (m.seat == self.name and not peer.dialled):
             return f"no seat for it, {m.seat!r}"
         if not peer.dialled:
             peer.put([self.hello()])
         elif m.seat != peer.seat:
             return f"{m.seat!r} answers where {peer.seat!r} should"
-        peer.seat, peer.inc = m.seat, m.inc
+        peer.seat, peer.inc = m.seat, m.incarnation
         there = self._dials[m.seat].peer
         if (
-            there is not None and 0 < there.inc < m.inc
+            there is not None and 0 < there.inc < m.incarnation
         ):  # another process has the seat: what we say is for that one
             there.transport.loseConnection()
-        self.node.members.heard(m.seat, m.inc)
+        self.node.detector.record_contact(m.seat, m.incarnation)
         return None
 
     def made(self, peer: Peer) -> None:
@@ -157,12 +157,12 @@
 
     def unreached(self, seat: str, refused: bool) -> None:
         if not self.closed:
-            self.node.members.suspect(seat, refused)
+            self.node.detector.suspect(seat, refused)
 
     def heard(self, peer: Peer, message: Message) -> None:
         self._hearing = peer
         try:
-            self.node.heard(peer.seat, peer.inc, message)
+            self.node.receive(peer.seat, peer.inc, message)
         except Exception:  # a fault of ours over one message must not end the link, nor the program
             log.exception("fleet: %s sent %s", peer.seat, message)
             self.count("faults")
@@ -213,7 +213,7 @@
         for seat in config.seats:
             if seat.name in self._dials:
                 self._dials[seat.name].address = seat.address
-        self.node.lengthen(self.longest())
+        self.node.extend_window(self.longest())
 
     # ---- this runner's own state ----
 
@@ -222,7 +222,7 @@
         predecessor = self.predecessor if core.claims.first and core.claims.peer is not None else 0
         if self.outage is not None:
             self.outage.look()
-        self.node.tell(predecessor, core.settings.cores)
+        self.node.publish_status(predecessor, core.settings.cores)
         gone = core.link_since is not None and core.clock.now - core.link_since >= KERNEL_GONE
         if core.draining or (gone and core.ready) or (self.outage is not None and self.outage.away):
             if not self._away:
@@ -230,7 +230,7 @@
             if not self._away and self.forecast is not None:
                 self.forecast.leave()
             self._away = True
-            self.node.leave()
+            self.node.hand_over_held()
             if self.duties is not None:
                 self.duties.participant.leave()
         else:
@@ -243,7 +243,7 @@
     def begin(self, lost: bool) -> str | None:
         """The reason, where the fleet can't be taken for a new one, or what it has lost for nothing."""
         self.core.touch()
-        return self.node.begin_fleet(lost)
+        return self.node.bootstrap(lost)
 
     def told(self) -> dict[str, object]:
         self.core.touch()
@@ -251,25 +251,25 @@
         members = [
             {
                 "seat": m.seat,
-                "zone": node.seats.by_name[m.seat].zone,
+                "zone": node.placement.by_name[m.seat].zone,
                 "state": m.state.name.lower(),
-                "since_ms": (now - m.since) / MS,
-                "fit": m.fit,
-                "inc": m.inc,
-                "heard_ms": None if m.heard < 0 else (now - m.heard) / MS,
+                "since_ms": (now - m.state_since) / MS,
+                "fit": m.accepts_work,
+                "inc": m.incarnation,
+                "heard_ms": None if m.last_heard < 0 else (now - m.last_heard) / MS,
             }
-            for m in node.members.by_seat.values()
+            for m in node.detector.by_seat.values()
         ]
         return {
             "name": self.config.name,
             "seat": self.name,
             "members": members,
-            "remembers": all(space.keeper.remembers for space in node.spaces.values()),
+            "remembers": all(space.acceptor.recovered for space in node.spaces.values()),
             "journal": "; ".join(filter(None, (d.failing for d in self.disks.values()))) or "written"
             if self.disks
             else None,
-            "health": node.members.health,
-            "keeps": len(node.keeper.slots),
+            "health": node.detector.health,
+            "keeps": len(node.acceptor.registers),
             "in_hand": len(node.tenures),
             "counters": {k: v for k, v in self.core.counters.total.items() if k.startswith("fleet")},
         }
@@ -282,11 +282,11 @@
             "work": [
                 {
                     "key": t.key.hex()[:12],
-                    "class": None if t.order is None else t.order.klass,
+                    "class": None if t.request is None else t.request.request_class,
                     "stage": t.stage.value,
                     "owner": None if t.owner is None else t.owner.seat,
                     "attempt": t.attempt,
-                    "left_ms": (t.until - now) / MS,
+                    "left_ms": (t.expires_at - now) / MS,
                 }
                 for t in list(self.node.tenures.values())[:1000]
             ]
@@ -294,7 +294,7 @@
 
     @property
     def busy(self) -> bool:
-        return bool(self.node.pending or (self.duties is not None and self.duties.participant.ownerships))
+        return bool(self.node.unfinished or (self.duties is not None and self.duties.participant.ownerships))
 
     # ---- for the node: `Host` ----
 
@@ -322,7 +322,7 @@
     def _ring(self) -> None:
         if self._woken is not None and self._woken <= self.core.clock.now:
             self._woken = None
-            self.node.ring()
+            self.node.run_due()
 
     def fit(self) -> bool:
         return self.core.ready and not self.core.leaving and self.core.link_since is None and self._fit()
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -9,7 +9,7 @@
 from ..core.requests import is_word
 from ..leadership.policy import Policy as Duties
 from ..leadership.policy import Report
-from ..replication.policy import MOST_SEATS, Seat
+from ..replication.policy import MAX_SEATS, Seat
 from ..replication.policy import Policy as FleetPolicy
 from .section import Address, ConfigError, Section, inside
 
@@ -92,8 +92,8 @@
     if journal and not Path(journal).is_absolute():
         raise ConfigError(f"{section.key('journal')}: expected an absolute path, got {journal!r}")
     listed: list[Any] = section.get("seat", [])
-    if not 1 <= len(listed) <= MOST_SEATS:
-        raise ConfigError(f"{section.key('seat')}: expected 1 to {MOST_SEATS} of them, got {len(listed)}")
+    if not 1 <= len(listed) <= MAX_SEATS:
+        raise ConfigError(f"{section.key('seat')}: expected 1 to {MAX_SEATS} of them, got {len(listed)}")
     seats: list[Seat] = []
     for i, raw in enumerate(listed):
         one = Section(raw, f"{section.key('seat')}[{i}]")
--- a/moorusher/config_distribution/messages.py
+++ b/moorusher/config_distribution/messages.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from ..namespaces.revisions import Submission
-from ..replication.messages import Said, spoken
+from ..replication.messages import ComponentPayload, component_codec
 
 PART = "namespaces"  # of `fleet.messages.For`
 At = tuple[int, int]  # the incarnation of a namespace, and the number of a revision in it
 
 
-class Submit(Said, frozen=True, tag="submit"):
+class Submit(ComponentPayload, frozen=True, tag="submit"):
     """To the owner of the customer's duty, in that term."""
 
     serial: int
     submission: Submission
 
 
-class Submitted(Said, frozen=True, tag="submitted"):
+class Submitted(ComponentPayload, frozen=True, tag="submitted"):
     """`error`: the name of one of `ERRORS`, with its words; else it is published as `at`."""
 
     serial: int
@@ -25,7 +25,7 @@
     what: str = ""
 
 
-class Cast(Said, frozen=True, tag="cast"):
+class Cast(ComponentPayload, frozen=True, tag="cast"):
     """Down the tree: have that revision, and see that the seats from `low` up to, and without, `high` (in the order of
     their names) have it. `draft` is None where it is to be asked for, or where the namespace is gone."""
 
@@ -39,27 +39,27 @@
     draft: bytes | None = None
 
 
-class Heard(Said, frozen=True, tag="heard"):
+class Heard(ComponentPayload, frozen=True, tag="heard"):
     """A cast has come; what has become of it follows."""
 
     serial: int
 
 
-class Covered(Said, frozen=True, tag="covered"):
+class Covered(ComponentPayload, frozen=True, tag="covered"):
     """Who in the range has it not, and why; all others have it."""
 
     serial: int
     lacking: dict[str, str]
 
 
-class Want(Said, frozen=True, tag="want"):
+class Want(ComponentPayload, frozen=True, tag="want"):
     """Asks a member for a customer's revision."""
 
     customer: str
     at: At
 
 
-class Given(Said, frozen=True, tag="given"):
+class Given(ComponentPayload, frozen=True, tag="given"):
     """That revision, or a later one."""
 
     customer: str
@@ -68,14 +68,14 @@
     draft: bytes
 
 
-class Compare(Said, frozen=True, tag="compare"):
+class Compare(ComponentPayload, frozen=True, tag="compare"):
     """Digests of what is had, by parts of the customers' names. `ready`: whoever says so knows what others had."""
 
     parts: tuple[int, ...]
     ready: bool
 
 
-class Differ(Said, frozen=True, tag="differ"):
+class Differ(ComponentPayload, frozen=True, tag="differ"):
     """What is had in the parts that differ; `more`: not all of it. `back`: the same is wanted of the other one."""
 
     parts: tuple[int, ...]
@@ -84,4 +84,6 @@
     ready: bool
 
 
-encode, decode = spoken(Submit | Submitted | Cast | Heard | Covered | Want | Given | Compare | Differ)
+encode, decode = component_codec(
+    Submit | Submitted | Cast | Heard | Covered | Want | Given | Compare | Differ
+)
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -17,14 +17,14 @@
 from ..leadership.lease_holder import Ownership
 from ..leadership.lease_record import Life, Post
 from ..leadership.participant import Participant, Reading
-from ..membership.failure_detector import MS, State
+from ..membership.failure_detector import MS, MemberState
 from ..namespaces.customers import Customers, Revision, Stale
 from ..namespaces.document import Namespace
 from ..namespaces.errors import ERRORS as NAMESPACE_ERRORS
 from ..namespaces.errors import NamespaceError, NoSuchCustomer, Retired
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
-from ..replication.messages import For
+from ..replication.messages import ComponentMessage
 from . import messages
 from .anti_entropy import Comparing
 from .dissemination import MOST_LACKING, Casting, Lacking
@@ -41,7 +41,11 @@
 MOST_SUBMITTED = 256  # here, at a time
 MOST_HAVING = 1_024  # revisions that are being had, at a time
 HAVE = 5_000 * MS
-WHY_STATE = {State.SUSPECT: "suspected", State.DEAD: "down", State.UNKNOWN: "never heard of"}
+WHY_STATE = {
+    MemberState.SUSPECT: "suspected",
+    MemberState.DEAD: "down",
+    MemberState.UNKNOWN: "never heard of",
+}
 _KINDS: tuple[type[Error], ...] = (*NAMESPACE_ERRORS, *DUTY_ERRORS)
 _ERRORS = {kind.__name__: kind for kind in _KINDS}
 
@@ -96,13 +100,15 @@
         self.participant, self._host = participant, host
         self.customers = Customers(most)
         node = participant.node
-        node.parts[PART] = self._heard
-        self.casting = Casting(self, node.seats.names, node.owner.inc)
-        self.comparing = Comparing(self, len(node.seats.names))
+        node.components[PART] = self._heard
+        self.casting = Casting(self, node.placement.names, node.owner.incarnation)
+        self.comparing = Comparing(self, len(node.placement.names))
         self.publishers: dict[str, Publisher] = {}
         self._submitted: dict[int, _Submitted] = {}
         self._having: dict[str, _Having] = {}
-        self._serial = node.owner.inc  # answers to an earlier process of this seat are none to this one
+        self._serial = (
+            node.owner.incarnation
+        )  # answers to an earlier process of this seat are none to this one
         self._handlers: dict[type, Callable[[str, Any], None]] = {
             Submit: self._submit_to_us,
             Submitted: self._was_submitted,
@@ -137,13 +143,13 @@
         if seat == self.me:
             self.at(self.clock(), lambda: self._handlers[type(message)](seat, message))
         else:
-            self.participant.node.send(seat, For(PART, messages.encode(message)))
+            self.participant.node.send(seat, ComponentMessage(PART, messages.encode(message)))
 
     def others(self) -> list[str]:
-        return [s for s, m in self.participant.node.members.by_seat.items() if m.up and s != self.me]
+        return [s for s, m in self.participant.node.detector.by_seat.items() if m.is_alive and s != self.me]
 
     def state_of(self, seat: str) -> str:
-        return WHY_STATE.get(self.participant.node.members.by_seat[seat].state, "alive")
+        return WHY_STATE.get(self.participant.node.detector.by_seat[seat].state, "alive")
 
     def has(self, customer: str) -> tuple[At, bool]:
         return self.customers.at(customer), self.customers.gone(customer)
@@ -377,7 +383,7 @@
 
         def had(why: str) -> None:
             if why:  # then nobody was asked
-                seats = list(self.participant.node.members.by_seat)[:MOST_LACKING]
+                seats = list(self.participant.node.detector.by_seat)[:MOST_LACKING]
                 return then({seat: why if seat == self.me else "not asked" for seat in seats})
             return self.casting.begin(
                 customer,
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -13,7 +13,7 @@
 from ..leadership.lease_holder import Ownership
 from ..leadership.participant import Participant, Reading
 from ..membership.failure_detector import MS
-from ..replication.messages import For
+from ..replication.messages import ComponentMessage
 from . import messages
 from .errors import ERRORS, ForecastError, NotYet
 from .forecaster import KIND, NAME, Forecaster
@@ -41,16 +41,18 @@
 
     def __init__(self, participant: Participant, host: Host, policy: Policy) -> None:
         self.participant, self._host, self.policy = participant, host, policy
-        self.zone = participant.node.seats.by_name[participant.me].zone
-        self.tally = Tally(participant.me, participant.owner.inc, self.zone, host.unix_ms(), policy.routes)
+        self.zone = participant.node.placement.by_name[participant.me].zone
+        self.tally = Tally(
+            participant.me, participant.owner.incarnation, self.zone, host.unix_ms(), policy.routes
+        )
         self.forecaster: Forecaster | None = None
         self._serial = (
-            participant.owner.inc
+            participant.owner.incarnation
         )  # answers to an earlier process of this seat are none to this one
         self._asked: dict[int, Then] = {}
         self._whom, self._unanswered = "", 0  # who has the duty, as last heard
         self._look_at = 0
-        participant.node.parts[PART] = self._heard
+        participant.node.components[PART] = self._heard
         participant.want(NAME, KIND)
 
     def start(self) -> None:
@@ -60,7 +62,7 @@
         if seat == self.participant.me:
             self.participant.at(self.participant.clock(), lambda: self._told_of(seat, message))
         else:
-            self.participant.node.send(seat, For(PART, messages.encode(message)))
+            self.participant.node.send(seat, ComponentMessage(PART, messages.encode(message)))
 
     def _heard(self, seat: str, body: bytes) -> None:
         try:
--- a/moorusher/forecast_service/messages.py
+++ b/moorusher/forecast_service/messages.py
@@ -3,40 +3,40 @@
 from __future__ import annotations
 
 from ..forecasting.demand import Key, Part
-from ..replication.messages import Said, spoken
+from ..replication.messages import ComponentPayload, component_codec
 
 PART = "forecast"  # of `fleet.messages.For`
 
 
-class Report(Said, frozen=True, tag="report"):
+class Report(ComponentPayload, frozen=True, tag="report"):
     """What a member has counted since its last report that was kept."""
 
     serial: int
     parts: list[Part]
 
 
-class Took(Said, frozen=True, tag="took"):
+class Took(ComponentPayload, frozen=True, tag="took"):
     """A majority has what that report said: by (bucket, until when it had counted)."""
 
     serial: int
     told: list[tuple[int, int]]
 
 
-class Elsewhere(Said, frozen=True, tag="elsewhere"):
+class Elsewhere(ComponentPayload, frozen=True, tag="elsewhere"):
     """To who has reported: another has the forecast, as far as is known here; "" where that is not."""
 
     serial: int
     seat: str
 
 
-class Ask(Said, frozen=True, tag="ask"):
+class Ask(ComponentPayload, frozen=True, tag="ask"):
     """What is forecast for that customer; "" for all."""
 
     serial: int
     customer: str
 
 
-class Past(Said, frozen=True, tag="past"):
+class Past(ComponentPayload, frozen=True, tag="past"):
     """Hours of one route that were counted elsewhere."""
 
     key: Key
@@ -46,14 +46,14 @@
     worth: float
 
 
-class Load(Said, frozen=True, tag="load"):
+class Load(ComponentPayload, frozen=True, tag="load"):
     """Counts of the past, brought by an operator."""
 
     serial: int
     past: list[Past]
 
 
-class Told(Said, frozen=True, tag="told"):
+class Told(ComponentPayload, frozen=True, tag="told"):
     """JSON; `error` and `what` where there is nothing to tell."""
 
     serial: int
@@ -62,4 +62,4 @@
     what: str = ""
 
 
-encode, decode = spoken(Report | Took | Elsewhere | Ask | Load | Told)
+encode, decode = component_codec(Report | Took | Elsewhere | Ask | Load | Told)
--- a/moorusher/leadership/candidates.py
+++ b/moorusher/leadership/candidates.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from ..membership.placement import score
+from ..membership.placement import rendezvous_score
 from ..replication.work_record import Key
 
 ROOM = 1.25  # times the mean that one may be given,
@@ -52,7 +52,10 @@
     name = xxhash.xxh64_digest(key)
     most = room(of_mean)
     fit = [m for m in seen if m.fit]
-    return [m.seat for m in sorted(fit, key=lambda m: (not m.steady, m.has >= most, -score(m.seat, name)))]
+    return [
+        m.seat
+        for m in sorted(fit, key=lambda m: (not m.steady, m.has >= most, -rendezvous_score(m.seat, name)))
+    ]
 
 
 @dataclass(slots=True)
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..membership.failure_detector import MS, Members
+from ..membership.failure_detector import MS, FailureDetector
 from ..replication.work_record import Key, Owner
 from .candidates import Seen, Steady, mean, order
 from .lease_record import Life, Post
@@ -41,7 +41,7 @@
     """A keeper's care for the duties that it keeps: each has an owner, or is offered to somebody."""
 
     host: Host
-    members: Members
+    members: FailureDetector
     copies: int
     steady: Steady
     patience: int  # us, after which one that is not fit and gives nothing up is not waited for
@@ -77,9 +77,12 @@
     def past(self, owner: Owner) -> bool:
         """It is lost, as far as is known here."""
         if owner.seat == self.host.owner.seat:
-            return owner.inc < self.host.owner.inc and owner.inc != self.members.own.told.predecessor
+            return (
+                owner.incarnation < self.host.owner.incarnation
+                and owner.incarnation != self.members.own.status.predecessor
+            )
         member = self.members.by_seat.get(owner.seat)
-        return member is None or member.past(owner.inc)
+        return member is None or member.is_lost(owner.incarnation)
 
     def died(self, seat: str, inc: int) -> None:
         self.steady.fell(self.host.clock(), seat)
@@ -98,8 +101,8 @@
             if (
                 owner == self.host.owner
                 or member is None
-                or not member.up
-                or member.told.fit
+                or not member.is_alive
+                or member.status.accepts_work
                 or self.past(owner)
             ):
                 self._unfit.pop(owner, None)
@@ -127,7 +130,7 @@
             return
         self._tries[key] = 0
         keepers = self.host.keepers(key)
-        up = [s for s in keepers if s == self.host.owner.seat or self.members.by_seat[s].up]
+        up = [s for s in keepers if s == self.host.owner.seat or self.members.by_seat[s].is_alive]
         rank = up.index(self.host.owner.seat) if self.host.owner.seat in up else len(keepers)
         if rank == 0:
             self._soon(key)
@@ -193,9 +196,9 @@
         return [
             Seen(
                 m.seat,
-                self.host.fit() if m.seat == me else m.fit,
-                self.host.has() if m.seat == me else m.told.duties,
-                len(self.posts) if m.seat == me else m.told.keeps,
+                self.host.fit() if m.seat == me else m.accepts_work,
+                self.host.has() if m.seat == me else m.status.duties,
+                len(self.posts) if m.seat == me else m.status.duty_replicas,
                 self.steady.is_steady(now, m.seat),
             )
             for m in self.members.by_seat.values()
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from ..membership.failure_detector import MS
-from ..replication.proposer import Done, Hold
+from ..replication.proposer import CarriedPromise, ChangeResult
 from ..replication.work_record import Key, Owner
 from . import chunks as pieces
 from .effects import Effect, Fenced, LatestState, Made, OnFleet, Outcome, Told
@@ -76,7 +76,11 @@
     @property
     def owner(self) -> Owner: ...
     def change(
-        self, key: Key, change: Change, hold: Hold | None, then: Callable[[Done | None], None]
+        self,
+        key: Key,
+        change: Change,
+        hold: CarriedPromise | None,
+        then: Callable[[ChangeResult | None], None],
     ) -> None: ...
     def at(self, when: int, action: Callable[[], None]) -> None: ...
     def clock(self) -> int: ...
@@ -95,7 +99,7 @@
 class Ownership:
     """One duty at its owner, for one term."""
 
-    def __init__(self, host: Host, key: Key, post: Post, hold: Hold | None) -> None:
+    def __init__(self, host: Host, key: Key, post: Post, hold: CarriedPromise | None) -> None:
         self.host, self.key, self.post = host, key, post
         self.owner = host.owner
         self.stage = Stage.STARTING
@@ -217,7 +221,7 @@
         change = kind(self.owner, self.post.born, self.post.term, self._step, *how)
         hold, self._hold = self._hold, None
 
-        def answered(done: Done | None) -> None:
+        def answered(done: ChangeResult | None) -> None:
             if self.stage is Stage.OVER:
                 return
             if done is None:
@@ -225,7 +229,7 @@
                 return then(NoMajority(self.name))
             found = unpack(done.value)
             if change.made_in(found) and found is not None:
-                self.post, self._hold = found, done.hold
+                self.post, self._hold = found, done.promise
                 return then(Made(Fence(*found.at)))
             if found is None or (found.born, found.term, found.owner) != (
                 self.post.born,
@@ -233,7 +237,7 @@
                 self.owner,
             ):
                 return self.superseded(found)
-            self.post, self._hold = found, done.hold  # an operator has changed it meanwhile
+            self.post, self._hold = found, done.promise  # an operator has changed it meanwhile
             return then(Busy(f"{self.name}: it was changed meanwhile"))
 
         self.host.change(self.key, change, hold, answered)
@@ -241,7 +245,7 @@
     def check(self) -> None:
         """After a pause, or a word that another has it: is it ours yet?"""
 
-        def looked(done: Done | None) -> None:
+        def looked(done: ChangeResult | None) -> None:
             if self.stage is Stage.OVER:
                 return
             if done is None:
@@ -326,7 +330,7 @@
     def _behind(self, to: str, highest: Fence, then: Callable[[Outcome], None]) -> None:
         """The receiver knows of later work. That is another's, or the fleet has forgotten what it was."""
 
-        def looked(done: Done | None) -> None:
+        def looked(done: ChangeResult | None) -> None:
             if self.stage is Stage.OVER:
                 return
             if done is None:
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from ..replication.messages import Said, spoken
+from ..replication.messages import ComponentPayload, component_codec
 from ..replication.work_record import Key, Owner
 from .chunks import Mark
 
 PART = "duties"  # of `fleet.messages.For`
 
 
-class Offer(Said, frozen=True, tag="offer"):
+class Offer(ComponentPayload, frozen=True, tag="offer"):
     """From a keeper of its register: this duty needs an owner. `counts`: its owner is lost. `pressing`: others have
     declined."""
 
@@ -20,14 +20,14 @@
     pressing: bool
 
 
-class Declined(Said, frozen=True, tag="declined"):
+class Declined(ComponentPayload, frozen=True, tag="declined"):
     """An offered duty is not taken."""
 
     key: Key
     term: int
 
 
-class Passed(Said, frozen=True, tag="passed"):
+class Passed(ComponentPayload, frozen=True, tag="passed"):
     """To the owner of before: another has it now. Hastens what it would learn by its next change."""
 
     key: Key
@@ -36,7 +36,7 @@
     owner: Owner
 
 
-class Keep(Said, frozen=True, tag="keep"):
+class Keep(ComponentPayload, frozen=True, tag="keep"):
     """To a keeper: a piece of the version that the change at `mark` is to name; empty where it should be there."""
 
     serial: int
@@ -46,7 +46,7 @@
     piece: bytes
 
 
-class Kept(Said, frozen=True, tag="kept"):
+class Kept(ComponentPayload, frozen=True, tag="kept"):
     """Pieces of a state are kept, or there was no room for them."""
 
     serial: int
@@ -56,21 +56,21 @@
     inc: int  # of the keeper: what an earlier life of it had is not counted
 
 
-class Named(Said, frozen=True, tag="named"):
+class Named(ComponentPayload, frozen=True, tag="named"):
     """That value of the register is chosen: what no later change can name goes."""
 
     key: Key
     value: bytes
 
 
-class Fetch(Said, frozen=True, tag="fetch"):
+class Fetch(ComponentPayload, frozen=True, tag="fetch"):
     """Asks a keeper for pieces of a state."""
 
     key: Key
     names: list[bytes]
 
 
-class Fetched(Said, frozen=True, tag="fetched"):
+class Fetched(ComponentPayload, frozen=True, tag="fetched"):
     """One piece; empty where it is not there."""
 
     key: Key
@@ -78,4 +78,4 @@
     piece: bytes
 
 
-encode, decode = spoken(Offer | Declined | Passed | Keep | Kept | Named | Fetch | Fetched)
+encode, decode = component_codec(Offer | Declined | Passed | Keep | Kept | Named | Fetch | Fetched)
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from ..membership.failure_detector import MS
-from ..replication.acceptor import Slot
-from ..replication.messages import For
+from ..replication.acceptor import RegisterState
+from ..replication.messages import ComponentMessage
 from ..replication.node import Node
-from ..replication.proposer import Done, Hold
-from ..replication.register_space import LASTING, Registers
+from ..replication.proposer import CarriedPromise, ChangeResult
+from ..replication.register_space import LASTING, RegisterSpace
 from ..replication.work_record import Key, Owner
 from . import messages
 from .candidates import Steady, mean, too_many
@@ -98,31 +98,31 @@
         make: type[LastingKeeper] = LastingKeeper,
     ) -> None:
         self.node, self._host, self.policy = node, host, policy
-        seats = node.seats
+        seats = node.placement
         self.keeper = make(
             node.me,
-            node.owner.inc,
-            seats.keepers,
+            node.owner.incarnation,
+            seats.replicas,
             frozenset(seats.names) - {node.me},
             remembers,
             policy.most,
-            told=self._kept,
-            lasting=True,
-            part=seats.part,
-            of=seats.of,
+            on_change=self._kept,
+            permanent=True,
+            slice_of=seats.slice_of,
+            slice_replicas=seats.slice_replicas,
         )
         self.shelf = Shelf(policy.state_bytes * (policy.versions + 1))
         self.keeper.shelf = self.shelf
-        self.registers = Registers(LASTING, self.keeper, node, None)
-        node.add(self.registers)
-        node.parts[messages.PART] = self._heard
-        node.told_of_loss.append(self._died)
+        self.registers = RegisterSpace(LASTING, self.keeper, node, None)
+        node.add_space(self.registers)
+        node.components[messages.PART] = self._heard
+        node.on_member_lost.append(self._died)
         steady = round(policy.steady_ms * MS)
         self.library = Library(self, self.shelf)
         self.library.wanted, self.library.mended = self._named, self.keeper.mended
         self.tending = Tending(
             self,
-            node.members,
+            node.detector,
             seats.copies,
             Steady(steady, steady * MOST_STEADY),
             round(2 * policy.patience_ms * MS),
@@ -165,13 +165,13 @@
         self.node.count(name)
 
     def keepers(self, key: Key) -> tuple[str, ...]:
-        return self.node.seats.keepers(key)
+        return self.node.placement.replicas(key)
 
     def inc(self) -> int:
-        return self.owner.inc
+        return self.owner.incarnation
 
     def inc_of(self, seat: str) -> int:
-        return self.keeper.incs.get(seat, 0)
+        return self.keeper.incarnations.get(seat, 0)
 
     def fit(self) -> bool:
         return self._host.fit()
@@ -186,13 +186,17 @@
         if seat == self.me:
             self.at(self.clock(), lambda: self._handlers[type(message)](seat, message))
         else:
-            self.node.send(seat, For(messages.PART, messages.encode(message)))
+            self.node.send(seat, ComponentMessage(messages.PART, messages.encode(message)))
 
-    def look(self, key: Key, then: Callable[[Done | None], None]) -> None:
-        self.registers.look(key, round(self.node.policy.claim_ms * MS), then)
+    def look(self, key: Key, then: Callable[[ChangeResult | None], None]) -> None:
+        self.registers.read(key, round(self.node.policy.claim_ms * MS), then)
 
     def change(
-        self, key: Key, change: Change, hold: Hold | None, then: Callable[[Done | None], None]
+        self,
+        key: Key,
+        change: Change,
+        hold: CarriedPromise | None,
+        then: Callable[[ChangeResult | None], None],
     ) -> None:
         self.registers.change(key, change, FOREVER, round(self.node.policy.claim_ms * MS), then, hold)
 
@@ -233,7 +237,7 @@
         if now - self._told >= TELL:
             self._told = now
             alive = sum(p.life != Life.GONE.value for p in self.tending.posts.values())
-            self.node.duties = len(self.ownerships), alive
+            self.node.duty_counts = len(self.ownerships), alive
 
     def woke(self) -> None:
         """This process was stopped: what it has may be another's by now."""
@@ -290,7 +294,7 @@
     def _died(self, seat: str, inc: int) -> None:
         self.tending.died(seat, inc)
 
-    def _kept(self, key: Key, slot: Slot) -> None:
+    def _kept(self, key: Key, slot: RegisterState) -> None:
         post = unpack(slot.value)
         self.tending.kept(key, post)
         if post is not None and self.shelf.missing(key, post):
@@ -326,7 +330,7 @@
         self._accept(key, Look())
 
     def _accept(self, key: Key, change: Change) -> None:
-        def accepted(done: Done | None) -> None:
+        def accepted(done: ChangeResult | None) -> None:
             if done is None:  # it may be ours all the same: its keepers see us alive, and wait for us
                 return self.at(self.clock() + ACCEPT_AGAIN, lambda: self._accept(key, change))
             self._accepting.discard(key)
@@ -343,7 +347,7 @@
             before = change.before if isinstance(change, Accept) else None
             if before is not None and before.seat != self.me:
                 self.say(before.seat, Passed(key, post.born, post.term, self.owner))
-            self.ownerships[key] = self.ownership(self, key, post, done.hold)
+            self.ownerships[key] = self.ownership(self, key, post, done.promise)
             return None
 
         self.change(key, change, None, accepted)
@@ -374,14 +378,16 @@
     def _see_that_there_is(self, name: str, kind: str) -> None:
         key = key_of(name)
         keepers = [s for s in self.keepers(key) if s == self.me or self.node.is_up(s)]
-        if key in self.tending.posts or keepers[:1] != [self.me] or not self.keeper.votes_for(key):
+        if key in self.tending.posts or keepers[:1] != [self.me] or not self.keeper.can_vote_on(key):
             return
-        self.change(key, Create(name, kind, self.owner.inc, again=False), None, lambda done: None)
+        self.change(key, Create(name, kind, self.owner.incarnation, again=False), None, lambda done: None)
 
     def create(self, name: str, kind: str, then: Callable[[Post | DutyError], None]) -> None:
         if not 0 < len(name.encode()) <= MOST_NAME:
             return then(OverBudget(f"a name of {len(name.encode())} bytes: 1 to {MOST_NAME} are taken"))
-        return self._ask(name, Create(name, kind, self.owner.inc), lambda p: p.life != Life.GONE.value, then)
+        return self._ask(
+            name, Create(name, kind, self.owner.incarnation), lambda p: p.life != Life.GONE.value, then
+        )
 
     def remove(self, name: str, then: Callable[[Post | DutyError], None]) -> None:
         def found(got: Post | DutyError) -> None:
@@ -407,7 +413,7 @@
     ) -> None:
         """Without a change, it is only looked at."""
 
-        def answered(done: Done | None) -> None:
+        def answered(done: ChangeResult | None) -> None:
             if done is None:
                 return then(NoMajority(name))
             post = unpack(done.value)
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from ..membership.failure_detector import MS
-from ..replication.acceptor import Keeper, Slot
-from ..replication.messages import For
+from ..replication.acceptor import Acceptor, RegisterState
+from ..replication.messages import ComponentMessage
 from ..replication.node import Node
-from ..replication.proposer import Done
-from ..replication.register_space import FOREVER, SHARED, Registers
+from ..replication.proposer import ChangeResult
+from ..replication.register_space import FOREVER_US, SHARED, RegisterSpace
 from ..replication.work_record import Key
 from . import messages
 from .errors import NoMajority, NoSuchSeat, NotHere, OutageError
@@ -73,31 +73,36 @@
     """One member's part in outages: asks, the next step, and what its own machine has to do."""
 
     def __init__(
-        self, node: Node, host: Host, policy: Policy, remembers: bool = False, keeper: type[Keeper] = Keeper
+        self,
+        node: Node,
+        host: Host,
+        policy: Policy,
+        remembers: bool = False,
+        keeper: type[Acceptor] = Acceptor,
     ) -> None:
         self.node, self._host, self.policy = node, host, policy
-        seats = node.seats
-        self.keepers = seats.keepers(KEY)
+        seats = node.placement
+        self.keepers = seats.replicas(KEY)
         self.keeper = keeper(
             node.me,
-            node.owner.inc,
-            seats.keepers,
+            node.owner.incarnation,
+            seats.replicas,
             frozenset(seats.names) - {node.me},
             remembers,
             KEPT,
-            told=self._kept,
-            lasting=True,
-            part=seats.part,
-            of=seats.of,
+            on_change=self._kept,
+            permanent=True,
+            slice_of=seats.slice_of,
+            slice_replicas=seats.slice_replicas,
         )
-        self.keeper.mine = [seats.part(KEY)] if node.me in self.keepers else []
-        self.registers = Registers(SHARED, self.keeper, node, None)
-        node.add(self.registers)
-        node.parts[messages.PART] = self._heard
+        self.keeper.own_slices = [seats.slice_of(KEY)] if node.me in self.keepers else []
+        self.registers = RegisterSpace(SHARED, self.keeper, node, None)
+        node.add_space(self.registers)
+        node.components[messages.PART] = self._heard
         self.planner = (
-            Planner(node.me, seats, node.members, self.keepers, policy) if node.me in self.keepers else None
+            Planner(node.me, seats, node.detector, self.keepers, policy) if node.me in self.keepers else None
         )
-        self._shows = self.planner or Planner(node.me, seats, node.members, self.keepers, policy)
+        self._shows = self.planner or Planner(node.me, seats, node.detector, self.keepers, policy)
         self.roster, self.known = EMPTY, -1  # as last read, and when, in us
         self.doing = Doing.SERVES
         self._look_at = 0
@@ -139,7 +144,7 @@
 
     # ---- the roster ----
 
-    def _kept(self, key: Key, slot: Slot) -> None:
+    def _kept(self, key: Key, slot: RegisterState) -> None:
         self._look_at = 0
 
     def _heard(self, seat: str, body: bytes) -> None:
@@ -153,12 +158,14 @@
     def _say(self, seat: str) -> None:
         if seat == self.me:
             self._look_at = 0
-        elif seat in self.node.members.by_seat:
-            self.node.send(seat, For(messages.PART, messages.encode(Changed(self.roster.number))))
+        elif seat in self.node.detector.by_seat:
+            self.node.send(
+                seat, ComponentMessage(messages.PART, messages.encode(Changed(self.roster.number)))
+            )
 
     def _every(self) -> int:
         mine = self.roster.turn(self.me)
-        most = PER_SEAT * len(self.node.seats.names)
+        most = PER_SEAT * len(self.node.placement.names)
         if self.known < 0:
             return FIRST
         if mine is not None or self._waiters:
@@ -172,12 +179,12 @@
         now = self.node.clock()
         self._look_at = now + round(self._every() * (0.75 + 0.5 * self.node.random()))
 
-        def looked(done: Done | None) -> None:
+        def looked(done: ChangeResult | None) -> None:
             if done is not None:
                 self._learned(done.value)
             then(done is not None)
 
-        self.registers.look(KEY, round(self.node.policy.claim_ms * MS), looked)
+        self.registers.read(KEY, round(self.node.policy.claim_ms * MS), looked)
 
     def _learned(self, value: bytes | None) -> None:
         roster = unpack(value)
@@ -197,7 +204,7 @@
         if then is None:
             self._writing = True
 
-        def written(done: Done | None) -> None:
+        def written(done: ChangeResult | None) -> None:
             if then is None:
                 self._writing = False
             if done is None:
@@ -206,14 +213,18 @@
                     then(NoMajority("no majority of the seats that keep the order answers"))
                 return
             self._learned(done.value)
-            if done.made:
+            if done.applied:
                 for seat in change.touches():
                     self._say(seat)
             if then is not None:
                 then(self.roster if change.error is None else change.error)
 
         self.registers.change(
-            KEY, change, self.node.clock() + FOREVER, wait or round(self.node.policy.claim_ms * MS), written
+            KEY,
+            change,
+            self.node.clock() + FOREVER_US,
+            wait or round(self.node.policy.claim_ms * MS),
+            written,
         )
 
     # ---- this machine's own turn ----
@@ -222,7 +233,7 @@
         return replace(
             self._host.own(),
             seat=self.me,
-            inc=self.node.owner.inc,
+            inc=self.node.owner.incarnation,
             out=len(self.roster.turns),
             draining_us=now - self._since.get(Doing.DRAINS, now),
             back_us=now - self._since.get(Doing.RETURNS, now),
@@ -286,7 +297,7 @@
     # ---- operators ----
 
     def ask(self, ask: Ask, then: Told) -> None:
-        unknown = [s for s in ask.waiting if s not in self.node.seats.by_name]
+        unknown = [s for s in ask.waiting if s not in self.node.placement.by_name]
         if unknown or not ask.waiting:
             return then(NoSuchSeat(f"{', '.join(unknown) or 'none named'}: no such seat"))
         return self._write(AskFor(ask, self.policy.most_asks), OPERATOR, then)
@@ -301,7 +312,7 @@
         self._write(Resume(seat), OPERATOR, then)
 
     def over(self, seat: str, by: str, then: Told) -> None:
-        if seat not in self.node.seats.by_name:
+        if seat not in self.node.placement.by_name:
             return then(NoSuchSeat(f"{seat}: no such seat"))
         return self._write(Over(seat, self._host.unix_s(), by, self.policy.most_kept), OPERATOR, then)
 
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Sequence
 
-from ..membership.failure_detector import MS, Members
-from ..membership.placement import Seats
+from ..membership.failure_detector import MS, FailureDetector
+from ..membership.placement import Placement
 from .disruption_budget import Spare, View
 from .next_step import Calm, Step, plan
 from .policy import Policy
@@ -18,24 +18,24 @@
 AGAIN = 1_000 * MS  # a grant that its machine has not taken up is told again
 
 
-def views(seats: Seats, members: Members) -> list[View]:
+def views(seats: Placement, members: FailureDetector) -> list[View]:
     """The seats as this member knows them."""
     made = []
     for name in seats.names:
         seat, member = seats.by_name[name], members.by_seat[name]
-        word = member.told
+        word = member.status
         made.append(
             View(
                 name,
                 seat.zone,
                 seat.group,
-                member.up,
+                member.is_alive,
                 word.cores,
                 word.weight,
                 word.load / 100,
-                word.peak / 100,
-                word.whole,
-                word.lasting,
+                word.peak_load / 100,
+                word.recovered,
+                word.durable,
             )
         )
     return made
@@ -45,7 +45,7 @@
     """A keeper that works out the next step, and has the register take it."""
 
     def __init__(
-        self, me: str, seats: Seats, members: Members, keepers: Sequence[str], policy: Policy
+        self, me: str, seats: Placement, members: FailureDetector, keepers: Sequence[str], policy: Policy
     ) -> None:
         self.me, self.seats, self.members, self.keepers, self.policy = (
             me,
@@ -64,7 +64,9 @@
     def _place(self, roster: Roster) -> int:
         """How many keepers come before this one."""
         out = {t.seat for t in roster.turns}
-        able = [s for s in self.keepers if s == self.me or (self.members.by_seat[s].up and s not in out)]
+        able = [
+            s for s in self.keepers if s == self.me or (self.members.by_seat[s].is_alive and s not in out)
+        ]
         return able.index(self.me)
 
     def _seen(self, roster: Roster, now: int) -> tuple[list[View], float]:
--- a/moorusher/maintenance/schedule.py
+++ b/moorusher/maintenance/schedule.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from ..membership.placement import WIDE
+from ..membership.placement import CLUSTER_KEY_PREFIX
 
-KEY = WIDE + b"outages"
+KEY = CLUSTER_KEY_PREFIX + b"outages"
 
 
 class Stage(Enum):
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -15,22 +15,24 @@
 from math import ceil, log2
 from typing import Protocol
 
-from ..replication.messages import About, Ping, PingFor, Pong, Word
+from ..replication.messages import MemberStatus, MemberUpdate, Ping, PingAck, PingRequest
 
 MS = 1_000
-PERIOD = 200 * MS  # one member is asked in each
-ANSWER = 80 * MS  # it has so long before others are asked to ask it
-HELPERS = 3
-SUSPECTED = 500 * MS  # a pause of half a second is no death; twice as long in a fleet of a thousand
-REFUSED = 250 * MS  # where its address refuses connections: no process listens there
-NEWS = 8  # in a message, at most
-SPREAD = 3  # times the logarithm of the fleet's size is each one told
-MOST_HEALTH = 5
-FRESH = 200 * MS  # its own word to us counts for more than what others say of it
-LATE = 100 * MS  # a period that begins so late: this process was stopped, or is slow
-
-
-class State(Enum):
+PROBE_PERIOD_US = 200 * MS  # one member is asked in each
+ACK_TIMEOUT_US = 80 * MS  # it has so long before others are asked to ask it
+INDIRECT_PROBES = 3
+SUSPICION_TIMEOUT_US = (
+    500 * MS
+)  # a pause of half a second is no death; twice as long in a fleet of a thousand
+REFUSED_SUSPICION_TIMEOUT_US = 250 * MS  # where its address refuses connections: no process listens there
+UPDATES_PER_MESSAGE = 8  # in a message, at most
+RETRANSMIT_FACTOR = 3  # times the logarithm of the fleet's size is each one told
+MAX_HEALTH_PENALTY = 5
+DIRECT_CONTACT_FRESH_US = 200 * MS  # its own word to us counts for more than what others say of it
+LATE_PERIOD_US = 100 * MS  # a period that begins so late: this process was stopped, or is slow
+
+
+class MemberState(Enum):
     """Whether a member is there, as far as this one knows."""
 
     ALIVE = 0
@@ -39,7 +41,7 @@
     UNKNOWN = 3  # never heard of
 
 
-RANK = {State.UNKNOWN: 0, State.ALIVE: 0, State.SUSPECT: 1, State.DEAD: 2}
+STATE_PRECEDENCE = {MemberState.UNKNOWN: 0, MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2}
 
 
 @dataclass(slots=True)
@@ -47,55 +49,57 @@
     """Another member, as this one knows it."""
 
     seat: str
-    inc: int = 0
+    incarnation: int = 0
     version: int = 0
-    state: State = State.UNKNOWN
-    told: Word = Word()  # noqa: RUF009 - it is frozen
-    since: int = 0
-    refused: bool = False
-    heard: int = -1  # us, of its last word to us
+    state: MemberState = MemberState.UNKNOWN
+    status: MemberStatus = MemberStatus()  # noqa: RUF009 - it is frozen
+    state_since: int = 0
+    connection_refused: bool = False
+    last_heard: int = -1  # us, of its last word to us
 
     @property
-    def up(self) -> bool:
-        return self.state is State.ALIVE
+    def is_alive(self) -> bool:
+        return self.state is MemberState.ALIVE
 
-    def past(self, inc: int) -> bool:
+    def is_lost(self, inc: int) -> bool:
         """That process of the seat is lost, as far as is known."""
-        return self.state is State.DEAD or (inc not in (self.inc, self.told.predecessor) and inc < self.inc)
+        return self.state is MemberState.DEAD or (
+            inc not in (self.incarnation, self.status.predecessor) and inc < self.incarnation
+        )
 
     @property
-    def fit(self) -> bool:
-        return self.up and self.told.fit
+    def accepts_work(self) -> bool:
+        return self.is_alive and self.status.accepts_work
 
 
-class Host(Protocol):
+class DetectorHost(Protocol):
     """Who carries out what is decided here."""
 
-    def send(self, seat: str, message: Ping | Pong | PingFor) -> None: ...
-    def reply(self, seat: str, message: Pong) -> None: ...
+    def send(self, seat: str, message: Ping | PingAck | PingRequest) -> None: ...
+    def reply(self, seat: str, message: PingAck) -> None: ...
     def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def died(self, seat: str, inc: int) -> None: ...
+    def member_lost(self, seat: str, inc: int) -> None: ...
     def random(self) -> float: ...
     def clock(self) -> int: ...
 
 
-class Members:
+class FailureDetector:
     """One member's view of all of them. Times are the host's, in us."""
 
-    def __init__(self, me: str, inc: int, seats: tuple[str, ...], host: Host) -> None:
+    def __init__(self, me: str, inc: int, seats: tuple[str, ...], host: DetectorHost) -> None:
         self.me, self._host, self._others = me, host, [s for s in seats if s != me]
         self.by_seat = {seat: Member(seat) for seat in seats}
         self.own = self.by_seat[me]
-        self.own.inc, self.own.state = inc, State.ALIVE
+        self.own.incarnation, self.own.state = inc, MemberState.ALIVE
         self.health = 0  # of this process: 0 is good
-        self._turn: list[str] = []
-        self._losses: OrderedDict[str, int] = OrderedDict()  # seat -> how often it was told, by that
-        self._news: OrderedDict[str, int] = OrderedDict()
+        self._probe_order: list[str] = []
+        self._loss_updates: OrderedDict[str, int] = OrderedDict()  # seat -> how often it was told, by that
+        self._updates: OrderedDict[str, int] = OrderedDict()
         self._serial = 0
-        self._waits: dict[int, str] = {}  # for whose answer
+        self._awaited_acks: dict[int, str] = {}  # for whose answer
         self._helped: dict[int, tuple[str, int]] = {}  # who asked us to ask, and its serial
-        self._due = 0
-        self._times = ceil(SPREAD * log2(max(2, len(seats))))
+        self._next_period = 0
+        self._max_transmissions = ceil(RETRANSMIT_FACTOR * log2(max(2, len(seats))))
 
     def now(self) -> int:
         return self._host.clock()
@@ -103,48 +107,51 @@
     # ---- periods ----
 
     def start(self, now: int) -> None:
-        self._due = now + round(PERIOD * self._host.random())
-        self._host.at(self._due, lambda: self._period(self._due))
+        self._next_period = now + round(PROBE_PERIOD_US * self._host.random())
+        self._host.at(self._next_period, lambda: self._period(self._next_period))
 
     def _period(self, due: int) -> None:
         now = self.now()
-        late, self._due = now - due, now + PERIOD
-        self._host.at(self._due, lambda: self._period(self._due))
-        if late > LATE:
+        late, self._next_period = now - due, now + PROBE_PERIOD_US
+        self._host.at(self._next_period, lambda: self._period(self._next_period))
+        if late > LATE_PERIOD_US:
             # What we asked has waited for us, not for them.
-            self.health = min(MOST_HEALTH, self.health + 1)
-            self._waits.clear()
+            self.health = min(MAX_HEALTH_PENALTY, self.health + 1)
+            self._awaited_acks.clear()
             for member in self.by_seat.values():
-                member.since += late
+                member.state_since += late
         if not self._others:
             return
-        if not self._turn:
-            self._turn = sorted(self._others, key=lambda _: self._host.random())
-        self.ask(self._turn.pop())
+        if not self._probe_order:
+            self._probe_order = sorted(self._others, key=lambda _: self._host.random())
+        self.probe(self._probe_order.pop())
 
-    def ask(self, seat: str) -> None:
+    def probe(self, seat: str) -> None:
         self._serial += 1
         serial = self._serial
-        self._waits[serial] = seat
-        self._host.send(seat, Ping(serial, self._tell(seat)))
-        wait = ANSWER * (1 + self.health)
+        self._awaited_acks[serial] = seat
+        self._host.send(seat, Ping(serial, self._updates_for(seat)))
+        wait = ACK_TIMEOUT_US * (1 + self.health)
         sent = self.now()
-        self._host.at(sent + wait, lambda: self._no_answer(serial, seat, sent))
+        self._host.at(sent + wait, lambda: self._probe_indirectly(serial, seat, sent))
 
-    def _no_answer(self, serial: int, seat: str, sent: int) -> None:
-        if serial not in self._waits:
+    def _probe_indirectly(self, serial: int, seat: str, sent: int) -> None:
+        if serial not in self._awaited_acks:
             return
         helpers = sorted(
-            (s for s in self._others if s != seat and self.by_seat[s].up), key=lambda _: self._host.random()
-        )[:HELPERS]
+            (s for s in self._others if s != seat and self.by_seat[s].is_alive),
+            key=lambda _: self._host.random(),
+        )[:INDIRECT_PROBES]
         for helper in helpers:
-            self._host.send(helper, PingFor(serial, seat, self._tell(helper)))
-        self._host.at(self.now() + ANSWER * (1 + self.health), lambda: self._failed(serial, seat, sent))
-
-    def _failed(self, serial: int, seat: str, sent: int) -> None:
-        if self._waits.pop(serial, None) is not None:
-            if all(self.by_seat[s].heard < sent for s in self._others):
-                self.health = min(MOST_HEALTH, self.health + 1)  # nobody is heard: it may be us
+            self._host.send(helper, PingRequest(serial, seat, self._updates_for(helper)))
+        self._host.at(
+            self.now() + ACK_TIMEOUT_US * (1 + self.health), lambda: self._probe_failed(serial, seat, sent)
+        )
+
+    def _probe_failed(self, serial: int, seat: str, sent: int) -> None:
+        if self._awaited_acks.pop(serial, None) is not None:
+            if all(self.by_seat[s].last_heard < sent for s in self._others):
+                self.health = min(MAX_HEALTH_PENALTY, self.health + 1)  # nobody is heard: it may be us
             self.suspect(seat)
 
     # ---- judgements ----
@@ -152,159 +159,170 @@
     def suspect(self, seat: str, refused: bool = False) -> None:
         """`refused`: no process listens at its address; that is no proof either, but a reason to wait less."""
         member, now = self.by_seat[seat], self.now()
-        if member.state is State.ALIVE:
-            self._set(member, State.SUSPECT, member.version, now)
-        member.refused = member.refused or refused
-        if member.state is State.SUSPECT:
-            self._judge_later(member, now)
-
-    def _judge_later(self, member: Member, now: int) -> None:
-        inc, version = member.inc, member.version
-        wait = REFUSED if member.refused else self.patience()
-        self._host.at(max(now, member.since + wait), lambda: self._judge(member, inc, version))
-
-    def patience(self) -> int:
+        if member.state is MemberState.ALIVE:
+            self._set_state(member, MemberState.SUSPECT, member.version, now)
+        member.connection_refused = member.connection_refused or refused
+        if member.state is MemberState.SUSPECT:
+            self._schedule_verdict(member, now)
+
+    def _schedule_verdict(self, member: Member, now: int) -> None:
+        inc, version = member.incarnation, member.version
+        wait = REFUSED_SUSPICION_TIMEOUT_US if member.connection_refused else self.suspicion_timeout()
+        self._host.at(max(now, member.state_since + wait), lambda: self._verdict(member, inc, version))
+
+    def suspicion_timeout(self) -> int:
         size = max(1.0, log2(max(2, len(self.by_seat))) / 5)
-        return round(SUSPECTED * size * (1 + self.health / 2))
+        return round(SUSPICION_TIMEOUT_US * size * (1 + self.health / 2))
 
-    def _judge(self, member: Member, inc: int, version: int) -> None:
+    def _verdict(self, member: Member, inc: int, version: int) -> None:
         now = self.now()
-        if member.state is not State.SUSPECT or (member.inc, member.version) != (inc, version):
+        if member.state is not MemberState.SUSPECT or (member.incarnation, member.version) != (inc, version):
             return
-        wait = REFUSED if member.refused else self.patience()
-        if now - member.since < wait:  # we were stopped meanwhile, or are slower than we thought
-            return self._judge_later(member, now)
-        self._set(member, State.DEAD, version, now)
-
-    def _set(self, member: Member, state: State, version: int, now: int) -> None:
-        was, member.state, member.version, member.since = member.state, state, version, now
-        if state is State.ALIVE:
-            member.refused = False
-        self._spread(member)
-        if state is State.DEAD and was is not State.DEAD:
-            self._host.died(member.seat, member.inc)
-            if member.told.predecessor:
-                self._host.died(member.seat, member.told.predecessor)
-
-    def heard(self, seat: str, inc: int) -> None:
+        wait = REFUSED_SUSPICION_TIMEOUT_US if member.connection_refused else self.suspicion_timeout()
+        if now - member.state_since < wait:  # we were stopped meanwhile, or are slower than we thought
+            return self._schedule_verdict(member, now)
+        self._set_state(member, MemberState.DEAD, version, now)
+
+    def _set_state(self, member: Member, state: MemberState, version: int, now: int) -> None:
+        was, member.state, member.version, member.state_since = member.state, state, version, now
+        if state is MemberState.ALIVE:
+            member.connection_refused = False
+        self._enqueue_update(member)
+        if state is MemberState.DEAD and was is not MemberState.DEAD:
+            self._host.member_lost(member.seat, member.incarnation)
+            if member.status.predecessor:
+                self._host.member_lost(member.seat, member.status.predecessor)
+
+    def record_contact(self, seat: str, inc: int) -> None:
         """Anything at all has come from it, in this life of it."""
         member, now = self.by_seat[seat], self.now()
-        member.heard = now
-        if inc > member.inc:
-            self._reborn(member, inc, now)
-            self._set(member, State.ALIVE, 0, now)
-        elif inc == member.inc and member.state is not State.ALIVE:
-            self._set(member, State.ALIVE, member.version, now)  # for us; to others it says so itself
-
-    def _reborn(self, member: Member, inc: int, now: int) -> None:
-        was, member.inc, member.refused = member.inc, inc, False
-        self._told(
-            member, Word(predecessor=was if member.state is not State.DEAD else 0)
+        member.last_heard = now
+        if inc > member.incarnation:
+            self._start_incarnation(member, inc, now)
+            self._set_state(member, MemberState.ALIVE, 0, now)
+        elif inc == member.incarnation and member.state is not MemberState.ALIVE:
+            self._set_state(
+                member, MemberState.ALIVE, member.version, now
+            )  # for us; to others it says so itself
+
+    def _start_incarnation(self, member: Member, inc: int, now: int) -> None:
+        was, member.incarnation, member.connection_refused = member.incarnation, inc, False
+        self._set_status(
+            member, MemberStatus(predecessor=was if member.state is not MemberState.DEAD else 0)
         )  # until it says itself
 
-    def tell(self, told: Word) -> None:
+    def publish_status(self, told: MemberStatus) -> None:
         """Of this member itself, where it has changed."""
-        if told != self.own.told:
-            self.own.told = told
+        if told != self.own.status:
+            self.own.status = told
             self.own.version += 1
-            self._spread(self.own)
+            self._enqueue_update(self.own)
 
-    def _told(self, member: Member, told: Word) -> None:
-        predecessor, member.told = member.told.predecessor, told
+    def _set_status(self, member: Member, told: MemberStatus) -> None:
+        predecessor, member.status = member.status.predecessor, told
         if predecessor and told.predecessor != predecessor:
-            self._host.died(member.seat, predecessor)
+            self._host.member_lost(member.seat, predecessor)
 
     # ---- news ----
 
-    def _tell(self, to: str) -> list[About]:
+    def _updates_for(self, to: str) -> list[MemberUpdate]:
         """What has been told least comes first, losses before all else; the one it goes to is told what is said of
         itself. As many steps in a large fleet as in a small one."""
-        chosen = [to] if to in self._losses or to in self._news else []
-        for kind in (self._losses, self._news):
-            chosen += [s for s in islice(kind, NEWS) if s != to]
-        chosen = chosen[:NEWS]
+        chosen = [to] if to in self._loss_updates or to in self._updates else []
+        for kind in (self._loss_updates, self._updates):
+            chosen += [s for s in islice(kind, UPDATES_PER_MESSAGE) if s != to]
+        chosen = chosen[:UPDATES_PER_MESSAGE]
         for seat in chosen:
-            kind = self._losses if seat in self._losses else self._news
+            kind = self._loss_updates if seat in self._loss_updates else self._updates
             kind[seat] += 1
-            if kind[seat] >= self._times:
+            if kind[seat] >= self._max_transmissions:
                 del kind[seat]
             else:
                 kind.move_to_end(seat)
         if self.me not in chosen:
             chosen.append(self.me)
         return [
-            About(m.seat, m.inc, m.version, m.state.value, m.told)
+            MemberUpdate(m.seat, m.incarnation, m.version, m.state.value, m.status)
             for m in map(self.by_seat.__getitem__, chosen)
         ]
 
-    def _spread(self, member: Member) -> None:
+    def _enqueue_update(self, member: Member) -> None:
         """Something is new of it."""
-        self._losses.pop(member.seat, None)
-        self._news.pop(member.seat, None)
-        kind = self._news if member.up else self._losses
+        self._loss_updates.pop(member.seat, None)
+        self._updates.pop(member.seat, None)
+        kind = self._updates if member.is_alive else self._loss_updates
         kind[member.seat] = 0
         kind.move_to_end(member.seat, last=False)
 
-    def _hear(self, news: list[About]) -> None:
+    def _apply_updates(self, news: list[MemberUpdate]) -> None:
         now = self.now()
-        for a in news[: 2 * NEWS]:
+        for a in news[: 2 * UPDATES_PER_MESSAGE]:
             member = self.by_seat.get(a.seat)
             if member is None or not 0 <= a.state <= 2:
                 continue
-            state = State(a.state)
+            state = MemberState(a.state)
             if a.seat == self.me:
-                if a.inc == self.own.inc and state is not State.ALIVE and a.version >= self.own.version:
+                if (
+                    a.incarnation == self.own.incarnation
+                    and state is not MemberState.ALIVE
+                    and a.version >= self.own.version
+                ):
                     self.own.version = a.version + 1  # we live, and say so
-                    self._spread(self.own)
-                    self.health = min(MOST_HEALTH, self.health + 1)
+                    self._enqueue_update(self.own)
+                    self.health = min(MAX_HEALTH_PENALTY, self.health + 1)
                 continue
-            if a.inc < member.inc:
+            if a.incarnation < member.incarnation:
                 continue
-            if a.inc > member.inc:
-                self._reborn(member, a.inc, now)
-                member.state, member.version = State.UNKNOWN, -1
+            if a.incarnation > member.incarnation:
+                self._start_incarnation(member, a.incarnation, now)
+                member.state, member.version = MemberState.UNKNOWN, -1
             if (
-                state is not State.ALIVE
-                and a.inc == member.inc
-                and 0 <= now - member.heard < FRESH
-                and member.up
+                state is not MemberState.ALIVE
+                and a.incarnation == member.incarnation
+                and 0 <= now - member.last_heard < DIRECT_CONTACT_FRESH_US
+                and member.is_alive
             ):
                 continue  # we have just heard it ourselves
             newer = a.version > member.version
             if newer or (
                 a.version == member.version
-                and (RANK[state] > RANK[member.state] or member.state is State.UNKNOWN)
+                and (
+                    STATE_PRECEDENCE[state] > STATE_PRECEDENCE[member.state]
+                    or member.state is MemberState.UNKNOWN
+                )
             ):
-                if (newer and state is State.ALIVE) or member.state is State.UNKNOWN:
-                    self._told(member, a.told)
+                if (newer and state is MemberState.ALIVE) or member.state is MemberState.UNKNOWN:
+                    self._set_status(member, a.status)
                 if state is not member.state or newer:
-                    self._set(member, state, a.version, now)
-                if state is State.SUSPECT:
-                    self._judge_later(member, now)
+                    self._set_state(member, state, a.version, now)
+                if state is MemberState.SUSPECT:
+                    self._schedule_verdict(member, now)
 
     # ---- messages ----
 
-    def ping(self, seat: str, m: Ping) -> None:
-        self._hear(m.news)
-        self._host.reply(seat, Pong(m.serial, self._tell(seat), m.on_behalf))
+    def handle_ping(self, seat: str, m: Ping) -> None:
+        self._apply_updates(m.updates)
+        self._host.reply(seat, PingAck(m.serial, self._updates_for(seat), m.requested_by))
 
-    def ping_for(self, seat: str, m: PingFor) -> None:
-        self._hear(m.news)
+    def handle_ping_request(self, seat: str, m: PingRequest) -> None:
+        self._apply_updates(m.updates)
         if m.seat in self.by_seat and m.seat != self.me:
-            self._host.send(m.seat, Ping(m.serial, self._tell(m.seat), seat))
+            self._host.send(m.seat, Ping(m.serial, self._updates_for(m.seat), seat))
 
-    def pong(self, seat: str, m: Pong) -> None:
-        self._hear(m.news)
-        if m.on_behalf and m.on_behalf != self.me:
+    def handle_ack(self, seat: str, m: PingAck) -> None:
+        self._apply_updates(m.updates)
+        if m.requested_by and m.requested_by != self.me:
             if (
-                m.on_behalf in self.by_seat
+                m.requested_by in self.by_seat
             ):  # we had asked for another: it is told that the one it asks about lives
-                self._host.send(m.on_behalf, Pong(m.serial, [*self._tell(m.on_behalf)], m.on_behalf))
+                self._host.send(
+                    m.requested_by, PingAck(m.serial, [*self._updates_for(m.requested_by)], m.requested_by)
+                )
             return
-        target = self._waits.pop(m.serial, None)
+        target = self._awaited_acks.pop(m.serial, None)
         if target is None:
             return
         self.health = max(0, self.health - 1)
         member = self.by_seat[target]
-        if member.state is State.SUSPECT:
-            self._set(member, State.ALIVE, member.version, self.now())
+        if member.state is MemberState.SUSPECT:
+            self._set_state(member, MemberState.ALIVE, member.version, self.now())
--- a/moorusher/membership/placement.py
+++ b/moorusher/membership/placement.py
@@ -15,13 +15,13 @@
 SLICES = (
     4096  # keys share their keepers by slices: that is worked out once for each, however many seats there are
 )
-WIDE, MOST_WIDE = (
+CLUSTER_KEY_PREFIX, MAX_CLUSTER_REPLICAS = (
     b"fleet:",
     7,
 )  # keys of the fleet as a whole begin so: more seats keep them, in a slice of their own
 
 
-def score(name: str, what: bytes) -> int:
+def rendezvous_score(name: str, what: bytes) -> int:
     """The rank of a seat for something, by rendezvous hashing."""
     return xxhash.xxh64_intdigest(what, xxhash.xxh32_intdigest(name.encode()))
 
@@ -31,7 +31,7 @@
     return of // 2 + 1
 
 
-class Seats:
+class Placement:
     """`copies`: how many seats keep each key; fewer where there are fewer. What is of the fleet as a whole has up to
     seven: three of them may be out at a time."""
 
@@ -49,25 +49,25 @@
         ]
         return xxhash.xxh64_hexdigest("\n".join([str(self.copies), *told]).encode())
 
-    def keepers(self, key: bytes) -> tuple[str, ...]:
+    def replicas(self, key: bytes) -> tuple[str, ...]:
         """The seats that keep this key, the first choice first; in different zones as far as there are some."""
-        return self.of(self.part(key))
+        return self.slice_replicas(self.slice_of(key))
 
     @staticmethod
-    def part(key: bytes) -> int:
-        return SLICES if key.startswith(WIDE) else xxhash.xxh64_intdigest(key) % SLICES
+    def slice_of(key: bytes) -> int:
+        return SLICES if key.startswith(CLUSTER_KEY_PREFIX) else xxhash.xxh64_intdigest(key) % SLICES
 
-    def of(self, part: int) -> tuple[str, ...]:
+    def slice_replicas(self, part: int) -> tuple[str, ...]:
         """The keepers of one slice."""
         found = self._slices.get(part)
         if found is None:
-            odd = (min(MOST_WIDE, len(self.names)) + 1) // 2 * 2 - 1
+            odd = (min(MAX_CLUSTER_REPLICAS, len(self.names)) + 1) // 2 * 2 - 1
             copies = max(self.copies, odd) if part == SLICES else self.copies
             found = self._slices[part] = self._choose(part.to_bytes(4, "big"), copies)
         return found
 
     def _choose(self, part: bytes, copies: int) -> tuple[str, ...]:
-        ranked = sorted(self.names, key=lambda name: score(name, part), reverse=True)
+        ranked = sorted(self.names, key=lambda name: rendezvous_score(name, part), reverse=True)
         chosen: list[str] = []
         zones: set[str] = set()
         for name in ranked:
@@ -79,7 +79,7 @@
                 chosen.append(name)
         return tuple(chosen)
 
-    def takers(self, key: bytes) -> list[str]:
+    def takeover_order(self, key: bytes) -> list[str]:
         """All seats in the order in which they are asked to go on with a key's work: another for each key, so that the
         work of one that is lost spreads over all."""
-        return sorted(self.names, key=lambda name: score(name, key), reverse=True)
+        return sorted(self.names, key=lambda name: rendezvous_score(name, key), reverse=True)
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -11,12 +11,11 @@
 from random import Random
 from typing import Any
 
-from ..membership.placement import Seats
-from ..replication.journal import VERSION as JOURNAL
-from ..replication.journal import Whose, pack, read
+from ..membership.placement import Placement
+from ..replication.journal import JOURNAL_VERSION, JournalHeader, encode_records, read_journal
 from ..replication.node import Node
 from ..replication.policy import Policy, Seat
-from ..replication.work_record import Key, Order, Owner
+from ..replication.work_record import Key, Owner, WorkRequest
 
 MS, SECOND = 1_000, 1_000_000
 MARGIN = 500 * MS
@@ -77,7 +76,7 @@
         self.came: dict[Key, int] = {}
         self.random = sim.random.random
         self.node = make(f"n{seat}", inc, sim.seats, self, Policy(), sim.longest, remembers)
-        self.node.keeper.notes = sim.course.disks
+        self.node.acceptor.journaled = sim.course.disks
         self._waiting: list[Callable[[], None]] = []
         self.writing = b""  # on its way to the disk
 
@@ -103,7 +102,7 @@
 
     def _write(self) -> None:
         waiting, self._waiting = self._waiting, []
-        self.writing = pack(self.node.keeper.unsaved(self.sim.now))
+        self.writing = encode_records(self.node.acceptor.unsaved_records(self.sim.now))
 
         def written() -> None:
             self.sim.disks[self.seat] += self.writing
@@ -132,7 +131,7 @@
     def _ring(self) -> None:
         if self._woken is not None and self._woken <= self.sim.now:
             self._woken = None
-            self.node.ring()
+            self.node.run_due()
 
     def count(self, name: str) -> None:
         self.sim.history.counts[name] += 1
@@ -149,7 +148,7 @@
     def _start(self, key: Key) -> None:
         if self.state.get(key) == "held" and self.kernel:
             self.state[key] = "beginning"
-            if not self.node.begin(key):
+            if not self.node.start_work(key):
                 self.state[key] = "held"
 
     def begun(self, key: Key) -> None:
@@ -165,7 +164,7 @@
             self.state[key] = "over"
             self.results[key] = b"%d of %d" % (self.sim.now, self.number)
             self.sim.results[key].add(self.results[key] or b"")
-            self.node.settle(key, self.results[key])
+            self.node.finish_work(key, self.results[key])
             self._answer(key, self.results[key], "ran")
 
     def _answer(self, key: Key, result: bytes | None, how: str) -> None:
@@ -196,13 +195,13 @@
 
     def not_begun(self, key: Key, why: str) -> None:
         self.state.pop(key, None)
-        self.node.free(key)
+        self.node.release_work(key)
         self._answer(key, None, "failed")
 
-    def take_up(self, key: Key, body: int, order: Order, until: int) -> bool:
+    def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool:
         if not self.fit():
             return False
-        self.came[key] = round(order.t0_unix_ms * MS)
+        self.came[key] = round(order.arrived_unix_ms * MS)
         if self.sim.random.random() < self.sim.course.turned:
             self.sim.at(self.sim.now + 5 * MS, self, lambda: self._turn_away(key))
             self.state[key] = "held"
@@ -213,7 +212,7 @@
     def _turn_away(self, key: Key) -> None:
         if self.state.get(key) == "held":
             del self.state[key]
-            self.node.free(key, turned=True)
+            self.node.release_work(key, turned=True)
 
     def has(self, key: Key) -> tuple[bool, bool, bytes | None]:
         state = self.state.get(key)
@@ -231,14 +230,16 @@
         if key not in self.state and not self.away and self.kernel:
             self.came[key] = self.sim.now
             self.sim.history.asked.append((key, self.number, self.sim.now))
-            order = Order("r", "write", None, key.decode(), b"", self.sim.now / MS, None, 0, 0.0, 0.0, None)
+            order = WorkRequest(
+                "r", "write", None, key.decode(), b"", self.sim.now / MS, None, 0, 0.0, 0.0, None
+            )
             self.state[key] = "claiming"
             self.node.claim(key, 1, order, self.sim.now + self.sim.longest)
 
     def look(self) -> None:
-        self.node.tell(cores=1)
+        self.node.publish_status(cores=1)
         if not self.fit():
-            self.node.leave()
+            self.node.hand_over_held()
         self.sim.at(self.sim.now + 100 * MS, self, self.look)
 
 
@@ -256,7 +257,7 @@
         """`amnesia`: False is a seeded mistake, a keeper that has forgotten votes as if it had not."""
         self.seed, self.course = seed, course or Course()
         self.random, self.now = Random(seed), 0
-        self.seats = Seats([Seat(f"n{i}", ("", 0), f"z{i % 2}") for i in range(self.course.seats)])
+        self.seats = Placement([Seat(f"n{i}", ("", 0), f"z{i % 2}") for i in range(self.course.seats)])
         self.longest = round(self.course.window_s * SECOND) + MARGIN
         self.history = History()
         self.results: defaultdict[Key, set[bytes]] = defaultdict(set)
@@ -264,8 +265,8 @@
         self._make, self._process, self._amnesia = make, process, amnesia
         self._queue: list[tuple[int, int, Process | None, Callable[[], None]]] = []
         self._order, self._numbers = count(), count(1)
-        self.whose = [Whose(JOURNAL, "f", "s", f"n{i}") for i in range(self.course.seats)]
-        self.disks = [pack([w]) for w in self.whose]
+        self.whose = [JournalHeader(JOURNAL_VERSION, "f", "s", f"n{i}") for i in range(self.course.seats)]
+        self.disks = [encode_records([w]) for w in self.whose]
         self.silent: set[tuple[int, int]] = set()  # ways on which nothing comes through
         self.processes = [self.born(i, remembers=True) for i in range(self.course.seats)]
         self.events: list[str] = []
@@ -275,12 +276,12 @@
         number = next(self._numbers)
         made = self._process(self, seat, number, inc or self.now + 1 + number, remembers, self._make)
         if self.course.disks and self.now:
-            image = read(self.disks[seat], self.whose[seat])
-            self.disks[seat] = self.disks[seat][: image.good]  # as a new file has it
-            if image.remembers:
-                made.node.recall(image)
+            image = read_journal(self.disks[seat], self.whose[seat])
+            self.disks[seat] = self.disks[seat][: image.valid_bytes]  # as a new file has it
+            if image.recovered:
+                made.node.restore(image)
             else:
-                self.disks[seat] = pack([self.whose[seat]])
+                self.disks[seat] = encode_records([self.whose[seat]])
         self.at(self.now, made, made.node.start)
         self.at(self.now + 100 * MS, made, made.look)
         return made
@@ -307,7 +308,7 @@
 
         def hear() -> None:
             self.hearing = by
-            target.node.heard(f"n{by.seat}", by.node.owner.inc, message)
+            target.node.receive(f"n{by.seat}", by.node.owner.incarnation, message)
             self.hearing = None
 
         if target.stopped_until > self.now:
@@ -368,7 +369,9 @@
             return
         if kind in ("kill", "forget", "clock"):
             self._end(process)
-            inc = max(1, process.node.owner.inc - 5) if kind == "clock" and not self.course.disks else 0
+            inc = (
+                max(1, process.node.owner.incarnation - 5) if kind == "clock" and not self.course.disks else 0
+            )
             self._begin_again(seat, end if kind == "kill" else self.now + 20 * MS, inc)
         elif kind == "stop":
             process.stopped_until = end
@@ -471,13 +474,13 @@
         for key in self.history.granted:
             knows = [
                 p
-                for s in self.seats.keepers(key)
+                for s in self.seats.replicas(key)
                 if (p := live.get(s)) is not None
-                and (slot := p.node.keeper.slots.get(key)) is not None
+                and (slot := p.node.acceptor.registers.get(key)) is not None
                 and slot.value is not None
-                and slot.value.order is not None
-                and not slot.value.turned
-                and p.node.keeper.votes_for(key)
+                and slot.value.request is not None
+                and not slot.value.rejected_by
+                and p.node.acceptor.can_vote_on(key)
                 and slot.value.owner not in self._refused(key)
             ]
             if (
@@ -485,7 +488,7 @@
                 and key not in ran
                 and all(p.state.get(key) not in ("held", "beginning") for p in self.processes)
             ):
-                work = [p.node.keeper.slots[key].value for p in knows]
+                work = [p.node.acceptor.registers[key].value for p in knows]
                 if all(w.state.name in ("HELD", "FREE") for w in work):
                     return f"{key!r} is known to {len(knows)} keepers, and nobody goes on with it: {work}"
         return None
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -22,7 +22,7 @@
 from ..leadership.lease_holder import Ownership
 from ..leadership.lease_record import key_of
 from ..leadership.participant import Worker
-from ..replication.acceptor import NEVER
+from ..replication.acceptor import NO_BALLOT
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Simulation
 from .leadership_simulation import DutyProcess, DutySimulation, _post
@@ -124,17 +124,17 @@
             for p in self.processes
             if p.alive
             and isinstance(p, DutyProcess)
-            and p.node.me in self.seats.keepers(key)
-            and p.participant.keeper.votes_for(key)
+            and p.node.me in self.seats.replicas(key)
+            and p.participant.keeper.can_vote_on(key)
         ]
         slots = [
             s
             for p in keepers
-            if (s := p.participant.keeper.slots.get(key)) is not None and s.ballot is not None
+            if (s := p.participant.keeper.registers.get(key)) is not None and s.accepted_ballot is not None
         ]
         if len(keepers) < 2 or not slots:
             return None
-        post = _post(max(slots, key=lambda s: s.ballot or NEVER).value)
+        post = _post(max(slots, key=lambda s: s.accepted_ballot or NO_BALLOT).value)
         states = [
             state
             for p in keepers
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -10,9 +10,9 @@
 
 from ..leadership.fencing_token import Fence, Verdict, judge
 from ..leadership.lease_record import Accept, Advance, Intend, Life, Own, Post, Settle, Step, pack, unpack
-from ..replication.acceptor import Slot
-from ..replication.messages import FAST
-from ..replication.proposer import Hold
+from ..replication.acceptor import RegisterState
+from ..replication.messages import FAST_BALLOT
+from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Owner
 from .register_interleavings import KEY, SEATS, Limits, Registers, Runner
 
@@ -49,9 +49,9 @@
         p = made.runners["P"]
         post = pack(Post("d", "test", 1, 1, 1, Life.HELD.value, Owner("P", p.inc)))
         for k in made.keepers.values():
-            k.lasting = True
-            k.slots[KEY] = Slot((1, p.inc, 0), FAST, post)
-        made.holds = Hold((1, p.inc, 0), post, {s: 1 for s in SEATS})
+            k.permanent = True
+            k.registers[KEY] = RegisterState((1, p.inc, 0), FAST_BALLOT, post)
+        made.holds = CarriedPromise((1, p.inc, 0), post, {s: 1 for s in SEATS})
         return made
 
     def print(self) -> Hashable:
@@ -75,7 +75,7 @@
         else:
             Registers.move(self, name)
 
-    def _effect(self, r: Runner, term: int, hold: Hold | None) -> None:
+    def _effect(self, r: Runner, term: int, hold: CarriedPromise | None) -> None:
         r.attempt += 1
         me, r.doing = Owner(r.name, r.inc), "effect"
         if self.kind == "once":
@@ -90,9 +90,9 @@
         self._write(r, change, hold)
 
     def _step(self, r: Runner) -> None:
-        if r.writer is None or r.writer.done is None:
+        if r.writer is None or r.writer.result is None:
             return
-        done = r.writer.done
+        done = r.writer.result
         r.writer = None
         self.net = tuple(m for m in self.net if m[0] != r.name)
         post = unpack(done.value)
@@ -102,7 +102,7 @@
             elif post.intents:
                 r.doing, self.asked = "over", True
             else:
-                self._effect(r, post.term, done.hold)
+                self._effect(r, post.term, done.promise)
             return
         r.doing = "over"
         change: Own = r.change
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -20,8 +20,8 @@
 from ..leadership.lease_record import Intent, Life, Post, Settle, key_of
 from ..leadership.participant import Participant, Reading
 from ..leadership.policy import Policy
-from ..replication.acceptor import NEVER
-from ..replication.journal import Whose, pack, read
+from ..replication.acceptor import NO_BALLOT
+from ..replication.journal import JournalHeader, encode_records, read_journal
 from ..replication.node import Node
 from ..replication.register_space import LASTING
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
@@ -130,7 +130,7 @@
         assert isinstance(sim, DutySimulation)
         self.world = sim
         self.participant = sim.participant(self.node, self, sim.policy, remembers, sim.keeper)
-        self.participant.keeper.notes = self.participant.shelf.notes = sim.lasting
+        self.participant.keeper.journaled = self.participant.shelf.notes = sim.lasting
         for name in sim.names:
             self.participant.want(name, "test")
         self._wait: list[Callable[[], None]] = []
@@ -148,7 +148,7 @@
 
     def _save(self) -> None:
         waiting, self._wait = self._wait, []
-        self._write_on = pack(self.participant.keeper.unsaved(self.sim.now)) or b"\0"
+        self._write_on = encode_records(self.participant.keeper.unsaved_records(self.sim.now)) or b"\0"
 
         def written() -> None:
             if self._write_on != b"\0":
@@ -248,8 +248,8 @@
         self.tokens = self.jobs = 0
         self.reads: list[str] = []
         seats = (course or COURSE).seats
-        self.lasting_whose = [Whose(1, "f", "s", f"n{i}") for i in range(seats)]
-        self.lasting_disks = [pack([w]) for w in self.lasting_whose]
+        self.lasting_whose = [JournalHeader(1, "f", "s", f"n{i}") for i in range(seats)]
+        self.lasting_disks = [encode_records([w]) for w in self.lasting_whose]
         super().__init__(seed, course or COURSE, process=process or DutyProcess, amnesia=amnesia)
         for at in range(2 if duties else 1 << 20, round(self.course.seconds) + 4):
             self._read(
@@ -260,12 +260,12 @@
         made = super().born(seat, remembers, inc)
         assert isinstance(made, DutyProcess)
         if self.lasting and self.now:
-            image = read(self.lasting_disks[seat], self.lasting_whose[seat])
-            self.lasting_disks[seat] = self.lasting_disks[seat][: image.good]
-            if image.remembers:
-                made.participant.keeper.recall(self.now, image)
+            image = read_journal(self.lasting_disks[seat], self.lasting_whose[seat])
+            self.lasting_disks[seat] = self.lasting_disks[seat][: image.valid_bytes]
+            if image.recovered:
+                made.participant.keeper.restore(self.now, image)
             else:
-                self.lasting_disks[seat] = pack([self.lasting_whose[seat]])
+                self.lasting_disks[seat] = encode_records([self.lasting_whose[seat]])
         self.at(self.now, made, made.participant.start)
         return made
 
@@ -336,15 +336,15 @@
             for p in self.processes
             if p.alive
             and isinstance(p, DutyProcess)
-            and p.node.me in self.seats.keepers(key)
-            and p.participant.keeper.votes_for(key)
+            and p.node.me in self.seats.replicas(key)
+            and p.participant.keeper.can_vote_on(key)
         ]
         if len(keepers) < 2:
             return None  # a majority has forgotten at once: an operator must say how it goes on
         slots = [
             s
             for p in keepers
-            if (s := p.participant.keeper.slots.get(key)) is not None and s.ballot is not None
+            if (s := p.participant.keeper.registers.get(key)) is not None and s.accepted_ballot is not None
         ]
         if not slots:
             return (
@@ -352,7 +352,7 @@
                 if facts.effects
                 else "it was never made"
             )
-        post: Post = _post(max(slots, key=lambda s: s.ballot or NEVER).value)
+        post: Post = _post(max(slots, key=lambda s: s.accepted_ballot or NO_BALLOT).value)
         if post.life == Life.ASIDE.value:
             return None
         ownerships = [
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -17,7 +17,7 @@
 from ..maintenance.policy import Policy
 from ..maintenance.schedule import Ask, Stage
 from ..membership.placement import majority
-from ..replication.acceptor import Keeper
+from ..replication.acceptor import Acceptor
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
 
@@ -144,7 +144,7 @@
             "s",
             drained,
             warm=self.warm,
-            whole=self.coordinator.keeper.remembers,
+            whole=self.coordinator.keeper.recovered,
         )
 
     @property
@@ -164,7 +164,7 @@
 
     def look(self) -> None:
         weight = 0 if self.away else 100 if self.warm else 35
-        self.node.capacity = weight, self.world.load, self.world.load
+        self.node.load_figures = weight, self.world.load, self.world.load
         super().look()
 
     def lost(self, key: bytes) -> None:  # of keyed work, which there is none of here
@@ -182,7 +182,7 @@
         load: float = 0.4,
         asks: int = 3,
         coordinator: type[OutageCoordinator] = OutageCoordinator,
-        keeper: type[Keeper] = Keeper,
+        keeper: type[Acceptor] = Acceptor,
         process: type[OutageProcess] = OutageProcess,
     ) -> None:
         """`load`: of each member's core."""
@@ -366,7 +366,7 @@
         if not there:
             return
         keepers = [p for p in there if p.node.me in p.coordinator.keepers]
-        blank = [p for p in keepers if not p.coordinator.keeper.remembers]
+        blank = [p for p in keepers if not p.coordinator.keeper.recovered]
         if len(keepers) == len(there[0].coordinator.keepers) and len(keepers) - len(blank) < majority(
             len(keepers)
         ):
@@ -378,7 +378,7 @@
                 script.over = True
             if (
                 all(not m.down for m in self.machines)
-                and blank[0].coordinator.registers.begin(lost=True) is None
+                and blank[0].coordinator.registers.bootstrap(lost=True) is None
             ):
                 self.forgot += 1
             return
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -26,7 +26,7 @@
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
-from ..replication.acceptor import NEVER
+from ..replication.acceptor import NO_BALLOT
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Simulation
 from .leadership_simulation import DutyProcess, DutySimulation, _post
@@ -223,19 +223,19 @@
                 return f"{id} was published as {numbers[born, id]} and as {number}"
         live = [p for p in self.processes if p.alive and isinstance(p, PublishProcess)]
         keepers = [
-            p for p in live if p.node.me in self.seats.keepers(key) and p.participant.keeper.votes_for(key)
+            p for p in live if p.node.me in self.seats.replicas(key) and p.participant.keeper.can_vote_on(key)
         ]
         if len(keepers) < 2:
             return None
         slots = [
             s
             for p in keepers
-            if (s := p.participant.keeper.slots.get(key)) is not None and s.ballot is not None
+            if (s := p.participant.keeper.registers.get(key)) is not None and s.accepted_ballot is not None
         ]
         told = [(at, draft) for name, at, _, draft, _ in self.told if name == customer]
         if not slots:
             return f"no register, though {told} was told" if told else None
-        post = _post(max(slots, key=lambda s: s.ballot or NEVER).value)
+        post = _post(max(slots, key=lambda s: s.accepted_ballot or NO_BALLOT).value)
         if post.life == Life.GONE.value:
             late = [at for at, _ in told if at[0] > post.born]
             return (
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -8,15 +8,24 @@
 from functools import cache
 from typing import Any, TypeVar
 
-from ..replication.acceptor import Keeper, Slot
-from ..replication.messages import FAST, Ask, Slots, Sync, Vote
-from ..replication.proposer import Hold, Writer
-from ..replication.work_record import Begin, Claim, Free, Order, Owner, State, Take, Work
+from ..replication.acceptor import Acceptor, RegisterState
+from ..replication.messages import FAST_BALLOT, BallotRequest, SyncReply, SyncRequest, Vote
+from ..replication.proposer import CarriedPromise, Proposer
+from ..replication.work_record import (
+    ClaimWork,
+    Owner,
+    ReleaseWork,
+    StartWork,
+    TakeOverWork,
+    WorkRecord,
+    WorkRequest,
+    WorkState,
+)
 
 T = TypeVar("T")
 KEY = b"k"
 SEATS = ("a", "b", "c")
-ORDER = Order("r", "write", None, "t", b"", 0.0, None, 0, 0.0, 0.0, None)
+ORDER = WorkRequest("r", "write", None, "t", b"", 0.0, None, 0, 0.0, 0.0, None)
 PAST = 100  # an incarnation later
 
 
@@ -51,18 +60,19 @@
     return new
 
 
-def _slots(k: Keeper) -> tuple[Hashable, ...]:
-    return tuple((x.promised, x.ballot, x.value) for x in k.slots.values())
+def _slots(k: Acceptor) -> tuple[Hashable, ...]:
+    return tuple((x.promised, x.accepted_ballot, x.value) for x in k.registers.values())
 
 
 def _told(m: Any) -> str:
     """A message but for the names of seats, which are told apart elsewhere, and for what follows from the rest."""
-    if isinstance(m, Ask):
+    if isinstance(m, BallotRequest):
         return f"ask {m.ballot} {m.value!r} {m.serial}"
     if isinstance(m, Vote):
-        return f"vote {m.taken} {m.ballot} {m.value!r} {m.promised} {m.inc} {m.blank} {m.serial}"
-    if isinstance(m, Slots):
-        return f"slots {m.inc} {m.slots} {m.blank}"
+        accepted = f"{m.accepted} {m.accepted_ballot} {m.value!r}"
+        return f"vote {accepted} {m.promised} {m.incarnation} {m.recovering} {m.serial}"
+    if isinstance(m, SyncReply):
+        return f"slots {m.incarnation} {m.registers} {m.recovering}"
     return str(m)
 
 
@@ -87,16 +97,16 @@
     """`keeper` and `writer` are the real ones, or those with a seeded mistake."""
 
     limits: Limits
-    keeper: type[Keeper] = Keeper
-    writer: type[Writer] = Writer
+    keeper: type[Acceptor] = Acceptor
+    writer: type[Proposer] = Proposer
     hasty: bool = False  # a seeded mistake: commanded when the question to begin goes out
     forgets: bool = True  # else: a keeper that has lost its memory votes as one that has not
     alike: tuple[str, ...] = ()  # seats that nothing but their names tells apart; all three, where not said
     seats: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by runner, where they differ
-    keepers: dict[str, Keeper] = field(default_factory=dict)
+    keepers: dict[str, Acceptor] = field(default_factory=dict)
     runners: dict[str, Runner] = field(default_factory=dict)
     net: tuple[tuple[str, str, Any, str], ...] = ()  # (to, from, message, the same as text)
-    holds: Hold | None = None
+    holds: CarriedPromise | None = None
     doubles: int = 0
     crashes: int = 0
     restarts: int = 0
@@ -114,10 +124,10 @@
         made.runners = {"P": Runner("P", 11, limits.again[0]), "Q": Runner("Q", 22, limits.again[1])}
         if limits.held:
             p, q = made.runners["P"], made.runners["Q"]
-            work = Work(State.HELD, Owner("P", p.inc), 1, 1, ORDER)
+            work = WorkRecord(WorkState.HELD, Owner("P", p.inc), 1, 1, ORDER)
             for k in made.keepers.values():
-                k.slots[KEY] = Slot((1, p.inc, 0), FAST, work, 1 << 60)
-            made.holds = Hold((1, p.inc, 0), work, {s: 1 for s in SEATS})
+                k.registers[KEY] = RegisterState((1, p.inc, 0), FAST_BALLOT, work, 1 << 60)
+            made.holds = CarriedPromise((1, p.inc, 0), work, {s: 1 for s in SEATS})
             p.attempt = q.attempt = 1
         return made
 
@@ -135,14 +145,28 @@
             new.runners[name] = other = copy(r)
             if r.writer is not None:
                 other.writer = w = copy(r.writer)
-                w._votes, w._refused, w._may_have = dict(w._votes), set(w._refused), set(w._may_have)
+                w._votes, w._rejections, w._may_have_accepted = (
+                    dict(w._votes),
+                    set(w._rejections),
+                    set(w._may_have_accepted),
+                )
         return new
 
     @staticmethod
-    def _copy_keeper(k: Keeper) -> Keeper:
-        new = type(k)(k.me, k.inc, k.keepers, k.others, k.remembers, k.most, {}, dict(k.incs), set(k.synced))
-        for key, x in k.slots.items():
-            new.slots[key] = Slot(x.promised, x.ballot, x.value, x.until)
+    def _copy_keeper(k: Acceptor) -> Acceptor:
+        new = type(k)(
+            k.seat,
+            k.incarnation,
+            k.replicas,
+            k.other_seats,
+            k.recovered,
+            k.max_registers,
+            {},
+            dict(k.incarnations),
+            set(k.synced_from),
+        )
+        for key, x in k.registers.items():
+            new.registers[key] = RegisterState(x.promised, x.accepted_ballot, x.value, x.expires_at)
         return new
 
     def print(self) -> Hashable:
@@ -156,8 +180,8 @@
         for r in self.runners.values():
             if r.writer is not None:
                 for s, v in r.writer._votes.items():
-                    local[s].append((r.name, v.ballot, v.value))
-                for s in r.writer._refused:
+                    local[s].append((r.name, v.accepted_ballot, v.value))
+                for s in r.writer._rejections:
                     local[s].append((r.name, "no"))
         alike = self.alike or ("a", "b", "c")
         order = sorted(alike, key=lambda s: repr(local[s]))
@@ -172,8 +196,8 @@
                     rank.get(to, to),
                     rank.get(by, by),
                     told,
-                    named(m.quorum) if isinstance(m, Ask) else (),
-                    named(m.incs) if isinstance(m, (Vote, Slots)) else (),
+                    named(m.quorum) if isinstance(m, BallotRequest) else (),
+                    named(m.incarnations) if isinstance(m, (Vote, SyncReply)) else (),
                 )
             )
         return (
@@ -181,10 +205,10 @@
                 sorted(
                     (
                         rank[s],
-                        k.inc,
-                        k.remembers,
-                        named(k.incs),
-                        tuple(sorted(rank[x] for x in k.synced)),
+                        k.incarnation,
+                        k.recovered,
+                        named(k.incarnations),
+                        tuple(sorted(rank[x] for x in k.synced_from)),
                         *_slots(k),
                     )
                     for s, k in self.keepers.items()
@@ -202,14 +226,14 @@
                     else (
                         r.writer._ballot,
                         r.writer._value,
-                        r.writer._seen,
+                        r.writer._highest_round,
                         tuple(
                             sorted(
-                                (rank[s], v.inc, v.ballot, v.value, named(v.incs))
+                                (rank[s], v.incarnation, v.accepted_ballot, v.value, named(v.incarnations))
                                 for s, v in r.writer._votes.items()
                             )
                         ),
-                        tuple(sorted(rank[s] for s in r.writer._refused)),
+                        tuple(sorted(rank[s] for s in r.writer._rejections)),
                         named(r.writer._quorum),
                     ),
                 )
@@ -230,22 +254,28 @@
         made = [f"deliver {i}: {self._words(m)}" for i, m in enumerate(self.net)]
         if not self.limits.late:
             made += [
-                f"unheard {i}: {self._words(m)}" for i, m in enumerate(self.net) if isinstance(m[2], Ask)
+                f"unheard {i}: {self._words(m)}"
+                for i, m in enumerate(self.net)
+                if isinstance(m[2], BallotRequest)
             ]
         if self.doubles < self.limits.doubles:
-            made += [f"double {i}: {self._words(m)}" for i, m in enumerate(self.net) if isinstance(m[2], Ask)]
+            made += [
+                f"double {i}: {self._words(m)}"
+                for i, m in enumerate(self.net)
+                if isinstance(m[2], BallotRequest)
+            ]
         for r in self.runners.values():
             if r.writer is None and not r.doing:
                 first = "claims" if not self.limits.held else "begins" if r.name == "P" else "takes"
                 made.append(f"{r.name} {first}")
             elif (
                 r.writer is not None
-                and r.writer.done is None
+                and r.writer.result is None
                 and r.again > 0
-                and (r.writer.stuck or not self.limits.patient)
+                and (r.writer.blocked or not self.limits.patient)
             ):
                 made.append(f"{r.name} asks again")
-                if r.writer.fast and len(r.writer._votes) >= 2:
+                if r.writer.in_fast_round and len(r.writer._votes) >= 2:
                     made.append(f"{r.name} goes on with a majority")
         if self.crashes < self.limits.crashes:
             made.append("a forgets")
@@ -257,12 +287,12 @@
     def _words(m: tuple[str, str, Any, str]) -> str:
         to, by, what, _ = m
         kind = type(what).__name__
-        if isinstance(what, Ask):
+        if isinstance(what, BallotRequest):
             kind += f" {what.ballot}" + (
-                "" if not isinstance(what.value, Work) else f" {what.value.state.name}"
+                "" if not isinstance(what.value, WorkRecord) else f" {what.value.state.name}"
             )
         elif isinstance(what, Vote):
-            kind += " taken" if what.taken else " refused"
+            kind += " taken" if what.accepted else " refused"
         return f"{kind} from {by} to {to}"
 
     def move(self, name: str) -> None:
@@ -284,26 +314,26 @@
                 return
             self.crashes += 1
             self.keepers["a"] = new = self.keeper(
-                "a", old.inc + PAST, old.keepers, old.others, not self.forgets
+                "a", old.incarnation + PAST, old.replicas, old.other_seats, not self.forgets
             )
             if self.forgets:
-                self._send("a", [(s, Sync(new.inc)) for s in sorted(new.others)])
+                self._send("a", [(s, SyncRequest(new.incarnation)) for s in sorted(new.other_seats)])
         else:
             r = self.runners[words[0]]
             if words[1] == "begins":
                 r.doing = "begin"
                 if self.hasty:
                     self._run(r)
-                self._write(r, Begin(Owner("P", r.inc), 1), self.holds)
+                self._write(r, StartWork(Owner("P", r.inc), 1), self.holds)
             elif words[1] == "takes":
                 r.doing = "take"
-                self._write(r, Take(Owner("Q", r.inc), Owner("P", 11), 1))
+                self._write(r, TakeOverWork(Owner("Q", r.inc), Owner("P", 11), 1))
             elif words[1] == "claims":
                 r.doing = "claim"
-                self._write(r, Claim(Owner(r.name, r.inc), 1, ORDER))
+                self._write(r, ClaimWork(Owner(r.name, r.inc), 1, ORDER))
             else:
                 r.again -= 1
-                asks = r.writer.again() if words[1] == "asks" else r.writer.nudge()
+                asks = r.writer.retry() if words[1] == "asks" else r.writer.settle_for_majority()
                 self._asked(r, asks)
 
     def _send(self, by: str, messages: list[tuple[str, Any]]) -> None:
@@ -317,56 +347,56 @@
     def _write(self, r: Runner, change: Any, hold: Any = None) -> None:
         r.serial += 1
         r.writer = self.writer(KEY, self.seats.get(r.name, SEATS), r.inc, r.serial, change, 10_000, hold)
-        self._asked(r, r.writer.begin(r.serial * 1000))
+        self._asked(r, r.writer.start(r.serial * 1000))
 
-    def _asked(self, r: Runner, asks: list[Ask]) -> None:
+    def _asked(self, r: Runner, asks: list[BallotRequest]) -> None:
         # What is still on its way to a question of before is not listened to.
         self.net = tuple(m for m in self.net if not (m[0] == r.name and m[2].serial != r.writer.serial))
-        self._send(r.name, [(s, ask) for ask in asks for s in r.writer.keepers])
+        self._send(r.name, [(s, ask) for ask in asks for s in r.writer.replicas])
         self._step(r)
 
     def _deliver(self, to: str, by: str, m: Any, heard: bool = True) -> None:
-        if isinstance(m, Ask):
-            vote = self.keepers[to].ask(0, m)
+        if isinstance(m, BallotRequest):
+            vote = self.keepers[to].vote(0, m)
             if self.limits.late:
                 self._send(to, [(by, vote)])
             elif heard:
                 self._deliver(by, to, vote)
-        elif isinstance(m, Sync):
-            self._send(to, [(by, part) for part in self.keepers[to].answer_sync(0, by, m.inc)])
-        elif isinstance(m, Slots):
-            if m.inc == self.keepers[to].inc:
-                self.keepers[to].take_slots(0, by, m)
+        elif isinstance(m, SyncRequest):
+            self._send(to, [(by, part) for part in self.keepers[to].answer_sync(0, by, m.incarnation)])
+        elif isinstance(m, SyncReply):
+            if m.incarnation == self.keepers[to].incarnation:
+                self.keepers[to].apply_sync(0, by, m)
         else:
             r = self.runners[to]
             if r.writer is not None:
-                self._asked(r, r.writer.heard(by, m))
+                self._asked(r, r.writer.handle_vote(by, m))
 
     def _step(self, r: Runner) -> None:
-        if r.writer is None or r.writer.done is None:
+        if r.writer is None or r.writer.result is None:
             return
-        done, me = r.writer.done, Owner(r.name, r.inc)
+        done, me = r.writer.result, Owner(r.name, r.inc)
         r.writer = None
         self.net = tuple(m for m in self.net if m[0] != r.name)
-        work: Work | None = done.value
+        work: WorkRecord | None = done.value
         mine = work is not None and work.owner == me
-        if r.doing in ("claim", "take") and mine and work is not None and work.state is State.HELD:
+        if r.doing in ("claim", "take") and mine and work is not None and work.state is WorkState.HELD:
             r.doing, r.attempt = "begin", work.attempt
             if self.hasty:
                 self._run(r)
-            self._write(r, Begin(me, r.attempt), done.hold)
+            self._write(r, StartWork(me, r.attempt), done.promise)
         elif (
             r.doing == "claim"
             and work is not None
-            and work.state in (State.HELD, State.FREE)
+            and work.state in (WorkState.HELD, WorkState.RELEASED)
             and self.limits.takes
         ):
             r.doing = "take"
-            self._write(r, Take(me, work.owner, work.attempt))
-        elif r.doing == "begin" and mine and work is not None and work.state is State.BEGUN:
+            self._write(r, TakeOverWork(me, work.owner, work.attempt))
+        elif r.doing == "begin" and mine and work is not None and work.state is WorkState.STARTED:
             if self.limits.frees and r.name == "P":
                 r.doing, r.freed = "free", True  # it gives up before the command, and says so
-                self._write(r, Free(me, r.attempt, ORDER, False), done.hold)
+                self._write(r, ReleaseWork(me, r.attempt, ORDER, False), done.promise)
             else:
                 r.doing = "over"
                 if not self.hasty:
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -7,19 +7,19 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from .proposer import Hold
-from .work_record import Key, Order, Owner, State
+from .proposer import CarriedPromise
+from .work_record import Key, Owner, WorkRequest, WorkState
 
 
-class Stage(Enum):
+class TenureStage(Enum):
     """How far one runner has come with a key."""
 
     CLAIMING = "claiming"
-    MINE = "held"
-    BEGINNING = "beginning"
-    BEGUN = "begun"
-    SETTLING = "over, and its register not yet"
-    JOINED = "another has it"
+    HELD = "held"
+    STARTING = "beginning"
+    STARTED = "begun"
+    FINISHING = "over, and its register not yet"
+    OWNED_ELSEWHERE = "another has it"
 
 
 @dataclass(slots=True, eq=False)
@@ -27,46 +27,46 @@
     """A key that this runner has something to do with."""
 
     key: Key
-    body: int
-    order: Order | None
-    until: int
-    stage: Stage
+    body_digest: int
+    request: WorkRequest | None
+    expires_at: int
+    stage: TenureStage
     attempt: int = 0
     owner: Owner | None = None  # where another has it
-    state: State = State.HELD  # of the register, as last read
-    hold: Hold | None = None
-    asked: int = (
+    state: WorkState = WorkState.HELD  # of the register, as last read
+    promise: CarriedPromise | None = None
+    watch_serial: int = (
         0  # serial of the watch: an answer or a delay that belongs to an older one counts for nothing
     )
     alive: bool = False  # the owner has answered since
-    askers: set[str] = field(default_factory=set)
-    queue: list[Callable[[], None]] = field(default_factory=list)
+    waiting_seats: set[str] = field(default_factory=set)
+    _steps: list[Callable[[], None]] = field(default_factory=list)
     busy: bool = False
-    taken: bool = False  # it was another's
+    taken_over: bool = False  # it was another's
     result: bytes | None = None
 
     @property
-    def is_mine(self) -> bool:
+    def is_held(self) -> bool:
         """Its register says that this runner holds it."""
-        return self.stage is Stage.MINE
+        return self.stage is TenureStage.HELD
 
-    def do(self, step: Callable[[], None]) -> None:
+    def run_step(self, step: Callable[[], None]) -> None:
         """One step after the other on each key; each ends with `next_step`."""
         if self.busy:
-            self.queue.append(step)
+            self._steps.append(step)
         else:
             self.busy = True
             step()
 
-    def next_step(self) -> None:
+    def finish_step(self) -> None:
         """The step under way is over."""
-        if self.queue:
-            self.queue.pop(0)()
+        if self._steps:
+            self._steps.pop(0)()
         else:
             self.busy = False
 
 
-class Host(Protocol):
+class NodeHost(Protocol):
     """The runner, as its part in the fleet sees it."""
 
     def send(self, seat: str, message: Any) -> None: ...
@@ -96,7 +96,7 @@
     def not_begun(self, key: Key, why: str) -> None: ...
 
     def given(self, key: Key) -> None: ...  # held work was handed over; `over` follows
-    def take_up(self, key: Key, body: int, order: Order, until: int) -> bool: ...
+    def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool: ...
     def has(self, key: Key) -> tuple[bool, bool, bytes | None]: ...  # in hand, over, its result
     def fit(self) -> bool: ...  # to take work over
     def forgot(self, key: Key) -> None: ...  # nothing more is said of it
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -7,29 +7,29 @@
 
 import msgspec
 
-from .work_record import Key, Owner, Work
+from .work_record import Key, Owner, WorkRecord
 
-VERSION = 4
-MOST_FRAME = (
+PROTOCOL_VERSION = 4
+MAX_FRAME_BYTES = (
     1 << 20
 )  # bytes of one frame: all that is said to a peer in one turn, cut into as many as it takes
 
 Ballot = tuple[
     int, int, int
 ]  # (round, the proposer's incarnation, which of its writers); compared as a whole
-FAST: Ballot = (
+FAST_BALLOT: Ballot = (
     0,
     0,
     0,
 )  # of a first write without a promise: anyone's, and chosen only where all keepers took it
-Incs = dict[str, int]  # incarnations of seats, the highest that somebody has heard of
+Incarnations = dict[str, int]  # incarnations of seats, the highest that somebody has heard of
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
     pass
 
 
-class Said(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class ComponentPayload(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """The base of what a part of the fleet's doings says; goes as the body of a `For`."""
 
 
@@ -38,31 +38,31 @@
 
     version: int
     fleet: str
-    seats: str  # digest of the seats in the file
+    seats_digest: str  # digest of the seats in the file
     seat: str
-    inc: int
+    incarnation: int
 
 
-class Refused(_Message, frozen=True, tag="no"):
+class HandshakeRejected(_Message, frozen=True, tag="no"):
     """The answer to a greeting that is not taken, with the reason; the connection closes."""
 
-    why: str
+    reason: str
 
 
 # ---- registers ----
 
 
-class Ask(_Message, frozen=True, tag="ask"):
+class BallotRequest(_Message, frozen=True, tag="ask"):
     """To a keeper. `value` is None for a promise alone; `ballot` is FAST for a first write. Where the keeper takes the
     value it promises `after` as well, so that the same proposer's next write needs no round of its own."""
 
     serial: int
     key: Key
     ballot: Ballot
-    value: Work | bytes | None
-    after: Ballot
-    quorum: Incs  # who promised `ballot`, in which incarnation; empty for a promise and a first write
-    left_ms: int  # how long the key still counts, by the proposer's clock
+    value: WorkRecord | bytes | None
+    next_ballot: Ballot
+    quorum: Incarnations  # who promised `ballot`, in which incarnation; empty for a promise and a first write
+    ttl_ms: int  # how long the key still counts, by the proposer's clock
     space: int = 0  # see `registers`
 
 
@@ -71,79 +71,79 @@
 
     serial: int
     key: Key
-    taken: bool
+    accepted: bool
     promised: Ballot
-    ballot: Ballot | None  # of the value that the keeper has
-    value: Work | bytes | None
-    inc: int  # the keeper's own
-    incs: Incs  # of the key's keepers, as far as this one knows
-    blank: bool = False  # it may have forgotten: it has no vote
-    full: bool = False  # no room for a further key
+    accepted_ballot: Ballot | None  # of the value that the keeper has
+    value: WorkRecord | bytes | None
+    incarnation: int  # the keeper's own
+    incarnations: Incarnations  # of the key's keepers, as far as this one knows
+    recovering: bool = False  # it may have forgotten: it has no vote
+    at_capacity: bool = False  # no room for a further key
     space: int = 0
 
 
 # ---- a keeper that has forgotten ----
 
 
-class Sync(_Message, frozen=True, tag="sync"):
+class SyncRequest(_Message, frozen=True, tag="sync"):
     """A keeper that remembers nothing asks for all that it may have known."""
 
-    inc: int
+    incarnation: int
     space: int = 0
 
 
-class Slots(_Message, frozen=True, tag="slots"):
+class SyncReply(_Message, frozen=True, tag="slots"):
     """(key, promised, ballot, value, left_ms) each; `last` ends the answer. `blank`: who was asked has forgotten too.
     `vouches`: the slices that it speaks of; all, where None. `inc` is what the asker's incarnation must be above, where
     it was too low."""
 
-    inc: int
-    incs: Incs
-    slots: list[tuple[Key, Ballot, Ballot | None, Work | bytes | None, int]]
+    incarnation: int
+    incarnations: Incarnations
+    registers: list[tuple[Key, Ballot, Ballot | None, WorkRecord | bytes | None, int]]
     last: bool
-    blank: bool = False
+    recovering: bool = False
     space: int = 0
-    vouches: list[int] | None = None
+    known_slices: list[int] | None = None
 
 
-class Begin(_Message, frozen=True, tag="begin"):
+class Bootstrap(_Message, frozen=True, tag="begin"):
     """An operator's word that nothing of this fleet ran before: all of its seats are up, and none remembers. For that
     incarnation alone: one that is heard late must not have a later process vote as if it remembered. `lost`: what it
     was told again is to count as all there was."""
 
-    inc: int
+    incarnation: int
     space: int = 0
-    lost: bool = False
+    accept_loss: bool = False
 
 
-class For(_Message, frozen=True, tag="for"):
+class ComponentMessage(_Message, frozen=True, tag="for"):
     """To a part of the fleet's doings that is not always there, in that part's own form."""
 
-    part: str
+    component: str
     body: bytes
 
 
 # ---- work ----
 
 
-class Has(_Message, frozen=True, tag="has"):
+class OwnershipQuery(_Message, frozen=True, tag="has"):
     """To the owner of a key: have you still got it in hand?"""
 
     key: Key
     attempt: int
 
 
-class Had(_Message, frozen=True, tag="had"):
+class OwnershipReply(_Message, frozen=True, tag="had"):
     """`over`: it is, with this result; else whether it is in hand."""
 
     key: Key
     attempt: int
-    has: bool
-    over: bool = False
+    in_hand: bool
+    finished: bool = False
     result: bytes | None = None
 
 
-class Take(_Message, frozen=True, tag="take"):
+class TakeoverOffer(_Message, frozen=True, tag="take"):
     """To the seat whose turn it is: go on with this work, which its owner has left."""
 
     key: Key
@@ -154,59 +154,74 @@
 # ---- membership ----
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
     """What a member says of itself."""
 
-    fit: bool = False  # to take work over
+    accepts_work: bool = False  # to take work over
     cores: int = 0
     predecessor: int = 0  # the process that it replaces, while that one lives
     duties: int = 0
-    keeps: int = 0  # registers of duties
+    duty_replicas: int = 0  # registers of duties
     weight: int = 0  # percent of its full capacity, as balancers are told; 0: no new requests
     load: int = 0  # hundredths of a core that it serves, coarsely,
-    peak: int = 0  # and the most of them in the last while
-    whole: bool = False  # as a keeper of what is the fleet's it has forgotten nothing,
-    lasting: bool = False  # and its next process will not have
+    peak_load: int = 0  # and the most of them in the last while
+    recovered: bool = False  # as a keeper of what is the fleet's it has forgotten nothing,
+    durable: bool = False  # and its next process will not have
 
 
-class About(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What is said of a member. `version` grows as it tells something new of itself."""
 
     seat: str
-    inc: int
+    incarnation: int
     version: int
     state: int  # of `member.State`
-    told: Word
+    status: MemberStatus
 
 
 class Ping(_Message, frozen=True, tag="ping"):
     """Asks a member whether it is there; carries news."""
 
     serial: int
-    news: list[About]
-    on_behalf: str = ""  # of the seat that asked for it
+    updates: list[MemberUpdate]
+    requested_by: str = ""  # of the seat that asked for it
 
 
-class Pong(_Message, frozen=True, tag="pong"):
+class PingAck(_Message, frozen=True, tag="pong"):
     """The answer to a ping; carries news."""
 
     serial: int
-    news: list[About]
-    on_behalf: str = ""
+    updates: list[MemberUpdate]
+    requested_by: str = ""
 
 
-class PingFor(_Message, frozen=True, tag="pingfor"):
+class PingRequest(_Message, frozen=True, tag="pingfor"):
     """Ask that one for me: I don't hear from it."""
 
     serial: int
     seat: str
-    news: list[About]
-
-
-Message = Hello | Refused | Ask | Vote | Sync | Slots | Begin | For | Has | Had | Take | Ping | Pong | PingFor
-
-
-def spoken(kinds: Any) -> tuple[Callable[[Any], bytes], Callable[[bytes], Any]]:
+    updates: list[MemberUpdate]
+
+
+Message = (
+    Hello
+    | HandshakeRejected
+    | BallotRequest
+    | Vote
+    | SyncRequest
+    | SyncReply
+    | Bootstrap
+    | ComponentMessage
+    | OwnershipQuery
+    | OwnershipReply
+    | TakeoverOffer
+    | Ping
+    | PingAck
+    | PingRequest
+)
+
+
+def component_codec(kinds: Any) -> tuple[Callable[[Any], bytes], Callable[[bytes], Any]]:
     """How a part's messages, a union of them, are written and read. Reading raises msgspec.MsgspecError."""
     return msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(kinds).decode
 
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -11,18 +11,32 @@
 from itertools import count
 from typing import Any
 
-from ..membership.failure_detector import Members
-from ..membership.placement import Seats
-from .acceptor import Keeper, Slot
-from .journal import Image
-from .key_tenure import Host, Stage, Tenure
-from .messages import Ask, Begin, For, Had, Has, Ping, PingFor, Pong, Slots, Sync, Take, Vote, Word
+from ..membership.failure_detector import FailureDetector
+from ..membership.placement import Placement
+from .acceptor import Acceptor, RegisterState
+from .journal import JournalImage
+from .key_tenure import NodeHost, Tenure, TenureStage
+from .messages import (
+    BallotRequest,
+    Bootstrap,
+    ComponentMessage,
+    MemberStatus,
+    OwnershipQuery,
+    OwnershipReply,
+    Ping,
+    PingAck,
+    PingRequest,
+    SyncReply,
+    SyncRequest,
+    TakeoverOffer,
+    Vote,
+)
 from .owned_work import OwnedWork
 from .policy import Policy
-from .register_space import SHARED, WORK, Registers
+from .register_space import SHARED, WORK, RegisterSpace
 from .watched_work import WatchedWork
 from .work_record import Key, Owner
-from .work_takeover import Left
+from .work_takeover import WorkTakeover
 
 
 class Node:
@@ -32,8 +46,8 @@
         self,
         me: str,
         inc: int,
-        seats: Seats,
-        host: Host,
+        seats: Placement,
+        host: NodeHost,
         policy: Policy,
         longest_us: int,
         remembers: bool = False,
@@ -41,49 +55,57 @@
     ) -> None:
         """`longest_us`: the longest window there is, with its margin: what was forgotten before then no longer counts
         once it has passed."""
-        self.seats, self.host, self.policy = seats, host, policy
+        self.placement, self.host, self.policy = seats, host, policy
         self.owner = Owner(me, inc)
-        self.keeper = Keeper(
+        self.acceptor = Acceptor(
             me,
             inc,
-            seats.keepers,
+            seats.replicas,
             frozenset(seats.names) - {me},
             remembers,
             most,
-            told=self._kept,
-            part=seats.part,
-            of=seats.of,
+            on_change=self._register_changed,
+            slice_of=seats.slice_of,
+            slice_replicas=seats.slice_replicas,
         )
-        self.members = Members(me, inc, seats.names, self)
+        self.detector = FailureDetector(me, inc, seats.names, self)
         self.tenures: dict[Key, Tenure] = {}
-        self.registers = Registers(WORK, self.keeper, self, longest_us)
+        self.registers = RegisterSpace(WORK, self.acceptor, self, longest_us)
         self.spaces = {WORK: self.registers}
         self.change = self.registers.change
-        self.parts: dict[str, Callable[[str, bytes], None]] = {}  # of what else the fleet does, by name
-        self.longest = longest_us
+        self.components: dict[str, Callable[[str, bytes], None]] = {}  # of what else the fleet does, by name
+        self.longest_window_us = longest_us
         self._alarms: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = count()
-        self.duties = (0, 0)  # of the fleet: how many it has, and of how many it is a keeper
-        self.lasting = False  # what it keeps is on a disk that lasts
-        self.capacity = (0, 0, 0)  # see `messages.Word`: weight, load, peak
-        self.owned, self.watched = OwnedWork(self), WatchedWork(self)
-        self.claim, self.begin, self.settle = self.owned.claim, self.owned.begin, self.owned.settle
-        self.free, self.hand_over, self.go_on = self.owned.free, self.owned.hand_over, self.watched.go_on
-        self.left = Left(self)
-        self.told_of_loss = [self.left.died]
+        self._alarm_numbers = count()
+        self.duty_counts = (0, 0)  # of the fleet: how many it has, and of how many it is a keeper
+        self.is_durable = False  # what it keeps is on a disk that lasts
+        self.load_figures = (0, 0, 0)  # see `messages.Word`: weight, load, peak
+        self.owned_work, self.watched_work = OwnedWork(self), WatchedWork(self)
+        self.claim, self.start_work, self.finish_work = (
+            self.owned_work.claim,
+            self.owned_work.start,
+            self.owned_work.finish,
+        )
+        self.release_work, self.hand_over, self.continue_work = (
+            self.owned_work.release,
+            self.owned_work.hand_over,
+            self.watched_work.continue_work,
+        )
+        self.takeover = WorkTakeover(self)
+        self.on_member_lost = [self.takeover.owner_died]
         self._handlers: dict[type, Callable[[str, Any], None]] = {
-            Ask: self._of(Registers.ask),
-            Vote: self._of(Registers.vote),
-            Sync: self._of(Registers.sync),
-            Slots: self._of(Registers.slots),
-            Begin: self._of(Registers.begun),
-            For: self._for,
-            Has: self.watched.has,
-            Had: self.watched.had,
-            Take: lambda seat, m: self.left.take(seat, m),
-            Ping: self.members.ping,
-            Pong: self.members.pong,
-            PingFor: self.members.ping_for,
+            BallotRequest: self._in_space(RegisterSpace.handle_request),
+            Vote: self._in_space(RegisterSpace.handle_vote),
+            SyncRequest: self._in_space(RegisterSpace.handle_sync),
+            SyncReply: self._in_space(RegisterSpace.handle_sync_reply),
+            Bootstrap: self._in_space(RegisterSpace.handle_bootstrap),
+            ComponentMessage: self._to_component,
+            OwnershipQuery: self.watched_work.handle_query,
+            OwnershipReply: self.watched_work.handle_reply,
+            TakeoverOffer: lambda seat, m: self.takeover.handle_offer(seat, m),
+            Ping: self.detector.handle_ping,
+            PingAck: self.detector.handle_ack,
+            PingRequest: self.detector.handle_ping_request,
         }
 
     @property
@@ -114,71 +136,73 @@
         self.host.count(name)
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        heapq.heappush(self._alarms, (when, next(self._order), action))
+        heapq.heappush(self._alarms, (when, next(self._alarm_numbers), action))
         if self._alarms[0][0] == when:
             self.host.wake(when)
 
-    def ring(self) -> None:
+    def run_due(self) -> None:
         """What is due by the host's clock."""
         now = self.clock()
         while self._alarms and self._alarms[0][0] <= now:
             heapq.heappop(self._alarms)[2]()
-        for key in self.keeper.expire(now):
-            self.left.kept(key, None)
+        for key in self.acceptor.expire(now):
+            self.takeover.register_changed(key, None)
         if self._alarms:
             self.host.wake(self._alarms[0][0])
 
-    def recall(self, image: Image) -> None:
+    def restore(self, image: JournalImage) -> None:
         """Before the start: what an earlier life of this seat has left on its disk."""
-        self.keeper.recall(self.clock(), image)
-        self.left.recall()
+        self.acceptor.restore(self.clock(), image)
+        self.takeover.restore()
 
     def start(self) -> None:
-        self.members.start(self.clock())
-        self.left.start()
+        self.detector.start(self.clock())
+        self.takeover.start()
         for space in self.spaces.values():
             space.start()
 
     # ---- messages ----
 
-    def heard(self, seat: str, inc: int, message: Any) -> None:
+    def receive(self, seat: str, inc: int, message: Any) -> None:
         """From another seat's process of that incarnation."""
         for space in self.spaces.values():
-            space.keeper.hear_of({seat: inc})  # an earlier life's promises count no more, whoever forgot them
-        self.members.heard(seat, inc)
+            space.acceptor.learn_incarnations(
+                {seat: inc}
+            )  # an earlier life's promises count no more, whoever forgot them
+        self.detector.record_contact(seat, inc)
         self._handlers[type(message)](seat, message)
 
     def is_up(self, seat: str) -> bool:
-        return self.members.by_seat[seat].up
+        return self.detector.by_seat[seat].is_alive
 
-    def raised(self, inc: int) -> None:
+    def raise_incarnation(self, inc: int) -> None:
         """The clock of this machine was set back: what is past must not look like the future."""
         self.owner = Owner(self.me, inc)
-        self.members.own.inc = inc
+        self.detector.own.incarnation = inc
         for space in self.spaces.values():
-            space.keeper.inc = inc
-            space.keeper.incs[self.me] = inc
-            space.keeper.synced.clear()
-            space.keeper.vouched.clear()
+            space.acceptor.incarnation = inc
+            space.acceptor.incarnations[self.me] = inc
+            space.acceptor.synced_from.clear()
+            space.acceptor.slices_synced_from.clear()
         self.host.count("fleet: incarnation raised")
 
-    def add(self, space: Registers) -> None:
+    def add_space(self, space: RegisterSpace) -> None:
         self.spaces[space.space] = space
 
-    def _of(self, handle: Callable[[Registers, str, Any], None]) -> Callable[[str, Any], None]:
+    def _in_space(self, handle: Callable[[RegisterSpace, str, Any], None]) -> Callable[[str, Any], None]:
         def heard(seat: str, m: Any) -> None:
             if (space := self.spaces.get(m.space)) is not None:
                 handle(space, seat, m)
 
         return heard
 
-    def _for(self, seat: str, m: For) -> None:
-        if (part := self.parts.get(m.part)) is not None:
+    def _to_component(self, seat: str, m: ComponentMessage) -> None:
+        if (part := self.components.get(m.component)) is not None:
             part(seat, m.body)
 
-    def begin_fleet(self, lost: bool = False) -> str | None:
+    def bootstrap(self, lost: bool = False) -> str | None:
         """See `Registers.begin`; spaces that remember are left as they are, where another one does not."""
-        whys = [space.begin(lost) for space in self.spaces.values()]
+        whys = [space.bootstrap(lost) for space in self.spaces.values()]
         return None if None in whys else whys[0]
 
     # ---- work of keys ----
@@ -189,36 +213,44 @@
             del self.tenures[t.key]
             self.host.forgot(t.key)
 
-    def _kept(self, key: Key, slot: Slot) -> None:
-        self.left.kept(key, slot)
+    def _register_changed(self, key: Key, slot: RegisterState) -> None:
+        self.takeover.register_changed(key, slot)
 
     # ---- for the members ----
 
-    def died(self, seat: str, inc: int) -> None:
+    def member_lost(self, seat: str, inc: int) -> None:
         self.host.count("fleet: members lost")
-        for told in self.told_of_loss:
+        for told in self.on_member_lost:
             told(seat, inc)
 
     # ---- what is told ----
 
-    def tell(self, predecessor: int = 0, cores: int = 0) -> None:
+    def publish_status(self, predecessor: int = 0, cores: int = 0) -> None:
         """Of this runner, where it has changed. `predecessor`: the process that it replaces, while that one lives."""
-        whole = SHARED not in self.spaces or self.spaces[SHARED].keeper.remembers
-        self.members.tell(
-            Word(self.host.fit(), cores, predecessor, *self.duties, *self.capacity, whole, self.lasting)
+        whole = SHARED not in self.spaces or self.spaces[SHARED].acceptor.recovered
+        self.detector.publish_status(
+            MemberStatus(
+                self.host.fit(),
+                cores,
+                predecessor,
+                *self.duty_counts,
+                *self.load_figures,
+                whole,
+                self.is_durable,
+            )
         )
 
     @property
-    def pending(self) -> int:
+    def unfinished(self) -> int:
         """Ends and givings back that are not yet known to enough."""
-        return sum(t.stage is Stage.SETTLING or t.busy for t in self.tenures.values())
+        return sum(t.stage is TenureStage.FINISHING or t.busy for t in self.tenures.values())
 
-    def lengthen(self, longest_us: int) -> None:
+    def extend_window(self, longest_us: int) -> None:
         """The longest window has become another."""
-        self.longest = self.registers.forgets_after = max(self.longest, longest_us)
+        self.longest_window_us = self.registers.forgets_after = max(self.longest_window_us, longest_us)
 
-    def leave(self) -> None:
+    def hand_over_held(self) -> None:
         """No longer fit: what is held here and has not begun goes to others."""
-        self.tell()
-        for key in [t.key for t in self.tenures.values() if t.stage is Stage.MINE]:
+        self.publish_status()
+        for key in [t.key for t in self.tenures.values() if t.stage is TenureStage.HELD]:
             self.hand_over(key)
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -5,18 +5,27 @@
 from typing import TYPE_CHECKING
 
 from ..membership.failure_detector import MS
-from .key_tenure import Stage, Tenure
-from .messages import Had
-from .proposer import Change, Done
-from .work_record import Begin as BeginWork
-from .work_record import Claim, Free, Key, Order, Settle, State, Withdraw, Work
+from .key_tenure import Tenure, TenureStage
+from .messages import OwnershipReply
+from .proposer import ChangeFunction, ChangeResult
+from .work_record import (
+    ClaimWork,
+    FinishWork,
+    Key,
+    ReleaseWork,
+    StartWork,
+    WithdrawClaim,
+    WorkRecord,
+    WorkRequest,
+    WorkState,
+)
 
 if TYPE_CHECKING:
     from .node import Node
 
 # To take a claim back where nobody waits, and there may be thousands: the side of a cut without majorities.
-TAKE_BACK = 8_000 * MS
-MOST_QUEUE = 4_000
+MAX_WITHDRAW_BACKOFF_US = 8_000 * MS
+MAX_WITHDRAWALS = 4_000
 
 
 class OwnedWork:
@@ -24,45 +33,47 @@
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._taking_back = 0
+        self._withdrawals = 0
 
-    def claim(self, key: Key, body: int, order: Order, until: int) -> None:
+    def claim(self, key: Key, body: int, order: WorkRequest, until: int) -> None:
         """One of `mine`, `theirs`, `over`, `differs` and `uncovered` follows, maybe at once."""
         before = self._node.tenures.get(key)
-        t = self._node.tenures[key] = Tenure(key, body, order, until, Stage.CLAIMING)
+        t = self._node.tenures[key] = Tenure(key, body, order, until, TenureStage.CLAIMING)
 
-        def claimed(done: Done | None) -> None:
-            if t.stage is not Stage.CLAIMING:  # its caller has gone meanwhile: what was written is taken back
-                work: Work | None = None if done is None else done.value
+        def claimed(done: ChangeResult | None) -> None:
+            if (
+                t.stage is not TenureStage.CLAIMING
+            ):  # its caller has gone meanwhile: what was written is taken back
+                work: WorkRecord | None = None if done is None else done.value
                 t.attempt = work.attempt if work is not None and work.owner == self._node.owner else 0
-                return t.next_step()
+                return t.finish_step()
             if done is None:
                 self._node.host.count("fleet: uncovered")
                 self._node.host.uncovered(
-                    key, "no majority of its keepers answers", not self._node.registers.unsure
+                    key, "no majority of its keepers answers", not self._node.registers.last_may_be_chosen
                 )
-                if self._node.registers.unsure:
-                    self._take_back(t)
+                if self._node.registers.last_may_be_chosen:
+                    self._withdraw(t)
                 else:
                     self._node.forget(t)
-                return t.next_step()
-            self._node.watched.read(t, done)
-            t.next_step()
+                return t.finish_step()
+            self._node.watched_work.adopt(t, done)
+            t.finish_step()
 
         def step() -> None:
-            if t.stage is not Stage.CLAIMING:
-                return t.next_step()
+            if t.stage is not TenureStage.CLAIMING:
+                return t.finish_step()
             self._node.change(
                 key,
-                Claim(self._node.owner, body, order),
+                ClaimWork(self._node.owner, body, order),
                 until,
                 round(self._node.policy.claim_ms * MS),
                 claimed,
             )
 
         def late() -> None:
-            if self._node.tenures.get(key) is t and t.stage is Stage.CLAIMING and not t.busy:
-                t.stage = Stage.SETTLING
+            if self._node.tenures.get(key) is t and t.stage is TenureStage.CLAIMING and not t.busy:
+                t.stage = TenureStage.FINISHING
                 self._node.host.count("fleet: uncovered")
                 self._node.host.uncovered(key, "an earlier try is not taken back yet", False)
                 self._node.forget(t)
@@ -71,182 +82,184 @@
             self._node.at(self._node.clock() + round(self._node.policy.claim_ms * MS), late)
 
             def after() -> None:
-                t.do(step)
-                before.next_step()
+                t.run_step(step)
+                before.finish_step()
 
-            before.queue.append(after)
+            before._steps.append(after)
         else:
-            t.do(step)
+            t.run_step(step)
 
-    def begin(self, key: Key) -> bool:
+    def start(self, key: Key) -> bool:
         """Before a run is commanded: `begun`, `lost` or `not_begun` follows. False where it is not the fleet's."""
         t = self._node.tenures.get(key)
-        if t is None or t.stage is not Stage.MINE:
+        if t is None or t.stage is not TenureStage.HELD:
             return False
-        t.stage = Stage.BEGINNING
+        t.stage = TenureStage.STARTING
 
-        def answered(done: Done | None) -> None:
+        def answered(done: ChangeResult | None) -> None:
             if done is None:
                 self._node.host.count("fleet: not begun")
                 if self._node.policy.alone:
-                    t.stage = Stage.BEGUN
+                    t.stage = TenureStage.STARTED
                     self._node.host.begun(key)
                 else:
-                    t.stage = Stage.MINE
+                    t.stage = TenureStage.HELD
                     self._node.host.not_begun(key, "no majority of its keepers answers")
-                return t.next_step()
-            work: Work | None = done.value
+                return t.finish_step()
+            work: WorkRecord | None = done.value
             if (
                 work is not None
-                and work.state is State.BEGUN
+                and work.state is WorkState.STARTED
                 and work.owner == self._node.owner
                 and work.attempt == t.attempt
             ):
-                t.stage, t.hold = Stage.BEGUN, done.hold
+                t.stage, t.promise = TenureStage.STARTED, done.promise
                 self._node.host.begun(key)
             else:
                 self._node.host.count("fleet: lost to another")
                 self._node.host.lost(key)
-                t.stage, t.hold = Stage.JOINED, None
-                self._node.watched.read(t, done)
-            return t.next_step()
+                t.stage, t.promise = TenureStage.OWNED_ELSEWHERE, None
+                self._node.watched_work.adopt(t, done)
+            return t.finish_step()
 
         def step() -> None:
-            if t.stage is not Stage.BEGINNING:  # given away meanwhile
-                return t.next_step()
-            hold, t.hold = t.hold, None
+            if t.stage is not TenureStage.STARTING:  # given away meanwhile
+                return t.finish_step()
+            hold, t.promise = t.promise, None
             self._node.change(
                 key,
-                BeginWork(self._node.owner, t.attempt),
-                t.until,
+                StartWork(self._node.owner, t.attempt),
+                t.expires_at,
                 round(self._node.policy.claim_ms * MS),
                 answered,
                 hold,
             )
 
-        t.do(step)
+        t.run_step(step)
         return True
 
-    def settle(self, key: Key, result: bytes | None) -> None:
+    def finish(self, key: Key, result: bytes | None) -> None:
         """A run of ours is over."""
         t = self._node.tenures.get(key)
-        if t is None or t.stage is Stage.JOINED:
+        if t is None or t.stage is TenureStage.OWNED_ELSEWHERE:
             return
-        t.stage, t.result = Stage.SETTLING, result
-        for seat in t.askers:
-            self._node.host.send(seat, Had(key, t.attempt, False, True, result))
-        t.askers.clear()
-        self._persist(t, Settle(self._node.owner, t.attempt, result))
+        t.stage, t.result = TenureStage.FINISHING, result
+        for seat in t.waiting_seats:
+            self._node.host.send(seat, OwnershipReply(key, t.attempt, False, True, result))
+        t.waiting_seats.clear()
+        self._write_until_chosen(t, FinishWork(self._node.owner, t.attempt, result))
 
-    def free(self, key: Key, turned: bool = False) -> None:
+    def release(self, key: Key, turned: bool = False) -> None:
         """A try of ours is over, and never ran. `turned`: work that was another's, or that others wait for, goes on to
         the next one."""
         t = self._node.tenures.get(key)
-        if t is None or t.stage is Stage.JOINED:
+        if t is None or t.stage is TenureStage.OWNED_ELSEWHERE:
             return
-        offer = t.order if t.taken or t.askers else None
-        t.stage = Stage.SETTLING
+        offer = t.request if t.taken_over or t.waiting_seats else None
+        t.stage = TenureStage.FINISHING
 
         def step() -> None:
             attempt = t.attempt or 1
 
-            def freed(done: Done | None) -> None:
+            def freed(done: ChangeResult | None) -> None:
                 self._node.forget(t)
                 work = None if done is None else done.value
-                if work is not None and work.state is State.FREE and work.order is not None:
-                    self._node.left.offer(key, work)
-                for seat in t.askers:
-                    self._node.host.send(seat, Had(key, t.attempt, False))
-                t.next_step()
+                if work is not None and work.state is WorkState.RELEASED and work.request is not None:
+                    self._node.takeover.offer(key, work)
+                for seat in t.waiting_seats:
+                    self._node.host.send(seat, OwnershipReply(key, t.attempt, False))
+                t.finish_step()
 
-            hold, t.hold = t.hold, None
+            hold, t.promise = t.promise, None
             self._node.change(
                 key,
-                Free(self._node.owner, attempt, offer, turned),
-                t.until,
-                max(MS, t.until - self._node.clock()),
+                ReleaseWork(self._node.owner, attempt, offer, turned),
+                t.expires_at,
+                max(MS, t.expires_at - self._node.clock()),
                 freed,
                 hold,
             )
 
-        t.do(step)
+        t.run_step(step)
 
-    def _take_back(self, t: Tenure) -> None:
+    def _withdraw(self, t: Tenure) -> None:
         """What nobody waits for may be ours in the register yet: were this runner lost later, another would run it."""
         if self._node.policy.alone:
             return self._node.forget(t)
-        if self._taking_back >= MOST_QUEUE:
+        if self._withdrawals >= MAX_WITHDRAWALS:
             self._node.host.count("fleet: not taken back")
             return self._node.forget(t)
-        t.stage = Stage.SETTLING
-        self._taking_back += 1
+        t.stage = TenureStage.FINISHING
+        self._withdrawals += 1
 
-        def back(done: Done | None) -> None:
-            self._taking_back -= 1
+        def back(done: ChangeResult | None) -> None:
+            self._withdrawals -= 1
             self._node.forget(t)
-            t.next_step()
+            t.finish_step()
 
-        t.do(
+        t.run_step(
             lambda: self._node.change(
                 t.key,
-                Withdraw(self._node.owner),
-                t.until,
-                max(MS, t.until - self._node.clock()),
+                WithdrawClaim(self._node.owner),
+                t.expires_at,
+                max(MS, t.expires_at - self._node.clock()),
                 back,
-                most=TAKE_BACK,
+                most=MAX_WITHDRAW_BACKOFF_US,
             ),
         )
         return None
 
-    def _persist(self, t: Tenure, change: Change) -> None:
+    def _write_until_chosen(self, t: Tenure, change: ChangeFunction) -> None:
         """Tried until it is chosen, or no longer counts."""
 
-        def settled(done: Done | None) -> None:
+        def settled(done: ChangeResult | None) -> None:
             self._node.forget(t)
-            t.next_step()
+            t.finish_step()
 
         def step() -> None:
-            hold, t.hold = t.hold, None
-            self._node.change(t.key, change, t.until, max(MS, t.until - self._node.clock()), settled, hold)
+            hold, t.promise = t.promise, None
+            self._node.change(
+                t.key, change, t.expires_at, max(MS, t.expires_at - self._node.clock()), settled, hold
+            )
 
-        t.do(step)
+        t.run_step(step)
 
     def hand_over(self, key: Key) -> None:
         """Held work of ours, to whoever can run it: `given` follows once nobody can lose it any more."""
         t = self._node.tenures.get(key)
-        if t is None or t.stage is not Stage.MINE or t.order is None:
+        if t is None or t.stage is not TenureStage.HELD or t.request is None:
             return
-        order = t.order
+        order = t.request
 
-        def freed(done: Done | None) -> None:
+        def freed(done: ChangeResult | None) -> None:
             work = None if done is None else done.value
             if (
                 done is not None
                 and work is not None
-                and not (work.owner == self._node.owner and work.state is State.HELD)
+                and not (work.owner == self._node.owner and work.state is WorkState.HELD)
             ):
                 self._node.host.given(key)
                 self._node.host.count("fleet: handed over")
-                t.stage, t.hold = Stage.JOINED, None
-                if work.state is State.FREE:
-                    self._node.left.offer(key, work)
-                for seat in t.askers:
-                    self._node.host.send(seat, Had(key, t.attempt, False))
-                t.askers.clear()
-                self._node.watched.read(t, done)
-            t.next_step()
+                t.stage, t.promise = TenureStage.OWNED_ELSEWHERE, None
+                if work.state is WorkState.RELEASED:
+                    self._node.takeover.offer(key, work)
+                for seat in t.waiting_seats:
+                    self._node.host.send(seat, OwnershipReply(key, t.attempt, False))
+                t.waiting_seats.clear()
+                self._node.watched_work.adopt(t, done)
+            t.finish_step()
 
         def step() -> None:
-            if t.stage is not Stage.MINE:
-                return t.next_step()
-            hold, t.hold = t.hold, None
+            if t.stage is not TenureStage.HELD:
+                return t.finish_step()
+            hold, t.promise = t.promise, None
             self._node.change(
                 key,
-                Free(self._node.owner, t.attempt, order, turned=False),
-                t.until,
+                ReleaseWork(self._node.owner, t.attempt, order, rejected=False),
+                t.expires_at,
                 round(self._node.policy.claim_ms * MS),
                 freed,
                 hold,
             )
 
-        t.do(step)
+        t.run_step(step)
--- a/moorusher/replication/policy.py
+++ b/moorusher/replication/policy.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-MOST_SEATS = 1_000
+MAX_SEATS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -13,27 +13,32 @@
 
 from ..membership.failure_detector import MS
 from ..membership.placement import SLICES, majority
-from .acceptor import NEVER, Keeper
-from .messages import FAST, Ask, Begin, Slots, Sync, Vote
-from .proposer import Change, Done, Hold, Writer
+from .acceptor import NO_BALLOT, Acceptor
+from .messages import FAST_BALLOT, BallotRequest, Bootstrap, SyncReply, SyncRequest, Vote
+from .proposer import CarriedPromise, ChangeFunction, ChangeResult, Proposer
 from .work_record import Key
 
-NUDGE = 6 * MS  # a first write goes on with a majority
-AGAIN = 40 * MS  # a round without a majority is asked again, with a higher ballot; twice as late each time
-MOST_AGAIN = 1_000 * MS
-SYNC, MOST_SYNC = (
+FAST_ROUND_TIMEOUT_US = 6 * MS  # a first write goes on with a majority
+RETRY_BACKOFF_US = (
+    40 * MS
+)  # a round without a majority is asked again, with a higher ballot; twice as late each time
+MAX_RETRY_BACKOFF_US = 1_000 * MS
+SYNC_INTERVAL_US, MAX_SYNC_INTERVAL_US = (
     500 * MS,
     16_000 * MS,
 )  # until those that have not told all are asked again; twice as late each time
-BEGINS = 100 * MS  # from the word that a fleet is new to the first vote by it
-SURVEY, SURVEY_AGAIN = 64, 5 * MS  # slices that are looked at in one turn
-LOOK = 60 * MS  # until who looks asks for a promise after all
-SOON, TRIES = 4 * MS, 4  # and how soon, and how often, it looks again where a change is under way
-FOREVER = 1 << 50  # us
+BOOTSTRAP_DELAY_US = 100 * MS  # from the word that a fleet is new to the first vote by it
+SLICES_PER_SURVEY_TURN, SURVEY_TURN_US = 64, 5 * MS  # slices that are looked at in one turn
+READ_TIMEOUT_US = 60 * MS  # until who looks asks for a promise after all
+READ_RETRY_US, MAX_READ_ATTEMPTS = (
+    4 * MS,
+    4,
+)  # and how soon, and how often, it looks again where a change is under way
+FOREVER_US = 1 << 50  # us
 WORK, LASTING, SHARED = 0, 1, 2  # the spaces that there are
 
 
-class Host(Protocol):
+class RegisterHost(Protocol):
     """The member whose registers these are."""
 
     def send(self, seat: str, message: Any) -> None: ...
@@ -45,162 +50,170 @@
     def random(self) -> float: ...
     def count(self, name: str) -> None: ...
     def is_up(self, seat: str) -> bool: ...
-    def raised(self, inc: int) -> None: ...  # this process must be a later incarnation than it thought
+    def raise_incarnation(
+        self, inc: int
+    ) -> None: ...  # this process must be a later incarnation than it thought
 
 
 @dataclass(slots=True, eq=False)
-class _Job:
-    writer: Writer
-    then: Callable[[Done | None], None]
-    until: int  # given up then
-    wait: int = AGAIN
-    most: int = MOST_AGAIN
+class _PendingChange:
+    proposer: Proposer
+    on_result: Callable[[ChangeResult | None], None]
+    give_up_at: int  # given up then
+    backoff: int = RETRY_BACKOFF_US
+    max_backoff: int = MAX_RETRY_BACKOFF_US
     round: int = 0  # grows with each question, so that a delay which belongs to an older one does nothing
 
 
 @dataclass(slots=True, eq=False)
-class _Looking:
+class _PendingRead:
     key: Key
-    keepers: tuple[str, ...]
-    wait_us: int
-    then: Callable[[Done | None], None]
+    replicas: tuple[str, ...]
+    timeout_us: int
+    on_result: Callable[[ChangeResult | None], None]
     votes: dict[str, Vote] = field(default_factory=dict)
-    tries: int = 0
+    attempts: int = 0
 
 
-class Registers:
+class RegisterSpace:
     """`forgets_after`: us, after which nothing that an earlier life knew counts any more; None where it lasts."""
 
-    def __init__(self, space: int, keeper: Keeper, host: Host, forgets_after: int | None) -> None:
-        self.space, self.keeper, self.host = space, keeper, host
+    def __init__(self, space: int, keeper: Acceptor, host: RegisterHost, forgets_after: int | None) -> None:
+        self.space, self.acceptor, self.host = space, keeper, host
         self.forgets_after = forgets_after
-        self.blank_peers: set[str] = set()
-        self.unsure = False  # of the change that was given up last: it may be chosen yet
-        self._jobs: dict[int, _Job] = {}
-        self._looks: dict[int, _Looking] = {}
+        self.recovering_peers: set[str] = set()
+        self.last_may_be_chosen = False  # of the change that was given up last: it may be chosen yet
+        self._pending_changes: dict[int, _PendingChange] = {}
+        self._pending_reads: dict[int, _PendingRead] = {}
         self._serial = 0
-        self._began = 0
+        self._started_at = 0
 
     @property
     def me(self) -> str:
-        return self.keeper.me
+        return self.acceptor.seat
 
     def start(self) -> None:
-        if self.keeper.remembers:
+        if self.acceptor.recovered:
             return
-        self._began = self.host.clock()
+        self._started_at = self.host.clock()
         if self.forgets_after is not None:
             # Whatever an earlier process of this seat knew is out of its window by then.
-            self.host.at(self._began + self.forgets_after, self._remember)
-        if self.keeper.of is not None and self.keeper.mine is None:
-            self._survey(0, [])
-        self._sync_all(SYNC)
+            self.host.at(self._started_at + self.forgets_after, self._recover_by_time)
+        if self.acceptor.slice_replicas is not None and self.acceptor.own_slices is None:
+            self._survey_slices(0, [])
+        self._sync_all(SYNC_INTERVAL_US)
 
-    def _survey(self, part: int, mine: list[int]) -> None:
+    def _survey_slices(self, part: int, mine: list[int]) -> None:
         """Which slices this seat keeps: some at a time, as all of them take a second in a fleet of a thousand."""
-        of = self.keeper.of
-        if of is None or self.keeper.remembers:
+        of = self.acceptor.slice_replicas
+        if of is None or self.acceptor.recovered:
             return
-        end = min(part + SURVEY, SLICES + 1)
+        end = min(part + SLICES_PER_SURVEY_TURN, SLICES + 1)
         mine += [p for p in range(part, end) if self.me in of(p)]
         if end <= SLICES:
-            return self.host.at(self.host.clock() + SURVEY_AGAIN, lambda: self._survey(end, mine))
-        self.keeper.mine = mine
-        self.keeper.look()
+            return self.host.at(self.host.clock() + SURVEY_TURN_US, lambda: self._survey_slices(end, mine))
+        self.acceptor.own_slices = mine
+        self.acceptor.check_recovered()
 
-    def _remember(self) -> None:
+    def _recover_by_time(self) -> None:
         if self.forgets_after is None:
             return None
-        if self.host.clock() < self._began + self.forgets_after:
-            return self.host.at(self._began + self.forgets_after, self._remember)
-        if not self.keeper.remembers:
-            self.keeper.remembers = True
+        if self.host.clock() < self._started_at + self.forgets_after:
+            return self.host.at(self._started_at + self.forgets_after, self._recover_by_time)
+        if not self.acceptor.recovered:
+            self.acceptor.recovered = True
             self.host.count("fleet: remembers, as what was forgotten no longer counts")
         return None
 
     # ---- votes ----
 
-    def ask(self, seat: str, m: Ask) -> None:
-        vote = self.keeper.ask(self.host.clock(), m)
+    def handle_request(self, seat: str, m: BallotRequest) -> None:
+        vote = self.acceptor.vote(self.host.clock(), m)
         if (
-            not vote.taken and m.ballot != NEVER
+            not vote.accepted and m.ballot != NO_BALLOT
         ):  # it promises nothing; who only looks must not see what may be lost
             return self.host.reply(seat, vote)
         say = self.host.replier(seat)
         return self.host.durable(lambda: say(vote), self.space)
 
-    def vote(self, seat: str, m: Vote) -> None:
-        job = self._jobs.get(m.serial // 1000)
+    def handle_vote(self, seat: str, m: Vote) -> None:
+        job = self._pending_changes.get(m.serial // 1000)
         if job is not None:
-            self._went(job, job.writer.heard(seat, m))
-        elif (looking := self._looks.get(m.serial // 1000)) is not None:
-            self._seen(m.serial // 1000, looking, seat, m)
+            self._advance(job, job.proposer.handle_vote(seat, m))
+        elif (looking := self._pending_reads.get(m.serial // 1000)) is not None:
+            self._handle_read_vote(m.serial // 1000, looking, seat, m)
 
     # ---- looks ----
 
-    def look(self, key: Key, wait_us: int, then: Callable[[Done | None], None]) -> None:
+    def read(self, key: Key, wait_us: int, then: Callable[[ChangeResult | None], None]) -> None:
         """What is chosen, without asking for a promise: any number may look at one time, and hinder nobody. Where the
         keepers don't agree, or too few answer soon, by a round like that of a change; `then(None)` after `wait_us`."""
-        self._look(_Looking(key, self.keeper.keepers(key), wait_us, then))
+        self._start_read(_PendingRead(key, self.acceptor.replicas(key), wait_us, then))
 
-    def _look(self, looking: _Looking) -> None:
+    def _start_read(self, looking: _PendingRead) -> None:
         self._serial += 1
         serial, key = self._serial, looking.key
-        self._looks[serial] = looking
+        self._pending_reads[serial] = looking
         looking.votes.clear()
-        ask = Ask(serial * 1000, key, NEVER, None, NEVER, {}, 1, space=self.space)
-        for seat in looking.keepers:
+        ask = BallotRequest(serial * 1000, key, NO_BALLOT, None, NO_BALLOT, {}, 1, space=self.space)
+        for seat in looking.replicas:
             if seat != self.me:
                 self.host.send(seat, ask)
-        self.host.at(self.host.clock() + LOOK, lambda: self._look_closely(serial))
-        if self.me in looking.keepers:
-            vote = self.keeper.ask(self.host.clock(), ask)
-            self.host.durable(lambda: self.vote(self.me, vote), self.space)
+        self.host.at(self.host.clock() + READ_TIMEOUT_US, lambda: self._read_by_ballot(serial))
+        if self.me in looking.replicas:
+            vote = self.acceptor.vote(self.host.clock(), ask)
+            self.host.durable(lambda: self.handle_vote(self.me, vote), self.space)
 
-    def _seen(self, serial: int, looking: _Looking, seat: str, m: Vote) -> None:
+    def _handle_read_vote(self, serial: int, looking: _PendingRead, seat: str, m: Vote) -> None:
         looking.votes[seat] = m
-        told = [v for v in looking.votes.values() if not v.blank and not v.full]
+        told = [v for v in looking.votes.values() if not v.recovering and not v.at_capacity]
         for vote in told:
-            same = [v for v in told if v.ballot == vote.ballot]
-            if len(same) >= self.wanted(looking, vote):
-                del self._looks[serial]
-                return looking.then(Done(vote.value, False, None))
-        if len(looking.votes) == len(looking.keepers):
-            looking.tries += 1
-            if looking.tries >= TRIES or len(told) < majority(len(looking.keepers)):
-                return self._look_closely(serial)
-            del self._looks[serial]  # a change is on its way through them
-            self.host.at(self.host.clock() + SOON, lambda: self._look(looking))
+            same = [v for v in told if v.accepted_ballot == vote.accepted_ballot]
+            if len(same) >= self.votes_needed(looking, vote):
+                del self._pending_reads[serial]
+                return looking.on_result(ChangeResult(vote.value, False, None))
+        if len(looking.votes) == len(looking.replicas):
+            looking.attempts += 1
+            if looking.attempts >= MAX_READ_ATTEMPTS or len(told) < majority(len(looking.replicas)):
+                return self._read_by_ballot(serial)
+            del self._pending_reads[serial]  # a change is on its way through them
+            self.host.at(self.host.clock() + READ_RETRY_US, lambda: self._start_read(looking))
         return None
 
     @staticmethod
-    def wanted(looking: _Looking, vote: Vote) -> int:
+    def votes_needed(looking: _PendingRead, vote: Vote) -> int:
         """Keepers that must have taken that very value: a first write without a promise is chosen by all alone."""
-        return len(looking.keepers) if vote.ballot == FAST else majority(len(looking.keepers))
+        return (
+            len(looking.replicas) if vote.accepted_ballot == FAST_BALLOT else majority(len(looking.replicas))
+        )
 
-    def _look_closely(self, serial: int) -> None:
-        looking = self._looks.pop(serial, None)
+    def _read_by_ballot(self, serial: int) -> None:
+        looking = self._pending_reads.pop(serial, None)
         if looking is not None:
             self.change(
-                looking.key, lambda old: None, self.host.clock() + FOREVER, looking.wait_us, looking.then
+                looking.key,
+                lambda old: None,
+                self.host.clock() + FOREVER_US,
+                looking.timeout_us,
+                looking.on_result,
             )
 
     # ---- a keeper that has forgotten ----
 
     def _sync_all(self, wait: int) -> None:
-        if self.keeper.remembers:
+        if self.acceptor.recovered:
             return
-        asked = sorted(self.keeper.others - self.keeper.synced)
+        asked = sorted(self.acceptor.other_seats - self.acceptor.synced_from)
         for seat in asked:
-            self.host.send(seat, Sync(self.keeper.inc, self.space))
+            self.host.send(seat, SyncRequest(self.acceptor.incarnation, self.space))
         # One that has told what it knows again is asked more and more seldom; one that is blank, or not there, soon.
-        told = all(seat in self.keeper.vouched for seat in asked)
-        later = min(MOST_SYNC, 2 * wait) if told else SYNC
+        told = all(seat in self.acceptor.slices_synced_from for seat in asked)
+        later = min(MAX_SYNC_INTERVAL_US, 2 * wait) if told else SYNC_INTERVAL_US
         self.host.at(self.host.clock() + later, lambda: self._sync_all(later))
 
-    def sync(self, seat: str, m: Sync) -> None:
+    def handle_sync(self, seat: str, m: SyncRequest) -> None:
         parts, say = (
-            self.keeper.answer_sync(self.host.clock(), seat, m.inc, self.space),
+            self.acceptor.answer_sync(self.host.clock(), seat, m.incarnation, self.space),
             self.host.replier(seat),
         )
 
@@ -210,42 +223,48 @@
 
         self.host.durable(tell, self.space)  # that its earlier lives count for nothing must outlive this one
 
-    def slots(self, seat: str, m: Slots) -> None:
-        if m.inc < self.keeper.inc:
+    def handle_sync_reply(self, seat: str, m: SyncReply) -> None:
+        if m.incarnation < self.acceptor.incarnation:
             return  # to an earlier life
-        if m.inc > self.keeper.inc:
-            return self.host.raised(m.inc + 1)
-        if m.blank:
-            self.blank_peers.add(seat)
+        if m.incarnation > self.acceptor.incarnation:
+            return self.host.raise_incarnation(m.incarnation + 1)
+        if m.recovering:
+            self.recovering_peers.add(seat)
         else:
-            self.blank_peers.discard(seat)
-            self.keeper.take_slots(self.host.clock(), seat, m)
+            self.recovering_peers.discard(seat)
+            self.acceptor.apply_sync(self.host.clock(), seat, m)
 
-    def begin(self, lost: bool = False) -> str | None:
+    def bootstrap(self, lost: bool = False) -> str | None:
         """An operator's word that nothing ran here before; or, `lost`, that what no seat remembers any more counts for
         nothing. The reason where it can't be taken: one that remembers may know better, and one that is not there may
         remember."""
-        if self.keeper.remembers:
+        if self.acceptor.recovered:
             return "this runner remembers: " + ("ask one that does not" if lost else "the fleet has begun")
-        told = self.keeper.synced | self.keeper.vouched.keys() if lost else set()
-        if missing := sorted(self.keeper.others - self.blank_peers - told):
+        told = self.acceptor.synced_from | self.acceptor.slices_synced_from.keys() if lost else set()
+        if missing := sorted(self.acceptor.other_seats - self.recovering_peers - told):
             return (
                 "not heard of" if lost else "not heard as one that remembers nothing"
             ) + f": {', '.join(missing)}"
-        for seat in self.keeper.others:
-            self.host.send(seat, Begin(self.keeper.incs[seat], self.space, lost))
-        self.begun(self.me, Begin(self.keeper.inc, self.space, lost))
+        for seat in self.acceptor.other_seats:
+            self.host.send(seat, Bootstrap(self.acceptor.incarnations[seat], self.space, lost))
+        self.handle_bootstrap(self.me, Bootstrap(self.acceptor.incarnation, self.space, lost))
         return None
 
-    def begun(self, seat: str, m: Begin) -> None:
-        if m.inc == self.keeper.inc and not self.keeper.remembers and (m.lost or not self.keeper.synced):
-            self.host.at(self.host.clock() + BEGINS, lambda: self._begins(m.inc))
+    def handle_bootstrap(self, seat: str, m: Bootstrap) -> None:
+        if (
+            m.incarnation == self.acceptor.incarnation
+            and not self.acceptor.recovered
+            and (m.accept_loss or not self.acceptor.synced_from)
+        ):
+            self.host.at(
+                self.host.clock() + BOOTSTRAP_DELAY_US, lambda: self._finish_bootstrap(m.incarnation)
+            )
 
-    def _begins(self, inc: int) -> None:
+    def _finish_bootstrap(self, inc: int) -> None:
         """Some time after the word: one that has heard from others who began, on another way than this word comes on,
         would not take it any more; and two such know nothing that the other one could vote by."""
-        if inc == self.keeper.inc and not self.keeper.remembers:
-            self.keeper.remembers = True
+        if inc == self.acceptor.incarnation and not self.acceptor.recovered:
+            self.acceptor.recovered = True
             self.host.count("fleet: begun")
 
     # ---- changes of registers ----
@@ -253,100 +272,111 @@
     def change(
         self,
         key: Key,
-        change: Change,
+        change: ChangeFunction,
         until: int,
         wait_us: int,
-        then: Callable[[Done | None], None],
-        hold: Hold | None = None,
-        most: int = MOST_AGAIN,
+        then: Callable[[ChangeResult | None], None],
+        hold: CarriedPromise | None = None,
+        most: int = MAX_RETRY_BACKOFF_US,
     ) -> None:
         self._serial += 1
         now = self.host.clock()
-        writer = Writer(
+        writer = Proposer(
             key,
-            self.keeper.keepers(key),
-            self.keeper.inc,
+            self.acceptor.replicas(key),
+            self.acceptor.incarnation,
             self._serial,
             change,
             max(1, (until - now) // 1000),
             hold,
             self.space,
         )
-        job = self._jobs[self._serial] = _Job(writer, then, now + wait_us, most=most)
-        self._went(job, writer.begin(self._serial * 1000))
+        job = self._pending_changes[self._serial] = _PendingChange(
+            writer, then, now + wait_us, max_backoff=most
+        )
+        self._advance(job, writer.start(self._serial * 1000))
 
-    def _went(self, job: _Job, asks: list[Ask]) -> None:
+    def _advance(self, job: _PendingChange, asks: list[BallotRequest]) -> None:
         """After each step of a writer: its questions go out, its end is told."""
-        writer = job.writer
+        writer = job.proposer
         for ask in asks:
             job.round += 1
-            for seat in writer.keepers:
+            for seat in writer.replicas:
                 if seat != self.me:
                     self.host.send(seat, ask)
-            self._wait(job)
-            if self.me in writer.keepers:  # last, so that the others are under way already
-                return self._vote_for(job, ask)
-        if writer.done is not None:
-            if self._jobs.pop(writer.serial // 1000, None) is not None:
-                job.then(writer.done)
-        elif job.until - self.host.clock() <= MOST_AGAIN and (
-            writer.full or writer.blanks > len(writer.keepers) - majority(len(writer.keepers))
+            self._await_votes(job)
+            if self.me in writer.replicas:  # last, so that the others are under way already
+                return self._vote_locally(job, ask)
+        if writer.result is not None:
+            if self._pending_changes.pop(writer.serial // 1000, None) is not None:
+                job.on_result(writer.result)
+        elif job.give_up_at - self.host.clock() <= MAX_RETRY_BACKOFF_US and (
+            writer.at_capacity
+            or writer.recovering_votes > len(writer.replicas) - majority(len(writer.replicas))
         ):
             self._give_up(
                 job
             )  # what may wait for long is asked again: those who have forgotten are told again
-        elif writer.stuck:
+        elif writer.blocked:
             writer.conflicts += 1
             if writer.conflicts == 1:
-                self._went(job, writer.again())
+                self._advance(job, writer.retry())
             else:
                 job.round += 1
-                self._later(job, round(min(writer.conflicts, 10) * 2 * MS * (0.5 + self.host.random())))
-        elif writer.fast and self._rest_is_gone(writer) and (more := writer.nudge()):
-            self._went(job, more)
+                self._retry_later(job, round(min(writer.conflicts, 10) * 2 * MS * (0.5 + self.host.random())))
+        elif (
+            writer.in_fast_round
+            and self._other_replicas_down(writer)
+            and (more := writer.settle_for_majority())
+        ):
+            self._advance(job, more)
 
-    def _vote_for(self, job: _Job, ask: Ask) -> None:
+    def _vote_locally(self, job: _PendingChange, ask: BallotRequest) -> None:
         """Our own vote, which counts as little as any before it is on the disk."""
-        vote = self.keeper.ask(self.host.clock(), ask)
+        vote = self.acceptor.vote(self.host.clock(), ask)
 
         def said() -> None:
-            if self._jobs.get(job.writer.serial // 1000) is job:  # not given up meanwhile
-                self._went(job, job.writer.heard(self.me, vote))
+            if self._pending_changes.get(job.proposer.serial // 1000) is job:  # not given up meanwhile
+                self._advance(job, job.proposer.handle_vote(self.me, vote))
 
-        if vote.taken:
+        if vote.accepted:
             self.host.durable(said, self.space)
         else:
             said()
 
-    def _rest_is_gone(self, writer: Writer) -> bool:
-        return all(seat in writer.took or not self.host.is_up(seat) for seat in writer.keepers)
+    def _other_replicas_down(self, writer: Proposer) -> bool:
+        return all(seat in writer.accepted_by or not self.host.is_up(seat) for seat in writer.replicas)
 
-    def _wait(self, job: _Job) -> None:
+    def _await_votes(self, job: _PendingChange) -> None:
         mark = job.round
 
         def nudge() -> None:
-            if job.round == mark and job.writer.done is None and (more := job.writer.nudge()):
-                self._went(job, more)
-
-        if job.writer.fast:
-            self.host.at(self.host.clock() + NUDGE, nudge)
-        self._later(job, job.wait)
-
-    def _later(self, job: _Job, wait: int) -> None:
+            if (
+                job.round == mark
+                and job.proposer.result is None
+                and (more := job.proposer.settle_for_majority())
+            ):
+                self._advance(job, more)
+
+        if job.proposer.in_fast_round:
+            self.host.at(self.host.clock() + FAST_ROUND_TIMEOUT_US, nudge)
+        self._retry_later(job, job.backoff)
+
+    def _retry_later(self, job: _PendingChange, wait: int) -> None:
         mark = job.round
 
         def again() -> None:
-            if job.round != mark or job.writer.done is not None:
+            if job.round != mark or job.proposer.result is not None:
                 return
-            if self.host.clock() >= job.until or job.writer.serial % 1000 > 900:
+            if self.host.clock() >= job.give_up_at or job.proposer.serial % 1000 > 900:
                 return self._give_up(job)
-            job.wait = min(job.most, job.wait * 2)
-            self._went(job, job.writer.again())
+            job.backoff = min(job.max_backoff, job.backoff * 2)
+            self._advance(job, job.proposer.retry())
 
-        self.host.at(min(self.host.clock() + wait, max(job.until, self.host.clock() + MS)), again)
+        self.host.at(min(self.host.clock() + wait, max(job.give_up_at, self.host.clock() + MS)), again)
 
-    def _give_up(self, job: _Job) -> None:
+    def _give_up(self, job: _PendingChange) -> None:
         job.round += 1  # nothing more is asked
-        if self._jobs.pop(job.writer.serial // 1000, None) is not None:
-            self.unsure = job.writer.unsure
-            job.then(None)
+        if self._pending_changes.pop(job.proposer.serial // 1000, None) is not None:
+            self.last_may_be_chosen = job.proposer.may_be_chosen
+            job.on_result(None)
