--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -1,180 +1,242 @@
-"""The life of work as the values of its register, and the changes that there are.
+"""The value of a key's register, a `WorkRecord`, and the changes that a proposer may make to it.
 
-    HELD -> BEGUN -> OVER (with its result, or without)
-      ^  \\-> FREE -> HELD by another
+    HELD -> STARTED -> FINISHED (with a result, or without)
+      ^  \\-> RELEASED -> HELD by another runner
 
-BEGUN is chosen before the run is commanded, so that whoever survives knows what may have run. From BEGUN nothing leads
-back to a run, but for one word of the owner itself: that it has not commanded it and never will.
+STARTED is chosen before the run is commanded, so that every survivor knows which work may have run. From STARTED no
+change leads back to a run, except `ReleaseWork` by the owner itself: it has not commanded the run and never will.
+
+A change is a function of the old value. It returns the new value, or None where the old value is to stay.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import Enum
 
 import msgspec
 import xxhash
 
-Key = bytes  # of a request: `key_of` its tenant and token
+Key = bytes  # digest of a tenant and its idempotency key; see `key_of`
 
 
-class State(Enum):
-    """How far the work of a key has come, by its register."""
+class WorkState(Enum):
+    """How far the work of a key has come, by its register. The values are on the wire and in journals."""
 
-    HELD = 0  # read, in the queue of its owner
-    BEGUN = 1  # its owner may have commanded it
-    OVER = 2
-    FREE = 3  # it never ran, and its owner has left it
+    HELD = 0  # queued at its owner
+    STARTED = 1  # its owner may have commanded the run
+    FINISHED = 2
+    RELEASED = 3  # it never ran, and its owner has given it up
 
 
 class Owner(msgspec.Struct, frozen=True, array_like=True):
-    """A process of a seat."""
+    """A process of a seat: the seat's name and the incarnation of the process."""
 
     seat: str
-    inc: int
-
-
-class Order(msgspec.Struct, frozen=True, array_like=True):
-    """What another runner needs to go on with the work: the request as it was read."""
-
-    rid: str
-    klass: str
+    incarnation: int
+
+
+class WorkRequest(msgspec.Struct, frozen=True, array_like=True):
+    """The request as it was read: what another runner needs to run it. The order of the fields is the wire's.
+
+    Attributes:
+        request_id: `str`, as the caller named it.
+        request_class: `str`, name of the class of requests.
+        tenant: `str`, or None for a request without a tenant.
+        token: `str`, the idempotency key as the caller sent it.
+        content: `bytes`, the body.
+        arrived_unix_ms: `float`, ms since 1970.
+        budget_ms: `float`, the caller's time budget, or None.
+        caller: `int`, number of the caller.
+        memory_kb: `float`, expected use of memory.
+        rank: `float`, priority among requests of one tenant.
+        subject: `int`, or None.
+        rules_revision: birth and number of the revision of the customer's rules that it was read under, or None.
+    """
+
+    request_id: str
+    request_class: str
     tenant: str | None
     token: str
     content: bytes
-    t0_unix_ms: float
+    arrived_unix_ms: float
     budget_ms: float | None
     caller: int
     memory_kb: float
     rank: float
     subject: int | None
-    ruled: tuple[int, int] | None = None  # the revision of its customer's rules that it was read under
+    rules_revision: tuple[int, int] | None = None
+
 
+class WorkRecord(msgspec.Struct, frozen=True, array_like=True):
+    """The value of a key's register. The order of the fields is the wire's and the journal's.
 
-class Work(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a key's register."""
+    Attributes:
+        state: `WorkState`.
+        owner: `Owner`, the process that has the work, or had it last.
+        attempt: `int`, grows with each takeover; what an owner says of an earlier attempt is ignored.
+        body_digest: `int`; another body under the same key is another request and gets none of this one's result.
+        request: `WorkRequest`, present while another runner may take the work over.
+        result: `bytes`, present where the run gave one.
+        rejected_by: names of the seats that have rejected the work.
+    """
 
-    state: State
+    state: WorkState
     owner: Owner
-    attempt: int  # grows with each one that takes it up: what an earlier owner says of it then counts no more
-    body: (
-        int  # digest: another body under the same key is another request, and gets none of this one's result
-    )
-    order: Order | None = None  # while it may be taken over
+    attempt: int
+    body_digest: int
+    request: WorkRequest | None = None
     result: bytes | None = None
-    turned: tuple[str, ...] = ()  # seats that have turned it away
+    rejected_by: tuple[str, ...] = ()
 
 
 def key_of(tenant: str | None, token: str) -> Key:
-    """Tenants never share a key: whether one is there, and where its name ends, is part of what is hashed."""
+    """The key of a tenant's idempotency key: 16 bytes.
+
+    Tenants never share a key: whether there is a tenant, and where its name ends, is part of what is hashed.
+    """
     name = b"-" if tenant is None else b"+" + tenant.encode()
     return xxhash.xxh3_128_digest(len(name).to_bytes(4, "big") + name + token.encode())
 
 
-class Claim:
-    """A key that is new here: ours, unless somebody has it."""
+@dataclass(frozen=True, slots=True)
+class ClaimWork:
+    """A key that is new to the claiming runner: it becomes the owner, unless somebody has the key."""
 
-    def __init__(self, me: Owner, body: int, order: Order) -> None:
-        self.me, self.body, self.order = me, body, order
+    owner: Owner
+    body_digest: int
+    request: WorkRequest
 
-    def __call__(self, old: Work | None) -> Work | None:
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """HELD by the claimer where there was nothing, or where the same work was released."""
         if old is None:
-            return Work(State.HELD, self.me, 1, self.body, self.order)
-        if old.state is State.FREE and (old.body == self.body or old.order is None):
-            return Work(State.HELD, self.me, old.attempt + 1, self.body, self.order)
+            return WorkRecord(WorkState.HELD, self.owner, 1, self.body_digest, self.request)
+        if old.state is WorkState.RELEASED and (old.body_digest == self.body_digest or old.request is None):
+            return WorkRecord(WorkState.HELD, self.owner, old.attempt + 1, self.body_digest, self.request)
         return None
 
 
-class Take:
-    """Work that its owner has left, or that an owner holds who does not answer. Never what may have begun."""
+@dataclass(frozen=True, slots=True)
+class TakeOverWork:
+    """Work that was released, or that `former_owner` holds and does not answer for. Never what may have started."""
 
-    def __init__(self, me: Owner, owner: Owner, attempt: int) -> None:
-        self.me, self.owner, self.attempt = me, owner, attempt
+    new_owner: Owner
+    former_owner: Owner
+    attempt: int
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if old is None or old.order is None or old.owner == self.me:
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """HELD by the new owner, one attempt later."""
+        if old is None or old.request is None or old.owner == self.new_owner:
             return None
-        if old.state is State.FREE or (
-            old.state is State.HELD and old.owner == self.owner and old.attempt == self.attempt
-        ):
-            return Work(State.HELD, self.me, old.attempt + 1, old.body, old.order, None, old.turned)
+        is_held_by_former = (
+            old.state is WorkState.HELD and old.owner == self.former_owner and old.attempt == self.attempt
+        )
+        if old.state is WorkState.RELEASED or is_held_by_former:
+            return WorkRecord(
+                WorkState.HELD,
+                self.new_owner,
+                old.attempt + 1,
+                old.body_digest,
+                old.request,
+                None,
+                old.rejected_by,
+            )
         return None
 
 
-class _Mine:
-    def __init__(self, me: Owner, attempt: int) -> None:
-        self.me, self.attempt = me, attempt
+@dataclass(frozen=True, slots=True)
+class _OwnersChange:
+    """A change that concerns one owner's attempt alone."""
+
+    owner: Owner
+    attempt: int
 
-    def mine(self, old: Work | None) -> bool:
-        return old is not None and old.owner == self.me and old.attempt == self.attempt
+    def applies_to(self, old: WorkRecord | None) -> bool:
+        """The register still names that owner and attempt."""
+        return old is not None and old.owner == self.owner and old.attempt == self.attempt
 
 
-class Begin(_Mine):
-    """Before the run is commanded. The order goes: nobody may take it over from here on."""
+@dataclass(frozen=True, slots=True)
+class StartWork(_OwnersChange):
+    """Before the run is commanded. The request is dropped: nobody may take the work over from here on."""
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if old is not None and self.mine(old) and old.state is State.HELD:
-            return Work(State.BEGUN, old.owner, old.attempt, old.body, None, None, old.turned)
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """STARTED, where it was held."""
+        if old is not None and self.applies_to(old) and old.state is WorkState.HELD:
+            return WorkRecord(
+                WorkState.STARTED, old.owner, old.attempt, old.body_digest, None, None, old.rejected_by
+            )
         return None
 
 
-class Settle(_Mine):
-    """The run is over. Its own end goes before one that others have said for it: that was said without a result."""
+@dataclass(frozen=True, slots=True)
+class FinishWork(_OwnersChange):
+    """The run is over. The owner's own end replaces one that others wrote for it: theirs has no result."""
 
-    def __init__(self, me: Owner, attempt: int, result: bytes | None) -> None:
-        super().__init__(me, attempt)
-        self.result = result
+    result: bytes | None
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if (
-            old is not None
-            and self.mine(old)
-            and (
-                old.state is State.BEGUN
-                or (old.state is State.OVER and old.result is None and self.result is not None)
-            )
-        ):
-            return Work(State.OVER, old.owner, old.attempt, old.body, None, self.result)
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """FINISHED with the result, where it was started or was ended without one."""
+        if old is None or not self.applies_to(old):
+            return None
+        lacks_result = old.state is WorkState.FINISHED and old.result is None and self.result is not None
+        if old.state is WorkState.STARTED or lacks_result:
+            return WorkRecord(WorkState.FINISHED, old.owner, old.attempt, old.body_digest, None, self.result)
         return None
 
 
-class Free(_Mine):
-    """It never ran here and never will, says its owner; `order` is there where others may go on with it."""
+@dataclass(frozen=True, slots=True)
+class ReleaseWork(_OwnersChange):
+    """The owner says that the work never ran there and never will.
 
-    def __init__(self, me: Owner, attempt: int, order: Order | None, turned: bool) -> None:
-        super().__init__(me, attempt)
-        self.order, self.turned = order, turned
+    `request` is there where others may go on with it; `rejected`: this seat has rejected it.
+    """
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if old is not None and self.mine(old) and old.state in (State.HELD, State.BEGUN):
-            turned = (*old.turned, self.me.seat) if self.turned and self.order else ()
-            return Work(State.FREE, old.owner, old.attempt, old.body, self.order, None, turned)
-        return None
+    request: WorkRequest | None
+    rejected: bool
+
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """RELEASED, where it was held or started."""
+        if old is None or not self.applies_to(old):
+            return None
+        if old.state not in (WorkState.HELD, WorkState.STARTED):
+            return None
+        rejected_by = (*old.rejected_by, self.owner.seat) if self.rejected and self.request else ()
+        return WorkRecord(
+            WorkState.RELEASED, old.owner, old.attempt, old.body_digest, self.request, None, rejected_by
+        )
 
 
-class Withdraw:
-    """A claim whose outcome its owner did not hear in time: its caller was told of an error, and nobody here waits for
-    it. Whichever attempt it became: this owner has begun none."""
+@dataclass(frozen=True, slots=True)
+class WithdrawClaim:
+    """A claim whose outcome its owner did not learn in time: its caller got an error, and nobody here waits for it.
 
-    def __init__(self, me: Owner) -> None:
-        self.me = me
+    It applies to whichever attempt the claim became: this owner has started none.
+    """
+
+    owner: Owner
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if old is not None and old.owner == self.me and old.state is State.HELD:
-            return Work(State.FREE, old.owner, old.attempt, old.body)
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """RELEASED, where this owner holds it."""
+        if old is not None and old.owner == self.owner and old.state is WorkState.HELD:
+            return WorkRecord(WorkState.RELEASED, old.owner, old.attempt, old.body_digest)
         return None
 
 
-class Bury(_Mine):
-    """What may have begun at a runner that is lost: over, without a result. `me` is that owner."""
+@dataclass(frozen=True, slots=True)
+class EndOrphanedWork(_OwnersChange):
+    """Work that may have started at a lost runner ends without a result. `owner` is that lost process."""
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if old is not None and self.mine(old) and old.state is State.BEGUN:
-            return Work(State.OVER, old.owner, old.attempt, old.body)
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """FINISHED without a result, where it was started."""
+        if old is not None and self.applies_to(old) and old.state is WorkState.STARTED:
+            return WorkRecord(WorkState.FINISHED, old.owner, old.attempt, old.body_digest)
         return None
 
 
-class Look:
-    """Nothing is changed: what is there?"""
+class ReadOnly:
+    """Changes nothing: a read that has the guarantees of a write."""
 
-    def __call__(self, old: Work | None) -> Work | None:
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        """Always None."""
         return None
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -307,7 +307,7 @@
         self.reporter.follow(None if told is None else Maintenance(**told))
 
     def incarnation(self) -> int:
-        return 0 if self.fleet is None else int(self.fleet.node.owner.inc)
+        return 0 if self.fleet is None else int(self.fleet.node.owner.incarnation)
 
     def follows(self, incarnation: int) -> None:
         if self.fleet is not None:
--- a/moorusher/storage/journal_files.py
+++ b/moorusher/storage/journal_files.py
@@ -23,8 +23,8 @@
 
 from ..config.fleet import FleetConfig
 from ..config.section import ConfigError
-from ..replication.acceptor import Keeper
-from ..replication.journal import VERSION, Image, Whose, pack, read
+from ..replication.acceptor import Acceptor
+from ..replication.journal import JOURNAL_VERSION, JournalHeader, JournalImage, encode_records, read_journal
 
 log = logging.getLogger("moorusher")
 
@@ -60,7 +60,7 @@
 
     folder: Folder
     inc: int  # the incarnation of the life that begins
-    image: Image | None
+    image: JournalImage | None
     reason: str  # why there is no image, or why nothing can be written
 
     @property
@@ -68,7 +68,7 @@
         return self.folder.size > 0
 
 
-def opened(path: Path, whose: Whose, inc: int, files: Files | None = None) -> Opened:
+def opened(path: Path, whose: JournalHeader, inc: int, files: Files | None = None) -> Opened:
     """What can't be read is tried for a second. What was read counts even where nothing can be written yet: then no
     vote leaves until it is. Raises ConfigError where not even the names of earlier lives can be read."""
     folder = Folder(path, whose, files)
@@ -92,7 +92,7 @@
 class _Last:
     """The file of the last life. `damaged`: it is kept for whoever wants to look into it."""
 
-    image: Image | None
+    image: JournalImage | None
     reason: str
     data: bytes
     damaged: bool = False
@@ -101,18 +101,18 @@
 class Folder:
     """Blocking, and for one thread at a time. Raises OSError where the disk is full or fails."""
 
-    def __init__(self, path: Path, whose: Whose, files: Files | None = None) -> None:
+    def __init__(self, path: Path, whose: JournalHeader, files: Files | None = None) -> None:
         self.path, self.whose, self._files = path, whose, files or Files()
         self._fd = -1
         self.inc = 0  # of this life, once it is known
-        self.image: Image | None = None
+        self.image: JournalImage | None = None
         self.size = self.base = 0  # bytes of the file, and of what it began with
 
     @property
     def name(self) -> str:
         return f"{self.inc}.log"
 
-    def open(self, inc: int, last_try: bool = True) -> tuple[int, Image | None, str]:
+    def open(self, inc: int, last_try: bool = True) -> tuple[int, JournalImage | None, str]:
         """A new life begins: its incarnation, above that of all that have a file here; what the last one has left,
         or why nothing of it can be used. Before the last try a file that can't be read raises OSError."""
         self.path.mkdir(parents=True, exist_ok=True)
@@ -123,9 +123,11 @@
             inc = max(inc, lives[-1] + 1)
             last = self._last(self.path / f"{lives[-1]}.log", last_try)
         if last.image is not None:
-            inc = max(inc, last.image.incs.get(self.whose.seat, 0) + 1)
+            inc = max(inc, last.image.incarnations.get(self.whose.seat, 0) + 1)
         self.inc, self.image = inc, last.image
-        self.rewrite(pack([self.whose]) if last.image is None else last.data[: last.image.good])
+        self.rewrite(
+            encode_records([self.whose]) if last.image is None else last.data[: last.image.valid_bytes]
+        )
         # Only now: until here the last one is what counts.
         if last.damaged:
             self._tidy(self.path / f"{lives.pop()}.log", keep=True)
@@ -154,10 +156,10 @@
             if os.fstat(file.fileno()).st_ino != path.stat().st_ino:
                 return writing
         try:
-            image = read(data, self.whose)
+            image = read_journal(data, self.whose)
         except ValueError as exc:
             return _Last(None, f"{path.name} is not used, and is kept: {exc}", b"", damaged=True)
-        if not image.remembers:
+        if not image.recovered:
             return _Last(None, "that life had forgotten, too", b"")
         return _Last(image, "", data)
 
@@ -222,8 +224,10 @@
     """The journal of one part of a seat, where the operator's file names a folder for journals."""
     if not config.journal:
         return None
-    found = opened(Path(config.journal) / part, Whose(VERSION, config.name, digest, seat), inc)
-    told = found.reason if found.image is None else f"{len(found.image.slots)} keys recalled"
+    found = opened(
+        Path(config.journal) / part, JournalHeader(JOURNAL_VERSION, config.name, digest, seat), inc
+    )
+    told = found.reason if found.image is None else f"{len(found.image.registers)} keys recalled"
     log.info("fleet: journal: %s%s", f"{part}: " if part else "", told)
     return found
 
@@ -235,7 +239,7 @@
         self,
         reactor: Any,
         folder: Folder,
-        keeper: Keeper,
+        keeper: Acceptor,
         clock: Callable[[], int],
         count: Callable[[str], None],
     ) -> None:
@@ -245,7 +249,7 @@
         self._busy = self._soon = False
         self.failing = ""
         self.closed = False
-        keeper.notes = True
+        keeper.journaled = True
 
     def durable(self, then: Callable[[], None]) -> None:
         if self.failing:
@@ -262,10 +266,10 @@
         folder, waiting, self._waiting = self._folder, self._waiting, []
         anew = anew or folder.size - folder.base > max(GROWN, folder.base)
         now = self._clock()
-        records = self._keeper.whole(now) if anew else self._keeper.unsaved(now)
+        records = self._keeper.all_records(now) if anew else self._keeper.unsaved_records(now)
         if not records:
             return self._run(waiting)
-        data = pack([folder.whose, *records] if anew else records)
+        data = encode_records([folder.whose, *records] if anew else records)
         self._busy = True
         done = deferToThreadPool(
             self._reactor, self._reactor.getThreadPool(), folder.rewrite if anew else folder.append, data
@@ -279,7 +283,7 @@
         self._count("fleet: written to the disk")
         if self.failing:
             log.warning("fleet: the journal is written again")
-            self.failing, self._keeper.mute = "", False
+            self.failing, self._keeper.journal_failing = "", False
         self._run(waiting)
         if self._waiting:
             self._save()
@@ -303,7 +307,7 @@
         if not self.failing:
             log.error("fleet: the journal can't be written, this keeper has no vote: %s", why)
             self._count("fleet: the disk failed")
-        self.failing, self._keeper.mute = why or "failed", True
+        self.failing, self._keeper.journal_failing = why or "failed", True
         if not self.closed:
             self._reactor.callLater(1, self._save, True)
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from moorusher.lab.relays import Relay
-from moorusher.membership.placement import Seats
+from moorusher.membership.placement import Placement
 from moorusher.replication.policy import Seat
 from moorusher.replication.work_record import key_of
 
@@ -110,7 +110,7 @@
 
     def keepers(self, token: str) -> tuple[str, ...]:
         seats = [Seat(f"n{i}", (HOST, 0), f"z{i % 2}") for i in range(len(self.ports))]
-        return Seats(seats).keepers(key_of("acme", token))
+        return Placement(seats).replicas(key_of("acme", token))
 
     def ran(self) -> list[bytes]:
         """The bodies of all runs that were begun, wherever."""
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -56,7 +56,7 @@
 from moorusher.leadership.participant import Participant, Reading
 from moorusher.leadership.policy import Policy
 from moorusher.leadership.state_replication import Library
-from moorusher.membership.failure_detector import State
+from moorusher.membership.failure_detector import MemberState
 from moorusher.model_checking.cluster_simulation import SECOND, Course
 from moorusher.model_checking.explorer import explore
 from moorusher.model_checking.leadership_interleavings import Terms
@@ -69,8 +69,8 @@
     search,
 )
 from moorusher.model_checking.register_interleavings import Limits
-from moorusher.replication.messages import Word
-from moorusher.replication.register_space import Registers
+from moorusher.replication.messages import MemberStatus
+from moorusher.replication.register_space import RegisterSpace
 from moorusher.replication.work_record import Owner
 
 A, B = Owner("a", 1), Owner("b", 2)
@@ -357,7 +357,7 @@
 def test_seeds_find_a_look_that_takes_one_keepers_word_for_that_of_a_majority(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Registers, "wanted", staticmethod(lambda looking, vote: 1))
+    monkeypatch.setattr(RegisterSpace, "votes_needed", staticmethod(lambda looking, vote: 1))
     found = search(range(20))
     assert found is not None and "missing" in found[1]
 
@@ -559,7 +559,9 @@
     taker = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me not in sim.seats.keepers(ownership.key)
+        if isinstance(p, DutyProcess)
+        and p is not owner
+        and p.node.me not in sim.seats.replicas(ownership.key)
     )
     taker.participant._offered(
         "n0", Offer(ownership.key, ownership.post.born, ownership.post.term, False, True)
@@ -573,10 +575,10 @@
     keeper = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.seats.keepers(ownership.key)
+        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.seats.replicas(ownership.key)
     )
-    member = keeper.node.members.by_seat[owner.node.me]
-    member.state, member.told = State.UNKNOWN, Word()
+    member = keeper.node.detector.by_seat[owner.node.me]
+    member.state, member.status = MemberState.UNKNOWN, MemberStatus()
     for _ in range(2):
         keeper.participant.tending.look()
         sim.now += 10 * SECOND
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,57 +10,65 @@
 
 import pytest
 
-from moorusher.membership.failure_detector import Members, State
-from moorusher.membership.placement import Seats
+from moorusher.membership.failure_detector import FailureDetector, MemberState
+from moorusher.membership.placement import Placement
 from moorusher.model_checking.cluster_simulation import Course, Process, Simulation, search
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.register_interleavings import Limits, Registers
 from moorusher.replication import node as node_module
 from moorusher.replication import watched_work as watched_module
 from moorusher.replication import work_takeover as left_module
-from moorusher.replication.acceptor import Keeper
-from moorusher.replication.messages import FAST, Ask, Ping, Pong, decode, encode
-from moorusher.replication.messages import Begin as BeginFleet
+from moorusher.replication.acceptor import Acceptor
+from moorusher.replication.messages import (
+    FAST_BALLOT,
+    BallotRequest,
+    Bootstrap,
+    Ping,
+    PingAck,
+    PingRequest,
+    decode,
+    encode,
+)
 from moorusher.replication.policy import Seat
-from moorusher.replication.proposer import Writer
+from moorusher.replication.proposer import Proposer
 from moorusher.replication.work_record import (
-    Begin,
-    Bury,
-    Claim,
-    Free,
-    Order,
+    ClaimWork,
+    EndOrphanedWork,
+    FinishWork,
     Owner,
-    Settle,
-    Take,
-    Work,
+    ReleaseWork,
+    StartWork,
+    TakeOverWork,
+    WorkRecord,
+    WorkRequest,
+    WorkState,
     key_of,
 )
-from moorusher.replication.work_record import State as WorkState
 
-ORDER = Order("r", "write", None, "t", b"body", 0.0, None, 0, 1.0, 0.0, None)
+ORDER = WorkRequest("r", "write", None, "t", b"body", 0.0, None, 0, 1.0, 0.0, None)
 A, B = Owner("a", 1), Owner("b", 2)
 
 # ---- seats ----
 
 
-def seats(n: int, zones: int = 3) -> Seats:
-    return Seats([Seat(f"n{i}", ("127.0.0.1", 1), f"z{i % zones}") for i in range(n)])
+def seats(n: int, zones: int = 3) -> Placement:
+    return Placement([Seat(f"n{i}", ("127.0.0.1", 1), f"z{i % zones}") for i in range(n)])
 
 
 def test_keepers_are_the_same_for_all_and_in_different_zones_and_as_many_as_there_are() -> None:
     s = seats(9)
     for i in range(200):
-        keepers = s.keepers(b"%d" % i)
-        assert keepers == seats(9).keepers(b"%d" % i) and len(set(keepers)) == 3
+        keepers = s.replicas(b"%d" % i)
+        assert keepers == seats(9).replicas(b"%d" % i) and len(set(keepers)) == 3
         assert {s.by_name[k].zone for k in keepers} == {"z0", "z1", "z2"}
-    assert len(seats(2).keepers(b"x")) == 2 and len(seats(5, zones=1).keepers(b"x")) == 3
+    assert len(seats(2).replicas(b"x")) == 2 and len(seats(5, zones=1).replicas(b"x")) == 3
 
 
 def test_the_work_of_a_lost_runner_spreads_over_all_the_others() -> None:
     s = seats(100)
     taken: dict[str, int] = {}
     for i in range(4000):
-        first = next(t for t in s.takers(b"%d" % i) if t != "n7")
+        first = next(t for t in s.takeover_order(b"%d" % i) if t != "n7")
         taken[first] = taken.get(first, 0) + 1
     assert len(taken) == 99 and max(taken.values()) < 2 * 4000 / 99
 
@@ -73,43 +81,43 @@
 # ---- the life of work ----
 
 
-def held(owner: Owner = A, attempt: int = 1) -> Work:
-    return Work(WorkState.HELD, owner, attempt, 7, ORDER)
+def held(owner: Owner = A, attempt: int = 1) -> WorkRecord:
+    return WorkRecord(WorkState.HELD, owner, attempt, 7, ORDER)
 
 
-def begun() -> Work:
-    return Work(WorkState.BEGUN, A, 1, 7)
+def begun() -> WorkRecord:
+    return WorkRecord(WorkState.STARTED, A, 1, 7)
 
 
 @pytest.mark.parametrize(
     "change, old, state, owner",
     [
-        (Claim(B, 7, ORDER), None, WorkState.HELD, B),
-        (Claim(B, 7, ORDER), held(), None, None),
-        (Claim(B, 7, ORDER), begun(), None, None),
-        (Claim(B, 7, ORDER), Work(WorkState.FREE, A, 1, 7), WorkState.HELD, B),
-        (Claim(B, 8, ORDER), Work(WorkState.FREE, A, 1, 7, ORDER), None, None),
-        (Take(B, A, 1), held(), WorkState.HELD, B),
-        (Take(B, A, 1), held(attempt=2), None, None),
-        (Take(B, A, 1), begun(), None, None),
-        (Take(B, A, 1), Work(WorkState.FREE, A, 3, 7, ORDER), WorkState.HELD, B),
-        (Take(B, A, 1), Work(WorkState.FREE, A, 1, 7), None, None),
-        (Begin(A, 1), held(), WorkState.BEGUN, A),
-        (Begin(A, 1), held(B, 2), None, None),
-        (Begin(A, 1), held(A, 2), None, None),
-        (Begin(A, 1), None, None, None),
-        (Settle(A, 1, b"r"), begun(), WorkState.OVER, A),
-        (Settle(A, 1, b"r"), Work(WorkState.OVER, A, 1, 7), WorkState.OVER, A),
-        (Settle(A, 1, None), Work(WorkState.OVER, A, 1, 7), None, None),
-        (Settle(A, 1, b"r"), held(B, 2), None, None),
-        (Bury(A, 1), begun(), WorkState.OVER, A),
-        (Bury(A, 1), held(), None, None),
-        (Free(A, 1, None, False), begun(), WorkState.FREE, A),
-        (Free(A, 1, None, False), Work(WorkState.OVER, A, 1, 7), None, None),
+        (ClaimWork(B, 7, ORDER), None, WorkState.HELD, B),
+        (ClaimWork(B, 7, ORDER), held(), None, None),
+        (ClaimWork(B, 7, ORDER), begun(), None, None),
+        (ClaimWork(B, 7, ORDER), WorkRecord(WorkState.RELEASED, A, 1, 7), WorkState.HELD, B),
+        (ClaimWork(B, 8, ORDER), WorkRecord(WorkState.RELEASED, A, 1, 7, ORDER), None, None),
+        (TakeOverWork(B, A, 1), held(), WorkState.HELD, B),
+        (TakeOverWork(B, A, 1), held(attempt=2), None, None),
+        (TakeOverWork(B, A, 1), begun(), None, None),
+        (TakeOverWork(B, A, 1), WorkRecord(WorkState.RELEASED, A, 3, 7, ORDER), WorkState.HELD, B),
+        (TakeOverWork(B, A, 1), WorkRecord(WorkState.RELEASED, A, 1, 7), None, None),
+        (StartWork(A, 1), held(), WorkState.STARTED, A),
+        (StartWork(A, 1), held(B, 2), None, None),
+        (StartWork(A, 1), held(A, 2), None, None),
+        (StartWork(A, 1), None, None, None),
+        (FinishWork(A, 1, b"r"), begun(), WorkState.FINISHED, A),
+        (FinishWork(A, 1, b"r"), WorkRecord(WorkState.FINISHED, A, 1, 7), WorkState.FINISHED, A),
+        (FinishWork(A, 1, None), WorkRecord(WorkState.FINISHED, A, 1, 7), None, None),
+        (FinishWork(A, 1, b"r"), held(B, 2), None, None),
+        (EndOrphanedWork(A, 1), begun(), WorkState.FINISHED, A),
+        (EndOrphanedWork(A, 1), held(), None, None),
+        (ReleaseWork(A, 1, None, False), begun(), WorkState.RELEASED, A),
+        (ReleaseWork(A, 1, None, False), WorkRecord(WorkState.FINISHED, A, 1, 7), None, None),
     ],
 )
 def test_each_change_has_its_one_outcome(
-    change: Any, old: Work | None, state: WorkState | None, owner: Owner | None
+    change: Any, old: WorkRecord | None, state: WorkState | None, owner: Owner | None
 ) -> None:
     new = change(old)
     assert (state, owner) == (None, None) if new is None else (new.state, new.owner) == (state, owner)
@@ -117,12 +125,12 @@
 
 def test_what_has_begun_leads_back_to_a_run_only_by_its_owners_own_word() -> None:
     others: list[Any] = [
-        Claim(B, 7, ORDER),
-        Take(B, A, 1),
-        Begin(B, 1),
-        Bury(A, 1),
-        Settle(B, 1, b"x"),
-        Free(B, 1, ORDER, True),
+        ClaimWork(B, 7, ORDER),
+        TakeOverWork(B, A, 1),
+        StartWork(B, 1),
+        EndOrphanedWork(A, 1),
+        FinishWork(B, 1, b"x"),
+        ReleaseWork(B, 1, ORDER, True),
     ]
     reached = [begun()]
     for old in reached:
@@ -130,70 +138,72 @@
             new = change(old)
             if new is not None and new not in reached:
                 reached.append(new)
-    assert all(w.state is WorkState.OVER or w == begun() for w in reached)
+    assert all(w.state is WorkState.FINISHED or w == begun() for w in reached)
 
 
 # ---- registers ----
 
 
-def keepers(*names: str) -> dict[str, Keeper]:
-    return {s: Keeper(s, 1, lambda key: names, frozenset(names) - {s}, True) for s in names}
+def keepers(*names: str) -> dict[str, Acceptor]:
+    return {s: Acceptor(s, 1, lambda key: names, frozenset(names) - {s}, True) for s in names}
 
 
-def ask(all_of: dict[str, Keeper], w: Writer, asks: list[Ask], *at: str) -> list[Ask]:
+def ask(all_of: dict[str, Acceptor], w: Proposer, asks: list[BallotRequest], *at: str) -> list[BallotRequest]:
     """Puts one round to these keepers; what is to be asked next."""
-    return [a for q in asks for s in at for a in w.heard(s, all_of[s].ask(0, q))]
+    return [a for q in asks for s in at for a in w.handle_vote(s, all_of[s].vote(0, q))]
 
 
-def claimed(all_of: dict[str, Keeper], owner: Owner, *at: str) -> tuple[Writer, list[Ask]]:
-    w = Writer(b"k", tuple(all_of), owner.inc, 1, Claim(owner, 7, ORDER), 1000)
-    return w, ask(all_of, w, w.begin(owner.inc * 1000), *at)
+def claimed(all_of: dict[str, Acceptor], owner: Owner, *at: str) -> tuple[Proposer, list[BallotRequest]]:
+    w = Proposer(b"k", tuple(all_of), owner.incarnation, 1, ClaimWork(owner, 7, ORDER), 1000)
+    return w, ask(all_of, w, w.start(owner.incarnation * 1000), *at)
 
 
 def test_a_first_write_is_chosen_where_all_took_it_and_else_needs_one_more_round() -> None:
     w, _ = claimed(keepers("x", "y", "z"), A, "x", "y", "z")
-    assert w.done is not None and w.done.made
+    assert w.result is not None and w.result.applied
     k = keepers("x", "y", "z")
     w, _ = claimed(k, A, "x", "y")
-    assert w.done is None, "with the third lost, nobody could tell it from another's"
-    ask(k, w, w.nudge(), "x", "y")
-    assert w.done is not None and w.done.value.owner == A
+    assert w.result is None, "with the third lost, nobody could tell it from another's"
+    ask(k, w, w.settle_for_majority(), "x", "y")
+    assert w.result is not None and w.result.value.owner == A
 
 
 def test_of_two_first_writes_the_later_reader_gives_both_the_same() -> None:
     k = keepers("x", "y", "z")
     one, _ = claimed(k, A, "x", "y")
     two, _ = claimed(k, B, "z", "y")
-    ask(k, two, ask(k, two, two.again(), "z", "y"), "z", "y")
-    ask(k, one, one.again(), "x", "z")  # too low a ballot, which tells a higher one
-    ask(k, one, ask(k, one, one.again(), "x", "z"), "x", "z")
-    assert one.done is not None and two.done is not None and one.done.value == two.done.value
+    ask(k, two, ask(k, two, two.retry(), "z", "y"), "z", "y")
+    ask(k, one, one.retry(), "x", "z")  # too low a ballot, which tells a higher one
+    ask(k, one, ask(k, one, one.retry(), "x", "z"), "x", "z")
+    assert one.result is not None and two.result is not None and one.result.value == two.result.value
 
 
 def test_an_owner_begins_in_one_round_and_not_once_another_has_promised_more() -> None:
     k = keepers("x", "y", "z")
     w, _ = claimed(k, A, "x", "y", "z")
-    assert w.done is not None and w.done.hold is not None
-    b = Writer(b"k", ("x", "y", "z"), A.inc, 2, Begin(A, 1), 1000, w.done.hold)
-    ask(k, b, b.begin(9000), "x", "y")
-    assert b.done is not None and b.done.value.state is WorkState.BEGUN
-    late = Writer(b"k", ("x", "y", "z"), B.inc, 1, Take(B, A, 1), 1000)
-    ask(k, late, ask(k, late, late.begin(9100), "y", "z"), "y", "z")
-    assert late.done is not None and not late.done.made and late.done.value.state is WorkState.BEGUN
+    assert w.result is not None and w.result.promise is not None
+    b = Proposer(b"k", ("x", "y", "z"), A.incarnation, 2, StartWork(A, 1), 1000, w.result.promise)
+    ask(k, b, b.start(9000), "x", "y")
+    assert b.result is not None and b.result.value.state is WorkState.STARTED
+    late = Proposer(b"k", ("x", "y", "z"), B.incarnation, 1, TakeOverWork(B, A, 1), 1000)
+    ask(k, late, ask(k, late, late.start(9100), "y", "z"), "y", "z")
+    assert (
+        late.result is not None and not late.result.applied and late.result.value.state is WorkState.STARTED
+    )
 
 
 def test_a_keeper_that_forgot_has_no_vote_until_both_others_have_told_it() -> None:
     k = keepers("x", "y", "z")
     claimed(k, A, "x", "y", "z")
-    k["x"] = new = Keeper("x", 2, lambda key: ("x", "y", "z"), frozenset("yz"))
-    question = Ask(1, b"k", (5, 9, 9), None, (6, 9, 9), {}, 1000)
-    assert new.ask(0, question).blank
+    k["x"] = new = Acceptor("x", 2, lambda key: ("x", "y", "z"), frozenset("yz"))
+    question = BallotRequest(1, b"k", (5, 9, 9), None, (6, 9, 9), {}, 1000)
+    assert new.vote(0, question).recovering
     for part in k["y"].answer_sync(0, "x", 2):
-        new.take_slots(0, "y", part)
-    assert new.ask(0, question).blank
+        new.apply_sync(0, "y", part)
+    assert new.vote(0, question).recovering
     for part in k["z"].answer_sync(0, "x", 2):
-        new.take_slots(0, "z", part)
-    assert new.remembers and new.ask(0, question).value.owner == A  # type: ignore[union-attr]
+        new.apply_sync(0, "z", part)
+    assert new.recovered and new.vote(0, question).value.owner == A  # type: ignore[union-attr]
 
 
 def test_one_seat_lost_for_good_keeps_nobody_who_begins_anew_from_voting_and_telling_the_next() -> None:
@@ -205,47 +215,51 @@
         sim.processes[seat] = sim.born(seat, remembers=False)
         sim.run(sim.now + 3_000_000)
     keys = [b"k%d" % i for i in range(400)]
-    without = [k for k in keys if "n4" not in sim.seats.keepers(k)]
+    without = [k for k in keys if "n4" not in sim.seats.replicas(k)]
     assert without and all(
-        p.node.keeper.votes_for(k)
+        p.node.acceptor.can_vote_on(k)
         for k in without
         for p in sim.processes[:4]
-        if p.node.me in sim.seats.keepers(k)
+        if p.node.me in sim.seats.replicas(k)
     )
     # Where it is needed nobody guesses: two of three are not enough to know again what all three were.
     assert not any(
-        p.node.keeper.votes_for(k)
+        p.node.acceptor.can_vote_on(k)
         for k in keys
         if k not in without
         for p in sim.processes[:4]
-        if p.node.me in sim.seats.keepers(k)
+        if p.node.me in sim.seats.replicas(k)
     )
 
 
 def test_what_is_of_the_whole_fleet_is_kept_by_more_seats() -> None:
     for count, kept in ((2, 2), (3, 3), (4, 3), (5, 5), (8, 7), (40, 7)):
-        seats = Seats([Seat(f"n{i}", ("", 0), f"z{i % 3}") for i in range(count)])
-        assert len(seats.keepers(b"fleet:x")) == kept and len(seats.keepers(b"x")) == min(3, count)
+        seats = Placement([Seat(f"n{i}", ("", 0), f"z{i % 3}") for i in range(count)])
+        assert len(seats.replicas(b"fleet:x")) == kept and len(seats.replicas(b"x")) == min(3, count)
 
 
 def test_an_answer_that_only_says_too_low_an_incarnation_tells_nothing() -> None:
     k = keepers("x", "y", "z")
-    k["y"].hear_of({"x": 5})
+    k["y"].learn_incarnations({"x": 5})
     (part,) = k["y"].answer_sync(0, "x", 3)
-    new = Keeper("x", part.inc, lambda key: ("x", "y", "z"), frozenset("yz"))
-    new.take_slots(0, "y", part)
-    assert part.blank and not new.synced
+    new = Acceptor("x", part.incarnation, lambda key: ("x", "y", "z"), frozenset("yz"))
+    new.apply_sync(0, "y", part)
+    assert part.recovering and not new.synced_from
 
 
 def test_a_promise_of_a_past_life_carries_no_write() -> None:
     k = keepers("x", "y", "z")
-    w = Writer(b"k", ("x", "y", "z"), A.inc, 1, Take(A, B, 1), 1000)
-    first = w.again()
+    w = Proposer(b"k", ("x", "y", "z"), A.incarnation, 1, TakeOverWork(A, B, 1), 1000)
+    first = w.retry()
     for s in ("x", "y"):
-        k[s].ask(0, first[0])
-    k["y"].hear_of({"x": 2})
+        k[s].vote(0, first[0])
+    k["y"].learn_incarnations({"x": 2})
     assert (
-        not k["y"].ask(0, Ask(2, b"k", first[0].ballot, held(), first[0].after, {"x": 1, "y": 1}, 1000)).taken
+        not k["y"]
+        .vote(
+            0, BallotRequest(2, b"k", first[0].ballot, held(), first[0].next_ballot, {"x": 1, "y": 1}, 1000)
+        )
+        .accepted
     )
 
 
@@ -254,12 +268,12 @@
     for other in sim.processes:
         sim._end(other)
     process = sim.processes[0] = sim.born(0, remembers=False, inc=7)
-    process.node.heard("n1", 9, BeginFleet(6))
+    process.node.receive("n1", 9, Bootstrap(6))
     sim.run(sim.now + 200_000)
-    assert not process.node.keeper.remembers
-    process.node.heard("n1", 9, BeginFleet(7))
+    assert not process.node.acceptor.recovered
+    process.node.receive("n1", 9, Bootstrap(7))
     sim.run(sim.now + 200_000)
-    assert process.node.keeper.remembers
+    assert process.node.acceptor.recovered
 
 
 def test_those_who_hear_of_others_that_began_before_the_word_itself_take_it_all_the_same() -> None:
@@ -273,19 +287,19 @@
     send = sim.processes[0].send
 
     def caught(seat: str, message: Any) -> None:
-        if isinstance(message, BeginFleet):
+        if isinstance(message, Bootstrap):
             sent.append((seat, message))
         else:
             send(seat, message)
 
     sim.processes[0].send = caught  # type: ignore[method-assign]
-    assert registers.begin() is None
+    assert registers.bootstrap() is None
     for name, m in sent:  # the word takes another way than answers do
         sim.at(sim.now + (50_000 if name in ("n2", "n3") else 1_000), None, partial(send, name, m))
     for late in sim.processes[2:]:
         sim.at(sim.now + 20_000, None, partial(late.node.registers._sync_all, 500_000))
     sim.run(sim.now + 3_000_000)
-    assert all(p.node.keeper.remembers for p in sim.processes)
+    assert all(p.node.acceptor.recovered for p in sim.processes)
 
 
 # ---- every interleaving ----
@@ -333,17 +347,17 @@
             self.begun(key)
 
 
-class Amnesiac(Keeper):
-    def votes_for(self, key: bytes) -> bool:
+class Amnesiac(Acceptor):
+    def can_vote_on(self, key: bytes) -> bool:
         return True
 
 
-class Grasping(Take):
+class Grasping(TakeOverWork):
     """A seeded mistake: what has begun is taken over, too."""
 
-    def __call__(self, old: Work | None) -> Work | None:
-        if old is not None and old.state is WorkState.BEGUN and old.owner == self.owner:
-            return Work(WorkState.HELD, self.me, old.attempt + 1, old.body, ORDER)
+    def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
+        if old is not None and old.state is WorkState.STARTED and old.owner == self.former_owner:
+            return WorkRecord(WorkState.HELD, self.new_owner, old.attempt + 1, old.body_digest, ORDER)
         return super().__call__(old)
 
 
@@ -351,8 +365,8 @@
     "where, name, what, how",
     [
         ("", "", None, {"process": Hasty}),
-        ("node", "Keeper", Amnesiac, {}),
-        ("node", "TakeWork", Grasping, {}),
+        ("node", "Acceptor", Amnesiac, {}),
+        ("node", "TakeOverWork", Grasping, {}),
     ],
     ids=["commanded before it is begun", "amnesia ignored", "begun work taken over"],
 )
@@ -389,7 +403,7 @@
     def at(self, when: int, action: Any) -> None:
         self.alarms.append((when, action))
 
-    def died(self, seat: str, inc: int) -> None:
+    def member_lost(self, seat: str, inc: int) -> None:
         self.lost.append((seat, inc))
 
     def random(self) -> float:
@@ -408,11 +422,11 @@
         self.now = end
 
 
-def members(n: int = 3) -> tuple[Members, Host]:
+def members(n: int = 3) -> tuple[FailureDetector, Host]:
     host = Host()
-    m = Members("a", 1, tuple("abcdefgh"[:n]), host)
+    m = FailureDetector("a", 1, tuple("abcdefgh"[:n]), host)
     for seat in "bcdefgh"[: n - 1]:
-        m.heard(seat, 9)
+        m.record_contact(seat, 9)
     m.start(0)
     return m, host
 
@@ -420,7 +434,7 @@
 def test_a_silent_member_is_asked_through_others_then_suspected_then_lost() -> None:
     _, host = members()
     host.wait(3000)
-    assert any(type(x).__name__ == "PingFor" for _, x in host.sent)
+    assert any(isinstance(x, PingRequest) for _, x in host.sent)
     assert {"b", "c"} == {seat for seat, _ in host.lost}
 
 
@@ -429,9 +443,9 @@
     m.suspect("b", refused=True)
     m.suspect("c", refused=True)
     host.wait(100)
-    m.heard("c", 9)
+    m.record_contact("c", 9)
     host.wait(250)
-    assert host.lost == [("b", 9)] and m.by_seat["c"].state is not State.DEAD
+    assert host.lost == [("b", 9)] and m.by_seat["c"].state is not MemberState.DEAD
 
 
 def test_a_process_that_was_stopped_itself_judges_nobody_by_what_it_missed() -> None:
@@ -445,15 +459,15 @@
 def test_a_rumour_of_our_own_death_is_refuted_with_a_higher_version() -> None:
     m, host = members()
     before = m.own.version
-    m.ping("b", Ping(1, [m_about("a", 1, before, State.DEAD)]))
-    ((_, pong),) = [x for x in host.sent if isinstance(x[1], Pong)]
-    assert m.own.version > before and any(a.seat == "a" and a.version == m.own.version for a in pong.news)
+    m.handle_ping("b", Ping(1, [m_about("a", 1, before, MemberState.DEAD)]))
+    ((_, pong),) = [x for x in host.sent if isinstance(x[1], PingAck)]
+    assert m.own.version > before and any(a.seat == "a" and a.version == m.own.version for a in pong.updates)
 
 
-def m_about(seat: str, inc: int, version: int, state: State) -> Any:
-    from moorusher.replication.messages import About, Word
+def m_about(seat: str, inc: int, version: int, state: MemberState) -> Any:
+    from moorusher.replication.messages import MemberStatus, MemberUpdate
 
-    return About(seat, inc, version, state.value, Word(True, 2))
+    return MemberUpdate(seat, inc, version, state.value, MemberStatus(True, 2))
 
 
 def test_messages_a_member_stay_the_same_as_the_fleet_grows() -> None:
@@ -464,7 +478,7 @@
             host.wait(200)
             for seat, x in list(host.sent):
                 if isinstance(x, Ping):
-                    m.pong(seat, Pong(x.serial, []))
+                    m.handle_ack(seat, PingAck(x.serial, []))
             sent[n] = sent.get(n, 0) + len(host.sent)
             assert all(len(encode([x])) < 600 for _, x in host.sent)
             host.sent.clear()
@@ -492,5 +506,5 @@
 
 
 def test_messages_come_out_as_they_went_in() -> None:
-    asked = Ask(5, b"k", FAST, held(), (1, 2, 3), {"a": 1}, 1000)
+    asked = BallotRequest(5, b"k", FAST_BALLOT, held(), (1, 2, 3), {"a": 1}, 1000)
     assert decode(encode([asked, Ping(1, [])])) == [asked, Ping(1, [])]
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -18,10 +18,18 @@
 from moorusher.config.loader import read_fronts
 from moorusher.config.section import ConfigError
 from moorusher.model_checking.cluster_simulation import Course, Process, search
-from moorusher.replication.acceptor import Keeper
-from moorusher.replication.journal import VERSION, Heard, Line, Remembers, Whose, pack, read
-from moorusher.replication.messages import FAST, Ask
-from moorusher.replication.work_record import Owner, State, Work
+from moorusher.replication.acceptor import Acceptor
+from moorusher.replication.journal import (
+    JOURNAL_VERSION,
+    IncarnationsRecord,
+    JournalHeader,
+    RecoveredRecord,
+    RegisterRecord,
+    encode_records,
+    read_journal,
+)
+from moorusher.replication.messages import FAST_BALLOT, BallotRequest
+from moorusher.replication.work_record import Owner, WorkRecord, WorkState
 from moorusher.storage import journal_files as disk
 from moorusher.storage.journal_files import Files, Folder, opened
 
@@ -29,66 +37,68 @@
 from .test_sockets import has, sockets
 from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
 
-WHOSE = Whose(VERSION, "f", "digest", "a")
+WHOSE = JournalHeader(JOURNAL_VERSION, "f", "digest", "a")
 OWNER = Owner("b", 1)
 
 
-def line(n: int, left_ms: int = 5000) -> Line:
-    return Line(b"k%d" % n, (1, 2, 3), FAST, Work(State.HELD, OWNER, 1, n, None), left_ms)
+def line(n: int, left_ms: int = 5000) -> RegisterRecord:
+    return RegisterRecord(
+        b"k%d" % n, (1, 2, 3), FAST_BALLOT, WorkRecord(WorkState.HELD, OWNER, 1, n, None), left_ms
+    )
 
 
 # ---- records ----
 
 
 def test_a_file_is_read_up_to_any_torn_end() -> None:
-    records = [WHOSE, Heard({"a": 4, "b": 9}), line(1), Remembers(), line(2), line(1, 7)]
-    data = pack(records)
-    ends = [len(pack(records[:n])) for n in range(len(records) + 1)]
+    records = [WHOSE, IncarnationsRecord({"a": 4, "b": 9}), line(1), RecoveredRecord(), line(2), line(1, 7)]
+    data = encode_records(records)
+    ends = [len(encode_records(records[:n])) for n in range(len(records) + 1)]
     for cut in range(ends[1], len(data) + 1):
         whole = max(n for n, end in enumerate(ends) if end <= cut)
-        image = read(data[:cut], WHOSE)
-        assert image.good == ends[whole]
-        assert image.slots == {r.key: r for r in records[:whole] if isinstance(r, Line)}
-        assert image.remembers == (whole >= 4)
+        image = read_journal(data[:cut], WHOSE)
+        assert image.valid_bytes == ends[whole]
+        assert image.registers == {r.key: r for r in records[:whole] if isinstance(r, RegisterRecord)}
+        assert image.recovered == (whole >= 4)
 
 
 @pytest.mark.parametrize("bit", range(8))
 def test_a_bad_record_before_a_good_one_is_damage_and_not_an_end(bit: int) -> None:
-    first, second = len(pack([WHOSE])), len(pack([WHOSE, line(1)]))
-    whole = pack([WHOSE, line(1), line(2)])
+    first, second = len(encode_records([WHOSE])), len(encode_records([WHOSE, line(1)]))
+    whole = encode_records([WHOSE, line(1), line(2)])
     for at in range(first, second):  # its length, its checksum, its body
         data = bytearray(whole)
         data[at] ^= 1 << bit
         with pytest.raises(ValueError, match="damaged"):
-            read(bytes(data), WHOSE)
+            read_journal(bytes(data), WHOSE)
 
 
 def test_bytes_of_a_record_that_are_missing_in_the_middle_are_damage() -> None:
-    first, second = len(pack([WHOSE])), len(pack([WHOSE, line(1)]))
-    whole = pack([WHOSE, line(1), line(2)])
+    first, second = len(encode_records([WHOSE])), len(encode_records([WHOSE, line(1)]))
+    whole = encode_records([WHOSE, line(1), line(2)])
     for at in range(first + 1, second):
         with pytest.raises(ValueError, match="damaged"):
-            read(whole[:at] + whole[second:], WHOSE)
+            read_journal(whole[:at] + whole[second:], WHOSE)
 
 
 def test_a_long_torn_end_is_looked_through_in_time() -> None:
-    whole = pack([WHOSE, line(1)])
+    whole = encode_records([WHOSE, line(1)])
     began = time.monotonic()
-    assert read(whole + random.Random(1).randbytes(1 << 20), WHOSE).good == len(whole)
+    assert read_journal(whole + random.Random(1).randbytes(1 << 20), WHOSE).valid_bytes == len(whole)
     assert time.monotonic() - began < 10
 
 
 def test_a_file_of_another_seat_fleet_or_version_is_not_read() -> None:
     for other in (
-        Whose(VERSION, "f", "digest", "b"),
-        Whose(VERSION, "g", "digest", "a"),
-        Whose(9, "f", "digest", "a"),
-        Whose(VERSION, "f", "more seats", "a"),
+        JournalHeader(JOURNAL_VERSION, "f", "digest", "b"),
+        JournalHeader(JOURNAL_VERSION, "g", "digest", "a"),
+        JournalHeader(9, "f", "digest", "a"),
+        JournalHeader(JOURNAL_VERSION, "f", "more seats", "a"),
     ):
         with pytest.raises(ValueError, match="another"):
-            read(pack([other, line(1)]), WHOSE)
+            read_journal(encode_records([other, line(1)]), WHOSE)
     with pytest.raises(ValueError, match="no beginning"):
-        read(b"", WHOSE)
+        read_journal(b"", WHOSE)
 
 
 # ---- the folder, ended at each step ----
@@ -149,24 +159,24 @@
     folder = Folder(path, WHOSE, files)
     try:
         inc, image, _ = folder.open(1)
-        keeper = Keeper(
-            "a", inc, lambda key: ("a", "b", "c"), frozenset("bc"), remembers=not known, notes=True
+        keeper = Acceptor(
+            "a", inc, lambda key: ("a", "b", "c"), frozenset("bc"), recovered=not known, journaled=True
         )
         if image is not None:
-            keeper.recall(0, image)
-            assert image.incs.get("a", 0) < inc
-        assert keeper.remembers or not left, "its votes left, and it says that it may have forgotten"
+            keeper.restore(0, image)
+            assert image.incarnations.get("a", 0) < inc
+        assert keeper.recovered or not left, "its votes left, and it says that it may have forgotten"
         for key, promised in left.items():
-            assert keeper.slots[key].promised[0] >= promised, "a vote left, and what it said is gone"
+            assert keeper.registers[key].promised[0] >= promised, "a vote left, and what it said is gone"
         for n in range(6):
             key = b"k%d" % (n % 4)
-            asked = keeper.slots[key].promised[0] + 1 if key in keeper.slots else 2
-            vote = keeper.ask(0, Ask(n, key, (asked, 1, n), None, (0, 0, 0), {}, 5000))
-            assert vote.taken
+            asked = keeper.registers[key].promised[0] + 1 if key in keeper.registers else 2
+            vote = keeper.vote(0, BallotRequest(n, key, (asked, 1, n), None, (0, 0, 0), {}, 5000))
+            assert vote.accepted
             if n == 3:
-                folder.rewrite(pack([WHOSE, *keeper.whole(0)]))
+                folder.rewrite(encode_records([WHOSE, *keeper.all_records(0)]))
             else:
-                folder.append(pack(keeper.unsaved(0)))
+                folder.append(encode_records(keeper.unsaved_records(0)))
             left[key] = asked
     finally:
         folder.close()
@@ -207,7 +217,7 @@
     class Forgets(Ends):
         def _lose(self) -> None:  # all that no fsync has confirmed
             for p in sorted(p for d in tmp_path.iterdir() for p in d.glob("*.log")):
-                p.write_bytes(p.read_bytes()[: len(pack([WHOSE]))])
+                p.write_bytes(p.read_bytes()[: len(encode_records([WHOSE]))])
             raise Ended
 
     monkeypatch.setattr("tests.test_journal.Folder", Early)
@@ -222,10 +232,10 @@
 def test_a_folder_that_another_process_writes_to_is_begun_anew_and_left_to_it(tmp_path: Path) -> None:
     elder, younger = Folder(tmp_path, WHOSE), Folder(tmp_path, WHOSE)
     first, _, _ = elder.open(10)
-    elder.append(pack([line(1), Remembers()]))
+    elder.append(encode_records([line(1), RecoveredRecord()]))
     second, image, why = younger.open(3)
     assert second > first == 10 and image is None and "another process" in why
-    elder.rewrite(pack([WHOSE, line(2), Remembers()]))
+    elder.rewrite(encode_records([WHOSE, line(2), RecoveredRecord()]))
     elder.close()
     younger.close()
     third = Folder(tmp_path, WHOSE)
@@ -242,12 +252,12 @@
     """The lock was taken on the old file, which its writer had just let go."""
     elder, younger = Folder(tmp_path, WHOSE), Folder(tmp_path, WHOSE)
     elder.open(10)
-    elder.append(pack([line(1), Remembers()]))
+    elder.append(encode_records([line(1), RecoveredRecord()]))
     lock, turns = fcntl.flock, iter([True])
 
     def flock(file: Any, how: int) -> None:
         if how & fcntl.LOCK_SH and next(turns, False):
-            elder.rewrite(pack([WHOSE, line(2), Remembers()]))
+            elder.rewrite(encode_records([WHOSE, line(2), RecoveredRecord()]))
         lock(file, how)
 
     monkeypatch.setattr("moorusher.storage.journal_files.fcntl.flock", flock)
@@ -321,7 +331,7 @@
 def life_that_remembers(path: Path) -> None:
     folder = Folder(path, WHOSE)
     folder.open(10)
-    folder.append(pack([line(1), line(2), Remembers()]))
+    folder.append(encode_records([line(1), line(2), RecoveredRecord()]))
     folder.close()
 
 
@@ -333,14 +343,14 @@
     life_that_remembers(tmp_path)
     found = opened(tmp_path, WHOSE, 1, Failing(kind, FOR_EVER, number))
     assert not found.written and os.strerror(number) in found.reason
-    assert found.image is not None and found.image.remembers and len(found.image.slots) == 2
+    assert found.image is not None and found.image.recovered and len(found.image.registers) == 2
     assert found.inc == 11
 
 
 def test_a_file_that_can_be_read_a_moment_later_is_read(tmp_path: Path) -> None:
     life_that_remembers(tmp_path)
     found = opened(tmp_path, WHOSE, 1, Failing("read", 3))
-    assert found.written and found.image is not None and len(found.image.slots) == 2
+    assert found.written and found.image is not None and len(found.image.registers) == 2
     found.folder.close()
 
 
@@ -358,7 +368,7 @@
 def test_a_damaged_file_is_kept_beside_the_new_one(tmp_path: Path) -> None:
     life_that_remembers(tmp_path)
     data = bytearray((tmp_path / "10.log").read_bytes())
-    data[len(pack([WHOSE])) + 15] ^= 1
+    data[len(encode_records([WHOSE])) + 15] ^= 1
     (tmp_path / "10.log").write_bytes(data)
     found = opened(tmp_path, WHOSE, 1)
     assert found.image is None and "10.log is not used, and is kept: damaged at byte" in found.reason
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -424,7 +424,7 @@
 class SaysAll(Replica):
     def __init__(self, *how: Any) -> None:
         super().__init__(*how)
-        self.casting = Deaf(self, self.participant.node.seats.names)
+        self.casting = Deaf(self, self.participant.node.placement.names)
         self._handlers |= {Cast: self.casting.cast, Heard: self.casting.heard, Covered: self.casting.covered}
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from moorusher.core.answer import Cause
-from moorusher.replication.key_tenure import Stage
-from moorusher.replication.messages import VERSION, Hello, Refused, decode, encode
+from moorusher.replication.key_tenure import TenureStage
+from moorusher.replication.messages import PROTOCOL_VERSION, HandshakeRejected, Hello, decode, encode
 
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, SETTINGS, Kernel, body_of, content, exchange, status, until, uwsgi_request
@@ -205,7 +205,7 @@
     count = 0
     for i in at:
         stages = Counter([w["stage"] for w in (await f.runners[i].counters("fleet/work"))["work"]])
-        held, begun = stages[Stage.MINE.value], stages[Stage.BEGUN.value]
+        held, begun = stages[TenureStage.HELD.value], stages[TenureStage.STARTED.value]
         under_way = stages.total() - held - begun
         could_begin = held and begun < SLOTS
         if under_way or could_begin or begun != len(f.began(i)):
@@ -379,9 +379,9 @@
 async def test_a_runner_of_another_fleet_or_with_other_seats_is_refused_with_the_reason() -> None:
     async with fleet(3, work=0.02) as f:
         for hello, why in (
-            (Hello(VERSION, "g", "", "n1", 1), "another fleet"),
+            (Hello(PROTOCOL_VERSION, "g", "", "n1", 1), "another fleet"),
             (Hello(9, "f", "", "n1", 1), "version"),
-            (Hello(VERSION, "f", "", "n1", 1), "other seats"),
+            (Hello(PROTOCOL_VERSION, "f", "", "n1", 1), "other seats"),
         ):
             reader, writer = await asyncio.open_connection(HOST, f.ports[0])
             raw = encode([hello])
@@ -389,7 +389,7 @@
             got = await asyncio.wait_for(reader.read(), 5)
             writer.close()
             (answer,) = decode(got[4:])
-            assert isinstance(answer, Refused) and why in answer.why
+            assert isinstance(answer, HandshakeRejected) and why in answer.reason
 
 
 @sockets
