--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -18,7 +18,7 @@
 from moorusher.forecast_service import messages as forecasting
 from moorusher.leadership import messages as duties
 from moorusher.maintenance import messages as outage
-from moorusher.membership.failure_detector import State as MemberState
+from moorusher.membership.failure_detector import MemberState
 from moorusher.replication import messages as fleet
 from moorusher.replication import work_record as work
 
@@ -38,7 +38,11 @@
     "outages": (outage.PART, (outage.encode, outage.decode)),
 }
 ERRORS_OF_PUBLISHING, ERRORS_OF_FORECASTING = replica._ERRORS, forecasting_member._ERRORS
-VERSION, FIRST_BALLOT, MEMBER_STATES = fleet.VERSION, fleet.FAST, [one.value for one in MemberState]
+VERSION, FIRST_BALLOT, MEMBER_STATES = (
+    fleet.PROTOCOL_VERSION,
+    fleet.FAST_BALLOT,
+    [one.value for one in MemberState],
+)
 key_of = work.key_of
 
 
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -25,7 +25,7 @@
 from moorusher.leadership import lease_record as post
 from moorusher.leadership.journal import LastingKeeper
 from moorusher.maintenance import schedule as roster
-from moorusher.membership.placement import Seats
+from moorusher.membership.placement import Placement
 from moorusher.namespaces import revisions
 from moorusher.replication import journal
 from moorusher.replication.policy import Seat
@@ -40,12 +40,12 @@
 # ---- the names of the program, once ----
 
 RECORDS = get_args(journal.Record)
-WHOSE = journal.Whose(journal.VERSION, "f", "0123456789abcdef", "n1")
+WHOSE = journal.JournalHeader(journal.JOURNAL_VERSION, "f", "0123456789abcdef", "n1")
 POST, ROSTER, BOOK = post.Post, roster.Roster, revisions.Book
 pack_post, read_post = post.pack, post.unpack
 pack_roster, read_roster = roster.pack, roster.unpack
 pack_book = revisions.pack
-pack_file, read_record = journal.pack, journal._decoder.decode
+pack_file, read_record = journal.encode_records, journal._decoder.decode
 REPORTS, read_reports = duty_report.Told, msgspec.json.Decoder(duty_report.Told).decode
 write_json = msgspec.json.Encoder().encode
 write_snapshot, read_snapshot = snapshot.write, snapshot.read
@@ -58,17 +58,20 @@
 
 def records_of(data: bytes) -> list[Any]:
     """As they are told to a process that begins, in the order of a file that is written anew."""
-    image = journal.read(data, WHOSE)
-    heard, remembers = journal.Heard(image.incs), [journal.Remembers()] if image.remembers else []
-    return [WHOSE, *image.pieces, *image.slots.values(), heard, *remembers]
+    image = journal.read_journal(data, WHOSE)
+    heard, remembers = (
+        journal.IncarnationsRecord(image.incarnations),
+        [journal.RecoveredRecord()] if image.recovered else [],
+    )
+    return [WHOSE, *image.chunks, *image.registers.values(), heard, *remembers]
 
 
 def written_anew(data: bytes) -> bytes:
     """By a keeper of duties that has recalled it, at the same moment."""
-    image = journal.read(data, WHOSE)
+    image = journal.read_journal(data, WHOSE)
     keeper = LastingKeeper("n1", 7, lambda key: ("n1",), shelf=pieces.Shelf(1 << 20))
-    keeper.recall(0, image)
-    return pack_file([WHOSE, *keeper.whole(0)])
+    keeper.restore(0, image)
+    return pack_file([WHOSE, *keeper.all_records(0)])
 
 
 def folder_of(path: Path) -> tuple[int, bool]:
@@ -112,11 +115,11 @@
 
 
 FIGURES: dict[str, Any] = {
-    "version of a journal": journal.VERSION,
+    "version of a journal": journal.JOURNAL_VERSION,
     "kinds of duties": [duty_report.KIND, publisher.KIND, forecaster.KIND],
     "names of duties": [publisher.duty_of("acme"), forecaster.NAME],
     "registers": [post.key_of("alive").decode(), roster.KEY.decode()],
-    "digest of seats": Seats((Seat("n1", ("h", 1), "a", "r1"), Seat("n2", ("h", 2), "b")), 3).digest(),
+    "digest of seats": Placement((Seat("n1", ("h", 1), "a", "r1"), Seat("n2", ("h", 2), "b")), 3).digest(),
     "digest of a piece": pieces.digest(b"piece").hex(),
     "lives of a duty": [one.value for one in post.Life],
     "ways to settle an intent": [one.value for one in post.Settle],
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -27,7 +27,7 @@
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import Post
 from moorusher.maintenance.schedule import Roster
-from moorusher.membership.failure_detector import State
+from moorusher.membership.failure_detector import MemberState
 from moorusher.server import server as service
 from moorusher.server.server import Service
 
@@ -160,7 +160,7 @@
         return self.service.outage._told(msgspec.convert(array, Roster), True)
 
     def member_told(self, state: int) -> Any:
-        self.service.fleet.node.members.by_seat["n1"].state = State(state)
+        self.service.fleet.node.detector.by_seat["n1"].state = MemberState(state)
         return self.page("GET", "fleet")[1]["members"][0]["state"]
 
     # ---- who calls it ----
