--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -211,7 +211,7 @@
 
     def incarnation(self) -> int:
         replication = self.cluster.replication
-        return 0 if replication is None else int(replication.node.owner.inc)
+        return 0 if replication is None else int(replication.node.owner.incarnation)
 
     def follows(self, incarnation: int) -> None:
         if self.cluster.replication is not None:
