--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -13,7 +13,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from moorusher.scheduling.balancer import SERVE_ON
+from moorusher.scheduling.draining import SERVE_FRACTION
 
 from ..core.clock import MS
 
@@ -51,7 +51,7 @@
         if service.announcer is not None:
             service.announcer.stop()
         # Front ends learn of it seconds late, and whoever takes over is cold: connections are still accepted.
-        accept_ms = min(core.settings.drain_grace_ms, SERVE_ON * stop_ms)
+        accept_ms = min(core.settings.drain_grace_ms, SERVE_FRACTION * stop_ms)
         core.alarms.at(core.clock.now + round(accept_ms * MS), self._close_client_listeners)
         self._end_within(stop_ms)
 
