--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -302,7 +302,7 @@
         self.ask_gauges()
         return written
 
-    def call_left_out(self, rid: str, notice: int) -> int:
+    def call_skipped(self, rid: str, notice: int) -> int:
         """Go on without the call of that notice."""
         return self._say({"t": "NOIO", "rid": rid, "no": notice})
 
--- a/moorusher/cluster_transport/hot_restart.py
+++ b/moorusher/cluster_transport/hot_restart.py
@@ -380,7 +380,7 @@
             self._owner.take_out(m["out"])
             self._owner.follows(int(m.get("fleet", 0)))
             self._unsure_until = int(m["unsure"])
-            self.core.keys.share_memory_with(m["bytes"])
+            self.core.keys.limits.share_memory_with(m["bytes"])
             self.hear(Event.WELCOME)
         elif kind == "BUSY":
             peer.gone, self.peer = True, None
@@ -473,7 +473,7 @@
             core.keys.unknown_until = self._unsure_until
         elif step is Step.FORGET or step is Step.BURY:
             claims.peer_gone(died=step is Step.BURY)
-            core.keys.share_memory_with(None)
+            core.keys.limits.share_memory_with(None)
             self._owner.beside(Load())
             if step is Step.FORGET:
                 handed, self._handed = self._handed, {}
--- a/moorusher/core/clock.py
+++ b/moorusher/core/clock.py
@@ -18,7 +18,7 @@
 MS = 1_000  # us
 SECOND = 1_000_000  # us
 SAME_MOMENT = 2 * MS  # two clocks that are read within it count as read at once
-MOST_READINGS = 4  # of both clocks, until they are read at one moment
+MAX_READINGS = 4  # of both clocks, until they are read at one moment
 
 
 class Clock:
@@ -47,7 +47,7 @@
         self._turn_gap = self.now - before
         unix = self._unix_ns() // 1_000
         # A process that is paused between the two readings would see a step of the Unix clock that there was not.
-        for _ in range(MOST_READINGS):
+        for _ in range(MAX_READINGS):
             after = self._monotonic_ns() // 1_000
             if after - self.now < SAME_MOMENT:
                 break
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("moorusher")
 
-MOST_IDS_LOGGED = 8  # requests named in one line of the log
+MAX_IDS_LOGGED = 8  # requests named in one line of the log
 
 
 class Execution:
@@ -97,21 +97,21 @@
     def reconnected(self, read: int) -> None:
         """A new connection has read the kernel's replay. `read`: how many commands the kernel is known to have read."""
         self._turn.begin()
-        sent = self._runs.send_again(read, self._is_awaited)
-        self._counters.add("kernel commands said again", by=len(sent.runs) + len(sent.replies))
-        self._counters.add("kernel replies that may be lost", by=len(sent.uncertain))
-        for number in sent.uncertain:
+        resent = self._runs.resend(read, self._is_awaited)
+        self._counters.add("kernel commands said again", by=len(resent.runs) + len(resent.replies))
+        self._counters.add("kernel replies that may be lost", by=len(resent.uncertain))
+        for number in resent.uncertain:
             self._stop_at_deadline(number)
-        for number in sent.unwanted:
+        for number in resent.unwanted:
             run = self._runs.get(number)
             if run is not None:
                 self.run_ended(run.request.rid, EndReason.RUN_NEVER_STARTED, b"")
-        if sent.runs or sent.replies or sent.uncertain:
+        if resent.runs or resent.replies or resent.uncertain:
             log.info(
                 "commands sent again on a new connection to the kernel: runs=%d replies=%d uncertain=%s",
-                len(sent.runs),
-                len(sent.replies),
-                self._request_ids(sent.uncertain) or "none",
+                len(resent.runs),
+                len(resent.replies),
+                self._request_ids(resent.uncertain) or "none",
             )
 
     def _is_awaited(self, request: Request) -> bool:
@@ -123,7 +123,7 @@
 
     def _request_ids(self, numbers: list[int]) -> str:
         by_number = self._table.by_number
-        return " ".join(by_number[number].rid for number in numbers[:MOST_IDS_LOGGED] if number in by_number)
+        return " ".join(by_number[number].rid for number in numbers[:MAX_IDS_LOGGED] if number in by_number)
 
     def _stop_at_deadline(self, number: int) -> None:
         """A run whose reply may be lost is stopped once nobody waits for it."""
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -12,7 +12,7 @@
 
 from .idempotency_keys import window_end
 
-MOST_CLASSES = 256  # former classes that are remembered
+MAX_CLASSES = 256  # former classes that are remembered
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
         }
         current = {name: former for name, former in self._former.items() if former.expires_us > now}
         current |= ended
-        self._former = dict(list(current.items())[-MOST_CLASSES:])
+        self._former = dict(list(current.items())[-MAX_CLASSES:])
         self._adopt_successors(before, after, ended)
         self._effective = {
             cls.name: replace(cls, effect=api.Effect.KEYED, window_ms=self._former[cls.name].window_ms)
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -12,6 +12,7 @@
 import xxhash
 
 from .clock import MS, SECOND
+from .key_table_limits import ENTRY_BYTES, KeyTableLimits
 
 # Tenant, by name, and token: tenants never share results. Not the class: where new settings put one class in another's
 # place, front ends send retries of an open request under the new name.
@@ -20,11 +21,6 @@
 # The window counts from t0 of the attempt that ran to the writing of a retry, with 50 ms on top; a retry may also lie
 # unread for a while. Serving a cached result late is allowed, a second run is not.
 MARGIN = 2 * SECOND
-MOST_ENTRIES = 8_000
-MOST_RESULT_BYTES = 40_000_000
-PROCESS_BYTES = 26_000_000  # what the program takes with its connections, before any key
-ENTRY_BYTES = 1_000  # of an entry without its result
-LEAST_TABLE_BYTES = 2_000_000  # kept for the table however little the process may take
 RECHECK = SECOND  # how long an attempt that is still open keeps a key whose window has passed, at a time
 
 
@@ -55,6 +51,13 @@
     remote: bool = False
     former_numbers: list[int] = field(default_factory=list)
 
+    def pass_to(self, number: int, remote: bool) -> None:
+        """Another attempt has the key from now on."""
+        self.former_numbers.append(self.number)
+        self.number = number
+        self.remote = remote
+        self.started = remote
+
 
 class KeyObserver(Protocol):
     """Is notified of the end of this process's own attempts."""
@@ -80,51 +83,33 @@
     """All keys that count. Entries that have expired are removed as new ones come: there is no timer.
 
     Attributes:
-        most_bytes: of cached results.
-        most_entries: of keys.
+        limits: how much it may hold.
         result_bytes: of results cached now.
         observers: notified of the end of own attempts.
         unknown_until: before this time (us) a key that is new here may have run in a process that is gone.
     """
 
     def __init__(self, memory_mb: float = 192.0) -> None:
-        self.set_memory_limit(memory_mb)
+        self.limits = KeyTableLimits(memory_mb)
         self._by_key: dict[Key, KeyEntry] = {}
         self._by_number: dict[int, KeyEntry] = {}
         # (expires_us, number of the attempt); stale where the entry's own time is later
         self._expiry_heap: list[tuple[int, int]] = []
         self.result_bytes = 0
-        self._most_remote_bytes: int | None = None  # up to here results of the other process are cached
         self.observers: list[KeyObserver] = []
         self.unknown_until = 0
 
     def __len__(self) -> int:
         return len(self._by_key)
 
-    # ---- limits ----
-
-    def set_memory_limit(self, memory_mb: float) -> None:
-        """The limit of the process, or of two of them while one replaces the other. Cached results stay."""
-        # Half of what is left, since Python gives freed memory back late.
-        available = max(LEAST_TABLE_BYTES, round(memory_mb * 1e6 - PROCESS_BYTES) // 2)
-        self.most_bytes = min(MOST_RESULT_BYTES, available * 2 // 3)
-        self.most_entries = min(MOST_ENTRIES, available // 3 // ENTRY_BYTES)
-        self._both_tables_bytes = max(2 * LEAST_TABLE_BYTES, round(memory_mb * 1e6) - 2 * PROCESS_BYTES) // 2
-
     @property
     def size_bytes(self) -> int:
         """About what the whole table takes."""
         return self.result_bytes + len(self._by_key) * ENTRY_BYTES
 
-    def share_memory_with(self, size_bytes: int | None) -> None:
-        """Another process of this runner has a table of that size, under the same limit; None: there is none."""
-        self._most_remote_bytes = (
-            None if size_bytes is None else max(0, self._both_tables_bytes - 2 * size_bytes)
-        )
-
     def is_full(self) -> bool:
-        """No further key may be entered."""
-        return len(self._by_key) >= self.most_entries or self.result_bytes >= self.most_bytes
+        """No further key may be entered. Cached results stay where the limit was lowered."""
+        return self.limits.reached(len(self._by_key), self.result_bytes)
 
     # ---- look-ups ----
 
@@ -162,19 +147,13 @@
     def cede(self, entry: KeyEntry, number: int, body_digest: int, expires_us: int) -> None:
         """An attempt of this process gives the key up to a remote one, `number`, and goes on as its retry."""
         entry.body_digest = body_digest
-        entry.remote = True
-        entry.started = True
-        self._pass_to(entry, number, expires_us)
+        entry.pass_to(number, remote=True)
+        self._by_number[number] = entry
+        self.extend(number, expires_us)
 
     def take_over(self, entry: KeyEntry, number: int, expires_us: int) -> None:
         """A remote attempt's key passes to this process's attempt `number`. Waiters for the result go on waiting."""
-        entry.remote = False
-        entry.started = False
-        self._pass_to(entry, number, expires_us)
-
-    def _pass_to(self, entry: KeyEntry, number: int, expires_us: int) -> None:
-        entry.former_numbers.append(entry.number)
-        entry.number = number
+        entry.pass_to(number, remote=False)
         self._by_number[number] = entry
         self.extend(number, expires_us)
 
@@ -194,7 +173,7 @@
 
     def extend_all(self, by_us: int) -> None:
         """The window of some class is longer from now on. All keys are extended, as an entry doesn't name its class:
-        that one is kept for too long costs a place, and nothing runs twice."""
+        that one is kept for too long costs an entry, and nothing runs twice."""
         for entry in list(self._by_key.values()):
             self.extend(entry.number, entry.expires_us + by_us)
 
@@ -218,7 +197,8 @@
         if entry is None or entry.number != number:
             return []
         entry.finished = True
-        if result is not None and entry.result is None and self._has_room_for_result(entry):
+        cacheable = not entry.remote or self.limits.allows_remote_result(self.result_bytes)
+        if result is not None and entry.result is None and cacheable:
             entry.result = result
             self.result_bytes += len(result)
         if not entry.remote:
@@ -228,15 +208,6 @@
         entry.waiters = []
         return waiters
 
-    def _has_room_for_result(self, entry: KeyEntry) -> bool:
-        """A remote result is cached only while there is room: without it a retry fails, and nothing runs twice."""
-        if not entry.remote:
-            return True
-        most = self.most_bytes
-        if self._most_remote_bytes is not None:
-            most = min(most, self._most_remote_bytes)
-        return self.result_bytes < most
-
     def release(self, number: int) -> list[int]:
         """The attempt is over and never ran: its key is free again. Returns who waited for its result."""
         entry = self._by_number.get(number)
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -66,7 +66,7 @@
         self._state.counters.add("faulty")
         return reason
 
-    def submit_taken_over(
+    def resubmit(
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None
     ) -> Request | InvalidArrival:
         """Work of another runner that this one goes on with. Its key is this runner's already, and its rules are those
--- a/moorusher/core/kernel_status.py
+++ b/moorusher/core/kernel_status.py
@@ -49,8 +49,8 @@
 
     def cpu_busy(self) -> float:
         """The busy share of the cores, as the kernel last told; 0 where it does not tell."""
-        told = dict(zip(self._state.settings.gauges, self.gauges, strict=False))
-        return told.get("cpu_busy", 0.0)
+        by_name = dict(zip(self._state.settings.gauges, self.gauges, strict=False))
+        return by_name.get("cpu_busy", 0.0)
 
     def is_warming_up(self) -> bool:
         """It started cold, and the time that the settings allow it to warm up is not over."""
--- a/moorusher/core/reconfiguration.py
+++ b/moorusher/core/reconfiguration.py
@@ -106,5 +106,5 @@
 
 def _former_indexes(old: list[str], new: list[str]) -> tuple[int, ...]:
     """For each new name its index among the old ones, or `NEW`. Each old one is given once."""
-    index = {name: place for place, name in reversed(list(enumerate(old)))}
-    return tuple(index.pop(name, NEW) for name in new)
+    index_of = {name: index for index, name in reversed(list(enumerate(old)))}
+    return tuple(index_of.pop(name, NEW) for name in new)
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -14,10 +14,10 @@
 from .requests import Arrival, Request, RequestTable
 
 # An open request takes its body, 2 KiB, and small change; the scheduler rejects long before, by its own memory.
-MOST_REQUESTS = 10_000
-MOST_FORMER_CLASSES = 256  # names of dropped classes that are remembered
+MAX_REQUESTS = 10_000
+MAX_FORMER_CLASSES = 256  # names of dropped classes that are remembered
 # A machine may pause, and a clock be stepped: what arrived an hour ago, or will, is a mistake.
-MOST_SKEW = 3_600 * SECOND
+MAX_SKEW = 3_600 * SECOND
 RETRY_AFTER_MS = 1_000.0  # said with rejections that come before the scheduler
 
 
@@ -54,8 +54,8 @@
 
     Attributes:
         settings: those that arrivals are checked against.
-        classes: place of each class in the settings, by name.
-        tenants: place of each tenant in the settings, by name.
+        classes: index of each class in the settings, by name.
+        tenants: index of each tenant in the settings, by name.
         former_classes: windows in ms of classes that were dropped, by name; the latest last.
     """
 
@@ -69,8 +69,8 @@
 
     def _set_settings(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.classes = {cls.name: place for place, cls in enumerate(settings.classes)}
-        self.tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
+        self.classes = {cls.name: index for index, cls in enumerate(settings.classes)}
+        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def settings_changed(self, settings: api.Settings) -> None:
         """New settings hold for what is read from here on."""
@@ -80,20 +80,20 @@
         longer = [cls.window_ms - windows.pop(cls.name, cls.window_ms) for cls in settings.classes]
         if max(longer) > 0:
             self._keys.extend_all(round(max(longer) * MS))
-        self.former_classes = dict(list(windows.items())[-MOST_FORMER_CLASSES:])
+        self.former_classes = dict(list(windows.items())[-MAX_FORMER_CLASSES:])
 
     def register(
         self, arrival: Arrival, reply: Reply, tag: int, takes_over: bool = False
     ) -> Request | InvalidArrival:
         """The request, entered in the tables. `takes_over`: it goes on with another runner's attempt under its key."""
         now = self._clock.now
-        place = self.classes.get(arrival.class_name)
-        if place is None:
+        index = self.classes.get(arrival.class_name)
+        if index is None:
             return InvalidArrival.UNKNOWN_CLASS
         tenant = (arrival.tenant or "") if self.tenants else None
         if tenant is not None and tenant not in self.tenants:
             return InvalidArrival.UNKNOWN_TENANT
-        cls = self.settings.classes[place]
+        cls = self.settings.classes[index]
         if arrival.token:
             cls = self._former_key_classes.effective_class(cls, now)
         keyed = cls.effect is api.Effect.KEYED
@@ -101,7 +101,7 @@
             return InvalidArrival.IDEMPOTENCY_KEY_MISSING
         if arrival.rid in self._table.by_rid:
             return InvalidArrival.DUPLICATE_REQUEST_ID
-        if len(self._table) >= MOST_REQUESTS:
+        if len(self._table) >= MAX_REQUESTS:
             return InvalidArrival.TOO_MANY_REQUESTS
         arrived_us = self._arrival_time(arrival, now)
         if arrived_us is None:
@@ -121,7 +121,7 @@
         if arrival.t0_unix_ms is None:
             return read_us
         stamped = self._clock.from_unix_ms(arrival.t0_unix_ms, now - read_us)
-        if abs(now - stamped) > MOST_SKEW:
+        if abs(now - stamped) > MAX_SKEW:
             return None
         return min(now, stamped)
 
@@ -156,14 +156,14 @@
         waited_ms = (self._clock.now - request.arrived_us) / MS
         ttl_ms = None if arrival.budget_ms is None else max(0.0, arrival.budget_ms - waited_ms)
         cls = request.request_class
-        place = self.classes.get(cls.name, -1)
+        index = self.classes.get(cls.name, -1)
         tenant = None
         if request.tenant is not None:
             tenant = self.tenants.get(request.tenant)  # one that was dropped meanwhile counts as none
-        unchanged = place >= 0 and self.settings.classes[place] is cls
+        unchanged = index >= 0 and self.settings.classes[index] is cls
         return api.Request(
             request.number,
-            place,
+            index,
             arrival.memory_kb,
             waited_ms,
             ttl_ms,
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -126,7 +126,7 @@
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None = None
     ) -> Request | InvalidArrival:
         """Go on with work of another runner whose key this runner has acquired."""
-        return self._intake.submit_taken_over(arrival, reply, tag, ruling)
+        return self._intake.resubmit(arrival, reply, tag, ruling)
 
     # ---- the end of other runners' attempts ----
 
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -11,7 +11,7 @@
 from .answer import Reply
 from .clock import MS
 
-MOST_REQUEST_NUMBERS = 0xFFFF_FFFF  # then the numbering starts again at 1
+MAX_REQUEST_NUMBER = 0xFFFF_FFFF  # then the numbering starts again at 1
 
 
 class Stage(Enum):
@@ -26,12 +26,12 @@
 STARTED_STAGES = (Stage.STARTING, Stage.RUNNING)  # for the scheduler, it runs
 
 
-def is_identifier(text: str, most: int) -> bool:
+def is_identifier(text: str, max_length: int) -> bool:
     """Whether a text has only the characters allowed in request ids and idempotency tokens, and at most so many.
 
     They are passed on in lines and headers of other protocols: with a line end in one, a client could inject headers.
     """
-    return 0 < len(text) <= most and text.isascii() and all(c.isalnum() or c in "-_.:" for c in text)
+    return 0 < len(text) <= max_length and text.isascii() and all(c.isalnum() or c in "-_.:" for c in text)
 
 
 @dataclass(slots=True, frozen=True)
@@ -153,7 +153,7 @@
     def take_number(self) -> int:
         """A number that no open request has."""
         number = self._next_number
-        self._next_number = number % MOST_REQUEST_NUMBERS + 1
+        self._next_number = number % MAX_REQUEST_NUMBER + 1
         return number
 
     def add(self, request: Request) -> None:
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -25,7 +25,7 @@
 
 class KernelTransport(Protocol):
     """The connection to the kernel. Commands return their number, or `NOT_WRITTEN` while there is no connection:
-    `Runs.send_again` makes up for those."""
+    `Runs.resend` makes up for those."""
 
     def run(self, rid: str, route: str, body: bytes) -> int:
         """Run the request."""
@@ -36,7 +36,7 @@
     def call_done(self, rid: str, body: bytes) -> int:
         """The reply to the call that the run waits for."""
 
-    def call_left_out(self, rid: str, notice: int) -> int:
+    def call_skipped(self, rid: str, notice: int) -> int:
         """The run goes on without the call that it has asked for by this notice."""
 
     def ask_gauges(self) -> None:
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SentAgain:
+class Resent:
     """What a new connection was sent again, by request number.
 
     Attributes:
@@ -206,44 +206,42 @@
 
     def _send_reply(self, run: Run, notice: int, reply: bytes | None) -> None:
         if reply is None:
-            written = self._kernel.call_left_out(run.request.rid, notice)
+            written = self._kernel.call_skipped(run.request.rid, notice)
         else:
             written = self._kernel.call_done(run.request.rid, reply)
         run.last_reply = CallReply(notice, reply, written)
 
     # ---- after a lost connection ----
 
-    def send_again(
-        self, read: int, is_awaited: Callable[[Request], bool] = lambda request: True
-    ) -> SentAgain:
+    def resend(self, read: int, is_awaited: Callable[[Request], bool] = lambda request: True) -> Resent:
         """Send again what the kernel may have missed, once its own replay has been read.
 
         Args:
             read: how many commands the kernel is known to have read.
             is_awaited: whether somebody still waits for a request.
         """
-        sent = SentAgain()
+        resent = Resent()
         for number, run in list(self._runs.items()):
             never_written = not run.acknowledged and run.command_number == NOT_WRITTEN
             if never_written and not is_awaited(run.request):
-                sent.unwanted.append(number)
+                resent.unwanted.append(number)
                 continue
             if not run.acknowledged and _evidence(run.command_number, read) is not Evidence.SUCCEEDED:
-                self._command_again(number, run, sent)
+                self._resend_command(number, run, resent)
             if run.last_reply is not None:
-                self._reply_again(number, run, run.last_reply, read, sent)
+                self._resend_reply(number, run, run.last_reply, read, resent)
             if run.stopped:
                 self._kernel.stop(run.request.rid)
-        return sent
+        return resent
 
-    def _command_again(self, number: int, run: Run, sent: SentAgain) -> None:
+    def _resend_command(self, number: int, run: Run, resent: Resent) -> None:
         # The kernel ignores a command to run what it runs already.
         if not may_repeat(run.request.request_class.effect, Evidence.COPIES_IGNORED):
             return
         run.command_number = self._kernel.run(run.request.rid, run.route, run.request.body)
-        sent.runs.append(number)
+        resent.runs.append(number)
 
-    def _reply_again(self, number: int, run: Run, reply: CallReply, read: int, sent: SentAgain) -> None:
+    def _resend_reply(self, number: int, run: Run, reply: CallReply, read: int, resent: Resent) -> None:
         evidence = _evidence(reply.written, read)
         if evidence is Evidence.SUCCEEDED:
             return
@@ -254,10 +252,10 @@
             return
         if may_repeat(EFFECT_OF_REPLY, evidence):
             self._send_reply(run, reply.notice, reply.content)
-            sent.replies.append(number)
+            resent.replies.append(number)
             return
         run.reply_uncertain = True
-        sent.uncertain.append(number)
+        resent.uncertain.append(number)
         if run.request.request_class.worth_without_call > 0:
             self._send_reply(run, reply.notice, None)  # if it still waits, it goes on without
 
--- a/moorusher/core/wall_clock.py
+++ b/moorusher/core/wall_clock.py
@@ -10,8 +10,8 @@
 
 MS = 1_000  # us
 STEP = 50 * MS  # a smaller change is drift, or the moment between two readings
-MOST_OFFSETS = 8  # that are remembered
-MOST_TRANSIT = 1_000 * MS  # a message may be so long with its sender, or on its way
+MAX_OFFSETS = 8  # that are remembered
+MAX_TRANSIT = 1_000 * MS  # a message may be so long with its sender, or on its way
 
 
 class WallClock:
@@ -35,7 +35,7 @@
         else:
             self.steps += 1
             former = [known for known in self._offsets if abs(known - offset) >= STEP]
-            self._offsets = [offset, *former][:MOST_OFFSETS]
+            self._offsets = [offset, *former][:MAX_OFFSETS]
 
     def to_unix(self, at: int) -> int:
         """A monotonic time, by the offset in force."""
@@ -44,7 +44,7 @@
     def from_unix(self, unix: int, now: int, unread: int) -> int:
         """The monotonic time of an event that its sender stamped with this Unix time; after `now` where no offset makes
         sense of it. `unread`: how long the message may have waited here to be read."""
-        longest = unread + MOST_TRANSIT
+        longest = unread + MAX_TRANSIT
         ages = [now + offset - unix for offset in self._offsets]
         if not -STEP <= ages[0] <= longest:  # stamps are whole milliseconds: a fresh one may seem to be ahead
             plausible = [age for age in ages[1:] if 0 <= age <= longest]
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -199,7 +199,7 @@
     def call_done(self, rid: str, body: bytes) -> int:
         return 1
 
-    def call_left_out(self, rid: str, notice: int) -> int:
+    def call_skipped(self, rid: str, notice: int) -> int:
         return 1
 
     def ask_gauges(self) -> None: ...
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -242,7 +242,7 @@
         """Size tables and connection pools by the limits. What is open stays open."""
         request_frontends = 1 if self.config.uwsgi.listen is None else 2
         self._budget = ConnectionBudget.of(raise_descriptor_limit(limits.sockets), request_frontends)
-        self.core.keys.set_memory_limit(limits.memory_mb)
+        self.core.keys.limits.set_memory_limit(limits.memory_mb)
         self._bound_backend_connections()
 
     def _bound_backend_connections(self) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -45,7 +45,7 @@
     def call_done(self, rid: str, body: bytes) -> int:
         return self._say("done", rid, body)
 
-    def call_left_out(self, rid: str, notice: int) -> int:
+    def call_skipped(self, rid: str, notice: int) -> int:
         return self._say("left out", rid, notice)
 
     def ask_gauges(self) -> None:
@@ -418,7 +418,9 @@
 @pytest.mark.parametrize("memory_mb, entries", [(8, 666), (32, 1_000), (80, 8_000), (192, 8_000)])
 def test_the_bounds_of_keys_follow_the_limit_on_memory(memory_mb: float, entries: int) -> None:
     keys = KeyTable(memory_mb)
-    assert keys.most_entries == entries and keys.most_bytes <= max(2e6, memory_mb * 1e6 - 26e6)
+    assert keys.limits.max_entries == entries and keys.limits.max_result_bytes <= max(
+        2e6, memory_mb * 1e6 - 26e6
+    )
     for i in range(entries):
         assert not keys.is_full()
         keys.reserve(("acme", str(i)), i)
--- a/tests/test_core_shape.py
+++ b/tests/test_core_shape.py
@@ -29,6 +29,7 @@
     "intake",
     "kernel_status",
     "key_claims",
+    "key_table_limits",
     "observer",
     "outcomes",
     "reconfiguration",
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from moorusher.core.former_key_classes import MOST_CLASSES, FormerKeyClasses
+from moorusher.core.former_key_classes import MAX_CLASSES, FormerKeyClasses
 from moorusher.scheduling import interface as api
 
 from .helpers import settings as base_settings
@@ -232,4 +232,4 @@
         former.settings_changed(
             0, of(**{f"c{number}": api.Effect.KEYED}), of(**{f"c{number + 1}": api.Effect.KEYED})
         )
-    assert len(former._former) <= MOST_CLASSES + 1
+    assert len(former._former) <= MAX_CLASSES + 1
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -242,7 +242,7 @@
 def test_what_this_runner_has_no_room_for_never_ran_and_may_go_elsewhere(why: str) -> None:
     world, _, connection, transport = front()
     if why.startswith("no room"):
-        world.core.keys.most_entries = 0
+        world.core.keys.limits.max_entries = 0
     else:
         world.core.dispatcher.scheduler = None
     connection.dataReceived(call(1, "write", token="t"))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -248,14 +248,22 @@
 
     def reload(self, text: str | bytes) -> bool:
         """Whether it was taken."""
-        before = self.service.config, self.service.core.settings, self.service.core.keys.most_bytes
+        before = (
+            self.service.config,
+            self.service.core.settings,
+            self.service.core.keys.limits.max_result_bytes,
+        )
         self.file = text.encode() if isinstance(text, str) else text
         self.service.reload(self.load)
         total = self.service.core.counters.total
         if total["configurations read"]:
             return True
         assert total["configurations turned down"]
-        assert before == (self.service.config, self.service.core.settings, self.service.core.keys.most_bytes)
+        assert before == (
+            self.service.config,
+            self.service.core.settings,
+            self.service.core.keys.limits.max_result_bytes,
+        )
         return False
 
 
@@ -286,7 +294,7 @@
     assert r.reload(json.dumps(new))
     core = r.service.core
     assert list(core.registrar.classes) == ["check", "submit", "lint"]
-    assert core.keys.most_bytes < 20_000_000 and r.service.jsonrpc.places.most < 128
+    assert core.keys.limits.max_result_bytes < 20_000_000 and r.service.jsonrpc.places.most < 128
 
 
 def test_connections_below_that_are_kept_without_a_call_follow_the_descriptors() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,7 +10,7 @@
 from moorusher.core.clock import MS, SECOND, Clock
 from moorusher.core.idempotency_keys import MARGIN
 from moorusher.core.outcomes import EndReason
-from moorusher.core.wall_clock import MOST_OFFSETS, WallClock
+from moorusher.core.wall_clock import MAX_OFFSETS, WallClock
 
 from .test_core import World
 
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("by", STEPS)
 def test_a_step_that_is_taken_back_leaves_no_trace(by: int) -> None:
     c = Clocks()
-    for offset in (by, -by) * (MOST_OFFSETS + 1):
+    for offset in (by, -by) * (MAX_OFFSETS + 1):
         c.ours += offset
         c.theirs += offset
         c.go_on(SECOND)
