--- a/moorusher/cli/configuration.py
+++ b/moorusher/cli/configuration.py
@@ -7,7 +7,8 @@
 
 import click
 
-from ..config.loader import Config, load
+from ..config.loader import load
+from ..config.model import Config
 from ..config.section import Address, ConfigError
 from . import FRONTS, JSON, Shown, show
 
@@ -47,7 +48,7 @@
 def check_config(fronts: Path | None, as_json: bool) -> None:
     """Read the configuration and say what it comes to, or name the faulty key."""
     try:
-        config = load(fronts=fronts)
+        config = load(operator_file=fronts)
     except ConfigError as exc:
         raise Shown(str(exc)) from exc
     parts = told(config)
--- a/moorusher/cli/runner.py
+++ b/moorusher/cli/runner.py
@@ -14,7 +14,8 @@
 
 import click
 
-from ..config.loader import FRONTS_FILE, load, read_fronts
+from ..config.loader import load
+from ..config.operator_file import DEFAULT_OPERATOR_FILE, read_operator_file
 from ..config.section import ConfigError, parse_address
 from ..server.main import NOT_ROUTABLE, REFUSED, UNREACHED
 from . import JSON, Shown, show
@@ -61,7 +62,10 @@
 
     @click.option("--address", help="HOST:PORT of the API (default: admin.listen of the operator's file).")
     @click.option(
-        "--fronts", type=click.Path(path_type=Path), default=FRONTS_FILE, help="The operator's file."
+        "--fronts",
+        type=click.Path(path_type=Path),
+        default=DEFAULT_OPERATOR_FILE,
+        help="The operator's file.",
     )
     @click.option(
         "--token", envvar="MOORUSHER_TOKEN", help="For changes (default: that of the operator's file)."
@@ -69,7 +73,7 @@
     @wraps(command)
     def with_api(address: str | None, fronts: Path, token: str | None, **rest: Any) -> None:
         try:
-            admin = read_fronts(fronts)[2]
+            admin = read_operator_file(fronts).admin
             where = parse_address(address, "--address") if address else admin.listen
         except ConfigError as exc:
             raise Shown(str(exc)) from exc
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -9,7 +9,7 @@
 
 from ..backends.database import DatabasePool
 from ..backends.uwsgi import UwsgiCalls
-from ..config.loader import Config
+from ..config.model import Config
 
 if TYPE_CHECKING:
     from ..backends.server_pool import ServerPool
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -52,10 +52,10 @@
     return isinstance(error, ConfigUnreadable)
 
 
-def serve(fronts: Path | None = None) -> int:
+def serve(operator_file: Path | None = None) -> int:
     """Run one runner in the foreground until it has shut down. Returns the exit code.
 
-    :param fronts: the operator's file, which says what listens besides; that of the distribution where None.
+    :param operator_file: the operator's file, which says what listens besides; that of the distribution where None.
     """
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
     # Nothing has been read yet: until the service takes the signal over, to shut down is to end.
@@ -63,7 +63,7 @@
     # A new configuration that comes meanwhile is read once the service can follow it.
     early_hangups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
-    read_config = partial(load, fronts=fronts)
+    read_config = partial(load, operator_file=operator_file)
     try:
         config = retry_transient(read_config, CONFIG_TIMEOUT_S, may_pass=_can_be_read_later)
     except ConfigError as error:
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -9,7 +9,7 @@
 
 from ..backends.database import DatabasePool
 from ..backends.uwsgi import UwsgiCalls
-from ..config.loader import Config
+from ..config.model import Config
 from ..config.section import Address, ConfigError, ConfigUnreadable
 from ..core.reconfiguration import Plan, plan
 from ..rate_limited_log import RateLimitedLog
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -10,7 +10,7 @@
 from ..backends.announce import Announcer
 from ..backends.database import MOST_IDLE, DatabasePool
 from ..backends.kernel import KernelLink
-from ..config.loader import Config, Limits
+from ..config.model import Config, Limits
 from ..config.section import Address
 from ..core.call import Calls, NoCalls
 from ..core.clock import Alarms, Clock
--- a/moorusher/server/signals.py
+++ b/moorusher/server/signals.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config.loader import Config
+from ..config.model import Config
 from .server import Service
 
 log = logging.getLogger("moorusher")
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from moorusher.config.loader import read_fronts
+from moorusher.config.operator_file import read_operator_file
 from moorusher.config.section import ConfigError
 from moorusher.model_checking.cluster_simulation import Course, Process, search
 from moorusher.replication.acceptor import Acceptor
@@ -408,7 +408,7 @@
     fronts = tmp_path / "fronts.toml"
     fronts.write_text('[fleet]\nlisten = "127.0.0.1:1"\nname = "f"\njournal = "here"\n')
     with pytest.raises(ConfigError, match=r"fleet\.journal"):
-        read_fronts(fronts)
+        read_operator_file(fronts)
 
 
 # ---- a fleet in virtual time ----
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -12,10 +12,12 @@
 from moorusher.backends import database
 from moorusher.backends.http_client import HttpClient
 from moorusher.config import fleet as settings
-from moorusher.config import loader as config
-from moorusher.config import section
+from moorusher.config import loader, section
+from moorusher.config.health import POLICY_BOUNDS
 from moorusher.config.load_balancing import TIER_BOUNDS, TierConfig
+from moorusher.config.model import AdminConfig, Config, HealthCheckConfig, OperatorConfig, UwsgiConfig
 from moorusher.config.namespaces import NamespacesConfig
+from moorusher.config.operator_file import DEFAULT_OPERATOR_FILE, read_operator_file
 from moorusher.core.outcomes import OUTCOMES, Ending
 from moorusher.forecasting.policy import Policy as ForecastPolicy
 from moorusher.frontends import jsonrpc_messages, uwsgi_packets
@@ -253,10 +255,10 @@
 }
 
 
-def load(tmp_path: Path, data: object, fronts: str = "") -> config.Config:
+def load(tmp_path: Path, data: object, fronts: str = "") -> Config:
     (tmp_path / "c.json").write_text(data if isinstance(data, str) else json.dumps(data))
     (tmp_path / "fronts.toml").write_text(fronts)
-    return config.load({"GW_CONFIG": str(tmp_path / "c.json")}, tmp_path / "fronts.toml")
+    return loader.load({"GW_CONFIG": str(tmp_path / "c.json")}, tmp_path / "fronts.toml")
 
 
 @pytest.mark.parametrize(
@@ -328,15 +330,15 @@
     with pytest.raises(section.ConfigError, match="GW_CONFIG"):
         load(tmp_path, "{")
     with pytest.raises(section.ConfigError, match="GW_CONFIG"):
-        config.load({})
+        loader.load({})
 
 
 def test_the_shipped_fronts_file_has_everything_off() -> None:
-    got = config.read_fronts(config.FRONTS_FILE)
-    assert got == (
-        config.UwsgiConfig(),
-        config.ProbeConfig(),
-        config.AdminConfig(),
+    got = read_operator_file(DEFAULT_OPERATOR_FILE)
+    assert got == OperatorConfig(
+        UwsgiConfig(),
+        HealthCheckConfig(),
+        AdminConfig(),
         TierConfig(),
         settings.FleetConfig(),
         NamespacesConfig(),
@@ -352,16 +354,16 @@
     file = tmp_path / "fronts.toml"
     for tier, runners in (("", 3), ("[tier]\nrunners = 7\n", 7)):
         file.write_text(f'[fleet]\nlisten = "127.0.0.1:3040"\nname = "f"\n{seats}{tier}')
-        assert config.read_fronts(file)[3].policy.runners == runners
+        assert read_operator_file(file).tier.policy.runners == runners
     file.write_text("")
-    assert config.read_fronts(file)[3].policy.runners == 1
+    assert read_operator_file(file).tier.policy.runners == 1
 
 
 SERVER_KEYS = {"name", "address", "weight", "zone", "group", "protocol"}  # of the sample server and seat
 
 
 def test_the_shipped_fronts_file_names_every_key_with_its_default(tmp_path: Path) -> None:
-    shipped = config.FRONTS_FILE.read_text()
+    shipped = DEFAULT_OPERATOR_FILE.read_text()
     off = {
         *SERVER_KEYS,
         "listen",
@@ -381,17 +383,13 @@
         for line in shipped.splitlines()
     )
     (tmp_path / "fronts.toml").write_text(on)
-    uwsgi_config, probes, _, tier, fleet, names, forecast, outage = config.read_fronts(
-        tmp_path / "fronts.toml"
-    )
-    assert forecast == ForecastPolicy() and outage == OutagePolicy()
-    assert (uwsgi_config, probes, tier, fleet, replace(names, grants=Grants())) == (
-        config.UwsgiConfig(),
-        config.ProbeConfig(),
+    got = read_operator_file(tmp_path / "fronts.toml")
+    assert got.forecast == ForecastPolicy() and got.outage == OutagePolicy()
+    assert (got.uwsgi, got.probes, got.tier, got.fleet, replace(got.namespaces, grants=Grants())) == (
+        UwsgiConfig(),
+        HealthCheckConfig(),
         TierConfig(),
         settings.FleetConfig(),
         NamespacesConfig(),
     )
-    assert all(
-        f"# {name} = " in shipped for name in {**config.POLICY_BOUNDS, **TIER_BOUNDS, **settings.BOUNDS}
-    )
+    assert all(f"# {name} = " in shipped for name in {**POLICY_BOUNDS, **TIER_BOUNDS, **settings.BOUNDS})
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -14,18 +14,13 @@
 
 from moorusher.backends.database import MOST_IDLE, DatabasePool
 from moorusher.config import fleet as settings_of_fleet
-from moorusher.config import loader as config
-from moorusher.config import section
-from moorusher.config.load_balancing import TierConfig
-from moorusher.config.namespaces import NamespacesConfig
+from moorusher.config import model, platform_file, section
 from moorusher.core.answer import Verdict
 from moorusher.core.intake import Fault
 from moorusher.core.outcomes import Ending
 from moorusher.core.reconfiguration import NEW, plan
 from moorusher.core.requests import Arrival
-from moorusher.forecasting.policy import Policy as ForecastPolicy
 from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
-from moorusher.maintenance.policy import Policy as OutagePolicy
 from moorusher.replication.policy import Seat
 from moorusher.scheduling import Balancer
 from moorusher.scheduling import interface as api
@@ -233,18 +228,9 @@
         self.file = json.dumps(self.config).encode()
         self.service = Service(self.load(), MemoryReactorClock())  # type: ignore[no-untyped-call]
 
-    def load(self, running: Any = None) -> config.Config:
-        off = (
-            config.UwsgiConfig(),
-            config.ProbeConfig(),
-            config.AdminConfig(),
-            TierConfig(),
-            self.fleet,
-            NamespacesConfig(),
-            ForecastPolicy(),
-            OutagePolicy(),
-        )
-        return config.read(self.file, {}, off, running)
+    def load(self, running: Any = None) -> model.Config:
+        off = model.OperatorConfig(fleet=self.fleet)
+        return platform_file.parse_platform_file(self.file, {}, off, running)
 
     def reload(self, text: str | bytes) -> bool:
         """Whether it was taken."""
@@ -322,7 +308,7 @@
     for key, inner in (
         value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     ):
-        if isinstance(key, str) and key not in config.MAY_BE_ABSENT and key != "windowMs":
+        if isinstance(key, str) and key not in platform_file.OPTIONAL_KEYS and key != "windowMs":
             yield (*here, key)
         yield from paths(inner, (*here, key))
 
