--- a/tests/test_module_shape.py
+++ b/tests/scheduling/test_module_shape.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SCHEDULING = ROOT / "moorusher" / "scheduling"
 INTERFACE = SCHEDULING / "interface.py"
 MODULES = sorted(path for path in SCHEDULING.rglob("*.py") if path.name != "__init__.py")
--- /dev/null
+++ b/tests/scheduling/test_priority.py
@@ -0,0 +1,52 @@
+"""Capacity that is reserved for classes that outrank others."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from moorusher.scheduling import interface as api
+from moorusher.scheduling.interface import (
+    Tenant,
+)
+
+from ..helpers import SAFE, done, only, opened, request, started
+
+HIGH_PRIORITY = replace(SAFE, name="hold", worth=10.0)
+
+
+def test_slots_are_reserved_for_the_class_of_higher_priority_weight() -> None:
+    """Free slots went to whatever came first, and the class that holds most of the worth lost like the rest."""
+    balancer = opened(cores=2, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
+    ran = {0: 0, 1: 0}
+    offered = {0: 0, 1: 0}
+    running: dict[int, tuple[float, int]] = {}
+    for i in range(1, 4000):
+        now = 5.0 * i
+        ends = [ended_id for ended_id, (at, _) in running.items() if at <= now]
+        for ended_id in ends:
+            ran[running.pop(ended_id)[1]] += 1
+        batch: list[api.Event] = [*done(*ends), api.Timer(0, (1.0,))]
+        if i % 8 == 0:  # 25 a second, a third of them dear; 10 a second can be run
+            klass = int(i % 24 == 0)
+            offered[klass] += 1
+            batch.append(request(i, klass=klass))
+        kinds = {event.id: event.klass for event in batch if isinstance(event, api.Request)} | {
+            job.id: job.request.klass for job in balancer.state.jobs.values()
+        }
+        for ended_id in started(balancer.step(now, batch)):
+            running[ended_id] = (now + 200.0, kinds[ended_id])
+    assert ran[1] > 0.85 * offered[1]
+    assert 0 < ran[0] < 0.3 * offered[0]
+
+
+def test_a_free_slot_is_reserved_for_nobody() -> None:
+    """Runners below turned calls away with most of their slots free, for a class that did not come."""
+    balancer = opened(cores=3, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
+    balancer.step(0.0, [request(1)])
+    balancer.state.service_time.classes[0].credit_ms = -1.0
+    assert started(balancer.step(5.0, [request(2)])) == [2]
+    assert started(balancer.step(10.0, [request(3, klass=1)])) == [3]
+    balancer.state.service_time.classes[0].credit_ms = -1.0
+    assert [rejected.id for rejected in only(balancer.step(15.0, [request(4)]), api.Reject)] == [
+        4
+    ]  # now none is free
--- a/tests/test_core_shape.py
+++ b/tests/test_core_shape.py
@@ -79,7 +79,7 @@
 RULES = {
     "moorusher.scheduling.interface",
     "moorusher.scheduling.retry_policy",
-}  # what test_module_shape.py holds to the same
+}  # what scheduling/test_module_shape.py holds to the same
 
 
 @pytest.mark.parametrize("path", DECIDES, ids=lambda p: f"{p.parent.name}-{p.stem}")
