--- a/tests/test_tier.py
+++ b/tests/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""The decisions over a tier by themselves: tables, properties, and hard cases played in virtual time."""
+"""Load balancing by itself: tables, properties, and hard cases played in virtual time."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 # ---- what is measured ----
 
 
-def test_a_peak_counts_at_once_and_fades() -> None:
+def test_a_latency_peak_counts_at_once_and_decays() -> None:
     latency = LatencyEstimate()
     for i in range(30):
         latency.add(i * S, 10_000)
@@ -69,7 +69,7 @@
 
 
 @given(st.lists(st.floats(1, 1e6), min_size=1, max_size=200))
-def test_no_figure_leaves_the_range_of_its_samples(took: list[float]) -> None:
+def test_no_latency_estimate_leaves_the_range_of_its_samples(took: list[float]) -> None:
     latency = LatencyEstimate()
     for i, t in enumerate(took):
         latency.add(i * 1000, t)
@@ -79,7 +79,7 @@
     assert low <= median(took) <= high
 
 
-def test_a_limit_rises_where_nothing_gets_slower_and_falls_where_it_does() -> None:
+def test_the_concurrency_limit_rises_unless_latency_does_and_falls_where_it_does() -> None:
     limit = ConcurrencyLimit(2, 100)
     for _ in range(200):
         limit.answered(10, 10, int(limit.value))
@@ -95,7 +95,7 @@
     assert before.value < 16
 
 
-def test_a_budget_is_a_share_of_the_calls_and_a_floor() -> None:
+def test_the_retry_budget_is_a_fraction_of_the_calls_and_a_trickle() -> None:
     budget, taken = RetryBudget(0.1, 0.0, 0), 0
     for _ in range(1000):
         budget.call_started()
@@ -116,7 +116,7 @@
 # ---- choice ----
 
 
-def test_each_runner_keeps_to_servers_of_its_own_and_a_change_moves_few() -> None:
+def test_each_runner_has_a_subset_of_its_own_and_a_change_moves_few() -> None:
     members = [Endpoint(s, LoadBalancingPolicy(), 0) for s in servers(100)]
     before = {r: [m.config.name for m in subset_order(f"r{r}", members)][:10] for r in range(300)}
     load = Counter(name for names in before.values() for name in names)
@@ -132,7 +132,7 @@
     assert got["s0"] > 2 * 1000 / 53
 
 
-def test_the_own_zone_goes_first_until_it_is_clearly_worse() -> None:
+def test_the_own_zone_is_preferred_until_it_is_clearly_worse() -> None:
     near, far = servers(2, zone="a"), [EndpointConfig(f"f{i}", (HOST, 9), zone="b") for i in range(2)]
     r = LoadBalancer(
         [*near, *far], LoadBalancingPolicy(zone="a", hedging_enabled=False), "r1", random.Random(1).random, 0
@@ -150,7 +150,7 @@
     assert all(name.startswith("f") for name in spilled)
 
 
-def test_a_new_server_gets_traffic_gradually() -> None:
+def test_a_new_server_gets_calls_gradually() -> None:
     r = router(4, hedging_enabled=False)
     r.endpoints.add(0, EndpointConfig("new", (HOST, 9)))
     got = Counter[int]()
@@ -165,7 +165,7 @@
 # ---- calls ----
 
 
-def test_a_keyed_call_is_tried_again_only_after_a_proof() -> None:
+def test_a_call_with_an_idempotency_key_is_retried_only_after_a_proof() -> None:
     for end, again in (
         (AttemptOutcome.REJECTED, True),
         (AttemptOutcome.NOT_CONNECTED, True),
@@ -183,7 +183,7 @@
             assert second.endpoint != send.endpoint and wake <= MS + 10 * MS
 
 
-def test_nothing_is_tried_again_past_the_callers_time_or_the_budget() -> None:
+def test_nothing_is_retried_past_the_deadline_or_the_budget() -> None:
     r = router(hedging_enabled=False)
     (send,) = sends(r.handle(CallStarted(0, 1, Effect.SAFE, 20 * MS)))
     assert overs(r.handle(AttemptEnded(19 * MS, send.attempt_id, AttemptOutcome.NOT_CONNECTED))) == [
@@ -197,7 +197,7 @@
     assert ends == [False] + [True] * 9 and r.counts.denied_by_budget == 9
 
 
-def test_a_second_copy_goes_elsewhere_the_first_answer_wins_and_the_other_is_given_up() -> None:
+def test_a_hedged_request_goes_elsewhere_the_first_answer_wins_and_the_other_is_cancelled() -> None:
     r = router(2, retry_budget_ratio=1.0)
     for i in range(80):
         (send,) = sends(r.handle(CallStarted(i * S, i, Effect.SAFE, i * S + S)))
@@ -219,7 +219,7 @@
     ]
 
 
-def test_what_finds_no_server_waits_by_due_time_and_a_full_queue_turns_away() -> None:
+def test_calls_without_a_server_wait_by_deadline_and_a_full_queue_rejects() -> None:
     r = router(1, min_concurrency=1, max_concurrency=1, max_queued_calls=2, hedging_enabled=False)
     (first,) = sends(r.handle(CallStarted(0, 1, Effect.KEYED, 9 * S)))
     assert (
@@ -244,7 +244,7 @@
         r.endpoints.attempt_ended(now, r.endpoints.by_name[name], -1, AttemptOutcome.FAILED)
 
 
-def test_a_server_is_ejected_longer_each_time_and_returns_by_a_safe_probe() -> None:
+def test_a_server_is_ejected_longer_each_time_and_returns_by_a_health_check() -> None:
     r, now = router(4, hedging_enabled=False), 0
     member = r.endpoints.by_name["s0"]
     lasted = []
@@ -274,7 +274,7 @@
     assert lasted == [5, 10, 20]
 
 
-def test_a_probe_that_fails_ejects_again_and_one_given_up_is_made_anew() -> None:
+def test_a_health_check_that_fails_ejects_again_and_a_cancelled_one_is_repeated() -> None:
     r = router(4, hedging_enabled=False)
     fail(r, "s0", 5)
     now = r.endpoints.by_name["s0"].outliers.ejected_until
@@ -309,7 +309,7 @@
     assert "s0" not in {send.endpoint for (send,) in later}
 
 
-def test_at_most_a_share_is_ejected_and_the_tier_is_never_empty() -> None:
+def test_at_most_a_fraction_is_ejected_and_some_server_is_always_in_service() -> None:
     r = router(6, hedging_enabled=False)
     for i in range(6):
         fail(r, f"s{i}", 50)
@@ -324,7 +324,7 @@
 # ---- membership under load ----
 
 
-def test_servers_come_drain_and_go_with_calls_in_flight() -> None:
+def test_servers_are_added_drained_and_removed_with_calls_in_flight() -> None:
     r = router(2, hedging_enabled=False, retry_budget_ratio=1.0)
     flights = [
         sends(r.handle(CallStarted(0, i, Effect.SAFE if i % 2 == 0 else Effect.KEYED, S)))[0]
@@ -361,7 +361,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_faulty_server_loses_its_traffic_and_the_tier_serves_on(fault: str) -> None:
+def test_a_faulty_server_loses_its_calls_and_the_others_serve_on(fault: str) -> None:
     told = {way: World(tier(FAULTS[fault]), way, 3, seconds=15).play() for way in ("tier", "round")}
     assert told["tier"].share > 0.98 > told["round"].share
     assert told["tier"].shifted({"s0"}, 5, 1 / 8) < 3
@@ -369,7 +369,7 @@
     assert told["tier"].twice == 0
 
 
-def test_a_server_that_recovers_gets_its_traffic_back() -> None:
+def test_a_server_that_recovers_gets_its_calls_back() -> None:
     world = World(tier(Mood("fail", 3, 6)), "tier", 1, seconds=45)
     told = world.play()
     lately = Counter(who for at, who in told.sent if at > 38)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -17,8 +17,8 @@
 )
 
 from .stand_ins import SETTINGS, Database, FrontEnd, Kernel, running
+from .test_server_pool import listed
 from .test_sockets import has, key, sockets
-from .test_tier_links import listed
 
 EFFECTS = ("free", "guarded", "single_shot")
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Calls along customers' ways: hops in their order, limits, shares, grants that change, nobody's burden another's."""
+"""Calls along customers' route paths: hops in order, limits, quotas, changing grants, isolation of customers."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     return next(e.attempt_id for e in effects if isinstance(e, SendAttempt))
 
 
-def test_who_has_no_rules_goes_to_servers_that_are_nobodys() -> None:
+def test_requests_without_rules_go_to_servers_that_are_granted_to_nobody() -> None:
     w = route_table()
     assert {sent(call(w, n, None))[0] for n in range(5)} == {"free"}
 
@@ -97,7 +97,7 @@
         (AttemptOutcome.NOT_AWAITED, Effect.SAFE, False),
     ],
 )
-def test_a_call_goes_on_to_the_next_hop_only_where_nothing_ran_or_it_may_run_twice(
+def test_a_call_uses_the_next_hop_only_where_nothing_ran_or_it_may_run_twice(
     end: AttemptOutcome, effect: Effect, goes_on: bool
 ) -> None:
     w = route_table()
@@ -120,7 +120,7 @@
     )
 
 
-def test_a_call_whose_time_is_over_goes_nowhere_else() -> None:
+def test_a_call_past_its_deadline_uses_no_further_hop() -> None:
     w = route_table()
     first = attempt(
         w.handle(CallStarted(0, 1, Effect.SAFE, S), path(hop("main", "a1"), hop("spare", pool="shared")))
@@ -130,7 +130,7 @@
     ]
 
 
-def test_further_tries_on_a_route_are_as_many_as_it_says() -> None:
+def test_attempts_on_a_route_are_as_many_as_it_allows() -> None:
     w = route_table()
     first = call(w, 1, path(hop("main", "a1", "a2", max_attempts=2), hop("spare", pool="shared")))
     again = w.handle(AttemptEnded(1_000, attempt(first), AttemptOutcome.NOT_CONNECTED)) + w.handle(
@@ -140,7 +140,7 @@
     assert sent(w.handle(AttemptEnded(3_000, attempt(again), AttemptOutcome.NOT_CONNECTED))) == ["p1"]
 
 
-def test_limits_of_a_route_and_shares_of_a_pool_hold_and_are_given_back() -> None:
+def test_limits_of_a_route_and_quotas_of_a_pool_hold_and_are_released() -> None:
     w = route_table()
     limited = path(hop("main", "a1", max_in_flight=2), hop("spare", pool="shared"))
     calls = {n: call(w, n, limited) for n in range(1, 6)}
@@ -185,7 +185,7 @@
     )
 
 
-def test_a_server_that_is_taken_from_a_customer_is_called_by_it_no_more() -> None:
+def test_a_server_whose_grant_ends_is_not_called_by_that_customer() -> None:
     w = route_table()
     to = path(hop("main", "a1", "a2"))
     assert sent(call(w, 1, to)) and sent(call(w, 2, None)) == ["free"]
@@ -216,7 +216,7 @@
     ]
 
 
-def test_a_ruling_is_a_value_of_its_revision() -> None:
+def test_a_routing_decision_is_a_value_of_its_revision() -> None:
     customers = Customers()
     draft = {
         "default": "main",
--- a/tests/test_tier_links.py
+++ b/tests/test_server_pool.py
@@ -1,4 +1,4 @@
-"""The tier over real sockets: what the router decides is carried out, and no rule of calls is broken by it."""
+"""The server pool over real sockets: what load balancing decides is done, and no rule of calls is broken by it."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         server.close()
 
 
-def test_endings_prove_to_the_router_what_they_prove_to_the_module() -> None:
+def test_endings_prove_to_load_balancing_what_they_prove_to_the_scheduler() -> None:
     for ending, outcome in OUTCOMES.items():
         if ending.name.startswith("CALL_"):
             evidence = OUTCOME_OF_ENDING.get(ending, AttemptOutcome.FAILED).evidence
@@ -73,7 +73,7 @@
 
 @pytest.mark.processes
 @sockets
-async def test_one_that_fails_and_one_that_is_not_there_cost_no_safe_call() -> None:
+async def test_a_failing_and_a_missing_server_cost_no_call_that_may_run_twice() -> None:
     failing, gone, well = Database(500), Database(), Database()
     more = listed(
         failing, gone, well, policy="hedge = false\nretry_share = 1.0\nmost_ejected = 0.7\npanic = 0.0"
@@ -89,7 +89,9 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize("script, calls", [((500,), 1), (("reset",), 1), ((503, 200), 2)])
-def test_a_keyed_call_is_made_again_only_after_a_proof(script: tuple[int | str, ...], calls: int) -> None:
+def test_a_call_with_a_key_is_made_again_only_after_a_proof(
+    script: tuple[int | str, ...], calls: int
+) -> None:
     @sockets
     async def play() -> None:
         servers = [Database(*script)]
@@ -104,7 +106,7 @@
 
 @pytest.mark.processes
 @sockets
-async def test_a_server_that_hangs_is_passed_by_with_a_second_copy() -> None:
+async def test_a_server_that_hangs_is_bypassed_by_hedged_requests() -> None:
     servers = [Database("hang"), Database()]
     async with running(kernel := Kernel(calls=True), more=listed(*servers, policy="retry_share = 1.0")) as r:
         f = await FrontEnd.connect(r.port)
@@ -160,7 +162,7 @@
     close(servers)
 
 
-def test_a_call_out_of_turn_is_given_up_at_its_server() -> None:
+def test_a_cancelled_call_is_no_servers_outcome() -> None:
     assert (
         Ending.CALL_GIVEN_UP not in OUTCOME_OF_ENDING
     )  # our own doing is never told to the router as a server's
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("calls", [8, 40, 200])
 @pytest.mark.parametrize("others", [0, 3])
 @pytest.mark.parametrize("burst", [False, True])
-def test_the_sum_of_what_all_send_keeps_to_the_budget(
+def test_what_all_runners_send_together_keeps_to_the_budget(
     processes: int, calls: int, others: int, burst: bool
 ) -> None:
     """Demand is several times the budget; in a burst all ask in one moment, after a rest."""
@@ -105,7 +105,7 @@
         assert len(p.sent) > 0.4 * calls * SLOW_S / 2, "what waits for it makes use of the budget"
 
 
-def test_calls_that_wait_for_a_server_in_slow_start_go_out_in_its_turn_without_another_event() -> None:
+def test_calls_that_wait_for_a_server_in_slow_start_go_out_with_its_slots_by_a_timer() -> None:
     policy = LoadBalancingPolicy(slow_start_s=SLOW_S, slow_start_calls=10, runners=20)
     router = LoadBalancer([], policy, "r1", random.Random(1).random, 0)
     router.endpoints.add(0, NEW)
@@ -120,7 +120,7 @@
     assert not any(isinstance(e, CancelAttempt | CompleteCall) for e in got)
 
 
-def test_probes_of_a_server_that_was_ejected_take_their_turns_too() -> None:
+def test_health_checks_of_a_server_that_was_ejected_need_a_slot_too() -> None:
     runners = 30
     policy = LoadBalancingPolicy(
         slow_start_s=SLOW_S,
@@ -149,7 +149,7 @@
     assert probes <= budget + slack(budget)
 
 
-def test_slots_are_one_call_each_and_an_idle_runners_is_lost_soon() -> None:
+def test_slots_are_one_call_each_and_an_unused_one_is_soon_lost() -> None:
     budget = SlowStartBudget(calls=100, window_us=S, runners=10)
     slots = SlotCounter(budget, 0.0, 0)
     assert slots.is_open(0, 1.0)
--- a/tests/test_knowledge.py
+++ b/tests/test_warm_start.py
@@ -1,4 +1,4 @@
-"""What is told of servers: as bytes that can't be trusted, as words that are weighed, and as words on trial."""
+"""Warm start: snapshots whose bytes are untrusted, priors that are weighted, and priors that are verified."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 from moorusher.warm_start.verification import PriorVerification
 
 from .stand_ins import Database, FrontEnd, Kernel, running
+from .test_server_pool import listed
 from .test_sockets import has, sockets
-from .test_tier_links import listed
 
 S, MS = 1_000_000, 1_000
 
@@ -67,7 +67,7 @@
 # ---- bytes ----
 
 
-def test_a_thousand_servers_fit_and_come_back_as_they_were() -> None:
+def test_a_snapshot_of_a_thousand_servers_fits_and_is_read_as_written() -> None:
     told = knowledge(*(facts(f"server-{i:04}.zone-{i % 7}", 1.234567 * i) for i in range(1000)))
     raw = encode_snapshot(told)
     assert len(raw) <= MAX_SNAPSHOT_BYTES and decode_snapshot(raw) == told
@@ -109,19 +109,19 @@
         (sealed(b"\x91" * 100_000), SnapshotFault.INVALID_VALUE),
     ],
 )
-def test_what_cannot_be_trusted_whole_is_refused_with_its_reason(raw: bytes, why: SnapshotFault) -> None:
+def test_an_invalid_snapshot_is_refused_with_its_fault(raw: bytes, why: SnapshotFault) -> None:
     with pytest.raises(InvalidSnapshot) as caught:
         decode_snapshot(raw)
     assert caught.value.fault is why
 
 
-def test_a_newer_minor_version_is_read_and_its_new_fields_passed_over() -> None:
+def test_a_newer_minor_version_is_read_and_its_new_fields_ignored() -> None:
     body = msgspec.to_builtins(knowledge(facts("a"))) | {"colour": "red"}
     assert decode_snapshot(sealed(msgspec.msgpack.encode(body), minor=9)) == knowledge(facts("a"))
 
 
 @given(st.binary(max_size=300), st.integers(0, len(GOOD) - 1), st.integers(0, 255))
-def test_no_bytes_raise_anything_but_a_refusal(noise: bytes, at: int, byte: int) -> None:
+def test_no_bytes_raise_anything_but_an_invalid_snapshot(noise: bytes, at: int, byte: int) -> None:
     changed = bytearray(GOOD)
     changed[at] = byte
     for raw in (noise, MAGIC + noise, sealed(noise), bytes(changed), GOOD[:at]):
@@ -129,7 +129,7 @@
             assert isinstance(decode_snapshot(raw), LearnedState)
 
 
-def test_too_much_is_not_written() -> None:
+def test_an_oversized_snapshot_is_not_written() -> None:
     with pytest.raises(InvalidSnapshot) as caught:
         encode_snapshot(
             knowledge(
@@ -190,7 +190,7 @@
     assert found is not None and found.endpoints[0].name == ("new" if step == "folder" else "old")
 
 
-def test_what_is_on_disk_is_as_old_as_its_file_and_what_cannot_be_used_means_a_cold_start(
+def test_a_snapshot_is_as_old_as_its_file_and_an_unusable_one_means_a_start_without(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "known"
@@ -208,7 +208,7 @@
 
 @pytest.mark.processes
 @sockets
-async def test_a_runner_keeps_what_it_learnt_and_the_next_one_learns_from_it() -> None:
+async def test_a_runner_saves_what_it_learnt_and_the_next_one_learns_from_it() -> None:
     servers = [Database(500), Database(), Database(), Database()]
     text = listed(*servers, policy='knowledge_file = "known"')
     async with running(Kernel(calls=True), more=text) as r:
@@ -249,7 +249,7 @@
         ({"uptime_s": 0.1}, None),
     ],
 )
-def test_a_word_weighs_by_its_age_and_its_donor(more: dict[str, Any], weight: float | None) -> None:
+def test_a_prior_is_weighted_by_its_age_and_its_donor(more: dict[str, Any], weight: float | None) -> None:
     prior = merge_priors([knowledge(facts("a"), facts("b", 120), **more)], ["a", "b", "c"])
     if weight is None:
         assert not prior
@@ -257,7 +257,7 @@
         assert prior["a"].weight == pytest.approx(weight, rel=0.01) and set(prior) == {"a", "b"}
 
 
-def test_servers_are_compared_within_a_donor_so_a_slow_one_tells_the_same() -> None:
+def test_latencies_are_compared_within_a_donor_so_a_slow_one_yields_the_same() -> None:
     names = ["a", "b", "c"]
     well = knowledge(facts("a", 40), facts("b", 40), facts("c", 200))
     slow = knowledge(facts("a", 400), facts("b", 400), facts("c", 2000), condition=DonorCondition.SLOW)
@@ -301,7 +301,7 @@
         max_size=5,
     )
 )
-def test_whatever_is_told_a_prior_stays_in_its_bounds(told: list[LearnedState]) -> None:
+def test_whatever_donors_say_a_prior_stays_in_its_bounds(told: list[LearnedState]) -> None:
     for prior in merge_priors(told, ["a"]).values():
         assert (
             0.1 <= prior.latency_ratio <= 10
@@ -314,7 +314,7 @@
 # ---- on trial ----
 
 
-def test_a_word_that_own_answers_contradict_is_dropped_and_then_the_whole_donor() -> None:
+def test_a_prior_that_own_answers_contradict_is_dropped_and_then_the_donor() -> None:
     dropped: list[str] = []
     priors = {
         f"s{i}": Prior(1.0, 1.0, 1.0, False, ("liar",) if i < 8 else ("honest", "liar")) for i in range(10)
@@ -331,7 +331,7 @@
     assert len(trial) == 2  # what an honest donor told, too, stays
 
 
-def test_one_told_to_be_out_shows_by_one_call_that_it_is_well() -> None:
+def test_a_server_that_donors_had_ejected_returns_by_one_health_check() -> None:
     servers = [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(4)]
     r = LoadBalancer(servers, LoadBalancingPolicy(hedging_enabled=False), "r", random.Random(1).random, 0)
     priors = {"s0": Prior(1.0, 0.1, 0.9, True, ("d",)), "s9": Prior(1.0, 1.0, 1.0, True, ("d",))}
@@ -353,7 +353,7 @@
     )
 
 
-def test_at_most_the_share_that_may_be_out_is_kept_out_by_what_was_told() -> None:
+def test_priors_eject_at_most_the_fraction_that_may_be_ejected() -> None:
     r = LoadBalancer(
         [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(6)],
         LoadBalancingPolicy(),
@@ -366,7 +366,7 @@
     assert sum(m.state is EndpointState.AWAITING_HEALTH_CHECK for m in r.endpoints.by_name.values()) == 2
 
 
-def test_what_one_knows_spares_another_the_faulty_servers() -> None:
+def test_what_one_runner_learnt_spares_another_the_faulty_servers() -> None:
     def servers() -> list[Below]:
         return [
             Below(f"s{i}", 16, mood={1: Mood("hang"), 2: Mood("slow", factor=15)}.get(i)) for i in range(6)
