--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -27,7 +27,7 @@
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import Post
 from moorusher.maintenance.schedule import Roster
-from moorusher.membership.failure_detector import State
+from moorusher.membership.failure_detector import MemberState
 from moorusher.server import server as service
 from moorusher.server.server import Service
 
@@ -154,13 +154,13 @@
     # ---- what its pages would tell of values that others have written ----
 
     def duty_told(self, array: list[Any]) -> Any:
-        return self.service.fleet.duties._told(msgspec.convert(array, Post))
+        return self.service.cluster.replication.duties._told(msgspec.convert(array, Post))
 
     def outages_told(self, array: list[Any]) -> Any:
-        return self.service.outage._told(msgspec.convert(array, Roster), True)
+        return self.service.cluster.maintenance._told(msgspec.convert(array, Roster), True)
 
     def member_told(self, state: int) -> Any:
-        self.service.fleet.node.members.by_seat["n1"].state = State(state)
+        self.service.cluster.replication.node.detector.by_seat["n1"].state = MemberState(state)
         return self.page("GET", "fleet")[1]["members"][0]["state"]
 
     # ---- who calls it ----
