--- a/moorusher/admin/leadership.py
+++ b/moorusher/admin/leadership.py
@@ -1,18 +1,29 @@
-"""GET /duties: what this runner has or keeps; GET /duties/NAME: read through the register, so current.
-POST /duties/NAME/resume lets one that was put aside go on; POST /duties/NAME/settle/NUMBER/done (or
-undone) closes an open intent.
+"""The administration API of duties.
+
+GET  /duties                              what this runner leads or replicates
+GET  /duties/NAME                         read through its register, so current
+POST /duties/NAME/resume                  lets a suspended duty go on
+POST /duties/NAME/settle/NUMBER/done      closes an open intent; also /undone
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
-from ..cluster_transport.leadership import DutyLink
+from ..cluster_transport.leadership import DutyLink, DutyReading, DutySnapshot
+from ..core.clock import MS
+from ..leadership.errors import DutyError
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.lease_record import Intent, LeaseStatus, Settlement
 from .api import Guarded, later, reply
 
+MAX_NUMBER_DIGITS = 18
+SETTLE_VERDICTS = ("done", "undone")
+
 
 class DutyPages(Guarded):
-    """`/duties`: what the fleet has, and an operator's words on it."""
+    """`/duties`: the duties of the fleet, and an operator's statements about them."""
 
     def __init__(self, token: str, duties: DutyLink) -> None:
         super().__init__(token)
@@ -20,31 +31,96 @@
 
     @staticmethod
     def _path(request: Any) -> list[str]:
-        return [p.decode("utf-8", "replace") for p in request.postpath if p]
+        return [part.decode("utf-8", "replace") for part in request.postpath if part]
 
     def render_GET(self, request: Any) -> Any:
+        """List the duties, or read one."""
         path = self._path(request)
         if not path:
-            return reply(request, 200, {"duties": self._duties.listed()})
-        # A name may hold slashes.
-        return later(request, lambda then: self._duties.read("/".join(path), then))
+            duties = [snapshot_document(snapshot) for snapshot in self._duties.local_duties()]
+            return reply(request, 200, {"duties": duties})
+        name = "/".join(path)  # a name may hold slashes
+        return later(request, lambda answer: self._duties.read(name, _as_document(answer)))
 
     def render_POST(self, request: Any) -> Any:
+        """Resume a duty, or settle an intent. Needs the bearer token."""
         if not self.allowed(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
         path = self._path(request)
         if len(path) > 1 and path[-1] == "resume":
-            return later(request, lambda then: self._duties.resume("/".join(path[:-1]), then))
-        if (
-            len(path) > 3
-            and path[-3] == "settle"
-            and path[-2].isdigit()
-            and len(path[-2]) < 19
-            and path[-1] in ("done", "undone")
-        ):
-            return later(
-                request, lambda then: self._duties.settle("/".join(path[:-3]), int(path[-2]), path[-1], then)
-            )
+            name = "/".join(path[:-1])
+            return later(request, lambda answer: self._duties.resume(name, _as_document(answer)))
+        if _is_settle_path(path):
+            return self._settle(request, "/".join(path[:-3]), int(path[-2]), path[-1])
         return reply(
             request, 404, {"error": "expected /duties/NAME/resume or /duties/NAME/settle/NUMBER/done"}
         )
+
+    def _settle(self, request: Any, name: str, intent_revision: int, verdict: str) -> Any:
+        return later(
+            request,
+            lambda answer: self._duties.settle(name, intent_revision, verdict, _as_document(answer)),
+        )
+
+
+def _is_settle_path(path: list[str]) -> bool:
+    if len(path) <= 3 or path[-3] != "settle" or path[-1] not in SETTLE_VERDICTS:
+        return False
+    return path[-2].isdigit() and len(path[-2]) <= MAX_NUMBER_DIGITS
+
+
+def _as_document(answer: Callable[[Any], None]) -> Callable[[DutyReading | DutySnapshot | DutyError], None]:
+    """Return a callback that answers with the document of a result, or with an error as it is."""
+
+    def callback(result: DutyReading | DutySnapshot | DutyError) -> None:
+        if isinstance(result, DutyReading):
+            answer(reading_document(result))
+        elif isinstance(result, DutySnapshot):
+            answer(snapshot_document(result))
+        else:
+            answer(result)
+
+    return callback
+
+
+def reading_document(reading: DutyReading) -> dict[str, Any]:
+    """Return the JSON of a duty that was read, with its state as text."""
+    state = None if reading.state is None else reading.state.decode("utf-8", "replace")
+    return snapshot_document(reading.snapshot) | {"state": state, "current": True}
+
+
+def snapshot_document(snapshot: DutySnapshot) -> dict[str, Any]:
+    """Return the JSON of a duty. Its keys are part of the API."""
+    record = snapshot.record
+    return {
+        "name": record.name,
+        "kind": record.kind,
+        "life": LeaseStatus(record.status).api_name,
+        "born": record.generation,
+        "term": record.term,
+        "number": record.revision,
+        "owner": None if record.holder is None else record.holder.seat,
+        "lost": record.lost_leaders,
+        "why": record.suspension_reason,
+        "versions": [[version.revision, version.size] for version in record.versions],
+        "intents": [_intent_document(intent) for intent in record.intents],
+        "here": None if snapshot.lease is None else _lease_document(snapshot.lease, snapshot.now_us),
+    }
+
+
+def _intent_document(intent: Intent) -> dict[str, Any]:
+    return {
+        "number": intent.revision,
+        "term": intent.term,
+        "to": intent.receiver,
+        "what": intent.payload.decode("utf-8", "replace"),
+        "settle": Settlement(intent.settlement).api_name,
+    }
+
+
+def _lease_document(lease: LeaseHolder, now_us: int) -> dict[str, Any]:
+    return {
+        "stage": lease.stage.value,
+        "for_ms": (now_us - lease.since_us) / MS,
+        "trouble": None if lease.last_error is None else str(lease.last_error),
+    }
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -23,7 +23,7 @@
 from ..core.clock import MS
 from ..core.requests import Arrival
 from ..leadership.errors import DutyError
-from ..leadership.lease_holder import Ownership
+from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.customers import Revision
 from ..namespaces.document import Namespace, read
 from ..namespaces.errors import NamespaceError, NoSuchCustomer
@@ -187,8 +187,8 @@
     def changed(self, customer: str) -> None:
         log.info("namespaces: %s is at %s here", customer, self.replica.customers.at(customer))
 
-    def work(self, ownership: Ownership) -> Publisher:
-        return self.replica.work(ownership)
+    def work(self, lease: LeaseHolder) -> Publisher:
+        return self.replica.work(lease)
 
     # ---- for operators ----
 
--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -1,17 +1,16 @@
-"""What duties do outside: one HTTP exchange for each effect, with the fence or the intent in its body.
+"""Requests of duties to receivers outside: one HTTP exchange each, with the fencing token or the intent in its body.
 
-    POST /fenced  {"duty", "fence": [born, term, number], "body"}   200 {"verdict": "new" or "again"}
-                                                                   409 {"highest": [born, term, number]}
-    POST /intent  {"duty", "number", "term", "what"}                200 {"done": true or false}
-    POST /asked   {"duty", "number"}                                200 {"done": true or false}: from then on never
+    POST /fenced  {"duty", "fence": [generation, term, revision], "body"}
+                  200 {"verdict": "new" or "again"}      409 {"highest": [generation, term, revision]}
+    POST /intent  {"duty", "number", "term", "what"}     200 {"done": true or false}
+    POST /asked   {"duty", "number"}                     200 {"done": true or false}; after false it is never done
 
-Bodies are base64. What is not heard within a second may have arrived all the same.
+`body` and `what` are base64. A request without an answer within the timeout may have arrived all the same.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -22,118 +21,151 @@
 from ..config.section import parse_address
 from ..core.clock import MS, Alarm
 from ..core.request_engine import Decider
-from ..leadership.effects import Told
-from ..leadership.fencing_token import Fence
+from ..leadership.effects import NO_RESPONSE, ReceiverResponse, ResponseCallback
+from ..leadership.fencing_token import FencingToken, TokenVerdict
 from ..leadership.lease_record import Intent
 
 log = logging.getLogger("moorusher")
 
-WITHIN = 1_000 * MS
-MOST_OPEN = 256  # exchanges at a time; further ones count as not heard
+TIMEOUT_US = 1_000 * MS
+CONNECT_TIMEOUT_S = 1
+MAX_OPEN_EXCHANGES = 256  # further ones count as not answered
+HTTP_OK = 200
+HTTP_CONFLICT = 409
+ACCEPTED_VERDICTS = (TokenVerdict.CURRENT.value, TokenVerdict.DUPLICATE.value)
 
 
 class Answer(msgspec.Struct):
-    """What a receiver has said, as it came."""
+    """The JSON body of an answer."""
 
     verdict: str = ""
     done: bool = False
     highest: tuple[int, int, int] | None = None
 
 
-class _Exchange(HttpClient):
-    def __init__(self, post: Post) -> None:
+def parse_answer(status: int, body: bytes) -> ReceiverResponse:
+    """Return what a receiver has answered; NO_RESPONSE if its body can't be read."""
+    try:
+        answer = msgspec.json.decode(body, type=Answer)
+    except (msgspec.MsgspecError, RecursionError):
+        return NO_RESPONSE
+    if status == HTTP_CONFLICT and answer.highest is not None:
+        return ReceiverResponse(answered=True, highest_token=FencingToken(*answer.highest))
+    is_done = answer.done or answer.verdict in ACCEPTED_VERDICTS
+    return ReceiverResponse(answered=status == HTTP_OK, done=is_done, body=body)
+
+
+class EffectProtocol(HttpClient):
+    """The connection of one exchange."""
+
+    def __init__(self, exchange: EffectExchange) -> None:
         super().__init__()
-        self._post = post
+        self._exchange = exchange
 
     def connectionMade(self) -> None:
+        """Send the request."""
         self.transport.setTcpNoDelay(True)
         self.asked()
         self.transport.write(
             b"POST %s HTTP/1.1\r\nHost: receiver\r\nContent-Type: application/json\r\n"
             b"Connection: close\r\nContent-Length: %d\r\n\r\n%s"
-            % (self._post.path, len(self._post.body), self._post.body)
+            % (self._exchange.path, len(self._exchange.body), self._exchange.body)
         )
 
     def replied(self, status: int, headers: dict[bytes, bytes], body: bytes, keep: bool) -> None:
+        """The answer is complete."""
         self.transport.loseConnection()
-        try:
-            answer = msgspec.json.decode(body, type=Answer)
-        except (msgspec.MsgspecError, RecursionError):
-            return self._post.over(Told(False))
-        if status == 409 and answer.highest is not None:
-            return self._post.over(Told(True, highest=Fence(*answer.highest)))
-        return self._post.over(Told(status == 200, answer.done or answer.verdict in ("new", "again"), body))
+        self._exchange.finish(parse_answer(status, body))
 
     def garbled(self, why: str) -> None:
-        log.warning("duties: a receiver: %s", why)
+        """What came is no HTTP answer."""
+        log.warning("duties: a receiver's answer can't be read: reason=%s", why)
         self.transport.abortConnection()
 
     def stray(self) -> None:
+        """Something came after the answer."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        self._post.over(Told(False))
+        """Ends the exchange, if there was no answer."""
+        self._exchange.finish(NO_RESPONSE)
 
 
-class Post(ClientFactory):
-    """One exchange with a receiver, given up after a second."""
+class EffectExchange(ClientFactory):
+    """One exchange with a receiver, given up after a timeout.
 
-    noisy = False
+    path, body: of the request.
+    """
 
-    def __init__(self, link: Receivers, path: bytes, body: bytes, then: Callable[[Told], None]) -> None:
-        self._link, self.path, self.body = link, path, body
-        self._then: Callable[[Told], None] | None = then
-        self._made: _Exchange | None = None
-        core = link.core
-        self._late: Alarm = core.alarms.at(core.clock.now + WITHIN, self._give_up)
+    noisy = False
 
-    def buildProtocol(self, addr: object) -> _Exchange:
-        self._made = _Exchange(self)
-        return self._made
+    def __init__(
+        self, receivers: HttpEffectReceivers, path: bytes, body: bytes, callback: ResponseCallback
+    ) -> None:
+        self.path = path
+        self.body = body
+        self._receivers = receivers
+        self._callback: ResponseCallback | None = callback
+        self._protocol: EffectProtocol | None = None
+        core = receivers.core
+        self._timeout: Alarm = core.alarms.at(core.clock.now + TIMEOUT_US, self._on_timeout)
+
+    def buildProtocol(self, addr: object) -> EffectProtocol:
+        """Return the protocol of the connection."""
+        self._protocol = EffectProtocol(self)
+        return self._protocol
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.over(Told(False))
+        """Nobody listens, or the connection took too long."""
+        self.finish(NO_RESPONSE)
 
-    def _give_up(self) -> None:
-        if self._made is not None and self._made.transport is not None:
-            self._made.transport.abortConnection()
-        self.over(Told(False))
+    def _on_timeout(self) -> None:
+        if self._protocol is not None and self._protocol.transport is not None:
+            self._protocol.transport.abortConnection()
+        self.finish(NO_RESPONSE)
 
-    def over(self, told: Told) -> None:
-        then, self._then = self._then, None
-        if then is not None:
-            self._late.cancel()
-            self._link.open -= 1
-            self._link.core.touch()
-            then(told)
+    def finish(self, response: ReceiverResponse) -> None:
+        """End the exchange; only the first call counts."""
+        callback = self._callback
+        self._callback = None
+        if callback is not None:
+            self._timeout.cancel()
+            self._receivers.open_exchanges -= 1
+            self._receivers.core.touch()
+            callback(response)
 
 
-class Receivers:
-    """All exchanges of this runner with receivers outside."""
+class HttpEffectReceivers:
+    """All exchanges of this runner with receivers (`leadership.worker.EffectReceivers`).
 
-    def __init__(self, reactor: Any, core: Decider) -> None:
-        self.reactor, self.core, self.open = reactor, core, 0
+    open_exchanges: int.
+    """
 
-    def _send(self, to: str, path: bytes, body: dict[str, Any], then: Callable[[Told], None]) -> None:
-        if self.open >= MOST_OPEN:
-            core = self.core
-            core.alarms.at(core.clock.now, lambda: then(Told(False)))
+    def __init__(self, reactor: Any, core: Decider) -> None:
+        self.core = core
+        self.open_exchanges = 0
+        self._reactor = reactor
+
+    def send_fenced(
+        self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
+    ) -> None:
+        """Send a request with its fencing token."""
+        self._post(receiver, b"/fenced", {"duty": duty, "fence": token, "body": body}, callback)
+
+    def send_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+        """Send a recorded intent."""
+        content = {"duty": duty, "number": intent.revision, "term": intent.term, "what": intent.payload}
+        self._post(receiver, b"/intent", content, callback)
+
+    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+        """Ask whether an intent was done."""
+        self._post(receiver, b"/asked", {"duty": duty, "number": intent.revision}, callback)
+
+    def _post(self, receiver: str, path: bytes, content: dict[str, Any], callback: ResponseCallback) -> None:
+        if self.open_exchanges >= MAX_OPEN_EXCHANGES:
+            self.core.alarms.at(self.core.clock.now, lambda: callback(NO_RESPONSE))
             return
-        self.open += 1
-        self.reactor.connectTCP(
-            *parse_address(to, "receiver"), Post(self, path, msgspec.json.encode(body), then), timeout=1
-        )
-
-    def perform(self, to: str, duty: str, fence: Fence, body: bytes, then: Callable[[Told], None]) -> None:
-        self._send(to, b"/fenced", {"duty": duty, "fence": fence, "body": body}, then)
-
-    def intend(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        self._send(
-            to,
-            b"/intent",
-            {"duty": duty, "number": intent.number, "term": intent.term, "what": intent.what},
-            then,
-        )
-
-    def asked(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        self._send(to, b"/asked", {"duty": duty, "number": intent.number}, then)
+        self.open_exchanges += 1
+        host, port = parse_address(receiver, "receiver")
+        exchange = EffectExchange(self, path, msgspec.json.encode(content), callback)
+        self._reactor.connectTCP(host, port, exchange, timeout=CONNECT_TIMEOUT_S)
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -20,7 +20,7 @@
 from ..forecasting.ledger import Series
 from ..forecasting.policy import Policy
 from ..leadership.errors import DutyError
-from ..leadership.lease_holder import Ownership
+from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
 from .config_distribution import SWITCH_S, Pool
 from .leadership import DutyLink
@@ -77,12 +77,12 @@
     def unix_ms(self) -> int:
         return time.time_ns() // 1_000_000
 
-    def work(self, ownership: Ownership) -> Forecaster:
-        return self.member.work(ownership)
+    def work(self, lease: LeaseHolder) -> Forecaster:
+        return self.member.work(lease)
 
-    def worker(self, ownership: Ownership) -> Forecaster:
+    def worker(self, lease: LeaseHolder) -> Forecaster:
         seats = {name: seat.zone for name, seat in self.duties.fleet.node.seats.by_name.items()}
-        return Forecaster(ownership, self, self.policy, seats)
+        return Forecaster(lease, self, self.policy, seats)
 
     def say(self, seat: str, message: Any) -> None:
         self.member.say(seat, message)
@@ -91,10 +91,10 @@
         self.core.counters.add(name)
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        self.duties.participant.at(when, action)
+        self.duties.participant.services.at(when, action)
 
     def clock(self) -> int:
-        return self.duties.participant.clock()
+        return self.duties.participant.services.now()
 
     def ended(self, worker: Forecaster) -> None:
         self.member.ended(worker)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -1,163 +1,210 @@
-"""The duties of the fleet, carried out: their disk, their receivers, who does their work, what is told to operators."""
+"""Connects a participant in the fleet's duties to this process: its journal, receivers, workers and operators."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, Protocol
 
-from ..core.clock import MS
-from ..leadership.effects import Told
+from ..leadership.directory import Reading
+from ..leadership.effects import ResponseCallback
 from ..leadership.errors import DutyError
-from ..leadership.fencing_token import Fence
-from ..leadership.heartbeat import KIND as REPORT
-from ..leadership.heartbeat import Reporting
-from ..leadership.lease_holder import Ownership
-from ..leadership.lease_record import Intent, Life, Post, Settle, key_of
-from ..leadership.participant import Participant, Reading, Worker
+from ..leadership.fencing_token import FencingToken
+from ..leadership.heartbeat import KIND as HEARTBEAT_KIND
+from ..leadership.heartbeat import HeartbeatWorker
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.lease_record import Intent, LeaseRecord, LeaseStatus, register_key
+from ..leadership.participant import Participant
 from ..leadership.policy import Policy
+from ..leadership.worker import Worker
 from ..replication.journal import Image
 from ..replication.register_space import LASTING
-from .effect_receivers import Receivers
-from .replication import FleetLink
+from .effect_receivers import HttpEffectReceivers
+
+if TYPE_CHECKING:
+    from .replication import FleetLink
 
 log = logging.getLogger("moorusher")
 
-MOST_SHOWN = 1_000
-NAMESPACE, FORECAST = "namespace", "forecast"  # kinds whose work is imported only where it is set
+MAX_LISTED_DUTIES = 1_000
+NAMESPACE_KIND = "namespace"
+FORECAST_KIND = "forecast"
+
+
+class WorkerFactory(Protocol):
+    """A part of this process that does the work of one kind of duty."""
+
+    def work(self, lease: LeaseHolder) -> Worker:
+        """Return the worker for a duty."""
+
+
+@dataclass(frozen=True, slots=True)
+class DutySnapshot:
+    """A duty as this process knows it.
+
+    record: the lease record.
+    lease: this member's lease, if the record is its own latest one.
+    now_us: int, when it was taken.
+    """
+
+    record: LeaseRecord
+    lease: LeaseHolder | None
+    now_us: int
+
+
+SnapshotCallback = Callable[[DutySnapshot | DutyError], None]
+
+
+@dataclass(frozen=True, slots=True)
+class DutyReading:
+    """A duty as a majority has it, with its state."""
+
+    snapshot: DutySnapshot
+    state: bytes | None
 
 
 class DutyLink:
-    """`office.Host`, and what the administration API asks."""
+    """The process of a participant (`participant.ParticipantHost`), and the operators' way to it.
+
+    fleet: this runner's link to the fleet.
+    policy: settings.
+    participant: the member's part.
+    namespaces, forecast: who does the work of those kinds; set only if the settings have them, as both are imported
+        only then.
+    """
 
     def __init__(self, fleet: FleetLink, policy: Policy) -> None:
-        self.fleet, self.policy, self.core = fleet, policy, fleet.core
-        self._image: Image | None = None
-        self.namespaces: Any = None  # who does the work of those duties, where there are some
-        self.forecast: Any = None
-        self._receivers = Receivers(fleet.reactor, fleet.core)
-        found = fleet.journal_of("duties")
-        if found is not None:
-            self._image = found.image
+        self.fleet = fleet
+        self.policy = policy
+        self.core = fleet.core
+        self.namespaces: WorkerFactory | None = None
+        self.forecast: WorkerFactory | None = None
+        self._receivers = HttpEffectReceivers(fleet.reactor, fleet.core)
+        self._journal_image: Image | None = None
+        journal = fleet.journal_of("duties")
+        if journal is not None:
+            self._journal_image = journal.image
         self.participant = Participant(fleet.node, self, policy)
-        if found is not None:
-            self.participant.shelf.notes = True
-            fleet.write_to(found, LASTING, self.participant.keeper)
+        if journal is not None:
+            self.participant.store.has_disk = True
+            fleet.write_to(journal, LASTING, self.participant.acceptor)
         for report in policy.reports:
-            self.participant.want(report.name, REPORT)
+            self.participant.directory.declare(report.name, HEARTBEAT_KIND)
 
     def start(self) -> None:
-        """Before the fleet's own start, which asks others for what is not here."""
-        if self._image is not None:
-            self.participant.keeper.recall(self.core.clock.now, self._image)
-            self.participant.recalled()
-            self._image = None
+        """Restore the journal. Called before the fleet's own start, which asks others for what is missing."""
+        if self._journal_image is not None:
+            self.participant.acceptor.recall(self.core.clock.now, self._journal_image)
+            self.participant.repair_restored()
+            self._journal_image = None
         self.participant.start()
 
-    # ---- for the office ----
+    # ---- the participant's host ----
 
     def fit(self) -> bool:
+        """Whether this runner may lead duties."""
         return self.fleet.fit()
 
-    def perform(self, to: str, duty: str, fence: Fence, body: bytes, then: Callable[[Told], None]) -> None:
-        self._receivers.perform(to, duty, fence, body, then)
-
-    def intend(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        self._receivers.intend(to, duty, intent, then)
+    def send_fenced(
+        self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
+    ) -> None:
+        """See `worker.EffectReceivers`."""
+        self._receivers.send_fenced(receiver, duty, token, body, callback)
+
+    def send_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+        """See `worker.EffectReceivers`."""
+        self._receivers.send_intent(receiver, duty, intent, callback)
+
+    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+        """See `worker.EffectReceivers`."""
+        self._receivers.ask_intent(receiver, duty, intent, callback)
+
+    def work(self, lease: LeaseHolder) -> Worker | None:
+        """Return the worker for a duty; None if this runner's settings don't say what it is for."""
+        log.info("duties: acquired the lease: duty=%s term=%d", lease.name, lease.record.term)
+        worker = self._heartbeat_worker(lease)
+        if worker is not None:
+            return worker
+        factory = self._worker_factory(lease.record.kind)
+        if factory is not None:
+            return factory.work(lease)
+        log.warning("duties: no worker in this runner's settings: duty=%s", lease.name)
+        return None
 
-    def asked(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        self._receivers.asked(to, duty, intent, then)
+    def _heartbeat_worker(self, lease: LeaseHolder) -> HeartbeatWorker | None:
+        if lease.record.kind != HEARTBEAT_KIND:
+            return None
+        for report in self.policy.reports:
+            if report.name == lease.name:
+                return HeartbeatWorker(lease, report, self.participant.services.after, self._fleet_summary)
+        return None
 
-    def work(self, ownership: Ownership) -> Worker | None:
-        log.info("duties: %s is this runner's, in term %d", ownership.name, ownership.post.term)
-        report = next((r for r in self.policy.reports if r.name == ownership.name), None)
-        if ownership.post.kind == REPORT and report is not None:
-            return Reporting(ownership, report, self.participant.at, self.participant.clock, self._members)
-        does = {NAMESPACE: self.namespaces, FORECAST: self.forecast}.get(ownership.post.kind)
-        if does is not None:
-            worker: Worker = does.work(ownership)
-            return worker
-        log.warning("duties: nothing in this runner's settings says what %s is for", ownership.name)
+    def _worker_factory(self, kind: str) -> WorkerFactory | None:
+        if kind == NAMESPACE_KIND:
+            return self.namespaces
+        if kind == FORECAST_KIND:
+            return self.forecast
         return None
 
-    def _members(self) -> dict[str, Any]:
+    def _fleet_summary(self) -> dict[str, Any]:
+        """What a heartbeat reports: the receiver gets these keys."""
         members = self.fleet.node.members.by_seat.values()
         return {
             "fleet": self.fleet.config.name,
             "by": self.fleet.name,
-            "up": sum(m.up for m in members),
+            "up": sum(member.up for member in members),
             "seats": len(members),
         }
 
-    # ---- for operators ----
+    # ---- operators ----
 
-    def listed(self) -> list[dict[str, Any]]:
-        """What is known here without asking others: duties that this runner has, or whose registers it keeps."""
+    def local_duties(self) -> list[DutySnapshot]:
+        """Return the duties that this runner leads or replicates, by name, without asking others."""
         self.core.touch()
-        posts = {
-            **self.participant.tending.posts,
-            **{key: t.post for key, t in self.participant.ownerships.items()},
-        }
-        shown = sorted((p for p in posts.values() if p.life != Life.GONE.value), key=lambda p: p.name)
-        return [self._told(p) for p in shown[:MOST_SHOWN]]
-
-    def _told(self, post: Post) -> dict[str, Any]:
-        ownership = self.participant.ownerships.get(key_of(post.name))
-        mine = ownership is not None and ownership.post.at == post.at
-        return {
-            "name": post.name,
-            "kind": post.kind,
-            "life": Life(post.life).name.lower(),
-            "born": post.born,
-            "term": post.term,
-            "number": post.number,
-            "owner": None if post.owner is None else post.owner.seat,
-            "lost": post.lost,
-            "why": post.why,
-            "versions": [[v.number, v.size] for v in post.versions],
-            "intents": [
-                {
-                    "number": i.number,
-                    "term": i.term,
-                    "to": i.to,
-                    "what": i.what.decode("utf-8", "replace"),
-                    "settle": Settle(i.settle).name.lower(),
-                }
-                for i in post.intents
-            ],
-            "here": None
-            if ownership is None or not mine
-            else {
-                "stage": ownership.stage.value,
-                "for_ms": (self.core.clock.now - ownership.since) / MS,
-                "trouble": None if ownership.told is None else str(ownership.told),
-            },
-        }
-
-    def read(self, name: str, then: Callable[[dict[str, Any] | DutyError], None]) -> None:
-        """Through the register."""
+        records = dict(self.participant.election.records)
+        for key, lease in self.participant.leases.by_key.items():
+            records[key] = lease.record
+        existing = [record for record in records.values() if record.status != LeaseStatus.REMOVED]
+        existing.sort(key=lambda record: record.name)
+        return [self._snapshot(record) for record in existing[:MAX_LISTED_DUTIES]]
+
+    def _snapshot(self, record: LeaseRecord) -> DutySnapshot:
+        lease = self.participant.leases.by_key.get(register_key(record.name))
+        if lease is not None and lease.record.position != record.position:
+            lease = None
+        return DutySnapshot(record, lease, self.core.clock.now)
+
+    def read(self, name: str, callback: Callable[[DutyReading | DutyError], None]) -> None:
+        """Read a duty through its register, with its state."""
 
         def got(reading: Reading | DutyError) -> None:
             if isinstance(reading, DutyError):
-                return then(reading)
-            state = None if reading.state is None else reading.state.decode("utf-8", "replace")
-            return then(self._told(reading.post) | {"state": state, "current": True})
+                callback(reading)
+            else:
+                callback(DutyReading(self._snapshot(reading.record), reading.state))
 
         self.core.touch()
-        self.participant.read(name, got)
+        self.participant.directory.read(name, got)
 
-    def resume(self, name: str, then: Callable[[dict[str, Any] | DutyError], None]) -> None:
+    def resume(self, name: str, callback: SnapshotCallback) -> None:
+        """Let a suspended duty go on."""
         self.core.touch()
-        self.participant.resume(
-            name, lambda got: then(got if isinstance(got, DutyError) else self._told(got))
-        )
+        self.participant.directory.resume(name, self._snapshot_to(callback))
 
-    def settle(
-        self, name: str, number: int, how: str, then: Callable[[dict[str, Any] | DutyError], None]
-    ) -> None:
-        """`how`: what the operator has found; the intent is closed either way."""
+    def settle(self, name: str, intent_revision: int, verdict: str, callback: SnapshotCallback) -> None:
+        """Close an open intent. `verdict`: what the operator has found; it is logged only."""
         self.core.touch()
-        log.warning("duties: an operator says of %d of %s that it is %s", number, name, how)
-        self.participant.settle(
-            name, number, lambda got: then(got if isinstance(got, DutyError) else self._told(got))
+        log.warning(
+            "duties: an operator settled an intent: duty=%s intent=%d verdict=%s",
+            name,
+            intent_revision,
+            verdict,
         )
+        self.participant.directory.settle(name, intent_revision, self._snapshot_to(callback))
+
+    def _snapshot_to(self, callback: SnapshotCallback) -> Callable[[LeaseRecord | DutyError], None]:
+        def got(result: LeaseRecord | DutyError) -> None:
+            callback(result if isinstance(result, DutyError) else self._snapshot(result))
+
+        return got
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -294,7 +294,7 @@
 
     @property
     def busy(self) -> bool:
-        return bool(self.node.pending or (self.duties is not None and self.duties.participant.ownerships))
+        return bool(self.node.pending or (self.duties is not None and self.duties.participant.leases.by_key))
 
     # ---- for the node: `Host` ----
 
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..leadership.effects import Made, OnFleet, Outcome
+from ..leadership.effects import Completed, Outcome, StateUpdate
 from ..leadership.errors import Busy, DutyError, NoMajority
-from ..leadership.lease_holder import Ownership
+from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
 from ..namespaces.revisions import Book, Submission, drafted, pack, published, unpack
@@ -41,12 +41,12 @@
 
 
 class Publisher:
-    """`duties.participant.Worker` of one customer."""
+    """Publishes one customer's revisions (`leadership.worker.Worker`)."""
 
-    def __init__(self, ownership: Ownership, host: Host) -> None:
-        self.ownership, self.host = ownership, host
-        self.customer = ownership.name.removeprefix(PREFIX)
-        self.born = ownership.post.born
+    def __init__(self, lease: LeaseHolder, host: Host) -> None:
+        self.lease, self.host = lease, host
+        self.customer = lease.name.removeprefix(PREFIX)
+        self.born = lease.record.generation
         self._book: Book | None = None
         self._waiting: deque[tuple[Submission, Answer]] = deque()
         self._stopped: DutyError | None = None
@@ -55,13 +55,13 @@
     def start(self) -> None:
         """What the owner before has published may not have come to all: it is told anew."""
         try:
-            self._book = unpack(self.ownership.state, self.customer)
+            self._book = unpack(self.lease.state, self.customer)
         except ValueError:
             return
         if (entry := self._book.current) is not None:
             self.host.published(self.customer, (self.born, entry.number), entry.draft)
 
-    def wind_up(self) -> None:
+    def before_release(self) -> None:
         return None
 
     def stop(self, why: DutyError | None) -> None:
@@ -72,7 +72,7 @@
             then(why or self._given_up())
 
     def _given_up(self) -> Busy:
-        return Busy(f"{self.ownership.name}: it is being given to another")
+        return Busy(f"{self.lease.name}: it is being given to another")
 
     # ---- one after the other ----
 
@@ -81,7 +81,7 @@
         if self._over or s.customer != self.customer:
             return then(self._stopped or self._given_up())
         if len(self._waiting) >= MOST_WAITING:
-            return then(Busy(f"{self.ownership.name}: {MOST_WAITING} submissions wait already"))
+            return then(Busy(f"{self.lease.name}: {MOST_WAITING} submissions wait already"))
         self._waiting.append((s, then))
         if len(self._waiting) == 1:
             self._first()
@@ -130,7 +130,7 @@
         def over(outcome: Outcome) -> None:
             if self._over:
                 return
-            if isinstance(outcome, Made):
+            if isinstance(outcome, Completed):
                 self._book = made
                 at = self.born, made.number
                 self.host.published(self.customer, at, draft)
@@ -139,7 +139,7 @@
                 self._book = None  # it may come about yet: what is there is read before anything else
             return self._done(outcome)
 
-        return self.ownership.do(OnFleet(pack(made)), over)
+        return self.lease.submit(StateUpdate(pack(made)), over)
 
     def _done(self, got: At | NamespaceError | DutyError) -> None:
         if self._over:
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -12,11 +12,12 @@
 
 import msgspec
 
+from ..leadership.directory import Reading
 from ..leadership.errors import ERRORS as DUTY_ERRORS
 from ..leadership.errors import Busy, DutyError, NoMajority, Superseded, Unknown
-from ..leadership.lease_holder import Ownership
-from ..leadership.lease_record import Life, Post
-from ..leadership.participant import Participant, Reading
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.lease_record import LeaseRecord, LeaseStatus
+from ..leadership.participant import Participant
 from ..membership.failure_detector import MS, State
 from ..namespaces.customers import Customers, Revision, Stale
 from ..namespaces.document import Namespace
@@ -51,8 +52,6 @@
     kind = _ERRORS.get(name, NoMajority)
     made = kind.__new__(kind)
     Exception.__init__(made, what)
-    if isinstance(made, DutyError):
-        made.what = what
     return made
 
 
@@ -119,16 +118,16 @@
 
     @property
     def me(self) -> str:
-        return self.participant.me
+        return self.participant.services.me
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        self.participant.at(when, action)
+        self.participant.services.at(when, action)
 
     def clock(self) -> int:
-        return self.participant.clock()
+        return self.participant.services.now()
 
     def count(self, name: str) -> None:
-        self.participant.count(name)
+        self.participant.services.count(name)
 
     def random(self) -> float:
         return self.participant.node.random()
@@ -258,13 +257,13 @@
 
     # ---- as an owner ----
 
-    def work(self, ownership: Ownership) -> Publisher:
-        made = self.publishers[ownership.name] = Publisher(ownership, self)
+    def work(self, lease: LeaseHolder) -> Publisher:
+        made = self.publishers[lease.name] = Publisher(lease, self)
         return made
 
     def ended(self, publisher: Publisher) -> None:
-        if self.publishers.get(publisher.ownership.name) is publisher:
-            del self.publishers[publisher.ownership.name]
+        if self.publishers.get(publisher.lease.name) is publisher:
+            del self.publishers[publisher.lease.name]
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         granted = self._host.granted(customer)
@@ -337,19 +336,19 @@
             if isinstance(got, Unknown):
                 if not w.created:
                     w.created = True
-                    return self.participant.create(name, KIND, lambda made: later(0))
+                    return self.participant.directory.create(name, KIND, lambda made: later(0))
                 return later(LOOK_AGAIN)
             if isinstance(got, DutyError):
                 w.told = got
                 return later(LOOK_AGAIN)
-            post = got.post
-            if post.life == Life.HELD.value and post.owner is not None:
-                self.say(post.owner.seat, Submit(serial, w.submission))
+            record = got.record
+            if record.status == LeaseStatus.HELD and record.holder is not None:
+                self.say(record.holder.seat, Submit(serial, w.submission))
                 return later(OWNER_SAYS)
-            w.told = Busy(f"{name}: nobody has it at this time ({Life(post.life).name.lower()})")
+            w.told = Busy(f"{name}: nobody has it at this time ({LeaseStatus(record.status).api_name})")
             return later(LOOK_AGAIN)
 
-        self.participant.read(name, looked, state=False)
+        self.participant.directory.read(name, looked, state=False)
 
     def _was_submitted(self, seat: str, m: Submitted) -> None:
         w = self._submitted.get(m.serial)
@@ -410,10 +409,13 @@
     def delete(self, customer: str, then: Answer) -> None:
         """The namespace and all that is its own; made anew, it is another one."""
 
-        def removed(got: Post | DutyError) -> None:
+        def removed(got: LeaseRecord | DutyError) -> None:
             if isinstance(got, DutyError):
                 return then(got)
-            at = (got.born if got.life == Life.GONE.value else got.born - 1), GONE  # made anew already
+            at = (
+                (got.generation if got.status == LeaseStatus.REMOVED else got.generation - 1),
+                GONE,
+            )  # made anew already
             self.have(
                 customer,
                 at,
@@ -424,7 +426,7 @@
             )
             return then(at)
 
-        self.participant.remove(duty_of(customer), removed)
+        self.participant.directory.remove(duty_of(customer), removed)
 
     def book(self, customer: str, then: Callable[[tuple[int, Book] | DutyError], None]) -> None:
         """As a majority has it now, with its incarnation. What its owner has given up does not come about after it."""
@@ -434,11 +436,13 @@
             if isinstance(got, DutyError):
                 return then(got)
             try:
-                return then((got.post.born, unpack(got.state or b"", customer)))
+                return then((got.record.generation, unpack(got.state or b"", customer)))
             except ValueError as exc:
                 return then(error_of("Damaged", str(exc)))  # type: ignore[arg-type]
 
-        self.participant.read(name, read, closed=duty_of(customer) in self.publishers)
+        self.participant.directory.read(
+            name, read, after_abandoned_changes=duty_of(customer) in self.publishers
+        )
 
     def revision(self, customer: str, at: At, then: Callable[[Revision | Error], None]) -> None:
         """That very one, current or not: for work that another runner has read under it."""
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -15,9 +15,9 @@
 from ..forecasting.hints import Hints, Need, hints
 from ..forecasting.ledger import Ledger, Series
 from ..forecasting.policy import Policy, Scaling
-from ..leadership.effects import Fenced, Made, OnFleet, Outcome
+from ..leadership.effects import Completed, FencedRequest, Outcome, StateUpdate
 from ..leadership.errors import DutyError
-from ..leadership.lease_holder import Ownership
+from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
 from .errors import BadPast, ForecastError, NotYet, Unreadable
 from .messages import Past, Report, Took
@@ -55,13 +55,13 @@
 
 
 class Forecaster:
-    """`duties.participant.Worker`."""
+    """Keeps counts, forecasts by them and hints (`leadership.worker.Worker`)."""
 
     make = Ledger
 
-    def __init__(self, ownership: Ownership, host: Host, policy: Policy, seats: Mapping[str, str]) -> None:
+    def __init__(self, lease: LeaseHolder, host: Host, policy: Policy, seats: Mapping[str, str]) -> None:
         """`seats`: of the fleet, with their zones."""
-        self.ownership, self.host, self.policy, self.seats = ownership, host, policy, seats
+        self.lease, self.host, self.policy, self.seats = lease, host, policy, seats
         self.ledger = self.make(seats, policy.routes)
         self.wrong: ForecastError | None = None  # why nothing is forecast; counts are kept all the same, but
         self.unreadable = False  # for these
@@ -74,14 +74,14 @@
 
     def start(self) -> None:
         try:
-            self.ledger = self.make.unpack(self.ownership.state, self.seats, self.policy.routes)
+            self.ledger = self.make.unpack(self.lease.state, self.seats, self.policy.routes)
         except ValueError as exc:
             self.wrong, self.unreadable = Unreadable(f"the counts can't be read: {exc}"), True
             self.host.count("forecast: state not read")
             return
         self._tick()
 
-    def wind_up(self) -> None:
+    def before_release(self) -> None:
         return None
 
     def stop(self, why: DutyError | None) -> None:
@@ -125,14 +125,14 @@
             self._saving = False
             if self._over:
                 return
-            if not isinstance(outcome, Made):
+            if not isinstance(outcome, Completed):
                 self.host.count("forecast: counts not kept")
                 self._pending = kept + self._pending
                 return
             for seat, serial, told in kept:
                 self.host.say(seat, Took(serial, told))
 
-        self.ownership.do(OnFleet(self.ledger.pack()), over)
+        self.lease.submit(StateUpdate(self.ledger.pack()), over)
 
     def load(self, past: list[Past], then: Callable[[ForecastError | DutyError | None], None]) -> None:
         """`then(None)` once a majority has it."""
@@ -151,8 +151,9 @@
         for one in past:
             self.ledger.load(pack_key(one.key), one.first, one.asked, one.core_us, one.worth)
         self.week, self._hour = None, 0
-        return self.ownership.do(
-            OnFleet(self.ledger.pack()), lambda outcome: then(None if isinstance(outcome, Made) else outcome)
+        return self.lease.submit(
+            StateUpdate(self.ledger.pack()),
+            lambda outcome: then(None if isinstance(outcome, Completed) else outcome),
         )
 
     # ---- forecasts ----
@@ -201,7 +202,9 @@
         }
         self.hints = hints(needs, hour, scaling, self.host.unix_ms(), untold, self.host.running())
         if scaling.to is not None:
-            self.ownership.do(Fenced("{}:{}".format(*scaling.to), _json.encode(self.hints)), self._hinted)
+            self.lease.submit(
+                FencedRequest("{}:{}".format(*scaling.to), _json.encode(self.hints)), self._hinted
+            )
 
     def _need(self, name: str, i: int, hour: int, scaling: Scaling) -> Need:
         series = self.ledger.series.get(name)
@@ -215,7 +218,9 @@
         )
 
     def _hinted(self, outcome: Outcome) -> None:
-        self.host.count("forecast: hints given" if isinstance(outcome, Made) else "forecast: hints not given")
+        self.host.count(
+            "forecast: hints given" if isinstance(outcome, Completed) else "forecast: hints not given"
+        )
 
     # ---- to be looked at ----
 
@@ -244,7 +249,7 @@
             )
         return {
             "first_hour": week.first,
-            "term": self.ownership.post.term,
+            "term": self.lease.record.term,
             "routes": routes,
             "untold": {
                 label(name): why
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -9,9 +9,10 @@
 
 from ..forecasting.demand import Tally
 from ..forecasting.policy import Policy
+from ..leadership.directory import Reading
 from ..leadership.errors import DutyError, NoMajority
-from ..leadership.lease_holder import Ownership
-from ..leadership.participant import Participant, Reading
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
 from ..replication.messages import For
 from . import messages
@@ -33,7 +34,7 @@
     """What a member needs of the process."""
 
     def unix_ms(self) -> int: ...
-    def worker(self, ownership: Ownership) -> Forecaster: ...
+    def worker(self, lease: LeaseHolder) -> Forecaster: ...
 
 
 class Member:
@@ -41,24 +42,32 @@
 
     def __init__(self, participant: Participant, host: Host, policy: Policy) -> None:
         self.participant, self._host, self.policy = participant, host, policy
-        self.zone = participant.node.seats.by_name[participant.me].zone
-        self.tally = Tally(participant.me, participant.owner.inc, self.zone, host.unix_ms(), policy.routes)
+        self.zone = participant.node.seats.by_name[participant.services.me].zone
+        self.tally = Tally(
+            participant.services.me,
+            participant.services.incarnation,
+            self.zone,
+            host.unix_ms(),
+            policy.routes,
+        )
         self.forecaster: Forecaster | None = None
         self._serial = (
-            participant.owner.inc
+            participant.services.incarnation
         )  # answers to an earlier process of this seat are none to this one
         self._asked: dict[int, Then] = {}
         self._whom, self._unanswered = "", 0  # who has the duty, as last heard
         self._look_at = 0
         participant.node.parts[PART] = self._heard
-        participant.want(NAME, KIND)
+        participant.directory.declare(NAME, KIND)
 
     def start(self) -> None:
         self._tick()
 
     def say(self, seat: str, message: Any) -> None:
-        if seat == self.participant.me:
-            self.participant.at(self.participant.clock(), lambda: self._told_of(seat, message))
+        if seat == self.participant.services.me:
+            self.participant.services.at(
+                self.participant.services.now(), lambda: self._told_of(seat, message)
+            )
         else:
             self.participant.node.send(seat, For(PART, messages.encode(message)))
 
@@ -66,7 +75,7 @@
         try:
             message = messages.decode(body)
         except msgspec.MsgspecError:
-            self.participant.count("forecast: a message that can't be read")
+            self.participant.services.count("forecast: a message that can't be read")
             return
         self._told_of(seat, message)
 
@@ -91,7 +100,9 @@
     # ---- counts ----
 
     def _tick(self) -> None:
-        self.participant.at(self.participant.clock() + round(self.policy.report_ms * MS), self._tick)
+        self.participant.services.at(
+            self.participant.services.now() + round(self.policy.report_ms * MS), self._tick
+        )
         self.tally.tick(self._host.unix_ms())
         self.tell()
 
@@ -103,13 +114,15 @@
             return
         if self._unanswered >= UNANSWERED:
             self._whom = ""
-        whom = self.participant.me if self.forecaster is not None else self._whom or self._known()
+        whom = self.participant.services.me if self.forecaster is not None else self._whom or self._known()
         if whom:
             self._unanswered += 1
             self._serial += 1
             self.say(whom, Report(self._serial, parts))
-        elif self.participant.clock() >= self._look_at:
-            self._look_at = self.participant.clock() + round(LOOK * (1 + 2 * self.participant.node.random()))
+        elif self.participant.services.now() >= self._look_at:
+            self._look_at = self.participant.services.now() + round(
+                LOOK * (1 + 2 * self.participant.node.random())
+            )
             self._owner(self._found)
 
     def _found(self, owner: str | DutyError) -> None:
@@ -118,20 +131,20 @@
 
     def _known(self) -> str:
         """By the news of its register, where this member keeps it."""
-        known = self.participant.known(NAME)
-        owner = None if isinstance(known, DutyError) else known.post.owner
+        known = self.participant.directory.last_known(NAME)
+        owner = None if isinstance(known, DutyError) else known.record.holder
         return "" if owner is None or not self.participant.node.is_up(owner.seat) else owner.seat
 
     def _owner(self, then: Callable[[str | DutyError], None]) -> None:
         def read(got: Reading | DutyError) -> None:
             if isinstance(got, DutyError):
                 return then(got)
-            owner = got.post.owner
+            owner = got.record.holder
             return then(NoMajority(NAME) if owner is None else owner.seat)
 
         if self.forecaster is not None:
-            return then(self.participant.me)
-        return self.participant.read(NAME, read, state=False)
+            return then(self.participant.services.me)
+        return self.participant.directory.read(NAME, read, state=False)
 
     # ---- to be asked ----
 
@@ -156,7 +169,7 @@
                 if self._asked.pop(serial, None) is not None:
                     then(NotYet(f"{owner} has the forecast, and does not answer"))
 
-            self.participant.at(self.participant.clock() + ANSWER, late)
+            self.participant.services.at(self.participant.services.now() + ANSWER, late)
             return self.say(owner, make(serial))
 
         return self._owner(found)
@@ -164,7 +177,7 @@
     def _tell(self, m: Ask) -> Told:
         try:
             if self.forecaster is None:
-                raise NotYet(f"{self.participant.me} has not got the forecast")
+                raise NotYet(f"{self.participant.services.me} has not got the forecast")
             body = msgspec.json.encode(self.forecaster.told(m.customer))
         except ForecastError as exc:
             return Told(m.serial, b"", type(exc).__name__, str(exc))
@@ -182,13 +195,13 @@
             )
 
         if self.forecaster is None:
-            return done(NotYet(f"{self.participant.me} has not got the forecast"))
+            return done(NotYet(f"{self.participant.services.me} has not got the forecast"))
         return self.forecaster.load(m.past, done)
 
     # ---- as an owner ----
 
-    def work(self, ownership: Ownership) -> Forecaster:
-        self.forecaster = self._host.worker(ownership)
+    def work(self, lease: LeaseHolder) -> Forecaster:
+        self.forecaster = self._host.worker(lease)
         return self.forecaster
 
     def ended(self, worker: Forecaster) -> None:
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -9,6 +9,7 @@
 import statistics
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 from itertools import pairwise
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -16,9 +17,10 @@
 
 from twisted.internet.threads import deferToThread
 
-from ..leadership.effects import Fenced, Outcome
-from ..leadership.fencing_token import Fence
-from ..leadership.lease_holder import Ownership
+from ..leadership.effect_executor import EffectExecutor
+from ..leadership.effects import FencedRequest
+from ..leadership.fencing_token import FencingToken
+from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
 from ..model_checking.cluster_simulation import SECOND, Course
 from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
@@ -34,45 +36,56 @@
 EVERY_MS = 20
 
 
-class LeaseOwnership(Ownership):
-    """As with leases: for so long after the last majority it acts without asking one."""
+class ClockLeaseExecutor(EffectExecutor):
+    """As with leases by the clock: for so long after the last majority it acts without asking one."""
 
-    confirmed = counted = 0
+    confirmed_us = 0
+    requests = 0
 
-    def _fenced(self, effect: Fenced, then: Callable[[Outcome], None]) -> None:
-        now = self.host.clock()
-        if now - max(self.confirmed, self.since) < LEASE:
-            self.counted += 1
-            fence = Fence(self.post.born, self.post.term, self.post.number * 1000 + self.counted)
-            return self._perform(effect, fence, then, 1)
-        self.confirmed = now
-        return super()._fenced(effect, then)
+    def issue_token(self, request: FencedRequest) -> None:
+        now = self.lease.context.services.now()
+        if now - max(self.confirmed_us, self.lease.since_us) < LEASE:
+            self.requests += 1
+            record = self.lease.record
+            revision = record.revision * 1000 + self.requests
+            return self.send_fenced(request, FencingToken(record.generation, record.term, revision), 1)
+        self.confirmed_us = now
+        return super().issue_token(request)
 
 
-class LeaseParticipant(Participant):
-    """The baseline: it owns by a lease and its own clock alone."""
+class ClockLeaseHolder(LeaseHolder):
+    """Holds a lease by its own clock."""
 
-    ownership = LeaseOwnership
+    effect_executor_class = ClockLeaseExecutor
+
+
+class ClockLeaseParticipant(Participant):
+    """The baseline: it leads by a lease and its own clock alone."""
+
+    lease_holder_class = ClockLeaseHolder
 
 
 def out_of_order(seed: int, leases: bool) -> tuple[int, int]:
     """Effects of an earlier term that came to count after one of a later; all effects."""
     course = Course(seats=5, keys=0, faults=10, kinds=("stop", "stop", "cut", "one way", "kill"))
     sim = DutySimulation(
-        seed, course, compares=not leases, participant=LeaseParticipant if leases else Participant
+        seed, course, compares=not leases, participant=ClockLeaseParticipant if leases else Participant
     )
     sim.play()
     wrong = total = 0
-    for facts in sim.facts.values():
-        total += len(facts.taken)
-        wrong += sum((b.born, b.term) < (a.born, a.term) for a, b in pairwise(facts.taken))
+    for history in sim.histories.values():
+        total += len(history.accepted)
+        wrong += sum(
+            (later.generation, later.term) < (earlier.generation, earlier.term)
+            for earlier, later in pairwise(history.accepted)
+        )
     return wrong, total
 
 
 class Idle(DutyProcess):
     """A process whose duties do nothing."""
 
-    def work(self, ownership: Ownership) -> None:
+    def work(self, lease: LeaseHolder) -> None:
         return None
 
 
@@ -84,9 +97,10 @@
     participants = [p.participant for p in sim.processes if isinstance(p, DutyProcess)]
     for i in range(duties):
         at = sim.now + round(i / duties * 5 * SECOND)
-        sim.at(at, None, lambda i=i: participants[i % seats].create(f"d{i}", "idle", lambda got: None))  # type: ignore[misc]
+        directory = participants[i % seats].directory
+        sim.at(at, None, partial(directory.create, f"d{i}", "idle", lambda got: None))
     sim.run(sim.now + round(given * SECOND))
-    has = [len(o.ownerships) for o in participants]
+    has = [len(o.leases.by_key) for o in participants]
     before, began = sim.history.messages, sim.now
     sim.run(sim.now + 5 * SECOND)
     rate = (sim.history.messages - before) / 5 / seats
@@ -95,13 +109,13 @@
     lost = sim.now
     live = participants[seats // 5 :]
     wanted = sum(
-        len([s for s in o.keepers(k) if int(s[1:]) >= seats // 5]) >= 2
+        len([s for s in o.services.replicas(k) if int(s[1:]) >= seats // 5]) >= 2
         for o in participants[:1]
-        for k in {k for one in participants for k in one.tending.posts}
+        for k in {k for one in participants for k in one.election.records}
     )
-    while sum(len(o.ownerships) for o in live) < wanted and sim.now < lost + 30 * SECOND:
+    while sum(len(o.leases.by_key) for o in live) < wanted and sim.now < lost + 30 * SECOND:
         sim.run(sim.now + SECOND // 10)
-    after = [len(o.ownerships) for o in live]
+    after = [len(o.leases.by_key) for o in live]
     return {
         "owned": sum(has),
         "largest over mean": max(has) / (duties / seats),
--- a/moorusher/lab/receiver.py
+++ b/moorusher/lab/receiver.py
@@ -15,7 +15,7 @@
 from twisted.web import resource, server
 
 from ..admin.api import quiet_site
-from ..leadership.fencing_token import Fence, Verdict, judge
+from ..leadership.fencing_token import FencingToken, TokenVerdict, check_token
 from .stand_ins import HOST
 
 Resource: Any = resource.Resource
@@ -34,14 +34,15 @@
             "CREATE TABLE IF NOT EXISTS jobs (duty TEXT, number INT, done INT, PRIMARY KEY (duty, number))"
         )
 
-    def fenced(self, duty: str, fence: Fence) -> tuple[Verdict, Fence | None]:
+    def fenced(self, duty: str, fence: FencingToken) -> tuple[TokenVerdict, FencingToken | None]:
         self._db.execute("BEGIN IMMEDIATE")
         row = self._db.execute("SELECT born, term, number FROM fences WHERE duty = ?", (duty,)).fetchone()
-        highest = None if row is None else Fence(*row)
-        verdict = judge(highest, fence)
-        if verdict is Verdict.NEW:
+        highest = None if row is None else FencingToken(*row)
+        verdict = check_token(highest, fence)
+        if verdict is TokenVerdict.CURRENT:
             self._db.execute(
-                "REPLACE INTO fences VALUES (?, ?, ?, ?)", (duty, fence.born, fence.term, fence.number)
+                "REPLACE INTO fences VALUES (?, ?, ?, ?)",
+                (duty, fence.generation, fence.term, fence.revision),
             )
         self._db.execute("COMMIT")
         return verdict, highest
@@ -76,7 +77,7 @@
     """An effect that counted: `at` in us of the listener's clock."""
 
     duty: str
-    fence: Fence
+    fence: FencingToken
     body: dict[str, Any]
     at: float
 
@@ -90,7 +91,7 @@
     compares: bool = True
     isLeaf = True
     took: list[Took] = field(default_factory=list)
-    refused: list[Fence] = field(default_factory=list)
+    refused: list[FencingToken] = field(default_factory=list)
     mute: bool = False  # it does what it is told, and its answers are lost
 
     def __post_init__(self) -> None:
@@ -102,14 +103,16 @@
         sent = msgspec.json.decode(request.content.read())
         answer: dict[str, Any]
         if request.path == b"/fenced":
-            fence = Fence(*sent["fence"])
-            verdict, highest = self.book.fenced(sent["duty"], fence) if self.compares else (Verdict.NEW, None)
-            if verdict is Verdict.BEHIND and highest is not None:
+            fence = FencingToken(*sent["fence"])
+            verdict, highest = (
+                self.book.fenced(sent["duty"], fence) if self.compares else (TokenVerdict.CURRENT, None)
+            )
+            if verdict is TokenVerdict.STALE and highest is not None:
                 self.refused.append(fence)
                 request.setResponseCode(409)
-                answer = {"highest": [highest.born, highest.term, highest.number]}
+                answer = {"highest": [highest.generation, highest.term, highest.revision]}
             else:
-                if verdict is Verdict.NEW:
+                if verdict is TokenVerdict.CURRENT:
                     body = msgspec.json.decode(b64decode(sent["body"]))
                     self.took.append(Took(sent["duty"], fence, body, self.reactor.seconds()))
                 answer = {"verdict": verdict.value}
--- a/moorusher/leadership/chunks.py
+++ b/moorusher/leadership/chunks.py
@@ -1,7 +1,7 @@
-"""A state in pieces, each named by what is in it; and the shelf on which a keeper has them.
+"""A state in content-addressed chunks, and the store in which a replica keeps them.
 
-A piece comes before the register names it, marked with the change that is to name it. It goes once a change is known to
-be chosen that is as late as that mark and names it no more: from then on no change can. So no time decides.
+A chunk is stored before the register names it, marked with the change that is to name it. It is deleted once a change
+is known to be chosen that is as late as the mark and does not name it: from then on no change can. No clock decides.
 """
 
 from __future__ import annotations
@@ -11,95 +11,115 @@
 from hashlib import blake2b
 
 from ..replication.work_record import Key
-from .lease_record import Post, Version
+from .lease_record import LeaseRecord, StateVersion
 
-PIECE = 32 << 10  # bytes
-Mark = tuple[int, int, int]  # born, term, number
+CHUNK_BYTES = 32 << 10
+DIGEST_BYTES = 16
+Mark = tuple[int, int, int]  # generation, term and revision of a change; an array on the wire and on disk
+NO_MARK: Mark = (0, 0, 0)
+BEFORE_ALL_MARKS: Mark = (0, 0, -1)
 
 
-def digest(piece: bytes) -> bytes:
-    """The name of a piece: it is found again by what it holds."""
-    return blake2b(piece, digest_size=16).digest()
+def digest(chunk: bytes) -> bytes:
+    """Return the name of a chunk."""
+    return blake2b(chunk, digest_size=DIGEST_BYTES).digest()
 
 
-def cut(state: bytes) -> dict[bytes, bytes]:
-    """In order; equal pieces are one."""
-    parts = [state[i : i + PIECE] for i in range(0, len(state), PIECE)]
-    return {digest(p): p for p in parts}
+def _split(state: bytes) -> list[bytes]:
+    return [state[start : start + CHUNK_BYTES] for start in range(0, len(state), CHUNK_BYTES)]
 
 
-def order(state: bytes) -> tuple[bytes, ...]:
-    """The names of a state's pieces, in their order."""
-    return tuple(digest(state[i : i + PIECE]) for i in range(0, len(state), PIECE))
+def split(state: bytes) -> dict[bytes, bytes]:
+    """Return the chunks of a state by name, in order; equal chunks are one."""
+    return {digest(chunk): chunk for chunk in _split(state)}
 
 
-def whole(version: Version, found: Callable[[bytes], bytes | None]) -> bytes | None:
-    """None where a piece is missing, or the size is not that of the version."""
-    parts = [found(d) for d in version.pieces]
-    if any(p is None for p in parts):
+def chunk_names(state: bytes) -> tuple[bytes, ...]:
+    """Return the names of a state's chunks, in order."""
+    return tuple(digest(chunk) for chunk in _split(state))
+
+
+def join(version: StateVersion, find: Callable[[bytes], bytes | None]) -> bytes | None:
+    """Return the state of a version; None if a chunk is missing or the size is wrong."""
+    chunks = [find(name) for name in version.chunks]
+    if any(chunk is None for chunk in chunks):
         return None
-    state = b"".join(p for p in parts if p is not None)
+    state = b"".join(chunk for chunk in chunks if chunk is not None)
     return state if len(state) == version.size else None
 
 
-def named(post: Post) -> set[bytes]:
-    """All pieces that a post's versions name."""
-    return {d for v in post.versions for d in v.pieces}
+def named_chunks(record: LeaseRecord) -> set[bytes]:
+    """Return the names of all chunks of a record's versions."""
+    return {name for version in record.versions for name in version.chunks}
 
 
 @dataclass(slots=True)
-class Shelf:
-    """`most`: bytes of one duty. What is asked of it beyond is refused, and the asker told."""
-
-    most: int
-    by_key: dict[Key, dict[bytes, bytes]] = field(default_factory=dict)
+class ChunkStore:
+    """The chunks that one replica stores.
+
+    max_bytes: int, of one duty; what exceeds it is refused.
+    chunks: by register and name.
+    marks: the latest change that is to name a chunk, by register and name.
+    chosen: the latest change that is known to be chosen, by register.
+    has_disk: bool, new chunks are noted in `unsaved` until they are written.
+    """
+
+    max_bytes: int
+    chunks: dict[Key, dict[bytes, bytes]] = field(default_factory=dict)
     marks: dict[Key, dict[bytes, Mark]] = field(default_factory=dict)
-    settled: dict[Key, Mark] = field(default_factory=dict)  # the latest change that is known to be chosen
-    notes: bool = False  # there is a disk
+    chosen: dict[Key, Mark] = field(default_factory=dict)
+    has_disk: bool = False
     unsaved: list[tuple[Key, bytes]] = field(default_factory=list)
 
-    def keep(self, key: Key, mark: Mark, piece: bytes) -> bool:
-        """False where there is no room, or no change can name it any more."""
-        here, name = self.by_key.setdefault(key, {}), digest(piece)
-        if mark <= self.settled.get(key, (0, 0, 0)) and name not in here:
-            return False
-        if name not in here:
-            if sum(map(len, here.values())) + len(piece) > self.most:
+    def add(self, key: Key, mark: Mark, chunk: bytes) -> bool:
+        """Store a chunk. False if there is no room for it, or no change can name it any more."""
+        stored = self.chunks.setdefault(key, {})
+        name = digest(chunk)
+        if name not in stored:
+            if mark <= self.chosen.get(key, NO_MARK):
+                return False
+            if sum(map(len, stored.values())) + len(chunk) > self.max_bytes:
                 return False
-            here[name] = piece
-            if self.notes:
+            stored[name] = chunk
+            if self.has_disk:
                 self.unsaved.append((key, name))
         marks = self.marks.setdefault(key, {})
         marks[name] = max(mark, marks.get(name, mark))
         return True
 
     def find(self, key: Key, name: bytes) -> bytes | None:
-        """None where it is not there, or is damaged: then it is dropped."""
-        piece = self.by_key.get(key, {}).get(name)
-        if piece is not None and digest(piece) != name:
-            del self.by_key[key][name]
+        """Return a chunk; None if it is not stored. A damaged one is deleted."""
+        chunk = self.chunks.get(key, {}).get(name)
+        if chunk is not None and digest(chunk) != name:
+            del self.chunks[key][name]
             return None
-        return piece
+        return chunk
 
-    def missing(self, key: Key, post: Post) -> list[bytes]:
-        return sorted(d for d in named(post) if self.find(key, d) is None)
+    def missing(self, key: Key, record: LeaseRecord) -> list[bytes]:
+        """Return the names of chunks that the record names and that are not stored."""
+        return sorted(name for name in named_chunks(record) if self.find(key, name) is None)
 
-    def chosen(self, key: Key, post: Post) -> None:
-        """That value is known to be chosen: what it does not name, and no later change will, goes."""
-        if post.at <= self.settled.get(key, (0, 0, -1)):
+    def delete_unnamed(self, key: Key, record: LeaseRecord) -> None:
+        """Delete what this record, known to be chosen, does not name and no later change will."""
+        if record.position <= self.chosen.get(key, BEFORE_ALL_MARKS):
             return
-        self.settled[key] = post.at
-        here, marks, wanted = self.by_key.get(key, {}), self.marks.get(key, {}), named(post)
-        for name in [d for d in here if d not in wanted and marks.get(d, (0, 0, 0)) <= post.at]:
-            del here[name]
-            marks.pop(name, None)
-
-    def restore(self, key: Key, pieces: Sequence[bytes], mark: Mark | None = None) -> None:
-        """From a disk, or from another keeper: of a version that a register names, or is to name at that mark."""
-        for piece in pieces:
-            self.by_key.setdefault(key, {})[digest(piece)] = piece
+        self.chosen[key] = record.position
+        stored = self.chunks.get(key, {})
+        marks = self.marks.get(key, {})
+        named = named_chunks(record)
+        for name in list(stored):
+            if name not in named and marks.get(name, NO_MARK) <= record.position:
+                del stored[name]
+                marks.pop(name, None)
+
+    def restore(self, key: Key, chunks: Sequence[bytes], mark: Mark | None = None) -> None:
+        """Take chunks from a disk or another replica, that the register names or is to name at `mark`."""
+        for chunk in chunks:
+            name = digest(chunk)
+            self.chunks.setdefault(key, {})[name] = chunk
             if mark is not None:
-                self.marks.setdefault(key, {})[digest(piece)] = mark
+                self.marks.setdefault(key, {})[name] = mark
 
-    def bytes_held(self) -> int:
-        return sum(len(p) for here in self.by_key.values() for p in here.values())
+    def total_bytes(self) -> int:
+        """Return the size of all chunks."""
+        return sum(len(chunk) for stored in self.chunks.values() for chunk in stored.values())
--- /dev/null
+++ b/moorusher/leadership/effect_executor.py
@@ -0,0 +1,139 @@
+"""How a leader carries out its effects: first a change of the register by a majority, then what is outside."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..membership.failure_detector import MS
+from .chunks import chunk_names, named_chunks
+from .effects import (
+    Completed,
+    DeferredStateUpdate,
+    Effect,
+    FencedRequest,
+    Outcome,
+    ReceiverResponse,
+    StateUpdate,
+)
+from .errors import Busy, Forgotten, NoMajority, OverBudget, Unreached
+from .fencing_token import FencingToken
+from .lease_record import LeaseRecord
+from .lease_transitions import IssueToken, Suspend, UpdateState
+
+if TYPE_CHECKING:
+    from .lease_holder import LeaseHolder
+
+MAX_ATTEMPTS = 5  # at a receiver that does not answer, and of a state update that others' changes overtake
+RETRY_US = 200 * MS  # of a receiver that does not answer
+REPLICATION_TIMEOUT_US = 1_500 * MS  # until a majority has stored the chunks of a state
+
+
+class EffectExecutor:
+    """Carries out one effect at a time; each ends with `LeaseHolder.finish`."""
+
+    def __init__(self, lease: LeaseHolder) -> None:
+        self.lease = lease
+
+    def execute(self, effect: Effect) -> None:
+        """Start an effect."""
+        match effect:
+            case StateUpdate():
+                self._update_state(effect.state)
+            case DeferredStateUpdate():
+                self._update_state(effect.read())
+            case FencedRequest():
+                self.issue_token(effect)
+            case _:
+                self.lease.intents.record(effect)
+
+    # ---- the duty's state ----
+
+    def _update_state(self, state: bytes, attempt: int = 0) -> None:
+        lease = self.lease
+        max_bytes = lease.context.policy.state_bytes
+        if len(state) > max_bytes:
+            return lease.finish(
+                OverBudget(f"{lease.name}: a state of {len(state)} bytes; state_bytes is {max_bytes}")
+            )
+        record = lease.record
+        max_versions = lease.context.policy.versions
+
+        def replicated(by_majority: bool) -> None:
+            if lease.is_ended:
+                return
+            if not by_majority:
+                return lease.finish(NoMajority(lease.name))
+            lease.change(changed, UpdateState, record.revision, len(state), chunk_names(state), max_versions)
+
+        def changed(outcome: Outcome) -> None:
+            if isinstance(outcome, Busy) and attempt < MAX_ATTEMPTS:
+                return self._update_state(state, attempt + 1)  # for the revision that there is now
+            if isinstance(outcome, Completed):
+                lease.state = state
+                lease.context.replication.announce_chosen(lease.key, lease.record)
+            return lease.finish(outcome)
+
+        return lease.context.replication.replicate(
+            key=lease.key,
+            mark=(record.generation, record.term, record.revision + 1),
+            state=state,
+            known=named_chunks(record),
+            deadline_us=lease.context.services.now() + REPLICATION_TIMEOUT_US,
+            callback=replicated,
+        )
+
+    # ---- receivers that compare fencing tokens ----
+
+    def issue_token(self, request: FencedRequest) -> None:
+        """Have a majority choose the token of a request, then send it."""
+
+        def issued(outcome: Outcome) -> None:
+            if not isinstance(outcome, Completed):
+                return self.lease.finish(outcome)
+            return self.send_fenced(request, outcome.token, 1)
+
+        self.lease.change(issued, IssueToken)
+
+    def send_fenced(self, request: FencedRequest, token: FencingToken, attempt: int) -> None:
+        """Send a request, and again with the same token if there is no answer: the receiver counts it once."""
+        lease = self.lease
+
+        def responded(response: ReceiverResponse) -> None:
+            if lease.is_ended:
+                return
+            highest = response.highest_token
+            if highest is not None and highest > token:
+                return self._rejected(request.receiver, highest)
+            if response.answered:
+                return lease.finish(Completed(token, response.body, response.done))
+            if attempt < MAX_ATTEMPTS:
+                return lease.after(RETRY_US, lambda: self.send_fenced(request, token, attempt + 1))
+            return lease.finish(Unreached(f"{lease.name}: {request.receiver} does not answer"))
+
+        lease.context.receivers.send_fenced(request.receiver, lease.name, token, request.body, responded)
+
+    def _rejected(self, receiver: str, highest: FencingToken) -> None:
+        """The receiver knows a later token: another leads, or the registers were lost and began anew."""
+        lease = self.lease
+
+        def verified(found: LeaseRecord | None) -> None:
+            if found is None:
+                return lease.finish(NoMajority(lease.name))
+            if FencingToken(*found.position) > highest:
+                return lease.finish(Busy(f"{lease.name}: overtaken by a later change of its own"))
+            return self._suspend(receiver, highest, found)
+
+        lease.verify(verified)
+
+    def _suspend(self, receiver: str, highest: FencingToken, found: LeaseRecord) -> None:
+        lease = self.lease
+        reason = (
+            f"{receiver} knows of birth {highest.generation}, term {highest.term}; "
+            f"the registers, {found.generation}, {found.term}"
+        )
+        lease.context.services.count("duties: forgotten")
+
+        def suspended(outcome: Outcome) -> None:
+            lease.end(Forgotten(f"{lease.name}: {reason}"))
+
+        lease.change(suspended, Suspend, reason, highest.generation + 1)
--- a/moorusher/leadership/effects.py
+++ b/moorusher/leadership/effects.py
@@ -1,5 +1,7 @@
-"""The kinds of effect that there are. An owner does something by handing one of these to its `Ownership`: each states
-how an owner of before is kept from doing harm with it, and there is no other way out.
+"""The kinds of effect that a leader may have, and what becomes of them.
+
+A leader acts only by handing one of these to its `LeaseHolder`. Each kind states how a former leader is fenced from
+doing harm with it; there is no unfenced kind.
 """
 
 from __future__ import annotations
@@ -8,62 +10,76 @@
 from dataclasses import dataclass
 
 from .errors import DutyError
-from .fencing_token import Fence
-from .lease_record import Intent, Settle
+from .fencing_token import FencingToken
+from .lease_record import Settlement
 
 
 @dataclass(frozen=True, slots=True)
-class OnFleet:
-    """The duty's own state, in its register: refused by the majority where the term is over."""
+class StateUpdate:
+    """Replaces the duty's state. Fenced by the register: a majority rejects it once the term is over."""
 
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class LatestState:
-    """The same, read when its turn comes: after the effects that were under way when it was asked for."""
+class DeferredStateUpdate:
+    """A state update whose state is read when its turn comes, after the effects that were submitted before it."""
 
     read: Callable[[], bytes]
 
 
 @dataclass(frozen=True, slots=True)
-class Fenced:
-    """At a receiver that compares: see `fence`."""
+class FencedRequest:
+    """A request to a receiver that compares fencing tokens. `receiver`: host:port."""
 
-    to: str
+    receiver: str
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Once:
-    """At a receiver that can't compare: the intent is chosen first. `what`: at most `post.MOST_WHAT` bytes."""
+class IntentRequest:
+    """A request to a receiver that can't compare tokens: the intent is recorded by a majority first.
+
+    payload: bytes, at most `lease_record.MAX_INTENT_BYTES`.
+    settlement: how a later leader finds the outcome, if this one does not report it.
+    """
 
-    to: str
-    what: bytes
-    settle: Settle
+    receiver: str
+    payload: bytes
+    settlement: Settlement
 
 
-Effect = OnFleet | LatestState | Fenced | Once
+Effect = StateUpdate | DeferredStateUpdate | FencedRequest | IntentRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Made:
-    """What became of it. `done` is False for an intent that was settled as never done."""
+class Completed:
+    """An effect that was carried out. `done` is False for an intent that the receiver will never do."""
 
-    fence: Fence
+    token: FencingToken
     answer: bytes = b""
     done: bool = True
 
 
+Outcome = Completed | DutyError
+OutcomeCallback = Callable[[Outcome], None]
+
+
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What a receiver has said. None of it counts for more than it says: a lost answer is no answer."""
+class ReceiverResponse:
+    """What a receiver answered.
+
+    answered: bool; without an answer it may have done the request or not.
+    done: bool, the request was done.
+    body: bytes, of the answer.
+    highest_token: it rejected the request, as it knows this later token.
+    """
 
-    heard: bool
+    answered: bool
     done: bool = False
-    answer: bytes = b""
-    highest: Fence | None = None  # it knows of later work
+    body: bytes = b""
+    highest_token: FencingToken | None = None
 
 
-Outcome = Made | DutyError
-__all__ = ["Effect", "Fence", "Fenced", "Intent", "LatestState", "Made", "OnFleet", "Once", "Outcome", "Told"]
+NO_RESPONSE = ReceiverResponse(answered=False)
+ResponseCallback = Callable[[ReceiverResponse], None]
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -1,6 +1,7 @@
-"""A keeper's part: duties whose register it keeps, and that want an owner, are offered to whose turn it is.
+"""Election of leaders, at the replicas of a duty's register: a duty that needs a leader is offered to a candidate.
 
-Who offers, to whom and when is a matter of speed alone: the register tells two that accept at once apart.
+Who offers, to whom and when decides only how fast it goes. Safety is the register's: of two members that accept at
+once, one acquires the lease.
 """
 
 from __future__ import annotations
@@ -8,195 +9,233 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
 
-from ..membership.failure_detector import MS, Members
+from ..membership.failure_detector import MS
 from ..replication.work_record import Key, Owner
-from .candidates import Seen, Steady, mean, order
-from .lease_record import Life, Post
-from .messages import Offer
-
-RANKS = 250 * MS  # between the keepers of a register, in their order, until the next one sees to it
-LOOK_AGAIN = 400 * MS
-MOST_AGAIN = 2_000 * MS
-PACE, AT_ONCE = 10 * MS, 16  # what a lost owner had comes as a stream, not as a blow
-
-
-class Host(Protocol):
-    """What tending needs of the member that does it."""
-
-    @property
-    def owner(self) -> Owner: ...
-    def say(self, seat: str, message: Any) -> None: ...
-    def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def clock(self) -> int: ...
-    def count(self, name: str) -> None: ...
-    def keepers(self, key: Key) -> tuple[str, ...]: ...
-    def fit(self) -> bool: ...
-    def has(self) -> int: ...
+from .candidates import Candidate, StabilityTracker, fair_share, preference_order
+from .lease_record import LeaseRecord, LeaseStatus
+from .messages import LeaseOffer, OfferDeclined
+from .services import MemberServices
+
+REPLICA_RANK_DELAY_US = (
+    250 * MS
+)  # between the replicas of a register, in their order, until the next one steps in
+RETRY_BACKOFF_US = 400 * MS  # times the number of the attempt
+MAX_RETRY_BACKOFF_US = 2_000 * MS
+BATCH_SIZE = 16  # offers at a time: the duties of a lost leader are offered as a stream, not as a burst
+BATCH_INTERVAL_US = 10 * MS
+PRESSING_ATTEMPTS = 3  # after so many, an offer must be accepted by any member that is fit
+MAX_DECLINED = 8  # answers "declined" that are followed by an offer to the next candidate at once
 
 
 @dataclass(slots=True)
-class Tending:
-    """A keeper's care for the duties that it keeps: each has an owner, or is offered to somebody."""
-
-    host: Host
-    members: Members
-    copies: int
-    steady: Steady
-    patience: int  # us, after which one that is not fit and gives nothing up is not waited for
-    posts: dict[Key, Post] = field(default_factory=dict)
-    declined: dict[Key, int] = field(default_factory=dict)
-    _by_owner: dict[Owner, set[Key]] = field(default_factory=dict)
-    _tries: dict[Key, int] = field(default_factory=dict)
+class Election:
+    """The replicas' part: sees to it that each duty whose register this member replicates has a leader.
+
+    services: of the member.
+    is_fit: whether this member may lead.
+    led_duties: how many duties this member leads.
+    stability: members that come and go are passed over for a while.
+    unfit_patience_us: int, after which a leader that is not fit and releases nothing is passed over.
+    records: by register; what this replica has accepted, which need not be chosen.
+    """
+
+    services: MemberServices
+    is_fit: Callable[[], bool]
+    led_duties: Callable[[], int]
+    stability: StabilityTracker
+    unfit_patience_us: int
+    records: dict[Key, LeaseRecord] = field(default_factory=dict)
+    _declined: dict[Key, int] = field(default_factory=dict)  # answers to the latest offer
+    _keys_by_holder: dict[Owner, set[Key]] = field(default_factory=dict)
+    _attempts: dict[Key, int] = field(default_factory=dict)  # of duties for which an election is under way
     _due: deque[Key] = field(default_factory=deque)
-    _pacing: bool = False
-    _unfit: dict[Owner, int] = field(default_factory=dict)  # since when
-
-    def kept(self, key: Key, post: Post | None) -> None:
-        """The register has this value here, which need not be chosen."""
-        before = self.posts.get(key)
-        if before is not None and before.owner is not None:
-            keys = self._by_owner.get(before.owner, set())
-            keys.discard(key)
-            if not keys:
-                self._by_owner.pop(before.owner, None)
-        if post is None:
-            self.posts.pop(key, None)
+    _is_batch_scheduled: bool = False
+    _unfit_since_us: dict[Owner, int] = field(default_factory=dict)
+
+    # ---- what is known ----
+
+    def on_record(self, key: Key, record: LeaseRecord | None) -> None:
+        """This replica has accepted a value of the register."""
+        previous = self.records.get(key)
+        if previous is not None and previous.holder is not None:
+            self._forget_holder(key, previous.holder)
+        if record is None:
+            self.records.pop(key, None)
             return
-        self.posts[key] = post
-        if before is None or (before.born, before.term, before.life) != (post.born, post.term, post.life):
-            self._tries.pop(key, None)
-        if post.owner is not None:
-            self._by_owner.setdefault(post.owner, set()).add(key)
-            if self.past(post.owner):
-                self._tend(key)
-        elif post.wants_an_owner:
-            self._tend(key)
-
-    def past(self, owner: Owner) -> bool:
-        """It is lost, as far as is known here."""
-        if owner.seat == self.host.owner.seat:
-            return owner.inc < self.host.owner.inc and owner.inc != self.members.own.told.predecessor
-        member = self.members.by_seat.get(owner.seat)
-        return member is None or member.past(owner.inc)
-
-    def died(self, seat: str, inc: int) -> None:
-        self.steady.fell(self.host.clock(), seat)
-        for key in sorted(self._by_owner.get(Owner(seat, inc), ())):
-            self._tend(key)
-
-    def owned_by(self, owner: Owner) -> list[Key]:
-        return sorted(self._by_owner.get(owner, ()))
-
-    def look(self) -> None:
-        """Now and then: owners that are there and unfit should have given up what they have."""
-        now = self.host.clock()
-        for owner in list(self._by_owner):
-            member = self.members.by_seat.get(owner.seat)
-            # Who has not been heard of yet has not said that it is unfit, either.
-            if (
-                owner == self.host.owner
-                or member is None
-                or not member.up
-                or member.told.fit
-                or self.past(owner)
-            ):
-                self._unfit.pop(owner, None)
-                if owner != self.host.owner and self.past(owner):
-                    for key in self.owned_by(owner):
-                        self._tend(key)
-            elif now - self._unfit.setdefault(owner, now) >= self.patience:
-                for key in self.owned_by(owner):
-                    self._tend(key)
-        for owner in self._unfit.keys() - self._by_owner.keys():
-            del self._unfit[owner]
-
-    def _wants(self, post: Post) -> bool:
-        if post.wants_an_owner:
+        self.records[key] = record
+        if previous is None or not _is_same_election(previous, record):
+            self._attempts.pop(key, None)
+        if record.holder is not None:
+            self._keys_by_holder.setdefault(record.holder, set()).add(key)
+            if self.is_lost(record.holder):
+                self._begin(key)
+        elif record.needs_leader:
+            self._begin(key)
+
+    def _forget_holder(self, key: Key, holder: Owner) -> None:
+        keys = self._keys_by_holder.get(holder, set())
+        keys.discard(key)
+        if not keys:
+            self._keys_by_holder.pop(holder, None)
+
+    def is_lost(self, holder: Owner) -> bool:
+        """Whether that process is lost, as far as is known here."""
+        own = self.services.owner
+        if holder.seat == own.seat:
+            predecessor = self.services.members.own.told.predecessor
+            return holder.inc < own.inc and holder.inc != predecessor
+        member = self.services.members.by_seat.get(holder.seat)
+        return member is None or member.past(holder.inc)
+
+    def held_by(self, holder: Owner) -> list[Key]:
+        """Return the registers that name this process as the leader."""
+        return sorted(self._keys_by_holder.get(holder, ()))
+
+    def on_member_lost(self, seat: str, inc: int) -> None:
+        """The failure detector has declared a process dead. `inc`: its incarnation."""
+        self.stability.record_loss(self.services.now(), seat)
+        for key in sorted(self._keys_by_holder.get(Owner(seat, inc), ())):
+            self._begin(key)
+
+    def check_holders(self) -> None:
+        """Pass over leaders that are lost, or have been unfit for long and released nothing. Called periodically."""
+        now = self.services.now()
+        for holder in list(self._keys_by_holder):
+            if self._is_unfit(holder):
+                if now - self._unfit_since_us.setdefault(holder, now) >= self.unfit_patience_us:
+                    self._begin_all(holder)
+                continue
+            self._unfit_since_us.pop(holder, None)
+            if holder != self.services.owner and self.is_lost(holder):
+                self._begin_all(holder)
+        for holder in self._unfit_since_us.keys() - self._keys_by_holder.keys():
+            del self._unfit_since_us[holder]
+
+    def _is_unfit(self, holder: Owner) -> bool:
+        """It is there and says that it is not fit. A member that was never heard of has not said so."""
+        member = self.services.members.by_seat.get(holder.seat)
+        if holder == self.services.owner or member is None or not member.up or member.told.fit:
+            return False
+        return not self.is_lost(holder)
+
+    def _begin_all(self, holder: Owner) -> None:
+        for key in self.held_by(holder):
+            self._begin(key)
+
+    def _needs_leader(self, record: LeaseRecord) -> bool:
+        if record.needs_leader:
             return True
-        if not post.is_owned or post.owner is None:
+        if not record.is_led or record.holder is None:
             return False
-        since = self._unfit.get(post.owner)
-        return self.past(post.owner) or (since is not None and self.host.clock() - since >= self.patience)
+        if self.is_lost(record.holder):
+            return True
+        unfit_since_us = self._unfit_since_us.get(record.holder)
+        return unfit_since_us is not None and self.services.now() - unfit_since_us >= self.unfit_patience_us
 
     # ---- offers ----
 
-    def _tend(self, key: Key) -> None:
-        if key in self._tries:
+    def _begin(self, key: Key) -> None:
+        if key in self._attempts:
             return
-        self._tries[key] = 0
-        keepers = self.host.keepers(key)
-        up = [s for s in keepers if s == self.host.owner.seat or self.members.by_seat[s].up]
-        rank = up.index(self.host.owner.seat) if self.host.owner.seat in up else len(keepers)
+        self._attempts[key] = 0
+        me = self.services.me
+        replicas = self.services.replicas(key)
+        members = self.services.members.by_seat
+        up = [seat for seat in replicas if seat == me or members[seat].up]
+        rank = up.index(me) if me in up else len(replicas)
         if rank == 0:
-            self._soon(key)
+            self._enqueue(key)
         else:
-            self._later(key, rank * RANKS)
+            self._enqueue_after(key, rank * REPLICA_RANK_DELAY_US)
 
-    def _later(self, key: Key, us: int) -> None:
-        self.host.at(self.host.clock() + us, lambda: self._soon(key))
+    def _enqueue_after(self, key: Key, delay_us: int) -> None:
+        self.services.after(delay_us, lambda: self._enqueue(key))
 
-    def _soon(self, key: Key) -> None:
+    def _enqueue(self, key: Key) -> None:
         self._due.append(key)
-        if not self._pacing:
-            self._pacing = True
-            self._some()
+        if not self._is_batch_scheduled:
+            self._is_batch_scheduled = True
+            self._run_batch()
 
-    def _some(self) -> None:
-        for _ in range(min(AT_ONCE, len(self._due))):
-            self._see_to(self._due.popleft())
+    def _run_batch(self) -> None:
+        for _ in range(min(BATCH_SIZE, len(self._due))):
+            self._attempt(self._due.popleft())
         if self._due:
-            self.host.at(self.host.clock() + PACE, self._some)
+            self.services.after(BATCH_INTERVAL_US, self._run_batch)
         else:
-            self._pacing = False
+            self._is_batch_scheduled = False
 
-    def _see_to(self, key: Key) -> None:
-        """Again and again, until somebody has it."""
-        post = self.posts.get(key)
-        if key not in self._tries:
+    def _attempt(self, key: Key) -> None:
+        """Offer the duty to a candidate, and again to the next one until it has a leader."""
+        if key not in self._attempts:
             return
-        if post is None or not self._wants(post):
-            del self._tries[key]
+        record = self.records.get(key)
+        if record is None or not self._needs_leader(record):
+            del self._attempts[key]
             return
-        tries = self._tries[key] = self._tries[key] + 1
-        self.declined.pop(key, None)
-        self._later(key, min(LOOK_AGAIN * tries, MOST_AGAIN))
-        self._offer(key, post, tries - 1)
-
-    def _offer(self, key: Key, post: Post, tries: int) -> None:
-        able = self.able(key)
-        if post.life == Life.OFFERED.value and post.to in able:
-            able.remove(post.to)
-            able.insert(0, post.to)
-        if not able:
-            self.host.count("duties: nobody is fit to have one")
+        self._attempts[key] += 1
+        attempt = self._attempts[key]
+        self._declined.pop(key, None)
+        self._enqueue_after(key, min(RETRY_BACKOFF_US * attempt, MAX_RETRY_BACKOFF_US))
+        self._offer(key, record, attempt - 1)
+
+    def _offer(self, key: Key, record: LeaseRecord, attempt: int) -> None:
+        seats = self.candidates_for(key)
+        if record.status == LeaseStatus.OFFERED and record.offered_to in seats:
+            seats.remove(record.offered_to)
+            seats.insert(0, record.offered_to)
+        if not seats:
+            self.services.count("duties: nobody is fit to have one")
             return
-        counts = post.owner is not None and self.past(post.owner)
-        self.host.say(able[tries % len(able)], Offer(key, post.born, post.term, counts, tries >= 3))
-
-    def was_declined(self, key: Key, term: int) -> None:
-        """By one that has enough: to the next one, at once; not round and round."""
-        post, tries = self.posts.get(key), self._tries.get(key)
-        if post is None or tries is None or post.term != term or not self._wants(post):
+        leader_lost = record.holder is not None and self.is_lost(record.holder)
+        must_accept = attempt >= PRESSING_ATTEMPTS
+        offer = LeaseOffer(key, record.generation, record.term, leader_lost, must_accept)
+        self.services.send(seats[attempt % len(seats)], offer)
+
+    def on_offer_declined(self, seat: str, message: OfferDeclined) -> None:
+        """The candidate has enough duties: offer it to the next one at once, a bounded number of times."""
+        key = message.key
+        record = self.records.get(key)
+        attempt = self._attempts.get(key)
+        if record is None or attempt is None or record.term != message.term:
             return
-        n = self.declined[key] = self.declined.get(key, 0) + 1
-        if n < 8:
-            self._offer(key, post, tries - 1 + n)
-
-    def able(self, key: Key) -> list[str]:
-        seen = self.seen()
-        return order(key, seen, mean(seen, self.copies))
-
-    def seen(self) -> list[Seen]:
-        now, me = self.host.clock(), self.host.owner.seat
-        return [
-            Seen(
-                m.seat,
-                self.host.fit() if m.seat == me else m.fit,
-                self.host.has() if m.seat == me else m.told.duties,
-                len(self.posts) if m.seat == me else m.told.keeps,
-                self.steady.is_steady(now, m.seat),
+        if not self._needs_leader(record):
+            return
+        declined = self._declined.get(key, 0) + 1
+        self._declined[key] = declined
+        if declined < MAX_DECLINED:
+            self._offer(key, record, attempt - 1 + declined)
+
+    # ---- candidates ----
+
+    def candidates_for(self, key: Key) -> list[str]:
+        """Return the seats that may lead a duty, the preferred one first."""
+        candidates = self.candidates()
+        return preference_order(key, candidates, self.fair_share(candidates))
+
+    def fair_share(self, candidates: list[Candidate]) -> float:
+        """Return the number of duties that a fit member should lead."""
+        return fair_share(candidates, self.services.replica_count)
+
+    def candidates(self) -> list[Candidate]:
+        """Return all members, by their own statements."""
+        now = self.services.now()
+        own_seat = self.services.me
+        found = []
+        for member in self.services.members.by_seat.values():
+            is_own = member.seat == own_seat
+            found.append(
+                Candidate(
+                    seat=member.seat,
+                    is_fit=self.is_fit() if is_own else member.fit,
+                    led_duties=self.led_duties() if is_own else member.told.duties,
+                    stored_duties=len(self.records) if is_own else member.told.keeps,
+                    is_stable=self.stability.is_stable(now, member.seat),
+                )
             )
-            for m in self.members.by_seat.values()
-        ]
+        return found
+
+
+def _is_same_election(first: LeaseRecord, second: LeaseRecord) -> bool:
+    return (first.generation, first.term, first.status) == (second.generation, second.term, second.status)
--- a/moorusher/leadership/errors.py
+++ b/moorusher/leadership/errors.py
@@ -1,4 +1,8 @@
-"""What can go wrong with a duty. Each says in words what happened, and in `remedy` what an operator can do."""
+"""Errors of duties. Each says what happened, and in `remedy` what an operator can do.
+
+The names of the classes are part of the API: runners send them to each other (`config_distribution`), and the
+operators' page (`docs/operate/duties.md`) lists them.
+"""
 
 from __future__ import annotations
 
@@ -7,26 +11,30 @@
 
 
 class DutyError(Remediable):
-    """Why something was not done for a duty, with its status and remedy for operators."""
-
-    def __init__(self, what: str) -> None:
-        super().__init__(what)
-        self.what = what
+    """Why something was not done for a duty, with the HTTP status and the remedy for operators."""
 
 
 class Superseded(DutyError):
-    """Another owner has the duty, or its owner has another term."""
+    """The lease is held by another leader, or in a later term.
+
+    duty: str, its name.
+    term: int, that is over.
+    by, by_term: the leader that is known now, and its term.
+    """
 
     remedy = "Nothing: the owner named here goes on with it. Ask there, or read through the register."
 
     def __init__(self, duty: str, term: int, by: Owner | None, by_term: int) -> None:
         who = "nobody" if by is None else by.seat
         super().__init__(f"{duty}: term {term} is over; {who} has it in term {by_term}")
-        self.duty, self.term, self.by, self.by_term = duty, term, by, by_term
+        self.duty = duty
+        self.term = term
+        self.by = by
+        self.by_term = by_term
 
 
 class NoMajority(DutyError):
-    """Too few keepers answer: whether the change comes about is not known."""
+    """Too few replicas answer: whether the change comes about is not known."""
 
     status = 503
     remedy = (
@@ -49,28 +57,29 @@
 
 
 class SetAside(DutyError):
-    """Its owners were lost one after another, and it waits for an operator."""
+    """The duty is suspended: it waits for an operator."""
 
     remedy = (
         "Find out why its owners were lost (their logs name the duty); then `moorusher duty resume NAME`."
     )
 
-    def __init__(self, duty: str, why: str) -> None:
-        super().__init__(f"{duty}: put aside: {why}")
+    def __init__(self, duty: str, reason: str) -> None:
+        super().__init__(f"{duty}: put aside: {reason}")
 
 
 class Conflict(DutyError):
-    """It was changed by another meanwhile."""
+    """It was changed by another meanwhile. `expected`, `found`: revisions."""
 
     remedy = "Read what is there now, and make the change anew on top of it."
 
     def __init__(self, duty: str, expected: int, found: int) -> None:
         super().__init__(f"{duty}: change {found} is there, and {expected} was expected")
-        self.expected, self.found = expected, found
+        self.expected = expected
+        self.found = found
 
 
 class OverBudget(DutyError):
-    """It is larger, or more, than the settings allow."""
+    """A size or a count exceeds the settings."""
 
     status = 413
     remedy = (
@@ -79,7 +88,7 @@
 
 
 class Damaged(DutyError):
-    """No whole copy of its state can be found."""
+    """No complete copy of its state can be found."""
 
     status = 503
     remedy = (
@@ -89,7 +98,7 @@
 
 
 class Forgotten(DutyError):
-    """The fleet has forgotten what it knew of a duty, and a receiver has not."""
+    """The registers were lost and began anew: a receiver knows of later terms than they do."""
 
     remedy = (
         "The receiver knows later work than the fleet's registers do: they were lost and began anew. Make sure "
@@ -98,7 +107,7 @@
 
 
 class Uncertain(DutyError):
-    """The receiver has not said whether an effect was done."""
+    """The receiver has not answered whether an intent was done."""
 
     remedy = (
         "Nobody here can tell whether this was done. Look at its receiver, then `moorusher duty settle NAME "
@@ -114,7 +123,7 @@
 
 
 class Busy(DutyError):
-    """It can't be done at this moment; nothing was changed."""
+    """It can't be done now; nothing was changed. Retry later."""
 
     status = 503
     remedy = "Again later: its owner is giving it up, or has too much before it."
--- a/moorusher/leadership/fencing_token.py
+++ b/moorusher/leadership/fencing_token.py
@@ -1,7 +1,7 @@
-"""What goes along with everything that is done outside for a duty, and the rule of a receiver that can compare.
+"""The fencing token that goes with every effect of a duty, and the rule of a receiver that compares it.
 
-A receiver keeps, for each duty, the highest fence that it has taken, on a disk, *before* it acts: what comes below it
-is of an owner whose time is over, what is equal was done already.
+A receiver keeps the highest token of each duty on a disk, in the transaction of the effect itself: a lower token comes
+from a former leader, an equal one from a repeated request.
 """
 
 from __future__ import annotations
@@ -11,24 +11,31 @@
 import msgspec
 
 
-class Fence(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Made only of a number that a majority has chosen. Compared in this order."""
+class FencingToken(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """Identifies one change that a majority has chosen. Compared, and sent as an array, in the order of its fields.
 
-    born: int
+    generation: int, of the duty.
+    term: int, of the leader.
+    revision: int, of the lease record.
+    """
+
+    generation: int
     term: int
-    number: int
+    revision: int
 
 
-class Verdict(Enum):
-    """What a receiver makes of a fence."""
+class TokenVerdict(Enum):
+    """What a receiver makes of a token. The values go over the wire."""
 
-    NEW = "new"  # to be done
-    AGAIN = "again"  # it was: answer as then
-    BEHIND = "behind"  # refused, with the highest
+    CURRENT = "new"  # the effect is to be made
+    DUPLICATE = "again"  # it was made: the first answer is repeated
+    STALE = "behind"  # rejected, with the highest token
 
 
-def judge(highest: Fence | None, fence: Fence) -> Verdict:
-    """Compare a fence with the highest that a receiver knows."""
-    if highest is None or fence > highest:
-        return Verdict.NEW
-    return Verdict.AGAIN if fence == highest else Verdict.BEHIND
+def check_token(highest: FencingToken | None, token: FencingToken) -> TokenVerdict:
+    """Compare a token with the highest that a receiver has accepted for the duty."""
+    if highest is None or token > highest:
+        return TokenVerdict.CURRENT
+    if token == highest:
+        return TokenVerdict.DUPLICATE
+    return TokenVerdict.STALE
--- a/moorusher/leadership/heartbeat.py
+++ b/moorusher/leadership/heartbeat.py
@@ -1,6 +1,7 @@
-"""The duty to say, again and again, that the fleet is there and how it is, as an operator's dead man's switch wants it.
+"""The duty that reports to a dead man's switch that the fleet is there, again and again.
 
-One report at a time for the whole fleet, whichever runner has the duty; fenced, so that no earlier owner's counts.
+One report at a time for the whole fleet, from whichever member leads the duty; fenced, so that a former leader's does
+not count.
 """
 
 from __future__ import annotations
@@ -11,17 +12,18 @@
 import msgspec
 
 from ..membership.failure_detector import MS
-from .effects import Fenced, LatestState, Made, OnFleet, Outcome
+from .effects import Completed, DeferredStateUpdate, FencedRequest, Outcome, StateUpdate
 from .errors import DutyError
-from .lease_holder import Ownership
+from .lease_holder import LeaseHolder
 from .policy import Report
+from .serial_queue import ignore_outcome
 
 KIND = "report"
-NOTED = 5  # reports between two of the duty's own states
+REPORTS_PER_STATE_UPDATE = 5
 
 
-class Told(msgspec.Struct, frozen=True):
-    """The duty's state: how many have been told since it was made, by whichever owner."""
+class HeartbeatState(msgspec.Struct, frozen=True):
+    """The duty's state, stored as JSON. `reports`: int, sent since the duty was created, by any leader."""
 
     reports: int = 0
 
@@ -29,43 +31,59 @@
 _json = msgspec.json.Encoder()
 
 
-class Reporting:
-    """Tells the receiver again and again, one report at a time."""
+class HeartbeatWorker:
+    """Sends reports to a receiver, one at a time.
+
+    state: HeartbeatState, with the reports that the receiver has acknowledged.
+    """
 
     def __init__(
         self,
-        ownership: Ownership,
+        lease: LeaseHolder,
         report: Report,
-        at: Callable[[int, Callable[[], None]], None],
-        clock: Callable[[], int],
-        fleet: Callable[[], dict[str, Any]],
+        after: Callable[[int, Callable[[], None]], None],
+        fleet_summary: Callable[[], dict[str, Any]],
     ) -> None:
-        self.ownership, self._report, self._at, self._clock, self._fleet = ownership, report, at, clock, fleet
-        self._stopped = self._open = False
-        self.told = msgspec.json.decode(ownership.state, type=Told) if ownership.state else Told()
+        """`after`: calls an action after a delay in us. `fleet_summary`: what a report says."""
+        self.state = HeartbeatState()
+        if lease.state:
+            self.state = msgspec.json.decode(lease.state, type=HeartbeatState)
+        self._lease = lease
+        self._report = report
+        self._after = after
+        self._fleet_summary = fleet_summary
+        self._is_stopped = False
+        self._is_report_pending = False
 
     def start(self) -> None:
-        self._tell()
+        """Send the first report."""
+        self._tick()
 
-    def wind_up(self) -> None:
-        """A report may be under way: it counts in the state that is handed on."""
-        self.ownership.do(LatestState(lambda: _json.encode(self.told)), lambda outcome: None)
+    def before_release(self) -> None:
+        """Hand the count on. A report may be pending: it counts in that state, as the state is read after it."""
+        self._lease.submit(DeferredStateUpdate(lambda: _json.encode(self.state)), ignore_outcome)
 
-    def stop(self, why: DutyError | None) -> None:
-        self._stopped = True
+    def stop(self, reason: DutyError | None) -> None:
+        """Send nothing any more."""
+        self._is_stopped = True
 
-    def _tell(self) -> None:
-        if self._stopped:
+    def _tick(self) -> None:
+        if self._is_stopped:
+            return
+        self._after(round(self._report.every_ms * MS), self._tick)
+        if not self._is_report_pending:
+            self._send_report()
+
+    def _send_report(self) -> None:
+        self._is_report_pending = True
+        host, port = self._report.to
+        body = _json.encode(self._fleet_summary() | {"reports": self.state.reports + 1})
+        self._lease.submit(FencedRequest(f"{host}:{port}", body), self._on_outcome)
+
+    def _on_outcome(self, outcome: Outcome) -> None:
+        self._is_report_pending = False
+        if not isinstance(outcome, Completed):
             return
-        self._at(self._clock() + round(self._report.every_ms * MS), self._tell)
-        if not self._open:  # the last one has not come through yet: this one says what that would
-            self._open = True
-            body = _json.encode(self._fleet() | {"reports": self.told.reports + 1})
-            self.ownership.do(Fenced("{}:{}".format(*self._report.to), body), self._over)
-
-    def _over(self, outcome: Outcome) -> None:
-        self._open = False
-        if isinstance(outcome, Made):
-            self.told = Told(self.told.reports + 1)
-            if self.told.reports % NOTED == 0:
-                self.ownership.do(OnFleet(_json.encode(self.told)), lambda outcome: None)
+        self.state = HeartbeatState(self.state.reports + 1)
+        if self.state.reports % REPORTS_PER_STATE_UPDATE == 0:
+            self._lease.submit(StateUpdate(_json.encode(self.state)), ignore_outcome)
--- /dev/null
+++ b/moorusher/leadership/intent_settlement.py
@@ -0,0 +1,137 @@
+"""Intents of one lease: recorded before the effect, sent, and settled if no outcome was reported."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ..membership.failure_detector import MS
+from .effects import Completed, IntentRequest, Outcome, ReceiverResponse
+from .errors import Busy, OverBudget, Uncertain
+from .fencing_token import FencingToken
+from .lease_record import Intent, Settlement
+from .lease_transitions import AddIntent, CloseIntent
+from .serial_queue import ignore_outcome
+
+if TYPE_CHECKING:
+    from .lease_holder import LeaseHolder
+
+RETRY_US = 1_000 * MS
+
+
+class IntentSettlement:
+    """The intents of one lease: those of this term, and those that an earlier leader has left open.
+
+    on_settled: called with an intent that was left open and whether it was done.
+    """
+
+    def __init__(self, lease: LeaseHolder) -> None:
+        self.on_settled: Callable[[Intent, bool], None] = lambda intent, done: None
+        self._lease = lease
+        self._in_progress: set[int] = set()  # revisions of intents whose outcome is being found out
+        self._sent: set[int] = set()  # revisions of intents that this term has sent
+
+    # ---- this term's ----
+
+    def record(self, request: IntentRequest) -> None:
+        """Have a majority record the intent, then send it."""
+        lease = self._lease
+        open_intents = len(lease.record.intents)
+        if open_intents >= lease.context.policy.intents:
+            return lease.finish(OverBudget(f"{lease.name}: {open_intents} intents are open"))
+
+        def recorded(outcome: Outcome) -> None:
+            if not isinstance(outcome, Completed):
+                return lease.finish(outcome)
+            intent = self._find_unsent(request)
+            if intent is None:
+                return lease.finish(Busy(f"{lease.name}: an operator has settled it at once"))
+            return self._send(intent, outcome.token)
+
+        return lease.change(recorded, AddIntent, request.receiver, request.payload, request.settlement)
+
+    def _find_unsent(self, request: IntentRequest) -> Intent | None:
+        wanted = (self._lease.record.term, request.receiver, request.payload)
+        for intent in reversed(self._lease.record.intents):
+            is_wanted = (intent.term, intent.receiver, intent.payload) == wanted
+            if is_wanted and intent.revision not in self._sent:
+                return intent
+        return None
+
+    def _send(self, intent: Intent, token: FencingToken) -> None:
+        lease = self._lease
+        self._in_progress.add(intent.revision)
+        self._sent.add(intent.revision)
+        lease.context.receivers.send_intent(
+            intent.receiver, lease.name, intent, lambda response: self._responded(intent, token, response)
+        )
+
+    def _responded(self, intent: Intent, token: FencingToken, response: ReceiverResponse) -> None:
+        lease = self._lease
+        if lease.is_ended:
+            return
+        self._in_progress.discard(intent.revision)
+        if not response.answered:
+            self.settle_open()
+            return lease.finish(
+                Uncertain(f"{lease.name}: {intent.receiver} has not said whether {intent.revision} was done")
+            )
+
+        def closed(outcome: Outcome) -> None:
+            if isinstance(outcome, Completed):
+                self._sent.discard(intent.revision)
+            # The receiver has answered, whatever became of the note that the intent is closed.
+            lease.finish(Completed(token, response.body, response.done))
+            self.settle_open()
+
+        return lease.change(closed, CloseIntent, intent.revision)
+
+    # ---- those that were left open, by an earlier leader or by a receiver that did not answer ----
+
+    def settle_open(self) -> None:
+        """Find out the outcome of every open intent whose kind allows it."""
+        for intent in self._lease.record.intents:
+            if intent.revision in self._in_progress:
+                continue
+            was_never_sent = self._was_never_sent(intent)
+            if intent.settlement == Settlement.ASK_OPERATOR and not was_never_sent:
+                continue
+            self._in_progress.add(intent.revision)
+            self._settle(intent, was_never_sent)
+
+    def _was_never_sent(self, intent: Intent) -> bool:
+        """It was chosen after its caller had been told that no majority answers: it was not sent, nor will it be."""
+        return intent.term == self._lease.record.term and intent.revision not in self._sent
+
+    def _settle(self, intent: Intent, was_never_sent: bool) -> None:
+        lease = self._lease
+        receivers = lease.context.receivers
+
+        def responded(response: ReceiverResponse) -> None:
+            if lease.is_ended:
+                return
+            if not response.answered:
+                return lease.after(RETRY_US, lambda: self._settle(intent, was_never_sent=False))
+            self._close(intent, response.done)
+
+        if was_never_sent:
+            responded(ReceiverResponse(answered=True, done=False))
+        elif intent.settlement == Settlement.REPEAT:
+            receivers.send_intent(intent.receiver, lease.name, intent, responded)
+        else:
+            receivers.ask_intent(intent.receiver, lease.name, intent, responded)
+
+    def _close(self, intent: Intent, done: bool) -> None:
+        lease = self._lease
+
+        def closed(outcome: Outcome) -> None:
+            if isinstance(outcome, Completed):
+                lease.context.services.count("duties: an open intent settled")
+                self._sent.discard(intent.revision)
+                self.on_settled(intent, done)
+            else:
+                self._in_progress.discard(intent.revision)
+                lease.context.services.after(RETRY_US, self.settle_open)
+            lease.finish(outcome)
+
+        lease.enqueue(lambda: lease.change(closed, CloseIntent, intent.revision), ignore_outcome)
--- a/moorusher/leadership/journal.py
+++ b/moorusher/leadership/journal.py
@@ -1,4 +1,4 @@
-"""What a keeper of duties writes down: its registers as any keeper's, and the pieces that they name."""
+"""What a replica of duties writes to its journal: its registers, as any acceptor, and the chunks that they name."""
 
 from __future__ import annotations
 
@@ -8,53 +8,65 @@
 from ..replication.acceptor import Keeper
 from ..replication.journal import Image, PieceOf
 from ..replication.work_record import Key
-from .chunks import Shelf
-from .lease_record import unpack
+from .chunks import NO_MARK, ChunkStore
+from .lease_record import decode_record
 
 
 @dataclass(slots=True)
-class LastingKeeper(Keeper):
-    """One that has forgotten has no vote until it has the pieces again, too: else a state that a majority was told of
-    could be lost with one further keeper, and nobody would know that too many had forgotten it."""
+class DutyAcceptor(Keeper):
+    """An acceptor of duty registers. After a loss of memory it votes on a register only once it has the chunks again.
 
-    shelf: Shelf = field(default_factory=lambda: Shelf(0))
-    is_whole: bool = False
+    Else a state that a majority has acknowledged could be lost with one further replica, unnoticed.
+
+    store: of its chunks.
+    is_complete: bool, it has every chunk that its registers name.
+    """
+
+    store: ChunkStore = field(default_factory=lambda: ChunkStore(0))
+    is_complete: bool = False
 
     def __post_init__(self) -> None:
         Keeper.__post_init__(self)
-        self.is_whole = self.remembers
+        self.is_complete = self.remembers
 
     def votes_for(self, key: Key) -> bool:
-        return Keeper.votes_for(self, key) and (self.is_whole or not self.lacks(key))
+        """Whether it may vote on a register."""
+        return Keeper.votes_for(self, key) and (self.is_complete or not self.missing_chunks(key))
 
-    def lacks(self, key: Key) -> list[bytes]:
-        """Pieces that its register names and that are not here."""
+    def missing_chunks(self, key: Key) -> list[bytes]:
+        """Return the names of chunks that a register names and that are not stored here."""
         slot = self.slots.get(key)
-        post = None if slot is None else unpack(slot.value)
-        return [] if post is None else self.shelf.missing(key, post)
+        record = None if slot is None else decode_record(slot.value)
+        return [] if record is None else self.store.missing(key, record)
 
     def look(self) -> None:
-        self.mended()
+        """Called by the register space when another replica has told what it knows."""
+        self.chunks_repaired()
 
-    def mended(self) -> None:
-        """Something came that it lacked."""
-        if not self.is_whole and self.covered():
-            self.is_whole = self.remembers = not any(self.lacks(key) for key in self.slots)
+    def chunks_repaired(self) -> None:
+        """Something came that was missing."""
+        if not self.is_complete and self.covered():
+            self.is_complete = self.remembers = not any(self.missing_chunks(key) for key in self.slots)
 
     def unsaved(self, now: int) -> list[Any]:
-        pieces: list[Any] = []
-        for key, name in self.shelf.unsaved:
-            if (piece := self.shelf.find(key, name)) is not None:
-                pieces.append(PieceOf(key, self.shelf.marks.get(key, {}).get(name, (0, 0, 0)), piece))
-        self.shelf.unsaved.clear()
-        return [*pieces, *Keeper.unsaved(self, now)]
+        """Return the records to be written: new chunks, then changed registers."""
+        records: list[Any] = []
+        for key, name in self.store.unsaved:
+            chunk = self.store.find(key, name)
+            if chunk is not None:
+                mark = self.store.marks.get(key, {}).get(name, NO_MARK)
+                records.append(PieceOf(key, mark, chunk))
+        self.store.unsaved.clear()
+        return [*records, *Keeper.unsaved(self, now)]
 
     def whole(self, now: int) -> list[Any]:
-        self.shelf.unsaved[:] = [(key, name) for key, here in self.shelf.by_key.items() for name in here]
+        """Return everything, for a new journal file."""
+        self.store.unsaved[:] = [(key, name) for key, stored in self.store.chunks.items() for name in stored]
         return Keeper.whole(self, now)
 
     def recall(self, now: int, image: Image) -> None:
+        """Restore what an earlier process of this seat has written."""
         for piece in image.pieces:
-            self.shelf.restore(piece.key, [piece.piece], piece.mark)
+            self.store.restore(piece.key, [piece.piece], piece.mark)
         Keeper.recall(self, now, image)
-        self.is_whole = self.remembers  # what is damaged was written, and is mended beside
+        self.is_complete = self.remembers  # a chunk that is damaged on the disk is repaired from others
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -1,464 +1,301 @@
-"""One duty in the hands of its owner, for one term: its state, what it has under way, and how it ends.
+"""One duty at its leader, for one term: its state, the effects that are under way, and how the term ends.
 
-Whatever is done for the duty begins with a change of its register that a majority takes: so an owner without a majority
-does nothing new, and one whose term is over is told so by the register itself. Changes are made one after the other.
+Every effect begins with a change of the duty's register that a majority takes. So a leader without a majority does
+nothing new, and a former leader is told by the register itself that its term is over.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import Enum
 from typing import Any, Protocol
 
 from ..membership.failure_detector import MS
 from ..replication.proposer import Done, Hold
-from ..replication.work_record import Key, Owner
-from . import chunks as pieces
-from .effects import Effect, Fenced, LatestState, Made, OnFleet, Outcome, Told
-from .errors import (
-    Busy,
-    Damaged,
-    DutyError,
-    Forgotten,
-    NoMajority,
-    OverBudget,
-    Superseded,
-    Uncertain,
-    Unreached,
-)
-from .fencing_token import Fence
-from .lease_record import (
-    MOST_WHAT,
-    Advance,
-    Change,
-    Intend,
-    Intent,
-    Life,
-    Look,
-    Own,
-    Post,
-    Proven,
-    PutAside,
-    Release,
-    Settle,
-    Step,
-    Yield,
-    unpack,
-)
-from .lease_record import Outcome as OutcomeChange
+from ..replication.work_record import Key
+from .effect_executor import EffectExecutor
+from .effects import Completed, Effect, IntentRequest, Outcome, OutcomeCallback
+from .errors import Busy, Damaged, DutyError, NoMajority, OverBudget, Superseded
+from .fencing_token import FencingToken
+from .intent_settlement import IntentSettlement
+from .lease_record import MAX_INTENT_BYTES, LeaseRecord, LeaseStatus, decode_record
+from .lease_transitions import BeginRelease, ClearLostLeaders, HolderChange, Read, ReleaseLease
 from .policy import Policy
-from .state_replication import Library
+from .serial_queue import SerialQueue, ignore_outcome
+from .services import MemberServices
+from .state_replication import StateReplication
+from .worker import EffectReceivers
 
-MOST_WAITING = 64  # effects before one duty's owner
-FETCH = 3_000 * MS  # for the state that the last owner has left
-KEEP = 1_500 * MS  # until a majority has the pieces of a state
-TRIES = 5  # of a receiver that does not answer
-TRY_AGAIN = 200 * MS
-LATER = 1_000 * MS
+MAX_QUEUED_EFFECTS = 64
+FETCH_TIMEOUT_US = 3_000 * MS  # for the state that the former leader has left
+RETRY_US = 1_000 * MS  # of a register that no majority answered for, and of a fetch that found no state
 
 
 class Stage(Enum):
-    """How far one term of a duty has come, at its owner."""
+    """How far a term has come, at its leader. The values appear in the API and in messages to operators."""
 
-    STARTING = "starting"  # its state is being fetched, what was left open is being settled
-    HELD = "held"
-    YIELDING = "yielding"
-    OVER = "over"
+    STARTING = "starting"  # the state is being fetched
+    ACTIVE = "held"
+    RELEASING = "yielding"  # finishes what is under way, starts nothing new
+    ENDED = "over"
 
 
-class Host(Protocol):
-    """The member that has it."""
+class LeaseObserver(Protocol):
+    """Is told of the begin and the end of a term."""
 
-    policy: Policy
-    library: Library
+    def started(self, lease: LeaseHolder) -> None:
+        """The state is there: the work may begin."""
 
-    @property
-    def owner(self) -> Owner: ...
-    def change(
-        self, key: Key, change: Change, hold: Hold | None, then: Callable[[Done | None], None]
-    ) -> None: ...
-    def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def clock(self) -> int: ...
-    def count(self, name: str) -> None: ...
-    def perform(
-        self, to: str, duty: str, fence: Fence, body: bytes, then: Callable[[Told], None]
-    ) -> None: ...
-    def intend(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None: ...
-    def asked(
-        self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]
-    ) -> None: ...  # and closed
-    def started(self, ownership: Ownership) -> None: ...
-    def ended(self, ownership: Ownership, why: DutyError | None) -> None: ...
-
-
-class Ownership:
-    """One duty at its owner, for one term."""
-
-    def __init__(self, host: Host, key: Key, post: Post, hold: Hold | None) -> None:
-        self.host, self.key, self.post = host, key, post
-        self.owner = host.owner
+    def ended(self, lease: LeaseHolder, reason: DutyError | None) -> None:
+        """The term is over; `reason` is None after a release in order."""
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderContext:
+    """What all leases of one member share."""
+
+    services: MemberServices
+    replication: StateReplication
+    receivers: EffectReceivers
+    policy: Policy
+    observer: LeaseObserver
+
+
+class LeaseHolder:
+    """One duty at its leader, for one term.
+
+    key: of the duty's register.
+    record: the lease record, as last read.
+    owner: the process that holds the lease.
+    stage: Stage.
+    state: bytes, the duty's state as last acknowledged by a majority.
+    since_us: int, when the lease was acquired.
+    last_error: why the last effect was not made, if so.
+    intents: open intents.
+    """
+
+    effect_executor_class: type[EffectExecutor] = EffectExecutor
+
+    def __init__(self, context: LeaderContext, key: Key, record: LeaseRecord, hold: Hold | None) -> None:
+        """`hold`: the promise that came with the acquisition; spares a round for the first change."""
+        self.context = context
+        self.key = key
+        self.record = record
+        self.owner = context.services.owner
         self.stage = Stage.STARTING
         self.state = b""
-        self.since = host.clock()
-        self.told: DutyError | None = None  # why its last change was not made
-        self._hold, self._step = hold, post.step
-        self._waiting: deque[tuple[Callable[[], None], Callable[[Outcome], None]]] = deque()
-        self._busy = False
-        self._trying: set[int] = set()  # intents whose settling is under way, or not to be tried
-        self._performed: set[int] = set()  # what has gone out in this term
-        self._yield_to: str | None = None
-        self.settled: Callable[[Intent, bool], None] = lambda intent, done: None  # one that was left open
-        if post.versions:
-            host.library.get(key, post.versions[0], host.clock() + FETCH, self._fetched)
+        self.since_us = context.services.now()
+        self.last_error: DutyError | None = None
+        self.intents = IntentSettlement(self)
+        self._executor = self.effect_executor_class(self)
+        self._queue = SerialQueue(self._release_when_idle)
+        self._hold = hold
+        self._sequence = record.holder_sequence
+        self._release_to: str | None = (
+            None  # the seat that is offered the lease first, once the queue is empty
+        )
+        if record.versions:
+            self._fetch_state()
         else:
-            self._begin(b"")
+            self._activate(b"")
 
     @property
     def name(self) -> str:
-        return self.post.name
+        """The duty's name."""
+        return self.record.name
+
+    @property
+    def is_ended(self) -> bool:
+        """The term is over."""
+        return self.stage is Stage.ENDED
+
+    @property
+    def is_active(self) -> bool:
+        """The lease is held, and not about to be released."""
+        return self.stage is Stage.ACTIVE and self.record.status == LeaseStatus.HELD
 
-    # ---- how it starts ----
+    # ---- start ----
 
-    def _fetched(self, state: bytes | None) -> None:
+    def _fetch_state(self) -> None:
+        deadline_us = self.context.services.now() + FETCH_TIMEOUT_US
+        self.context.replication.fetch(self.key, self.record.versions[0], deadline_us, self._on_state)
+
+    def _on_state(self, state: bytes | None) -> None:
         if self.stage is not Stage.STARTING:
             return
         if state is None:
-            # Those who have it may be back soon; whoever takes the duty over then finds it.
-            self.told = Damaged(f"{self.name}: no whole copy of its state")
-            self.host.count("duties: state not found")
-            self.host.at(
-                self.host.clock() + LATER,
-                lambda: self.host.library.get(
-                    self.key, self.post.versions[0], self.host.clock() + FETCH, self._fetched
-                ),
-            )
+            # The replicas that have it may be back soon, and then any later leader finds it, too.
+            self.last_error = Damaged(f"{self.name}: no whole copy of its state")
+            self.context.services.count("duties: state not found")
+            self.context.services.after(RETRY_US, self._fetch_state)
             return
-        self._begin(state)
-
-    def _begin(self, state: bytes) -> None:
-        self.state, self.stage, self.told = state, Stage.HELD, None
-        self.host.library.chosen(self.key, self.post)
-        self.host.started(self)
-        self._settle_open()
-        if self.post.lost:
-            self.host.at(self.host.clock() + round(self.host.policy.steady_ms * MS), self._prove)
-
-    def _prove(self) -> None:
-        if self.stage is Stage.HELD and self.post.lost:
-            self._queue(
-                lambda: self._change(Proven, (), lambda got: self._done(lambda o: None, got)), lambda o: None
-            )
+        self._activate(state)
+
+    def _activate(self, state: bytes) -> None:
+        self.state = state
+        self.stage = Stage.ACTIVE
+        self.last_error = None
+        self.context.replication.announce_chosen(self.key, self.record)
+        self.context.observer.started(self)
+        self.intents.settle_open()
+        if self.record.lost_leaders:
+            stable_after_us = round(self.context.policy.steady_ms * MS)
+            self.context.services.after(stable_after_us, self._clear_lost_leaders)
+
+    def _clear_lost_leaders(self) -> None:
+        if self.stage is Stage.ACTIVE and self.record.lost_leaders:
+            self.enqueue(lambda: self.change(self.finish, ClearLostLeaders), ignore_outcome)
+
+    # ---- effects, one after the other ----
+
+    def submit(self, effect: Effect, callback: OutcomeCallback) -> None:
+        """Carry out an effect after those submitted before it.
+
+        `callback` is called once, with what was done or why nothing was, as far as that is known: after NoMajority a
+        state update may come about yet. Errors: Busy, OverBudget, NoMajority, Superseded, Unreached, Uncertain,
+        Forgotten.
+        """
+        if self.is_ended:
+            return callback(self._ended_error())
+        if self.stage is not Stage.ACTIVE or len(self._queue) >= MAX_QUEUED_EFFECTS:
+            return callback(Busy(f"{self.name}: {self.stage.value}"))
+        if isinstance(effect, IntentRequest) and len(effect.payload) > MAX_INTENT_BYTES:
+            size = len(effect.payload)
+            return callback(OverBudget(f"{self.name}: an intent of {size} bytes; {MAX_INTENT_BYTES} at most"))
+        return self.enqueue(lambda: self._executor.execute(effect), callback)
+
+    def enqueue(self, run: Callable[[], None], callback: OutcomeCallback) -> None:
+        """Run a step after those that wait; it ends with `finish`."""
+        self._queue.add(run, callback)
+
+    def finish(self, outcome: Outcome) -> None:
+        """End the running step, and start the next one."""
+        if self.is_ended:
+            return
+        step = self._queue.complete()
+        self.last_error = outcome if isinstance(outcome, DutyError) else None
+        step.callback(outcome)
+        self._queue.start_next()
 
-    def _later(self, us: int, then: Callable[[], None]) -> None:
-        """Unless it is over by then."""
+    def after(self, delay_us: int, action: Callable[[], None]) -> None:
+        """Call `action` after the delay, unless the term is over by then."""
 
         def due() -> None:
-            if self.stage is not Stage.OVER:
-                then()
-
-        self.host.at(self.host.clock() + us, due)
-
-    # ---- one after the other ----
-
-    def do(self, effect: Effect, then: Callable[[Outcome], None]) -> None:
-        """`then` is called once, with what was made or why nothing was, as far as that is known: an error of NoMajority
-        says that it may come about yet, on the fleet's own state."""
-        if self.stage is not Stage.HELD or len(self._waiting) >= MOST_WAITING:
-            return then(
-                self._over() if self.stage is Stage.OVER else Busy(f"{self.name}: {self.stage.value}")
-            )
-        match effect:
-            case OnFleet():
-                self._queue(lambda: self._advance(effect.state, then), then)
-            case LatestState():
-                self._queue(lambda: self._advance(effect.read(), then), then)
-            case Fenced():
-                self._queue(lambda: self._fenced(effect, then), then)
-            case _:
-                if len(effect.what) > MOST_WHAT:
-                    return then(
-                        OverBudget(f"{self.name}: an intent of {len(effect.what)} bytes; {MOST_WHAT} at most")
-                    )
-                self._queue(lambda: self._once(effect.to, effect.what, effect.settle, then), then)
-        return None
-
-    def _queue(self, step: Callable[[], None], then: Callable[[Outcome], None]) -> None:
-        self._waiting.append((step, then))
-        self._next()
-
-    def _next(self) -> None:
-        if self._busy or self.stage is Stage.OVER:
-            return
-        if self._waiting:
-            self._busy = True
-            self._waiting[0][0]()
-        elif self._yield_to is not None and self.stage is Stage.YIELDING:
-            to, self._yield_to = self._yield_to, None
-            self._release(to)
-
-    def _done(self, then: Callable[[Outcome], None], outcome: Outcome) -> None:
-        if self.stage is Stage.OVER:
-            return
-        self._waiting.popleft()
-        self._busy = False
-        self.told = outcome if isinstance(outcome, DutyError) else None
-        then(outcome)
-        self._next()
+            if not self.is_ended:
+                action()
+
+        self.context.services.after(delay_us, due)
 
-    def _over(self) -> Superseded:
-        return Superseded(self.name, self.post.term, None, self.post.term)
+    # ---- the register ----
 
-    # ---- changes ----
+    def change(self, callback: OutcomeCallback, change_type: type[HolderChange], *arguments: Any) -> None:
+        """Make a change of the register, with the arguments of its kind beside those of every leader's change.
 
-    def _change(self, kind: type[Own], how: tuple[Any, ...], then: Callable[[Outcome], None]) -> None:
-        """`then(Made)` with the fence of the change, once a majority has it."""
-        self._step += 1
-        change = kind(self.owner, self.post.born, self.post.term, self._step, *how)
-        hold, self._hold = self._hold, None
+        `callback` gets Completed with the token of the change, NoMajority, or Busy if an operator's change came
+        between. It is not called if the term is over; the lease ends as superseded then.
+        """
+        self._sequence += 1
+        change = change_type(self.owner, self.record.generation, self.record.term, self._sequence, *arguments)
+        hold = self._hold
+        self._hold = None
 
         def answered(done: Done | None) -> None:
-            if self.stage is Stage.OVER:
+            if self.is_ended:
                 return
             if done is None:
-                self.host.count("duties: no majority")
-                return then(NoMajority(self.name))
-            found = unpack(done.value)
-            if change.made_in(found) and found is not None:
-                self.post, self._hold = found, done.hold
-                return then(Made(Fence(*found.at)))
-            if found is None or (found.born, found.term, found.owner) != (
-                self.post.born,
-                self.post.term,
-                self.owner,
-            ):
+                self.context.services.count("duties: no majority")
+                return callback(NoMajority(self.name))
+            found = decode_record(done.value)
+            if found is None or not (change.is_applied_in(found) or self.record.is_same_tenure(found)):
                 return self.superseded(found)
-            self.post, self._hold = found, done.hold  # an operator has changed it meanwhile
-            return then(Busy(f"{self.name}: it was changed meanwhile"))
+            self.record = found
+            self._hold = done.hold
+            if change.is_applied_in(found):
+                return callback(Completed(FencingToken(*found.position)))
+            return callback(Busy(f"{self.name}: it was changed meanwhile"))
 
-        self.host.change(self.key, change, hold, answered)
+        self.context.services.change_register(self.key, change, hold, answered)
 
-    def check(self) -> None:
-        """After a pause, or a word that another has it: is it ours yet?"""
+    def verify(self, callback: Callable[[LeaseRecord | None], None]) -> None:
+        """Read the register by a majority, after which no abandoned change can come about.
+
+        `callback` gets the record if the lease is still held, None if no majority answered. If another holds it, the
+        lease ends as superseded.
+        """
 
-        def looked(done: Done | None) -> None:
-            if self.stage is Stage.OVER:
+        def answered(done: Done | None) -> None:
+            if self.is_ended:
                 return
             if done is None:
-                return self.host.at(self.host.clock() + LATER, self.check)
-            found = unpack(done.value)
-            if found is None or (found.born, found.term, found.owner) != (
-                self.post.born,
-                self.post.term,
-                self.owner,
-            ):
-                self.superseded(found)
-
-        if self.stage is not Stage.OVER:
-            self.host.change(self.key, Look(), None, looked)
-
-    def superseded(self, found: Post | None) -> None:
-        """All that was known, waited for or under way is dropped."""
-        by, term = (None, self.post.term) if found is None else (found.owner, found.term)
-        self.host.count("duties: superseded")
-        self.end(Superseded(self.name, self.post.term, by, term))
-
-    def end(self, why: DutyError | None) -> None:
-        if self.stage is Stage.OVER:
-            return
-        waiting, self.stage, self.state, self._hold = list(self._waiting), Stage.OVER, b"", None
-        self._waiting.clear()
-        self.host.ended(self, why)
-        for _, then in waiting:
-            then(why or self._over())
-
-    # ---- effects ----
-
-    def _advance(self, state: bytes, then: Callable[[Outcome], None], tries: int = 0) -> None:
-        most = self.host.policy.state_bytes
-        if len(state) > most:
-            return self._done(
-                then, OverBudget(f"{self.name}: a state of {len(state)} bytes; state_bytes is {most}")
-            )
-        names, number = pieces.order(state), self.post.number
-        mark = self.post.born, self.post.term, number + 1
-
-        def kept(enough: bool) -> None:
-            if self.stage is Stage.OVER:
-                return
-            if not enough:
-                return self._done(then, NoMajority(self.name))
-            self._change(Advance, (number, len(state), names, self.host.policy.versions), made)
-
-        def made(outcome: Outcome) -> None:
-            if isinstance(outcome, Busy) and tries < TRIES:
-                return self._advance(state, then, tries + 1)  # for the number that there is now
-            if isinstance(outcome, Made):
-                self.state = state
-                self.host.library.chosen(self.key, self.post)
-            return self._done(then, outcome)
-
-        known = pieces.named(self.post)
-        return self.host.library.put(self.key, mark, state, known, self.host.clock() + KEEP, kept)
-
-    def _fenced(self, effect: Fenced, then: Callable[[Outcome], None]) -> None:
-        def chosen(outcome: Outcome) -> None:
-            if not isinstance(outcome, Made):
-                return self._done(then, outcome)
-            self._perform(effect, outcome.fence, then, 1)
-
-        self._change(Step, (), chosen)
-
-    def _perform(self, effect: Fenced, fence: Fence, then: Callable[[Outcome], None], tries: int) -> None:
-        def told(got: Told) -> None:
-            if self.stage is Stage.OVER:
-                return
-            if got.highest is not None and got.highest > fence:
-                return self._behind(effect.to, got.highest, then)
-            if got.heard:
-                return self._done(then, Made(fence, got.answer, got.done))
-            if tries < TRIES:  # the same fence: what has come there counts once
-                return self._later(TRY_AGAIN, lambda: self._perform(effect, fence, then, tries + 1))
-            return self._done(then, Unreached(f"{self.name}: {effect.to} does not answer"))
+                return callback(None)
+            found = decode_record(done.value)
+            if found is None or not self.record.is_same_tenure(found):
+                return self.superseded(found)
+            return callback(found)
 
-        self.host.perform(effect.to, self.name, fence, effect.body, told)
+        self.context.services.change_register(self.key, Read(), None, answered)
 
-    def _behind(self, to: str, highest: Fence, then: Callable[[Outcome], None]) -> None:
-        """The receiver knows of later work. That is another's, or the fleet has forgotten what it was."""
+    def check(self) -> None:
+        """Find out whether the lease is still held, until a majority answers. For a leader that was paused."""
+        if not self.is_ended:
+            self.verify(self._checked)
 
-        def looked(done: Done | None) -> None:
-            if self.stage is Stage.OVER:
-                return
-            if done is None:
-                return self._done(then, NoMajority(self.name))
-            found = unpack(done.value)
-            if found is None or (found.born, found.term, found.owner) != (
-                self.post.born,
-                self.post.term,
-                self.owner,
-            ):
-                return self.superseded(found)
-            if Fence(*found.at) > highest:
-                return self._done(then, Busy(f"{self.name}: overtaken by a later change of its own"))
-            why = f"{to} knows of birth {highest.born}, term {highest.term}; the registers, {found.born}, {found.term}"
-            self.host.count("duties: forgotten")
-            self._change(
-                PutAside, (why, highest.born + 1), lambda o: self.end(Forgotten(f"{self.name}: {why}"))
-            )
-            return None
-
-        self.host.change(self.key, Look(), None, looked)
-
-    def _once(self, to: str, what: bytes, settle: Settle, then: Callable[[Outcome], None]) -> None:
-        if len(self.post.intents) >= self.host.policy.intents:
-            return self._done(then, OverBudget(f"{self.name}: {len(self.post.intents)} intents are open"))
-
-        def chosen(outcome: Outcome) -> None:
-            if not isinstance(outcome, Made):
-                return self._done(then, outcome)
-            intent = next(
-                (
-                    i
-                    for i in reversed(self.post.intents)
-                    if (i.term, i.to, i.what) == (self.post.term, to, what)
-                    and i.number not in self._performed
-                ),
-                None,
-            )
-            if intent is None:
-                return self._done(then, Busy(f"{self.name}: an operator has settled it at once"))
-            self._trying.add(intent.number)
-            self._performed.add(intent.number)
-            self.host.intend(
-                to, self.name, intent, lambda got: self._intended(intent, outcome.fence, got, then)
-            )
-            return None
-
-        return self._change(Intend, (to, what, settle), chosen)
-
-    def _intended(self, intent: Intent, fence: Fence, got: Told, then: Callable[[Outcome], None]) -> None:
-        if self.stage is Stage.OVER:
-            return
-        self._trying.discard(intent.number)
-        if not got.heard:
-            self._settle_open()
-            return self._done(
-                then, Uncertain(f"{self.name}: {intent.to} has not said whether {intent.number} was done")
-            )
-
-        def noted(outcome: Outcome) -> None:
-            if isinstance(outcome, Made):
-                self._performed.discard(intent.number)
-            self._done(then, Made(fence, got.answer, got.done))  # done it is, whatever of the note
-            self._settle_open()
-
-        self._change(OutcomeChange, (intent.number,), noted)
-
-    # ---- intents that were left open: by an owner of before, or by a receiver that did not answer ----
-
-    def _settle_open(self) -> None:
-        for intent in self.post.intents:
-            # Chosen after its caller had been told that no majority answers: it never went out, nor ever will.
-            never = intent.term == self.post.term and intent.number not in self._performed
-            if intent.number in self._trying or (intent.settle == Settle.TELL.value and not never):
-                continue
-            self._trying.add(intent.number)
-            self._settle(intent, never)
-
-    def _settle(self, intent: Intent, never: bool = False) -> None:
-        def told(got: Told) -> None:
-            if self.stage is Stage.OVER:
-                return
-            if not got.heard:
-                return self._later(LATER, lambda: self._settle(intent))
-            self._queue(
-                lambda: self._change(OutcomeChange, (intent.number,), lambda o: noted(o, got.done)),
-                lambda o: None,
-            )
-
-        def noted(outcome: Outcome, done: bool) -> None:
-            if isinstance(outcome, Made):
-                self.host.count("duties: an open intent settled")
-                self._performed.discard(intent.number)
-                self.settled(intent, done)
-            else:
-                self._trying.discard(intent.number)
-                self.host.at(self.host.clock() + LATER, self._settle_open)
-            self._done(lambda o: None, outcome)
-
-        if never:
-            told(Told(heard=True, done=False))
-        elif intent.settle == Settle.REPEAT.value:
-            self.host.intend(intent.to, self.name, intent, told)
-        else:
-            self.host.asked(intent.to, self.name, intent, told)
+    def _checked(self, found: LeaseRecord | None) -> None:
+        if found is None:
+            self.context.services.after(RETRY_US, self.check)
 
-    # ---- how it is given up ----
+    # ---- end ----
 
-    def give_up(self, to: str = "") -> None:
-        """What is under way is ended first; nothing new is begun. `to`: whom it is offered to first."""
+    def release(self, offered_to: str = "") -> None:
+        """Finish what is under way, start nothing new, then give the lease up. `offered_to`: the first candidate."""
         if self.stage is Stage.STARTING:
-            self.stage = Stage.HELD
-        if self.stage is not Stage.HELD:
+            self.stage = Stage.ACTIVE
+        if self.stage is not Stage.ACTIVE:
             return
-        self.stage = Stage.YIELDING
-        self._yield_to = to
-        self._queue(lambda: self._change(Yield, (), lambda o: self._done(lambda o: None, o)), lambda o: None)
+        self.stage = Stage.RELEASING
+        self._release_to = offered_to
+        self.enqueue(lambda: self.change(self.finish, BeginRelease), ignore_outcome)
+
+    def _release_when_idle(self) -> None:
+        if self._release_to is not None and self.stage is Stage.RELEASING:
+            offered_to = self._release_to
+            self._release_to = None
+            self._send_release(offered_to)
 
-    def _release(self, to: str) -> None:
-        self._busy = True
+    def _send_release(self, offered_to: str) -> None:
+        self._queue.is_blocked = True
 
         def released(outcome: Outcome) -> None:
-            self._busy = False
-            if isinstance(outcome, Made):
-                self.host.library.chosen(self.key, self.post)
-                self.host.count("duties: given up")
+            self._queue.is_blocked = False
+            if isinstance(outcome, Completed):
+                self.context.replication.announce_chosen(self.key, self.record)
+                self.context.services.count("duties: given up")
                 return self.end(None)
-            # It is ours until a majority says otherwise.
-            return self._later(LATER, lambda: self._release(to))
+            # The lease is held until a majority says otherwise.
+            return self.after(RETRY_US, lambda: self._send_release(offered_to))
 
-        self._change(Release, (to,), released)
+        self.change(released, ReleaseLease, offered_to)
 
-    @property
-    def is_open(self) -> bool:
-        return self.stage is Stage.HELD and self.post.life == Life.HELD.value
+    def superseded(self, found: LeaseRecord | None) -> None:
+        """Another has the lease: drop the state and everything that is under way."""
+        self.context.services.count("duties: superseded")
+        if found is None:
+            self.end(self._ended_error())
+        else:
+            self.end(Superseded(self.name, self.record.term, found.holder, found.term))
+
+    def _ended_error(self) -> Superseded:
+        return Superseded(self.name, self.record.term, None, self.record.term)
+
+    def end(self, reason: DutyError | None) -> None:
+        """End the term. Effects that had not ended get `reason` as their outcome."""
+        if self.is_ended:
+            return
+        unfinished = self._queue.close()
+        self.stage = Stage.ENDED
+        self.state = b""
+        self._hold = None
+        self.context.observer.ended(self, reason)
+        for step in unfinished:
+            step.callback(reason or self._ended_error())
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -1,4 +1,4 @@
-"""What runners say to each other about duties, besides the registers' own questions."""
+"""Messages between members about duties, besides those of the registers. Arrays on the wire, with a tag first."""
 
 from __future__ import annotations
 
@@ -6,76 +6,98 @@
 from ..replication.work_record import Key, Owner
 from .chunks import Mark
 
-PART = "duties"  # of `fleet.messages.For`
+PART = "duties"  # names these messages among all that members exchange
 
 
-class Offer(Said, frozen=True, tag="offer"):
-    """From a keeper of its register: this duty needs an owner. `counts`: its owner is lost. `pressing`: others have
-    declined."""
+class LeaseOffer(Said, frozen=True, tag="offer"):
+    """From a replica of its register: this duty needs a leader.
+
+    generation, term: int, of the record that the offer is made for.
+    leader_lost: bool, its leader is lost.
+    must_accept: bool, others have declined: only a member that is not fit may decline.
+    """
 
     key: Key
-    born: int
+    generation: int
     term: int
-    counts: bool
-    pressing: bool
+    leader_lost: bool
+    must_accept: bool
 
 
-class Declined(Said, frozen=True, tag="declined"):
-    """An offered duty is not taken."""
+class OfferDeclined(Said, frozen=True, tag="declined"):
+    """A member does not take the lease that it was offered."""
 
     key: Key
     term: int
 
 
-class Passed(Said, frozen=True, tag="passed"):
-    """To the owner of before: another has it now. Hastens what it would learn by its next change."""
+class LeaseTaken(Said, frozen=True, tag="passed"):
+    """To the former leader: another has the lease. A hint; the former leader's next change would tell it, too."""
 
     key: Key
-    born: int
+    generation: int
     term: int
-    owner: Owner
+    holder: Owner
+
 
+class StoreChunk(Said, frozen=True, tag="keep"):
+    """To a replica: a chunk of the version that the change at `mark` is to name.
 
-class Keep(Said, frozen=True, tag="keep"):
-    """To a keeper: a piece of the version that the change at `mark` is to name; empty where it should be there."""
+    chunk: bytes; empty if the replica should have it already.
+    """
 
     serial: int
     key: Key
     mark: Mark
     name: bytes
-    piece: bytes
+    chunk: bytes
+
 
+class ChunkStored(Said, frozen=True, tag="kept"):
+    """Answer of a replica.
 
-class Kept(Said, frozen=True, tag="kept"):
-    """Pieces of a state are kept, or there was no room for them."""
+    ok: bool, it has stored the chunk.
+    missing: bool, the chunk has to be sent.
+    inc: int, incarnation of the replica; what an earlier one had stored does not count.
+    """
 
     serial: int
     name: bytes
     ok: bool
-    missing: bool  # it is to be sent
-    inc: int  # of the keeper: what an earlier life of it had is not counted
+    missing: bool
+    inc: int
 
 
-class Named(Said, frozen=True, tag="named"):
-    """That value of the register is chosen: what no later change can name goes."""
+class RecordChosen(Said, frozen=True, tag="named"):
+    """This value of the register is chosen: chunks that no later change can name may be deleted."""
 
     key: Key
     value: bytes
 
 
-class Fetch(Said, frozen=True, tag="fetch"):
-    """Asks a keeper for pieces of a state."""
+class FetchChunks(Said, frozen=True, tag="fetch"):
+    """Asks a replica for chunks."""
 
     key: Key
     names: list[bytes]
 
 
-class Fetched(Said, frozen=True, tag="fetched"):
-    """One piece; empty where it is not there."""
+class ChunkFetched(Said, frozen=True, tag="fetched"):
+    """One chunk; empty if the replica does not have it."""
 
     key: Key
     name: bytes
-    piece: bytes
-
-
-encode, decode = spoken(Offer | Declined | Passed | Keep | Kept | Named | Fetch | Fetched)
+    chunk: bytes
+
+
+Message = (
+    LeaseOffer
+    | OfferDeclined
+    | LeaseTaken
+    | StoreChunk
+    | ChunkStored
+    | RecordChosen
+    | FetchChunks
+    | ChunkFetched
+)
+encode, decode = spoken(Message)
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -1,456 +1,213 @@
-"""One member's part in the duties of the fleet: what it has, what it is offered, what it keeps, what it reads.
+"""One member's part in the duties of the fleet: composes its registers, election, leases and directory.
 
-Between `Node`, whose membership and messages it uses, and whoever does the work of a duty. Its registers are a space of
-their own: a keeper that has forgotten one of them learns it again from others, or from its disk; time does not heal it.
+The registers of duties are a space of their own beside those of keyed work. A replica that has lost its memory learns
+them again from the others or from its disk; no time limit heals it, as duties last.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any, Protocol
 
 import msgspec
 
 from ..membership.failure_detector import MS
 from ..replication.acceptor import Slot
-from ..replication.messages import For
 from ..replication.node import Node
-from ..replication.proposer import Done, Hold
 from ..replication.register_space import LASTING, Registers
-from ..replication.work_record import Key, Owner
+from ..replication.work_record import Key
 from . import messages
-from .candidates import Steady, mean, too_many
-from .chunks import Shelf
-from .effects import Told
-from .election import Tending
-from .errors import Busy, Damaged, DutyError, NoMajority, OverBudget, SetAside, Unknown
-from .fencing_token import Fence
-from .journal import LastingKeeper
-from .lease_holder import Ownership
-from .lease_record import (
-    MOST_NAME,
-    Accept,
-    Change,
-    Create,
-    Intent,
-    Life,
-    Look,
-    Post,
-    Remove,
-    Resume,
-    SettleIt,
-    key_of,
-    unpack,
-)
-from .messages import Declined, Fetch, Fetched, Keep, Kept, Named, Offer, Passed
+from .candidates import StabilityTracker
+from .chunks import ChunkStore
+from .directory import DutyDirectory
+from .election import Election
+from .held_leases import HeldLeases
+from .journal import DutyAcceptor
+from .lease_holder import LeaseHolder
+from .lease_record import LeaseRecord, LeaseStatus, decode_record
 from .policy import Policy
-from .state_replication import Library
+from .services import MemberServices
+from .state_replication import StateReplication
+from .worker import EffectReceivers, Worker
 
-FOREVER = 1 << 60  # us
-LOOK = 500 * MS
-LATE = 300 * MS  # a look that comes so late: this process was stopped
-TELL = 2_000 * MS  # how many it has: news, so not at once
-ACCEPT_AGAIN = 400 * MS
-MOST_STEADY = 16  # times `steady_ms`: the longest that one which comes and goes is left out
+HEARTBEAT_US = 500 * MS
+PAUSE_THRESHOLD_US = 300 * MS  # a heartbeat that comes so late: this process was stopped
+ANNOUNCE_INTERVAL_US = (
+    2_000 * MS
+)  # how many duties this member has, told with the failure detector's messages
+MAX_STABILITY_BACKOFF = 16  # times `steady_ms`
 
 
-class Host(Protocol):
-    """The process."""
+class ParticipantHost(EffectReceivers, Protocol):
+    """The process of a participant: sends effects, and knows whose work it can do."""
 
-    def fit(self) -> bool: ...  # to have duties
-    def perform(
-        self, to: str, duty: str, fence: Fence, body: bytes, then: Callable[[Told], None]
-    ) -> None: ...
-    def intend(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None: ...
-    def asked(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None: ...
-    def work(self, ownership: Ownership) -> Worker | None: ...  # who does what such a duty is for
-
-
-class Worker(Protocol):
-    """Who does what a duty is for, while this member owns it."""
-
-    def start(self) -> None: ...
-    def wind_up(self) -> None: ...  # the duty is given up: a last state may be handed on now
-    def stop(self, why: DutyError | None) -> None: ...  # it is another's: nothing may go on
-
-
-@dataclass(frozen=True, slots=True)
-class Reading:
-    """`age_us`: how long ago the register was asked. `state` is None where only the post was wanted."""
+    def fit(self) -> bool:
+        """Whether this member may lead."""
 
-    post: Post
-    state: bytes | None
-    age_us: int
+    def work(self, lease: LeaseHolder) -> Worker | None:
+        """Return the worker for a duty; None if this process does not know what it is for."""
 
 
 class Participant:
-    """One member's part in all duties of the fleet."""
+    """One member's part in all duties of the fleet.
+
+    node: of the member, whose membership and messages are used.
+    policy: settings.
+    acceptor: of the duties' registers.
+    store: chunks of the duties' states.
+    services: the member, as the parts below use it.
+    replication, election, leases, directory: the parts.
+    """
 
-    ownership = Ownership
+    lease_holder_class: type[LeaseHolder] = LeaseHolder
 
     def __init__(
         self,
         node: Node,
-        host: Host,
+        host: ParticipantHost,
         policy: Policy,
         remembers: bool = False,
-        make: type[LastingKeeper] = LastingKeeper,
+        acceptor_class: type[DutyAcceptor] = DutyAcceptor,
     ) -> None:
-        self.node, self._host, self.policy = node, host, policy
-        seats = node.seats
-        self.keeper = make(
-            node.me,
-            node.owner.inc,
+        """`remembers`: nothing that this seat has ever promised is forgotten."""
+        self.node = node
+        self.policy = policy
+        self._host = host
+        self.store = ChunkStore(policy.state_bytes * (policy.versions + 1))
+        self.acceptor = self._create_acceptor(acceptor_class, remembers)
+        registers = Registers(LASTING, self.acceptor, node, None)
+        node.add(registers)
+        self.services = MemberServices(node, registers, self._dispatch)
+        self.replication = StateReplication(
+            self.services, self.store, self._replicated_record, self.acceptor.chunks_repaired
+        )
+        self.election = self._create_election()
+        self.leases = HeldLeases(
+            self.services,
+            self.election,
+            self.replication,
+            host,
+            policy,
+            host.work,
+            self.lease_holder_class,
+        )
+        self.directory = DutyDirectory(
+            self.services, self.election, self.leases, self.replication, self.acceptor
+        )
+        self._handlers = self._create_handlers()
+        node.parts[messages.PART] = self._on_message
+        node.told_of_loss.append(self.election.on_member_lost)
+        self._next_heartbeat_us = 0
+        self._unfit_since_us: int | None = None
+        self._announced_at_us = 0
+
+    def _create_acceptor(self, acceptor_class: type[DutyAcceptor], remembers: bool) -> DutyAcceptor:
+        seats = self.node.seats
+        acceptor = acceptor_class(
+            self.node.me,
+            self.node.owner.inc,
             seats.keepers,
-            frozenset(seats.names) - {node.me},
+            frozenset(seats.names) - {self.node.me},
             remembers,
-            policy.most,
-            told=self._kept,
+            self.policy.most,
+            told=self._on_slot,
             lasting=True,
             part=seats.part,
             of=seats.of,
         )
-        self.shelf = Shelf(policy.state_bytes * (policy.versions + 1))
-        self.keeper.shelf = self.shelf
-        self.registers = Registers(LASTING, self.keeper, node, None)
-        node.add(self.registers)
-        node.parts[messages.PART] = self._heard
-        node.told_of_loss.append(self._died)
-        steady = round(policy.steady_ms * MS)
-        self.library = Library(self, self.shelf)
-        self.library.wanted, self.library.mended = self._named, self.keeper.mended
-        self.tending = Tending(
-            self,
-            node.members,
-            seats.copies,
-            Steady(steady, steady * MOST_STEADY),
-            round(2 * policy.patience_ms * MS),
+        acceptor.store = self.store
+        return acceptor
+
+    def _create_election(self) -> Election:
+        backoff_us = round(self.policy.steady_ms * MS)
+        return Election(
+            self.services,
+            is_fit=self._host.fit,
+            led_duties=lambda: len(self.leases),
+            stability=StabilityTracker(backoff_us, backoff_us * MAX_STABILITY_BACKOFF),
+            unfit_patience_us=round(2 * self.policy.patience_ms * MS),
         )
-        self.ownerships: dict[Key, Ownership] = {}
-        self._workers: dict[Key, Worker] = {}
-        self._accepting: set[Key] = set()
-        self._unfit_since: int | None = None
-        self._due = self._told = 0
-        self._moved = 0
-        self._wanted: list[tuple[str, str]] = []  # duties that the settings name, with their kinds
-        self._handlers: dict[type, Callable[[str, Any], None]] = {
-            Offer: self._offered,
-            Declined: lambda seat, m: self.tending.was_declined(m.key, m.term),
-            Passed: self._passed,
-            Keep: self.library.keep,
-            Kept: self.library.kept,
-            Named: lambda seat, m: self.library.named(m),
-            Fetch: self.library.fetch,
-            Fetched: self.library.fetched,
-        }
-
-    # ---- what its parts ask of it ----
-
-    @property
-    def owner(self) -> Owner:
-        return self.node.owner
-
-    @property
-    def me(self) -> str:
-        return self.node.me
-
-    def at(self, when: int, action: Callable[[], None]) -> None:
-        self.node.at(when, action)
-
-    def clock(self) -> int:
-        return self.node.clock()
-
-    def count(self, name: str) -> None:
-        self.node.count(name)
-
-    def keepers(self, key: Key) -> tuple[str, ...]:
-        return self.node.seats.keepers(key)
 
-    def inc(self) -> int:
-        return self.owner.inc
-
-    def inc_of(self, seat: str) -> int:
-        return self.keeper.incs.get(seat, 0)
-
-    def fit(self) -> bool:
-        return self._host.fit()
-
-    def has(self) -> int:
-        return len(self.ownerships) + len(self._accepting)
-
-    def durable(self, then: Callable[[], None]) -> None:
-        self.node.durable(then, LASTING)
-
-    def say(self, seat: str, message: Any) -> None:
-        if seat == self.me:
-            self.at(self.clock(), lambda: self._handlers[type(message)](seat, message))
-        else:
-            self.node.send(seat, For(messages.PART, messages.encode(message)))
-
-    def look(self, key: Key, then: Callable[[Done | None], None]) -> None:
-        self.registers.look(key, round(self.node.policy.claim_ms * MS), then)
-
-    def change(
-        self, key: Key, change: Change, hold: Hold | None, then: Callable[[Done | None], None]
-    ) -> None:
-        self.registers.change(key, change, FOREVER, round(self.node.policy.claim_ms * MS), then, hold)
-
-    def perform(self, to: str, duty: str, fence: Fence, body: bytes, then: Callable[[Told], None]) -> None:
-        self._host.perform(to, duty, fence, body, then)
-
-    def intend(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        self._host.intend(to, duty, intent, then)
-
-    def asked(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        self._host.asked(to, duty, intent, then)
+    def _create_handlers(self) -> dict[type, Callable[[str, Any], None]]:
+        return {
+            messages.LeaseOffer: self.leases.on_offer,
+            messages.OfferDeclined: self.election.on_offer_declined,
+            messages.LeaseTaken: self.leases.on_lease_taken,
+            messages.StoreChunk: self.replication.on_store_chunk,
+            messages.ChunkStored: self.replication.on_chunk_stored,
+            messages.RecordChosen: self.replication.on_record_chosen,
+            messages.FetchChunks: self.replication.on_fetch_chunks,
+            messages.ChunkFetched: self.replication.on_chunk_fetched,
+        }
 
-    # ---- its life ----
+    # ---- start, heartbeat, end ----
 
     def start(self) -> None:
-        self._due = self.clock() + LOOK
-        self.at(self._due, self._look)
+        """Begin the heartbeat."""
+        self._schedule_heartbeat(self.services.now())
 
-    def _look(self) -> None:
-        now = self.clock()
-        if now - self._due >= LATE:
-            self.woke()
-        self._due = now + LOOK
-        self.at(self._due, self._look)
-        self.tending.look()
-        if self.fit():
-            self._unfit_since = None
-            self._even_out(now)
-        elif self._unfit_since is None:
-            self._unfit_since = now
-        elif now - self._unfit_since >= round(self.policy.patience_ms * MS):
-            self.leave()
-        for key in self.tending.owned_by(self.owner):
-            if key not in self.ownerships and key not in self._accepting:
-                self._mine(key)
-        for name, kind in self._wanted:
-            self._see_that_there_is(name, kind)
-        if now - self._told >= TELL:
-            self._told = now
-            alive = sum(p.life != Life.GONE.value for p in self.tending.posts.values())
-            self.node.duties = len(self.ownerships), alive
-
-    def woke(self) -> None:
-        """This process was stopped: what it has may be another's by now."""
-        self.count("duties: looked after a pause")
-        for i, ownership in enumerate(list(self.ownerships.values())):
-            self.at(self.clock() + i // 16 * 10 * MS, ownership.check)
+    def repair_restored(self) -> None:
+        """After a start from a disk: fetch chunks that it lacks."""
+        for key, record in self.election.records.items():
+            if self.store.missing(key, record):
+                self.replication.repair(key, at_once=True)
 
     def leave(self) -> None:
-        """What it has goes to others."""
-        for key in list(self.ownerships):
-            self.give_up(key)
-
-    def give_up(self, key: Key, to: str = "") -> None:
-        ownership = self.ownerships.get(key)
-        if ownership is None or not ownership.is_open:
-            return
-        if not to:
-            to = next((s for s in self.tending.able(key) if s != self.me), "")
-        if (worker := self._workers.get(key)) is not None:
-            worker.wind_up()
-        ownership.give_up(to)
+        """Give every lease up."""
+        self.leases.release_all()
+
+    def _schedule_heartbeat(self, now_us: int) -> None:
+        self._next_heartbeat_us = now_us + HEARTBEAT_US
+        self.services.at(self._next_heartbeat_us, self._heartbeat)
+
+    def _heartbeat(self) -> None:
+        now = self.services.now()
+        if now - self._next_heartbeat_us >= PAUSE_THRESHOLD_US:
+            self.leases.check_all()
+        self._schedule_heartbeat(now)
+        self.election.check_holders()
+        self._check_fitness(now)
+        self.leases.adopt_unknown()
+        self.directory.create_declared()
+        self._announce(now)
+
+    def _check_fitness(self, now_us: int) -> None:
+        if self._host.fit():
+            self._unfit_since_us = None
+            self.leases.rebalance()
+        elif self._unfit_since_us is None:
+            self._unfit_since_us = now_us
+        elif now_us - self._unfit_since_us >= round(self.policy.patience_ms * MS):
+            self.leave()
 
-    def _even_out(self, now: int) -> None:
-        """One that has far more than the others gives up some, a few in a minute."""
-        if len(self.ownerships) <= too_many(0.0):
-            return
-        seen = self.tending.seen()
-        fair = mean(seen, self.tending.copies)
-        if (
-            len(self.ownerships) <= too_many(fair)
-            or now - self._moved < 60_000 * MS / self.policy.moves_a_minute
-        ):
+    def _announce(self, now_us: int) -> None:
+        if now_us - self._announced_at_us < ANNOUNCE_INTERVAL_US:
             return
-        others = {
-            m.seat: m.has for m in seen if m.fit and m.steady and m.seat != self.me and m.has + 1 < fair
-        }
-        for key in self.ownerships:
-            to = next((s for s in self.tending.able(key) if s in others), None)
-            if to is not None and self.ownerships[key].is_open:
-                self._moved = now
-                self.count("duties: moved to one that has fewer")
-                return self.give_up(key, to)
+        self._announced_at_us = now_us
+        stored = sum(record.status != LeaseStatus.REMOVED for record in self.election.records.values())
+        self.node.duties = len(self.leases.by_key), stored
 
-    # ---- messages ----
+    # ---- messages and registers ----
 
-    def _heard(self, seat: str, body: bytes) -> None:
+    def _on_message(self, seat: str, body: bytes) -> None:
         try:
             message = messages.decode(body)
         except msgspec.MsgspecError:
-            self.count("duties: a message that can't be read")
-            return
-        self._handlers[type(message)](seat, message)
-
-    def _died(self, seat: str, inc: int) -> None:
-        self.tending.died(seat, inc)
-
-    def _kept(self, key: Key, slot: Slot) -> None:
-        post = unpack(slot.value)
-        self.tending.kept(key, post)
-        if post is not None and self.shelf.missing(key, post):
-            self.library.mend(key, not self.keeper.is_whole)
-
-    def _named(self, key: Key) -> Post | None:
-        """What the register of a duty names, where this member keeps it."""
-        return self.tending.posts.get(key) if self.me in self.keepers(key) else None
-
-    def recalled(self) -> None:
-        """After a start from a disk."""
-        for key, post in self.tending.posts.items():
-            if self.shelf.missing(key, post):
-                self.library.mend(key, True)
-
-    # ---- offers ----
-
-    def _offered(self, seat: str, m: Offer) -> None:
-        ownership = self.ownerships.get(m.key)
-        if m.key in self._accepting or (ownership is not None and ownership.post.term > m.term):
+            self.services.count("duties: a message that can't be read")
             return
-        seen = self.tending.seen()
-        if not self.fit() or (not m.pressing and self.has() >= too_many(mean(seen, self.tending.copies))):
-            self.count("duties: declined")
-            return self.say(seat, Declined(m.key, m.term))
-        self._accepting.add(m.key)
-        self._accept(m.key, Accept(self.owner, (m.born, m.term), m.counts, self.policy.most_lost))
-        return None
-
-    def _mine(self, key: Key) -> None:
-        """The register says that it is ours, though nobody has told us so."""
-        self._accepting.add(key)
-        self._accept(key, Look())
-
-    def _accept(self, key: Key, change: Change) -> None:
-        def accepted(done: Done | None) -> None:
-            if done is None:  # it may be ours all the same: its keepers see us alive, and wait for us
-                return self.at(self.clock() + ACCEPT_AGAIN, lambda: self._accept(key, change))
-            self._accepting.discard(key)
-            post = unpack(done.value)
-            if post is None or post.owner != self.owner or not post.is_owned:
-                if post is not None and post.life == Life.ASIDE.value:
-                    self.count("duties: put aside")
-                return None
-            if (there := self.ownerships.get(key)) is not None:
-                if there.post.term == post.term:
-                    return None
-                there.superseded(post)
-            self.count("duties: accepted")
-            before = change.before if isinstance(change, Accept) else None
-            if before is not None and before.seat != self.me:
-                self.say(before.seat, Passed(key, post.born, post.term, self.owner))
-            self.ownerships[key] = self.ownership(self, key, post, done.hold)
-            return None
-
-        self.change(key, change, None, accepted)
-
-    def _passed(self, seat: str, m: Passed) -> None:
-        ownership = self.ownerships.get(m.key)
-        if ownership is not None and (m.born, m.term) > (ownership.post.born, ownership.post.term):
-            ownership.check()
-
-    def started(self, ownership: Ownership) -> None:
-        worker = self._host.work(ownership)
-        if worker is not None:
-            self._workers[ownership.key] = worker
-            worker.start()
-
-    def ended(self, ownership: Ownership, why: DutyError | None) -> None:
-        if self.ownerships.get(ownership.key) is ownership:
-            del self.ownerships[ownership.key]
-        if (worker := self._workers.pop(ownership.key, None)) is not None:
-            worker.stop(why)
-
-    # ---- for all, at any member ----
+        self._dispatch(seat, message)
 
-    def want(self, name: str, kind: str) -> None:
-        """The settings name it: where it never was, its keepers see to it that it is."""
-        self._wanted.append((name, kind))
-
-    def _see_that_there_is(self, name: str, kind: str) -> None:
-        key = key_of(name)
-        keepers = [s for s in self.keepers(key) if s == self.me or self.node.is_up(s)]
-        if key in self.tending.posts or keepers[:1] != [self.me] or not self.keeper.votes_for(key):
-            return
-        self.change(key, Create(name, kind, self.owner.inc, again=False), None, lambda done: None)
-
-    def create(self, name: str, kind: str, then: Callable[[Post | DutyError], None]) -> None:
-        if not 0 < len(name.encode()) <= MOST_NAME:
-            return then(OverBudget(f"a name of {len(name.encode())} bytes: 1 to {MOST_NAME} are taken"))
-        return self._ask(name, Create(name, kind, self.owner.inc), lambda p: p.life != Life.GONE.value, then)
-
-    def remove(self, name: str, then: Callable[[Post | DutyError], None]) -> None:
-        def found(got: Post | DutyError) -> None:
-            if isinstance(got, DutyError):
-                return then(got)
-            born = got.born
-            return self._ask(name, Remove(born), lambda p: p.life == Life.GONE.value or p.born > born, then)
-
-        self._ask(name, Look(), lambda p: True, found)
-
-    def resume(self, name: str, then: Callable[[Post | DutyError], None]) -> None:
-        self._ask(name, Resume(), lambda p: p.life != Life.ASIDE.value, then)
-
-    def settle(self, name: str, number: int, then: Callable[[Post | DutyError], None]) -> None:
-        self._ask(name, SettleIt(number), lambda p: all(i.number != number for i in p.intents), then)
-
-    def _ask(
-        self,
-        name: str,
-        change: Change | None,
-        good: Callable[[Post], bool],
-        then: Callable[[Post | DutyError], None],
-    ) -> None:
-        """Without a change, it is only looked at."""
-
-        def answered(done: Done | None) -> None:
-            if done is None:
-                return then(NoMajority(name))
-            post = unpack(done.value)
-            if post is None:
-                return then(Unknown(name))
-            return then(post if good(post) else Busy(f"{name}: not as it should be by now"))
-
-        if change is None:
-            return self.look(key_of(name), answered)
-        return self.change(key_of(name), change, None, answered)
-
-    def read(
-        self, name: str, then: Callable[[Reading | DutyError], None], state: bool = True, closed: bool = False
-    ) -> None:
-        """As it is chosen now, by a majority. `closed`: and no change that was given up before this can come about any
-        more, unless it is seen here."""
-
-        def looked(got: Post | DutyError) -> None:
-            if isinstance(got, DutyError):
-                return then(got)
-            if got.life == Life.GONE.value:
-                return then(Unknown(name))
-            if not state or not got.versions:
-                return then(Reading(got, b"" if state else None, 0))
-            return self.library.get(
-                key_of(name),
-                got.versions[0],
-                self.clock() + 2_000 * MS,
-                lambda found: then(
-                    Damaged(f"{name}: no whole copy of version {got.versions[0].number}")
-                    if found is None
-                    else Reading(got, found, 0)
-                ),
-            )
-
-        self._ask(name, Look() if closed else None, lambda p: True, looked)
+    def _dispatch(self, seat: str, message: messages.Message) -> None:
+        self._handlers[type(message)](seat, message)
 
-    def known(self, name: str) -> Reading | DutyError:
-        """What is known here without asking anybody; not for more than a look."""
-        key = key_of(name)
-        if (ownership := self.ownerships.get(key)) is not None:
-            return Reading(ownership.post, ownership.state, 0)
-        post = self.tending.posts.get(key)
-        if post is None or post.life == Life.GONE.value:
-            return Unknown(name)
-        return Reading(post, None, 0) if post.life != Life.ASIDE.value else SetAside(name, post.why)
+    def _on_slot(self, key: Key, slot: Slot) -> None:
+        """The acceptor has accepted a value."""
+        record = decode_record(slot.value)
+        self.election.on_record(key, record)
+        if record is not None and self.store.missing(key, record):
+            self.replication.repair(key, at_once=not self.acceptor.is_complete)
+
+    def _replicated_record(self, key: Key) -> LeaseRecord | None:
+        """Return the record of a register that this member replicates."""
+        is_replica = self.services.me in self.services.replicas(key)
+        return self.election.records.get(key) if is_replica else None
--- /dev/null
+++ b/moorusher/leadership/services.py
@@ -0,0 +1,105 @@
+"""What the parts of a participant use of their member: identity, timers, messages, registers, disk."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ..membership.failure_detector import MS, Members
+from ..replication.messages import For
+from ..replication.node import Node
+from ..replication.proposer import Done, Hold
+from ..replication.register_space import LASTING, Registers
+from ..replication.work_record import Key, Owner
+from . import messages
+from .lease_transitions import Change
+
+NEVER_EXPIRES_US = 1 << 60
+RegisterCallback = Callable[[Done | None], None]  # None: no majority answered in time
+
+
+class MemberServices:
+    """One member, as the parts of its participant see it. Times are those of the member's clock, in us."""
+
+    def __init__(
+        self,
+        node: Node,
+        registers: Registers,
+        deliver_locally: Callable[[str, messages.Message], None],
+    ) -> None:
+        """`deliver_locally`: takes messages that this member sends to itself."""
+        self.node = node
+        self.registers = registers
+        self._deliver_locally = deliver_locally
+
+    @property
+    def owner(self) -> Owner:
+        """The process: its seat and its incarnation."""
+        return self.node.owner
+
+    @property
+    def me(self) -> str:
+        """This member's seat."""
+        return self.node.me
+
+    @property
+    def incarnation(self) -> int:
+        """Of this process."""
+        return self.node.owner.inc
+
+    @property
+    def members(self) -> Members:
+        """All members, as the failure detector sees them."""
+        return self.node.members
+
+    @property
+    def replica_count(self) -> int:
+        """Replicas of each register."""
+        return self.node.seats.copies
+
+    def now(self) -> int:
+        """Return the time in us."""
+        return self.node.clock()
+
+    def at(self, when_us: int, action: Callable[[], None]) -> None:
+        """Call `action` at that time."""
+        self.node.at(when_us, action)
+
+    def after(self, delay_us: int, action: Callable[[], None]) -> None:
+        """Call `action` once the delay is over."""
+        self.node.at(self.node.clock() + delay_us, action)
+
+    def count(self, counter: str) -> None:
+        """Increment a counter of the member."""
+        self.node.count(counter)
+
+    def replicas(self, key: Key) -> tuple[str, ...]:
+        """Return the seats that replicate a register, in their order."""
+        return self.node.seats.keepers(key)
+
+    def latest_incarnation(self, seat: str) -> int:
+        """Return the highest incarnation of a seat that was heard of; 0 if none."""
+        return self.registers.keeper.incs.get(seat, 0)
+
+    def send(self, seat: str, message: messages.Message) -> None:
+        """Send a message; one to this member itself is delivered by a timer of its own."""
+        if seat == self.me:
+            self.at(self.now(), lambda: self._deliver_locally(seat, message))
+        else:
+            self.node.send(seat, For(messages.PART, messages.encode(message)))
+
+    def when_durable(self, callback: Callable[[], None]) -> None:
+        """Call back once everything stored so far is on the disk; at once if there is none."""
+        self.node.durable(callback, LASTING)
+
+    def read_register(self, key: Key, callback: RegisterCallback) -> None:
+        """Read a register without hindering changes of it."""
+        self.registers.look(key, self._register_timeout_us(), callback)
+
+    def change_register(
+        self, key: Key, change: Change, hold: Hold | None, callback: RegisterCallback
+    ) -> None:
+        """Change a register by a majority. `hold`: the promise from this proposer's last change, if it has one."""
+        self.registers.change(key, change, NEVER_EXPIRES_US, self._register_timeout_us(), callback, hold)
+
+    def _register_timeout_us(self) -> int:
+        return round(self.node.policy.claim_ms * MS)
