--- a/moorusher/leadership/state_replication.py
+++ b/moorusher/leadership/state_replication.py
@@ -1,238 +1,298 @@
-"""States among the keepers of a duty: at a majority before a register names them; fetched; made whole again."""
+"""The states of duties among their replicas: stored by a majority before a register names them, fetched, repaired."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
 
 from ..membership.failure_detector import MS
 from ..membership.placement import majority
 from ..replication.work_record import Key
-from . import chunks as pieces
-from .chunks import Mark, Shelf
-from .lease_record import Post, Version, pack, unpack
-from .messages import Fetch, Fetched, Keep, Kept, Named
+from .chunks import ChunkStore, Mark, digest, join, named_chunks, split
+from .lease_record import LeaseRecord, StateVersion, decode_record, encode_record
+from .messages import ChunkFetched, ChunkStored, FetchChunks, RecordChosen, StoreChunk
+from .services import MemberServices
 
-AGAIN = 150 * MS
-MEND = 1_000 * MS
-AT_ONCE = 8  # pieces that one fetch asks for
+RETRY_US = 150 * MS
+REPAIR_DELAY_US = 1_000 * MS  # the chunks may be on their way
+MAX_REPAIR_BACKOFF = 20  # times RETRY_US
+CHUNKS_PER_FETCH = 8
 
 
-class Host(Protocol):
-    """What the library needs of the member that has it."""
-
-    @property
-    def me(self) -> str: ...
-    def keepers(self, key: Key) -> tuple[str, ...]: ...
-    def say(self, seat: str, message: Any) -> None: ...
-    def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def clock(self) -> int: ...
-    def inc(self) -> int: ...
-    def inc_of(self, seat: str) -> int: ...  # the highest heard of
-    def durable(self, then: Callable[[], None]) -> None: ...
-    def count(self, name: str) -> None: ...
+@dataclass(slots=True, eq=False)
+class _Store:
+    """A state that is being stored by the replicas.
 
+    stored: by seat, its incarnation and the chunks that it has stored.
+    refused: seats that have no room.
+    """
 
-@dataclass(slots=True, eq=False)
-class _Put:
     key: Key
     mark: Mark
-    parts: dict[bytes, bytes]
-    until: int
-    then: Callable[[bool], None]
-    has: dict[str, tuple[int, set[bytes]]] = field(
-        default_factory=dict
-    )  # by keeper: its incarnation, what it has
+    chunks: dict[bytes, bytes]
+    deadline_us: int
+    callback: Callable[[bool], None]
+    stored: dict[str, tuple[int, set[bytes]]] = field(default_factory=dict)
     refused: set[str] = field(default_factory=set)
 
+    def missing_at(self, seat: str) -> set[bytes]:
+        """Return the chunks that a replica has not acknowledged."""
+        _, names = self.stored.get(seat, (0, set[bytes]()))
+        return self.chunks.keys() - names
 
-@dataclass(slots=True, eq=False)
-class _Get:
-    key: Key
-    version: Version
-    until: int
-    then: Callable[[bytes | None], None]
-    turn: int = 0
+    def acknowledge(self, seat: str, incarnation: int, name: bytes) -> None:
+        """Note a stored chunk; what an earlier incarnation had stored does not count."""
+        known_incarnation, names = self.stored.get(seat, (incarnation, set[bytes]()))
+        self.stored[seat] = (incarnation, names | {name} if known_incarnation == incarnation else {name})
 
 
-class Library:
-    """Puts states on their keepers, finds them again, and mends what is missing."""
+@dataclass(slots=True, eq=False)
+class _Fetch:
+    """A state that is being fetched. `attempt`: requests so far; picks the replica that is asked next."""
+
+    key: Key
+    version: StateVersion
+    deadline_us: int
+    callback: Callable[[bytes | None], None]
+    attempt: int = 0
 
-    def __init__(self, host: Host, shelf: Shelf) -> None:
-        self.host, self.shelf = host, shelf
-        self._puts: dict[int, _Put] = {}
-        self._gets: dict[Key, list[_Get]] = {}
-        self._serial = host.inc()  # answers to an earlier process of this seat are none to this one
-        self._mending: dict[Key, int] = {}
-        self.mended: Callable[[], None] = lambda: None
-        self.wanted: Callable[[Key], Post | None] = lambda key: None  # what this keeper's register names
 
-    # ---- to the keepers ----
+class StateReplication:
+    """Stores states at their replicas, fetches them, and repairs what a replica lacks."""
 
-    def put(
-        self, key: Key, mark: Mark, state: bytes, known: set[bytes], until: int, then: Callable[[bool], None]
+    def __init__(
+        self,
+        services: MemberServices,
+        store: ChunkStore,
+        replicated_record: Callable[[Key], LeaseRecord | None],
+        chunks_repaired: Callable[[], None],
     ) -> None:
-        """`then(True)` once a majority of the keepers has all of it, where there is a disk on it; `then(False)` where
-        that did not come about by `until`. `known`: pieces that the keepers should have already."""
+        """`replicated_record`: of a register that this member replicates, else None. `chunks_repaired`: called when
+        chunks came that may have been missing."""
+        self.store = store
+        self._services = services
+        self._replicated_record = replicated_record
+        self._chunks_repaired = chunks_repaired
+        self._stores: dict[int, _Store] = {}  # by serial
+        self._fetches: dict[Key, list[_Fetch]] = {}
+        self._repair_attempts: dict[Key, int] = {}
+        # Answers to an earlier process of this seat must not count for this one, so serials start anew with each.
+        self._serial = services.incarnation
+
+    # ---- storing ----
+
+    def replicate(
+        self,
+        key: Key,
+        mark: Mark,
+        state: bytes,
+        known: set[bytes],
+        deadline_us: int,
+        callback: Callable[[bool], None],
+    ) -> None:
+        """Store a state at its replicas, for the change at `mark` to name it.
+
+        `callback(True)` once a majority has every chunk, on disk if it has one; `callback(False)` if that does not
+        come about by the deadline. `known`: chunks that the replicas should have already.
+        """
         self._serial += 1
         serial = self._serial
-        put = self._puts[serial] = _Put(key, mark, pieces.cut(state), until, then)
-        for seat in self.host.keepers(key):
-            for name, piece in put.parts.items():
-                self._send(serial, put, seat, name, b"" if name in known else piece)
-        if not put.parts:
-            del self._puts[serial]
-            return then(True)
-        self._again(serial)
+        pending = _Store(key, mark, split(state), deadline_us, callback)
+        self._stores[serial] = pending
+        for seat in self._services.replicas(key):
+            for name, chunk in pending.chunks.items():
+                self._send_chunk(serial, pending, seat, name, b"" if name in known else chunk)
+        if not pending.chunks:
+            del self._stores[serial]
+            return callback(True)
+        self._retry_store_later(serial)
         return None
 
-    def _send(self, serial: int, put: _Put, seat: str, name: bytes, piece: bytes) -> None:
-        self.host.say(seat, Keep(serial, put.key, put.mark, name, piece))
-
-    def _again(self, serial: int) -> None:
-        def again() -> None:
-            put = self._puts.get(serial)
-            if put is None:
-                return
-            if self.host.clock() >= put.until:
-                del self._puts[serial]
-                return put.then(False)
-            for seat in self.host.keepers(put.key):
-                for name in put.parts.keys() - put.has.get(seat, (0, set()))[1]:
-                    self._send(serial, put, seat, name, b"")
-            return self._again(serial)
-
-        self.host.at(self.host.clock() + AGAIN, again)
-
-    def keep(self, seat: str, m: Keep) -> None:
-        if m.piece:
-            ok = pieces.digest(m.piece) == m.name and self.shelf.keep(m.key, m.mark, m.piece)
-            missing = False
+    def _send_chunk(self, serial: int, pending: _Store, seat: str, name: bytes, chunk: bytes) -> None:
+        self._services.send(seat, StoreChunk(serial, pending.key, pending.mark, name, chunk))
+
+    def _retry_store_later(self, serial: int) -> None:
+        self._services.after(RETRY_US, lambda: self._retry_store(serial))
+
+    def _retry_store(self, serial: int) -> None:
+        pending = self._stores.get(serial)
+        if pending is None:
+            return
+        if self._services.now() >= pending.deadline_us:
+            del self._stores[serial]
+            return pending.callback(False)
+        for seat in self._services.replicas(pending.key):
+            for name in pending.missing_at(seat):
+                self._send_chunk(serial, pending, seat, name, b"")
+        return self._retry_store_later(serial)
+
+    def on_store_chunk(self, seat: str, message: StoreChunk) -> None:
+        """At a replica: store a chunk and answer, once it is on the disk."""
+        missing = False
+        if message.chunk:
+            chunk: bytes | None = message.chunk if digest(message.chunk) == message.name else None
         else:
-            there = self.shelf.find(m.key, m.name)
-            ok, missing = there is not None and self.shelf.keep(m.key, m.mark, there), there is None
-        answer = Kept(m.serial, m.name, ok, missing, self.host.inc())
+            chunk = self.store.find(message.key, message.name)
+            missing = chunk is None
+        ok = chunk is not None and self.store.add(message.key, message.mark, chunk)
+        answer = ChunkStored(message.serial, message.name, ok, missing, self._services.incarnation)
         if ok:
-            self.mended()
-            self.host.durable(lambda: self.host.say(seat, answer))
+            self._chunks_repaired()
+            self._services.when_durable(lambda: self._services.send(seat, answer))
         else:
-            self.host.say(seat, answer)
+            self._services.send(seat, answer)
 
-    def kept(self, seat: str, m: Kept) -> None:
-        put = self._puts.get(m.serial)
-        if put is None or m.name not in put.parts:
+    def on_chunk_stored(self, seat: str, message: ChunkStored) -> None:
+        """An answer of a replica: the state is stored once a majority has all of it."""
+        pending = self._stores.get(message.serial)
+        if pending is None or message.name not in pending.chunks:
             return
-        if m.missing:
-            return self._send(m.serial, put, seat, m.name, put.parts[m.name])
-        if not m.ok:
-            put.refused.add(seat)
+        if message.missing:
+            return self._send_chunk(message.serial, pending, seat, message.name, pending.chunks[message.name])
+        if message.ok:
+            pending.acknowledge(seat, message.inc, message.name)
         else:
-            inc, names = put.has.get(seat, (m.inc, set()))
-            put.has[seat] = (m.inc, names | {m.name} if inc == m.inc else {m.name})
-        seats = self.host.keepers(put.key)
-        # Who has begun anew since it said so may have lost it.
-        whole = [
-            s
-            for s, (inc, names) in put.has.items()
-            if names >= put.parts.keys() and inc >= self.host.inc_of(s)
-        ]
-        if len(whole) >= majority(len(seats)):
-            del self._puts[m.serial]
-            put.then(True)
-        elif len(seats) - len(put.refused) < majority(len(seats)):
-            del self._puts[m.serial]
-            put.then(False)
+            pending.refused.add(seat)
+        replicas = self._services.replicas(pending.key)
+        needed = majority(len(replicas))
+        if self._complete_replicas(pending) >= needed:
+            del self._stores[message.serial]
+            pending.callback(True)
+        elif len(replicas) - len(pending.refused) < needed:
+            del self._stores[message.serial]
+            pending.callback(False)
         return None
 
-    def chosen(self, key: Key, post: Post) -> None:
-        """By who has changed the register: its keepers need not keep what is named no more."""
-        value = pack(post)
-        for seat in self.host.keepers(key):
-            self.host.say(seat, Named(key, value))
-
-    def named(self, m: Named) -> None:
-        if (post := unpack(m.value)) is not None:
-            self.shelf.chosen(m.key, post)
-
-    # ---- from them ----
-
-    def get(self, key: Key, version: Version, until: int, then: Callable[[bytes | None], None]) -> None:
-        """`then(None)` where no keeper that answers by `until` has a whole one."""
-        get = _Get(key, version, until, then)
-        self._gets.setdefault(key, []).append(get)
-        self._try(get)
-
-    def _try(self, get: _Get) -> None:
-        state = pieces.whole(get.version, lambda name: self.shelf.find(get.key, name))
-        if state is not None or self.host.clock() >= get.until:
-            waiting = self._gets.get(get.key, [])
-            if get in waiting:
-                waiting.remove(get)
-                if not waiting:
-                    del self._gets[get.key]
-                get.then(state)
-                if get.key not in self._gets and self.wanted(get.key) is None:
-                    self.shelf.by_key.pop(get.key, None)  # not ours to keep
-            return
-        missing = [d for d in dict.fromkeys(get.version.pieces) if self.shelf.find(get.key, d) is None]
-        seats = [s for s in self.host.keepers(get.key) if s != self.host.me]
+    def _complete_replicas(self, pending: _Store) -> int:
+        """Replicas that have every chunk; one that restarted since it said so may have lost them."""
+        return sum(
+            names >= pending.chunks.keys() and incarnation >= self._services.latest_incarnation(seat)
+            for seat, (incarnation, names) in pending.stored.items()
+        )
+
+    def announce_chosen(self, key: Key, record: LeaseRecord) -> None:
+        """Tell the replicas that this record is chosen, so that they delete what it does not name."""
+        value = encode_record(record)
+        for seat in self._services.replicas(key):
+            self._services.send(seat, RecordChosen(key, value))
+
+    def on_record_chosen(self, seat: str, message: RecordChosen) -> None:
+        """At a replica: delete chunks that no change can name any more."""
+        record = decode_record(message.value)
+        if record is not None:
+            self.store.delete_unnamed(message.key, record)
+
+    # ---- fetching ----
+
+    def fetch(
+        self,
+        key: Key,
+        version: StateVersion,
+        deadline_us: int,
+        callback: Callable[[bytes | None], None],
+    ) -> None:
+        """Fetch a state. `callback(None)` if no complete copy was found by the deadline."""
+        pending = _Fetch(key, version, deadline_us, callback)
+        self._fetches.setdefault(key, []).append(pending)
+        self._continue_fetch(pending)
+
+    def _continue_fetch(self, pending: _Fetch) -> None:
+        key = pending.key
+        state = join(pending.version, lambda name: self.store.find(key, name))
+        if state is not None or self._services.now() >= pending.deadline_us:
+            return self._finish_fetch(pending, state)
+        missing = self._missing_chunks(pending)
+        seats = self._other_replicas(key)
         if seats:
-            self.host.say(seats[get.turn % len(seats)], Fetch(get.key, missing[:AT_ONCE]))
-        get.turn += 1
-        turn = get.turn
-
-        def again() -> None:
-            if get.turn == turn and get in self._gets.get(get.key, []):
-                self._try(get)
+            seat = seats[pending.attempt % len(seats)]
+            self._services.send(seat, FetchChunks(key, missing[:CHUNKS_PER_FETCH]))
+        pending.attempt += 1
+        attempt = pending.attempt
 
-        self.host.at(self.host.clock() + AGAIN, again)
+        def retry() -> None:
+            if pending.attempt == attempt and pending in self._fetches.get(key, []):
+                self._continue_fetch(pending)
 
-    def fetch(self, seat: str, m: Fetch) -> None:
-        for name in m.names[:AT_ONCE]:
-            self.host.say(seat, Fetched(m.key, name, self.shelf.find(m.key, name) or b""))
+        return self._services.after(RETRY_US, retry)
 
-    def fetched(self, seat: str, m: Fetched) -> None:
-        if pieces.digest(m.piece) != m.name:
-            if m.piece:
-                self.host.count("duties: a damaged piece from another")
+    def _finish_fetch(self, pending: _Fetch, state: bytes | None) -> None:
+        waiting = self._fetches.get(pending.key, [])
+        if pending not in waiting:
             return
-        gets = [g for g in self._gets.get(m.key, []) if m.name in g.version.pieces]
-        post = self.wanted(m.key)
-        ours = post is not None and m.name in pieces.named(post)
-        if not gets and not ours:
+        waiting.remove(pending)
+        if not waiting:
+            del self._fetches[pending.key]
+        pending.callback(state)
+        if pending.key not in self._fetches and self._replicated_record(pending.key) is None:
+            self.store.chunks.pop(pending.key, None)  # this member is no replica of it
+
+    def _missing_chunks(self, pending: _Fetch) -> list[bytes]:
+        names = dict.fromkeys(pending.version.chunks)
+        return [name for name in names if self.store.find(pending.key, name) is None]
+
+    def _other_replicas(self, key: Key) -> list[str]:
+        return [seat for seat in self._services.replicas(key) if seat != self._services.me]
+
+    def on_fetch_chunks(self, seat: str, message: FetchChunks) -> None:
+        """At a replica: send what is asked for."""
+        for name in message.names[:CHUNKS_PER_FETCH]:
+            chunk = self.store.find(message.key, name) or b""
+            self._services.send(seat, ChunkFetched(message.key, name, chunk))
+
+    def on_chunk_fetched(self, seat: str, message: ChunkFetched) -> None:
+        """Store a chunk that was asked for, and go on with the fetches that wait for it."""
+        if digest(message.chunk) != message.name:
+            if message.chunk:
+                self._services.count("duties: a damaged piece from another")
             return
-        if self.shelf.find(m.key, m.name) is None:
-            self.shelf.restore(m.key, [m.piece])
-            if ours and self.shelf.notes:
-                self.shelf.unsaved.append((m.key, m.name))
-            if post is not None and not self.shelf.missing(m.key, post):
-                self.mended()
-        for get in gets:
-            if all(self.shelf.find(m.key, d) is not None for d in get.version.pieces):
-                self._try(get)
-            elif sum(self.shelf.find(m.key, d) is None for d in get.version.pieces) % AT_ONCE == 0:
-                get.turn -= 1  # of the same one, which has what it was asked for
-                self._try(get)
-
-    # ---- a keeper that lacks what its register names ----
-
-    def mend(self, key: Key, soon: bool) -> None:
-        """It was not there when it was told, or has forgotten, or a piece is damaged: others have it."""
-        if key not in self._mending:
-            self._mending[key] = 0
-            self.host.at(self.host.clock() + (0 if soon else MEND), lambda: self._mend(key))
-
-    def _mend(self, key: Key) -> None:
-        post = self.wanted(key)
-        missing = [] if post is None else self.shelf.missing(key, post)
-        seats = [s for s in self.host.keepers(key) if s != self.host.me]
+        fetches = [
+            pending
+            for pending in self._fetches.get(message.key, [])
+            if message.name in pending.version.chunks
+        ]
+        record = self._replicated_record(message.key)
+        is_replica = record is not None and message.name in named_chunks(record)
+        if not fetches and not is_replica:
+            return
+        if self.store.find(message.key, message.name) is None:
+            self._store_fetched(message, is_replica)
+            if record is not None and not self.store.missing(message.key, record):
+                self._chunks_repaired()
+        for pending in fetches:
+            self._on_progress(pending)
+
+    def _store_fetched(self, message: ChunkFetched, is_replica: bool) -> None:
+        self.store.restore(message.key, [message.chunk])
+        if is_replica and self.store.has_disk:
+            self.store.unsaved.append((message.key, message.name))
+
+    def _on_progress(self, pending: _Fetch) -> None:
+        missing = sum(self.store.find(pending.key, name) is None for name in pending.version.chunks)
+        if not missing:
+            self._continue_fetch(pending)
+        elif missing % CHUNKS_PER_FETCH == 0:
+            pending.attempt -= 1  # the same replica again: it had all that it was asked for
+            self._continue_fetch(pending)
+
+    # ---- repair ----
+
+    def repair(self, key: Key, at_once: bool) -> None:
+        """Fetch what this replica lacks of a register's state, from the others, until it has it."""
+        if key not in self._repair_attempts:
+            self._repair_attempts[key] = 0
+            self._services.after(0 if at_once else REPAIR_DELAY_US, lambda: self._repair(key))
+
+    def _repair(self, key: Key) -> None:
+        record = self._replicated_record(key)
+        missing = [] if record is None else self.store.missing(key, record)
+        seats = self._other_replicas(key)
         if not missing or not seats:
-            self._mending.pop(key, None)
-            return self.mended()
-        turn = self._mending[key] = self._mending[key] + 1
-        if turn == 1:
-            self.host.count("duties: made whole from others")
-        self.host.say(seats[turn % len(seats)], Fetch(key, missing[:AT_ONCE]))
-        self.host.at(self.host.clock() + AGAIN * min(turn, 20), lambda: self._mend(key))
-        return None
+            self._repair_attempts.pop(key, None)
+            return self._chunks_repaired()
+        self._repair_attempts[key] += 1
+        attempt = self._repair_attempts[key]
+        if attempt == 1:
+            self._services.count("duties: made whole from others")
+        self._services.send(seats[attempt % len(seats)], FetchChunks(key, missing[:CHUNKS_PER_FETCH]))
+        backoff_us = RETRY_US * min(attempt, MAX_REPAIR_BACKOFF)
+        return self._services.after(backoff_us, lambda: self._repair(key))
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -9,7 +9,6 @@
 
 from collections import Counter
 from collections.abc import Callable, Mapping
-from functools import partial
 from typing import Any
 
 from ..forecast_service.errors import NotYet
@@ -18,14 +17,17 @@
 from ..forecasting.demand import BUCKET_MS, HOUR_BUCKETS, Key, unpack_key
 from ..forecasting.ledger import WHOLE, Ledger, Series
 from ..forecasting.policy import Policy
-from ..leadership import chunks as pieces
-from ..leadership.lease_holder import Ownership
-from ..leadership.lease_record import key_of
-from ..leadership.participant import Worker
-from ..replication.acceptor import NEVER
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.worker import Worker
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Simulation
-from .leadership_simulation import DutyProcess, DutySimulation, _post
+from .leadership_simulation import (
+    MIN_REPLICAS,
+    DutyProcess,
+    DutySimulation,
+    latest_record,
+    replicated_state,
+)
 
 FAST = 600
 HOUR_MS = BUCKET_MS * HOUR_BUCKETS
@@ -62,24 +64,24 @@
         self.member.tally.count(now_ms, key, asked=1, worth=1.0)
         self.whole.truth[route, self.member.zone, now_ms // HOUR_MS] += 1
 
-    def work(self, ownership: Ownership) -> Worker | None:  # type: ignore[override]
-        return self.member.work(ownership)
+    def work(self, lease: LeaseHolder) -> Worker | None:
+        return self.member.work(lease)
 
     # ---- forecasting.member.Host, forecaster.Host ----
 
     def unix_ms(self) -> int:
         return BEGAN_MS + self.sim.now * FAST // MS
 
-    def worker(self, ownership: Ownership) -> Forecaster:
+    def worker(self, lease: LeaseHolder) -> Forecaster:
         return self.whole.forecaster(
-            ownership, self, POLICY, {f"n{i}": f"z{i % 2}" for i in range(self.sim.course.seats)}
+            lease, self, POLICY, {f"n{i}": f"z{i % 2}" for i in range(self.sim.course.seats)}
         )
 
     def say(self, seat: str, message: Any) -> None:
         self.member.say(seat, message)
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        self.participant.at(when, action)
+        self.participant.services.at(when, action)
 
     def ended(self, worker: Forecaster) -> None:
         self.member.ended(worker)
@@ -118,30 +120,12 @@
 
     def ledger(self) -> Ledger | None:
         """What a majority has in the end; None where it is not to be had."""
-        key = key_of(NAME)
-        keepers = [
-            p
-            for p in self.processes
-            if p.alive
-            and isinstance(p, DutyProcess)
-            and p.node.me in self.seats.keepers(key)
-            and p.participant.keeper.votes_for(key)
-        ]
-        slots = [
-            s
-            for p in keepers
-            if (s := p.participant.keeper.slots.get(key)) is not None and s.ballot is not None
-        ]
-        if len(keepers) < 2 or not slots:
+        replicas = self.voting_replicas(NAME)
+        record = latest_record(NAME, replicas)
+        if len(replicas) < MIN_REPLICAS or record is None:
             return None
-        post = _post(max(slots, key=lambda s: s.ballot or NEVER).value)
-        states = [
-            state
-            for p in keepers
-            if post.versions
-            and (state := pieces.whole(post.versions[0], partial(p.participant.shelf.find, key))) is not None
-        ]
-        return Ledger.unpack(states[0], {}) if states else None
+        state = replicated_state(NAME, record, replicas)
+        return None if state is None else Ledger.unpack(state, {})
 
     def wrong(self) -> str | None:
         ledger = self.ledger()
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -1,5 +1,7 @@
-"""The term of a duty and its effects: three keepers, an owner P that may be stopped anywhere, and Q that follows it;
-messages lost, late and doubled, one keeper that begins anew with or without its memory. Real keepers, writers, changes.
+"""Every interleaving of a leader P that may be stopped anywhere and the next leader Q, with their effects.
+
+Three replicas; messages lost, late and doubled; one replica that begins anew with or without its memory. The acceptors,
+writers and changes are the real ones.
 """
 
 from __future__ import annotations
@@ -8,133 +10,185 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..leadership.fencing_token import Fence, Verdict, judge
-from ..leadership.lease_record import Accept, Advance, Intend, Life, Own, Post, Settle, Step, pack, unpack
+from ..leadership.fencing_token import FencingToken, TokenVerdict, check_token
+from ..leadership.lease_record import LeaseRecord, LeaseStatus, Settlement, decode_record, encode_record
+from ..leadership.lease_transitions import AcquireLease, AddIntent, HolderChange, IssueToken, UpdateState
 from ..replication.acceptor import Slot
 from ..replication.messages import FAST
 from ..replication.proposer import Hold
 from ..replication.work_record import Owner
 from .register_interleavings import KEY, SEATS, Limits, Registers, Runner
 
-WHAT = b"job"
+JOB = b"job"
+RECEIVER = "out"
+GENERATION = 1
+FIRST_TERM = 1
+MAX_LOST_LEADERS = 5
+MAX_VERSIONS = 9
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """On its way to the receiver: it arrives at any time, or never."""
+class EffectMessage:
+    """On its way to the receiver: it arrives at any time, or never. `is_job`: at one that can't compare tokens."""
 
     serial: int
-    fence: Fence
-    job: bool
+    token: FencingToken
+    is_job: bool
 
 
 @dataclass(slots=True)
 class Terms(Registers):
-    """`kind`: what both owners want to do: "fenced", at a receiver that compares; "once", one job for both, at one that
-    can't; "state", a change of the duty's own state. The rest are seeded mistakes."""
+    """Two terms of one duty.
+
+    kind: what both leaders want to do: "fenced", at a receiver that compares; "once", one job for both, at one that
+        can't; "state", an update of the duty's own state.
+    compares, early, token_change, acquire_change: seeded mistakes if they are not as by default; `early` sends an
+        effect before its intent is chosen.
+    highest: the highest token at the receiver.
+    jobs_done: at the receiver that can't compare.
+    operator_asked: an operator was told that an outcome is uncertain.
+    acknowledged: who was told that a change of its own is chosen, and its token.
+    """
 
     kind: str = "fenced"
     compares: bool = True
-    early: bool = False  # the effect goes out before its intent is chosen
-    step: type[Own] = Step
-    accept: type[Accept] = Accept
-    highest: Fence | None = None
-    done: int = 0  # jobs done at the receiver that can't compare
-    asked: bool = False  # an operator was told that one is uncertain
-    acked: tuple[tuple[str, Fence], ...] = ()
+    early: bool = False
+    token_change: type[HolderChange] = IssueToken
+    acquire_change: type[AcquireLease] = AcquireLease
+    highest: FencingToken | None = None
+    jobs_done: int = 0
+    operator_asked: bool = False
+    acknowledged: tuple[tuple[str, FencingToken], ...] = ()
 
     @classmethod
-    def held(cls, limits: Limits, **how: Any) -> Terms:
-        made: Terms = cls.begun(limits, **how)  # type: ignore[assignment]
-        p = made.runners["P"]
-        post = pack(Post("d", "test", 1, 1, 1, Life.HELD.value, Owner("P", p.inc)))
-        for k in made.keepers.values():
-            k.lasting = True
-            k.slots[KEY] = Slot((1, p.inc, 0), FAST, post)
-        made.holds = Hold((1, p.inc, 0), post, {s: 1 for s in SEATS})
+    def held(cls, limits: Limits, **options: Any) -> Terms:
+        """Return the case that begins with the lease held by P."""
+        made: Terms = cls.begun(limits, **options)  # type: ignore[assignment]
+        leader = made.runners["P"]
+        owner = Owner("P", leader.inc)
+        record = LeaseRecord("d", "test", GENERATION, FIRST_TERM, 1, LeaseStatus.HELD, owner)
+        value = encode_record(record)
+        ballot = (1, leader.inc, 0)
+        for acceptor in made.keepers.values():
+            acceptor.lasting = True
+            acceptor.slots[KEY] = Slot(ballot, FAST, value)
+        made.holds = Hold(ballot, value, {seat: 1 for seat in SEATS})
         return made
 
     def print(self) -> Hashable:
-        return Registers.print(self), self.highest, self.done, self.asked, self.acked
+        """Return what tells two states of the search apart."""
+        return (
+            Registers.print(self),
+            self.highest,
+            self.jobs_done,
+            self.operator_asked,
+            self.acknowledged,
+        )
+
+    # ---- moves ----
 
     def moves(self) -> list[str]:
-        made = Registers.moves(self)
-        p = self.runners["P"]
-        if not self.wrong and p.writer is None and p.doing == "again":
-            made.append("P effects")
-        return ["P effects" if m == "P claims" else "Q accepts" if m == "Q claims" else m for m in made]
+        """Return the names of all moves that are possible now."""
+        names = Registers.moves(self)
+        leader = self.runners["P"]
+        if not self.wrong and leader.writer is None and leader.doing == "again":
+            names.append("P effects")
+        renamed = {"P claims": "P effects", "Q claims": "Q accepts"}
+        return [renamed.get(name, name) for name in names]
 
     def move(self, name: str) -> None:
+        """Make a move."""
         if name == "P effects":
-            r = self.runners["P"]
-            self._effect(r, 1, self.holds if not r.doing else None)
+            runner = self.runners["P"]
+            self._begin_effect(runner, FIRST_TERM, None if runner.doing else self.holds)
         elif name == "Q accepts":
-            r = self.runners["Q"]
-            r.doing = "accept"
-            self._write(r, self.accept(Owner("Q", r.inc), (1, 1), True, 5))
+            runner = self.runners["Q"]
+            runner.doing = "accept"
+            owner = Owner("Q", runner.inc)
+            expected = (GENERATION, FIRST_TERM)
+            self._write(runner, self.acquire_change(owner, expected, True, MAX_LOST_LEADERS))
         else:
             Registers.move(self, name)
 
-    def _effect(self, r: Runner, term: int, hold: Hold | None) -> None:
-        r.attempt += 1
-        me, r.doing = Owner(r.name, r.inc), "effect"
+    def _begin_effect(self, runner: Runner, term: int, hold: Hold | None) -> None:
+        runner.attempt += 1
+        runner.doing = "effect"
+        owner = Owner(runner.name, runner.inc)
+        if self.kind == "once" and self.early:
+            self._send(runner.name, [(RECEIVER, EffectMessage(0, FencingToken(GENERATION, term, 0), True))])
+        runner.change = self._effect_change(runner, owner, term)
+        self._write(runner, runner.change, hold)
+
+    def _effect_change(self, runner: Runner, owner: Owner, term: int) -> HolderChange:
         if self.kind == "once":
-            change: Own = Intend(me, 1, term, r.attempt, "s", WHAT, Settle.TELL)
-            if self.early:
-                self._send(r.name, [("out", Tell(0, Fence(1, term, 0), True))])
-        elif self.kind == "state":
-            change = Advance(me, 1, term, r.attempt, 1 if r.name == "P" else 2, 0, (), 9)
-        else:
-            change = self.step(me, 1, term, r.attempt)
-        r.change = change
-        self._write(r, change, hold)
+            return AddIntent(owner, GENERATION, term, runner.attempt, "s", JOB, Settlement.ASK_OPERATOR)
+        if self.kind == "state":
+            base_revision = 1 if runner.name == "P" else 2
+            return UpdateState(owner, GENERATION, term, runner.attempt, base_revision, 0, (), MAX_VERSIONS)
+        return self.token_change(owner, GENERATION, term, runner.attempt)
 
-    def _step(self, r: Runner) -> None:
-        if r.writer is None or r.writer.done is None:
-            return
-        done = r.writer.done
-        r.writer = None
-        self.net = tuple(m for m in self.net if m[0] != r.name)
-        post = unpack(done.value)
-        if r.doing == "accept":
-            if post is None or post.owner != Owner(r.name, r.inc):
-                r.doing = "over"
-            elif post.intents:
-                r.doing, self.asked = "over", True
-            else:
-                self._effect(r, post.term, done.hold)
-            return
-        r.doing = "over"
-        change: Own = r.change
-        if post is None or not change.made_in(post):
+    # ---- what follows from a chosen value ----
+
+    def _step(self, runner: Runner) -> None:
+        if runner.writer is None or runner.writer.done is None:
             return
-        fence = Fence(*post.at)
-        if post.owner != Owner(r.name, r.inc):
-            self.wrong = f"{r.name} has made {fence}, which is the other's"
-        if any(f == fence and name != r.name for name, f in self.acked):
-            self.wrong = f"{r.name} acts at {fence}, as the other has"
-        self.acked = (*self.acked, (r.name, fence))
+        done = runner.writer.done
+        runner.writer = None
+        self.net = tuple(message for message in self.net if message[0] != runner.name)
+        record = decode_record(done.value)
+        if runner.doing == "accept":
+            self._acquired(runner, record, done.hold)
+        else:
+            runner.doing = "over"
+            if record is not None and runner.change.is_applied_in(record):
+                self._effect_chosen(runner, record)
+
+    def _acquired(self, runner: Runner, record: LeaseRecord | None, hold: Hold | None) -> None:
+        if record is None or record.holder != Owner(runner.name, runner.inc):
+            runner.doing = "over"
+        elif record.intents:
+            runner.doing = "over"
+            self.operator_asked = True
+        else:
+            self._begin_effect(runner, record.term, hold)
+
+    def _effect_chosen(self, runner: Runner, record: LeaseRecord) -> None:
+        token = FencingToken(*record.position)
+        if record.holder != Owner(runner.name, runner.inc):
+            self.wrong = f"{runner.name} has made {token}, which is the other's"
+        if any(other == token and name != runner.name for name, other in self.acknowledged):
+            self.wrong = f"{runner.name} acts at {token}, as the other has"
+        self.acknowledged = (*self.acknowledged, (runner.name, token))
         if self.kind == "state":
-            self._keeps(post)
+            self._check_versions(record)
         elif not self.early:
-            self._send(r.name, [("out", Tell(0, fence, self.kind == "once"))])
+            self._send(runner.name, [(RECEIVER, EffectMessage(0, token, self.kind == "once"))])
 
-    def _keeps(self, post: Post) -> None:
-        """What was acknowledged in an earlier term is under what is acknowledged later."""
-        numbers = {v.number for v in post.versions}
-        lost = [f for _, f in self.acked if f.number not in numbers]
+    def _check_versions(self, record: LeaseRecord) -> None:
+        """What was acknowledged in an earlier term is among the versions that are acknowledged later."""
+        revisions = {version.revision for version in record.versions}
+        lost = [token for _, token in self.acknowledged if token.revision not in revisions]
         if lost:
-            self.wrong = f"{lost[0]} was acknowledged, and {post.at} has lost it"
-
-    def _deliver(self, to: str, by: str, m: Any, heard: bool = True) -> None:
-        if not isinstance(m, Tell):
-            return Registers._deliver(self, to, by, m, heard)
-        if m.job:
-            self.done += 1
-            if self.done > 1 and not self.asked:
-                self.wrong = "the job was done twice, and no operator was told"
-        elif not self.compares or judge(self.highest, m.fence) is Verdict.NEW:
-            if self.highest is not None and m.fence < self.highest:
-                self.wrong = f"{m.fence} of {by} took effect after {self.highest}"
-            self.highest = m.fence
-        return None
+            self.wrong = f"{lost[0]} was acknowledged, and {record.position} has lost it"
+
+    # ---- the receiver ----
+
+    def _deliver(self, to: str, by: str, message: Any, heard: bool = True) -> None:
+        if not isinstance(message, EffectMessage):
+            Registers._deliver(self, to, by, message, heard)
+        elif message.is_job:
+            self._receive_job()
+        else:
+            self._receive_fenced(by, message.token)
+
+    def _receive_job(self) -> None:
+        self.jobs_done += 1
+        if self.jobs_done > 1 and not self.operator_asked:
+            self.wrong = "the job was done twice, and no operator was told"
+
+    def _receive_fenced(self, by: str, token: FencingToken) -> None:
+        if self.compares and check_token(self.highest, token) is not TokenVerdict.CURRENT:
+            return
+        if self.highest is not None and token < self.highest:
+            self.wrong = f"{token} of {by} took effect after {self.highest}"
+        self.highest = token
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -1,123 +1,140 @@
-"""Duties of a fleet in virtual time: the real pure parts, workers that try every kind of effect, receivers that compare
-or can't, and all faults of `check.fleets`. One seed is one course; its whole history is checked.
+"""Duties of a fleet in virtual time: the real pure parts, workers that try every kind of effect, and faults.
 
-State: each worker adds a token of its own to what it was handed; no token that was acknowledged may ever be missing.
-Fenced: what a receiver took is in the order of terms. Once: no job is done twice, nor after it was settled as never.
+One seed is one course of `cluster_simulation`; its whole history is checked. Each worker adds a number of its own to
+the state that it was handed: no acknowledged number may ever be missing. A receiver that compares accepts tokens in
+order. No job of a receiver that can't compare is done twice, nor after it was settled as never done.
 """
 
 from __future__ import annotations
 
-from collections import defaultdict
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
-from ..leadership.effects import Fenced, Made, Once, OnFleet, Outcome, Told
+from ..leadership.chunks import join
+from ..leadership.directory import Reading
+from ..leadership.effects import (
+    NO_RESPONSE,
+    Completed,
+    FencedRequest,
+    IntentRequest,
+    Outcome,
+    ReceiverResponse,
+    ResponseCallback,
+    StateUpdate,
+)
 from ..leadership.errors import DutyError
-from ..leadership.fencing_token import Fence, Verdict, judge
-from ..leadership.journal import LastingKeeper
-from ..leadership.lease_holder import Ownership, Stage
-from ..leadership.lease_record import Intent, Life, Post, Settle, key_of
-from ..leadership.participant import Participant, Reading
+from ..leadership.fencing_token import FencingToken
+from ..leadership.journal import DutyAcceptor
+from ..leadership.lease_holder import LeaseHolder, Stage
+from ..leadership.lease_record import (
+    Intent,
+    LeaseRecord,
+    LeaseStatus,
+    Settlement,
+    decode_record,
+    register_key,
+)
+from ..leadership.participant import Participant
 from ..leadership.policy import Policy
+from ..leadership.worker import Worker
 from ..replication.acceptor import NEVER
 from ..replication.journal import Whose, pack, read
 from ..replication.node import Node
 from ..replication.register_space import LASTING
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
+from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
 
 POLICY = Policy(on=True, steady_ms=1_000)
-
-
-@dataclass(slots=True)
-class Facts:
-    """Of one duty, as nobody in the fleet sees them."""
-
-    owners: dict[tuple[int, int], set[int]] = field(
-        default_factory=lambda: defaultdict(set)
-    )  # by term: processes
-    acknowledged: list[tuple[int, int]] = field(default_factory=list)  # (token, when)
-    highest: Fence | None = None  # at the receiver that compares,
-    taken: list[Fence] = field(default_factory=list)  # and what it took
-    performed: dict[bytes, int] = field(
-        default_factory=lambda: defaultdict(int)
-    )  # jobs, at the one that can't
-    repeatable: set[bytes] = field(default_factory=set)
-    closed: set[int] = field(default_factory=set)  # intents that were asked for: from then on never
-    by_number: dict[int, bytes] = field(default_factory=dict)
-    never: list[bytes] = field(default_factory=list)  # settled as not done
-    told_done: list[bytes] = field(default_factory=list)
-    effects: list[int] = field(default_factory=list)  # when
-
-
-class Worker:
-    """Tries one effect after the other, of a kind drawn anew each time."""
-
-    def __init__(self, process: DutyProcess, ownership: Ownership) -> None:
-        self.process, self.ownership = process, ownership
-        self.facts = process.world.facts[ownership.name]
-        self.stopped, self.state = False, ownership.state
-        ownership.settled = self._settled
+COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
+DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power", "forget"))
+EFFECT_INTERVAL_MS = (20, 300)
+STATE_UPDATE_SHARE = 0.4  # of effects
+FENCED_SHARE = 0.3
+RESPONSE_TIMEOUT_US = 300 * MS
+REQUEST_LOSS = 0.02
+RESPONSE_LOSS = 0.03
+LATE_REQUESTS = 0.05  # share of requests that take up to MAX_LATE_MS
+MAX_LATE_MS = 6_000
+DISK_WRITE_MS = (0.1, 8)
+NOTHING_TO_WRITE = b"\0"  # stands for a write without records, which takes its time all the same
+MIN_REPLICAS = 2  # a majority of the three
+
+
+class RandomWorker:
+    """Submits one effect after another, of a kind drawn anew each time."""
+
+    def __init__(self, process: DutyProcess, lease: LeaseHolder) -> None:
+        self._process = process
+        self._lease = lease
+        self._history = process.world.histories[lease.name]
+        self._is_stopped = False
+        self._state = lease.state
+        lease.intents.on_settled = self._on_settled
 
     def start(self) -> None:
-        self.facts.owners[self.ownership.post.born, self.ownership.post.term].add(self.process.number)
-        self._soon()
-
-    def wind_up(self) -> None:
-        self._state()
-
-    def stop(self, why: DutyError | None) -> None:
-        self.stopped = True
-
-    def _soon(self) -> None:
-        sim = self.process.sim
-        sim.at(sim.now + round(sim.random.uniform(20, 300) * MS), self.process, self._next)
-
-    def _next(self) -> None:
-        if self.stopped:
+        """Begin."""
+        record = self._lease.record
+        self._history.leaders[record.generation, record.term].add(self._process.number)
+        self._schedule()
+
+    def before_release(self) -> None:
+        """Hand a last state on."""
+        self._update_state()
+
+    def stop(self, reason: DutyError | None) -> None:
+        """Submit nothing any more."""
+        self._is_stopped = True
+
+    def _schedule(self) -> None:
+        sim = self._process.sim
+        delay_us = round(sim.random.uniform(*EFFECT_INTERVAL_MS) * MS)
+        sim.at(sim.now + delay_us, self._process, self._submit)
+
+    def _submit(self) -> None:
+        if self._is_stopped:
             return
-        kind = self.process.sim.random.random()
-        if kind < 0.4:
-            self._state()
-        elif kind < 0.7:
-            self.ownership.do(Fenced("r", b"x"), self._over)
+        kind = self._process.sim.random.random()
+        if kind < STATE_UPDATE_SHARE:
+            self._update_state()
+        elif kind < STATE_UPDATE_SHARE + FENCED_SHARE:
+            self._lease.submit(FencedRequest("r", b"x"), self._on_outcome)
         else:
-            self._job()
-        self._soon()
+            self._do_job()
+        self._schedule()
 
-    def _state(self) -> None:
-        world = self.process.world
-        token = world.tokens = world.tokens + 1
-        self.state = state = self.state + token.to_bytes(4, "big")  # what waits before it is in it, too
+    def _update_state(self) -> None:
+        number = self._process.world.next_update_number()
+        self._state = append_number(self._state, number)  # updates that are under way are in it, too
 
-        def made(outcome: Outcome) -> None:
-            if isinstance(outcome, Made):
-                self.facts.acknowledged.append((token, self.process.sim.now))
-                self.facts.effects.append(self.process.sim.now)
+        def done(outcome: Outcome) -> None:
+            if isinstance(outcome, Completed):
+                now = self._process.sim.now
+                self._history.acknowledged.append(AcknowledgedUpdate(number, now))
+            self._on_outcome(outcome)
 
-        self.ownership.do(OnFleet(state), made)
+        self._lease.submit(StateUpdate(self._state), done)
 
-    def _job(self) -> None:
-        world = self.process.world
-        world.jobs += 1
-        what = b"job %d" % world.jobs
-        settle = self.process.sim.random.choice(list(Settle))
-        if settle is Settle.REPEAT:
-            self.facts.repeatable.add(what)
+    def _do_job(self) -> None:
+        job = self._process.world.next_job()
+        settlement = self._process.sim.random.choice(list(Settlement))
+        if settlement == Settlement.REPEAT:
+            self._history.idempotent.add(job)
 
-        def made(outcome: Outcome) -> None:
-            if isinstance(outcome, Made) and outcome.done:
-                self.facts.told_done.append(what)
-            self._over(outcome)
+        def done(outcome: Outcome) -> None:
+            if isinstance(outcome, Completed) and outcome.done:
+                self._history.reported_done.append(job)
+            self._on_outcome(outcome)
 
-        self.ownership.do(Once("s", what, settle), made)
+        self._lease.submit(IntentRequest("s", job, settlement), done)
 
-    def _over(self, outcome: Outcome) -> None:
-        if isinstance(outcome, Made):
-            self.facts.effects.append(self.process.sim.now)
+    def _on_outcome(self, outcome: Outcome) -> None:
+        if isinstance(outcome, Completed):
+            self._history.effect_times_us.append(self._process.sim.now)
 
-    def _settled(self, intent: Intent, done: bool) -> None:
-        (self.facts.told_done if done else self.facts.never).append(intent.what)
+    def _on_settled(self, intent: Intent, done: bool) -> None:
+        jobs = self._history.reported_done if done else self._history.settled_undone
+        jobs.append(intent.payload)
 
 
 class DutyProcess(Process):
@@ -129,104 +146,99 @@
         super().__init__(sim, seat, number, inc, remembers, make)
         assert isinstance(sim, DutySimulation)
         self.world = sim
-        self.participant = sim.participant(self.node, self, sim.policy, remembers, sim.keeper)
-        self.participant.keeper.notes = self.participant.shelf.notes = sim.lasting
+        self.participant = sim.participant_class(self.node, self, sim.policy, remembers, sim.acceptor_class)
+        self.participant.acceptor.notes = sim.lasting
+        self.participant.store.has_disk = sim.lasting
         for name in sim.names:
-            self.participant.want(name, "test")
-        self._wait: list[Callable[[], None]] = []
-        self._write_on = b""
+            self.participant.directory.declare(name, "test")
+        self.disk_write = b""  # on its way to the disk
+        self._waiting_for_disk: list[Callable[[], None]] = []
 
-    # ---- the lasting space's disk ----
+    # ---- the disk of the duties' journal ----
 
     def durable(self, then: Callable[[], None], space: int) -> None:
         if space != LASTING or not self.world.lasting:
             return super().durable(then, space)
-        self._wait.append(then)
-        if not self._write_on:
-            self._save()
+        self._waiting_for_disk.append(then)
+        if not self.disk_write:
+            self._begin_disk_write()
         return None
 
-    def _save(self) -> None:
-        waiting, self._wait = self._wait, []
-        self._write_on = pack(self.participant.keeper.unsaved(self.sim.now)) or b"\0"
+    def _begin_disk_write(self) -> None:
+        waiting = self._waiting_for_disk
+        self._waiting_for_disk = []
+        self.disk_write = pack(self.participant.acceptor.unsaved(self.sim.now)) or NOTHING_TO_WRITE
 
         def written() -> None:
-            if self._write_on != b"\0":
-                self.world.lasting_disks[self.seat] += self._write_on
-            self._write_on = b""
-            for then in waiting:
-                then()
-            if self._wait and not self._write_on:
-                self._save()
-
-        self.sim.at(self.sim.now + round(self.sim.random.uniform(0.1, 8) * MS), self, written)
-
-    def lost(self, key: bytes) -> None:  # of keyed work, which there is none of here
+            if self.disk_write != NOTHING_TO_WRITE:
+                self.world.lasting_disks[self.seat] += self.disk_write
+            self.disk_write = b""
+            for callback in waiting:
+                callback()
+            if self._waiting_for_disk and not self.disk_write:
+                self._begin_disk_write()
+
+        delay_us = round(self.sim.random.uniform(*DISK_WRITE_MS) * MS)
+        self.sim.at(self.sim.now + delay_us, self, written)
+
+    def lost(self, key: bytes) -> None:
+        """Of keyed work, which there is none of here."""
         raise AssertionError(key)
 
-    # ---- office.Host ----
-
-    def work(self, ownership: Ownership) -> Worker | None:
-        return Worker(self, ownership)
-
-    def perform(self, to: str, duty: str, fence: Fence, body: bytes, then: Callable[[Told], None]) -> None:
-        facts = self.world.facts[duty]
-
-        def arrives() -> Told:
-            verdict = judge(facts.highest, fence) if self.world.compares else Verdict.NEW
-            if verdict is Verdict.BEHIND:
-                return Told(True, highest=facts.highest)
-            if verdict is Verdict.NEW:
-                facts.highest = fence
-                facts.taken.append(fence)
-            return Told(True, True)
-
-        self._go(arrives, then)
-
-    def intend(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        facts = self.world.facts[duty]
-
-        def arrives() -> Told:
-            if intent.number in facts.closed:
-                return Told(True, False)
-            facts.performed[intent.what] += 1
-            facts.by_number[intent.number] = intent.what
-            return Told(True, True)
-
-        self._go(arrives, then)
-
-    def asked(self, to: str, duty: str, intent: Intent, then: Callable[[Told], None]) -> None:
-        facts = self.world.facts[duty]
-
-        def arrives() -> Told:
-            facts.closed.add(intent.number)
-            return Told(True, intent.number in facts.by_number)
-
-        self._go(arrives, then)
-
-    def _go(self, arrives: Callable[[], Told], then: Callable[[Told], None]) -> None:
-        """There and back: what is on its way arrives, though its sender is stopped or gone; sometimes very late."""
-        r, answered = self.sim.random, [False]
+    # ---- `participant.ParticipantHost` ----
 
-        def once(told: Told) -> None:
-            if not answered[0]:
-                answered[0] = True
-                then(told)
+    def work(self, lease: LeaseHolder) -> Worker | None:
+        """Return the worker for a duty."""
+        return RandomWorker(self, lease)
 
-        def there() -> None:
-            told = arrives()
-            if r.random() > 0.03:
-                self.sim.at(self.sim.now + round(r.uniform(0.1, 2) * MS), self, lambda: once(told))
-
-        if r.random() > 0.02:
-            late = r.uniform(0, 6_000) if r.random() < 0.05 else r.uniform(0.1, 3)
-            self.sim.at(self.sim.now + round(late * MS), None, there)
-        self.sim.at(self.sim.now + 300 * MS, self, lambda: once(Told(False)))
+    def send_fenced(
+        self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
+    ) -> None:
+        """Send a request to the receiver that compares."""
+        history = self.world.histories[duty]
+        self._exchange(lambda: history.receive_fenced(token, self.world.compares), callback)
+
+    def send_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+        """Send an intent to the receiver that can't compare."""
+        history = self.world.histories[duty]
+        self._exchange(lambda: history.receive_intent(intent), callback)
+
+    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+        """Ask the receiver that can't compare."""
+        history = self.world.histories[duty]
+        self._exchange(lambda: history.receive_question(intent), callback)
+
+    def _exchange(self, arrive: Callable[[], ReceiverResponse], callback: ResponseCallback) -> None:
+        """A request that was sent arrives though its sender is stopped or gone; sometimes very late, or never."""
+        random = self.sim.random
+        is_answered = False
+
+        def answer(response: ReceiverResponse) -> None:
+            nonlocal is_answered
+            if not is_answered:
+                is_answered = True
+                callback(response)
+
+        def arrived() -> None:
+            response = arrive()
+            if random.random() > RESPONSE_LOSS:
+                delay_us = round(random.uniform(0.1, 2) * MS)
+                self.sim.at(self.sim.now + delay_us, self, lambda: answer(response))
+
+        if random.random() > REQUEST_LOSS:
+            is_late = random.random() < LATE_REQUESTS
+            delay_ms = random.uniform(0, MAX_LATE_MS) if is_late else random.uniform(0.1, 3)
+            self.sim.at(self.sim.now + round(delay_ms * MS), None, arrived)
+        self.sim.at(self.sim.now + RESPONSE_TIMEOUT_US, self, lambda: answer(NO_RESPONSE))
 
 
 class DutySimulation(Simulation):
-    """`office` and `keeper` are the real ones, or those with a seeded mistake. `compares`: else the receiver takes what
-    comes, as without fences. `lasting`: keepers of duties have disks."""
+    """One course of a fleet with duties.
+
+    participant_class, acceptor_class: the real ones, or those with a seeded mistake.
+    compares: bool, the receiver compares tokens; False is a seeded mistake.
+    lasting: bool, replicas of duties have disks.
+    """
 
     def __init__(
         self,
@@ -236,158 +248,172 @@
         lasting: bool = False,
         compares: bool = True,
         participant: type[Participant] = Participant,
-        keeper: type[LastingKeeper] = LastingKeeper,
+        acceptor: type[DutyAcceptor] = DutyAcceptor,
         policy: Policy = POLICY,
         amnesia: bool = True,
         process: type[DutyProcess] | None = None,
     ) -> None:
         self.names = [f"duty-{i}" for i in range(duties)]
-        self.facts: dict[str, Facts] = {name: Facts() for name in self.names}
-        self.participant, self.keeper, self.policy = participant, keeper, policy
-        self.lasting, self.compares = lasting, compares
-        self.tokens = self.jobs = 0
-        self.reads: list[str] = []
-        seats = (course or COURSE).seats
-        self.lasting_whose = [Whose(1, "f", "s", f"n{i}") for i in range(seats)]
-        self.lasting_disks = [pack([w]) for w in self.lasting_whose]
-        super().__init__(seed, course or COURSE, process=process or DutyProcess, amnesia=amnesia)
-        for at in range(2 if duties else 1 << 20, round(self.course.seconds) + 4):
-            self._read(
-                self.random.choice(self.names), at + self.random.random(), self.random.randrange(seats)
-            )
+        self.histories: dict[str, DutyHistory] = {name: DutyHistory() for name in self.names}
+        self.participant_class = participant
+        self.acceptor_class = acceptor
+        self.policy = policy
+        self.lasting = lasting
+        self.compares = compares
+        self.wrong_reads: list[str] = []
+        self._updates = 0
+        self._jobs = 0
+        course = course or COURSE
+        self.lasting_whose = [Whose(1, "f", "s", f"n{i}") for i in range(course.seats)]
+        self.lasting_disks = [pack([whose]) for whose in self.lasting_whose]
+        super().__init__(seed, course, process=process or DutyProcess, amnesia=amnesia)
+        if duties:
+            self._plan_reads()
+
+    def next_update_number(self) -> int:
+        """Return the number of a further state update."""
+        self._updates += 1
+        return self._updates
+
+    def next_job(self) -> bytes:
+        """Return a further job."""
+        self._jobs += 1
+        return b"job %d" % self._jobs
 
     def born(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
         made = super().born(seat, remembers, inc)
         assert isinstance(made, DutyProcess)
         if self.lasting and self.now:
-            image = read(self.lasting_disks[seat], self.lasting_whose[seat])
-            self.lasting_disks[seat] = self.lasting_disks[seat][: image.good]
-            if image.remembers:
-                made.participant.keeper.recall(self.now, image)
-            else:
-                self.lasting_disks[seat] = pack([self.lasting_whose[seat]])
+            self._restore(made)
         self.at(self.now, made, made.participant.start)
         return made
 
+    def _restore(self, process: DutyProcess) -> None:
+        seat = process.seat
+        image = read(self.lasting_disks[seat], self.lasting_whose[seat])
+        self.lasting_disks[seat] = self.lasting_disks[seat][: image.good]
+        if image.remembers:
+            process.participant.acceptor.recall(self.now, image)
+        else:
+            self.lasting_disks[seat] = pack([self.lasting_whose[seat]])
+
     def _end(self, process: Process) -> None:
         super()._end(process)
         assert isinstance(process, DutyProcess)
-        if process._write_on not in (b"", b"\0"):
-            data = process._write_on
-            self.lasting_disks[process.seat] += data[: self.random.randint(0, len(data))]
-
-    def _read(self, name: str, at: float, seat: int) -> None:
-        """Through the register: all that was acknowledged before it was asked for must be there."""
-
-        def ask() -> None:
-            process, began = self.processes[seat], self.now
-            if not process.alive or process.stopped_until > self.now or not isinstance(process, DutyProcess):
-                return
-
-            def got(reading: Reading | DutyError) -> None:
-                if isinstance(reading, Reading) and reading.state is not None:
-                    there = tokens(reading.state)
-                    missing = [
-                        t for t, when in self.facts[name].acknowledged if when < began and t not in there
-                    ]
-                    if missing:
-                        self.reads.append(
-                            f"{name}: read at n{seat}, asked for at {began}: {missing[:3]} missing"
-                        )
+        if process.disk_write not in (b"", NOTHING_TO_WRITE):
+            written = self.random.randint(0, len(process.disk_write))
+            self.lasting_disks[process.seat] += process.disk_write[:written]
+
+    # ---- reads through the register ----
+
+    def _plan_reads(self) -> None:
+        for second in range(2, round(self.course.seconds) + 4):
+            name = self.random.choice(self.names)
+            when_s = second + self.random.random()
+            seat = self.random.randrange(self.course.seats)
+            self.at(round(when_s * SECOND), None, partial(self._read, name, seat))
+
+    def _read(self, name: str, seat: int) -> None:
+        """All that was acknowledged before the read began must be there."""
+        process = self.processes[seat]
+        began_us = self.now
+        if not process.alive or process.stopped_until > self.now or not isinstance(process, DutyProcess):
+            return
 
-            process.participant.read(name, got)
+        def got(reading: Reading | DutyError) -> None:
+            if isinstance(reading, Reading) and reading.state is not None:
+                missing = self.histories[name].missing_updates(reading.state, before_us=began_us)
+                if missing:
+                    self.wrong_reads.append(
+                        f"{name}: read at n{seat}, asked for at {began_us}: {missing[:3]} missing"
+                    )
 
-        self.at(round(at * SECOND), None, ask)
+        process.participant.directory.read(name, got)
 
-    # ---- the whole ----
+    # ---- the end ----
 
     def wrong(self) -> str | None:
-        if self.reads:
-            return self.reads[0]
-        for name, facts in self.facts.items():
-            found = self._history(name, facts) or self._at_the_end(name, facts)
+        """Return what was wrong in the course, in words."""
+        if self.wrong_reads:
+            return self.wrong_reads[0]
+        for name, history in self.histories.items():
+            found = history.broken_rule() or self._wrong_at_end(name, history)
             if found is not None:
                 return f"{name}: {found}"
         return None
 
-    def _history(self, name: str, facts: Facts) -> str | None:
-        for term, processes in facts.owners.items():
-            if len(processes) > 1:
-                return f"term {term} was had by processes {sorted(processes)}"
-        for first, second in zip(facts.taken, facts.taken[1:], strict=False):
-            if second <= first:
-                return f"its receiver took {second} after {first}"
-        twice = [job for job, times in facts.performed.items() if times > 1 and job not in facts.repeatable]
-        if twice:
-            return f"{twice[0]!r} was done twice"
-        for job in facts.told_done:
-            if not facts.performed[job]:
-                return f"{job!r} was said to be done"
-        for job in facts.never:
-            if facts.performed[job] and job not in facts.repeatable:
-                return f"{job!r} was settled as never done"
-        return None
-
-    def _at_the_end(self, name: str, facts: Facts) -> str | None:
-        """All faults are over for a while: who votes says what the state is, and somebody has the duty."""
-        key = key_of(name)
-        keepers = [
-            p
-            for p in self.processes
-            if p.alive
-            and isinstance(p, DutyProcess)
-            and p.node.me in self.seats.keepers(key)
-            and p.participant.keeper.votes_for(key)
-        ]
-        if len(keepers) < 2:
+    def _wrong_at_end(self, name: str, history: DutyHistory) -> str | None:
+        """All faults are over for a while: the voting replicas agree on the state, and one member leads the duty."""
+        replicas = self.voting_replicas(name)
+        if len(replicas) < MIN_REPLICAS:
             return None  # a majority has forgotten at once: an operator must say how it goes on
-        slots = [
-            s
-            for p in keepers
-            if (s := p.participant.keeper.slots.get(key)) is not None and s.ballot is not None
-        ]
-        if not slots:
-            return (
-                f"no register, though {len(facts.acknowledged)} changes were acknowledged"
-                if facts.effects
-                else "it was never made"
-            )
-        post: Post = _post(max(slots, key=lambda s: s.ballot or NEVER).value)
-        if post.life == Life.ASIDE.value:
+        record = latest_record(name, replicas)
+        if record is None:
+            if history.effect_times_us:
+                return f"no register, though {len(history.acknowledged)} changes were acknowledged"
+            return "it was never made"
+        if record.status == LeaseStatus.SUSPENDED:
             return None
-        ownerships = [
-            p.participant.ownerships[key]
-            for p in self.processes
-            if isinstance(p, DutyProcess) and p.alive and key in p.participant.ownerships
+        leases = self._leases(name)
+        active = [
+            lease for lease in leases if lease.stage is Stage.ACTIVE and lease.record.term == record.term
         ]
-        at_work = [t for t in ownerships if t.stage is Stage.HELD and t.post.term == post.term]
-        if len(at_work) != 1:
-            return f"{len(at_work)} at work on {post}; {[(o.owner, o.stage.value, o.post.term) for o in ownerships]}"
-        there = tokens(at_work[0].state)
-        lost = [t for t, _ in facts.acknowledged if t not in there]
+        if len(active) != 1:
+            known = [(lease.owner, lease.stage.value, lease.record.term) for lease in leases]
+            return f"{len(active)} at work on {record}; {known}"
+        lost = history.missing_updates(active[0].state)
         return f"acknowledged and gone: {lost[:5]}" if lost else None
 
+    def _leases(self, name: str) -> list[LeaseHolder]:
+        key = register_key(name)
+        return [
+            process.participant.leases.by_key[key]
+            for process in self.live_processes()
+            if key in process.participant.leases.by_key
+        ]
 
-def tokens(state: bytes) -> set[int]:
-    """The tokens that a state holds."""
-    return {int.from_bytes(state[i : i + 4], "big") for i in range(0, len(state), 4)}
-
+    def live_processes(self) -> list[DutyProcess]:
+        """Return the processes that are alive."""
+        return [process for process in self.processes if process.alive and isinstance(process, DutyProcess)]
+
+    def voting_replicas(self, name: str) -> list[DutyProcess]:
+        """Return the live replicas of a duty that have a vote on its register."""
+        key = register_key(name)
+        return [
+            process
+            for process in self.live_processes()
+            if process.node.me in self.seats.keepers(key) and process.participant.acceptor.votes_for(key)
+        ]
 
-def _post(value: Any) -> Post:
-    from ..leadership.lease_record import unpack
 
-    post = unpack(value)
-    assert post is not None
-    return post
+def latest_record(name: str, replicas: list[DutyProcess]) -> LeaseRecord | None:
+    """Return the record of the highest ballot that these replicas have accepted; None if there is none."""
+    key = register_key(name)
+    slots = [process.participant.acceptor.slots.get(key) for process in replicas]
+    accepted = [slot for slot in slots if slot is not None and slot.ballot is not None]
+    if not accepted:
+        return None
+    record = decode_record(max(accepted, key=lambda slot: slot.ballot or NEVER).value)
+    assert record is not None
+    return record
 
 
-COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
-DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power", "forget"))
+def replicated_state(name: str, record: LeaseRecord, replicas: list[DutyProcess]) -> bytes | None:
+    """Return the state of a record, from the first of these replicas that has all of it."""
+    if not record.versions:
+        return None
+    key = register_key(name)
+    for process in replicas:
+        state = join(record.versions[0], partial(process.participant.store.find, key))
+        if state is not None:
+            return state
+    return None
 
 
-def search(seeds: range, course: Course | None = None, **how: Any) -> tuple[int, str] | None:
-    """The first seed whose course is wrong, with what is."""
+def search(seeds: range, course: Course | None = None, **options: Any) -> tuple[int, str] | None:
+    """Return the first seed whose course is wrong, with what is."""
     for seed in seeds:
-        if (wrong := DutySimulation(seed, course, **how).play()) is not None:
+        wrong = DutySimulation(seed, course, **options).play()
+        if wrong is not None:
             return seed, wrong
     return None
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -13,9 +13,9 @@
 
 from ..config_distribution.messages import At
 from ..config_distribution.publisher import Publisher
-from ..leadership.effects import Made, OnFleet, Outcome
+from ..leadership.effects import Completed, Outcome, StateUpdate
 from ..leadership.errors import DutyError, NoMajority, Superseded
-from ..leadership.fencing_token import Fence
+from ..leadership.fencing_token import FencingToken
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
 from ..namespaces.revisions import Book, Submission, unpack
@@ -26,8 +26,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Post:
-    born: int = 1
+class _Record:
+    generation: int = 1
 
 
 @dataclass(slots=True, eq=False)
@@ -38,20 +38,20 @@
 
 
 class Owner:
-    """One in its term: what a publisher takes for its tour, and for its host."""
+    """One in its term: what a publisher takes for its lease, and for its host."""
 
     name = NAME
 
     def __init__(self, case: Publishes, who: str, term: int, state: bytes, kind: type[Publisher]) -> None:
-        self.case, self.who, self.term, self.state, self.post = case, who, term, state, _Post()
+        self.case, self.who, self.term, self.state, self.record = case, who, term, state, _Record()
         self.changes: list[_Change] = []
         self.reads: list[Callable[[tuple[int, Book] | DutyError], None]] = []
         self.over = False
         self.publisher = kind(self, self)  # type: ignore[arg-type]
         self.publisher.start()
 
-    def do(self, effect: Any, then: Callable[[Outcome], None]) -> None:
-        assert isinstance(effect, OnFleet)
+    def submit(self, effect: Any, then: Callable[[Outcome], None]) -> None:
+        assert isinstance(effect, StateUpdate)
         self.changes.append(_Change(effect.state, then))
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
@@ -152,7 +152,7 @@
         if what == "drops":
             then(NoMajority(NAME))
         elif change.made:
-            then(Made(Fence(1, owner.term, 1)))
+            then(Completed(FencingToken(1, owner.term, 1)))
         else:
             owner.end()
 
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -10,7 +10,6 @@
 
 from collections import defaultdict
 from collections.abc import Callable
-from functools import partial
 from typing import Any
 
 import msgspec
@@ -18,18 +17,22 @@
 from ..config_distribution.messages import At
 from ..config_distribution.publisher import duty_of
 from ..config_distribution.replica import GONE, Error, Replica
-from ..leadership import chunks as pieces
-from ..leadership.lease_holder import Ownership
-from ..leadership.lease_record import Life, key_of
-from ..leadership.participant import Worker
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.lease_record import LeaseStatus
+from ..leadership.worker import Worker
 from ..namespaces.document import Namespace, read
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
-from ..replication.acceptor import NEVER
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Simulation
-from .leadership_simulation import DutyProcess, DutySimulation, _post
+from .leadership_simulation import (
+    MIN_REPLICAS,
+    DutyProcess,
+    DutySimulation,
+    latest_record,
+    replicated_state,
+)
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANTED = Granted(frozenset({"s"}))
@@ -55,8 +58,8 @@
         self.born_at = sim.now
         self.replica = sim.replica(self.participant, self, 100)
 
-    def work(self, ownership: Ownership) -> Worker | None:  # type: ignore[override]
-        return self.replica.work(ownership)
+    def work(self, lease: LeaseHolder) -> Worker | None:
+        return self.replica.work(lease)
 
     def begin(self) -> None:
         stored = self.whole.stored[self.seat]
@@ -216,51 +219,35 @@
         return None
 
     def _at_the_end_of(self, customer: str) -> str | None:
-        key = key_of(duty_of(customer))
+        duty = duty_of(customer)
         numbers: dict[tuple[int, str], int] = {}
         for name, (born, number), id, _, _ in self.told:
             if name == customer and id and numbers.setdefault((born, id), number) != number:
                 return f"{id} was published as {numbers[born, id]} and as {number}"
         live = [p for p in self.processes if p.alive and isinstance(p, PublishProcess)]
-        keepers = [
-            p for p in live if p.node.me in self.seats.keepers(key) and p.participant.keeper.votes_for(key)
-        ]
-        if len(keepers) < 2:
+        replicas = self.voting_replicas(duty)
+        if len(replicas) < MIN_REPLICAS:
             return None
-        slots = [
-            s
-            for p in keepers
-            if (s := p.participant.keeper.slots.get(key)) is not None and s.ballot is not None
-        ]
+        record = latest_record(duty, replicas)
         told = [(at, draft) for name, at, _, draft, _ in self.told if name == customer]
-        if not slots:
+        if record is None:
             return f"no register, though {told} was told" if told else None
-        post = _post(max(slots, key=lambda s: s.ballot or NEVER).value)
-        if post.life == Life.GONE.value:
-            late = [at for at, _ in told if at[0] > post.born]
+        if record.status == LeaseStatus.REMOVED:
+            late = [at for at, _ in told if at[0] > record.generation]
             return (
-                f"told {late} after the last birth {post.born}"
+                f"told {late} after the last birth {record.generation}"
                 if late
-                else self._all_have(live, customer, (post.born, GONE))
+                else self._all_have(live, customer, (record.generation, GONE))
             )
-        if post.life == Life.ASIDE.value:
+        if record.status == LeaseStatus.SUSPENDED:
             return None
-        states = (
-            []
-            if not post.versions
-            else [
-                state
-                for p in keepers
-                if (state := pieces.whole(post.versions[0], partial(p.participant.shelf.find, key)))
-                is not None
-            ]
-        )
-        if post.versions and not states:
-            return None  # `check.duties` sees to that
-        book = unpack(states[0] if states else b"", customer)
-        found = self._of_the_book(book, post.born, told)
+        state = replicated_state(duty, record, replicas)
+        if record.versions and state is None:
+            return None  # `leadership_simulation` checks that
+        book = unpack(state or b"", customer)
+        found = self._of_the_book(book, record.generation, told)
         if found is None and book.number:
-            found = self._all_have(live, customer, (post.born, book.number))
+            found = self._all_have(live, customer, (record.generation, book.number))
         return found
 
     @staticmethod
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -14,9 +14,9 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher.cluster_transport.effect_receivers import Receivers
-from moorusher.leadership.fencing_token import Fence
-from moorusher.leadership.lease_record import Intent
+from moorusher.cluster_transport.effect_receivers import HttpEffectReceivers
+from moorusher.leadership.fencing_token import FencingToken
+from moorusher.leadership.lease_record import Intent, Settlement
 
 from ..test_core import World
 from .golden import assert_golden
@@ -53,17 +53,19 @@
 
     def __init__(self) -> None:
         self._reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        self._receivers = Receivers(self._reactor, World().core)
+        self._receivers = HttpEffectReceivers(self._reactor, World().core)
         self.heard: list[Any] = []
 
     def made(self, how: str) -> Connection:
-        intent = Intent(7, 2, "127.0.0.1:1", b"what", 1)
+        intent = Intent(7, 2, "127.0.0.1:1", b"what", Settlement.REPEAT)
         if how == "fenced":
-            self._receivers.perform("127.0.0.1:1", "duty", Fence(3, 4, 5), b"body", self.heard.append)
+            self._receivers.send_fenced(
+                "127.0.0.1:1", "duty", FencingToken(3, 4, 5), b"body", self.heard.append
+            )
         elif how == "intent":
-            self._receivers.intend("127.0.0.1:1", "duty", intent, self.heard.append)
+            self._receivers.send_intent("127.0.0.1:1", "duty", intent, self.heard.append)
         else:
-            self._receivers.asked("127.0.0.1:1", "duty", intent, self.heard.append)
+            self._receivers.ask_intent("127.0.0.1:1", "duty", intent, self.heard.append)
         return Connection(self._reactor.tcpClients[-1][2])
 
 
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -20,10 +20,9 @@
 from moorusher.forecast_service import forecaster
 from moorusher.forecasting import demand, hints
 from moorusher.forecasting.ledger import Ledger
-from moorusher.leadership import chunks as pieces
+from moorusher.leadership import chunks, lease_record
 from moorusher.leadership import heartbeat as duty_report
-from moorusher.leadership import lease_record as post
-from moorusher.leadership.journal import LastingKeeper
+from moorusher.leadership.journal import DutyAcceptor
 from moorusher.maintenance import schedule as roster
 from moorusher.membership.placement import Seats
 from moorusher.namespaces import revisions
@@ -41,12 +40,12 @@
 
 RECORDS = get_args(journal.Record)
 WHOSE = journal.Whose(journal.VERSION, "f", "0123456789abcdef", "n1")
-POST, ROSTER, BOOK = post.Post, roster.Roster, revisions.Book
-pack_post, read_post = post.pack, post.unpack
+POST, ROSTER, BOOK = lease_record.LeaseRecord, roster.Roster, revisions.Book
+pack_post, read_post = lease_record.encode_record, lease_record.decode_record
 pack_roster, read_roster = roster.pack, roster.unpack
 pack_book = revisions.pack
 pack_file, read_record = journal.pack, journal._decoder.decode
-REPORTS, read_reports = duty_report.Told, msgspec.json.Decoder(duty_report.Told).decode
+REPORTS, read_reports = duty_report.HeartbeatState, msgspec.json.Decoder(duty_report.HeartbeatState).decode
 write_json = msgspec.json.Encoder().encode
 write_snapshot, read_snapshot = snapshot.write, snapshot.read
 HINTS, ANSWERS_OF_DEMAND = hints.Hints, demand.Part
@@ -66,7 +65,7 @@
 def written_anew(data: bytes) -> bytes:
     """By a keeper of duties that has recalled it, at the same moment."""
     image = journal.read(data, WHOSE)
-    keeper = LastingKeeper("n1", 7, lambda key: ("n1",), shelf=pieces.Shelf(1 << 20))
+    keeper = DutyAcceptor("n1", 7, lambda key: ("n1",), store=chunks.ChunkStore(1 << 20))
     keeper.recall(0, image)
     return pack_file([WHOSE, *keeper.whole(0)])
 
@@ -115,11 +114,11 @@
     "version of a journal": journal.VERSION,
     "kinds of duties": [duty_report.KIND, publisher.KIND, forecaster.KIND],
     "names of duties": [publisher.duty_of("acme"), forecaster.NAME],
-    "registers": [post.key_of("alive").decode(), roster.KEY.decode()],
+    "registers": [lease_record.register_key("alive").decode(), roster.KEY.decode()],
     "digest of seats": Seats((Seat("n1", ("h", 1), "a", "r1"), Seat("n2", ("h", 2), "b")), 3).digest(),
-    "digest of a piece": pieces.digest(b"piece").hex(),
-    "lives of a duty": [one.value for one in post.Life],
-    "ways to settle an intent": [one.value for one in post.Settle],
+    "digest of a piece": chunks.digest(b"piece").hex(),
+    "lives of a duty": [one.value for one in lease_record.LeaseStatus],
+    "ways to settle an intent": [one.value for one in lease_record.Settlement],
     "stages of a turn": [one.value for one in roster.Stage],
     "ends of a turn": [one.value for one in roster.Ends],
     "outcomes of an ask": [one.value for one in roster.How],
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -21,11 +21,12 @@
 from twisted.web import resource
 from twisted.web.test.requesthelper import DummyRequest
 
+from moorusher.admin.leadership import snapshot_document
 from moorusher.config import loader as config
 from moorusher.core.clock import Clock
 from moorusher.core.outcomes import Ending
 from moorusher.core.requests import Arrival
-from moorusher.leadership.lease_record import Post
+from moorusher.leadership.lease_record import LeaseRecord
 from moorusher.maintenance.schedule import Roster
 from moorusher.membership.failure_detector import State
 from moorusher.server import server as service
@@ -154,7 +155,8 @@
     # ---- what its pages would tell of values that others have written ----
 
     def duty_told(self, array: list[Any]) -> Any:
-        return self.service.fleet.duties._told(msgspec.convert(array, Post))
+        record = msgspec.convert(array, LeaseRecord)
+        return snapshot_document(self.service.fleet.duties._snapshot(record))
 
     def outages_told(self, array: list[Any]) -> Any:
         return self.service.outage._told(msgspec.convert(array, Roster), True)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -27,8 +27,9 @@
 )
 from moorusher.forecasting.ledger import HOURS, PATIENCE_MS, WHOLE, Ledger, Series
 from moorusher.forecasting.policy import Policy
-from moorusher.leadership.effects import Fence, Made
+from moorusher.leadership.effects import Completed
 from moorusher.leadership.errors import NoMajority
+from moorusher.leadership.fencing_token import FencingToken
 from moorusher.model_checking import forecast_simulation as check
 from moorusher.model_checking.forecast_simulation import ForecastSimulation
 
@@ -224,9 +225,9 @@
 
 
 class Owning:
-    """A duty's tour and its process, as a forecaster sees them: changes wait until they are said to be made, or not."""
+    """A duty's lease and its process, as a forecaster sees them: changes wait for what is said of them."""
 
-    name, state, post = "forecast", b"", None
+    name, state, record = "forecast", b"", None
 
     def __init__(self) -> None:
         self.changes: list[Any] = []
@@ -234,7 +235,7 @@
         self.alarms: list[Any] = []
         self.now = T0 + 1_000
 
-    def do(self, effect: Any, then: Any) -> None:
+    def submit(self, effect: Any, then: Any) -> None:
         self.changes.append((effect.state, then))
 
     def say(self, seat: str, message: Took) -> None:
@@ -274,7 +275,7 @@
     assert not there.said, "it may not have come about"
     there.ring()
     state, then = there.changes.pop()
-    then(Made(Fence(1, 1, 2)))
+    then(Completed(FencingToken(1, 1, 2)))
     assert [(seat, m.serial) for seat, m in there.said] == [("n0", 7), ("n1", 8)]
     kept = Ledger.unpack(state, SEATS).open[T0 // BUCKET_MS]["n0", 1]
     assert kept.rows[pack_key(KEY)].asked == 5
@@ -301,7 +302,7 @@
         owner.load(wrong, got.append)
         assert isinstance(got.pop(), BadPast) and not owner.ledger.series and not there.changes
     owner.load([good], got.append)
-    there.changes.pop()[1](Made(Fence(1, 1, 2)))
+    there.changes.pop()[1](Completed(FencingToken(1, 1, 2)))
     assert got == [None] and list(owner.ledger.series[pack_key(KEY)].asked) == [1, 2, 3]
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -15,11 +15,18 @@
 
 from moorusher.config.fleet import read_fleet
 from moorusher.config.section import ConfigError, Section
-from moorusher.leadership import lease_holder as ownership_module
-from moorusher.leadership.candidates import Seen, Steady, mean, room, too_many
-from moorusher.leadership.candidates import order as turn
-from moorusher.leadership.chunks import PIECE, Shelf, cut, digest, order, whole
-from moorusher.leadership.effects import Effect, Once, OnFleet
+from moorusher.leadership import lease_holder
+from moorusher.leadership.candidates import (
+    Candidate,
+    StabilityTracker,
+    capacity,
+    fair_share,
+    overload_threshold,
+    preference_order,
+)
+from moorusher.leadership.chunks import CHUNK_BYTES, ChunkStore, chunk_names, digest, join, split
+from moorusher.leadership.directory import Reading
+from moorusher.leadership.effects import Effect, IntentRequest, StateUpdate
 from moorusher.leadership.errors import (
     ERRORS,
     DutyError,
@@ -29,33 +36,35 @@
     Superseded,
     Unknown,
 )
-from moorusher.leadership.fencing_token import Fence, Verdict, judge
-from moorusher.leadership.lease_holder import Ownership
+from moorusher.leadership.fencing_token import FencingToken, TokenVerdict, check_token
+from moorusher.leadership.held_leases import HeldLeases
+from moorusher.leadership.lease_holder import LeaseHolder
 from moorusher.leadership.lease_record import (
-    Accept,
-    Advance,
+    LeaseRecord,
+    LeaseStatus,
+    Settlement,
+    StateVersion,
+    decode_record,
+    encode_record,
+    register_key,
+)
+from moorusher.leadership.lease_transitions import (
+    AcquireLease,
+    AddIntent,
+    BeginRelease,
     Create,
-    Intend,
-    Life,
-    Own,
-    Post,
-    PutAside,
-    Release,
+    HolderChange,
+    IssueToken,
+    ReleaseLease,
     Remove,
     Resume,
-    Settle,
-    SettleIt,
-    Step,
-    Version,
-    Yield,
-    key_of,
-    pack,
-    unpack,
+    SettleIntent,
+    Suspend,
+    UpdateState,
 )
-from moorusher.leadership.messages import Fetched, Offer
-from moorusher.leadership.participant import Participant, Reading
+from moorusher.leadership.messages import ChunkFetched, LeaseOffer
 from moorusher.leadership.policy import Policy
-from moorusher.leadership.state_replication import Library
+from moorusher.leadership.state_replication import StateReplication
 from moorusher.membership.failure_detector import State
 from moorusher.model_checking.cluster_simulation import SECOND, Course
 from moorusher.model_checking.explorer import explore
@@ -74,11 +83,11 @@
 from moorusher.replication.work_record import Owner
 
 A, B = Owner("a", 1), Owner("b", 2)
-KEY = key_of("d")
+KEY = register_key("d")
 
 
-def post(life: Life = Life.HELD, owner: Owner | None = A, **how: Any) -> Post:
-    return Post("d", "test", 1, 3, 7, life.value, owner, **how)
+def record(status: LeaseStatus = LeaseStatus.HELD, owner: Owner | None = A, **fields: Any) -> LeaseRecord:
+    return LeaseRecord("d", "test", 1, 3, 7, status, owner, **fields)
 
 
 # ---- the life of a duty ----
@@ -87,80 +96,90 @@
 @pytest.mark.parametrize(
     "change, old, life, term, owner",
     [
-        (Create("d", "test", 9), None, Life.VACANT, 0, None),
-        (Create("d", "test", 9), post(), None, 0, None),
-        (Create("d", "test", 0), post(Life.GONE, None), Life.VACANT, 0, None),
-        (Create("d", "test", 0, again=False), post(Life.GONE, None), None, 0, None),
-        (Accept(B, (1, 3), False, 3), post(Life.VACANT, None), Life.HELD, 4, B),
-        (Accept(B, (1, 3), True, 3), post(), Life.HELD, 4, B),
-        (Accept(B, (1, 2), True, 3), post(), None, 0, None),
-        (Accept(A, (1, 3), True, 3), post(), None, 0, None),
-        (Accept(B, (1, 3), True, 3), post(lost=2), Life.ASIDE, 4, None),
-        (Accept(B, (1, 3), False, 3), post(lost=2), Life.HELD, 4, B),
-        (Accept(B, (1, 3), True, 3), post(Life.ASIDE, None), None, 0, None),
-        (Accept(B, (1, 3), True, 3), post(Life.GONE, None), None, 0, None),
-        (Step(A, 1, 3, 1), post(), Life.HELD, 3, A),
-        (Step(A, 1, 3, 1), post(step=1), None, 0, None),
-        (Step(A, 1, 2, 1), post(), None, 0, None),
-        (Step(A, 0, 3, 1), post(), None, 0, None),
-        (Step(B, 1, 3, 1), post(), None, 0, None),
-        (Step(A, 1, 3, 1), post(Life.YIELDING), None, 0, None),
-        (Advance(A, 1, 3, 1, 7, 0, (), 3), post(Life.YIELDING), Life.YIELDING, 3, A),
-        (Advance(A, 1, 3, 1, 6, 0, (), 3), post(), None, 0, None),
-        (Yield(A, 1, 3, 1), post(), Life.YIELDING, 3, A),
-        (Release(A, 1, 3, 1, "b"), post(Life.YIELDING), Life.OFFERED, 3, None),
-        (Release(A, 1, 3, 1, ""), post(Life.YIELDING), Life.VACANT, 3, None),
-        (PutAside(A, 1, 3, 1, "why", 2), post(), Life.ASIDE, 3, None),
-        (Resume(), post(Life.ASIDE, None), Life.VACANT, 3, None),
-        (Resume(), post(), None, 0, None),
-        (Remove(1), post(), Life.GONE, 4, None),
-        (Remove(0), post(), None, 0, None),
+        (Create("d", "test", 9), None, LeaseStatus.VACANT, 0, None),
+        (Create("d", "test", 9), record(), None, 0, None),
+        (Create("d", "test", 0), record(LeaseStatus.REMOVED, None), LeaseStatus.VACANT, 0, None),
+        (Create("d", "test", 0, recreate=False), record(LeaseStatus.REMOVED, None), None, 0, None),
+        (AcquireLease(B, (1, 3), False, 3), record(LeaseStatus.VACANT, None), LeaseStatus.HELD, 4, B),
+        (AcquireLease(B, (1, 3), True, 3), record(), LeaseStatus.HELD, 4, B),
+        (AcquireLease(B, (1, 2), True, 3), record(), None, 0, None),
+        (AcquireLease(A, (1, 3), True, 3), record(), None, 0, None),
+        (AcquireLease(B, (1, 3), True, 3), record(lost_leaders=2), LeaseStatus.SUSPENDED, 4, None),
+        (AcquireLease(B, (1, 3), False, 3), record(lost_leaders=2), LeaseStatus.HELD, 4, B),
+        (AcquireLease(B, (1, 3), True, 3), record(LeaseStatus.SUSPENDED, None), None, 0, None),
+        (AcquireLease(B, (1, 3), True, 3), record(LeaseStatus.REMOVED, None), None, 0, None),
+        (IssueToken(A, 1, 3, 1), record(), LeaseStatus.HELD, 3, A),
+        (IssueToken(A, 1, 3, 1), record(holder_sequence=1), None, 0, None),
+        (IssueToken(A, 1, 2, 1), record(), None, 0, None),
+        (IssueToken(A, 0, 3, 1), record(), None, 0, None),
+        (IssueToken(B, 1, 3, 1), record(), None, 0, None),
+        (IssueToken(A, 1, 3, 1), record(LeaseStatus.RELEASING), None, 0, None),
+        (UpdateState(A, 1, 3, 1, 7, 0, (), 3), record(LeaseStatus.RELEASING), LeaseStatus.RELEASING, 3, A),
+        (UpdateState(A, 1, 3, 1, 6, 0, (), 3), record(), None, 0, None),
+        (BeginRelease(A, 1, 3, 1), record(), LeaseStatus.RELEASING, 3, A),
+        (ReleaseLease(A, 1, 3, 1, "b"), record(LeaseStatus.RELEASING), LeaseStatus.OFFERED, 3, None),
+        (ReleaseLease(A, 1, 3, 1, ""), record(LeaseStatus.RELEASING), LeaseStatus.VACANT, 3, None),
+        (Suspend(A, 1, 3, 1, "why", 2), record(), LeaseStatus.SUSPENDED, 3, None),
+        (Resume(), record(LeaseStatus.SUSPENDED, None), LeaseStatus.VACANT, 3, None),
+        (Resume(), record(), None, 0, None),
+        (Remove(1), record(), LeaseStatus.REMOVED, 4, None),
+        (Remove(0), record(), None, 0, None),
     ],
 )
 def test_each_change_has_its_one_outcome(
-    change: Any, old: Post | None, life: Life | None, term: int, owner: Owner | None
+    change: Any, old: LeaseRecord | None, life: LeaseStatus | None, term: int, owner: Owner | None
 ) -> None:
-    new = unpack(change(None if old is None else pack(old)))
+    new = decode_record(change(None if old is None else encode_record(old)))
     assert (new is None) == (life is None)
     if new is not None and life is not None:
-        assert (Life(new.life), new.term, new.owner) == (life, term, owner)
-        assert old is None or new.number > old.number or new.born > old.born
+        assert (new.status, new.term, new.holder) == (life, term, owner)
+        assert old is None or new.revision > old.revision or new.generation > old.generation
 
 
 def test_a_change_that_a_second_round_finds_already_made_is_not_made_twice() -> None:
-    change = Intend(A, 1, 3, 1, "s", b"job", Settle.TELL)
-    once = change(pack(post()))
-    assert change(once) is None and change.made_in(unpack(once)) and not change.made_in(post(owner=B))
-    found = unpack(once)
-    assert found is not None and [i.what for i in found.intents] == [b"job"] and found.intents[0].number == 8
-    settled = unpack(SettleIt(8)(once))
-    assert settled is not None and not settled.intents and SettleIt(8)(pack(settled)) is None
+    change = AddIntent(A, 1, 3, 1, "s", b"job", Settlement.ASK_OPERATOR)
+    once = change(encode_record(record()))
+    assert (
+        change(once) is None
+        and change.is_applied_in(decode_record(once))
+        and not change.is_applied_in(record(owner=B))
+    )
+    found = decode_record(once)
+    assert (
+        found is not None
+        and [i.payload for i in found.intents] == [b"job"]
+        and found.intents[0].revision == 8
+    )
+    settled = decode_record(SettleIntent(8)(once))
+    assert settled is not None and not settled.intents and SettleIntent(8)(encode_record(settled)) is None
 
 
 def test_a_name_made_anew_is_another_duty_and_outlives_fences_of_the_earlier_one() -> None:
-    gone = unpack(Remove(1)(pack(post())))
+    gone = decode_record(Remove(1)(encode_record(record())))
     assert gone is not None
-    anew = unpack(Create("d", "test", 0)(pack(gone)))
-    assert anew is not None and Fence(*anew.at) > Fence(1, 99, 99)
-    aside = unpack(PutAside(A, 1, 3, 1, "forgotten", 50)(pack(post())))
-    resumed = None if aside is None else unpack(Resume()(pack(aside)))
-    assert resumed is not None and resumed.born == 50
+    anew = decode_record(Create("d", "test", 0)(encode_record(gone)))
+    assert anew is not None and FencingToken(*anew.position) > FencingToken(1, 99, 99)
+    aside = decode_record(Suspend(A, 1, 3, 1, "forgotten", 50)(encode_record(record())))
+    resumed = None if aside is None else decode_record(Resume()(encode_record(aside)))
+    assert resumed is not None and resumed.generation == 50
 
 
 def test_a_receiver_takes_what_is_higher_answers_again_what_is_equal_and_refuses_the_rest() -> None:
-    high = Fence(1, 2, 5)
-    assert judge(None, high) is Verdict.NEW and judge(high, high) is Verdict.AGAIN
+    high = FencingToken(1, 2, 5)
+    assert (
+        check_token(None, high) is TokenVerdict.CURRENT and check_token(high, high) is TokenVerdict.DUPLICATE
+    )
     assert (
-        judge(high, Fence(1, 2, 6))
-        is judge(high, Fence(1, 3, 1))
-        is judge(high, Fence(2, 0, 0))
-        is Verdict.NEW
+        check_token(high, FencingToken(1, 2, 6))
+        is check_token(high, FencingToken(1, 3, 1))
+        is check_token(high, FencingToken(2, 0, 0))
+        is TokenVerdict.CURRENT
     )
     assert (
-        judge(high, Fence(1, 2, 4))
-        is judge(high, Fence(1, 1, 99))
-        is judge(high, Fence(0, 9, 9))
-        is Verdict.BEHIND
+        check_token(high, FencingToken(1, 2, 4))
+        is check_token(high, FencingToken(1, 1, 99))
+        is check_token(high, FencingToken(0, 9, 9))
+        is TokenVerdict.STALE
     )
 
 
@@ -168,74 +187,76 @@
 
 
 def test_pieces_stay_while_a_change_may_name_them_and_go_once_none_can() -> None:
-    shelf, state = Shelf(1 << 20), b"x" * PIECE + b"y"
-    for piece in cut(state).values():
-        assert shelf.keep(KEY, (1, 3, 8), piece)
-    version = Version(8, len(state), order(state))
-    assert whole(version, lambda d: shelf.find(KEY, d)) == state
-    shelf.chosen(KEY, post())  # change 7: the one that is to name them may still come
-    assert whole(version, lambda d: shelf.find(KEY, d)) == state
-    named = post(versions=(version,))
-    shelf.chosen(KEY, Post("d", "test", 1, 3, 8, 2, A, versions=(version,)))
-    assert not shelf.missing(KEY, named)
-    shelf.chosen(KEY, Post("d", "test", 1, 3, 9, 2, A))
-    assert shelf.missing(KEY, named) and shelf.bytes_held() == 0
-    assert not shelf.keep(KEY, (1, 3, 8), b"late"), "nobody can name it any more"
+    store, state = ChunkStore(1 << 20), b"x" * CHUNK_BYTES + b"y"
+    for piece in split(state).values():
+        assert store.add(KEY, (1, 3, 8), piece)
+    version = StateVersion(8, len(state), chunk_names(state))
+    assert join(version, lambda d: store.find(KEY, d)) == state
+    store.delete_unnamed(KEY, record())  # change 7: the one that is to name them may still come
+    assert join(version, lambda d: store.find(KEY, d)) == state
+    named = record(versions=(version,))
+    store.delete_unnamed(KEY, LeaseRecord("d", "test", 1, 3, 8, LeaseStatus.HELD, A, versions=(version,)))
+    assert not store.missing(KEY, named)
+    store.delete_unnamed(KEY, LeaseRecord("d", "test", 1, 3, 9, LeaseStatus.HELD, A))
+    assert store.missing(KEY, named) and store.total_bytes() == 0
+    assert not store.add(KEY, (1, 3, 8), b"late"), "nobody can name it any more"
 
 
 def test_a_shelf_is_bounded_and_drops_what_is_damaged() -> None:
-    shelf = Shelf(10)
-    assert shelf.keep(KEY, (1, 1, 1), b"12345678") and not shelf.keep(KEY, (1, 1, 1), b"abc")
+    store = ChunkStore(10)
+    assert store.add(KEY, (1, 1, 1), b"12345678") and not store.add(KEY, (1, 1, 1), b"abc")
     name = digest(b"12345678")
-    shelf.by_key[KEY][name] = b"12345679"
-    assert shelf.find(KEY, name) is None and shelf.bytes_held() == 0
+    store.chunks[KEY][name] = b"12345679"
+    assert store.find(KEY, name) is None and store.total_bytes() == 0
 
 
 # ---- who has what ----
 
 
-def members(n: int, has: Callable[[int], int] = lambda i: 0, keeps: int = 6) -> list[Seen]:
-    return [Seen(f"n{i}", True, has(i), keeps) for i in range(n)]
+def members(n: int, has: Callable[[int], int] = lambda i: 0, keeps: int = 6) -> list[Candidate]:
+    return [Candidate(f"n{i}", True, has(i), keeps) for i in range(n)]
 
 
 def test_two_thousand_duties_on_a_thousand_members_spread_to_at_most_twice_the_mean() -> None:
     has: Counter[str] = Counter()
     for i in range(300):
-        seen = [Seen(f"n{j}", True, has[f"n{j}"], 6) for j in range(150)]
-        has[turn(b"%d" % i, seen, mean(seen, 3))[0]] += 1
+        seen = [Candidate(f"n{j}", True, has[f"n{j}"], 6) for j in range(150)]
+        has[preference_order(b"%d" % i, seen, fair_share(seen, 3))[0]] += 1
     assert max(has.values()) <= 2 * 300 / 150
 
 
 def test_a_lost_members_duties_move_and_no_others() -> None:
     seen = members(9)
-    before = {i: turn(b"%d" % i, seen, 100.0)[0] for i in range(200)}
-    after = {i: turn(b"%d" % i, [m for m in seen if m.seat != "n4"], 100.0)[0] for i in range(200)}
+    before = {i: preference_order(b"%d" % i, seen, 100.0)[0] for i in range(200)}
+    after = {
+        i: preference_order(b"%d" % i, [m for m in seen if m.seat != "n4"], 100.0)[0] for i in range(200)
+    }
     assert all(before[i] == after[i] or before[i] == "n4" for i in before)
 
 
 def test_the_full_and_the_unsteady_come_last_and_the_unfit_not_at_all() -> None:
     seen = [
-        Seen("a", True, 0, 6),
-        Seen("b", True, 9, 6),
-        Seen("c", False, 0, 6),
-        Seen("d", True, 0, 6, steady=False),
+        Candidate("a", True, 0, 6),
+        Candidate("b", True, 9, 6),
+        Candidate("c", False, 0, 6),
+        Candidate("d", True, 0, 6, is_stable=False),
     ]
-    assert turn(KEY, seen, 2.0) == ["a", "b", "d"]
-    assert room(0.0) == 1 and too_many(0.0) == 2 and too_many(2.0) > room(2.0)
+    assert preference_order(KEY, seen, 2.0) == ["a", "b", "d"]
+    assert capacity(0.0) == 1 and overload_threshold(0.0) == 2 and overload_threshold(2.0) > capacity(2.0)
 
 
 def test_one_that_comes_and_goes_is_left_out_for_longer_each_time() -> None:
-    steady = Steady(1_000, 16_000)
+    steady = StabilityTracker(1_000, 16_000)
     now, waits = 0, []
     for _ in range(6):
-        steady.fell(now, "a")
+        steady.record_loss(now, "a")
         start = now
-        while not steady.is_steady(now, "a"):
+        while not steady.is_stable(now, "a"):
             now += 100
         waits.append(now - start)
-    assert waits == [1_000, 2_000, 4_000, 8_000, 16_000, 16_000] and steady.is_steady(0, "b")
-    steady.fell(now + 50_000, "a")
-    assert steady.wait(steady.falls["a"][0]) == 1_000, "long ago counts no more"
+    assert waits == [1_000, 2_000, 4_000, 8_000, 16_000, 16_000] and steady.is_stable(0, "b")
+    steady.record_loss(now + 50_000, "a")
+    assert steady.backoff_us(steady.losses["a"].count) == 1_000, "long ago counts no more"
 
 
 # ---- settings, errors ----
@@ -277,38 +298,40 @@
     assert found.broken is None, str(found)
 
 
-class Blind(Step):
+class Blind(IssueToken):
     """Seeded: the term was looked at before the write, and is not part of it."""
 
-    def make(self, old: Post | None) -> Post | None:
-        return None if old is None or old.step >= self.step else self.own(old)
+    def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
+        return None if old is None or old.holder_sequence >= self.sequence else self.changed(old)
 
-    def made_in(self, found: Post | None) -> bool:
-        return found is not None and found.step >= self.step
+    def is_applied_in(self, found: LeaseRecord | None) -> bool:
+        return found is not None and found.holder_sequence >= self.sequence
 
 
-class SameTerm(Accept):
+class SameTerm(AcquireLease):
     """Seeded: the next owner goes on in the term of the last one, and counts anew."""
 
-    def make(self, old: Post | None) -> Post | None:
-        new = super().make(old)
+    def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
+        new = super().apply(old)
         if new is None or old is None:
             return new
-        return Post(new.name, new.kind, new.born, old.term, 1, new.life, new.owner, new.step)
+        return LeaseRecord(
+            new.name, new.kind, new.generation, old.term, 1, new.status, new.holder, new.holder_sequence
+        )
 
 
 @pytest.mark.parametrize(
     "how",
     [
-        {"step": Blind},
-        {"accept": SameTerm},
+        {"token_change": Blind},
+        {"acquire_change": SameTerm},
         {"compares": False},
         {"kind": "once", "early": True},
     ],
     ids=["term looked at before", "same term twice", "receiver does not compare", "effect before intent"],
 )
 def test_the_search_finds_each_seeded_mistake(how: dict[str, Any]) -> None:
-    again = (1, 0) if "step" in how else (0, 0)
+    again = (1, 0) if "token_change" in how else (0, 0)
     found = explore(Terms.held(Limits(again=again, patient=True), **how), most=60_000, deep=True)
     assert found.broken is not None, str(found)
 
@@ -323,12 +346,20 @@
 
 
 def test_seeds_find_a_state_that_is_named_before_it_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    def put(self: Library, key: Any, mark: Any, state: bytes, known: Any, until: int, then: Any) -> None:
-        for piece in cut(state).values():
-            self.shelf.keep(key, mark, piece)  # here; the others will be told some day
-        then(True)
-
-    monkeypatch.setattr(Library, "put", put)
+    def replicate(
+        self: StateReplication,
+        key: Any,
+        mark: Any,
+        state: bytes,
+        known: Any,
+        deadline_us: int,
+        callback: Any,
+    ) -> None:
+        for piece in split(state).values():
+            self.store.add(key, mark, piece)  # here; the others will be told some day
+        callback(True)
+
+    monkeypatch.setattr(StateReplication, "replicate", replicate)
     assert search(range(10), Course(seats=5, keys=0, faults=8, kinds=("kill", "forget"))) is not None
 
 
@@ -345,12 +376,12 @@
 
 
 def test_seeds_find_an_old_owner_whose_change_is_made(monkeypatch: pytest.MonkeyPatch) -> None:
-    def make(self: Own, old: Post | None) -> Post | None:
-        return None if old is None or old.life != Life.HELD.value else self.own(old)
+    def apply(self: HolderChange, old: LeaseRecord | None) -> LeaseRecord | None:
+        return None if old is None or old.status != LeaseStatus.HELD else self.changed(old)
 
-    monkeypatch.setattr(Own, "make", make)
-    monkeypatch.setattr(Own, "made_in", lambda self, found: found is not None)
-    monkeypatch.setattr(Advance, "make", make)
+    monkeypatch.setattr(HolderChange, "apply", apply)
+    monkeypatch.setattr(HolderChange, "is_applied_in", lambda self, found: found is not None)
+    monkeypatch.setattr(UpdateState, "apply", apply)
     assert search(range(20), Course(seats=5, keys=0, faults=12, kinds=("stop", "cut"))) is not None
 
 
@@ -365,20 +396,30 @@
 # ---- cases, one by one ----
 
 
-def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, Ownership]:
+def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, LeaseHolder]:
     """A fleet in which the first duty has an owner, and nothing else happens."""
     sim = DutySimulation(1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0), duties, **how)
     sim.run(2 * SECOND)
     for p in sim.processes:
         assert isinstance(p, DutyProcess)
-        if (ownership := p.participant.ownerships.get(key_of("duty-0"))) is not None:
-            return sim, p, ownership
+        if (lease := p.participant.leases.by_key.get(register_key("duty-0"))) is not None:
+            return sim, p, lease
     raise AssertionError("nobody has it")
 
 
-def answers(sim: DutySimulation, ownership: Ownership, effect: Effect, s: float = 3.0) -> Any:
+def watch_ended(leases: HeldLeases, ended: list[Any]) -> None:
+    """Notes the reason of each term that ends."""
+
+    def watched(lease: LeaseHolder, reason: DutyError | None) -> None:
+        ended.append(reason)
+        HeldLeases.ended(leases, lease, reason)
+
+    leases.ended = watched  # type: ignore[method-assign]
+
+
+def answers(sim: DutySimulation, lease: LeaseHolder, effect: Effect, s: float = 3.0) -> Any:
     got: list[Any] = []
-    ownership.do(effect, got.append)
+    lease.submit(effect, got.append)
     sim.run(sim.now + round(s * SECOND))
     assert len(got) == 1
     return got[0]
@@ -388,15 +429,17 @@
 def test_any_number_may_look_at_a_register_and_hinder_nobody(closed: bool) -> None:
     """Each of five members looks every 5 ms, while the owner changes it again and again. Where each look asks for a
     promise, they beat each other, and the owner too."""
-    sim, _, ownership = settled(seats=5)
+    sim, _, lease = settled(seats=5)
     got: dict[str, list[Any]] = {"looks": [], "changes": []}
 
     def look(p: DutyProcess) -> None:
-        p.participant.read("duty-0", got["looks"].append, state=False, closed=closed)
+        p.participant.directory.read(
+            "duty-0", got["looks"].append, state=False, after_abandoned_changes=closed
+        )
         sim.at(sim.now + 5_000, p, lambda: look(p))
 
     def change() -> None:
-        ownership.do(OnFleet(b"s"), changed)
+        lease.submit(StateUpdate(b"s"), changed)
 
     def changed(outcome: Any) -> None:
         got["changes"].append(outcome)
@@ -417,32 +460,32 @@
 
 
 def test_without_a_majority_nothing_new_is_done_and_what_was_known_is_still_told() -> None:
-    sim, owner, ownership = settled()
-    state = ownership.state
+    sim, owner, lease = settled()
+    state = lease.state
     for p in sim.processes:
         if p is not owner:
             p.stopped_until = sim.now + 4 * SECOND
-    assert isinstance(answers(sim, ownership, OnFleet(b"new"), 2.5), NoMajority)
-    known = owner.participant.known("duty-0")
+    assert isinstance(answers(sim, lease, StateUpdate(b"new"), 2.5), NoMajority)
+    known = owner.participant.directory.last_known("duty-0")
     assert isinstance(known, Reading) and known.state is not None and known.state.startswith(state)
     got: list[Any] = []
-    owner.participant.read("duty-0", got.append)
+    owner.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
     assert isinstance(got[0], NoMajority), "a read that must be current"
 
 
 def test_an_owner_that_wakes_is_told_who_has_it_and_drops_what_it_had() -> None:
-    sim, owner, ownership = settled()
+    sim, owner, lease = settled()
     ended: list[Any] = []
-    owner.participant.ended = lambda t, why: (ended.append(why), Participant.ended(owner.participant, t, why))  # type: ignore
+    watch_ended(owner.participant.leases, ended)
     owner.stopped_until = sim.now + 3 * SECOND
     pending: list[Any] = []
-    ownership.do(OnFleet(b"what was under way"), pending.append)
+    lease.submit(StateUpdate(b"what was under way"), pending.append)
     sim.run(sim.now + 5 * SECOND)
     (why,) = ended
-    assert isinstance(why, Superseded) and why.term < why.by_term and ownership.state == b""
-    assert len(pending) == 1 and not owner.participant._workers.get(ownership.key)
-    assert isinstance(answers(sim, ownership, OnFleet(b"late")), Superseded)
+    assert isinstance(why, Superseded) and why.term < why.by_term and lease.state == b""
+    assert len(pending) == 1 and not owner.participant.leases.workers.get(lease.key)
+    assert isinstance(answers(sim, lease, StateUpdate(b"late")), Superseded)
 
 
 def test_a_duty_whose_owners_are_lost_one_after_another_is_put_aside_until_an_operator_says_so() -> None:
@@ -453,7 +496,9 @@
         found = [
             p
             for p in sim.processes
-            if isinstance(p, DutyProcess) and p.alive and key_of("duty-0") in p.participant.ownerships
+            if isinstance(p, DutyProcess)
+            and p.alive
+            and register_key("duty-0") in p.participant.leases.by_key
         ]
         sim.processes[owner.seat] = sim.born(owner.seat, remembers=True)
         if not found:
@@ -461,63 +506,70 @@
         owner = found[0]
     live = next(p for p in sim.processes if p.alive and isinstance(p, DutyProcess))
     got: list[Any] = []
-    live.participant.read("duty-0", got.append)
+    live.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
-    assert got[0].post.life == Life.ASIDE.value and "owners were lost" in got[0].post.why
-    live.participant.resume("duty-0", got.append)
+    assert (
+        got[0].record.status == LeaseStatus.SUSPENDED
+        and "owners were lost" in got[0].record.suspension_reason
+    )
+    live.participant.directory.resume("duty-0", got.append)
     sim.run(sim.now + 3 * SECOND)
     assert any(
-        key_of("duty-0") in p.participant.ownerships for p in sim.processes if isinstance(p, DutyProcess)
+        register_key("duty-0") in p.participant.leases.by_key
+        for p in sim.processes
+        if isinstance(p, DutyProcess)
     )
 
 
 def test_a_receiver_that_knows_more_than_the_registers_puts_the_duty_aside_and_resumed_it_goes_above() -> (
     None
 ):
-    sim, owner, ownership = settled()
-    sim.facts["duty-0"].highest = Fence(ownership.post.born + 10, 1, 1)
+    sim, owner, lease = settled()
+    sim.histories["duty-0"].highest = FencingToken(lease.record.generation + 10, 1, 1)
     ended: list[Any] = []
-    owner.participant.ended = lambda t, why: (ended.append(why), Participant.ended(owner.participant, t, why))  # type: ignore
+    watch_ended(owner.participant.leases, ended)
     sim.run(sim.now + 3 * SECOND)
     assert isinstance(ended[0], Forgotten)
-    before = len(sim.facts["duty-0"].taken)
-    owner.participant.resume("duty-0", lambda got: None)
+    before = len(sim.histories["duty-0"].accepted)
+    owner.participant.directory.resume("duty-0", lambda got: None)
     sim.run(sim.now + 5 * SECOND)
-    assert len(sim.facts["duty-0"].taken) > before
+    assert len(sim.histories["duty-0"].accepted) > before
 
 
 def test_bounds_of_states_intents_and_names_are_refused_with_their_figure() -> None:
-    sim, owner, ownership = settled()
-    too_large = answers(sim, ownership, OnFleet(b"x" * (POLICY.state_bytes + 1)))
+    sim, owner, lease = settled()
+    too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.state_bytes + 1)))
     assert isinstance(too_large, OverBudget) and str(POLICY.state_bytes) in str(too_large)
-    assert isinstance(answers(sim, ownership, Once("s", b"x" * 513, Settle.TELL)), OverBudget)
+    assert isinstance(
+        answers(sim, lease, IntentRequest("s", b"x" * 513, Settlement.ASK_OPERATOR)), OverBudget
+    )
     got: list[Any] = []
-    owner.participant.create("x" * 200, "test", got.append)
-    owner.participant.read("nobody-made-it", got.append)
+    owner.participant.directory.create("x" * 200, "test", got.append)
+    owner.participant.directory.read("nobody-made-it", got.append)
     sim.run(sim.now + SECOND)
     assert isinstance(got[0], OverBudget) and isinstance(got[1], Unknown)
 
 
 def test_a_large_state_is_kept_in_pieces_and_a_damaged_one_is_made_whole_from_others() -> None:
-    sim, owner, ownership = settled(seats=3)
-    large = bytes(range(256)) * (6 * PIECE // 256)
-    owner.participant._workers[ownership.key].stop(None)
-    answers(sim, ownership, OnFleet(large))
+    sim, owner, lease = settled(seats=3)
+    large = bytes(range(256)) * (6 * CHUNK_BYTES // 256)
+    owner.participant.leases.workers[lease.key].stop(None)
+    answers(sim, lease, StateUpdate(large))
     keeper = next(p for p in sim.processes if p is not owner and isinstance(p, DutyProcess))
-    name = order(large)[0]
-    keeper.participant.shelf.by_key[ownership.key][name] = b"damaged"
-    assert keeper.participant.shelf.find(ownership.key, name) is None
-    keeper.participant.recalled()
+    name = chunk_names(large)[0]
+    keeper.participant.store.chunks[lease.key][name] = b"damaged"
+    assert keeper.participant.store.find(lease.key, name) is None
+    keeper.participant.repair_restored()
     sim.run(sim.now + SECOND)
-    assert keeper.participant.shelf.find(ownership.key, name) is not None
-    keeper.participant.library.fetched("n0", Fetched(ownership.key, name, b"not it"))
+    assert keeper.participant.store.find(lease.key, name) is not None
+    keeper.participant.replication.on_chunk_fetched("n0", ChunkFetched(lease.key, name, b"not it"))
     assert sim.history.counts["duties: a damaged piece from another"] == 1
     owner.alive = False
     sim.run(sim.now + 3 * SECOND)
     (then,) = [
-        p.participant.ownerships[ownership.key]
+        p.participant.leases.by_key[lease.key]
         for p in sim.processes
-        if p.alive and isinstance(p, DutyProcess) and ownership.key in p.participant.ownerships
+        if p.alive and isinstance(p, DutyProcess) and lease.key in p.participant.leases.by_key
     ]
     assert then.state[: len(large)] == large
 
@@ -526,58 +578,60 @@
     sim, owner, _ = settled(seats=4, duties=4)
     owner.away = True
     sim.run(sim.now + 4 * SECOND)
-    assert not owner.participant.ownerships and sim.history.counts["duties: given up"] >= 1
-    facts = sim.facts["duty-0"]
-    assert sim.wrong() is None and facts.acknowledged, "a last state was handed on"
+    assert not owner.participant.leases.by_key and sim.history.counts["duties: given up"] >= 1
+    history = sim.histories["duty-0"]
+    assert sim.wrong() is None and history.acknowledged, "a last state was handed on"
     owner.away = False
     sim.run(sim.now + 2 * SECOND)
     assert sim.wrong() is None
 
 
 def test_a_duty_taken_away_has_no_owner_and_made_anew_is_another() -> None:
-    sim, owner, ownership = settled()
+    sim, owner, lease = settled()
     got: list[Any] = []
-    owner.participant.remove("duty-0", got.append)
+    owner.participant.directory.remove("duty-0", got.append)
     sim.run(sim.now + 2 * SECOND)
-    assert got[0].life == Life.GONE.value and ownership.stage is ownership_module.Stage.OVER
-    owner.participant.read("duty-0", got.append)
+    assert got[0].status == LeaseStatus.REMOVED and lease.stage is lease_holder.Stage.ENDED
+    owner.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
-    owner.participant.create("duty-0", "test", got.append)
+    owner.participant.directory.create("duty-0", "test", got.append)
     sim.run(sim.now + 3 * SECOND)
-    assert isinstance(got[1], Unknown) and got[2].born > got[0].born
+    assert isinstance(got[1], Unknown) and got[2].generation > got[0].generation
     assert any(
-        key_of("duty-0") in p.participant.ownerships for p in sim.processes if isinstance(p, DutyProcess)
+        register_key("duty-0") in p.participant.leases.by_key
+        for p in sim.processes
+        if isinstance(p, DutyProcess)
     )
 
 
 def test_an_idle_owner_passed_over_hears_of_it_though_it_makes_no_change() -> None:
     class Idle(DutyProcess):
-        def work(self, ownership: Ownership) -> None:
+        def work(self, lease: LeaseHolder) -> None:
             return None
 
-    sim, owner, ownership = settled(seats=5, process=Idle)
+    sim, owner, lease = settled(seats=5, process=Idle)
     taker = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me not in sim.seats.keepers(ownership.key)
+        if isinstance(p, DutyProcess) and p is not owner and p.node.me not in sim.seats.keepers(lease.key)
     )
-    taker.participant._offered(
-        "n0", Offer(ownership.key, ownership.post.born, ownership.post.term, False, True)
+    taker.participant.leases.on_offer(
+        "n0", LeaseOffer(lease.key, lease.record.generation, lease.record.term, False, True)
     )
     sim.run(sim.now + SECOND)
-    assert ownership.key in taker.participant.ownerships and ownership.key not in owner.participant.ownerships
+    assert lease.key in taker.participant.leases.by_key and lease.key not in owner.participant.leases.by_key
 
 
 def test_an_owner_that_was_never_heard_is_not_taken_for_unfit() -> None:
-    sim, owner, ownership = settled(seats=5)
+    sim, owner, lease = settled(seats=5)
     keeper = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.seats.keepers(ownership.key)
+        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.seats.keepers(lease.key)
     )
     member = keeper.node.members.by_seat[owner.node.me]
     member.state, member.told = State.UNKNOWN, Word()
     for _ in range(2):
-        keeper.participant.tending.look()
+        keeper.participant.election.check_holders()
         sim.now += 10 * SECOND
-    assert not keeper.participant.tending._unfit
+    assert not keeper.participant.election._unfit_since_us
--- a/tests/test_duties_real.py
+++ b/tests/test_duties_real.py
@@ -20,7 +20,7 @@
 
 from moorusher.lab.receiver import Book, Receiver
 from moorusher.lab.relays import Relay
-from moorusher.leadership.fencing_token import Fence
+from moorusher.leadership.fencing_token import FencingToken
 
 from .fleets import Fleet, fleet
 from .stand_ins import HOST, Kernel, reactor, until
@@ -273,13 +273,16 @@
             w.fleet.again(i)
         await has(lambda: w.term > term)
         first = next(t for t in w.receiver.took if t.fence.term > term)
-        assert first.fence.born == w.receiver.took[0].fence.born and first.body["reports"] >= before - 6
+        assert (
+            first.fence.generation == w.receiver.took[0].fence.generation
+            and first.body["reports"] >= before - 6
+        )
 
 
 @sockets
 async def test_a_fleet_that_lost_its_memory_does_nothing_until_an_operator_says_so() -> None:
     async with watched(3) as w:
-        born = w.receiver.took[-1].fence.born
+        born = w.receiver.took[-1].fence.generation
         for i in range(3):
             w.fleet.kill(i)
         await w.fleet.gone()
@@ -292,7 +295,7 @@
         assert len(w.receiver.took) == seen and (await w.ask(0))[0] == 503
         await w.fleet.begin()
         await w.goes_on()
-        assert w.receiver.took[-1].fence > Fence(born, 1 << 30, 1 << 30)
+        assert w.receiver.took[-1].fence > FencingToken(born, 1 << 30, 1 << 30)
 
 
 @sockets
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -17,8 +17,9 @@
 from moorusher.config_distribution.messages import At, Cast, Compare, Covered, Differ, Heard
 from moorusher.config_distribution.publisher import Publisher
 from moorusher.config_distribution.replica import GONE, Replica
-from moorusher.leadership.effects import Fence, Made, Outcome
+from moorusher.leadership.effects import Completed, Outcome
 from moorusher.leadership.errors import NoMajority, Superseded
+from moorusher.leadership.fencing_token import FencingToken
 from moorusher.model_checking import publish_simulation as check
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.publish_interleavings import Publishes
@@ -93,21 +94,21 @@
         self.outcomes = list(outcomes)
         self.register, self.reads, self.told = Book("acme"), 0, list[At]()
         self.name, self.state = "namespace/acme", b""
-        self.post: Any = self
-        self.born = 7
+        self.record: Any = self
+        self.generation = 7
 
-    def do(self, effect: Any, then: Callable[[Outcome], None]) -> None:
+    def submit(self, effect: Any, then: Callable[[Outcome], None]) -> None:
         told, made = self.outcomes.pop(0) if self.outcomes else (True, True)
         if made:
             self.register = unpack(effect.state, "acme")
-        then(Made(Fence(7, 1, 1)) if told else NoMajority(self.name))
+        then(Completed(FencingToken(7, 1, 1)) if told else NoMajority(self.name))
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
 
     def book(self, customer: str, then: Callable[[Any], None]) -> None:
         self.reads += 1
-        then((self.born, self.register))
+        then((self.generation, self.register))
 
     def published(self, customer: str, at: At, draft: bytes) -> None:
         self.told.append(at)
@@ -141,7 +142,7 @@
     there = ReplicaHost()
     publisher, got = Publisher(there, there), list[Any]()  # type: ignore[arg-type]
     publisher.start()
-    there.do = lambda effect, then: None  # type: ignore[method-assign]
+    there.submit = lambda effect, then: None  # type: ignore[method-assign]
     publisher.submit(submission("a"), got.append)
     publisher.submit(submission("b"), got.append)
     publisher.stop(Superseded("namespace/acme", 1, None, 2))
@@ -370,8 +371,8 @@
 
 
 class GoesOnUnsure(Replica):
-    def work(self, ownership: Any) -> Publisher:
-        made = self.publishers[ownership.name] = Twice(ownership, self)
+    def work(self, lease: Any) -> Publisher:
+        made = self.publishers[lease.name] = Twice(lease, self)
         return made
 
 
@@ -379,20 +380,20 @@
     """Says that it is published before a majority has taken it."""
 
     def _publish(self, book: Book, s: Submission, draft: bytes) -> None:
-        do = self.ownership.do
+        submit = self.lease.submit
 
-        def early(effect: Any, then: Callable[[Outcome], None]) -> None:
-            do(effect, lambda outcome: None)
-            then(Made(None))  # type: ignore[arg-type]
+        def early(effect: Any, callback: Callable[[Outcome], None]) -> None:
+            submit(effect, lambda outcome: None)
+            callback(Completed(None))  # type: ignore[arg-type]
 
-        self.ownership.do = early  # type: ignore[method-assign]
+        self.lease.submit = early  # type: ignore[method-assign]
         super()._publish(book, s, draft)
-        self.ownership.do = do  # type: ignore[method-assign]
+        self.lease.submit = submit  # type: ignore[method-assign]
 
 
 class SaysItEarly(Replica):
-    def work(self, ownership: Any) -> Publisher:
-        made = self.publishers[ownership.name] = Early(ownership, self)
+    def work(self, lease: Any) -> Publisher:
+        made = self.publishers[lease.name] = Early(lease, self)
         return made
 
 
@@ -409,8 +410,8 @@
 
 
 class ForgetsIds(Replica):
-    def work(self, ownership: Any) -> Publisher:
-        made = self.publishers[ownership.name] = Forgetful(ownership, self)
+    def work(self, lease: Any) -> Publisher:
+        made = self.publishers[lease.name] = Forgetful(lease, self)
         return made
 
 
