--- a/moorusher/admin/leadership.py
+++ b/moorusher/admin/leadership.py
@@ -15,7 +15,7 @@
 from ..core.clock import MS
 from ..leadership.errors import DutyError
 from ..leadership.lease_holder import LeaseHolder
-from ..leadership.lease_record import Intent, LeaseStatus, Settlement
+from ..leadership.lease_record import Intent, IntentResolution, LeaseStatus
 from .api import Guarded, later, reply
 
 MAX_NUMBER_DIGITS = 18
@@ -59,7 +59,7 @@
     def _settle(self, request: Any, name: str, intent_revision: int, verdict: str) -> Any:
         return later(
             request,
-            lambda answer: self._duties.settle(name, intent_revision, verdict, _as_document(answer)),
+            lambda answer: self._duties.resolve_intent(name, intent_revision, verdict, _as_document(answer)),
         )
 
 
@@ -114,7 +114,7 @@
         "term": intent.term,
         "to": intent.receiver,
         "what": intent.payload.decode("utf-8", "replace"),
-        "settle": Settlement(intent.settlement).api_name,
+        "settle": IntentResolution(intent.resolution).api_name,
     }
 
 
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -192,7 +192,9 @@
         self.core.touch()
         self.participant.directory.resume(name, self._snapshot_to(callback))
 
-    def settle(self, name: str, intent_revision: int, verdict: str, callback: SnapshotCallback) -> None:
+    def resolve_intent(
+        self, name: str, intent_revision: int, verdict: str, callback: SnapshotCallback
+    ) -> None:
         """Close an open intent. `verdict`: what the operator has found; it is logged only."""
         self.core.touch()
         log.warning(
@@ -201,7 +203,7 @@
             intent_revision,
             verdict,
         )
-        self.participant.directory.settle(name, intent_revision, self._snapshot_to(callback))
+        self.participant.directory.resolve_intent(name, intent_revision, self._snapshot_to(callback))
 
     def _snapshot_to(self, callback: SnapshotCallback) -> Callable[[LeaseRecord | DutyError], None]:
         def got(result: LeaseRecord | DutyError) -> None:
--- a/moorusher/leadership/__init__.py
+++ b/moorusher/leadership/__init__.py
@@ -10,7 +10,7 @@
 | `lease_record`, `lease_transitions` | the value of a duty's register, and every change that may be made to it |
 | `election`, `candidates` | which member is offered a duty that needs a leader |
 | `held_leases`, `lease_holder` | the leader's side: accepts offers, holds one lease for one term, releases it |
-| `effects`, `effect_executor`, `intent_settlement`, `fencing_token` | what a leader does outside, and what fences it |
+| `effects`, `effect_executor`, `intent_resolution`, `fencing_token` | what a leader does outside, and what fences it |
 | `state_replication`, `chunks`, `journal` | the state of a duty among its replicas |
 | `directory` | creates, reads and removes duties from any member |
 | `participant` | composes one member's part |
--- a/moorusher/leadership/directory.py
+++ b/moorusher/leadership/directory.py
@@ -13,9 +13,9 @@
 from .held_leases import HeldLeases
 from .journal import DutyAcceptor
 from .lease_record import MAX_NAME_BYTES, LeaseRecord, LeaseStatus, decode_record, register_key
-from .lease_transitions import Change, Create, Read, Remove, Resume, SettleIntent
+from .lease_transitions import Change, Create, Read, Remove, ResolveIntent, Resume
 from .services import MemberServices
-from .state_replication import StateReplication
+from .state_fetching import StateFetching
 
 FETCH_TIMEOUT_US = 2_000 * MS  # for a state that is read
 
@@ -48,13 +48,13 @@
         services: MemberServices,
         election: Election,
         leases: HeldLeases,
-        replication: StateReplication,
+        fetching: StateFetching,
         acceptor: DutyAcceptor,
     ) -> None:
         self._services = services
         self._election = election
         self._leases = leases
-        self._replication = replication
+        self._fetching = fetching
         self._acceptor = acceptor
         self._declared: list[DeclaredDuty] = []
 
@@ -106,13 +106,13 @@
         """Let a suspended duty go on. Errors: Unknown, NoMajority, Busy."""
         self._change(name, Resume(), _is_not_suspended, callback)
 
-    def settle(self, name: str, intent_revision: int, callback: RecordCallback) -> None:
+    def resolve_intent(self, name: str, intent_revision: int, callback: RecordCallback) -> None:
         """Close an open intent, on an operator's statement. Errors: Unknown, NoMajority, Busy."""
 
         def is_closed(record: LeaseRecord) -> bool:
             return all(intent.revision != intent_revision for intent in record.intents)
 
-        self._change(name, SettleIntent(intent_revision), is_closed, callback)
+        self._change(name, ResolveIntent(intent_revision), is_closed, callback)
 
     def read(
         self, name: str, callback: ReadingCallback, state: bool = True, after_abandoned_changes: bool = False
@@ -150,7 +150,7 @@
                 callback(Reading(record, state))
 
         deadline_us = self._services.now() + FETCH_TIMEOUT_US
-        self._replication.fetch(register_key(name), version, deadline_us, fetched)
+        self._fetching.fetch(register_key(name), version, deadline_us, fetched)
 
     def last_known(self, name: str) -> Reading | DutyError:
         """Return what this member knows without asking others; it may be out of date."""
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -17,8 +17,8 @@
 )
 from .errors import Busy, Forgotten, NoMajority, OverBudget, Unreached
 from .fencing_token import FencingToken
+from .holder_changes import IssueToken, Suspend, UpdateState
 from .lease_record import LeaseRecord
-from .lease_transitions import IssueToken, Suspend, UpdateState
 
 if TYPE_CHECKING:
     from .lease_holder import LeaseHolder
@@ -63,7 +63,9 @@
                 return
             if not by_majority:
                 return lease.finish(NoMajority(lease.name))
-            lease.change(changed, UpdateState, record.revision, len(state), chunk_names(state), max_versions)
+            lease.register.change(
+                changed, UpdateState, record.revision, len(state), chunk_names(state), max_versions
+            )
 
         def changed(outcome: Outcome) -> None:
             if isinstance(outcome, Busy) and attempt < MAX_ATTEMPTS:
@@ -92,7 +94,7 @@
                 return self.lease.finish(outcome)
             return self.send_fenced(request, outcome.token, 1)
 
-        self.lease.change(issued, IssueToken)
+        self.lease.register.change(issued, IssueToken)
 
     def send_fenced(self, request: FencedRequest, token: FencingToken, attempt: int) -> None:
         """Send a request, and again with the same token if there is no answer: the receiver counts it once."""
@@ -123,7 +125,7 @@
                 return lease.finish(Busy(f"{lease.name}: overtaken by a later change of its own"))
             return self._suspend(receiver, highest, found)
 
-        lease.verify(verified)
+        lease.register.verify(verified)
 
     def _suspend(self, receiver: str, highest: FencingToken, found: LeaseRecord) -> None:
         lease = self.lease
@@ -136,4 +138,4 @@
         def suspended(outcome: Outcome) -> None:
             lease.end(Forgotten(f"{lease.name}: {reason}"))
 
-        lease.change(suspended, Suspend, reason, highest.generation + 1)
+        lease.register.change(suspended, Suspend, reason, highest.generation + 1)
--- a/moorusher/leadership/effects.py
+++ b/moorusher/leadership/effects.py
@@ -11,7 +11,7 @@
 
 from .errors import DutyError
 from .fencing_token import FencingToken
-from .lease_record import Settlement
+from .lease_record import IntentResolution
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +41,12 @@
     """A request to a receiver that can't compare tokens: the intent is recorded by a majority first.
 
     payload: bytes, at most `lease_record.MAX_INTENT_BYTES`.
-    settlement: how a later leader finds the outcome, if this one does not report it.
+    resolution: how a later leader finds the outcome, if this one does not report it.
     """
 
     receiver: str
     payload: bytes
-    settlement: Settlement
+    resolution: IntentResolution
 
 
 Effect = StateUpdate | DeferredStateUpdate | FencedRequest | IntentRequest
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -16,6 +16,7 @@
 from .messages import LeaseOffer, LeaseTaken, OfferDeclined
 from .policy import Policy
 from .services import MemberServices
+from .state_fetching import StateFetching
 from .state_replication import StateReplication
 from .worker import EffectReceivers, Worker
 
@@ -37,6 +38,7 @@
         services: MemberServices,
         election: Election,
         replication: StateReplication,
+        fetching: StateFetching,
         receivers: EffectReceivers,
         policy: Policy,
         create_worker: Callable[[LeaseHolder], Worker | None],
@@ -49,7 +51,7 @@
         self._policy = policy
         self._create_worker = create_worker
         self._lease_holder_class = lease_holder_class
-        self._context = LeaderContext(services, replication, receivers, policy, self)
+        self._context = LeaderContext(services, replication, fetching, receivers, policy, self)
         self._acquiring: set[Key] = set()
         self._last_move_us = 0
 
--- /dev/null
+++ b/moorusher/leadership/holder_changes.py
@@ -0,0 +1,209 @@
+"""Changes of a lease record that only its leader makes. Each makes nothing once the lease is held in another term."""
+
+from __future__ import annotations
+
+from ..replication.work_record import Owner
+from .lease_record import Intent, IntentResolution, LeaseRecord, LeaseStatus, StateVersion
+from .lease_transitions import Change, intents_without, next_revision
+
+
+class HolderChange(Change):
+    """A change by the leader in its term: the `sequence`th that it makes.
+
+    owner: the process that holds the lease.
+    generation, term: int, that the lease is held for.
+    allowed_while_releasing: bool, of the kind of change.
+    """
+
+    allowed_while_releasing = False
+
+    def __init__(self, owner: Owner, generation: int, term: int, sequence: int) -> None:
+        self.owner = owner
+        self.generation = generation
+        self.term = term
+        self.sequence = sequence
+
+    def is_applied_in(self, record: LeaseRecord | None) -> bool:
+        """Whether that record holds this change, or a later one of the same term."""
+        return record is not None and self._is_holder(record) and record.holder_sequence >= self.sequence
+
+    def _is_holder(self, record: LeaseRecord) -> bool:
+        return (record.generation, record.term, record.holder) == (self.generation, self.term, self.owner)
+
+    def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
+        """Return the changed record, or None if the lease is not held any more or the change was made already."""
+        if record is None or not self._is_holder(record) or record.holder_sequence >= self.sequence:
+            return None
+        is_releasing = record.status == LeaseStatus.RELEASING
+        if record.status == LeaseStatus.HELD or (self.allowed_while_releasing and is_releasing):
+            return self.changed(record)
+        return None
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Return the record after this change. Called only if the lease is held."""
+        return next_revision(record, holder_sequence=self.sequence)
+
+
+class IssueToken(HolderChange):
+    """Makes a new revision: the fencing token of one request to a receiver."""
+
+
+class ClearLostLeaders(HolderChange):
+    """The leader has held the duty for long enough: earlier losses are not the duty's fault."""
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Reset the count of lost leaders."""
+        return next_revision(record, holder_sequence=self.sequence, lost_leaders=0)
+
+
+class UpdateState(HolderChange):
+    """Names a new version of the state, whose chunks a majority has stored.
+
+    base_revision: int, the record must have it: the chunks are marked for the revision that follows, and no other.
+    size: int, bytes.
+    chunks: digests, in order.
+    max_versions: int, that are kept.
+    """
+
+    allowed_while_releasing = True
+
+    def __init__(
+        self,
+        owner: Owner,
+        generation: int,
+        term: int,
+        sequence: int,
+        base_revision: int,
+        size: int,
+        chunks: tuple[bytes, ...],
+        max_versions: int,
+    ) -> None:
+        super().__init__(owner, generation, term, sequence)
+        self.base_revision = base_revision
+        self.size = size
+        self.chunks = chunks
+        self.max_versions = max_versions
+
+    def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
+        """Return the changed record, or None if another revision came between."""
+        if record is None or record.revision != self.base_revision:
+            return None
+        return super().apply(record)
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Put the new version first, and drop the oldest beyond `max_versions`."""
+        version = StateVersion(record.revision + 1, self.size, self.chunks)
+        versions = (version, *record.versions)[: self.max_versions]
+        return next_revision(record, holder_sequence=self.sequence, versions=versions)
+
+
+class AddIntent(HolderChange):
+    """Chooses an effect before it is made, at a receiver that can't compare fencing tokens."""
+
+    def __init__(
+        self,
+        owner: Owner,
+        generation: int,
+        term: int,
+        sequence: int,
+        receiver: str,
+        payload: bytes,
+        resolution: IntentResolution,
+    ) -> None:
+        super().__init__(owner, generation, term, sequence)
+        self.receiver = receiver
+        self.payload = payload
+        self.resolution = resolution
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Add the intent under the new revision."""
+        intent = Intent(record.revision + 1, self.term, self.receiver, self.payload, self.resolution)
+        return next_revision(record, holder_sequence=self.sequence, intents=(*record.intents, intent))
+
+
+class CloseIntent(HolderChange):
+    """The outcome of an intent is known: it was done, or never will be."""
+
+    allowed_while_releasing = True
+
+    def __init__(self, owner: Owner, generation: int, term: int, sequence: int, intent_revision: int) -> None:
+        super().__init__(owner, generation, term, sequence)
+        self.intent_revision = intent_revision
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Remove the intent."""
+        return next_revision(
+            record, holder_sequence=self.sequence, intents=intents_without(record, self.intent_revision)
+        )
+
+
+class BeginRelease(HolderChange):
+    """The leader starts nothing new: it is about to release the lease."""
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Set the status."""
+        return next_revision(record, holder_sequence=self.sequence, status=LeaseStatus.RELEASING)
+
+
+class ReleaseLease(HolderChange):
+    """Gives the lease up. `offered_to`: the seat that is offered it first; empty for any candidate."""
+
+    allowed_while_releasing = True
+
+    def __init__(self, owner: Owner, generation: int, term: int, sequence: int, offered_to: str) -> None:
+        super().__init__(owner, generation, term, sequence)
+        self.offered_to = offered_to
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Free the lease; a release in order is no loss."""
+        return next_revision(
+            record,
+            holder_sequence=self.sequence,
+            status=LeaseStatus.OFFERED if self.offered_to else LeaseStatus.VACANT,
+            holder=None,
+            offered_to=self.offered_to,
+            lost_leaders=0,
+        )
+
+    def is_applied_in(self, record: LeaseRecord | None) -> bool:
+        """Whether the lease is free or was taken by another since."""
+        if record is None or record.generation != self.generation:
+            return False
+        return record.term > self.term or (record.term == self.term and record.needs_leader)
+
+
+class Suspend(HolderChange):
+    """The duty waits for an operator.
+
+    reason: str, for the operator.
+    resume_generation: int, the least generation that it gets when it is resumed.
+    """
+
+    allowed_while_releasing = True
+
+    def __init__(
+        self, owner: Owner, generation: int, term: int, sequence: int, reason: str, resume_generation: int
+    ) -> None:
+        super().__init__(owner, generation, term, sequence)
+        self.reason = reason
+        self.resume_generation = resume_generation
+
+    def changed(self, record: LeaseRecord) -> LeaseRecord:
+        """Free the lease and note the reason."""
+        return next_revision(
+            record,
+            holder_sequence=self.sequence,
+            status=LeaseStatus.SUSPENDED,
+            holder=None,
+            suspension_reason=self.reason,
+            resume_generation=self.resume_generation,
+        )
+
+    def is_applied_in(self, record: LeaseRecord | None) -> bool:
+        """Whether the duty is suspended in this term."""
+        return (
+            record is not None
+            and record.generation == self.generation
+            and record.term == self.term
+            and record.status == LeaseStatus.SUSPENDED
+        )
--- a/moorusher/leadership/intent_settlement.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -1,4 +1,4 @@
-"""Intents of one lease: recorded before the effect, sent, and settled if no outcome was reported."""
+"""Intents of one lease: recorded before the effect, sent, and resolved if no outcome was reported."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .effects import Completed, IntentRequest, Outcome, ReceiverResponse
 from .errors import Busy, OverBudget, Uncertain
 from .fencing_token import FencingToken
-from .lease_record import Intent, Settlement
-from .lease_transitions import AddIntent, CloseIntent
+from .holder_changes import AddIntent, CloseIntent
+from .lease_record import Intent, IntentResolution
 from .serial_queue import ignore_outcome
 
 if TYPE_CHECKING:
@@ -19,14 +19,14 @@
 RETRY_US = 1_000 * MS
 
 
-class IntentSettlement:
+class IntentResolver:
     """The intents of one lease: those of this term, and those that an earlier leader has left open.
 
-    on_settled: called with an intent that was left open and whether it was done.
+    on_resolved: called with an intent that was left open and whether it was done.
     """
 
     def __init__(self, lease: LeaseHolder) -> None:
-        self.on_settled: Callable[[Intent, bool], None] = lambda intent, done: None
+        self.on_resolved: Callable[[Intent, bool], None] = lambda intent, done: None
         self._lease = lease
         self._in_progress: set[int] = set()  # revisions of intents whose outcome is being found out
         self._sent: set[int] = set()  # revisions of intents that this term has sent
@@ -48,7 +48,9 @@
                 return lease.finish(Busy(f"{lease.name}: an operator has settled it at once"))
             return self._send(intent, outcome.token)
 
-        return lease.change(recorded, AddIntent, request.receiver, request.payload, request.settlement)
+        return lease.register.change(
+            recorded, AddIntent, request.receiver, request.payload, request.resolution
+        )
 
     def _find_unsent(self, request: IntentRequest) -> Intent | None:
         wanted = (self._lease.record.term, request.receiver, request.payload)
@@ -72,7 +74,7 @@
             return
         self._in_progress.discard(intent.revision)
         if not response.answered:
-            self.settle_open()
+            self.resolve_open()
             return lease.finish(
                 Uncertain(f"{lease.name}: {intent.receiver} has not said whether {intent.revision} was done")
             )
@@ -82,28 +84,28 @@
                 self._sent.discard(intent.revision)
             # The receiver has answered, whatever became of the note that the intent is closed.
             lease.finish(Completed(token, response.body, response.done))
-            self.settle_open()
+            self.resolve_open()
 
-        return lease.change(closed, CloseIntent, intent.revision)
+        return lease.register.change(closed, CloseIntent, intent.revision)
 
     # ---- those that were left open, by an earlier leader or by a receiver that did not answer ----
 
-    def settle_open(self) -> None:
+    def resolve_open(self) -> None:
         """Find out the outcome of every open intent whose kind allows it."""
         for intent in self._lease.record.intents:
             if intent.revision in self._in_progress:
                 continue
             was_never_sent = self._was_never_sent(intent)
-            if intent.settlement == Settlement.ASK_OPERATOR and not was_never_sent:
+            if intent.resolution == IntentResolution.ASK_OPERATOR and not was_never_sent:
                 continue
             self._in_progress.add(intent.revision)
-            self._settle(intent, was_never_sent)
+            self._resolve(intent, was_never_sent)
 
     def _was_never_sent(self, intent: Intent) -> bool:
         """It was chosen after its caller had been told that no majority answers: it was not sent, nor will it be."""
         return intent.term == self._lease.record.term and intent.revision not in self._sent
 
-    def _settle(self, intent: Intent, was_never_sent: bool) -> None:
+    def _resolve(self, intent: Intent, was_never_sent: bool) -> None:
         lease = self._lease
         receivers = lease.context.receivers
 
@@ -111,12 +113,12 @@
             if lease.is_ended:
                 return
             if not response.answered:
-                return lease.after(RETRY_US, lambda: self._settle(intent, was_never_sent=False))
+                return lease.after(RETRY_US, lambda: self._resolve(intent, was_never_sent=False))
             self._close(intent, response.done)
 
         if was_never_sent:
             responded(ReceiverResponse(answered=True, done=False))
-        elif intent.settlement == Settlement.REPEAT:
+        elif intent.resolution == IntentResolution.REPEAT:
             receivers.send_intent(intent.receiver, lease.name, intent, responded)
         else:
             receivers.ask_intent(intent.receiver, lease.name, intent, responded)
@@ -128,10 +130,10 @@
             if isinstance(outcome, Completed):
                 lease.context.services.count("duties: an open intent settled")
                 self._sent.discard(intent.revision)
-                self.on_settled(intent, done)
+                self.on_resolved(intent, done)
             else:
                 self._in_progress.discard(intent.revision)
-                lease.context.services.after(RETRY_US, self.settle_open)
+                lease.context.services.after(RETRY_US, self.resolve_open)
             lease.finish(outcome)
 
-        lease.enqueue(lambda: lease.change(closed, CloseIntent, intent.revision), ignore_outcome)
+        lease.enqueue(lambda: lease.register.change(closed, CloseIntent, intent.revision), ignore_outcome)
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -9,21 +9,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any, Protocol
+from typing import Protocol
 
 from ..membership.failure_detector import MS
-from ..replication.proposer import Done, Hold
+from ..replication.proposer import Hold
 from ..replication.work_record import Key
 from .effect_executor import EffectExecutor
 from .effects import Completed, Effect, IntentRequest, Outcome, OutcomeCallback
-from .errors import Busy, Damaged, DutyError, NoMajority, OverBudget, Superseded
-from .fencing_token import FencingToken
-from .intent_settlement import IntentSettlement
-from .lease_record import MAX_INTENT_BYTES, LeaseRecord, LeaseStatus, decode_record
-from .lease_transitions import BeginRelease, ClearLostLeaders, HolderChange, Read, ReleaseLease
+from .errors import Busy, Damaged, DutyError, OverBudget, Superseded
+from .holder_changes import BeginRelease, ClearLostLeaders, ReleaseLease
+from .intent_resolution import IntentResolver
+from .lease_record import MAX_INTENT_BYTES, LeaseRecord, LeaseStatus
+from .lease_register import LeaseRegister
 from .policy import Policy
 from .serial_queue import SerialQueue, ignore_outcome
 from .services import MemberServices
+from .state_fetching import StateFetching
 from .state_replication import StateReplication
 from .worker import EffectReceivers
 
@@ -57,6 +58,7 @@
 
     services: MemberServices
     replication: StateReplication
+    fetching: StateFetching
     receivers: EffectReceivers
     policy: Policy
     observer: LeaseObserver
@@ -66,8 +68,7 @@
     """One duty at its leader, for one term.
 
     key: of the duty's register.
-    record: the lease record, as last read.
-    owner: the process that holds the lease.
+    register: of the lease; changes it.
     stage: Stage.
     state: bytes, the duty's state as last acknowledged by a majority.
     since_us: int, when the lease was acquired.
@@ -81,20 +82,15 @@
         """`hold`: the promise that came with the acquisition; spares a round for the first change."""
         self.context = context
         self.key = key
-        self.record = record
-        self.owner = context.services.owner
+        self.register = LeaseRegister(context.services, key, record, hold, self.superseded)
         self.stage = Stage.STARTING
         self.state = b""
         self.since_us = context.services.now()
         self.last_error: DutyError | None = None
-        self.intents = IntentSettlement(self)
+        self.intents = IntentResolver(self)
         self._executor = self.effect_executor_class(self)
         self._queue = SerialQueue(self._release_when_idle)
-        self._hold = hold
-        self._sequence = record.holder_sequence
-        self._release_to: str | None = (
-            None  # the seat that is offered the lease first, once the queue is empty
-        )
+        self._release_to: str | None = None  # the first candidate, from `release` until the queue is empty
         if record.versions:
             self._fetch_state()
         else:
@@ -105,6 +101,11 @@
         """The duty's name."""
         return self.record.name
 
+    @property
+    def record(self) -> LeaseRecord:
+        """The lease record, as last read."""
+        return self.register.record
+
     @property
     def is_ended(self) -> bool:
         """The term is over."""
@@ -119,7 +120,7 @@
 
     def _fetch_state(self) -> None:
         deadline_us = self.context.services.now() + FETCH_TIMEOUT_US
-        self.context.replication.fetch(self.key, self.record.versions[0], deadline_us, self._on_state)
+        self.context.fetching.fetch(self.key, self.record.versions[0], deadline_us, self._on_state)
 
     def _on_state(self, state: bytes | None) -> None:
         if self.stage is not Stage.STARTING:
@@ -138,14 +139,14 @@
         self.last_error = None
         self.context.replication.announce_chosen(self.key, self.record)
         self.context.observer.started(self)
-        self.intents.settle_open()
+        self.intents.resolve_open()
         if self.record.lost_leaders:
             stable_after_us = round(self.context.policy.steady_ms * MS)
             self.context.services.after(stable_after_us, self._clear_lost_leaders)
 
     def _clear_lost_leaders(self) -> None:
         if self.stage is Stage.ACTIVE and self.record.lost_leaders:
-            self.enqueue(lambda: self.change(self.finish, ClearLostLeaders), ignore_outcome)
+            self.enqueue(lambda: self.register.change(self.finish, ClearLostLeaders), ignore_outcome)
 
     # ---- effects, one after the other ----
 
@@ -157,7 +158,7 @@
         Forgotten.
         """
         if self.is_ended:
-            return callback(self._ended_error())
+            return callback(_ended_error(self.record))
         if self.stage is not Stage.ACTIVE or len(self._queue) >= MAX_QUEUED_EFFECTS:
             return callback(Busy(f"{self.name}: {self.stage.value}"))
         if isinstance(effect, IntentRequest) and len(effect.payload) > MAX_INTENT_BYTES:
@@ -187,63 +188,17 @@
 
         self.context.services.after(delay_us, due)
 
-    # ---- the register ----
-
-    def change(self, callback: OutcomeCallback, change_type: type[HolderChange], *arguments: Any) -> None:
-        """Make a change of the register, with the arguments of its kind beside those of every leader's change.
-
-        `callback` gets Completed with the token of the change, NoMajority, or Busy if an operator's change came
-        between. It is not called if the term is over; the lease ends as superseded then.
-        """
-        self._sequence += 1
-        change = change_type(self.owner, self.record.generation, self.record.term, self._sequence, *arguments)
-        hold = self._hold
-        self._hold = None
-
-        def answered(done: Done | None) -> None:
-            if self.is_ended:
-                return
-            if done is None:
-                self.context.services.count("duties: no majority")
-                return callback(NoMajority(self.name))
-            found = decode_record(done.value)
-            if found is None or not (change.is_applied_in(found) or self.record.is_same_tenure(found)):
-                return self.superseded(found)
-            self.record = found
-            self._hold = done.hold
-            if change.is_applied_in(found):
-                return callback(Completed(FencingToken(*found.position)))
-            return callback(Busy(f"{self.name}: it was changed meanwhile"))
-
-        self.context.services.change_register(self.key, change, hold, answered)
-
-    def verify(self, callback: Callable[[LeaseRecord | None], None]) -> None:
-        """Read the register by a majority, after which no abandoned change can come about.
-
-        `callback` gets the record if the lease is still held, None if no majority answered. If another holds it, the
-        lease ends as superseded.
-        """
-
-        def answered(done: Done | None) -> None:
-            if self.is_ended:
-                return
-            if done is None:
-                return callback(None)
-            found = decode_record(done.value)
-            if found is None or not self.record.is_same_tenure(found):
-                return self.superseded(found)
-            return callback(found)
-
-        self.context.services.change_register(self.key, Read(), None, answered)
+    # ---- whether the lease is held ----
 
     def check(self) -> None:
         """Find out whether the lease is still held, until a majority answers. For a leader that was paused."""
-        if not self.is_ended:
-            self.verify(self._checked)
 
-    def _checked(self, found: LeaseRecord | None) -> None:
-        if found is None:
-            self.context.services.after(RETRY_US, self.check)
+        def verified(found: LeaseRecord | None) -> None:
+            if found is None:
+                self.context.services.after(RETRY_US, self.check)
+
+        if not self.is_ended:
+            self.register.verify(verified)
 
     # ---- end ----
 
@@ -255,7 +210,7 @@
             return
         self.stage = Stage.RELEASING
         self._release_to = offered_to
-        self.enqueue(lambda: self.change(self.finish, BeginRelease), ignore_outcome)
+        self.enqueue(lambda: self.register.change(self.finish, BeginRelease), ignore_outcome)
 
     def _release_when_idle(self) -> None:
         if self._release_to is not None and self.stage is Stage.RELEASING:
@@ -275,19 +230,16 @@
             # The lease is held until a majority says otherwise.
             return self.after(RETRY_US, lambda: self._send_release(offered_to))
 
-        self.change(released, ReleaseLease, offered_to)
+        self.register.change(released, ReleaseLease, offered_to)
 
     def superseded(self, found: LeaseRecord | None) -> None:
         """Another has the lease: drop the state and everything that is under way."""
         self.context.services.count("duties: superseded")
         if found is None:
-            self.end(self._ended_error())
+            self.end(_ended_error(self.record))
         else:
             self.end(Superseded(self.name, self.record.term, found.holder, found.term))
 
-    def _ended_error(self) -> Superseded:
-        return Superseded(self.name, self.record.term, None, self.record.term)
-
     def end(self, reason: DutyError | None) -> None:
         """End the term. Effects that had not ended get `reason` as their outcome."""
         if self.is_ended:
@@ -295,7 +247,12 @@
         unfinished = self._queue.close()
         self.stage = Stage.ENDED
         self.state = b""
-        self._hold = None
+        self.register.close()
         self.context.observer.ended(self, reason)
         for step in unfinished:
-            step.callback(reason or self._ended_error())
+            step.callback(reason or _ended_error(self.record))
+
+
+def _ended_error(record: LeaseRecord) -> Superseded:
+    """The term is over, and nothing is known of a later leader."""
+    return Superseded(record.name, record.term, None, record.term)
--- a/moorusher/leadership/lease_record.py
+++ b/moorusher/leadership/lease_record.py
@@ -44,7 +44,7 @@
 }
 
 
-class Settlement(IntEnum):
+class IntentResolution(IntEnum):
     """How the outcome of an intent is found when nobody reported it. The values are stored."""
 
     ASK_RECEIVER = (
@@ -56,13 +56,13 @@
     @property
     def api_name(self) -> str:
         """The name in the administration API and the command line."""
-        return _SETTLEMENT_API_NAMES[self]
+        return _RESOLUTION_API_NAMES[self]
 
 
-_SETTLEMENT_API_NAMES = {
-    Settlement.ASK_RECEIVER: "ask",
-    Settlement.REPEAT: "repeat",
-    Settlement.ASK_OPERATOR: "tell",
+_RESOLUTION_API_NAMES = {
+    IntentResolution.ASK_RECEIVER: "ask",
+    IntentResolution.REPEAT: "repeat",
+    IntentResolution.ASK_OPERATOR: "tell",
 }
 
 
@@ -86,14 +86,14 @@
     term: int, of the leader that chose it.
     receiver: str, address.
     payload: bytes, at most MAX_INTENT_BYTES.
-    settlement: int, one of Settlement: how its outcome is found by a later leader.
+    resolution: int, one of IntentResolution: how its outcome is found by a later leader.
     """
 
     revision: int
     term: int
     receiver: str
     payload: bytes
-    settlement: int
+    resolution: int
 
 
 class LeaseRecord(msgspec.Struct, frozen=True, array_like=True):
--- a/moorusher/leadership/lease_transitions.py
+++ b/moorusher/leadership/lease_transitions.py
@@ -1,7 +1,8 @@
-"""Every change that may be made to a lease record, as functions of the value that is found in the register.
+"""Changes of a lease record, as functions of the value that is found in its register.
 
 The check of the term and the write are one step: a change by a leader makes nothing if the record has another term. So
-the majority that the value was read from rejects a former leader, not a look before the write.
+the majority that the value was read from rejects a former leader, not a look before the write. The changes that only a
+leader makes are in `holder_changes`.
 """
 
 from __future__ import annotations
@@ -13,8 +14,6 @@
     Intent,
     LeaseRecord,
     LeaseStatus,
-    Settlement,
-    StateVersion,
     decode_record,
     encode_record,
 )
@@ -33,10 +32,16 @@
         raise NotImplementedError
 
 
-def _next_revision(record: LeaseRecord, **fields: object) -> LeaseRecord:
+def next_revision(record: LeaseRecord, **fields: object) -> LeaseRecord:
+    """Return the record of the next revision, with these fields changed."""
     return msgspec.structs.replace(record, revision=record.revision + 1, **fields)
 
 
+def intents_without(record: LeaseRecord, revision: int) -> tuple[Intent, ...]:
+    """Return the open intents of a record but the one of that revision."""
+    return tuple(intent for intent in record.intents if intent.revision != revision)
+
+
 class Read(Change):
     """Changes nothing: reads the register by a majority, after which no abandoned change can come about."""
 
@@ -107,7 +112,7 @@
         return self._acquired(record, lost_leaders)
 
     def _acquired(self, record: LeaseRecord, lost_leaders: int) -> LeaseRecord:
-        return _next_revision(
+        return next_revision(
             record,
             term=record.term + 1,
             status=LeaseStatus.HELD,
@@ -119,7 +124,7 @@
 
     def _suspended(self, record: LeaseRecord, lost_leaders: int) -> LeaseRecord:
         last_seat = "nobody" if record.holder is None else record.holder.seat
-        return _next_revision(
+        return next_revision(
             record,
             term=record.term + 1,
             status=LeaseStatus.SUSPENDED,
@@ -130,211 +135,6 @@
         )
 
 
-# ---- by the leader ----
-
-
-class HolderChange(Change):
-    """A change by the leader in its term: the `sequence`th that it makes.
-
-    owner: the process that holds the lease.
-    generation, term: int, that the lease is held for.
-    allowed_while_releasing: bool, of the kind of change.
-    """
-
-    allowed_while_releasing = False
-
-    def __init__(self, owner: Owner, generation: int, term: int, sequence: int) -> None:
-        self.owner = owner
-        self.generation = generation
-        self.term = term
-        self.sequence = sequence
-
-    def is_applied_in(self, record: LeaseRecord | None) -> bool:
-        """Whether that record holds this change, or a later one of the same term."""
-        return record is not None and self._is_holder(record) and record.holder_sequence >= self.sequence
-
-    def _is_holder(self, record: LeaseRecord) -> bool:
-        return (record.generation, record.term, record.holder) == (self.generation, self.term, self.owner)
-
-    def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the changed record, or None if the lease is not held any more or the change was made already."""
-        if record is None or not self._is_holder(record) or record.holder_sequence >= self.sequence:
-            return None
-        is_releasing = record.status == LeaseStatus.RELEASING
-        if record.status == LeaseStatus.HELD or (self.allowed_while_releasing and is_releasing):
-            return self.changed(record)
-        return None
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Return the record after this change. Called only if the lease is held."""
-        return _next_revision(record, holder_sequence=self.sequence)
-
-
-class IssueToken(HolderChange):
-    """Makes a new revision: the fencing token of one request to a receiver."""
-
-
-class ClearLostLeaders(HolderChange):
-    """The leader has held the duty for long enough: earlier losses are not the duty's fault."""
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Reset the count of lost leaders."""
-        return _next_revision(record, holder_sequence=self.sequence, lost_leaders=0)
-
-
-class UpdateState(HolderChange):
-    """Names a new version of the state, whose chunks a majority has stored.
-
-    base_revision: int, the record must have it: the chunks are marked for the revision that follows, and no other.
-    size: int, bytes.
-    chunks: digests, in order.
-    max_versions: int, that are kept.
-    """
-
-    allowed_while_releasing = True
-
-    def __init__(
-        self,
-        owner: Owner,
-        generation: int,
-        term: int,
-        sequence: int,
-        base_revision: int,
-        size: int,
-        chunks: tuple[bytes, ...],
-        max_versions: int,
-    ) -> None:
-        super().__init__(owner, generation, term, sequence)
-        self.base_revision = base_revision
-        self.size = size
-        self.chunks = chunks
-        self.max_versions = max_versions
-
-    def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the changed record, or None if another revision came between."""
-        if record is None or record.revision != self.base_revision:
-            return None
-        return super().apply(record)
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Put the new version first, and drop the oldest beyond `max_versions`."""
-        version = StateVersion(record.revision + 1, self.size, self.chunks)
-        versions = (version, *record.versions)[: self.max_versions]
-        return _next_revision(record, holder_sequence=self.sequence, versions=versions)
-
-
-class AddIntent(HolderChange):
-    """Chooses an effect before it is made, at a receiver that can't compare fencing tokens."""
-
-    def __init__(
-        self,
-        owner: Owner,
-        generation: int,
-        term: int,
-        sequence: int,
-        receiver: str,
-        payload: bytes,
-        settlement: Settlement,
-    ) -> None:
-        super().__init__(owner, generation, term, sequence)
-        self.receiver = receiver
-        self.payload = payload
-        self.settlement = settlement
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Add the intent under the new revision."""
-        intent = Intent(record.revision + 1, self.term, self.receiver, self.payload, self.settlement)
-        return _next_revision(record, holder_sequence=self.sequence, intents=(*record.intents, intent))
-
-
-class CloseIntent(HolderChange):
-    """The outcome of an intent is known: it was done, or never will be."""
-
-    allowed_while_releasing = True
-
-    def __init__(self, owner: Owner, generation: int, term: int, sequence: int, intent_revision: int) -> None:
-        super().__init__(owner, generation, term, sequence)
-        self.intent_revision = intent_revision
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Remove the intent."""
-        return _next_revision(
-            record, holder_sequence=self.sequence, intents=_intents_without(record, self.intent_revision)
-        )
-
-
-class BeginRelease(HolderChange):
-    """The leader starts nothing new: it is about to release the lease."""
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Set the status."""
-        return _next_revision(record, holder_sequence=self.sequence, status=LeaseStatus.RELEASING)
-
-
-class ReleaseLease(HolderChange):
-    """Gives the lease up. `offered_to`: the seat that is offered it first; empty for any candidate."""
-
-    allowed_while_releasing = True
-
-    def __init__(self, owner: Owner, generation: int, term: int, sequence: int, offered_to: str) -> None:
-        super().__init__(owner, generation, term, sequence)
-        self.offered_to = offered_to
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Free the lease; a release in order is no loss."""
-        return _next_revision(
-            record,
-            holder_sequence=self.sequence,
-            status=LeaseStatus.OFFERED if self.offered_to else LeaseStatus.VACANT,
-            holder=None,
-            offered_to=self.offered_to,
-            lost_leaders=0,
-        )
-
-    def is_applied_in(self, record: LeaseRecord | None) -> bool:
-        """Whether the lease is free or was taken by another since."""
-        if record is None or record.generation != self.generation:
-            return False
-        return record.term > self.term or (record.term == self.term and record.needs_leader)
-
-
-class Suspend(HolderChange):
-    """The duty waits for an operator.
-
-    reason: str, for the operator.
-    resume_generation: int, the least generation that it gets when it is resumed.
-    """
-
-    allowed_while_releasing = True
-
-    def __init__(
-        self, owner: Owner, generation: int, term: int, sequence: int, reason: str, resume_generation: int
-    ) -> None:
-        super().__init__(owner, generation, term, sequence)
-        self.reason = reason
-        self.resume_generation = resume_generation
-
-    def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Free the lease and note the reason."""
-        return _next_revision(
-            record,
-            holder_sequence=self.sequence,
-            status=LeaseStatus.SUSPENDED,
-            holder=None,
-            suspension_reason=self.reason,
-            resume_generation=self.resume_generation,
-        )
-
-    def is_applied_in(self, record: LeaseRecord | None) -> bool:
-        """Whether the duty is suspended in this term."""
-        return (
-            record is not None
-            and record.generation == self.generation
-            and record.term == self.term
-            and record.status == LeaseStatus.SUSPENDED
-        )
-
-
 # ---- by an operator ----
 
 
@@ -345,7 +145,7 @@
         """Return the vacant record, or None if the duty is not suspended."""
         if record is None or record.status != LeaseStatus.SUSPENDED:
             return None
-        return _next_revision(
+        return next_revision(
             record,
             status=LeaseStatus.VACANT,
             lost_leaders=0,
@@ -355,7 +155,7 @@
         )
 
 
-class SettleIntent(Change):
+class ResolveIntent(Change):
     """An operator's statement that an open intent is settled."""
 
     def __init__(self, intent_revision: int) -> None:
@@ -365,7 +165,7 @@
         """Return the record without the intent, or None if it is not open."""
         if record is None or all(intent.revision != self.intent_revision for intent in record.intents):
             return None
-        return _next_revision(record, intents=_intents_without(record, self.intent_revision))
+        return next_revision(record, intents=intents_without(record, self.intent_revision))
 
 
 class Remove(Change):
@@ -386,7 +186,3 @@
             record.revision + 1,
             LeaseStatus.REMOVED,
         )
-
-
-def _intents_without(record: LeaseRecord, revision: int) -> tuple[Intent, ...]:
-    return tuple(intent for intent in record.intents if intent.revision != revision)
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -27,6 +27,7 @@
 from .lease_record import LeaseRecord, LeaseStatus, decode_record
 from .policy import Policy
 from .services import MemberServices
+from .state_fetching import StateFetching
 from .state_replication import StateReplication
 from .worker import EffectReceivers, Worker
 
@@ -56,7 +57,7 @@
     acceptor: of the duties' registers.
     store: chunks of the duties' states.
     services: the member, as the parts below use it.
-    replication, election, leases, directory: the parts.
+    replication, fetching, election, leases, directory: the parts.
     """
 
     lease_holder_class: type[LeaseHolder] = LeaseHolder
@@ -78,21 +79,22 @@
         registers = Registers(LASTING, self.acceptor, node, None)
         node.add(registers)
         self.services = MemberServices(node, registers, self._dispatch)
-        self.replication = StateReplication(
-            self.services, self.store, self._replicated_record, self.acceptor.chunks_repaired
-        )
+        chunks_repaired = self.acceptor.chunks_repaired
+        self.replication = StateReplication(self.services, self.store, chunks_repaired)
+        self.fetching = StateFetching(self.services, self.store, self._replicated_record, chunks_repaired)
         self.election = self._create_election()
         self.leases = HeldLeases(
             self.services,
             self.election,
             self.replication,
+            self.fetching,
             host,
             policy,
             host.work,
             self.lease_holder_class,
         )
         self.directory = DutyDirectory(
-            self.services, self.election, self.leases, self.replication, self.acceptor
+            self.services, self.election, self.leases, self.fetching, self.acceptor
         )
         self._handlers = self._create_handlers()
         node.parts[messages.PART] = self._on_message
@@ -136,8 +138,8 @@
             messages.StoreChunk: self.replication.on_store_chunk,
             messages.ChunkStored: self.replication.on_chunk_stored,
             messages.RecordChosen: self.replication.on_record_chosen,
-            messages.FetchChunks: self.replication.on_fetch_chunks,
-            messages.ChunkFetched: self.replication.on_chunk_fetched,
+            messages.FetchChunks: self.fetching.on_fetch_chunks,
+            messages.ChunkFetched: self.fetching.on_chunk_fetched,
         }
 
     # ---- start, heartbeat, end ----
@@ -150,7 +152,7 @@
         """After a start from a disk: fetch chunks that it lacks."""
         for key, record in self.election.records.items():
             if self.store.missing(key, record):
-                self.replication.repair(key, at_once=True)
+                self.fetching.repair(key, at_once=True)
 
     def leave(self) -> None:
         """Give every lease up."""
@@ -205,7 +207,7 @@
         record = decode_record(slot.value)
         self.election.on_record(key, record)
         if record is not None and self.store.missing(key, record):
-            self.replication.repair(key, at_once=not self.acceptor.is_complete)
+            self.fetching.repair(key, at_once=not self.acceptor.is_complete)
 
     def _replicated_record(self, key: Key) -> LeaseRecord | None:
         """Return the record of a register that this member replicates."""
--- a/moorusher/model_checking/leadership_history.py
+++ b/moorusher/model_checking/leadership_history.py
@@ -33,7 +33,7 @@
     idempotent: jobs that may be done more than once.
     refused_intents: intents that were asked for before they came: never done from then on.
     jobs_by_intent: the jobs that were done, by the revision of their intent.
-    settled_undone: jobs that were settled as never done.
+    resolved_undone: jobs that were settled as never done.
     reported_done: jobs that a leader was told are done.
     effect_times_us: when effects were completed.
     """
@@ -46,7 +46,7 @@
     idempotent: set[bytes] = field(default_factory=set)
     refused_intents: set[int] = field(default_factory=set)
     jobs_by_intent: dict[int, bytes] = field(default_factory=dict)
-    settled_undone: list[bytes] = field(default_factory=list)
+    resolved_undone: list[bytes] = field(default_factory=list)
     reported_done: list[bytes] = field(default_factory=list)
     effect_times_us: list[int] = field(default_factory=list)
 
@@ -97,7 +97,7 @@
         for job in self.reported_done:
             if not self.performed[job]:
                 return f"{job!r} was said to be done"
-        for job in self.settled_undone:
+        for job in self.resolved_undone:
             if self.performed[job] and job not in self.idempotent:
                 return f"{job!r} was settled as never done"
         return None
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -11,8 +11,9 @@
 from typing import Any
 
 from ..leadership.fencing_token import FencingToken, TokenVerdict, check_token
-from ..leadership.lease_record import LeaseRecord, LeaseStatus, Settlement, decode_record, encode_record
-from ..leadership.lease_transitions import AcquireLease, AddIntent, HolderChange, IssueToken, UpdateState
+from ..leadership.holder_changes import AddIntent, HolderChange, IssueToken, UpdateState
+from ..leadership.lease_record import IntentResolution, LeaseRecord, LeaseStatus, decode_record, encode_record
+from ..leadership.lease_transitions import AcquireLease
 from ..replication.acceptor import Slot
 from ..replication.messages import FAST
 from ..replication.proposer import Hold
@@ -121,7 +122,7 @@
 
     def _effect_change(self, runner: Runner, owner: Owner, term: int) -> HolderChange:
         if self.kind == "once":
-            return AddIntent(owner, GENERATION, term, runner.attempt, "s", JOB, Settlement.ASK_OPERATOR)
+            return AddIntent(owner, GENERATION, term, runner.attempt, "s", JOB, IntentResolution.ASK_OPERATOR)
         if self.kind == "state":
             base_revision = 1 if runner.name == "P" else 2
             return UpdateState(owner, GENERATION, term, runner.attempt, base_revision, 0, (), MAX_VERSIONS)
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -15,13 +15,8 @@
 from ..leadership.directory import Reading
 from ..leadership.effects import (
     NO_RESPONSE,
-    Completed,
-    FencedRequest,
-    IntentRequest,
-    Outcome,
     ReceiverResponse,
     ResponseCallback,
-    StateUpdate,
 )
 from ..leadership.errors import DutyError
 from ..leadership.fencing_token import FencingToken
@@ -31,7 +26,6 @@
     Intent,
     LeaseRecord,
     LeaseStatus,
-    Settlement,
     decode_record,
     register_key,
 )
@@ -43,14 +37,12 @@
 from ..replication.node import Node
 from ..replication.register_space import LASTING
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
-from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
+from .leadership_history import DutyHistory
+from .leadership_worker import RandomWorker
 
 POLICY = Policy(on=True, steady_ms=1_000)
 COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
 DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power", "forget"))
-EFFECT_INTERVAL_MS = (20, 300)
-STATE_UPDATE_SHARE = 0.4  # of effects
-FENCED_SHARE = 0.3
 RESPONSE_TIMEOUT_US = 300 * MS
 REQUEST_LOSS = 0.02
 RESPONSE_LOSS = 0.03
@@ -61,82 +53,6 @@
 MIN_REPLICAS = 2  # a majority of the three
 
 
-class RandomWorker:
-    """Submits one effect after another, of a kind drawn anew each time."""
-
-    def __init__(self, process: DutyProcess, lease: LeaseHolder) -> None:
-        self._process = process
-        self._lease = lease
-        self._history = process.world.histories[lease.name]
-        self._is_stopped = False
-        self._state = lease.state
-        lease.intents.on_settled = self._on_settled
-
-    def start(self) -> None:
-        """Begin."""
-        record = self._lease.record
-        self._history.leaders[record.generation, record.term].add(self._process.number)
-        self._schedule()
-
-    def before_release(self) -> None:
-        """Hand a last state on."""
-        self._update_state()
-
-    def stop(self, reason: DutyError | None) -> None:
-        """Submit nothing any more."""
-        self._is_stopped = True
-
-    def _schedule(self) -> None:
-        sim = self._process.sim
-        delay_us = round(sim.random.uniform(*EFFECT_INTERVAL_MS) * MS)
-        sim.at(sim.now + delay_us, self._process, self._submit)
-
-    def _submit(self) -> None:
-        if self._is_stopped:
-            return
-        kind = self._process.sim.random.random()
-        if kind < STATE_UPDATE_SHARE:
-            self._update_state()
-        elif kind < STATE_UPDATE_SHARE + FENCED_SHARE:
-            self._lease.submit(FencedRequest("r", b"x"), self._on_outcome)
-        else:
-            self._do_job()
-        self._schedule()
-
-    def _update_state(self) -> None:
-        number = self._process.world.next_update_number()
-        self._state = append_number(self._state, number)  # updates that are under way are in it, too
-
-        def done(outcome: Outcome) -> None:
-            if isinstance(outcome, Completed):
-                now = self._process.sim.now
-                self._history.acknowledged.append(AcknowledgedUpdate(number, now))
-            self._on_outcome(outcome)
-
-        self._lease.submit(StateUpdate(self._state), done)
-
-    def _do_job(self) -> None:
-        job = self._process.world.next_job()
-        settlement = self._process.sim.random.choice(list(Settlement))
-        if settlement == Settlement.REPEAT:
-            self._history.idempotent.add(job)
-
-        def done(outcome: Outcome) -> None:
-            if isinstance(outcome, Completed) and outcome.done:
-                self._history.reported_done.append(job)
-            self._on_outcome(outcome)
-
-        self._lease.submit(IntentRequest("s", job, settlement), done)
-
-    def _on_outcome(self, outcome: Outcome) -> None:
-        if isinstance(outcome, Completed):
-            self._history.effect_times_us.append(self._process.sim.now)
-
-    def _on_settled(self, intent: Intent, done: bool) -> None:
-        jobs = self._history.reported_done if done else self._history.settled_undone
-        jobs.append(intent.payload)
-
-
 class DutyProcess(Process):
     """One process of a simulated fleet, with the real participant in its duties."""
 
@@ -359,7 +275,7 @@
             lease for lease in leases if lease.stage is Stage.ACTIVE and lease.record.term == record.term
         ]
         if len(active) != 1:
-            known = [(lease.owner, lease.stage.value, lease.record.term) for lease in leases]
+            known = [(lease.register.owner, lease.stage.value, lease.record.term) for lease in leases]
             return f"{len(active)} at work on {record}; {known}"
         lost = history.missing_updates(active[0].state)
         return f"acknowledged and gone: {lost[:5]}" if lost else None
--- /dev/null
+++ b/moorusher/model_checking/leadership_worker.py
@@ -0,0 +1,95 @@
+"""A worker of simulated duties that tries every kind of effect."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..leadership.effects import Completed, FencedRequest, IntentRequest, Outcome, StateUpdate
+from ..leadership.errors import DutyError
+from ..leadership.lease_holder import LeaseHolder
+from ..leadership.lease_record import Intent, IntentResolution
+from .cluster_simulation import MS
+from .leadership_history import AcknowledgedUpdate, append_number
+
+if TYPE_CHECKING:
+    from .leadership_simulation import DutyProcess
+
+EFFECT_INTERVAL_MS = (20, 300)
+STATE_UPDATE_SHARE = 0.4  # of effects
+FENCED_SHARE = 0.3
+
+
+class RandomWorker:
+    """Submits one effect after another, of a kind drawn anew each time."""
+
+    def __init__(self, process: DutyProcess, lease: LeaseHolder) -> None:
+        self._process = process
+        self._lease = lease
+        self._history = process.world.histories[lease.name]
+        self._is_stopped = False
+        self._state = lease.state
+        lease.intents.on_resolved = self._on_resolved
+
+    def start(self) -> None:
+        """Begin."""
+        record = self._lease.record
+        self._history.leaders[record.generation, record.term].add(self._process.number)
+        self._schedule()
+
+    def before_release(self) -> None:
+        """Hand a last state on."""
+        self._update_state()
+
+    def stop(self, reason: DutyError | None) -> None:
+        """Submit nothing any more."""
+        self._is_stopped = True
+
+    def _schedule(self) -> None:
+        sim = self._process.sim
+        delay_us = round(sim.random.uniform(*EFFECT_INTERVAL_MS) * MS)
+        sim.at(sim.now + delay_us, self._process, self._submit)
+
+    def _submit(self) -> None:
+        if self._is_stopped:
+            return
+        kind = self._process.sim.random.random()
+        if kind < STATE_UPDATE_SHARE:
+            self._update_state()
+        elif kind < STATE_UPDATE_SHARE + FENCED_SHARE:
+            self._lease.submit(FencedRequest("r", b"x"), self._on_outcome)
+        else:
+            self._do_job()
+        self._schedule()
+
+    def _update_state(self) -> None:
+        number = self._process.world.next_update_number()
+        self._state = append_number(self._state, number)  # updates that are under way are in it, too
+
+        def done(outcome: Outcome) -> None:
+            if isinstance(outcome, Completed):
+                now = self._process.sim.now
+                self._history.acknowledged.append(AcknowledgedUpdate(number, now))
+            self._on_outcome(outcome)
+
+        self._lease.submit(StateUpdate(self._state), done)
+
+    def _do_job(self) -> None:
+        job = self._process.world.next_job()
+        resolution = self._process.sim.random.choice(list(IntentResolution))
+        if resolution == IntentResolution.REPEAT:
+            self._history.idempotent.add(job)
+
+        def done(outcome: Outcome) -> None:
+            if isinstance(outcome, Completed) and outcome.done:
+                self._history.reported_done.append(job)
+            self._on_outcome(outcome)
+
+        self._lease.submit(IntentRequest("s", job, resolution), done)
+
+    def _on_outcome(self, outcome: Outcome) -> None:
+        if isinstance(outcome, Completed):
+            self._history.effect_times_us.append(self._process.sim.now)
+
+    def _on_resolved(self, intent: Intent, done: bool) -> None:
+        jobs = self._history.reported_done if done else self._history.resolved_undone
+        jobs.append(intent.payload)
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -16,7 +16,7 @@
 
 from moorusher.cluster_transport.effect_receivers import HttpEffectReceivers
 from moorusher.leadership.fencing_token import FencingToken
-from moorusher.leadership.lease_record import Intent, Settlement
+from moorusher.leadership.lease_record import Intent, IntentResolution
 
 from ..test_core import World
 from .golden import assert_golden
@@ -57,7 +57,7 @@
         self.heard: list[Any] = []
 
     def made(self, how: str) -> Connection:
-        intent = Intent(7, 2, "127.0.0.1:1", b"what", Settlement.REPEAT)
+        intent = Intent(7, 2, "127.0.0.1:1", b"what", IntentResolution.REPEAT)
         if how == "fenced":
             self._receivers.send_fenced(
                 "127.0.0.1:1", "duty", FencingToken(3, 4, 5), b"body", self.heard.append
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -118,7 +118,7 @@
     "digest of seats": Seats((Seat("n1", ("h", 1), "a", "r1"), Seat("n2", ("h", 2), "b")), 3).digest(),
     "digest of a piece": chunks.digest(b"piece").hex(),
     "lives of a duty": [one.value for one in lease_record.LeaseStatus],
-    "ways to settle an intent": [one.value for one in lease_record.Settlement],
+    "ways to settle an intent": [one.value for one in lease_record.IntentResolution],
     "stages of a turn": [one.value for one in roster.Stage],
     "ends of a turn": [one.value for one in roster.Ends],
     "outcomes of an ask": [one.value for one in roster.How],
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -38,30 +38,26 @@
 )
 from moorusher.leadership.fencing_token import FencingToken, TokenVerdict, check_token
 from moorusher.leadership.held_leases import HeldLeases
+from moorusher.leadership.holder_changes import (
+    AddIntent,
+    BeginRelease,
+    HolderChange,
+    IssueToken,
+    ReleaseLease,
+    Suspend,
+    UpdateState,
+)
 from moorusher.leadership.lease_holder import LeaseHolder
 from moorusher.leadership.lease_record import (
+    IntentResolution,
     LeaseRecord,
     LeaseStatus,
-    Settlement,
     StateVersion,
     decode_record,
     encode_record,
     register_key,
 )
-from moorusher.leadership.lease_transitions import (
-    AcquireLease,
-    AddIntent,
-    BeginRelease,
-    Create,
-    HolderChange,
-    IssueToken,
-    ReleaseLease,
-    Remove,
-    Resume,
-    SettleIntent,
-    Suspend,
-    UpdateState,
-)
+from moorusher.leadership.lease_transitions import AcquireLease, Create, Remove, ResolveIntent, Resume
 from moorusher.leadership.messages import ChunkFetched, LeaseOffer
 from moorusher.leadership.policy import Policy
 from moorusher.leadership.state_replication import StateReplication
@@ -137,7 +133,7 @@
 
 
 def test_a_change_that_a_second_round_finds_already_made_is_not_made_twice() -> None:
-    change = AddIntent(A, 1, 3, 1, "s", b"job", Settlement.ASK_OPERATOR)
+    change = AddIntent(A, 1, 3, 1, "s", b"job", IntentResolution.ASK_OPERATOR)
     once = change(encode_record(record()))
     assert (
         change(once) is None
@@ -150,8 +146,8 @@
         and [i.payload for i in found.intents] == [b"job"]
         and found.intents[0].revision == 8
     )
-    settled = decode_record(SettleIntent(8)(once))
-    assert settled is not None and not settled.intents and SettleIntent(8)(encode_record(settled)) is None
+    settled = decode_record(ResolveIntent(8)(once))
+    assert settled is not None and not settled.intents and ResolveIntent(8)(encode_record(settled)) is None
 
 
 def test_a_name_made_anew_is_another_duty_and_outlives_fences_of_the_earlier_one() -> None:
@@ -541,7 +537,7 @@
     too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.state_bytes + 1)))
     assert isinstance(too_large, OverBudget) and str(POLICY.state_bytes) in str(too_large)
     assert isinstance(
-        answers(sim, lease, IntentRequest("s", b"x" * 513, Settlement.ASK_OPERATOR)), OverBudget
+        answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.ASK_OPERATOR)), OverBudget
     )
     got: list[Any] = []
     owner.participant.directory.create("x" * 200, "test", got.append)
@@ -562,7 +558,7 @@
     keeper.participant.repair_restored()
     sim.run(sim.now + SECOND)
     assert keeper.participant.store.find(lease.key, name) is not None
-    keeper.participant.replication.on_chunk_fetched("n0", ChunkFetched(lease.key, name, b"not it"))
+    keeper.participant.fetching.on_chunk_fetched("n0", ChunkFetched(lease.key, name, b"not it"))
     assert sim.history.counts["duties: a damaged piece from another"] == 1
     owner.alive = False
     sim.run(sim.now + 3 * SECOND)
