--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -156,13 +156,13 @@
 
     def duty_told(self, array: list[Any]) -> Any:
         record = msgspec.convert(array, LeaseRecord)
-        return snapshot_document(self.service.fleet.duties._snapshot(record))
+        return snapshot_document(self.service.cluster.replication.duties._snapshot(record))
 
     def outages_told(self, array: list[Any]) -> Any:
-        return self.service.outage._told(msgspec.convert(array, Roster), True)
+        return self.service.cluster.maintenance._told(msgspec.convert(array, Roster), True)
 
     def member_told(self, state: int) -> Any:
-        self.service.fleet.node.members.by_seat["n1"].state = State(state)
+        self.service.cluster.replication.node.members.by_seat["n1"].state = State(state)
         return self.page("GET", "fleet")[1]["members"][0]["state"]
 
     # ---- who calls it ----
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -29,7 +29,8 @@
 from moorusher.replication.policy import Seat
 from moorusher.scheduling import Balancer
 from moorusher.scheduling import interface as api
-from moorusher.server.server import FIXED_SOCKETS, IDLE_CALLS_SHARE, LEAST_CONSOLE, Service
+from moorusher.server.connection_budget import FIXED_DESCRIPTORS, IDLE_BACKEND_SHARE, MIN_CONSOLE_CONNECTIONS
+from moorusher.server.server import Service
 
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
 from .stand_ins import SETTINGS
@@ -74,45 +75,48 @@
 # ---- the module ----
 
 
-def retune(b: Balancer, now: float, new: api.Settings) -> None:
-    p = plan(b.s, new)
-    b.step(now, [api.Retune(p.settings, p.classes, p.tenants)])
+def retune(balancer: Balancer, now: float, new: api.Settings) -> None:
+    p = plan(balancer.state.settings, new)
+    balancer.step(now, [api.Retune(p.settings, p.classes, p.tenants)])
 
 
 def test_what_was_learnt_moves_with_its_class_and_a_name_that_returns_starts_anew() -> None:
-    b = opened()
+    balancer = opened()
     for i in range(4):
-        b.step(i * 100.0, [request(i, klass=1)])
-        b.step(i * 100.0 + 80, done(i))
-    learnt, ratio = b.kinds[1], b.flows[0].lmax[b.kinds[1]]
-    retune(b, 500, classes(FAST, KEYED, SAFE))
-    assert b.kinds[1] is learnt and b.flows[0].lmax == {learnt: ratio} and b.kinds[0].cls is FAST
-    retune(b, 510, classes(SAFE, FAST))
-    assert not b.flows[0].lmax
-    retune(b, 520, classes(KEYED, SAFE))
-    assert b.kinds[0].cls is KEYED and b.kinds[0].wall != learnt.wall
+        balancer.step(i * 100.0, [request(i, klass=1)])
+        balancer.step(i * 100.0 + 80, done(i))
+    service_time, tenant = balancer.state.service_time, balancer.state.queue.tenants[0]
+    learnt = service_time.classes[1]
+    ratio = tenant.max_cost_ratios[learnt]
+    retune(balancer, 500, classes(FAST, KEYED, SAFE))
+    assert service_time.classes[1] is learnt and tenant.max_cost_ratios == {learnt: ratio}
+    assert service_time.classes[0].request_class is FAST
+    retune(balancer, 510, classes(SAFE, FAST))
+    assert not balancer.state.queue.tenants[0].max_cost_ratios
+    retune(balancer, 520, classes(KEYED, SAFE))
+    assert service_time.classes[0].request_class is KEYED and service_time.classes[0].run_ms != learnt.run_ms
 
 
 def test_an_open_request_keeps_its_deadline_and_its_place() -> None:
-    b = opened(cores=1, crowd_per_core=1.0)
-    assert started(b.step(0, [request(1), request(2)])) == [1]
-    retune(b, 10, classes(replace(SAFE, aim_ms=50, deadline_ms=60), KEYED))
+    balancer = opened(cores=1, crowd_per_core=1.0)
+    assert started(balancer.step(0, [request(1), request(2)])) == [1]
+    retune(balancer, 10, classes(replace(SAFE, aim_ms=50, deadline_ms=60), KEYED))
     for at in range(20, 400, 25):
         assert not only(
-            b.step(at, [api.Timer(0, (1.0,))]), api.Reject
+            balancer.step(at, [api.Timer(0, (1.0,))]), api.Reject
         )  # by the new deadline it were long over
-    assert started(b.step(400, done(1))) == [2]
+    assert started(balancer.step(400, done(1))) == [2]
 
 
 def test_a_dropped_tenants_held_request_runs_and_shares_follow() -> None:
-    b = opened(cores=1, crowd_per_core=1.0, tenants=(api.Tenant(1, "a"), api.Tenant(1, "b")))
-    b.step(0, [request(1, tenant=0), request(2, tenant=1)])
-    retune(b, 10, settings(tenants=(api.Tenant(3, "c"), api.Tenant(1, "a"))))
-    assert [round(b.flows[i].phi, 2) for i in (0, 1)] == [1.5, 0.5]
-    assert started(b.step(20, done(1))) == [2] and started(b.step(30, done(2))) == []
-    assert abs(b.phi_sum) < 1e-9
-    retune(b, 40, settings(tenants=()))
-    assert started(b.step(50, [api.Request(3, 0, 10.0)])) == [3]
+    balancer = opened(cores=1, crowd_per_core=1.0, tenants=(api.Tenant(1, "a"), api.Tenant(1, "b")))
+    balancer.step(0, [request(1, tenant=0), request(2, tenant=1)])
+    retune(balancer, 10, settings(tenants=(api.Tenant(3, "c"), api.Tenant(1, "a"))))
+    assert [round(balancer.state.queue.tenants[i].weight, 2) for i in (0, 1)] == [1.5, 0.5]
+    assert started(balancer.step(20, done(1))) == [2] and started(balancer.step(30, done(2))) == []
+    assert abs(balancer.state.queue.active_weight) < 1e-9
+    retune(balancer, 40, settings(tenants=()))
+    assert started(balancer.step(50, [api.Request(3, 0, 10.0)])) == [3]
 
 
 # ---- the core ----
@@ -260,15 +264,15 @@
     taken = OSError(errno.EADDRINUSE, "Address already in use")
     failing: list[OSError] = [taken]
 
-    def opened(handed: dict[str, int]) -> None:
+    def opened(handed_over: dict[str, int]) -> None:
         if failing:
             raise failing.pop()
 
     service.listeners.open = opened  # type: ignore[method-assign]
     service.accept({})
-    assert service._listen_since is not None and not service.serving
+    assert service._listen_retry.failing_since_us is not None and not service.serving
     service.accept({})
-    assert service._listen_since is None and service.serving
+    assert service._listen_retry.failing_since_us is None and service.serving
     service.clock.now += 3_600_000_000
     failing.append(taken)
     service.accept({})
@@ -282,18 +286,18 @@
     assert r.reload(json.dumps(new))
     core = r.service.core
     assert list(core.intake.classes) == ["check", "submit", "lint"]
-    assert core.keys.most_bytes < 20_000_000 and r.service.front.places.most < 128
+    assert core.keys.most_bytes < 20_000_000 and r.service.jsonrpc.places.most < 128
 
 
 def test_connections_below_that_are_kept_without_a_call_follow_the_descriptors() -> None:
     r = Running(db="127.0.0.1:7700")
-    below = r.service.below
+    below = r.service.backend
     assert isinstance(below, DatabasePool) and below.most_idle == MOST_IDLE
     assert r.reload(json.dumps(r.config | {"limits": {"cores": 1.0, "memory_mb": 80, "sockets": 60}}))
-    spare, places = 60 // 2, r.service.front.places.most
-    assert below.most_idle == spare // IDLE_CALLS_SHARE and below.most_open >= 1
+    spare, places = 60 // 2, r.service.jsonrpc.places.most
+    assert below.most_idle == spare // IDLE_BACKEND_SHARE and below.most_open >= 1
     assert places == 30, "front ends may open half of them"
-    assert places + LEAST_CONSOLE + FIXED_SOCKETS + below.most_idle + below.most_open <= 60
+    assert places + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + below.most_idle + below.most_open <= 60
 
 
 def test_a_file_cut_at_any_byte_changes_nothing() -> None:
@@ -361,7 +365,7 @@
 ) -> None:
     here, there = Seat("n1", ("127.0.0.1", 1)), Seat("n2", ("127.0.0.1", 2))
     running = Running(fleet(here, there))
-    link = running.service.fleet
+    link = running.service.cluster.replication
     running.fleet = fleet(here, Seat("n2", ("127.0.0.1", 3)))
     with caplog.at_level("INFO"):
         assert running.reload(json.dumps(CONFIG))
