--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -18,7 +18,7 @@
 from ..leadership.participant import Participant
 from ..leadership.policy import Policy
 from ..leadership.worker import Worker
-from ..replication.journal import Image
+from ..replication.journal import JournalImage
 from ..replication.register_space import LASTING
 from .effect_receivers import HttpEffectReceivers
 
@@ -81,7 +81,7 @@
         self.namespaces: WorkerFactory | None = None
         self.forecast: WorkerFactory | None = None
         self._receivers = HttpEffectReceivers(fleet.reactor, fleet.core)
-        self._journal_image: Image | None = None
+        self._journal_image: JournalImage | None = None
         journal = fleet.journal_of("duties")
         if journal is not None:
             self._journal_image = journal.image
@@ -95,7 +95,7 @@
     def start(self) -> None:
         """Restore the journal. Called before the fleet's own start, which asks others for what is missing."""
         if self._journal_image is not None:
-            self.participant.acceptor.recall(self.core.clock.now, self._journal_image)
+            self.participant.acceptor.restore(self.core.clock.now, self._journal_image)
             self.participant.repair_restored()
             self._journal_image = None
         self.participant.start()
@@ -149,11 +149,11 @@
 
     def _fleet_summary(self) -> dict[str, Any]:
         """What a heartbeat reports: the receiver gets these keys."""
-        members = self.fleet.node.members.by_seat.values()
+        members = self.fleet.node.detector.by_seat.values()
         return {
             "fleet": self.fleet.config.name,
             "by": self.fleet.name,
-            "up": sum(member.up for member in members),
+            "up": sum(member.is_alive for member in members),
             "seats": len(members),
         }
 
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -14,7 +14,7 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
-from ..replication.messages import For
+from ..replication.messages import ComponentMessage
 from . import messages
 from .errors import ERRORS, ForecastError, NotYet
 from .forecaster import KIND, NAME, Forecaster
@@ -42,7 +42,7 @@
 
     def __init__(self, participant: Participant, host: Host, policy: Policy) -> None:
         self.participant, self._host, self.policy = participant, host, policy
-        self.zone = participant.node.seats.by_name[participant.services.me].zone
+        self.zone = participant.node.placement.by_name[participant.services.me].zone
         self.tally = Tally(
             participant.services.me,
             participant.services.incarnation,
@@ -57,7 +57,7 @@
         self._asked: dict[int, Then] = {}
         self._whom, self._unanswered = "", 0  # who has the duty, as last heard
         self._look_at = 0
-        participant.node.parts[PART] = self._heard
+        participant.node.components[PART] = self._heard
         participant.directory.declare(NAME, KIND)
 
     def start(self) -> None:
@@ -69,7 +69,7 @@
                 self.participant.services.now(), lambda: self._told_of(seat, message)
             )
         else:
-            self.participant.node.send(seat, For(PART, messages.encode(message)))
+            self.participant.node.send(seat, ComponentMessage(PART, messages.encode(message)))
 
     def _heard(self, seat: str, body: bytes) -> None:
         try:
--- a/moorusher/leadership/candidates.py
+++ b/moorusher/leadership/candidates.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from ..membership.placement import score
+from ..membership.placement import rendezvous_score
 from ..replication.work_record import Key
 
 CAPACITY_FACTOR = 1.25  # times the fair share: a member with as many is offered duties last
@@ -63,7 +63,7 @@
     limit = capacity(share)
 
     def rank(member: Candidate) -> tuple[bool, bool, float]:
-        return not member.is_stable, member.led_duties >= limit, -score(member.seat, digest)
+        return not member.is_stable, member.led_duties >= limit, -rendezvous_score(member.seat, digest)
 
     return [member.seat for member in sorted((m for m in candidates if m.is_fit), key=rank)]
 
--- a/moorusher/leadership/directory.py
+++ b/moorusher/leadership/directory.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..membership.failure_detector import MS
-from ..replication.proposer import Done
+from ..replication.proposer import ChangeResult
 from ..replication.work_record import Key
 from .election import Election
 from .errors import Busy, Damaged, DutyError, NoMajority, OverBudget, SetAside, Unknown
@@ -75,7 +75,7 @@
     def _is_first_replica(self, key: Key) -> bool:
         me = self._services.me
         up = [seat for seat in self._services.replicas(key) if seat == me or self._services.node.is_up(seat)]
-        return up[:1] == [me] and self._acceptor.votes_for(key)
+        return up[:1] == [me] and self._acceptor.can_vote_on(key)
 
     # ---- operations ----
 
@@ -173,7 +173,9 @@
         )
 
 
-def _checked(name: str, done: Done | None, is_done: Callable[[LeaseRecord], bool]) -> LeaseRecord | DutyError:
+def _checked(
+    name: str, done: ChangeResult | None, is_done: Callable[[LeaseRecord], bool]
+) -> LeaseRecord | DutyError:
     if done is None:
         return NoMajority(name)
     record = decode_record(done.value)
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -83,10 +83,10 @@
         """Whether that process is lost, as far as is known here."""
         own = self.services.owner
         if holder.seat == own.seat:
-            predecessor = self.services.members.own.told.predecessor
-            return holder.inc < own.inc and holder.inc != predecessor
+            predecessor = self.services.members.own.status.predecessor
+            return holder.incarnation < own.incarnation and holder.incarnation != predecessor
         member = self.services.members.by_seat.get(holder.seat)
-        return member is None or member.past(holder.inc)
+        return member is None or member.is_lost(holder.incarnation)
 
     def held_by(self, holder: Owner) -> list[Key]:
         """Return the registers that name this process as the leader."""
@@ -115,7 +115,12 @@
     def _is_unfit(self, holder: Owner) -> bool:
         """It is there and says that it is not fit. A member that was never heard of has not said so."""
         member = self.services.members.by_seat.get(holder.seat)
-        if holder == self.services.owner or member is None or not member.up or member.told.fit:
+        if (
+            holder == self.services.owner
+            or member is None
+            or not member.is_alive
+            or member.status.accepts_work
+        ):
             return False
         return not self.is_lost(holder)
 
@@ -142,7 +147,7 @@
         me = self.services.me
         replicas = self.services.replicas(key)
         members = self.services.members.by_seat
-        up = [seat for seat in replicas if seat == me or members[seat].up]
+        up = [seat for seat in replicas if seat == me or members[seat].is_alive]
         rank = up.index(me) if me in up else len(replicas)
         if rank == 0:
             self._enqueue(key)
@@ -228,9 +233,9 @@
             found.append(
                 Candidate(
                     seat=member.seat,
-                    is_fit=self.is_fit() if is_own else member.fit,
-                    led_duties=self.led_duties() if is_own else member.told.duties,
-                    stored_duties=len(self.records) if is_own else member.told.keeps,
+                    is_fit=self.is_fit() if is_own else member.accepts_work,
+                    led_duties=self.led_duties() if is_own else member.status.duties,
+                    stored_duties=len(self.records) if is_own else member.status.duty_replicas,
                     is_stable=self.stability.is_stable(now, member.seat),
                 )
             )
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..membership.failure_detector import MS
-from ..replication.proposer import Done
+from ..replication.proposer import ChangeResult
 from ..replication.work_record import Key
 from .candidates import overload_threshold
 from .election import Election
@@ -90,7 +90,7 @@
                 self._acquire(key, Read())
 
     def _acquire(self, key: Key, change: Change) -> None:
-        def answered(done: Done | None) -> None:
+        def answered(done: ChangeResult | None) -> None:
             if (
                 done is None
             ):  # it may be held all the same: the replicas see this member alive, and wait for it
@@ -100,7 +100,7 @@
 
         self._services.change_register(key, change, None, answered)
 
-    def _on_register(self, key: Key, change: Change, done: Done) -> None:
+    def _on_register(self, key: Key, change: Change, done: ChangeResult) -> None:
         record = decode_record(done.value)
         if record is None or record.holder != self._services.owner or not record.is_led:
             if record is not None and record.status == LeaseStatus.SUSPENDED:
@@ -114,7 +114,7 @@
         self._services.count("duties: accepted")
         if isinstance(change, AcquireLease):
             self._notify_former_holder(key, change, record)
-        self.by_key[key] = self._lease_holder_class(self._context, key, record, done.hold)
+        self.by_key[key] = self._lease_holder_class(self._context, key, record, done.promise)
 
     def _notify_former_holder(self, key: Key, change: AcquireLease, record: LeaseRecord) -> None:
         former = change.former_holder
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from ..membership.failure_detector import MS
-from ..replication.proposer import Hold
+from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Key
 from .effect_executor import EffectExecutor
 from .effects import Completed, Effect, IntentRequest, Outcome, OutcomeCallback
@@ -78,7 +78,9 @@
 
     effect_executor_class: type[EffectExecutor] = EffectExecutor
 
-    def __init__(self, context: LeaderContext, key: Key, record: LeaseRecord, hold: Hold | None) -> None:
+    def __init__(
+        self, context: LeaderContext, key: Key, record: LeaseRecord, hold: CarriedPromise | None
+    ) -> None:
         """`hold`: the promise that came with the acquisition; spares a round for the first change."""
         self.context = context
         self.key = key
--- a/moorusher/leadership/lease_register.py
+++ b/moorusher/leadership/lease_register.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..replication.proposer import Done, Hold
+from ..replication.proposer import CarriedPromise, ChangeResult
 from ..replication.work_record import Key
 from .effects import Completed, OutcomeCallback
 from .errors import Busy, NoMajority
@@ -30,7 +30,7 @@
         services: MemberServices,
         key: Key,
         record: LeaseRecord,
-        hold: Hold | None,
+        hold: CarriedPromise | None,
         superseded: Callable[[LeaseRecord | None], None],
     ) -> None:
         """`hold`: the promise that came with the acquisition; spares a round for the first change. `superseded`: called
@@ -55,7 +55,7 @@
         hold = self._hold
         self._hold = None
 
-        def answered(done: Done | None) -> None:
+        def answered(done: ChangeResult | None) -> None:
             if self.is_closed:
                 return
             if done is None:
@@ -65,7 +65,7 @@
             if found is None or not (change.is_applied_in(found) or self.record.is_same_tenure(found)):
                 return self._superseded(found)
             self.record = found
-            self._hold = done.hold
+            self._hold = done.promise
             if change.is_applied_in(found):
                 return callback(Completed(FencingToken(*found.position)))
             return callback(Busy(f"{found.name}: it was changed meanwhile"))
@@ -79,7 +79,7 @@
         lease is not held any more.
         """
 
-        def answered(done: Done | None) -> None:
+        def answered(done: ChangeResult | None) -> None:
             if self.is_closed:
                 return
             if done is None:
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from ..replication.messages import Said, spoken
+from ..replication.messages import ComponentPayload, component_codec
 from ..replication.work_record import Key, Owner
 from .chunks import Mark
 
 PART = "duties"  # names these messages among all that members exchange
 
 
-class LeaseOffer(Said, frozen=True, tag="offer"):
+class LeaseOffer(ComponentPayload, frozen=True, tag="offer"):
     """From a replica of its register: this duty needs a leader.
 
     generation, term: int, of the record that the offer is made for.
@@ -24,14 +24,14 @@
     must_accept: bool
 
 
-class OfferDeclined(Said, frozen=True, tag="declined"):
+class OfferDeclined(ComponentPayload, frozen=True, tag="declined"):
     """A member does not take the lease that it was offered."""
 
     key: Key
     term: int
 
 
-class LeaseTaken(Said, frozen=True, tag="passed"):
+class LeaseTaken(ComponentPayload, frozen=True, tag="passed"):
     """To the former leader: another has the lease. A hint; the former leader's next change would tell it, too."""
 
     key: Key
@@ -40,7 +40,7 @@
     holder: Owner
 
 
-class StoreChunk(Said, frozen=True, tag="keep"):
+class StoreChunk(ComponentPayload, frozen=True, tag="keep"):
     """To a replica: a chunk of the version that the change at `mark` is to name.
 
     chunk: bytes; empty if the replica should have it already.
@@ -53,7 +53,7 @@
     chunk: bytes
 
 
-class ChunkStored(Said, frozen=True, tag="kept"):
+class ChunkStored(ComponentPayload, frozen=True, tag="kept"):
     """Answer of a replica.
 
     ok: bool, it has stored the chunk.
@@ -68,21 +68,21 @@
     inc: int
 
 
-class RecordChosen(Said, frozen=True, tag="named"):
+class RecordChosen(ComponentPayload, frozen=True, tag="named"):
     """This value of the register is chosen: chunks that no later change can name may be deleted."""
 
     key: Key
     value: bytes
 
 
-class FetchChunks(Said, frozen=True, tag="fetch"):
+class FetchChunks(ComponentPayload, frozen=True, tag="fetch"):
     """Asks a replica for chunks."""
 
     key: Key
     names: list[bytes]
 
 
-class ChunkFetched(Said, frozen=True, tag="fetched"):
+class ChunkFetched(ComponentPayload, frozen=True, tag="fetched"):
     """One chunk; empty if the replica does not have it."""
 
     key: Key
@@ -100,4 +100,4 @@
     | FetchChunks
     | ChunkFetched
 )
-encode, decode = spoken(Message)
+encode, decode = component_codec(Message)
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from ..membership.failure_detector import MS
-from ..replication.acceptor import Slot
+from ..replication.acceptor import RegisterState
 from ..replication.node import Node
-from ..replication.register_space import LASTING, Registers
+from ..replication.register_space import LASTING, RegisterSpace
 from ..replication.work_record import Key
 from . import messages
 from .candidates import StabilityTracker
@@ -76,8 +76,8 @@
         self._host = host
         self.store = ChunkStore(policy.state_bytes * (policy.versions + 1))
         self.acceptor = self._create_acceptor(acceptor_class, remembers)
-        registers = Registers(LASTING, self.acceptor, node, None)
-        node.add(registers)
+        registers = RegisterSpace(LASTING, self.acceptor, node, None)
+        node.add_space(registers)
         self.services = MemberServices(node, registers, self._dispatch)
         chunks_repaired = self.acceptor.chunks_repaired
         self.replication = StateReplication(self.services, self.store, chunks_repaired)
@@ -97,25 +97,25 @@
             self.services, self.election, self.leases, self.fetching, self.acceptor
         )
         self._handlers = self._create_handlers()
-        node.parts[messages.PART] = self._on_message
-        node.told_of_loss.append(self.election.on_member_lost)
+        node.components[messages.PART] = self._on_message
+        node.on_member_lost.append(self.election.on_member_lost)
         self._next_heartbeat_us = 0
         self._unfit_since_us: int | None = None
         self._announced_at_us = 0
 
     def _create_acceptor(self, acceptor_class: type[DutyAcceptor], remembers: bool) -> DutyAcceptor:
-        seats = self.node.seats
+        seats = self.node.placement
         acceptor = acceptor_class(
             self.node.me,
-            self.node.owner.inc,
-            seats.keepers,
+            self.node.owner.incarnation,
+            seats.replicas,
             frozenset(seats.names) - {self.node.me},
             remembers,
             self.policy.most,
-            told=self._on_slot,
-            lasting=True,
-            part=seats.part,
-            of=seats.of,
+            on_change=self._on_slot,
+            permanent=True,
+            slice_of=seats.slice_of,
+            slice_replicas=seats.slice_replicas,
         )
         acceptor.store = self.store
         return acceptor
@@ -187,7 +187,7 @@
             return
         self._announced_at_us = now_us
         stored = sum(record.status != LeaseStatus.REMOVED for record in self.election.records.values())
-        self.node.duties = len(self.leases.by_key), stored
+        self.node.duty_counts = len(self.leases.by_key), stored
 
     # ---- messages and registers ----
 
@@ -202,7 +202,7 @@
     def _dispatch(self, seat: str, message: messages.Message) -> None:
         self._handlers[type(message)](seat, message)
 
-    def _on_slot(self, key: Key, slot: Slot) -> None:
+    def _on_slot(self, key: Key, slot: RegisterState) -> None:
         """The acceptor has accepted a value."""
         record = decode_record(slot.value)
         self.election.on_record(key, record)
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable
 
-from ..membership.failure_detector import MS, Members
-from ..replication.messages import For
+from ..membership.failure_detector import MS, FailureDetector
+from ..replication.messages import ComponentMessage
 from ..replication.node import Node
-from ..replication.proposer import Done, Hold
-from ..replication.register_space import LASTING, Registers
+from ..replication.proposer import CarriedPromise, ChangeResult
+from ..replication.register_space import LASTING, RegisterSpace
 from ..replication.work_record import Key, Owner
 from . import messages
 from .lease_transitions import Change
 
 NEVER_EXPIRES_US = 1 << 60
-RegisterCallback = Callable[[Done | None], None]  # None: no majority answered in time
+RegisterCallback = Callable[[ChangeResult | None], None]  # None: no majority answered in time
 
 
 class MemberServices:
@@ -23,7 +23,7 @@
     def __init__(
         self,
         node: Node,
-        registers: Registers,
+        registers: RegisterSpace,
         deliver_locally: Callable[[str, messages.Message], None],
     ) -> None:
         """`deliver_locally`: takes messages that this member sends to itself."""
@@ -44,17 +44,17 @@
     @property
     def incarnation(self) -> int:
         """Of this process."""
-        return self.node.owner.inc
+        return self.node.owner.incarnation
 
     @property
-    def members(self) -> Members:
+    def members(self) -> FailureDetector:
         """All members, as the failure detector sees them."""
-        return self.node.members
+        return self.node.detector
 
     @property
     def replica_count(self) -> int:
         """Replicas of each register."""
-        return self.node.seats.copies
+        return self.node.placement.copies
 
     def now(self) -> int:
         """Return the time in us."""
@@ -74,18 +74,18 @@
 
     def replicas(self, key: Key) -> tuple[str, ...]:
         """Return the seats that replicate a register, in their order."""
-        return self.node.seats.keepers(key)
+        return self.node.placement.replicas(key)
 
     def latest_incarnation(self, seat: str) -> int:
         """Return the highest incarnation of a seat that was heard of; 0 if none."""
-        return self.registers.keeper.incs.get(seat, 0)
+        return self.registers.acceptor.incarnations.get(seat, 0)
 
     def send(self, seat: str, message: messages.Message) -> None:
         """Send a message; one to this member itself is delivered by a timer of its own."""
         if seat == self.me:
             self.at(self.now(), lambda: self._deliver_locally(seat, message))
         else:
-            self.node.send(seat, For(messages.PART, messages.encode(message)))
+            self.node.send(seat, ComponentMessage(messages.PART, messages.encode(message)))
 
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call back once everything stored so far is on the disk; at once if there is none."""
@@ -93,10 +93,10 @@
 
     def read_register(self, key: Key, callback: RegisterCallback) -> None:
         """Read a register without hindering changes of it."""
-        self.registers.look(key, self._register_timeout_us(), callback)
+        self.registers.read(key, self._register_timeout_us(), callback)
 
     def change_register(
-        self, key: Key, change: Change, hold: Hold | None, callback: RegisterCallback
+        self, key: Key, change: Change, hold: CarriedPromise | None, callback: RegisterCallback
     ) -> None:
         """Change a register by a majority. `hold`: the promise from this proposer's last change, if it has one."""
         self.registers.change(key, change, NEVER_EXPIRES_US, self._register_timeout_us(), callback, hold)
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -14,9 +14,9 @@
 from ..leadership.holder_changes import AddIntent, HolderChange, IssueToken, UpdateState
 from ..leadership.lease_record import IntentResolution, LeaseRecord, LeaseStatus, decode_record, encode_record
 from ..leadership.lease_transitions import AcquireLease
-from ..replication.acceptor import Slot
-from ..replication.messages import FAST
-from ..replication.proposer import Hold
+from ..replication.acceptor import RegisterState
+from ..replication.messages import FAST_BALLOT
+from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Owner
 from .register_interleavings import KEY, SEATS, Limits, Registers, Runner
 
@@ -71,9 +71,9 @@
         value = encode_record(record)
         ballot = (1, leader.inc, 0)
         for acceptor in made.keepers.values():
-            acceptor.lasting = True
-            acceptor.slots[KEY] = Slot(ballot, FAST, value)
-        made.holds = Hold(ballot, value, {seat: 1 for seat in SEATS})
+            acceptor.permanent = True
+            acceptor.registers[KEY] = RegisterState(ballot, FAST_BALLOT, value)
+        made.holds = CarriedPromise(ballot, value, {seat: 1 for seat in SEATS})
         return made
 
     def print(self) -> Hashable:
@@ -111,7 +111,7 @@
         else:
             Registers.move(self, name)
 
-    def _begin_effect(self, runner: Runner, term: int, hold: Hold | None) -> None:
+    def _begin_effect(self, runner: Runner, term: int, hold: CarriedPromise | None) -> None:
         runner.attempt += 1
         runner.doing = "effect"
         owner = Owner(runner.name, runner.inc)
@@ -131,20 +131,20 @@
     # ---- what follows from a chosen value ----
 
     def _step(self, runner: Runner) -> None:
-        if runner.writer is None or runner.writer.done is None:
+        if runner.writer is None or runner.writer.result is None:
             return
-        done = runner.writer.done
+        done = runner.writer.result
         runner.writer = None
         self.net = tuple(message for message in self.net if message[0] != runner.name)
         record = decode_record(done.value)
         if runner.doing == "accept":
-            self._acquired(runner, record, done.hold)
+            self._acquired(runner, record, done.promise)
         else:
             runner.doing = "over"
             if record is not None and runner.change.is_applied_in(record):
                 self._effect_chosen(runner, record)
 
-    def _acquired(self, runner: Runner, record: LeaseRecord | None, hold: Hold | None) -> None:
+    def _acquired(self, runner: Runner, record: LeaseRecord | None, hold: CarriedPromise | None) -> None:
         if record is None or record.holder != Owner(runner.name, runner.inc):
             runner.doing = "over"
         elif record.intents:
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -32,8 +32,8 @@
 from ..leadership.participant import Participant
 from ..leadership.policy import Policy
 from ..leadership.worker import Worker
-from ..replication.acceptor import NEVER
-from ..replication.journal import Whose, pack, read
+from ..replication.acceptor import NO_BALLOT
+from ..replication.journal import JournalHeader, encode_records, read_journal
 from ..replication.node import Node
 from ..replication.register_space import LASTING
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
@@ -63,7 +63,7 @@
         assert isinstance(sim, DutySimulation)
         self.world = sim
         self.participant = sim.participant_class(self.node, self, sim.policy, remembers, sim.acceptor_class)
-        self.participant.acceptor.notes = sim.lasting
+        self.participant.acceptor.journaled = sim.lasting
         self.participant.store.has_disk = sim.lasting
         for name in sim.names:
             self.participant.directory.declare(name, "test")
@@ -83,7 +83,9 @@
     def _begin_disk_write(self) -> None:
         waiting = self._waiting_for_disk
         self._waiting_for_disk = []
-        self.disk_write = pack(self.participant.acceptor.unsaved(self.sim.now)) or NOTHING_TO_WRITE
+        self.disk_write = (
+            encode_records(self.participant.acceptor.unsaved_records(self.sim.now)) or NOTHING_TO_WRITE
+        )
 
         def written() -> None:
             if self.disk_write != NOTHING_TO_WRITE:
@@ -180,8 +182,8 @@
         self._updates = 0
         self._jobs = 0
         course = course or COURSE
-        self.lasting_whose = [Whose(1, "f", "s", f"n{i}") for i in range(course.seats)]
-        self.lasting_disks = [pack([whose]) for whose in self.lasting_whose]
+        self.lasting_whose = [JournalHeader(1, "f", "s", f"n{i}") for i in range(course.seats)]
+        self.lasting_disks = [encode_records([whose]) for whose in self.lasting_whose]
         super().__init__(seed, course, process=process or DutyProcess, amnesia=amnesia)
         if duties:
             self._plan_reads()
@@ -206,12 +208,12 @@
 
     def _restore(self, process: DutyProcess) -> None:
         seat = process.seat
-        image = read(self.lasting_disks[seat], self.lasting_whose[seat])
-        self.lasting_disks[seat] = self.lasting_disks[seat][: image.good]
-        if image.remembers:
-            process.participant.acceptor.recall(self.now, image)
+        image = read_journal(self.lasting_disks[seat], self.lasting_whose[seat])
+        self.lasting_disks[seat] = self.lasting_disks[seat][: image.valid_bytes]
+        if image.recovered:
+            process.participant.acceptor.restore(self.now, image)
         else:
-            self.lasting_disks[seat] = pack([self.lasting_whose[seat]])
+            self.lasting_disks[seat] = encode_records([self.lasting_whose[seat]])
 
     def _end(self, process: Process) -> None:
         super()._end(process)
@@ -298,18 +300,18 @@
         return [
             process
             for process in self.live_processes()
-            if process.node.me in self.seats.keepers(key) and process.participant.acceptor.votes_for(key)
+            if process.node.me in self.seats.replicas(key) and process.participant.acceptor.can_vote_on(key)
         ]
 
 
 def latest_record(name: str, replicas: list[DutyProcess]) -> LeaseRecord | None:
     """Return the record of the highest ballot that these replicas have accepted; None if there is none."""
     key = register_key(name)
-    slots = [process.participant.acceptor.slots.get(key) for process in replicas]
-    accepted = [slot for slot in slots if slot is not None and slot.ballot is not None]
+    slots = [process.participant.acceptor.registers.get(key) for process in replicas]
+    accepted = [slot for slot in slots if slot is not None and slot.accepted_ballot is not None]
     if not accepted:
         return None
-    record = decode_record(max(accepted, key=lambda slot: slot.ballot or NEVER).value)
+    record = decode_record(max(accepted, key=lambda slot: slot.accepted_ballot or NO_BALLOT).value)
     assert record is not None
     return record
 
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -28,7 +28,7 @@
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import LeaseRecord
 from moorusher.maintenance.schedule import Roster
-from moorusher.membership.failure_detector import State
+from moorusher.membership.failure_detector import MemberState
 from moorusher.server import server as service
 from moorusher.server.server import Service
 
@@ -162,7 +162,7 @@
         return self.service.cluster.maintenance._told(msgspec.convert(array, Roster), True)
 
     def member_told(self, state: int) -> Any:
-        self.service.cluster.replication.node.members.by_seat["n1"].state = State(state)
+        self.service.cluster.replication.node.detector.by_seat["n1"].state = MemberState(state)
         return self.page("GET", "fleet")[1]["members"][0]["state"]
 
     # ---- who calls it ----
