--- /dev/null
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -0,0 +1,100 @@
+"""What the messages of the other process lead to."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from ...core.request_engine import RequestEngine
+from ...hot_restart.process_role import Event
+from . import frames
+from .handover import Handover, RunnerProcess
+from .peer_connection import PeerConnection, close_descriptors
+
+log = logging.getLogger("moorusher")
+
+
+class MessageReceiver:
+    """One method for each kind of message, but for the greeting."""
+
+    def __init__(
+        self,
+        core: RequestEngine,
+        process: RunnerProcess,
+        handover: Handover,
+        handle: Callable[[Event], None],
+    ) -> None:
+        """`handle` has the role decide about an event."""
+        self._core = core
+        self._claims = core.key_claims
+        self._process = process
+        self._handover = handover
+        self._handle = handle
+        self._methods: dict[type, Callable[[Any], None]] = {
+            frames.UnsupportedWelcome: self._unsupported_welcome,
+            frames.KeyRecord: self._key_record,
+            frames.Claim: self._claim,
+            frames.Granted: lambda message: self._claims.granted(message.serial, message.key),
+            frames.Held: self._held,
+            frames.Full: lambda message: self._claims.full(message.serial, message.key),
+            frames.Freed: lambda message: self._claims.peer_freed(message.key),
+            frames.Settled: self._settled,
+            frames.LoadReport: lambda message: self._process.coexist(message.load),
+            frames.MaintenanceChanged: self._maintenance_changed,
+            frames.Ready: self._ready,
+            frames.KeysSynced: lambda _: self._handle(Event.KEYS_SYNCED),
+            frames.LetOn: lambda _: self._handle(Event.LET_ON),
+            frames.Busy: lambda _: self._peer_goes(Event.PEER_BUSY),
+            frames.Bye: lambda _: self._peer_goes(Event.PEER_LEFT),
+        }
+
+    def receive(self, peer: PeerConnection, message: frames.Message) -> None:
+        """Carry out one message."""
+        if isinstance(message, frames.Welcome):
+            self._welcome(peer, message)
+        else:
+            self._methods[type(message)](message)
+
+    def _welcome(self, peer: PeerConnection, welcome: frames.Welcome) -> None:
+        sockets = dict(zip(welcome.labels, peer.received_descriptors, strict=False))
+        peer.received_descriptors = []
+        usable = self._process.usable_sockets(sockets)
+        self._handover.sockets = usable
+        close_descriptors([socket for label, socket in sockets.items() if label not in usable])
+        self._process.follow_maintenance(welcome.maintenance)
+        self._process.succeed(welcome.incarnation)
+        self._handover.peer_unknown_until_us = welcome.keys_unknown_until_us
+        self._core.keys.limits.share_memory_with(welcome.key_table_bytes)
+        self._handle(Event.WELCOMED)
+
+    def _unsupported_welcome(self, welcome: frames.UnsupportedWelcome) -> None:
+        log.warning("the other process is passed over: version=%r", welcome.version)
+
+    def _key_record(self, record: frames.KeyRecord) -> None:
+        self._claims.snapshot_entry(
+            record.key, record.body_digest, record.expires_us, record.finished, record.result
+        )
+
+    def _claim(self, claim: frames.Claim) -> None:
+        self._claims.peer_claims(claim.serial, claim.key, claim.body_digest, claim.expires_us)
+
+    def _held(self, held: frames.Held) -> None:
+        self._claims.held(held.serial, held.key, held.body_digest, held.expires_us)
+
+    def _settled(self, settled: frames.Settled) -> None:
+        self._claims.peer_settled(settled.key, settled.body_digest, settled.expires_us, settled.result)
+
+    def _maintenance_changed(self, changed: frames.MaintenanceChanged) -> None:
+        self._process.follow_maintenance(changed.maintenance)
+
+    def _ready(self, ready: frames.Ready) -> None:
+        self._handover.shared_labels = set(ready.labels)
+        self._handle(Event.NEWCOMER_READY)
+
+    def _peer_goes(self, event: Event) -> None:
+        peer = self._handover.peer
+        self._handover.peer = None
+        if peer is not None:
+            peer.close()
+        self._handle(event)
--- a/moorusher/hot_restart/__init__.py
+++ b/moorusher/hot_restart/__init__.py
@@ -1,2 +1,5 @@
-"""One process of a runner takes over from another while both serve: what each is to do when. Pure; it is carried out
-in `cluster_transport/hot_restart.py` and `server/server.py`. docs/design/daily.md says why it is so."""
+"""Hot restart: one process of a runner takes over from another while both serve.
+
+Here is decided what each process does when. It is carried out in `cluster_transport/hot_restart/` and `server/`;
+docs/design/daily.md says why it is so.
+"""
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -1,7 +1,7 @@
-"""The life of one process among two, as a table: in a state, what an event leads to and what is to be done.
+"""The role of one process while another process of its runner may be there, as a state machine.
 
-Anything that may come in any state has a row or is passed over, and every row is one stated outcome. Time comes in as
-LATE, when the wait that a state allows is over.
+Events go in, instructions come out; a transition that is not in the table changes nothing. Time comes in as `TIMEOUT`,
+when the wait that a state allows is over.
 """
 
 from __future__ import annotations
@@ -10,139 +10,208 @@
 
 
 class State(Enum):
-    """Where a process is in its life beside another one."""
-
-    LOOKING = "looks for another process"
-    TAKING = "takes its keys over"
-    TAKEN = "has its keys, and waits for the kernel"
-    ASKING = "is ready, and waits to be let on"
-    BLIND = "serves beside one that does not speak; keyed classes wait"
-    MENDING = "has the keys of one that did not speak, and waits for the kernel"
+    """The role of a process. The values are names of counters, and are read in the log."""
+
+    # Accepts nothing, and claims no keys.
+    DISCOVERING = "looks for another process"
+    # From here to REQUESTING_HANDOVER it accepts nothing, and every key of the other one that it has heard of counts.
+    SYNCING_KEYS = "takes its keys over"
+    AWAITING_KERNEL = "has its keys, and waits for the kernel"
+    REQUESTING_HANDOVER = "is ready, and waits to be let on"
+    # Accepts on sockets of its own. A key that is new here may have run there: such requests are rejected.
+    SERVING_WITHOUT_KEYS = "serves beside one that does not speak; keyed classes wait"
+    KEYS_SYNCED_LATE = "has the keys of one that did not speak, and waits for the kernel"
+    # Accepts. The other one accepts nothing more, and each key is claimed with it.
     SUCCESSOR = "serves, and the other one finishes"
+    # Accepts, and every key is this process's to decide on.
     SOLE = "is alone"
-    HANDING = "hands its keys over, and serves on"
+    # Accepts, and each key is claimed with the newcomer, which runs nothing before it has been let on.
+    HANDING_OVER = "hands its keys over, and serves on"
+    # Accepts nothing more, and each key is claimed with the successor.
     REPLACED = "finishes, and the other one serves"
 
 
 class Event(Enum):
-    """What may happen to it."""
+    """What may happen to a process. The values are read in the log."""
 
-    NOBODY = "there is no other process"
-    DEAD = "there was one, and it is dead"
-    WELCOME = "the other one has answered, with its sockets"
-    BUSY = "the other one is in another replacement"
-    SYNCED = "all of its keys have been read"
+    NO_PEER = "there is no other process"
+    PEER_DEAD = "there was one, and it is dead"
+    WELCOMED = "the other one has answered, with its sockets"
+    PEER_BUSY = "the other one is in another replacement"
+    KEYS_SYNCED = "all of its keys have been read"
     KERNEL_UP = "the kernel has answered"
-    GO = "the other one accepts nothing more"
-    SEVERED = "the other one has hung up, and serves on"
-    LOST = "the other one has died"
-    LATE = "too long in this state"
-    HELLO = "a further process has come"
-    READY = "the new one can serve"
-    TERM = "the platform wants this process to end"
+    LET_ON = "the other one accepts nothing more"
+    PEER_LEFT = "the other one has hung up, and serves on"
+    PEER_DIED = "the other one has died"
+    TIMEOUT = "too long in this state"
+    NEWCOMER = "a further process has come"
+    NEWCOMER_READY = "the new one can serve"
+    SIGTERM = "the platform wants this process to end"
 
 
-class Step(Enum):
-    """What is to be done about that."""
+class Instruction(Enum):
+    """What is to be done about an event."""
 
-    LOOK = "look (again) for the other process"
+    DISCOVER = "look (again) for the other process"
     LISTEN = "listen on sockets of its own"
-    TAKE_UP = "accept on the sockets that were handed over, on others of its own"
-    TAKE_PLACE = "be the one that further processes find"
-    WELCOME = "hand over sockets, state and keys; claim keys from now on"
-    BUSY = "send the further process away for now"
-    SAY_READY = "say that it can serve"
-    PAUSE = "accept nothing more, and ask connections to leave"
-    SAY_GO = "let the new one on"
-    RESUME = "accept again"
-    HANG_UP = "say so, and close the link"
-    JOIN = "claim keys with the other one from now on"
-    UNSURE = "nothing is known of keys: what is new and keyed is turned away until told"
-    UNSURE_FOR_A_WINDOW = "the same until the longest window is over"
-    SURE = "all keys that may have run are known"
-    FORGET = "what was taken over does not count"
-    BURY = "what the other one left open is over, without a result"
-    LEAVE = "the notice to leave"
+    ADOPT_SOCKETS = "accept on the sockets that were handed over, on others of its own"
+    PUBLISH_ADDRESS = "be the one that further processes find"
+    SEND_WELCOME = "hand over sockets, state and keys; claim keys from now on"
+    SEND_BUSY = "send the further process away for now"
+    SEND_READY = "say that it can serve"
+    STOP_ACCEPTING = "accept nothing more, and ask connections to leave"
+    LET_ON = "let the new one on"
+    RESUME_ACCEPTING = "accept again"
+    DISCONNECT = "say so, and close the connection"
+    CLAIM_KEYS = "claim keys with the other one from now on"
+    DISTRUST_KEYS = "reject requests with a key that is new here, until told otherwise"
+    DISTRUST_KEYS_FOR_A_WINDOW = "the same until the longest window of a key is over"
+    TRUST_KEYS = "all keys that may have run are known"
+    DISCARD_PEER_KEYS = "the other one's open keys never ran"
+    CLOSE_PEER_KEYS = "the other one's open keys may have run: they are finished, without a result"
+    DRAIN = "shut the runner down"
     FINISH = "answer what was read and end, with no word to front ends"
 
 
-S, E, P = State, Event, Step
-
-# States that end by themselves where nothing comes, in ms: together well under the 6 s in which a new process must say
-# yes. No wait for the kernel is among them: it may start long after the runner.
-WAITS_MS: dict[State, float] = {S.LOOKING: 1_000, S.TAKING: 2_000, S.ASKING: 1_000}
-
-_AGAIN = (P.FORGET, P.UNSURE_FOR_A_WINDOW, P.LOOK)
-_ALONE = (P.BURY, P.TAKE_UP, P.TAKE_PLACE)
-
-TABLE: dict[tuple[State, Event], tuple[State, tuple[Step, ...]]] = {
-    (S.LOOKING, E.NOBODY): (S.SOLE, (P.LISTEN, P.TAKE_PLACE)),
-    # A process of this runner died here, and what it ran nobody knows.
-    (S.LOOKING, E.DEAD): (S.SOLE, (P.UNSURE_FOR_A_WINDOW, P.LISTEN, P.TAKE_PLACE)),
-    (S.LOOKING, E.BUSY): (S.LOOKING, (P.LOOK,)),
-    (S.LOOKING, E.WELCOME): (S.TAKING, (P.JOIN,)),
-    (S.LOOKING, E.LOST): (S.LOOKING, _AGAIN),
-    (S.LOOKING, E.SEVERED): (S.LOOKING, _AGAIN),
-    (S.LOOKING, E.LATE): (S.BLIND, (P.UNSURE, P.LISTEN)),
-    (S.TAKING, E.SYNCED): (S.TAKEN, ()),
-    (S.TAKING, E.LOST): (S.SOLE, (P.UNSURE_FOR_A_WINDOW, *_ALONE)),
-    (S.TAKING, E.SEVERED): (S.LOOKING, _AGAIN),
-    (S.TAKING, E.LATE): (S.BLIND, (P.UNSURE, P.LISTEN)),
-    (S.TAKEN, E.KERNEL_UP): (S.ASKING, (P.SAY_READY,)),
-    (S.TAKEN, E.LOST): (S.SOLE, (P.SURE, *_ALONE)),  # it ran nothing since that was not claimed here
-    (S.TAKEN, E.SEVERED): (S.LOOKING, _AGAIN),
-    (S.ASKING, E.GO): (S.SUCCESSOR, (P.SURE, P.TAKE_UP, P.TAKE_PLACE)),
-    (S.ASKING, E.LOST): (S.SOLE, (P.SURE, *_ALONE)),
-    (S.ASKING, E.SEVERED): (S.LOOKING, _AGAIN),
-    (S.ASKING, E.LATE): (S.BLIND, (P.UNSURE, P.LISTEN)),
-    (S.BLIND, E.WELCOME): (S.BLIND, (P.JOIN,)),
-    (S.BLIND, E.SYNCED): (S.MENDING, ()),
-    (S.MENDING, E.KERNEL_UP): (S.BLIND, (P.SAY_READY,)),
-    (S.MENDING, E.LOST): (S.SOLE, (P.SURE, P.BURY, P.TAKE_PLACE)),
-    (S.MENDING, E.SEVERED): (S.BLIND, (P.FORGET, P.LOOK)),
-    (S.BLIND, E.GO): (S.SUCCESSOR, (P.SURE, P.TAKE_PLACE)),
-    (S.BLIND, E.BUSY): (S.BLIND, (P.LOOK,)),
-    (S.BLIND, E.SEVERED): (S.BLIND, (P.FORGET, P.LOOK)),
-    (S.BLIND, E.LOST): (S.BLIND, (P.BURY, P.UNSURE_FOR_A_WINDOW, P.LOOK)),
-    (S.BLIND, E.NOBODY): (S.SOLE, (P.UNSURE_FOR_A_WINDOW, P.TAKE_PLACE)),
-    (S.BLIND, E.DEAD): (S.SOLE, (P.UNSURE_FOR_A_WINDOW, P.TAKE_PLACE)),
-    (S.SUCCESSOR, E.LOST): (S.SOLE, (P.BURY,)),
-    (S.SUCCESSOR, E.SEVERED): (S.SOLE, (P.BURY,)),  # it says so as it ends in order
-    (S.SUCCESSOR, E.HELLO): (S.SUCCESSOR, (P.BUSY,)),
-    (S.SOLE, E.HELLO): (S.HANDING, (P.WELCOME,)),
-    # Nothing was run over there yet: this process may go on alone at any time before GO.
-    (S.HANDING, E.LATE): (S.SOLE, (P.HANG_UP, P.FORGET)),
-    (S.HANDING, E.LOST): (S.SOLE, (P.FORGET,)),
-    (S.HANDING, E.SEVERED): (S.SOLE, (P.FORGET,)),
-    (S.HANDING, E.HELLO): (S.HANDING, (P.BUSY,)),
-    (S.HANDING, E.READY): (S.REPLACED, (P.PAUSE, P.SAY_GO)),
-    (S.REPLACED, E.LOST): (S.SOLE, (P.BURY, P.RESUME, P.TAKE_PLACE)),
-    (S.REPLACED, E.SEVERED): (S.SOLE, (P.BURY, P.RESUME, P.TAKE_PLACE)),
-    (S.REPLACED, E.HELLO): (S.REPLACED, (P.BUSY,)),
-    (S.REPLACED, E.TERM): (S.REPLACED, (P.FINISH,)),
-    # Without a successor that serves, it is the notice to leave, as ever.
-    **{(state, E.TERM): (state, (P.LEAVE,)) for state in S if state not in (S.REPLACED, S.BLIND, S.MENDING)},
-    # One that serves without having been let on hangs up first: the other one must not stop accepting for it.
-    **{(state, E.TERM): (S.BLIND, (P.HANG_UP, P.FORGET, P.LEAVE)) for state in (S.BLIND, S.MENDING)},
+Do = Instruction  # short, in the tables below
+
+# How long a state lasts at most, in ms: together well under the 6 s in which a new process has to answer health checks.
+# No wait for the kernel is among them: it may start long after the runner.
+TIMEOUTS_MS: dict[State, float] = {
+    State.DISCOVERING: 1_000,
+    State.SYNCING_KEYS: 2_000,
+    State.REQUESTING_HANDOVER: 1_000,
+}
+
+_START_OVER = (Do.DISCARD_PEER_KEYS, Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.DISCOVER)
+_TAKE_THE_PLACE = (Do.CLOSE_PEER_KEYS, Do.ADOPT_SOCKETS, Do.PUBLISH_ADDRESS)
+_SERVE_WITHOUT_KEYS = (State.SERVING_WITHOUT_KEYS, (Do.DISTRUST_KEYS, Do.LISTEN))
+_SERVE_ON = (State.SOLE, (Do.CLOSE_PEER_KEYS, Do.RESUME_ACCEPTING, Do.PUBLISH_ADDRESS))
+
+Transition = tuple[State, tuple[Instruction, ...]]
+
+_NEW_PROCESS: dict[tuple[State, Event], Transition] = {
+    (State.DISCOVERING, Event.NO_PEER): (State.SOLE, (Do.LISTEN, Do.PUBLISH_ADDRESS)),
+    # A process of this runner died here, and nobody knows what it ran.
+    (State.DISCOVERING, Event.PEER_DEAD): (
+        State.SOLE,
+        (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.LISTEN, Do.PUBLISH_ADDRESS),
+    ),
+    (State.DISCOVERING, Event.PEER_BUSY): (State.DISCOVERING, (Do.DISCOVER,)),
+    (State.DISCOVERING, Event.WELCOMED): (State.SYNCING_KEYS, (Do.CLAIM_KEYS,)),
+    (State.DISCOVERING, Event.PEER_DIED): (State.DISCOVERING, _START_OVER),
+    (State.DISCOVERING, Event.PEER_LEFT): (State.DISCOVERING, _START_OVER),
+    (State.DISCOVERING, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
+    (State.SYNCING_KEYS, Event.KEYS_SYNCED): (State.AWAITING_KERNEL, ()),
+    (State.SYNCING_KEYS, Event.PEER_DIED): (State.SOLE, (Do.DISTRUST_KEYS_FOR_A_WINDOW, *_TAKE_THE_PLACE)),
+    (State.SYNCING_KEYS, Event.PEER_LEFT): (State.DISCOVERING, _START_OVER),
+    (State.SYNCING_KEYS, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
+    (State.AWAITING_KERNEL, Event.KERNEL_UP): (State.REQUESTING_HANDOVER, (Do.SEND_READY,)),
+    # Since the keys were synced it has run nothing that was not claimed here.
+    (State.AWAITING_KERNEL, Event.PEER_DIED): (State.SOLE, (Do.TRUST_KEYS, *_TAKE_THE_PLACE)),
+    (State.AWAITING_KERNEL, Event.PEER_LEFT): (State.DISCOVERING, _START_OVER),
+    (State.REQUESTING_HANDOVER, Event.LET_ON): (
+        State.SUCCESSOR,
+        (Do.TRUST_KEYS, Do.ADOPT_SOCKETS, Do.PUBLISH_ADDRESS),
+    ),
+    (State.REQUESTING_HANDOVER, Event.PEER_DIED): (State.SOLE, (Do.TRUST_KEYS, *_TAKE_THE_PLACE)),
+    (State.REQUESTING_HANDOVER, Event.PEER_LEFT): (State.DISCOVERING, _START_OVER),
+    (State.REQUESTING_HANDOVER, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
 }
 
+_SERVING_BESIDE_A_SILENT_PEER: dict[tuple[State, Event], Transition] = {
+    (State.SERVING_WITHOUT_KEYS, Event.WELCOMED): (State.SERVING_WITHOUT_KEYS, (Do.CLAIM_KEYS,)),
+    (State.SERVING_WITHOUT_KEYS, Event.KEYS_SYNCED): (State.KEYS_SYNCED_LATE, ()),
+    (State.KEYS_SYNCED_LATE, Event.KERNEL_UP): (State.SERVING_WITHOUT_KEYS, (Do.SEND_READY,)),
+    (State.KEYS_SYNCED_LATE, Event.PEER_DIED): (
+        State.SOLE,
+        (Do.TRUST_KEYS, Do.CLOSE_PEER_KEYS, Do.PUBLISH_ADDRESS),
+    ),
+    (State.KEYS_SYNCED_LATE, Event.PEER_LEFT): (
+        State.SERVING_WITHOUT_KEYS,
+        (Do.DISCARD_PEER_KEYS, Do.DISCOVER),
+    ),
+    (State.SERVING_WITHOUT_KEYS, Event.LET_ON): (State.SUCCESSOR, (Do.TRUST_KEYS, Do.PUBLISH_ADDRESS)),
+    (State.SERVING_WITHOUT_KEYS, Event.PEER_BUSY): (State.SERVING_WITHOUT_KEYS, (Do.DISCOVER,)),
+    (State.SERVING_WITHOUT_KEYS, Event.PEER_LEFT): (
+        State.SERVING_WITHOUT_KEYS,
+        (Do.DISCARD_PEER_KEYS, Do.DISCOVER),
+    ),
+    (State.SERVING_WITHOUT_KEYS, Event.PEER_DIED): (
+        State.SERVING_WITHOUT_KEYS,
+        (Do.CLOSE_PEER_KEYS, Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.DISCOVER),
+    ),
+    (State.SERVING_WITHOUT_KEYS, Event.NO_PEER): (
+        State.SOLE,
+        (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.PUBLISH_ADDRESS),
+    ),
+    (State.SERVING_WITHOUT_KEYS, Event.PEER_DEAD): (
+        State.SOLE,
+        (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.PUBLISH_ADDRESS),
+    ),
+}
+
+_SERVING: dict[tuple[State, Event], Transition] = {
+    (State.SUCCESSOR, Event.PEER_DIED): (State.SOLE, (Do.CLOSE_PEER_KEYS,)),
+    (State.SUCCESSOR, Event.PEER_LEFT): (State.SOLE, (Do.CLOSE_PEER_KEYS,)),  # the end of a shutdown in order
+    (State.SUCCESSOR, Event.NEWCOMER): (State.SUCCESSOR, (Do.SEND_BUSY,)),
+    (State.SOLE, Event.NEWCOMER): (State.HANDING_OVER, (Do.SEND_WELCOME,)),
+    # The newcomer has run nothing yet: this process may go on alone at any time before it lets the newcomer on.
+    (State.HANDING_OVER, Event.TIMEOUT): (State.SOLE, (Do.DISCONNECT, Do.DISCARD_PEER_KEYS)),
+    (State.HANDING_OVER, Event.PEER_DIED): (State.SOLE, (Do.DISCARD_PEER_KEYS,)),
+    (State.HANDING_OVER, Event.PEER_LEFT): (State.SOLE, (Do.DISCARD_PEER_KEYS,)),
+    (State.HANDING_OVER, Event.NEWCOMER): (State.HANDING_OVER, (Do.SEND_BUSY,)),
+    (State.HANDING_OVER, Event.NEWCOMER_READY): (State.REPLACED, (Do.STOP_ACCEPTING, Do.LET_ON)),
+    (State.REPLACED, Event.PEER_DIED): _SERVE_ON,
+    (State.REPLACED, Event.PEER_LEFT): _SERVE_ON,
+    (State.REPLACED, Event.NEWCOMER): (State.REPLACED, (Do.SEND_BUSY,)),
+}
+
+# Without a successor that serves, SIGTERM drains the runner.
+_SIGTERM: dict[tuple[State, Event], Transition] = {
+    (state, Event.SIGTERM): (state, (Do.DRAIN,))
+    for state in State
+    if state not in (State.REPLACED, State.SERVING_WITHOUT_KEYS, State.KEYS_SYNCED_LATE)
+}
+_SIGTERM[State.REPLACED, Event.SIGTERM] = (State.REPLACED, (Do.FINISH,))
+# It serves without having been let on, and disconnects first: the other one must not stop accepting for it.
+for _state in (State.SERVING_WITHOUT_KEYS, State.KEYS_SYNCED_LATE):
+    _SIGTERM[_state, Event.SIGTERM] = (
+        State.SERVING_WITHOUT_KEYS,
+        (Do.DISCONNECT, Do.DISCARD_PEER_KEYS, Do.DRAIN),
+    )
+
+TRANSITIONS = _NEW_PROCESS | _SERVING_BESIDE_A_SILENT_PEER | _SERVING | _SIGTERM
+
+
+class ProcessRole:
+    """The state of one process.
 
-class Life:
-    """One process. `hear` returns what is to be done, in this order."""
+    Attributes:
+        state: changed by `handle` alone.
+    """
 
     def __init__(self) -> None:
-        self.state = S.LOOKING
+        self.state = State.DISCOVERING
 
-    def hear(self, event: Event) -> tuple[Step, ...]:
-        self.state, steps = TABLE.get((self.state, event), (self.state, ()))
-        return steps
+    def handle(self, event: Event) -> tuple[Instruction, ...]:
+        """What is to be done about an event, in this order."""
+        self.state, instructions = TRANSITIONS.get((self.state, event), (self.state, ()))
+        return instructions
 
     @property
-    def predecessor(self) -> bool:
-        """The other one, if there is one, has come later."""
-        return self.state in (S.SOLE, S.HANDING, S.REPLACED)
+    def is_predecessor(self) -> bool:
+        """The other process, if there is one, has come later."""
+        return self.state in (State.SOLE, State.HANDING_OVER, State.REPLACED)
 
     @property
-    def claims(self) -> bool:
+    def claims_keys(self) -> bool:
         """There is another process that keys are claimed with."""
-        return self.state in (S.TAKING, S.TAKEN, S.ASKING, S.SUCCESSOR, S.HANDING, S.REPLACED)
+        return self.state in (
+            State.SYNCING_KEYS,
+            State.AWAITING_KERNEL,
+            State.REQUESTING_HANDOVER,
+            State.SUCCESSOR,
+            State.HANDING_OVER,
+            State.REPLACED,
+        )
--- a/moorusher/hot_restart/shared_budget.py
+++ b/moorusher/hot_restart/shared_budget.py
@@ -1,4 +1,4 @@
-"""What two processes of one runner take together. The one that stays keeps within what the other has left."""
+"""What two processes of one runner share: an address, and the limits of the runner."""
 
 from __future__ import annotations
 
@@ -6,13 +6,21 @@
 
 import xxhash
 
-MOST_PATH, MOST_PID = 107, 11  # bytes of a Unix socket's address; of what it has behind its name at first
-NEEDS_MB = 21.0  # the least that a process in service takes
+MAX_PATH_BYTES = 107  # of a Unix socket's address
+PID_SUFFIX_BYTES = 11  # that a new socket has behind its name at first
+MIN_PROCESS_MB = 21.0  # what a process in service takes at least
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """What a process takes of what the runner has."""
+class ProcessLoad:
+    """What one process takes of the runner's limits.
+
+    Attributes:
+        on_cores: runs that compete for the cores.
+        running: all runs, those at calls included.
+        memory_kb: of the kernel, by its requests.
+        connections: of clients.
+    """
 
     on_cores: int = 0
     running: int = 0
@@ -20,14 +28,16 @@
     connections: int = 0
 
 
-def path_for(folder: str, name: str, address: tuple[str, int]) -> str | None:
-    """Where the processes of one runner find each other; many runners may share a folder. None where no socket can have
-    a name as long as that."""
-    own = xxhash.xxh64_hexdigest(f"{name} {address[0]}:{address[1]}".encode())
-    path = f"{folder.rstrip('/')}/moorusher-{own}"
-    return path if len(path.encode("utf-8", "surrogateescape")) + MOST_PID <= MOST_PATH else None
+def rendezvous_path(folder: str, name: str, address: tuple[str, int]) -> str | None:
+    """The Unix socket by which the processes of one runner find each other; many runners may share a folder. None where
+    the path is too long for a socket."""
+    runner_id = xxhash.xxh64_hexdigest(f"{name} {address[0]}:{address[1]}".encode())
+    path = f"{folder.rstrip('/')}/moorusher-{runner_id}"
+    length = len(path.encode("utf-8", "surrogateescape")) + PID_SUFFIX_BYTES
+    return path if length <= MAX_PATH_BYTES else None
 
 
-def room_for_two(memory_mb: float, taken_mb: float) -> bool:
-    """Both are killed where they don't fit: the one that has not begun yet is the one to give way."""
-    return taken_mb + NEEDS_MB <= memory_mb
+def fits_beside(limit_mb: float, taken_mb: float) -> bool:
+    """Whether a second process fits into the runner's memory. Where not, both would be killed: the one that has not
+    begun gives way."""
+    return taken_mb + MIN_PROCESS_MB <= limit_mb
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -13,7 +13,7 @@
 
 from ..config.loader import load
 from ..config.section import ConfigError, ConfigUnreadable
-from ..hot_restart.shared_budget import path_for, room_for_two
+from ..hot_restart.shared_budget import fits_beside, rendezvous_path
 from ..transient_errors import retry_transient
 
 log = logging.getLogger("moorusher")
@@ -69,8 +69,10 @@
     except ConfigError as error:
         print(f"moorusher: {error}", file=sys.stderr)
         return FAULTY
-    taken_mb = _memory_of_other_process_mb(path_for(os.environ.get("TMPDIR", ""), config.name, config.listen))
-    if not room_for_two(config.limits.memory_mb, taken_mb):
+    taken_mb = _memory_of_other_process_mb(
+        rendezvous_path(os.environ.get("TMPDIR", ""), config.name, config.listen)
+    )
+    if not fits_beside(config.limits.memory_mb, taken_mb):
         log.error(
             "limits.memory_mb: %g is too little for a second process: the one in service takes %.0f MB",
             config.limits.memory_mb,
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -19,7 +19,7 @@
 from ..frontends.jsonrpc import JsonRpcFront
 from ..frontends.uwsgi import UwsgiFront
 from ..health.observation import Maintenance
-from ..hot_restart.shared_budget import Load, path_for
+from ..hot_restart.shared_budget import ProcessLoad, rendezvous_path
 from .composition import build_backend, build_cluster_parts, reports_health
 from .connection_budget import MIN_CLIENT_CONNECTIONS, ConnectionBudget
 from .graceful_shutdown import GracefulShutdown
@@ -116,37 +116,37 @@
         """Take over from a process of this runner that is in service, or accept at once where none can be found."""
         path = None
         if folder := os.environ.get("TMPDIR"):
-            from ..cluster_transport.hot_restart import Succession
+            from ..cluster_transport.hot_restart.coordinator import HotRestart
 
-            path = path_for(folder, self.config.name, self.config.listen)
+            path = rendezvous_path(folder, self.config.name, self.config.listen)
         if path is None:
             log.info("no further process can find this one: TMPDIR is not set, or too long")
             self.accept({})
             return
-        self.hot_restart = Succession(self.reactor, self.core, self, path, self.config.name)
+        self.hot_restart = HotRestart(self.reactor, self.core, self, path, self.config.name)
         self.core.hooks.kernel_up = self.hot_restart.kernel_up
-        self.reporter.told = self.hot_restart.say_out
+        self.reporter.told = self.hot_restart.maintenance_changed
         self.hot_restart.start()
 
     # ---- beside another process of this runner ----
 
-    def usable(self, handed: dict[str, int]) -> dict[str, int]:
+    def usable_sockets(self, handed_over: dict[str, int]) -> dict[str, int]:
         """Of the sockets that another process has handed over, by label, those at this runner's addresses."""
-        return self.listeners.usable(handed)
+        return self.listeners.usable(handed_over)
 
-    def handed_over(self) -> dict[str, int]:
+    def listening_sockets(self) -> dict[str, int]:
         """The descriptors of its own sockets, by label."""
         return self.listeners.descriptors()
 
-    def accept(self, handed: dict[str, int]) -> None:
+    def accept(self, handed_over: dict[str, int]) -> None:
         """Accept clients on the sockets that another process has handed over, and on others that it may share."""
         if self.core.drain_state.draining:
             return  # an address that became free too late: whoever came in now would only be sent away
         first = not self.serving
         try:
-            self.listeners.open(handed)
+            self.listeners.open(handed_over)
         except OSError as error:
-            self._retry_listening(error, lambda: self.accept(handed))
+            self._retry_listening(error, lambda: self.accept(handed_over))
             return
         self._listen_retry.succeeded()
         if first and self.announcer is not None:
@@ -186,34 +186,40 @@
         self.listeners.resume()
         self.accept({})
 
-    def load(self) -> Load:
+    def load(self) -> ProcessLoad:
         """What this process takes of the runner's limits."""
         runs = self.core.runs
-        return Load(
+        return ProcessLoad(
             runs.on_cores,
             len(runs),
             self.core.table.memory_kb(self.core.settings.run_memory_factor),
             len(self.jsonrpc.connections) + len(self.uwsgi.connections),
         )
 
-    def beside(self, load: Load) -> None:
+    def coexist(self, load: ProcessLoad) -> None:
         """Keep within what another process of this runner leaves of its limits."""
         self.core.coexist(load.on_cores, load.running, load.memory_kb)
         self._peer_process_connections = load.connections
         self.apply_connection_limits()
 
-    def taken_out(self) -> dict[str, Any] | None:
+    def maintenance_fields(self) -> dict[str, Any] | None:
+        """The maintenance state, as another process of this runner is told it."""
         m = self.reporter.tracker.maintenance
         return None if m is None else {"reason": m.reason, "since": m.since, "until": m.until}
 
-    def take_out(self, told: dict[str, Any] | None) -> None:
-        self.reporter.follow(None if told is None else Maintenance(**told))
+    def follow_maintenance(self, fields: dict[str, Any] | None) -> None:
+        """Take over the maintenance state of another process of this runner."""
+        self.reporter.follow(
+            None if fields is None else Maintenance(fields["reason"], fields["since"], fields["until"])
+        )
 
     def incarnation(self) -> int:
+        """Among the runners of the cluster; 0 where there is none."""
         replication = self.cluster.replication
         return 0 if replication is None else int(replication.node.owner.incarnation)
 
-    def follows(self, incarnation: int) -> None:
+    def succeed(self, incarnation: int) -> None:
+        """The incarnation of the process that this one replaces."""
         if self.cluster.replication is not None:
             self.cluster.replication.predecessor = incarnation
 
@@ -269,7 +275,7 @@
         if self.hot_restart is None:
             self.leave()
         else:
-            self.hot_restart.term()
+            self.hot_restart.terminate()
 
     def leave(self) -> None:
         """Drain: nobody serves on in place of this runner."""
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -1,7 +1,7 @@
 """Frames between two processes of one runner, of which one may be of an earlier build.
 
 Guards against a word, a field or a label that changes its name: a new process would not be let on, would take over no
-keys, or would run a key twice, and each such replacement would end in a log line `the other process said ...`. Every
+keys, or would run a key twice, and each such replacement would end in a log line `unreadable frame of the other process`. Every
 frame that comes and goes in whole conversations is compared byte by byte.
 """
 
@@ -15,11 +15,12 @@
 
 import pytest
 
-from moorusher.cluster_transport.hot_restart import Peer, Succession
+from moorusher.cluster_transport.hot_restart.coordinator import HotRestart
+from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.outcomes import EndReason
 from moorusher.health.policy import Policy
 from moorusher.hot_restart.process_role import Event, State
-from moorusher.hot_restart.shared_budget import Load
+from moorusher.hot_restart.shared_budget import ProcessLoad
 from moorusher.server.health_report import Reporter
 from moorusher.server.server import Service
 
@@ -63,26 +64,26 @@
         self.core, self.reporter = world.core, Reporter(world.core, Policy(), "n1")
         self.heard: list[object] = []
 
-    def load(self) -> Load:
-        return Load(2, 3, 1024.5, 7)
+    def load(self) -> ProcessLoad:
+        return ProcessLoad(2, 3, 1024.5, 7)
 
-    def beside(self, load: Load) -> None:
-        self.heard.append(load == Load(5, 6, 2048.5, 8))
+    def coexist(self, load: ProcessLoad) -> None:
+        self.heard.append(load == ProcessLoad(5, 6, 2048.5, 8))
 
-    def handed_over(self) -> dict[str, int]:
+    def listening_sockets(self) -> dict[str, int]:
         return {"listen": 100, "uwsgi": 101}
 
-    def usable(self, handed: dict[str, int]) -> dict[str, int]:
-        self.heard.append(sorted(handed))
-        return handed
+    def usable_sockets(self, handed_over: dict[str, int]) -> dict[str, int]:
+        self.heard.append(sorted(handed_over))
+        return handed_over
 
-    def accept(self, handed: dict[str, int]) -> None:
-        self.heard.append(["accept", sorted(handed)])
+    def accept(self, handed_over: dict[str, int]) -> None:
+        self.heard.append(["accept", sorted(handed_over)])
 
     def incarnation(self) -> int:
         return 77
 
-    def follows(self, incarnation: int) -> None:
+    def succeed(self, incarnation: int) -> None:
         self.heard.append(["follows", incarnation])
 
     def pause(self, shared: set[str]) -> None:
@@ -98,19 +99,19 @@
     def __init__(self) -> None:
         self.world = World()
         self.owner = Runner(self.world)
-        self.link = Succession(self, self.world.core, self.owner, "/nowhere/socket", "n1")
-        self.owner.reporter.told = self.link.say_out
-        self.transport, self.peer = Transport(), Peer(self.link, came=True)
+        self.link = HotRestart(self, self.world.core, self.owner, "/nowhere/socket", "n1")
+        self.owner.reporter.told = self.link.maintenance_changed
+        self.transport, self.peer = Transport(), PeerConnection(self.link, accepted=True)
 
     def callLater(self, seconds: float, action: Any) -> None:
         self.world.turns.append(action)
 
     def alone(self) -> None:
-        self.link.hear(Event.NOBODY)
+        self.link.handle(Event.NO_PEER)
 
     def meets(self, came: bool) -> None:
         """A connection, from a further process or to the one in service."""
-        self.peer, self.transport = Peer(self.link, came), Transport()
+        self.peer, self.transport = PeerConnection(self.link, came), Transport()
         self.peer.makeConnection(self.transport)  # type: ignore[no-untyped-call]
 
     def reads(self, frame: bytes) -> None:
@@ -244,11 +245,11 @@
     process.taken_out("other work", 30.0)
     talk.note("taken out")
     talk.read('{"t":"OUT","out":{"reason":"theirs","since":1000000000,"until":null}}\n')
-    told = process.owner.taken_out()
+    told = process.owner.maintenance_fields()
     talk.read('{"t":"OUT","out":null}\n')
     process.says_goodbye()
     talk.note("it ends")
-    heard = {"taken out": [told, process.owner.taken_out()], "heard": process.owner.heard}
+    heard = {"taken out": [told, process.owner.maintenance_fields()], "heard": process.owner.heard}
     assert_golden("succession_taking", {"frames": talk.said, **heard, "counters": process.counted()})
 
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -17,7 +17,7 @@
 from moorusher.backends.announce import Announcer
 from moorusher.backends.kernel import KernelConnection, KernelLink
 from moorusher.backends.uwsgi import UwsgiCalls
-from moorusher.cluster_transport.hot_restart import Peer
+from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.call import CallRequest
 from moorusher.frontends.agent import AgentFront
 from moorusher.frontends.health import HealthFront
@@ -140,9 +140,9 @@
         core=World().core,
         connected=lambda peer: None,
         lost=said.append,
-        heard=lambda peer, m, blob: said.append((m, blob)),
+        received=lambda peer, frame: said.append((frame.fields, frame.result)),
     )
-    peer = Peer(link, came=True)
+    peer = PeerConnection(link, accepted=True)
     peer.transport = transport = Transport()
     return peer, lambda: (said, transport.aborted)
 
--- a/tests/test_succession.py
+++ b/tests/test_hot_restart.py
@@ -18,125 +18,169 @@
 from moorusher.core.outcomes import EndReason
 from moorusher.core.registration import InvalidArrival
 from moorusher.core.requests import Arrival
-from moorusher.hot_restart.process_role import TABLE, WAITS_MS, Event, Life, State, Step
-from moorusher.hot_restart.shared_budget import path_for, room_for_two
+from moorusher.hot_restart.process_role import (
+    TIMEOUTS_MS,
+    TRANSITIONS,
+    Event,
+    Instruction,
+    ProcessRole,
+    State,
+)
+from moorusher.hot_restart.shared_budget import fits_beside, rendezvous_path
 
 from .test_core import World
 
-E, S, P = Event, State, Step
+E, S, P = Event, State, Instruction
 
-# ---- the life of one process ----
+# ---- the role of one process ----
 
 
-def after(*events: Event) -> tuple[State, list[Step]]:
-    life, steps = Life(), list[Step]()
+def after(*events: Event) -> tuple[State, list[Instruction]]:
+    role, steps = ProcessRole(), list[Instruction]()
     for event in events:
-        steps += life.hear(event)
-    return life.state, steps
+        steps += role.handle(event)
+    return role.state, steps
 
 
-TAKE_OVER = E.WELCOME, E.SYNCED, E.KERNEL_UP, E.GO
+TAKE_OVER = E.WELCOMED, E.KEYS_SYNCED, E.KERNEL_UP, E.LET_ON
 
 
 @pytest.mark.parametrize(
     "events, state, does, never",
     [
-        ((E.NOBODY,), S.SOLE, {P.LISTEN, P.TAKE_PLACE}, {P.UNSURE_FOR_A_WINDOW}),
-        ((E.DEAD,), S.SOLE, {P.LISTEN, P.UNSURE_FOR_A_WINDOW}, {P.SURE}),
+        ((E.NO_PEER,), S.SOLE, {P.LISTEN, P.PUBLISH_ADDRESS}, {P.DISTRUST_KEYS_FOR_A_WINDOW}),
+        ((E.PEER_DEAD,), S.SOLE, {P.LISTEN, P.DISTRUST_KEYS_FOR_A_WINDOW}, {P.TRUST_KEYS}),
         (
             TAKE_OVER,
             S.SUCCESSOR,
-            {P.JOIN, P.SAY_READY, P.TAKE_UP, P.TAKE_PLACE, P.SURE},
-            {P.LISTEN, P.UNSURE},
+            {P.CLAIM_KEYS, P.SEND_READY, P.ADOPT_SOCKETS, P.PUBLISH_ADDRESS, P.TRUST_KEYS},
+            {P.LISTEN, P.DISTRUST_KEYS},
         ),
         (
-            (E.KERNEL_UP, E.WELCOME, E.SYNCED, E.LOST),
+            (E.KERNEL_UP, E.WELCOMED, E.KEYS_SYNCED, E.PEER_DIED),
             S.SOLE,
-            {P.SURE, P.TAKE_UP, P.BURY},
-            {P.UNSURE_FOR_A_WINDOW},
+            {P.TRUST_KEYS, P.ADOPT_SOCKETS, P.CLOSE_PEER_KEYS},
+            {P.DISTRUST_KEYS_FOR_A_WINDOW},
+        ),
+        (
+            (E.WELCOMED, E.PEER_DIED),
+            S.SOLE,
+            {P.DISTRUST_KEYS_FOR_A_WINDOW, P.ADOPT_SOCKETS, P.CLOSE_PEER_KEYS},
+            {P.TRUST_KEYS},
+        ),
+        ((E.PEER_DIED, E.PEER_DEAD), S.SOLE, {P.DISTRUST_KEYS_FOR_A_WINDOW, P.LISTEN}, {P.TRUST_KEYS}),
+        (
+            (E.WELCOMED, E.PEER_LEFT),
+            S.DISCOVERING,
+            {P.DISCARD_PEER_KEYS, P.DISCOVER},
+            {P.LISTEN, P.CLOSE_PEER_KEYS},
+        ),
+        ((*TAKE_OVER, E.PEER_DIED), S.SOLE, {P.CLOSE_PEER_KEYS}, {P.LISTEN, P.DISTRUST_KEYS}),
+        (
+            (E.TIMEOUT,),
+            S.SERVING_WITHOUT_KEYS,
+            {P.DISTRUST_KEYS, P.LISTEN},
+            {P.PUBLISH_ADDRESS, P.TRUST_KEYS},
         ),
-        ((E.WELCOME, E.LOST), S.SOLE, {P.UNSURE_FOR_A_WINDOW, P.TAKE_UP, P.BURY}, {P.SURE}),
-        ((E.LOST, E.DEAD), S.SOLE, {P.UNSURE_FOR_A_WINDOW, P.LISTEN}, {P.SURE}),
-        ((E.WELCOME, E.SEVERED), S.LOOKING, {P.FORGET, P.LOOK}, {P.LISTEN, P.BURY}),
-        ((*TAKE_OVER, E.LOST), S.SOLE, {P.BURY}, {P.LISTEN, P.UNSURE}),
-        ((E.LATE,), S.BLIND, {P.UNSURE, P.LISTEN}, {P.TAKE_PLACE, P.SURE}),
         (
-            (E.LATE, E.WELCOME, E.SYNCED, E.KERNEL_UP, E.GO),
+            (E.TIMEOUT, E.WELCOMED, E.KEYS_SYNCED, E.KERNEL_UP, E.LET_ON),
             S.SUCCESSOR,
-            {P.SAY_READY, P.SURE, P.TAKE_PLACE},
-            {P.TAKE_UP},
+            {P.SEND_READY, P.TRUST_KEYS, P.PUBLISH_ADDRESS},
+            {P.ADOPT_SOCKETS},
+        ),
+        (
+            (E.TIMEOUT, E.PEER_DIED, E.NO_PEER),
+            S.SOLE,
+            {P.DISTRUST_KEYS_FOR_A_WINDOW, P.PUBLISH_ADDRESS},
+            {P.TRUST_KEYS},
+        ),
+        ((E.PEER_BUSY, E.PEER_BUSY), S.DISCOVERING, {P.DISCOVER}, {P.LISTEN}),
+        ((*TAKE_OVER, E.NEWCOMER), S.SUCCESSOR, {P.SEND_BUSY}, {P.SEND_WELCOME}),
+        ((*TAKE_OVER, E.PEER_DIED, E.NEWCOMER), S.HANDING_OVER, {P.SEND_WELCOME}, {P.SEND_BUSY}),
+        (
+            (E.NO_PEER, E.NEWCOMER, E.PEER_DIED),
+            S.SOLE,
+            {P.DISCARD_PEER_KEYS},
+            {P.STOP_ACCEPTING, P.RESUME_ACCEPTING},
+        ),
+        ((E.NO_PEER, E.NEWCOMER, E.TIMEOUT), S.SOLE, {P.DISCONNECT, P.DISCARD_PEER_KEYS}, {P.STOP_ACCEPTING}),
+        ((E.NO_PEER, E.NEWCOMER, E.SIGTERM), S.HANDING_OVER, {P.DRAIN}, {P.FINISH}),
+        ((E.NO_PEER, E.NEWCOMER, E.NEWCOMER_READY), S.REPLACED, {P.STOP_ACCEPTING, P.LET_ON}, {P.DRAIN}),
+        ((E.NO_PEER, E.NEWCOMER, E.NEWCOMER_READY, E.SIGTERM), S.REPLACED, {P.FINISH}, {P.DRAIN}),
+        (
+            (E.NO_PEER, E.NEWCOMER, E.NEWCOMER_READY, E.PEER_DIED),
+            S.SOLE,
+            {P.CLOSE_PEER_KEYS, P.RESUME_ACCEPTING, P.PUBLISH_ADDRESS},
+            {P.DRAIN},
         ),
-        ((E.LATE, E.LOST, E.NOBODY), S.SOLE, {P.UNSURE_FOR_A_WINDOW, P.TAKE_PLACE}, {P.SURE}),
-        ((E.BUSY, E.BUSY), S.LOOKING, {P.LOOK}, {P.LISTEN}),
-        ((*TAKE_OVER, E.HELLO), S.SUCCESSOR, {P.BUSY}, {P.WELCOME}),
-        ((*TAKE_OVER, E.LOST, E.HELLO), S.HANDING, {P.WELCOME}, {P.BUSY}),
-        ((E.NOBODY, E.HELLO, E.LOST), S.SOLE, {P.FORGET}, {P.PAUSE, P.RESUME}),
-        ((E.NOBODY, E.HELLO, E.LATE), S.SOLE, {P.HANG_UP, P.FORGET}, {P.PAUSE}),
-        ((E.NOBODY, E.HELLO, E.TERM), S.HANDING, {P.LEAVE}, {P.FINISH}),
-        ((E.NOBODY, E.HELLO, E.READY), S.REPLACED, {P.PAUSE, P.SAY_GO}, {P.LEAVE}),
-        ((E.NOBODY, E.HELLO, E.READY, E.TERM), S.REPLACED, {P.FINISH}, {P.LEAVE}),
-        ((E.NOBODY, E.HELLO, E.READY, E.LOST), S.SOLE, {P.BURY, P.RESUME, P.TAKE_PLACE}, {P.LEAVE}),
-        ((E.NOBODY, E.TERM), S.SOLE, {P.LEAVE}, {P.FINISH}),
+        ((E.NO_PEER, E.SIGTERM), S.SOLE, {P.DRAIN}, {P.FINISH}),
         # Told to leave, it must not have the other one stop accepting for it.
-        ((E.LATE, E.WELCOME, E.SYNCED, E.TERM, E.KERNEL_UP), S.BLIND, {P.HANG_UP, P.LEAVE}, {P.SAY_READY}),
+        (
+            (E.TIMEOUT, E.WELCOMED, E.KEYS_SYNCED, E.SIGTERM, E.KERNEL_UP),
+            S.SERVING_WITHOUT_KEYS,
+            {P.DISCONNECT, P.DRAIN},
+            {P.SEND_READY},
+        ),
     ],
 )
 def test_each_course_has_its_stated_outcome(
-    events: tuple[Event, ...], state: State, does: set[Step], never: set[Step]
+    events: tuple[Event, ...], state: State, does: set[Instruction], never: set[Instruction]
 ) -> None:
     got, steps = after(*events)
     assert got is state and does <= set(steps) and not never & set(steps)
 
 
 def test_no_wait_is_without_an_end_and_no_end_keeps_the_yes_back_for_six_seconds() -> None:
-    assert all((state, E.LATE) in TABLE for state in WAITS_MS)
-    assert sum(WAITS_MS.values()) < 5_000
-    assert all((state, E.TERM) in TABLE for state in State)
+    assert all((state, E.TIMEOUT) in TRANSITIONS for state in TIMEOUTS_MS)
+    assert sum(TIMEOUTS_MS.values()) < 5_000
+    assert all((state, E.SIGTERM) in TRANSITIONS for state in State)
     linked = set(State) - {S.SOLE}
-    assert all((state, E.LOST) in TABLE and (state, E.SEVERED) in TABLE for state in linked)
+    assert all(
+        (state, E.PEER_DIED) in TRANSITIONS and (state, E.PEER_LEFT) in TRANSITIONS for state in linked
+    )
 
 
 def test_nobody_runs_keys_before_the_other_one_has_let_go() -> None:
     """Over every course of six events: a new process that serves keyed classes has heard GO, or that the other one is
     dead or was never there."""
-    frontier: set[tuple[State, bool, bool]] = {(S.LOOKING, False, False)}  # state, serves, may be sure
+    frontier: set[tuple[State, bool, bool]] = {(S.DISCOVERING, False, False)}  # state, serves, may be sure
     seen = set(frontier)
     while frontier:
         reached = set()
         for state, serves, was in frontier:
             for event in Event:
-                life, unsure = Life(), was
-                life.state = state
-                steps = life.hear(event)
-                now = serves or P.LISTEN in steps or P.TAKE_UP in steps
+                role, unsure = ProcessRole(), was
+                role.state = state
+                steps = role.handle(event)
+                now = serves or P.LISTEN in steps or P.ADOPT_SOCKETS in steps
                 for step in steps:
-                    if step in (P.UNSURE, P.UNSURE_FOR_A_WINDOW):
+                    if step in (P.DISTRUST_KEYS, P.DISTRUST_KEYS_FOR_A_WINDOW):
                         unsure = True
-                    elif step is P.SURE:
+                    elif step is P.TRUST_KEYS:
                         unsure = False
-                if life.state in (S.LOOKING, S.TAKING, S.TAKEN, S.ASKING):
+                if role.state in (S.DISCOVERING, S.SYNCING_KEYS, S.AWAITING_KERNEL, S.REQUESTING_HANDOVER):
                     assert not now
-                if life.state is S.BLIND:
+                if role.state is S.SERVING_WITHOUT_KEYS:
                     assert unsure
-                reached.add((life.state, now, unsure))
+                reached.add((role.state, now, unsure))
         frontier = reached - seen
         seen |= reached
 
 
 def test_a_process_that_has_no_room_beside_the_other_does_not_begin() -> None:
-    assert room_for_two(80, 28.0) and room_for_two(32, 0.0)
-    assert not room_for_two(32, 22.0) and not room_for_two(40, 22.0)
+    assert fits_beside(80, 28.0) and fits_beside(32, 0.0)
+    assert not fits_beside(32, 22.0) and not fits_beside(40, 22.0)
 
 
 def test_processes_of_one_runner_meet_and_others_do_not() -> None:
-    here = path_for("/tmp/", "n1", ("127.0.0.1", 1))
-    assert here == path_for("/tmp", "n1", ("127.0.0.1", 1))
+    here = rendezvous_path("/tmp/", "n1", ("127.0.0.1", 1))
+    assert here == rendezvous_path("/tmp", "n1", ("127.0.0.1", 1))
     assert here not in (
-        path_for("/tmp", "n2", ("127.0.0.1", 1)),
-        path_for("/tmp", "n1", ("127.0.0.1", 2)),
+        rendezvous_path("/tmp", "n2", ("127.0.0.1", 1)),
+        rendezvous_path("/tmp", "n1", ("127.0.0.1", 2)),
         None,
     )
-    assert path_for("/tmp/" + "x" * 80, "n1", ("127.0.0.1", 1)) is None
+    assert rendezvous_path("/tmp/" + "x" * 80, "n1", ("127.0.0.1", 1)) is None
 
 
 # ---- keys ----
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -34,7 +34,7 @@
     reactor = event_loop.install()
     from moorusher.server.server import Service
     Service(loader.load(), reactor)
-    import moorusher.cluster_transport.hot_restart, moorusher.frontends.console
+    import moorusher.cluster_transport.hot_restart.coordinator, moorusher.frontends.console
 print(" ".join(sorted(m for m in sys.modules if m.startswith("moorusher."))))
 """
 
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from moorusher.hot_restart.shared_budget import path_for
+from moorusher.hot_restart.shared_budget import rendezvous_path
 
 from .faults.day import INJECT
 from .stand_ins import HOST, FrontEnd, Kernel, Runner, content, running, until
@@ -58,7 +58,7 @@
 @sockets
 async def test_a_process_whose_name_could_not_be_made_is_found_once_it_can() -> None:
     async with running(Kernel(), wait=False) as r:
-        in_the_way = Path(path_for(str(r.spool), "n1", (HOST, r.port)) or "")
+        in_the_way = Path(rendezvous_path(str(r.spool), "n1", (HOST, r.port)) or "")
         in_the_way.mkdir()
         await r.ready()
         await has(lambda: "no further process can find this one yet" in r.text())
