--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -294,7 +294,9 @@
 
     @property
     def busy(self) -> bool:
-        return bool(self.node.unfinished or (self.duties is not None and self.duties.participant.ownerships))
+        return bool(
+            self.node.unfinished or (self.duties is not None and self.duties.participant.leases.by_key)
+        )
 
     # ---- for the node: `Host` ----
 
