--- /dev/null
+++ b/tests/test_leadership_checking.py
@@ -0,0 +1,133 @@
+"""Leadership in every interleaving and on seeds in virtual time; each search must also find seeded mistakes."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from moorusher.leadership.chunks import split
+from moorusher.leadership.holder_changes import (
+    HolderChange,
+    IssueToken,
+    UpdateState,
+)
+from moorusher.leadership.lease_record import (
+    LeaseRecord,
+    LeaseStatus,
+)
+from moorusher.leadership.lease_transitions import AcquireLease
+from moorusher.leadership.state_replication import StateReplication
+from moorusher.model_checking.cluster_simulation import Course
+from moorusher.model_checking.explorer import explore
+from moorusher.model_checking.leadership_interleavings import Terms
+from moorusher.model_checking.leadership_simulation import (
+    COURSE,
+    DISKS,
+    search,
+)
+from moorusher.model_checking.register_interleavings import Limits
+from moorusher.replication.register_space import RegisterSpace
+
+# ---- every interleaving ----
+
+
+@pytest.mark.parametrize("kind", ["fenced", "once", "state"])
+def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: str) -> None:
+    found = explore(Terms.held(Limits(again=(0, 0), patient=True), kind=kind), most=5_000)
+    assert found.broken is None, str(found)
+
+
+class Blind(IssueToken):
+    """Seeded: the term was looked at before the write, and is not part of it."""
+
+    def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
+        return None if old is None or old.holder_sequence >= self.sequence else self.changed(old)
+
+    def is_applied_in(self, found: LeaseRecord | None) -> bool:
+        return found is not None and found.holder_sequence >= self.sequence
+
+
+class SameTerm(AcquireLease):
+    """Seeded: the next owner goes on in the term of the last one, and counts anew."""
+
+    def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
+        new = super().apply(old)
+        if new is None or old is None:
+            return new
+        return LeaseRecord(
+            new.name, new.kind, new.generation, old.term, 1, new.status, new.holder, new.holder_sequence
+        )
+
+
+@pytest.mark.parametrize(
+    "how",
+    [
+        {"token_change": Blind},
+        {"acquire_change": SameTerm},
+        {"compares": False},
+        {"kind": "once", "early": True},
+    ],
+    ids=["term looked at before", "same term twice", "receiver does not compare", "effect before intent"],
+)
+def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
+    again = (1, 0) if "token_change" in how else (0, 0)
+    found = explore(Terms.held(Limits(again=again, patient=True), **how), most=60_000, deep=True)
+    assert found.broken is not None, str(found)
+
+
+# ---- seeds in virtual time ----
+
+
+@pytest.mark.parametrize("course, how", [(COURSE, {}), (DISKS, {"lasting": True})], ids=["memory", "disks"])
+def test_seeds(course: Course, how: dict[str, Any]) -> None:
+    found = search(range(7), course, **how)
+    assert found is None, f"DutySimulation({found[0]}, {course}, **{how}).play(): {found[1]}" if found else ""
+
+
+def test_seeds_find_a_state_that_is_named_before_it_is_replicated(monkeypatch: pytest.MonkeyPatch) -> None:
+    def replicate(
+        self: StateReplication,
+        key: Any,
+        mark: Any,
+        state: bytes,
+        known: Any,
+        deadline_us: int,
+        callback: Any,
+    ) -> None:
+        for piece in split(state).values():
+            self.store.add(key, mark, piece)  # here; the others will be told some day
+        callback(True)
+
+    monkeypatch.setattr(StateReplication, "replicate", replicate)
+    assert search(range(10), Course(seats=5, keys=0, faults=8, kinds=("kill", "forget"))) is not None
+
+
+def test_seeds_find_a_receiver_that_does_not_compare_tokens() -> None:
+    found = search(range(60), compares=False)
+    assert found is not None and "took" in found[1]
+
+
+def test_seeds_find_replicas_that_vote_after_a_loss_of_memory() -> None:
+    assert (
+        search(range(60), Course(seats=3, keys=0, faults=12, kinds=("forget", "cut")), amnesia=False)
+        is not None
+    )
+
+
+def test_seeds_find_a_former_leader_whose_change_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
+    def apply(self: HolderChange, old: LeaseRecord | None) -> LeaseRecord | None:
+        return None if old is None or old.status != LeaseStatus.HELD else self.changed(old)
+
+    monkeypatch.setattr(HolderChange, "apply", apply)
+    monkeypatch.setattr(HolderChange, "is_applied_in", lambda self, found: found is not None)
+    monkeypatch.setattr(UpdateState, "apply", apply)
+    assert search(range(20), Course(seats=5, keys=0, faults=12, kinds=("stop", "cut"))) is not None
+
+
+def test_seeds_find_a_read_that_takes_one_replica_for_a_majority(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(RegisterSpace, "votes_needed", staticmethod(lambda looking, vote: 1))
+    found = search(range(20))
+    assert found is not None and "missing" in found[1]
--- a/tests/test_duties_real.py
+++ b/tests/test_leadership_real.py
@@ -1,6 +1,6 @@
 """Real runners that share a duty, with faults between them: reports count once, in the order of terms, and go on.
 
-Each runner reaches the receiver over a relay of its own, so that what an owner has sent can be held back until later.
+Each runner reaches the receiver over a relay of its own, so that what a leader has sent can be held back until later.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 
 class Watched:
-    """A fleet with one duty, and what its receiver took."""
+    """A fleet with one duty, and what its receiver has accepted."""
 
     def __init__(self, f: Fleet, receiver: Receiver, ways: list[Relay]) -> None:
         self.fleet, self.receiver, self.ways = f, receiver, ways
 
     @property
-    def owner(self) -> int:
+    def leader(self) -> int:
         """Of the last report that counted."""
         return int(self.receiver.took[-1].body["by"][1:])
 
@@ -46,11 +46,11 @@
     def term(self) -> int:
         return self.receiver.took[-1].fence.term
 
-    async def next_owner(self, *gone: int) -> int:
+    async def next_leader(self, *gone: int) -> int:
         """Somebody else reports, in a later term."""
         term = self.term
-        await has(lambda: self.term > term and self.owner not in gone)
-        return self.owner
+        await has(lambda: self.term > term and self.leader not in gone)
+        return self.leader
 
     async def goes_on(self) -> None:
         seen = len(self.receiver.took)
@@ -69,12 +69,12 @@
         await until(told)
 
     def in_order(self) -> None:
-        """No report of an earlier term after one of a later, none twice, by the owner that its term has."""
+        """No report of an earlier term after one of a later, none twice, one leader a term."""
         fences = [t.fence for t in self.receiver.took]
         assert all(a < b for a, b in pairwise(fences))
-        owners: dict[int, str] = {}
+        leaders: dict[int, str] = {}
         for took in self.receiver.took:
-            assert owners.setdefault(took.fence.term, took.body["by"]) == took.body["by"]
+            assert leaders.setdefault(took.fence.term, took.body["by"]) == took.body["by"]
 
 
 @asynccontextmanager
@@ -102,12 +102,13 @@
 
 
 @sockets
-async def test_a_killed_owners_duty_goes_on_elsewhere_from_the_state_that_it_had_kept() -> None:
+async def test_the_duty_of_a_killed_leader_goes_on_from_its_replicated_state() -> None:
+    """The leader is killed after a dozen reports. The next one goes on counting from the state that a majority has."""
     async with watched() as w:
         await has(lambda: w.receiver.took[-1].body["reports"] > 12)
-        before, first = w.receiver.took[-1].body["reports"], w.owner
+        before, first = w.receiver.took[-1].body["reports"], w.leader
         w.fleet.kill(first)
-        then = await w.next_owner(first)
+        then = await w.next_leader(first)
         mine = [t.body["reports"] for t in w.receiver.took if t.fence.term == w.term]
         assert before - 6 <= mine[0] <= before + 2, "what it said last may not have been kept"
         status, told = await w.ask(then)
@@ -115,26 +116,28 @@
 
 
 @sockets
-async def test_an_owner_stopped_and_woken_learns_that_its_time_is_over() -> None:
+async def test_a_leader_stopped_and_woken_learns_that_its_term_is_over() -> None:
+    """The leader is stopped, another member takes the lease, and the former leader wakes with its work."""
     async with watched() as w:
-        first = w.owner
+        first = w.leader
         w.fleet.stop(first)
-        await w.next_owner(first)
+        await w.next_leader(first)
         await w.goes_on()
         w.fleet.go_on(first)
         await w.superseded(first)
         await w.goes_on()
-        assert w.owner != first
+        assert w.leader != first
 
 
 @sockets
-async def test_an_owner_that_wakes_after_two_further_terms_changes_nothing() -> None:
+async def test_a_leader_that_wakes_after_two_further_terms_changes_nothing() -> None:
+    """The leader is stopped; the next one is killed; a third leads when the first wakes."""
     async with watched(5, copies=5) as w:
-        first = w.owner
+        first = w.leader
         w.fleet.stop(first)
-        second = await w.next_owner(first)
+        second = await w.next_leader(first)
         w.fleet.kill(second)
-        await w.next_owner(first, second)
+        await w.next_leader(first, second)
         await w.goes_on()
         term = w.term
         w.fleet.go_on(first)
@@ -144,11 +147,12 @@
 
 
 @sockets
-async def test_an_owner_cut_off_with_its_operator_does_nothing_new_and_says_so() -> None:
+async def test_a_leader_cut_off_with_its_operator_does_nothing_new_and_says_so() -> None:
+    """The leader is cut off from all others, and an operator asks it."""
     async with watched() as w:
-        first = w.owner
+        first = w.leader
         w.fleet.cut_off(first)
-        await w.next_owner(first)
+        await w.next_leader(first)
         await w.goes_on()
         status, told = await w.ask(first)
         assert status == 503 and "no majority" in told["error"] and "fleet show" in told["remedy"]
@@ -160,13 +164,14 @@
 
 
 @sockets
-async def test_what_an_old_owner_sent_comes_late_and_counts_for_nothing() -> None:
+async def test_a_late_request_of_a_former_leader_is_rejected() -> None:
+    """A request is held on its way until another member leads, then arrives. Its token is stale."""
     async with watched() as w:
-        first = w.owner
+        first = w.leader
         w.ways[first].silence()  # what it says from here on is held on its way
         await has(lambda: w.ways[first].holding > 0)
         w.fleet.stop(first)
-        await w.next_owner(first)
+        await w.next_leader(first)
         await w.goes_on()
         w.ways[first].hear()
         await has(lambda: bool(w.receiver.refused))
@@ -176,7 +181,8 @@
 
 
 @sockets
-async def test_a_receiver_whose_answers_are_lost_is_told_again_and_counts_it_once() -> None:
+async def test_a_request_whose_answers_are_lost_is_repeated_and_counts_once() -> None:
+    """The receiver does what it is asked, and its answers are lost."""
     async with watched() as w:
         w.receiver.mute = True
         await asyncio.sleep(0.5)
@@ -185,11 +191,11 @@
 
 
 @sockets
-async def test_a_runner_that_leaves_hands_its_duty_over_in_order() -> None:
+async def test_a_draining_runner_hands_its_duty_over_in_order() -> None:
     async with watched() as w:
-        first = w.owner
+        first = w.leader
         w.fleet.runners[first].process.send_signal(signal.SIGTERM)
-        then = await w.next_owner(first)
+        then = await w.next_leader(first)
         _, told = await w.ask(then)
         assert told["lost"] == 0, "nobody was lost"
         mine = [t.body["reports"] for t in w.receiver.took]
@@ -198,11 +204,10 @@
 
 
 @sockets
-async def test_a_report_that_is_under_way_as_its_owner_leaves_counts_in_the_state_that_it_hands_over() -> (
-    None
-):
+async def test_a_report_under_way_as_its_leader_drains_counts_in_the_state_that_is_handed_over() -> None:
+    """SIGTERM comes while a report has no answer yet. The state that is handed over must count it."""
     async with watched() as w:
-        first = w.owner
+        first = w.leader
         w.ways[first].silence()
         await has(lambda: w.ways[first].holding > 0)
         leaving = w.fleet.runners[first]
@@ -211,16 +216,17 @@
             lambda: "goes to others" in leaving.text()
         )  # the duty is given up, and the report has no answer yet
         w.ways[first].hear()
-        then = await w.next_owner(first)
+        then = await w.next_leader(first)
         _, told = await w.ask(then)
         mine = [t.body["reports"] for t in w.receiver.took]
         assert told["lost"] == 0 and len(set(mine)) == len(mine)
 
 
 @sockets
-async def test_a_replaced_process_is_the_same_seat_and_never_has_the_duty_with_its_elder() -> None:
+async def test_a_replaced_process_never_leads_together_with_its_successor() -> None:
+    """A new process takes over the seat of the leader while the old one drains."""
     async with watched() as w:
-        first, kernel = w.owner, Kernel()
+        first, kernel = w.leader, Kernel()
         kernel.listen()
         r = w.fleet.runners[first]
         r.start(kernel.port)
@@ -233,14 +239,15 @@
 
 
 @sockets
-async def test_owners_killed_one_after_another_put_the_duty_aside_until_it_is_resumed() -> None:
+async def test_leaders_killed_one_after_another_suspend_the_duty_until_it_is_resumed() -> None:
+    """Three leaders are killed soon after they took the lease."""
     async with watched(5, steady_ms=60_000, journals=True) as w:
         gone: list[int] = []
         for _ in range(3):
-            gone.append(w.owner)
+            gone.append(w.leader)
             w.fleet.kill(gone[-1])
             if len(gone) < 3:
-                await w.next_owner(*gone)
+                await w.next_leader(*gone)
             await w.fleet.gone(gone[-1])
             w.fleet.again(gone[-1])
         live = next(i for i in range(5) if i not in gone)
@@ -263,6 +270,7 @@
 
 @sockets
 async def test_a_fleet_that_lost_its_power_goes_on_from_its_disks_in_a_later_term() -> None:
+    """All runners are killed at one time and restart with their journals."""
     async with watched(journals=True) as w:
         await has(lambda: w.receiver.took[-1].body["reports"] > 12)
         before, term = w.receiver.took[-1].body["reports"], w.term
@@ -281,6 +289,7 @@
 
 @sockets
 async def test_a_fleet_that_lost_its_memory_does_nothing_until_an_operator_says_so() -> None:
+    """All runners are killed at one time and have no journals: nobody knows what was promised."""
     async with watched(3) as w:
         born = w.receiver.took[-1].fence.generation
         for i in range(3):
@@ -299,9 +308,10 @@
 
 
 @sockets
-async def test_a_full_disk_takes_a_keepers_vote_and_not_the_duty_and_room_gives_it_back() -> None:
+async def test_a_full_disk_costs_a_replica_its_vote_until_there_is_room() -> None:
+    """The leader's disk is full, so that it can promise nothing as a replica."""
     async with watched(journals=True) as w:
-        r = w.fleet.runners[w.owner]
+        r = w.fleet.runners[w.leader]
 
         async def journal() -> str:
             return str((await r.counters("fleet"))["journal"])
@@ -324,7 +334,7 @@
 
 
 @sockets
-async def test_sighup_to_all_leaves_the_duty_where_it_is() -> None:
+async def test_sighup_to_all_leaves_the_duty_with_its_leader() -> None:
     async with watched() as w:
         term = w.term
         for r in w.fleet.runners:
