--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -41,7 +41,7 @@
         return Key(request.tenant or "", 0 if ruling is None else ruling.at[0], route, self._link.member.zone)
 
     def requested(self, request: Request) -> None:
-        self._link.add(self._key(request), asked=1, worth=request.request_class.worth)
+        self._link.add(self._key(request), asked=1, worth=request.request_class.priority_weight)
 
     def rejected(self, request: Request) -> None:
         self._link.add(self._key(request), refused=1)
--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -42,12 +42,12 @@
             api.Fail: self._fail,
             api.Call: self._call,
             api.SkipCall: self._skip_call,
-            api.Remember: self._remember,
-            api.Forget: self._forget,
+            api.StoreKey: self._remember,
+            api.DropKey: self._forget,
             api.ShareResult: self._share_result,
             api.SetHealth: self._set_health,
             api.Signal: self._signal,
-            api.TrimConnections: self._trim_connections,
+            api.CloseIdleConnections: self._trim_connections,
             api.SetTimer: self._set_timer,
             api.Log: self._log,
         }
@@ -59,7 +59,7 @@
     def _start(self, action: api.Start) -> None:
         request = self._table.by_number.get(action.id)
         if request is None or request.stage is not Stage.QUEUED:
-            self._turn.events.append(api.RunEnded(action.id, api.Outcome.MOOT))
+            self._turn.events.append(api.RunEnded(action.id, api.Outcome.NOT_AWAITED))
             self._turn.begin()
         elif request.key is not None and self._state.hooks.coordinator.announce_start(request):
             request.stage = Stage.STARTING
@@ -122,10 +122,10 @@
         self._state.calls.drop(action.id)
         self._state.runs.resume(action.id, None)
 
-    def _remember(self, action: api.Remember) -> None:
+    def _remember(self, action: api.StoreKey) -> None:
         self._state.keys.extend(action.id, self._state.clock.now + round(action.ttl_ms * MS))
 
-    def _forget(self, action: api.Forget) -> None:
+    def _forget(self, action: api.DropKey) -> None:
         self._completion.drop_unstarted(action.id)
 
     def _share_result(self, action: api.ShareResult) -> None:
@@ -146,7 +146,7 @@
     def _signal(self, action: api.Signal) -> None:
         self._state.load_signal = action.value
 
-    def _trim_connections(self, action: api.TrimConnections) -> None:
+    def _trim_connections(self, action: api.CloseIdleConnections) -> None:
         self._state.hooks.trim_connections(round(action.idle_ms * MS))
 
     def _set_timer(self, action: api.SetTimer) -> None:
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -45,8 +45,8 @@
         self._turn = state.turn
         self._turn.on_end = self.end_turn
         self.scheduler: Balancer | None = None
-        self.coexisting = api.Beside()
-        self._opened_cold = False  # what the scheduler was told of the kernel
+        self.coexisting = api.PredecessorLoad()
+        self._opened_warming_up = False  # what the scheduler was told of the kernel
 
     def open(self) -> None:
         """Make a scheduler and let it begin, now, whatever the kernel's age where that is warm: the scheduler's first
@@ -55,10 +55,10 @@
         The kernel tells whether it is cold: the settings say only how things were when they were written.
         """
         state = self._state
-        self._opened_cold = self._kernel_status.is_warming_up()
-        scheduler = self._make_scheduler(replace(state.settings, cold=self._opened_cold))
+        self._opened_warming_up = self._kernel_status.is_warming_up()
+        scheduler = self._make_scheduler(replace(state.settings, warming_up=self._opened_warming_up))
         self.scheduler = scheduler
-        opened_at_us = self._kernel_status.born_us if self._opened_cold else state.clock.now
+        opened_at_us = self._kernel_status.born_us if self._opened_warming_up else state.clock.now
         for action in scheduler.open(state.clock.scheduler_ms(opened_at_us)):
             self._executor.carry_out(action)
         self._turn.events.append(self.coexisting)
@@ -104,10 +104,10 @@
         self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.INTERNAL_ERROR))
         if request.stage not in STARTED_STAGES:
             self._completion.drop_unstarted(number)
-        elif request.request_class.effect is api.Effect.SAFE:
+        elif request.request_class.effect is api.Effect.IDEMPOTENT:
             self._state.runs.stop(number)
 
-    def coexist(self, coexisting: api.Beside) -> None:
+    def coexist(self, coexisting: api.PredecessorLoad) -> None:
         """Another process of this runner takes so much of the cores and the memory."""
         self._turn.begin()
         self.coexisting = coexisting
@@ -118,5 +118,5 @@
     ) -> None:
         """Tell the scheduler of new settings, and which of the former classes and tenants theirs were."""
         if self.scheduler is not None:
-            settings = replace(settings, cold=self._opened_cold)
-            self._turn.events.append(api.Retune(settings, classes, tenants))
+            settings = replace(settings, warming_up=self._opened_warming_up)
+            self._turn.events.append(api.Reconfiguration(settings, classes, tenants))
--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -52,7 +52,11 @@
 
     def longest_key_window_ms(self) -> float:
         """The longest time for which an idempotency key counts; 0 where no class has keys."""
-        windows = (cls.window_ms for cls in self.settings.classes if cls.effect is api.Effect.KEYED)
+        windows = (
+            cls.idempotency_window_ms
+            for cls in self.settings.classes
+            if cls.effect is api.Effect.IDEMPOTENT_WITH_KEY
+        )
         return max(windows, default=0.0)
 
     def forget_keys_for_a_window(self) -> None:
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -40,7 +40,7 @@
         commanded, so a scheduler at fault can't have it run twice.
         """
         if request.key is not None and not self._keys.start(
-            request.number, self._state.clock.now, request.request_class.window_ms
+            request.number, self._state.clock.now, request.request_class.idempotency_window_ms
         ):
             log.error(
                 "the scheduler started a request whose idempotency key another attempt has: request=%s",
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -22,12 +22,14 @@
 
 
 def _keyed_classes(settings: api.Settings) -> dict[str, api.RequestClass]:
-    return {cls.name: cls for cls in settings.classes if cls.effect is api.Effect.KEYED}
+    return {cls.name: cls for cls in settings.classes if cls.effect is api.Effect.IDEMPOTENT_WITH_KEY}
 
 
 def _former_class(cls: api.RequestClass, now: int) -> _FormerClass:
     """A request that is queued now may start as late as its deadline, and its key counts from then."""
-    return _FormerClass(window_end(now, cls.deadline_ms + cls.window_ms), cls.window_ms)
+    return _FormerClass(
+        window_end(now, cls.deadline_ms + cls.idempotency_window_ms), cls.idempotency_window_ms
+    )
 
 
 class FormerKeyClasses:
@@ -49,7 +51,11 @@
         self._former = dict(list(current.items())[-MAX_CLASSES:])
         self._adopt_successors(before, after, ended)
         self._effective = {
-            cls.name: replace(cls, effect=api.Effect.KEYED, window_ms=self._former[cls.name].window_ms)
+            cls.name: replace(
+                cls,
+                effect=api.Effect.IDEMPOTENT_WITH_KEY,
+                idempotency_window_ms=self._former[cls.name].window_ms,
+            )
             for cls in after.classes
             if cls.name in self._former and cls.name not in keyed_after
         }
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -135,6 +135,6 @@
         self._turn.begin()
         request.reply = None
         self._state.counters.add("gone", request.tenant)
-        self._turn.events.append(api.CallerGone(request.number))
+        self._turn.events.append(api.RequestAbandoned(request.number))
         if request.stage not in STARTED_STAGES:
             self._completion.drop_unstarted(request.number)
--- a/moorusher/core/kernel_status.py
+++ b/moorusher/core/kernel_status.py
@@ -55,13 +55,13 @@
     def is_warming_up(self) -> bool:
         """It started cold, and the time that the settings allow it to warm up is not over."""
         age_us = self._state.clock.now - self.born_us
-        return self._started_cold and age_us < self._state.settings.warm_after_ms * MS
+        return self._started_cold and age_us < self._state.settings.warm_up_ms * MS
 
     def warm_up_speed(self) -> float:
         """The least share of full speed that the settings promise at this age of the kernel: 1 once it is warm."""
         settings = self._state.settings
-        if not self._started_cold or settings.warm_after_ms <= 0:
+        if not self._started_cold or settings.warm_up_ms <= 0:
             return 1.0
         age_us = self._state.clock.now - self.born_us
-        warmed_up = min(1.0, age_us / (settings.warm_after_ms * MS))
-        return settings.cold_speed + (1 - settings.cold_speed) * warmed_up
+        warmed_up = min(1.0, age_us / (settings.warm_up_ms * MS))
+        return settings.warm_up_initial_speed + (1 - settings.warm_up_initial_speed) * warmed_up
--- a/moorusher/core/reconfiguration.py
+++ b/moorusher/core/reconfiguration.py
@@ -16,15 +16,15 @@
     "memory_kb",
     "run_memory_factor",
     "key_entry_kb",
-    "crowd_window_ms",
-    "cold",
-    "cold_speed",
-    "warm_after_ms",
-    "halting",
+    "overload_window_ms",
+    "warming_up",
+    "warm_up_initial_speed",
+    "warm_up_ms",
+    "preemption",
     "signal",
-    "below",
-    "fair_calls",
-    "call_window_ms",
+    "downstream",
+    "call_quota",
+    "call_quota_window_ms",
     "gauges",
 )
 NEW = -1  # in place of a former index: there was no such class or tenant
@@ -99,7 +99,7 @@
 
 def _is_deferred(name: str, old: api.Settings, new: api.Settings) -> bool:
     """The seed and the kernel's state at the start mean nothing to a runner that has started."""
-    if name not in FIXED_UNTIL_RESTART or name in ("seed", "cold"):
+    if name not in FIXED_UNTIL_RESTART or name in ("seed", "warming_up"):
         return False
     return bool(getattr(old, name) != getattr(new, name))
 
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -75,9 +75,12 @@
     def settings_changed(self, settings: api.Settings) -> None:
         """New settings hold for what is read from here on."""
         self._former_key_classes.settings_changed(self._clock.now, self.settings, settings)
-        windows = self.former_classes | {cls.name: cls.window_ms for cls in self.settings.classes}
+        windows = self.former_classes | {cls.name: cls.idempotency_window_ms for cls in self.settings.classes}
         self._set_settings(settings)
-        longer = [cls.window_ms - windows.pop(cls.name, cls.window_ms) for cls in settings.classes]
+        longer = [
+            cls.idempotency_window_ms - windows.pop(cls.name, cls.idempotency_window_ms)
+            for cls in settings.classes
+        ]
         if max(longer) > 0:
             self._keys.extend_all(round(max(longer) * MS))
         self.former_classes = dict(list(windows.items())[-MAX_FORMER_CLASSES:])
@@ -96,7 +99,7 @@
         cls = self.settings.classes[index]
         if arrival.token:
             cls = self._former_key_classes.effective_class(cls, now)
-        keyed = cls.effect is api.Effect.KEYED
+        keyed = cls.effect is api.Effect.IDEMPOTENT_WITH_KEY
         if keyed and not arrival.token:
             return InvalidArrival.IDEMPOTENCY_KEY_MISSING
         if arrival.rid in self._table.by_rid:
@@ -132,7 +135,7 @@
         request.key = key
         entry = self._keys.find(key, now)
         body_digest = digest(request.body)
-        expires_us = window_end(request.arrived_us, request.request_class.window_ms)
+        expires_us = window_end(request.arrived_us, request.request_class.idempotency_window_ms)
         if entry is not None:
             if entry.body_digest != body_digest:
                 return (
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -88,7 +88,7 @@
         """The scheduler has started it, and it was not commanded."""
         if request.reply is not None:
             self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.ABANDONED))
-        self._turn.events.append(api.RunEnded(request.number, api.Outcome.MOOT))
+        self._turn.events.append(api.RunEnded(request.number, api.Outcome.NOT_AWAITED))
         self._table.remove(request)
         self._completion.fail_waiters(self._keys.release(request.number))
 
@@ -103,9 +103,9 @@
         self._turn.begin()
         self._cede_key(request)
         if request.stage is Stage.STARTING:
-            self._turn.events.append(api.RunEnded(request.number, api.Outcome.MOOT))
+            self._turn.events.append(api.RunEnded(request.number, api.Outcome.NOT_AWAITED))
         else:
-            self._turn.events.append(api.CallerGone(request.number))
+            self._turn.events.append(api.RequestAbandoned(request.number))
         request.stage = Stage.AWAITING_SHARED_RESULT
         if request.reply is None:
             self._table.remove(request)
--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -143,7 +143,7 @@
 
     def coexist(self, on_cores: int, running: int, memory_kb: float) -> None:
         """What the process that this one replaces still takes."""
-        self.dispatcher.coexist(api.Beside(on_cores, running, memory_kb))
+        self.dispatcher.coexist(api.PredecessorLoad(on_cores, running, memory_kb))
 
     def answer_all(self) -> None:
         """The process ends: the scheduler has its last say on what came until now, and what is still owed an answer
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -1,7 +1,7 @@
 """Runs in the kernel: what was commanded, what the kernel is known to have read, what to send again.
 
 Commands are numbered in the order in which they are written. After a lost connection the kernel tells how many it has
-read, and what it may have missed is sent again, as far as `retry_policy.may_repeat` allows.
+read, and what it may have missed is sent again, as far as `retry_policy.may_retry` allows.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from moorusher.scheduling.interface import Effect
-from moorusher.scheduling.retry_policy import Evidence, may_repeat
+from moorusher.scheduling.retry_policy import Evidence, may_retry
 
 from .clock import Clock
 from .hooks import EngineHooks
@@ -20,7 +20,7 @@
 NOT_WRITTEN = 0  # the number of a command that was dropped, as there was no connection
 NO_CALL = 0  # in place of a notice's number: the run waits for no call
 # The kernel takes a reply for whichever call the run waits for: a copy could be given to a later call.
-EFFECT_OF_REPLY = Effect.UNSAFE
+EFFECT_OF_REPLY = Effect.NOT_IDEMPOTENT
 
 
 class KernelTransport(Protocol):
@@ -236,7 +236,7 @@
 
     def _resend_command(self, number: int, run: Run, resent: Resent) -> None:
         # The kernel ignores a command to run what it runs already.
-        if not may_repeat(run.request.request_class.effect, Evidence.COPIES_IGNORED):
+        if not may_retry(run.request.request_class.effect, Evidence.DUPLICATES_IGNORED):
             return
         run.command_number = self._kernel.run(run.request.rid, run.route, run.request.body)
         resent.runs.append(number)
@@ -250,13 +250,13 @@
             return
         if run.reply_uncertain:
             return
-        if may_repeat(EFFECT_OF_REPLY, evidence):
+        if may_retry(EFFECT_OF_REPLY, evidence):
             self._send_reply(run, reply.notice, reply.content)
             resent.replies.append(number)
             return
         run.reply_uncertain = True
         resent.uncertain.append(number)
-        if run.request.request_class.worth_without_call > 0:
+        if run.request.request_class.value_fraction_without_call > 0:
             self._send_reply(run, reply.notice, None)  # if it still waits, it goes on without
 
 
@@ -264,4 +264,4 @@
     """What is known of a command by its number, where the kernel has read so many."""
     if written == NOT_WRITTEN:
         return Evidence.NOT_SENT
-    return Evidence.SUCCEEDED if written <= read else Evidence.NOT_HEARD_OF
+    return Evidence.SUCCEEDED if written <= read else Evidence.IN_DOUBT
