--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -1,8 +1,8 @@
 """Frames between two processes of one runner, of which one may be of an earlier build.
 
 Guards against a word, a field or a label that changes its name: a new process would not be let on, would take over no
-keys, or would run a key twice, and each such replacement would end in a log line `unreadable frame of the other process`. Every frame that comes and goes in whole
-conversations is compared byte by byte.
+keys, or would run a key twice, and each such replacement would end in a log line `unreadable frame of the other
+process`. Every frame that comes and goes in whole conversations is compared byte by byte.
 """
 
 from __future__ import annotations
