--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -13,8 +13,8 @@
 from ..config.load_balancing import endpoint_of
 from ..config.section import ConfigError, Section
 from ..core.request_engine import RequestEngine
-from ..health.formatting import haproxy
-from ..health.policy import MOST_MAINTENANCE_S, MOST_REASON
+from ..health.formatting import haproxy_agent_state
+from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
 from ..server.health_report import Reporter
 
 # Twisted's web classes carry no types; named once here, so that the rest is checked.
@@ -95,12 +95,12 @@
     if odd := sorted(set(sent) - {"reason", "for_s"}):
         raise BadBody(f"{odd[0]}: no such key; known are for_s, reason")
     reason, for_s = sent.get("reason", "maintenance"), sent.get("for_s")
-    if not isinstance(reason, str) or not 0 < len(reason) <= MOST_REASON:
-        raise BadBody(f"reason: expected a string of 1 to {MOST_REASON} characters")
+    if not isinstance(reason, str) or not 0 < len(reason) <= MAX_REASON_LENGTH:
+        raise BadBody(f"reason: expected a string of 1 to {MAX_REASON_LENGTH} characters")
     if for_s is not None and (
-        isinstance(for_s, bool) or not isinstance(for_s, (int, float)) or not 0 < for_s <= MOST_MAINTENANCE_S
+        isinstance(for_s, bool) or not isinstance(for_s, (int, float)) or not 0 < for_s <= MAX_MAINTENANCE_S
     ):
-        raise BadBody(f"for_s: expected seconds above 0 and up to {MOST_MAINTENANCE_S:g}")
+        raise BadBody(f"for_s: expected seconds above 0 and up to {MAX_MAINTENANCE_S:g}")
     return reason, for_s
 
 
@@ -275,7 +275,7 @@
     return {
         "name": name,
         "version": __version__,
-        "state": haproxy(reporter.report()),
+        "state": haproxy_agent_state(reporter.report()),
         "draining": core.drain_state.draining,
         "kernel_up": core.ready,
         "healthy": core.state.healthy,
--- a/moorusher/cli/configuration.py
+++ b/moorusher/cli/configuration.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from dataclasses import asdict
 from pathlib import Path
 
 import click
 
+from ..config.health import health_policy_json
 from ..config.loader import load
 from ..config.model import Config
 from ..config.section import Address, ConfigError
@@ -38,7 +38,7 @@
         "classes": [f"{c.name} ({c.effect.value})" for c in s.classes],
         "tenants": [t.name for t in s.tenants],
         "limits": f"{config.limits.memory_mb:g} MB, {config.limits.sockets} descriptors",
-        "standing": asdict(p.policy),
+        "standing": health_policy_json(p.policy),
     }
 
 
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -12,7 +12,7 @@
 
 from ..core.clock import MS
 from ..core.request_engine import RequestEngine
-from ..health.states import Standing
+from ..health.states import HealthState
 from ..maintenance.coordinator import OutageCoordinator, Waited
 from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
 from ..maintenance.load_report import Gauge
@@ -28,7 +28,7 @@
 log = logging.getLogger("moorusher")
 
 OURS = "outage: "
-WARM = (Standing.SERVING, Standing.CROWDED)
+WARM = (HealthState.SERVING, HealthState.OVERLOADED)
 MOST_WAIT_S = 30.0  # of one question; who waits asks again
 MOST_ID, MOST_TEXT = 64, 200
 Told = Callable[[dict[str, Any] | OutageError], None]
@@ -101,7 +101,7 @@
             self.mark,
             self._digest(),
             self.away and self._drained(),
-            warm=made.standing in WARM,
+            warm=made.state in WARM,
             whole=all(s.acceptor.recovered for s in spaces),
         )
 
@@ -114,7 +114,7 @@
 
     def _drained(self) -> bool:
         """Nothing is open or runs, nothing of it is the fleet's, and whoever sends had the time to hear of it."""
-        core, horizon = self.core, self.reporter.tracker.horizon(self.core.clock.now)
+        core, horizon = self.core, self.reporter.tracker.horizon_us(self.core.clock.now)
         return (
             not (core.table.unanswered or len(core.runs) or self.fleet.busy)
             and core.clock.now - self._since >= horizon
--- a/moorusher/config/health.py
+++ b/moorusher/config/health.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
-from ..health.formatting import Codes
-from ..health.policy import Policy
+from typing import Any
+
+from ..health.formatting import StatusCodes
+from ..health.policy import HealthPolicy
 from .model import HealthCheckConfig
 from .section import ConfigError, Section
 
@@ -24,6 +26,23 @@
     "link_trust_ms": (500, 60_000),
     "settle_ms": (0, 60_000),
 }
+# The attributes of the policy, by key.
+POLICY_ATTRIBUTES = {
+    "probe_ms": "max_probe_interval_ms",
+    "reaction_ms": "balancer_reaction_ms",
+    "tip_per_core": "survivable_runs_per_core",
+    "crowded_at": "overloaded_above",
+    "full_at": "no_traffic_above",
+    "calm_at": "recovered_below",
+    "crowded_weight": "min_overloaded_weight",
+    "hold_share": "max_queue_wait_fraction",
+    "refused_share": "max_rejected_fraction",
+    "climb_s": "ramp_s",
+    "gauge_fresh_ms": "gauges_fresh_ms",
+    "gauge_unknown_ms": "gauges_expired_ms",
+    "link_trust_ms": "link_down_grace_ms",
+    "settle_ms": "link_settle_ms",
+}
 ASCENDING_KEYS = (("calm_at", "crowded_at"), ("gauge_fresh_ms", "gauge_unknown_ms"))
 STATUS_CODE_STATES = ("crowded", "full", "draining", "maintenance")
 STATUS_CODE_BOUNDS = (200, 599)
@@ -46,24 +65,27 @@
     )
 
 
-def _policy(section: Section) -> Policy:
+def _policy(section: Section) -> HealthPolicy:
     section.unknown(set(POLICY_BOUNDS))
-    defaults = Policy()
-    policy = Policy(
-        **{
-            name: section.between(name, getattr(defaults, name), *bounds)
-            for name, bounds in POLICY_BOUNDS.items()
-        }
-    )
+    defaults = HealthPolicy()
+    values: dict[str, Any] = {
+        key: section.between(key, getattr(defaults, POLICY_ATTRIBUTES[key]), *bounds)
+        for key, bounds in POLICY_BOUNDS.items()
+    }
     for lower, upper in ASCENDING_KEYS:
-        if not getattr(policy, lower) < getattr(policy, upper):
-            raise ConfigError(f"{section.key(lower)}: expected less than {upper}, {getattr(policy, upper):g}")
-    return policy
+        if not values[lower] < values[upper]:
+            raise ConfigError(f"{section.key(lower)}: expected less than {upper}, {values[upper]:g}")
+    return HealthPolicy(**{POLICY_ATTRIBUTES[key]: value for key, value in values.items()})
+
+
+def health_policy_json(policy: HealthPolicy) -> dict[str, Any]:
+    """The policy by the keys of `[standing]`."""
+    return {key: getattr(policy, attribute) for key, attribute in POLICY_ATTRIBUTES.items()}
 
 
-def _status_codes(section: Section) -> Codes:
-    defaults = Codes()
-    return Codes(
+def _status_codes(section: Section) -> StatusCodes:
+    defaults = StatusCodes()
+    return StatusCodes(
         **{
             state: section.between(f"{state}_status", getattr(defaults, state), *STATUS_CODE_BOUNDS)
             for state in STATUS_CODE_STATES
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -8,8 +8,8 @@
 from moorusher.scheduling.interface import Settings
 
 from ..forecasting.policy import Policy as ForecastPolicy
-from ..health.formatting import Codes
-from ..health.policy import Policy as HealthPolicy
+from ..health.formatting import StatusCodes
+from ..health.policy import HealthPolicy
 from ..maintenance.policy import Policy as MaintenancePolicy
 from .fleet import FleetConfig
 from .load_balancing import TierConfig
@@ -56,7 +56,7 @@
     agent: Address | None = None
     maxconn: bool = False
     health: Address | None = None
-    codes: Codes = field(default_factory=Codes)
+    codes: StatusCodes = field(default_factory=StatusCodes)
     load_report: bool = False
     policy: HealthPolicy = field(default_factory=HealthPolicy)
 
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -8,7 +8,7 @@
 
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from ..health.formatting import haproxy
+from ..health.formatting import haproxy_agent_state
 from ..server.health_report import Reporter
 from .probes import SILENCE, ProbeFront
 
@@ -35,7 +35,7 @@
         self.owner.places.closing(self)
         self.owner.asked()
         report = self.owner.reporter.report(self.host)
-        line = haproxy(report, self.owner.reporter.doors_closed, self.owner.maxconn)
+        line = haproxy_agent_state(report, self.owner.reporter.doors_closed, self.owner.maxconn)
         self.transport.write(line.encode("ascii") + b"\n")
         self.transport.loseWriteConnection()
         self._alarm = self.core.alarms.at(self.core.clock.now + SILENCE, self.cut)
@@ -78,4 +78,4 @@
         name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MOST_NAME]
         if name:
             self.core.begin_turn()
-            self.reporter.tracker.balancers.asked(self.core.clock.now, f"{host} {name}")
+            self.reporter.tracker.probes.probed(self.core.clock.now, f"{host} {name}")
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -100,7 +100,7 @@
     def _quiesce(self) -> Said:
         """Also where the runner leaves: then nothing new is sent to it already."""
         maintenance = self.reporter.tracker.maintenance
-        if self.reporter.wanted or (maintenance is not None and maintenance.until is not None):
+        if self.reporter.wanted or (maintenance is not None and maintenance.expires_us is not None):
             self.reporter.maintain(QUIESCED)  # one that ends by itself would put the runner back on its own
         return self._told(200)
 
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -34,7 +34,7 @@
     """Listens for health checks over HTTP."""
 
     def __init__(
-        self, core: RequestEngine, reporter: Reporter, codes: words.Codes, load: LoadReport | None
+        self, core: RequestEngine, reporter: Reporter, codes: words.StatusCodes, load: LoadReport | None
     ) -> None:
         super().__init__(core, reporter, HttpConnection)
         self.codes, self.load = codes, load
@@ -49,11 +49,11 @@
             return Said(200, b"alive\n")
         report = self.reporter.report(source)
         if path == "/health":
-            said = words.routing(report, self.codes)
+            said = words.health_response(report, self.codes)
         elif path == "/ready":
-            said = words.readiness(report)
+            said = words.readiness_response(report)
         elif path == "/startup":
-            said = words.startup(report, self.core.ready)
+            said = words.startup_response(self.core.ready)
         else:
             return Said(404, b"known are /health, /ready, /startup and /alive\n")
         more: list[tuple[str, str]] = []
@@ -68,12 +68,12 @@
         if wants_json(headers.get("accept", "")):
             body = json.dumps(
                 {
-                    "standing": report.standing.value,
+                    "standing": report.state.value,
                     "weight": report.weight,
-                    "reason": words.clean(report.reason),
+                    "reason": words.one_line(report.reason),
                     "unknown": list(report.unknown),
                 }
             ).encode()
             return Said(said.status, body + b"\n", "application/json", more)
-        line = f"{report.standing.value} {report.weight}% {words.clean(report.reason)}\n"
+        line = f"{report.state.value} {report.weight}% {words.one_line(report.reason)}\n"
         return Said(said.status, line.encode("ascii"), more=more)
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -11,7 +11,7 @@
 from ..core.clock import SECOND
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from ..health.formatting import orca
+from ..health.formatting import orca_load_metrics
 from ..server.health_report import Reporter
 from .connection_limits import Places
 
@@ -83,7 +83,7 @@
     def text(self) -> str:
         report = self._reporter.report()
         self._rates.read()
-        gauge = self._reporter.observe().gauge
+        gauge = self._reporter.observe().gauges
         old = gauge is None or any(u.startswith("gauges") for u in report.unknown)
         busy, memory = (None, None) if old or gauge is None else (gauge.busy, gauge.memory)
-        return orca(report, busy, memory, self._rates.rps, self._rates.eps)
+        return orca_load_metrics(report, busy, memory, self._rates.rps, self._rates.eps)
--- a/moorusher/health/formatting.py
+++ b/moorusher/health/formatting.py
@@ -1,4 +1,4 @@
-"""A report in the words of the protocols that balancers speak. Pure: framing is the fronts'.
+"""A health report in the words of the protocols that balancers speak; framing is the frontends'.
 
 HAProxy: the documentation of `agent-check`. Envoy: that of HTTP health checking and of degraded endpoints. ORCA: the
 text form of the `endpoint-load-metrics` header.
@@ -9,91 +9,115 @@
 import math
 from dataclasses import dataclass
 
-from .states import Standing
-from .tracker import Report
+from .report import HealthReport
+from .states import HealthState
 
-MOST_WORDS = 120  # of a reason: HAProxy keeps the first line, and logs it
+MAX_REASON_LENGTH = 120  # HAProxy keeps the first line, and logs it
+DEGRADED_BELOW_WEIGHT = 50
+MIN_ERROR_STATUS = 300
 
 
 @dataclass(frozen=True, slots=True)
-class Codes:
-    """HTTP statuses of `/health`. Balancers differ: some know 200 and the rest, some keep 429 apart."""
+class StatusCodes:
+    """HTTP statuses of `/health`. Balancers differ: some know 200 and the rest, some keep 429 apart.
 
-    crowded: int = 200  # with a mark: a balancer that reads only the status goes on sending
-    full: int = 503  # crowded, and about to fall over
+    Attributes:
+        crowded: overloaded; 200 with a mark, as a balancer that reads only the status goes on sending.
+        full: overloaded, and about to fall over.
+    """
+
+    crowded: int = 200  # the four names are keys of `[health]`
+    full: int = 503
     draining: int = 503
     maintenance: int = 503
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What an HTTP probe is told, in no framing yet."""
+class ProbeResponse:
+    """What an HTTP probe is told, before it is framed.
+
+    Attributes:
+        degraded: `x-envoy-degraded`: requests are sent to where the others don't suffice.
+        fail_now: `x-envoy-immediate-health-check-fail`: without waiting for further failures.
+    """
 
     status: int
     retry_after_s: int | None = None
-    degraded: bool = False  # x-envoy-degraded: sent to where the others don't suffice
-    fail_now: bool = False  # x-envoy-immediate-health-check-fail: without waiting for further failures
+    degraded: bool = False
+    fail_now: bool = False
 
 
-def clean(text: str) -> str:
-    """A reason may come from an operator: no line end, no control character, nothing that a log can't take."""
-    return "".join(c if " " <= c <= "~" else "?" for c in text)[:MOST_WORDS]
+def one_line(text: str) -> str:
+    """A reason that may come from an operator: without line ends and control characters, and not too long."""
+    return "".join(c if " " <= c <= "~" else "?" for c in text)[:MAX_REASON_LENGTH]
 
 
-def haproxy(report: Report, doors_closed: bool = False, maxconn: bool = False) -> str:
-    """One line, without its end. `ready` lifts a `drain` or `maint` said before; `up` a `down`, `fail`, `stopped`."""
-    reason = f" #{report.standing.value}: {clean(report.reason)}"
-    match report.standing:
-        case Standing.DRAINING:  # nothing new; once nothing listens, HAProxy need not find out by trying
-            return ("drain stopped" if doors_closed else "drain") + reason
-        case Standing.MAINTENANCE:
+def haproxy_agent_state(
+    report: HealthReport, listeners_closed: bool = False, with_maxconn: bool = False
+) -> str:
+    """One line of `agent-check`, without its end. `ready` lifts a `drain` or `maint` said before; `up` a `down`,
+    `fail`, `stopped`."""
+    reason = f" #{report.state.value}: {one_line(report.reason)}"
+    match report.state:
+        case HealthState.DRAINING:  # nothing new; once nothing listens, HAProxy need not find out by trying
+            return ("drain stopped" if listeners_closed else "drain") + reason
+        case HealthState.MAINTENANCE:
             return "maint" + reason
-        case Standing.STARTING:
+        case HealthState.STARTING:
             return "ready down" + reason
-        case Standing.FAILED:
+        case HealthState.FAILED:
             return "ready fail" + reason
-    # 0% takes all new traffic away and leaves the server up: its checks and what is open go on.
-    bound = f" maxconn:{max(1, report.room)}" if maxconn else ""
-    return f"ready up {report.weight}%{bound}{reason}"
-
-
-def routing(report: Report, codes: Codes) -> Answer:
-    """May new requests be sent here?"""
-    match report.standing:
-        case Standing.DRAINING:
-            return Answer(codes.draining, fail_now=codes.draining >= 300)
-        case Standing.MAINTENANCE:
-            return Answer(codes.maintenance, fail_now=codes.maintenance >= 300)
-        case Standing.STARTING | Standing.FAILED:
-            return Answer(503, retry_after_s=1, fail_now=report.standing is Standing.FAILED)
-        case Standing.CROWDED:
+    # 0% takes all new traffic away and leaves the server up: its checks and open requests go on.
+    maxconn = f" maxconn:{max(1, report.max_connections)}" if with_maxconn else ""
+    return f"ready up {report.weight}%{maxconn}{reason}"
+
+
+def health_response(report: HealthReport, codes: StatusCodes) -> ProbeResponse:
+    """Whether new requests may be sent here."""
+    match report.state:
+        case HealthState.DRAINING:
+            return ProbeResponse(codes.draining, fail_now=codes.draining >= MIN_ERROR_STATUS)
+        case HealthState.MAINTENANCE:
+            return ProbeResponse(codes.maintenance, fail_now=codes.maintenance >= MIN_ERROR_STATUS)
+        case HealthState.STARTING | HealthState.FAILED:
+            return ProbeResponse(503, retry_after_s=1, fail_now=report.state is HealthState.FAILED)
+        case HealthState.OVERLOADED:
             status = codes.crowded if report.weight else codes.full
-            wait = max(1, math.ceil(report.horizon_us / 1e6)) if status >= 300 else None
-            return Answer(status, wait, degraded=True)
-    return Answer(200, degraded=report.weight < 50)
-
-
-def readiness(report: Report) -> Answer:
-    """Could it serve at all? Crowded is no reason to take it out of an endpoint list: it would make others so."""
-    if report.standing.routable:
-        return Answer(200)
-    return Answer(503, retry_after_s=None if report.standing is Standing.DRAINING else 1)
-
-
-def startup(report: Report, kernel_up: bool) -> Answer:
-    """Has it come up once? Not taken back."""
-    return Answer(200) if kernel_up else Answer(503, retry_after_s=1)
-
-
-def orca(report: Report, cpu: float | None, memory: float | None, rps: float, eps: float) -> str:
-    """The value of `endpoint-load-metrics`. What is unknown is left out: a 0 would draw traffic."""
-    told: list[tuple[str, float | None]] = [
+            retry_after_s = None
+            if status >= MIN_ERROR_STATUS:
+                retry_after_s = max(1, math.ceil(report.horizon_us / 1e6))
+            return ProbeResponse(status, retry_after_s, degraded=True)
+    return ProbeResponse(200, degraded=report.weight < DEGRADED_BELOW_WEIGHT)
+
+
+def readiness_response(report: HealthReport) -> ProbeResponse:
+    """Whether it could serve at all. Overload is no reason to take it out of an endpoint list: the others would be
+    overloaded by it."""
+    if report.state.routable:
+        return ProbeResponse(200)
+    return ProbeResponse(503, retry_after_s=None if report.state is HealthState.DRAINING else 1)
+
+
+def startup_response(kernel_up: bool) -> ProbeResponse:
+    """Whether it has come up once, which is not taken back."""
+    return ProbeResponse(200) if kernel_up else ProbeResponse(503, retry_after_s=1)
+
+
+def orca_load_metrics(
+    report: HealthReport,
+    cpu: float | None,
+    memory: float | None,
+    requests_per_s: float,
+    errors_per_s: float,
+) -> str:
+    """The value of the `endpoint-load-metrics` header. What is unknown is left out: a 0 would draw traffic."""
+    metrics: list[tuple[str, float | None]] = [
         ("application_utilization", report.pressure),
         ("cpu_utilization", cpu),
         ("mem_utilization", memory),
-        ("rps_fractional", rps),
-        ("eps", eps),
+        ("rps_fractional", requests_per_s),
+        ("eps", errors_per_s),
         ("named_metrics.weight", float(report.weight)),
-        ("named_metrics.crowd_per_core", report.crowd),
+        ("named_metrics.crowd_per_core", report.mean_per_core),
     ]
-    return "TEXT " + ", ".join(f"{name}={value:.4g}" for name, value in told if value is not None)
+    return "TEXT " + ", ".join(f"{name}={value:.4g}" for name, value in metrics if value is not None)
--- a/moorusher/health/observation.py
+++ b/moorusher/health/observation.py
@@ -7,21 +7,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Maintenance:
-    """Set by an operator. `until`: us, when it ends by itself; None where it does not."""
+    """Set by an operator.
+
+    Attributes:
+        expires_us: when it ends by itself; None where it does not.
+    """
 
     reason: str
-    since: int
-    until: int | None = None
+    since_us: int
+    expires_us: int | None = None
 
-    def over(self, now: int) -> bool:
-        return self.until is not None and now >= self.until
+    def has_expired(self, now: int) -> bool:
+        """It has ended by itself."""
+        return self.expires_us is not None and now >= self.expires_us
 
 
 @dataclass(frozen=True, slots=True)
-class Gauge:
-    """Figures of the kernel: `busy` is the used share of the cores, `runnable` what wants a core. `at` in us."""
+class KernelGauges:
+    """What the kernel tells of its machine; None where it does not tell.
+
+    Attributes:
+        read_at_us: when it told.
+        busy: the busy share of the cores, 0 to 1.
+        runnable: how many threads want a core.
+        memory: the used share of the memory.
+    """
 
-    at: int
+    read_at_us: int
     busy: float | None = None
     runnable: float | None = None
     memory: float | None = None
@@ -29,19 +41,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """Times in us of the clock that `now` is read from."""
+    """A runner at the time `now`.
+
+    Attributes:
+        kernel_up: the kernel has been heard since the start, whatever its connection does now.
+        speed: share of full speed, 0 to 1; 1 once it is warm.
+        speed_known: False where `speed` is the least that the settings promise.
+        on_cores: runs that compete for the cores, by the runner's own count.
+        at_calls: runs that wait for a call.
+        oldest_queued_us: age of the request that is queued longest; 0 where none is.
+        unanswered: requests that are owed an answer.
+        healthy: the scheduler's own word.
+        listeners_closed: it is draining, and nothing new is listened for.
+        shutdown_remaining_us: until the process has to end.
+    """
 
     now: int
-    kernel_up: bool  # it has been heard since the start, whatever its link does now
-    speed: float  # share of full speed, 0 to 1; 1 once warm
-    speed_known: bool  # False where it is the least that the settings promise
-    on_cores: int  # runs that take a core, by the runner's own count
+    kernel_up: bool
+    speed: float
+    speed_known: bool
+    on_cores: int
     at_calls: int
-    held: int
-    oldest_held_us: int  # age of the longest held; 0 where none is
-    owed: int  # requests that wait for an answer
-    healthy: bool  # the decision module's own word
+    queued: int
+    oldest_queued_us: int
+    unanswered: int
+    healthy: bool
     draining: bool
-    doors_closed: bool = False  # draining, and nothing new is listened for
-    left_us: int = 0  # of the time to leave in
-    gauge: Gauge | None = None
+    listeners_closed: bool = False
+    shutdown_remaining_us: int = 0
+    gauges: KernelGauges | None = None
--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -6,7 +6,8 @@
 import heapq
 from dataclasses import dataclass
 
-from ..health.congestion import History, survived
+from ..health.congestion import survivable_runs
+from ..health.history import LevelHistory
 
 FAR = 1 << 60
 
@@ -32,7 +33,7 @@
         self.machine, self.born = machine, now
         self.cold = cold
         self.factor = 1.0  # an outside slowdown: 0.25 is four times as slow, 0 a pause
-        self.crowd = History(machine.window_us, now)
+        self.crowd = LevelHistory(machine.window_us, now)
         self._at, self._service, self.busy_us = now, 0.0, 0.0  # service: work done by each run so far
         self._ends: list[tuple[float, str]] = []
         self._runs: dict[str, float] = {}
@@ -98,7 +99,7 @@
         return now + max(1, round((self._ends[0][0] - self._service) / rate))
 
     def survives(self, now: int) -> float:
-        return survived(self.machine.cores, self.machine.tip_per_core, self.warmth(now))
+        return survivable_runs(self.machine.cores, self.machine.tip_per_core, self.warmth(now))
 
     def fallen(self, now: int) -> bool:
         return self.crowd.mean(now) > self.survives(now)
--- a/moorusher/lab/fleet.py
+++ b/moorusher/lab/fleet.py
@@ -12,8 +12,8 @@
 import numpy as np
 
 from ..health.observation import Observation
-from ..health.policy import Policy
-from ..health.tracker import Facts, Tracker
+from ..health.policy import HealthPolicy
+from ..health.tracker import HealthTracker, RunnerFacts
 
 STEP_S = 0.1
 KEPT_S = 0.5  # a report is worked out so often at most: the real ones are shared for 10 ms
@@ -42,11 +42,12 @@
     """One course of such a fleet, with or without the report."""
     rng = np.random.default_rng(seed)
     n, cores = fleet.runners, fleet.cores
-    policy = Policy(probe_ms=1000, reaction_ms=500 + KEPT_S * 1000, climb_s=10)
+    policy = HealthPolicy(max_probe_interval_ms=1000, balancer_reaction_ms=500 + KEPT_S * 1000, ramp_s=10)
     window = 3_000_000
     guard = fleet.most_a_core / fleet.tip
     trackers = [
-        Tracker(Facts(cores, fleet.tip, window, 3_000_000, guard, float(p)), policy, 0) for p in rng.random(n)
+        HealthTracker(RunnerFacts(cores, fleet.tip, window, 3_000_000, guard, float(p)), policy, 0)
+        for p in rng.random(n)
     ]
     told, made = np.full(n, 100), np.full(n, -1.0)
     read = np.full((fleet.balancers, n), 100.0)  # each balancer's last word of each runner
@@ -58,8 +59,8 @@
     slowed = np.zeros(n, bool)
     slowed[: round(n * fleet.slowed)] = True
     for t in trackers:  # in service for long
-        t.crowd_is(0, round(fleet.load * cores))
-        t._governor.level = 100
+        t.runs_on_cores(0, round(fleet.load * cores))
+        t._weight.level = 100
     recent = np.repeat(running[:, None], round(3 / STEP_S), axis=1)
     rate = fleet.load * n * cores / fleet.work_s  # requests a second, all runners
     changes = np.zeros(n, int)
@@ -77,7 +78,7 @@
             for r in np.flatnonzero(asks.any(axis=0) & alive):
                 tracker, there = trackers[r], round(float(running[r]))
                 for b in np.flatnonzero(asks[:, r]):
-                    tracker.balancers.asked(now, names[b])
+                    tracker.probes.probed(now, names[b])
                 if now_s - made[r] < KEPT_S:
                     read[asks[:, r], r] = told[r]
                     continue
@@ -100,9 +101,9 @@
         lost += rate * STEP_S * float((total[:, 0] <= 0).mean())
         running += arrivals
         for r in np.flatnonzero(arrivals):
-            trackers[r].crowd_is(now, round(float(running[r])))
+            trackers[r].runs_on_cores(now, round(float(running[r])))
             for _ in range(int(arrivals[r])):
-                trackers[r].came(now)
+                trackers[r].request_arrived(now)
         over = np.maximum(0.0, running - fleet.most_a_core * cores)
         lost += float(over.sum())
         running -= over
@@ -111,9 +112,9 @@
         done = np.minimum(running, np.minimum(running, cores) * speed / crowding / fleet.work_s * STEP_S)
         running = (running - done) * alive
         for tracker, count in zip(trackers, running.tolist(), strict=True):
-            if round(count) < tracker.crowd.value:
-                tracker.ended(now, tracker.crowd.value - round(count))
-            tracker.crowd_is(now, round(count))
+            if round(count) < tracker.on_cores.value:
+                tracker.run_ended(now, tracker.on_cores.value - round(count))
+            tracker.runs_on_cores(now, round(count))
         recent[:, i % recent.shape[1]] = running
         mean = recent.mean(axis=1) / cores
         worst = np.maximum(worst, mean * alive)
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -18,7 +18,7 @@
 from ..core.clock import Alarms, Clock
 from ..core.request_engine import RequestEngine
 from ..frontends.agent import AgentFront
-from ..health.policy import Policy
+from ..health.policy import HealthPolicy
 from ..server.health_report import Reporter
 from ..server.reactor import LoopTimer
 from .balancer import Choice, Prober, Server, ask
@@ -228,7 +228,7 @@
         )
         cores.append(core)
         core.kernel_up(False, 0)
-        port = reactor.listenTCP(0, AgentFront(core, Reporter(core, Policy(), f"n{i}")), interface=HOST)
+        port = reactor.listenTCP(0, AgentFront(core, Reporter(core, HealthPolicy(), f"n{i}")), interface=HOST)
         ports.append(port)
         server = Server(f"n{i}")
         probers.append(Prober(reactor, server, port.getHost().port, "agent", NOTICE_INTERVAL, rng.random()))
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -205,7 +205,7 @@
     def maintenance_fields(self) -> dict[str, Any] | None:
         """The maintenance state, as another process of this runner is told it."""
         m = self.reporter.tracker.maintenance
-        return None if m is None else {"reason": m.reason, "since": m.since, "until": m.until}
+        return None if m is None else {"reason": m.reason, "since": m.since_us, "until": m.expires_us}
 
     def follow_maintenance(self, fields: dict[str, Any] | None) -> None:
         """Take over the maintenance state of another process of this runner."""
@@ -228,19 +228,20 @@
 
     def _accepts_more_work(self) -> bool:
         """Whether to take over orphaned work of another runner: not where this one is overloaded itself."""
-        from ..health.states import Standing
+        from ..health.states import HealthState
 
-        return self.reporter.fit and self.reporter.report().standing is not Standing.CROWDED
+        return self.reporter.fit and self.reporter.report().state is not HealthState.OVERLOADED
 
     def load_condition(self) -> Any:
         """The condition under which this runner's latencies were measured, for whoever learns from them."""
-        from ..health.states import Standing
+        from ..health.states import HealthState
         from ..warm_start.learned_state import DonorCondition
 
-        standing = self.reporter.report().standing
-        return {Standing.CROWDED: DonorCondition.OVERLOADED, Standing.WARMING: DonorCondition.WARMING_UP}.get(
-            standing, DonorCondition.HEALTHY
-        )
+        standing = self.reporter.report().state
+        return {
+            HealthState.OVERLOADED: DonorCondition.OVERLOADED,
+            HealthState.WARMING_UP: DonorCondition.WARMING_UP,
+        }.get(standing, DonorCondition.HEALTHY)
 
     # ---- limits and new settings ----
 
--- a/tests/compatibility/test_counters.py
+++ b/tests/compatibility/test_counters.py
@@ -15,7 +15,7 @@
 import moorusher
 from moorusher.core.answer import Cause, Verdict
 from moorusher.core.outcomes import EndReason
-from moorusher.health.states import Standing
+from moorusher.health.states import HealthState
 from moorusher.hot_restart.process_role import State
 from moorusher.maintenance.local_machine import Doing
 
@@ -27,7 +27,7 @@
 NOT_IN_SERVICE = ("lab", "check")
 VALUES: dict[str, type[Enum]] = {
     "succession: ": State,
-    "standing: ": Standing,
+    "standing: ": HealthState,
     "outage: ": Doing,
     "failed: ": Cause,
     "connections: ": EndReason,
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -18,7 +18,7 @@
 from moorusher.cluster_transport.hot_restart.coordinator import HotRestart
 from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.outcomes import EndReason
-from moorusher.health.policy import Policy
+from moorusher.health.policy import HealthPolicy
 from moorusher.hot_restart.process_role import Event, State
 from moorusher.hot_restart.shared_budget import ProcessLoad
 from moorusher.server.health_report import Reporter
@@ -61,7 +61,7 @@
     """The service as far as its other process hears of it, with what it takes and listens on given."""
 
     def __init__(self, world: World) -> None:
-        self.core, self.reporter = world.core, Reporter(world.core, Policy(), "n1")
+        self.core, self.reporter = world.core, Reporter(world.core, HealthPolicy(), "n1")
         self.heard: list[object] = []
 
     def load(self) -> ProcessLoad:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,7 +11,7 @@
 from moorusher.frontends.jsonrpc import JsonRpcFront
 from moorusher.frontends.uwsgi import UwsgiFront
 from moorusher.frontends.uwsgi_packets import HEAD, PING
-from moorusher.health.policy import Policy
+from moorusher.health.policy import HealthPolicy
 from moorusher.server.health_report import Reporter
 
 from .test_core import World
@@ -24,7 +24,7 @@
     def __init__(self, kernel: bool = True, most: int = 8) -> None:
         self.world = World(kernel=kernel)
         self.core = self.world.core
-        self.reporter = Reporter(self.core, Policy(), "n1")
+        self.reporter = Reporter(self.core, HealthPolicy(), "n1")
         self.serving, self.transports = True, list[Transport]()
         self.console = Console(self.core, self.reporter, most, lambda: self.serving)
         self.fit = lambda: self.reporter.fit
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -23,8 +23,8 @@
 from moorusher.frontends.health import HealthFront
 from moorusher.frontends.uwsgi import UwsgiFront
 from moorusher.frontends.uwsgi_packets import HEAD, PING
-from moorusher.health.formatting import Codes
-from moorusher.health.policy import Policy
+from moorusher.health.formatting import StatusCodes
+from moorusher.health.policy import HealthPolicy
 from moorusher.scheduling.interface import Effect
 from moorusher.server.health_report import Reporter
 
@@ -79,11 +79,11 @@
 
 def probes(kind: str) -> Fed:
     world = World()
-    reporter = Reporter(world.core, Policy(), "n1")
+    reporter = Reporter(world.core, HealthPolicy(), "n1")
     factory = (
         AgentFront(world.core, reporter)
         if kind == "agent"
-        else HealthFront(world.core, reporter, Codes(), None)
+        else HealthFront(world.core, reporter, StatusCodes(), None)
     )
     connection, transport = factory.buildProtocol(None), Transport()
     connection.makeConnection(transport)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from moorusher.health.formatting import haproxy
-from moorusher.health.states import Standing
+from moorusher.health.formatting import haproxy_agent_state
+from moorusher.health.states import HealthState
 from moorusher.lab.balancer import Choice, Server
 from moorusher.lab.cores import FAR, Cores, Machine
 from moorusher.lab.experiment import Experiment, Plot, Result, write
@@ -19,7 +19,7 @@
 from moorusher.lab.load import Kind, draw
 from moorusher.lab.runners import ROOT
 
-from .test_standing import report
+from .test_health import report
 
 MS = 1000
 KINDS = [Kind("a", 0.5, 100, True, 1000, 2000), Kind("b", 0.5, 100, False, 1000, 2000, keyed=True)]
@@ -73,22 +73,22 @@
 def test_every_standing_is_read_as_it_was_meant() -> None:
     server = Server("s")
 
-    def shares(*said: Standing, weight: int = 50) -> list[float]:
+    def shares(*said: HealthState, weight: int = 50) -> list[float]:
         told = []
         for standing in said:
-            server.agent(0, haproxy(report(standing, weight if standing.routable else 0)))
+            server.agent(0, haproxy_agent_state(report(standing, weight if standing.routable else 0)))
             told.append(server.share(0, 0))
         return told
 
     assert shares(
-        Standing.STARTING,
-        Standing.WARMING,
-        Standing.MAINTENANCE,
-        Standing.SERVING,
-        Standing.DRAINING,
-        Standing.SERVING,
-        Standing.FAILED,
-        Standing.CROWDED,
+        HealthState.STARTING,
+        HealthState.WARMING_UP,
+        HealthState.MAINTENANCE,
+        HealthState.SERVING,
+        HealthState.DRAINING,
+        HealthState.SERVING,
+        HealthState.FAILED,
+        HealthState.OVERLOADED,
     ) == [0, 0.5, 0, 0.5, 0, 0.5, 0, 0.5]
     server.agent(0, "ready up 50% maxconn:1")
     server.in_flight = 1
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -13,8 +13,8 @@
 from moorusher.frontends.health import HealthFront, wants_json
 from moorusher.frontends.probes import MOST, MOST_OF_ONE, LoadReport
 from moorusher.frontends.uwsgi import UwsgiFront
-from moorusher.health.formatting import Codes
-from moorusher.health.policy import Policy
+from moorusher.health.formatting import StatusCodes
+from moorusher.health.policy import HealthPolicy
 from moorusher.server.health_report import Reporter
 
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
@@ -28,10 +28,10 @@
 
     def __init__(self, kernel: bool = True, **policy: Any) -> None:
         self.world = World()
-        self.reporter = Reporter(self.world.core, Policy(**policy), "n1")
+        self.reporter = Reporter(self.world.core, HealthPolicy(**policy), "n1")
         self.agent = AgentFront(self.world.core, self.reporter)
         self.health = HealthFront(
-            self.world.core, self.reporter, Codes(), LoadReport(self.world.core, self.reporter)
+            self.world.core, self.reporter, StatusCodes(), LoadReport(self.world.core, self.reporter)
         )
 
     def connect(self, front: Any, *sent: bytes, address: Any = None) -> tuple[Any, Transport]:
@@ -166,7 +166,7 @@
             assert transport.value().startswith(b"ready up") and transport.half_closed
             connection.connectionLost()
         p.world.wait(1000)
-    known = p.reporter.tracker.balancers
+    known = p.reporter.tracker.probes
     assert {s.rpartition(" ")[2] for s in known._sources} >= {"lb1", "lb2"}
     connection, transport = p.connect(p.agent, b"x" * (MOST_SENT + 1))
     assert transport.aborted
@@ -186,7 +186,7 @@
 
 
 def test_a_notice_a_maintenance_and_a_lost_link_are_in_the_very_next_report() -> None:
-    p = Probes(link_trust_ms=500)
+    p = Probes(link_down_grace_ms=500)
     core = p.world.core
     assert p.line().startswith("ready up")
     assert p.reporter.maintain("disk\nready up 100%")
