--- /dev/null
+++ b/moorusher/admin/maintenance_mode.py
@@ -0,0 +1,68 @@
+"""GET, PUT and DELETE /maintenance: an operator takes this runner out of its load balancers, and puts it back."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from ..health.policy import MOST_MAINTENANCE_S, MOST_REASON
+from ..server.health_report import Reporter
+from .api import NO_TOKEN, BadBody, Guarded, reply
+
+DEFAULT_REASON = "maintenance"
+
+
+def read_maintenance(document: dict[str, Any]) -> tuple[str, float | None]:
+    """Return the reason, and the seconds after which maintenance ends by itself, None where it does not.
+
+    :raises BadBody: a key is unknown, or its value is out of bounds.
+    """
+    unknown = sorted(set(document) - {"reason", "for_s"})
+    if unknown:
+        raise BadBody(f"{unknown[0]}: no such key; known are for_s, reason")
+    reason = document.get("reason", DEFAULT_REASON)
+    if not isinstance(reason, str) or not 0 < len(reason) <= MOST_REASON:
+        raise BadBody(f"reason: expected a string of 1 to {MOST_REASON} characters")
+    duration_s = document.get("for_s")
+    if duration_s is not None and not _is_duration(duration_s):
+        raise BadBody(f"for_s: expected seconds above 0 and up to {MOST_MAINTENANCE_S:g}")
+    return reason, duration_s
+
+
+def _is_duration(value: object) -> bool:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    return is_number and 0 < value <= MOST_MAINTENANCE_S  # type: ignore[operator]
+
+
+class MaintenanceModePage(Guarded):
+    """A runner that shuts down can't be put into maintenance, nor out of it: 409."""
+
+    def __init__(self, token: str, reporter: Reporter) -> None:
+        super().__init__(token)
+        self._reporter = reporter
+
+    def render_GET(self, request: Any) -> bytes:
+        """Answer 200 with the maintenance that is set, or null."""
+        return reply(request, 200, {"maintenance": self._reporter.inputs()["maintenance"]})
+
+    def render_PUT(self, request: Any) -> bytes:
+        """Set maintenance: 200, 400 for a faulty body, 401 without the token, 409 while shutting down."""
+        if not self.allowed(request):
+            return reply(request, 401, NO_TOKEN)
+        try:
+            reason, duration_s = read_maintenance(self.body(request))
+        except BadBody as error:
+            return reply(request, 400, {"error": str(error)})
+        if not self._reporter.maintain(reason, duration_s):
+            return reply(request, 409, {"error": "the runner is leaving, and does not come back"})
+        return self.render_GET(request)
+
+    def render_DELETE(self, request: Any) -> bytes:
+        """End maintenance: 200, 401 without the token, 409 where none is set or while shutting down."""
+        if not self.allowed(request):
+            return reply(request, 401, NO_TOKEN)
+        if self._reporter.put_back():
+            return reply(request, 200, {"maintenance": None})
+        draining = self._reporter.core.drain_state.draining
+        return reply(
+            request, 409, {"error": "the runner is leaving" if draining else "no maintenance is set"}
+        )
--- /dev/null
+++ b/moorusher/admin/servers.py
@@ -0,0 +1,82 @@
+"""GET /servers and /servers/NAME; PUT and DELETE /servers/NAME; POST /servers/NAME/drain."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from ..config.load_balancing import endpoint_of
+from ..config.section import ConfigError, Section
+from ..core.request_engine import RequestEngine
+from .api import NO_TOKEN, BadBody, Guarded, path_of, reply
+
+NO_SUCH_SERVER = {"error": "no such server"}
+
+
+class ServersPage(Guarded):
+    """The servers of the pool that answers downstream calls."""
+
+    def __init__(self, token: str, pool: Any, core: RequestEngine) -> None:
+        super().__init__(token)
+        self._pool = pool
+        self._core = core
+
+    def _servers(self) -> list[dict[str, object]]:
+        self._core.begin_turn()
+        servers: list[dict[str, object]] = self._pool.servers_json()
+        return servers
+
+    def render_GET(self, request: Any) -> bytes:
+        """Answer 200 with all servers or the named one, or 404."""
+        path = path_of(request)
+        if not path:
+            document = {
+                "servers": self._servers(),
+                "counts": self._pool.counts_json(),
+                "open": self._pool.balancer.open_calls,
+            }
+            return reply(request, 200, document)
+        found = [server for server in self._servers() if server["name"] == path[0]]
+        if len(path) > 1 or not found:
+            return reply(request, 404, NO_SUCH_SERVER)
+        return reply(request, 200, found[0])
+
+    def render_PUT(self, request: Any) -> bytes:
+        """Add a server, or change the address, weight or zone of the one that has the name.
+
+        Answers 200, 400 for a faulty body, 401 without the token, 409 where there are too many servers.
+        """
+        path = path_of(request)
+        if len(path) != 1:
+            return reply(request, 404, {"error": "expected /servers/NAME"})
+        if not self.allowed(request):
+            return reply(request, 401, NO_TOKEN)
+        try:
+            endpoint = endpoint_of(Section({"name": path[0]} | self.body(request), ""))
+        except (BadBody, ConfigError) as error:
+            return reply(request, 400, {"error": str(error)})
+        self._core.begin_turn()
+        try:
+            self._pool.put(endpoint)
+        except ValueError as error:
+            return reply(request, 409, {"error": str(error)})
+        return reply(request, 200, {"servers": self._servers()})
+
+    def render_DELETE(self, request: Any) -> bytes:
+        """Remove a server: 200, 401 without the token, 404."""
+        return self._change(request, self._pool.remove)
+
+    def render_POST(self, request: Any) -> bytes:
+        """Drain a server: 200, 401 without the token, 404."""
+        if path_of(request)[1:] != ["drain"]:
+            return reply(request, 404, {"error": "expected /servers/NAME/drain"})
+        return self._change(request, self._pool.drain)
+
+    def _change(self, request: Any, change: Callable[[str], bool]) -> bytes:
+        if not self.allowed(request):
+            return reply(request, 401, NO_TOKEN)
+        self._core.begin_turn()
+        path = path_of(request)
+        if not change(path[0] if path else ""):
+            return reply(request, 404, NO_SUCH_SERVER)
+        return reply(request, 200, {"servers": self._servers()})
--- a/moorusher/server/secondary_listeners.py
+++ b/moorusher/server/secondary_listeners.py
@@ -50,19 +50,24 @@
 
 
 def _admin_site(service: Service) -> object:
-    from ..admin.api import admin_site  # Twisted's web server: 6 MB that the platform does not need
+    from ..admin.site import (  # Twisted's web server: 6 MB that the platform does not need
+        AdminParts,
+        admin_site,
+    )
 
     cluster = service.cluster
     return admin_site(
-        service.core,
-        service.reporter,
-        service.config.name,
-        service.config.admin.token,
-        service.leave,
-        service.server_pool,
-        service.load_condition,
-        cluster.replication,
-        cluster.config_distribution,
-        cluster.forecast,
-        cluster.maintenance,
+        AdminParts(
+            core=service.core,
+            reporter=service.reporter,
+            name=service.config.name,
+            token=service.config.admin.token,
+            drain=service.leave,
+            load_condition=service.load_condition,
+            server_pool=service.server_pool,
+            replication=cluster.replication,
+            config_distribution=cluster.config_distribution,
+            forecast=cluster.forecast,
+            maintenance=cluster.maintenance,
+        )
     )
