--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -10,13 +10,13 @@
 from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy
 from ..server.health_report import Reporter
-from .probes import SILENCE, ProbeFront
+from .probes import SILENCE, ProbeFactory
 
 MOST_SENT = 256  # bytes of `agent-send`; more is no balancer's
 MOST_NAME = 32  # of them that tell one balancer from another behind one address
 
 
-class AgentConnection(Protocol):
+class AgentCheckProtocol(Protocol):
     """HAProxy sends nothing, or `agent-send`'s text, and reads one line. It need not wait for the text to be read;
     but a close with the text unread would reset the connection before the line is seen: our half is closed, and
     the other side has until its time is over."""
@@ -25,14 +25,14 @@
     reading = False  # it is answered before it is read
     host = ""  # the balancer, as far as it can be told apart: its port changes with each probe
 
-    def __init__(self, owner: AgentFront) -> None:
+    def __init__(self, owner: AgentCheckFactory) -> None:
         self.owner, self.core = owner, owner.core
         self._ending: EndReason | None = None
         self._sent = b""
 
     def connectionMade(self) -> None:
-        self.owner.places.joined(self)
-        self.owner.places.closing(self)
+        self.owner.limiter.connection_opened(self)
+        self.owner.limiter.connection_closing(self)
         self.owner.asked()
         report = self.owner.reporter.report(self.host)
         line = haproxy(report, self.owner.reporter.doors_closed, self.owner.maxconn)
@@ -55,7 +55,7 @@
         return True
 
     def cut(self) -> None:
-        if self in self.owner.places.all:
+        if self in self.owner.limiter.connections:
             self.end(EndReason.SLOW_READER)
 
     def connectionLost(self, reason: object = None) -> None:
@@ -66,11 +66,11 @@
             self.owner.heard(self.host, self._sent)
 
 
-class AgentFront(ProbeFront):
+class AgentCheckFactory(ProbeFactory):
     """Listens for HAProxy's agent checks."""
 
     def __init__(self, core: RequestEngine, reporter: Reporter, maxconn: bool = False) -> None:
-        super().__init__(core, reporter, AgentConnection)
+        super().__init__(core, reporter, AgentCheckProtocol)
         self.maxconn = maxconn
 
     def heard(self, host: str, sent: bytes) -> None:
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -7,8 +7,8 @@
 from ..core.request_engine import RequestEngine
 from ..health import formatting as words
 from ..server.health_report import Reporter
-from .http import HttpConnection, Said, not_allowed
-from .probes import LoadReport, ProbeFront
+from .http import HttpReply, HttpServerProtocol, not_allowed
+from .probes import LoadReport, ProbeFactory
 
 
 def wants_json(accept: str) -> bool:
@@ -30,23 +30,23 @@
     return quality["json"] > 0 and quality["json"] >= quality["text"]
 
 
-class HealthFront(ProbeFront):
+class HealthCheckFactory(ProbeFactory):
     """Listens for health checks over HTTP."""
 
     def __init__(
         self, core: RequestEngine, reporter: Reporter, codes: words.Codes, load: LoadReport | None
     ) -> None:
-        super().__init__(core, reporter, HttpConnection)
+        super().__init__(core, reporter, HttpServerProtocol)
         self.codes, self.load = codes, load
 
-    def called(self, method: str, path: str, headers: dict[str, str], source: str) -> Said:
+    def called(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
         if method not in ("GET", "HEAD"):
             return not_allowed("GET", "HEAD")
         self.asked()
         if (
             path == "/alive"
         ):  # as long as the process answers: for what restarts dead processes, not for routing
-            return Said(200, b"alive\n")
+            return HttpReply(200, b"alive\n")
         report = self.reporter.report(source)
         if path == "/health":
             said = words.routing(report, self.codes)
@@ -55,7 +55,7 @@
         elif path == "/startup":
             said = words.startup(report, self.core.ready)
         else:
-            return Said(404, b"known are /health, /ready, /startup and /alive\n")
+            return HttpReply(404, b"known are /health, /ready, /startup and /alive\n")
         more: list[tuple[str, str]] = []
         if said.retry_after_s is not None:
             more.append(("Retry-After", str(said.retry_after_s)))
@@ -74,6 +74,6 @@
                     "unknown": list(report.unknown),
                 }
             ).encode()
-            return Said(said.status, body + b"\n", "application/json", more)
+            return HttpReply(said.status, body + b"\n", "application/json", more)
         line = f"{report.standing.value} {report.weight}% {words.clean(report.reason)}\n"
-        return Said(said.status, line.encode("ascii"), more=more)
+        return HttpReply(said.status, line.encode("ascii"), more=more)
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -13,10 +13,10 @@
 
 from ..core.clock import SECOND
 from ..core.outcomes import EndReason
-from .unread_input import read_pending
+from .unread_input import read_unread_input
 
 MOST_HEAD = 4096  # bytes of a call before its body, all lines together
-LINGER = 2 * SECOND  # for an answer to be read, and for the other side to close
+LINGER_US = 2 * SECOND  # for an answer to be read, and for the other side to close
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class HttpReply:
     """The answer to a call."""
 
     status: int
@@ -41,7 +41,7 @@
     more: list[tuple[str, str]] = field(default_factory=list)
 
 
-class HttpConnection(LineReceiver):
+class HttpServerProtocol(LineReceiver):
     """One call after the other. What owns it has `core`, `places`, `left(connection)`, `counts` (the name of its
     counters) and `called`, which gives the answer to a call."""
 
@@ -49,7 +49,7 @@
     host = ""  # the caller, as far as it can be told apart: its port changes with each connection
     delimiter = b"\n"
     MAX_LENGTH = MOST_HEAD
-    linger = LINGER
+    linger = LINGER_US
     most_body = 0  # bytes; what is allowed is read and thrown away
 
     def __init__(self, owner: Any) -> None:
@@ -69,7 +69,7 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)  # calls sent and never read must not pile up as answers
-        self.owner.places.joined(self)
+        self.owner.limiter.connection_opened(self)
 
     def pauseProducing(self) -> None:
         """The other side does not read: nothing more is read from it, and it has so long to begin."""
@@ -106,7 +106,7 @@
         """Close. False where a call had come unread: it has its answer now, and the connection stays."""
         before = self._calls
         if self._ending is None and ending is not EndReason.CLOSED_LOCALLY:
-            read_pending(self.transport)
+            read_unread_input(self.transport)
             if self._calls > before and self._ending is None:
                 return False
         if self._ending is None:
@@ -115,8 +115,8 @@
 
     def _close(self, ending: EndReason) -> None:
         self._ending = ending
-        self.owner.places.closing(self)
-        read_pending(
+        self.owner.limiter.connection_closing(self)
+        read_unread_input(
             self.transport
         )  # thrown away: left unread, it would reset the connection, answer and all
         self.transport.loseConnection()
@@ -128,7 +128,7 @@
         self._alarm = self.core.alarms.at(self.core.clock.now + self.linger, self.cut)
 
     def cut(self) -> None:
-        if self in self.owner.places.all:
+        if self in self.owner.limiter.connections:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
@@ -196,19 +196,19 @@
         """Where the next call begins is not known: our half is closed, so that the error can be read."""
         self.core.counters.add("faulty")
         self._ending = ending
-        self.owner.places.closing(self)
-        self._write(Said(status, text.encode() + b"\n"), False)
+        self.owner.limiter.connection_closing(self)
+        self._write(HttpReply(status, text.encode() + b"\n"), False)
         self.transport.loseWriteConnection()
         self._cut_later()
 
-    def _say(self, said: Said, keep: bool, body: bool = True) -> None:
+    def _say(self, said: HttpReply, keep: bool, body: bool = True) -> None:
         self._write(said, keep, body)
         if keep:
-            self.owner.places.rested(self)
+            self.owner.limiter.connection_idle(self)
         else:
             self.end(EndReason.CLOSED_LOCALLY)
 
-    def _write(self, said: Said, keep: bool, body: bool = True) -> None:
+    def _write(self, said: HttpReply, keep: bool, body: bool = True) -> None:
         lines = [
             f"HTTP/1.1 {said.status} {REASONS.get(said.status, 'Health')}",
             f"Content-Type: {said.kind}",
@@ -222,6 +222,6 @@
         )
 
 
-def not_allowed(*allowed: str) -> Said:
+def not_allowed(*allowed: str) -> HttpReply:
     """405, with the methods that are allowed."""
-    return Said(405, f"only {' and '.join(allowed)}\n".encode(), more=[("Allow", ", ".join(allowed))])
+    return HttpReply(405, f"only {' and '.join(allowed)}\n".encode(), more=[("Allow", ", ".join(allowed))])
--- a/moorusher/frontends/limited_protocol.py
+++ b/moorusher/frontends/limited_protocol.py
@@ -1,4 +1,4 @@
-"""What fronts with a bounded number of connections have in common: their side of `frontends/connection_limits.py`."""
+"""The Factory of frontends that bound their connections with a `ConnectionLimiter`."""
 
 from __future__ import annotations
 
@@ -8,40 +8,44 @@
 
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from .connection_limits import Places
+from .connection_limits import ConnectionLimiter
 
 
-class PlacedFront(Factory):
-    """The listening side of a front. `server/accepting_port.py` asks it for a place before it accepts."""
+class LimitedFactory(Factory):
+    """Builds the protocols of accepted connections. `server/accepting_port.py` asks it for a slot before it accepts.
+
+    `core`: the request engine. `limiter`: the connections and their bound. `counted_as`: prefix of its counters.
+    """
 
     noisy = False
     counted_as = "connections"
 
-    def __init__(self, core: RequestEngine, places: Places) -> None:
-        self.core, self.places = core, places
+    def __init__(self, core: RequestEngine, limiter: ConnectionLimiter) -> None:
+        self.core = core
+        self.limiter = limiter
 
     def connection(self) -> Any:
-        """A new connection of this front."""
+        """Return the protocol of a new connection."""
         raise NotImplementedError
 
     def buildProtocol(self, addr: object) -> Any:
-        """None where each place is of use, and this one was accepted all the same."""
+        """Return a protocol, or None where no slot is free and no connection can be evicted."""
         self.core.begin_turn()
-        if not self.places.room():
+        if not self.limiter.admit():
             self.core.counters.add(f"{self.counted_as}: {EndReason.TOO_MANY_CONNECTIONS.value}")
             return None
         return self.connection()
 
     def is_full(self) -> bool:
-        """All places are taken."""
-        return self.places.full
+        """Whether all slots are taken."""
+        return self.limiter.is_full
 
-    def promise_place(self) -> bool:
-        """For the connection that waits to be accepted. False where each place is of use."""
+    def reserve_slot(self) -> bool:
+        """Reserve a slot for the connection that is accepted next. False where every connection has a request."""
         self.core.begin_turn()
-        return self.places.promise()
+        return self.limiter.reserve()
 
-    def make_way(self) -> None:
-        """The process has no descriptor for one more connection."""
+    def evict_idle(self) -> None:
+        """Close one connection that has no request open, if there is one: the process is out of descriptors."""
         self.core.begin_turn()
-        self.places.make_way()
+        self.limiter.evict_one()
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -13,7 +13,7 @@
 from ..core.request_engine import RequestEngine
 from ..health.formatting import orca
 from ..server.health_report import Reporter
-from .connection_limits import Places
+from .connection_limits import ConnectionLimiter
 
 MOST = 128  # connections of balancers at a time, for each listener
 MOST_OF_ONE = 48  # of them from one address: a flood from there must leave places to the others
@@ -21,7 +21,7 @@
 IDLENESS = 60 * SECOND  # a balancer may keep its connection between probes
 
 
-class ProbeFront(Factory):
+class ProbeFactory(Factory):
     """`build` makes a connection; one that finds no place is closed without a word."""
 
     noisy = False
@@ -30,13 +30,13 @@
 
     def __init__(self, core: RequestEngine, reporter: Reporter, build: Callable[[Any], Any]) -> None:
         self.core, self.reporter, self._build = core, reporter, build
-        self.places = Places(core, self.most, SILENCE, IDLENESS)
+        self.limiter = ConnectionLimiter(core, self.most, SILENCE, IDLENESS)
         self._of: Counter[str] = Counter()  # places by address; those that have none are not in it
 
     def buildProtocol(self, addr: object) -> Any:
         self.core.begin_turn()
         host = str(getattr(addr, "host", ""))
-        if self._of[host] >= MOST_OF_ONE or not self.places.room():
+        if self._of[host] >= MOST_OF_ONE or not self.limiter.admit():
             self.core.counters.add("probes: " + EndReason.TOO_MANY_CONNECTIONS.value)
             return None
         self._of[host] += 1
@@ -46,7 +46,7 @@
 
     def left(self, connection: Any) -> None:
         """Its place is free."""
-        self.places.left(connection)
+        self.limiter.connection_closed(connection)
         self._of[connection.host] -= 1
         if self._of[connection.host] <= 0:
             del self._of[connection.host]
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -15,9 +15,9 @@
 from ..core.registration import NEVER_RAN, RETRY_AFTER_MS, InvalidArrival
 from ..core.request_engine import RequestEngine
 from ..core.requests import Request
-from .connection_limits import Places
-from .limited_protocol import PlacedFront
-from .unread_input import read_pending
+from .connection_limits import ConnectionLimiter
+from .limited_protocol import LimitedFactory
+from .unread_input import read_unread_input
 from .uwsgi_packets import (
     FAILED_STATUS,
     FAULT_STATUS,
@@ -32,7 +32,7 @@
     response,
 )
 
-LINGER = 2 * SECOND  # for an answer to be read, and for the other side to close
+LINGER_US = 2 * SECOND  # for an answer to be read, and for the other side to close
 
 
 class State(Enum):
@@ -44,12 +44,12 @@
     OVER = "answered"
 
 
-class UwsgiConnection(Protocol):
+class UwsgiProtocol(Protocol):
     """One request: the protocol has no way to put a second on a connection."""
 
     transport: Any
 
-    def __init__(self, owner: UwsgiFront) -> None:
+    def __init__(self, owner: UwsgiFactory) -> None:
         self.owner, self.core = owner, owner.core
         self.state = State.VARS
         self.request: Request | None = None
@@ -67,7 +67,7 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         # A client that stops in the middle would else hold its place for ever.
-        self.owner.places.joined(self)
+        self.owner.limiter.connection_opened(self)
         self.core.counters.add("uwsgi connections")
         self._since = self.core.clock.now  # a client's budget runs while its body is still on the way
 
@@ -89,14 +89,14 @@
 
     def cut(self) -> None:
         """Answered, and the answer is not being read."""
-        if self in self.owner.places.all:
+        if self in self.owner.limiter.connections:
             self.ending = self.ending or EndReason.IDLE_TIMEOUT
             self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
-        self.owner.places.left(self)
+        self.owner.limiter.connection_closed(self)
         ending = self.ending or (
             EndReason.CLOSED_LOCALLY if self.state is State.OVER else EndReason.CLOSED_BY_PEER
         )
@@ -147,12 +147,12 @@
                 more |= {"X_Moorusher_Backoff_Ms": round(RETRY_AFTER_MS), "X_Moorusher_Never_Ran": 1}
             return self._finish(response(status, taken.value.encode(), **more))
         self.state, self.request = State.ASKED, taken
-        self.owner.places.busy(self)  # from here the core sees to the time
+        self.owner.limiter.connection_busy(self)  # from here the core sees to the time
 
     def read_rest(self) -> None:
         """What has come until now still counts."""
         if self.state in (State.VARS, State.BODY):
-            read_pending(self.transport)
+            read_unread_input(self.transport)
 
     def close(self) -> None:
         """The runner ends: what has not come whole never entered the core, and may go elsewhere."""
@@ -184,16 +184,16 @@
         input unread, a close would reset the connection before the answer is seen. `at_once`: its descriptor is needed,
         or the runner ends."""
         self.state, self.request = State.OVER, None
-        self.owner.places.closing(self)
+        self.owner.limiter.connection_closing(self)
         self.transport.write(data)
         if at_once:
             self.transport.loseConnection()
         else:
             self.transport.loseWriteConnection()
-        self._alarm = self.core.alarms.at(self.core.clock.now + LINGER, self.cut)
+        self._alarm = self.core.alarms.at(self.core.clock.now + LINGER_US, self.cut)
 
 
-class UwsgiFront(PlacedFront):
+class UwsgiFactory(LimitedFactory):
     """Listens for uwsgi clients."""
 
     counted_as = "uwsgi connections"
@@ -201,14 +201,14 @@
     def __init__(
         self, core: RequestEngine, most: int, most_body: int, idle_s: float, fit: Callable[[], bool]
     ) -> None:
-        super().__init__(core, Places(core, most, round(idle_s * SECOND), 0))
+        super().__init__(core, ConnectionLimiter(core, most, round(idle_s * SECOND), 0))
         self.most_body, self.fit = most_body, fit
         self.load: Callable[[], str] | None = None  # the load report that goes with each answer
 
-    def connection(self) -> UwsgiConnection:
+    def connection(self) -> UwsgiProtocol:
         """A new connection of a client."""
-        return UwsgiConnection(self)
+        return UwsgiProtocol(self)
 
     @property
-    def connections(self) -> set[UwsgiConnection]:
-        return cast(set[UwsgiConnection], self.places.all)
+    def connections(self) -> set[UwsgiProtocol]:
+        return cast(set[UwsgiProtocol], self.limiter.connections)
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -17,7 +17,7 @@
 from ..core.call import NoCallTransport
 from ..core.clock import Alarms, Clock
 from ..core.request_engine import RequestEngine
-from ..frontends.agent import AgentFront
+from ..frontends.agent import AgentCheckFactory
 from ..health.policy import Policy
 from ..server.health_report import Reporter
 from ..server.reactor import LoopTimer
@@ -228,7 +228,9 @@
         )
         cores.append(core)
         core.kernel_up(False, 0)
-        port = reactor.listenTCP(0, AgentFront(core, Reporter(core, Policy(), f"n{i}")), interface=HOST)
+        port = reactor.listenTCP(
+            0, AgentCheckFactory(core, Reporter(core, Policy(), f"n{i}")), interface=HOST
+        )
         ports.append(port)
         server = Server(f"n{i}")
         probers.append(Prober(reactor, server, port.getHost().port, "agent", NOTICE_INTERVAL, rng.random()))
--- a/moorusher/server/accepting_port.py
+++ b/moorusher/server/accepting_port.py
@@ -32,7 +32,7 @@
     backlog until there is capacity, and an idle connection is evicted where the process's own descriptors are used up.
 
     `max_accepts_per_turn` bounds one turn of the loop, so that a burst can't come in faster than evicted connections
-    close. The factory may offer `is_full()`, `promise_place()` and `make_way()` (`frontends/limited_protocol.py`).
+    close. The factory may offer `is_full()`, `reserve_slot()` and `evict_idle()` (`frontends/limited_protocol.py`).
     """
 
     max_accepts_per_turn = 1
@@ -68,7 +68,7 @@
             if not self._closing and self._is_full():
                 if accepted_count:
                     return  # the loop comes back if more are waiting: none is evicted in vain
-                if not self.factory.promise_place():
+                if not self.factory.reserve_slot():
                     return self._wait_for_connection_slot()
             try:
                 accepted, address = self.socket.accept()
@@ -139,11 +139,11 @@
 
     def _evict_idle_connection(self) -> None:
         """Free one of the process's own descriptors, at most one in `EVICTION_INTERVAL_S` where that does not help."""
-        make_way = getattr(self.factory, "make_way", None)
+        evict_idle = getattr(self.factory, "evict_idle", None)
         now = time.monotonic()
-        if make_way is not None and now - self._evicted_at_s >= EVICTION_INTERVAL_S:
+        if evict_idle is not None and now - self._evicted_at_s >= EVICTION_INTERVAL_S:
             self._evicted_at_s = now
-            make_way()
+            evict_idle()
 
     def _pause_accepting(self) -> None:
         super().stopReading()
--- a/moorusher/server/secondary_listeners.py
+++ b/moorusher/server/secondary_listeners.py
@@ -29,9 +29,9 @@
     probes = config.probes
     planned = service.listeners.planned
     if probes.agent is not None:
-        from ..frontends.agent import AgentFront
+        from ..frontends.agent import AgentCheckFactory
 
-        service.agent_check = AgentFront(service.core, service.reporter, probes.maxconn)
+        service.agent_check = AgentCheckFactory(service.core, service.reporter, probes.maxconn)
         planned["agent"] = probes.agent, service.agent_check
     if probes.health is None and not config.uwsgi.load_report:
         return
@@ -41,9 +41,9 @@
     if config.uwsgi.load_report:
         service.uwsgi.load = load_report.text
     if probes.health is not None:
-        from ..frontends.health import HealthFront
+        from ..frontends.health import HealthCheckFactory
 
-        service.health_check = HealthFront(
+        service.health_check = HealthCheckFactory(
             service.core, service.reporter, probes.codes, load_report if probes.load_report else None
         )
         planned["health"] = probes.health, service.health_check
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -16,8 +16,8 @@
 from ..core.clock import Alarms, Clock
 from ..core.observer import EngineObserver
 from ..core.request_engine import RequestEngine
-from ..frontends.jsonrpc import JsonRpcFront
-from ..frontends.uwsgi import UwsgiFront
+from ..frontends.jsonrpc import JsonRpcFactory
+from ..frontends.uwsgi import UwsgiFactory
 from ..health.observation import Maintenance
 from ..hot_restart.shared_budget import ProcessLoad, rendezvous_path
 from .composition import build_backend, build_cluster_parts, reports_health
@@ -62,8 +62,8 @@
         self._peer_process_connections = 0
         self.apply_limits(config.limits)
         connections = self._budget.client_connections
-        self.jsonrpc = JsonRpcFront(self.core, connections, self._is_fit)
-        self.uwsgi = UwsgiFront(
+        self.jsonrpc = JsonRpcFactory(self.core, connections, self._is_fit)
+        self.uwsgi = UwsgiFactory(
             self.core, connections, config.uwsgi.body_bytes, config.uwsgi.idle_s, self._is_fit
         )
         self.agent_check: Any = None
@@ -261,8 +261,10 @@
     def apply_connection_limits(self) -> None:
         """Bound the frontends' connections, beside those of another process."""
         clients = self._budget.client_connections
-        self.jsonrpc.places.most = max(MIN_CLIENT_CONNECTIONS, clients - self._peer_process_connections)
-        self.uwsgi.places.most = clients
+        self.jsonrpc.limiter.max_connections = max(
+            MIN_CLIENT_CONNECTIONS, clients - self._peer_process_connections
+        )
+        self.uwsgi.limiter.max_connections = clients
 
     def reload(self, load: Callable[..., Config]) -> None:
         """Read the configuration again (SIGHUP) and apply it as a whole; keys, runs and queued requests stay."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,9 +11,9 @@
 import pytest
 
 from moorusher.core.outcomes import EndReason
-from moorusher.frontends.connection_limits import ASKED, CLOSING
-from moorusher.frontends.jsonrpc import MOST_LINE, SILENCE, JsonRpcFront
-from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.connection_limits import CLOSE_TIMEOUT_US, LEAVE_TIMEOUT_US
+from moorusher.frontends.jsonrpc import FIRST_MESSAGE_TIMEOUT_US, MAX_LINE_BYTES, JsonRpcFactory
+from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.server.accepting_port import ACCEPT_RETRY_S, AcceptingPort
 from moorusher.server.composition import ClusterParts
 from moorusher.server.graceful_shutdown import GracefulShutdown
@@ -36,8 +36,8 @@
     def __init__(self, **changes: Any) -> None:
         self.world = World(max_idle_connection_ms=IDLE_MS, **changes)
         self.loop = Loop(self.world)
-        self.front = JsonRpcFront(self.world.core, ROOM, lambda: True)
-        self.uwsgi = UwsgiFront(self.world.core, ROOM, 2048, UWSGI_IDLE_S, lambda: True)
+        self.front = JsonRpcFactory(self.world.core, ROOM, lambda: True)
+        self.uwsgi = UwsgiFactory(self.world.core, ROOM, 2048, UWSGI_IDLE_S, lambda: True)
 
     def connect(self, factory: Any = None) -> Client:
         return self.loop.connect(self.front if factory is None else factory)
@@ -69,7 +69,7 @@
 def test_a_request_that_comes_as_its_silent_connection_is_closed_is_answered() -> None:
     s = Served()
     client = s.connect()
-    s.pass_by(SILENCE - 10_000)
+    s.pass_by(FIRST_MESSAGE_TIMEOUT_US - 10_000)
     client.send(call())
     s.pass_by(20_000)  # the time is over, and the request has not been read
     s.loop.turn()
@@ -83,7 +83,7 @@
     s.pass_by(round(IDLE_MS * 1000) + 10_000)
     assert [m.get("method") for m in client.messages()][1:] == ["leaving"]
     client.send(call())
-    s.pass_by(ASKED)
+    s.pass_by(LEAVE_TIMEOUT_US)
     s.loop.turn()
     s.run_over("r1")
     assert answered(client)["id"] == 1 and not client.ended
@@ -92,7 +92,7 @@
 def test_a_request_that_is_on_its_way_when_its_connection_was_asked_to_close_may_come_whole() -> None:
     s = Served()
     client = s.resting()
-    s.pass_by(round(IDLE_MS * 1000) + ASKED - 100_000)
+    s.pass_by(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
     client.send(call()[:20])
     s.loop.turn()
     s.pass_by(200_000)
@@ -105,10 +105,10 @@
 def test_half_a_request_keeps_no_idle_connection_open_for_good() -> None:
     s = Served()
     client = s.resting()
-    s.pass_by(round(IDLE_MS * 1000) + ASKED - 100_000)
+    s.pass_by(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
     client.send(call()[:20])
     s.loop.turn()
-    s.pass_by(ASKED + SILENCE + 100_000)
+    s.pass_by(LEAVE_TIMEOUT_US + FIRST_MESSAGE_TIMEOUT_US + 100_000)
     s.loop.turn()
     assert client.ended and client.protocol.ending is EndReason.IDLE_TIMEOUT
 
@@ -206,7 +206,7 @@
 def test_a_line_too_long_behind_a_request_does_not_take_its_answer_away() -> None:
     s = Served()
     client = s.connect()
-    client.send(call() + b"x" * (MOST_LINE + 1))
+    client.send(call() + b"x" * (MAX_LINE_BYTES + 1))
     s.loop.turn()
     assert [m["error"]["code"] for m in client.messages()] == [-32700] and not client.ended
     s.run_over("r1")
@@ -234,10 +234,10 @@
     s.loop.turn()
     client.protocol.end(EndReason.IDLE_TIMEOUT)
     s.loop.turn()
-    assert len(s.front.places) == 1
-    s.pass_by(CLOSING + 10_000)
+    assert len(s.front.limiter) == 1
+    s.pass_by(CLOSE_TIMEOUT_US + 10_000)
     s.loop.turn()
-    assert len(s.front.places) == 0
+    assert len(s.front.limiter) == 0
 
 
 # ---- uwsgi ----
@@ -270,7 +270,7 @@
     assert client.read().endswith(b"done") and client.ended
     client.sock.close()
     s.loop.turn()
-    assert len(s.uwsgi.places) == 0
+    assert len(s.uwsgi.limiter) == 0
 
 
 # ---- the end of the program ----
@@ -333,7 +333,7 @@
     assert not client.protocol.reading
     client.send(b"{")
     s.loop.turn()
-    s.pass_by(SILENCE + 10_000)
+    s.pass_by(FIRST_MESSAGE_TIMEOUT_US + 10_000)
     assert not client.protocol.reading
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,8 +8,8 @@
 import pytest
 
 from moorusher.frontends.console import Console
-from moorusher.frontends.jsonrpc import JsonRpcFront
-from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.jsonrpc import JsonRpcFactory
+from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.frontends.uwsgi_packets import HEAD, PING
 from moorusher.health.policy import Policy
 from moorusher.server.health_report import Reporter
@@ -28,8 +28,8 @@
         self.serving, self.transports = True, list[Transport]()
         self.console = Console(self.core, self.reporter, most, lambda: self.serving)
         self.fit = lambda: self.reporter.fit
-        self.front = JsonRpcFront(self.core, 10, self.fit)
-        self.uwsgi = UwsgiFront(self.core, 10, 2048, 60.0, self.fit)
+        self.front = JsonRpcFactory(self.core, 10, self.fit)
+        self.uwsgi = UwsgiFactory(self.core, 10, 2048, 60.0, self.fit)
 
     def connect(self, *sent: bytes, front: Any = None) -> tuple[Any, Transport]:
         factory: Any = front or self.console
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -19,9 +19,9 @@
 from moorusher.backends.uwsgi import UwsgiCalls
 from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.call import CallRequest
-from moorusher.frontends.agent import AgentFront
-from moorusher.frontends.health import HealthFront
-from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.agent import AgentCheckFactory
+from moorusher.frontends.health import HealthCheckFactory
+from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.frontends.uwsgi_packets import HEAD, PING
 from moorusher.health.formatting import Codes
 from moorusher.health.policy import Policy
@@ -69,7 +69,7 @@
 def uwsgi() -> Fed:
     world = World()
     connection, transport = (
-        UwsgiFront(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None),
+        UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None),
         Transport(),
     )
     assert connection is not None
@@ -81,9 +81,9 @@
     world = World()
     reporter = Reporter(world.core, Policy(), "n1")
     factory = (
-        AgentFront(world.core, reporter)
+        AgentCheckFactory(world.core, reporter)
         if kind == "agent"
-        else HealthFront(world.core, reporter, Codes(), None)
+        else HealthCheckFactory(world.core, reporter, Codes(), None)
     )
     connection, transport = factory.buildProtocol(None), Transport()
     connection.makeConnection(transport)
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -11,8 +11,9 @@
 
 from moorusher.core.answer import Answer, Cause, Verdict
 from moorusher.core.outcomes import EndReason
-from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_UNSENT, JsonRpcConnection, JsonRpcFront
-from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.jsonrpc import MAX_UNSENT_BYTES, JsonRpcFactory, JsonRpcProtocol
+from moorusher.frontends.jsonrpc_session import MAX_FAULTS, MAX_FAULTS_BEFORE_LEAVE
+from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.frontends.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
 from moorusher.scheduling.interface import SignalKind
 
@@ -35,9 +36,9 @@
         self.aborted = True
 
 
-def front(**changes: Any) -> tuple[World, JsonRpcFront, JsonRpcConnection, Transport]:
+def front(**changes: Any) -> tuple[World, JsonRpcFactory, JsonRpcProtocol, Transport]:
     world = World(**changes)
-    factory = JsonRpcFront(world.core, 10, lambda: world.core.state.healthy)
+    factory = JsonRpcFactory(world.core, 10, lambda: world.core.state.healthy)
     connection, transport = factory.buildProtocol(None), Transport()
     assert connection is not None
     connection.makeConnection(transport)
@@ -119,12 +120,12 @@
 def test_answers_carry_the_free_value_and_refusals_say_when_to_come_back() -> None:
     world, _, connection, transport = front(signal=SignalKind.ALLOWANCE)
     world.core.state.load_signal = 2.5
-    connection.answer(1, Answer(Verdict.SERVED, b"\0"), world.core.state.load_signal)
-    connection.answer(
+    connection.session.answer(1, Answer(Verdict.SERVED, b"\0"), world.core.state.load_signal)
+    connection.session.answer(
         2, Answer(Verdict.REJECTED, b"", Cause.REJECTED, 250.0, True), world.core.state.load_signal
     )
-    connection.answer(3, Answer(Verdict.REJECTED, b"", Cause.REJECTED, 250.0, False), None)
-    connection.answer(4, Answer(Verdict.FAILED, b"", Cause.ABANDONED), world.core.state.load_signal)
+    connection.session.answer(3, Answer(Verdict.REJECTED, b"", Cause.REJECTED, 250.0, False), None)
+    connection.session.answer(4, Answer(Verdict.FAILED, b"", Cause.ABANDONED), world.core.state.load_signal)
     connection.dataReceived(b'{"jsonrpc":"2.0","id":5,"method":"heartbeat"}\n')
     served, refused, softly, failed, health = said(transport)
     assert served["result"] == {"content": base64.b64encode(b"\0").decode(), "hint": 2.5}
@@ -140,12 +141,12 @@
     assert transport.producer is connection
     connection.pauseProducing()
     assert transport.producerState == "paused"
-    for i in range(MOST_UNSENT // 4000 + 1):
+    for i in range(MAX_UNSENT_BYTES // 4000 + 1):
         connection.answer(i, Answer(Verdict.SERVED, bytes(4096)), None)
     assert transport.aborted and connection.ending is EndReason.SLOW_READER
 
 
-def more(factory: JsonRpcFront, count: int) -> list[tuple[JsonRpcConnection, Transport]]:
+def more(factory: JsonRpcFactory, count: int) -> list[tuple[JsonRpcProtocol, Transport]]:
     made = []
     for _ in range(count):
         one, transport = factory.buildProtocol(None), Transport()
@@ -207,15 +208,15 @@
 
 def test_runs_that_the_kernel_does_not_know_count_as_faults() -> None:
     world, _, connection, transport = front()
-    for i in range(1, END_FAULTS + 1):
+    for i in range(1, MAX_FAULTS + 1):
         assert connection.ending is None
         connection.dataReceived(call(i))
         world.turn()
         world.core.execution.command_rejected("SCHED", f"r{i}")
         world.turn()
     got = said(transport)
-    assert got.pop(MOST_FAULTS)["method"] == "leaving"  # it is asked first
-    assert [m["error"]["code"] for m in got] == [-32000] * END_FAULTS
+    assert got.pop(MAX_FAULTS_BEFORE_LEAVE)["method"] == "leaving"  # it is asked first
+    assert [m["error"]["code"] for m in got] == [-32000] * MAX_FAULTS
     assert connection.ending is EndReason.TOO_MANY_ERRORS and transport.half_closed
 
 
@@ -223,7 +224,7 @@
     world, _, connection, transport = front()
     connection.dataReceived(b"{\n" * 5_000)
     connection.dataReceived(b"{\n" * 5_000 + call())
-    assert len(said(transport)) == END_FAULTS + 1 and world.runs() == []
+    assert len(said(transport)) == MAX_FAULTS + 1 and world.runs() == []
     assert transport.half_closed and not transport.aborted
     world.wait(1_100)
     assert transport.aborted and connection.ending is EndReason.TOO_MANY_ERRORS
@@ -248,8 +249,8 @@
     connection.dataReceived(call(1, "write", token="t"))
     (refused,) = said(transport)
     assert refused["error"] == {"code": -32014, "message": why, "data": {"backoff": 1000.0}}
-    assert connection.faults == 0
-    other, transport = UwsgiFront(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None), Transport()
+    assert connection.session.faults == 0
+    other, transport = UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None), Transport()
     assert other is not None
     other.makeConnection(transport)
     other.dataReceived(uwsgi_request("write", b"body", token="t", tenant=""))
@@ -261,7 +262,7 @@
     sent: bytes, got: bytes
 ) -> None:
     world = World()
-    connection = UwsgiFront(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None)
+    connection = UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None)
     transport = Transport()
     assert connection is not None
     connection.makeConnection(transport)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -9,10 +9,10 @@
 from twisted.internet.address import IPv4Address
 
 from moorusher.core.answer import Answer, Verdict
-from moorusher.frontends.agent import MOST_SENT, AgentFront
-from moorusher.frontends.health import HealthFront, wants_json
+from moorusher.frontends.agent import MOST_SENT, AgentCheckFactory
+from moorusher.frontends.health import HealthCheckFactory, wants_json
 from moorusher.frontends.probes import MOST, MOST_OF_ONE, LoadReport
-from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.health.formatting import Codes
 from moorusher.health.policy import Policy
 from moorusher.server.health_report import Reporter
@@ -29,8 +29,8 @@
     def __init__(self, kernel: bool = True, **policy: Any) -> None:
         self.world = World()
         self.reporter = Reporter(self.world.core, Policy(**policy), "n1")
-        self.agent = AgentFront(self.world.core, self.reporter)
-        self.health = HealthFront(
+        self.agent = AgentCheckFactory(self.world.core, self.reporter)
+        self.health = HealthCheckFactory(
             self.world.core, self.reporter, Codes(), LoadReport(self.world.core, self.reporter)
         )
 
@@ -174,7 +174,7 @@
 
 def test_uwsgi_answers_carry_the_load_report_where_it_is_switched_on() -> None:
     p = Probes()
-    front = UwsgiFront(p.world.core, 10, 2048, 60.0, lambda: True)
+    front = UwsgiFactory(p.world.core, 10, 2048, 60.0, lambda: True)
     for load in (None, LoadReport(p.world.core, p.reporter).text):
         front.load = load
         connection, transport = p.connect(front)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -20,7 +20,7 @@
 from moorusher.core.reconfiguration import NEW, plan
 from moorusher.core.registration import InvalidArrival
 from moorusher.core.requests import Arrival
-from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
+from moorusher.frontends.jsonrpc_session import MAX_FAULTS, MAX_FAULTS_BEFORE_LEAVE, MAX_OPEN_REQUESTS
 from moorusher.replication.policy import Seat
 from moorusher.scheduling import Balancer
 from moorusher.scheduling import interface as api
@@ -194,10 +194,15 @@
     for i in range(2, 60):
         connection.dataReceived(call(i, "read"))
     assert not transport.disconnecting and not transport.half_closed
-    for i in range(60, 60 + MOST_FAULTS + MOST_OPEN):  # a new class may be sent before it is known here
+    for i in range(
+        60, 60 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
+    ):  # a new class may be sent before it is known here
         connection.dataReceived(call(i, "never was"))
-    assert connection.leaving and sum("error" in m for m in said(transport)) == 58 + MOST_FAULTS + MOST_OPEN
-    for i in range(200, 200 + END_FAULTS):
+    assert (
+        connection.leaving
+        and sum("error" in m for m in said(transport)) == 58 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
+    )
+    for i in range(200, 200 + MAX_FAULTS):
         connection.dataReceived(call(i, "never was"))
     assert not transport.half_closed  # too faulty by now, and still owed an answer
     said(transport)
@@ -282,7 +287,7 @@
     assert r.reload(json.dumps(new))
     core = r.service.core
     assert list(core.registrar.classes) == ["check", "submit", "lint"]
-    assert core.keys.limits.max_result_bytes < 20_000_000 and r.service.jsonrpc.places.most < 128
+    assert core.keys.limits.max_result_bytes < 20_000_000 and r.service.jsonrpc.limiter.max_connections < 128
 
 
 def test_connections_below_that_are_kept_without_a_call_follow_the_descriptors() -> None:
@@ -290,7 +295,7 @@
     below = r.service.backend
     assert isinstance(below, DatabasePool) and below.most_idle == MOST_IDLE
     assert r.reload(json.dumps(r.config | {"limits": {"cores": 1.0, "memory_mb": 80, "sockets": 60}}))
-    spare, places = 60 // 2, r.service.jsonrpc.places.most
+    spare, places = 60 // 2, r.service.jsonrpc.limiter.max_connections
     assert below.most_idle == spare // IDLE_BACKEND_SHARE and below.most_open >= 1
     assert places == 30, "front ends may open half of them"
     assert places + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + below.most_idle + below.most_open <= 60
