--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from moorusher.scheduling import interface as api
-from moorusher.scheduling.balancer import Balancer
+from moorusher.scheduling.scheduler import Scheduler
 
 from .action_executor import Actions
 from .answer import Answer, Cause, Reply, Verdict
@@ -47,7 +47,7 @@
         kernel: Kernel,
         calls: Calls,
         soon: Callable[[Callable[[], None]], None],
-        make: Callable[[api.Settings], Balancer] = Balancer,
+        make: Callable[[api.Settings], Scheduler] = Scheduler,
         memory_mb: float = 192.0,
     ) -> None:
         self.settings, self.clock, self.alarms = settings, clock, alarms
@@ -64,7 +64,7 @@
         self.unwanted: set[int] = set()  # stopped while others were asked whether they may begin
         self.calls = OpenCalls(calls, clock, alarms)
         self._kernel, self._soon, self._make = kernel, soon, make
-        self._balancer: Balancer | None = None
+        self._balancer: Scheduler | None = None
         self.events: list[api.Event] = []
         self._turning = False
         self._gauges: tuple[float, ...] = ()
--- a/moorusher/scheduling/actions.py
+++ b/moorusher/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""What a runner is to do: the actions that `Balancer.step` returns, in the order of their execution.
+"""What a runner is to do: the actions that `Scheduler.step` returns, in the order of their execution.
 
 Times are milliseconds.
 """
--- a/moorusher/scheduling/events.py
+++ b/moorusher/scheduling/events.py
@@ -1,4 +1,4 @@
-"""What has happened to a runner: the events of `Balancer.step`. Times are milliseconds, memory is in KiB."""
+"""What has happened to a runner: the events of `Scheduler.step`. Times are milliseconds, memory is in KiB."""
 
 from __future__ import annotations
 
--- a/moorusher/scheduling/interface.py
+++ b/moorusher/scheduling/interface.py
@@ -1,6 +1,6 @@
 """The types of the scheduler: settings, events and actions, under one name.
 
-All times are milliseconds. `Balancer.step(now, events)` takes a clock that never steps back and returns the
+All times are milliseconds. `Scheduler.step(now, events)` takes a clock that never steps back and returns the
 actions in the order in which they are to be carried out. Events about requests that are over, or were never
 given, are ignored.
 """
--- a/moorusher/scheduling/balancer.py
+++ b/moorusher/scheduling/scheduler.py
@@ -1,7 +1,7 @@
 """The scheduler of one runner: events in, actions out; the types of both stand in `scheduling/interface.py`.
 
 It is pure: no I/O, no clock of its own, no randomness. Equal events at equal times give equal actions. Each
-rule has a module of its own in this package; the balancer calls them in their order.
+rule has a module of its own in this package; the scheduler calls them in their order.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from moorusher.scheduling.timing import TICK_MS, WINDOW_MS
 
 
-class Balancer:
+class Scheduler:
     """One runner's decisions. Call `open` once, then `step` for every batch of events.
 
     Attributes:
@@ -70,7 +70,7 @@
         self.calls.advance(now - state.now)
         state.advance(now)
         self._handle_ends(events)
-        self.deadlines.sweep()
+        self.deadlines.sweep()  # before anything new is admitted: the process may have been paused
         for event in events:
             self._handle(event)
         if now >= state.draining.serve_until:
--- a/moorusher/scheduling/service_time.py
+++ b/moorusher/scheduling/service_time.py
@@ -11,9 +11,7 @@
 
 RUN_TIME_LEARNING_RATE = 0.1  # weight of a new sample in the mean length of a run
 COST_LEARNING_RATE = 0.05  # weight of a new sample in the mean cost of a run
-INITIAL_COST_FRACTION = (
-    0.2  # of the shortest latency objective: the cost that is assumed before the first run
-)
+INITIAL_COST_FRACTION = 0.2  # of the shortest latency objective: the cost assumed before the first run
 
 # By the mean alone half of the last runs that are started would be late.
 RUN_TIME_DEVIATIONS = 0.5  # mean deviations that are added to the mean length of a run
--- a/moorusher/simulator/host.py
+++ b/moorusher/simulator/host.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from moorusher.scheduling.balancer import Balancer
 from moorusher.scheduling.interface import Action, Event
+from moorusher.scheduling.scheduler import Scheduler
 from moorusher.simulator import wire
 
 _LENGTH_BYTES = 4
@@ -21,7 +21,7 @@
     """
 
     def __init__(self) -> None:
-        self.instances: dict[int, Balancer] = {}
+        self.instances: dict[int, Scheduler] = {}
 
     def handle(self, batch: wire.Batch) -> list[tuple[int, list[Action]]]:
         """The actions of each instance of the batch, in the batch's order.
@@ -40,7 +40,7 @@
         for event in events:
             if isinstance(event, wire.InstanceStarted):
                 pending.clear()
-                self.instances[instance] = Balancer(event.settings)
+                self.instances[instance] = Scheduler(event.settings)
                 actions = self.instances[instance].open(now)
             elif isinstance(event, wire.InstanceDied):
                 self.instances.pop(instance, None)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any, TypeVar
 
-from moorusher.scheduling import Balancer
+from moorusher.scheduling import Scheduler
 from moorusher.scheduling.interface import (
     Action,
     Effect,
@@ -45,10 +45,10 @@
     return Settings(**(base | changes))
 
 
-def opened(**changes: Any) -> Balancer:
-    balancer = Balancer(settings(**changes))
-    balancer.open(0.0)
-    return balancer
+def opened(**changes: Any) -> Scheduler:
+    scheduler = Scheduler(settings(**changes))
+    scheduler.open(0.0)
+    return scheduler
 
 
 def request(rid: int, tenant: int = 0, class_index: int = 0, **more: Any) -> Request:
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -16,24 +16,24 @@
     """Retries that are late at their client already crowded out fresh requests after a burst."""
     held = {}
     for retry in (False, True):
-        balancer = opened(cores=1, tenants=(Tenant(1.0),))
-        balancer.step(0.0, [request(1)])
-        actions = balancer.step(1.0, [request(i, is_retry=retry) for i in range(2, 30)])
+        scheduler = opened(cores=1, tenants=(Tenant(1.0),))
+        scheduler.step(0.0, [request(1)])
+        actions = scheduler.step(1.0, [request(i, is_retry=retry) for i in range(2, 30)])
         held[retry] = 28 - len(only(actions, api.Reject))
     assert 0 <= held[True] < held[False]
 
 
 def test_a_tenant_of_small_weight_is_not_rejected_for_a_short_wait() -> None:
     """Its queue at its share is a bound only while the others stay backlogged; all that is held is one too."""
-    balancer = opened(cores=1, tenants=(Tenant(0.05), Tenant(0.95)))
-    balancer.step(0.0, [request(1, 1), request(2, 1), request(3, 0)])
-    actions = balancer.step(1.0, [request(4, 0)])
+    scheduler = opened(cores=1, tenants=(Tenant(0.05), Tenant(0.95)))
+    scheduler.step(0.0, [request(1, 1), request(2, 1), request(3, 0)])
+    actions = scheduler.step(1.0, [request(4, 0)])
     assert only(actions, api.Reject) == []
 
 
 def test_nothing_is_started_that_would_be_late() -> None:
     """A server that reads late ran old tries for a fifth of their worth instead of reading the fresh ones."""
     late = replace(SAFE, late_value_fraction=0.2)
-    balancer = opened(classes=(late, KEYED))
-    assert only(balancer.step(0.0, [request(1, waited_ms=950.0)]), api.Reject)
-    assert started(balancer.step(1.0, [request(2)])) == [2]
+    scheduler = opened(classes=(late, KEYED))
+    assert only(scheduler.step(0.0, [request(1, waited_ms=950.0)]), api.Reject)
+    assert started(scheduler.step(1.0, [request(2)])) == [2]
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -11,31 +11,31 @@
 
 
 def test_cost_is_shared_when_more_run_than_there_are_cores() -> None:
-    balancer = opened(cores=2)
-    balancer.state.concurrency.limit, balancer.state.concurrency.slots = 4, [None] * 4
-    balancer.step(0.0, [request(i) for i in range(1, 5)])
-    balancer.step(20.0, done(1))
-    assert abs(balancer.state.concurrency.service_ms - 10.0) < 1e-6
+    scheduler = opened(cores=2)
+    scheduler.state.concurrency.limit, scheduler.state.concurrency.slots = 4, [None] * 4
+    scheduler.step(0.0, [request(i) for i in range(1, 5)])
+    scheduler.step(20.0, done(1))
+    assert abs(scheduler.state.concurrency.service_ms - 10.0) < 1e-6
 
 
 def test_the_slot_count_rises_at_idle_cores_and_falls_back_to_them() -> None:
-    balancer = opened(cores=2)
-    balancer.step(0.0, [request(i) for i in range(1, 5)])
-    balancer.step(600.0, [Timer(0, (0.3,))])
-    assert balancer.state.concurrency.limit == 3
-    balancer.step(1200.0, done(1, 2, 3, 4))
-    balancer.step(1300.0, [Timer(0, (0.95,))])
-    balancer.step(1900.0, [Timer(0, (0.95,))])
-    assert balancer.state.concurrency.limit == 2
-    balancer.step(2500.0, [Timer(0, (0.95,))])
-    assert balancer.state.concurrency.limit == 2
+    scheduler = opened(cores=2)
+    scheduler.step(0.0, [request(i) for i in range(1, 5)])
+    scheduler.step(600.0, [Timer(0, (0.3,))])
+    assert scheduler.state.concurrency.limit == 3
+    scheduler.step(1200.0, done(1, 2, 3, 4))
+    scheduler.step(1300.0, [Timer(0, (0.95,))])
+    scheduler.step(1900.0, [Timer(0, (0.95,))])
+    assert scheduler.state.concurrency.limit == 2
+    scheduler.step(2500.0, [Timer(0, (0.95,))])
+    assert scheduler.state.concurrency.limit == 2
 
 
 def test_a_short_queue_at_idle_cores_does_not_raise_the_slot_count() -> None:
     """n rose on a moment's queue, and more runs than cores only made every run longer."""
-    balancer = opened(cores=2)
-    balancer.step(0.0, [request(i) for i in range(1, 5)])
-    balancer.step(50.0, done(1, 2))
-    balancer.step(100.0, done(3, 4))
-    balancer.step(600.0, [request(9), api.Timer(0, (0.3,))])
-    assert balancer.state.concurrency.limit == 2
+    scheduler = opened(cores=2)
+    scheduler.step(0.0, [request(i) for i in range(1, 5)])
+    scheduler.step(50.0, done(1, 2))
+    scheduler.step(100.0, done(3, 4))
+    scheduler.step(600.0, [request(9), api.Timer(0, (0.3,))])
+    assert scheduler.state.concurrency.limit == 2
--- a/tests/scheduling/test_deadlines.py
+++ b/tests/scheduling/test_deadlines.py
@@ -15,37 +15,37 @@
 
 
 def test_running_work_fails_at_its_deadline() -> None:
-    balancer = opened()
-    balancer.step(0.0, [request(1)])
+    scheduler = opened()
+    scheduler.step(0.0, [request(1)])
     answers: list[api.Action] = []
     for now in range(25, 4100, 25):
-        answers += only(balancer.step(float(now), [api.Timer(0, (1.0,))]), api.Fail)
+        answers += only(scheduler.step(float(now), [api.Timer(0, (1.0,))]), api.Fail)
     assert answers == [api.Fail(1)]
 
 
 def test_a_stated_wait_of_zero_is_due_at_once_where_deadlines_are_passed_on() -> None:
     """Read as "not told", such a request was held to be due a whole deadline later (rule 1)."""
-    balancer = opened(propagates_deadline=True, cores=1, tenants=(Tenant(1.0),))
-    balancer.step(0.0, [request(1, ttl_ms=5000.0)])
-    actions = balancer.step(1.0, [request(2, ttl_ms=0.0), request(3, ttl_ms=-4.0)])
+    scheduler = opened(propagates_deadline=True, cores=1, tenants=(Tenant(1.0),))
+    scheduler.step(0.0, [request(1, ttl_ms=5000.0)])
+    actions = scheduler.step(1.0, [request(2, ttl_ms=0.0), request(3, ttl_ms=-4.0)])
     assert {action.id for action in only(actions, api.Reject)} == {2, 3}
     assert started(opened().step(0.0, [request(1, ttl_ms=0.0)])) == [1]  # not told
 
 
 def test_what_a_stated_wait_lacks_of_the_usual_one_is_age() -> None:
     """Unmarked further tries looked fresh and were run although their clients' aim had passed."""
-    balancer = opened(propagates_deadline=True)
+    scheduler = opened(propagates_deadline=True)
     for i in range(1, 9):
-        balancer.step(200.0 * i, [request(i, ttl_ms=2700.0)])
-        balancer.step(200.0 * i + 50.0, done(i))
-    actions = balancer.step(3000.0, [request(20, ttl_ms=1600.0), request(21, ttl_ms=2650.0)])
+        scheduler.step(200.0 * i, [request(i, ttl_ms=2700.0)])
+        scheduler.step(200.0 * i + 50.0, done(i))
+    actions = scheduler.step(3000.0, [request(20, ttl_ms=1600.0), request(21, ttl_ms=2650.0)])
     assert [action.id for action in only(actions, api.Reject)] == [20]
     assert started(actions) == [21]
 
 
 def test_a_futile_request_is_answered_at_once_wherever_it_waits() -> None:
     """Behind the head of a queue, or at a call, a worthless request waited for its due time to be answered."""
-    balancer = opened(
+    scheduler = opened(
         cores=1,
         tenants=(Tenant(1.0),),
         downstream=api.Downstream.SHARED,
@@ -53,13 +53,13 @@
         classes=(CALLED,),
         preemption=api.Preemption.DISCARD,
     )
-    balancer.step(0.0, [request(1), request(2)])
-    actions = balancer.step(5.0, [api.CallNeeded(1)])  # no call is free: it stands
+    scheduler.step(0.0, [request(1), request(2)])
+    actions = scheduler.step(5.0, [api.CallNeeded(1)])  # no call is free: it stands
     assert started(actions) == [2]
-    balancer.step(10.0, [request(3), request(4, waited_ms=200.0)])
+    scheduler.step(10.0, [request(3), request(4, waited_ms=200.0)])
     answers: dict[int, float] = {}
     for now in range(15, 2000, 5):
-        for action in balancer.step(float(now), [api.Timer(0, (1.0,))]):
+        for action in scheduler.step(float(now), [api.Timer(0, (1.0,))]):
             if isinstance(action, (api.Reject, api.Fail)):
                 answers.setdefault(action.id, float(now))
     assert answers[1] <= 1000.0 + 5.0
--- a/tests/scheduling/test_downstream_calls.py
+++ b/tests/scheduling/test_downstream_calls.py
@@ -28,23 +28,23 @@
 
 def test_a_call_and_its_run_that_end_together_leave_no_call_in_flight() -> None:
     """A slow server hears both in one batch; taken in the wrong order the call seemed given up and lingered."""
-    balancer = opened(**SHARED_DEPENDENCY)
-    balancer.step(0.0, [request(1), request(2)])
-    assert only(balancer.step(10.0, [api.CallNeeded(1)]), api.Call)
-    balancer.step(300.0, [api.CallEnded(1, api.Outcome.OK, 3.0), *done(1)])
-    assert only(balancer.step(305.0, [api.CallNeeded(2)]), api.Call) != []
+    scheduler = opened(**SHARED_DEPENDENCY)
+    scheduler.step(0.0, [request(1), request(2)])
+    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
+    scheduler.step(300.0, [api.CallEnded(1, api.Outcome.OK, 3.0), *done(1)])
+    assert only(scheduler.step(305.0, [api.CallNeeded(2)]), api.Call) != []
 
 
 def test_downstream_calls_keep_to_the_quota_over_a_window_even_when_they_hang() -> None:
     """300 servers with 0.3 calls each: what one spends over a window stays under 0.3 of it."""
-    balancer = opened(**SHARED_DEPENDENCY)
+    scheduler = opened(**SHARED_DEPENDENCY)
     spent, ends, at = 0.0, [], {}  # type: float, list[api.Event], dict[int, float]
     for i in range(1000):
         now = 5.0 * i
         batch: list[api.Event] = [*ends, api.Timer(0, (1.0,))]
         if i % 20 == 0:
             batch.append(request(i + 1, i % 2))
-        actions = balancer.step(now, batch)
+        actions = scheduler.step(now, batch)
         ends = [api.CallNeeded(other) for other in started(actions)]
         for call in only(actions, api.Call):
             at[call.id] = now + call.timeout_ms
@@ -57,18 +57,18 @@
 
 def test_scarce_calls_go_to_requests_that_are_worth_nothing_without() -> None:
     """A crowded dependency: reads that could do without it took the calls that writes needed."""
-    balancer = opened(
+    scheduler = opened(
         downstream=api.Downstream.SHARED,
         classes=(CALLING, replace(KEYED, may_call=True)),
         call_quota=1.0,
         cores=3,
     )
-    balancer.step(0.0, [request(1), request(2), request(3, class_index=1)])
-    assert only(balancer.step(10.0, [api.CallNeeded(1)]), api.Call)
-    balancer.step(20.0, [api.CallNeeded(2), api.CallNeeded(3)])
-    actions = balancer.step(60.0, [api.CallEnded(1, api.Outcome.OK, 50.0)])
+    scheduler.step(0.0, [request(1), request(2), request(3, class_index=1)])
+    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
+    scheduler.step(20.0, [api.CallNeeded(2), api.CallNeeded(3)])
+    actions = scheduler.step(60.0, [api.CallEnded(1, api.Outcome.OK, 50.0)])
     assert [c.id for c in only(actions, api.Call)] == [3]
-    assert only(balancer.step(400.0, [api.Timer(0, (0.5,))]), api.SkipCall) == [api.SkipCall(2)]
+    assert only(scheduler.step(400.0, [api.Timer(0, (0.5,))]), api.SkipCall) == [api.SkipCall(2)]
 
 
 @pytest.mark.parametrize("without, left_out", [(0.5, True), (0.0, False)])
@@ -76,25 +76,25 @@
     without: float, left_out: bool
 ) -> None:
     """A reply that never comes would else be waited for until the whole request is late, and worth nothing."""
-    balancer = opened(
+    scheduler = opened(
         downstream=api.Downstream.TIER, classes=(replace(CALLING, value_fraction_without_call=without),)
     )
-    balancer.step(0.0, [request(1)])
-    assert only(balancer.step(10.0, [api.CallNeeded(1)]), api.Call)
+    scheduler.step(0.0, [request(1)])
+    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
     now, skips = 10.0, list[float]()
     while now < 1_000.0:  # its aim
         now += 25.0
-        skips += [now for _ in only(balancer.step(now, [api.Timer(0, (0.5,))]), api.SkipCall)]
-    assert [ABANDON_SLOT_TIMES * balancer.state.service_time.slot_ms <= 1_050.0 - at for at in skips] == [
+        skips += [now for _ in only(scheduler.step(now, [api.Timer(0, (0.5,))]), api.SkipCall)]
+    assert [ABANDON_SLOT_TIMES * scheduler.state.service_time.slot_ms <= 1_050.0 - at for at in skips] == [
         True
     ] * left_out
-    assert balancer.calls.in_flight == (not left_out)
+    assert scheduler.calls.in_flight == (not left_out)
 
 
 def calls_to_a_slow_dependency(takes: float) -> dict[str, list[float]]:
     """Keyed work that must call a shared dependency, which takes 30 ms, and `takes` from second 5 to 13. The
     timeouts given, and how many calls ended or were given up, in the slow time."""
-    balancer = opened(
+    scheduler = opened(
         cores=6,
         downstream=api.Downstream.SHARED,
         call_quota=2.0,
@@ -117,7 +117,7 @@
                 seen["ended" if ok else "given up"].append(took)
         if turn % 15 == 0:
             events.append(request(turn + 1))
-        for action in balancer.step(now, [*events, api.Timer(0, (0.5,))]):
+        for action in scheduler.step(now, [*events, api.Timer(0, (0.5,))]):
             if isinstance(action, api.Start):
                 later.append(api.CallNeeded(action.id))
             elif isinstance(action, api.Call):
@@ -178,11 +178,11 @@
                 )
                 later[i] += [api.RunEnded(request_id, Outcome.OK)] if whole else []
                 ended, given_up = ended + (whole and now > 5000.0), given_up + (not whole and now > 5000.0)
-        for i, balancer in enumerate(fleet):
+        for i, scheduler in enumerate(fleet):
             events, later[i] = later[i], []
             if turn % 10 == 0:
                 events = [*events, request(turn + 1)]
-            for action in balancer.step(now, [*events, api.Timer(0, (0.5,))]):
+            for action in scheduler.step(now, [*events, api.Timer(0, (0.5,))]):
                 if isinstance(action, api.Start):
                     later[i].append(api.CallNeeded(action.id))
                 elif isinstance(action, api.Call):
--- a/tests/scheduling/test_fair_queue.py
+++ b/tests/scheduling/test_fair_queue.py
@@ -16,45 +16,45 @@
 
 
 def test_two_idle_slots_start_two_requests_and_the_third_is_queued() -> None:
-    balancer = opened()
-    actions = balancer.step(1.0, [request(1), request(2), request(3)])
+    scheduler = opened()
+    actions = scheduler.step(1.0, [request(1), request(2), request(3)])
     assert started(actions) == [1, 2]
-    assert started(balancer.step(50.0, done(1))) == [3]
+    assert started(scheduler.step(50.0, done(1))) == [3]
 
 
 def test_eligibility_is_staggered_by_slot() -> None:
-    balancer = opened(cores=2, tenants=(Tenant(1.0), Tenant(1.0)))
-    cheap, dear = balancer.state.queue.tenants[0], balancer.state.queue.tenants[1]
+    scheduler = opened(cores=2, tenants=(Tenant(1.0), Tenant(1.0)))
+    cheap, dear = scheduler.state.queue.tenants[0], scheduler.state.queue.tenants[1]
     (
-        cheap.max_cost_ratios[balancer.state.service_time.classes[0]],
-        dear.max_cost_ratios[balancer.state.service_time.classes[0]],
+        cheap.max_cost_ratios[scheduler.state.service_time.classes[0]],
+        dear.max_cost_ratios[scheduler.state.service_time.classes[0]],
     ) = 1.0, 4.0
-    balancer.admission.arrive(request(1, 0))
-    balancer.admission.arrive(request(2, 1))
-    balancer.state.queue.virtual_time, cheap.start_tag, dear.start_tag = (
+    scheduler.admission.arrive(request(1, 0))
+    scheduler.admission.arrive(request(2, 1))
+    scheduler.state.queue.virtual_time, cheap.start_tag, dear.start_tag = (
         0.0,
-        0.3 * balancer.state.service_time.mean_cost_ms,
-        1.0 * balancer.state.service_time.mean_cost_ms,
+        0.3 * scheduler.state.service_time.mean_cost_ms,
+        1.0 * scheduler.state.service_time.mean_cost_ms,
     )
-    balancer.state.queue.virtual_time = 0.1 * balancer.state.service_time.mean_cost_ms
+    scheduler.state.queue.virtual_time = 0.1 * scheduler.state.service_time.mean_cost_ms
     # On slot 0 nobody whose start tag lies ahead is eligible; slot 1 of 2 forgives half of L_max.
     cheap.start_tag, dear.start_tag = (
-        0.3 * balancer.state.service_time.mean_cost_ms,
-        0.3 * balancer.state.service_time.mean_cost_ms,
+        0.3 * scheduler.state.service_time.mean_cost_ms,
+        0.3 * scheduler.state.service_time.mean_cost_ms,
     )
-    assert balancer.state.queue.pick(0, 2) is None
-    assert balancer.state.queue.pick(1, 2) is cheap
-    balancer.state.queue.virtual_time = 0.3 * balancer.state.service_time.mean_cost_ms
-    dear.start_tag = 1.0 * balancer.state.service_time.mean_cost_ms
+    assert scheduler.state.queue.pick(0, 2) is None
+    assert scheduler.state.queue.pick(1, 2) is cheap
+    scheduler.state.queue.virtual_time = 0.3 * scheduler.state.service_time.mean_cost_ms
+    dear.start_tag = 1.0 * scheduler.state.service_time.mean_cost_ms
     cheap.start_tag = (
-        0.9 * balancer.state.service_time.mean_cost_ms
+        0.9 * scheduler.state.service_time.mean_cost_ms
     )  # further ahead than half of its own small L_max: only the dear one is eligible
-    assert balancer.state.queue.pick(1, 2) is dear
+    assert scheduler.state.queue.pick(1, 2) is dear
 
 
 def test_a_tenant_of_small_requests_keeps_the_high_slot() -> None:
     """The paper's example: two slots, sizes 1 and 4; the dear tenants never hold both slots together."""
-    balancer = opened(cores=2, tenants=tuple(Tenant(1.0) for _ in range(4)), classes=(PATIENT,))
+    scheduler = opened(cores=2, tenants=tuple(Tenant(1.0) for _ in range(4)), classes=(PATIENT,))
     size = {0: 40.0, 1: 40.0, 2: 160.0, 3: 160.0}
     next_id, ends, now, both, runs = 100, {}, 0.0, 0.0, {tenant: 0 for tenant in size}
     owner: dict[int, int] = {}
@@ -64,7 +64,7 @@
             owner[next_id] = tenant
             batch.append(request(next_id, tenant))
             next_id += 1
-    actions = balancer.step(now, batch)
+    actions = scheduler.step(now, batch)
     while now < 6000.0:
         for request_id in started(actions):
             ends[request_id] = now + size[owner[request_id]]
@@ -81,64 +81,64 @@
             owner[next_id] = owner[other]
             fresh.append(request(next_id, owner[other]))
             next_id += 1
-        actions = balancer.step(now, [*done(*over), *fresh, Timer(0)])
+        actions = scheduler.step(now, [*done(*over), *fresh, Timer(0)])
     assert both < 0.25 * 4000.0
     assert runs[0] > 2.5 * runs[2]
 
 
 def test_turns_follow_the_weights() -> None:
-    balancer = opened(cores=1, tenants=(Tenant(3.0), Tenant(1.0)), classes=(PATIENT,))
-    actions = balancer.step(0.0, [request(i, i % 2) for i in range(1, 9)])
+    scheduler = opened(cores=1, tenants=(Tenant(3.0), Tenant(1.0)), classes=(PATIENT,))
+    actions = scheduler.step(0.0, [request(i, i % 2) for i in range(1, 9)])
     now, next_id, runs, owner = 0.0, 9, [0, 0], {i: i % 2 for i in range(1, 9)}
     for _ in range(200):
         (request_id,) = started(actions)
         runs[owner[request_id]] += 1
         owner[next_id] = owner[request_id]
         now += 20.0
-        actions = balancer.step(now, [*done(request_id), request(next_id, owner[request_id]), Timer(0)])
+        actions = scheduler.step(now, [*done(request_id), request(next_id, owner[request_id]), Timer(0)])
         next_id += 1
     assert 2.5 < runs[0] / runs[1] < 3.5
 
 
 def test_a_start_is_charged_l_max_and_the_end_refunds_the_rest() -> None:
-    balancer = opened(cores=1)
-    balancer.state.queue.tenants[0].max_cost_ratios[balancer.state.service_time.classes[0]] = 2.0
-    balancer.step(0.0, [request(1)])
-    paid = 2.0 * balancer.state.service_time.mean_cost_ms
-    assert balancer.state.queue.tenants[0].start_tag == paid
-    balancer.step(30.0, done(1))
-    assert abs(balancer.state.queue.tenants[0].start_tag - 30.0) < 1e-6
+    scheduler = opened(cores=1)
+    scheduler.state.queue.tenants[0].max_cost_ratios[scheduler.state.service_time.classes[0]] = 2.0
+    scheduler.step(0.0, [request(1)])
+    paid = 2.0 * scheduler.state.service_time.mean_cost_ms
+    assert scheduler.state.queue.tenants[0].start_tag == paid
+    scheduler.step(30.0, done(1))
+    assert abs(scheduler.state.queue.tenants[0].start_tag - 30.0) < 1e-6
 
 
 def test_refresh_charging_adds_use_beyond_what_was_prepaid() -> None:
-    balancer = opened(cores=1)
-    balancer.state.queue.tenants[0].max_cost_ratios[balancer.state.service_time.classes[0]] = (
-        10.0 / balancer.state.service_time.mean_cost_ms
+    scheduler = opened(cores=1)
+    scheduler.state.queue.tenants[0].max_cost_ratios[scheduler.state.service_time.classes[0]] = (
+        10.0 / scheduler.state.service_time.mean_cost_ms
     )
-    balancer.step(0.0, [request(1)])
-    balancer.step(25.0, [Timer(0, (1.0,))])
-    assert abs(balancer.state.queue.tenants[0].start_tag - 25.0) < 1e-6
+    scheduler.step(0.0, [request(1)])
+    scheduler.step(25.0, [Timer(0, (1.0,))])
+    assert abs(scheduler.state.queue.tenants[0].start_tag - 25.0) < 1e-6
 
 
 def test_an_unpredictable_tenant_is_estimated_as_an_expensive_one() -> None:
-    balancer = opened(cores=1)
+    scheduler = opened(cores=1)
     for i, (tenant, cost) in enumerate([(0, 20.0), (1, 20.0), (0, 20.0), (1, 70.0), (0, 20.0), (1, 20.0)], 1):
-        at = balancer.state.now + 500.0
-        balancer.step(at, [request(i, tenant), Timer(0)])
-        balancer.step(at + cost, [RunEnded(i, Outcome.OK)])
+        at = scheduler.state.now + 500.0
+        scheduler.step(at, [request(i, tenant), Timer(0)])
+        scheduler.step(at + cost, [RunEnded(i, Outcome.OK)])
     assert (
-        balancer.state.queue.tenants[1].max_cost_ratios[balancer.state.service_time.classes[0]]
-        > 2 * balancer.state.queue.tenants[0].max_cost_ratios[balancer.state.service_time.classes[0]]
+        scheduler.state.queue.tenants[1].max_cost_ratios[scheduler.state.service_time.classes[0]]
+        > 2 * scheduler.state.queue.tenants[0].max_cost_ratios[scheduler.state.service_time.classes[0]]
     )
 
 
 def test_an_idle_tenant_gains_no_credit() -> None:
-    balancer = opened(cores=1)
+    scheduler = opened(cores=1)
     now = 0.0
     for i in range(1, 40):
-        balancer.step(now, [request(i, 0)])
+        scheduler.step(now, [request(i, 0)])
         now += 20.0
-        balancer.step(now, done(i))
-    balancer.step(now, [request(100, 1)])
-    assert balancer.state.queue.virtual_time > 0
-    assert balancer.state.queue.tenants[1].start_tag >= balancer.state.queue.virtual_time
+        scheduler.step(now, done(i))
+    scheduler.step(now, [request(100, 1)])
+    assert scheduler.state.queue.virtual_time > 0
+    assert scheduler.state.queue.tenants[1].start_tag >= scheduler.state.queue.virtual_time
--- a/tests/scheduling/test_invariants.py
+++ b/tests/scheduling/test_invariants.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from moorusher.scheduling import Balancer
+from moorusher.scheduling import Scheduler
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.interface import (
     Outcome,
@@ -61,8 +61,8 @@
     """Feed a random day to one instance and check every rule on the way."""
     rng = random.Random(seed)
     config = settings(**changes)
-    balancer = Balancer(config)
-    log: list[tuple[float, api.Action]] = [(0.0, action) for action in balancer.open(0.0)]
+    scheduler = Scheduler(config)
+    log: list[tuple[float, api.Action]] = [(0.0, action) for action in scheduler.open(0.0)]
     now, next_id, drain_at, stop_at = 0.0, 1, 1e9, 1e9
     requests: dict[int, tuple[api.Request, float, float]] = {}
     owed: dict[int, float] = {}
@@ -140,7 +140,7 @@
         if drain_at == 1e9 and now > 9000.0 and seed % 2:
             drain_at, stop_at = now, now + 4000.0
             events.append(api.DrainNotice(4000.0))
-        actions = balancer.step(now, events)
+        actions = scheduler.step(now, events)
         for action in actions:
             log.append((now, action))
             if isinstance(action, api.SetTimer):
@@ -239,16 +239,16 @@
 
 
 def test_events_about_unknown_requests_are_ignored_and_the_clock_does_not_step_back() -> None:
-    balancer = opened()
+    scheduler = opened()
     unknown: list[api.Event] = [
         api.RunEnded(9, api.Outcome.OK),
         api.CallNeeded(9),
         api.CallEnded(9, api.Outcome.OK),
         api.RequestAbandoned(9),
     ]
-    assert balancer.step(5.0, unknown) == []
+    assert scheduler.step(5.0, unknown) == []
     with pytest.raises(ValueError, match="clock"):
-        balancer.step(4.0, [])
+        scheduler.step(4.0, [])
 
 
 @pytest.mark.parametrize(
@@ -270,7 +270,7 @@
 )
 def test_bare_settings_and_unknown_callers_leave_nothing_unanswered(changes: dict[str, Any]) -> None:
     """Absent gauges, tenants or callers never seen, thousands of them: every request gets its one answer."""
-    balancer = opened(**changes)
+    scheduler = opened(**changes)
     owed: dict[int, float] = {}
     ends: list[api.Event] = []
     request_id = 0
@@ -283,13 +283,13 @@
             events.append(
                 api.Request(request_id, request_id % 2, 10.0, caller=request_id * 31, tenant=tenant)
             )
-            owed[request_id] = now + balancer.state.settings.classes[request_id % 2].deadline_ms
+            owed[request_id] = now + scheduler.state.settings.classes[request_id % 2].deadline_ms
         ends = []
-        for action in balancer.step(now, events):
+        for action in scheduler.step(now, events):
             if isinstance(action, (api.Reject, api.Fail)):
                 del owed[action.id]
             elif isinstance(action, api.Start):
-                calls = balancer.state.settings.downstream is not api.Downstream.OFF
+                calls = scheduler.state.settings.downstream is not api.Downstream.OFF
                 ends.append(api.CallNeeded(action.id) if calls else api.RunEnded(action.id, api.Outcome.OK))
             elif isinstance(action, api.SkipCall):
                 ends.append(api.RunEnded(action.id, api.Outcome.OK))
@@ -299,7 +299,7 @@
                 del owed[event.id]
         assert all(due >= now - 60.0 for due in owed.values())
     assert request_id > 400 and owed == {}
-    assert len(balancer.state.queue.tenants) <= len(balancer.state.settings.tenants) + 50
+    assert len(scheduler.state.queue.tenants) <= len(scheduler.state.settings.tenants) + 50
 
 
 def test_a_class_outside_the_settings_is_an_error_that_names_it() -> None:
@@ -315,14 +315,14 @@
 @pytest.mark.parametrize("passes", [False, True])
 def test_bad_hints_and_waits_leave_nothing_unanswered(hint: float, ttl: float | None, passes: bool) -> None:
     """A hint of no number went into the tags as it was; a wait of no number made every comparison false."""
-    balancer = opened(propagates_deadline=passes, max_retry_after_ms=1000.0)
+    scheduler = opened(propagates_deadline=passes, max_retry_after_ms=1000.0)
     owed = set(range(1, 41))
     ends: list[api.Event] = []
     for i in range(1, 400):
         batch: list[api.Event] = [*ends, api.Timer(0, (0.5,))]
         if i in owed:
             batch.append(request(i, i % 2, cost_hint_ms=hint, ttl_ms=ttl))
-        actions = balancer.step(20.0 * i, batch)
+        actions = scheduler.step(20.0 * i, batch)
         ends = [
             api.RunEnded(started_id, Outcome.ERROR if started_id % 5 == 0 else Outcome.OK, 0.0)
             for started_id in started(actions)
@@ -335,9 +335,9 @@
     assert all(
         0.0 < estimate < INF
         for estimate in (
-            balancer.state.service_time.mean_cost_ms,
-            balancer.state.service_time.slot_ms,
-            *(class_state.expected_run_ms() for class_state in balancer.state.service_time.classes),
+            scheduler.state.service_time.mean_cost_ms,
+            scheduler.state.service_time.slot_ms,
+            *(class_state.expected_run_ms() for class_state in scheduler.state.service_time.classes),
         )
     )
-    assert all(-1e12 < tenant.start_tag < 1e12 for tenant in balancer.state.queue.tenants.values())
+    assert all(-1e12 < tenant.start_tag < 1e12 for tenant in scheduler.state.queue.tenants.values())
--- a/tests/scheduling/test_load_shedding.py
+++ b/tests/scheduling/test_load_shedding.py
@@ -12,8 +12,8 @@
 
 def test_a_rejection_is_final_and_the_queue_is_short() -> None:
     """What is held long and then refused comes back looking fresh and is late already (retry loop)."""
-    balancer = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
-    actions = balancer.step(0.0, [request(i) for i in range(1, 30)])
+    scheduler = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
+    actions = scheduler.step(0.0, [request(i) for i in range(1, 30)])
     refused = only(actions, api.Reject)
     assert len(refused) > 20
     assert all(action.final and 0.0 < action.retry_after_ms <= 1000.0 for action in refused)
@@ -23,9 +23,9 @@
     """In a large fleet others have room; once a fifth of what arrives are retries it is a retry storm."""
 
     def refusals(retry: bool, marked: bool) -> set[bool]:
-        balancer = opened(cores=1, tenants=(Tenant(1.0),), retries_marked=marked)
-        balancer.step(0.0, [request(i, is_retry=retry) for i in range(1, 60)])
-        actions = balancer.step(1.0, [request(100 + i) for i in range(10)])
+        scheduler = opened(cores=1, tenants=(Tenant(1.0),), retries_marked=marked)
+        scheduler.step(0.0, [request(i, is_retry=retry) for i in range(1, 60)])
+        actions = scheduler.step(1.0, [request(100 + i) for i in range(10)])
         return {action.final for action in only(actions, api.Reject)}
 
     assert refusals(False, True) == {False}
@@ -35,8 +35,8 @@
 
 def test_a_rejection_carries_a_short_retry_after() -> None:
     """A client that stays away as long as allowed comes back past its aim; one slot time is enough."""
-    balancer = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
-    balancer.step(0.0, [request(1)])
-    refused = only(balancer.step(300.0, [*done(1), *[request(i) for i in range(2, 40)]]), api.Reject)
+    scheduler = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
+    scheduler.step(0.0, [request(1)])
+    refused = only(scheduler.step(300.0, [*done(1), *[request(i) for i in range(2, 40)]]), api.Reject)
     assert len(refused) > 20
     assert all(0.0 < action.retry_after_ms < 500.0 for action in refused)
--- a/tests/scheduling/test_module_shape.py
+++ b/tests/scheduling/test_module_shape.py
@@ -50,7 +50,7 @@
 
 
 def test_the_docstring_names_the_interface_first() -> None:
-    doc = ast.get_docstring(ast.parse((SCHEDULING / "balancer.py").read_text())) or ""
+    doc = ast.get_docstring(ast.parse((SCHEDULING / "scheduler.py").read_text())) or ""
     assert "scheduling/interface.py" in doc.splitlines()[0]
 
 
--- a/tests/scheduling/test_priority.py
+++ b/tests/scheduling/test_priority.py
@@ -16,7 +16,7 @@
 
 def test_slots_are_reserved_for_the_class_of_higher_priority_weight() -> None:
     """Free slots went to whatever came first, and the class that holds most of the worth lost like the rest."""
-    balancer = opened(cores=2, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
+    scheduler = opened(cores=2, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
     ran = {0: 0, 1: 0}
     offered = {0: 0, 1: 0}
     running: dict[int, tuple[float, int]] = {}
@@ -31,9 +31,9 @@
             offered[class_index] += 1
             batch.append(request(i, class_index=class_index))
         kinds = {event.id: event.class_index for event in batch if isinstance(event, api.Request)} | {
-            job.id: job.request.class_index for job in balancer.state.jobs.values()
+            job.id: job.request.class_index for job in scheduler.state.jobs.values()
         }
-        for ended_id in started(balancer.step(now, batch)):
+        for ended_id in started(scheduler.step(now, batch)):
             running[ended_id] = (now + 200.0, kinds[ended_id])
     assert ran[1] > 0.85 * offered[1]
     assert 0 < ran[0] < 0.3 * offered[0]
@@ -41,12 +41,12 @@
 
 def test_a_free_slot_is_reserved_for_nobody() -> None:
     """Runners below turned calls away with most of their slots free, for a class that did not come."""
-    balancer = opened(cores=3, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
-    balancer.step(0.0, [request(1)])
-    balancer.state.service_time.classes[0].credit_ms = -1.0
-    assert started(balancer.step(5.0, [request(2)])) == [2]
-    assert started(balancer.step(10.0, [request(3, class_index=1)])) == [3]
-    balancer.state.service_time.classes[0].credit_ms = -1.0
-    assert [rejected.id for rejected in only(balancer.step(15.0, [request(4)]), api.Reject)] == [
+    scheduler = opened(cores=3, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
+    scheduler.step(0.0, [request(1)])
+    scheduler.state.service_time.classes[0].credit_ms = -1.0
+    assert started(scheduler.step(5.0, [request(2)])) == [2]
+    assert started(scheduler.step(10.0, [request(3, class_index=1)])) == [3]
+    scheduler.state.service_time.classes[0].credit_ms = -1.0
+    assert [rejected.id for rejected in only(scheduler.step(15.0, [request(4)]), api.Reject)] == [
         4
     ]  # now none is free
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -31,7 +31,7 @@
 def flood(*, worth: float = 0.05, again: bool = False, seconds: int = 12, each: int = 1) -> dict[str, Any]:
     """Two cores, runs of 300 ms. The greedy tenant asks `each` requests every 50 ms, the modest one a request every
     500 ms (`again`: each of them a marked retry). What was served, refused and advised from second 3 on."""
-    balancer = opened(
+    scheduler = opened(
         cores=2,
         classes=(QUICK, PATIENT),
         tenants=(Tenant(0.5), Tenant(0.5)),
@@ -54,7 +54,7 @@
             asked[request_id] = who
             events.append(request(request_id, who[0], who[1], is_retry=again and who[0] == MODEST))
             seen["asked"] += [who] if now > 3000.0 else []
-        for action in balancer.step(now, [*events, api.Timer(0, (1.0,))]):
+        for action in scheduler.step(now, [*events, api.Timer(0, (1.0,))]):
             if isinstance(action, api.Start):
                 ends[action.id] = now + RUN_MS
                 seen["ran"] += [asked[action.id]] if now > 3000.0 else []
--- a/tests/scheduling/test_service_time.py
+++ b/tests/scheduling/test_service_time.py
@@ -12,14 +12,14 @@
 
 def test_an_early_error_changes_no_estimate_of_cost() -> None:
     """A server whose runs failed at once believed that it had become fast, and took more."""
-    balancer = opened()
-    balancer.step(0.0, [request(1)])
-    balancer.step(300.0, done(1))
-    cost, wall = balancer.state.service_time.mean_cost_ms, balancer.state.service_time.classes[0].run_ms
+    scheduler = opened()
+    scheduler.step(0.0, [request(1)])
+    scheduler.step(300.0, done(1))
+    cost, wall = scheduler.state.service_time.mean_cost_ms, scheduler.state.service_time.classes[0].run_ms
     for i in range(2, 20):
-        balancer.step(300.0 + i, [request(i)])
-        balancer.step(300.5 + i, [api.RunEnded(i, Outcome.ERROR, 0.5)])
-    assert (balancer.state.service_time.mean_cost_ms, balancer.state.service_time.classes[0].run_ms) == (
+        scheduler.step(300.0 + i, [request(i)])
+        scheduler.step(300.5 + i, [api.RunEnded(i, Outcome.ERROR, 0.5)])
+    assert (scheduler.state.service_time.mean_cost_ms, scheduler.state.service_time.classes[0].run_ms) == (
         cost,
         wall,
     )
@@ -28,15 +28,15 @@
 def test_long_runs_in_an_outage_do_not_stop_admission_for_good() -> None:
     """Runs that stood at calls for seconds lifted the expected run over every aim: nothing was begun any more,
     so nothing told that it was over (i194c80: 9% served to the end of the record)."""
-    balancer = opened()
+    scheduler = opened()
     now = 0.0
     for i in range(1, 40):
-        balancer.step(now, [request(i)])
+        scheduler.step(now, [request(i)])
         now += 3500.0
-        balancer.step(now, done(i))
+        scheduler.step(now, done(i))
     taken = [
         i
         for i in range(100, 110)
-        if started(balancer.step(now + 10.0 * i, [request(i), *done(i - 1)])) == [i]
+        if started(scheduler.step(now + 10.0 * i, [request(i), *done(i - 1)])) == [i]
     ]
     assert len(taken) == 10
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -17,7 +17,7 @@
 from moorusher.core.requests import Arrival, Request
 from moorusher.core.run import NOT_WRITTEN
 from moorusher.scheduling import interface as api
-from moorusher.scheduling.balancer import Balancer
+from moorusher.scheduling.scheduler import Scheduler
 
 from .helpers import settings
 
@@ -66,7 +66,7 @@
 
 class World:
     def __init__(
-        self, make: Callable[[api.Settings], Balancer] = Balancer, kernel: bool = True, **changes: Any
+        self, make: Callable[[api.Settings], Scheduler] = Scheduler, kernel: bool = True, **changes: Any
     ) -> None:
         self.at, self.turns = 1_000_000_000_000, list[Callable[[], None]]()
         clock = Clock(lambda: self.at, lambda: self.at + 10**18)
@@ -325,7 +325,7 @@
     assert w.answers == []
 
 
-class Faulty(Balancer):
+class Faulty(Scheduler):
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         if any(isinstance(e, api.Request) and e.rank > 0.9 for e in events):
             raise RuntimeError("a fault in the module")
@@ -357,10 +357,10 @@
 def test_warming_counts_from_the_kernel_and_windows_from_the_opening(
     cold: bool, age_ms: float, is_cold: bool, since: float
 ) -> None:
-    made: list[Balancer] = []
+    made: list[Scheduler] = []
 
-    def make(s: api.Settings) -> Balancer:
-        made.append(Balancer(s))
+    def make(s: api.Settings) -> Scheduler:
+        made.append(Scheduler(s))
         return made[-1]
 
     w = World(make, warm_up_ms=17_000.0)
@@ -370,7 +370,7 @@
     assert w.core.clock.module_ms() - made[-1].state.concurrency.started_at == pytest.approx(since)
 
 
-class Eager(Balancer):
+class Eager(Scheduler):
     """Starts whatever comes, and refuses what it has started."""
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -22,7 +22,7 @@
 from moorusher.core.requests import Arrival
 from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
 from moorusher.replication.policy import Seat
-from moorusher.scheduling import Balancer
+from moorusher.scheduling import Scheduler
 from moorusher.scheduling import interface as api
 from moorusher.server.connection_budget import FIXED_DESCRIPTORS, IDLE_BACKEND_SHARE, MIN_CONSOLE_CONNECTIONS
 from moorusher.server.server import Service
@@ -70,48 +70,50 @@
 # ---- the module ----
 
 
-def retune(balancer: Balancer, now: float, new: api.Settings) -> None:
-    p = plan(balancer.state.settings, new)
-    balancer.step(now, [api.Reconfiguration(p.settings, p.classes, p.tenants)])
+def retune(scheduler: Scheduler, now: float, new: api.Settings) -> None:
+    p = plan(scheduler.state.settings, new)
+    scheduler.step(now, [api.Reconfiguration(p.settings, p.classes, p.tenants)])
 
 
 def test_what_was_learnt_moves_with_its_class_and_a_name_that_returns_starts_anew() -> None:
-    balancer = opened()
+    scheduler = opened()
     for i in range(4):
-        balancer.step(i * 100.0, [request(i, class_index=1)])
-        balancer.step(i * 100.0 + 80, done(i))
-    service_time, tenant = balancer.state.service_time, balancer.state.queue.tenants[0]
+        scheduler.step(i * 100.0, [request(i, class_index=1)])
+        scheduler.step(i * 100.0 + 80, done(i))
+    service_time, tenant = scheduler.state.service_time, scheduler.state.queue.tenants[0]
     learnt = service_time.classes[1]
     ratio = tenant.max_cost_ratios[learnt]
-    retune(balancer, 500, classes(FAST, KEYED, SAFE))
+    retune(scheduler, 500, classes(FAST, KEYED, SAFE))
     assert service_time.classes[1] is learnt and tenant.max_cost_ratios == {learnt: ratio}
     assert service_time.classes[0].request_class is FAST
-    retune(balancer, 510, classes(SAFE, FAST))
-    assert not balancer.state.queue.tenants[0].max_cost_ratios
-    retune(balancer, 520, classes(KEYED, SAFE))
+    retune(scheduler, 510, classes(SAFE, FAST))
+    assert not scheduler.state.queue.tenants[0].max_cost_ratios
+    retune(scheduler, 520, classes(KEYED, SAFE))
     assert service_time.classes[0].request_class is KEYED and service_time.classes[0].run_ms != learnt.run_ms
 
 
 def test_an_open_request_keeps_its_deadline_and_its_place() -> None:
-    balancer = opened(cores=1, survivable_runs_per_core=1.0)
-    assert started(balancer.step(0, [request(1), request(2)])) == [1]
-    retune(balancer, 10, classes(replace(SAFE, latency_objective_ms=50, deadline_ms=60), KEYED))
+    scheduler = opened(cores=1, survivable_runs_per_core=1.0)
+    assert started(scheduler.step(0, [request(1), request(2)])) == [1]
+    retune(scheduler, 10, classes(replace(SAFE, latency_objective_ms=50, deadline_ms=60), KEYED))
     for at in range(20, 400, 25):
         assert not only(
-            balancer.step(at, [api.Timer(0, (1.0,))]), api.Reject
+            scheduler.step(at, [api.Timer(0, (1.0,))]), api.Reject
         )  # by the new deadline it were long over
-    assert started(balancer.step(400, done(1))) == [2]
+    assert started(scheduler.step(400, done(1))) == [2]
 
 
 def test_a_dropped_tenants_held_request_runs_and_shares_follow() -> None:
-    balancer = opened(cores=1, survivable_runs_per_core=1.0, tenants=(api.Tenant(1, "a"), api.Tenant(1, "b")))
-    balancer.step(0, [request(1, tenant=0), request(2, tenant=1)])
-    retune(balancer, 10, settings(tenants=(api.Tenant(3, "c"), api.Tenant(1, "a"))))
-    assert [round(balancer.state.queue.tenants[i].weight, 2) for i in (0, 1)] == [1.5, 0.5]
-    assert started(balancer.step(20, done(1))) == [2] and started(balancer.step(30, done(2))) == []
-    assert abs(balancer.state.queue.active_weight) < 1e-9
-    retune(balancer, 40, settings(tenants=()))
-    assert started(balancer.step(50, [api.Request(3, 0, 10.0)])) == [3]
+    scheduler = opened(
+        cores=1, survivable_runs_per_core=1.0, tenants=(api.Tenant(1, "a"), api.Tenant(1, "b"))
+    )
+    scheduler.step(0, [request(1, tenant=0), request(2, tenant=1)])
+    retune(scheduler, 10, settings(tenants=(api.Tenant(3, "c"), api.Tenant(1, "a"))))
+    assert [round(scheduler.state.queue.tenants[i].weight, 2) for i in (0, 1)] == [1.5, 0.5]
+    assert started(scheduler.step(20, done(1))) == [2] and started(scheduler.step(30, done(2))) == []
+    assert abs(scheduler.state.queue.active_weight) < 1e-9
+    retune(scheduler, 40, settings(tenants=()))
+    assert started(scheduler.step(50, [api.Request(3, 0, 10.0)])) == [3]
 
 
 # ---- the core ----
