--- a/moorusher/config/scheduler_settings.py
+++ b/moorusher/config/scheduler_settings.py
@@ -166,18 +166,18 @@
 def _parse_classes(root: _Object, extra: _Object) -> tuple[api.RequestClass, ...]:
     """The classes; what they may call, and are worth without, is listed apart and may be shorter."""
     may_call = extra.values("classCalls", bool)
-    worth_without_call = extra.values("worthWithout", float)
+    value_without_call = extra.values("worthWithout", float)
     return tuple(
         _parse_class(
             item,
             may_call[i] if i < len(may_call) else False,
-            worth_without_call[i] if i < len(worth_without_call) else 0.0,
+            value_without_call[i] if i < len(value_without_call) else 0.0,
         )
         for i, item in enumerate(root.objects("classes"))
     )
 
 
-def _parse_class(item: _Object, may_call: bool, worth_without_call: float) -> api.RequestClass:
+def _parse_class(item: _Object, may_call: bool, value_without_call: float) -> api.RequestClass:
     try:
         return api.RequestClass(
             latency_objective_ms=item.require("aimMs", float),
@@ -189,7 +189,7 @@
             effect=item.choice("effect", EFFECTS, api.Effect.IDEMPOTENT),
             idempotency_window_ms=item.get("windowMs", 0.0),
             may_call=may_call,
-            value_fraction_without_call=worth_without_call,
+            value_fraction_without_call=value_without_call,
         )
     except SettingsError:
         raise
--- a/moorusher/scheduling/admission.py
+++ b/moorusher/scheduling/admission.py
@@ -87,13 +87,13 @@
             over_quota or not any(tenant.over_quota for tenant in state.queue.tenants.values())
         ):
             return 0.0
-        spare_ms = job.objective_at - state.now - job.class_state.expected_run_ms()
+        slack_ms = job.objective_at - state.now - job.class_state.expected_run_ms()
         if over_quota:
             classes = state.service_time.classes
-            spare_ms = min(
-                [spare_ms, *(c.request_class.latency_objective_ms - c.expected_run_ms() for c in classes)]
+            slack_ms = min(
+                [slack_ms, *(c.request_class.latency_objective_ms - c.expected_run_ms() for c in classes)]
             )
-        return MAX_WAIT_FRACTION * spare_ms
+        return MAX_WAIT_FRACTION * slack_ms
 
     def expected_wait_ms(self, job: Job) -> float:
         """How long the job would be queued: behind its tenant's queue at the tenant's weight.
--- a/moorusher/scheduling/concurrency.py
+++ b/moorusher/scheduling/concurrency.py
@@ -70,7 +70,7 @@
         """Of the slots, those that the process that this one replaces leaves."""
         return max(1, self.limit - self.predecessor.on_cores)
 
-    def take_core(self, job: Job, slot: int, now: float) -> None:
+    def acquire_core(self, job: Job, slot: int, now: float) -> None:
         """A job takes the cores in a free slot, or without one (`NO_SLOT`) if it returns and none is free."""
         if slot != NO_SLOT:
             self.slots[slot] = job
@@ -84,7 +84,7 @@
         """The number of the lowest free slot, or `NO_SLOT`."""
         return next((number for number, job in enumerate(self.slots) if job is None), NO_SLOT)
 
-    def leave_core(self, job: Job) -> None:
+    def release_core(self, job: Job) -> None:
         """A job leaves the cores. Its slot may have been removed, or be another's, since it took it."""
         self.on_cores -= 1
         if 0 <= job.slot < len(self.slots) and self.slots[job.slot] is job:
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -83,7 +83,7 @@
         if job.state is not JobState.RUNNING:
             return
         now = self._state.now
-        self._lifecycle.leave_core(job, JobState.AWAITING_CALL)
+        self._lifecycle.suspend(job, JobState.AWAITING_CALL)
         job.call_attempts = 0
         job.call_wanted_at = now
         job.next_call_at = now
@@ -93,7 +93,7 @@
         """Send the calls that may go out, first those that their requests need most; skip hopeless ones."""
         if not self.waiting:
             return
-        for job in sorted(self.waiting, key=_worth_without_call):
+        for job in sorted(self.waiting, key=_value_without_call):
             if job.answered:
                 continue
             if self._should_skip(job):
@@ -192,7 +192,7 @@
         self.max_in_flight = max(1.0, min(limit, settings.call_quota))
 
 
-def _worth_without_call(job: Job) -> float:
+def _value_without_call(job: Job) -> float:
     return job.request_class.value_fraction_without_call
 
 
--- a/moorusher/scheduling/draining.py
+++ b/moorusher/scheduling/draining.py
@@ -18,18 +18,18 @@
         drain_at: when the first drain notice came.
         stop_at: when every request must have been answered.
         serve_until: until when callers are still allowed to send.
-        callers_sent_away: whether callers were told to send nothing more.
+        callers_stopped: whether callers were told to send nothing more.
     """
 
-    __slots__ = ("callers_sent_away", "drain_at", "serve_until", "stop_at")
+    __slots__ = ("callers_stopped", "drain_at", "serve_until", "stop_at")
 
     def __init__(self) -> None:
         self.drain_at = NEVER
         self.stop_at = NEVER
         self.serve_until = NEVER
-        self.callers_sent_away = False
+        self.callers_stopped = False
 
-    def begin(self, notice: DrainNotice, now: float, settings: Settings) -> list[Action]:
+    def start(self, notice: DrainNotice, now: float, settings: Settings) -> list[Action]:
         """A drain notice came. Replaced by another process of the runner, it needs no caller to stay away."""
         self.stop_at = now + notice.remaining_ms - STOP_MARGIN_MS
         if notice.replaced:
@@ -38,10 +38,10 @@
         self.serve_until = now + min(settings.drain_grace_ms, SERVE_FRACTION * notice.remaining_ms)
         return [SetHealth(False, True)]
 
-    def send_callers_away(self, signal: SignalKind) -> list[Action]:
+    def stop_callers(self, signal: SignalKind) -> list[Action]:
         """From now on callers are to send nothing: the signal is the one that says so under its meaning."""
         self.serve_until = NEVER
-        self.callers_sent_away = True
+        self.callers_stopped = True
         if signal is SignalKind.OFF:
             return []
         return [Signal(1.0 if signal is SignalKind.FLOOR else 0.0)]
--- a/moorusher/scheduling/fair_queue.py
+++ b/moorusher/scheduling/fair_queue.py
@@ -202,7 +202,7 @@
         job.used_ms += use_ms
         job.prepaid_ms = max(0.0, job.prepaid_ms - use_ms)
 
-    def settle(self, job: Job) -> None:
+    def refund(self, job: Job) -> None:
         """At the end of a run, refund what was prepaid and not used."""
         job.tenant.start_tag -= job.prepaid_ms / job.tenant.weight
         self.work_ms += job.used_ms
--- a/moorusher/scheduling/lifecycle.py
+++ b/moorusher/scheduling/lifecycle.py
@@ -28,18 +28,18 @@
         job.started_at = state.now
         job.class_state.credit_ms -= state.service_time.slot_ms
         state.queue.charge_start(job)
-        state.concurrency.take_core(job, slot, state.now)
+        state.concurrency.acquire_core(job, slot, state.now)
         state.actions.append(Start(job.id))
 
-    def leave_core(self, job: Job, new_state: JobState) -> None:
+    def suspend(self, job: Job, new_state: JobState) -> None:
         """A running job needs a downstream call and waits for it off the cores."""
-        self._charge_and_leave_core(job)
+        self._charge_and_release_core(job)
         job.state = new_state
 
     def resume(self, job: Job) -> None:
         """A job returns to the cores, in the lowest free slot or in none."""
         concurrency = self._state.concurrency
-        concurrency.take_core(job, concurrency.lowest_free_slot(), self._state.now)
+        concurrency.acquire_core(job, concurrency.lowest_free_slot(), self._state.now)
 
     def resume_without_call(self, job: Job) -> None:
         """A job goes on without its downstream call."""
@@ -86,8 +86,8 @@
         job.class_state.record_run(state.now - job.started_at, completed)
         job.answered = True
         if job.state is JobState.RUNNING:
-            self._charge_and_leave_core(job)
-        state.queue.settle(job)
+            self._charge_and_release_core(job)
+        state.queue.refund(job)
         state.concurrency.running -= 1
         if completed:
             state.service_time.record_cost(job.used_ms)
@@ -95,10 +95,10 @@
         state.queue.deactivate_if_empty(job.tenant)
         state.memory.jobs_kb -= state.memory.run_extra_kb(job)
 
-    def _charge_and_leave_core(self, job: Job) -> None:
+    def _charge_and_release_core(self, job: Job) -> None:
         concurrency = self._state.concurrency
         self._state.queue.charge_use(job, concurrency.service_ms)
-        concurrency.leave_core(job)
+        concurrency.release_core(job)
 
     def _discard(self, job: Job) -> None:
         self._state.memory.jobs_kb -= self._state.jobs.pop(job.id).memory_kb
--- a/moorusher/scheduling/quotas.py
+++ b/moorusher/scheduling/quotas.py
@@ -8,7 +8,7 @@
 
 ARRIVALS_LEARNING_RATE = 0.2  # weight of the newest window in a tenant's arrivals
 OVER_QUOTA_RATIO = 1.25  # times its part of all arrivals from which a tenant is past its quota
-MIN_ARRIVALS_PER_WINDOW = 0.05  # a tenant with fewer does not count as asking
+MIN_ARRIVALS_PER_WINDOW = 0.05  # a tenant with fewer does not count as active
 
 
 def update_over_quota(tenants: Iterable[TenantQueue], over_quota_weight: float) -> None:
@@ -23,9 +23,9 @@
     for tenant in tenants:
         tenant.arrivals_per_window += ARRIVALS_LEARNING_RATE * (tenant.arrivals - tenant.arrivals_per_window)
         tenant.arrivals = 0
-    asking = [tenant for tenant in tenants if tenant.arrivals_per_window > MIN_ARRIVALS_PER_WINDOW]
-    total_weight = sum(tenant.weight for tenant in asking)
-    fair_arrivals = sum(tenant.arrivals_per_window for tenant in asking) / max(1e-9, total_weight)
+    active = [tenant for tenant in tenants if tenant.arrivals_per_window > MIN_ARRIVALS_PER_WINDOW]
+    total_weight = sum(tenant.weight for tenant in active)
+    fair_arrivals = sum(tenant.arrivals_per_window for tenant in active) / max(1e-9, total_weight)
     for tenant in tenants:
         quota = OVER_QUOTA_RATIO * tenant.weight * fair_arrivals
         tenant.over_quota = over_quota_weight < 1 and tenant.arrivals_per_window > quota
--- a/moorusher/scheduling/retry_policy.py
+++ b/moorusher/scheduling/retry_policy.py
@@ -46,7 +46,7 @@
 
     ALLOWED = "may be sent again"
     FORBIDDEN = "must not be sent again"
-    ASK_KEY_OWNER = "only after whoever keeps its key says that none ran"
+    CHECK_KEY_OWNER = "only after whoever keeps its key says that none ran"
 
 
 def retry_decision(effect: Effect, evidence: Evidence) -> RetryDecision:
@@ -56,7 +56,7 @@
     if effect is Effect.IDEMPOTENT:
         return RetryDecision.ALLOWED
     if effect is Effect.IDEMPOTENT_WITH_KEY:
-        return RetryDecision.ASK_KEY_OWNER
+        return RetryDecision.CHECK_KEY_OWNER
     return RetryDecision.FORBIDDEN
 
 
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -74,7 +74,7 @@
         for event in events:
             self._handle(event)
         if now >= state.draining.serve_until:
-            state.actions += state.draining.send_callers_away(state.settings.signal)
+            state.actions += state.draining.stop_callers(state.settings.signal)
         self.calls.send()
         self.deadlines.reject_hopeless()
         self.dispatch.fill_slots()
@@ -105,7 +105,7 @@
             if event.id in state.jobs:
                 self.lifecycle.close(state.jobs[event.id])
         elif isinstance(event, api.DrainNotice):
-            state.actions += state.draining.begin(event, state.now, state.settings)
+            state.actions += state.draining.start(event, state.now, state.settings)
         elif isinstance(event, api.Reconfiguration):
             reconfigure(state, event)
         elif isinstance(event, api.PredecessorLoad):
--- a/moorusher/scheduling/service_time.py
+++ b/moorusher/scheduling/service_time.py
@@ -20,7 +20,7 @@
 # outage is over.
 MAX_RUN_TIME_FRACTION = 0.5  # of the latency objective
 
-STATED_WAITS_KEPT = 32  # samples of each class
+STATED_WAIT_SAMPLES = 32  # samples of each class
 USUAL_WAIT_DIVISOR = 4  # a quarter of the samples are shorter than the usual wait
 WINDOWS_OF_HISTORY = 5  # a class that is present from the start counts as known for so many windows
 
@@ -58,7 +58,7 @@
         self.demand = 0.0
         self.credit_ms = NEVER
         self.windows = windows
-        self.stated_waits_ms: deque[float] = deque(maxlen=STATED_WAITS_KEPT)
+        self.stated_waits_ms: deque[float] = deque(maxlen=STATED_WAIT_SAMPLES)
 
     def record_run(self, took_ms: float, completed: bool) -> None:
         """Learn from a run. One that was stopped shows only that it would have taken at least as long."""
--- a/moorusher/scheduling/signals.py
+++ b/moorusher/scheduling/signals.py
@@ -36,7 +36,7 @@
         What is not sent here costs no read, and goes where there is capacity.
         """
         state = self._state
-        if state.settings.signal is not SignalKind.ALLOWANCE or state.draining.callers_sent_away:
+        if state.settings.signal is not SignalKind.ALLOWANCE or state.draining.callers_stopped:
             return
         if not state.service_time.cost_known:
             return
--- a/moorusher/simulator/wire.py
+++ b/moorusher/simulator/wire.py
@@ -53,7 +53,7 @@
     CALL_NEEDED = 259
     CALL_ENDED = 260
     DRAIN_NOTICE = 261
-    CALLER_GONE = 262
+    REQUEST_ABANDONED = 262
     TIMER = 263
     INSTANCE_DIED = 264
     INSTANCE = 265  # the records that follow are of this instance
@@ -238,7 +238,7 @@
     return api.DrainNotice(_F64.unpack_from(frame, offset)[0]), offset + _F64.size
 
 
-def _decode_caller_gone(frame: bytes, offset: int) -> tuple[HostEvent, int]:
+def _decode_request_abandoned(frame: bytes, offset: int) -> tuple[HostEvent, int]:
     return api.RequestAbandoned(_U32.unpack_from(frame, offset)[0]), offset + _U32.size
 
 
@@ -267,7 +267,7 @@
     EventCode.CALL_NEEDED: _decode_call_needed,
     EventCode.CALL_ENDED: _decode_call_ended,
     EventCode.DRAIN_NOTICE: _decode_drain_notice,
-    EventCode.CALLER_GONE: _decode_caller_gone,
+    EventCode.REQUEST_ABANDONED: _decode_request_abandoned,
     EventCode.TIMER: _decode_timer,
     EventCode.INSTANCE_DIED: _decode_instance_died,
 }
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -13,7 +13,7 @@
 
 
 def test_a_marked_retry_waits_less_than_a_first_attempt() -> None:
-    """Retries that are late at their client already crowded out fresh requests after a burst."""
+    """After a burst, retries that were late at their client already crowded out first attempts."""
     held = {}
     for retry in (False, True):
         scheduler = opened(cores=1, tenants=(Tenant(1.0),))
@@ -24,7 +24,8 @@
 
 
 def test_a_tenant_of_small_weight_is_not_rejected_for_a_short_wait() -> None:
-    """Its queue at its share is a bound only while the others stay backlogged; all that is held is one too."""
+    """A tenant of small weight was rejected for the long wait that its weight alone suggests, beside a short
+    queue. It waits at most for all that is queued."""
     scheduler = opened(cores=1, tenants=(Tenant(0.05), Tenant(0.95)))
     scheduler.step(0.0, [request(1, 1), request(2, 1), request(3, 0)])
     actions = scheduler.step(1.0, [request(4, 0)])
@@ -32,7 +33,7 @@
 
 
 def test_nothing_is_started_that_would_be_late() -> None:
-    """A server that reads late ran old tries for a fifth of their worth instead of reading the fresh ones."""
+    """A runner that read requests late ran old attempts, for a fifth of their value, and left fresh ones unread."""
     late = replace(SAFE, late_value_fraction=0.2)
     scheduler = opened(classes=(late, KEYED))
     assert only(scheduler.step(0.0, [request(1, waited_ms=950.0)]), api.Reject)
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -32,7 +32,7 @@
 
 
 def test_a_short_queue_at_idle_cores_does_not_raise_the_slot_count() -> None:
-    """n rose on a moment's queue, and more runs than cores only made every run longer."""
+    """The slot count rose on a moment's queue, and more runs than cores only made every run longer."""
     scheduler = opened(cores=2)
     scheduler.step(0.0, [request(i) for i in range(1, 5)])
     scheduler.step(50.0, done(1, 2))
--- a/tests/scheduling/test_deadlines.py
+++ b/tests/scheduling/test_deadlines.py
@@ -24,7 +24,7 @@
 
 
 def test_a_stated_wait_of_zero_is_due_at_once_where_deadlines_are_passed_on() -> None:
-    """Read as "not told", such a request was held to be due a whole deadline later (rule 1)."""
+    """A stated wait of 0 was read as none, so that the request seemed to be due a whole deadline later."""
     scheduler = opened(propagates_deadline=True, cores=1, tenants=(Tenant(1.0),))
     scheduler.step(0.0, [request(1, ttl_ms=5000.0)])
     actions = scheduler.step(1.0, [request(2, ttl_ms=0.0), request(3, ttl_ms=-4.0)])
@@ -33,7 +33,7 @@
 
 
 def test_what_a_stated_wait_lacks_of_the_usual_one_is_age() -> None:
-    """Unmarked further tries looked fresh and were run although their clients' aim had passed."""
+    """Retries that were not marked looked like first attempts, and ran although their objective had passed."""
     scheduler = opened(propagates_deadline=True)
     for i in range(1, 9):
         scheduler.step(200.0 * i, [request(i, ttl_ms=2700.0)])
@@ -44,7 +44,7 @@
 
 
 def test_a_futile_request_is_answered_at_once_wherever_it_waits() -> None:
-    """Behind the head of a queue, or at a call, a worthless request waited for its due time to be answered."""
+    """Behind the head of a queue, or at a call, a futile request was answered only at its deadline."""
     scheduler = opened(
         cores=1,
         tenants=(Tenant(1.0),),
--- a/tests/scheduling/test_downstream_calls.py
+++ b/tests/scheduling/test_downstream_calls.py
@@ -27,7 +27,8 @@
 
 
 def test_a_call_and_its_run_that_end_together_leave_no_call_in_flight() -> None:
-    """A slow server hears both in one batch; taken in the wrong order the call seemed given up and lingered."""
+    """A slow runner hears of both in one batch. Taken in the wrong order, the call seemed abandoned, and its
+    charge lingered."""
     scheduler = opened(**SHARED_DEPENDENCY)
     scheduler.step(0.0, [request(1), request(2)])
     assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
@@ -36,7 +37,7 @@
 
 
 def test_downstream_calls_keep_to_the_quota_over_a_window_even_when_they_hang() -> None:
-    """300 servers with 0.3 calls each: what one spends over a window stays under 0.3 of it."""
+    """300 runners have a quota of 0.3 calls each: what one spends over a window stays under 0.3 of it."""
     scheduler = opened(**SHARED_DEPENDENCY)
     spent, ends, at = 0.0, [], {}  # type: float, list[api.Event], dict[int, float]
     for i in range(1000):
@@ -56,7 +57,7 @@
 
 
 def test_scarce_calls_go_to_requests_that_are_worth_nothing_without() -> None:
-    """A crowded dependency: reads that could do without it took the calls that writes needed."""
+    """Before an overloaded dependency, reads that could do without it took the calls that writes needed."""
     scheduler = opened(
         downstream=api.Downstream.SHARED,
         classes=(CALLING, replace(KEYED, may_call=True)),
@@ -75,7 +76,7 @@
 def test_a_call_that_takes_too_long_is_skipped_while_the_rest_can_still_be_in_time(
     without: float, left_out: bool
 ) -> None:
-    """A reply that never comes would else be waited for until the whole request is late, and worth nothing."""
+    """A request waited for a reply that never came until it was late as a whole, and worth nothing."""
     scheduler = opened(
         downstream=api.Downstream.TIER, classes=(replace(CALLING, value_fraction_without_call=without),)
     )
@@ -135,14 +136,16 @@
 
 
 def test_no_call_is_sent_to_a_slow_dependency_that_could_only_time_out() -> None:
-    """Ten times slower, the budget went into calls of some milliseconds, each given up, and keyed work with them."""
+    """A dependency was ten times slower. The budget went into calls with timeouts of some milliseconds, which all
+    timed out, and requests with idempotency keys failed with them."""
     seen = calls_to_a_slow_dependency(takes=600.0)
     assert min(seen["timeouts"]) >= 300.0
     assert len(seen["ended"]) > 8 > 4 * len(seen["given up"])
 
 
 def test_a_dependency_slower_than_any_timeout_is_still_called_now_and_then() -> None:
-    """Given-up calls lengthen what a call is thought to need; that must never end all calls (stuck)."""
+    """Calls that time out lengthen what a call is expected to need. That must never end all calls: none would
+    show that the dependency has recovered."""
     assert len(calls_to_a_slow_dependency(takes=5000.0)["timeouts"]) >= 3
 
 
@@ -193,5 +196,5 @@
 
 
 def test_fewer_calls_at_once_go_to_an_overloaded_dependency() -> None:
-    """All servers kept as many calls out as their share allows: none of them ended before it was given up."""
+    """All runners kept as many calls in flight as their quota allows: none of them ended before its timeout."""
     assert share_of_calls_ended_by_an_overloaded_dependency() >= 0.45
--- a/tests/scheduling/test_invariants.py
+++ b/tests/scheduling/test_invariants.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import os
-import random
 import subprocess
 import sys
 from dataclasses import replace
@@ -12,14 +11,14 @@
 
 import pytest
 
-from moorusher.scheduling import Scheduler
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.interface import (
     Outcome,
     Tenant,
 )
 
-from ..helpers import KEYED, SAFE, only, opened, request, settings, started
+from ..helpers import KEYED, SAFE, only, opened, request, started
+from .generated_day import GeneratedDay
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -57,172 +56,24 @@
 ]
 
 
-def drive(seed: int, changes: dict[str, Any]) -> list[tuple[float, api.Action]]:
-    """Feed a random day to one instance and check every rule on the way."""
-    rng = random.Random(seed)
-    config = settings(**changes)
-    scheduler = Scheduler(config)
-    log: list[tuple[float, api.Action]] = [(0.0, action) for action in scheduler.open(0.0)]
-    now, next_id, drain_at, stop_at = 0.0, 1, 1e9, 1e9
-    requests: dict[int, tuple[api.Request, float, float]] = {}
-    owed: dict[int, float] = {}
-    ran: set[int] = set()
-    running: dict[int, float] = {}
-    standing: set[int] = set()
-    calling: dict[int, float] = {}
-    sharing: set[int] = set()
-    entries: dict[int, float] = {}
-    first: dict[int, int] = {}
-    timers: list[float] = []
-    later: list[api.Event] = []
-    slowness = 1.0
-    while now < 17_000.0:
-        now += (
-            rng.choice([2.0, 5.0, 5.0, 10.0, 30.0]) if rng.random() > 0.01 or now > stop_at - 400.0 else 300.0
-        )
-        if now > stop_at:
-            break
-        events, later = later, []
-        slowness = rng.choice([0.5, 1.0, 6.0]) if rng.random() < 0.01 else slowness
-        for request_id in [other for other, end in running.items() if end <= now]:
-            del running[request_id]
-            request_class = config.classes[requests[request_id][0].class_index]
-            if request_class.may_call and request_id in owed and rng.random() < 0.5:
-                standing.add(request_id)
-                events.append(api.CallNeeded(request_id))
-            else:
-                events.append(
-                    api.RunEnded(request_id, rng.choice([api.Outcome.OK] * 9 + [api.Outcome.ERROR]))
-                )
-                owed.pop(request_id, None)
-        for request_id in [other for other, end in calling.items() if end <= now]:
-            del calling[request_id]
-            outcome = rng.choice([api.Outcome.OK] * 3 + [api.Outcome.FULL, api.Outcome.TIMEOUT])
-            events.append(api.CallEnded(request_id, outcome, 40.0))
-            if outcome is api.Outcome.OK:
-                running[request_id] = now + 20.0
-            else:
-                standing.add(request_id)
-        for request_id in sorted(sharing):
-            if rng.random() < 0.1:
-                sharing.discard(request_id)
-                owed.pop(request_id, None)
-                events.append(api.RunEnded(request_id, api.Outcome.OK))
-        if any(due <= now for due in timers):
-            timers = [due for due in timers if due > now]
-            events.append(api.Timer(0, (rng.random(),)))
-        for _ in range(rng.choice([0, 0, 1, 1, 3]) if now < 12_000.0 else 0):
-            waited = rng.choice([0.0, 5.0, 400.0])
-            class_index, subject = rng.randrange(len(config.classes)), rng.randrange(40)
-            request_class = config.classes[class_index]
-            new_request = request(
-                next_id,
-                rng.randrange(2),
-                class_index,
-                waited_ms=waited,
-                caller=rng.randrange(3),
-                cost_hint_ms=rng.choice([None, 30.0]),
-                ttl_ms=rng.choice([None, 900.0]),
-            )
-            prior = first.get(subject)
-            if request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY:
-                if prior is not None and (prior in owed or entries.get(prior, 0.0) > now):
-                    new_request.repeat_of = prior
-                else:
-                    first[subject] = next_id
-            requests[next_id] = (new_request, now - waited, float(subject))
-            if new_request.ttl_ms:
-                owed[next_id] = now + new_request.ttl_ms
-            else:
-                owed[next_id] = max(now, now - waited + request_class.deadline_ms)
-            events.append(new_request)
-            next_id += 1
-        if drain_at == 1e9 and now > 9000.0 and seed % 2:
-            drain_at, stop_at = now, now + 4000.0
-            events.append(api.DrainNotice(4000.0))
-        actions = scheduler.step(now, events)
-        for action in actions:
-            log.append((now, action))
-            if isinstance(action, api.SetTimer):
-                timers.append(now + action.delay_ms)
-                continue
-            request_id = getattr(action, "id", 0)
-            if request_id and request_id not in requests:
-                raise AssertionError(f"names an unknown request: {action}")
-            request_class = config.classes[requests[request_id][0].class_index] if request_id else SAFE
-            if isinstance(action, api.Start):
-                assert (
-                    request_id in owed
-                    and request_id not in ran
-                    and requests[request_id][0].repeat_of not in ran
-                )
-                assert requests[request_id][1] <= drain_at + config.drain_grace_ms
-                ran.add(request_id)
-                running[request_id] = now + rng.expovariate(1 / 120.0) * slowness
-            elif isinstance(action, (api.Reject, api.Fail)):
-                assert owed.pop(request_id, None) is not None, f"second answer {action}"
-                if isinstance(action, api.Reject) and request_class.effect is not api.Effect.IDEMPOTENT:
-                    assert request_id not in ran and requests[request_id][0].repeat_of is None
-                sharing.discard(request_id)
-                if request_id in standing or request_id in calling:
-                    standing.discard(request_id)
-                    calling.pop(request_id, None)
-                    later.append(api.RunEnded(request_id, api.Outcome.CANCELLED))
-            elif isinstance(action, api.Stop):
-                assert config.preemption is not api.Preemption.OFF
-                assert request_id not in owed
-                running.pop(request_id, None)
-                later.append(api.RunEnded(request_id, api.Outcome.CANCELLED))
-            elif isinstance(action, api.Call):
-                assert request_id in standing
-                standing.discard(request_id)
-                calling[request_id] = now + rng.expovariate(1 / 60.0)
-            elif isinstance(action, api.SkipCall):
-                assert (
-                    request_id in standing or request_id in calling
-                ) and request_class.value_fraction_without_call > 0
-                standing.discard(request_id)
-                calling.pop(request_id, None)
-                running[request_id] = now + 20.0
-            elif isinstance(action, api.StoreKey):
-                entries[request_id] = now + action.ttl_ms
-                assert now + action.ttl_ms >= requests[request_id][1] + request_class.idempotency_window_ms
-            elif isinstance(action, api.DropKey):
-                entries.pop(request_id, None)
-            elif isinstance(action, api.ShareResult):
-                sharing.add(request_id)
-            elif isinstance(action, api.Signal):
-                assert config.signal is not api.SignalKind.OFF and action.value >= 0
-        late = [other for other, due in owed.items() if now > due + config.answer_slack_ms + 300.0]
-        assert not late
-        inside = len(running) + len(standing) + len(calling)
-        held = sum(requests[other][0].memory_kb for other in owed)
-        taken = held + 30.0 * inside + config.key_entry_kb * sum(1 for end in entries.values() if end > now)
-        assert taken <= config.memory_kb
-        assert len(running) <= config.cores * config.survivable_runs_per_core
-    if drain_at == 1e9:
-        assert not owed
-    else:
-        assert not owed, "unanswered at the stop"
-    return log
+def play_each_variant(seed: int) -> list[list[tuple[float, api.Action]]]:
+    return [GeneratedDay(seed, changes).play() for changes in VARIANTS]
 
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(6))
 def test_the_invariants_hold_over_generated_events(seed: int, variant: int) -> None:
-    assert len(drive(seed, VARIANTS[variant])) > 100
+    assert len(GeneratedDay(seed, VARIANTS[variant]).play()) > 100
 
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 def test_equal_events_give_equal_actions(variant: int) -> None:
-    assert drive(3, VARIANTS[variant]) == drive(3, VARIANTS[variant])
+    assert GeneratedDay(3, VARIANTS[variant]).play() == GeneratedDay(3, VARIANTS[variant]).play()
 
 
 def test_equal_events_give_equal_actions_in_processes_with_other_hash_seeds() -> None:
-    """The order of a set or a table of names must not reach the actions: each server is a process of its own."""
-    code = (
-        "from tests.scheduling.test_invariants import VARIANTS, drive; print([drive(3, v) for v in VARIANTS])"
-    )
+    """Each runner is a process with a hash seed of its own: the order of a set must not reach the actions."""
+    code = "from tests.scheduling import test_invariants; print(test_invariants.play_each_variant(3))"
     seen = {
         subprocess.run(
             [sys.executable, "-c", code],
@@ -269,7 +120,7 @@
     ],
 )
 def test_bare_settings_and_unknown_callers_leave_nothing_unanswered(changes: dict[str, Any]) -> None:
-    """Absent gauges, tenants or callers never seen, thousands of them: every request gets its one answer."""
+    """Gauges are absent, tenants or callers unknown and thousands: every request gets its one answer."""
     scheduler = opened(**changes)
     owed: dict[int, float] = {}
     ends: list[api.Event] = []
@@ -314,7 +165,8 @@
 @pytest.mark.parametrize("ttl", [None, 0.0, -1.0, NAN, 900.0])
 @pytest.mark.parametrize("passes", [False, True])
 def test_bad_hints_and_waits_leave_nothing_unanswered(hint: float, ttl: float | None, passes: bool) -> None:
-    """A hint of no number went into the tags as it was; a wait of no number made every comparison false."""
+    """A cost hint that was no number went into the start tags, and a stated wait that was none made every
+    comparison false: requests were never answered."""
     scheduler = opened(propagates_deadline=passes, max_retry_after_ms=1000.0)
     owed = set(range(1, 41))
     ends: list[api.Event] = []
--- a/tests/scheduling/test_load_shedding.py
+++ b/tests/scheduling/test_load_shedding.py
@@ -11,7 +11,7 @@
 
 
 def test_a_rejection_is_final_and_the_queue_is_short() -> None:
-    """What is held long and then refused comes back looking fresh and is late already (retry loop)."""
+    """What was queued for long and then rejected came back like a first attempt, late already: a retry loop."""
     scheduler = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
     actions = scheduler.step(0.0, [request(i) for i in range(1, 30)])
     refused = only(actions, api.Reject)
@@ -20,7 +20,7 @@
 
 
 def test_a_rejected_first_attempt_may_be_retried_elsewhere_while_marked_retries_are_few() -> None:
-    """In a large fleet others have room; once a fifth of what arrives are retries it is a retry storm."""
+    """In a large fleet others have capacity; once a fifth of the arrivals are retries, it is a retry storm."""
 
     def refusals(retry: bool, marked: bool) -> set[bool]:
         scheduler = opened(cores=1, tenants=(Tenant(1.0),), retries_marked=marked)
@@ -34,7 +34,7 @@
 
 
 def test_a_rejection_carries_a_short_retry_after() -> None:
-    """A client that stays away as long as allowed comes back past its aim; one slot time is enough."""
+    """A client that paused for as long as allowed came back past its objective; one slot time is enough."""
     scheduler = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
     scheduler.step(0.0, [request(1)])
     refused = only(scheduler.step(300.0, [*done(1), *[request(i) for i in range(2, 40)]]), api.Reject)
--- a/tests/scheduling/test_priority.py
+++ b/tests/scheduling/test_priority.py
@@ -15,7 +15,7 @@
 
 
 def test_slots_are_reserved_for_the_class_of_higher_priority_weight() -> None:
-    """Free slots went to whatever came first, and the class that holds most of the worth lost like the rest."""
+    """In overload, free slots went to whatever came first, and the class of most value lost like the rest."""
     scheduler = opened(cores=2, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
     ran = {0: 0, 1: 0}
     offered = {0: 0, 1: 0}
@@ -40,7 +40,7 @@
 
 
 def test_a_free_slot_is_reserved_for_nobody() -> None:
-    """Runners below turned calls away with most of their slots free, for a class that did not come."""
+    """Runners of the lower tier rejected calls with most of their slots free, for a class that did not come."""
     scheduler = opened(cores=3, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
     scheduler.step(0.0, [request(1)])
     scheduler.state.service_time.classes[0].credit_ms = -1.0
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("again", [False, True])
 def test_a_tenant_within_its_quota_is_served_beside_one_that_floods(again: bool) -> None:
-    """One tenant sent three times its share: the others' further tries met a full server and were turned away."""
+    """One tenant sent three times its quota: the others' retries met a full runner and were rejected."""
     seen = flood(again=again)
     modest = [who for who in seen["asked"] if who[0] == MODEST]
     assert len([who for who in seen["refused"] if who[0] == MODEST]) <= 0.1 * len(modest)
@@ -74,7 +74,7 @@
 
 
 def test_no_caller_gets_a_retry_after_for_a_tenant_over_its_quota() -> None:
-    """A caller carries all tenants: told to stay away for one, it sent nothing of the others either."""
+    """A caller carries all tenants: with a Retry-After for one, it sent nothing of the others either."""
     seen = flood()
     assert len(seen["advice"][GREEDY]) > 50
     assert set(seen["advice"][GREEDY]) == {0.0}
@@ -86,7 +86,7 @@
 
 
 def test_of_a_tenant_over_its_quota_no_class_is_starved_by_a_more_patient_one() -> None:
-    """The hold filled with what could wait for long; what had to run at once found no place for the whole day."""
+    """The queue filled with what could wait for long; what had to run at once was rejected for the whole day."""
     ran = [class_index for tenant, class_index in flood(each=2)["ran"] if tenant == GREEDY]
     quick, patient = ran.count(0), ran.count(1)
     assert quick >= 0.7 * patient > 10
--- a/tests/scheduling/test_service_time.py
+++ b/tests/scheduling/test_service_time.py
@@ -11,7 +11,7 @@
 
 
 def test_an_early_error_changes_no_estimate_of_cost() -> None:
-    """A server whose runs failed at once believed that it had become fast, and took more."""
+    """A runner whose runs failed at once took itself for faster than before, and admitted more."""
     scheduler = opened()
     scheduler.step(0.0, [request(1)])
     scheduler.step(300.0, done(1))
@@ -26,8 +26,8 @@
 
 
 def test_long_runs_in_an_outage_do_not_stop_admission_for_good() -> None:
-    """Runs that stood at calls for seconds lifted the expected run over every aim: nothing was begun any more,
-    so nothing told that it was over (i194c80: 9% served to the end of the record)."""
+    """Runs that waited at calls for seconds lifted the expected run over every objective. Nothing was started any
+    more, so that nothing showed that the outage was over (incident i194c80: 9% served to the end of it)."""
     scheduler = opened()
     now = 0.0
     for i in range(1, 40):
--- a/tests/scheduling/test_signals.py
+++ b/tests/scheduling/test_signals.py
@@ -23,7 +23,7 @@
 
 
 def busy_since(took: float, held: dict[int, int], **changes: Any) -> tuple[Scheduler, list[float]]:
-    """One run that took so long, then as many requests of each caller; what callers are told then."""
+    """One run that took so long, then as many requests of each caller; the signals that follow."""
     scheduler = opened(
         cores=2,
         callers=3,
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("callers, closes", [(5, False), (900, True)])
 def test_idle_connections_close_at_once_only_with_a_surplus_of_callers(callers: int, closes: bool) -> None:
-    """Hundreds of callers filled the table with connections that none used again: it took a third of the cores."""
+    """Hundreds of callers left connections open that none used again: they took a third of the cores."""
     scheduler = opened(callers=callers, max_idle_connection_ms=30_000.0)
     kept = [30_000.0]
     for i in range(1, 100):
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -42,7 +42,7 @@
 PROOFS = {Evidence.NOT_SENT, Evidence.NOT_CONNECTED, Evidence.REJECTED, Evidence.NOT_AWAITED}
 WITHOUT_PROOF = {
     Effect.IDEMPOTENT: RetryDecision.ALLOWED,
-    Effect.IDEMPOTENT_WITH_KEY: RetryDecision.ASK_KEY_OWNER,
+    Effect.IDEMPOTENT_WITH_KEY: RetryDecision.CHECK_KEY_OWNER,
     Effect.NOT_IDEMPOTENT: RetryDecision.FORBIDDEN,
 }
 
