--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -83,7 +83,7 @@
         if job.state is not JobState.RUNNING:
             return
         now = self._state.now
-        self._lifecycle.suspend(job, JobState.AWAITING_CALL)
+        self._lifecycle.suspend(job)
         job.call_attempts = 0
         job.call_wanted_at = now
         job.next_call_at = now
--- a/moorusher/scheduling/lifecycle.py
+++ b/moorusher/scheduling/lifecycle.py
@@ -31,10 +31,10 @@
         state.concurrency.acquire_core(job, slot, state.now)
         state.actions.append(Start(job.id))
 
-    def suspend(self, job: Job, new_state: JobState) -> None:
+    def suspend(self, job: Job) -> None:
         """A running job needs a downstream call and waits for it off the cores."""
         self._charge_and_release_core(job)
-        job.state = new_state
+        job.state = JobState.AWAITING_CALL
 
     def resume(self, job: Job) -> None:
         """A job returns to the cores, in the lowest free slot or in none."""
--- a/tests/scheduling/generated_day.py
+++ b/tests/scheduling/generated_day.py
@@ -176,7 +176,8 @@
         if isinstance(action, api.SetTimer):
             self.timers.append(self.now + action.delay_ms)
         elif isinstance(action, api.Signal):
-            assert self.settings.signal is not api.SignalKind.OFF and action.value >= 0
+            assert self.settings.signal is not api.SignalKind.OFF
+            assert action.value >= 0
         elif request_id := getattr(action, "id", 0):
             if request_id not in self.requests:
                 raise AssertionError(f"names an unknown request: {action}")
@@ -212,7 +213,8 @@
 
     def _start(self, request_id: int) -> None:
         assert request_id in self.owed
-        assert request_id not in self.ran and self._repeat_of(request_id) not in self.ran
+        assert request_id not in self.ran
+        assert self._repeat_of(request_id) not in self.ran
         assert self._sent_at(request_id) <= self.drain_at + self.settings.drain_grace_ms
         self.ran.add(request_id)
         self.running[request_id] = self.now + self.rng.expovariate(1 / 120.0) * self.slowness
@@ -220,7 +222,8 @@
     def _answer(self, request_id: int, action: api.Reject | api.Fail) -> None:
         assert self.owed.pop(request_id, None) is not None, f"second answer {action}"
         if isinstance(action, api.Reject) and self._class_of(request_id).effect is not api.Effect.IDEMPOTENT:
-            assert request_id not in self.ran and self._repeat_of(request_id) is None
+            assert request_id not in self.ran
+            assert self._repeat_of(request_id) is None
         self.sharing.discard(request_id)
         if request_id in self.at_call or request_id in self.calling:
             self._leave_call(request_id)
--- a/tests/scheduling/test_downstream_calls.py
+++ b/tests/scheduling/test_downstream_calls.py
@@ -72,7 +72,7 @@
     assert only(scheduler.step(400.0, [api.Timer(0, (0.5,))]), api.SkipCall) == [api.SkipCall(2)]
 
 
-@pytest.mark.parametrize("without, left_out", [(0.5, True), (0.0, False)])
+@pytest.mark.parametrize(("without", "left_out"), [(0.5, True), (0.0, False)])
 def test_a_call_that_takes_too_long_is_skipped_while_the_rest_can_still_be_in_time(
     without: float, left_out: bool
 ) -> None:
--- a/tests/scheduling/test_fair_queue.py
+++ b/tests/scheduling/test_fair_queue.py
@@ -56,7 +56,7 @@
     """The paper's example: two slots, sizes 1 and 4; the dear tenants never hold both slots together."""
     scheduler = opened(cores=2, tenants=tuple(Tenant(1.0) for _ in range(4)), classes=(PATIENT,))
     size = {0: 40.0, 1: 40.0, 2: 160.0, 3: 160.0}
-    next_id, ends, now, both, runs = 100, {}, 0.0, 0.0, {tenant: 0 for tenant in size}
+    next_id, ends, now, both, runs = 100, {}, 0.0, 0.0, dict.fromkeys(size, 0)
     owner: dict[int, int] = {}
     batch = []
     for tenant in size:
--- a/tests/scheduling/test_idempotency.py
+++ b/tests/scheduling/test_idempotency.py
@@ -10,7 +10,9 @@
 def test_a_repeat_shares_the_result_of_the_attempt_that_ran() -> None:
     scheduler = opened()
     actions = scheduler.step(0.0, [request(1, class_index=1)])
-    assert only(actions, api.StoreKey) and started(actions) == [1]
+    assert only(actions, api.StoreKey)
+    assert started(actions) == [1]
     scheduler.step(100.0, done(1))
     actions = scheduler.step(200.0, [request(2, class_index=1, repeat_of=1)])
-    assert only(actions, api.ShareResult) == [api.ShareResult(2)] and started(actions) == []
+    assert only(actions, api.ShareResult) == [api.ShareResult(2)]
+    assert started(actions) == []
--- a/tests/scheduling/test_invariants.py
+++ b/tests/scheduling/test_invariants.py
@@ -149,7 +149,8 @@
             if isinstance(event, api.RunEnded):
                 del owed[event.id]
         assert all(due >= now - 60.0 for due in owed.values())
-    assert request_id > 400 and owed == {}
+    assert request_id > 400
+    assert owed == {}
     assert len(scheduler.state.queue.tenants) <= len(scheduler.state.settings.tenants) + 50
 
 
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -82,7 +82,8 @@
 
 def test_where_all_traffic_counts_alike_nobody_is_over_a_quota() -> None:
     advised = flood(worth=1.0)["advice"][GREEDY]
-    assert len(advised) > 50 and min(advised) > 0.0
+    assert len(advised) > 50
+    assert min(advised) > 0.0
 
 
 def test_of_a_tenant_over_its_quota_no_class_is_starved_by_a_more_patient_one() -> None:
--- a/tests/scheduling/test_signals.py
+++ b/tests/scheduling/test_signals.py
@@ -69,7 +69,7 @@
     )  # nothing more is allowed from here
 
 
-@pytest.mark.parametrize("callers, closes", [(5, False), (900, True)])
+@pytest.mark.parametrize(("callers", "closes"), [(5, False), (900, True)])
 def test_idle_connections_close_at_once_only_with_a_surplus_of_callers(callers: int, closes: bool) -> None:
     """Hundreds of callers left connections open that none used again: they took a third of the cores."""
     scheduler = opened(callers=callers, max_idle_connection_ms=30_000.0)
