--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -20,7 +20,7 @@
 from ..backends.http_client import HttpClient
 from ..config.section import parse_address
 from ..core.clock import MS, Alarm
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..leadership.effects import NO_RESPONSE, ReceiverResponse, ResponseCallback
 from ..leadership.fencing_token import FencingToken, TokenVerdict
 from ..leadership.lease_record import Intent
@@ -131,7 +131,7 @@
         if callback is not None:
             self._timeout.cancel()
             self._receivers.open_exchanges -= 1
-            self._receivers.core.touch()
+            self._receivers.core.begin_turn()
             callback(response)
 
 
@@ -141,7 +141,7 @@
     open_exchanges: int.
     """
 
-    def __init__(self, reactor: Any, core: Decider) -> None:
+    def __init__(self, reactor: Any, core: RequestEngine) -> None:
         self.core = core
         self.open_exchanges = 0
         self._reactor = reactor
