--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from moorusher.scheduling import interface as api
-from moorusher.scheduling.balancer import Balancer
+from moorusher.scheduling.scheduler import Scheduler
 
 from .action_executor import ActionExecutor
 from .answer import Answer, Cause, Reply, Verdict
@@ -57,7 +57,7 @@
         kernel: KernelTransport,
         calls: CallTransport,
         soon: Callable[[Callable[[], None]], None],
-        make_scheduler: Callable[[api.Settings], Balancer] = Balancer,
+        make_scheduler: Callable[[api.Settings], Scheduler] = Scheduler,
         memory_mb: float = 192.0,
     ) -> None:
         """`soon` has the event loop call a function once, after what else is ready now has been read; `memory_mb` is
