--- a/moorusher/admin/maintenance.py
+++ b/moorusher/admin/maintenance.py
@@ -1,6 +1,13 @@
-"""GET /outage: who is out, who waits and why. POST /outage/ask, /outage/cancel, /outage/hold, /outage/resume and
-/outage/done with a JSON object change it; POST /outage/wait answers once a machine may be worked on, or will not be, or
-after `for_s`.
+"""The administration API of maintenance.
+
+    GET  /outage                    who is out of service, who waits and why
+    POST /outage/ask                adds a request
+    POST /outage/cancel             withdraws it, or seats of it
+    POST /outage/hold, /resume      grants no slots until resumed; /resume also queues a suspended seat again
+    POST /outage/done               states that the work on a machine is over
+    POST /outage/wait               answers once a machine may be worked on, or will not be, or after `for_s`
+
+The body of a POST is a JSON object.
 """
 
 from __future__ import annotations
@@ -9,12 +16,28 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..cluster_transport.maintenance import MOST_ID, MOST_TEXT, MOST_WAIT_S, OutageLink
+from ..cluster_transport.maintenance import (
+    MAX_WAIT_S,
+    MaintenanceLink,
+    MaintenanceStatus,
+    RequestForm,
+    SeatSelection,
+)
+from ..maintenance.errors import OutageError
+from ..maintenance.schedule import CompletionProof
+from ..maintenance.waiters import WaitResult
 from .api import BadBody, Guarded, later, reply
-
-MOST_S = 30 * 86_400.0
-MOST_PRIORITY = 9
-ASKED = {
+from .maintenance_documents import status_document
+
+MAX_ID_CHARS = 64
+MAX_NAME_CHARS = 64
+MAX_TEXT_CHARS = 200
+MAX_DURATION_S = 30 * 86_400.0
+MIN_DURATION_S = 0.1
+MAX_UNIX_S = 1e12
+MAX_PRIORITY = 9
+REQUEST_ID_BYTES = 8  # of an id that is made here
+REQUEST_KEYS = {
     "id",
     "seats",
     "all",
@@ -32,133 +55,163 @@
 }
 
 
-class _Sent:
-    """The object that came; its errors name the key."""
+class _Body:
+    """The JSON object of a request. Its errors, BadBody, name the key."""
 
-    def __init__(self, sent: dict[str, Any], known: set[str]) -> None:
-        if odd := sorted(set(sent) - known):
-            raise BadBody(f"{odd[0]}: no such key; known are {', '.join(sorted(known))}")
-        self.sent = sent
+    def __init__(self, sent: dict[str, Any], known_keys: set[str]) -> None:
+        unknown = sorted(set(sent) - known_keys)
+        if unknown:
+            raise BadBody(f"{unknown[0]}: no such key; known are {', '.join(sorted(known_keys))}")
+        self._sent = sent
 
-    def text(self, name: str, default: str | None = None, most: int = MOST_TEXT) -> str:
-        value = self.sent.get(name, default)
-        if not isinstance(value, str) or len(value) > most or (default is None and not value):
-            raise BadBody(
-                f"{name}: expected a string of {0 if default is not None else 1} to {most} characters"
-            )
+    def text(self, key: str, default: str | None = None, max_chars: int = MAX_TEXT_CHARS) -> str:
+        """Return a string. Without a default it must not be empty."""
+        value = self._sent.get(key, default)
+        min_chars = 1 if default is None else 0
+        if not isinstance(value, str) or not min_chars <= len(value) <= max_chars:
+            raise BadBody(f"{key}: expected a string of {min_chars} to {max_chars} characters")
         return value
 
-    def number(self, name: str, default: float, least: float, most: float) -> float:
-        value = self.sent.get(name, default)
+    def number(self, key: str, default: float, least: float, most: float) -> float:
+        """Return a number within the bounds."""
+        value = self._sent.get(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
-            raise BadBody(f"{name}: expected a number from {least:g} to {most:g}")
+            raise BadBody(f"{key}: expected a number from {least:g} to {most:g}")
         return float(value)
 
-    def yes(self, name: str) -> bool:
-        value = self.sent.get(name, False)
+    def flag(self, key: str) -> bool:
+        """Return true or false; false by default."""
+        value = self._sent.get(key, False)
         if not isinstance(value, bool):
-            raise BadBody(f"{name}: expected true or false")
+            raise BadBody(f"{key}: expected true or false")
         return value
 
-    def names(self, name: str) -> list[str]:
-        value = self.sent.get(name, [])
-        if not isinstance(value, list) or not all(isinstance(v, str) and 0 < len(v) <= 64 for v in value):
-            raise BadBody(f"{name}: expected a list of names")
+    def names(self, key: str) -> list[str]:
+        """Return a list of names; empty by default."""
+        value = self._sent.get(key, [])
+        if not isinstance(value, list) or not all(_is_name(name) for name in value):
+            raise BadBody(f"{key}: expected a list of names")
         return value
 
 
-def read_ask(sent: dict[str, Any]) -> dict[str, Any]:
-    """Raises BadBody."""
-    s = _Sent(sent, ASKED)
-    ends = s.text("ends", "boot")
-    if ends not in ("boot", "done"):
+def _is_name(value: object) -> bool:
+    return isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARS
+
+
+def read_request_form(sent: dict[str, Any]) -> RequestForm:
+    """Read the body of POST /outage/ask. Raises BadBody."""
+    body = _Body(sent, REQUEST_KEYS)
+    ends = body.text("ends", CompletionProof.REBOOT.api_name)
+    if ends not in (proof.api_name for proof in CompletionProof):
         raise BadBody(f"ends: expected one of boot, done, got {ends!r}")
-    return {
-        "id": s.text("id", os.urandom(8).hex(), MOST_ID),
-        "reason": s.text("reason", "maintenance"),
-        "by": s.text("by", "api", 64),
-        "lasts_s": s.number("lasts_s", 600.0, 0.1, MOST_S),
-        "not_before_s": s.number("not_before_s", 0.0, 0, 1e12),
-        "due_s": s.number("due_s", 0.0, 0, 1e12),
-        "priority": int(s.number("priority", 0, 0, MOST_PRIORITY)),
-        "together": s.yes("together"),
-        "ends": ends,
-        "bound": s.yes("bound"),
-        "all": s.yes("all"),
-        "zone": s.text("zone", "", 64),
-        "group": s.text("group", "", 64),
-        "seats": s.names("seats"),
-    }
+    return RequestForm(
+        id=body.text("id", os.urandom(REQUEST_ID_BYTES).hex(), MAX_ID_CHARS),
+        reason=body.text("reason", "maintenance"),
+        requested_by=body.text("by", "api", MAX_NAME_CHARS),
+        duration_s=body.number("lasts_s", 600.0, MIN_DURATION_S, MAX_DURATION_S),
+        not_before_s=body.number("not_before_s", 0.0, 0, MAX_UNIX_S),
+        due_at_s=body.number("due_s", 0.0, 0, MAX_UNIX_S),
+        priority=int(body.number("priority", 0, 0, MAX_PRIORITY)),
+        shares_zone=body.flag("together"),
+        completion=CompletionProof.of_api_name(ends),
+        ends_with_caller=body.flag("bound"),
+        selection=SeatSelection(
+            every=body.flag("all"),
+            zone=body.text("zone", "", MAX_NAME_CHARS),
+            group=body.text("group", "", MAX_NAME_CHARS),
+            names=tuple(body.names("seats")),
+        ),
+    )
 
 
 class OutagePages(Guarded):
-    """`/outage`: asks of machines, and an operator's words on them."""
+    """`/outage`: requests for maintenance, and an operator's statements about them."""
 
-    def __init__(self, token: str, outage: OutageLink) -> None:
+    def __init__(self, token: str, maintenance: MaintenanceLink) -> None:
         super().__init__(token)
-        self._outage = outage
-        self._does: dict[str, Callable[[dict[str, Any], Any], Any]] = {
-            "ask": self._ask,
-            "cancel": self._cancel,
-            "hold": self._hold,
+        self._maintenance = maintenance
+        self._handlers: dict[str, Callable[[dict[str, Any], Any], Any]] = {
+            "ask": self._submit,
+            "cancel": self._withdraw,
+            "hold": self._pause,
             "resume": self._resume,
-            "done": self._done,
+            "done": self._finish,
             "wait": self._wait,
         }
 
     def render_GET(self, request: Any) -> Any:
-        if [p for p in request.postpath if p]:
+        """Show the schedule."""
+        if any(request.postpath):
             return reply(request, 404, {"error": "no such page"})
-        return later(request, self._outage.show)
+        return later(request, lambda answer: self._maintenance.show(_as_document(answer)))
 
     def render_POST(self, request: Any) -> Any:
+        """Make a change, or wait. Needs the bearer token."""
         if not self.allowed(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
-        path = [p.decode("utf-8", "replace") for p in request.postpath if p]
-        does = self._does.get(path[0]) if len(path) == 1 else None
-        if does is None:
-            return reply(request, 404, {"error": f"expected one of {', '.join(sorted(self._does))}"})
+        path = [part.decode("utf-8", "replace") for part in request.postpath if part]
+        handler = self._handlers.get(path[0]) if len(path) == 1 else None
+        if handler is None:
+            return reply(request, 404, {"error": f"expected one of {', '.join(sorted(self._handlers))}"})
         try:
-            return does(self.body(request), request)
+            return handler(self.body(request), request)
         except BadBody as exc:
             return reply(request, 400, {"error": str(exc)})
 
-    def _ask(self, sent: dict[str, Any], request: Any) -> Any:
-        asked = read_ask(sent)
-        return later(request, lambda then: self._outage.ask(asked, then))
-
-    def _cancel(self, sent: dict[str, Any], request: Any) -> Any:
-        s = _Sent(sent, {"id", "seats", "by"})
-        id, seats, by = s.text("id", most=MOST_ID), s.names("seats"), s.text("by", "api", 64)
-        return later(request, lambda then: self._outage.cancel(id, seats, by, then))
-
-    def _hold(self, sent: dict[str, Any], request: Any) -> Any:
-        why = _Sent(sent, {"why"}).text("why", "held by an operator") or "held by an operator"
-        return later(request, lambda then: self._outage.hold(why, then))
+    def _submit(self, sent: dict[str, Any], request: Any) -> Any:
+        form = read_request_form(sent)
+        return later(request, lambda answer: self._maintenance.submit(form, _as_document(answer)))
+
+    def _withdraw(self, sent: dict[str, Any], request: Any) -> Any:
+        body = _Body(sent, {"id", "seats", "by"})
+        request_id = body.text("id", max_chars=MAX_ID_CHARS)
+        seats = body.names("seats")
+        requested_by = body.text("by", "api", MAX_NAME_CHARS)
+        return later(
+            request,
+            lambda answer: self._maintenance.withdraw(request_id, seats, requested_by, _as_document(answer)),
+        )
+
+    def _pause(self, sent: dict[str, Any], request: Any) -> Any:
+        default = "held by an operator"
+        reason = _Body(sent, {"why"}).text("why", default) or default
+        return later(request, lambda answer: self._maintenance.pause(reason, _as_document(answer)))
 
     def _resume(self, sent: dict[str, Any], request: Any) -> Any:
-        seat = _Sent(sent, {"seat"}).text("seat", "", 64)
-        return later(request, lambda then: self._outage.resume(seat, then))
+        seat = _Body(sent, {"seat"}).text("seat", "", MAX_NAME_CHARS)
+        return later(request, lambda answer: self._maintenance.resume(seat, _as_document(answer)))
 
-    def _done(self, sent: dict[str, Any], request: Any) -> Any:
-        s = _Sent(sent, {"seat", "by"})
-        seat, by = s.text("seat", most=64), s.text("by", "api", 64)
-        return later(request, lambda then: self._outage.over(seat, by, then))
+    def _finish(self, sent: dict[str, Any], request: Any) -> Any:
+        body = _Body(sent, {"seat", "by"})
+        seat = body.text("seat", max_chars=MAX_NAME_CHARS)
+        stated_by = body.text("by", "api", MAX_NAME_CHARS)
+        return later(request, lambda answer: self._maintenance.finish(seat, stated_by, _as_document(answer)))
 
     def _wait(self, sent: dict[str, Any], request: Any) -> Any:
-        s = _Sent(sent, {"id", "seat", "for_s"})
-        id, seat = s.text("id", most=MOST_ID), s.text("seat", "", 64)
-        for_s = s.number("for_s", MOST_WAIT_S, 0, MOST_WAIT_S)
+        body = _Body(sent, {"id", "seat", "for_s"})
+        request_id = body.text("id", max_chars=MAX_ID_CHARS)
+        seat = body.text("seat", "", MAX_NAME_CHARS) or self._maintenance.fleet.name
+        timeout_s = body.number("for_s", MAX_WAIT_S, 0, MAX_WAIT_S)
+
+        def wait(answer: Callable[[Any], None]) -> None:
+            is_answered = False
+
+            def answered(result: WaitResult) -> None:
+                nonlocal is_answered
+                is_answered = True
+                answer({"id": request_id, "seat": seat, "word": result.status.value, "note": result.note})
+
+            cancel = self._maintenance.wait(request_id, seat, timeout_s, answered)
+            if not is_answered:
+                request.notifyFinish().addErrback(lambda reason: cancel())
+
+        return later(request, wait)
 
-        def ask(then: Callable[[Any], None]) -> None:
-            answered: list[bool] = []
 
-            def told(got: Any) -> None:
-                answered.append(True)
-                then(got)
+def _as_document(answer: Callable[[Any], None]) -> Callable[[MaintenanceStatus | OutageError], None]:
+    """Return a callback that answers with the document of a status, or with an error as it is."""
 
-            left = self._outage.wait(id, seat, for_s, told)
-            if not answered:
-                request.notifyFinish().addErrback(lambda reason: left())
+    def callback(result: MaintenanceStatus | OutageError) -> None:
+        answer(result if isinstance(result, OutageError) else status_document(result))
 
-        return later(request, ask)
+    return callback
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -1,43 +1,47 @@
-"""Outages of machines, carried out: the roster's disk, this runner's own state, what operators ask and are told."""
+"""Connects the maintenance of the fleet to this process: its journal, its own state, and operators."""
 
 from __future__ import annotations
 
 import logging
 import time
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import xxhash
 
-from ..core.clock import MS
 from ..core.request_engine import Decider
 from ..health.states import Standing
-from ..maintenance.coordinator import OutageCoordinator, Waited
+from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
-from ..maintenance.load_report import Gauge
-from ..maintenance.local_machine import Doing, Own
-from ..maintenance.next_step import foretold
+from ..maintenance.load_report import LoadGauge
+from ..maintenance.local_machine import MachineMode, MachineState
+from ..maintenance.next_step import NextStep
 from ..maintenance.policy import Policy
-from ..maintenance.schedule import Ask, Ends, How, Roster, Stage, Turn
+from ..maintenance.schedule import CompletionProof, MaintenanceRequest, Schedule
+from ..maintenance.start_estimate import estimate_starts
+from ..maintenance.waiters import WaitCallback
 from ..replication.journal import JournalImage
 from ..replication.register_space import SHARED
 from ..server.health_report import Reporter
-from .replication import FleetLink
+
+if TYPE_CHECKING:
+    from .replication import FleetLink
 
 log = logging.getLogger("moorusher")
 
-OURS = "outage: "
-WARM = (Standing.SERVING, Standing.CROWDED)
-MOST_WAIT_S = 30.0  # of one question; who waits asks again
-MOST_ID, MOST_TEXT = 64, 200
-Told = Callable[[dict[str, Any] | OutageError], None]
+REASON_PREFIX = "outage: "  # of maintenance that is set here, and not by an operator
+WARM_STATES = (Standing.SERVING, Standing.CROWDED)
+MAX_WAIT_S = 30.0  # of one question; a caller asks again
+MAX_BOOT_ID_CHARS = 64
+SECOND_US = 1e6
 
 
-def mark_of(path: str) -> str:
-    """What tells this start of the machine from others; "" where it can't be read: then no start proves anything."""
+def read_boot_id(path: str) -> str:
+    """Return what tells this boot of the machine from others; empty if it can't be read: then none proves anything."""
     try:
-        return Path(path).read_text().strip()[:64]
+        return Path(path).read_text().strip()[:MAX_BOOT_ID_CHARS]
     except OSError as exc:
         log.error(
             "outage.machine_id: %s: a machine that was out counts as back by an operator's word alone", exc
@@ -45,242 +49,271 @@
         return ""
 
 
-class OutageLink:
-    """`outage.coordinator.Host`, and what the administration API asks."""
+@dataclass(frozen=True, slots=True)
+class SeatSelection:
+    """The machines that a request is for: every one, those of a zone or group, or those named; this one by default."""
+
+    every: bool = False
+    zone: str = ""
+    group: str = ""
+    names: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class RequestForm:
+    """A request as an operator makes it; see `MaintenanceRequest`.
+
+    selection: the machines.
+    ends_with_caller: bool, it is withdrawn when the caller who waits on this machine is gone.
+    """
+
+    id: str
+    reason: str
+    requested_by: str
+    duration_s: float
+    not_before_s: float
+    due_at_s: float
+    priority: int
+    shares_zone: bool
+    completion: CompletionProof
+    selection: SeatSelection
+    ends_with_caller: bool
+
+
+@dataclass(frozen=True, slots=True)
+class MaintenanceStatus:
+    """A schedule as this runner sees it.
+
+    seat: str, of this runner.
+    schedule: Schedule.
+    is_current: bool, a majority says so now.
+    age_us: int since it was read; None if it never was.
+    policy: this runner's settings.
+    step: the next step, with the reason of each machine that waits.
+    starts_in_s: estimates by request id and seat.
+    alive_seats: set of seats.
+    now_s: Unix time.
+    """
+
+    seat: str
+    schedule: Schedule
+    is_current: bool
+    age_us: int | None
+    policy: Policy
+    step: NextStep
+    starts_in_s: dict[tuple[str, str], float]
+    alive_seats: frozenset[str]
+    now_s: float
+
+
+StatusCallback = Callable[[MaintenanceStatus | OutageError], None]
+
+
+class MaintenanceLink:
+    """The process of a coordinator (`machine_controller.MachineHost`), and the operators' way to it.
+
+    fleet: this runner's link to the fleet.
+    policy: settings.
+    reporter: of this runner's health.
+    boot_id: str, of the machine.
+    is_out: bool, nothing new is taken, and what has not begun goes to others.
+    coordinator: the member's part.
+    """
 
     def __init__(self, fleet: FleetLink, policy: Policy, reporter: Reporter) -> None:
-        self.fleet, self.policy, self.reporter = fleet, policy, reporter
+        self.fleet = fleet
+        self.policy = policy
+        self.reporter = reporter
         self.core: Decider = fleet.core
-        self.mark = mark_of(policy.machine_id)
-        self.away = False  # nothing new is taken, what is held goes to others
-        self._since = 0
-        self._digested: Any = None
-        self._settings = ""
-        self._image: JournalImage | None = None
-        self._gauge = Gauge(self.core.settings.cores, round(policy.peak_s * 1e6))
-        found = fleet.journal_of("outage")
-        if found is not None:
-            self._image = found.image
-        self.coordinator = OutageCoordinator(fleet.node, self, policy)
-        if found is not None:
-            self.coordinator.keeper.journaled = fleet.node.is_durable = True
-            fleet.write_to(found, SHARED, self.coordinator.keeper)
+        self.boot_id = read_boot_id(policy.machine_id)
+        self.is_out = False
+        self._out_since_us = 0
+        self._digested_settings: Any = None
+        self._digest = ""
+        self._journal_image: JournalImage | None = None
+        self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_s * SECOND_US))
+        journal = fleet.journal_of("outage")
+        if journal is not None:
+            self._journal_image = journal.image
+        self.coordinator = MaintenanceCoordinator(fleet.node, self, policy)
+        if journal is not None:
+            acceptor = self.coordinator.replica.acceptor
+            acceptor.journaled = True
+            fleet.node.is_durable = True
+            fleet.write_to(journal, SHARED, acceptor)
         fleet.outage = self
 
     def start(self) -> None:
-        """Before the fleet's own start, which asks others for what is not here."""
-        if self._image is not None:
-            self.coordinator.keeper.restore(self.core.clock.now, self._image)
-            self._image = None
+        """Restore the journal. Called before the fleet's own start, which asks others for what is missing."""
+        if self._journal_image is not None:
+            self.coordinator.replica.acceptor.restore(self.core.clock.now, self._journal_image)
+            self._journal_image = None
         self.coordinator.start()
 
-    def follow(self, policy: Policy) -> None:
-        """Other bounds: at once, for what is granted from now on."""
+    def reconfigure(self, policy: Policy) -> None:
+        """Follow other settings, for what is granted from now on."""
         self.policy = policy
-        self.coordinator.follow(policy)
+        self.coordinator.reconfigure(policy)
 
-    def look(self) -> None:
-        """What is told to the others of this runner."""
-        now, cores = self.core.clock.now, self.core.settings.cores
-        self._gauge.cores = cores
-        load, peak = self._gauge.sample(now, self.core.runs.on_cores)
-        self.fleet.node.load_figures = self.reporter.report().weight, load, peak
+    def report_load(self) -> None:
+        """Update what the other members are told of this one. Called periodically."""
+        self._gauge.cores = self.core.settings.cores
+        load, peak_load = self._gauge.sample(self.core.clock.now, self.core.runs.on_cores)
+        self.fleet.node.load_figures = self.reporter.report().weight, load, peak_load
 
-    # ---- for the desk ----
+    # ---- the coordinator's host ----
 
     def unix_s(self) -> float:
+        """Return the Unix time."""
         return time.time()
 
-    def own(self) -> Own:
-        made = self.reporter.report()
+    def machine_state(self) -> MachineState:
+        """Return the state of this process, without what the coordinator knows itself."""
+        report = self.reporter.report()
         spaces = self.fleet.node.spaces.values()
-        return Own(
-            "",
-            0,
-            not self.fleet.predecessor,
-            self.mark,
-            self._digest(),
-            self.away and self._drained(),
-            warm=made.standing in WARM,
-            whole=all(s.acceptor.recovered for s in spaces),
-        )
-
-    def _digest(self) -> str:
-        """Worked out anew only where the settings are others: it is asked for all the time."""
-        if self._digested is not self.core.settings:
-            self._digested = self.core.settings
-            self._settings = xxhash.xxh64_hexdigest(repr(self._digested).encode())
-        return self._settings
-
-    def _drained(self) -> bool:
-        """Nothing is open or runs, nothing of it is the fleet's, and whoever sends had the time to hear of it."""
-        core, horizon = self.core, self.reporter.tracker.horizon(self.core.clock.now)
-        return (
-            not (core.owed or len(core.runs) or self.fleet.busy) and core.clock.now - self._since >= horizon
+        return MachineState(
+            seat="",
+            incarnation=0,
+            is_first_process=not self.fleet.predecessor,
+            boot_id=self.boot_id,
+            settings_digest=self._settings_digest(),
+            is_drained=self.is_out and self._is_drained(),
+            is_warm=report.standing in WARM_STATES,
+            recovered=all(space.acceptor.recovered for space in spaces),
         )
 
-    def do(self, doing: Doing, why: str) -> None:
-        away = doing in (Doing.DRAINS, Doing.GONE)
-        if away and not self.away:
-            log.info("outage: taken out for %s", why)
-            self._since = self.core.clock.now
-        elif self.away and not away:
-            log.info("outage: %s", doing.value)
-        self.away = away
-        if away and self.reporter.wanted:
-            self.reporter.maintain(OURS + why)
-        elif not away and self._is_ours():
+    def _settings_digest(self) -> str:
+        """Computed only when the settings were replaced: it is asked for with each tick."""
+        if self._digested_settings is not self.core.settings:
+            self._digested_settings = self.core.settings
+            self._digest = xxhash.xxh64_hexdigest(repr(self._digested_settings).encode())
+        return self._digest
+
+    def _is_drained(self) -> bool:
+        """Nothing is open or runs, nothing of it is the fleet's, and whoever sends requests had the time to notice."""
+        core = self.core
+        if core.owed or len(core.runs) or self.fleet.busy:
+            return False
+        horizon_us = self.reporter.tracker.horizon(core.clock.now)
+        return core.clock.now - self._out_since_us >= horizon_us
+
+    def set_mode(self, mode: MachineMode, reason: str) -> None:
+        """Take this runner out of service, or put it back."""
+        is_out = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
+        if is_out and not self.is_out:
+            log.info("outage: draining this machine for maintenance: reason=%s", reason)
+            self._out_since_us = self.core.clock.now
+        elif self.is_out and not is_out:
+            log.info("outage: this machine is back in service: state=%s", mode.value)
+        self.is_out = is_out
+        if is_out and self.reporter.wanted:
+            self.reporter.maintain(REASON_PREFIX + reason)
+        elif not is_out and self._is_own_maintenance():
             self.reporter.put_back()
 
-    def _is_ours(self) -> bool:
-        """The maintenance that is set, also by the process that this one replaces; not an operator's own."""
-        m = self.reporter.tracker.maintenance
-        return m is not None and m.reason.startswith(OURS)
+    def _is_own_maintenance(self) -> bool:
+        """The maintenance that is set comes from here, or from the process that this one replaced."""
+        maintenance = self.reporter.tracker.maintenance
+        return maintenance is not None and maintenance.reason.startswith(REASON_PREFIX)
 
-    def loud(self, what: str) -> None:
-        log.error("%s", what)
+    def alert(self, text: str) -> None:
+        """Log and count something that an operator must look at."""
+        log.error("%s", text)
         self.core.counters.add("outages that need a person")
 
-    # ---- for operators ----
-
-    def _seats(self, sent: dict[str, Any]) -> tuple[str, ...]:
-        seats = self.fleet.node.placement.by_name
-        if sent.get("all") or sent.get("zone") or sent.get("group"):
-            return tuple(
-                name
-                for name, s in seats.items()
-                if (not sent.get("zone") or s.zone == sent["zone"])
-                and (not sent.get("group") or s.group == sent["group"])
-            )
-        return tuple(dict.fromkeys(sent.get("seats") or (self.fleet.name,)))
-
-    def ask(self, sent: dict[str, Any], then: Told) -> None:
-        """`sent` was read and checked by the page."""
+    # ---- operators ----
+
+    def submit(self, form: RequestForm, callback: StatusCallback) -> None:
+        """Add a request. Errors: NoSuchSeat, NotHere, and those of `MaintenanceCoordinator.submit`."""
         self.core.touch()
-        seats, bound = self._seats(sent), bool(sent.get("bound"))
+        seats = self._selected_seats(form.selection)
         if not seats:
-            return then(NoSuchSeat("no seat of that zone or group"))
-        if bound and seats != (self.fleet.name,):
-            return then(NotHere(f"{', '.join(seats[:3])}: this is {self.fleet.name}"))
-        ends = Ends[sent.get("ends", "boot").upper()]
-        ask = Ask(
-            sent["id"],
-            sent["reason"],
-            sent["by"],
-            sent["lasts_s"],
-            self.unix_s(),
-            sent["not_before_s"],
-            sent["due_s"],
-            sent["priority"],
-            sent["together"],
-            ends.value,
-            seats,
-            bound=self.mark if bound else "",
+            return callback(NoSuchSeat("no seat of that zone or group"))
+        if form.ends_with_caller and seats != (self.fleet.name,):
+            return callback(NotHere(f"{', '.join(seats[:3])}: this is {self.fleet.name}"))
+        request = MaintenanceRequest(
+            id=form.id,
+            reason=form.reason,
+            requested_by=form.requested_by,
+            duration_s=form.duration_s,
+            requested_at_s=self.unix_s(),
+            not_before_s=form.not_before_s,
+            due_at_s=form.due_at_s,
+            priority=form.priority,
+            shares_zone=form.shares_zone,
+            completion=form.completion.value,
+            queued=seats,
+            boot_id=self.boot_id if form.ends_with_caller else "",
+        )
+        return self.coordinator.submit(request, self._status_to(callback))
+
+    def _selected_seats(self, selection: SeatSelection) -> tuple[str, ...]:
+        if not (selection.every or selection.zone or selection.group):
+            return tuple(dict.fromkeys(selection.names or (self.fleet.name,)))
+        return tuple(
+            name
+            for name, seat in self.fleet.node.placement.by_name.items()
+            if (not selection.zone or seat.zone == selection.zone)
+            and (not selection.group or seat.group == selection.group)
         )
-        return self.coordinator.ask(ask, self._then(then))
 
-    def cancel(self, id: str, seats: Sequence[str], by: str, then: Told) -> None:
+    def withdraw(
+        self, request_id: str, seats: Sequence[str], requested_by: str, callback: StatusCallback
+    ) -> None:
+        """Withdraw seats of a request; all if none is named."""
         self.core.touch()
-        self.coordinator.cancel(id, list(seats), by, self._then(then))
+        self.coordinator.withdraw(request_id, list(seats), requested_by, self._status_to(callback))
 
-    def hold(self, why: str, then: Told) -> None:
+    def pause(self, reason: str, callback: StatusCallback) -> None:
+        """Grant no slots until resumed."""
         self.core.touch()
-        self.coordinator.hold(why, self._then(then))
+        self.coordinator.pause(reason, self._status_to(callback))
 
-    def resume(self, seat: str, then: Told) -> None:
+    def resume(self, seat: str, callback: StatusCallback) -> None:
+        """End the pause, or queue a suspended seat again."""
         self.core.touch()
-        self.coordinator.resume(seat, self._then(then))
+        self.coordinator.resume(seat, self._status_to(callback))
 
-    def over(self, seat: str, by: str, then: Told) -> None:
+    def finish(self, seat: str, stated_by: str, callback: StatusCallback) -> None:
+        """State that the work on a machine is over."""
         self.core.touch()
-        self.coordinator.over(seat, by, self._then(then))
+        self.coordinator.finish(seat, stated_by, self._status_to(callback))
 
-    def show(self, then: Told) -> None:
+    def show(self, callback: StatusCallback) -> None:
+        """Read the schedule."""
         self.core.touch()
-        self.coordinator.read(lambda roster, current: then(self._told(roster, current)))
+        self.coordinator.read(lambda schedule, is_current: callback(self.status(schedule, is_current)))
 
-    def wait(self, id: str, seat: str, for_s: float, then: Told) -> Callable[[], None]:
-        """What is returned says that whoever asked has gone. Raises NotHere."""
+    def wait(
+        self, request_id: str, seat: str, timeout_s: float, callback: WaitCallback
+    ) -> Callable[[], None]:
+        """See `MaintenanceCoordinator.wait`. Raises NotHere."""
         self.core.touch()
-        seat = seat or self.fleet.name
-
-        def waited(got: Waited) -> None:
-            then({"id": id, "seat": seat, "word": got.word, "note": got.note})
-
-        return self.coordinator.wait(id, seat, round(min(for_s, MOST_WAIT_S) * 1e6), waited)
-
-    def _then(self, then: Told) -> Callable[[Roster | OutageError], None]:
-        return lambda got: then(got if isinstance(got, OutageError) else self._told(got, True))
-
-    def _told(self, roster: Roster, current: bool) -> dict[str, Any]:
-        now_s, coordinator = self.unix_s(), self.coordinator
-        step, seats = coordinator.shown(), self.fleet.node.placement.by_name
-        when = foretold(roster, step.order, {n: s.zone for n, s in seats.items()}, self.policy, now_s)
-        return {
-            "seat": self.fleet.name,
-            "number": roster.number,
-            "hold": roster.hold,
-            "current": current,
-            "age_ms": None if coordinator.known < 0 else (self.core.clock.now - coordinator.known) / MS,
-            "limits": {
-                "most": self.policy.most,
-                "most_zone": self.policy.most_zone,
-                "most_group": self.policy.most_group,
-            },
-            "asks": [
-                {
-                    "id": a.id,
-                    "reason": a.reason,
-                    "by": a.by,
-                    "lasts_s": a.lasts_s,
-                    "due_s": a.due_s,
-                    "priority": a.priority,
-                    "waiting": len(a.waiting),
-                    "done": a.done,
-                    "ends": Ends(a.ends).name.lower(),
-                    "held": [{"seat": s, "why": why} for s, why in a.held],
-                }
-                for a in roster.asks
-            ],
-            "turns": [self._turn(t, roster, now_s) for t in roster.turns],
-            "order": [
-                {
-                    "seat": seat,
-                    "ask": ask.id,
-                    "why": step.why.get((ask.id, seat), ""),
-                    "in_s": when.get((ask.id, seat)),
-                }
-                for ask, seat in step.order
-            ],
-            "ended": [
-                {
-                    "ask": e.ask,
-                    "seat": e.seat,
-                    "how": How(e.how).name.lower().replace("_", " "),
-                    "ago_s": now_s - e.at_s,
-                    "note": e.note,
-                }
-                for e in roster.ended[-16:]
-            ],
-        }
-
-    def _turn(self, turn: Turn, roster: Roster, now_s: float) -> dict[str, Any]:
-        member, ask = self.fleet.node.detector.by_seat.get(turn.seat), roster.ask(turn.ask)
-        up, for_s = member is not None and member.is_alive, now_s - turn.since_s
-        stage = turn.at.name.lower()
-        if turn.at is Stage.OUT:
-            stage = "may go" if up else "overdue" if for_s > turn.lasts_s * self.policy.overdue else "out"
-        elif turn.at is Stage.BACK:
-            stage = "cold" if up else "back, and gone again"
-        elif not up:
-            stage += ", and not heard of"
-        return {
-            "seat": turn.seat,
-            "ask": turn.ask,
-            "number": turn.number,
-            "stage": stage,
-            "reason": "" if ask is None else ask.reason,
-            "for_s": for_s,
-            "lasts_s": turn.lasts_s,
-            "note": turn.note,
-        }
+        timeout_us = round(min(timeout_s, MAX_WAIT_S) * SECOND_US)
+        return self.coordinator.wait(request_id, seat, timeout_us, callback)
+
+    def _status_to(self, callback: StatusCallback) -> Callable[[Schedule | OutageError], None]:
+        def got(result: Schedule | OutageError) -> None:
+            callback(result if isinstance(result, OutageError) else self.status(result, True))
+
+        return got
+
+    def status(self, schedule: Schedule, is_current: bool) -> MaintenanceStatus:
+        """Return a schedule as this runner sees it."""
+        now_s = self.unix_s()
+        step = self.coordinator.explain()
+        placement = self.fleet.node.placement
+        zones = {name: seat.zone for name, seat in placement.by_name.items()}
+        members = self.fleet.node.detector.by_seat
+        replica = self.coordinator.replica
+        return MaintenanceStatus(
+            seat=self.fleet.name,
+            schedule=schedule,
+            is_current=is_current,
+            age_us=self.core.clock.now - replica.read_at_us if replica.is_known else None,
+            policy=self.policy,
+            step=step,
+            starts_in_s=estimate_starts(schedule, step.order, zones, self.policy, now_s),
+            alive_seats=frozenset(seat for seat, member in members.items() if member.is_alive),
+            now_s=now_s,
+        )
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -221,10 +221,10 @@
         core = self.core
         predecessor = self.predecessor if core.claims.first and core.claims.peer is not None else 0
         if self.outage is not None:
-            self.outage.look()
+            self.outage.report_load()
         self.node.publish_status(predecessor, core.settings.cores)
         gone = core.link_since is not None and core.clock.now - core.link_since >= KERNEL_GONE
-        if core.draining or (gone and core.ready) or (self.outage is not None and self.outage.away):
+        if core.draining or (gone and core.ready) or (self.outage is not None and self.outage.is_out):
             if not self._away:
                 log.info("fleet: what is held here and has not begun goes to others")
             if not self._away and self.forecast is not None:
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -24,11 +24,19 @@
 from twisted.internet.threads import deferToThread
 from twisted.internet.utils import getProcessValue
 
-from ..maintenance.disruption_budget import View
+from ..maintenance.disruption_budget import SeatView
 from ..maintenance.next_step import plan
+from ..maintenance.operator_changes import SubmitRequest
 from ..maintenance.policy import Policy
-from ..maintenance.schedule import EMPTY, Ask, Roster, Stage, pack, unpack
-from ..maintenance.transitions import Accept, AskFor, Go, Grant, Return, Warm
+from ..maintenance.schedule import (
+    EMPTY,
+    MaintenanceRequest,
+    Schedule,
+    SlotStage,
+    decode_schedule,
+    encode_schedule,
+)
+from ..maintenance.slot_changes import AcceptSlot, ClearMachine, CompleteSlot, GrantSlots, MarkReturned
 from .balancer import Choice, Prober, Server
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
@@ -346,16 +354,20 @@
     names = [f"m{i:04}" for i in range(machines)]
     lost = {name: rng.uniform(0, 2_000) for name in rng.sample(names, machines // 100)}
     took = {name: rng.uniform(150, 210) for name in names}  # of drain, work, start and warming, in all
-    ask = Ask("all", "patch", "me", 120.0, 0.0, together=True, waiting=tuple(names))
-    roster, now, ends = unpack(AskFor(ask, 9)(pack(EMPTY))), 0.0, dict[str, float]()
+    request = MaintenanceRequest("all", "patch", "me", 120.0, 0.0, shares_zone=True, queued=tuple(names))
+    schedule, now, ends = (
+        decode_schedule(SubmitRequest(request, 9)(encode_schedule(EMPTY))),
+        0.0,
+        dict[str, float](),
+    )
     steps, sizes, free, worst_out = list[float](), list[int](), 1.0, 0
 
-    def changed(change: Any) -> Roster:
-        return unpack(change(pack(roster)) or pack(roster))
+    def changed(change: Any) -> Schedule:
+        return decode_schedule(change(encode_schedule(schedule)) or encode_schedule(schedule))
 
-    while (roster.asks or roster.turns) and now < 50_000:
+    while (schedule.requests or schedule.slots) and now < 50_000:
         views = [
-            View(
+            SeatView(
                 n,
                 f"z{i % 4}",
                 f"g{i % 20}",
@@ -368,28 +380,28 @@
             for i, n in enumerate(names)
         ]
         began = perf_counter()
-        step = plan(roster, views, names[:7], policy, now)
+        step = plan(schedule, views, names[:7], policy, now)
         steps.append(1000 * (perf_counter() - began))
         if step.grants:
-            roster = changed(Grant(roster.number, step.grants, policy.most, now))
+            schedule = changed(GrantSlots(schedule.revision, step.grants, policy.most, now))
             for _, seat in step.grants:
-                turn = roster.turn(seat)
-                assert turn is not None
-                for change in (Accept(turn, 1), Go(turn, 1, policy.most, now, "1", "s")):
-                    roster = changed(change)
+                slot = schedule.slot(seat)
+                assert slot is not None
+                for change in (AcceptSlot(slot, 1), ClearMachine(slot, 1, policy.most, now, "1", "s")):
+                    schedule = changed(change)
                 ends[seat] = now + took[seat]
-        sizes.append(len(pack(roster)))
-        gone = {v.seat for v in views if not v.up}
-        there = sum(v.cores for v in views if v.up and roster.turn(v.seat) is None)
+        sizes.append(len(encode_schedule(schedule)))
+        gone = {v.seat for v in views if not v.is_up}
+        there = sum(v.cores for v in views if v.is_up and schedule.slot(v.seat) is None)
         free = min(free, 1 - load * 4 * (machines - len(gone)) / there)
-        worst_out = max(worst_out, len(roster.turns))
+        worst_out = max(worst_out, len(schedule.slots))
         now += 5.0
-        for turn in roster.turns:
-            if turn.at is Stage.OUT and ends[turn.seat] <= now:
-                roster = changed(Return(turn, 2, now, "s"))
-                back = roster.turn(turn.seat)
+        for slot in schedule.slots:
+            if slot.stage is SlotStage.CLEARED and ends[slot.seat] <= now:
+                schedule = changed(MarkReturned(slot, 2, now, "s"))
+                back = schedule.slot(slot.seat)
                 assert back is not None
-                roster = changed(Warm(back, 2, now, policy.most_kept))
+                schedule = changed(CompleteSlot(back, 2, now, policy.most_kept))
     bound = sum(took.values()) / min(most, int(machines * (1 - load / 0.95)) or 1)
     return {
         "seconds": now,
@@ -405,14 +417,18 @@
 def messages(seats: int) -> float:
     """A member a second, while the fleet goes round, all asked for."""
     from ..model_checking.cluster_simulation import Course
-    from ..model_checking.maintenance_simulation import OutageSimulation
+    from ..model_checking.maintenance_simulation import MaintenanceSimulation
 
-    sim = OutageSimulation(1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0, seconds=20), asks=0)
+    sim = MaintenanceSimulation(
+        1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0, seconds=20), requests=0
+    )
     sim.run(3_000_000)
-    ask = Ask("all", "patch", "me", 1.0, 0.0, together=True, waiting=tuple(f"n{i}" for i in range(seats)))
-    sim.asked["all"] = set(ask.waiting)
+    ask = MaintenanceRequest(
+        "all", "patch", "me", 1.0, 0.0, shares_zone=True, queued=tuple(f"n{i}" for i in range(seats))
+    )
+    sim.requested["all"] = set(ask.queued)
     coordinator = sim.processes[0].coordinator  # type: ignore[attr-defined]
-    sim.at(sim.now, sim.processes[0], lambda: coordinator.ask(ask, lambda got: None))
+    sim.at(sim.now, sim.processes[0], lambda: coordinator.submit(ask, lambda got: None))
     before = sim.history.messages
     sim.run(13_000_000)
     return (sim.history.messages - before) / 10 / seats
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -1,7 +1,7 @@
-"""What the fleet can do without, worked out from what its members say of themselves.
+"""Whether the fleet can do without a machine now, from what its members report of themselves.
 
-A machine counts as out from its grant until it serves as before; one that is not heard of counts as out, too, whether
-somebody asked for that or not. What stays must be able to take the load there is, and the highest of the last while.
+A machine counts as out of service from its grant until it serves as before; one that is not heard of counts, too,
+whether or not somebody asked for that. What stays must be able to take the load that there is, and its recent peak.
 """
 
 from __future__ import annotations
@@ -12,113 +12,188 @@
 
 from ..membership.placement import majority
 from .policy import Policy
-from .schedule import Ask, Roster
+from .schedule import MaintenanceRequest, Schedule
 
-SICK = 50  # percent of weight, under which a machine is mended before others
-FULL = 100
+UNHEALTHY_WEIGHT = 50  # percent, under which a machine goes before healthy ones
+FULL_WEIGHT = 100  # percent
+MAX_NAMED_SEATS = 3  # in a reason
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """A seat as one member knows it. `cores`, `load` and `peak` in cores; `weight` in percent."""
+class SeatView:
+    """A machine, as one member knows it.
+
+    seat, zone, group: str.
+    is_up: bool.
+    cores: float.
+    weight: int, percent of its capacity that it offers.
+    load, peak_load: float, cores.
+    recovered: bool, as a replica of the schedule it has forgotten nothing.
+    durable: bool, its next process will have forgotten nothing, either.
+    """
 
     seat: str
     zone: str = ""
     group: str = ""
-    up: bool = False
+    is_up: bool = False
     cores: float = 0.0
     weight: int = 0
     load: float = 0.0
-    peak: float = 0.0
-    whole: bool = True  # as a keeper of the roster it has forgotten nothing,
-    lasting: bool = False  # and its next process will not have
+    peak_load: float = 0.0
+    recovered: bool = True
+    durable: bool = False
 
     @property
     def capacity(self) -> float:
-        return self.cores * self.weight / FULL if self.up else 0.0
+        """Cores that it offers now."""
+        return self.cores * self.weight / FULL_WEIGHT if self.is_up else 0.0
 
     @property
-    def sick(self) -> bool:
-        return self.up and self.weight < SICK
-
-
-class Spare:
-    """One reckoning over one roster. `why_not` tells what keeps a seat in; `take` counts one out for those after it."""
-
-    def __init__(self, views: Iterable[View], roster: Roster, keepers: Sequence[str], policy: Policy) -> None:
-        """`keepers`: the seats that keep the roster."""
-        self.views = {v.seat: v for v in views}
-        self.policy, self.roster = policy, roster
-        turns = {t.seat for t in roster.turns}
-        self.lost = {v.seat for v in self.views.values() if not v.up and v.seat not in turns}
-        self.out = turns | self.lost
-        staying = [v for v in self.views.values() if v.seat not in self.out]
-        self.whole = sum(v.cores for v in self.views.values())
-        self.capacity = sum(v.capacity for v in staying)
-        self.cores = sum(v.cores for v in staying)
-        served = [v for v in self.views.values() if v.up]
-        self.need = max(sum(v.load for v in served), sum(v.peak for v in served))
-        self.zones = Counter(self.views[s].zone for s in self.out if s in self.views)
-        self.groups = Counter(
-            self.views[s].group for s in self.out if s in self.views and self.views[s].group
+    def is_unhealthy(self) -> bool:
+        """It is up, and offers little of its capacity."""
+        return self.is_up and self.weight < UNHEALTHY_WEIGHT
+
+
+class DisruptionBudget:
+    """The budget that one schedule leaves.
+
+    views: by seat.
+    lost: seats that are not heard of and have no slot.
+    out: seats that are out of service: lost, or with a slot.
+    capacity, cores: float, of those that stay.
+    total_cores: float, of all.
+    needed_cores: float, load or recent peak, whichever is higher.
+    zones, groups: how many are out, by zone and group.
+    replicas: seats that replicate the schedule.
+    """
+
+    def __init__(
+        self,
+        views: Iterable[SeatView],
+        schedule: Schedule,
+        replicas: Sequence[str],
+        policy: Policy,
+    ) -> None:
+        self.views = {view.seat: view for view in views}
+        self.policy = policy
+        self.schedule = schedule
+        granted = {slot.seat for slot in schedule.slots}
+        self.lost = {view.seat for view in self.views.values() if not view.is_up and view.seat not in granted}
+        self.out = granted | self.lost
+        self.replicas = set(replicas)
+        self._count_capacity()
+        self._count_zones()
+        self._count_replicas(granted)
+
+    def _count_capacity(self) -> None:
+        every = list(self.views.values())
+        staying = [view for view in every if view.seat not in self.out]
+        serving = [view for view in every if view.is_up]
+        self.total_cores = sum(view.cores for view in every)
+        self.capacity = sum(view.capacity for view in staying)
+        self.cores = sum(view.cores for view in staying)
+        load = sum(view.load for view in serving)
+        peak_load = sum(view.peak_load for view in serving)
+        self.needed_cores = max(load, peak_load)
+
+    def _count_zones(self) -> None:
+        out = [self.views[seat] for seat in self.out if seat in self.views]
+        self.zones = Counter(view.zone for view in out)
+        self.groups = Counter(view.group for view in out if view.group)
+        # Zones in which a machine is out that does not share its zone, or is lost.
+        self._exclusive_zones = {self.views[seat].zone for seat in self.lost}
+        for slot in self.schedule.slots:
+            if slot.seat in self.views and not self._shares_zone(slot.request_id):
+                self._exclusive_zones.add(self.views[slot.seat].zone)
+
+    def _shares_zone(self, request_id: str) -> bool:
+        request = self.schedule.request(request_id)
+        return request is not None and request.shares_zone
+
+    def _count_replicas(self, granted: set[str]) -> None:
+        # One more replica that is lost unasked, and forgets, must not lose the schedule.
+        self._forgetful_out = sum(
+            seat in self.views and not self.views[seat].durable for seat in self.replicas & granted
         )
-        asks = {a.id: a for a in roster.asks}
-        # Zones in which something is out that wants nobody beside it.
-        self.alone = {
-            self.views[t.seat].zone
-            for t in roster.turns
-            if t.seat in self.views and (t.ask not in asks or not asks[t.ask].together)
+        self._voting = {
+            seat
+            for seat in self.replicas
+            if seat in self.views and seat not in self.out and self.views[seat].recovered
         }
-        self.alone |= {self.views[s].zone for s in self.lost}
-        self.keepers = set(keepers)
-        # One more that is lost unasked, and forgets, must not lose the order of all.
-        self.forgetful = sum(s in self.views and not self.views[s].lasting for s in self.keepers & turns)
-        self.able = {s for s in self.keepers if s in self.views and s not in self.out and self.views[s].whole}
-
-    def why_not(self, ask: Ask, seat: str) -> str | None:
-        """Why it stays for now; None where it may go. In words for operators."""
-        view, policy = self.views.get(seat), self.policy
+
+    # ---- the rules ----
+
+    def blocking_reason(self, request: MaintenanceRequest, seat: str) -> str | None:
+        """Return why the machine stays for now, in words for operators; None if it may go."""
+        view = self.views.get(seat)
         if view is None:
             return "no such seat in this runner's file"
         if seat in self.lost:
             return "not heard of; it counts as out already"
         if seat in self.out:
             return "it is out for another ask"
+        return (
+            self._over_bounds(request, view)
+            or self._needed_as_replica(view)
+            or self._needed_for_capacity(view)
+        )
+
+    def _over_bounds(self, request: MaintenanceRequest, view: SeatView) -> str | None:
+        policy = self.policy
         if len(self.out) + 1 > policy.most:
-            return f"{self._who()} out, at most {policy.most} may be"
-        if self.zones[view.zone] + 1 > policy.most_zone:
-            return f"zone {view.zone or 'none'} has {self.zones[view.zone]} out, at most {policy.most_zone} may be"
-        if self.zones[view.zone] and (not ask.together or view.zone in self.alone):
-            return f"zone {view.zone or 'none'} has one out, and not both may be done with others"
+            return f"{self._names_of_out()} out, at most {policy.most} may be"
+        zone = f"zone {view.zone or 'none'}"
+        out_of_zone = self.zones[view.zone]
+        if out_of_zone + 1 > policy.most_zone:
+            return f"{zone} has {out_of_zone} out, at most {policy.most_zone} may be"
+        if out_of_zone and (not request.shares_zone or view.zone in self._exclusive_zones):
+            return f"{zone} has one out, and not both may be done with others"
         if view.group and self.groups[view.group] + 1 > policy.most_group:
             return f"group {view.group} has {self.groups[view.group]} out, at most {policy.most_group} may be"
-        if seat in self.keepers and len(self.able - {seat}) < majority(len(self.keepers)):
-            return f"it keeps the order itself, and without it {len(self.able - {seat})} of {len(self.keepers)} could"
-        most = max(1, len(self.keepers) - majority(len(self.keepers)) - 1)
-        if seat in self.keepers and not view.lasting and self.forgetful + 1 > most:
-            return f"it keeps the order itself, without a journal, and so do {self.forgetful} of those that are out"
-        if self.cores - view.cores < policy.least_share * self.whole:
-            return f"{self.cores - view.cores:g} of {self.whole:g} cores would stay, {policy.least_share:.0%} must"
-        left = self.capacity - view.capacity
-        if self.need > policy.fill * left:
-            return f"{self.need:.1f} cores are needed, and {policy.fill:.0%} of {left:.1f} would be there"
         return None
 
-    def _who(self) -> str:
-        named = sorted(self.out)
-        return ", ".join(named[:3]) + (
-            f" and {len(named) - 3} more are" if len(named) > 3 else " is" if len(named) == 1 else " are"
-        )
+    def _needed_as_replica(self, view: SeatView) -> str | None:
+        if view.seat not in self.replicas:
+            return None
+        needed = majority(len(self.replicas))
+        remaining = len(self._voting - {view.seat})
+        if remaining < needed:
+            return f"it keeps the order itself, and without it {remaining} of {len(self.replicas)} could"
+        max_forgetful = max(1, len(self.replicas) - needed - 1)
+        if not view.durable and self._forgetful_out + 1 > max_forgetful:
+            return (
+                "it keeps the order itself, without a journal, and so do "
+                f"{self._forgetful_out} of those that are out"
+            )
+        return None
+
+    def _needed_for_capacity(self, view: SeatView) -> str | None:
+        policy = self.policy
+        cores = self.cores - view.cores
+        if cores < policy.least_share * self.total_cores:
+            return f"{cores:g} of {self.total_cores:g} cores would stay, {policy.least_share:.0%} must"
+        capacity = self.capacity - view.capacity
+        if self.needed_cores > policy.fill * capacity:
+            return f"{self.needed_cores:.1f} cores are needed, and {policy.fill:.0%} of {capacity:.1f} would be there"
+        return None
+
+    def _names_of_out(self) -> str:
+        seats = sorted(self.out)
+        names = ", ".join(seats[:MAX_NAMED_SEATS])
+        if len(seats) > MAX_NAMED_SEATS:
+            return f"{names} and {len(seats) - MAX_NAMED_SEATS} more are"
+        return f"{names} is" if len(seats) == 1 else f"{names} are"
 
-    def take(self, ask: Ask, seat: str) -> None:
+    def reserve(self, request: MaintenanceRequest, seat: str) -> None:
+        """Count a machine as out, for those that are considered after it."""
         view = self.views[seat]
         self.out.add(seat)
-        self.able.discard(seat)
-        self.forgetful += seat in self.keepers and not view.lasting
+        self._voting.discard(seat)
+        self._forgetful_out += seat in self.replicas and not view.durable
         self.capacity -= view.capacity
         self.cores -= view.cores
         self.zones[view.zone] += 1
         if view.group:
             self.groups[view.group] += 1
-        if not ask.together:
-            self.alone.add(view.zone)
+        if not request.shares_zone:
+            self._exclusive_zones.add(view.zone)
--- a/moorusher/maintenance/errors.py
+++ b/moorusher/maintenance/errors.py
@@ -1,4 +1,8 @@
-"""What can go wrong with an outage. Each says in words what happened, and in `remedy` what an operator can do."""
+"""Errors of maintenance. Each says what happened, and in `remedy` what an operator can do.
+
+The names of the classes are part of the API: the administration API answers with them as `kind`, and the operators'
+page (`docs/operate/outage.md`) lists them.
+"""
 
 from __future__ import annotations
 
@@ -6,11 +10,11 @@
 
 
 class OutageError(Remediable):
-    """Why an ask, or a word on one, is turned down, with its status and remedy for operators."""
+    """Why an operation was rejected, with the HTTP status and the remedy for operators."""
 
 
 class NoMajority(OutageError):
-    """Too few keepers answer: whether the change comes about is not known."""
+    """Too few replicas answer: whether the change comes about is not known."""
 
     status = 503
     remedy = (
@@ -28,27 +32,27 @@
 
 
 class NoSuchAsk(OutageError):
-    """No ask of that id is open."""
+    """No request of that id is open."""
 
     status = 404
     remedy = "`moorusher outage show` lists the asks that are open, and those that ended lately."
 
 
 class OtherAsk(OutageError):
-    """Another ask has that id."""
+    """Another request has that id."""
 
     remedy = "An id stands for one ask for good. Take another id, or leave it out: one is made."
 
 
 class TooMany(OutageError):
-    """As many asks are open as may be."""
+    """As many requests are open as the settings allow."""
 
     status = 413
     remedy = "Wait until some have ended, withdraw some, or raise outage.most_asks on all runners."
 
 
 class TooLate(OutageError):
-    """The machine has been told to go: its turn can't be taken back."""
+    """The machine has been cleared: its slot can't be revoked."""
 
     remedy = (
         "It was told that it may go, so it counts as out whatever becomes of it. Once it is back, or where it is "
@@ -57,7 +61,7 @@
 
 
 class NotHere(OutageError):
-    """It has to be said at the machine itself."""
+    """The operation has to be made at the machine itself."""
 
     remedy = (
         "Wait on the machine itself, at its own runner: its next start ends the turn, and whoever waits there "
@@ -66,7 +70,7 @@
 
 
 class NotOut(OutageError):
-    """The machine is not out."""
+    """The machine is not out of service."""
 
     remedy = (
         "`moorusher outage show` has what each machine is at. One that only waits is withdrawn with `cancel`."
--- a/moorusher/maintenance/load_report.py
+++ b/moorusher/maintenance/load_report.py
@@ -1,36 +1,52 @@
-"""What a member says of its load: coarsely and seldom, since each word goes to all the others."""
+"""The load that a member reports: coarsely and seldom, as each report goes to all the others."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-STEPS = 16  # of its cores, in which it is told
-OVER_US = 4_000_000  # the mean is taken over about so long
+STEPS = 16  # of its cores, to which the load is rounded
+CHANGE_THRESHOLD = 0.75  # of a step: below it the report stays, so that it does not flap between two steps
+MEAN_US = 4_000_000  # time constant of the mean
+HUNDREDTHS = 100
 
 
 @dataclass(slots=True)
-class Gauge:
-    """Of busy cores. Times in us."""
+class LoadGauge:
+    """Busy cores of one member. Times in us.
+
+    cores: float.
+    peak_us: int, how long a peak is remembered.
+    """
 
     cores: float
     peak_us: int
     _mean: float = 0.0
-    _at: int = -1
-    _told: float = 0.0
-    _peaks: tuple[float, float] = (0.0, 0.0)  # of this half of the while, and of the one before
+    _sampled_at_us: int = -1
+    _reported: float = 0.0
+    _peak: float = 0.0  # of the present half of `peak_us`
+    _former_peak: float = 0.0  # of the half before
     _half: int = 0
 
-    def sample(self, now: int, busy: float) -> tuple[int, int]:
-        """The load and the highest of the last while, in hundredths of a core."""
-        part = 1.0 if self._at < 0 else min(1.0, (now - self._at) / OVER_US)
-        self._at = now
-        self._mean += part * (min(busy, self.cores) - self._mean)
+    def sample(self, now_us: int, busy_cores: float) -> tuple[int, int]:
+        """Return the load and its recent peak, in hundredths of a core."""
+        self._update_mean(now_us, busy_cores)
         step = self.cores / STEPS
-        if abs(self._mean - self._told) > 0.75 * step:  # not to and fro between two of them
-            self._told = round(self._mean / step) * step
-        half = now // max(1, self.peak_us // 2)
+        if abs(self._mean - self._reported) > CHANGE_THRESHOLD * step:
+            self._reported = round(self._mean / step) * step
+        self._update_peak(now_us)
+        peak = max(self._peak, self._former_peak)
+        return round(HUNDREDTHS * self._reported), round(HUNDREDTHS * peak)
+
+    def _update_mean(self, now_us: int, busy_cores: float) -> None:
+        is_first = self._sampled_at_us < 0
+        share = 1.0 if is_first else min(1.0, (now_us - self._sampled_at_us) / MEAN_US)
+        self._sampled_at_us = now_us
+        self._mean += share * (min(busy_cores, self.cores) - self._mean)
+
+    def _update_peak(self, now_us: int) -> None:
+        half = now_us // max(1, self.peak_us // 2)
         if half != self._half:
-            self._peaks = (self._told, self._peaks[0] if half == self._half + 1 else self._told)
+            self._former_peak = self._peak if half == self._half + 1 else self._reported
+            self._peak = self._reported
             self._half = half
-        self._peaks = max(self._peaks[0], self._told), self._peaks[1]
-        return round(100 * self._told), round(100 * max(self._peaks))
+        self._peak = max(self._peak, self._reported)
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -1,5 +1,7 @@
-"""What a machine has to do about its own turn, from what the roster says and how it is itself. No step of it is taken
-before the roster says so; what it writes is refused where the roster has gone on."""
+"""What a machine does about its own slot, from the schedule and from its own state.
+
+No step is taken before the schedule says so; what the machine writes is rejected if the schedule went on meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -7,100 +9,126 @@
 from enum import Enum
 
 from .policy import Policy
-from .schedule import Ends, Stage, Turn
-from .transitions import Accept, Change, GiveBack, Go, Return, Warm
+from .schedule import CompletionProof, Slot, SlotStage
+from .slot_changes import AcceptSlot, ClearMachine, CompleteSlot, MarkReturned, ReturnSlot
+from .transitions import Change
+
+SECOND_US = 1e6
 
 
-class Doing(Enum):
-    """What the machine does meanwhile."""
+class MachineMode(Enum):
+    """What the machine does. The values appear in counters and log lines."""
 
-    SERVES = "serves"
-    DRAINS = "drains"  # takes nothing new, hands over what has not begun
-    GONE = "may go"  # drained, and its operator is told
-    RETURNS = "returns"  # serves, and is not yet what it was
+    SERVING = "serves"
+    DRAINING = "drains"  # takes nothing new, hands over what has not begun
+    CLEARED = "may go"  # drained, and its operator is told
+    RETURNING = "returns"  # serves, and is not yet what it was
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
-    """This process. `fresh`: it does not replace a running one. `mark`: what the machine's file said at its start."""
+class MachineState:
+    """This process and its machine.
+
+    seat: str.
+    incarnation: int, of the process.
+    is_first_process: bool, it does not replace a running one.
+    boot_id: str, content of the machine's file at the start of the process; empty if it can't be read.
+    settings_digest: str.
+    is_drained: bool.
+    machines_out: int, this one included.
+    draining_us, returned_us: int, since it began to drain, and since it came back.
+    is_warm: bool, it serves as before.
+    recovered: bool, it has forgotten nothing that it replicates.
+    """
 
     seat: str
-    inc: int
-    fresh: bool
-    mark: str
-    settings: str
-    drained: bool = False
-    out: int = 1  # machines out, this one included
-    draining_us: int = 0  # since it began to
-    back_us: int = 0  # since it came back
-    warm: bool = False
-    whole: bool = False
+    incarnation: int
+    is_first_process: bool
+    boot_id: str
+    settings_digest: str
+    is_drained: bool = False
+    machines_out: int = 1
+    draining_us: int = 0
+    returned_us: int = 0
+    is_warm: bool = False
+    recovered: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Do:
-    """What this machine has to do now."""
+class MachineAction:
+    """What the machine has to do now. `alert`: to be reported to operators once; empty for none."""
 
-    doing: Doing
+    mode: MachineMode
     change: Change | None = None
-    late: str = ""  # said loudly, once
-
-
-def proves(turn: Turn, own: Own) -> bool:
-    """Whether this process can only be there as the work is over."""
-    return turn.ends == Ends.BOOT.value and bool(own.mark) and own.mark != turn.mark
-
-
-def decide(turn: Turn | None, own: Own, policy: Policy, now_s: float) -> Do:
-    """`turn`: of this machine's seat, as last known; `now_s`: Unix time, to be written down and no more."""
-    if turn is None:
-        return Do(Doing.SERVES)
-    if turn.at is Stage.DRAINING:
-        return _drains(turn, own, policy, now_s)
-    if turn.at is Stage.OUT:
-        if proves(turn, own):
-            return Do(Doing.RETURNS, Return(turn, own.inc, now_s, own.settings))
-        late = ""
-        if now_s - turn.since_s > policy.go_s:
-            late = (
-                f"told to go {now_s - turn.since_s:.0f} s ago, and up, on the same start: it counts as out until "
-                "it has gone and is back, or `moorusher outage done` is said of it"
-            )
-        return Do(Doing.GONE, None, late)
-    if turn.at is Stage.ASIDE:
-        return Do(Doing.RETURNS, None, turn.note)
-    return _is_back(turn, own, policy, now_s)
-
-
-def _drains(turn: Turn, own: Own, policy: Policy, now_s: float) -> Do:
-    if (
-        own.out > policy.most
-    ):  # whoever granted it goes by a file that says more; that is no fault of this machine
-        return Do(
-            Doing.SERVES,
-            GiveBack(
-                turn, own.inc, f"{own.out} are out, and {policy.most} may be by its own file", counts=False
-            ),
+    alert: str = ""
+
+
+def proves_work_over(slot: Slot, machine: MachineState) -> bool:
+    """Whether this process can only be there because the work is over: it runs on a later boot."""
+    is_reboot = slot.completion == CompletionProof.REBOOT
+    return is_reboot and bool(machine.boot_id) and machine.boot_id != slot.boot_id
+
+
+def decide(slot: Slot | None, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+    """Return what to do. `slot`: of this machine, as last known; `now_s`: Unix time, written down and no more."""
+    if slot is None:
+        return MachineAction(MachineMode.SERVING)
+    match slot.stage:
+        case SlotStage.DRAINING:
+            return _decide_draining(slot, machine, policy, now_s)
+        case SlotStage.CLEARED:
+            return _decide_cleared(slot, machine, policy, now_s)
+        case SlotStage.SUSPENDED:
+            return MachineAction(MachineMode.RETURNING, None, slot.note)
+        case SlotStage.RETURNED:
+            return _decide_returned(slot, machine, policy, now_s)
+
+
+def _decide_draining(slot: Slot, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+    incarnation = machine.incarnation
+    if machine.machines_out > policy.most:
+        # Whoever granted it has a file with a higher bound; that is no fault of this machine.
+        note = f"{machine.machines_out} are out, and {policy.most} may be by its own file"
+        return MachineAction(MachineMode.SERVING, ReturnSlot(slot, incarnation, note, counts=False))
+    if slot.incarnation != incarnation:
+        if slot.incarnation and machine.is_first_process:
+            note = "its process ended while it drained"
+            return MachineAction(MachineMode.SERVING, ReturnSlot(slot, incarnation, note))
+        return MachineAction(MachineMode.DRAINING, AcceptSlot(slot, incarnation))
+    if machine.is_drained:
+        change = ClearMachine(slot, incarnation, policy.most, now_s, machine.boot_id, machine.settings_digest)
+        return MachineAction(MachineMode.DRAINING, change)
+    if machine.draining_us > policy.drain_s * SECOND_US:
+        note = f"not drained within {policy.drain_s:g} s"
+        return MachineAction(MachineMode.DRAINING, ReturnSlot(slot, incarnation, note))
+    return MachineAction(MachineMode.DRAINING)
+
+
+def _decide_cleared(slot: Slot, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+    if proves_work_over(slot, machine):
+        change = MarkReturned(slot, machine.incarnation, now_s, machine.settings_digest)
+        return MachineAction(MachineMode.RETURNING, change)
+    cleared_s = now_s - slot.since_s
+    alert = ""
+    if cleared_s > policy.go_s:
+        alert = (
+            f"told to go {cleared_s:.0f} s ago, and up, on the same start: it counts as out until "
+            "it has gone and is back, or `moorusher outage done` is said of it"
         )
-    if turn.inc != own.inc:
-        if turn.inc and own.fresh:
-            return Do(Doing.SERVES, GiveBack(turn, own.inc, "its process ended while it drained"))
-        return Do(Doing.DRAINS, Accept(turn, own.inc))
-    if own.drained:
-        return Do(Doing.DRAINS, Go(turn, own.inc, policy.most, now_s, own.mark, own.settings))
-    if own.draining_us > policy.drain_s * 1e6:
-        return Do(Doing.DRAINS, GiveBack(turn, own.inc, f"not drained within {policy.drain_s:g} s"))
-    return Do(Doing.DRAINS)
-
-
-def _is_back(turn: Turn, own: Own, policy: Policy, now_s: float) -> Do:
-    if turn.inc != own.inc:
-        if own.fresh:
-            return Do(Doing.RETURNS, Return(turn, own.inc, now_s, own.settings))
-        return Do(Doing.RETURNS, Accept(turn, own.inc))
-    if own.warm and (own.whole or own.back_us > policy.back_s * 1e6):
-        return Do(Doing.RETURNS, Warm(turn, own.inc, now_s, policy.most_kept))
-    late = ""
-    if own.back_us > policy.back_s * 1e6:
-        late = f"back for {own.back_us / 1e6:.0f} s, and still cold"
-    return Do(Doing.RETURNS, None, late)
+    return MachineAction(MachineMode.CLEARED, None, alert)
+
+
+def _decide_returned(slot: Slot, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+    incarnation = machine.incarnation
+    if slot.incarnation != incarnation:
+        if machine.is_first_process:
+            change = MarkReturned(slot, incarnation, now_s, machine.settings_digest)
+            return MachineAction(MachineMode.RETURNING, change)
+        return MachineAction(MachineMode.RETURNING, AcceptSlot(slot, incarnation))
+    is_overdue = machine.returned_us > policy.back_s * SECOND_US
+    if machine.is_warm and (machine.recovered or is_overdue):
+        return MachineAction(MachineMode.RETURNING, CompleteSlot(slot, incarnation, now_s, policy.most_kept))
+    alert = ""
+    if is_overdue:
+        alert = f"back for {machine.returned_us / SECOND_US:.0f} s, and still cold"
+    return MachineAction(MachineMode.RETURNING, None, alert)
--- a/moorusher/maintenance/messages.py
+++ b/moorusher/maintenance/messages.py
@@ -1,16 +1,16 @@
-"""What runners say to each other about outages, besides the register's own questions."""
+"""Messages between members about maintenance, besides those of the register."""
 
 from __future__ import annotations
 
 from ..replication.messages import ComponentPayload, component_codec
 
-PART = "outages"  # of `fleet.messages.For`
+PART = "outages"  # names these messages among all that members exchange
 
 
-class Changed(ComponentPayload, frozen=True, tag="changed"):
-    """The roster has gone on to that number, and it is about you: look. What it says there counts, and not this."""
+class ScheduleChanged(ComponentPayload, frozen=True, tag="changed"):
+    """The schedule has a later revision that concerns the receiver: a hint to read it."""
 
-    number: int
+    revision: int
 
 
-encode, decode = component_codec(Changed)
+encode, decode = component_codec(ScheduleChanged)
--- /dev/null
+++ b/moorusher/maintenance/operator_changes.py
@@ -0,0 +1,204 @@
+"""Changes of the schedule that an operator asks for."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .errors import NoSuchAsk, NotOut, OtherAsk, TooLate, TooMany
+from .schedule import HistoryEntry, MaintenanceRequest, Outcome, Schedule, Slot, SlotStage
+from .transitions import (
+    Change,
+    finish_requests,
+    return_to_queue,
+    updated,
+    with_request,
+    without_slot,
+)
+
+MAX_WITHDRAWN_ENTRIES = 8  # of one withdrawal, that the history names
+
+
+class SubmitRequest(Change):
+    """Adds a request. Idempotent by its id. Errors: OtherAsk, TooMany."""
+
+    def __init__(self, request: MaintenanceRequest, max_requests: int) -> None:
+        self.request = request
+        self.max_requests = max_requests
+
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        """Return the schedule with the request, or None if it is known already."""
+        known = schedule.request(self.request.id)
+        if known is not None:
+            if not known.is_same_request(self.request):
+                self.error = OtherAsk(
+                    f"{self.request.id}: another ask has that id: {known.reason}, by {known.requested_by}"
+                )
+            return None
+        if schedule.is_finished(self.request.id):
+            return None
+        if len(schedule.requests) >= self.max_requests:
+            self.error = TooMany(f"{len(schedule.requests)} asks are open")
+            return None
+        return updated(schedule, requests=(*schedule.requests, self.request))
+
+
+class WithdrawRequest(Change):
+    """Withdraws what is queued or drains. Errors: NoSuchAsk; TooLate, though the rest is withdrawn.
+
+    seats: to be withdrawn; all if empty.
+    too_late: seats that have been cleared, as last found.
+    """
+
+    def __init__(
+        self, request_id: str, seats: Sequence[str], at_s: float, requested_by: str, max_history: int
+    ) -> None:
+        self.request_id = request_id
+        self.seats = frozenset(seats)
+        self.at_s = at_s
+        self.requested_by = requested_by
+        self.max_history = max_history
+        self.too_late: list[str] = []
+        self._revoked: list[str] = []
+
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        """Return the schedule without these seats, or None if nothing is to be withdrawn."""
+        request = schedule.request(self.request_id)
+        self.too_late = []
+        self._revoked = []
+        if request is None:
+            if not schedule.is_finished(self.request_id):
+                self.error = NoSuchAsk(f"{self.request_id}: no such ask is open")
+            return None
+        revoked = self._revoke_slots(schedule)
+        queued = [seat for seat in request.queued if self._includes(seat)]
+        suspended = [seat for seat, _ in request.suspended if self._includes(seat)]
+        withdrawn = [*queued, *suspended, *revoked]
+        if not withdrawn:
+            return None
+        self._revoked = revoked
+        return self._withdrawn(schedule, request, withdrawn)
+
+    def _includes(self, seat: str) -> bool:
+        return not self.seats or seat in self.seats
+
+    def _revoke_slots(self, schedule: Schedule) -> list[str]:
+        """Return the seats that drain; notes those that it is too late for."""
+        slots = [
+            slot
+            for slot in schedule.slots
+            if slot.request_id == self.request_id and self._includes(slot.seat)
+        ]
+        self.too_late = [slot.seat for slot in slots if slot.stage is not SlotStage.DRAINING]
+        if self.too_late:
+            self.error = TooLate(
+                f"{', '.join(self.too_late)}: told to go already; the rest of {self.request_id} is withdrawn"
+            )
+        return sorted(slot.seat for slot in slots if slot.seat not in self.too_late)
+
+    def _withdrawn(self, schedule: Schedule, request: MaintenanceRequest, withdrawn: list[str]) -> Schedule:
+        remaining = updated(
+            request,
+            queued=tuple(seat for seat in request.queued if not self._includes(seat)),
+            suspended=tuple(held for held in request.suspended if not self._includes(held[0])),
+        )
+        slots = tuple(slot for slot in schedule.slots if slot.seat not in self._revoked)
+        changed = updated(with_request(schedule, remaining), slots=slots)
+        entries = [
+            HistoryEntry(self.request_id, seat, Outcome.WITHDRAWN.value, self.at_s, f"by {self.requested_by}")
+            for seat in withdrawn[:MAX_WITHDRAWN_ENTRIES]
+        ]
+        return finish_requests(changed, self.max_history, *entries)
+
+    def affected_seats(self) -> Sequence[str]:
+        """Return the seats that drained."""
+        return self._revoked
+
+
+class PauseAll(Change):
+    """No slot is granted until it is resumed. What drains is queued again; what was cleared stays so."""
+
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+        self._revoked: list[str] = []
+
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        """Return the paused schedule, or None if it is paused for that reason already."""
+        draining = [slot for slot in schedule.slots if slot.stage is SlotStage.DRAINING]
+        self._revoked = [slot.seat for slot in draining]
+        if schedule.pause_reason == self.reason and not draining:
+            return None
+        changed = schedule
+        for slot in draining:
+            changed = return_to_queue(changed, slot, "", counts=False)
+        return updated(changed, pause_reason=self.reason)
+
+    def affected_seats(self) -> Sequence[str]:
+        """Return the seats that drained."""
+        return self._revoked
+
+
+class Resume(Change):
+    """Ends the pause, or queues one suspended seat again. Errors: NotOut. `seat`: empty for the pause."""
+
+    def __init__(self, seat: str = "") -> None:
+        self.seat = seat
+
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        """Return the resumed schedule, or None if nothing is paused or suspended."""
+        if not self.seat:
+            return updated(schedule, pause_reason="") if schedule.pause_reason else None
+        changed = schedule
+        is_found = False
+        for request in schedule.requests:
+            if any(seat == self.seat for seat, _ in request.suspended):
+                is_found = True
+                changed = with_request(changed, self._queued_again(request))
+        if is_found:
+            return changed
+        slot = schedule.slot(self.seat)
+        state = "" if slot is None else f"; it is {slot.stage.api_name}"
+        self.error = NotOut(f"{self.seat}: not held back{state}")
+        return None
+
+    def _queued_again(self, request: MaintenanceRequest) -> MaintenanceRequest:
+        return updated(
+            request,
+            queued=(*request.queued, self.seat),
+            suspended=tuple(held for held in request.suspended if held[0] != self.seat),
+        )
+
+
+class FinishSlot(Change):
+    """An operator's statement: the machine is back, or is not going after all, or never comes back. Errors: NotOut."""
+
+    def __init__(self, seat: str, at_s: float, stated_by: str, max_history: int) -> None:
+        self.seat = seat
+        self.at_s = at_s
+        self.stated_by = stated_by
+        self.max_history = max_history
+
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        """Return the schedule without the slot, or None if the machine is not out."""
+        slot = schedule.slot(self.seat)
+        if slot is None or slot.stage is SlotStage.DRAINING:
+            state = "" if slot is None else ", it drains"
+            self.error = NotOut(f"{self.seat}: not out{state}")
+            return None
+        outcome = Outcome.COMPLETED if slot.stage is SlotStage.RETURNED else Outcome.ABANDONED
+        return finish_slot(schedule, slot, outcome, self.at_s, f"said by {self.stated_by}", self.max_history)
+
+    def affected_seats(self) -> Sequence[str]:
+        """Return the machine."""
+        return (self.seat,)
+
+
+def finish_slot(
+    schedule: Schedule, slot: Slot, outcome: Outcome, at_s: float, note: str, max_history: int
+) -> Schedule:
+    """Return the schedule after the slot is finished, and counted to its request."""
+    changed = without_slot(schedule, slot)
+    request = schedule.request(slot.request_id)
+    if request is not None:
+        changed = with_request(changed, updated(request, completed=request.completed + 1))
+    entry = HistoryEntry(slot.request_id, slot.seat, outcome.value, at_s, note)
+    return finish_requests(changed, max_history, entry)
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -1,5 +1,6 @@
-"""Who writes the next step: the keepers of the roster, the first of them at once, the next ones where nothing happens.
-None of them is needed, and two that do so at one time do no harm: the later grant is of a roster that is no more.
+"""Which member writes the next step: the replicas of the schedule, the first at once, the next ones if nothing happens.
+
+No single replica is needed, and two that write at one time do no harm: the later grant is of an outdated revision.
 """
 
 from __future__ import annotations
@@ -8,95 +9,117 @@
 
 from ..membership.failure_detector import MS, FailureDetector
 from ..membership.placement import Placement
-from .disruption_budget import Spare, View
-from .next_step import Calm, Step, plan
+from .disruption_budget import DisruptionBudget, SeatView
+from .next_step import CapacitySettling, NextStep, plan
 from .policy import Policy
-from .schedule import Roster, Stage
-from .transitions import Grant
-
-TURN = 1_500 * MS  # nothing has happened for so long: the next keeper tries
-AGAIN = 1_000 * MS  # a grant that its machine has not taken up is told again
-
-
-def views(seats: Placement, members: FailureDetector) -> list[View]:
-    """The seats as this member knows them."""
-    made = []
-    for name in seats.names:
-        seat, member = seats.by_name[name], members.by_seat[name]
-        word = member.status
-        made.append(
-            View(
-                name,
-                seat.zone,
-                seat.group,
-                member.is_alive,
-                word.cores,
-                word.weight,
-                word.load / 100,
-                word.peak_load / 100,
-                word.recovered,
-                word.durable,
+from .schedule import Schedule, SlotStage
+from .slot_changes import GrantSlots
+
+REPLICA_RANK_DELAY_US = 1_500 * MS  # nothing has happened for so long: the next replica tries
+NOTIFY_AGAIN_US = 1_000 * MS  # a grant that its machine has not accepted is announced again
+SECOND_US = 1e6
+HUNDREDTHS = 100  # members report loads in hundredths of a core
+
+
+def seat_views(placement: Placement, detector: FailureDetector) -> list[SeatView]:
+    """Return the machines, as this member knows them."""
+    views = []
+    for name in placement.names:
+        seat = placement.by_name[name]
+        member = detector.by_seat[name]
+        status = member.status
+        views.append(
+            SeatView(
+                seat=name,
+                zone=seat.zone,
+                group=seat.group,
+                is_up=member.is_alive,
+                cores=status.cores,
+                weight=status.weight,
+                load=status.load / HUNDREDTHS,
+                peak_load=status.peak_load / HUNDREDTHS,
+                recovered=status.recovered,
+                durable=status.durable,
             )
         )
-    return made
+    return views
+
 
+class MaintenancePlanner:
+    """Plans the next step from one member's view.
 
-class Planner:
-    """A keeper that works out the next step, and has the register take it."""
+    replicas: seats that replicate the schedule.
+    settling: CapacitySettling.
+    """
 
     def __init__(
-        self, me: str, seats: Placement, members: FailureDetector, keepers: Sequence[str], policy: Policy
+        self,
+        me: str,
+        placement: Placement,
+        detector: FailureDetector,
+        replicas: Sequence[str],
+        policy: Policy,
     ) -> None:
-        self.me, self.seats, self.members, self.keepers, self.policy = (
-            me,
-            seats,
-            members,
-            tuple(keepers),
-            policy,
-        )
-        self.calm = Calm(policy.settle_s)
-        self._number, self._since = -1, 0
-        self._told = 0
+        self.replicas = tuple(replicas)
+        self.settling = CapacitySettling(policy.settle_s)
+        self._me = me
+        self._placement = placement
+        self._detector = detector
+        self._policy = policy
+        self._revision = -1
+        self._unchanged_since_us = 0
+        self._notified_at_us = 0
 
-    def follow(self, policy: Policy) -> None:
-        self.policy, self.calm.settle_s = policy, policy.settle_s
+    def reconfigure(self, policy: Policy) -> None:
+        """Follow other settings."""
+        self._policy = policy
+        self.settling.settle_s = policy.settle_s
 
-    def _place(self, roster: Roster) -> int:
-        """How many keepers come before this one."""
-        out = {t.seat for t in roster.turns}
+    def _rank(self, schedule: Schedule) -> int:
+        """Return how many replicas come before this one."""
+        out = {slot.seat for slot in schedule.slots}
+        members = self._detector.by_seat
         able = [
-            s for s in self.keepers if s == self.me or (self.members.by_seat[s].is_alive and s not in out)
+            seat for seat in self.replicas if seat == self._me or (members[seat].is_alive and seat not in out)
         ]
-        return able.index(self.me)
-
-    def _seen(self, roster: Roster, now: int) -> tuple[list[View], float]:
-        """The seats, and in how many seconds they have settled."""
-        seen = views(self.seats, self.members)
-        return seen, self.calm.look(Spare(seen, roster, self.keepers, self.policy), now / 1e6)
-
-    def next(self, roster: Roster, now: int, unix_s: float) -> Grant | None:
-        """What to write now, at `now` (us of a clock that only goes forwards)."""
-        if roster.number != self._number:
-            self._number, self._since = roster.number, now
-        seen, settles = self._seen(roster, now)
-        if roster.hold or not roster.asks or len(roster.turns) >= self.policy.most or settles > 0:
-            self._since = max(self._since, now if settles > 0 else 0)
+        return able.index(self._me)
+
+    def _settles_in_s(self, views: list[SeatView], schedule: Schedule, now_us: int) -> float:
+        budget = DisruptionBudget(views, schedule, self.replicas, self._policy)
+        return self.settling.remaining_s(budget, now_us / SECOND_US)
+
+    def next_grants(self, schedule: Schedule, now_us: int, unix_s: float) -> GrantSlots | None:
+        """Return what this replica should write now, if anything. `now_us`: of a monotonic clock."""
+        if schedule.revision != self._revision:
+            self._revision = schedule.revision
+            self._unchanged_since_us = now_us
+        views = seat_views(self._placement, self._detector)
+        settles_in_s = self._settles_in_s(views, schedule, now_us)
+        if settles_in_s > 0:
+            self._unchanged_since_us = max(self._unchanged_since_us, now_us)
             return None
-        if now - self._since < TURN * self._place(roster):
+        if schedule.pause_reason or not schedule.requests or len(schedule.slots) >= self._policy.most:
             return None
-        step = plan(roster, seen, self.keepers, self.policy, unix_s)
+        if now_us - self._unchanged_since_us < REPLICA_RANK_DELAY_US * self._rank(schedule):
+            return None
+        step = plan(schedule, views, self.replicas, self._policy, unix_s)
         if not step.grants:
             return None
-        return Grant(roster.number, step.grants, self.policy.most, unix_s)
+        return GrantSlots(schedule.revision, step.grants, self._policy.most, unix_s)
 
-    def shown(self, roster: Roster, now: int, unix_s: float) -> Step:
-        """With the reason of each that waits."""
-        seen, settles = self._seen(roster, now)
-        return plan(roster, seen, self.keepers, self.policy, unix_s, settles, explain=True)
+    def explain(self, schedule: Schedule, now_us: int, unix_s: float) -> NextStep:
+        """Return the next step with the reason of each machine that waits."""
+        views = seat_views(self._placement, self._detector)
+        settles_in_s = self._settles_in_s(views, schedule, now_us)
+        return plan(schedule, views, self.replicas, self._policy, unix_s, settles_in_s, explain=True)
 
-    def to_tell(self, roster: Roster, now: int) -> list[str]:
-        """Seats that seem not to have heard of their grant."""
-        if now - self._told < AGAIN or not roster.turns or self._place(roster):
+    def seats_to_notify(self, schedule: Schedule, now_us: int) -> list[str]:
+        """Return machines that seem not to have heard of their grant; none unless this is the first replica."""
+        if now_us - self._notified_at_us < NOTIFY_AGAIN_US or not schedule.slots or self._rank(schedule):
             return []
-        self._told = now
-        return [t.seat for t in roster.turns if t.at is Stage.DRAINING and not t.inc and t.seat != self.me]
+        self._notified_at_us = now_us
+        return [
+            slot.seat
+            for slot in schedule.slots
+            if slot.stage is SlotStage.DRAINING and not slot.incarnation and slot.seat != self._me
+        ]
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -1,4 +1,4 @@
-"""Figures of `[outage]` in the operator's file. Imports nothing: it is read where there is none, too."""
+"""Settings of `[outage]` in the operator's file. Imports nothing, as it is read also if there is no fleet."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Times in seconds, shares from 0 to 1. Times set only when something is tried or said: none of them lets a machine
-    go, nor counts one back in."""
+    """The settings; each field has the name of its key. Times in seconds, shares from 0 to 1.
+
+    No time lets a machine go, nor counts one back in: times decide only when something is tried or reported.
+    """
 
     on: bool = False
-    most: int = 1  # machines out at a time, lost ones included, whatever could be spared
-    most_zone: int = 1  # of one zone,
-    most_group: int = 1  # and of one group of the seats' list
+    most: int = 1  # machines out of service at a time, lost ones included
+    most_zone: int = 1  # of one zone
+    most_group: int = 1  # of one group of seats
     least_share: float = 0.5  # of the fleet's cores that must stay
-    fill: float = 0.95  # of what stays that the load may take, and the highest of the last while
-    peak_s: float = 600.0  # that while
-    settle_s: float = 3.0  # what stays must not have shrunk for so long before the next one goes
-    drain_s: float = 60.0  # a machine that still has work after that goes back into the order
-    go_s: float = 300.0  # told to go, and still up: said
-    overdue: float = 1.5  # times what the work was to last, after which it is said
-    back_s: float = 120.0  # back, and still cold or without its memory after that: it counts as it is
+    fill: float = 0.95  # of the staying capacity that the load and its recent peak may take
+    peak_s: float = 600.0  # how long a peak counts as recent
+    settle_s: float = 3.0  # the staying capacity must not have shrunk for so long before the next grant
+    drain_s: float = 60.0  # a machine that still has work after that is queued again
+    go_s: float = 300.0  # cleared and still up: reported
+    overdue: float = 1.5  # times the expected duration, after which it is reported
+    back_s: float = 120.0  # returned, and still warming up or without its memory: it counts as it is
     ages_s: float = 3_600.0  # of waiting that weigh as much as one step of priority
-    most_asks: int = 64  # asks that are open at a time
-    most_kept: int = 64  # ends that are remembered
-    machine_id: str = BOOT_ID  # a file that has something else in it after each start of the machine
+    most_asks: int = 64  # requests that are open at a time
+    most_kept: int = 64  # entries of the history
+    machine_id: str = BOOT_ID  # a file whose content changes with each boot of the machine
--- a/moorusher/maintenance/queue_order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -1,34 +1,43 @@
-"""Who goes first among those that wait. Nobody waits for ever: waiting weighs as much as priority, in the end."""
+"""Who goes first among the machines that are queued. No starvation: waiting outweighs priority in the end."""
 
 from __future__ import annotations
 
-from .disruption_budget import Spare
+from .disruption_budget import DisruptionBudget
 from .policy import Policy
-from .schedule import Ask, Roster
+from .schedule import MaintenanceRequest, Schedule
 
-PRESSING = 2.0  # times what the work lasts, before its due time, from which nothing else goes first
+URGENT_DURATIONS = 2.0  # times the expected duration before its due time, a request goes before all others
 
-Rank = tuple[bool, float, bool, float, int, float, str]
+SortKey = tuple[bool, float, bool, float, int, float, str]
 
 
-def rank(ask: Ask, seat: str, spare: Spare, policy: Policy, now_s: float) -> Rank:
-    """The lowest goes first: what is due soon; by priority and age; what is sick, as it is worth least to those that
-    stay; what is due at all; the zone with the fewest out."""
-    view = spare.views.get(seat)
-    pressing = bool(ask.due_s) and now_s >= ask.due_s - PRESSING * ask.lasts_s
-    weight = ask.priority + max(0.0, now_s - ask.asked_s) / policy.ages_s
-    # A step of age counts as whole, or no two asks would ever be alike and what follows would never decide.
+def sort_key(
+    request: MaintenanceRequest, seat: str, budget: DisruptionBudget, policy: Policy, now_s: float
+) -> SortKey:
+    """Return the sort key of a queued machine; the lowest goes first. `now_s`: Unix time.
+
+    In this order: urgent requests; priority and age; unhealthy machines, whose loss costs least; requests with a due
+    time; the zone with the fewest out; the earliest request; the name.
+    """
+    view = budget.views.get(seat)
+    urgent_s = URGENT_DURATIONS * request.duration_s
+    is_urgent = bool(request.due_at_s) and now_s >= request.due_at_s - urgent_s
+    age = max(0.0, now_s - request.requested_at_s) / policy.ages_s
+    # Rounded down, or no two requests would ever be alike and the rest of the key would never decide.
+    weight = float(int(request.priority + age))
     return (
-        not pressing,
-        -float(int(weight)),
-        not (view is not None and view.sick),
-        ask.due_s or float("inf"),
-        0 if view is None else spare.zones[view.zone],
-        ask.asked_s,
+        not is_urgent,
+        -weight,
+        not (view is not None and view.is_unhealthy),
+        request.due_at_s or float("inf"),
+        0 if view is None else budget.zones[view.zone],
+        request.requested_at_s,
         seat,
     )
 
 
-def waiting(roster: Roster, spare: Spare, policy: Policy, now_s: float) -> list[tuple[Ask, str]]:
-    """All that wait, who goes first at the front."""
-    return sorted(roster.waits(), key=lambda w: rank(w[0], w[1], spare, policy, now_s))
+def ordered_queue(
+    schedule: Schedule, budget: DisruptionBudget, policy: Policy, now_s: float
+) -> list[tuple[MaintenanceRequest, str]]:
+    """Return every request and seat that is queued, the first one first. `now_s`: Unix time."""
+    return sorted(schedule.queue(), key=lambda queued: sort_key(queued[0], queued[1], budget, policy, now_s))
--- a/moorusher/maintenance/schedule.py
+++ b/moorusher/maintenance/schedule.py
@@ -1,162 +1,254 @@
-r"""Who asked to go out, who is out, and how it stands with each: one value for the whole fleet.
+r"""The schedule: requests for maintenance, slots that were granted to machines, and what is finished.
 
-    waiting -> DRAINING -> OUT -> BACK -> (over)
-       ^          |                 \-> ASIDE, where it came back and died again
-       \----------/ it could not be drained, its process ended, or an operator holds everything
+    queued -> DRAINING -> CLEARED -> RETURNED -> (finished)
+       ^          |                      \-> SUSPENDED, if it came back and failed again
+       \----------/ it could not be drained, its process ended, or an operator paused everything
 
-A machine counts as out from its grant on until its turn is over. DRAINING can be taken back by anybody; OUT by nobody:
-its operator has been told that it may be worked on, and may begin at any later time.
+A machine counts as out of service from the grant until its slot is finished. DRAINING can be revoked by anybody,
+CLEARED by nobody: the operator has been told that the machine may be worked on, and may begin at any later time.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from enum import Enum
+from enum import IntEnum
 
 import msgspec
 
 from ..membership.placement import CLUSTER_KEY_PREFIX
 
-KEY = CLUSTER_KEY_PREFIX + b"outages"
+KEY = CLUSTER_KEY_PREFIX + b"outages"  # of the register
 
 
-class Stage(Enum):
-    """How far a machine's turn has come."""
+class SlotStage(IntEnum):
+    """How far the slot of a machine has come. The values are stored."""
 
-    DRAINING = 0  # granted: it hands over what has not begun, and ends what has
-    OUT = 1  # told that it may go
-    BACK = 2  # a later process of it is there; cold, or without its memory
-    ASIDE = 3  # a person must look; it counts as out
+    DRAINING = 0  # granted: hands over what has not begun, finishes what has
+    CLEARED = 1  # its operator is told that it may be worked on
+    RETURNED = 2  # a later process is there; warming up, or without its memory
+    SUSPENDED = 3  # an operator must look; it counts as out of service
 
+    @property
+    def api_name(self) -> str:
+        """The name in the administration API and in errors."""
+        return _STAGE_API_NAMES[self]
 
-class Ends(Enum):
-    """What proves that the work on a machine is over."""
 
-    BOOT = 0  # a process on a later start of the machine: whoever was told on that machine is gone with the earlier one
-    DONE = 1  # an operator's word alone. A later process proves nothing: who was told may not have begun yet
+_STAGE_API_NAMES = {
+    SlotStage.DRAINING: "draining",
+    SlotStage.CLEARED: "out",
+    SlotStage.RETURNED: "back",
+    SlotStage.SUSPENDED: "aside",
+}
 
 
-class How(Enum):
-    """A turn, or an ask of which no turn is left, came to an end so."""
+class CompletionProof(IntEnum):
+    """What proves that the work on a machine is over. The values are stored."""
+
+    REBOOT = 0  # a process on a later boot: whoever was told on that machine is gone with the earlier one
+    OPERATOR = 1  # an operator's statement alone: who was told elsewhere may not have begun yet
+
+    @property
+    def api_name(self) -> str:
+        """The name in the administration API and the command line."""
+        return _PROOF_API_NAMES[self]
+
+    @classmethod
+    def of_api_name(cls, name: str) -> CompletionProof:
+        """Return the member of that name. Raises KeyError."""
+        return {api_name: proof for proof, api_name in _PROOF_API_NAMES.items()}[name]
 
-    DONE = 0
-    WITHDRAWN = 1
-    GIVEN_UP = 2  # by an operator's word, before it was back
 
+_PROOF_API_NAMES = {CompletionProof.REBOOT: "boot", CompletionProof.OPERATOR: "done"}
 
-class Ask(msgspec.Struct, frozen=True, array_like=True):
-    """Times are seconds of the Unix clock of whoever wrote them: they set the order, and nothing rests on them."""
+
+class Outcome(IntEnum):
+    """How a slot, or a request without open slots, came to an end. The values are stored."""
+
+    COMPLETED = 0
+    WITHDRAWN = 1
+    ABANDONED = 2  # by an operator's statement, before the machine was back
+
+    @property
+    def api_name(self) -> str:
+        """The name in the administration API."""
+        return _OUTCOME_API_NAMES[self]
+
+
+_OUTCOME_API_NAMES = {
+    Outcome.COMPLETED: "done",
+    Outcome.WITHDRAWN: "withdrawn",
+    Outcome.ABANDONED: "given up",
+}
+
+
+class MaintenanceRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A request for maintenance of machines. Stored as an array: the order of the fields is part of the format.
+
+    Times are seconds of the Unix clock of whoever wrote them: they set the order, and no safety rests on them.
+
+    id: str, chosen by the caller; makes the request idempotent.
+    reason, requested_by: str, for operators.
+    duration_s: float, that the work on one machine is expected to take.
+    requested_at_s: float.
+    not_before_s: float; 0 for none.
+    due_at_s: float; 0 for none.
+    priority: int, higher goes first.
+    shares_zone: bool, may run together with others of its zone, as far as the bounds allow.
+    completion: int, one of CompletionProof.
+    queued: seats that wait, the first one first.
+    suspended: seats that an operator must look at, each with the reason.
+    completed: int, machines that are done.
+    boot_id: str, if the request ends with the caller who waits on the machine: the boot on which that one waits.
+    """
 
     id: str
     reason: str
-    by: str
-    lasts_s: float
-    asked_s: float
+    requested_by: str
+    duration_s: float
+    requested_at_s: float
     not_before_s: float = 0.0
-    due_s: float = 0.0  # none, where 0
+    due_at_s: float = 0.0
     priority: int = 0
-    together: bool = False  # with others of its zone, as far as the bounds go
-    ends: int = Ends.BOOT.value
-    waiting: tuple[str, ...] = ()
-    held: tuple[tuple[str, str], ...] = ()  # seats that a person must look at, with the reason
-    done: int = 0
-    bound: str = ""  # to who waits on the machine, by what its file said then: on a later start nobody does
-
-    def same(self, other: Ask) -> bool:
-        """What was asked for, whatever has become of it."""
+    shares_zone: bool = False
+    completion: int = CompletionProof.REBOOT.value
+    queued: tuple[str, ...] = ()
+    suspended: tuple[tuple[str, str], ...] = ()
+    completed: int = 0
+    boot_id: str = ""
+
+    def is_same_request(self, other: MaintenanceRequest) -> bool:
+        """Whether both ask for the same, whatever has become of them."""
+        return self._terms() == other._terms()
+
+    def _terms(self) -> tuple[object, ...]:
         return (
             self.reason,
-            self.lasts_s,
+            self.duration_s,
             self.not_before_s,
-            self.due_s,
+            self.due_at_s,
             self.priority,
-            self.together,
-            self.ends,
-        ) == (
-            other.reason,
-            other.lasts_s,
-            other.not_before_s,
-            other.due_s,
-            other.priority,
-            other.together,
-            other.ends,
+            self.shares_zone,
+            self.completion,
         )
 
 
-class Turn(msgspec.Struct, frozen=True, array_like=True):
-    """`number`: of the change that granted it. `inc`: the process that drains, was told to go, or came back."""
+class Slot(msgspec.Struct, frozen=True, array_like=True):
+    """A slot that was granted to a machine. Stored as an array: the order of the fields is part of the format.
+
+    seat: str, the machine.
+    request_id: str.
+    granted_revision: int, of the change that granted it; names the slot.
+    stage_code: int, see `stage`.
+    incarnation: int, of the process that drains, was cleared, or came back; 0 if none has accepted the slot.
+    since_s: float, when the stage began, in seconds of the Unix clock.
+    boot_id: str, the machine's boot when it was cleared.
+    settings_digest: str, of its settings then.
+    duration_s: float, that the work is expected to take.
+    completion: int, one of CompletionProof.
+    failed_grants: int, earlier grants that came to nothing.
+    failed_returns: int, times that it came back and ended again.
+    note: str, for operators.
+    """
 
     seat: str
-    ask: str
-    number: int
-    stage: int = Stage.DRAINING.value
-    inc: int = 0
+    request_id: str
+    granted_revision: int
+    stage_code: int = SlotStage.DRAINING.value
+    incarnation: int = 0
     since_s: float = 0.0
-    mark: str = ""  # what the machine's own file said as it was told to go
-    settings: str = ""  # digest of its settings then
-    lasts_s: float = 0.0
-    ends: int = Ends.BOOT.value
-    tries: int = 0  # grants before this one that came to nothing
-    falls: int = 0  # times it came back and ended again
+    boot_id: str = ""
+    settings_digest: str = ""
+    duration_s: float = 0.0
+    completion: int = CompletionProof.REBOOT.value
+    failed_grants: int = 0
+    failed_returns: int = 0
     note: str = ""
 
     @property
-    def at(self) -> Stage:
-        return Stage(self.stage)
+    def stage(self) -> SlotStage:
+        """The stage. Raises ValueError for a value of a later version."""
+        return SlotStage(self.stage_code)
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
-    """A turn that is over, as it is remembered."""
+class HistoryEntry(msgspec.Struct, frozen=True, array_like=True):
+    """A slot or a request that is finished. Stored as an array.
 
-    ask: str
-    seat: str  # "" for the ask as a whole
-    how: int
+    request_id: str.
+    seat: str; empty for the request as a whole.
+    outcome: int, one of Outcome.
+    at_s: float, Unix time.
+    note: str, for operators.
+    """
+
+    request_id: str
+    seat: str
+    outcome: int
     at_s: float
     note: str = ""
 
 
-class Roster(msgspec.Struct, frozen=True, array_like=True):
-    """Everything about outages: asks, turns, holds, and what is over."""
-
-    number: int = 0  # grows with each change
-    hold: str = ""  # why nobody goes
-    asks: tuple[Ask, ...] = ()
-    turns: tuple[Turn, ...] = ()
-    ended: tuple[Ended, ...] = ()  # the last ones
-    tried: tuple[tuple[str, str, int], ...] = ()  # (ask, seat, grants that came to nothing), while they wait
-
-    def ask(self, id: str) -> Ask | None:
-        return next((a for a in self.asks if a.id == id), None)
-
-    def turn(self, seat: str) -> Turn | None:
-        return next((t for t in self.turns if t.seat == seat), None)
-
-    def waits(self) -> Iterator[tuple[Ask, str]]:
-        for ask in self.asks:
-            for seat in ask.waiting:
-                yield ask, seat
-
-    def is_over(self, id: str) -> bool:
-        return any(e.ask == id and not e.seat for e in self.ended)
-
-    def last(self, id: str, seat: str) -> Ended | None:
-        """How the seat's part of the ask ended, where that is still known."""
-        return next((e for e in reversed(self.ended) if e.ask == id and e.seat in (seat, "")), None)
-
-    def tries(self, id: str, seat: str) -> int:
-        return next((n for a, s, n in self.tried if (a, s) == (id, seat)), 0)
-
-
-EMPTY = Roster()
+class Schedule(msgspec.Struct, frozen=True, array_like=True):
+    """Everything about maintenance in the fleet. Stored as an array: the order of the fields is part of the format.
+
+    revision: int, grows with each change.
+    pause_reason: str, why no slot is granted; empty if not paused.
+    requests: that are open.
+    slots: that are granted.
+    history: what finished last.
+    failed_grants: (request id, seat, grants that came to nothing) of seats that are queued.
+    """
+
+    revision: int = 0
+    pause_reason: str = ""
+    requests: tuple[MaintenanceRequest, ...] = ()
+    slots: tuple[Slot, ...] = ()
+    history: tuple[HistoryEntry, ...] = ()
+    failed_grants: tuple[tuple[str, str, int], ...] = ()
+
+    def request(self, request_id: str) -> MaintenanceRequest | None:
+        """Return an open request."""
+        return next((request for request in self.requests if request.id == request_id), None)
+
+    def slot(self, seat: str) -> Slot | None:
+        """Return the slot of a machine."""
+        return next((slot for slot in self.slots if slot.seat == seat), None)
+
+    def queue(self) -> Iterator[tuple[MaintenanceRequest, str]]:
+        """Yield every request and seat that waits for a slot."""
+        for request in self.requests:
+            for seat in request.queued:
+                yield request, seat
+
+    def is_finished(self, request_id: str) -> bool:
+        """Whether a request is remembered as finished."""
+        return any(entry.request_id == request_id and not entry.seat for entry in self.history)
+
+    def last_entry(self, request_id: str, seat: str) -> HistoryEntry | None:
+        """Return how the seat's part of a request ended, if that is still remembered."""
+        for entry in reversed(self.history):
+            if entry.request_id == request_id and entry.seat in (seat, ""):
+                return entry
+        return None
+
+    def failed_grants_of(self, request_id: str, seat: str) -> int:
+        """Return the grants of a queued seat that came to nothing."""
+        for failed_id, failed_seat, count in self.failed_grants:
+            if (failed_id, failed_seat) == (request_id, seat):
+                return count
+        return 0
+
+
+EMPTY = Schedule()
 _encode = msgspec.msgpack.Encoder().encode
-_decoder = msgspec.msgpack.Decoder(Roster)
+_decoder = msgspec.msgpack.Decoder(Schedule)
 
 
-def pack(roster: Roster) -> bytes:
-    """A roster as the value of its register."""
-    return _encode(roster)
+def encode_schedule(schedule: Schedule) -> bytes:
+    """Encode a schedule as the value of its register."""
+    return _encode(schedule)
 
 
-def unpack(value: bytes | None) -> Roster:
-    """The roster in a register."""
+def decode_schedule(value: bytes | None) -> Schedule:
+    """Decode the value of the register; EMPTY if nothing was written yet. Raises msgspec.MsgspecError."""
     return EMPTY if value is None else _decoder.decode(value)
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -1,11 +1,10 @@
-"""Outages of three machines, one at a time allowed: every interleaving of looking, planning, draining, going, coming
-back, of changes that arrive late or not at all, of one withdrawal and one crash.
-
-The register is one that takes a change at one moment (`model_checking/register_interleavings.py` has how it
-does that); who sent the change
-may give it up and do something else, and it may come about at any later time all the same. A machine that is cut off
-is one that looks at nothing, and whose changes don't arrive. What is checked is not the roster but the machines
-themselves: how many of them may be worked on.
+"""Every interleaving of the maintenance of three machines, of which one at a time may be out of service.
+
+Interleaved are reading, planning, draining, going, coming back, changes that arrive late or not at all, one withdrawal
+and one crash. The register is one that takes a change at one moment (`register_interleavings` walks how it does that);
+whoever sent a change may abandon it, and it may come about at any later time all the same. A machine that is cut off is
+one that reads nothing, and whose changes don't arrive. What is checked is the machines themselves: how many may be
+worked on at one time.
 """
 
 from __future__ import annotations
@@ -15,249 +14,361 @@
 from functools import lru_cache
 from typing import Any
 
-from ..maintenance.disruption_budget import Spare, View
-from ..maintenance.local_machine import Doing, Own, decide
+from ..maintenance.disruption_budget import DisruptionBudget, SeatView
+from ..maintenance.local_machine import MachineMode, MachineState, decide
+from ..maintenance.operator_changes import SubmitRequest, WithdrawRequest
 from ..maintenance.policy import Policy
-from ..maintenance.schedule import Ask, Roster, Stage, unpack
-from ..maintenance.transitions import AskFor, Cancel, Change, Go, Grant
+from ..maintenance.schedule import MaintenanceRequest, Schedule, Slot, SlotStage, decode_schedule
+from ..maintenance.slot_changes import ClearMachine, GrantSlots
+from ..maintenance.transitions import Change
 from .register_interleavings import copy
 
 SEATS = ("a", "b", "c")
 POLICY = Policy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
+MAX_REQUESTS = 9
+MAX_HISTORY = 8
+CACHED_SCHEDULES = 1 << 16
+OPERATOR = "operator"
+CHANGE_RESULTS = ("error", "is_applied", "too_late", "_revoked")  # what applying a change leaves in it
+
 
+@lru_cache(CACHED_SCHEDULES)
+def read(known: bytes) -> Schedule:
+    """Return the schedule that a register holds."""
+    return decode_schedule(known or None)
 
-@lru_cache(1 << 16)
-def read(known: bytes) -> Roster:
-    """The roster that a register holds."""
-    return unpack(known or None)
 
+@lru_cache(CACHED_SCHEDULES)
+def grantable(known: bytes, budget_class: type[DisruptionBudget]) -> tuple[tuple[str, str], ...]:
+    """Return every (request id, seat) that may be granted, as no safety rests on the order.
 
-@lru_cache(1 << 16)
-def plans(known: bytes, made: type[Spare]) -> tuple[tuple[str, str], ...]:
-    """All that may be granted, as nothing rests on the order; and whoever is lost is taken to be there, as a failure
-    detector that is wrong must cost nothing but time."""
-    roster = read(known)
-    spare = made([View(seat, up=True, cores=1, weight=100) for seat in SEATS], roster, SEATS, POLICY)
-    return tuple((ask.id, seat) for ask, seat in roster.waits() if spare.why_not(ask, seat) is None)
+    Machines that are lost are taken to be there, as a wrong failure detector must cost nothing but time.
+    """
+    schedule = read(known)
+    views = [SeatView(seat, is_up=True, cores=1, weight=100) for seat in SEATS]
+    budget = budget_class(views, schedule, SEATS, POLICY)
+    return tuple(
+        (request.id, seat)
+        for request, seat in schedule.queue()
+        if budget.blocking_reason(request, seat) is None
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """How large the case is that is walked."""
-
-    asks: tuple[str, ...] = ("a", "b")  # who is asked for
-    withdrawn: bool = True  # the first ask, at any moment
-    crashes: int = 1  # of a process, or of a machine
-    given_up: int = 1  # changes whose answer is not waited for
+    """How large the case is that is walked.
+
+    seats: machines that are requested, one request each.
+    is_withdrawn: bool, the first request is withdrawn at any moment.
+    crashes: int, of a process or of a machine.
+    abandoned: int, changes whose answer is not waited for.
+    planners: seats that plan.
+    """
+
+    seats: tuple[str, ...] = ("a", "b")
+    is_withdrawn: bool = True
+    crashes: int = 1
+    abandoned: int = 1
     planners: tuple[str, ...] = ("a", "c")
 
 
 @dataclass(slots=True)
 class Machine:
-    """`told`: its operator may begin at any time. `away`: it is being worked on, or has come back cold from that."""
-
-    inc: int = 1
-    mark: int = 1
-    alive: bool = True
+    """A machine and its process.
+
+    incarnation, boot: int.
+    is_alive: bool.
+    known: the register's value, as last read.
+    has_operator: bool, the operator is there, to be told.
+    is_cleared: bool, the operator may begin at any time.
+    is_away: bool, it is being worked on, or has come back cold from that.
+    is_drained, is_warm: bool.
+    """
+
+    incarnation: int = 1
+    boot: int = 1
+    is_alive: bool = True
     known: bytes | None = b""
-    waits: bool = True  # its operator is there, to be told
-    told: bool = False
-    away: bool = False
-    drained: bool = False
-    warm: bool = True
+    has_operator: bool = True
+    is_cleared: bool = False
+    is_away: bool = False
+    is_drained: bool = False
+    is_warm: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """A change on its way. `by`: who hears of it; nobody, where that has given it up."""
+class SentChange:
+    """A change on its way. `sender`: who hears of it; empty if it was abandoned."""
 
-    by: str
-    inc: int
+    sender: str
+    incarnation: int
     change: Change
-    words: str
+    text: str
 
 
 @dataclass(slots=True)
-class Outages:
-    """`grant`, `go`, `cancel` and `spare` are the real ones, or those with a seeded mistake."""
+class MaintenanceCase:
+    """Three machines and the schedule.
+
+    grant_change, clear_change, withdraw_change, budget_class: the real ones, or those with a seeded mistake.
+    machine_policy: settings of the machines.
+    clears_early: bool, a seeded mistake: the operator is told as the change goes out.
+    any_process: bool, a seeded mistake: any later process counts as a later boot of its machine.
+    """
 
     limits: Limits
-    grant: type[Grant] = Grant
-    go: type[Go] = Go
-    cancel: type[Cancel] = Cancel
-    spare: Any = Spare
-    own: Policy = POLICY  # of the machines
-    hasty: bool = False  # a seeded mistake: the operator is told as the question goes out
-    any_process: bool = False  # the same: any later process counts as a later start of its machine
-    roster: bytes = b""
+    grant_change: type[GrantSlots] = GrantSlots
+    clear_change: type[ClearMachine] = ClearMachine
+    withdraw_change: type[WithdrawRequest] = WithdrawRequest
+    budget_class: Any = DisruptionBudget
+    machine_policy: Policy = POLICY
+    clears_early: bool = False
+    any_process: bool = False
+    register: bytes = b""
     machines: dict[str, Machine] = field(default_factory=dict)
-    sent: tuple[Sent, ...] = ()
+    sent: tuple[SentChange, ...] = ()
     crashes: int = 0
-    given_up: int = 0
-    asked: bool = False  # for the withdrawal
-    withdrawn: bool = False  # and its operator has heard that nothing of it will come about
+    abandoned: int = 0
+    is_withdrawal_sent: bool = False
+    is_withdrawn: bool = False  # the operator has heard that nothing of it will come about
     wrong: str | None = None
 
     @classmethod
-    def begun(cls, limits: Limits, **how: Any) -> Outages:
-        made = cls(limits, **how)
-        roster: bytes | None = None
-        for seat in limits.asks:
-            roster = AskFor(Ask(f"for {seat}", "patch", "o", 1.0, 0.0, waiting=(seat,)), 9)(roster) or roster
-        assert roster is not None
-        made.roster = roster
+    def begun(cls, limits: Limits, **options: Any) -> MaintenanceCase:
+        """Return the case in which every request was submitted."""
+        made = cls(limits, **options)
+        register: bytes | None = None
+        for seat in limits.seats:
+            request = MaintenanceRequest(f"for {seat}", "patch", "o", 1.0, 0.0, queued=(seat,))
+            register = SubmitRequest(request, MAX_REQUESTS)(register) or register
+        assert register is not None
+        made.register = register
         made.machines = {seat: Machine() for seat in SEATS}
         return made
 
-    def copied(self) -> Outages:
+    def copied(self) -> MaintenanceCase:
+        """Return a copy that moves by itself."""
         new = copy(self)
-        new.machines = {seat: copy(m) for seat, m in self.machines.items()}
+        new.machines = {seat: copy(machine) for seat, machine in self.machines.items()}
         return new
 
     def print(self) -> Hashable:
-        def shown(m: Machine) -> Hashable:
-            return m.inc, m.mark, m.alive, m.known, m.waits, m.told, m.away, m.drained, m.warm
-
+        """Return what tells two states of the search apart."""
         return (
-            self.roster,
-            tuple(shown(m) for m in self.machines.values()),
-            tuple(sorted((s.by, s.inc, s.words) for s in self.sent)),
+            self.register,
+            tuple(_print_machine(machine) for machine in self.machines.values()),
+            tuple(sorted((sent.sender, sent.incarnation, sent.text) for sent in self.sent)),
             self.crashes,
-            self.given_up,
-            self.asked,
-            self.withdrawn,
+            self.abandoned,
+            self.is_withdrawal_sent,
+            self.is_withdrawn,
         )
 
     # ---- moves ----
 
     def moves(self) -> list[str]:
-        made: list[str] = []
-        for i, s in enumerate(self.sent):
-            made.append(f"arrives {i}: {s.words}")
-            if s.by and self.given_up < self.limits.given_up:
-                made.append(f"unwaited {i}: {s.words}")
-        busy = {(s.by, s.inc) for s in self.sent}
-        for seat, m in self.machines.items():
-            if not m.alive:
-                made.append(f"{seat} starts")
-                continue
-            if m.known != self.roster:
-                made.append(f"{seat} looks")
-            if (seat, m.inc) not in busy and m.known is not None:
-                if self._decides(seat) is not None:
-                    made.append(f"{seat} acts")
-                elif seat in self.limits.planners:
-                    made += [f"{seat} plans {other}" for _, other in plans(m.known, self.spare)]
-            turn = None if m.known is None else read(m.known).turn(seat)
-            if turn is not None and turn.at is Stage.DRAINING and turn.inc == m.inc and not m.drained:
-                made.append(f"{seat} has drained")
-            if m.waits and not m.told and self._is_told(seat):
-                made.append(f"{seat} tells its operator")
-            if m.told:
-                made.append(f"{seat} is worked on")
-            if not m.warm:
-                made.append(f"{seat} is warm")
-            if self.crashes < self.limits.crashes:
-                made += [f"{seat} fails", f"{seat} loses power"]
-        if self.limits.withdrawn and not self.asked:
-            made.append("operator withdraws")
-        return made
-
-    def _own(self, seat: str) -> Own:
-        m = self.machines[seat]
-        out = 0 if m.known is None else len(read(m.known).turns)
-        mark = str(m.inc if self.any_process else m.mark)
-        return Own(seat, m.inc, True, mark, "", m.drained, out, 0, 0, m.warm, True)
+        """Return the names of all moves that are possible now."""
+        names: list[str] = []
+        for index, sent in enumerate(self.sent):
+            names.append(f"arrives {index}: {sent.text}")
+            if sent.sender and self.abandoned < self.limits.abandoned:
+                names.append(f"abandoned {index}: {sent.text}")
+        for seat, machine in self.machines.items():
+            names += self._machine_moves(seat, machine) if machine.is_alive else [f"{seat} starts"]
+        if self.limits.is_withdrawn and not self.is_withdrawal_sent:
+            names.append(f"{OPERATOR} withdraws")
+        return names
+
+    def _machine_moves(self, seat: str, machine: Machine) -> list[str]:
+        names: list[str] = []
+        if machine.known != self.register:
+            names.append(f"{seat} reads")
+        names += self._writes(seat, machine)
+        slot = self._known_slot(seat)
+        if (
+            slot is not None
+            and slot.stage is SlotStage.DRAINING
+            and slot.incarnation == machine.incarnation
+            and not machine.is_drained
+        ):
+            names.append(f"{seat} has drained")
+        if machine.has_operator and not machine.is_cleared and self._tells_operator(seat):
+            names.append(f"{seat} tells its operator")
+        if machine.is_cleared:
+            names.append(f"{seat} is worked on")
+        if not machine.is_warm:
+            names.append(f"{seat} is warm")
+        if self.crashes < self.limits.crashes:
+            names += [f"{seat} fails", f"{seat} loses power"]
+        return names
+
+    def _writes(self, seat: str, machine: Machine) -> list[str]:
+        is_writing = any((sent.sender, sent.incarnation) == (seat, machine.incarnation) for sent in self.sent)
+        if is_writing or machine.known is None:
+            return []
+        if self._own_change(seat) is not None:
+            return [f"{seat} acts"]
+        if seat in self.limits.planners:
+            return [f"{seat} plans {other}" for _, other in grantable(machine.known, self.budget_class)]
+        return []
+
+    def _known_slot(self, seat: str) -> Slot | None:
+        known = self.machines[seat].known
+        return None if known is None else read(known).slot(seat)
+
+    def _machine_state(self, seat: str) -> MachineState:
+        machine = self.machines[seat]
+        return MachineState(
+            seat=seat,
+            incarnation=machine.incarnation,
+            is_first_process=True,
+            boot_id=str(machine.incarnation if self.any_process else machine.boot),
+            settings_digest="",
+            is_drained=machine.is_drained,
+            machines_out=0 if machine.known is None else len(read(machine.known).slots),
+            is_warm=machine.is_warm,
+            recovered=True,
+        )
 
-    def _decides(self, seat: str) -> Change | None:
-        m = self.machines[seat]
-        if m.known is None:
+    def _own_change(self, seat: str) -> Change | None:
+        machine = self.machines[seat]
+        if machine.known is None:
             return None
-        turn = read(m.known).turn(seat)
-        change = decide(turn, self._own(seat), self.own, 0.0).change
-        if isinstance(change, Go) and turn is not None:
-            own = self._own(seat)
-            return self.go(turn, m.inc, self.own.most, 0.0, own.mark, "")
+        slot = self._known_slot(seat)
+        state = self._machine_state(seat)
+        change = decide(slot, state, self.machine_policy, 0.0).change
+        if isinstance(change, ClearMachine) and slot is not None:
+            return self.clear_change(
+                slot, machine.incarnation, self.machine_policy.most, 0.0, state.boot_id, ""
+            )
         return change
 
-    def _is_told(self, seat: str) -> bool:
-        m = self.machines[seat]
-        if m.known is None:
+    def _tells_operator(self, seat: str) -> bool:
+        if self.machines[seat].known is None:
             return False
-        if self.hasty and any(s.by == seat and isinstance(s.change, Go) for s in self.sent):
+        if self.clears_early and any(
+            sent.sender == seat and isinstance(sent.change, ClearMachine) for sent in self.sent
+        ):
             return True
-        turn = read(m.known).turn(seat)
-        return (
-            turn is not None
-            and turn.at is Stage.OUT
-            and decide(turn, self._own(seat), POLICY, 0.0).doing is Doing.GONE
-        )
+        slot = self._known_slot(seat)
+        if slot is None or slot.stage is not SlotStage.CLEARED:
+            return False
+        return decide(slot, self._machine_state(seat), POLICY, 0.0).mode is MachineMode.CLEARED
 
-    def _send(self, by: str, change: Change) -> None:
-        inc = self.machines[by].inc if by in self.machines else 0
-        named = {k: v for k, v in vars(change).items() if k not in ("error", "made", "late", "_touched")}
-        self.sent += (Sent(by, inc, change, f"{type(change).__name__} of {by} {named}"),)
+    def _send(self, sender: str, change: Change) -> None:
+        incarnation = self.machines[sender].incarnation if sender in self.machines else 0
+        terms = {name: value for name, value in vars(change).items() if name not in CHANGE_RESULTS}
+        text = f"{type(change).__name__} of {sender} {terms}"
+        self.sent += (SentChange(sender, incarnation, change, text),)
 
     def move(self, name: str) -> None:
-        words = name.split(" ")
-        if words[0] in ("arrives", "unwaited"):
-            i = int(words[1].rstrip(":"))
-            sent, self.sent = self.sent[i], self.sent[:i] + self.sent[i + 1 :]
-            if words[0] == "arrives":
-                return self._arrive(sent)
-            self.given_up += 1
-            self.sent += (Sent("", 0, sent.change, sent.words),)
-            return None
-        if words[0] == "operator":
-            self.asked = True
-            return self._send("operator", self.cancel(f"for {self.limits.asks[0]}", [], 0.0, "o", 8))
-        seat, what = words[0], " ".join(words[1:])
-        m = self.machines[seat]
+        """Make a move."""
+        subject, _, rest = name.partition(" ")
+        if subject in ("arrives", "abandoned"):
+            self._move_message(subject, int(rest.partition(":")[0]))
+        elif subject == OPERATOR:
+            self.is_withdrawal_sent = True
+            request_id = f"for {self.limits.seats[0]}"
+            self._send(OPERATOR, self.withdraw_change(request_id, [], 0.0, "o", MAX_HISTORY))
+        else:
+            self._move_machine(subject, rest)
+            self._check_limit()
+
+    def _move_message(self, kind: str, index: int) -> None:
+        sent = self.sent[index]
+        self.sent = self.sent[:index] + self.sent[index + 1 :]
+        if kind == "arrives":
+            self._arrive(sent)
+        else:
+            self.abandoned += 1
+            self.sent += (SentChange("", 0, sent.change, sent.text),)
+
+    def _move_machine(self, seat: str, what: str) -> None:
+        machine = self.machines[seat]
         if what == "starts":
-            m.alive, m.inc, m.known, m.drained = True, m.inc + 1, None, False
-        elif what == "looks":
-            m.known = self.roster
+            machine.is_alive = True
+            machine.incarnation += 1
+            machine.known = None
+            machine.is_drained = False
+        elif what == "reads":
+            machine.known = self.register
         elif what == "acts":
-            change = self._decides(seat)
+            change = self._own_change(seat)
             assert change is not None
             self._send(seat, change)
-        elif words[1] == "plans":
-            assert m.known is not None
-            chosen = [p for p in plans(m.known, self.spare) if p[1] == words[2]]
-            self._send(seat, self.grant(read(m.known).number, chosen, POLICY.most, 0.0))
+        elif what.startswith("plans "):
+            self._plan(seat, machine, what.removeprefix("plans "))
         elif what == "has drained":
-            m.drained = True
+            machine.is_drained = True
         elif what == "tells its operator":
-            self._tell(seat, m)
+            self._clear(seat, machine)
         elif what == "is worked on":
-            m.told, m.waits, m.away, m.alive, m.mark, m.warm = False, False, True, False, m.mark + 1, False
+            self._work_on(machine)
         elif what == "is warm":
-            m.warm, m.away = True, False
+            machine.is_warm = True
+            machine.is_away = False
         else:
-            self.crashes, m.alive = self.crashes + 1, False
-            if what == "loses power":  # and with it, whoever waits there, or was told
-                m.told, m.waits, m.mark, m.warm = False, False, m.mark + 1, False
-        if sum(x.told or x.away for x in self.machines.values()) > POLICY.most:
-            self.wrong = (
-                f"{[s for s, x in self.machines.items() if x.told or x.away]} may be worked on at one time"
-            )
-        return None
+            self._crash(machine, is_power_lost=what == "loses power")
+
+    def _plan(self, seat: str, machine: Machine, other: str) -> None:
+        assert machine.known is not None
+        granted = [one for one in grantable(machine.known, self.budget_class) if one[1] == other]
+        self._send(seat, self.grant_change(read(machine.known).revision, granted, POLICY.most, 0.0))
 
-    def _tell(self, seat: str, m: Machine) -> None:
-        m.told = True
-        if self.withdrawn and seat == self.limits.asks[0]:
+    def _clear(self, seat: str, machine: Machine) -> None:
+        machine.is_cleared = True
+        if self.is_withdrawn and seat == self.limits.seats[0]:
             self.wrong = f"{seat} was told to go, though its operator had heard that it is withdrawn"
 
-    def _arrive(self, sent: Sent) -> None:
-        made = sent.change(self.roster)
-        self.roster = made or self.roster
-        if sent.by == "operator":
+    @staticmethod
+    def _work_on(machine: Machine) -> None:
+        machine.is_cleared = False
+        machine.has_operator = False
+        machine.is_away = True
+        machine.is_alive = False
+        machine.boot += 1
+        machine.is_warm = False
+
+    def _crash(self, machine: Machine, is_power_lost: bool) -> None:
+        self.crashes += 1
+        machine.is_alive = False
+        if is_power_lost:  # and with it, whoever waits there, or was told
+            machine.is_cleared = False
+            machine.has_operator = False
+            machine.boot += 1
+            machine.is_warm = False
+
+    def _check_limit(self) -> None:
+        out = [seat for seat, machine in self.machines.items() if machine.is_cleared or machine.is_away]
+        if len(out) > POLICY.most:
+            self.wrong = f"{out} may be worked on at one time"
+
+    def _arrive(self, sent: SentChange) -> None:
+        self.register = sent.change(self.register) or self.register
+        if sent.sender == OPERATOR:
             if sent.change.error is None:
-                self.withdrawn = True
-                if self.machines[self.limits.asks[0]].told:
+                self.is_withdrawn = True
+                if self.machines[self.limits.seats[0]].is_cleared:
                     self.wrong = "its operator heard that it is withdrawn, after the machine was told to go"
-        elif sent.by and (m := self.machines[sent.by]).alive and m.inc == sent.inc:
-            m.known = self.roster
+        elif sent.sender:
+            machine = self.machines[sent.sender]
+            if machine.is_alive and machine.incarnation == sent.incarnation:
+                machine.known = self.register
 
     def broken(self) -> str | None:
+        """Return what is wrong, in words."""
         return self.wrong
+
+
+def _print_machine(machine: Machine) -> Hashable:
+    return (
+        machine.incarnation,
+        machine.boot,
+        machine.is_alive,
+        machine.known,
+        machine.has_operator,
+        machine.is_cleared,
+        machine.is_away,
+        machine.is_drained,
+        machine.is_warm,
+    )
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -1,25 +1,27 @@
-"""Outages of a fleet in virtual time: the real pure parts, scripts that wait on their machines and begin when they are
-told, and all faults of `check.fleets`. One seed is one course. What is checked is the machines themselves: how many of
-them may be worked on at any moment, and whether all that was asked for comes about in the end.
+"""Maintenance of a fleet in virtual time: the real pure parts, scripts that wait on their machines, and faults.
+
+One seed is one course of `cluster_simulation`. What is checked is the machines themselves: how many of them may be
+worked on at any moment, and whether all that was requested comes about in the end.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import replace
+from functools import partial
 from typing import Any
 
 from msgspec import structs
 
-from ..maintenance.coordinator import OutageCoordinator, Waited
-from ..maintenance.local_machine import Doing, Own
+from ..maintenance.coordinator import MaintenanceCoordinator
+from ..maintenance.local_machine import MachineMode, MachineState
 from ..maintenance.policy import Policy
-from ..maintenance.schedule import Ask, Stage
+from ..maintenance.schedule import MaintenanceRequest, SlotStage
 from ..membership.placement import majority
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
+from .maintenance_scripts import Machine, Script
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
@@ -32,147 +34,95 @@
     lost=0.01,
     kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
 )
-COLD_S, LASTS_S = 0.6, 1.0
-BACK_S = 60.0  # after the course, until all that was asked for must have come about
-
-
-@dataclass(slots=True)
-class Machine:
-    """As nobody in the fleet sees it. `starts` is what its own file would say."""
-
-    starts: int = 1
-    told: bool = False  # its script may begin at any time
-    down: bool = False
-    cold_after: bool = False  # it has come back from work, and is not what it was
-
-
-class Script:
-    """`moorusher outage ask --wait && reboot` on the machine itself; asks again by its id whatever becomes of a try."""
-
-    def __init__(self, world: OutageSimulation, seat: int, id: str, gives_up: bool) -> None:
-        self.world, self.seat, self.id, self.gives_up = world, seat, id, gives_up
-        self.machine, self.starts = world.machines[seat], world.machines[seat].starts
-        self.over = False
-        self.bound = False  # its ask ends with it
-
-    @property
-    def there(self) -> bool:
-        return not self.over and self.machine.starts == self.starts and not self.machine.down
-
-    def wait(self) -> None:
-        if not self.there:
-            return
-        process = self.world.processes[self.seat]
-        answered = [False]
-
-        def told(got: Waited) -> None:
-            if answered[0] or not self.there:
-                return
-            answered[0] = True
-            # On its way to the script, which may be stopped for long as well.
-            r = self.world.random
-            self.world.at(
-                self.world.now + round(r.uniform(0, 4 if r.random() < 0.1 else 0.05) * SECOND),
-                None,
-                lambda: self._heard(got),
-            )
-
-        def again() -> None:
-            if not answered[0]:
-                answered[0] = True
-                self.wait()
-
-        if process.alive and isinstance(process, OutageProcess):
-
-            def ask() -> None:
-                process.coordinator.wait(self.id, f"n{self.seat}", 2 * SECOND, told)
-
-            self.world.at(self.world.now, process, ask)
-        self.world.at(self.world.now + 3 * SECOND, None, again)
-
-    def _heard(self, got: Waited) -> None:
-        if not self.there:
-            return
-        if got.word == "granted":
-            self.over = True
-            first = not self.machine.told
-            self.world.is_told(self.seat)
-            r = self.world.random
-            if (
-                self.gives_up and first
-            ):  # killed between its two commands: nobody works on it, and nobody says so
-                self.world.stuck.add(self.seat)
-            elif not self.gives_up:
-                self.world.stuck.discard(self.seat)
-                self.world.at(self.world.now + round(r.uniform(0.01, 1.5) * SECOND), None, self._begins)
-        elif got.word == "waits":
-            self.world.at(self.world.now + round(0.1 * SECOND), None, self.wait)
-        else:
-            self.over = True
-
-    def _begins(self) -> None:
-        if self.machine.starts == self.starts and not self.machine.down:
-            self.world.worked_on(self.seat)
-
-
-class OutageProcess(Process):
-    """One process of a simulated fleet, with the real outage coordinator."""
+EPOCH_S = 1e9  # Unix time at the begin of a course
+WARM_UP_S = 0.6
+WORK_S = 1.0
+DRAIN_US = 300 * MS
+RECOVERY_S = 60.0  # after the course, until all that was requested must have come about
+CLOCK_SET_BACK_US = 3600 * SECOND
+FULL_WEIGHT = 100
+COLD_WEIGHT = 35
+HUNDREDTHS = 100
+OWN_SCRIPT_SHARE = 0.4  # of requests, for one machine by a script of its own; else for several at once
+GIVES_UP_SHARE = 0.08  # of scripts
+WITHDRAWN_SHARE = 0.2  # of requests
+FAILS_AGAIN_SHARE = 0.08  # of machines, shortly after they have come back
+
+
+class MaintenanceProcess(Process):
+    """One process of a simulated fleet, with the real coordinator."""
 
     def __init__(
         self, sim: Simulation, seat: int, number: int, inc: int, remembers: bool, make: type[Node]
     ) -> None:
         super().__init__(sim, seat, number, inc, remembers, make)
-        assert isinstance(sim, OutageSimulation)
+        assert isinstance(sim, MaintenanceSimulation)
         self.world = sim
-        self.starts, self.born = sim.machines[seat].starts, sim.now
-        self.coordinator = sim.coordinator(self.node, self, sim.policy, remembers, sim.keeper)
-        self.doing, self.since = Doing.SERVES, 0
-        self._wait: list[Callable[[], None]] = []
+        self.boot = sim.machines[seat].boots
+        self.started_at_us = sim.now
+        self.mode = MachineMode.SERVING
+        self.mode_since_us = 0
+        self.coordinator = sim.coordinator_class(self.node, self, sim.policy, remembers, sim.acceptor_class)
 
-    # ---- outage.coordinator.Host ----
+    # ---- `machine_controller.MachineHost` ----
 
     def unix_s(self) -> float:
-        return 1e9 + (self.sim.now + self.world.skews[self.seat]) / 1e6
-
-    def own(self) -> Own:
-        drained = self.doing is Doing.DRAINS and self.sim.now - self.since >= self.world.drain_us
-        return Own(
-            "",
-            0,
-            True,
-            str(self.starts),
-            "s",
-            drained,
-            warm=self.warm,
-            whole=self.coordinator.keeper.recovered,
+        """Return the time of the machine's own clock."""
+        return EPOCH_S + (self.sim.now + self.world.clock_skews_us[self.seat]) / 1e6
+
+    def machine_state(self) -> MachineState:
+        """Return the state of the machine."""
+        mode_us = self.sim.now - self.mode_since_us
+        return MachineState(
+            seat="",
+            incarnation=0,
+            is_first_process=True,
+            boot_id=str(self.boot),
+            settings_digest="s",
+            is_drained=self.mode is MachineMode.DRAINING and mode_us >= DRAIN_US,
+            is_warm=self._check_warm(),
+            recovered=self.coordinator.replica.acceptor.recovered,
         )
 
-    @property
-    def warm(self) -> bool:
-        warm = self.sim.now - self.born >= COLD_S * SECOND
-        if warm:
-            self.world.machines[self.seat].cold_after = False
-        return warm
+    def _check_warm(self) -> bool:
+        is_warm = self.sim.now - self.started_at_us >= WARM_UP_S * SECOND
+        if is_warm:
+            self.world.machines[self.seat].is_cold = False
+        return is_warm
 
-    def do(self, doing: Doing, why: str) -> None:
-        if doing is not self.doing:
-            self.doing, self.since = doing, self.sim.now
-        self.away = doing in (Doing.DRAINS, Doing.GONE)
+    def set_mode(self, mode: MachineMode, reason: str) -> None:
+        """Act by the mode."""
+        if mode is not self.mode:
+            self.mode = mode
+            self.mode_since_us = self.sim.now
+        self.away = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
 
-    def loud(self, what: str) -> None:
-        self.world.said[what.split(" ", 2)[1]] += 1
+    def alert(self, text: str) -> None:
+        """Nobody reads it: `MaintenanceSimulation` finds by itself what is stuck."""
 
     def look(self) -> None:
-        weight = 0 if self.away else 100 if self.warm else 35
-        self.node.load_figures = weight, self.world.load, self.world.load
+        self.node.load_figures = self._weight(), self.world.load, self.world.load
         super().look()
 
-    def lost(self, key: bytes) -> None:  # of keyed work, which there is none of here
+    def _weight(self) -> int:
+        if self.away:
+            return 0
+        return FULL_WEIGHT if self._check_warm() else COLD_WEIGHT
+
+    def lost(self, key: bytes) -> None:
+        """Of keyed work, which there is none of here."""
         raise AssertionError(key)
 
 
-class OutageSimulation(Simulation):
-    """`coordinator` and `keeper` are the real ones, or those with a seeded mistake."""
+class MaintenanceSimulation(Simulation):
+    """One course of a fleet whose machines are maintained.
+
+    coordinator_class, acceptor_class: the real ones, or those with a seeded mistake.
+    load: int, of each member, in hundredths of a core.
+    requested: seats of each request that was made.
+    stuck: machines that are cleared, and nobody is there who begins the work.
+    most_cleared: int, machines that could be worked on at one time.
+    """
 
     def __init__(
         self,
@@ -180,244 +130,286 @@
         course: Course = COURSE,
         policy: Policy = POLICY,
         load: float = 0.4,
-        asks: int = 3,
-        coordinator: type[OutageCoordinator] = OutageCoordinator,
-        keeper: type[Acceptor] = Acceptor,
-        process: type[OutageProcess] = OutageProcess,
+        requests: int = 3,
+        coordinator: type[MaintenanceCoordinator] = MaintenanceCoordinator,
+        acceptor: type[Acceptor] = Acceptor,
+        process: type[MaintenanceProcess] = MaintenanceProcess,
     ) -> None:
-        """`load`: of each member's core."""
+        """`load`: of each member, in cores."""
         self.machines = [Machine() for _ in range(course.seats)]
-        self.skews = [0] * course.seats
-        self.policy, self.load, self.coordinator, self.keeper = policy, round(load * 100), coordinator, keeper
-        self.drain_us = 300 * MS
-        self.most_told, self.limit = 0, policy.most
-        self.stuck: set[int] = set()  # told, and nobody there who begins
-        self.said: Counter[str] = Counter()
-        self.found: list[str] = []
+        self.clock_skews_us = [0] * course.seats
+        self.policy = policy
+        self.load = round(load * HUNDREDTHS)
+        self.coordinator_class = coordinator
+        self.acceptor_class = acceptor
+        self.requested: dict[str, set[str]] = {}
         self.scripts: list[Script] = []
-        self.forgot = 0  # times that too many keepers had forgotten
-        self.asked: dict[str, set[str]] = {}
-        self.withdrawn: set[str] = set()
+        self.stuck: set[int] = set()
+        self.most_cleared = 0
+        self.majority_losses = 0  # times that too many replicas had forgotten
+        self.violations: list[str] = []
         super().__init__(seed, course, process=process)
-        r = self.random
-        for i in range(asks):
-            self._asks(f"ask {i}", r.uniform(1, course.seconds / 2))
+        for number in range(requests):
+            self._plan_request(f"ask {number}", self.random.uniform(1, course.seconds / 2))
 
     def born(self, seat: int, remembers: bool, inc: int = 0) -> Process:
         made = super().born(seat, remembers, inc)
-        assert isinstance(made, OutageProcess)
+        assert isinstance(made, MaintenanceProcess)
         self.at(self.now, made, made.coordinator.start)
         return made
 
+    def live_processes(self) -> list[MaintenanceProcess]:
+        """Return the processes that are alive."""
+        return [p for p in self.processes if p.alive and isinstance(p, MaintenanceProcess)]
+
+    def live_process(self, seat: int) -> MaintenanceProcess | None:
+        """Return the process of a seat, if it is alive."""
+        process = self.processes[seat]
+        return process if process.alive and isinstance(process, MaintenanceProcess) else None
+
     # ---- operators ----
 
-    def _asks(self, id: str, at: float) -> None:
-        r, seats = self.random, self.course.seats
-        bound = r.random() < 0.4  # one machine, by a script of its own; else all are asked for at once
-        which = [r.randrange(seats)] if bound else sorted(r.sample(range(seats), r.randint(1, seats)))
-        ask = Ask(
-            id,
+    def _plan_request(self, request_id: str, at_s: float) -> None:
+        random = self.random
+        seats = self.course.seats
+        has_own_script = random.random() < OWN_SCRIPT_SHARE
+        if has_own_script:
+            machines = [random.randrange(seats)]
+        else:
+            machines = sorted(random.sample(range(seats), random.randint(1, seats)))
+        request = MaintenanceRequest(
+            request_id,
             "patch",
             "operator",
-            LASTS_S,
-            1e9 + at,
-            priority=r.randrange(3),
-            together=r.random() < 0.5,
-            waiting=tuple(f"n{i}" for i in which),
+            WORK_S,
+            EPOCH_S + at_s,
+            priority=random.randrange(3),
+            shares_zone=random.random() < 0.5,
+            queued=tuple(f"n{seat}" for seat in machines),
         )
-        self.asked[id] = set(ask.waiting)
-        gives_up = {i for i in which if r.random() < 0.08}
-        withdraws = r.random() < 0.2
-
-        if bound:
-            script = Script(self, which[0], id, which[0] in gives_up)
-            ask, script.bound = structs.replace(ask, bound=str(script.starts)), True
+        self.requested[request_id] = set(request.queued)
+        gives_up = {seat for seat in machines if random.random() < GIVES_UP_SHARE}
+        is_withdrawn = random.random() < WITHDRAWN_SHARE
+        at_us = round(at_s * SECOND)
+        if has_own_script:
+            seat = machines[0]
+            script = Script(self, seat, request_id, seat in gives_up)
             self.scripts.append(script)
-
-        def send() -> None:
-            if self._known(id) or (bound and not script.there):
-                if not self._known(id):
-                    self.asked.pop(id, None)  # it has gone before anybody heard of it
-                return
-            process = self.processes[which[0] if bound else r.randrange(seats)]
-            if process.alive and isinstance(process, OutageProcess):
-                self.at(self.now, process, lambda: process.coordinator.ask(ask, lambda got: None))
-            self.at(self.now + 3 * SECOND, None, send)
-
-        def scripts() -> None:
-            """On each of its machines something waits that is there after each start."""
-            for i in which if not bound else ():
-                if self._waits(id, f"n{i}") and not any(
-                    s.there and s.seat == i and s.id == id for s in self.scripts
-                ):
-                    self.scripts.append(Script(self, i, id, i in gives_up))
-                    self.scripts[-1].wait()
-                    gives_up.discard(i)
-            self.at(self.now + SECOND, None, scripts)
-
-        self.at(round(at * SECOND), None, send)
-        if bound:
-            self.at(round(at * SECOND) + 1, None, script.wait)
+            request = structs.replace(request, boot_id=str(script.boot))
+            self.at(at_us, None, lambda: self._submit(request, script))
+            self.at(at_us + 1, None, script.wait)
         else:
-            self.at(round(at * SECOND) + 1, None, scripts)
-        if withdraws:
-            self.at(round((at + r.uniform(0, 8)) * SECOND), None, lambda: self._withdraw(id))
-
-    def _known(self, id: str) -> bool:
+            self.at(at_us, None, lambda: self._submit(request, None))
+            self.at(at_us + 1, None, lambda: self._start_scripts(request_id, machines, gives_up))
+        if is_withdrawn:
+            withdraw_s = at_s + random.uniform(0, 8)
+            self.at(round(withdraw_s * SECOND), None, lambda: self._withdraw(request_id))
+
+    def _submit(self, request: MaintenanceRequest, script: Script | None) -> None:
+        """Send a request until somebody knows it, or its own script is gone."""
+        if self._is_known(request.id):
+            return
+        if script is not None and not script.is_alive:
+            self.requested.pop(request.id, None)  # it has gone before anybody heard of it
+            return
+        seat = self.random.randrange(self.course.seats) if script is None else script.seat
+        process = self.live_process(seat)
+        if process is not None:
+            submit = partial(process.coordinator.submit, request, lambda result: None)
+            self.at(self.now, process, submit)
+        self.at(self.now + 3 * SECOND, None, lambda: self._submit(request, script))
+
+    def _start_scripts(self, request_id: str, machines: list[int], gives_up: set[int]) -> None:
+        """On each machine of a request something waits that is there after each boot."""
+        for seat in machines:
+            if self._is_queued(request_id, f"n{seat}") and not self._has_script(request_id, seat):
+                script = Script(self, seat, request_id, seat in gives_up)
+                self.scripts.append(script)
+                script.wait()
+                gives_up.discard(seat)
+        self.at(self.now + SECOND, None, lambda: self._start_scripts(request_id, machines, gives_up))
+
+    def _has_script(self, request_id: str, seat: int) -> bool:
         return any(
-            p.coordinator.roster.ask(id) is not None or p.coordinator.roster.is_over(id)
-            for p in self._there()
+            script.is_alive and script.seat == seat and script.request_id == request_id
+            for script in self.scripts
         )
 
-    def _waits(self, id: str, seat: str) -> bool:
+    def _is_known(self, request_id: str) -> bool:
+        schedules = [process.coordinator.schedule for process in self.live_processes()]
         return any(
-            (ask := p.coordinator.roster.ask(id)) is not None and seat in ask.waiting for p in self._there()
+            schedule.request(request_id) is not None or schedule.is_finished(request_id)
+            for schedule in schedules
         )
 
-    def _there(self) -> list[OutageProcess]:
-        return [p for p in self.processes if p.alive and isinstance(p, OutageProcess)]
+    def _is_queued(self, request_id: str, seat: str) -> bool:
+        requests = [process.coordinator.schedule.request(request_id) for process in self.live_processes()]
+        return any(request is not None and seat in request.queued for request in requests)
 
-    def _withdraw(self, id: str) -> None:
-        self.withdrawn.add(id)
-        if there := self._there():
-            process = self.random.choice(there)
-            self.at(
-                self.now, process, lambda: process.coordinator.cancel(id, [], "operator", lambda got: None)
-            )
+    def _withdraw(self, request_id: str) -> None:
+        live = self.live_processes()
+        if live:
+            process = self.random.choice(live)
+            withdraw = partial(process.coordinator.withdraw, request_id, [], "operator", lambda result: None)
+            self.at(self.now, process, withdraw)
 
     # ---- machines ----
 
-    def is_told(self, seat: int) -> None:
-        self.machines[seat].told = True
-        self._count(seat)
-
-    def _count(self, seat: int) -> None:
-        may = [i for i, m in enumerate(self.machines) if m.told or m.down or m.cold_after]
-        self.most_told = max(self.most_told, len(may))
-        zones = Counter(i % 2 for i in may)
-        if len(may) > self.limit or max(zones.values()) > self.policy.most_zone:
-            self.found.append(
-                f"{self.now / SECOND:.3f} s: n{seat} was told to go, and {may} may be worked on"
+    def clear_machine(self, seat: int) -> None:
+        """A script was told that it may begin."""
+        self.machines[seat].is_cleared = True
+        worked_on = [i for i, machine in enumerate(self.machines) if machine.is_worked_on]
+        self.most_cleared = max(self.most_cleared, len(worked_on))
+        by_zone = Counter(i % 2 for i in worked_on)
+        if len(worked_on) > self.policy.most or max(by_zone.values()) > self.policy.most_zone:
+            self.violations.append(
+                f"{self.now / SECOND:.3f} s: n{seat} was told to go, and {worked_on} may be worked on"
             )
 
-    def worked_on(self, seat: int) -> None:
-        """It goes down, and starts anew."""
+    def work_on(self, seat: int) -> None:
+        """The machine goes down, and boots again."""
         machine = self.machines[seat]
-        machine.told, machine.down = False, True
+        machine.is_cleared = False
+        machine.is_down = True
         process = self.processes[seat]
         if process.alive:
             self._end(process)
-        r = self.random
-        fails = r.random() < 0.08  # and once more, shortly after its start
+        fails_again = self.random.random() < FAILS_AGAIN_SHARE
 
-        def up() -> None:
-            machine.down, machine.cold_after, machine.starts = False, True, machine.starts + 1
+        def boot() -> None:
+            machine.is_down = False
+            machine.is_cold = True
+            machine.boots += 1
             self.processes[seat] = self.born(seat, remembers=False)
-            if fails:
-                self.at(self.now + round(0.4 * SECOND), None, lambda: self._fault("power of one", seat, 0.5))
+            if fails_again:
+                fail_at_us = self.now + round(0.4 * SECOND)
+                self.at(fail_at_us, None, lambda: self._fault("power of one", seat, 0.5))
 
-        self.at(self.now + round(r.uniform(0.5, 1.5) * LASTS_S * SECOND), None, up)
+        work_s = self.random.uniform(0.5, 1.5) * WORK_S
+        self.at(self.now + round(work_s * SECOND), None, boot)
 
     def _begin_again(self, seat: int, when: int, inc: int) -> None:
         def again() -> None:
-            if not self.processes[seat].alive and not self.machines[seat].down:
+            if not self.processes[seat].alive and not self.machines[seat].is_down:
                 self.processes[seat] = self.born(seat, remembers=not self._amnesia, inc=inc)
 
         self.at(when, None, again)
 
     def _fault(self, kind: str, seat: int, lasts: float) -> None:
-        process, machine = self.processes[seat], self.machines[seat]
         if kind == "power of one":
-            if process.alive and not machine.down:
-                self.events.append(f"{self.now / SECOND:.3f} s: n{seat} loses power")
-                self._end(process)
-                machine.told, machine.starts = False, machine.starts + 1
-                self.stuck.discard(seat)
-                self._begin_again(seat, self.now + round(min(lasts, 2) * SECOND), 0)
-        elif kind == "limit":  # a lower one in one file, under whatever is granted
-            if process.alive and isinstance(process, OutageProcess):
-                process.coordinator.follow(Policy(**{**_figures(self.policy), "most": 1}))
-                self.at(
-                    self.now + round(lasts * SECOND), process, lambda: process.coordinator.follow(self.policy)
-                )
+            self._lose_power(seat, lasts)
+        elif kind == "limit":
+            self._lower_limit(seat, lasts)
         else:
             if kind == "clock":
-                self.skews[seat] -= 3600 * SECOND
+                self.clock_skews_us[seat] -= CLOCK_SET_BACK_US
             super()._fault(kind, seat, lasts)
 
-    # ---- the whole ----
+    def _lose_power(self, seat: int, lasts_s: float) -> None:
+        machine = self.machines[seat]
+        process = self.processes[seat]
+        if process.alive and not machine.is_down:
+            self.events.append(f"{self.now / SECOND:.3f} s: n{seat} loses power")
+            self._end(process)
+            machine.is_cleared = False
+            machine.boots += 1
+            self.stuck.discard(seat)
+            self._begin_again(seat, self.now + round(min(lasts_s, 2) * SECOND), 0)
+
+    def _lower_limit(self, seat: int, lasts_s: float) -> None:
+        """One file has a lower bound for a while, under whatever is granted."""
+        process = self.live_process(seat)
+        if process is not None:
+            coordinator = process.coordinator
+            coordinator.reconfigure(replace(self.policy, most=1))
+            restore = partial(coordinator.reconfigure, self.policy)
+            self.at(self.now + round(lasts_s * SECOND), process, restore)
+
+    # ---- the whole course ----
 
     def play(self) -> str | None:
+        """Play the course. Returns what was wrong, in words."""
         self.run(round(self.course.seconds * SECOND))
         self.silent.clear()
-        for p in self.processes:
-            p.stopped_until = 0
-        end = self.now + round(BACK_S * SECOND)
-        while self.now < end and not (self.found or self._all_over()):
+        for process in self.processes:
+            process.stopped_until = 0
+        end = self.now + round(RECOVERY_S * SECOND)
+        while self.now < end and not (self.violations or self._is_all_finished()):
             self.run(self.now + SECOND)
-            self._look_after()
-        if self.found:
-            return self.found[0]
-        return self._unfinished()
-
-    def _look_after(self) -> None:
-        """As a person does: says what is stuck, and lets go on what was held back."""
-        there = self._there()
-        if not there:
+            self._operate()
+        return self.violations[0] if self.violations else self._unfinished()
+
+    def _operate(self) -> None:
+        """As an operator does: finish what is stuck, resume what was suspended."""
+        live = self.live_processes()
+        if not live:
             return
-        keepers = [p for p in there if p.node.me in p.coordinator.keepers]
-        blank = [p for p in keepers if not p.coordinator.keeper.recovered]
-        if len(keepers) == len(there[0].coordinator.keepers) and len(keepers) - len(blank) < majority(
-            len(keepers)
-        ):
-            # Too many have forgotten. Once nobody works on anything, a person says that what is left counts.
-            for i, machine in enumerate(self.machines):
-                machine.told = False
-                self.stuck.discard(i)
-            for script in self.scripts:
-                script.over = True
-            if (
-                all(not m.down for m in self.machines)
-                and blank[0].coordinator.registers.bootstrap(lost=True) is None
-            ):
-                self.forgot += 1
+        if self._has_lost_majority(live):
+            self._recover_majority(live)
             return
-        coordinator = there[0].coordinator
-        for turn in coordinator.roster.turns:
-            seat = int(turn.seat[1:])
-            waits = self.machines[seat].told and seat not in self.stuck
-            waits = waits or any(s.there and s.seat == seat and s.id == turn.ask for s in self.scripts)
-            waits = waits or self.machines[seat].down or self.machines[seat].cold_after
-            if turn.at in (Stage.OUT, Stage.ASIDE) and not waits:
-                self.machines[seat].told = False
+        coordinator = live[0].coordinator
+        for slot in coordinator.schedule.slots:
+            seat = int(slot.seat[1:])
+            is_open = slot.stage in (SlotStage.CLEARED, SlotStage.SUSPENDED)
+            if is_open and not self._is_under_way(seat, slot.request_id):
+                self.machines[seat].is_cleared = False
                 self.stuck.discard(seat)
-                coordinator.over(turn.seat, "operator", lambda got: None)
-        for ask in coordinator.roster.asks:
-            for seat_name, _ in ask.held:
-                coordinator.resume(seat_name, lambda got: None)
-
-    def _all_over(self) -> bool:
-        return all(not p.coordinator.roster.asks for p in self._there()) and all(
-            self._known(id) for id in self.asked
+                coordinator.finish(slot.seat, "operator", lambda result: None)
+        for request in coordinator.schedule.requests:
+            for seat_name, _ in request.suspended:
+                coordinator.resume(seat_name, lambda result: None)
+
+    def _is_under_way(self, seat: int, request_id: str) -> bool:
+        machine = self.machines[seat]
+        will_begin = machine.is_cleared and seat not in self.stuck
+        return will_begin or self._has_script(request_id, seat) or machine.is_down or machine.is_cold
+
+    @staticmethod
+    def _replicas(live: list[MaintenanceProcess]) -> list[MaintenanceProcess]:
+        return [process for process in live if process.node.me in process.coordinator.replica.replicas]
+
+    def _has_lost_majority(self, live: list[MaintenanceProcess]) -> bool:
+        """All replicas are there, and too many have forgotten."""
+        replicas = self._replicas(live)
+        recovered = sum(process.coordinator.replica.acceptor.recovered for process in replicas)
+        is_complete = len(replicas) == len(live[0].coordinator.replica.replicas)
+        return is_complete and recovered < majority(len(replicas))
+
+    def _recover_majority(self, live: list[MaintenanceProcess]) -> None:
+        """Once nobody works on anything, an operator says that what is left counts."""
+        for seat, machine in enumerate(self.machines):
+            machine.is_cleared = False
+            self.stuck.discard(seat)
+        for script in self.scripts:
+            script.is_over = True
+        if any(machine.is_down for machine in self.machines):
+            return
+        forgetful = next(
+            process for process in self._replicas(live) if not process.coordinator.replica.acceptor.recovered
         )
+        if forgetful.coordinator.replica.registers.bootstrap(lost=True) is None:
+            self.majority_losses += 1
+
+    def _is_all_finished(self) -> bool:
+        is_idle = all(not process.coordinator.schedule.requests for process in self.live_processes())
+        return is_idle and all(self._is_known(request_id) for request_id in self.requested)
 
     def _unfinished(self) -> str | None:
-        last = max((p.coordinator.roster for p in self._there()), key=lambda r: r.number)
-        for id in self.asked:
-            if (ask := last.ask(id)) is not None:
-                return f"{id} is not over: {ask}, {last.turns}"
-            if not last.is_over(id):
-                return f"{id} is forgotten"
+        schedules = [process.coordinator.schedule for process in self.live_processes()]
+        last = max(schedules, key=lambda schedule: schedule.revision)
+        for request_id in self.requested:
+            request = last.request(request_id)
+            if request is not None:
+                return f"{request_id} is not over: {request}, {last.slots}"
+            if not last.is_finished(request_id):
+                return f"{request_id} is forgotten"
         return None
 
 
-def _figures(policy: Policy) -> dict[str, Any]:
-    return {name: getattr(policy, name) for name in policy.__dataclass_fields__}
-
-
-def search(seeds: range, **how: Any) -> tuple[int, str] | None:
-    """The first seed whose course is wrong, with what is. `OutageSimulation(seed).play()` plays it again."""
+def search(seeds: range, **options: Any) -> tuple[int, str] | None:
+    """Return the first seed whose course is wrong, with what is; `MaintenanceSimulation(seed)` is that course."""
     for seed in seeds:
-        if (wrong := OutageSimulation(seed, **how).play()) is not None:
+        wrong = MaintenanceSimulation(seed, **options).play()
+        if wrong is not None:
             return seed, wrong
     return None
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -76,9 +76,9 @@
 
         parts.forecast = ForecastLink(parts.replication.duties, config.forecast, reactor)
     if config.outage.on:
-        from ..cluster_transport.maintenance import OutageLink
+        from ..cluster_transport.maintenance import MaintenanceLink
 
-        parts.maintenance = OutageLink(parts.replication, config.outage, reporter)
+        parts.maintenance = MaintenanceLink(parts.replication, config.outage, reporter)
     return parts
 
 
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -165,7 +165,7 @@
     if service.cluster.config_distribution is not None:
         service.cluster.config_distribution.follow(new.namespaces)
     if service.cluster.maintenance is not None:
-        service.cluster.maintenance.follow(new.outage)
+        service.cluster.maintenance.reconfigure(new.outage)
     if service.server_pool is None:
         return []
     service.server_pool.follow(new.tier.servers, new.namespaces.grants)
--- a/tests/compatibility/test_counters.py
+++ b/tests/compatibility/test_counters.py
@@ -17,7 +17,7 @@
 from moorusher.core.outcomes import Ending
 from moorusher.health.states import Standing
 from moorusher.hot_restart.process_role import State
-from moorusher.maintenance.local_machine import Doing
+from moorusher.maintenance.local_machine import MachineMode
 
 from .golden import assert_golden, read_golden
 
@@ -28,7 +28,7 @@
 VALUES: dict[str, type[Enum]] = {
     "succession: ": State,
     "standing: ": Standing,
-    "outage: ": Doing,
+    "outage: ": MachineMode,
     "failed: ": Cause,
     "connections: ": Ending,
     "": Verdict,
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -23,7 +23,7 @@
 from moorusher.leadership import chunks, lease_record
 from moorusher.leadership import heartbeat as duty_report
 from moorusher.leadership.journal import DutyAcceptor
-from moorusher.maintenance import schedule as roster
+from moorusher.maintenance import schedule
 from moorusher.membership.placement import Placement
 from moorusher.namespaces import revisions
 from moorusher.replication import journal
@@ -40,9 +40,9 @@
 
 RECORDS = get_args(journal.Record)
 WHOSE = journal.JournalHeader(journal.JOURNAL_VERSION, "f", "0123456789abcdef", "n1")
-POST, ROSTER, BOOK = lease_record.LeaseRecord, roster.Roster, revisions.Book
+POST, ROSTER, BOOK = lease_record.LeaseRecord, schedule.Schedule, revisions.Book
 pack_post, read_post = lease_record.encode_record, lease_record.decode_record
-pack_roster, read_roster = roster.pack, roster.unpack
+pack_roster, read_roster = schedule.encode_schedule, schedule.decode_schedule
 pack_book = revisions.pack
 pack_file, read_record = journal.encode_records, journal._decoder.decode
 REPORTS, read_reports = duty_report.HeartbeatState, msgspec.json.Decoder(duty_report.HeartbeatState).decode
@@ -117,14 +117,14 @@
     "version of a journal": journal.JOURNAL_VERSION,
     "kinds of duties": [duty_report.KIND, publisher.KIND, forecaster.KIND],
     "names of duties": [publisher.duty_of("acme"), forecaster.NAME],
-    "registers": [lease_record.register_key("alive").decode(), roster.KEY.decode()],
+    "registers": [lease_record.register_key("alive").decode(), schedule.KEY.decode()],
     "digest of seats": Placement((Seat("n1", ("h", 1), "a", "r1"), Seat("n2", ("h", 2), "b")), 3).digest(),
     "digest of a piece": chunks.digest(b"piece").hex(),
     "lives of a duty": [one.value for one in lease_record.LeaseStatus],
     "ways to settle an intent": [one.value for one in lease_record.IntentResolution],
-    "stages of a turn": [one.value for one in roster.Stage],
-    "ends of a turn": [one.value for one in roster.Ends],
-    "outcomes of an ask": [one.value for one in roster.How],
+    "stages of a turn": [one.value for one in schedule.SlotStage],
+    "ends of a turn": [one.value for one in schedule.CompletionProof],
+    "outcomes of an ask": [one.value for one in schedule.Outcome],
     "demand's keys": demand.pack_key(demand.Key("acme", 3, "main", "a")),
 }
 
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -22,12 +22,13 @@
 from twisted.web.test.requesthelper import DummyRequest
 
 from moorusher.admin.leadership import snapshot_document
+from moorusher.admin.maintenance_documents import status_document
 from moorusher.config import loader as config
 from moorusher.core.clock import Clock
 from moorusher.core.outcomes import Ending
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import LeaseRecord
-from moorusher.maintenance.schedule import Roster
+from moorusher.maintenance.schedule import Schedule
 from moorusher.membership.failure_detector import MemberState
 from moorusher.server import server as service
 from moorusher.server.server import Service
@@ -159,7 +160,9 @@
         return snapshot_document(self.service.cluster.replication.duties._snapshot(record))
 
     def outages_told(self, array: list[Any]) -> Any:
-        return self.service.cluster.maintenance._told(msgspec.convert(array, Roster), True)
+        return status_document(
+            self.service.cluster.maintenance.status(msgspec.convert(array, Schedule), True)
+        )
 
     def member_told(self, state: int) -> Any:
         self.service.cluster.replication.node.detector.by_seat["n1"].state = MemberState(state)
