--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -157,7 +157,7 @@
         content = {"duty": duty, "number": intent.revision, "term": intent.term, "what": intent.payload}
         self._post(receiver, b"/intent", content, callback)
 
-    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+    def query_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
         """Ask whether an intent was done."""
         self._post(receiver, b"/asked", {"duty": duty, "number": intent.revision}, callback)
 
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -116,9 +116,9 @@
         """See `worker.EffectReceivers`."""
         self._receivers.send_intent(receiver, duty, intent, callback)
 
-    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+    def query_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
         """See `worker.EffectReceivers`."""
-        self._receivers.ask_intent(receiver, duty, intent, callback)
+        self._receivers.query_intent(receiver, duty, intent, callback)
 
     def work(self, lease: LeaseHolder) -> Worker | None:
         """Return the worker for a duty; None if this runner's settings don't say what it is for."""
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -2,21 +2,14 @@
 
 from __future__ import annotations
 
-import logging
-import time
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from pathlib import Path
-from typing import TYPE_CHECKING, Any
-
-import xxhash
+from typing import TYPE_CHECKING
 
 from ..core.request_engine import Decider
-from ..health.states import Standing
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
 from ..maintenance.load_report import LoadGauge
-from ..maintenance.local_machine import MachineMode, MachineState
 from ..maintenance.next_step import NextStep
 from ..maintenance.policy import Policy
 from ..maintenance.schedule import CompletionProof, MaintenanceRequest, Schedule
@@ -25,30 +18,15 @@
 from ..replication.journal import JournalImage
 from ..replication.register_space import SHARED
 from ..server.health_report import Reporter
+from .machine_host import LocalMachineHost, read_boot_id
 
 if TYPE_CHECKING:
     from .replication import FleetLink
 
-log = logging.getLogger("moorusher")
-
-REASON_PREFIX = "outage: "  # of maintenance that is set here, and not by an operator
-WARM_STATES = (Standing.SERVING, Standing.CROWDED)
 MAX_WAIT_S = 30.0  # of one question; a caller asks again
-MAX_BOOT_ID_CHARS = 64
 SECOND_US = 1e6
 
 
-def read_boot_id(path: str) -> str:
-    """Return what tells this boot of the machine from others; empty if it can't be read: then none proves anything."""
-    try:
-        return Path(path).read_text().strip()[:MAX_BOOT_ID_CHARS]
-    except OSError as exc:
-        log.error(
-            "outage.machine_id: %s: a machine that was out counts as back by an operator's word alone", exc
-        )
-        return ""
-
-
 @dataclass(frozen=True, slots=True)
 class SeatSelection:
     """The machines that a request is for: every one, those of a zone or group, or those named; this one by default."""
@@ -110,32 +88,26 @@
 
 
 class MaintenanceLink:
-    """The process of a coordinator (`machine_controller.MachineHost`), and the operators' way to it.
+    """The process of a coordinator: its journal and load report, and the operators' way to it.
 
     fleet: this runner's link to the fleet.
     policy: settings.
-    reporter: of this runner's health.
-    boot_id: str, of the machine.
-    is_out: bool, nothing new is taken, and what has not begun goes to others.
+    machine: this runner's machine.
     coordinator: the member's part.
     """
 
     def __init__(self, fleet: FleetLink, policy: Policy, reporter: Reporter) -> None:
         self.fleet = fleet
         self.policy = policy
-        self.reporter = reporter
+        self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
         self.core: Decider = fleet.core
-        self.boot_id = read_boot_id(policy.machine_id)
-        self.is_out = False
-        self._out_since_us = 0
-        self._digested_settings: Any = None
-        self._digest = ""
+        self._reporter = reporter
         self._journal_image: JournalImage | None = None
         self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_s * SECOND_US))
         journal = fleet.journal_of("outage")
         if journal is not None:
             self._journal_image = journal.image
-        self.coordinator = MaintenanceCoordinator(fleet.node, self, policy)
+        self.coordinator = MaintenanceCoordinator(fleet.node, self.machine, policy)
         if journal is not None:
             acceptor = self.coordinator.replica.acceptor
             acceptor.journaled = True
@@ -143,6 +115,11 @@
             fleet.write_to(journal, SHARED, acceptor)
         fleet.outage = self
 
+    @property
+    def is_out(self) -> bool:
+        """Nothing new is taken, and what has not begun goes to others."""
+        return self.machine.is_out
+
     def start(self) -> None:
         """Restore the journal. Called before the fleet's own start, which asks others for what is missing."""
         if self._journal_image is not None:
@@ -159,67 +136,7 @@
         """Update what the other members are told of this one. Called periodically."""
         self._gauge.cores = self.core.settings.cores
         load, peak_load = self._gauge.sample(self.core.clock.now, self.core.runs.on_cores)
-        self.fleet.node.load_figures = self.reporter.report().weight, load, peak_load
-
-    # ---- the coordinator's host ----
-
-    def unix_s(self) -> float:
-        """Return the Unix time."""
-        return time.time()
-
-    def machine_state(self) -> MachineState:
-        """Return the state of this process, without what the coordinator knows itself."""
-        report = self.reporter.report()
-        spaces = self.fleet.node.spaces.values()
-        return MachineState(
-            seat="",
-            incarnation=0,
-            is_first_process=not self.fleet.predecessor,
-            boot_id=self.boot_id,
-            settings_digest=self._settings_digest(),
-            is_drained=self.is_out and self._is_drained(),
-            is_warm=report.standing in WARM_STATES,
-            recovered=all(space.acceptor.recovered for space in spaces),
-        )
-
-    def _settings_digest(self) -> str:
-        """Computed only when the settings were replaced: it is asked for with each tick."""
-        if self._digested_settings is not self.core.settings:
-            self._digested_settings = self.core.settings
-            self._digest = xxhash.xxh64_hexdigest(repr(self._digested_settings).encode())
-        return self._digest
-
-    def _is_drained(self) -> bool:
-        """Nothing is open or runs, nothing of it is the fleet's, and whoever sends requests had the time to notice."""
-        core = self.core
-        if core.owed or len(core.runs) or self.fleet.busy:
-            return False
-        horizon_us = self.reporter.tracker.horizon(core.clock.now)
-        return core.clock.now - self._out_since_us >= horizon_us
-
-    def set_mode(self, mode: MachineMode, reason: str) -> None:
-        """Take this runner out of service, or put it back."""
-        is_out = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
-        if is_out and not self.is_out:
-            log.info("outage: draining this machine for maintenance: reason=%s", reason)
-            self._out_since_us = self.core.clock.now
-        elif self.is_out and not is_out:
-            log.info("outage: this machine is back in service: state=%s", mode.value)
-        self.is_out = is_out
-        if is_out and self.reporter.wanted:
-            self.reporter.maintain(REASON_PREFIX + reason)
-        elif not is_out and self._is_own_maintenance():
-            self.reporter.put_back()
-
-    def _is_own_maintenance(self) -> bool:
-        """The maintenance that is set comes from here, or from the process that this one replaced."""
-        maintenance = self.reporter.tracker.maintenance
-        return maintenance is not None and maintenance.reason.startswith(REASON_PREFIX)
-
-    def alert(self, text: str) -> None:
-        """Log and count something that an operator must look at."""
-        log.error("%s", text)
-        self.core.counters.add("outages that need a person")
+        self.fleet.node.load_figures = self._reporter.report().weight, load, peak_load
 
     # ---- operators ----
 
@@ -236,14 +153,14 @@
             reason=form.reason,
             requested_by=form.requested_by,
             duration_s=form.duration_s,
-            requested_at_s=self.unix_s(),
+            requested_at_s=self.machine.unix_s(),
             not_before_s=form.not_before_s,
             due_at_s=form.due_at_s,
             priority=form.priority,
             shares_zone=form.shares_zone,
             completion=form.completion.value,
             queued=seats,
-            boot_id=self.boot_id if form.ends_with_caller else "",
+            boot_id=self.machine.boot_id if form.ends_with_caller else "",
         )
         return self.coordinator.submit(request, self._status_to(callback))
 
@@ -300,7 +217,7 @@
 
     def status(self, schedule: Schedule, is_current: bool) -> MaintenanceStatus:
         """Return a schedule as this runner sees it."""
-        now_s = self.unix_s()
+        now_s = self.machine.unix_s()
         step = self.coordinator.explain()
         placement = self.fleet.node.placement
         zones = {name: seat.zone for name, seat in placement.by_name.items()}
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -426,7 +426,7 @@
     ask = MaintenanceRequest(
         "all", "patch", "me", 1.0, 0.0, shares_zone=True, queued=tuple(f"n{i}" for i in range(seats))
     )
-    sim.requested["all"] = set(ask.queued)
+    sim.operators.requested["all"] = set(ask.queued)
     coordinator = sim.processes[0].coordinator  # type: ignore[attr-defined]
     sim.at(sim.now, sim.processes[0], lambda: coordinator.submit(ask, lambda got: None))
     before = sim.history.messages
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -69,9 +69,9 @@
         if record.holder is not None:
             self._keys_by_holder.setdefault(record.holder, set()).add(key)
             if self.is_lost(record.holder):
-                self._begin(key)
+                self._start(key)
         elif record.needs_leader:
-            self._begin(key)
+            self._start(key)
 
     def _forget_holder(self, key: Key, holder: Owner) -> None:
         keys = self._keys_by_holder.get(holder, set())
@@ -96,7 +96,7 @@
         """The failure detector has declared a process dead. `inc`: its incarnation."""
         self.stability.record_loss(self.services.now(), seat)
         for key in sorted(self._keys_by_holder.get(Owner(seat, inc), ())):
-            self._begin(key)
+            self._start(key)
 
     def check_holders(self) -> None:
         """Pass over leaders that are lost, or have been unfit for long and released nothing. Called periodically."""
@@ -104,11 +104,11 @@
         for holder in list(self._keys_by_holder):
             if self._is_unfit(holder):
                 if now - self._unfit_since_us.setdefault(holder, now) >= self.unfit_patience_us:
-                    self._begin_all(holder)
+                    self._start_all(holder)
                 continue
             self._unfit_since_us.pop(holder, None)
             if holder != self.services.owner and self.is_lost(holder):
-                self._begin_all(holder)
+                self._start_all(holder)
         for holder in self._unfit_since_us.keys() - self._keys_by_holder.keys():
             del self._unfit_since_us[holder]
 
@@ -124,9 +124,9 @@
             return False
         return not self.is_lost(holder)
 
-    def _begin_all(self, holder: Owner) -> None:
+    def _start_all(self, holder: Owner) -> None:
         for key in self.held_by(holder):
-            self._begin(key)
+            self._start(key)
 
     def _needs_leader(self, record: LeaseRecord) -> bool:
         if record.needs_leader:
@@ -140,7 +140,7 @@
 
     # ---- offers ----
 
-    def _begin(self, key: Key) -> None:
+    def _start(self, key: Key) -> None:
         if key in self._attempts:
             return
         self._attempts[key] = 0
--- a/moorusher/leadership/holder_changes.py
+++ b/moorusher/leadership/holder_changes.py
@@ -137,7 +137,7 @@
         )
 
 
-class BeginRelease(HolderChange):
+class StartRelease(HolderChange):
     """The leader starts nothing new: it is about to release the lease."""
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -96,7 +96,7 @@
             if intent.revision in self._in_progress:
                 continue
             was_never_sent = self._was_never_sent(intent)
-            if intent.resolution == IntentResolution.ASK_OPERATOR and not was_never_sent:
+            if intent.resolution == IntentResolution.OPERATOR_DECIDES and not was_never_sent:
                 continue
             self._in_progress.add(intent.revision)
             self._resolve(intent, was_never_sent)
@@ -121,7 +121,7 @@
         elif intent.resolution == IntentResolution.REPEAT:
             receivers.send_intent(intent.receiver, lease.name, intent, responded)
         else:
-            receivers.ask_intent(intent.receiver, lease.name, intent, responded)
+            receivers.query_intent(intent.receiver, lease.name, intent, responded)
 
     def _close(self, intent: Intent, done: bool) -> None:
         lease = self._lease
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -17,7 +17,7 @@
 from .effect_executor import EffectExecutor
 from .effects import Completed, Effect, IntentRequest, Outcome, OutcomeCallback
 from .errors import Busy, Damaged, DutyError, OverBudget, Superseded
-from .holder_changes import BeginRelease, ClearLostLeaders, ReleaseLease
+from .holder_changes import ClearLostLeaders, ReleaseLease, StartRelease
 from .intent_resolution import IntentResolver
 from .lease_record import MAX_INTENT_BYTES, LeaseRecord, LeaseStatus
 from .lease_register import LeaseRegister
@@ -212,7 +212,7 @@
             return
         self.stage = Stage.RELEASING
         self._release_to = offered_to
-        self.enqueue(lambda: self.register.change(self.finish, BeginRelease), ignore_outcome)
+        self.enqueue(lambda: self.register.change(self.finish, StartRelease), ignore_outcome)
 
     def _release_when_idle(self) -> None:
         if self._release_to is not None and self.stage is Stage.RELEASING:
--- a/moorusher/leadership/lease_record.py
+++ b/moorusher/leadership/lease_record.py
@@ -47,11 +47,11 @@
 class IntentResolution(IntEnum):
     """How the outcome of an intent is found when nobody reported it. The values are stored."""
 
-    ASK_RECEIVER = (
+    QUERY_RECEIVER = (
         0  # the receiver knows; once it answered "not done" it never does it, so that answer is final
     )
     REPEAT = 1  # idempotent: it is sent again
-    ASK_OPERATOR = 2  # it stays open until an operator settles it
+    OPERATOR_DECIDES = 2  # it stays open until an operator settles it
 
     @property
     def api_name(self) -> str:
@@ -60,9 +60,9 @@
 
 
 _RESOLUTION_API_NAMES = {
-    IntentResolution.ASK_RECEIVER: "ask",
+    IntentResolution.QUERY_RECEIVER: "ask",
     IntentResolution.REPEAT: "repeat",
-    IntentResolution.ASK_OPERATOR: "tell",
+    IntentResolution.OPERATOR_DECIDES: "tell",
 }
 
 
--- a/moorusher/leadership/worker.py
+++ b/moorusher/leadership/worker.py
@@ -34,5 +34,5 @@
     def send_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
         """Send a recorded intent."""
 
-    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+    def query_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
         """Ask whether an intent was done. A receiver that answers no never does it from then on."""
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -16,7 +16,7 @@
 from .slot_changes import GrantSlots
 
 REPLICA_RANK_DELAY_US = 1_500 * MS  # nothing has happened for so long: the next replica tries
-NOTIFY_AGAIN_US = 1_000 * MS  # a grant that its machine has not accepted is announced again
+RENOTIFY_US = 1_000 * MS  # a grant that its machine has not accepted is announced again
 SECOND_US = 1e6
 HUNDREDTHS = 100  # members report loads in hundredths of a core
 
@@ -115,7 +115,7 @@
 
     def seats_to_notify(self, schedule: Schedule, now_us: int) -> list[str]:
         """Return machines that seem not to have heard of their grant; none unless this is the first replica."""
-        if now_us - self._notified_at_us < NOTIFY_AGAIN_US or not schedule.slots or self._rank(schedule):
+        if now_us - self._notified_at_us < RENOTIFY_US or not schedule.slots or self._rank(schedule):
             return []
         self._notified_at_us = now_us
         return [
--- a/moorusher/model_checking/leadership_history.py
+++ b/moorusher/model_checking/leadership_history.py
@@ -70,7 +70,7 @@
         self.jobs_by_intent[intent.revision] = intent.payload
         return ReceiverResponse(answered=True, done=True)
 
-    def receive_question(self, intent: Intent) -> ReceiverResponse:
+    def receive_query(self, intent: Intent) -> ReceiverResponse:
         """A leader asks whether an intent was done; if not, it never will be."""
         self.refused_intents.add(intent.revision)
         return ReceiverResponse(answered=True, done=intent.revision in self.jobs_by_intent)
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -47,7 +47,7 @@
         effect before its intent is chosen.
     highest: the highest token at the receiver.
     jobs_done: at the receiver that can't compare.
-    operator_asked: an operator was told that an outcome is uncertain.
+    operator_notified: an operator was told that an outcome is uncertain.
     acknowledged: who was told that a change of its own is chosen, and its token.
     """
 
@@ -58,7 +58,7 @@
     acquire_change: type[AcquireLease] = AcquireLease
     highest: FencingToken | None = None
     jobs_done: int = 0
-    operator_asked: bool = False
+    operator_notified: bool = False
     acknowledged: tuple[tuple[str, FencingToken], ...] = ()
 
     @classmethod
@@ -82,7 +82,7 @@
             Registers.print(self),
             self.highest,
             self.jobs_done,
-            self.operator_asked,
+            self.operator_notified,
             self.acknowledged,
         )
 
@@ -122,7 +122,9 @@
 
     def _effect_change(self, runner: Runner, owner: Owner, term: int) -> HolderChange:
         if self.kind == "once":
-            return AddIntent(owner, GENERATION, term, runner.attempt, "s", JOB, IntentResolution.ASK_OPERATOR)
+            return AddIntent(
+                owner, GENERATION, term, runner.attempt, "s", JOB, IntentResolution.OPERATOR_DECIDES
+            )
         if self.kind == "state":
             base_revision = 1 if runner.name == "P" else 2
             return UpdateState(owner, GENERATION, term, runner.attempt, base_revision, 0, (), MAX_VERSIONS)
@@ -149,7 +151,7 @@
             runner.doing = "over"
         elif record.intents:
             runner.doing = "over"
-            self.operator_asked = True
+            self.operator_notified = True
         else:
             self._begin_effect(runner, record.term, hold)
 
@@ -184,7 +186,7 @@
 
     def _receive_job(self) -> None:
         self.jobs_done += 1
-        if self.jobs_done > 1 and not self.operator_asked:
+        if self.jobs_done > 1 and not self.operator_notified:
             self.wrong = "the job was done twice, and no operator was told"
 
     def _receive_fenced(self, by: str, token: FencingToken) -> None:
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -121,10 +121,10 @@
         history = self.world.histories[duty]
         self._exchange(lambda: history.receive_intent(intent), callback)
 
-    def ask_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
+    def query_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
         """Ask the receiver that can't compare."""
         history = self.world.histories[duty]
-        self._exchange(lambda: history.receive_question(intent), callback)
+        self._exchange(lambda: history.receive_query(intent), callback)
 
     def _exchange(self, arrive: Callable[[], ReceiverResponse], callback: ResponseCallback) -> None:
         """A request that was sent arrives though its sender is stopped or gone; sometimes very late, or never."""
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -21,6 +21,7 @@
 from ..maintenance.schedule import MaintenanceRequest, Schedule, Slot, SlotStage, decode_schedule
 from ..maintenance.slot_changes import ClearMachine, GrantSlots
 from ..maintenance.transitions import Change
+from .maintenance_machines import Machine, SentChange
 from .register_interleavings import copy
 
 SEATS = ("a", "b", "c")
@@ -72,40 +73,6 @@
     planners: tuple[str, ...] = ("a", "c")
 
 
-@dataclass(slots=True)
-class Machine:
-    """A machine and its process.
-
-    incarnation, boot: int.
-    is_alive: bool.
-    known: the register's value, as last read.
-    has_operator: bool, the operator is there, to be told.
-    is_cleared: bool, the operator may begin at any time.
-    is_away: bool, it is being worked on, or has come back cold from that.
-    is_drained, is_warm: bool.
-    """
-
-    incarnation: int = 1
-    boot: int = 1
-    is_alive: bool = True
-    known: bytes | None = b""
-    has_operator: bool = True
-    is_cleared: bool = False
-    is_away: bool = False
-    is_drained: bool = False
-    is_warm: bool = True
-
-
-@dataclass(frozen=True, slots=True)
-class SentChange:
-    """A change on its way. `sender`: who hears of it; empty if it was abandoned."""
-
-    sender: str
-    incarnation: int
-    change: Change
-    text: str
-
-
 @dataclass(slots=True)
 class MaintenanceCase:
     """Three machines and the schedule.
@@ -156,7 +123,7 @@
         """Return what tells two states of the search apart."""
         return (
             self.register,
-            tuple(_print_machine(machine) for machine in self.machines.values()),
+            tuple(machine.print() for machine in self.machines.values()),
             tuple(sorted((sent.sender, sent.incarnation, sent.text) for sent in self.sent)),
             self.crashes,
             self.abandoned,
@@ -303,12 +270,13 @@
         elif what == "tells its operator":
             self._clear(seat, machine)
         elif what == "is worked on":
-            self._work_on(machine)
+            machine.go_down_for_work()
         elif what == "is warm":
             machine.is_warm = True
             machine.is_away = False
         else:
-            self._crash(machine, is_power_lost=what == "loses power")
+            self.crashes += 1
+            machine.crash(is_power_lost=what == "loses power")
 
     def _plan(self, seat: str, machine: Machine, other: str) -> None:
         assert machine.known is not None
@@ -320,24 +288,6 @@
         if self.is_withdrawn and seat == self.limits.seats[0]:
             self.wrong = f"{seat} was told to go, though its operator had heard that it is withdrawn"
 
-    @staticmethod
-    def _work_on(machine: Machine) -> None:
-        machine.is_cleared = False
-        machine.has_operator = False
-        machine.is_away = True
-        machine.is_alive = False
-        machine.boot += 1
-        machine.is_warm = False
-
-    def _crash(self, machine: Machine, is_power_lost: bool) -> None:
-        self.crashes += 1
-        machine.is_alive = False
-        if is_power_lost:  # and with it, whoever waits there, or was told
-            machine.is_cleared = False
-            machine.has_operator = False
-            machine.boot += 1
-            machine.is_warm = False
-
     def _check_limit(self) -> None:
         out = [seat for seat, machine in self.machines.items() if machine.is_cleared or machine.is_away]
         if len(out) > POLICY.most:
@@ -358,17 +308,3 @@
     def broken(self) -> str | None:
         """Return what is wrong, in words."""
         return self.wrong
-
-
-def _print_machine(machine: Machine) -> Hashable:
-    return (
-        machine.incarnation,
-        machine.boot,
-        machine.is_alive,
-        machine.known,
-        machine.has_operator,
-        machine.is_cleared,
-        machine.is_away,
-        machine.is_drained,
-        machine.is_warm,
-    )
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -27,18 +27,18 @@
     boots: int, what its own file would say.
     is_cleared: bool, its script may begin the work at any time.
     is_down: bool, it is being worked on.
-    is_cold: bool, it has come back from work, and is not what it was.
+    is_warming_up: bool, it has come back from work, and is not what it was.
     """
 
     boots: int = 1
     is_cleared: bool = False
     is_down: bool = False
-    is_cold: bool = False
+    is_warming_up: bool = False
 
     @property
     def is_worked_on(self) -> bool:
         """It may be worked on, or is not yet back in service."""
-        return self.is_cleared or self.is_down or self.is_cold
+        return self.is_cleared or self.is_down or self.is_warming_up
 
 
 class Script:
@@ -118,12 +118,12 @@
         self._world.clear_machine(self.seat)
         if self.gives_up:
             if is_first:  # killed between its two commands: nobody works on it, and nobody says so
-                self._world.stuck.add(self.seat)
+                self._world.operators.stuck.add(self.seat)
         else:
-            self._world.stuck.discard(self.seat)
+            self._world.operators.stuck.discard(self.seat)
             begin_s = self._world.random.uniform(0.01, 1.5)
-            self._world.at(self._world.now + round(begin_s * SECOND), None, self._begin_work)
+            self._world.at(self._world.now + round(begin_s * SECOND), None, self._start_work)
 
-    def _begin_work(self) -> None:
+    def _start_work(self) -> None:
         if self._machine.boots == self.boot and not self._machine.is_down:
             self._world.work_on(self.seat)
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -11,17 +11,14 @@
 from functools import partial
 from typing import Any
 
-from msgspec import structs
-
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..maintenance.policy import Policy
-from ..maintenance.schedule import MaintenanceRequest, SlotStage
-from ..membership.placement import majority
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
-from .maintenance_scripts import Machine, Script
+from .maintenance_operators import EPOCH_S, WORK_S, SimulatedOperators
+from .maintenance_scripts import Machine
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
@@ -34,19 +31,14 @@
     lost=0.01,
     kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
 )
-EPOCH_S = 1e9  # Unix time at the begin of a course
 WARM_UP_S = 0.6
-WORK_S = 1.0
 DRAIN_US = 300 * MS
 RECOVERY_S = 60.0  # after the course, until all that was requested must have come about
 CLOCK_SET_BACK_US = 3600 * SECOND
 FULL_WEIGHT = 100
-COLD_WEIGHT = 35
+WARM_UP_WEIGHT = 35
 HUNDREDTHS = 100
-OWN_SCRIPT_SHARE = 0.4  # of requests, for one machine by a script of its own; else for several at once
-GIVES_UP_SHARE = 0.08  # of scripts
-WITHDRAWN_SHARE = 0.2  # of requests
-FAILS_AGAIN_SHARE = 0.08  # of machines, shortly after they have come back
+REFAIL_SHARE = 0.08  # of machines, shortly after they have come back
 
 
 class MaintenanceProcess(Process):
@@ -87,7 +79,7 @@
     def _check_warm(self) -> bool:
         is_warm = self.sim.now - self.started_at_us >= WARM_UP_S * SECOND
         if is_warm:
-            self.world.machines[self.seat].is_cold = False
+            self.world.machines[self.seat].is_warming_up = False
         return is_warm
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
@@ -107,7 +99,7 @@
     def _weight(self) -> int:
         if self.away:
             return 0
-        return FULL_WEIGHT if self._check_warm() else COLD_WEIGHT
+        return FULL_WEIGHT if self._check_warm() else WARM_UP_WEIGHT
 
     def lost(self, key: bytes) -> None:
         """Of keyed work, which there is none of here."""
@@ -119,8 +111,7 @@
 
     coordinator_class, acceptor_class: the real ones, or those with a seeded mistake.
     load: int, of each member, in hundredths of a core.
-    requested: seats of each request that was made.
-    stuck: machines that are cleared, and nobody is there who begins the work.
+    operators: who make requests.
     most_cleared: int, machines that could be worked on at one time.
     """
 
@@ -142,15 +133,12 @@
         self.load = round(load * HUNDREDTHS)
         self.coordinator_class = coordinator
         self.acceptor_class = acceptor
-        self.requested: dict[str, set[str]] = {}
-        self.scripts: list[Script] = []
-        self.stuck: set[int] = set()
         self.most_cleared = 0
-        self.majority_losses = 0  # times that too many replicas had forgotten
         self.violations: list[str] = []
         super().__init__(seed, course, process=process)
+        self.operators = SimulatedOperators(self)
         for number in range(requests):
-            self._plan_request(f"ask {number}", self.random.uniform(1, course.seconds / 2))
+            self.operators.plan_request(f"ask {number}", self.random.uniform(1, course.seconds / 2))
 
     def born(self, seat: int, remembers: bool, inc: int = 0) -> Process:
         made = super().born(seat, remembers, inc)
@@ -167,92 +155,6 @@
         process = self.processes[seat]
         return process if process.alive and isinstance(process, MaintenanceProcess) else None
 
-    # ---- operators ----
-
-    def _plan_request(self, request_id: str, at_s: float) -> None:
-        random = self.random
-        seats = self.course.seats
-        has_own_script = random.random() < OWN_SCRIPT_SHARE
-        if has_own_script:
-            machines = [random.randrange(seats)]
-        else:
-            machines = sorted(random.sample(range(seats), random.randint(1, seats)))
-        request = MaintenanceRequest(
-            request_id,
-            "patch",
-            "operator",
-            WORK_S,
-            EPOCH_S + at_s,
-            priority=random.randrange(3),
-            shares_zone=random.random() < 0.5,
-            queued=tuple(f"n{seat}" for seat in machines),
-        )
-        self.requested[request_id] = set(request.queued)
-        gives_up = {seat for seat in machines if random.random() < GIVES_UP_SHARE}
-        is_withdrawn = random.random() < WITHDRAWN_SHARE
-        at_us = round(at_s * SECOND)
-        if has_own_script:
-            seat = machines[0]
-            script = Script(self, seat, request_id, seat in gives_up)
-            self.scripts.append(script)
-            request = structs.replace(request, boot_id=str(script.boot))
-            self.at(at_us, None, lambda: self._submit(request, script))
-            self.at(at_us + 1, None, script.wait)
-        else:
-            self.at(at_us, None, lambda: self._submit(request, None))
-            self.at(at_us + 1, None, lambda: self._start_scripts(request_id, machines, gives_up))
-        if is_withdrawn:
-            withdraw_s = at_s + random.uniform(0, 8)
-            self.at(round(withdraw_s * SECOND), None, lambda: self._withdraw(request_id))
-
-    def _submit(self, request: MaintenanceRequest, script: Script | None) -> None:
-        """Send a request until somebody knows it, or its own script is gone."""
-        if self._is_known(request.id):
-            return
-        if script is not None and not script.is_alive:
-            self.requested.pop(request.id, None)  # it has gone before anybody heard of it
-            return
-        seat = self.random.randrange(self.course.seats) if script is None else script.seat
-        process = self.live_process(seat)
-        if process is not None:
-            submit = partial(process.coordinator.submit, request, lambda result: None)
-            self.at(self.now, process, submit)
-        self.at(self.now + 3 * SECOND, None, lambda: self._submit(request, script))
-
-    def _start_scripts(self, request_id: str, machines: list[int], gives_up: set[int]) -> None:
-        """On each machine of a request something waits that is there after each boot."""
-        for seat in machines:
-            if self._is_queued(request_id, f"n{seat}") and not self._has_script(request_id, seat):
-                script = Script(self, seat, request_id, seat in gives_up)
-                self.scripts.append(script)
-                script.wait()
-                gives_up.discard(seat)
-        self.at(self.now + SECOND, None, lambda: self._start_scripts(request_id, machines, gives_up))
-
-    def _has_script(self, request_id: str, seat: int) -> bool:
-        return any(
-            script.is_alive and script.seat == seat and script.request_id == request_id
-            for script in self.scripts
-        )
-
-    def _is_known(self, request_id: str) -> bool:
-        schedules = [process.coordinator.schedule for process in self.live_processes()]
-        return any(
-            schedule.request(request_id) is not None or schedule.is_finished(request_id)
-            for schedule in schedules
-        )
-
-    def _is_queued(self, request_id: str, seat: str) -> bool:
-        requests = [process.coordinator.schedule.request(request_id) for process in self.live_processes()]
-        return any(request is not None and seat in request.queued for request in requests)
-
-    def _withdraw(self, request_id: str) -> None:
-        live = self.live_processes()
-        if live:
-            process = self.random.choice(live)
-            withdraw = partial(process.coordinator.withdraw, request_id, [], "operator", lambda result: None)
-            self.at(self.now, process, withdraw)
-
     # ---- machines ----
 
     def clear_machine(self, seat: int) -> None:
@@ -274,14 +176,14 @@
         process = self.processes[seat]
         if process.alive:
             self._end(process)
-        fails_again = self.random.random() < FAILS_AGAIN_SHARE
+        refails = self.random.random() < REFAIL_SHARE
 
         def boot() -> None:
             machine.is_down = False
-            machine.is_cold = True
+            machine.is_warming_up = True
             machine.boots += 1
             self.processes[seat] = self.born(seat, remembers=False)
-            if fails_again:
+            if refails:
                 fail_at_us = self.now + round(0.4 * SECOND)
                 self.at(fail_at_us, None, lambda: self._fault("power of one", seat, 0.5))
 
@@ -313,7 +215,7 @@
             self._end(process)
             machine.is_cleared = False
             machine.boots += 1
-            self.stuck.discard(seat)
+            self.operators.stuck.discard(seat)
             self._begin_again(seat, self.now + round(min(lasts_s, 2) * SECOND), 0)
 
     def _lower_limit(self, seat: int, lasts_s: float) -> None:
@@ -336,68 +238,17 @@
         end = self.now + round(RECOVERY_S * SECOND)
         while self.now < end and not (self.violations or self._is_all_finished()):
             self.run(self.now + SECOND)
-            self._operate()
+            self.operators.look_after_machines()
         return self.violations[0] if self.violations else self._unfinished()
 
-    def _operate(self) -> None:
-        """As an operator does: finish what is stuck, resume what was suspended."""
-        live = self.live_processes()
-        if not live:
-            return
-        if self._has_lost_majority(live):
-            self._recover_majority(live)
-            return
-        coordinator = live[0].coordinator
-        for slot in coordinator.schedule.slots:
-            seat = int(slot.seat[1:])
-            is_open = slot.stage in (SlotStage.CLEARED, SlotStage.SUSPENDED)
-            if is_open and not self._is_under_way(seat, slot.request_id):
-                self.machines[seat].is_cleared = False
-                self.stuck.discard(seat)
-                coordinator.finish(slot.seat, "operator", lambda result: None)
-        for request in coordinator.schedule.requests:
-            for seat_name, _ in request.suspended:
-                coordinator.resume(seat_name, lambda result: None)
-
-    def _is_under_way(self, seat: int, request_id: str) -> bool:
-        machine = self.machines[seat]
-        will_begin = machine.is_cleared and seat not in self.stuck
-        return will_begin or self._has_script(request_id, seat) or machine.is_down or machine.is_cold
-
-    @staticmethod
-    def _replicas(live: list[MaintenanceProcess]) -> list[MaintenanceProcess]:
-        return [process for process in live if process.node.me in process.coordinator.replica.replicas]
-
-    def _has_lost_majority(self, live: list[MaintenanceProcess]) -> bool:
-        """All replicas are there, and too many have forgotten."""
-        replicas = self._replicas(live)
-        recovered = sum(process.coordinator.replica.acceptor.recovered for process in replicas)
-        is_complete = len(replicas) == len(live[0].coordinator.replica.replicas)
-        return is_complete and recovered < majority(len(replicas))
-
-    def _recover_majority(self, live: list[MaintenanceProcess]) -> None:
-        """Once nobody works on anything, an operator says that what is left counts."""
-        for seat, machine in enumerate(self.machines):
-            machine.is_cleared = False
-            self.stuck.discard(seat)
-        for script in self.scripts:
-            script.is_over = True
-        if any(machine.is_down for machine in self.machines):
-            return
-        forgetful = next(
-            process for process in self._replicas(live) if not process.coordinator.replica.acceptor.recovered
-        )
-        if forgetful.coordinator.replica.registers.bootstrap(lost=True) is None:
-            self.majority_losses += 1
-
     def _is_all_finished(self) -> bool:
         is_idle = all(not process.coordinator.schedule.requests for process in self.live_processes())
-        return is_idle and all(self._is_known(request_id) for request_id in self.requested)
+        return is_idle and all(self.operators.is_known(request_id) for request_id in self.operators.requested)
 
     def _unfinished(self) -> str | None:
         schedules = [process.coordinator.schedule for process in self.live_processes()]
         last = max(schedules, key=lambda schedule: schedule.revision)
-        for request_id in self.requested:
+        for request_id in self.operators.requested:
             request = last.request(request_id)
             if request is not None:
                 return f"{request_id} is not over: {request}, {last.slots}"
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -65,7 +65,7 @@
         elif how == "intent":
             self._receivers.send_intent("127.0.0.1:1", "duty", intent, self.heard.append)
         else:
-            self._receivers.ask_intent("127.0.0.1:1", "duty", intent, self.heard.append)
+            self._receivers.query_intent("127.0.0.1:1", "duty", intent, self.heard.append)
         return Connection(self._reactor.tcpClients[-1][2])
 
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -185,7 +185,7 @@
     too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.state_bytes + 1)))
     assert isinstance(too_large, OverBudget) and str(POLICY.state_bytes) in str(too_large)
     assert isinstance(
-        answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.ASK_OPERATOR)), OverBudget
+        answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.OPERATOR_DECIDES)), OverBudget
     )
     got: list[Any] = []
     owner.participant.directory.create("x" * 200, "test", got.append)
--- a/tests/test_lease_record.py
+++ b/tests/test_lease_record.py
@@ -9,9 +9,9 @@
 from moorusher.leadership.fencing_token import FencingToken, TokenVerdict, check_token
 from moorusher.leadership.holder_changes import (
     AddIntent,
-    BeginRelease,
     IssueToken,
     ReleaseLease,
+    StartRelease,
     Suspend,
     UpdateState,
 )
@@ -56,7 +56,7 @@
         (IssueToken(A, 1, 3, 1), record(LeaseStatus.RELEASING), None, 0, None),
         (UpdateState(A, 1, 3, 1, 7, 0, (), 3), record(LeaseStatus.RELEASING), LeaseStatus.RELEASING, 3, A),
         (UpdateState(A, 1, 3, 1, 6, 0, (), 3), record(), None, 0, None),
-        (BeginRelease(A, 1, 3, 1), record(), LeaseStatus.RELEASING, 3, A),
+        (StartRelease(A, 1, 3, 1), record(), LeaseStatus.RELEASING, 3, A),
         (ReleaseLease(A, 1, 3, 1, "b"), record(LeaseStatus.RELEASING), LeaseStatus.OFFERED, 3, None),
         (ReleaseLease(A, 1, 3, 1, ""), record(LeaseStatus.RELEASING), LeaseStatus.VACANT, 3, None),
         (Suspend(A, 1, 3, 1, "why", 2), record(), LeaseStatus.SUSPENDED, 3, None),
@@ -78,7 +78,7 @@
 
 def test_a_change_that_a_second_round_finds_applied_is_not_applied_twice() -> None:
     """A round of a change is cut short, and the next round finds that the first was chosen after all."""
-    change = AddIntent(A, 1, 3, 1, "s", b"job", IntentResolution.ASK_OPERATOR)
+    change = AddIntent(A, 1, 3, 1, "s", b"job", IntentResolution.OPERATOR_DECIDES)
     once = change(encode_record(record()))
     assert (
         change(once) is None
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -480,4 +480,4 @@
 
 def test_without_faults_all_of_it_is_over_soon() -> None:
     sim = MaintenanceSimulation(1, replace(COURSE, faults=0))
-    assert sim.play() is None and sim.most_cleared >= 1 and not sim.majority_losses
+    assert sim.play() is None and sim.most_cleared >= 1 and not sim.operators.majority_losses
