--- /dev/null
+++ b/tests/test_maintenance_checking.py
@@ -0,0 +1,128 @@
+"""Maintenance in every interleaving and on seeds in virtual time; each search must also find seeded mistakes."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+from msgspec import structs
+
+from moorusher.maintenance.coordinator import MaintenanceCoordinator
+from moorusher.maintenance.disruption_budget import DisruptionBudget
+from moorusher.maintenance.operator_changes import (
+    WithdrawRequest,
+)
+from moorusher.maintenance.policy import Policy
+from moorusher.maintenance.schedule import (
+    Schedule,
+    SlotStage,
+)
+from moorusher.maintenance.slot_changes import (
+    GrantSlots,
+)
+from moorusher.maintenance.waiters import Waiters, WaitResult, WaitStatus
+from moorusher.model_checking.explorer import explore, replay
+from moorusher.model_checking.maintenance_interleavings import Limits, MaintenanceCase
+from moorusher.model_checking.maintenance_simulation import COURSE, MaintenanceSimulation, search
+
+# ---- every interleaving ----
+
+
+def test_every_interleaving_of_two_requests_and_a_withdrawal_keeps_the_limit() -> None:
+    found = explore(MaintenanceCase.begun(Limits(crashes=0, abandoned=0)), 60_000)
+    assert found.whole and found.broken is None, found
+
+
+def test_interleavings_with_a_crash_or_a_late_change_keep_the_limit() -> None:
+    for limits in (Limits(crashes=1, abandoned=0), Limits(crashes=0, abandoned=1)):
+        found = explore(MaintenanceCase.begun(limits), 25_000, deep=True)
+        assert found.broken is None, found
+
+
+class Unlimited(GrantSlots):
+    """A grant counted as it is sent, and not as it is settled."""
+
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        self.revision = schedule.revision
+        self.max_slots = 9
+        return super().apply(schedule)
+
+
+class OverdueForgotten(DisruptionBudget):
+    """One that is out is not counted."""
+
+    def __init__(self, seen: Any, schedule: Schedule, keepers: Any, policy: Policy) -> None:
+        kept = tuple(t for t in schedule.slots if t.stage is not SlotStage.CLEARED)
+        super().__init__(seen, structs.replace(schedule, slots=kept), keepers, policy)
+
+
+class WinsAfterGo(WithdrawRequest):
+    def apply(self, schedule: Schedule) -> Schedule | None:
+        made = super().apply(schedule) or schedule
+        self.error = None
+        return structs.replace(made, slots=tuple(t for t in made.slots if t.request_id != self.request_id))
+
+
+@pytest.mark.parametrize(
+    "limits, how",
+    [
+        (Limits(crashes=0), {"clears_early": True}),
+        (
+            Limits(crashes=0, abandoned=0, is_withdrawn=False),
+            {"grant_change": Unlimited, "machine_policy": Policy(most=9)},
+        ),
+        (
+            Limits(crashes=0, abandoned=0, is_withdrawn=False),
+            {"budget_class": OverdueForgotten, "grant_change": Unlimited, "machine_policy": Policy(most=9)},
+        ),
+        (Limits(crashes=0, abandoned=0), {"withdraw_change": WinsAfterGo}),
+        (
+            Limits(crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)),
+            {"any_process": True},
+        ),
+    ],
+)
+def test_the_interleavings_find_each_seeded_mistake(limits: Limits, how: dict[str, Any]) -> None:
+    found = explore(MaintenanceCase.begun(limits, **how), 200_000)
+    assert found.broken is not None, found
+    assert replay(MaintenanceCase.begun(limits, **how), found.way) == found.broken
+
+
+# ---- seeds in virtual time ----
+
+
+def test_no_seed_has_too_many_machines_out_or_forgets_a_request() -> None:
+    found = search(range(40))
+    assert found is None, f"MaintenanceSimulation({found[0]}).play(): {found[1]}" if found else ""
+
+
+def test_a_seed_plays_the_same_course_each_time() -> None:
+    first, second = MaintenanceSimulation(7), MaintenanceSimulation(7)
+    assert first.play() == second.play() and first.events == second.events
+    assert first.history.messages == second.history.messages
+
+
+class EagerWaiters(Waiters):
+    """A seeded mistake: one that waits on a later boot of the machine is told what an earlier one was granted."""
+
+    def result_for(self, waiter: Any, schedule: Schedule, is_known: bool) -> WaitResult | None:
+        held = schedule.slot(waiter.seat)
+        if held is not None and held.request_id == waiter.request_id and held.stage is SlotStage.CLEARED:
+            return WaitResult(WaitStatus.GRANTED)
+        return super().result_for(waiter, schedule, is_known)
+
+
+class Eager(MaintenanceCoordinator):
+    """With those waiters."""
+
+    waiters_class = EagerWaiters
+
+
+def test_seeds_find_a_clearance_that_is_told_on_a_later_boot() -> None:
+    assert search(range(120), coordinator=Eager) is not None
+
+
+def test_without_faults_every_request_is_finished_soon() -> None:
+    sim = MaintenanceSimulation(1, replace(COURSE, faults=0))
+    assert sim.play() is None and sim.most_cleared >= 1 and not sim.operators.majority_losses
--- a/tests/test_outage_real.py
+++ b/tests/test_maintenance_real.py
@@ -59,7 +59,7 @@
         return (await self.api(i))[1]
 
     async def stage(self, i: int, at: int = 0) -> str:
-        """What the roster says of machine i, as a majority has it: asked at another."""
+        """The stage of machine i in the schedule, as a majority has it: asked at another."""
         with suppress(OSError):
             got = await self.show(at)
             if turn := next((t for t in got.get("turns", ()) if t["seat"] == f"n{i}"), None):
@@ -74,7 +74,7 @@
         await until(there)
 
     async def over(self, at: int = 0) -> None:
-        """Nothing that was asked for is left."""
+        """No request is open."""
 
         async def none() -> bool:
             with suppress(OSError):
@@ -154,7 +154,8 @@
 
 
 @sockets
-async def test_all_go_round_one_at_a_time_under_load_and_no_keyed_work_begins_twice() -> None:
+async def test_all_are_maintained_one_at_a_time_under_load_and_no_keyed_request_runs_twice() -> None:
+    """Every machine of the fleet reboots under load, with scripts that wait on each."""
     async with machines(4) as m:
         served, asked, stop = 0, 0, False
 
@@ -182,7 +183,8 @@
 
 
 @sockets
-async def test_killed_while_it_drains_it_waits_again_and_goes_later() -> None:
+async def test_a_machine_killed_while_it_drains_is_queued_again() -> None:
+    """The process of a machine is killed while it drains for its slot."""
     async with machines(3, work=30.0) as m:
         front = await m.fleet.front(1)
         run = front.send("check")  # it drains for as long as that runs: it must not be over before the kill
@@ -200,7 +202,8 @@
 
 
 @sockets
-async def test_whoever_writes_the_next_step_may_be_killed_at_any_of_them() -> None:
+async def test_the_replica_that_writes_the_next_step_may_be_killed_at_any_of_them() -> None:
+    """The replica that grants slots is killed at each of five steps."""
     async with machines(4, journals=True) as m:
         scripts = [asyncio.ensure_future(m.script(i)) for i in (2, 3)]
         for wait in (0.0, 0.15, 0.3, 0.45, 0.6):  # the first keepers in turn, wherever they are with it
@@ -215,7 +218,8 @@
 
 
 @sockets
-async def test_one_that_was_stopped_while_its_grant_was_withdrawn_does_not_go_when_it_wakes() -> None:
+async def test_a_machine_stopped_while_its_grant_is_revoked_does_not_go_when_it_wakes() -> None:
+    """A machine is stopped while it drains, its grant is revoked, and it wakes."""
     async with machines(3, work=1.0) as m:
         front = await m.fleet.front(1)
         run = front.send("check")
@@ -233,7 +237,8 @@
 
 
 @sockets
-async def test_one_that_was_told_counts_as_out_whatever_is_withdrawn_until_a_person_says_otherwise() -> None:
+async def test_a_cleared_machine_counts_as_out_until_an_operator_says_otherwise() -> None:
+    """A machine was cleared, and its request is withdrawn: it may be worked on all the same."""
     async with machines(3) as m:
         process = await m.ask(1, "--id", "a")
         assert await process.wait() == 0  # and nobody reboots
@@ -256,7 +261,8 @@
 
 
 @sockets
-async def test_without_a_majority_nobody_new_goes_and_who_is_out_comes_back_and_serves() -> None:
+async def test_without_a_majority_no_machine_goes_and_one_that_is_out_comes_back_and_serves() -> None:
+    """A majority of the replicas is cut off while a machine is out."""
     async with machines(4, most=2) as m:
         process = await m.ask(1)
         assert await process.wait() == 0
@@ -278,7 +284,8 @@
 
 
 @sockets
-async def test_in_two_halves_nobody_new_goes_on_either_side() -> None:
+async def test_in_two_halves_no_machine_goes_on_either_side() -> None:
+    """The network splits the fleet into two halves."""
     async with machines(4) as m:
         for (i, j), relay in m.fleet.relays.items():
             if i // 2 != j // 2:
@@ -298,7 +305,7 @@
 
 
 @sockets
-async def test_two_operators_who_ask_for_everything_at_once_get_all_of_it_one_at_a_time() -> None:
+async def test_two_operators_who_request_everything_at_once_get_it_one_at_a_time() -> None:
     async with machines(3) as m:
         asked = [
             m.api(i, "ask", id=id, all=True, reason=id, by=id, lasts_s=1) for i, id in ((0, "a"), (1, "b"))
@@ -337,7 +344,8 @@
 
 
 @sockets
-async def test_a_machine_that_is_lost_unasked_counts_as_out() -> None:
+async def test_a_lost_machine_counts_as_out() -> None:
+    """A machine is lost that nobody asked to go."""
     async with machines(4) as m:
         m.fleet.kill(3)
         waits = asyncio.ensure_future(m.script(1))
@@ -355,7 +363,7 @@
 
 
 @sockets
-async def test_a_lower_bound_in_its_own_file_holds_for_one_that_was_granted_under_a_higher() -> None:
+async def test_a_lower_bound_in_its_own_file_holds_for_a_machine_granted_under_a_higher() -> None:
     async with machines(5, most=2, work=2.0, journals=True) as m:
         process = await m.ask(0, "--together")
         assert await process.wait() == 0
@@ -377,7 +385,7 @@
 
 
 @sockets
-async def test_a_process_that_replaces_another_goes_on_with_its_machines_grant() -> None:
+async def test_a_process_that_replaces_another_goes_on_with_the_slot() -> None:
     async with machines(3) as m:
         process = await m.ask(1)
         assert await process.wait() == 0
@@ -400,7 +408,8 @@
 
 
 @sockets
-async def test_who_waits_and_is_gone_has_withdrawn_and_its_machine_serves_on() -> None:
+async def test_a_request_whose_caller_is_gone_is_withdrawn_and_the_machine_serves_on() -> None:
+    """The script that waits for the machine is killed."""
     async with machines(3, work=1.5) as m:
         front = await m.fleet.front(1)
         run = front.send("check")
@@ -416,7 +425,8 @@
 
 
 @sockets
-async def test_with_journals_the_order_outlives_the_whole_fleet() -> None:
+async def test_with_journals_the_schedule_outlives_the_whole_fleet() -> None:
+    """All runners lose power at one time and restart with their journals."""
     async with machines(3, journals=True) as m:
         assert (await m.api(0, "hold", why="a freeze"))[0] == 200
         assert (await m.api(0, "ask", id="a", all=True, reason="patch", lasts_s=1))[0] == 200
