--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ..core.call import Asked
+from ..core.call import CallRequest
 from ..core.clock import MS, Alarm, Alarms, Clock
 from ..core.counters import Counters
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..load_balancing.load_balancer import LoadBalancer
 from ..load_balancing.messages import (
     NO_ATTEMPT,
@@ -33,11 +33,11 @@
 from .server_backends import Backend, ServerBackends
 
 # Any other ending proves nothing: the call may have run, and counts as FAILED.
-OUTCOME_OF_ENDING: dict[Ending, AttemptOutcome] = {
-    Ending.CALL_ANSWERED: AttemptOutcome.ANSWERED,
-    Ending.CALL_TURNED_AWAY: AttemptOutcome.REJECTED,
-    Ending.CALL_STRAY: AttemptOutcome.NOT_AWAITED,
-    Ending.CALL_NOT_CONNECTED: AttemptOutcome.NOT_CONNECTED,
+OUTCOME_OF_ENDING: dict[EndReason, AttemptOutcome] = {
+    EndReason.CALL_ANSWERED: AttemptOutcome.ANSWERED,
+    EndReason.CALL_REJECTED: AttemptOutcome.REJECTED,
+    EndReason.CALL_NOT_AWAITED: AttemptOutcome.NOT_AWAITED,
+    EndReason.CALL_NOT_CONNECTED: AttemptOutcome.NOT_CONNECTED,
 }
 
 
@@ -46,7 +46,7 @@
     """What a backend reported of an attempt."""
 
     attempt_id: int
-    ending: Ending
+    ending: EndReason
     body: bytes
 
 
@@ -55,6 +55,7 @@
 
     def __init__(self, pool: ServerPool) -> None:
         self._pool = pool
+        self.execution = self  # a backend reports to `core.execution.call_ended`
 
     @property
     def clock(self) -> Clock:
@@ -68,15 +69,15 @@
     def counters(self) -> Counters:
         return self._pool.core.counters
 
-    def touch(self) -> None:
-        self._pool.core.touch()
+    def begin_turn(self) -> None:
+        self._pool.core.begin_turn()
 
-    def call_over(self, attempt_id: int, ending: Ending, body: bytes) -> None:
+    def call_ended(self, attempt_id: int, ending: EndReason, body: bytes) -> None:
         self._pool.attempt_ended(AttemptReply(attempt_id, ending, body))
 
 
 class ServerPool:
-    """The servers of `[tier]`, behind the `Calls` protocol of `core/call.py`.
+    """The servers of `[tier]`, behind the `CallTransport` protocol of `core/call.py`.
 
     core: the request engine that calls come from; set by the owner.
     """
@@ -91,7 +92,7 @@
         grants: Grants | None = None,
     ) -> None:
         """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1."""
-        self.core: Decider
+        self.core: RequestEngine
         self._servers = list(servers)
         self._policy = policy
         self._runner = runner
@@ -99,7 +100,7 @@
         self._grants = grants or Grants()
         self._routes: RouteTable | None = None
         self._backends = ServerBackends(reactor, _AttemptReceiver(self))
-        self._calls: dict[int, Asked] = {}  # open calls by id
+        self._calls: dict[int, CallRequest] = {}  # open calls by id
         self._backend_of: dict[int, Backend] = {}  # by attempt in flight
         self._alarm: Alarm | None = None
         self._alarm_at = 0
@@ -122,12 +123,12 @@
 
     # ---- from the request engine ----
 
-    def call(self, number: int, asked: Asked) -> None:
+    def call(self, number: int, asked: CallRequest) -> None:
         """Make a call for request `number`; its end is reported through `call_over` of the core."""
         now = self.core.clock.now
         self._calls[number] = asked
         started = CallStarted(now, number, asked.effect, now + asked.timeout_ms * MS)
-        self._execute(self.routes.handle(started, asked.way))
+        self._execute(self.routes.handle(started, asked.route))
 
     def give_up(self, number: int) -> None:
         """Cancel the call of request `number`, if it has one; nothing is reported."""
@@ -140,7 +141,7 @@
         """Take a backend's report; one of an attempt that was cancelled is ignored."""
         if self._backend_of.pop(reply.attempt_id, None) is None:
             return
-        self.core.touch()
+        self.core.begin_turn()
         outcome = OUTCOME_OF_ENDING.get(reply.ending, AttemptOutcome.FAILED)
         ended = AttemptEnded(self.core.clock.now, reply.attempt_id, outcome)
         self._execute(self.routes.handle(ended), reply)
@@ -173,12 +174,12 @@
     def _complete(self, completed: CompleteCall, reply: AttemptReply | None) -> None:
         self._calls.pop(completed.call_id, None)
         if reply is not None and reply.attempt_id == completed.attempt_id != NO_ATTEMPT:
-            self.core.call_over(completed.call_id, reply.ending, reply.body)
+            self.core.execution.call_ended(completed.call_id, reply.ending, reply.body)
             return
         # No attempt was made, or its server was removed under it; the latter proves nothing.
         was_rejected = completed.outcome is AttemptOutcome.REJECTED
-        ending = Ending.CALL_TURNED_AWAY if was_rejected else Ending.CALL_CUT_OFF
-        self.core.call_over(completed.call_id, ending, b"")
+        ending = EndReason.CALL_REJECTED if was_rejected else EndReason.CALL_CONNECTION_LOST
+        self.core.execution.call_ended(completed.call_id, ending, b"")
 
     def _arm_timer(self) -> None:
         """One alarm for the earliest of all timers; one that is too early is harmless."""
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -80,7 +80,7 @@
     def _is_drained(self) -> bool:
         """Nothing is open or runs, nothing of it is the fleet's, and whoever sends requests had the time to notice."""
         core = self._core
-        if core.owed or len(core.runs) or self._fleet.busy:
+        if core.table.unanswered or len(core.runs) or self._fleet.busy:
             return False
         horizon_us = self._reporter.tracker.horizon(core.clock.now)
         return core.clock.now - self._out_since_us >= horizon_us
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
 from ..maintenance.load_report import LoadGauge
@@ -100,7 +100,7 @@
         self.fleet = fleet
         self.policy = policy
         self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
-        self.core: Decider = fleet.core
+        self.core: RequestEngine = fleet.core
         self._reporter = reporter
         self._journal_image: JournalImage | None = None
         self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_s * SECOND_US))
@@ -142,7 +142,7 @@
 
     def submit(self, form: RequestForm, callback: StatusCallback) -> None:
         """Add a request. Errors: NoSuchSeat, NotHere, and those of `MaintenanceCoordinator.submit`."""
-        self.core.touch()
+        self.core.begin_turn()
         seats = self._selected_seats(form.selection)
         if not seats:
             return callback(NoSuchSeat("no seat of that zone or group"))
@@ -178,34 +178,34 @@
         self, request_id: str, seats: Sequence[str], requested_by: str, callback: StatusCallback
     ) -> None:
         """Withdraw seats of a request; all if none is named."""
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.withdraw(request_id, list(seats), requested_by, self._status_to(callback))
 
     def pause(self, reason: str, callback: StatusCallback) -> None:
         """Grant no slots until resumed."""
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.pause(reason, self._status_to(callback))
 
     def resume(self, seat: str, callback: StatusCallback) -> None:
         """End the pause, or queue a suspended seat again."""
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.resume(seat, self._status_to(callback))
 
     def finish(self, seat: str, stated_by: str, callback: StatusCallback) -> None:
         """State that the work on a machine is over."""
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.finish(seat, stated_by, self._status_to(callback))
 
     def show(self, callback: StatusCallback) -> None:
         """Read the schedule."""
-        self.core.touch()
+        self.core.begin_turn()
         self.coordinator.read(lambda schedule, is_current: callback(self.status(schedule, is_current)))
 
     def wait(
         self, request_id: str, seat: str, timeout_s: float, callback: WaitCallback
     ) -> Callable[[], None]:
         """See `MaintenanceCoordinator.wait`. Raises NotHere."""
-        self.core.touch()
+        self.core.begin_turn()
         timeout_us = round(min(timeout_s, MAX_WAIT_S) * SECOND_US)
         return self.coordinator.wait(request_id, seat, timeout_us, callback)
 
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -10,7 +10,7 @@
 
 from ..backends.server_pool import ServerPool
 from ..core.clock import SECOND, Alarm
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..warm_start.errors import InvalidSnapshot
 from ..warm_start.learned_state import DonorCondition, LearnedState
 from ..warm_start.merge import merge_priors
@@ -72,7 +72,7 @@
     """
 
     def __init__(
-        self, core: Decider, pool: ServerPool, path: Path, condition: Callable[[], DonorCondition]
+        self, core: RequestEngine, pool: ServerPool, path: Path, condition: Callable[[], DonorCondition]
     ) -> None:
         """`condition` returns how this runner is."""
         self._core = core
