--- a/moorusher/server/secondary_listeners.py
+++ b/moorusher/server/secondary_listeners.py
@@ -29,9 +29,9 @@
     probes = config.probes
     planned = service.listeners.planned
     if probes.agent is not None:
-        from ..frontends.agent import AgentFront
+        from ..frontends.agent import AgentCheckFactory
 
-        service.agent_check = AgentFront(service.core, service.reporter, probes.maxconn)
+        service.agent_check = AgentCheckFactory(service.core, service.reporter, probes.maxconn)
         planned["agent"] = probes.agent, service.agent_check
     if probes.health is None and not config.uwsgi.load_report:
         return
@@ -41,28 +41,33 @@
     if config.uwsgi.load_report:
         service.uwsgi.load = load_report.text
     if probes.health is not None:
-        from ..frontends.health import HealthFront
+        from ..frontends.health import HealthCheckFactory
 
-        service.health_check = HealthFront(
+        service.health_check = HealthCheckFactory(
             service.core, service.reporter, probes.codes, load_report if probes.load_report else None
         )
         planned["health"] = probes.health, service.health_check
 
 
 def _admin_site(service: Service) -> object:
-    from ..admin.api import admin_site  # Twisted's web server: 6 MB that the platform does not need
+    from ..admin.site import (  # Twisted's web server: 6 MB that the platform does not need
+        AdminParts,
+        admin_site,
+    )
 
     cluster = service.cluster
     return admin_site(
-        service.core,
-        service.reporter,
-        service.config.name,
-        service.config.admin.token,
-        service.leave,
-        service.server_pool,
-        service.load_condition,
-        cluster.replication,
-        cluster.config_distribution,
-        cluster.forecast,
-        cluster.maintenance,
+        AdminParts(
+            core=service.core,
+            reporter=service.reporter,
+            name=service.config.name,
+            token=service.config.admin.token,
+            drain=service.leave,
+            load_condition=service.load_condition,
+            server_pool=service.server_pool,
+            replication=cluster.replication,
+            config_distribution=cluster.config_distribution,
+            forecast=cluster.forecast,
+            maintenance=cluster.maintenance,
+        )
     )
