--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -1,4 +1,4 @@
-"""What the kernel says: one line of JSON to one typed message, whole or not at all."""
+"""The messages of the kernel's protocol: a line of JSON to one typed message and back, whole or not at all."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 from typing import Any, Union
 
 from ..core.outcomes import Ending
+from .errors import UnreadableMessage
 
-RUN_ENDS = {
+RUN_ENDINGS = {
     "PASS": Ending.RUN_PASSED,
     "FAIL": Ending.RUN_FAILED,
     "KILLED": Ending.RUN_KILLED,
     "NOOP": Ending.RUN_NEVER_BEGAN,
 }
-COLD = "EMPTY"
+EMPTY_STATUS = "EMPTY"  # of BOOTED: the kernel has lost what an earlier one had
 
-
-class UnreadableMessage(ValueError):
-    """A line of the kernel that is no message of the protocol; the link reads on from the last whole notice."""
+# ---- from the kernel ----
 
 
 @dataclass(slots=True, frozen=True)
 class Booted:
-    """The answer to OPEN: the kernel is up, and all notices after the one named there follow."""
+    """The answer to OPEN: the kernel is up, and all notices after the one named there follow.
+
+    cold: it knows nothing of earlier runs.
+    age_ms: since it was started.
+    """
 
     cold: bool
     age_ms: float
@@ -33,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """What the kernel numbers, keeps and replays: only one that was read whole counts as read."""
+    """What the kernel numbers, keeps and replays. It counts as read once it was decoded."""
 
     number: int
 
@@ -49,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallNeeded(Notice):
-    """A run waits for a call with this body."""
+    """A run waits for a downstream call with this body."""
 
     rid: str
     body: bytes
@@ -57,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Remark(Notice):
-    """It means nothing."""
+    """A notice without a meaning for the runner."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,26 +89,26 @@
 KernelMessage = Union[Notice, Booted, Gauges, CommandRefused, Unknown]
 
 
-def read_message(line: bytes) -> KernelMessage:
-    """Raises UnreadableMessage."""
+def decode_message(line: bytes) -> KernelMessage:
+    """Decode a line. Raises UnreadableMessage, and nothing else."""
     try:
-        return _read(json.loads(line))
+        return _decode(json.loads(line))
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as exc:
         raise UnreadableMessage(str(exc)) from exc
 
 
-def _read(message: Any) -> KernelMessage:
+def _decode(message: Any) -> KernelMessage:
     kind = message["t"]
     if kind == "REAP":
-        return RunOver(_number(message), _rid(message), RUN_ENDS[message["status"]], _body(message))
+        return RunOver(_number(message), _rid(message), RUN_ENDINGS[message["status"]], _body(message))
     if kind == "IOREQ":
         return CallNeeded(_number(message), _rid(message), _body(message))
     if kind == "DMESG":
         return Remark(_number(message))
     if kind == "INFO":
-        return Gauges(str(message.get("mark")), tuple(_figure(v) for v in message.get("v") or ()))
+        return Gauges(str(message.get("mark")), tuple(_figure(value) for value in message.get("v") or ()))
     if kind == "BOOTED":
-        return Booted(message.get("status") == COLD, _figure(message.get("time_ms") or 0))
+        return Booted(message.get("status") == EMPTY_STATUS, _figure(message.get("time_ms") or 0))
     if kind == "EINVAL":
         return CommandRefused(str(message.get("status")), str(message.get("rid")))
     return Unknown(str(kind))
@@ -131,5 +134,51 @@
 def _figure(value: Any) -> float:
     figure = float(value)
     if isinstance(value, bool) or not math.isfinite(figure):
-        raise ValueError("a figure that is no number")
+        raise ValueError("a figure that is not a finite number")
     return figure
+
+
+# ---- to the kernel ----
+
+Command = dict[str, object]
+
+_ENCODER = json.JSONEncoder(separators=(",", ":"))
+
+
+def encode_command(command: Command) -> bytes:
+    """Encode a command as a line."""
+    return _ENCODER.encode(command).encode() + b"\n"
+
+
+def open_after(notice: int) -> Command:
+    """Begin a connection: all notices after this one are to be sent again."""
+    return {"t": "OPEN", "no": notice}
+
+
+def run_request(rid: str, route: str, body: bytes) -> Command:
+    """Run a request."""
+    return {"t": "SCHED", "rid": rid, "route": route, "b64": _base64(body)}
+
+
+def stop_run(rid: str) -> Command:
+    """Stop a run."""
+    return {"t": "PREEMPT", "rid": rid}
+
+
+def call_reply(rid: str, body: bytes) -> Command:
+    """Give a run the reply to the call that it waits for."""
+    return {"t": "IODONE", "rid": rid, "b64": _base64(body)}
+
+
+def skip_call(rid: str, notice: int) -> Command:
+    """Let a run go on without the call that it asked for by that notice."""
+    return {"t": "NOIO", "rid": rid, "no": notice}
+
+
+def ask_for_gauges(mark: str) -> Command:
+    """Ask for the gauges; the answer carries the mark."""
+    return {"t": "SYSINFO", "mark": mark}
+
+
+def _base64(body: bytes) -> str:
+    return binascii.b2a_base64(body, newline=False).decode()
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -9,7 +9,7 @@
 
 from ..backends.announce import Announcer
 from ..backends.database import MOST_IDLE, DatabasePool
-from ..backends.kernel import KernelLink
+from ..backends.kernel import KernelClient
 from ..config.loader import Config, Limits
 from ..config.section import Address
 from ..core.call import Calls, NoCalls
@@ -51,7 +51,7 @@
         self.clock = Clock()
         self.alarms = Alarms(self.clock, LoopTimer(reactor, lambda: self.core.ring()).arm)
         self._listen_retry = ListenRetry(self.clock, self.alarms)
-        self.kernel = KernelLink(reactor, config.kernel)
+        self.kernel = KernelClient(reactor, config.kernel)
         self.backend = build_backend(config, reactor)
         self.server_pool: Any = self.backend if config.tier.servers else None
         self.core = self._build_core(self.backend or NoCalls())
@@ -83,7 +83,7 @@
             self.config.settings,
             self.clock,
             self.alarms,
-            self.kernel,
+            self.kernel.session,
             calls,
             lambda function: self.reactor.callLater(0, function),
             memory_mb=self.config.limits.memory_mb,
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -15,7 +15,8 @@
 import pytest
 
 from moorusher.backends.announce import Announcer
-from moorusher.backends.kernel import KernelConnection, KernelLink
+from moorusher.backends.kernel import KernelClient
+from moorusher.backends.kernel_protocol import KernelProtocol
 from moorusher.backends.uwsgi import UwsgiCalls
 from moorusher.cluster_transport.hot_restart import Peer
 from moorusher.core.call import Asked
@@ -91,11 +92,11 @@
 
 def kernel() -> Fed:
     world = World()
-    link = KernelLink(SimpleNamespace(), ("127.0.0.1", 1))
+    link = KernelClient(SimpleNamespace(), ("127.0.0.1", 1))
     link.core = heard = Heard(world)  # type: ignore[assignment]
-    connection, transport = KernelConnection(link), Transport()
+    connection, transport = KernelProtocol(link), Transport()
     connection.makeConnection(transport)  # type: ignore[no-untyped-call]
-    return connection, lambda: (heard.said, transport.value(), transport.aborted, link.last)
+    return connection, lambda: (heard.said, transport.value(), transport.aborted, link.session.last_notice)
 
 
 def database() -> Fed:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,7 +10,9 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from moorusher.backends.database import IDLE, SETTLE, DatabasePool
-from moorusher.backends.kernel import MOST_UNREAD, QUIET, SURE, KernelConnection, KernelLink
+from moorusher.backends.kernel import MAX_UNREADABLE, KernelClient
+from moorusher.backends.kernel_protocol import KernelProtocol
+from moorusher.backends.silence_detection import CONFIRM_AFTER_US, MAX_SILENCE_US
 from moorusher.cluster_transport.peers import Dial
 from moorusher.core.answer import Verdict
 from moorusher.core.call import Asked
@@ -129,7 +131,7 @@
     assert transport.disconnecting
 
 
-class KernelSide(KernelLink):
+class KernelSide(KernelClient):
     """Dials come up when the test says so."""
 
     def __init__(self, world: World) -> None:
@@ -142,17 +144,17 @@
         self.dialled.append((host, port))
         return SimpleNamespace(disconnect=lambda: None)
 
-    def up(self) -> tuple[KernelConnection, Transport]:
+    def up(self) -> tuple[KernelProtocol, Transport]:
         connection, transport = self.buildProtocol(None), Transport()
         connection.makeConnection(transport)  # type: ignore[no-untyped-call]
         return connection, transport
 
 
-def feed(connection: KernelConnection, data: bytes) -> None:
+def feed(connection: KernelProtocol, data: bytes) -> None:
     connection.dataReceived(data)
 
 
-def say(connection: KernelConnection, *messages: dict[str, Any]) -> None:
+def say(connection: KernelProtocol, *messages: dict[str, Any]) -> None:
     feed(connection, b"".join(json.dumps(m).encode() + b"\n" for m in messages))
 
 
@@ -181,29 +183,29 @@
     world.take("a", 1)
     world.turn()
     feed(connection, line + b"\n")
-    assert transport.aborted and link.last == 0
+    assert transport.aborted and link.session.last_notice == 0
     world.wait(50)
     assert len(link.dialled) == 2
     connection, transport = link.up()
     assert transport.value() == b'{"t":"OPEN","no":0}\n'
     say(connection, BOOTED, PASS | {"no": 1}, PASS | {"no": 1}, {"t": "DMESG", "no": 2, "status": "x"})
-    assert world.verdicts() == [(1, Verdict.SERVED)] and link.last == 2
+    assert world.verdicts() == [(1, Verdict.SERVED)] and link.session.last_notice == 2
 
 
 def test_a_line_that_stays_unreadable_is_passed_over_in_the_end() -> None:
     link = KernelSide(world := World())
-    for _ in range(MOST_UNREAD + 1):
+    for _ in range(MAX_UNREADABLE + 1):
         connection, transport = link.up()
         feed(connection, b"{\n")
         world.wait(500)
     assert not transport.aborted
     say(connection, BOOTED)
-    assert len(link.dialled) == MOST_UNREAD + 1
+    assert len(link.dialled) == MAX_UNREADABLE + 1
 
 
 def test_nothing_is_said_between_the_link_and_the_end_of_its_replay_and_then_once() -> None:
     link = KernelSide(world := World(below=Below.TIER))
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     connection, _ = link.up()
     say(connection, BOOTED)
     world.take("a", 1)
@@ -229,12 +231,12 @@
 @pytest.mark.parametrize("shown", [False, True])
 def test_what_an_answered_question_shows_to_be_read_is_not_said_again(shown: bool) -> None:
     link = KernelSide(world := World())
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     connection, transport = link.up()
     say(connection, BOOTED)
     world.take("a", 1)
     world.turn()
-    link.ask_gauges()
+    link.session.ask_gauges()
     question = json.loads(transport.value().splitlines()[-1])
     assert question["t"] == "SYSINFO"
     if shown:
@@ -248,7 +250,7 @@
 @pytest.mark.parametrize("mark", ["g", "gg", "g-1", "g1.5", "g99999", "None", ""])
 def test_a_mark_that_was_never_asked_shows_nothing_beyond_what_was_written(mark: str) -> None:
     link = KernelSide(world := World())
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     connection, _ = link.up()
     say(connection, BOOTED, {"t": "INFO", "mark": mark, "v": [0.5]})
     world.take("a", 1)
@@ -264,7 +266,7 @@
     first, _ = link.up()
     say(first, BOOTED)
     link.move(("127.0.0.1", 2))
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     world.take("a", 1)  # the old link serves until the new one is up
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
@@ -311,14 +313,14 @@
 
 def test_a_link_that_goes_quiet_is_replaced_and_serves_until_then() -> None:
     link = KernelSide(world := World())
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     quiet, transport = link.up()
     say(quiet, BOOTED)
-    world.wait(QUIET / 1000)
+    world.wait(MAX_SILENCE_US / 1000)
     assert [json.loads(m)["t"] for m in transport.value().splitlines()].count("SYSINFO") >= 2 and len(
         link.dialled
     ) == 1
-    world.wait(SURE / 1000 + 10)
+    world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 2 and not transport.disconnecting
     world.take("a", 1)
     world.turn()
@@ -337,7 +339,7 @@
     world.core.ring()  # timers come before what is read
     world.turn()
     say(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
-    world.wait(SURE / 1000 + 10)
+    world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 1
 
 
@@ -350,7 +352,7 @@
     connection.connectionLost()
     world.wait(50)
     link.up()
-    world.wait((QUIET + SURE) / 1000 + 1_000)
+    world.wait((MAX_SILENCE_US + CONFIRM_AFTER_US) / 1000 + 1_000)
     assert len(link.dialled) == 3  # it is up by now: a link that says nothing is a dead one
 
 
