--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -1,4 +1,4 @@
-"""Calls below over HTTP/1.1: a pool of connections with one call at a time on each. Framing only."""
+"""Downstream calls to the database over HTTP/1.1: a pool of connections, with one call at a time on each."""
 
 from __future__ import annotations
 
@@ -15,217 +15,281 @@
 from ..core.clock import MS, SECOND, Alarm
 from ..core.outcomes import Ending
 from ..core.request_engine import Decider
-from .http_client import HttpClient
+from .http_client import HttpClientProtocol, HttpResponse
 
-SETTLE = 20 * MS  # after a reply, for what should not follow it
-IDLE = 7 * SECOND  # the other side closes after 10 s: a call must not cross that close
-MOST_IDLE = 32
-MOST_OPEN = 1024
+CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
+SETTLE_US = 20 * MS  # after a response, for data that should not follow it
+MAX_IDLE_US = 7 * SECOND  # the other side closes after 10 s: a call must not cross that close
+MAX_IDLE_CONNECTIONS = 32
+MAX_BUSY_CONNECTIONS = 1024
+NEVER_STARTED_HEADER = b"never-started"
 
 
 def ending_of(status: int, headers: dict[bytes, bytes]) -> Ending:
-    """How a call ended, by its reply; without a proof it may have run."""
-    never = headers.get(b"never-started") == b"1"
+    """Tell by the response how a call ended; without a proof that it never ran, it may have."""
+    never_started = headers.get(NEVER_STARTED_HEADER) == b"1"
     if status == 200:
         return Ending.CALL_ANSWERED
-    if status == 503 and never:
+    if status == 503 and never_started:
         return Ending.CALL_TURNED_AWAY
-    if status == 409 and never:
+    if status == 409 and never_started:
         return Ending.CALL_STRAY
     if status == 504:
         return Ending.CALL_OUT_OF_TIME
-    return Ending.CALL_FAILED  # without the proof it may have had its effect
+    return Ending.CALL_FAILED
 
 
-class DatabaseConnection(HttpClient):
-    """A connection to the database: one call at a time."""
+class DatabaseProtocol(HttpClientProtocol):
+    """One connection to the database.
 
-    def __init__(self, pool: DatabasePool, first: tuple[int, Asked]) -> None:
+    number: of the call that is on it, None while it is idle.
+    idle_since: when its last call ended, in microseconds.
+    was_idle: the present call was sent on a connection that had been idle.
+    """
+
+    def __init__(self, pool: DatabasePool, number: int, call: Asked) -> None:
+        """The call is sent as the connection is made."""
         super().__init__()
-        self.pool, self.first, self.address = pool, first, pool.address
-        self.number: int | None = None  # the request whose call is on it
-        self.call: Asked | None = None
+        self._pool = pool
+        self._address = pool.address
+        self._first_number = number
+        self._call = call
+        self.number: int | None = None
         self.idle_since = 0
-        self.reused = False
+        self.was_idle = False
 
     def connectionMade(self) -> None:
+        """Send the first call."""
         self.transport.setTcpNoDelay(True)
-        self.send(*self.first)
+        self.send(self._first_number, self._call)
 
-    def send(self, number: int, asked: Asked) -> None:
-        self.number, self.call = number, asked
-        self.asked()
+    def send(self, number: int, call: Asked) -> None:
+        """Send a call."""
+        self.number = number
+        self._call = call
+        self.request_sent()
         self.transport.write(
             b"POST /v1/exec HTTP/1.1\r\nHost: db\r\nRequest-Ref: %s\r\nStatement-Timeout-Ms: %d\r\n"
-            b"Content-Length: %d\r\n\r\n%s"
-            % (asked.rid.encode(), asked.timeout_ms, len(asked.body), asked.body)
+            b"Content-Length: %d\r\n\r\n%s" % (call.rid.encode(), call.timeout_ms, len(call.body), call.body)
         )
 
-    def replied(self, status: int, headers: dict[bytes, bytes], body: bytes, keep: bool) -> None:
-        self.pool.core.touch()
-        number, self.number = self.number, None
-        if number is None or not keep or self.address != self.pool.address:
+    def response_received(self, response: HttpResponse) -> None:
+        """End the call, and keep the connection where it may be used again."""
+        self._pool.core.touch()
+        number = self.number
+        self.number = None
+        if number is None or not response.keep_alive or self._address != self._pool.address:
             self.transport.loseConnection()
         else:
-            self.pool.spare(self)
+            self._pool.connection_idle(self)
         if number is not None:
-            self.pool.over(number, ending_of(status, headers), body)
+            self._pool.call_ended(number, ending_of(response.status, response.headers), response.body)
 
-    def stray(self) -> None:
-        """More than the reply: what else comes could be taken for the next one."""
-        self.pool.lost(self)
+    def unexpected_data(self) -> None:
+        """Drop the connection: what else comes could be taken for the next response."""
+        self._pool.connection_lost(self)
         self.transport.abortConnection()
 
-    def garbled(self, why: str) -> None:
-        number, self.number = self.number, None
+    def response_malformed(self, reason: str) -> None:
+        """End the call without a response, and drop the connection."""
+        number = self.number
+        self.number = None
         self.transport.abortConnection()
         if number is not None:
-            self.pool.over(number, Ending.CALL_GARBLED, b"")
+            self._pool.call_ended(number, Ending.CALL_GARBLED, b"")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        self.pool.lost(self)
-        number, self.number = self.number, None
+        """Retry the call where that is allowed, else end it.
+
+        A connection that was idle was most likely closed by the other side before the call reached it. That proves
+        nothing, so only calls that may run twice are sent on such connections, and retried.
+        """
+        self._pool.connection_lost(self)
+        number = self.number
+        self.number = None
         if number is None:
             return
-        call = self.call
-        if self.reused and call is not None and may_repeat(call.effect, Evidence.CONNECTION_BROKE):
-            self.pool.core.counters.add("calls sent again: a connection that was idle broke")
-            self.pool.dial(number, call)  # forgotten by the other side while idle, most likely
+        if self.was_idle and may_repeat(self._call.effect, Evidence.CONNECTION_BROKE):
+            self._pool.core.counters.add("calls sent again: a connection that was idle broke")
+            self._pool.connect(number, self._call)
         else:
-            self.pool.over(number, Ending.CALL_CUT_OFF, b"")
+            self._pool.call_ended(number, Ending.CALL_CUT_OFF, b"")
+
 
+class DatabaseConnectionFactory(ClientFactory):
+    """A connection being made for one call.
 
-class _Dial(ClientFactory):
-    """A connection that is being made for one call; the call is written as it comes up."""
+    address: that is dialled (Address).
+    """
 
     noisy = False
 
-    def __init__(self, pool: DatabasePool, number: int, asked: Asked) -> None:
-        self.pool, self.number, self.given_up = pool, number, False
-        self.call = (number, asked)
-        self.address, self.connector = pool.address, None  # type: Address, Any
+    def __init__(self, pool: DatabasePool, number: int, call: Asked) -> None:
+        """`number`: the call's."""
+        self._pool = pool
+        self._number = number
+        self._call = call
+        self._is_cancelled = False
+        self._connector: Any = None
+        self.address = pool.address
+
+    def connect(self, address: Address) -> None:
+        """Dial."""
+        self.address = address
+        self._connector = self._pool.reactor.connectTCP(*address, self, timeout=CONNECT_TIMEOUT_S)
+
+    def cancel(self) -> None:
+        """Nobody needs the connection any more."""
+        self._is_cancelled = True
+        if self._connector is not None:
+            self._connector.disconnect()
+
+    def interrupt(self) -> None:
+        """Fail the attempt to connect, which then goes to the pool's present address."""
+        self._connector.disconnect()
 
-    def buildProtocol(self, addr: object) -> DatabaseConnection | None:
-        if self.given_up:
+    def buildProtocol(self, addr: object) -> DatabaseProtocol | None:
+        """Make the protocol, which sends the call."""
+        if self._is_cancelled:
             return None
-        connection = DatabaseConnection(self.pool, self.call)
-        self.pool.connected(self.number, connection)
+        connection = DatabaseProtocol(self._pool, self._number, self._call)
+        self._pool.connection_made(self._number, connection)
         return connection
 
-    def dial(self, address: Address) -> None:
-        self.address = address
-        self.connector = self.pool.reactor.connectTCP(*address, self, timeout=30)
-
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        if self.given_up:
+        """Dial the present address where that has changed, else end the call: it was never sent."""
+        if self._is_cancelled:
             return
-        if self.address != self.pool.address:
-            self.dial(self.pool.address)  # nothing was written yet: the call goes where the database is now
+        if self.address != self._pool.address:
+            self.connect(self._pool.address)
         else:
-            self.pool.over(self.number, Ending.CALL_NOT_CONNECTED, b"")
+            self._pool.call_ended(self._number, Ending.CALL_NOT_CONNECTED, b"")
 
 
 class DatabasePool:
-    """All connections to one database, and the calls that are out on them."""
-
-    def __init__(self, reactor: Any, address: Address, most_idle: int = MOST_IDLE) -> None:
-        self.reactor, self.address, self.most_idle = reactor, address, most_idle
-        self.most_open = MOST_OPEN  # connections that carry or are made for a call
-        self.core: Decider  # set by the owner
-        self._idle: deque[DatabaseConnection] = deque()  # oldest first; the newest is used first
-        self._dialling: dict[int, _Dial] = {}
-        self._busy: dict[int, DatabaseConnection] = {}
-        self._alarm: Alarm | None = None
+    """All connections to one database, and the calls on them.
+
+    reactor: Twisted's.
+    address: of the database (Address).
+    core: the request engine; set by the owner.
+    max_idle: connections kept without a call (int).
+    max_busy: connections that carry or are made for a call (int).
+    """
+
+    def __init__(self, reactor: Any, address: Address, max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
+        """`max_idle` may be changed by `set_max_idle`."""
+        self.core: Decider
+        self.reactor = reactor
+        self.address = address
+        self.max_idle = max_idle
+        self.max_busy = MAX_BUSY_CONNECTIONS
+        self._idle: deque[DatabaseProtocol] = deque()  # oldest first; the newest is used first
+        self._connecting: dict[int, DatabaseConnectionFactory] = {}  # by the call's number
+        self._busy: dict[int, DatabaseProtocol] = {}  # by the call's number
+        self._idle_alarm: Alarm | None = None  # for the connection that has been idle longest
 
-    # ---- from the core ----
+    # ---- calls ----
 
     def call(self, number: int, asked: Asked) -> None:
-        self._close_old()
-        connection = self._settled() if may_run_twice(asked.effect) else None
+        """Make a call; its end is reported to the core."""
+        self._close_aged()
+        connection = self._find_settled() if may_run_twice(asked.effect) else None
         if connection is None:
-            return self.dial(number, asked)
+            self.connect(number, asked)
+            return
         self._idle.remove(connection)
         self._busy[number] = connection
-        connection.reused = True
+        connection.was_idle = True
         connection.send(number, asked)
 
-    def _settled(self) -> DatabaseConnection | None:
-        """The connection that became idle last, but not just now: late noise or a second copy of its reply would
-        be taken for the next one. A call that must not run twice gets a fresh one: a reset on one that was idle
-        proves nothing."""
-        latest = self.core.clock.now - SETTLE
-        return next((c for c in reversed(self._idle) if c.idle_since <= latest), None)
+    def _find_settled(self) -> DatabaseProtocol | None:
+        """Find the connection that became idle last, but not just now.
+
+        Late data or a second copy of its response would be taken for the next response. A call that must not run twice
+        gets a new connection: a reset on one that was idle proves nothing.
+        """
+        latest = self.core.clock.now - SETTLE_US
+        return next((one for one in reversed(self._idle) if one.idle_since <= latest), None)
 
-    def dial(self, number: int, asked: Asked) -> None:
-        """On a fresh connection; where none may be made, nothing was sent."""
-        if len(self._busy) + len(self._dialling) >= self.most_open:
-            return self.over(number, Ending.CALL_NOT_CONNECTED, b"")
-        dial = self._dialling[number] = _Dial(self, number, asked)
-        dial.dial(self.address)
+    def connect(self, number: int, call: Asked) -> None:
+        """Make a call on a new connection; where none may be made, the call ends, and was never sent."""
+        if len(self._busy) + len(self._connecting) >= self.max_busy:
+            self.call_ended(number, Ending.CALL_NOT_CONNECTED, b"")
+            return
+        factory = self._connecting[number] = DatabaseConnectionFactory(self, number, call)
+        factory.connect(self.address)
 
     def give_up(self, number: int) -> None:
-        """By closing its connection: that is how the other side hears of it."""
-        if (dial := self._dialling.pop(number, None)) is not None:
-            dial.given_up = True
-            if dial.connector is not None:
-                dial.connector.disconnect()
-        if (connection := self._busy.pop(number, None)) is not None:
+        """Cancel a call by closing its connection; its end is not reported."""
+        factory = self._connecting.pop(number, None)
+        if factory is not None:
+            factory.cancel()
+        connection = self._busy.pop(number, None)
+        if connection is not None:
             connection.number = None
             connection.transport.abortConnection()
 
+    def call_ended(self, number: int, ending: Ending, body: bytes) -> None:
+        """Report the end of a call."""
+        self._connecting.pop(number, None)
+        self._busy.pop(number, None)
+        self.core.call_over(number, ending, body)
+
+    # ---- for the owner ----
+
     def move(self, address: Address) -> None:
-        """New calls go to the new address; those under way at the old one may still be answered there."""
+        """Send new calls to a new address; those in flight at the old one may still be answered there."""
         if address == self.address:
             return
         self.address = address
-        idle, self._idle = self._idle, deque()
+        idle = self._idle
+        self._idle = deque()
         for connection in idle:
             connection.transport.loseConnection()
-        for dial in list(self._dialling.values()):
-            dial.connector.disconnect()  # `clientConnectionFailed` dials anew
+        for factory in list(self._connecting.values()):
+            factory.interrupt()
 
     def close(self) -> None:
-        """No more calls are made here: what is kept goes, what is under way ends as it does."""
-        self.keep(0)
+        """No more calls are made here: idle connections are closed, calls in flight end as they do."""
+        self.set_max_idle(0)
 
-    def keep(self, most_idle: int = MOST_IDLE) -> None:
-        """So many connections without a call, from now on."""
-        self.most_idle = most_idle
-        while len(self._idle) > most_idle:
-            self._idle.popleft().transport.loseConnection()
+    def set_max_idle(self, max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
+        """Keep so many connections without a call from now on."""
+        self.max_idle = max_idle
+        self._close_surplus()
 
-    # ---- from the connections ----
+    # ---- connections ----
 
-    def connected(self, number: int, connection: DatabaseConnection) -> None:
-        self._dialling.pop(number, None)
+    def connection_made(self, number: int, connection: DatabaseProtocol) -> None:
+        """A connection was made for a call."""
+        self._connecting.pop(number, None)
         self._busy[number] = connection
 
-    def over(self, number: int, ending: Ending, body: bytes) -> None:
-        self._dialling.pop(number, None)
-        self._busy.pop(number, None)
-        self.core.call_over(number, ending, body)
-
-    def spare(self, connection: DatabaseConnection) -> None:
+    def connection_idle(self, connection: DatabaseProtocol) -> None:
+        """A connection may be used for another call."""
         connection.idle_since = self.core.clock.now
         self._idle.append(connection)
-        if len(self._idle) > self.most_idle:
-            self._idle.popleft().transport.loseConnection()
-        self._watch()
+        self._close_surplus()
+        self._watch_idle()
 
-    def lost(self, connection: DatabaseConnection) -> None:
+    def connection_lost(self, connection: DatabaseProtocol) -> None:
+        """A connection must not be used again."""
         if connection in self._idle:
             self._idle.remove(connection)
 
-    def _close_old(self) -> None:
-        while self._idle and self.core.clock.now - self._idle[0].idle_since >= IDLE:
+    def _close_surplus(self) -> None:
+        while len(self._idle) > self.max_idle:
+            self._idle.popleft().transport.loseConnection()
+
+    def _close_aged(self) -> None:
+        while self._idle and self.core.clock.now - self._idle[0].idle_since >= MAX_IDLE_US:
             self._idle.popleft().transport.loseConnection()
 
-    def _watch(self) -> None:
-        """One alarm for the connection that has been idle longest."""
-        if self._alarm is None and self._idle:
-            self._alarm = self.core.alarms.at(self._idle[0].idle_since + IDLE, self._aged)
+    def _watch_idle(self) -> None:
+        if self._idle_alarm is None and self._idle:
+            self._idle_alarm = self.core.alarms.at(self._idle[0].idle_since + MAX_IDLE_US, self._idle_expired)
 
-    def _aged(self) -> None:
-        self._alarm = None
-        self._close_old()
-        self._watch()
+    def _idle_expired(self) -> None:
+        self._idle_alarm = None
+        self._close_aged()
+        self._watch_idle()
--- a/moorusher/backends/server_backends.py
+++ b/moorusher/backends/server_backends.py
@@ -8,7 +8,7 @@
 from .database import DatabasePool
 from .uwsgi import UwsgiCalls
 
-MAX_IDLE_CONNECTIONS = 4  # that are kept to one server: there are many servers
+MAX_IDLE_PER_SERVER = 4  # that are kept to one server: there are many servers
 
 Backend = DatabasePool | UwsgiCalls
 
@@ -40,7 +40,7 @@
         if server.protocol is EndpointProtocol.UWSGI:
             backend = UwsgiCalls(self._reactor, server.address)
         else:
-            backend = DatabasePool(self._reactor, server.address, MAX_IDLE_CONNECTIONS)
+            backend = DatabasePool(self._reactor, server.address, MAX_IDLE_PER_SERVER)
         backend.core = self._receiver
         return backend
 
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -1,4 +1,4 @@
-"""Calls below to a uwsgi peer: a connection for each call, closed to give it up. Framing only."""
+"""Downstream calls to a uwsgi peer: a connection for each call; closing it cancels the call."""
 
 from __future__ import annotations
 
@@ -12,106 +12,143 @@
 from ..core.outcomes import Ending
 from ..core.request_engine import Decider
 from ..frontends.uwsgi_packets import VARS, build_packet
-from .http_client import HttpClient
+from .http_client import HttpClientProtocol, HttpResponse
 
+CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
+NEVER_RAN_HEADER = b"x-moorusher-never-ran"
 
-def call_packet(asked: Asked) -> bytes:
-    """A call below, as a uwsgi request."""
-    # The peer gives the call a rid of its own: a second call for this request is a new try there.
+
+def call_packet(call: Asked) -> bytes:
+    """Encode a call as a uwsgi request."""
+    # The peer gives the call a rid of its own: a second call for this request is a new attempt there.
     variables: dict[str, str | None] = {
         "REQUEST_METHOD": "POST",
         "REQUEST_URI": "/",
-        "CONTENT_LENGTH": str(len(asked.body)),
-        VARS["class"]: asked.klass,
-        VARS["budget"]: str(asked.timeout_ms),
-        "MOORUSHER_REF": asked.rid,
-        VARS["tenant"]: asked.tenant,
-        VARS["token"]: asked.token,
+        "CONTENT_LENGTH": str(len(call.body)),
+        VARS["class"]: call.klass,
+        VARS["budget"]: str(call.timeout_ms),
+        "MOORUSHER_REF": call.rid,
+        VARS["tenant"]: call.tenant,
+        VARS["token"]: call.token,
     }
-    return build_packet({name: value for name, value in variables.items() if value is not None}) + asked.body
+    return build_packet({name: value for name, value in variables.items() if value is not None}) + call.body
 
 
 def ending_of(status: int, headers: dict[bytes, bytes]) -> Ending:
-    """How a call ended, by its response; without a proof it may have run."""
+    """Tell by the response how a call ended; without a proof that it never ran, it may have."""
     if status == 200:
         return Ending.CALL_ANSWERED
-    if headers.get(b"x-moorusher-never-ran") == b"1":
+    if headers.get(NEVER_RAN_HEADER) == b"1":
         return Ending.CALL_TURNED_AWAY
     if status == 504:
         return Ending.CALL_OUT_OF_TIME
     return Ending.CALL_FAILED
 
 
-class UwsgiCall(HttpClient):
-    """Sends its packet as it comes up; the reply is an HTTP response."""
+class UwsgiProtocol(HttpClientProtocol):
+    """The connection of one call: a uwsgi packet out, an HTTP response in."""
 
-    def __init__(self, dial: _Dial) -> None:
+    def __init__(self, factory: UwsgiCallFactory) -> None:
+        """`factory` is the call's."""
         super().__init__()
-        self.dial = dial
+        self._factory = factory
 
     def connectionMade(self) -> None:
+        """Send the call."""
         self.transport.setTcpNoDelay(True)
-        self.asked()
-        self.transport.write(call_packet(self.dial.asked))
+        self.request_sent()
+        self.transport.write(call_packet(self._factory.call))
 
-    def replied(self, status: int, headers: dict[bytes, bytes], body: bytes, keep: bool) -> None:
-        self.dial.end(ending_of(status, headers), body)
+    def response_received(self, response: HttpResponse) -> None:
+        """The call has ended by its response."""
+        self._factory.call_ended(ending_of(response.status, response.headers), response.body)
         self.transport.loseConnection()
 
-    def garbled(self, why: str) -> None:
-        self.dial.end(Ending.CALL_GARBLED)
+    def response_malformed(self, reason: str) -> None:
+        """The call has ended without a readable response."""
+        self._factory.call_ended(Ending.CALL_GARBLED)
         self.transport.abortConnection()
 
-    def stray(self) -> None:
+    def unexpected_data(self) -> None:
+        """The response was whole; what follows it has no meaning."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        self.dial.end(Ending.CALL_CUT_OFF)  # where it was answered before, this says nothing more
+        """The call has ended, unless its response came before."""
+        self._factory.call_ended(Ending.CALL_CUT_OFF)
+
+
+class UwsgiCallFactory(ClientFactory):
+    """One call, from dialling to its end, which is reported once.
 
+    call: what is sent.
+    connector: Twisted's, of the call's connection; set by the owner.
+    """
 
-class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, link: UwsgiCalls, number: int, asked: Asked) -> None:
-        self.link, self.number, self.asked, self.over = link, number, asked, False
+    def __init__(self, client: UwsgiCalls, number: int, call: Asked) -> None:
+        """`number`: the call's, which its end is reported by."""
+        self._client = client
+        self._has_ended = False
+        self.number = number
+        self.call = call
         self.connector: Any = None
 
-    def buildProtocol(self, addr: object) -> UwsgiCall | None:
-        return None if self.over else UwsgiCall(self)
+    def buildProtocol(self, addr: object) -> UwsgiProtocol | None:
+        """Make the protocol; a call that was cancelled while it dialled needs none."""
+        return None if self._has_ended else UwsgiProtocol(self)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.end(Ending.CALL_NOT_CONNECTED)
+        """The call never ran."""
+        self.call_ended(Ending.CALL_NOT_CONNECTED)
 
-    def end(self, ending: Ending, body: bytes = b"") -> None:
-        if not self.over:
-            self.over = True
-            self.link.over(self, ending, body)
+    def call_ended(self, ending: Ending, body: bytes = b"") -> None:
+        """Report the first end; others say nothing more."""
+        if not self._has_ended:
+            self._has_ended = True
+            self._client.call_ended(self, ending, body)
+
+    def cancel(self) -> None:
+        """Close the connection; nothing is reported."""
+        self._has_ended = True
+        self.connector.disconnect()
 
 
 class UwsgiCalls:
-    """Calls to one uwsgi peer, each over a connection of its own."""
+    """Calls to one uwsgi peer, each over a connection of its own.
+
+    address: of the peer (Address).
+    core: the request engine; set by the owner.
+    """
 
     def __init__(self, reactor: Any, address: Address) -> None:
-        self._reactor, self.address = reactor, address
-        self.core: Decider  # set by the owner
-        self._open: dict[int, _Dial] = {}
+        """`address` may be changed by `move`."""
+        self.core: Decider
+        self.address = address
+        self._reactor = reactor
+        self._open: dict[int, UwsgiCallFactory] = {}  # by the call's number
 
     def move(self, address: Address) -> None:
-        self.address = address  # each call has a connection of its own: the next ones go there
+        """Send the next calls to a new address; each has a connection of its own."""
+        self.address = address
 
     def close(self) -> None:
         """No more calls are made here; nothing is kept between calls."""
 
     def call(self, number: int, asked: Asked) -> None:
-        dial = self._open[number] = _Dial(self, number, asked)
-        dial.connector = self._reactor.connectTCP(*self.address, dial, timeout=30)
+        """Make a call; its end is reported to the core."""
+        factory = self._open[number] = UwsgiCallFactory(self, number, asked)
+        factory.connector = self._reactor.connectTCP(*self.address, factory, timeout=CONNECT_TIMEOUT_S)
 
     def give_up(self, number: int) -> None:
-        if (dial := self._open.pop(number, None)) is not None:
-            dial.over = True
-            dial.connector.disconnect()
-
-    def over(self, dial: _Dial, ending: Ending, body: bytes) -> None:
-        if self._open.get(dial.number) is dial:
-            del self._open[dial.number]
-            self.core.call_over(dial.number, ending, body)
+        """Cancel a call; its end is not reported."""
+        factory = self._open.pop(number, None)
+        if factory is not None:
+            factory.cancel()
+
+    def call_ended(self, factory: UwsgiCallFactory, ending: Ending, body: bytes) -> None:
+        """Report the end of a call, unless another has its number by now."""
+        if self._open.get(factory.number) is factory:
+            del self._open[factory.number]
+            self.core.call_over(factory.number, ending, body)
--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from ..backends.http_client import HttpClient
+from ..backends.http_client import HttpClientProtocol, HttpResponse
 from ..config.section import parse_address
 from ..core.clock import MS, Alarm
 from ..core.request_engine import Decider
@@ -55,7 +55,7 @@
     return ReceiverResponse(answered=status == HTTP_OK, done=is_done, body=body)
 
 
-class EffectProtocol(HttpClient):
+class EffectProtocol(HttpClientProtocol):
     """The connection of one exchange."""
 
     def __init__(self, exchange: EffectExchange) -> None:
@@ -65,24 +65,24 @@
     def connectionMade(self) -> None:
         """Send the request."""
         self.transport.setTcpNoDelay(True)
-        self.asked()
+        self.request_sent()
         self.transport.write(
             b"POST %s HTTP/1.1\r\nHost: receiver\r\nContent-Type: application/json\r\n"
             b"Connection: close\r\nContent-Length: %d\r\n\r\n%s"
             % (self._exchange.path, len(self._exchange.body), self._exchange.body)
         )
 
-    def replied(self, status: int, headers: dict[bytes, bytes], body: bytes, keep: bool) -> None:
+    def response_received(self, response: HttpResponse) -> None:
         """The answer is complete."""
         self.transport.loseConnection()
-        self._exchange.finish(parse_answer(status, body))
+        self._exchange.finish(parse_answer(response.status, response.body))
 
-    def garbled(self, why: str) -> None:
+    def response_malformed(self, reason: str) -> None:
         """What came is no HTTP answer."""
-        log.warning("duties: a receiver's answer can't be read: reason=%s", why)
+        log.warning("duties: a receiver's answer can't be read: reason=%s", reason)
         self.transport.abortConnection()
 
-    def stray(self) -> None:
+    def unexpected_data(self) -> None:
         """Something came after the answer."""
         self.transport.abortConnection()
 
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..backends.announce import Announcer
-from ..backends.database import MOST_IDLE, DatabasePool
+from ..backends.database import MAX_IDLE_CONNECTIONS, DatabasePool
 from ..backends.kernel import KernelClient
 from ..config.model import Config, Limits
 from ..config.section import Address
@@ -151,7 +151,7 @@
         self._listen_retry.succeeded()
         if first and self.announcer is not None:
             self.announcer.core = self.core
-            self.announcer.fit = self._is_fit
+            self.announcer.is_fit = self._is_fit
             self.announcer.start()
         self.serving = True
         if first and self.cluster.replication is not None:
@@ -175,7 +175,7 @@
         self.listeners.pause(shared)
         self.jsonrpc.leave()
         if isinstance(self.backend, DatabasePool):
-            self.backend.keep(0)  # idle connections are the other process's to open
+            self.backend.set_max_idle(0)  # idle connections are the other process's to open
 
     def resume(self) -> None:
         """The process that was to replace this one is gone."""
@@ -247,10 +247,10 @@
 
     def _bound_backend_connections(self) -> None:
         if isinstance(self.backend, DatabasePool):
-            idle = self._budget.idle_backend_connections(MOST_IDLE)
-            self.backend.keep(idle)
+            idle = self._budget.idle_backend_connections(MAX_IDLE_CONNECTIONS)
+            self.backend.set_max_idle(idle)
             console_listens = self.config.console is not None
-            self.backend.most_open = self._budget.open_backend_connections(idle, console_listens)
+            self.backend.max_busy = self._budget.open_backend_connections(idle, console_listens)
 
     def apply_connection_limits(self) -> None:
         """Bound the frontends' connections, beside those of another process."""
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher.backends.database import IDLE, SETTLE, DatabasePool
+from moorusher.backends.database import MAX_IDLE_US, SETTLE_US, DatabasePool
 from moorusher.backends.kernel import MAX_UNREADABLE, KernelClient
 from moorusher.backends.kernel_protocol import KernelProtocol
 from moorusher.backends.silence_detection import CONFIRM_AFTER_US, MAX_SILENCE_US
@@ -45,9 +45,9 @@
         connection.makeConnection(transport)
         return connection, transport
 
-    def over(self, number: int, ending: Ending, body: bytes) -> None:
+    def call_ended(self, number: int, ending: Ending, body: bytes) -> None:
         self.ends.append((number, ending))
-        super().over(number, ending, body)
+        super().call_ended(number, ending, body)
 
 
 @pytest.mark.parametrize("more, closed", [(b"", False), (b"z", True), (REPLY, True), (b"\r\n", True)])
@@ -62,7 +62,7 @@
         connection.dataReceived(part)
     assert pool.ends == [(1, Ending.CALL_ANSWERED)] and transport.aborted is closed
     pool.call(2, asked(2))  # at once: whatever else may follow the reply could still be on its way
-    world.wait(SETTLE / 1000 + 5)
+    world.wait(SETTLE_US / 1000 + 5)
     pool.call(3, asked(3))
     assert len(pool.dialled) == 2 + closed and (b"Request-Ref: r3" in transport.value()) is not closed
 
@@ -103,7 +103,7 @@
 
 def test_a_call_beyond_the_descriptors_was_never_made_and_finds_room_later() -> None:
     pool = Pool(World())
-    pool.most_open = 2
+    pool.max_busy = 2
     for number in (1, 2, 3):
         pool.call(number, asked(number))
     assert pool.ends == [(3, Ending.CALL_NOT_CONNECTED)] and len(pool.dialled) == 2
@@ -121,11 +121,11 @@
     connection, transport = pool.up()
     assert b"Request-Ref: r1\r\nStatement-Timeout-Ms: 500\r\nContent-Length: 1\r\n\r\nq" in transport.value()
     connection.dataReceived(REPLY)
-    world.wait(SETTLE / 1000 + 5)
+    world.wait(SETTLE_US / 1000 + 5)
     pool.call(2, asked(2))  # the same connection again
     assert len(pool.dialled) == 1 and b"Request-Ref: r2" in transport.value()
     connection.dataReceived(REPLY)
-    world.wait(IDLE / 1000 - 10)
+    world.wait(MAX_IDLE_US / 1000 - 10)
     assert not transport.disconnecting
     world.wait(20)
     assert transport.disconnecting
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from moorusher.backends import database
-from moorusher.backends.http_client import HttpClient
+from moorusher.backends.http_client import HttpClientProtocol, HttpResponse
 from moorusher.config import fleet as settings
 from moorusher.config import loader, section
 from moorusher.config.health import POLICY_BOUNDS
@@ -167,19 +167,19 @@
         uwsgi_packets.read_arrival(VARS | {uwsgi_packets.VARS[name]: text}, b"")
 
 
-class Replies(HttpClient):
+class Replies(HttpClientProtocol):
     def __init__(self) -> None:
         super().__init__()
         self.got: list[object] = []
-        self.asked()
+        self.request_sent()
 
-    def stray(self) -> None:
+    def unexpected_data(self) -> None:
         self.got.append("stray")
 
-    def replied(self, status: int, headers: dict[bytes, bytes], body: bytes, keep: bool) -> None:
-        self.got.append((status, body, keep))
+    def response_received(self, response: HttpResponse) -> None:
+        self.got.append((response.status, response.body, response.keep_alive))
 
-    def garbled(self, why: str) -> None:
+    def response_malformed(self, why: str) -> None:
         self.got.append(why)
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher.backends.database import MOST_IDLE, DatabasePool
+from moorusher.backends.database import MAX_IDLE_CONNECTIONS, DatabasePool
 from moorusher.config import fleet as settings_of_fleet
 from moorusher.config import model, platform_file, section
 from moorusher.core.answer import Verdict
@@ -278,12 +278,12 @@
 def test_connections_below_that_are_kept_without_a_call_follow_the_descriptors() -> None:
     r = Running(db="127.0.0.1:7700")
     below = r.service.backend
-    assert isinstance(below, DatabasePool) and below.most_idle == MOST_IDLE
+    assert isinstance(below, DatabasePool) and below.max_idle == MAX_IDLE_CONNECTIONS
     assert r.reload(json.dumps(r.config | {"limits": {"cores": 1.0, "memory_mb": 80, "sockets": 60}}))
     spare, places = 60 // 2, r.service.jsonrpc.places.most
-    assert below.most_idle == spare // IDLE_BACKEND_SHARE and below.most_open >= 1
+    assert below.max_idle == spare // IDLE_BACKEND_SHARE and below.max_busy >= 1
     assert places == 30, "front ends may open half of them"
-    assert places + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + below.most_idle + below.most_open <= 60
+    assert places + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + below.max_idle + below.max_busy <= 60
 
 
 def test_a_file_cut_at_any_byte_changes_nothing() -> None:
