--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from moorusher.scheduling.retry_policy import Evidence, may_repeat, may_run_twice
+from moorusher.scheduling.retry_policy import Evidence, may_retry, tolerates_duplicates
 
 from ..config.section import Address
 from ..core.call import Asked
@@ -109,7 +109,7 @@
         self.number = None
         if number is None:
             return
-        if self.was_idle and may_repeat(self._call.effect, Evidence.CONNECTION_BROKE):
+        if self.was_idle and may_retry(self._call.effect, Evidence.CONNECTION_RESET):
             self._pool.core.counters.add("calls sent again: a connection that was idle broke")
             self._pool.connect(number, self._call)
         else:
@@ -193,7 +193,7 @@
     def call(self, number: int, asked: Asked) -> None:
         """Make a call; its end is reported to the core."""
         self._close_aged()
-        connection = self._find_settled() if may_run_twice(asked.effect) else None
+        connection = self._find_settled() if tolerates_duplicates(asked.effect) else None
         if connection is None:
             self.connect(number, asked)
             return
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -152,15 +152,15 @@
 
     # ---- selection ----
 
-    def select(self, now: int, may_run_twice: bool, avoid: Endpoint | None = None) -> Selection | None:
+    def select(self, now: int, tolerates_duplicates: bool, avoid: Endpoint | None = None) -> Selection | None:
         """Select an endpoint with capacity for a call; None where there is none.
 
-        `may_run_twice`: the call may serve as a health check. `avoid`: not this one.
+        `tolerates_duplicates`: the call may serve as a health check. `avoid`: not this one.
         """
         if self._rebuild_at is not None and now >= self._rebuild_at:
             self._rebuild(now)
         typical_us = self.typical_latency(now)
-        if may_run_twice and self._awaiting_health_check:
+        if tolerates_duplicates and self._awaiting_health_check:
             unchecked = self._find_unchecked(now, avoid)
             if unchecked is not None:
                 return Selection(unchecked, is_health_check=True)
