--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -16,7 +16,7 @@
 from .kernel_messages import Booted, KernelMessage
 from .kernel_protocol import MAX_LOGGED_BYTES, KernelProtocol
 from .kernel_session import KernelSession, SessionState
-from .silence_detection import ASK_AFTER_US, SilenceDetection, SilenceVerdict
+from .silence_detection import PROBE_AFTER_US, SilenceDetection, SilenceVerdict
 
 log = logging.getLogger("moorusher")
 
@@ -161,7 +161,7 @@
 
     def _booted(self, booted: Booted) -> None:
         self._backoff_us = BASE_BACKOFF_US
-        state = "cold" if booted.cold else "warm"
+        state = "cold" if booted.is_empty else "warm"
         log.info(
             "kernel up: address=%s:%d state=%s started_ms_ago=%.0f", *self._address, state, booted.age_ms
         )
@@ -199,7 +199,7 @@
         self._silence.restart(self.core.clock.now)
         if self._silence_alarm is not None:
             self._silence_alarm.cancel()
-        self._silence_alarm = self.core.alarms.at(self.core.clock.now + ASK_AFTER_US, self._check_silence)
+        self._silence_alarm = self.core.alarms.at(self.core.clock.now + PROBE_AFTER_US, self._check_silence)
 
     def _check_silence(self) -> None:
         self._silence_alarm = None
@@ -216,6 +216,6 @@
             log.warning("kernel connection silent, dialling another: silent_ms=%d", silent_ms)
             self.core.counters.add("kernel link: " + Ending.SILENT.value)
             self._reconnect_now()  # the silent one serves until the new one is made
-        elif verdict is SilenceVerdict.ASK:
+        elif verdict is SilenceVerdict.PROBE:
             self.session.ask_gauges()
         self._silence_alarm = self.core.alarms.at(now + self._silence.next_check_after(), self._check_silence)
--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -26,11 +26,11 @@
 class Booted:
     """The answer to OPEN: the kernel is up, and all notices after the one named there follow.
 
-    cold: it knows nothing of earlier runs.
+    is_empty: it knows nothing of earlier runs.
     age_ms: since it was started.
     """
 
-    cold: bool
+    is_empty: bool
     age_ms: float
 
 
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -134,7 +134,7 @@
             self.state = SessionState.UP
             self.was_up = True
         self.core.link_up()
-        self.core.kernel_up(cold=booted.cold, age_ms=booted.age_ms)
+        self.core.kernel_up(cold=booted.is_empty, age_ms=booted.age_ms)
 
     # ---- commands ----
 
--- a/moorusher/backends/silence_detection.py
+++ b/moorusher/backends/silence_detection.py
@@ -10,7 +10,7 @@
 
 from ..core.clock import MS, SECOND
 
-ASK_AFTER_US = SECOND  # without data, the peer is asked for an answer
+PROBE_AFTER_US = SECOND  # without data, the peer is asked for an answer
 MAX_SILENCE_US = 3 * SECOND  # without data, the connection is doubted
 CONFIRM_AFTER_US = 250 * MS  # in doubt, until it is looked at once more
 
@@ -19,7 +19,7 @@
     """What to do about a connection."""
 
     ALIVE = "alive"
-    ASK = "ask"  # for an answer
+    PROBE = "probe"  # ask for an answer
     REPLACE = "replace"  # it has been silent for too long, twice
 
 
@@ -55,8 +55,8 @@
         self._is_doubted = may_doubt and silence >= MAX_SILENCE_US
         if self._is_doubted and was_doubted and may_replace:
             return SilenceVerdict.REPLACE
-        return SilenceVerdict.ASK if silence >= ASK_AFTER_US else SilenceVerdict.ALIVE
+        return SilenceVerdict.PROBE if silence >= PROBE_AFTER_US else SilenceVerdict.ALIVE
 
     def next_check_after(self) -> int:
         """Return in how many microseconds to check again."""
-        return CONFIRM_AFTER_US if self._is_doubted else ASK_AFTER_US
+        return CONFIRM_AFTER_US if self._is_doubted else PROBE_AFTER_US
--- a/moorusher/load_balancing/ejection.py
+++ b/moorusher/load_balancing/ejection.py
@@ -52,10 +52,10 @@
         else:
             self._eject(now, endpoint, EjectionReason.HEALTH_CHECK_FAILED)
 
-    def attempt_ended(self, now: int, endpoint: Endpoint, hung: bool, typical_us: float) -> bool:
+    def attempt_ended(self, now: int, endpoint: Endpoint, unresponsive: bool, typical_us: float) -> bool:
         """Eject an active endpoint that has become an outlier, and return whether it was ejected.
 
-        `hung`: the attempt was given up after hanging (`outlier_detection.is_hanging`).
+        `unresponsive`: the attempt was given up after hanging (`outlier_detection.is_unresponsive`).
         """
         if endpoint.state is not EndpointState.ACTIVE:
             return False
@@ -63,8 +63,8 @@
         reason = endpoint.outliers.find_reason(endpoint.latency, median_us)
         if reason is None or not self.allows(self.unavailable() + 1):
             return False
-        if hung and reason is EjectionReason.CONSECUTIVE_FAILURES:
-            reason = EjectionReason.CALLS_HANG
+        if unresponsive and reason is EjectionReason.CONSECUTIVE_FAILURES:
+            reason = EjectionReason.UNRESPONSIVE
         self._eject(now, endpoint, reason)
         return True
 
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -188,13 +188,18 @@
     # ---- ends of attempts ----
 
     def attempt_ended(
-        self, now: int, endpoint: Endpoint, attempt_id: int, outcome: AttemptOutcome, hung: bool = False
+        self,
+        now: int,
+        endpoint: Endpoint,
+        attempt_id: int,
+        outcome: AttemptOutcome,
+        unresponsive: bool = False,
     ) -> None:
-        """Take what an attempt's end says of its endpoint. `hung`: it was cancelled after hanging."""
+        """Take what an attempt's end says of its endpoint. `unresponsive`: it was cancelled after hanging."""
         answered = outcome is AttemptOutcome.ANSWERED
-        if hung or outcome is AttemptOutcome.REJECTED:
+        if unresponsive or outcome is AttemptOutcome.REJECTED:
             endpoint.limit.overloaded()
-        is_conclusive = hung or outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_AWAITED)
+        is_conclusive = unresponsive or outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_AWAITED)
         was_health_check = endpoint.attempt_ended(now, attempt_id, answered, is_conclusive)
         if endpoint.state is EndpointState.DRAINING:
             self._forget_if_retired(endpoint)
@@ -205,7 +210,7 @@
         if was_health_check:
             self.ejection.health_check_ended(now, endpoint, answered, typical_us)
             self._request_rebuild()
-        elif self.ejection.attempt_ended(now, endpoint, hung, typical_us):
+        elif self.ejection.attempt_ended(now, endpoint, unresponsive, typical_us):
             self._request_rebuild()
 
     # ---- priors ----
--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -9,7 +9,7 @@
 from .calls import Call
 from .endpoint import Endpoint
 from .policy import LoadBalancingPolicy
-from .retry import has_time_left
+from .retry import has_time_remaining
 
 HEDGE_QUANTILE = 0.95  # of the endpoint's latency, after which its silence is unusual
 MIN_TYPICAL_LATENCIES = 2.0  # so many typical latencies are waited for at least
@@ -31,11 +31,11 @@
     percentile_us = endpoint.latency.quantile(HEDGE_QUANTILE) or 0.0
     # An endpoint that has answered little yet, or hangs from the start, has no percentile: the set's figure stands in.
     wait_us = max(percentile_us, MIN_TYPICAL_LATENCIES * typical_latency_us)
-    if not wait_us or not has_time_left(now + wait_us, call.deadline):
+    if not wait_us or not has_time_remaining(now + wait_us, call.deadline):
         return None
     return now + round(wait_us)
 
 
 def hedge_still_useful(now: int, call: Call) -> bool:
     """Whether, at the time to hedge, the call still waits for its one attempt and has time left."""
-    return not call.hedged and len(call.attempts) == 1 and has_time_left(now, call.deadline)
+    return not call.hedged and len(call.attempts) == 1 and has_time_remaining(now, call.deadline)
--- a/moorusher/load_balancing/load_balancer.py
+++ b/moorusher/load_balancing/load_balancer.py
@@ -30,9 +30,9 @@
     SendAttempt,
     TimerFired,
 )
-from .outlier_detection import is_hanging
+from .outlier_detection import is_unresponsive
 from .policy import EndpointConfig, LoadBalancingPolicy
-from .retry import RetryAt, decide_retry, has_time_left
+from .retry import RetryAt, decide_retry, has_time_remaining
 from .retry_budget import RetryBudget
 from .timers import NO_CALL, TimerKind, Timers
 
@@ -218,13 +218,13 @@
         return completed + self._cancel_attempts(now, call) + self._serve_queue(now)
 
     def _cancel_attempts(self, now: int, call: Call) -> list[Instruction]:
-        """Cancel what is in flight; an attempt that has hung counts against its endpoint all the same."""
+        """Cancel what is in flight; an unresponsive attempt counts against its endpoint all the same."""
         instructions: list[Instruction] = []
         for attempt_id, endpoint in call.attempts.items():
             age_us = now - endpoint.in_flight[attempt_id].sent_at
-            hung = is_hanging(age_us, self.endpoints.typical_latency(now))
+            unresponsive = is_unresponsive(age_us, self.endpoints.typical_latency(now))
             del self._call_of[attempt_id]
-            self.endpoints.attempt_ended(now, endpoint, attempt_id, AttemptOutcome.CANCELLED, hung)
+            self.endpoints.attempt_ended(now, endpoint, attempt_id, AttemptOutcome.CANCELLED, unresponsive)
             instructions.append(CancelAttempt(attempt_id))
         call.attempts.clear()
         return instructions
@@ -253,7 +253,7 @@
                 self._set_slot_timer(now)
                 break
             self._queue.pop_first()
-            if has_time_left(now, call.deadline):
+            if has_time_remaining(now, call.deadline):
                 instructions.append(self._transition_to_in_flight(now, call, selection))
             else:
                 call.state = CallState.EXPIRED
--- a/moorusher/load_balancing/outlier_detection.py
+++ b/moorusher/load_balancing/outlier_detection.py
@@ -16,8 +16,10 @@
 MIN_CALLS = 15  # with fewer outcomes or samples no rate and no latency counts
 EJECTION_MEMORY_US = 60_000_000  # after the end of an ejection; a later one counts as the first again
 MAX_EJECTION_DOUBLINGS = 16
-HANGING_RATIO = 3.0  # of the set's typical latency, from which a call without an answer counts as hanging
-MIN_HANGING_US = 500_000
+UNRESPONSIVE_RATIO = (
+    3.0  # of the set's typical latency, from which a call without an answer counts as hanging
+)
+MIN_UNRESPONSIVE_US = 500_000
 
 
 class EjectionReason(Enum):
@@ -27,15 +29,15 @@
     FAILURE_RATE = "share of failures"
     LATENCY_OUTLIER = "far slower than the others"
     HEALTH_CHECK_FAILED = "its probe failed"
-    CALLS_HANG = "calls hang"
+    UNRESPONSIVE = "calls hang"
 
 
-def is_hanging(age_us: int, typical_latency_us: float) -> bool:
+def is_unresponsive(age_us: int, typical_latency_us: float) -> bool:
     """Whether a call that was sent so long ago and is now given up counts as a failure of its endpoint.
 
     An endpoint that hangs never ends a call by itself: without this it would never fail, and never be ejected.
     """
-    return age_us >= max(MIN_HANGING_US, HANGING_RATIO * typical_latency_us)
+    return age_us >= max(MIN_UNRESPONSIVE_US, UNRESPONSIVE_RATIO * typical_latency_us)
 
 
 class OutlierDetection:
--- a/moorusher/load_balancing/retry.py
+++ b/moorusher/load_balancing/retry.py
@@ -17,7 +17,7 @@
 from .policy import LoadBalancingPolicy
 from .retry_budget import RetryBudget
 
-MIN_TIME_LEFT_US = 5_000  # until the deadline; with less a further attempt can't be answered in time
+MIN_REMAINING_US = 5_000  # until the deadline; with less a further attempt can't be answered in time
 MAX_BACKOFF_DOUBLINGS = 20
 
 
@@ -35,9 +35,9 @@
     budget_spent: bool = False
 
 
-def has_time_left(now: float, deadline: int) -> bool:
+def has_time_remaining(now: float, deadline: int) -> bool:
     """Whether an attempt made at `now` (us) can still be answered before `deadline` (us)."""
-    return now + MIN_TIME_LEFT_US < deadline
+    return now + MIN_REMAINING_US < deadline
 
 
 def backoff_us(attempts: int, base_ms: float, max_ms: float, draw: float) -> int:
@@ -60,10 +60,10 @@
     """Decide on `call`, of which the last attempt in flight ended as `outcome`; a retry is paid from the budget."""
     if call.attempts_made >= call.max_attempts or not may_retry(call.effect, outcome.evidence):
         return NoRetry()
-    if not has_time_left(now, call.deadline):
+    if not has_time_remaining(now, call.deadline):
         return NoRetry()
     wait_us = backoff_us(call.attempts_made, policy.base_backoff_ms, policy.max_backoff_ms, draw())
-    if not has_time_left(now + wait_us, call.deadline):
+    if not has_time_remaining(now + wait_us, call.deadline):
         return NoRetry()
     if not budget.try_take(now):
         return NoRetry(budget_spent=True)
--- a/moorusher/routing/route_table.py
+++ b/moorusher/routing/route_table.py
@@ -29,7 +29,7 @@
     TimerFired,
 )
 from ..load_balancing.policy import EndpointConfig, LoadBalancingPolicy
-from ..load_balancing.retry import has_time_left
+from ..load_balancing.retry import has_time_remaining
 from .balancer_timers import BalancerTimers
 from .grants import Grants
 from .route import Hop, RoutePath
@@ -169,7 +169,7 @@
 
     @staticmethod
     def _may_use_next_hop(now: int, call: RoutedCall, outcome: AttemptOutcome) -> bool:
-        if outcome in FINAL_OUTCOMES or not has_time_left(now, call.deadline):
+        if outcome in FINAL_OUTCOMES or not has_time_remaining(now, call.deadline):
             return False
         return may_retry(call.effect, outcome.evidence)
 
