--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -11,7 +11,7 @@
 
 from ..config.section import Address
 from ..core.clock import MS
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from .http_client import NO_CONTENT, HttpClientProtocol, HttpResponse
 
 log = logging.getLogger("moorusher")
@@ -79,7 +79,7 @@
 
     def __init__(self, reactor: Any, address: Address, name: str) -> None:
         """`name`: the runner's."""
-        self.core: Decider
+        self.core: RequestEngine
         self.is_fit: Callable[[], bool] = lambda: True
         self._reactor = reactor
         self._address = address
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -11,10 +11,10 @@
 from moorusher.scheduling.retry_policy import Evidence, may_retry, tolerates_duplicates
 
 from ..config.section import Address
-from ..core.call import Asked
+from ..core.call import CallRequest
 from ..core.clock import MS, SECOND, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from .http_client import HttpClientProtocol, HttpResponse
 
 CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
@@ -25,18 +25,18 @@
 NEVER_STARTED_HEADER = b"never-started"
 
 
-def ending_of(status: int, headers: dict[bytes, bytes]) -> Ending:
+def end_reason_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
     """Tell by the response how a call ended; without a proof that it never ran, it may have."""
     never_started = headers.get(NEVER_STARTED_HEADER) == b"1"
     if status == 200:
-        return Ending.CALL_ANSWERED
+        return EndReason.CALL_ANSWERED
     if status == 503 and never_started:
-        return Ending.CALL_TURNED_AWAY
+        return EndReason.CALL_REJECTED
     if status == 409 and never_started:
-        return Ending.CALL_STRAY
+        return EndReason.CALL_NOT_AWAITED
     if status == 504:
-        return Ending.CALL_OUT_OF_TIME
-    return Ending.CALL_FAILED
+        return EndReason.CALL_DEADLINE_EXCEEDED
+    return EndReason.CALL_FAILED
 
 
 class DatabaseProtocol(HttpClientProtocol):
@@ -47,7 +47,7 @@
     was_idle: the present call was sent on a connection that had been idle.
     """
 
-    def __init__(self, pool: DatabasePool, number: int, call: Asked) -> None:
+    def __init__(self, pool: DatabasePool, number: int, call: CallRequest) -> None:
         """The call is sent as the connection is made."""
         super().__init__()
         self._pool = pool
@@ -63,7 +63,7 @@
         self.transport.setTcpNoDelay(True)
         self.send(self._first_number, self._call)
 
-    def send(self, number: int, call: Asked) -> None:
+    def send(self, number: int, call: CallRequest) -> None:
         """Send a call."""
         self.number = number
         self._call = call
@@ -75,7 +75,7 @@
 
     def response_received(self, response: HttpResponse) -> None:
         """End the call, and keep the connection where it may be used again."""
-        self._pool.core.touch()
+        self._pool.core.begin_turn()
         number = self.number
         self.number = None
         if number is None or not response.keep_alive or self._address != self._pool.address:
@@ -83,7 +83,7 @@
         else:
             self._pool.connection_idle(self)
         if number is not None:
-            self._pool.call_ended(number, ending_of(response.status, response.headers), response.body)
+            self._pool.call_ended(number, end_reason_of(response.status, response.headers), response.body)
 
     def unexpected_data(self) -> None:
         """Drop the connection: what else comes could be taken for the next response."""
@@ -96,7 +96,7 @@
         self.number = None
         self.transport.abortConnection()
         if number is not None:
-            self._pool.call_ended(number, Ending.CALL_GARBLED, b"")
+            self._pool.call_ended(number, EndReason.CALL_REPLY_UNREADABLE, b"")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Retry the call where that is allowed, else end it.
@@ -113,7 +113,7 @@
             self._pool.core.counters.add("calls sent again: a connection that was idle broke")
             self._pool.connect(number, self._call)
         else:
-            self._pool.call_ended(number, Ending.CALL_CUT_OFF, b"")
+            self._pool.call_ended(number, EndReason.CALL_CONNECTION_LOST, b"")
 
 
 class DatabaseConnectionFactory(ClientFactory):
@@ -124,7 +124,7 @@
 
     noisy = False
 
-    def __init__(self, pool: DatabasePool, number: int, call: Asked) -> None:
+    def __init__(self, pool: DatabasePool, number: int, call: CallRequest) -> None:
         """`number`: the call's."""
         self._pool = pool
         self._number = number
@@ -163,7 +163,7 @@
         if self.address != self._pool.address:
             self.connect(self._pool.address)
         else:
-            self._pool.call_ended(self._number, Ending.CALL_NOT_CONNECTED, b"")
+            self._pool.call_ended(self._number, EndReason.CALL_NOT_CONNECTED, b"")
 
 
 class DatabasePool:
@@ -178,7 +178,7 @@
 
     def __init__(self, reactor: Any, address: Address, max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
         """`max_idle` may be changed by `set_max_idle`."""
-        self.core: Decider
+        self.core: RequestEngine
         self.reactor = reactor
         self.address = address
         self.max_idle = max_idle
@@ -190,17 +190,17 @@
 
     # ---- calls ----
 
-    def call(self, number: int, asked: Asked) -> None:
+    def call(self, number: int, request: CallRequest) -> None:
         """Make a call; its end is reported to the core."""
         self._close_aged()
-        connection = self._find_settled() if tolerates_duplicates(asked.effect) else None
+        connection = self._find_settled() if tolerates_duplicates(request.effect) else None
         if connection is None:
-            self.connect(number, asked)
+            self.connect(number, request)
             return
         self._idle.remove(connection)
         self._busy[number] = connection
         connection.was_idle = True
-        connection.send(number, asked)
+        connection.send(number, request)
 
     def _find_settled(self) -> DatabaseProtocol | None:
         """Find the connection that became idle last, but not just now.
@@ -211,10 +211,10 @@
         latest = self.core.clock.now - SETTLE_US
         return next((one for one in reversed(self._idle) if one.idle_since <= latest), None)
 
-    def connect(self, number: int, call: Asked) -> None:
+    def connect(self, number: int, call: CallRequest) -> None:
         """Make a call on a new connection; where none may be made, the call ends, and was never sent."""
         if len(self._busy) + len(self._connecting) >= self.max_busy:
-            self.call_ended(number, Ending.CALL_NOT_CONNECTED, b"")
+            self.call_ended(number, EndReason.CALL_NOT_CONNECTED, b"")
             return
         factory = self._connecting[number] = DatabaseConnectionFactory(self, number, call)
         factory.connect(self.address)
@@ -229,11 +229,11 @@
             connection.number = None
             connection.transport.abortConnection()
 
-    def call_ended(self, number: int, ending: Ending, body: bytes) -> None:
+    def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
         """Report the end of a call."""
         self._connecting.pop(number, None)
         self._busy.pop(number, None)
-        self.core.call_over(number, ending, body)
+        self.core.execution.call_ended(number, reason, body)
 
     # ---- for the owner ----
 
--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -11,8 +11,8 @@
 
 from ..config.section import Address
 from ..core.clock import MS, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from .kernel_messages import Booted, KernelMessage
 from .kernel_protocol import MAX_LOGGED_BYTES, KernelProtocol
 from .kernel_session import KernelSession, SessionState
@@ -55,12 +55,12 @@
         self._is_closing = False
 
     @property
-    def core(self) -> Decider:
+    def core(self) -> RequestEngine:
         """The request engine; set by the owner, since engine and client need each other."""
         return self.session.core
 
     @core.setter
-    def core(self, core: Decider) -> None:
+    def core(self, core: RequestEngine) -> None:
         self.session.core = core
 
     # ---- for the owner ----
@@ -102,7 +102,7 @@
     def _reconnect_later(self) -> None:
         if self._is_closing or self._connector is not None:
             return  # not wanted, or being made already
-        self.core.touch()
+        self.core.begin_turn()
         if self._reconnect_alarm is not None:
             self._reconnect_alarm.cancel()
         at = self.core.clock.now + self._backoff_us
@@ -123,13 +123,13 @@
 
     def connection_made(self, connection: KernelProtocol) -> None:
         """Replace the connection that there is by a new one."""
-        self.core.touch()
+        self.core.begin_turn()
         earlier = self.connection
         self.connection = connection
         self._connected_at = self.core.clock.now
         self._connector = None
         if earlier is not None:
-            self.core.link_lost()  # until the new one has had its answer
+            self.core.kernel_status.link_lost()  # until the new one has had its answer
         self.session.connection_replaced()
         self._start_watching()
         if earlier is not None:
@@ -143,7 +143,7 @@
         """Dial again, unless the connection was replaced before."""
         if connection is not self.connection:
             return
-        self.core.link_lost()
+        self.core.kernel_status.link_lost()
         log.info(
             "kernel connection lost: address=%s:%d after_ms=%d state=%s last_notice=%d "
             "unconfirmed_commands=%d reason=%s",
@@ -156,7 +156,7 @@
         )
         self.connection = None
         self.session.connection_lost()
-        self.core.counters.add("kernel link: " + Ending.LOST.value)
+        self.core.counters.add("kernel link: " + EndReason.CONNECTION_LOST.value)
         self._reconnect_later()
 
     def _booted(self, booted: Booted) -> None:
@@ -168,12 +168,12 @@
 
     def line_too_long(self) -> None:
         """Count a line beyond the bound; its connection is dropped."""
-        self.core.counters.add("kernel link: " + Ending.LINE_TOO_LONG.value)
+        self.core.counters.add("kernel link: " + EndReason.LINE_TOO_LONG.value)
 
     def line_unreadable(self, connection: KernelProtocol, line: bytes) -> None:
         """Read on from the last notice over a new connection; a line that stays unreadable is skipped in the end."""
         log.error("kernel message unreadable: line=%r", line[:MAX_LOGGED_BYTES])
-        self.core.touch()
+        self.core.begin_turn()
         self.core.counters.add("kernel lines unread")
         last_notice = self.session.last_notice
         if self._unreadable_after != last_notice:
@@ -189,7 +189,7 @@
     def data_received(self, connection: KernelProtocol) -> None:
         """Take note that a connection is alive."""
         if connection is self.connection:
-            self.core.touch()
+            self.core.begin_turn()
             self._silence.data_received(self.core.clock.now)
 
     # ---- silence ----
@@ -214,7 +214,7 @@
         if verdict is SilenceVerdict.REPLACE:
             silent_ms = self._silence.silent_for(now) // MS
             log.warning("kernel connection silent, dialling another: silent_ms=%d", silent_ms)
-            self.core.counters.add("kernel link: " + Ending.SILENT.value)
+            self.core.counters.add("kernel link: " + EndReason.READ_TIMEOUT.value)
             self._reconnect_now()  # the silent one serves until the new one is made
         elif verdict is SilenceVerdict.PROBE:
             self.session.ask_gauges()
--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 from typing import Any, Union
 
-from ..core.outcomes import Ending
+from ..core.outcomes import EndReason
 from .errors import UnreadableMessage
 
-RUN_ENDINGS = {
-    "PASS": Ending.RUN_PASSED,
-    "FAIL": Ending.RUN_FAILED,
-    "KILLED": Ending.RUN_KILLED,
-    "NOOP": Ending.RUN_NEVER_BEGAN,
+RUN_END_REASONS = {
+    "PASS": EndReason.RUN_SUCCEEDED,
+    "FAIL": EndReason.RUN_FAILED,
+    "KILLED": EndReason.RUN_KILLED,
+    "NOOP": EndReason.RUN_NEVER_STARTED,
 }
 EMPTY_STATUS = "EMPTY"  # of BOOTED: the kernel has lost what an earlier one had
 
@@ -42,11 +42,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RunOver(Notice):
+class RunEnded(Notice):
     """A run has ended."""
 
     rid: str
-    ending: Ending
+    reason: EndReason
     body: bytes
 
 
@@ -65,14 +65,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """The figures that SYSINFO asked for, with the mark of that question."""
+    """The figures that SYSINFO request for, with the mark of that question."""
 
     mark: str
     values: tuple[float, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class CommandRefused:
+class CommandRejected:
     """EINVAL: a command was not carried out."""
 
     command: str
@@ -86,7 +86,7 @@
     kind: str
 
 
-KernelMessage = Union[Notice, Booted, Gauges, CommandRefused, Unknown]
+KernelMessage = Union[Notice, Booted, Gauges, CommandRejected, Unknown]
 
 
 def decode_message(line: bytes) -> KernelMessage:
@@ -100,7 +100,7 @@
 def _decode(message: Any) -> KernelMessage:
     kind = message["t"]
     if kind == "REAP":
-        return RunOver(_number(message), _rid(message), RUN_ENDINGS[message["status"]], _body(message))
+        return RunEnded(_number(message), _rid(message), RUN_END_REASONS[message["status"]], _body(message))
     if kind == "IOREQ":
         return CallNeeded(_number(message), _rid(message), _body(message))
     if kind == "DMESG":
@@ -110,7 +110,7 @@
     if kind == "BOOTED":
         return Booted(message.get("status") == EMPTY_STATUS, _figure(message.get("time_ms") or 0))
     if kind == "EINVAL":
-        return CommandRefused(str(message.get("status")), str(message.get("rid")))
+        return CommandRejected(str(message.get("status")), str(message.get("rid")))
     return Unknown(str(kind))
 
 
@@ -171,7 +171,7 @@
 
 
 def skip_call(rid: str, notice: int) -> Command:
-    """Let a run go on without the call that it asked for by that notice."""
+    """Let a run go on without the call that it request for by that notice."""
     return {"t": "NOIO", "rid": rid, "no": notice}
 
 
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable
 from enum import Enum
 
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..core.run import NOT_WRITTEN
 from .kernel_messages import (
     Booted,
     CallNeeded,
     Command,
-    CommandRefused,
+    CommandRejected,
     Gauges,
     KernelMessage,
     Notice,
-    RunOver,
+    RunEnded,
     ask_for_gauges,
     call_reply,
     open_after,
@@ -56,7 +56,7 @@
 
     def __init__(self, on_booted: Callable[[Booted], None]) -> None:
         """`on_booted` is called as a kernel answers the opening of a connection."""
-        self.core: Decider
+        self.core: RequestEngine
         self._on_up = on_booted
         self.state = SessionState.DOWN
         self.last_notice = 0
@@ -99,8 +99,8 @@
             self._on_gauges(message)
         elif isinstance(message, Booted):
             self._on_booted(message)
-        elif isinstance(message, CommandRefused):
-            self.core.command_refused(message.command, message.rid)
+        elif isinstance(message, CommandRejected):
+            self.core.execution.command_rejected(message.command, message.rid)
         else:
             log.warning("unknown kernel message: kind=%r", message.kind)
 
@@ -109,19 +109,19 @@
             return  # replayed, or sent twice
         self.last_notice = notice.number
         if isinstance(notice, CallNeeded):
-            self.core.call_needed(notice.rid, notice.number, notice.body)
-        elif isinstance(notice, RunOver):
-            self.core.run_over(notice.rid, notice.ending, notice.body)
+            self.core.execution.call_needed(notice.rid, notice.number, notice.body)
+        elif isinstance(notice, RunEnded):
+            self.core.execution.run_ended(notice.rid, notice.reason, notice.body)
 
     def _on_gauges(self, gauges: Gauges) -> None:
         """The kernel reads a connection in order: an answer shows that all before its question was read."""
         if gauges.mark == REPLAY_END_MARK:
             self.state = SessionState.UP
-            self.core.kernel_read_again(self._read)
+            self.core.execution.reconnected(self._read)
         elif gauges.mark.startswith(READ_MARK) and gauges.mark[len(READ_MARK) :].isdecimal():
             confirmed = min(int(gauges.mark[len(READ_MARK) :]), self._written)
             self._read = max(self._read, confirmed)
-        self.core.gauges(gauges.values)
+        self.core.kernel_status.gauges_received(gauges.values)
 
     def _on_booted(self, booted: Booted) -> None:
         self._on_up(booted)
@@ -133,7 +133,7 @@
         else:
             self.state = SessionState.UP
             self.was_up = True
-        self.core.link_up()
+        self.core.kernel_status.link_up()
         self.core.kernel_up(cold=booted.is_empty, age_ms=booted.age_ms)
 
     # ---- commands ----
@@ -166,7 +166,7 @@
         self.ask_gauges()
         return number
 
-    def call_left_out(self, rid: str, notice: int) -> int:
+    def call_skipped(self, rid: str, notice: int) -> int:
         """Let a run go on without the call of that notice."""
         return self._send(skip_call(rid, notice))
 
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -8,9 +8,9 @@
 from twisted.python.failure import Failure
 
 from ..config.section import Address
-from ..core.call import Asked
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.call import CallRequest
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..frontends.uwsgi_packets import VARS, build_packet
 from .http_client import HttpClientProtocol, HttpResponse
 
@@ -18,14 +18,14 @@
 NEVER_RAN_HEADER = b"x-moorusher-never-ran"
 
 
-def call_packet(call: Asked) -> bytes:
+def call_packet(call: CallRequest) -> bytes:
     """Encode a call as a uwsgi request."""
     # The peer gives the call a rid of its own: a second call for this request is a new attempt there.
     variables: dict[str, str | None] = {
         "REQUEST_METHOD": "POST",
         "REQUEST_URI": "/",
         "CONTENT_LENGTH": str(len(call.body)),
-        VARS["class"]: call.klass,
+        VARS["class"]: call.class_name,
         VARS["budget"]: str(call.timeout_ms),
         "MOORUSHER_REF": call.rid,
         VARS["tenant"]: call.tenant,
@@ -34,15 +34,15 @@
     return build_packet({name: value for name, value in variables.items() if value is not None}) + call.body
 
 
-def ending_of(status: int, headers: dict[bytes, bytes]) -> Ending:
+def end_reason_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
     """Tell by the response how a call ended; without a proof that it never ran, it may have."""
     if status == 200:
-        return Ending.CALL_ANSWERED
+        return EndReason.CALL_ANSWERED
     if headers.get(NEVER_RAN_HEADER) == b"1":
-        return Ending.CALL_TURNED_AWAY
+        return EndReason.CALL_REJECTED
     if status == 504:
-        return Ending.CALL_OUT_OF_TIME
-    return Ending.CALL_FAILED
+        return EndReason.CALL_DEADLINE_EXCEEDED
+    return EndReason.CALL_FAILED
 
 
 class UwsgiProtocol(HttpClientProtocol):
@@ -61,12 +61,12 @@
 
     def response_received(self, response: HttpResponse) -> None:
         """The call has ended by its response."""
-        self._factory.call_ended(ending_of(response.status, response.headers), response.body)
+        self._factory.call_ended(end_reason_of(response.status, response.headers), response.body)
         self.transport.loseConnection()
 
     def response_malformed(self, reason: str) -> None:
         """The call has ended without a readable response."""
-        self._factory.call_ended(Ending.CALL_GARBLED)
+        self._factory.call_ended(EndReason.CALL_REPLY_UNREADABLE)
         self.transport.abortConnection()
 
     def unexpected_data(self) -> None:
@@ -75,7 +75,7 @@
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """The call has ended, unless its response came before."""
-        self._factory.call_ended(Ending.CALL_CUT_OFF)
+        self._factory.call_ended(EndReason.CALL_CONNECTION_LOST)
 
 
 class UwsgiCallFactory(ClientFactory):
@@ -87,7 +87,7 @@
 
     noisy = False
 
-    def __init__(self, client: UwsgiCalls, number: int, call: Asked) -> None:
+    def __init__(self, client: UwsgiCalls, number: int, call: CallRequest) -> None:
         """`number`: the call's, which its end is reported by."""
         self._client = client
         self._has_ended = False
@@ -101,13 +101,13 @@
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         """The call never ran."""
-        self.call_ended(Ending.CALL_NOT_CONNECTED)
+        self.call_ended(EndReason.CALL_NOT_CONNECTED)
 
-    def call_ended(self, ending: Ending, body: bytes = b"") -> None:
+    def call_ended(self, reason: EndReason, body: bytes = b"") -> None:
         """Report the first end; others say nothing more."""
         if not self._has_ended:
             self._has_ended = True
-            self._client.call_ended(self, ending, body)
+            self._client.call_ended(self, reason, body)
 
     def cancel(self) -> None:
         """Close the connection; nothing is reported."""
@@ -124,7 +124,7 @@
 
     def __init__(self, reactor: Any, address: Address) -> None:
         """`address` may be changed by `move`."""
-        self.core: Decider
+        self.core: RequestEngine
         self.address = address
         self._reactor = reactor
         self._open: dict[int, UwsgiCallFactory] = {}  # by the call's number
@@ -136,9 +136,9 @@
     def close(self) -> None:
         """No more calls are made here; nothing is kept between calls."""
 
-    def call(self, number: int, asked: Asked) -> None:
+    def call(self, number: int, request: CallRequest) -> None:
         """Make a call; its end is reported to the core."""
-        factory = self._open[number] = UwsgiCallFactory(self, number, asked)
+        factory = self._open[number] = UwsgiCallFactory(self, number, request)
         factory.connector = self._reactor.connectTCP(*self.address, factory, timeout=CONNECT_TIMEOUT_S)
 
     def give_up(self, number: int) -> None:
@@ -147,8 +147,8 @@
         if factory is not None:
             factory.cancel()
 
-    def call_ended(self, factory: UwsgiCallFactory, ending: Ending, body: bytes) -> None:
+    def call_ended(self, factory: UwsgiCallFactory, reason: EndReason, body: bytes) -> None:
         """Report the end of a call, unless another has its number by now."""
         if self._open.get(factory.number) is factory:
             del self._open[factory.number]
-            self.core.call_over(factory.number, ending, body)
+            self.core.execution.call_ended(factory.number, reason, body)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -161,7 +161,7 @@
 
     def local_duties(self) -> list[DutySnapshot]:
         """Return the duties that this runner leads or replicates, by name, without asking others."""
-        self.core.touch()
+        self.core.begin_turn()
         records = dict(self.participant.election.records)
         for key, lease in self.participant.leases.by_key.items():
             records[key] = lease.record
@@ -184,19 +184,19 @@
             else:
                 callback(DutyReading(self._snapshot(reading.record), reading.state))
 
-        self.core.touch()
+        self.core.begin_turn()
         self.participant.directory.read(name, got)
 
     def resume(self, name: str, callback: SnapshotCallback) -> None:
         """Let a suspended duty go on."""
-        self.core.touch()
+        self.core.begin_turn()
         self.participant.directory.resume(name, self._snapshot_to(callback))
 
     def resolve_intent(
         self, name: str, intent_revision: int, verdict: str, callback: SnapshotCallback
     ) -> None:
         """Close an open intent. `verdict`: what the operator has found; it is logged only."""
-        self.core.touch()
+        self.core.begin_turn()
         log.warning(
             "duties: an operator settled an intent: duty=%s intent=%d verdict=%s",
             name,
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..core.requests import is_word
+from ..core.requests import is_identifier
 from ..load_balancing.policy import MAX_ENDPOINTS, EndpointConfig, EndpointProtocol, LoadBalancingPolicy
 from .section import ConfigError, Section
 
@@ -82,7 +82,7 @@
     section.unknown({"name", "address", "weight", "zone", "protocol"})
     name = section.get("name", "")
     address = section.address("address")
-    if not is_word(name, MAX_NAME_LENGTH):
+    if not is_identifier(name, MAX_NAME_LENGTH):
         raise ConfigError(f"{section.key('name')}: expected letters, digits and -_.:, got {name!r}")
     if address is None:
         raise ConfigError(f"{section.key('address')}: required, as HOST:PORT")
