--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -315,7 +315,7 @@
         matching = [r.label for r in revision.namespace.table.rules if asked in r.match]
         hops = (
             []
-            if ruling.way is None
+            if ruling.path is None
             else [
                 {
                     "route": h.route,
@@ -324,7 +324,7 @@
                     "limit": h.max_in_flight,
                     "tries": h.max_attempts,
                 }
-                for h in ruling.way.hops
+                for h in ruling.path.hops
             ]
         )
         then(
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -36,8 +36,8 @@
 
     def _key(self, request: Request) -> Key:
         ruling = request.ruling
-        way = None if ruling is None else ruling.way
-        route = "" if way is None else way.hops[0].route
+        path = None if ruling is None else ruling.path
+        route = "" if path is None else path.hops[0].route
         return Key(request.tenant or "", 0 if ruling is None else ruling.at[0], route, self._link.member.zone)
 
     def requested(self, request: Request) -> None:
--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -110,7 +110,7 @@
             request.key and f"{request.key[1]}.{run.calls}",
             run.call_body,
             max(1, round(action.timeout_ms)),
-            None if request.ruling is None else request.ruling.way,
+            None if request.ruling is None else request.ruling.path,
         )
         number = action.id
         self._state.calls.make(
--- a/moorusher/core/routes.py
+++ b/moorusher/core/routes.py
@@ -22,7 +22,7 @@
         """Why the request is rejected; "" where it is not."""
 
     @property
-    def way(self) -> object:
+    def path(self) -> object:
         """The route of its calls, in the form that the call transport knows."""
 
 
--- a/moorusher/routing/route.py
+++ b/moorusher/routing/route.py
@@ -53,23 +53,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDecision:
-    """A customer's decision on one request; at, refusal and way are those of `core.routes.Ruling`.
+    """A customer's decision on one request; at, refusal and path are those of `core.routes.Ruling`.
 
     at: the revision of the rules, as incarnation and number.
     rule: the label of the rule that decided, "" for the customer's default.
     refusal: the reason where the request is rejected, else "".
-    way: where its calls go; None where it is rejected.
+    path: where its calls go; None where it is rejected.
     """
 
     at: tuple[int, int]
     rule: str
     refusal: str
-    way: RoutePath | None
+    path: RoutePath | None
 
 
-def decide_route(revision: Revision, asked: Asked) -> RoutingDecision:
+def decide_route(revision: Revision, request: Asked) -> RoutingDecision:
     """Apply a revision of a customer's rules to one request."""
-    decision, routes = revision.decide(asked)
+    decision, routes = revision.decide(request)
     label = "" if decision.rule is None else decision.rule.label
     if decision.route is None:
         return RoutingDecision(revision.at, label, decision.reason, None)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -231,8 +231,8 @@
     found = customers.take("acme", (4, 2), json.dumps(draft).encode(), None)
     ruled = decide_route(found, Asked("check"))
     customers.delete("acme", (4, 3))
-    assert ruled.way == path(
+    assert ruled.path == path(
         hop("main", "a1", max_attempts=3), hop("spare", pool="shared", max_in_flight=7), incarnation=4
     )
     refused = decide_route(found, Asked("admin"))
-    assert (refused.refusal, refused.way, refused.rule, refused.at) == ("not here", None, "no", (4, 2))
+    assert (refused.refusal, refused.path, refused.rule, refused.at) == ("not here", None, "no", (4, 2))
