--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -32,8 +32,8 @@
 from ..warm_start.learned_state import DonorCondition, LearnedState, capture_learned_state
 from .server_backends import Backend, ServerBackends
 
-# Any other ending proves nothing: the call may have run, and counts as FAILED.
-OUTCOME_OF_ENDING: dict[EndReason, AttemptOutcome] = {
+# Any other reason proves nothing: the call may have run, and counts as FAILED.
+OUTCOME_OF_END_REASON: dict[EndReason, AttemptOutcome] = {
     EndReason.CALL_ANSWERED: AttemptOutcome.ANSWERED,
     EndReason.CALL_REJECTED: AttemptOutcome.REJECTED,
     EndReason.CALL_NOT_AWAITED: AttemptOutcome.NOT_AWAITED,
@@ -46,7 +46,7 @@
     """What a backend reported of an attempt."""
 
     attempt_id: int
-    ending: EndReason
+    reason: EndReason
     body: bytes
 
 
@@ -72,8 +72,8 @@
     def begin_turn(self) -> None:
         self._pool.core.begin_turn()
 
-    def call_ended(self, attempt_id: int, ending: EndReason, body: bytes) -> None:
-        self._pool.attempt_ended(AttemptReply(attempt_id, ending, body))
+    def call_ended(self, attempt_id: int, reason: EndReason, body: bytes) -> None:
+        self._pool.attempt_ended(AttemptReply(attempt_id, reason, body))
 
 
 class ServerPool:
@@ -142,7 +142,7 @@
         if self._backend_of.pop(reply.attempt_id, None) is None:
             return
         self.core.begin_turn()
-        outcome = OUTCOME_OF_ENDING.get(reply.ending, AttemptOutcome.FAILED)
+        outcome = OUTCOME_OF_END_REASON.get(reply.reason, AttemptOutcome.FAILED)
         ended = AttemptEnded(self.core.clock.now, reply.attempt_id, outcome)
         self._execute(self.routes.handle(ended), reply)
 
@@ -174,12 +174,12 @@
     def _complete(self, completed: CompleteCall, reply: AttemptReply | None) -> None:
         self._calls.pop(completed.call_id, None)
         if reply is not None and reply.attempt_id == completed.attempt_id != NO_ATTEMPT:
-            self.core.execution.call_ended(completed.call_id, reply.ending, reply.body)
+            self.core.execution.call_ended(completed.call_id, reply.reason, reply.body)
             return
         # No attempt was made, or its server was removed under it; the latter proves nothing.
         was_rejected = completed.outcome is AttemptOutcome.REJECTED
-        ending = EndReason.CALL_REJECTED if was_rejected else EndReason.CALL_CONNECTION_LOST
-        self.core.execution.call_ended(completed.call_id, ending, b"")
+        reason = EndReason.CALL_REJECTED if was_rejected else EndReason.CALL_CONNECTION_LOST
+        self.core.execution.call_ended(completed.call_id, reason, b"")
 
     def _arm_timer(self) -> None:
         """One alarm for the earliest of all timers; one that is too early is harmless."""
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -152,15 +152,15 @@
 
     # ---- selection ----
 
-    def select(self, now: int, may_run_twice: bool, avoid: Endpoint | None = None) -> Selection | None:
+    def select(self, now: int, tolerates_duplicates: bool, avoid: Endpoint | None = None) -> Selection | None:
         """Select an endpoint with capacity for a call; None where there is none.
 
-        `may_run_twice`: the call may serve as a health check. `avoid`: not this one.
+        `tolerates_duplicates`: the call may serve as a health check. `avoid`: not this one.
         """
         if self._rebuild_at is not None and now >= self._rebuild_at:
             self._rebuild(now)
         typical_us = self.typical_latency(now)
-        if may_run_twice and self._awaiting_health_check:
+        if tolerates_duplicates and self._awaiting_health_check:
             unchecked = self._find_unchecked(now, avoid)
             if unchecked is not None:
                 return Selection(unchecked, is_health_check=True)
@@ -188,13 +188,18 @@
     # ---- ends of attempts ----
 
     def attempt_ended(
-        self, now: int, endpoint: Endpoint, attempt_id: int, outcome: AttemptOutcome, hung: bool = False
+        self,
+        now: int,
+        endpoint: Endpoint,
+        attempt_id: int,
+        outcome: AttemptOutcome,
+        unresponsive: bool = False,
     ) -> None:
-        """Take what an attempt's end says of its endpoint. `hung`: it was cancelled after hanging."""
+        """Take what an attempt's end says of its endpoint. `unresponsive`: it was cancelled after hanging."""
         answered = outcome is AttemptOutcome.ANSWERED
-        if hung or outcome is AttemptOutcome.REJECTED:
+        if unresponsive or outcome is AttemptOutcome.REJECTED:
             endpoint.limit.overloaded()
-        is_conclusive = hung or outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_AWAITED)
+        is_conclusive = unresponsive or outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_AWAITED)
         was_health_check = endpoint.attempt_ended(now, attempt_id, answered, is_conclusive)
         if endpoint.state is EndpointState.DRAINING:
             self._forget_if_retired(endpoint)
@@ -205,7 +210,7 @@
         if was_health_check:
             self.ejection.health_check_ended(now, endpoint, answered, typical_us)
             self._request_rebuild()
-        elif self.ejection.attempt_ended(now, endpoint, hung, typical_us):
+        elif self.ejection.attempt_ended(now, endpoint, unresponsive, typical_us):
             self._request_rebuild()
 
     # ---- priors ----
