--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -142,7 +142,7 @@
     connection.pauseProducing()
     assert transport.producerState == "paused"
     for i in range(MAX_UNSENT_BYTES // 4000 + 1):
-        connection.answer(i, Answer(Verdict.SERVED, bytes(4096)), None)
+        connection.session.answer(i, Answer(Verdict.SERVED, bytes(4096)), None)
     assert transport.aborted and connection.ending is EndReason.SLOW_READER
 
 
