--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,8 +9,10 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher.backends.database import IDLE, SETTLE, DatabasePool
-from moorusher.backends.kernel import MOST_UNREAD, QUIET, SURE, KernelConnection, KernelLink
+from moorusher.backends.database import MAX_IDLE_US, SETTLE_US, DatabasePool
+from moorusher.backends.kernel import MAX_UNREADABLE, KernelClient
+from moorusher.backends.kernel_protocol import KernelProtocol
+from moorusher.backends.silence_detection import CONFIRM_AFTER_US, MAX_SILENCE_US
 from moorusher.cluster_transport.peers import Dial
 from moorusher.core.answer import Verdict
 from moorusher.core.call import CallRequest
@@ -43,9 +45,9 @@
         connection.makeConnection(transport)
         return connection, transport
 
-    def over(self, number: int, ending: EndReason, body: bytes) -> None:
+    def call_ended(self, number: int, ending: EndReason, body: bytes) -> None:
         self.ends.append((number, ending))
-        super().over(number, ending, body)
+        super().call_ended(number, ending, body)
 
 
 @pytest.mark.parametrize("more, closed", [(b"", False), (b"z", True), (REPLY, True), (b"\r\n", True)])
@@ -60,7 +62,7 @@
         connection.dataReceived(part)
     assert pool.ends == [(1, EndReason.CALL_ANSWERED)] and transport.aborted is closed
     pool.call(2, asked(2))  # at once: whatever else may follow the reply could still be on its way
-    world.wait(SETTLE / 1000 + 5)
+    world.wait(SETTLE_US / 1000 + 5)
     pool.call(3, asked(3))
     assert len(pool.dialled) == 2 + closed and (b"Request-Ref: r3" in transport.value()) is not closed
 
@@ -104,7 +106,7 @@
 
 def test_a_call_beyond_the_descriptors_was_never_made_and_finds_room_later() -> None:
     pool = Pool(World())
-    pool.most_open = 2
+    pool.max_busy = 2
     for number in (1, 2, 3):
         pool.call(number, asked(number))
     assert pool.ends == [(3, EndReason.CALL_NOT_CONNECTED)] and len(pool.dialled) == 2
@@ -122,17 +124,17 @@
     connection, transport = pool.up()
     assert b"Request-Ref: r1\r\nStatement-Timeout-Ms: 500\r\nContent-Length: 1\r\n\r\nq" in transport.value()
     connection.dataReceived(REPLY)
-    world.wait(SETTLE / 1000 + 5)
+    world.wait(SETTLE_US / 1000 + 5)
     pool.call(2, asked(2))  # the same connection again
     assert len(pool.dialled) == 1 and b"Request-Ref: r2" in transport.value()
     connection.dataReceived(REPLY)
-    world.wait(IDLE / 1000 - 10)
+    world.wait(MAX_IDLE_US / 1000 - 10)
     assert not transport.disconnecting
     world.wait(20)
     assert transport.disconnecting
 
 
-class KernelSide(KernelLink):
+class KernelSide(KernelClient):
     """Dials come up when the test says so."""
 
     def __init__(self, world: World) -> None:
@@ -145,17 +147,17 @@
         self.dialled.append((host, port))
         return SimpleNamespace(disconnect=lambda: None)
 
-    def up(self) -> tuple[KernelConnection, Transport]:
+    def up(self) -> tuple[KernelProtocol, Transport]:
         connection, transport = self.buildProtocol(None), Transport()
         connection.makeConnection(transport)  # type: ignore[no-untyped-call]
         return connection, transport
 
 
-def feed(connection: KernelConnection, data: bytes) -> None:
+def feed(connection: KernelProtocol, data: bytes) -> None:
     connection.dataReceived(data)
 
 
-def say(connection: KernelConnection, *messages: dict[str, Any]) -> None:
+def say(connection: KernelProtocol, *messages: dict[str, Any]) -> None:
     feed(connection, b"".join(json.dumps(m).encode() + b"\n" for m in messages))
 
 
@@ -184,29 +186,29 @@
     world.take("a", 1)
     world.turn()
     feed(connection, line + b"\n")
-    assert transport.aborted and link.last == 0
+    assert transport.aborted and link.session.last_notice == 0
     world.wait(50)
     assert len(link.dialled) == 2
     connection, transport = link.up()
     assert transport.value() == b'{"t":"OPEN","no":0}\n'
     say(connection, BOOTED, PASS | {"no": 1}, PASS | {"no": 1}, {"t": "DMESG", "no": 2, "status": "x"})
-    assert world.verdicts() == [(1, Verdict.SERVED)] and link.last == 2
+    assert world.verdicts() == [(1, Verdict.SERVED)] and link.session.last_notice == 2
 
 
 def test_a_line_that_stays_unreadable_is_passed_over_in_the_end() -> None:
     link = KernelSide(world := World())
-    for _ in range(MOST_UNREAD + 1):
+    for _ in range(MAX_UNREADABLE + 1):
         connection, transport = link.up()
         feed(connection, b"{\n")
         world.wait(500)
     assert not transport.aborted
     say(connection, BOOTED)
-    assert len(link.dialled) == MOST_UNREAD + 1
+    assert len(link.dialled) == MAX_UNREADABLE + 1
 
 
 def test_nothing_is_said_between_the_link_and_the_end_of_its_replay_and_then_once() -> None:
     link = KernelSide(world := World(downstream=Downstream.TIER))
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     connection, _ = link.up()
     say(connection, BOOTED)
     world.take("a", 1)
@@ -232,12 +234,12 @@
 @pytest.mark.parametrize("shown", [False, True])
 def test_what_an_answered_question_shows_to_be_read_is_not_said_again(shown: bool) -> None:
     link = KernelSide(world := World())
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     connection, transport = link.up()
     say(connection, BOOTED)
     world.take("a", 1)
     world.turn()
-    link.ask_gauges()
+    link.session.ask_gauges()
     question = json.loads(transport.value().splitlines()[-1])
     assert question["t"] == "SYSINFO"
     if shown:
@@ -251,7 +253,7 @@
 @pytest.mark.parametrize("mark", ["g", "gg", "g-1", "g1.5", "g99999", "None", ""])
 def test_a_mark_that_was_never_asked_shows_nothing_beyond_what_was_written(mark: str) -> None:
     link = KernelSide(world := World())
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     connection, _ = link.up()
     say(connection, BOOTED, {"t": "INFO", "mark": mark, "v": [0.5]})
     world.take("a", 1)
@@ -267,7 +269,7 @@
     first, _ = link.up()
     say(first, BOOTED)
     link.move(("127.0.0.1", 2))
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     world.take("a", 1)  # the old link serves until the new one is up
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
@@ -314,14 +316,14 @@
 
 def test_a_link_that_goes_quiet_is_replaced_and_serves_until_then() -> None:
     link = KernelSide(world := World())
-    world.core.runs._kernel = link
+    world.core.runs._kernel = link.session
     quiet, transport = link.up()
     say(quiet, BOOTED)
-    world.wait(QUIET / 1000)
+    world.wait(MAX_SILENCE_US / 1000)
     assert [json.loads(m)["t"] for m in transport.value().splitlines()].count("SYSINFO") >= 2 and len(
         link.dialled
     ) == 1
-    world.wait(SURE / 1000 + 10)
+    world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 2 and not transport.disconnecting
     world.take("a", 1)
     world.turn()
@@ -340,7 +342,7 @@
     world.core.fire_timers()  # timers come before what is read
     world.turn()
     say(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
-    world.wait(SURE / 1000 + 10)
+    world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 1
 
 
@@ -353,7 +355,7 @@
     connection.connectionLost()
     world.wait(50)
     link.up()
-    world.wait((QUIET + SURE) / 1000 + 1_000)
+    world.wait((MAX_SILENCE_US + CONFIRM_AFTER_US) / 1000 + 1_000)
     assert len(link.dialled) == 3  # it is up by now: a link that says nothing is a dead one
 
 
