--- a/moorusher/health/tracker.py
+++ b/moorusher/health/tracker.py
@@ -11,7 +11,7 @@
 from .policy import HealthPolicy
 from .probe_intervals import ProbeIntervals
 from .report import HealthReport
-from .staleness import LinkMonitor, freshness
+from .staleness import LinkMonitor, LinkState, freshness
 from .states import HealthState, transition_reason
 from .throughput import Throughput
 from .weight import FULL_WEIGHT, PressureZone, WeightController, step_down
@@ -44,6 +44,25 @@
     jitter: float = 0.5
 
 
+@dataclass(frozen=True, slots=True)
+class _Outlook:
+    """What is expected until balancers have acted on a report.
+
+    Attributes:
+        forecast: the highest mean of runs on the cores.
+        survivable: the mean that the runner survives.
+        pressure: the largest of `pressure_parts`.
+        unknown: what could not be counted.
+    """
+
+    horizon_us: int
+    forecast: float
+    survivable: float
+    pressure_parts: dict[str, float]
+    pressure: float
+    unknown: tuple[str, ...]
+
+
 class HealthTracker:
     """The health of one runner. Notified of what happens as it happens; `report` is called by probes.
 
@@ -110,63 +129,66 @@
         probe_us = max(round(self.policy.max_probe_interval_ms * 1000), self.probes.longest_us(now))
         return probe_us + round(self.policy.balancer_reaction_ms * 1000)
 
-    def report(self, seen: Observation, balancer: str = "") -> HealthReport:
+    def report(self, observation: Observation, balancer: str = "") -> HealthReport:
         """The report for an observation, and for the balancer that probes.
 
         Raises:
-            ImpossibleTransitionError: what is seen can't follow what was.
+            ImpossibleTransitionError: what is observed can't follow what was.
         """
-        now = seen.now
-        policy = self.policy
+        now = observation.now
         if balancer:
             self.probes.probed(now, balancer)
-        link = self.link.state(
-            now, round(policy.link_down_grace_ms * 1000), round(policy.link_settle_ms * 1000)
-        )
-        runnable, unknown = self._believed_runnable(seen)
-        horizon_us = self.horizon_us(now)
-        survives = self._survivable(seen)
-        forecast = self._forecast(seen, runnable, horizon_us)
-        parts = self._pressure_parts(seen, forecast / survives)
-        pressure = max(parts.values())
-        state, reason = self._next_state(seen, link.failed, link.reason, pressure)
+        link = self._link_state(now)
+        outlook = self._look_ahead(observation)
+        state, reason = self._next_state(observation, link, outlook.pressure)
         changed = self._enter(state, now)
-        cap = step_down(FULL_WEIGHT * link.trust * min(1.0, seen.speed)) if state.routable else 0
-        weight = self._weight.update(now, cap, self._zone(pressure), self._floor(cap, now), horizon_us)
+        weight = self._next_weight(observation, link, outlook)
         cores = self.facts.cores
         return HealthReport(
             state=state,
             weight=weight,
-            reason=reason or self._describe(seen, parts, forecast, survives, link.reason),
+            reason=reason or self._describe(observation, link, outlook),
             routable=state.routable and weight > 0,
             changed=changed,
-            pressure=pressure,
+            pressure=outlook.pressure,
             mean_per_core=self.on_cores.mean(now) / cores,
-            forecast_per_core=forecast / cores,
-            survivable_per_core=survives / cores,
-            horizon_us=horizon_us,
-            max_connections=self._max_connections(seen, survives),
-            unknown=unknown,
-            pressure_parts=parts,
+            forecast_per_core=outlook.forecast / cores,
+            survivable_per_core=outlook.survivable / cores,
+            horizon_us=outlook.horizon_us,
+            max_connections=self._max_connections(observation, outlook.survivable),
+            unknown=outlook.unknown,
+            pressure_parts=outlook.pressure_parts,
         )
 
+    def _link_state(self, now: int) -> LinkState:
+        grace_us = round(self.policy.link_down_grace_ms * 1000)
+        return self.link.state(now, grace_us, round(self.policy.link_settle_ms * 1000))
+
+    def _look_ahead(self, observation: Observation) -> _Outlook:
+        runnable, unknown = self._believed_runnable(observation)
+        horizon_us = self.horizon_us(observation.now)
+        survivable = self._survivable(observation)
+        forecast = self._forecast(observation, runnable, horizon_us)
+        parts = self._pressure_parts(observation, forecast / survivable)
+        return _Outlook(horizon_us, forecast, survivable, parts, max(parts.values()), unknown)
+
     # ---- pressure ----
 
-    def _survivable(self, seen: Observation) -> float:
+    def _survivable(self, observation: Observation) -> float:
         per_core = self.policy.survivable_runs_per_core or self.facts.survivable_runs_per_core
-        return survivable_runs(self.facts.cores, per_core, seen.speed)
+        return survivable_runs(self.facts.cores, per_core, observation.speed)
 
-    def _forecast(self, seen: Observation, runnable: float, horizon_us: int) -> float:
+    def _forecast(self, observation: Observation, runnable: float, horizon_us: int) -> float:
         """The highest mean of runs on the cores until balancers have acted."""
         facts = self.facts
-        now = seen.now
-        survivable = survivable_runs(facts.cores, facts.survivable_runs_per_core, seen.speed)
+        now = observation.now
+        survivable = survivable_runs(facts.cores, facts.survivable_runs_per_core, observation.speed)
         return forecast_peak_mean(
             self.on_cores,
             now,
             horizon_us,
             min_level=runnable,
-            waiting=seen.queued + seen.at_calls,
+            waiting=observation.queued + observation.at_calls,
             arrivals_per_s=self._arrivals.per_second(now),
             ends_per_s=self._ends_per_s(now),
             max_level=facts.max_running_fraction * survivable,
@@ -177,33 +199,35 @@
         count = float(self._ends.count(now))
         return (count - math.sqrt(count)) / (ENDS_WINDOW_US / 1e6)
 
-    def _believed_runnable(self, seen: Observation) -> tuple[float, tuple[str, ...]]:
+    def _believed_runnable(self, observation: Observation) -> tuple[float, tuple[str, ...]]:
         """What wants a core by the kernel's gauges, as far as they can be believed, and why they can't be. They can
         only add to the own count: gauges that are stuck at idle must not hide the forty runs that were started."""
-        gauges = seen.gauges
+        gauges = observation.gauges
         if gauges is None:
-            return 0.0, ("gauges: never told",) if seen.kernel_up and seen.on_cores else ()
-        age_us = seen.now - gauges.read_at_us
+            return 0.0, ("gauges: never told",) if observation.kernel_up and observation.on_cores else ()
+        age_us = observation.now - gauges.read_at_us
         believed = freshness(
             age_us, round(self.policy.gauges_fresh_ms * 1000), round(self.policy.gauges_expired_ms * 1000)
         )
-        if believed == 0.0 and seen.on_cores:
+        if believed == 0.0 and observation.on_cores:
             return 0.0, (f"gauges: {age_us / 1e6:.1f} s old",)
-        many = seen.on_cores > CONTRADICTING_RUNS_PER_CORE * self.facts.cores
+        many = observation.on_cores > CONTRADICTING_RUNS_PER_CORE * self.facts.cores
         if gauges.busy is not None and gauges.busy < IDLE_BUSY_SHARE and many:
-            return 0.0, (f"gauges: say {gauges.busy:.0%} busy while {seen.on_cores} run",)
+            return 0.0, (f"gauges: say {gauges.busy:.0%} busy while {observation.on_cores} run",)
         if gauges.runnable is None:
             return 0.0, ()
         # Reading and new connections want cores too: what goes beyond the own count is not all runs.
-        return believed * min(gauges.runnable, seen.on_cores + seen.at_calls + seen.queued), ()
+        return believed * min(
+            gauges.runnable, observation.on_cores + observation.at_calls + observation.queued
+        ), ()
 
-    def _pressure_parts(self, seen: Observation, crossing: float) -> dict[str, float]:
+    def _pressure_parts(self, observation: Observation, crossing: float) -> dict[str, float]:
         """Each part is 1 where it alone would mean too much. The names are read in `GET /standing`."""
         policy = self.policy
         max_wait_us = policy.max_queue_wait_fraction * self.facts.shortest_objective_us
-        queue_wait = seen.oldest_queued_us / max(1.0, max_wait_us)
-        arrivals = self._arrivals.count(seen.now)
-        rejections = self._rejections.count(seen.now)
+        queue_wait = observation.oldest_queued_us / max(1.0, max_wait_us)
+        arrivals = self._arrivals.count(observation.now)
+        rejections = self._rejections.count(observation.now)
         rejected = 0.0
         if arrivals >= MIN_ARRIVALS:
             rejected = rejections / arrivals / policy.max_rejected_fraction
@@ -224,28 +248,28 @@
     # ---- state ----
 
     def _next_state(
-        self, seen: Observation, link_failed: bool, link_reason: str, pressure: float
+        self, observation: Observation, link: LinkState, pressure: float
     ) -> tuple[HealthState, str]:
         """The state, and its reason where that is no matter of pressure."""
-        now = seen.now
+        now = observation.now
         if self.maintenance is not None and self.maintenance.has_expired(now):
             self.maintenance = None
-        if seen.draining:
-            left_s = max(0, seen.shutdown_remaining_us) / 1e6
-            return HealthState.DRAINING, f"leaving, {left_s:.1f} s left, {seen.unanswered} open"
+        if observation.draining:
+            remaining_s = max(0, observation.shutdown_remaining_us) / 1e6
+            return HealthState.DRAINING, f"leaving, {remaining_s:.1f} s left, {observation.unanswered} open"
         if self.maintenance is not None:
             return HealthState.MAINTENANCE, _maintenance_reason(self.maintenance, now)
-        if not seen.kernel_up:
+        if not observation.kernel_up:
             return HealthState.STARTING, "no word from the kernel yet"
-        if link_failed:
-            return HealthState.FAILED, link_reason
-        if not seen.healthy:
+        if link.failed:
+            return HealthState.FAILED, link.reason
+        if not observation.healthy:
             return HealthState.FAILED, "the decision module says unfit"
         is_overloaded = self.state is HealthState.OVERLOADED
         edge = self.policy.recovered_below if is_overloaded else self.policy.overloaded_above
         if pressure >= edge:
             return HealthState.OVERLOADED, ""
-        return (HealthState.WARMING_UP if seen.speed < 1.0 else HealthState.SERVING), ""
+        return (HealthState.WARMING_UP if observation.speed < 1.0 else HealthState.SERVING), ""
 
     def _enter(self, state: HealthState, now: int) -> str:
         """Change to a state. Returns why; "" where nothing changes."""
@@ -259,38 +283,53 @@
 
     # ---- what follows for balancers ----
 
+    def _next_weight(self, observation: Observation, link: LinkState, outlook: _Outlook) -> int:
+        """The weight, once the state is entered."""
+        cap = 0
+        if self.state.routable:
+            cap = step_down(FULL_WEIGHT * link.trust * min(1.0, observation.speed))
+        floor = self._floor(cap, observation.now)
+        return self._weight.update(
+            observation.now, cap, self._zone(outlook.pressure), floor, outlook.horizon_us
+        )
+
     def _floor(self, cap: int, now: int) -> int:
         """An overload that all runners have is shed down to what this one is still worth, not further."""
         worth = FULL_WEIGHT * self.throughput.relative_to_best(now)
         return step_down(min(cap, max(self.policy.min_overloaded_weight, worth)))
 
-    def _max_connections(self, seen: Observation, survives: float) -> int:
+    def _max_connections(self, observation: Observation, survives: float) -> int:
         """Each balancer counts only what it sent itself, and all that is open here may come onto the cores at one time.
         Runs whose answer was given still take the cores, and are in nobody's count."""
-        answered = max(0, seen.on_cores + seen.at_calls + seen.queued - seen.unanswered)
+        answered = max(
+            0, observation.on_cores + observation.at_calls + observation.queued - observation.unanswered
+        )
         available = survives * self.policy.no_traffic_above - answered
-        return max(1, int(available / max(1, self.probes.active(seen.now))))
+        return max(1, int(available / max(1, self.probes.active(observation.now))))
 
-    def _describe(
-        self, seen: Observation, parts: dict[str, float], forecast: float, survives: float, link: str
-    ) -> str:
+    def _describe(self, observation: Observation, link: LinkState, outlook: _Outlook) -> str:
         """The reason of a state that is a matter of pressure."""
         cores = self.facts.cores
-        phrases = [f"{forecast / cores:.1f} of {survives / cores:.1f} a core ahead"]
+        phrases = [f"{outlook.forecast / cores:.1f} of {outlook.survivable / cores:.1f} a core ahead"]
         if self.state is HealthState.OVERLOADED:
+            parts = outlook.pressure_parts
             largest = max(parts, key=lambda name: parts[name])
             if largest == "held":
-                phrases.insert(0, f"{seen.queued} held, the oldest {seen.oldest_queued_us / 1e6:.1f} s")
+                phrases.insert(
+                    0, f"{observation.queued} held, the oldest {observation.oldest_queued_us / 1e6:.1f} s"
+                )
             elif largest == "refused":
                 rejected = parts[largest] * self.policy.max_rejected_fraction
                 phrases.insert(0, f"{rejected:.0%} turned away")
             ratio = self.throughput.ratio
             if ratio < SLOW_RATIO:
                 phrases.append(f"runs take {1 / max(0.01, ratio):.1f} times as long as they did")
-        if seen.speed < 1.0:
-            phrases.append(f"{'' if seen.speed_known else 'at least '}{seen.speed:.0%} of full speed")
-        if link:
-            phrases.append(link)
+        if observation.speed < 1.0:
+            phrases.append(
+                f"{'' if observation.speed_known else 'at least '}{observation.speed:.0%} of full speed"
+            )
+        if link.reason:
+            phrases.append(link.reason)
         return ", ".join(phrases)
 
 
