--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -10,72 +10,82 @@
 from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy
 from ..server.health_report import Reporter
-from .probes import SILENCE, ProbeFactory
+from .probes import PROBE_TIMEOUT_US, ProbeFactory
 
-MOST_SENT = 256  # bytes of `agent-send`; more is no balancer's
-MOST_NAME = 32  # of them that tell one balancer from another behind one address
+MAX_SENT_BYTES = 256  # of `agent-send`; more is no load balancer's
+MAX_NAME_LENGTH = 32  # characters of it that tell one load balancer from another behind one address
 
 
 class AgentCheckProtocol(Protocol):
-    """HAProxy sends nothing, or `agent-send`'s text, and reads one line. It need not wait for the text to be read;
-    but a close with the text unread would reset the connection before the line is seen: our half is closed, and
-    the other side has until its time is over."""
+    """One agent check.
+
+    HAProxy sends nothing, or the text of `agent-send`, and reads one line. It need not wait for its text to be read;
+    but a close with the text unread would reset the connection before the line is seen. So our half is closed, and the
+    other side has `PROBE_TIMEOUT_US` to close its own. `host`: the load balancer's address; its port changes with each
+    check. `reading`: the line is written before anything is read.
+    """
 
     transport: Any
-    reading = False  # it is answered before it is read
-    host = ""  # the balancer, as far as it can be told apart: its port changes with each probe
+    reading = False
+    host = ""
 
-    def __init__(self, owner: AgentCheckFactory) -> None:
-        self.owner, self.core = owner, owner.core
+    def __init__(self, factory: AgentCheckFactory) -> None:
+        self._factory = factory
+        self._core = factory.core
         self._ending: EndReason | None = None
-        self._sent = b""
+        self._received = b""
 
     def connectionMade(self) -> None:
-        self.owner.limiter.connection_opened(self)
-        self.owner.limiter.connection_closing(self)
-        self.owner.asked()
-        report = self.owner.reporter.report(self.host)
-        line = haproxy(report, self.owner.reporter.doors_closed, self.owner.maxconn)
+        """Write the line at once."""
+        self._factory.limiter.connection_opened(self)
+        self._factory.limiter.connection_closing(self)
+        self._factory.count_check()
+        report = self._factory.reporter.report(self.host)
+        line = haproxy(report, self._factory.reporter.doors_closed, self._factory.maxconn)
         self.transport.write(line.encode("ascii") + b"\n")
         self.transport.loseWriteConnection()
-        self._alarm = self.core.alarms.at(self.core.clock.now + SILENCE, self.cut)
+        self._alarm = self._core.alarms.at(self._core.clock.now + PROBE_TIMEOUT_US, self.cut)
 
     def dataReceived(self, data: bytes) -> None:
-        self._sent += data[: MOST_SENT + 1 - len(self._sent)]
-        if len(self._sent) > MOST_SENT:
+        """Keep what names the load balancer."""
+        self._received += data[: MAX_SENT_BYTES + 1 - len(self._received)]
+        if len(self._received) > MAX_SENT_BYTES:
             self._ending = self._ending or EndReason.LINE_TOO_LONG
             self.transport.abortConnection()
 
+    def connectionLost(self, reason: object = None) -> None:
+        """The check is over."""
+        self._alarm.cancel()
+        self._factory.connection_closed(self)
+        self._core.counters.add("probes: " + (self._ending or EndReason.CLOSED_BY_PEER).value)
+        if self._received:
+            self._factory.note_sender(self.host, self._received)
+
     def leave(self) -> None:
-        """Nothing can be asked of a balancer here."""
+        """Nothing can be asked of a load balancer here."""
 
     def end(self, ending: EndReason) -> bool:
+        """Abort: the line has had its time."""
         self._ending = self._ending or ending
         self.transport.abortConnection()
         return True
 
     def cut(self) -> None:
-        if self in self.owner.limiter.connections:
+        """The other side has not closed in time."""
+        if self in self._factory.limiter.connections:
             self.end(EndReason.SLOW_READER)
 
-    def connectionLost(self, reason: object = None) -> None:
-        self._alarm.cancel()
-        self.owner.left(self)
-        self.core.counters.add("probes: " + (self._ending or EndReason.CLOSED_BY_PEER).value)
-        if self._sent:
-            self.owner.heard(self.host, self._sent)
-
 
 class AgentCheckFactory(ProbeFactory):
-    """Listens for HAProxy's agent checks."""
+    """Listens for HAProxy's agent checks. `maxconn`: whether the line tells a maximum of connections."""
 
     def __init__(self, core: RequestEngine, reporter: Reporter, maxconn: bool = False) -> None:
         super().__init__(core, reporter, AgentCheckProtocol)
         self.maxconn = maxconn
 
-    def heard(self, host: str, sent: bytes) -> None:
-        """`agent-send` may name its sender: balancers behind one address are then told apart by their intervals."""
-        name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MOST_NAME]
+    def note_sender(self, host: str, sent: bytes) -> None:
+        """Tell load balancers behind one address apart by the name in `agent-send`: their intervals differ."""
+        name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MAX_NAME_LENGTH]
         if name:
             self.core.begin_turn()
             self.reporter.tracker.balancers.asked(self.core.clock.now, f"{host} {name}")
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -1,7 +1,7 @@
-"""The operators' second address: HTTP/1.1, one call a connection, three calls. Framing only.
+"""The operators' second address: HTTP/1.1 with one call a connection. Framing only.
 
-Its places are its own, and come out of the descriptors that clients never get. A caller that sends nothing, or half a
-call, gets 408 in half a second from its accept on: it must neither wait long itself nor keep another from its answer.
+Its connection slots are its own, and come out of the descriptors that clients never get. A caller that sends nothing,
+or half a call, gets 408 half a second after its accept: it must neither wait long itself nor keep another waiting.
 """
 
 from __future__ import annotations
@@ -19,91 +19,105 @@
 from .connection_limits import ConnectionLimiter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 
-SILENCE = 500 * MS  # for a call to come whole; an answer is owed within a second
-MOST_BODY = 1024  # of a call: none needs one, and some tools send `{}`
-QUIESCED = "quiesced by an operator"
+CALL_TIMEOUT_US = 500 * MS  # for a call to arrive; its answer is owed within a second
+LINGER_US = 200 * MS
+MAX_BODY_BYTES = 1024  # no call needs a body, and some tools send `{}`
+QUIESCE_REASON = "quiesced by an operator"
 
 
-class ConsoleConnection(HttpServerProtocol):
+class ConsoleProtocol(HttpServerProtocol):
     """One call of an operator, answered and closed."""
 
-    linger = 200 * MS
-    most_body = MOST_BODY
+    linger = LINGER_US
+    max_body_bytes = MAX_BODY_BYTES
 
     def leave(self) -> None:
-        """It is told by its answer."""
+        """Nothing is asked of an operator: the answer closes the connection."""
 
     def _close(self, ending: EndReason) -> None:
-        """Silent for too long, or its place is needed: told so, and closed."""
+        """Answer 408 before closing a connection on which no call has arrived."""
         if ending in (EndReason.READ_TIMEOUT, EndReason.EVICTED_WHILE_IDLE):
-            self._write(HttpReply(408, b"the call did not come whole in time\n"), False)
+            self._write(HttpReply(408, b"the call did not come whole in time\n"), keep_alive=False)
         super()._close(ending)
 
-    def _say(self, said: HttpReply, keep: bool, body: bool = True) -> None:
-        super()._say(said, False, body)
+    def _answer(self, reply: HttpReply, keep_alive: bool, with_body: bool = True) -> None:
+        super()._answer(reply, False, with_body)
 
 
 class Console(Factory):
-    """Listens at the operators' second address."""
+    """Listens at the operators' second address.
+
+    `core`: the request engine. `reporter`: the health state. `limiter`: the connections. `is_serving` tells whether
+    clients are accepted.
+    """
 
     noisy = False
     counts = "console connections"
 
     def __init__(
-        self, core: RequestEngine, reporter: Reporter, most: int, serving: Callable[[], bool]
+        self,
+        core: RequestEngine,
+        reporter: Reporter,
+        max_connections: int,
+        is_serving: Callable[[], bool],
     ) -> None:
-        self.core, self.reporter, self._serving = core, reporter, serving
-        self.limiter = ConnectionLimiter(core, most, SILENCE, 0)
-        self._calls: dict[str, tuple[str, Callable[[], HttpReply]]] = {
+        self.core = core
+        self.reporter = reporter
+        self._is_serving = is_serving
+        self.limiter = ConnectionLimiter(core, max_connections, CALL_TIMEOUT_US, 0)
+        self._handlers: dict[str, tuple[str, Callable[[], HttpReply]]] = {  # method and handler by path
             "/admin/health": ("GET", self._health),
             "/admin/quiesce": ("POST", self._quiesce),
             "/admin/resume": ("POST", self._resume),
         }
 
-    def buildProtocol(self, addr: object) -> ConsoleConnection | None:
+    def buildProtocol(self, addr: object) -> ConsoleProtocol | None:
+        """Return a protocol, or None where no slot is free."""
         self.core.begin_turn()
         if not self.limiter.admit():
             self.core.counters.add("console connections: " + EndReason.TOO_MANY_CONNECTIONS.value)
             return None
-        return ConsoleConnection(self)
+        return ConsoleProtocol(self)
 
-    def left(self, connection: Any) -> None:
+    def connection_closed(self, connection: Any) -> None:
+        """The slot of this connection is free."""
         self.limiter.connection_closed(connection)
 
-    def called(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
+    def handle(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
+        """Answer one call; `source` is not used here."""
         self.core.counters.add("console calls")
-        if path not in self._calls:
-            return HttpReply(404, f"known are {', '.join(self._calls)}\n".encode())
-        wanted, call = self._calls[path]
-        if method != wanted and (method, wanted) != ("HEAD", "GET"):
-            return not_allowed(*(("GET", "HEAD") if wanted == "GET" else (wanted,)))
-        return call()
-
-    def _told(self, status: int) -> HttpReply:
+        if path not in self._handlers:
+            return HttpReply(404, f"known are {', '.join(self._handlers)}\n".encode())
+        expected, handler = self._handlers[path]
+        if method != expected and (method, expected) != ("HEAD", "GET"):
+            return not_allowed(*(("GET", "HEAD") if expected == "GET" else (expected,)))
+        return handler()
+
+    def _state(self, status: int) -> HttpReply:
         maintenance = self.reporter.tracker.maintenance if not self.reporter.wanted else None
-        told = {
-            "ready": self._ready,
+        document = {
+            "ready": self._is_ready,
             "kernel": self.core.ready,
             "leaving": self.core.drain_state.draining,
             "replaced": self.core.drain_state.replaced,
             "quiesced": None if maintenance is None else maintenance.reason,
         }
-        return HttpReply(status, json.dumps(told).encode() + b"\n", "application/json")
+        return HttpReply(status, json.dumps(document).encode() + b"\n", "application/json")
 
     @property
-    def _ready(self) -> bool:
-        return self._serving() and self.reporter.fit
+    def _is_ready(self) -> bool:
+        return self._is_serving() and self.reporter.fit
 
     def _health(self) -> HttpReply:
-        return self._told(200 if self._ready else 503)
+        return self._state(200 if self._is_ready else 503)
 
     def _quiesce(self) -> HttpReply:
-        """Also where the runner leaves: then nothing new is sent to it already."""
+        """Set maintenance without an end. Where the runner drains, nothing new is sent to it already."""
         maintenance = self.reporter.tracker.maintenance
         if self.reporter.wanted or (maintenance is not None and maintenance.until is not None):
-            self.reporter.maintain(QUIESCED)  # one that ends by itself would put the runner back on its own
-        return self._told(200)
+            self.reporter.maintain(QUIESCE_REASON)  # one that ends by itself would put the runner back
+        return self._state(200)
 
     def _resume(self) -> HttpReply:
         self.reporter.put_back()
-        return self._told(409 if self.core.drain_state.draining else 200)
+        return self._state(409 if self.core.drain_state.draining else 200)
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -1,79 +1,100 @@
-"""The HTTP endpoints that balancers and supervisors ask: /health, /ready, /startup, /alive. Framing only."""
+"""The HTTP endpoints that load balancers and supervisors poll: /health, /ready, /startup, /alive. Framing only."""
 
 from __future__ import annotations
 
 import json
 
 from ..core.request_engine import RequestEngine
-from ..health import formatting as words
+from ..health import formatting
+from ..health.tracker import Report
 from ..server.health_report import Reporter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 from .probes import LoadReport, ProbeFactory
 
+JSON_TYPES = ("application/json", "application/*")
+TEXT_TYPES = ("text/plain", "text/*")
+
 
 def wants_json(accept: str) -> bool:
-    """By `Accept`: JSON where it is named, with a quality that text does not exceed. No header means text."""
-    quality = {"json": 0.0, "text": 0.0}
+    """Whether an `Accept` header names JSON with a quality that text does not exceed. No header means text."""
+    json_quality = 0.0
+    text_quality = 0.0
     for item in accept.lower().split(","):
-        kind, *params = (part.strip() for part in item.split(";"))
-        q = 1.0
-        for param in params:
-            if param.startswith("q="):
-                try:
-                    q = float(param[2:])
-                except ValueError:
-                    q = 0.0
-        if kind in ("application/json", "application/*"):
-            quality["json"] = max(quality["json"], q)
-        elif kind in ("text/plain", "text/*"):
-            quality["text"] = max(quality["text"], q)
-    return quality["json"] > 0 and quality["json"] >= quality["text"]
+        media_type, *parameters = (part.strip() for part in item.split(";"))
+        quality = _quality(parameters)
+        if media_type in JSON_TYPES:
+            json_quality = max(json_quality, quality)
+        elif media_type in TEXT_TYPES:
+            text_quality = max(text_quality, quality)
+    return json_quality > 0 and json_quality >= text_quality
+
+
+def _quality(parameters: list[str]) -> float:
+    quality = 1.0
+    for parameter in parameters:
+        if parameter.startswith("q="):
+            try:
+                quality = float(parameter.removeprefix("q="))
+            except ValueError:
+                quality = 0.0
+    return quality
 
 
 class HealthCheckFactory(ProbeFactory):
-    """Listens for health checks over HTTP."""
+    """Listens for health checks over HTTP.
+
+    `codes`: the status codes that an operator has chosen. `load`: the load report of /health, None where it is off.
+    """
 
     def __init__(
-        self, core: RequestEngine, reporter: Reporter, codes: words.Codes, load: LoadReport | None
+        self, core: RequestEngine, reporter: Reporter, codes: formatting.Codes, load: LoadReport | None
     ) -> None:
         super().__init__(core, reporter, HttpServerProtocol)
-        self.codes, self.load = codes, load
+        self.codes = codes
+        self.load = load
 
-    def called(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
+    def handle(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
+        """Answer one health check; `source` is the load balancer's address."""
         if method not in ("GET", "HEAD"):
             return not_allowed("GET", "HEAD")
-        self.asked()
-        if (
-            path == "/alive"
-        ):  # as long as the process answers: for what restarts dead processes, not for routing
+        self.count_check()
+        if path == "/alive":  # for what restarts dead processes, not for routing
             return HttpReply(200, b"alive\n")
         report = self.reporter.report(source)
-        if path == "/health":
-            said = words.routing(report, self.codes)
-        elif path == "/ready":
-            said = words.readiness(report)
-        elif path == "/startup":
-            said = words.startup(report, self.core.ready)
-        else:
+        answer = self._answer(path, report)
+        if answer is None:
             return HttpReply(404, b"known are /health, /ready, /startup and /alive\n")
-        more: list[tuple[str, str]] = []
-        if said.retry_after_s is not None:
-            more.append(("Retry-After", str(said.retry_after_s)))
-        if said.degraded:
-            more.append(("x-envoy-degraded", "true"))
-        if said.fail_now:
-            more.append(("x-envoy-immediate-health-check-fail", "true"))
-        if self.load is not None and path == "/health":
-            more.append(("endpoint-load-metrics", self.load.text()))
+        extra_headers = self._headers(answer, path)
+        reason = formatting.clean(report.reason)
         if wants_json(headers.get("accept", "")):
-            body = json.dumps(
-                {
-                    "standing": report.standing.value,
-                    "weight": report.weight,
-                    "reason": words.clean(report.reason),
-                    "unknown": list(report.unknown),
-                }
-            ).encode()
-            return HttpReply(said.status, body + b"\n", "application/json", more)
-        line = f"{report.standing.value} {report.weight}% {words.clean(report.reason)}\n"
-        return HttpReply(said.status, line.encode("ascii"), more=more)
+            document = {
+                "standing": report.standing.value,
+                "weight": report.weight,
+                "reason": reason,
+                "unknown": list(report.unknown),
+            }
+            body = json.dumps(document).encode() + b"\n"
+            return HttpReply(answer.status, body, "application/json", extra_headers)
+        line = f"{report.standing.value} {report.weight}% {reason}\n"
+        return HttpReply(answer.status, line.encode("ascii"), headers=extra_headers)
+
+    def _answer(self, path: str, report: Report) -> formatting.Answer | None:
+        if path == "/health":
+            return formatting.routing(report, self.codes)
+        if path == "/ready":
+            return formatting.readiness(report)
+        if path == "/startup":
+            return formatting.startup(report, self.core.ready)
+        return None
+
+    def _headers(self, answer: formatting.Answer, path: str) -> list[tuple[str, str]]:
+        headers = []
+        if answer.retry_after_s is not None:
+            headers.append(("Retry-After", str(answer.retry_after_s)))
+        if answer.degraded:
+            headers.append(("x-envoy-degraded", "true"))
+        if answer.fail_now:
+            headers.append(("x-envoy-immediate-health-check-fail", "true"))
+        if self.load is not None and path == "/health":
+            headers.append(("endpoint-load-metrics", self.load.text()))
+        return headers
--- a/moorusher/frontends/jsonrpc_messages.py
+++ b/moorusher/frontends/jsonrpc_messages.py
@@ -11,25 +11,32 @@
 from ..core.registration import InvalidArrival
 from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, ValueRange, is_identifier
 
-PARSE, INVALID, NO_METHOD, BAD_PARAMS, FAILED, REFUSED = -32700, -32600, -32601, -32602, -32000, -32014
-MOST_BODY = 2048
+# Codes of errors: JSON-RPC's own, and the platform's for a request that failed, or that never ran.
+PARSE = -32700
+INVALID = -32600
+NO_METHOD = -32601
+INVALID_PARAMS = -32602
+FAILED = -32000
+REFUSED = -32014
+MAX_BODY_BYTES = 2048
 LEAVING = b'{"jsonrpc":"2.0","method":"leaving"}\n'
 FAULT_CODES = {
     InvalidArrival.UNKNOWN_CLASS: NO_METHOD,
-    InvalidArrival.UNKNOWN_TENANT: BAD_PARAMS,
-    InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE: BAD_PARAMS,
-    InvalidArrival.IDEMPOTENCY_KEY_MISSING: BAD_PARAMS,
-    InvalidArrival.DUPLICATE_REQUEST_ID: BAD_PARAMS,
-    InvalidArrival.BODY_MISMATCH: BAD_PARAMS,
+    InvalidArrival.UNKNOWN_TENANT: INVALID_PARAMS,
+    InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE: INVALID_PARAMS,
+    InvalidArrival.IDEMPOTENCY_KEY_MISSING: INVALID_PARAMS,
+    InvalidArrival.DUPLICATE_REQUEST_ID: INVALID_PARAMS,
+    InvalidArrival.BODY_MISMATCH: INVALID_PARAMS,
 }
 
 
-class BadMessage(ValueError):
+class InvalidMessage(ValueError):
     """A line that is no message of the protocol: `code` and `tag` are for the error that it gets."""
 
     def __init__(self, code: int, text: str, tag: int | None = None) -> None:
         super().__init__(text)
-        self.code, self.tag = code, tag
+        self.code = code
+        self.tag = tag
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,22 +49,26 @@
 
 
 def read_message(line: bytes) -> Message:
-    """Raises BadMessage."""
+    """Parse one line.
+
+    :raises InvalidMessage: it is not JSON, or has not the form of JSON-RPC 2.0.
+    """
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
-        raise BadMessage(PARSE, "not valid JSON") from None
+        raise InvalidMessage(PARSE, "not valid JSON") from None
     if not isinstance(message, dict) or message.get("jsonrpc") != "2.0":
-        raise BadMessage(INVALID, "expected one JSON-RPC 2.0 message")
-    method, tag = message.get("method"), message.get("id")
+        raise InvalidMessage(INVALID, "expected one JSON-RPC 2.0 message")
+    method = message.get("method")
+    tag = message.get("id")
     if isinstance(tag, bool) or not isinstance(tag, int | None):
-        raise BadMessage(INVALID, "id: expected a whole number")
+        raise InvalidMessage(INVALID, "id: expected a whole number")
     if not isinstance(method, str):
-        raise BadMessage(INVALID, "method: expected a string", tag)
+        raise InvalidMessage(INVALID, "method: expected a string", tag)
     return Message(method, tag, message.get("params"))
 
 
-class BadParams(ValueError):
+class InvalidParams(ValueError):
     """The params of a request break the protocol; the text names the key and what is expected there."""
 
 
@@ -67,23 +78,23 @@
         return None
     # Not by isinstance alone: True is an int, and JSON as Python reads it has NaN and Infinity, in no range.
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not allowed.contains(value):
-        raise BadParams(f"{key}: expected a number {allowed}")
+        raise InvalidParams(f"{key}: expected a number {allowed}")
     return value
 
 
 def _needed(params: dict[str, Any], key: str, allowed: ValueRange) -> float:
     value = _number(params, key, allowed)
     if value is None:
-        raise BadParams(f"{key}: required")
+        raise InvalidParams(f"{key}: required")
     return value
 
 
-def _text(params: dict[str, Any], key: str, most: int) -> str | None:
+def _text(params: dict[str, Any], key: str, max_length: int) -> str | None:
     value = params.get(key)
     if value is None:
         return None
-    if not isinstance(value, str) or not 0 < len(value) <= most:
-        raise BadParams(f"{key}: expected a string of 1 to {most} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= max_length:
+        raise InvalidParams(f"{key}: expected a string of 1 to {max_length} characters")
     return value
 
 
@@ -93,36 +104,41 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise BadParams(f"{key}: expected hex digits") from None
+        raise InvalidParams(f"{key}: expected hex digits") from None
+
 
+def read_arrival(method: str, params: Any, began_us: int | None = None) -> Arrival:
+    """Map the params of one request to the core's names, checked in form.
 
-def read_arrival(method: str, params: Any, came: int | None = None) -> Arrival:
-    """The params of one request, checked in form; `came`: when its first byte was read. Raises BadParams."""
+    :param began_us: when its first byte was read, if that was in an earlier turn.
+    :raises InvalidParams: a param is missing or can't be used; the text names it.
+    """
     if not isinstance(params, dict):
-        raise BadParams("params: expected an object")
-    rid, token = _text(params, "rid", 64), _text(params, "token", 128)
+        raise InvalidParams("params: expected an object")
+    rid = _text(params, "rid", 64)
+    token = _text(params, "token", 128)
     if rid is None or not is_identifier(rid, 64):
-        raise BadParams("rid: required, of letters, digits and -_.:")
+        raise InvalidParams("rid: required, of letters, digits and -_.:")
     if token is not None and not is_identifier(token, 128):
-        raise BadParams("token: expected letters, digits and -_.:")
+        raise InvalidParams("token: expected letters, digits and -_.:")
     content = params.get("content", "")
     if not isinstance(content, str):
-        raise BadParams("content: expected base64")
+        raise InvalidParams("content: expected base64")
     try:
         body = binascii.a2b_base64(content, strict_mode=True)
     except (binascii.Error, ValueError):
-        raise BadParams("content: expected base64") from None
-    if len(body) > MOST_BODY:
-        raise BadParams(f"content: more than {MOST_BODY} bytes")
+        raise InvalidParams("content: expected base64") from None
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidParams(f"content: more than {MAX_BODY_BYTES} bytes")
     peer = _needed(params, "peer", PEER)
     if peer != int(peer):
-        raise BadParams("peer: expected a whole number")
+        raise InvalidParams("peer: expected a whole number")
     return Arrival(
         rid,
         method,
         body,
         _needed(params, "t0", UNIX_MS),
-        came,
+        began_us,
         _number(params, "budget", BUDGET_MS),
         _text(params, "acct", 256),
         int(peer),
--- a/moorusher/frontends/jsonrpc_session.py
+++ b/moorusher/frontends/jsonrpc_session.py
@@ -11,14 +11,14 @@
 from ..core.request_engine import RequestEngine
 from ..core.requests import Request
 from .jsonrpc_messages import (
-    BAD_PARAMS,
     FAILED,
     FAULT_CODES,
     INVALID,
+    INVALID_PARAMS,
     NO_METHOD,
     REFUSED,
-    BadMessage,
-    BadParams,
+    InvalidMessage,
+    InvalidParams,
     answer_line,
     error_line,
     read_arrival,
@@ -78,7 +78,7 @@
         """
         try:
             message = read_message(line)
-        except BadMessage as error:
+        except InvalidMessage as error:
             self._fault(error.tag, error.code, str(error))
             return
         if message.method == "revoke":
@@ -121,8 +121,8 @@
             return
         try:
             arrival = read_arrival(method, params, began_us)
-        except BadParams as error:
-            self._fault(tag, BAD_PARAMS, str(error))
+        except InvalidParams as error:
+            self._fault(tag, INVALID_PARAMS, str(error))
             return
         submitted = self._core.submit(arrival, self, tag)
         if isinstance(submitted, InvalidArrival):
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -1,4 +1,4 @@
-"""What the listeners for probes share: their places, their bounds, and that no probe holds anything for long."""
+"""What the listeners for health checks share: bounds on connections, so that no load balancer starves the others."""
 
 from __future__ import annotations
 
@@ -15,75 +15,93 @@
 from ..server.health_report import Reporter
 from .connection_limits import ConnectionLimiter
 
-MOST = 128  # connections of balancers at a time, for each listener
-MOST_OF_ONE = 48  # of them from one address: a flood from there must leave places to the others
-SILENCE = 2 * SECOND  # for a probe to come whole, and for its answer to be read
-IDLENESS = 60 * SECOND  # a balancer may keep its connection between probes
+MAX_CONNECTIONS = 128  # of load balancers at a time, for each listener
+MAX_CONNECTIONS_OF_HOST = 48  # of them from one address: a flood from there must leave slots to the others
+PROBE_TIMEOUT_US = 2 * SECOND  # for a health check to arrive, and for its answer to be read
+IDLE_TIMEOUT_US = 60 * SECOND  # a load balancer may keep its connection between health checks
 
 
 class ProbeFactory(Factory):
-    """`build` makes a connection; one that finds no place is closed without a word."""
+    """Listens for health checks. A connection that finds no slot is closed without a byte.
+
+    `core`: the request engine. `reporter`: the health state. `limiter`: the connections. `counts`: prefix of its
+    counters. `build` makes the protocol of a connection from the factory; the protocol has an attribute `host`.
+    """
 
     noisy = False
-    most = MOST
     counts = "probes"
 
     def __init__(self, core: RequestEngine, reporter: Reporter, build: Callable[[Any], Any]) -> None:
-        self.core, self.reporter, self._build = core, reporter, build
-        self.limiter = ConnectionLimiter(core, self.most, SILENCE, IDLENESS)
-        self._of: Counter[str] = Counter()  # places by address; those that have none are not in it
+        self.core = core
+        self.reporter = reporter
+        self._build = build
+        self.limiter = ConnectionLimiter(core, MAX_CONNECTIONS, PROBE_TIMEOUT_US, IDLE_TIMEOUT_US)
+        self._connections_of_host: Counter[str] = Counter()  # hosts without connections are not in it
 
     def buildProtocol(self, addr: object) -> Any:
+        """Return a protocol, or None where no slot is free for this address."""
         self.core.begin_turn()
         host = str(getattr(addr, "host", ""))
-        if self._of[host] >= MOST_OF_ONE or not self.limiter.admit():
+        if self._connections_of_host[host] >= MAX_CONNECTIONS_OF_HOST or not self.limiter.admit():
             self.core.counters.add("probes: " + EndReason.TOO_MANY_CONNECTIONS.value)
             return None
-        self._of[host] += 1
-        made = self._build(self)
-        made.host = host
-        return made
+        self._connections_of_host[host] += 1
+        protocol = self._build(self)
+        protocol.host = host
+        return protocol
 
-    def left(self, connection: Any) -> None:
-        """Its place is free."""
+    def connection_closed(self, connection: Any) -> None:
+        """The slot of this connection is free."""
         self.limiter.connection_closed(connection)
-        self._of[connection.host] -= 1
-        if self._of[connection.host] <= 0:
-            del self._of[connection.host]
+        self._connections_of_host[connection.host] -= 1
+        if self._connections_of_host[connection.host] <= 0:
+            del self._connections_of_host[connection.host]
 
-    def asked(self) -> None:
+    def count_check(self) -> None:
+        """Count one health check."""
         self.core.counters.add("health checks")
 
 
-class Rates:
-    """Requests and failures a second since the last time, for load reports."""
+class RequestRates:
+    """Requests and failures a second, over at least the last second, for load reports.
+
+    `served_per_s`, `failed_per_s`: as of the last `update`.
+    """
 
     def __init__(self, core: RequestEngine) -> None:
         self._core = core
-        self._at, self._served, self._failed = core.clock.now, 0, 0
-        self.rps = self.eps = 0.0
-
-    def read(self) -> None:
+        self._updated_at_us = core.clock.now
+        self._served = 0
+        self._failed = 0
+        self.served_per_s = 0.0
+        self.failed_per_s = 0.0
+
+    def update(self) -> None:
+        """Work the rates out anew where a second has passed since the last time."""
         now = self._core.clock.now
-        if now - self._at < SECOND:
+        if now - self._updated_at_us < SECOND:
             return
-        total, seconds = self._core.counters.total, (now - self._at) / SECOND
-        served, failed = total["served"], total["failed"]
-        self.rps = (served - self._served) / seconds
-        self.eps = (failed - self._failed) / seconds
-        self._at, self._served, self._failed = now, served, failed
+        seconds = (now - self._updated_at_us) / SECOND
+        total = self._core.counters.total
+        self.served_per_s = (total["served"] - self._served) / seconds
+        self.failed_per_s = (total["failed"] - self._failed) / seconds
+        self._updated_at_us = now
+        self._served = total["served"]
+        self._failed = total["failed"]
 
 
 class LoadReport:
-    """ORCA's text form of the standing, for whoever answers with it."""
+    """The health state as a load report in ORCA's text form, for answers that carry it."""
 
     def __init__(self, core: RequestEngine, reporter: Reporter) -> None:
-        self._reporter, self._rates = reporter, Rates(core)
+        self._reporter = reporter
+        self._rates = RequestRates(core)
 
     def text(self) -> str:
+        """Return the report. Utilization is left out where the gauges are too old."""
         report = self._reporter.report()
-        self._rates.read()
+        self._rates.update()
         gauge = self._reporter.observe().gauge
-        old = gauge is None or any(u.startswith("gauges") for u in report.unknown)
-        busy, memory = (None, None) if old or gauge is None else (gauge.busy, gauge.memory)
-        return orca(report, busy, memory, self._rates.rps, self._rates.eps)
+        if gauge is None or any(part.startswith("gauges") for part in report.unknown):
+            return orca(report, None, None, self._rates.served_per_s, self._rates.failed_per_s)
+        return orca(report, gauge.busy, gauge.memory, self._rates.served_per_s, self._rates.failed_per_s)
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -25,7 +25,7 @@
     PING,
     PONG,
     WSGI,
-    BadPacket,
+    InvalidPacket,
     content_length,
     parse_vars,
     read_arrival,
@@ -38,172 +38,206 @@
 class State(Enum):
     """How far a connection has come."""
 
-    VARS = "reading the packet"
-    BODY = "reading the body"
-    ASKED = "waits for its answer"
-    OVER = "answered"
+    READING_PACKET = "reading the packet"
+    READING_BODY = "reading the body"
+    AWAITING_ANSWER = "awaiting its answer"
+    ANSWERED = "answered"
 
 
 class UwsgiProtocol(Protocol):
-    """One request: the protocol has no way to put a second on a connection."""
+    """One request: the protocol has no way to put a second on a connection.
+
+    `state`: how far it has come. `request`: the request that awaits its answer. `ending`: why the connection closes.
+    """
 
     transport: Any
 
-    def __init__(self, owner: UwsgiFactory) -> None:
-        self.owner, self.core = owner, owner.core
-        self.state = State.VARS
+    def __init__(self, factory: UwsgiFactory) -> None:
+        self._factory = factory
+        self._core = factory.core
+        self.state = State.READING_PACKET
         self.request: Request | None = None
         self.ending: EndReason | None = None
         self._data = bytearray()
-        self._since = 0
-        self._vars: dict[str, str] = {}
-        self._length = 0
+        self._began_us = 0  # when the client connected: its budget runs while its body is still on the way
+        self._variables: dict[str, str] = {}
+        self._body_bytes = 0  # length of the body that the packet announces
         self._alarm: Alarm | None = None
 
     @property
     def reading(self) -> bool:
-        return self.state is State.BODY or bool(self._data)
+        """Whether a request has begun whose rest may still come."""
+        return self.state is State.READING_BODY or bool(self._data)
 
     def connectionMade(self) -> None:
+        """A client has connected."""
         self.transport.setTcpNoDelay(True)
-        # A client that stops in the middle would else hold its place for ever.
-        self.owner.limiter.connection_opened(self)
-        self.core.counters.add("uwsgi connections")
-        self._since = self.core.clock.now  # a client's budget runs while its body is still on the way
+        # A client that stops in the middle would else keep its slot for good.
+        self._factory.limiter.connection_opened(self)
+        self._core.counters.add("uwsgi connections")
+        self._began_us = self._core.clock.now
 
     def leave(self) -> None:
-        """uwsgi has no word for it: an idle client is simply told that it was too slow."""
+        """Nothing can be asked of a uwsgi client: one that is idle is answered that it was too slow."""
 
     def end(self, ending: EndReason) -> bool:
-        """It has not come whole: in time, or as its place was needed. False where its rest was only unread."""
+        """Answer 408 and close: the request has not arrived in time, or its slot is needed.
+
+        Returns False, and stays open, where the rest of the request was only unread.
+        """
         self.read_rest()
-        if self.state is State.ASKED:
+        if self.state is State.AWAITING_ANSWER:
             return False
-        if self.state is not State.OVER:
+        if self.state is not State.ANSWERED:
             self.ending = self.ending or ending
             self._finish(
                 response(408, b"the request did not come whole in time"),
-                at_once=ending is EndReason.EVICTED_WHILE_IDLE,
+                close_now=ending is EndReason.EVICTED_WHILE_IDLE,
             )
         return True
 
     def cut(self) -> None:
-        """Answered, and the answer is not being read."""
-        if self in self.owner.limiter.connections:
+        """Abort the connection: the answer is not being read."""
+        if self in self._factory.limiter.connections:
             self.ending = self.ending or EndReason.IDLE_TIMEOUT
             self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
+        """The connection is gone. A request that has not arrived completely never entered the core."""
         if self._alarm is not None:
             self._alarm.cancel()
-        self.owner.limiter.connection_closed(self)
+        self._factory.limiter.connection_closed(self)
         ending = self.ending or (
-            EndReason.CLOSED_LOCALLY if self.state is State.OVER else EndReason.CLOSED_BY_PEER
+            EndReason.CLOSED_LOCALLY if self.state is State.ANSWERED else EndReason.CLOSED_BY_PEER
         )
-        self.core.counters.add("uwsgi connections: " + ending.value)
-        # In the packet or its body: nothing has entered the core. After it: the caller is gone.
+        self._core.counters.add("uwsgi connections: " + ending.value)
         if self.request is not None:
-            self.core.caller_gone(self.request)
-        self.state, self.request = State.OVER, None
+            self._core.caller_gone(self.request)
+        self.state = State.ANSWERED
+        self.request = None
 
     def dataReceived(self, data: bytes) -> None:
-        if self.state in (State.ASKED, State.OVER):
-            return  # nothing may follow a request: it is not read as part of one
+        """Bytes of the request have come; what follows it is dropped."""
+        if self.state in (State.AWAITING_ANSWER, State.ANSWERED):
+            return
         self._data += data
         try:
-            if self.state is State.VARS:
+            if self.state is State.READING_PACKET:
                 self._read_packet()
-            if self.state is State.BODY and len(self._data) >= self._length:
-                self._ask(bytes(self._data[: self._length]))
-        except BadPacket as exc:
-            self.core.counters.add("faulty")
+            if self.state is State.READING_BODY and len(self._data) >= self._body_bytes:
+                self._submit(bytes(self._data[: self._body_bytes]))
+        except InvalidPacket as error:
+            self._core.counters.add("faulty")
             self._data.clear()
-            self._finish(response(exc.status, str(exc).encode()))
+            self._finish(response(error.status, str(error).encode()))
 
     def _read_packet(self) -> None:
         if len(self._data) < HEAD.size:
             return
         modifier1, size, modifier2 = HEAD.unpack_from(self._data)
         if modifier1 == PING:
-            self.core.counters.add("health checks")
-            return self._finish(HEAD.pack(PING, 0, PONG) if self.owner.fit() else b"")
+            self._core.counters.add("health checks")
+            self._finish(HEAD.pack(PING, 0, PONG) if self._factory.is_fit() else b"")
+            return
         if modifier1 != WSGI or modifier2 != 0:
-            raise BadPacket(400, f"modifiers {modifier1}, {modifier2}: only 0, 0 and pings are served")
+            raise InvalidPacket(400, f"modifiers {modifier1}, {modifier2}: only 0, 0 and pings are served")
         if len(self._data) < HEAD.size + size:
             return
-        self._vars = parse_vars(bytes(self._data[HEAD.size : HEAD.size + size]))
-        self._length = content_length(self._vars, self.owner.most_body)
+        self._variables = parse_vars(bytes(self._data[HEAD.size : HEAD.size + size]))
+        self._body_bytes = content_length(self._variables, self._factory.max_body_bytes)
         del self._data[: HEAD.size + size]
-        self.state = State.BODY
+        self.state = State.READING_BODY
 
-    def _ask(self, body: bytes) -> None:
+    def _submit(self, body: bytes) -> None:
         self._data.clear()
-        arrival = read_arrival(self._vars, body, self._since)
-        taken = self.core.submit(arrival, self, 0)
-        if isinstance(taken, InvalidArrival):
-            status = FAULT_STATUS[taken]
-            more: dict[str, object] = {"Retry_After": 1} if status == 503 else {}
-            if taken in NEVER_RAN:
-                more |= {"X_Moorusher_Backoff_Ms": round(RETRY_AFTER_MS), "X_Moorusher_Never_Ran": 1}
-            return self._finish(response(status, taken.value.encode(), **more))
-        self.state, self.request = State.ASKED, taken
-        self.owner.limiter.connection_busy(self)  # from here the core sees to the time
+        arrival = read_arrival(self._variables, body, self._began_us)
+        submitted = self._core.submit(arrival, self, 0)
+        if isinstance(submitted, InvalidArrival):
+            self._reject(submitted)
+            return
+        self.state = State.AWAITING_ANSWER
+        self.request = submitted
+        self._factory.limiter.connection_busy(self)  # from here on the core watches the deadline
+
+    def _reject(self, reason: InvalidArrival) -> None:
+        status = FAULT_STATUS[reason]
+        headers: dict[str, object] = {"Retry_After": 1} if status == 503 else {}
+        if reason in NEVER_RAN:
+            headers |= {"X_Moorusher_Backoff_Ms": round(RETRY_AFTER_MS), "X_Moorusher_Never_Ran": 1}
+        self._finish(response(status, reason.value.encode(), **headers))
 
     def read_rest(self) -> None:
-        """What has come until now still counts."""
-        if self.state in (State.VARS, State.BODY):
+        """Read what has come until now: a request among it is served."""
+        if self.state in (State.READING_PACKET, State.READING_BODY):
             read_unread_input(self.transport)
 
     def close(self) -> None:
-        """The runner ends: what has not come whole never entered the core, and may go elsewhere."""
-        if self.state in (State.VARS, State.BODY) and self._data:
-            said = response(503, Cause.SHUTTING_DOWN.value.encode(), Retry_After=1, X_Moorusher_Never_Ran=1)
-            self._finish(said, at_once=True)
+        """The runner ends: a request that has not arrived completely never ran, and may go elsewhere."""
+        if self.state in (State.READING_PACKET, State.READING_BODY) and self._data:
+            refusal = response(
+                503, Cause.SHUTTING_DOWN.value.encode(), Retry_After=1, X_Moorusher_Never_Ran=1
+            )
+            self._finish(refusal, close_now=True)
         else:
             self.transport.loseConnection()
 
     def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
-        more: dict[str, object] = {} if hint is None else {"X_Moorusher_Hint": f"{hint:g}"}
-        if self.owner.load is not None:
-            more["endpoint_load_metrics"] = self.owner.load()
+        """Send the final answer."""
+        headers: dict[str, object] = {} if hint is None else {"X_Moorusher_Hint": f"{hint:g}"}
+        if self._factory.load is not None:
+            headers["endpoint_load_metrics"] = self._factory.load()
         if answer.verdict is Verdict.SERVED:
-            return self._finish(response(200, answer.content, **more))
-        if answer.verdict is Verdict.REJECTED:
+            self._finish(response(200, answer.content, **headers))
+        elif answer.verdict is Verdict.REJECTED:
             # Whole seconds are all that Retry-After can say; the exact wait stands beside it.
-            more |= {
+            headers |= {
                 "Retry_After": max(1, math.ceil(answer.retry_after_ms / 1000)),
                 "X_Moorusher_Backoff_Ms": round(answer.retry_after_ms),
                 "X_Moorusher_Never_Ran": 1,
                 "X_Moorusher_Final": int(answer.final),
             }
-            return self._finish(response(503, answer.rejection_message.encode(), **more))
-        self._finish(response(FAILED_STATUS[answer.cause], answer.cause.value.encode(), **more))
-
-    def _finish(self, data: bytes, at_once: bool = False) -> None:
-        """Our half is closed, and what still comes is thrown away until the other side closes or its time is over: with
-        input unread, a close would reset the connection before the answer is seen. `at_once`: its descriptor is needed,
-        or the runner ends."""
-        self.state, self.request = State.OVER, None
-        self.owner.limiter.connection_closing(self)
+            self._finish(response(503, answer.rejection_message.encode(), **headers))
+        else:
+            self._finish(response(FAILED_STATUS[answer.cause], answer.cause.value.encode(), **headers))
+
+    def _finish(self, data: bytes, close_now: bool = False) -> None:
+        """Write the answer and close our half; what still comes is dropped until the other side closes, or `LINGER_US`.
+
+        With input unread, a close would reset the connection before the answer is seen. `close_now`: the descriptor is
+        needed, or the runner ends.
+        """
+        self.state = State.ANSWERED
+        self.request = None
+        self._factory.limiter.connection_closing(self)
         self.transport.write(data)
-        if at_once:
+        if close_now:
             self.transport.loseConnection()
         else:
             self.transport.loseWriteConnection()
-        self._alarm = self.core.alarms.at(self.core.clock.now + LINGER_US, self.cut)
+        self._alarm = self._core.alarms.at(self._core.clock.now + LINGER_US, self.cut)
 
 
 class UwsgiFactory(LimitedFactory):
-    """Listens for uwsgi clients."""
+    """Listens for uwsgi clients.
+
+    `max_body_bytes`: longest body of a request. `is_fit`: what pings are answered. `load`: returns the load report that
+    goes with each answer; None where there is none.
+    """
 
     counted_as = "uwsgi connections"
 
     def __init__(
-        self, core: RequestEngine, most: int, most_body: int, idle_s: float, fit: Callable[[], bool]
+        self,
+        core: RequestEngine,
+        max_connections: int,
+        max_body_bytes: int,
+        idle_s: float,
+        is_fit: Callable[[], bool],
     ) -> None:
-        super().__init__(core, ConnectionLimiter(core, most, round(idle_s * SECOND), 0))
-        self.most_body, self.fit = most_body, fit
-        self.load: Callable[[], str] | None = None  # the load report that goes with each answer
+        super().__init__(core, ConnectionLimiter(core, max_connections, round(idle_s * SECOND), 0))
+        self.max_body_bytes = max_body_bytes
+        self.is_fit = is_fit
+        self.load: Callable[[], str] | None = None
 
     def connection(self) -> UwsgiProtocol:
         """A new connection of a client."""
@@ -211,4 +245,5 @@
 
     @property
     def connections(self) -> set[UwsgiProtocol]:
+        """All that are open."""
         return cast(set[UwsgiProtocol], self.limiter.connections)
--- a/moorusher/frontends/uwsgi_packets.py
+++ b/moorusher/frontends/uwsgi_packets.py
@@ -15,9 +15,11 @@
 
 HEAD = struct.Struct("<BHB")  # modifier1, size of the variables, modifier2
 LENGTH = struct.Struct("<H")
-WSGI, PING, PONG = 0, 100, 1
-MOST_VARS = 128
-MOST_UNREAD = 65_535 + 4  # a packet of variables can't be larger
+WSGI = 0  # modifier1 of a request
+PING = 100  # modifier1 of a ping
+PONG = 1  # modifier2 of the answer to a ping
+MAX_VARIABLES = 128
+MAX_LENGTH_DIGITS = 12  # of CONTENT_LENGTH
 
 VARS = {
     "class": "MOORUSHER_CLASS",
@@ -70,8 +72,8 @@
 }
 
 
-class BadPacket(ValueError):
-    """What was read is no uwsgi request; `status` is for the HTTP response."""
+class InvalidPacket(ValueError):
+    """What was read is no uwsgi request; `status` is that of the HTTP response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -79,30 +81,34 @@
 
 
 def parse_vars(block: bytes) -> dict[str, str]:
-    """Pairs of key and value, each with its length before it. A later pair of one key wins, as in uWSGI."""
+    """Parse pairs of key and value, each with its length before it. A later pair of one key wins, as in uWSGI.
+
+    :raises InvalidPacket: a length runs past the block, a name is empty, or there are too many variables.
+    """
     found: dict[str, str] = {}
-    at, end = 0, len(block)
+    at = 0
+    end = len(block)
     while at < end:
         pair = []
         for _ in range(2):
             if at + 2 > end:
-                raise BadPacket(400, "a length runs past the variables")
+                raise InvalidPacket(400, "a length runs past the variables")
             (size,) = LENGTH.unpack_from(block, at)
             at += 2
             if at + size > end:
-                raise BadPacket(400, "a variable runs past its packet")
+                raise InvalidPacket(400, "a variable runs past its packet")
             pair.append(block[at : at + size].decode("latin-1"))
             at += size
         if not pair[0]:
-            raise BadPacket(400, "a variable without a name")
+            raise InvalidPacket(400, "a variable without a name")
         found[pair[0]] = pair[1]
-        if len(found) > MOST_VARS:
-            raise BadPacket(400, f"more than {MOST_VARS} variables")
+        if len(found) > MAX_VARIABLES:
+            raise InvalidPacket(400, f"more than {MAX_VARIABLES} variables")
     return found
 
 
 def build_packet(variables: dict[str, str], modifier1: int = WSGI, modifier2: int = 0) -> bytes:
-    """A packet of variables, as a client sends it."""
+    """Build a packet of variables, as a client sends it."""
     parts = []
     for pair in variables.items():
         for text in pair:
@@ -112,16 +118,19 @@
     return HEAD.pack(modifier1, len(block), modifier2) + block
 
 
-def content_length(variables: dict[str, str], most: int) -> int:
-    """Of the body. Raises BadPacket."""
+def content_length(variables: dict[str, str], max_bytes: int) -> int:
+    """Return the length of the body, 0 where none is given.
+
+    :raises InvalidPacket: it is no whole number, or more than `max_bytes`.
+    """
     text = variables.get("CONTENT_LENGTH", "")
     if not text:
         return 0
     # isdigit alone lets other scripts' digits pass; int alone lets '+5', ' 5' and '1_0' pass.
     if not (text.isascii() and text.isdigit()):
-        raise BadPacket(400, "CONTENT_LENGTH: expected a whole number")
-    if len(text) > 12 or int(text) > most:
-        raise BadPacket(413, f"CONTENT_LENGTH: more than {most}")
+        raise InvalidPacket(400, "CONTENT_LENGTH: expected a whole number")
+    if len(text) > MAX_LENGTH_DIGITS or int(text) > max_bytes:
+        raise InvalidPacket(413, f"CONTENT_LENGTH: more than {max_bytes}")
     return int(text)
 
 
@@ -134,29 +143,34 @@
     except ValueError:
         value = math.nan
     if not allowed.contains(value):
-        raise BadPacket(400, f"{VARS[name]}: expected a number {allowed}")
+        raise InvalidPacket(400, f"{VARS[name]}: expected a number {allowed}")
     return value
 
 
-def read_arrival(variables: dict[str, str], body: bytes, came: int | None = None) -> Arrival:
-    """The variables of one request, checked in form. Raises BadPacket."""
-    if not (klass := variables.get(VARS["class"], "")):
-        raise BadPacket(400, f"{VARS['class']}: required")
+def read_arrival(variables: dict[str, str], body: bytes, began_us: int | None = None) -> Arrival:
+    """Map the variables of one request to the core's names, checked in form.
+
+    :param began_us: when its first byte was read.
+    :raises InvalidPacket: a variable is missing or can't be used; the text names it.
+    """
+    class_name = variables.get(VARS["class"], "")
+    if not class_name:
+        raise InvalidPacket(400, f"{VARS['class']}: required")
     rid = variables.get(VARS["rid"], "") or secrets.token_hex(8)
     token = variables.get(VARS["token"], "") or None
     if not is_identifier(rid, 64) or (token is not None and not is_identifier(token, 128)):
-        raise BadPacket(400, f"{VARS['rid']}, {VARS['token']}: expected letters, digits and -_.:")
+        raise InvalidPacket(400, f"{VARS['rid']}, {VARS['token']}: expected letters, digits and -_.:")
     subject = variables.get(VARS["obj"], "")
     try:
         obj = int(subject, 16) if subject else None
     except ValueError:
-        raise BadPacket(400, f"{VARS['obj']}: expected hex digits") from None
+        raise InvalidPacket(400, f"{VARS['obj']}: expected hex digits") from None
     return Arrival(
         rid,
-        klass,
+        class_name,
         body,
         _number(variables, "t0", UNIX_MS),
-        came,
+        began_us,
         _number(variables, "budget", BUDGET_MS),
         variables.get(VARS["tenant"], "") or None,
         int(_number(variables, "peer", PEER) or 0),
@@ -168,7 +182,7 @@
 
 
 def response(status: int, body: bytes = b"", **headers: object) -> bytes:
-    """An HTTP response; underscores in the names of headers stand for hyphens."""
+    """Build an HTTP response; underscores in the names of headers stand for hyphens."""
     lines = [
         f"HTTP/1.1 {status} {REASONS[status]}",
         f"Content-Length: {len(body)}",
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -90,7 +90,7 @@
     ],
 )
 def test_bad_params_are_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(jsonrpc_messages.BadParams, match=named):
+    with pytest.raises(jsonrpc_messages.InvalidParams, match=named):
         jsonrpc_messages.read_arrival("check", GOOD | change)
 
 
@@ -109,7 +109,7 @@
     ],
 )
 def test_bad_variables(block: bytes) -> None:
-    with pytest.raises(uwsgi_packets.BadPacket) as caught:
+    with pytest.raises(uwsgi_packets.InvalidPacket) as caught:
         uwsgi_packets.parse_vars(block)
     assert caught.value.status == 400
 
@@ -135,7 +135,7 @@
     ],
 )
 def test_bad_content_lengths(text: str, status: int) -> None:
-    with pytest.raises(uwsgi_packets.BadPacket) as caught:
+    with pytest.raises(uwsgi_packets.InvalidPacket) as caught:
         uwsgi_packets.content_length({"CONTENT_LENGTH": text}, 2048)
     assert caught.value.status == status
 
@@ -163,7 +163,7 @@
     ],
 )
 def test_bad_uwsgi_values(name: str, text: str) -> None:
-    with pytest.raises(uwsgi_packets.BadPacket, match=uwsgi_packets.VARS[name]):
+    with pytest.raises(uwsgi_packets.InvalidPacket, match=uwsgi_packets.VARS[name]):
         uwsgi_packets.read_arrival(VARS | {uwsgi_packets.VARS[name]: text}, b"")
 
 
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -9,9 +9,9 @@
 from twisted.internet.address import IPv4Address
 
 from moorusher.core.answer import Answer, Verdict
-from moorusher.frontends.agent import MOST_SENT, AgentCheckFactory
+from moorusher.frontends.agent import MAX_SENT_BYTES, AgentCheckFactory
 from moorusher.frontends.health import HealthCheckFactory, wants_json
-from moorusher.frontends.probes import MOST, MOST_OF_ONE, LoadReport
+from moorusher.frontends.probes import MAX_CONNECTIONS, MAX_CONNECTIONS_OF_HOST, LoadReport
 from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.health.formatting import Codes
 from moorusher.health.policy import Policy
@@ -134,7 +134,9 @@
 def test_places_are_bounded_and_the_longest_useless_one_makes_room() -> None:
     p = Probes()
     for front in (p.agent, p.health):
-        held = [p.connect(front, address=IPv4Address("TCP", f"127.0.0.{i}", 1)) for i in range(MOST)]
+        held = [
+            p.connect(front, address=IPv4Address("TCP", f"127.0.0.{i}", 1)) for i in range(MAX_CONNECTIONS)
+        ]
         # An agent's line may still be on its way; who has said nothing yet over HTTP goes where there is no other.
         assert (front.buildProtocol(None) is None) is (front is p.agent)
         p.world.wait(1000)
@@ -146,13 +148,13 @@
     p = Probes()
     flood, other = IPv4Address("TCP", "127.0.0.9", 1), IPv4Address("TCP", "127.0.0.2", 1)
     for front in (p.agent, p.health):
-        held = [p.connect(front, address=flood) for _ in range(MOST_OF_ONE)]
+        held = [p.connect(front, address=flood) for _ in range(MAX_CONNECTIONS_OF_HOST)]
         assert front.buildProtocol(flood) is None and front.buildProtocol(other) is not None
         held[0][0].connectionLost()
         assert front.buildProtocol(flood) is not None
         for connection, _ in held[1:]:
             connection.connectionLost()
-        assert front._of == {"127.0.0.2": 1, "127.0.0.9": 1}
+        assert front._connections_of_host == {"127.0.0.2": 1, "127.0.0.9": 1}
 
 
 # ---- agent check ----
@@ -168,7 +170,7 @@
         p.world.wait(1000)
     known = p.reporter.tracker.balancers
     assert {s.rpartition(" ")[2] for s in known._sources} >= {"lb1", "lb2"}
-    connection, transport = p.connect(p.agent, b"x" * (MOST_SENT + 1))
+    connection, transport = p.connect(p.agent, b"x" * (MAX_SENT_BYTES + 1))
     assert transport.aborted
 
 
