--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -223,7 +223,7 @@
             self.predecessor if core.key_claims.is_successor and core.key_claims.peer is not None else 0
         )
         if self.outage is not None:
-            self.outage.look()
+            self.outage.report_load()
         self.node.publish_status(predecessor, core.settings.cores)
         gone = (
             core.kernel_status.link_lost_at is not None
@@ -232,7 +232,7 @@
         if (
             core.drain_state.draining
             or (gone and core.ready)
-            or (self.outage is not None and self.outage.away)
+            or (self.outage is not None and self.outage.is_out)
         ):
             if not self._away:
                 log.info("fleet: what is held here and has not begun goes to others")
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from moorusher.scheduling import interface as api
-from moorusher.scheduling.balancer import Balancer
+from moorusher.scheduling.scheduler import Scheduler
 
 from .action_executor import ActionExecutor
 from .answer import Answer, Cause, Verdict
@@ -35,7 +35,7 @@
         completion: Completion,
         executor: ActionExecutor,
         kernel_status: KernelStatus,
-        make_scheduler: Callable[[api.Settings], Balancer],
+        make_scheduler: Callable[[api.Settings], Scheduler],
     ) -> None:
         self._state = state
         self._completion = completion
@@ -44,7 +44,7 @@
         self._make_scheduler = make_scheduler
         self._turn = state.turn
         self._turn.on_end = self.end_turn
-        self.scheduler: Balancer | None = None
+        self.scheduler: Scheduler | None = None
         self.coexisting = api.PredecessorLoad()
         self._opened_warming_up = False  # what the scheduler was told of the kernel
 
