--- /dev/null
+++ b/moorusher/cluster_transport/fleet_member.py
@@ -0,0 +1,50 @@
+"""The interface of this runner's link to its fleet, for the parts that build on it.
+
+`replication.FleetLink` implements it. The parts import this module alone, so that no circle of imports leads back.
+"""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from ..config.fleet import FleetConfig
+from ..core.request_engine import RequestEngine
+from ..replication.acceptor import Acceptor
+from ..replication.node import Node
+from ..storage.journal_files import Opened
+
+
+class FleetMember(Protocol):
+    """This runner as a member of its fleet.
+
+    reactor: of Twisted.
+    core: of this runner.
+    config: settings.
+    name: str, this runner's seat.
+    node: registers, membership and messages.
+    predecessor: int, incarnation of the process that this one replaces; 0 if none.
+    rules, forecast, outage: parts that are started with the fleet; each enters itself.
+    """
+
+    reactor: Any
+    core: RequestEngine
+    config: FleetConfig
+    name: str
+    node: Node
+    predecessor: int
+    rules: Any
+    forecast: Any
+    outage: Any
+
+    @property
+    def busy(self) -> bool:
+        """Work or duties of the fleet are still here."""
+
+    def fit(self) -> bool:
+        """Whether this runner may take work and duties of the fleet."""
+
+    def journal_of(self, part: str) -> Opened | None:
+        """Open the journal of a part; None if the settings have none."""
+
+    def write_to(self, found: Opened, space: int, keeper: Acceptor) -> None:
+        """Write what this acceptor promises to that journal, before it is said."""
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from ..leadership.directory import Reading
 from ..leadership.effects import ResponseCallback
@@ -21,9 +21,7 @@
 from ..replication.journal import JournalImage
 from ..replication.register_space import LASTING
 from .effect_receivers import HttpEffectReceivers
-
-if TYPE_CHECKING:
-    from .replication import FleetLink
+from .fleet_member import FleetMember
 
 log = logging.getLogger("moorusher")
 
@@ -74,7 +72,7 @@
         only then.
     """
 
-    def __init__(self, fleet: FleetLink, policy: Policy) -> None:
+    def __init__(self, fleet: FleetMember, policy: Policy) -> None:
         self.fleet = fleet
         self.policy = policy
         self.core = fleet.core
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -5,16 +5,14 @@
 import logging
 import time
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import xxhash
 
 from ..health.states import Standing
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..server.health_report import Reporter
-
-if TYPE_CHECKING:
-    from .replication import FleetLink
+from .fleet_member import FleetMember
 
 log = logging.getLogger("moorusher")
 
@@ -41,7 +39,7 @@
     is_out: bool, nothing new is taken, and what has not begun goes to others.
     """
 
-    def __init__(self, fleet: FleetLink, reporter: Reporter, boot_id: str) -> None:
+    def __init__(self, fleet: FleetMember, reporter: Reporter, boot_id: str) -> None:
         self.boot_id = boot_id
         self.is_out = False
         self._fleet = fleet
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from ..core.request_engine import RequestEngine
 from ..maintenance.coordinator import MaintenanceCoordinator
@@ -18,11 +17,9 @@
 from ..replication.journal import JournalImage
 from ..replication.register_space import SHARED
 from ..server.health_report import Reporter
+from .fleet_member import FleetMember
 from .machine_host import LocalMachineHost, read_boot_id
 
-if TYPE_CHECKING:
-    from .replication import FleetLink
-
 MAX_WAIT_S = 30.0  # of one question; a caller asks again
 SECOND_US = 1e6
 
@@ -96,7 +93,7 @@
     coordinator: the member's part.
     """
 
-    def __init__(self, fleet: FleetLink, policy: Policy, reporter: Reporter) -> None:
+    def __init__(self, fleet: FleetMember, policy: Policy, reporter: Reporter) -> None:
         self.fleet = fleet
         self.policy = policy
         self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
