--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from ..membership.failure_detector import MS
 from .chunks import chunk_names, named_chunks
 from .effects import (
@@ -18,11 +16,10 @@
 from .errors import Busy, Forgotten, NoMajority, OverBudget, Unreached
 from .fencing_token import FencingToken
 from .holder_changes import IssueToken, Suspend, UpdateState
+from .intent_resolution import IntentResolver
+from .lease_interface import HeldLease
 from .lease_record import LeaseRecord
 
-if TYPE_CHECKING:
-    from .lease_holder import LeaseHolder
-
 MAX_ATTEMPTS = 5  # at a receiver that does not answer, and of a state update that others' changes overtake
 RETRY_US = 200 * MS  # of a receiver that does not answer
 REPLICATION_TIMEOUT_US = 1_500 * MS  # until a majority has stored the chunks of a state
@@ -31,8 +28,9 @@
 class EffectExecutor:
     """Carries out one effect at a time; each ends with `LeaseHolder.finish`."""
 
-    def __init__(self, lease: LeaseHolder) -> None:
+    def __init__(self, lease: HeldLease, intents: IntentResolver) -> None:
         self.lease = lease
+        self._intents = intents
 
     def execute(self, effect: Effect) -> None:
         """Start an effect."""
@@ -44,7 +42,7 @@
             case FencedRequest():
                 self.issue_token(effect)
             case _:
-                self.lease.intents.record(effect)
+                self._intents.record(effect)
 
     # ---- the duty's state ----
 
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -10,7 +10,8 @@
 from .candidates import overload_threshold
 from .election import Election
 from .errors import DutyError
-from .lease_holder import LeaderContext, LeaseHolder
+from .lease_holder import LeaseHolder
+from .lease_interface import LeaderContext
 from .lease_record import LeaseRecord, LeaseStatus, decode_record
 from .lease_transitions import AcquireLease, Change, Read
 from .messages import LeaseOffer, LeaseTaken, OfferDeclined
@@ -51,7 +52,7 @@
         self._policy = policy
         self._create_worker = create_worker
         self._lease_holder_class = lease_holder_class
-        self._context = LeaderContext(services, replication, fetching, receivers, policy, self)
+        self._context = LeaderContext(services, replication, fetching, receivers, policy)
         self._acquiring: set[Key] = set()
         self._last_move_us = 0
 
@@ -114,7 +115,7 @@
         self._services.count("duties: accepted")
         if isinstance(change, AcquireLease):
             self._notify_former_holder(key, change, record)
-        self.by_key[key] = self._lease_holder_class(self._context, key, record, done.promise)
+        self.by_key[key] = self._lease_holder_class(self._context, self, key, record, done.promise)
 
     def _notify_former_holder(self, key: Key, change: AcquireLease, record: LeaseRecord) -> None:
         former = change.former_holder
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -3,19 +3,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from ..membership.failure_detector import MS
 from .effects import Completed, IntentRequest, Outcome, ReceiverResponse
 from .errors import Busy, OverBudget, Uncertain
 from .fencing_token import FencingToken
 from .holder_changes import AddIntent, CloseIntent
+from .lease_interface import HeldLease
 from .lease_record import Intent, IntentResolution
 from .serial_queue import ignore_outcome
 
-if TYPE_CHECKING:
-    from .lease_holder import LeaseHolder
-
 RETRY_US = 1_000 * MS
 
 
@@ -25,7 +22,7 @@
     on_resolved: called with an intent that was left open and whether it was done.
     """
 
-    def __init__(self, lease: LeaseHolder) -> None:
+    def __init__(self, lease: HeldLease) -> None:
         self.on_resolved: Callable[[Intent, bool], None] = lambda intent, done: None
         self._lease = lease
         self._in_progress: set[int] = set()  # revisions of intents whose outcome is being found out
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
 from typing import Protocol
 
@@ -19,14 +18,10 @@
 from .errors import Busy, Damaged, DutyError, OverBudget, Superseded
 from .holder_changes import ClearLostLeaders, ReleaseLease, StartRelease
 from .intent_resolution import IntentResolver
+from .lease_interface import LeaderContext
 from .lease_record import MAX_INTENT_BYTES, LeaseRecord, LeaseStatus
 from .lease_register import LeaseRegister
-from .policy import Policy
 from .serial_queue import SerialQueue, ignore_outcome
-from .services import MemberServices
-from .state_fetching import StateFetching
-from .state_replication import StateReplication
-from .worker import EffectReceivers
 
 MAX_QUEUED_EFFECTS = 64
 FETCH_TIMEOUT_US = 3_000 * MS  # for the state that the former leader has left
@@ -52,18 +47,6 @@
         """The term is over; `reason` is None after a release in order."""
 
 
-@dataclass(frozen=True, slots=True)
-class LeaderContext:
-    """What all leases of one member share."""
-
-    services: MemberServices
-    replication: StateReplication
-    fetching: StateFetching
-    receivers: EffectReceivers
-    policy: Policy
-    observer: LeaseObserver
-
-
 class LeaseHolder:
     """One duty at its leader, for one term.
 
@@ -79,10 +62,16 @@
     effect_executor_class: type[EffectExecutor] = EffectExecutor
 
     def __init__(
-        self, context: LeaderContext, key: Key, record: LeaseRecord, hold: CarriedPromise | None
+        self,
+        context: LeaderContext,
+        observer: LeaseObserver,
+        key: Key,
+        record: LeaseRecord,
+        hold: CarriedPromise | None,
     ) -> None:
-        """`hold`: the promise that came with the acquisition; spares a round for the first change."""
+        """`observer`: told of the begin and the end. `hold`: the promise of the acquisition; spares a round."""
         self.context = context
+        self._observer = observer
         self.key = key
         self.register = LeaseRegister(context.services, key, record, hold, self.superseded)
         self.stage = Stage.STARTING
@@ -90,7 +79,7 @@
         self.since_us = context.services.now()
         self.last_error: DutyError | None = None
         self.intents = IntentResolver(self)
-        self._executor = self.effect_executor_class(self)
+        self._executor = self.effect_executor_class(self, self.intents)
         self._queue = SerialQueue(self._release_when_idle)
         self._release_to: str | None = None  # the first candidate, from `release` until the queue is empty
         if record.versions:
@@ -140,7 +129,7 @@
         self.stage = Stage.ACTIVE
         self.last_error = None
         self.context.replication.announce_chosen(self.key, self.record)
-        self.context.observer.started(self)
+        self._observer.started(self)
         self.intents.resolve_open()
         if self.record.lost_leaders:
             stable_after_us = round(self.context.policy.steady_ms * MS)
@@ -250,7 +239,7 @@
         self.stage = Stage.ENDED
         self.state = b""
         self.register.close()
-        self.context.observer.ended(self, reason)
+        self._observer.ended(self, reason)
         for step in unfinished:
             step.callback(reason or _ended_error(self.record))
 
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -107,7 +107,7 @@
 
     def work(self, lease: LeaseHolder) -> Worker | None:
         """Return the worker for a duty."""
-        return RandomWorker(self, lease)
+        return RandomWorker(self, self.world, lease)
 
     def send_fenced(
         self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -2,30 +2,40 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ..leadership.effects import Completed, FencedRequest, IntentRequest, Outcome, StateUpdate
 from ..leadership.errors import DutyError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution
-from .cluster_simulation import MS
-from .leadership_history import AcknowledgedUpdate, append_number
-
-if TYPE_CHECKING:
-    from .leadership_simulation import DutyProcess
+from .cluster_simulation import MS, Process
+from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
 
 EFFECT_INTERVAL_MS = (20, 300)
 STATE_UPDATE_SHARE = 0.4  # of effects
 FENCED_SHARE = 0.3
 
 
+class DutyWorld(Protocol):
+    """The course, as a worker sees it. `histories`: of each duty."""
+
+    histories: dict[str, DutyHistory]
+
+    def next_update_number(self) -> int:
+        """Return the number of a further state update."""
+
+    def next_job(self) -> bytes:
+        """Return a further job."""
+
+
 class RandomWorker:
     """Submits one effect after another, of a kind drawn anew each time."""
 
-    def __init__(self, process: DutyProcess, lease: LeaseHolder) -> None:
+    def __init__(self, process: Process, world: DutyWorld, lease: LeaseHolder) -> None:
         self._process = process
+        self._world = world
         self._lease = lease
-        self._history = process.world.histories[lease.name]
+        self._history = world.histories[lease.name]
         self._is_stopped = False
         self._state = lease.state
         lease.intents.on_resolved = self._on_resolved
@@ -62,7 +72,7 @@
         self._schedule()
 
     def _update_state(self) -> None:
-        number = self._process.world.next_update_number()
+        number = self._world.next_update_number()
         self._state = append_number(self._state, number)  # updates that are under way are in it, too
 
         def done(outcome: Outcome) -> None:
@@ -74,7 +84,7 @@
         self._lease.submit(StateUpdate(self._state), done)
 
     def _do_job(self) -> None:
-        job = self._process.world.next_job()
+        job = self._world.next_job()
         resolution = self._process.sim.random.choice(list(IntentResolution))
         if resolution == IntentResolution.REPEAT:
             self._history.idempotent.add(job)
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -2,18 +2,16 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from msgspec import structs
 
 from ..maintenance.schedule import MaintenanceRequest, SlotStage
 from ..membership.placement import majority
-from .cluster_simulation import SECOND
-from .maintenance_scripts import Script
-
-if TYPE_CHECKING:
-    from .maintenance_simulation import MaintenanceProcess, MaintenanceSimulation
+from .cluster_simulation import SECOND, Course
+from .maintenance_scripts import MaintainedProcess, MaintenanceWorld, Script
 
 EPOCH_S = 1e9  # Unix time at the begin of a course
 WORK_S = 1.0
@@ -22,19 +20,26 @@
 WITHDRAWN_SHARE = 0.2  # of requests
 
 
+class OperatedWorld(MaintenanceWorld, Protocol):
+    """The course, as operators see it."""
+
+    course: Course
+
+    def live_processes(self) -> Sequence[MaintainedProcess]:
+        """Return the processes that are alive."""
+
+
 class SimulatedOperators:
     """The operators of one course.
 
     requested: seats of each request that was made.
     scripts: that wait, or have ended.
-    stuck: machines that are cleared, and nobody is there who begins the work.
     majority_losses: int, times that too many replicas had forgotten.
     """
 
-    def __init__(self, world: MaintenanceSimulation) -> None:
+    def __init__(self, world: OperatedWorld) -> None:
         self.requested: dict[str, set[str]] = {}
         self.scripts: list[Script] = []
-        self.stuck: set[int] = set()
         self.majority_losses = 0
         self._world = world
 
@@ -144,7 +149,7 @@
             is_open = slot.stage in (SlotStage.CLEARED, SlotStage.SUSPENDED)
             if is_open and not self._is_under_way(seat, slot.request_id):
                 self._world.machines[seat].is_cleared = False
-                self.stuck.discard(seat)
+                self._world.stuck.discard(seat)
                 coordinator.finish(slot.seat, "operator", lambda result: None)
         for request in coordinator.schedule.requests:
             for seat_name, _ in request.suspended:
@@ -152,25 +157,25 @@
 
     def _is_under_way(self, seat: int, request_id: str) -> bool:
         machine = self._world.machines[seat]
-        will_begin = machine.is_cleared and seat not in self.stuck
+        will_begin = machine.is_cleared and seat not in self._world.stuck
         return will_begin or self._has_script(request_id, seat) or machine.is_down or machine.is_warming_up
 
     @staticmethod
-    def _replicas(live: list[MaintenanceProcess]) -> list[MaintenanceProcess]:
+    def _replicas(live: Sequence[MaintainedProcess]) -> Sequence[MaintainedProcess]:
         return [process for process in live if process.node.me in process.coordinator.replica.replicas]
 
-    def _has_lost_majority(self, live: list[MaintenanceProcess]) -> bool:
+    def _has_lost_majority(self, live: Sequence[MaintainedProcess]) -> bool:
         """All replicas are there, and too many have forgotten."""
         replicas = self._replicas(live)
         recovered = sum(process.coordinator.replica.acceptor.recovered for process in replicas)
         is_complete = len(replicas) == len(live[0].coordinator.replica.replicas)
         return is_complete and recovered < majority(len(replicas))
 
-    def _recover_majority(self, live: list[MaintenanceProcess]) -> None:
+    def _recover_majority(self, live: Sequence[MaintainedProcess]) -> None:
         """Once nobody works on anything, an operator says that what is left counts."""
         for seat, machine in enumerate(self._world.machines):
             machine.is_cleared = False
-            self.stuck.discard(seat)
+            self._world.stuck.discard(seat)
         for script in self.scripts:
             script.is_over = True
         if any(machine.is_down for machine in self._world.machines):
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -4,13 +4,12 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from random import Random
+from typing import Protocol
 
+from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.waiters import WaitResult, WaitStatus
-from .cluster_simulation import SECOND
-
-if TYPE_CHECKING:
-    from .maintenance_simulation import MaintenanceSimulation
+from .cluster_simulation import SECOND, Process
 
 WAIT_TIMEOUT_S = 2
 RETRY_S = 3
@@ -41,6 +40,36 @@
         return self.is_cleared or self.is_down or self.is_warming_up
 
 
+class MaintainedProcess(Process):
+    """A process with a coordinator of maintenance."""
+
+    coordinator: MaintenanceCoordinator
+
+
+class MaintenanceWorld(Protocol):
+    """The course, as scripts see it.
+
+    stuck: machines that are cleared, and nobody is there who begins the work.
+    """
+
+    now: int
+    random: Random
+    machines: list[Machine]
+    stuck: set[int]
+
+    def at(self, when: int, process: Process | None, action: Callable[[], None]) -> None:
+        """Call `action` at that time, if the process is alive."""
+
+    def live_process(self, seat: int) -> MaintainedProcess | None:
+        """Return the process of a seat, if it is alive."""
+
+    def clear_machine(self, seat: int) -> None:
+        """A script was told that it may begin."""
+
+    def work_on(self, seat: int) -> None:
+        """The machine goes down, and boots again."""
+
+
 class Script:
     """`moorusher outage ask --wait && reboot` on the machine itself; asks again by its id whatever becomes of a try.
 
@@ -50,7 +79,7 @@
     is_over: bool, it has ended.
     """
 
-    def __init__(self, world: MaintenanceSimulation, seat: int, request_id: str, gives_up: bool) -> None:
+    def __init__(self, world: MaintenanceWorld, seat: int, request_id: str, gives_up: bool) -> None:
         self.seat = seat
         self.request_id = request_id
         self.gives_up = gives_up
@@ -118,9 +147,9 @@
         self._world.clear_machine(self.seat)
         if self.gives_up:
             if is_first:  # killed between its two commands: nobody works on it, and nobody says so
-                self._world.operators.stuck.add(self.seat)
+                self._world.stuck.add(self.seat)
         else:
-            self._world.operators.stuck.discard(self.seat)
+            self._world.stuck.discard(self.seat)
             begin_s = self._world.random.uniform(0.01, 1.5)
             self._world.at(self._world.now + round(begin_s * SECOND), None, self._start_work)
 
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -18,7 +18,7 @@
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Course, Process, Simulation
 from .maintenance_operators import EPOCH_S, WORK_S, SimulatedOperators
-from .maintenance_scripts import Machine
+from .maintenance_scripts import Machine, MaintainedProcess
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
@@ -41,7 +41,7 @@
 REFAIL_SHARE = 0.08  # of machines, shortly after they have come back
 
 
-class MaintenanceProcess(Process):
+class MaintenanceProcess(MaintainedProcess):
     """One process of a simulated fleet, with the real coordinator."""
 
     def __init__(
@@ -112,6 +112,7 @@
     coordinator_class, acceptor_class: the real ones, or those with a seeded mistake.
     load: int, of each member, in hundredths of a core.
     operators: who make requests.
+    stuck: machines that are cleared, and nobody is there who begins the work.
     most_cleared: int, machines that could be worked on at one time.
     """
 
@@ -134,6 +135,7 @@
         self.coordinator_class = coordinator
         self.acceptor_class = acceptor
         self.most_cleared = 0
+        self.stuck: set[int] = set()
         self.violations: list[str] = []
         super().__init__(seed, course, process=process)
         self.operators = SimulatedOperators(self)
@@ -215,7 +217,7 @@
             self._end(process)
             machine.is_cleared = False
             machine.boots += 1
-            self.operators.stuck.discard(seat)
+            self.stuck.discard(seat)
             self._begin_again(seat, self.now + round(min(lasts_s, 2) * SECOND), 0)
 
     def _lower_limit(self, seat: int, lasts_s: float) -> None:
