--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -8,7 +8,7 @@
 
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from ..health.formatting import haproxy
+from ..health.formatting import haproxy_agent_state
 from ..server.health_report import Reporter
 from .probes import PROBE_TIMEOUT_US, ProbeFactory
 
@@ -41,7 +41,7 @@
         self._factory.limiter.connection_closing(self)
         self._factory.count_check()
         report = self._factory.reporter.report(self.host)
-        line = haproxy(report, self._factory.reporter.doors_closed, self._factory.maxconn)
+        line = haproxy_agent_state(report, self._factory.reporter.doors_closed, self._factory.maxconn)
         self.transport.write(line.encode("ascii") + b"\n")
         self.transport.loseWriteConnection()
         self._alarm = self._core.alarms.at(self._core.clock.now + PROBE_TIMEOUT_US, self.cut)
@@ -88,4 +88,4 @@
         name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MAX_NAME_LENGTH]
         if name:
             self.core.begin_turn()
-            self.reporter.tracker.balancers.asked(self.core.clock.now, f"{host} {name}")
+            self.reporter.tracker.probes.probed(self.core.clock.now, f"{host} {name}")
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -114,7 +114,7 @@
     def _quiesce(self) -> HttpReply:
         """Set maintenance without an end. Where the runner drains, nothing new is sent to it already."""
         maintenance = self.reporter.tracker.maintenance
-        if self.reporter.wanted or (maintenance is not None and maintenance.until is not None):
+        if self.reporter.wanted or (maintenance is not None and maintenance.expires_us is not None):
             self.reporter.maintain(QUIESCE_REASON)  # one that ends by itself would put the runner back
         return self._state(200)
 
