--- a/moorusher/leadership/__init__.py
+++ b/moorusher/leadership/__init__.py
@@ -7,11 +7,15 @@
 
 | module | job |
 | --- | --- |
-| `lease_record`, `lease_transitions` | the value of a duty's register, and every change that may be made to it |
+| `lease_record` | the value of a duty's register |
+| `lease_transitions`, `holder_changes` | every change that may be made to it, by anybody and by the leader |
 | `election`, `candidates` | which member is offered a duty that needs a leader |
-| `held_leases`, `lease_holder` | the leader's side: accepts offers, holds one lease for one term, releases it |
-| `effects`, `effect_executor`, `intent_resolution`, `fencing_token` | what a leader does outside, and what fences it |
-| `state_replication`, `chunks`, `journal` | the state of a duty among its replicas |
+| `held_leases` | the leases of one member: acquired, given up, and their workers |
+| `lease_holder`, `lease_register`, `serial_queue` | one lease for one term, its register, and its steps in order |
+| `effects`, `effect_executor`, `fencing_token` | what a leader may do, how it is carried out, and what fences it |
+| `intent_resolution` | effects at receivers that can't compare tokens, and those that were left open |
+| `state_replication`, `state_fetching`, `chunks`, `journal` | the state of a duty among its replicas |
 | `directory` | creates, reads and removes duties from any member |
-| `participant` | composes one member's part |
+| `heartbeat` | the one duty that is built in |
+| `participant`, `services`, `worker`, `lease_interface` | one member's part, composed; the interfaces of its parts |
 """
