--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -17,9 +17,11 @@
 from twisted.python.threadpool import ThreadPool
 
 from ..config.namespaces import NamespacesConfig
-from ..config_distribution.messages import At
+from ..config_distribution.errors import DistributionError
+from ..config_distribution.messages import RevisionId
+from ..config_distribution.propagation import DELETED_NUMBER
 from ..config_distribution.publisher import Publisher
-from ..config_distribution.replica import GONE, Error, Replica
+from ..config_distribution.replica import Replica
 from ..core.clock import MS
 from ..core.requests import Arrival
 from ..leadership.errors import DutyError
@@ -40,7 +42,7 @@
     0.0005  # a turn waits so long for a thread that reads a draft: with the usual 5 ms each turn is 6 ms late
 )
 LARGE = 32 << 10  # bytes of a draft
-Told = Callable[[dict[str, Any] | Error], None]
+Told = Callable[[dict[str, Any] | DistributionError], None]
 
 
 def asked_of(arrival: Arrival) -> Asked:
@@ -117,13 +119,16 @@
     # ---- for work of other runners ----
 
     def ruling(
-        self, arrival: Arrival, at: At | None, then: Callable[[RoutingDecision | Error | None], None]
+        self,
+        arrival: Arrival,
+        at: RevisionId | None,
+        then: Callable[[RoutingDecision | DistributionError | None], None],
     ) -> None:
         """By the very revision that it was read under; `at` is None where there was none."""
         customer = arrival.tenant
         if at is None or customer is None:
             return then(None)
-        return self.replica.revision(
+        return self.replica.register.revision(
             customer,
             at,
             lambda found: then(
@@ -172,7 +177,7 @@
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
         self._read(draft, None, then)
 
-    def keep(self, customer: str, at: At, draft: bytes | None) -> None:
+    def keep(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
         if self.store is not None:
             self.store.put(customer, at, draft)
 
@@ -182,7 +187,7 @@
     def became_ready(self) -> None:
         self.ready = True
         log.info("namespaces: %d customers' rules are known here", len(self.replica.customers))
-        if not self.replica.others() and len(self.duties.fleet.node.placement.names) > 1:
+        if not self.replica.member.live_peers() and len(self.duties.fleet.node.placement.names) > 1:
             log.warning(
                 "namespaces: no other runner was heard of: who is not known here gets the platform's default, "
                 "and rules may be older than elsewhere, until one is"
@@ -199,7 +204,7 @@
     def listed(self) -> dict[str, Any]:
         self.core.begin_turn()
         replica = self.replica
-        node = replica.participant.node
+        node = replica.member.participant.node
         up = sum(m.is_alive for m in node.detector.by_seat.values())
         return {
             "ready": self.ready,
@@ -211,7 +216,7 @@
         }
 
     def _told(self, customer: str) -> dict[str, Any]:
-        at, gone = self.replica.has(customer)
+        at, gone = self.replica.revisions.known(customer)
         return {
             "customer": customer,
             "born": at[0],
@@ -260,10 +265,10 @@
             )
 
         if self._known(customer, then):
-            self.replica.book(customer, got)
+            self.replica.register.book(customer, got)
 
     def publish(self, submission: Submission, wait: bool, then: Told) -> None:
-        def over(got: At | Error) -> None:
+        def over(got: RevisionId | DistributionError) -> None:
             if isinstance(got, Exception):
                 return then(got)
             self._tell(submission.customer, got, wait, then)
@@ -272,7 +277,7 @@
             self.replica.submit(submission, over)
 
     def delete(self, customer: str, wait: bool, then: Told) -> None:
-        def over(got: At | Error) -> None:
+        def over(got: RevisionId | DistributionError) -> None:
             if isinstance(got, Exception):
                 return then(got)
             self._tell(customer, got, wait, then)
@@ -280,8 +285,8 @@
         if self._known(customer, then):
             self.replica.delete(customer, over)
 
-    def _tell(self, customer: str, at: At, wait: bool, then: Told) -> None:
-        deleted = at[1] == GONE
+    def _tell(self, customer: str, at: RevisionId, wait: bool, then: Told) -> None:
+        deleted = at[1] == DELETED_NUMBER
         told: dict[str, Any] = {
             "customer": customer,
             "born": at[0],
@@ -302,7 +307,7 @@
                 | {"complete": not here, "lacking": lacking, "took_ms": (self.core.clock.now - began) / MS}
             )
 
-        return self.replica.everywhere(customer, at, everywhere)
+        return self.replica.propagation.everywhere(customer, at, everywhere)
 
     def explain(self, customer: str, asked: Asked, then: Told) -> None:
         """Which rule decides for such a request at this runner, and what its calls would do now."""
--- a/moorusher/config_distribution/__init__.py
+++ b/moorusher/config_distribution/__init__.py
@@ -1,4 +1,7 @@
-"""How a customer's revisions come to be, and to all runners: published by the owner of the customer's duty, told down a
-tree, compared by pairs. Pure; `cluster_transport/config_distribution.py` carries it out.
-`docs/design/namespaces.md` says why it is so.
+"""How revisions of a customer's routing rules are published and distributed to all runners.
+
+`publisher`: the leader of a customer's lease publishes one revision after the other. `dissemination`: a new revision is
+broadcast down a tree. `anti_entropy`: pairs of members compare digests and repair what a broadcast missed. `replica`:
+one member's parts put together. Pure: `cluster_transport/config_distribution.py` does the I/O;
+`docs/design/namespaces.md` gives the reasons.
 """
--- a/moorusher/config_distribution/anti_entropy.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -1,186 +1,228 @@
-"""What a cast did not bring: now and then two members compare what they have, and whoever has less asks for it.
+"""Anti-entropy: two members compare digests of their revisions, and whoever has less requests what it lacks.
 
-One member with one other in each period, by digests of 64 parts: as many messages a member however many seats and
-customers there are. A process that begins anew compares with one after the other until it knows what the others had.
+Each member compares with one other in each period, by digests of `BUCKETS` parts of the customers: the number of
+messages a member does not grow with seats or customers. A process that starts compares with one peer after the other
+until it knows what they have; then it is ready.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import Protocol
 
 import xxhash
 
 from ..membership.failure_detector import MS
 from ..membership.placement import majority
-from .messages import At, Compare, Differ
+from .messages import DigestDifference, DigestSummary, RevisionId
+from .services import Member, ObtainsRevisions
 
-PARTS = 64
-PERIOD, PERIOD_AT_START = 1_000 * MS, 60 * MS
-MOST_LISTED = 500
-AT_ONCE = 4  # revisions that are asked for at a time
-ASK_AGAIN = 600 * MS
-MOST_WANTED = 20_000
+BUCKETS = 64
+PERIOD_US = 1_000 * MS
+STARTUP_PERIOD_US = 60 * MS
+MAX_LISTED = 500  # customers in one message
+MAX_CONCURRENT_REQUESTS = 4
+REQUEST_TIMEOUT_US = 600 * MS
+MAX_MISSING = 20_000  # customers
 
 
-class Host(Protocol):
-    """What comparing needs of the member that does it."""
+def bucket_of(customer: str) -> int:
+    """Return the index of the bucket that a customer belongs to."""
+    return xxhash.xxh32_intdigest(customer.encode()) % BUCKETS
 
-    @property
-    def me(self) -> str: ...
-    def others(self) -> list[str]: ...  # that are there
-    def say(self, seat: str, message: Any) -> None: ...
-    def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def clock(self) -> int: ...
-    def random(self) -> float: ...
-    def has(self, customer: str) -> tuple[At, bool]: ...  # and whether it is gone
-    def have(
-        self, customer: str, at: At, gone: bool, draft: bytes | None, whence: str, then: Callable[[str], None]
-    ) -> None: ...
-    def became_ready(self) -> None: ...
 
+class ComparingMember(Member, Protocol):
+    """What anti-entropy uses of a member."""
 
-def part_of(customer: str) -> int:
-    """The part of all customers that one belongs to."""
-    return xxhash.xxh32_intdigest(customer.encode()) % PARTS
+    def random(self) -> float:
+        """Return a number from 0 up to, without, 1."""
+        ...
+
+    def live_peers(self) -> list[str]:
+        """Return the other seats that are alive."""
+        ...
+
+
+class KnownRevisions(ObtainsRevisions, Protocol):
+    """What anti-entropy uses of a member's revisions."""
+
+    def known(self, customer: str) -> tuple[RevisionId, bool]:
+        """Return the latest revision, and whether it is a deletion."""
+        ...
 
 
 @dataclass(slots=True, eq=False)
-class _Wanted:
-    at: At
-    gone: bool
+class _Missing:
+    """A revision that `seat` has and this member lacks."""
+
+    revision_id: RevisionId
+    deleted: bool
     seat: str
 
 
-@dataclass(slots=True)
-class Comparing:
-    """Finds what a member lacks, by digests of parts, and asks for it."""
-
-    host: Host
-    seats: int
-    ready: bool = False
-    _names: list[set[str]] = field(default_factory=lambda: [set() for _ in range(PARTS)])
-    _digests: list[int | None] = field(default_factory=lambda: [0] * PARTS)
-    _wanted: dict[str, _Wanted] = field(default_factory=dict)
-    _queue: deque[str] = field(default_factory=deque)
-    _asked: set[str] = field(default_factory=set)
-    _going: bool = False
-    _known: set[str] = field(default_factory=set)  # members whose having is known, and asked for
-    _settled: set[str] = field(default_factory=set)  # of them, those that know what the others have
-
-    # ---- its life ----
-
-    def start(self, patience: int) -> None:
-        """Ready at the latest after `patience` us."""
-        if self.seats == 1:
-            return self._be_ready()
-        self.host.at(self.host.clock() + patience, self._be_ready)
-        self._period()
-        return None
-
-    def _be_ready(self) -> None:
+class AntiEntropy:
+    """Finds what a member lacks by comparing digests, and requests it.
+
+    ready: whether this member knows what the others have, or has stopped waiting for it.
+    """
+
+    def __init__(
+        self,
+        member: ComparingMember,
+        revisions: KnownRevisions,
+        seat_count: int,
+        on_ready: Callable[[], None],
+    ) -> None:
+        """`on_ready`: called once."""
+        self.ready = False
+        self._member = member
+        self._revisions = revisions
+        self._seat_count = seat_count
+        self._on_ready = on_ready
+        self._customers: list[set[str]] = [set() for _ in range(BUCKETS)]
+        self._digests: list[int | None] = [0] * BUCKETS  # None: to be computed anew
+        self._missing: dict[str, _Missing] = {}
+        self._queue: deque[str] = deque()  # customers of `_missing` that are not requested yet
+        self._requested: set[str] = set()  # at most MAX_CONCURRENT_REQUESTS
+        self._requesting = False
+        self._compared: set[str] = set()  # until ready: peers whose revisions are known here
+        self._ready_peers: set[str] = set()  # subset of `_compared`: they know what the others have
+
+    # ---- periods, readiness ----
+
+    def start(self, ready_timeout_us: int) -> None:
+        """Begin to compare; ready after the timeout at the latest, at once where there is no other seat."""
+        if self._seat_count == 1:
+            self._become_ready()
+            return
+        self._member.call_at(self._member.now() + ready_timeout_us, self._become_ready)
+        self._run_period()
+
+    def _become_ready(self) -> None:
         if not self.ready:
             self.ready = True
-            self.host.became_ready()
-
-    def _period(self) -> None:
-        self.host.at(self.host.clock() + (PERIOD if self.ready else PERIOD_AT_START), self._period)
-        others = self.host.others()
-        new = [s for s in others if s not in self._known] if not self.ready else others
-        if new:
-            self.host.say(new[int(self.host.random() * len(new))], Compare(self.digests(), self.ready))
-
-    # ---- what is had ----
-
-    def noted(self, customer: str) -> None:
-        """It has changed."""
-        part = part_of(customer)
-        self._names[part].add(customer)
-        self._digests[part] = None
-
-    def _digest(self, part: int) -> int:
-        known = self._digests[part]
-        if known is None:
-            known = 0
-            for name in self._names[part]:
-                (born, number), gone = self.host.has(name)
-                if born:
-                    known ^= xxhash.xxh64_intdigest(f"{born} {number} {gone} {name}".encode())
-            self._digests[part] = known
-        return known
+            self._on_ready()
 
-    def digests(self) -> tuple[int, ...]:
-        return tuple(self._digest(part) for part in range(PARTS))
+    def _run_period(self) -> None:
+        period_us = PERIOD_US if self.ready else STARTUP_PERIOD_US
+        self._member.call_at(self._member.now() + period_us, self._run_period)
+        peers = self._member.live_peers()
+        if not self.ready:
+            peers = [seat for seat in peers if seat not in self._compared]
+        if peers:
+            peer = peers[int(self._member.random() * len(peers))]
+            self._member.send(peer, DigestSummary(self.digests(), self.ready))
+
+    def _knows_enough(self) -> bool:
+        """Whether one ready peer, or so many that they are a majority with this member, have been compared with."""
+        return bool(self._ready_peers) or len(self._compared) >= majority(self._seat_count) - 1
+
+    # ---- digests ----
+
+    def note_changed(self, customer: str) -> None:
+        """A customer's revision has changed: its bucket's digest is computed anew when it is needed."""
+        bucket = bucket_of(customer)
+        self._customers[bucket].add(customer)
+        self._digests[bucket] = None
+
+    def _digest(self, bucket: int) -> int:
+        digest = self._digests[bucket]
+        if digest is None:
+            digest = 0
+            for customer in self._customers[bucket]:
+                (incarnation, number), deleted = self._revisions.known(customer)
+                if incarnation:
+                    entry = f"{incarnation} {number} {deleted} {customer}"
+                    digest ^= xxhash.xxh64_intdigest(entry.encode())
+            self._digests[bucket] = digest
+        return digest
 
-    def _listed(self, parts: tuple[int, ...]) -> tuple[tuple[str, At, bool], ...]:
-        found = [(name, *self.host.has(name)) for part in parts for name in sorted(self._names[part])]
-        if len(found) > MOST_LISTED:  # the rest another time, from another place on
-            turn = int(self.host.random() * len(found))
-            found = (found[turn:] + found[:turn])[:MOST_LISTED]
-        return tuple(found)
+    def digests(self) -> tuple[int, ...]:
+        """Return the digest of each bucket."""
+        return tuple(self._digest(bucket) for bucket in range(BUCKETS))
+
+    def _list(self, buckets: tuple[int, ...]) -> tuple[tuple[str, RevisionId, bool], ...]:
+        listed = [
+            (customer, *self._revisions.known(customer))
+            for bucket in buckets
+            for customer in sorted(self._customers[bucket])
+        ]
+        if len(listed) > MAX_LISTED:  # from a random place on: the rest comes with a later comparison
+            start = int(self._member.random() * len(listed))
+            listed = (listed[start:] + listed[:start])[:MAX_LISTED]
+        return tuple(listed)
 
     # ---- messages ----
 
-    def compare(self, seat: str, m: Compare) -> None:
-        if len(m.parts) != PARTS:
+    def on_summary(self, seat: str, message: DigestSummary) -> None:
+        """Answer with what is here in the buckets that differ."""
+        if len(message.digests) != BUCKETS:
             return
-        parts = tuple(i for i, theirs in enumerate(m.parts) if theirs != self._digest(i))
-        self.host.say(seat, Differ(parts, self._listed(parts), bool(parts), self.ready))
-
-    def differ(self, seat: str, m: Differ) -> None:
-        for customer, at, gone in m.listed:
-            if at > self.host.has(customer)[0] and len(self._wanted) < MOST_WANTED:
-                before = self._wanted.get(customer)
-                if before is None or before.at < at:
-                    self._wanted[customer] = _Wanted(at, gone, seat)
-                    if before is None:
-                        self._queue.append(customer)
-        if m.back:
-            parts = tuple(p for p in m.parts if 0 <= p < PARTS)
-            self.host.say(seat, Differ(parts, self._listed(parts), False, self.ready))
+        differing = tuple(
+            bucket for bucket, theirs in enumerate(message.digests) if theirs != self._digest(bucket)
+        )
+        self._member.send(
+            seat, DigestDifference(differing, self._list(differing), bool(differing), self.ready)
+        )
+
+    def on_difference(self, seat: str, message: DigestDifference) -> None:
+        """Request what the sender has and this member lacks; list this member's own where it is wanted."""
+        for customer, revision_id, deleted in message.listed:
+            if revision_id > self._revisions.known(customer)[0] and len(self._missing) < MAX_MISSING:
+                self._add_missing(customer, _Missing(revision_id, deleted, seat))
+        if message.reply_wanted:
+            buckets = tuple(bucket for bucket in message.buckets if 0 <= bucket < BUCKETS)
+            self._member.send(seat, DigestDifference(buckets, self._list(buckets), False, self.ready))
         if not self.ready:
-            self._known.add(seat)
-            if m.ready:
-                self._settled.add(seat)
-        self._go_on()
-
-    def _go_on(self) -> None:
-        """What is had at once ends here, and not deeper and deeper: there may be thousands."""
-        if self._going:
+            self._compared.add(seat)
+            if message.ready:
+                self._ready_peers.add(seat)
+        self._request_next()
+
+    # ---- requests ----
+
+    def _add_missing(self, customer: str, missing: _Missing) -> None:
+        before = self._missing.get(customer)
+        if before is None:
+            self._queue.append(customer)
+        if before is None or before.revision_id < missing.revision_id:
+            self._missing[customer] = missing
+
+    def _request_next(self) -> None:
+        # A request that ends at once comes back here. `_requesting` makes that return to the loop below: thousands in
+        # a row would exceed the recursion limit.
+        if self._requesting:
             return
-        self._going = True
-        while self._queue and len(self._asked) < AT_ONCE:
+        self._requesting = True
+        while self._queue and len(self._requested) < MAX_CONCURRENT_REQUESTS:
             customer = self._queue.popleft()
-            wanted = self._wanted.get(customer)
-            if wanted is None or wanted.at <= self.host.has(customer)[0]:
-                self._wanted.pop(customer, None)
+            missing = self._missing.get(customer)
+            if missing is None or missing.revision_id <= self._revisions.known(customer)[0]:
+                self._missing.pop(customer, None)
                 continue
-            self._ask(customer, wanted)
-        self._going = False
-        if (
-            not self.ready
-            and not self._queue
-            and not self._asked
-            and (self._settled or len(self._known) >= majority(self.seats) - 1)
-        ):
-            self._be_ready()
-
-    def _ask(self, customer: str, wanted: _Wanted) -> None:
-        self._asked.add(customer)
-        done = [False]
-
-        def over(why: str = "") -> None:
-            if not done[0]:
-                done[0] = True
-                self._asked.discard(customer)
-                if self._wanted.get(customer) is wanted:
-                    del self._wanted[customer]  # what did not come is heard of again
-                else:
-                    self._queue.append(customer)
-                self._go_on()
-
-        self.host.have(customer, wanted.at, wanted.gone, None, wanted.seat, over)
-        if not done[0]:
-            self.host.at(self.host.clock() + ASK_AGAIN, over)
+            self._request(customer, missing)
+        self._requesting = False
+        if not self.ready and not self._queue and not self._requested and self._knows_enough():
+            self._become_ready()
+
+    def _request(self, customer: str, missing: _Missing) -> None:
+        self._requested.add(customer)
+        finished = False
+
+        def finish(reason: str = "") -> None:
+            nonlocal finished
+            if finished:
+                return
+            finished = True
+            self._requested.discard(customer)
+            if self._missing.get(customer) is missing:
+                del self._missing[customer]  # one that failed is found by a later comparison
+            else:
+                self._queue.append(customer)
+            self._request_next()
+
+        self._revisions.obtain(customer, missing.revision_id, missing.deleted, None, missing.seat, finish)
+        if not finished:
+            self._member.call_at(self._member.now() + REQUEST_TIMEOUT_US, finish)
--- a/moorusher/config_distribution/dissemination.py
+++ b/moorusher/config_distribution/dissemination.py
@@ -1,8 +1,8 @@
-"""A revision told to all seats down a tree, and who has it told back up: each member sends to four others at most,
-however many seats there are.
+"""Tree broadcast: a revision goes down a tree over all seats, and who lacks it is reported back up.
 
-Who begins one covers the range of all seats; whoever is told covers its part of it. A head that does not answer is
-passed over, and what it should have covered is split among others. What does not come through here comes by `compare`.
+The origin covers the range of all seats. It splits its range between up to `FAN_OUT` heads, each of which covers its
+part in the same way, so that each member sends to few others however many seats there are. A head that does not
+acknowledge is skipped, and its range is split among others. `anti_entropy` repairs what a broadcast misses.
 """
 
 from __future__ import annotations
@@ -10,188 +10,234 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import Any, Protocol
+from typing import Protocol
 
 from ..membership.failure_detector import MS
-from .messages import At, Cast, Covered, Heard
+from .messages import Disseminate, DisseminateReceived, DisseminateResult, RevisionId
+from .services import Member, ObtainsRevisions
 
-FAN = 4
-HEARD_WITHIN = 250 * MS
-A_LEVEL = 150 * MS  # sooner than whoever told it, each one gives up waiting
-SMALL = 32 << 10  # bytes of a draft that goes with the cast; larger ones are asked for
-MOST_LACKING = 64  # that are named
-Lacking = dict[str, str]
+FAN_OUT = 4
+ACKNOWLEDGE_TIMEOUT_US = 250 * MS
+LEVEL_MARGIN_US = (
+    150 * MS
+)  # a member gives up this much sooner than its parent, so that its result arrives in time
+MAX_INLINE_DRAFT_BYTES = 32 << 10  # larger drafts are requested by the receiver
+MAX_LACKING = 64  # seats named in a result
+Lacking = dict[str, str]  # seat to the reason why it lacks the revision
+LackingCallback = Callable[[Lacking], None]
 
 
-class Host(Protocol):
-    """What casting needs of the member that does it."""
+class BroadcastMember(Member, Protocol):
+    """What broadcasting uses of a member."""
 
-    @property
-    def me(self) -> str: ...
-    def state_of(self, seat: str) -> str: ...  # "alive", or why nothing is sent there
-    def say(self, seat: str, message: Any) -> None: ...
-    def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def clock(self) -> int: ...
-    def count(self, name: str) -> None: ...
-    def draft(self, customer: str, at: At) -> bytes | None: ...  # of that revision, where it is had
-    def have(
-        self, customer: str, at: At, gone: bool, draft: bytes | None, whence: str, then: Callable[[str], None]
-    ) -> None: ...  # `then("")` once it is had, or `then(why)`
+    def count(self, name: str) -> None:
+        """Increment a counter."""
+        ...
 
+    def unreachable_reason(self, seat: str) -> str:
+        """Return why nothing is sent to a seat; "" where it is alive."""
+        ...
 
-@dataclass(slots=True, eq=False)
-class _Wave:
-    """One range that this member sees to."""
 
-    customer: str
-    at: At
-    gone: bool
-    draft: bytes | None
-    until: int
-    then: Callable[[Lacking], None]
-    lacking: Lacking = field(default_factory=dict)
-    open: int = 1  # parts of it that are not over, and its setting out
-    over: bool = False
+class DraftSource(ObtainsRevisions, Protocol):
+    """What broadcasting uses of a member's revisions."""
+
+    def draft(self, customer: str, revision_id: RevisionId) -> bytes | None:
+        """Return the draft of exactly that revision, where it is current."""
+        ...
 
 
 @dataclass(slots=True, eq=False)
-class _Part:
-    wave: _Wave
-    head: int  # index of the seat that it was given to
-    low: int
-    high: int
-    heard: bool = False
+class _Broadcast:
+    """One range of seats that this member covers.
 
+    pending: subtrees without a result yet, and one while the range is being split.
+    """
 
-class Casting:
-    """Spreads new revisions over a tree of members, and knows who has them."""
+    customer: str
+    revision_id: RevisionId
+    deleted: bool
+    draft: bytes | None
+    deadline_us: int
+    then: LackingCallback
+    lacking: Lacking = field(default_factory=dict)
+    pending: int = 1
+    finished: bool = False
 
-    def __init__(self, host: Host, seats: tuple[str, ...], inc: int = 0) -> None:
-        """`inc`: of this process. An answer to what an earlier process of the seat has asked is none to this one."""
-        self.host, self.seats = host, tuple(sorted(seats))
-        self._parts: dict[int, _Part] = {}
-        self._serial = inc
+    def finish(self) -> None:
+        """Report the result once."""
+        self.finished = True
+        self.then(self.lacking)
 
-    def begin(self, customer: str, at: At, gone: bool, within: int, then: Callable[[Lacking], None]) -> None:
-        """By who has it. `then` with the seats that have not, and why, after `within` us at most."""
-        draft = None if gone else self.host.draft(customer, at)
-        self._wave(_Wave(customer, at, gone, draft, self.host.clock() + within, then), 0, len(self.seats))
 
-    def _wave(self, wave: _Wave, low: int, high: int) -> None:
-        self._share(wave, low, high)
-        self._less(wave)
-        if not wave.over:
-            self.host.at(wave.until, lambda: self._late(wave))
+@dataclass(slots=True, eq=False)
+class _Subtree:
+    """The seats from index `head` up to, without, `high`, given to the seat `head`."""
 
-    def _share(self, wave: _Wave, low: int, high: int) -> None:
-        """Between up to `FAN` heads."""
-        size = max(1, -(-(high - low) // FAN))
+    broadcast: _Broadcast
+    head: int
+    high: int
+    acknowledged: bool = False
+
+
+class Disseminator:
+    """Broadcasts new revisions over a tree of members, and collects which seats lack them."""
+
+    def __init__(
+        self, member: BroadcastMember, revisions: DraftSource, seats: tuple[str, ...], incarnation: int = 0
+    ) -> None:
+        """`incarnation`: of this process. Serials begin there: a result for an earlier process of this seat matches
+        no broadcast of this one.
+        """
+        self._member = member
+        self._revisions = revisions
+        self.seats = tuple(sorted(seats))
+        self._subtrees: dict[int, _Subtree] = {}
+        self._serial = incarnation
+
+    def broadcast(
+        self, customer: str, revision_id: RevisionId, deleted: bool, timeout_us: int, then: LackingCallback
+    ) -> None:
+        """Broadcast a revision that this member has; call `then` within the timeout with the seats that lack it."""
+        draft = None if deleted else self._revisions.draft(customer, revision_id)
+        deadline_us = self._member.now() + timeout_us
+        self._cover(_Broadcast(customer, revision_id, deleted, draft, deadline_us, then), 0, len(self.seats))
+
+    def _cover(self, broadcast: _Broadcast, low: int, high: int) -> None:
+        self._split(broadcast, low, high)
+        self._complete_one(broadcast)
+        if not broadcast.finished:
+            self._member.call_at(broadcast.deadline_us, lambda: self._on_deadline(broadcast))
+
+    def _split(self, broadcast: _Broadcast, low: int, high: int) -> None:
+        """Divide a range between up to `FAN_OUT` heads."""
+        size = max(1, -(-(high - low) // FAN_OUT))
         for first in range(low, high, size):
-            self._give(wave, first, min(first + size, high))
+            self._send_to_head(broadcast, first, min(first + size, high))
 
-    def _give(self, wave: _Wave, low: int, high: int) -> None:
-        """To the first of them that is there."""
-        for i in range(low, high):
-            seat = self.seats[i]
-            if seat == self.host.me:
+    def _send_to_head(self, broadcast: _Broadcast, low: int, high: int) -> None:
+        """Give a range to its first seat that is alive."""
+        for head in range(low, high):
+            seat = self.seats[head]
+            if seat == self._member.me:
                 continue
-            if (state := self.host.state_of(seat)) != "alive":
-                self._lacks(wave, seat, state)
+            if reason := self._member.unreachable_reason(seat):
+                self._add_lacking(broadcast, seat, reason)
                 continue
             self._serial += 1
-            serial, part = self._serial, _Part(wave, i, i + 1, high)
-            self._parts[serial] = part
-            wave.open += 1
-            draft = wave.draft
-            left = max(0, (wave.until - A_LEVEL - self.host.clock()) // MS)
-            self.host.say(
-                seat,
-                Cast(
-                    serial,
-                    wave.customer,
-                    wave.at,
-                    wave.gone,
-                    i,
-                    high,
-                    left,
-                    draft if draft is not None and len(draft) <= SMALL else None,
-                ),
+            serial = self._serial
+            self._subtrees[serial] = _Subtree(broadcast, head, high)
+            broadcast.pending += 1
+            self._member.send(seat, self._request(serial, broadcast, head, high))
+            self._member.call_at(
+                self._member.now() + ACKNOWLEDGE_TIMEOUT_US, partial(self._on_acknowledge_timeout, serial)
             )
-            self.host.at(self.host.clock() + HEARD_WITHIN, partial(self._not_heard, serial))
             return
 
-    def _not_heard(self, serial: int) -> None:
-        part = self._parts.get(serial)
-        if part is None or part.heard:
+    def _request(self, serial: int, broadcast: _Broadcast, head: int, high: int) -> Disseminate:
+        left_us = broadcast.deadline_us - LEVEL_MARGIN_US - self._member.now()
+        draft = broadcast.draft
+        if draft is not None and len(draft) > MAX_INLINE_DRAFT_BYTES:
+            draft = None
+        return Disseminate(
+            serial,
+            broadcast.customer,
+            broadcast.revision_id,
+            broadcast.deleted,
+            head,
+            high,
+            max(0, left_us // MS),
+            draft,
+        )
+
+    def _on_acknowledge_timeout(self, serial: int) -> None:
+        """Skip a head that does not answer, and cover what it was given in another way."""
+        subtree = self._subtrees.get(serial)
+        if subtree is None or subtree.acknowledged:
             return
-        del self._parts[serial]
-        self.host.count("namespaces: a seat passed over")
-        self._lacks(part.wave, self.seats[part.head], "does not answer")
-        self._share(part.wave, part.low, part.high)
-        self._less(part.wave)
-
-    def _lacks(self, wave: _Wave, seat: str, why: str) -> None:
-        if seat in wave.lacking or len(wave.lacking) < MOST_LACKING:
-            wave.lacking[seat] = why
-
-    def _less(self, wave: _Wave) -> None:
-        wave.open -= 1
-        if not wave.open and not wave.over:
-            wave.over = True
-            wave.then(wave.lacking)
-
-    def _late(self, wave: _Wave) -> None:
-        if wave.over:
+        del self._subtrees[serial]
+        self._member.count("namespaces: a seat passed over")
+        self._add_lacking(subtree.broadcast, self.seats[subtree.head], "does not answer")
+        self._split(subtree.broadcast, subtree.head + 1, subtree.high)
+        self._complete_one(subtree.broadcast)
+
+    def _add_lacking(self, broadcast: _Broadcast, seat: str, reason: str) -> None:
+        """Name a seat in the result, as long as there is space."""
+        if seat in broadcast.lacking or len(broadcast.lacking) < MAX_LACKING:
+            broadcast.lacking[seat] = reason
+
+    def _complete_one(self, broadcast: _Broadcast) -> None:
+        broadcast.pending -= 1
+        if not broadcast.pending and not broadcast.finished:
+            broadcast.finish()
+
+    def _on_deadline(self, broadcast: _Broadcast) -> None:
+        """Report all seats of the subtrees without a result as lacking."""
+        if broadcast.finished:
             return
-        for serial, part in list(self._parts.items()):
-            if part.wave is wave:
-                del self._parts[serial]
-                for seat in self.seats[part.head : part.high]:
-                    if seat != self.host.me:
-                        self._lacks(wave, seat, "no word of it in time")
-        wave.over = True
-        wave.then(wave.lacking)
+        for serial, subtree in list(self._subtrees.items()):
+            if subtree.broadcast is broadcast:
+                del self._subtrees[serial]
+                for seat in self.seats[subtree.head : subtree.high]:
+                    if seat != self._member.me:
+                        self._add_lacking(broadcast, seat, "no word of it in time")
+        broadcast.finish()
 
     # ---- messages ----
 
-    def cast(self, seat: str, m: Cast) -> None:
-        self.host.say(seat, Heard(m.serial))
-        until = self.host.clock() + m.left_ms * MS
-        waits = [2]
+    def on_disseminate(self, seat: str, message: Disseminate) -> None:
+        """Obtain the revision, cover the range, and answer when both are finished."""
+        self._member.send(seat, DisseminateReceived(message.serial))
+        deadline_us = self._member.now() + message.left_ms * MS
+        pending = 2
         lacking: Lacking = {}
 
-        def over(more: Lacking) -> None:
+        def finished_one(more: Lacking) -> None:
+            nonlocal pending
             lacking.update(more)
-            waits[0] -= 1
-            if not waits[0]:
-                self.host.say(seat, Covered(m.serial, dict(list(lacking.items())[:MOST_LACKING])))
-
-        def had(why: str) -> None:
-            over({self.host.me: why} if why else {})
-
-        def onwards(draft: bytes | None) -> None:
-            self._wave(_Wave(m.customer, m.at, m.gone, draft, until, over), m.low, m.high)
-
-        def then(why: str) -> None:
-            had(why)
-            onwards(self.host.draft(m.customer, m.at))
-
-        if m.gone or m.draft is not None:
-            self.host.have(m.customer, m.at, m.gone, m.draft, seat, had)
-            onwards(m.draft)
-        else:  # a large one: those below are told once it is here to be asked for
-            self.host.have(m.customer, m.at, False, None, seat, then)
-
-    def heard(self, seat: str, m: Heard) -> None:
-        part = self._parts.get(m.serial)
-        if part is not None and self.seats[part.head] == seat:
-            part.heard = True
-
-    def covered(self, seat: str, m: Covered) -> None:
-        part = self._parts.get(m.serial)
-        if part is None or self.seats[part.head] != seat:
+            pending -= 1
+            if not pending:
+                first = dict(list(lacking.items())[:MAX_LACKING])
+                self._member.send(seat, DisseminateResult(message.serial, first))
+
+        def obtained(reason: str) -> None:
+            finished_one({self._member.me: reason} if reason else {})
+
+        def cover(draft: bytes | None) -> None:
+            broadcast = _Broadcast(
+                message.customer, message.revision_id, message.deleted, draft, deadline_us, finished_one
+            )
+            self._cover(broadcast, message.low, message.high)
+
+        def obtained_then_cover(reason: str) -> None:
+            obtained(reason)
+            cover(self._revisions.draft(message.customer, message.revision_id))
+
+        inline = message.deleted or message.draft is not None
+        # Seats below request a large draft from this member, so they are notified only once it is here.
+        self._revisions.obtain(
+            message.customer,
+            message.revision_id,
+            message.deleted,
+            message.draft,
+            seat,
+            obtained if inline else obtained_then_cover,
+        )
+        if inline:
+            cover(message.draft)
+
+    def on_received(self, seat: str, message: DisseminateReceived) -> None:
+        """A head has acknowledged."""
+        subtree = self._subtrees.get(message.serial)
+        if subtree is not None and self.seats[subtree.head] == seat:
+            subtree.acknowledged = True
+
+    def on_result(self, seat: str, message: DisseminateResult) -> None:
+        """A head has covered its range."""
+        subtree = self._subtrees.get(message.serial)
+        if subtree is None or self.seats[subtree.head] != seat:
             return
-        del self._parts[m.serial]
-        for name, why in m.lacking.items():
-            self._lacks(part.wave, name, why)
-        self._less(part.wave)
+        del self._subtrees[message.serial]
+        for name, reason in message.lacking.items():
+            self._add_lacking(subtree.broadcast, name, reason)
+        self._complete_one(subtree.broadcast)
--- a/moorusher/config_distribution/messages.py
+++ b/moorusher/config_distribution/messages.py
@@ -1,89 +1,109 @@
-"""What runners say to each other about customers' revisions."""
+"""Messages between runners about customers' revisions.
+
+Encoded as arrays that begin with the tag: tags and the order of fields are the protocol, names are not.
+"""
 
 from __future__ import annotations
 
 from ..namespaces.revisions import Submission
 from ..replication.messages import ComponentPayload, component_codec
 
-PART = "namespaces"  # of `fleet.messages.For`
-At = tuple[int, int]  # the incarnation of a namespace, and the number of a revision in it
+PART = "namespaces"  # the component's name in `replication.messages.ComponentMessage`
+RevisionId = tuple[
+    int, int
+]  # incarnation of a namespace, number of a revision in it; the larger one is later
 
 
-class Submit(ComponentPayload, frozen=True, tag="submit"):
-    """To the owner of the customer's duty, in that term."""
+class SubmitDraft(ComponentPayload, frozen=True, tag="submit"):
+    """A submission, to the leader of the customer's lease."""
 
     serial: int
     submission: Submission
 
 
-class Submitted(ComponentPayload, frozen=True, tag="submitted"):
-    """`error`: the name of one of `ERRORS`, with its words; else it is published as `at`."""
+class SubmitResult(ComponentPayload, frozen=True, tag="submitted"):
+    """The answer: published as `revision_id`, or the name of an error class with its text."""
 
     serial: int
-    at: At
+    revision_id: RevisionId
     error: str = ""
-    what: str = ""
+    error_text: str = ""
+
 
+class Disseminate(ComponentPayload, frozen=True, tag="cast"):
+    """Obtain a revision, and see that the seats with indexes from `low` up to, without, `high` obtain it.
 
-class Cast(ComponentPayload, frozen=True, tag="cast"):
-    """Down the tree: have that revision, and see that the seats from `low` up to, and without, `high` (in the order of
-    their names) have it. `draft` is None where it is to be asked for, or where the namespace is gone."""
+    draft: None where it has to be requested (a large one), or where the namespace is deleted.
+    left_ms: the sender waits no longer than this for the result.
+    """
 
     serial: int
     customer: str
-    at: At
-    gone: bool
+    revision_id: RevisionId
+    deleted: bool
     low: int
     high: int
-    left_ms: int  # an answer that comes later is not waited for
+    left_ms: int
     draft: bytes | None = None
 
 
-class Heard(ComponentPayload, frozen=True, tag="heard"):
-    """A cast has come; what has become of it follows."""
+class DisseminateReceived(ComponentPayload, frozen=True, tag="heard"):
+    """A `Disseminate` has arrived; its result follows."""
 
     serial: int
 
 
-class Covered(ComponentPayload, frozen=True, tag="covered"):
-    """Who in the range has it not, and why; all others have it."""
+class DisseminateResult(ComponentPayload, frozen=True, tag="covered"):
+    """The seats of the range that lack the revision, each with the reason; all others have it."""
 
     serial: int
     lacking: dict[str, str]
 
 
-class Want(ComponentPayload, frozen=True, tag="want"):
-    """Asks a member for a customer's revision."""
+class RevisionRequest(ComponentPayload, frozen=True, tag="want"):
+    """Asks a member for a customer's revision, or a later one."""
 
     customer: str
-    at: At
+    revision_id: RevisionId
 
 
-class Given(ComponentPayload, frozen=True, tag="given"):
-    """That revision, or a later one."""
+class RevisionReply(ComponentPayload, frozen=True, tag="given"):
+    """The requested revision, or a later one."""
 
     customer: str
-    at: At
-    gone: bool
+    revision_id: RevisionId
+    deleted: bool
     draft: bytes
 
 
-class Compare(ComponentPayload, frozen=True, tag="compare"):
-    """Digests of what is had, by parts of the customers' names. `ready`: whoever says so knows what others had."""
+class DigestSummary(ComponentPayload, frozen=True, tag="compare"):
+    """The sender's digests, one a bucket of customers. `ready`: the sender knows what the other members have."""
 
-    parts: tuple[int, ...]
+    digests: tuple[int, ...]
     ready: bool
 
 
-class Differ(ComponentPayload, frozen=True, tag="differ"):
-    """What is had in the parts that differ; `more`: not all of it. `back`: the same is wanted of the other one."""
+class DigestDifference(ComponentPayload, frozen=True, tag="differ"):
+    """What the sender has in the buckets that differ.
+
+    listed: customer, revision, whether it is deleted.
+    reply_wanted: the receiver is to list its own.
+    """
 
-    parts: tuple[int, ...]
-    listed: tuple[tuple[str, At, bool], ...]
-    back: bool
+    buckets: tuple[int, ...]
+    listed: tuple[tuple[str, RevisionId, bool], ...]
+    reply_wanted: bool
     ready: bool
 
 
 encode, decode = component_codec(
-    Submit | Submitted | Cast | Heard | Covered | Want | Given | Compare | Differ
+    SubmitDraft
+    | SubmitResult
+    | Disseminate
+    | DisseminateReceived
+    | DisseminateResult
+    | RevisionRequest
+    | RevisionReply
+    | DigestSummary
+    | DigestDifference
 )
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -1,7 +1,8 @@
-"""The work of the duty `namespace/<customer>`: what is submitted becomes the next revision, one after the other.
+"""The work of the lease `namespace/<customer>`: submissions become revisions, one after the other.
 
-Published is what a majority of the register has taken in this owner's term; only then is anybody told so. Where an
-attempt's outcome is not known, what the register holds is read before the next: two drafts never get one number.
+A revision is published once a majority of the register has accepted it in this leader's term; only then is anybody
+notified. Where the outcome of an attempt is unknown, the register is read before the next attempt, so that one number
+never means two drafts.
 """
 
 from __future__ import annotations
@@ -16,135 +17,180 @@
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
 from ..namespaces.revisions import Book, Submission, drafted, pack, published, unpack
-from .messages import At
+from .errors import DistributionError
+from .messages import RevisionId
 
 KIND = "namespace"
 PREFIX = "namespace/"
-MOST_WAITING = 16
-Answer = Callable[[At | NamespaceError | DutyError], None]
+MAX_WAITING = 16  # submissions a customer
+Answer = Callable[[RevisionId | DistributionError], None]
+BookCallback = Callable[[tuple[int, Book] | DutyError], None]  # with the namespace's incarnation
 
 
 def duty_of(customer: str) -> str:
-    """The duty that publishes for a customer."""
+    """Return the name of the lease whose leader publishes for a customer."""
     return PREFIX + customer
 
 
-class Host(Protocol):
-    """What the publisher needs of the member that owns the duty."""
+class PublisherHost(Protocol):
+    """What a publisher uses of the member that leads."""
 
-    def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None: ...
-    def book(self, customer: str, then: Callable[[tuple[int, Book] | DutyError], None]) -> None: ...
-    def published(self, customer: str, at: At, draft: bytes) -> None: ...
-    def bounds(self, customer: str) -> Bounds: ...
-    def ended(self, publisher: Publisher) -> None: ...
-    def unix_ms(self) -> int: ...
+    def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
+        """Call `then` with what is wrong with a draft, or None."""
+        ...
+
+    def book(self, customer: str, then: BookCallback) -> None:
+        """Read the customer's book from a majority of the register."""
+        ...
+
+    def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
+        """A revision has been published: distribute it."""
+        ...
+
+    def bounds(self, customer: str) -> Bounds:
+        """Return how much may be published and retained."""
+        ...
+
+    def ended(self, publisher: Publisher) -> None:
+        """The publisher's term is over."""
+        ...
+
+    def unix_ms(self) -> int:
+        """Return the wall-clock time."""
+        ...
 
 
 class Publisher:
-    """Publishes one customer's revisions (`leadership.worker.Worker`)."""
+    """Publishes one customer's revisions while its lease is held (`leadership.worker.Worker`).
 
-    def __init__(self, lease: LeaseHolder, host: Host) -> None:
-        self.lease, self.host = lease, host
+    lease: LeaseHolder, through which the state is changed.
+    customer: str, whose revisions.
+    incarnation: int, of the namespace.
+    """
+
+    def __init__(self, lease: LeaseHolder, host: PublisherHost) -> None:
+        self.lease = lease
+        self.host = host
         self.customer = lease.name.removeprefix(PREFIX)
-        self.born = lease.record.generation
-        self._book: Book | None = None
-        self._waiting: deque[tuple[Submission, Answer]] = deque()
-        self._stopped: DutyError | None = None
-        self._over = False
+        self.incarnation = lease.record.generation
+        self._book: Book | None = (
+            None  # None: unknown, the register is read before the next submission is judged
+        )
+        self._waiting: deque[tuple[Submission, Answer]] = deque()  # the first one is being published
+        self._stop_reason: DutyError | None = None
+        self._stopped = False
+
+    # ---- leadership.worker.Worker ----
 
     def start(self) -> None:
-        """What the owner before has published may not have come to all: it is told anew."""
+        """Distribute the current revision again: the previous leader may have died before all had it."""
         try:
             self._book = unpack(self.lease.state, self.customer)
         except ValueError:
             return
         if (entry := self._book.current) is not None:
-            self.host.published(self.customer, (self.born, entry.number), entry.draft)
+            self.host.published(self.customer, (self.incarnation, entry.number), entry.draft)
 
     def before_release(self) -> None:
-        return None
+        """Nothing has to be written before the lease is released."""
 
     def stop(self, why: DutyError | None) -> None:
-        self._over, self._stopped = True, why
+        """Fail all waiting submissions with `why`, or `Busy` where the lease is released."""
+        self._stopped = True
+        self._stop_reason = why
         self.host.ended(self)
-        waiting, self._waiting = list(self._waiting), deque()
+        waiting = list(self._waiting)
+        self._waiting.clear()
         for _, then in waiting:
-            then(why or self._given_up())
+            then(why or self._being_released())
 
-    def _given_up(self) -> Busy:
+    def _being_released(self) -> Busy:
         return Busy(f"{self.lease.name}: it is being given to another")
 
-    # ---- one after the other ----
+    # ---- submissions, one after the other ----
 
-    def submit(self, s: Submission, then: Answer) -> None:
-        """`then` once: what it was published as, or why it was not, as far as that is known here."""
-        if self._over or s.customer != self.customer:
-            return then(self._stopped or self._given_up())
-        if len(self._waiting) >= MOST_WAITING:
-            return then(Busy(f"{self.lease.name}: {MOST_WAITING} submissions wait already"))
-        self._waiting.append((s, then))
+    def submit(self, submission: Submission, then: Answer) -> None:
+        """Publish; call `then` once with the revision, or with why it was not published as far as is known here."""
+        if self._stopped or submission.customer != self.customer:
+            then(self._stop_reason or self._being_released())
+            return
+        if len(self._waiting) >= MAX_WAITING:
+            then(Busy(f"{self.lease.name}: {MAX_WAITING} submissions wait already"))
+            return
+        self._waiting.append((submission, then))
         if len(self._waiting) == 1:
-            self._first()
-        return None
+            self._process_first()
 
-    def _first(self) -> None:
+    def _process_first(self) -> None:
         if self._book is not None:
-            return self._judge(self._book)
+            self._judge(self._book)
+            return
 
         def read(got: tuple[int, Book] | DutyError) -> None:
-            if self._over:
+            if self._stopped:
                 return
             if isinstance(got, DutyError):
-                return self._done(got)
-            if got[0] != self.born:
-                return self._done(self._given_up())
-            self._book = got[1]
-            self._judge(got[1])
+                self._done(got)
+                return
+            incarnation, book = got
+            if incarnation != self.incarnation:
+                self._done(self._being_released())
+                return
+            self._book = book
+            self._judge(book)
 
-        return self.host.book(self.customer, read)
+        self.host.book(self.customer, read)
 
     def _judge(self, book: Book) -> None:
-        s = self._waiting[0][0]
-        if (before := book.submitted(s.id)) is not None:  # its answer was lost on the way
-            return self._done((self.born, before.number))
+        """Check the first submission against the book, and publish it."""
+        submission = self._waiting[0][0]
+        if (before := book.submitted(submission.id)) is not None:  # a retry: the answer was lost
+            self._done((self.incarnation, before.number))
+            return
         try:
-            draft = drafted(book, s)
+            draft = drafted(book, submission)
         except NamespaceError as exc:
-            return self._done(exc)
+            self._done(exc)
+            return
 
-        def checked(wrong: NamespaceError | None) -> None:
-            if self._over:
+        def checked(error: NamespaceError | None) -> None:
+            if self._stopped:
+                return
+            if error is not None:
+                self._done(error)
                 return
-            if wrong is not None:
-                return self._done(wrong)
-            self._publish(book, s, draft)
+            self._publish(book, submission, draft)
 
-        return self.host.check(self.customer, draft, checked)
+        self.host.check(self.customer, draft, checked)
 
-    def _publish(self, book: Book, s: Submission, draft: bytes) -> None:
+    def _publish(self, book: Book, submission: Submission, draft: bytes) -> None:
         try:
-            made = published(book, s, draft, self.host.unix_ms(), self.host.bounds(self.customer))
+            updated = published(book, submission, draft, self.host.unix_ms(), self.host.bounds(self.customer))
         except NamespaceError as exc:
-            return self._done(exc)
+            self._done(exc)
+            return
 
-        def over(outcome: Outcome) -> None:
-            if self._over:
+        def finished(outcome: Outcome) -> None:
+            if self._stopped:
                 return
             if isinstance(outcome, Completed):
-                self._book = made
-                at = self.born, made.number
-                self.host.published(self.customer, at, draft)
-                return self._done(at)
+                self._book = updated
+                revision_id = (self.incarnation, updated.number)
+                self.host.published(self.customer, revision_id, draft)
+                self._done(revision_id)
+                return
             if isinstance(outcome, (NoMajority, Busy)):
-                self._book = None  # it may come about yet: what is there is read before anything else
-            return self._done(outcome)
+                # The change may still be accepted. Judged by the old book, the next draft would get the same number:
+                # the register is read first, which also prevents the change from being accepted afterwards.
+                self._book = None
+            self._done(outcome)
 
-        return self.lease.submit(StateUpdate(pack(made)), over)
+        self.lease.submit(StateUpdate(pack(updated)), finished)
 
-    def _done(self, got: At | NamespaceError | DutyError) -> None:
-        if self._over:
+    def _done(self, answer: RevisionId | DistributionError) -> None:
+        if self._stopped:
             return
         _, then = self._waiting.popleft()
-        then(got)
-        if self._waiting and not self._over:
-            self._first()
+        then(answer)
+        if self._waiting and not self._stopped:
+            self._process_first()
--- /dev/null
+++ b/moorusher/config_distribution/register_reader.py
@@ -0,0 +1,97 @@
+"""Revisions and books as a majority of the register has them, rather than as they are current at this member."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Container
+
+from ..leadership.directory import Reading
+from ..leadership.errors import DutyError
+from ..leadership.participant import Participant
+from ..namespaces.customers import Revision
+from ..namespaces.errors import NamespaceError, Retired
+from ..namespaces.revisions import Book, unpack
+from .errors import DistributionError, error_from_wire
+from .messages import RevisionId
+from .publisher import BookCallback, duty_of
+from .revision_fetching import DraftReader, RevisionFetcher
+
+
+class RegisterReader:
+    """Reads customers' books from the registers of their leases."""
+
+    def __init__(
+        self,
+        participant: Participant,
+        led_here: Container[str],
+        revisions: RevisionFetcher,
+        reader: DraftReader,
+    ) -> None:
+        """`led_here`: names of the leases that this member's publishers hold."""
+        self._directory = participant.directory
+        self._led_here = led_here
+        self._revisions = revisions
+        self._reader = reader
+
+    def book(self, customer: str, then: BookCallback) -> None:
+        """Call `then` with the namespace's incarnation and its book.
+
+        Read by the leader itself, no change that it has given up on is accepted afterwards.
+        """
+        name = duty_of(customer)
+
+        def read(got: Reading | DutyError) -> None:
+            if isinstance(got, DutyError):
+                then(got)
+                return
+            try:
+                book = unpack(got.state or b"", customer)
+            except ValueError as exc:
+                then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a DutyError
+                return
+            then((got.record.generation, book))
+
+        self._directory.read(name, read, after_abandoned_changes=name in self._led_here)
+
+    def draft(self, customer: str, revision_id: RevisionId, then: Callable[[bytes | None], None]) -> None:
+        """Call `then` with the draft of exactly that revision; None where it is not there or not readable."""
+        incarnation, number = revision_id
+
+        def got_book(got: tuple[int, Book] | DutyError) -> None:
+            entry = None if isinstance(got, DutyError) or got[0] != incarnation else got[1].find(number)
+            then(None if entry is None else entry.draft)
+
+        self.book(customer, got_book)
+
+    def revision(
+        self,
+        customer: str,
+        revision_id: RevisionId,
+        then: Callable[[Revision | DistributionError], None],
+    ) -> None:
+        """Call `then` with exactly that revision, current or not, or with an error.
+
+        For work that another runner has begun under it. `Retired` where it is retained no longer.
+        """
+        current = self._revisions.customers.of(customer)
+        if current is not None and current.at == revision_id:
+            then(current)
+            return
+        incarnation, number = revision_id
+
+        def got_book(got: tuple[int, Book] | DutyError) -> None:
+            if isinstance(got, DutyError):
+                then(got)
+                return
+            entry = got[1].find(number) if got[0] == incarnation else None
+            if entry is None:
+                then(Retired(f"revision {number} of {customer!r} is kept no longer"))
+                return
+            draft = entry.draft
+            self._reader.read(
+                draft,
+                lambda read: then(
+                    read if isinstance(read, NamespaceError) else Revision(customer, revision_id, read, draft)
+                ),
+            )
+
+        self.book(customer, got_book)
--- /dev/null
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -0,0 +1,194 @@
+"""How one member comes to have a revision: it is received or requested, read, and made current.
+
+A customer's revision only moves forward, and is replaced as one value.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from ..membership.failure_detector import MS
+from ..namespaces.customers import Customers, Revision, Stale
+from ..namespaces.document import Namespace
+from ..namespaces.errors import NamespaceError
+from .messages import RevisionId, RevisionReply, RevisionRequest
+from .services import Member, ObtainCallback
+
+MAX_CONCURRENT_FETCHES = 1_024  # customers
+FETCH_TIMEOUT_US = 5_000 * MS
+
+
+class FetchingMember(Member, Protocol):
+    """What fetching uses of a member."""
+
+    def count(self, name: str) -> None:
+        """Increment a counter."""
+        ...
+
+
+class DraftReader(Protocol):
+    """What fetching uses of the process."""
+
+    def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
+        """Parse a draft, and call `then` in a later turn."""
+        ...
+
+
+@dataclass(slots=True, eq=False)
+class _Fetch:
+    """One customer's fetch.
+
+    revision_id: the latest that is wanted, (0, 0) before the first.
+    source: the seat that has it.
+    waiting: who wants which revision.
+    reading: a draft is being parsed; none is requested meanwhile.
+    """
+
+    revision_id: RevisionId
+    source: str
+    waiting: list[tuple[RevisionId, ObtainCallback]] = field(default_factory=list)
+    reading: bool = False
+
+
+class RevisionFetcher:
+    """One member's revisions, and the fetches of later ones.
+
+    Serves as `dissemination.DraftSource` and as `anti_entropy.KnownRevisions`.
+
+    customers: Customers, the current revisions.
+    """
+
+    def __init__(
+        self,
+        member: FetchingMember,
+        customers: Customers,
+        reader: DraftReader,
+        on_changed: Callable[[str, bytes | None], None],
+    ) -> None:
+        """`on_changed`: a customer's current draft is another, or None where its namespace is deleted."""
+        self.customers = customers
+        self._member = member
+        self._reader = reader
+        self._on_changed = on_changed
+        self._fetches: dict[str, _Fetch] = {}
+
+    # ---- what is current, and obtaining a later one ----
+
+    def known(self, customer: str) -> tuple[RevisionId, bool]:
+        """Return the latest revision known here, and whether it is a deletion."""
+        return self.customers.at(customer), self.customers.gone(customer)
+
+    def draft(self, customer: str, revision_id: RevisionId) -> bytes | None:
+        """Return the draft of exactly that revision, where it is current."""
+        revision = self.customers.of(customer)
+        return revision.draft if revision is not None and revision.at == revision_id else None
+
+    def obtain(
+        self,
+        customer: str,
+        revision_id: RevisionId,
+        deleted: bool,
+        draft: bytes | None,
+        source: str,
+        then: ObtainCallback,
+    ) -> None:
+        """Make that revision, or a later one, current here; without a draft it is requested from the seat `source`."""
+        if revision_id <= self.customers.at(customer):
+            then("")
+            return
+        if deleted:
+            self._delete(customer, revision_id)
+            then("")
+            return
+        fetch = self._fetches.get(customer)
+        if fetch is None:
+            if len(self._fetches) >= MAX_CONCURRENT_FETCHES:
+                then("too many at a time")
+                return
+            fetch = self._start_fetch(customer, source)
+        fetch.waiting.append((revision_id, then))
+        if revision_id > fetch.revision_id:
+            fetch.revision_id = revision_id
+            fetch.source = source
+        if draft is not None:
+            self._read(customer, revision_id, draft, fetch)
+        elif not fetch.reading:
+            self._member.send(source, RevisionRequest(customer, revision_id))
+
+    # ---- one fetch ----
+
+    def _start_fetch(self, customer: str, source: str) -> _Fetch:
+        fetch = _Fetch((0, 0), source)
+        self._fetches[customer] = fetch
+        self._member.call_at(
+            self._member.now() + FETCH_TIMEOUT_US,
+            lambda: self._fail(customer, fetch, "it did not come in time"),
+        )
+        return fetch
+
+    def _read(self, customer: str, revision_id: RevisionId, draft: bytes, fetch: _Fetch) -> None:
+        fetch.reading = True
+
+        def read(got: Namespace | NamespaceError) -> None:
+            fetch.reading = False
+            if isinstance(got, NamespaceError):
+                self._member.count("namespaces: a revision that can't be read")
+                self._fail(customer, fetch, f"it can't be read: {got}")
+                return
+            try:
+                self.customers.put(Revision(customer, revision_id, got, draft))
+            except Stale:  # a later one has become current while this one was parsed
+                self._complete(customer, fetch)
+                return
+            self._on_changed(customer, draft)
+            self._complete(customer, fetch)
+
+        self._reader.read(draft, read)
+
+    def _delete(self, customer: str, revision_id: RevisionId) -> None:
+        self.customers.delete(customer, revision_id)
+        self._on_changed(customer, None)
+
+    def _complete(self, customer: str, fetch: _Fetch) -> None:
+        """Call back who wanted what is current now, and go on for the others."""
+        current = self.customers.at(customer)
+        served = [then for revision_id, then in fetch.waiting if revision_id <= current]
+        fetch.waiting = [(revision_id, then) for revision_id, then in fetch.waiting if revision_id > current]
+        if not fetch.waiting and self._fetches.get(customer) is fetch:
+            del self._fetches[customer]
+        elif fetch.waiting and not fetch.reading:
+            self._member.send(fetch.source, RevisionRequest(customer, fetch.revision_id))
+        for then in served:
+            then("")
+
+    def _fail(self, customer: str, fetch: _Fetch, reason: str) -> None:
+        if self._fetches.get(customer) is fetch:
+            del self._fetches[customer]
+        waiting = fetch.waiting
+        fetch.waiting = []
+        for _, then in waiting:
+            then(reason)
+
+    # ---- messages ----
+
+    def on_request(self, seat: str, message: RevisionRequest) -> None:
+        """Send the revision, or a later one; nothing where neither is here."""
+        customer = message.customer
+        revision = self.customers.of(customer)
+        if revision is not None and revision.at >= message.revision_id:
+            self._member.send(seat, RevisionReply(customer, revision.at, False, revision.draft))
+        elif self.customers.gone(customer) and self.customers.at(customer) >= message.revision_id:
+            self._member.send(seat, RevisionReply(customer, self.customers.at(customer), True, b""))
+
+    def on_reply(self, seat: str, message: RevisionReply) -> None:
+        """Take a revision that was requested; one that is not wanted any more is ignored."""
+        fetch = self._fetches.get(message.customer)
+        if fetch is None or message.revision_id <= self.customers.at(message.customer):
+            return
+        if message.deleted:
+            self._delete(message.customer, message.revision_id)
+            self._complete(message.customer, fetch)
+        elif not fetch.reading:
+            self._read(message.customer, message.revision_id, message.draft, fetch)
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..config_distribution.messages import At
+from ..config_distribution.messages import RevisionId
 from ..config_distribution.publisher import Publisher
 from ..leadership.effects import Completed, Outcome, StateUpdate
 from ..leadership.errors import DutyError, NoMajority, Superseded
@@ -60,7 +60,7 @@
     def book(self, customer: str, then: Callable[[tuple[int, Book] | DutyError], None]) -> None:
         self.reads.append(then)
 
-    def published(self, customer: str, at: At, draft: bytes) -> None:
+    def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
         self.case.means(at[1], draft)
 
     def bounds(self, customer: str) -> Bounds:
@@ -163,7 +163,7 @@
                 change.made = False
         owner.reads.pop(0)((1, unpack(self.state, CUSTOMER)))
 
-    def _told(self, id: str, got: At | NamespaceError | DutyError) -> None:
+    def _told(self, id: str, got: RevisionId | NamespaceError | DutyError) -> None:
         if not isinstance(got, Exception):
             self.told.append((id, got[1]))
             self.means(got[1], id.encode())
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -14,9 +14,11 @@
 
 import msgspec
 
-from ..config_distribution.messages import At
+from ..config_distribution.errors import DistributionError
+from ..config_distribution.messages import RevisionId
+from ..config_distribution.propagation import DELETED_NUMBER
 from ..config_distribution.publisher import duty_of
-from ..config_distribution.replica import GONE, Error, Replica
+from ..config_distribution.replica import Replica
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.worker import Worker
@@ -38,7 +40,7 @@
 GRANTED = Granted(frozenset({"s"}))
 COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
 DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power"))
-Draft = tuple[str, At]
+Draft = tuple[str, RevisionId]
 
 
 def draft_of(name: str) -> bytes:
@@ -83,7 +85,7 @@
             got = exc
         self.sim.at(self.sim.now + round(self.sim.random.uniform(0.2, 40) * MS), self, lambda: then(got))
 
-    def keep(self, customer: str, at: At, draft: bytes | None) -> None:
+    def keep(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
         if self.whole.lasting:
             self.whole.stored[self.seat][customer] = at, draft
 
@@ -110,12 +112,14 @@
         deletions: int = 2,
     ) -> None:
         self.replica = replica
-        self.stored: list[dict[str, tuple[At, bytes | None]]] = [{} for _ in range((course or COURSE).seats)]
+        self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [
+            {} for _ in range((course or COURSE).seats)
+        ]
         self.drafts: defaultdict[Draft, set[bytes]] = defaultdict(
             set
         )  # what each number was seen to mean, anywhere
-        self.last: dict[tuple[int, str], At] = {}  # of each process
-        self.told: list[tuple[str, At, str, bytes, int]] = []  # customer, as what, id, draft, when
+        self.last: dict[tuple[int, str], RevisionId] = {}  # of each process
+        self.told: list[tuple[str, RevisionId, str, bytes, int]] = []  # customer, as what, id, draft, when
         self.failed: list[tuple[str, str]] = []
         self.found: list[str] = []
         self.waited: list[int] = []  # us from publishing to everywhere
@@ -149,13 +153,13 @@
     def _submit(self, customer: str, id: str, expects: int, at: float) -> None:
         draft = draft_of(id)
 
-        def over(process: PublishProcess, got: At | Error) -> None:
+        def over(process: PublishProcess, got: RevisionId | DistributionError) -> None:
             if isinstance(got, Exception):
                 return self.failed.append((id, type(got).__name__))
             self.told.append((customer, got, id, draft, self.now))
             self._means(customer, got, draft)
             began = self.now
-            return process.replica.everywhere(
+            return process.replica.propagation.everywhere(
                 customer, got, lambda lacking: self._everywhere(customer, got, lacking, began)
             )
 
@@ -168,7 +172,7 @@
         )
 
     def _delete(self, customer: str, at: float) -> None:
-        def over(got: At | Error) -> None:
+        def over(got: RevisionId | DistributionError) -> None:
             if not isinstance(got, Exception):
                 self.told.append((customer, got, "", b"", self.now))
 
@@ -178,7 +182,7 @@
 
     # ---- what is seen ----
 
-    def _means(self, customer: str, at: At, draft: bytes) -> None:
+    def _means(self, customer: str, at: RevisionId, draft: bytes) -> None:
         self.drafts[customer, at].add(draft)
         self._published.setdefault((customer, at), self.now)
         if len(self.drafts[customer, at]) > 1:
@@ -193,7 +197,7 @@
         if found is not None:
             self._means(customer, at, found.draft)
 
-    def _everywhere(self, customer: str, at: At, lacking: dict[str, str], began: int) -> None:
+    def _everywhere(self, customer: str, at: RevisionId, lacking: dict[str, str], began: int) -> None:
         if not lacking:
             self.waited.append(self.now - began)
         for p in self.processes:
@@ -237,7 +241,7 @@
             return (
                 f"told {late} after the last birth {record.generation}"
                 if late
-                else self._all_have(live, customer, (record.generation, GONE))
+                else self._all_have(live, customer, (record.generation, DELETED_NUMBER))
             )
         if record.status == LeaseStatus.SUSPENDED:
             return None
@@ -251,7 +255,7 @@
         return found
 
     @staticmethod
-    def _of_the_book(book: Book, born: int, told: list[tuple[At, bytes]]) -> str | None:
+    def _of_the_book(book: Book, born: int, told: list[tuple[RevisionId, bytes]]) -> str | None:
         there = [e.number for e in book.entries]
         if there != list(range(len(there), 0, -1)):
             return f"numbers {there}"
@@ -264,7 +268,7 @@
                 return f"{(its, number)} was told to be published, and {there} of {born} are there"
         return None
 
-    def _all_have(self, live: list[PublishProcess], customer: str, at: At) -> str | None:
+    def _all_have(self, live: list[PublishProcess], customer: str, at: RevisionId) -> str | None:
         behind = {
             p.node.me: p.replica.customers.at(customer)
             for p in live
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
-from ..config_distribution.messages import At
+from ..config_distribution.messages import RevisionId
 from ..transient_errors import retry_transient
 
 log = logging.getLogger("moorusher")
@@ -41,7 +41,7 @@
 )
 PRIMARY = 0xFF  # the part of an extended error code that names its kind
 
-Stored = tuple[str, At, bytes | None]
+Stored = tuple[str, RevisionId, bytes | None]
 
 
 def is_damage(exc: Exception) -> bool:
@@ -74,7 +74,7 @@
         self._reactor, self.path, self._pool, self._count = reactor, path, pool, count
         self._connect = connect
         self._db: sqlite3.Connection | None = None
-        self._owed: dict[str, tuple[At, bytes | None]] = {}  # a customer each
+        self._owed: dict[str, tuple[RevisionId, bytes | None]] = {}  # a customer each
         self._writing = self._waiting = self._closed = False
         self.failing = ""
 
@@ -124,7 +124,7 @@
 
     # ---- writes ----
 
-    def put(self, customer: str, at: At, draft: bytes | None) -> None:
+    def put(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
         """`draft` is None where it is gone. An older one than what is there changes nothing."""
         if self._closed:
             return
@@ -144,7 +144,7 @@
         done.addCallbacks(lambda _: self._written(batch), self._not_written)
         done.addErrback(lambda failure: log.error("namespaces: %s", failure.getTraceback()))
 
-    def _write_all(self, batch: dict[str, tuple[At, bytes | None]]) -> None:
+    def _write_all(self, batch: dict[str, tuple[RevisionId, bytes | None]]) -> None:
         """In the pool's thread. A connection that has failed is not used again."""
         try:
             if self._db is None:
@@ -156,7 +156,7 @@
             self._drop()
             raise
 
-    def _written(self, batch: dict[str, tuple[At, bytes | None]]) -> None:
+    def _written(self, batch: dict[str, tuple[RevisionId, bytes | None]]) -> None:
         self._writing = False
         for customer, had in batch.items():
             if self._owed.get(customer) == had:
@@ -187,7 +187,7 @@
         self._closed = True
         self._pool.callInThread(self._last_write, dict(self._owed))
 
-    def _last_write(self, batch: dict[str, tuple[At, bytes | None]]) -> None:
+    def _last_write(self, batch: dict[str, tuple[RevisionId, bytes | None]]) -> None:
         try:
             self._write_all(batch)
         except (OSError, sqlite3.Error) as exc:
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -12,11 +12,19 @@
 
 import pytest
 
-from moorusher.config_distribution.anti_entropy import Comparing
-from moorusher.config_distribution.dissemination import FAN, SMALL, Casting
-from moorusher.config_distribution.messages import At, Cast, Compare, Covered, Differ, Heard
+from moorusher.config_distribution.anti_entropy import AntiEntropy
+from moorusher.config_distribution.dissemination import FAN_OUT, MAX_INLINE_DRAFT_BYTES, Disseminator
+from moorusher.config_distribution.messages import (
+    DigestDifference,
+    DigestSummary,
+    Disseminate,
+    DisseminateReceived,
+    DisseminateResult,
+    RevisionId,
+)
+from moorusher.config_distribution.propagation import DELETED_NUMBER
 from moorusher.config_distribution.publisher import Publisher
-from moorusher.config_distribution.replica import GONE, Replica
+from moorusher.config_distribution.replica import Replica
 from moorusher.leadership.effects import Completed, Outcome
 from moorusher.leadership.errors import NoMajority, Superseded
 from moorusher.leadership.fencing_token import FencingToken
@@ -92,7 +100,7 @@
     def __init__(self, *outcomes: tuple[bool, bool]) -> None:
         """(told as made, made in truth) of each change in turn; then all are made."""
         self.outcomes = list(outcomes)
-        self.register, self.reads, self.told = Book("acme"), 0, list[At]()
+        self.register, self.reads, self.told = Book("acme"), 0, list[RevisionId]()
         self.name, self.state = "namespace/acme", b""
         self.record: Any = self
         self.generation = 7
@@ -110,7 +118,7 @@
         self.reads += 1
         then((self.generation, self.register))
 
-    def published(self, customer: str, at: At, draft: bytes) -> None:
+    def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
         self.told.append(at)
 
     def bounds(self, customer: str) -> Bounds:
@@ -164,7 +172,7 @@
         self.down: set[str] = set()
         self.sent: Counter[str] = Counter()
         for m in self.members.values():
-            m.casting = Casting(m, tuple(self.members))
+            m.disseminator = Disseminator(m, m, tuple(self.members))
 
     def at(self, when: int, do: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (when, next(self.order), do))
@@ -179,39 +187,45 @@
 class Leaf:
     def __init__(self, net: Net, me: str) -> None:
         self.net, self.me = net, me
-        self.casting: Casting
-        self.had: tuple[At, bytes | None] = (0, 0), None
-        self.waits: list[tuple[str, At, Callable[[str], None]]] = []
+        self.disseminator: Disseminator
+        self.had: tuple[RevisionId, bytes | None] = (0, 0), None
+        self.waits: list[tuple[str, RevisionId, Callable[[str], None]]] = []
 
-    def state_of(self, seat: str) -> str:
-        return "down" if seat in self.net.down else "alive"
+    def unreachable_reason(self, seat: str) -> str:
+        return "down" if seat in self.net.down else ""
 
-    def say(self, seat: str, message: Any) -> None:
+    def send(self, seat: str, message: Any) -> None:
         self.net.sent[self.me] += 1
         if seat not in self.net.silent and self.me not in self.net.silent and seat not in self.net.down:
             to = self.net.members[seat]
             kinds: dict[Any, Any] = {
-                Cast: to.casting.cast,
-                Heard: to.casting.heard,
-                Covered: to.casting.covered,
+                Disseminate: to.disseminator.on_disseminate,
+                DisseminateReceived: to.disseminator.on_received,
+                DisseminateResult: to.disseminator.on_result,
             }
             handler = kinds[type(message)]
             self.net.at(self.net.now + self.net.random.randint(200, 2_000), lambda: handler(self.me, message))
 
-    def at(self, when: int, action: Callable[[], None]) -> None:
+    def call_at(self, when: int, action: Callable[[], None]) -> None:
         self.net.at(when, action)
 
-    def clock(self) -> int:
+    def now(self) -> int:
         return self.net.now
 
     def count(self, name: str) -> None:
         return None
 
-    def draft(self, customer: str, at: At) -> bytes | None:
+    def draft(self, customer: str, at: RevisionId) -> bytes | None:
         return self.had[1] if self.had[0] == at else None
 
-    def have(
-        self, customer: str, at: At, gone: bool, draft: bytes | None, whence: str, then: Callable[[str], None]
+    def obtain(
+        self,
+        customer: str,
+        at: RevisionId,
+        gone: bool,
+        draft: bytes | None,
+        whence: str,
+        then: Callable[[str], None],
     ) -> None:
         def got() -> None:
             self.had = max(self.had, (at, draft or self.net.members[whence].had[1]))
@@ -225,17 +239,17 @@
     net, told = Net(n), list[dict[str, str]]()
     root = net.members["n0000"]
     root.had = (1, 1), b"draft"
-    root.casting.begin("acme", (1, 1), False, 2_000_000, told.append)
+    root.disseminator.broadcast("acme", (1, 1), False, 2_000_000, told.append)
     net.run(2_100_000)
     assert told == [{}] and all(m.had == ((1, 1), b"draft") for m in net.members.values())
-    assert max(net.sent.values(), default=0) <= FAN + 2
+    assert max(net.sent.values(), default=0) <= FAN_OUT + 2
 
 
 def test_large_drafts_are_asked_for_level_by_level() -> None:
     net, told = Net(60), list[dict[str, str]]()
-    root, large = net.members["n0000"], b"x" * (SMALL + 1)
+    root, large = net.members["n0000"], b"x" * (MAX_INLINE_DRAFT_BYTES + 1)
     root.had = (1, 1), large
-    root.casting.begin("acme", (1, 1), False, 2_000_000, told.append)
+    root.disseminator.broadcast("acme", (1, 1), False, 2_000_000, told.append)
     net.run(2_100_000)
     assert told == [{}] and all(m.had[1] == large for m in net.members.values())
 
@@ -248,7 +262,7 @@
     net.silent -= net.down
     root = net.members["n0000"]
     root.had = (1, 1), b"draft"
-    root.casting.begin("acme", (1, 1), False, 4_000_000, told.append)
+    root.disseminator.broadcast("acme", (1, 1), False, 4_000_000, told.append)
     net.run(4_100_000)
     assert [set(t) for t in told] == [net.silent | net.down]
     assert all(told[0][name] == "down" for name in net.down)
@@ -261,38 +275,47 @@
 class Pair:
     """Two members and what they have."""
 
-    def __init__(self, net: Net, me: str, has: dict[str, tuple[At, bool]]) -> None:
+    def __init__(self, net: Net, me: str, has: dict[str, tuple[RevisionId, bool]]) -> None:
         self.net, self.me, self.there, self.other = net, me, dict(has), self
-        self.comparing = Comparing(self, 2)
+        self.anti_entropy = AntiEntropy(self, self, 2, self.became_ready)
         self.is_ready_at = -1
         for name in has:
-            self.comparing.noted(name)
+            self.anti_entropy.note_changed(name)
 
-    def others(self) -> list[str]:
+    def live_peers(self) -> list[str]:
         return [self.other.me]
 
-    def say(self, seat: str, message: Any) -> None:
-        kinds: dict[Any, Any] = {Compare: self.other.comparing.compare, Differ: self.other.comparing.differ}
+    def send(self, seat: str, message: Any) -> None:
+        kinds: dict[Any, Any] = {
+            DigestSummary: self.other.anti_entropy.on_summary,
+            DigestDifference: self.other.anti_entropy.on_difference,
+        }
         handler = kinds[type(message)]
         self.net.at(self.net.now + 500, lambda: handler(self.me, message))
 
-    def at(self, when: int, action: Callable[[], None]) -> None:
+    def call_at(self, when: int, action: Callable[[], None]) -> None:
         self.net.at(when, action)
 
-    def clock(self) -> int:
+    def now(self) -> int:
         return self.net.now
 
     def random(self) -> float:
         return self.net.random.random()
 
-    def has(self, customer: str) -> tuple[At, bool]:
+    def known(self, customer: str) -> tuple[RevisionId, bool]:
         return self.there.get(customer, ((0, 0), False))
 
-    def have(
-        self, customer: str, at: At, gone: bool, draft: bytes | None, whence: str, then: Callable[[str], None]
+    def obtain(
+        self,
+        customer: str,
+        at: RevisionId,
+        gone: bool,
+        draft: bytes | None,
+        whence: str,
+        then: Callable[[str], None],
     ) -> None:
         self.there[customer] = at, gone
-        self.comparing.noted(customer)
+        self.anti_entropy.note_changed(customer)
         then("")
 
     def became_ready(self) -> None:
@@ -301,25 +324,29 @@
 
 def test_two_that_compare_come_to_the_later_of_what_each_has_and_one_that_begins_waits_for_it() -> None:
     net = Net(1)
-    old = Pair(net, "n0", {f"c{i}": ((1, GONE if i % 7 == 0 else 1 + i % 3), i % 7 == 0) for i in range(900)})
+    old = Pair(
+        net,
+        "n0",
+        {f"c{i}": ((1, DELETED_NUMBER if i % 7 == 0 else 1 + i % 3), i % 7 == 0) for i in range(900)},
+    )
     new = Pair(net, "n1", {f"c{i}": ((1, 2), False) for i in range(880, 920)})
     old.other, new.other = new, old
-    old.comparing.ready = True
-    new.comparing.start(5_000_000)
-    old.comparing.start(5_000_000)
+    old.anti_entropy.ready = True
+    new.anti_entropy.start(5_000_000)
+    old.anti_entropy.start(5_000_000)
     net.run(400_000)
     assert 0 <= new.is_ready_at < 200_000, "it knows one that knows what the others had"
     net.run(60_000_000)
-    assert old.there == new.there and old.comparing.digests() == new.comparing.digests()
-    assert new.there["c899"] == ((1, 3), False) and new.there["c889"] == ((1, GONE), True)
+    assert old.there == new.there and old.anti_entropy.digests() == new.anti_entropy.digests()
+    assert new.there["c899"] == ((1, 3), False) and new.there["c889"] == ((1, DELETED_NUMBER), True)
     assert old.there["c919"] == ((1, 2), False)
 
 
 def test_one_that_hears_nobody_is_ready_when_its_time_is_over() -> None:
     net = Net(1)
     alone = Pair(net, "n0", {})
-    alone.others = list  # type: ignore[method-assign]
-    alone.comparing.start(2_000_000)
+    alone.live_peers = list  # type: ignore[method-assign]
+    alone.anti_entropy.start(2_000_000)
     net.run(1_999_999)
     assert alone.is_ready_at < 0
     net.run(2_000_000)
@@ -354,7 +381,7 @@
 class GoesBack(Replica):
     def __init__(self, *how: Any) -> None:
         super().__init__(*how)
-        self.customers = Backwards()
+        self.revisions.customers = Backwards()
 
 
 class Twice(Publisher):
@@ -371,9 +398,9 @@
 
 
 class GoesOnUnsure(Replica):
-    def work(self, lease: Any) -> Publisher:
-        made = self.publishers[lease.name] = Twice(lease, self)
-        return made
+    def __init__(self, *how: Any) -> None:
+        super().__init__(*how)
+        self.publishers.publisher_type = Twice
 
 
 class Early(Publisher):
@@ -392,9 +419,9 @@
 
 
 class SaysItEarly(Replica):
-    def work(self, lease: Any) -> Publisher:
-        made = self.publishers[lease.name] = Early(lease, self)
-        return made
+    def __init__(self, *how: Any) -> None:
+        super().__init__(*how)
+        self.publishers.publisher_type = Early
 
 
 class Forgetful(Publisher):
@@ -410,23 +437,28 @@
 
 
 class ForgetsIds(Replica):
-    def work(self, lease: Any) -> Publisher:
-        made = self.publishers[lease.name] = Forgetful(lease, self)
-        return made
+    def __init__(self, *how: Any) -> None:
+        super().__init__(*how)
+        self.publishers.publisher_type = Forgetful
 
 
-class Deaf(Casting):
+class Deaf(Disseminator):
     """Says for those below it that they have it, whatever they say."""
 
-    def _lacks(self, wave: Any, seat: str, why: str) -> None:
+    def _add_lacking(self, broadcast: Any, seat: str, reason: str) -> None:
         return None
 
 
 class SaysAll(Replica):
     def __init__(self, *how: Any) -> None:
         super().__init__(*how)
-        self.casting = Deaf(self, self.participant.node.placement.names)
-        self._handlers |= {Cast: self.casting.cast, Heard: self.casting.heard, Covered: self.casting.covered}
+        self.disseminator = Deaf(self.member, self.revisions, self.member.seats)
+        self.propagation.disseminator = self.disseminator
+        self._handlers |= {
+            Disseminate: self.disseminator.on_disseminate,
+            DisseminateReceived: self.disseminator.on_received,
+            DisseminateResult: self.disseminator.on_result,
+        }
 
 
 # ---- every interleaving ----
