--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -303,9 +303,9 @@
     def render_GET(self, request: Any) -> bytes:
         path = [p for p in request.postpath if p]
         if path == [b"work"]:
-            return reply(request, 200, self._fleet.work())
+            return reply(request, 200, self._fleet.work_in_hand())
         return (
-            reply(request, 200, self._fleet.told())
+            reply(request, 200, self._fleet.status())
             if not path
             else reply(request, 404, {"error": "no such page"})
         )
@@ -316,7 +316,7 @@
             return reply(request, 404, {"error": "expected /fleet/begin or /fleet/begin/lost"})
         if not self.allowed(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
-        why = self._fleet.begin(len(path) > 1)
+        why = self._fleet.bootstrap(len(path) > 1)
         return reply(request, 200, {"begun": True}) if why is None else reply(request, 409, {"error": why})
 
 
@@ -355,10 +355,10 @@
         root.putChild(b"knowledge", _Json(knowledge))
     if fleet is not None:
         root.putChild(b"fleet", _Fleet(token, fleet))
-        if fleet.duties is not None:
+        if fleet.leadership is not None:
             from .leadership import DutyPages
 
-            root.putChild(b"duties", DutyPages(token, fleet.duties))
+            root.putChild(b"duties", DutyPages(token, fleet.leadership))
     if namespaces is not None:
         from .namespaces import NamespacePages
 
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -84,7 +84,7 @@
             else None
         )
         duties.namespaces = self
-        duties.fleet.rules = self
+        duties.fleet.namespaces = self
         self.core.routes = self
 
     def start(self) -> None:
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -18,25 +18,25 @@
 log = logging.getLogger("moorusher")
 
 
-class TakenOver:
+class NoReply:
     """The way back of work that another runner has read: who asks for it again is told through its key."""
 
     def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
         return None
 
 
-class HeldWork:
+class KeyedWorkCoordinator:
     """The part of `fleet.tenure.Host` about work, and the core's `KeyCoordinator`. `alone`: what no majority answers
     for is run all the same."""
 
     node: Node
-    rules: Any  # customers' namespaces, where there are some
+    namespaces: Any  # customers' namespaces, where there are some
 
     def __init__(self, core: Decider, alone: bool) -> None:
         self.core, self._alone = core, alone
-        self._names: dict[Key, CoreKey] = {}
-        self._ruled: set[Key] = set()  # taken up, and its rules are being looked for
-        self._sink = TakenOver()
+        self._core_keys: dict[Key, CoreKey] = {}
+        self._awaiting_rules: set[Key] = set()  # taken up, and its rules are being looked for
+        self._sink = NoReply()
 
     def count(self, name: str) -> None:
         self.core.counters.add(name)
@@ -48,7 +48,7 @@
         if entry is None or entry.number != request.number or entry.theirs:
             return False  # not keyed, or a repeat of what is known here
         a, key = request.arrival, key_of(*entry.key)
-        self._names[key] = entry.key
+        self._core_keys[key] = entry.key
         self.node.claim(
             key,
             entry.body,
@@ -82,7 +82,7 @@
     # ---- what the fleet has settled ----
 
     def _request(self, key: Key) -> Request | None:
-        name = self._names.get(key)
+        name = self._core_keys.get(key)
         entry = None if name is None else self.core.keys.find(name, self.core.clock.now)
         return None if entry is None else self.core.table.by_number.get(entry.number)
 
@@ -113,12 +113,12 @@
     def over(self, key: Key, result: bytes | None) -> None:
         if (request := self._request(key)) is not None:  # found while it was being claimed
             self.core.others.joined(request)
-        name = self._names.get(key)
+        name = self._core_keys.get(key)
         if name is not None:
             self.core.others.result_of_another(name, result)
 
     def none_ran(self, key: Key) -> None:
-        if (name := self._names.get(key)) is not None:
+        if (name := self._core_keys.get(key)) is not None:
             self.core.others.none_ran(name)
 
     def begun(self, key: Key) -> None:
@@ -137,7 +137,7 @@
             self.core.others.given(request)
 
     def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool:
-        self._names[key] = (order.tenant, order.token)
+        self._core_keys[key] = (order.tenant, order.token)
         rid = (
             order.request_id
             if order.request_id not in self.core.table.by_rid
@@ -159,16 +159,16 @@
         )
         if order.rules_revision is None:
             return self._take_up(arrival, None)
-        if self.rules is None:
+        if self.namespaces is None:
             log.warning("fleet: %s of another runner was read under rules that are not set here", order.token)
             return False
-        self._ruled.add(key)
-        self.rules.ruling(arrival, order.rules_revision, lambda got: self._with_rules(key, arrival, got))
+        self._awaiting_rules.add(key)
+        self.namespaces.ruling(arrival, order.rules_revision, lambda got: self._with_rules(key, arrival, got))
         return True
 
     def _with_rules(self, key: Key, arrival: Arrival, got: Any) -> None:
         """The revision that it was read under is here, or can't be had: then another may have it."""
-        self._ruled.discard(key)
+        self._awaiting_rules.discard(key)
         tenure = self.node.tenures.get(key)
         if tenure is None or not tenure.is_held:
             return  # it went to another meanwhile
@@ -187,9 +187,9 @@
         return True
 
     def has(self, key: Key) -> tuple[bool, bool, bytes | None]:
-        if key in self._ruled:
+        if key in self._awaiting_rules:
             return True, False, None
-        name = self._names.get(key)
+        name = self._core_keys.get(key)
         entry = None if name is None else self.core.keys.find(name, self.core.clock.now)
         if entry is None and self.core.claims.peer is not None:  # of the other process of this runner?
             entry = next((e for e in self.core.keys.entries() if e.theirs and key_of(*e.key) == key), None)
@@ -199,4 +199,4 @@
         return ours and not entry.over, entry.over, entry.result
 
     def forgot(self, key: Key) -> None:
-        self._names.pop(key, None)
+        self._core_keys.pop(key, None)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -17,9 +17,9 @@
 from ..leadership.participant import Participant, Reading, Worker
 from ..leadership.policy import Policy
 from ..replication.journal import JournalImage
-from ..replication.register_space import LASTING
+from ..replication.register_space import DUTY_SPACE
 from .effect_receivers import Receivers
-from .replication import FleetLink
+from .replication import ReplicationService
 
 log = logging.getLogger("moorusher")
 
@@ -30,19 +30,19 @@
 class DutyLink:
     """`office.Host`, and what the administration API asks."""
 
-    def __init__(self, fleet: FleetLink, policy: Policy) -> None:
+    def __init__(self, fleet: ReplicationService, policy: Policy) -> None:
         self.fleet, self.policy, self.core = fleet, policy, fleet.core
         self._image: JournalImage | None = None
         self.namespaces: Any = None  # who does the work of those duties, where there are some
         self.forecast: Any = None
         self._receivers = Receivers(fleet.reactor, fleet.core)
-        found = fleet.journal_of("duties")
+        found = fleet.open_part_journal("duties")
         if found is not None:
             self._image = found.image
         self.participant = Participant(fleet.node, self, policy)
         if found is not None:
             self.participant.shelf.notes = True
-            fleet.write_to(found, LASTING, self.participant.keeper)
+            fleet.attach_journal(found, DUTY_SPACE, self.participant.keeper)
         for report in policy.reports:
             self.participant.want(report.name, REPORT)
 
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -21,9 +21,9 @@
 from ..maintenance.policy import Policy
 from ..maintenance.schedule import Ask, Ends, How, Roster, Stage, Turn
 from ..replication.journal import JournalImage
-from ..replication.register_space import SHARED
+from ..replication.register_space import CLUSTER_SPACE
 from ..server.health_report import Reporter
-from .replication import FleetLink
+from .replication import ReplicationService
 
 log = logging.getLogger("moorusher")
 
@@ -48,7 +48,7 @@
 class OutageLink:
     """`outage.coordinator.Host`, and what the administration API asks."""
 
-    def __init__(self, fleet: FleetLink, policy: Policy, reporter: Reporter) -> None:
+    def __init__(self, fleet: ReplicationService, policy: Policy, reporter: Reporter) -> None:
         self.fleet, self.policy, self.reporter = fleet, policy, reporter
         self.core: Decider = fleet.core
         self.mark = mark_of(policy.machine_id)
@@ -58,14 +58,14 @@
         self._settings = ""
         self._image: JournalImage | None = None
         self._gauge = Gauge(self.core.settings.cores, round(policy.peak_s * 1e6))
-        found = fleet.journal_of("outage")
+        found = fleet.open_part_journal("outage")
         if found is not None:
             self._image = found.image
         self.coordinator = OutageCoordinator(fleet.node, self, policy)
         if found is not None:
             self.coordinator.keeper.journaled = fleet.node.is_durable = True
-            fleet.write_to(found, SHARED, self.coordinator.keeper)
-        fleet.outage = self
+            fleet.attach_journal(found, CLUSTER_SPACE, self.coordinator.keeper)
+        fleet.maintenance = self
 
     def start(self) -> None:
         """Before the fleet's own start, which asks others for what is not here."""
@@ -116,7 +116,8 @@
         """Nothing is open or runs, nothing of it is the fleet's, and whoever sends had the time to hear of it."""
         core, horizon = self.core, self.reporter.tracker.horizon(self.core.clock.now)
         return (
-            not (core.owed or len(core.runs) or self.fleet.busy) and core.clock.now - self._since >= horizon
+            not (core.owed or len(core.runs) or self.fleet.is_busy)
+            and core.clock.now - self._since >= horizon
         )
 
     def do(self, doing: Doing, why: str) -> None:
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -28,66 +28,70 @@
 
 log = logging.getLogger("moorusher")
 
-MOST_WAITING = 512  # messages for a peer while the link to it is being made
-MOST_UNSENT = 4 << 20  # bytes; a peer that reads more slowly loses what comes: to the others it is silent
-GREETED_WITHIN = 2_000 * MS
-DIAL_AGAIN, DIAL_MOST = 50 * MS, 1_000 * MS
-FRAME = 256  # messages in one
+MAX_QUEUED_MESSAGES = 512  # messages for a peer while the link to it is being made
+MAX_UNSENT_BYTES = (
+    4 << 20
+)  # bytes; a peer that reads more slowly loses what comes: to the others it is silent
+HANDSHAKE_TIMEOUT_US = 2_000 * MS
+RECONNECT_BACKOFF_US, MAX_RECONNECT_BACKOFF_US = 50 * MS, 1_000 * MS
+MAX_MESSAGES_PER_FRAME = 256  # messages in one
 
 
-class Link(Protocol):
+class PeerOwner(Protocol):
     """Whose connections they are: who is let in, and who hears what is said."""
 
     core: Decider
     reactor: Any
     closed: bool
-    open: set[Peer]
+    incoming: set[PeerConnection]
 
     def hello(self) -> Hello: ...
-    def greeted(self, peer: Peer, m: Hello) -> str | None: ...
-    def made(self, peer: Peer) -> None: ...
-    def refused(self, peer: Peer, why: str) -> None: ...
-    def hung_up(self, peer: Peer) -> None: ...
-    def unreached(self, seat: str, refused: bool) -> None: ...
-    def heard(self, peer: Peer, message: Message) -> None: ...
-    def flush_soon(self, peer: Peer) -> None: ...
+    def check_hello(self, peer: PeerConnection, m: Hello) -> str | None: ...
+    def connected(self, peer: PeerConnection) -> None: ...
+    def rejected_by_peer(self, peer: PeerConnection, why: str) -> None: ...
+    def disconnected(self, peer: PeerConnection) -> None: ...
+    def connect_failed(self, seat: str, refused: bool) -> None: ...
+    def receive(self, peer: PeerConnection, message: Message) -> None: ...
+    def flush_soon(self, peer: PeerConnection) -> None: ...
     def count(self, name: str) -> None: ...
 
 
-class Peer(Int32StringReceiver):
+class PeerConnection(Int32StringReceiver):
     """A connection to or from another seat's process."""
 
     transport: Any
     MAX_LENGTH = MAX_FRAME_BYTES
 
-    def __init__(self, link: Link, seat: str = "") -> None:
-        self.link, self.seat, self.inc = link, seat, 0
-        self.dialled = bool(seat)
-        self.out: list[Message] = []
-        self.told_no = False
-        self._late: Alarm | None = None
+    def __init__(self, link: PeerOwner, seat: str = "") -> None:
+        self.owner, self.seat, self.incarnation = link, seat, 0
+        self.is_outgoing = bool(seat)
+        self._outgoing: list[Message] = []
+        self.rejected = False
+        self._handshake_timer: Alarm | None = None
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        core = self.link.core
+        core = self.owner.core
         core.touch()
-        if self.dialled:
-            self.put([self.link.hello()])
-            self.link.made(self)
+        if self.is_outgoing:
+            self.send_now([self.owner.hello()])
+            self.owner.connected(self)
         else:
-            self.link.open.add(self)
-            self._late = core.alarms.at(core.clock.now + GREETED_WITHIN, self._not_greeted)
+            self.owner.incoming.add(self)
+            self._handshake_timer = core.alarms.at(
+                core.clock.now + HANDSHAKE_TIMEOUT_US, self._handshake_timed_out
+            )
 
-    def _not_greeted(self) -> None:
-        self.link.count("fleet links: " + Ending.SILENT.value)
+    def _handshake_timed_out(self) -> None:
+        self.owner.count("fleet links: " + Ending.SILENT.value)
         self.transport.abortConnection()
 
-    def put(self, messages: list[Message]) -> None:
+    def send_now(self, messages: list[Message]) -> None:
         frame: list[Message] = []
         size = 0
         for message in messages:
             more = len(message.body) if isinstance(message, ComponentMessage) else 0
-            if len(frame) >= FRAME or size + more > MAX_FRAME_BYTES // 2:
+            if len(frame) >= MAX_MESSAGES_PER_FRAME or size + more > MAX_FRAME_BYTES // 2:
                 self.sendString(encode(frame))  # type: ignore[no-untyped-call]
                 frame, size = [], 0
             frame.append(message)
@@ -95,125 +99,125 @@
         if frame:
             self.sendString(encode(frame))  # type: ignore[no-untyped-call]
 
-    def say(self, message: Message) -> None:
-        self.out.append(message)
-        self.link.flush_soon(self)
+    def send(self, message: Message) -> None:
+        self._outgoing.append(message)
+        self.owner.flush_soon(self)
 
     def flush(self) -> None:
-        out, self.out = self.out, []
+        out, self._outgoing = self._outgoing, []
         if (
             len(getattr(self.transport, "dataBuffer", b"")) + sum(map(len, self.transport._tempDataBuffer))
-            > MOST_UNSENT
+            > MAX_UNSENT_BYTES
         ):
-            self.link.count("fleet links: " + Ending.READS_TOO_SLOWLY.value)
+            self.owner.count("fleet links: " + Ending.READS_TOO_SLOWLY.value)
             return
-        self.put(out)
+        self.send_now(out)
 
     def stringReceived(self, string: bytes) -> None:
-        core = self.link.core
+        core = self.owner.core
         core.touch()
         try:
             messages = decode(string)
         except ValueError as exc:
             log.warning("fleet: a peer sent what can't be read: %s", exc)
-            self.link.count("fleet links: " + Ending.BAD_FRAME.value)
+            self.owner.count("fleet links: " + Ending.BAD_FRAME.value)
             self.transport.abortConnection()
             return
         for message in messages:
             if isinstance(message, Hello):
-                if (why := self.link.greeted(self, message)) is not None:
+                if (why := self.owner.check_hello(self, message)) is not None:
                     log.warning("fleet: %s of %s refused: %s", message.seat, message.fleet, why)
-                    self.link.count("fleet links: refused")
-                    self.put([HandshakeRejected(why)])
+                    self.owner.count("fleet links: refused")
+                    self.send_now([HandshakeRejected(why)])
                     self.transport.loseConnection()
                     return
-                if self._late is not None:
-                    self._late.cancel()
-                    self._late = None
+                if self._handshake_timer is not None:
+                    self._handshake_timer.cancel()
+                    self._handshake_timer = None
             elif isinstance(message, HandshakeRejected):
-                self.link.refused(self, message.reason)
+                self.owner.rejected_by_peer(self, message.reason)
                 return
-            elif self.inc:
-                self.link.heard(self, message)
+            elif self.incarnation:
+                self.owner.receive(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.link.count("fleet links: " + Ending.LINE_TOO_LONG.value)
+        self.owner.count("fleet links: " + Ending.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        if self._late is not None:
-            self._late.cancel()
-        self.link.core.touch()
-        self.link.hung_up(self)
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+        self.owner.core.touch()
+        self.owner.disconnected(self)
 
 
-class Dial(ClientFactory):
+class PeerDialer(ClientFactory):
     """The way to one seat: made when there is something to say, made anew when it breaks."""
 
     noisy = False
 
-    def __init__(self, link: Link, seat: str, address: tuple[str, int]) -> None:
-        self.link, self.seat, self.address = link, seat, address
-        self.peer: Peer | None = None
-        self.waiting: list[Message] = []
-        self._dialling = False
-        self._not_before, self._pause = 0, DIAL_AGAIN
+    def __init__(self, link: PeerOwner, seat: str, address: tuple[str, int]) -> None:
+        self.owner, self.seat, self.address = link, seat, address
+        self.peer: PeerConnection | None = None
+        self._queued: list[Message] = []
+        self._connecting = False
+        self._not_before, self._backoff = 0, RECONNECT_BACKOFF_US
 
-    def say(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         if self.peer is not None:
-            return self.peer.say(message)
-        if len(self.waiting) < MOST_WAITING:
-            self.waiting.append(message)
-        self.dial()
+            return self.peer.send(message)
+        if len(self._queued) < MAX_QUEUED_MESSAGES:
+            self._queued.append(message)
+        self.connect()
 
-    def dial(self) -> None:
-        if self._dialling or self.link.closed:
+    def connect(self) -> None:
+        if self._connecting or self.owner.closed:
             return
-        self._dialling = True
-        wait = self._not_before - self.link.core.clock.now
+        self._connecting = True
+        wait = self._not_before - self.owner.core.clock.now
         if wait > 0:  # what is said meanwhile must not wait until something else is said
-            self.link.reactor.callLater(wait / 1e6, self._dial_now)
+            self.owner.reactor.callLater(wait / 1e6, self._connect_now)
         else:
-            self._dial_now()
+            self._connect_now()
 
-    def _dial_now(self) -> None:
-        if not self.link.closed:
-            self.link.reactor.connectTCP(*self.address, self, timeout=1)
+    def _connect_now(self) -> None:
+        if not self.owner.closed:
+            self.owner.reactor.connectTCP(*self.address, self, timeout=1)
 
-    def buildProtocol(self, addr: object) -> Peer:
-        return Peer(self.link, self.seat)
+    def buildProtocol(self, addr: object) -> PeerConnection:
+        return PeerConnection(self.owner, self.seat)
 
-    def up(self, peer: Peer) -> None:
-        self._dialling, self.peer, self._pause = False, peer, DIAL_AGAIN
-        waiting, self.waiting = self.waiting, []
+    def connected(self, peer: PeerConnection) -> None:
+        self._connecting, self.peer, self._backoff = False, peer, RECONNECT_BACKOFF_US
+        waiting, self._queued = self._queued, []
         for message in waiting:
-            peer.say(message)
+            peer.send(message)
 
-    def down(self) -> None:
+    def disconnected(self) -> None:
         self.peer = None
-        self.dial()  # at once: where nothing listens any more, that is known soon; and where a later process does
-        self._later()
+        self.connect()  # at once: where nothing listens any more, that is known soon; and where a later process does
+        self._back_off()
 
-    def _later(self) -> None:
-        self._not_before = self.link.core.clock.now + self._pause
-        self._pause = min(DIAL_MOST, self._pause * 2)
+    def _back_off(self) -> None:
+        self._not_before = self.owner.core.clock.now + self._backoff
+        self._backoff = min(MAX_RECONNECT_BACKOFF_US, self._backoff * 2)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.link.core.touch()
-        self._dialling = False
-        self.waiting.clear()
-        self._later()
+        self.owner.core.touch()
+        self._connecting = False
+        self._queued.clear()
+        self._back_off()
         code = getattr(reason.value, "osError", None)
-        self.link.unreached(self.seat, refused=code == 111)
+        self.owner.connect_failed(self.seat, refused=code == 111)
 
 
-class PeerFactory(Factory):
+class PeerServerFactory(Factory):
     """Listens for the other runners of the fleet."""
 
     noisy = False
 
-    def __init__(self, link: Link) -> None:
+    def __init__(self, link: PeerOwner) -> None:
         self.link = link
 
-    def buildProtocol(self, addr: object) -> Peer:
-        return Peer(self.link)
+    def buildProtocol(self, addr: object) -> PeerConnection:
+        return PeerConnection(self.link)
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -20,7 +20,7 @@
 from ..leadership.fencing_token import Fence
 from ..leadership.lease_holder import Ownership
 from ..leadership.participant import Participant
-from ..model_checking.cluster_simulation import SECOND, Course
+from ..model_checking.cluster_simulation import SECOND, Scenario
 from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
 from .experiment import Experiment, Plot, Result
 from .load import Kind
@@ -57,7 +57,7 @@
 
 def out_of_order(seed: int, leases: bool) -> tuple[int, int]:
     """Effects of an earlier term that came to count after one of a later; all effects."""
-    course = Course(seats=5, keys=0, faults=10, kinds=("stop", "stop", "cut", "one way", "kill"))
+    course = Scenario(seats=5, keys=0, faults=10, fault_kinds=("stop", "stop", "cut", "one way", "kill"))
     sim = DutySimulation(
         seed, course, compares=not leases, participant=LeaseParticipant if leases else Participant
     )
@@ -79,7 +79,9 @@
 def large(seats: int, duties: int, seed: int) -> dict[str, float]:
     """A fleet that has been up for a while is given duties; then it is looked at, and a fifth of it is lost."""
     up, given = (8.0, 8.0) if seats <= 100 else (30.0, 20.0)
-    sim = DutySimulation(seed, Course(seats=seats, keys=0, faults=0, lost=0.0, doubled=0.0), 0, process=Idle)
+    sim = DutySimulation(
+        seed, Scenario(seats=seats, keys=0, faults=0, loss=0.0, duplication=0.0), 0, process=Idle
+    )
     sim.run(round(up * SECOND))
     participants = [p.participant for p in sim.processes if isinstance(p, DutyProcess)]
     for i in range(duties):
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -404,10 +404,12 @@
 
 def messages(seats: int) -> float:
     """A member a second, while the fleet goes round, all asked for."""
-    from ..model_checking.cluster_simulation import Course
+    from ..model_checking.cluster_simulation import Scenario
     from ..model_checking.maintenance_simulation import OutageSimulation
 
-    sim = OutageSimulation(1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0, seconds=20), asks=0)
+    sim = OutageSimulation(
+        1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0, seconds=20), asks=0
+    )
     sim.run(3_000_000)
     ask = Ask("all", "patch", "me", 1.0, 0.0, together=True, waiting=tuple(f"n{i}" for i in range(seats)))
     sim.asked["all"] = set(ask.waiting)
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -17,7 +17,7 @@
 from ..replication.messages import ComponentMessage
 from ..replication.node import Node
 from ..replication.proposer import CarriedPromise, ChangeResult
-from ..replication.register_space import LASTING, RegisterSpace
+from ..replication.register_space import DUTY_SPACE, RegisterSpace
 from ..replication.work_record import Key, Owner
 from . import messages
 from .candidates import Steady, mean, too_many
@@ -113,7 +113,7 @@
         )
         self.shelf = Shelf(policy.state_bytes * (policy.versions + 1))
         self.keeper.shelf = self.shelf
-        self.registers = RegisterSpace(LASTING, self.keeper, node, None)
+        self.registers = RegisterSpace(DUTY_SPACE, self.keeper, node, None)
         node.add_space(self.registers)
         node.components[messages.PART] = self._heard
         node.on_member_lost.append(self._died)
@@ -180,7 +180,7 @@
         return len(self.ownerships) + len(self._accepting)
 
     def durable(self, then: Callable[[], None]) -> None:
-        self.node.durable(then, LASTING)
+        self.node.durable(then, DUTY_SPACE)
 
     def say(self, seat: str, message: Any) -> None:
         if seat == self.me:
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -15,7 +15,7 @@
 from ..replication.messages import ComponentMessage
 from ..replication.node import Node
 from ..replication.proposer import ChangeResult
-from ..replication.register_space import FOREVER_US, SHARED, RegisterSpace
+from ..replication.register_space import CLUSTER_SPACE, FOREVER_US, RegisterSpace
 from ..replication.work_record import Key
 from . import messages
 from .errors import NoMajority, NoSuchSeat, NotHere, OutageError
@@ -96,7 +96,7 @@
             slice_replicas=seats.slice_replicas,
         )
         self.keeper.own_slices = [seats.slice_of(KEY)] if node.me in self.keepers else []
-        self.registers = RegisterSpace(SHARED, self.keeper, node, None)
+        self.registers = RegisterSpace(CLUSTER_SPACE, self.keeper, node, None)
         node.add_space(self.registers)
         node.components[messages.PART] = self._heard
         self.planner = (
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -18,11 +18,11 @@
 from ..replication.work_record import Key, Owner, WorkRequest
 
 MS, SECOND = 1_000, 1_000_000
-MARGIN = 500 * MS
+WINDOW_MARGIN_US = 500 * MS
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
+class Scenario:
     """What may happen in one. Times in s, shares from 0 to 1."""
 
     seats: int = 5
@@ -30,12 +30,12 @@
     seconds: float = 9.0
     window_s: float = 30.0
     faults: int = 7
-    lost: float = 0.01  # of messages
-    doubled: float = 0.01
-    turned: float = 0.1  # of what is taken up
+    loss: float = 0.01  # of messages
+    duplication: float = 0.01
+    rejection: float = 0.1  # of what is taken up
     repeats: float = 0.6  # of keys: asked for at further runners
-    disks: bool = False  # keepers that write; each lives on with what it had written
-    kinds: tuple[str, ...] = ("kill", "forget", "stop", "cut", "one way", "kernel", "leave", "clock")
+    journals: bool = False  # keepers that write; each lives on with what it had written
+    fault_kinds: tuple[str, ...] = ("kill", "forget", "stop", "cut", "one way", "kernel", "leave", "clock")
 
 
 @dataclass(slots=True)
@@ -44,8 +44,8 @@
 
     key: Key
     process: int
-    at: int
-    came: int  # when the try that ran was read
+    started_at: int
+    read_at: int  # when the try that ran was read
 
 
 @dataclass(slots=True)
@@ -68,17 +68,17 @@
         self, sim: Simulation, seat: int, number: int, inc: int, remembers: bool, make: type[Node]
     ) -> None:
         self.sim, self.seat, self.number = sim, seat, number
-        self.alive, self.kernel, self.away = True, True, False
+        self.alive, self.kernel_up, self.draining = True, True, False
         self.stopped_until = 0
-        self._woken: int | None = None
+        self._wake_at: int | None = None
         self.state: dict[Key, str] = {}  # held, running, over, theirs
         self.results: dict[Key, bytes | None] = {}
-        self.came: dict[Key, int] = {}
+        self.read_at: dict[Key, int] = {}
         self.random = sim.random.random
         self.node = make(f"n{seat}", inc, sim.seats, self, Policy(), sim.longest, remembers)
-        self.node.acceptor.journaled = sim.course.disks
+        self.node.acceptor.journaled = sim.course.journals
         self._waiting: list[Callable[[], None]] = []
-        self.writing = b""  # on its way to the disk
+        self.being_written = b""  # on its way to the disk
 
     # ---- Host ----
 
@@ -86,33 +86,33 @@
         self.sim.send(self, int(seat[1:]), message, None)
 
     def reply(self, seat: str, message: Any) -> None:
-        self.sim.send(self, int(seat[1:]), message, self.sim.hearing)
+        self.sim.send(self, int(seat[1:]), message, self.sim.sender)
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        to = self.sim.hearing
+        to = self.sim.sender
         return lambda message: self.sim.send(self, int(seat[1:]), message, to)
 
     def durable(self, then: Callable[[], None], space: int) -> None:
-        if not self.sim.course.disks:
+        if not self.sim.course.journals:
             return then()
         self._waiting.append(then)
-        if not self.writing:
+        if not self.being_written:
             self._write()
         return None
 
     def _write(self) -> None:
         waiting, self._waiting = self._waiting, []
-        self.writing = encode_records(self.node.acceptor.unsaved_records(self.sim.now))
+        self.being_written = encode_records(self.node.acceptor.unsaved_records(self.sim.now))
 
         def written() -> None:
-            self.sim.disks[self.seat] += self.writing
-            self.writing = b""
+            self.sim.journals[self.seat] += self.being_written
+            self.being_written = b""
             for then in waiting:
                 then()
-            if self._waiting and not self.writing:
+            if self._waiting and not self.being_written:
                 self._write()
 
-        if not self.writing:
+        if not self.being_written:
             return written()
         slow = self.sim.random.random() < 0.1
         self.sim.at(
@@ -124,13 +124,13 @@
         return self.sim.now
 
     def wake(self, when: int) -> None:
-        if self._woken is None or when < self._woken:
-            self._woken = when
+        if self._wake_at is None or when < self._wake_at:
+            self._wake_at = when
             self.sim.at(when, self, self._ring)
 
     def _ring(self) -> None:
-        if self._woken is not None and self._woken <= self.sim.now:
-            self._woken = None
+        if self._wake_at is not None and self._wake_at <= self.sim.now:
+            self._wake_at = None
             self.node.run_due()
 
     def count(self, name: str) -> None:
@@ -146,7 +146,7 @@
         self.sim.at(self.sim.now + wait, self, lambda: self._start(key))
 
     def _start(self, key: Key) -> None:
-        if self.state.get(key) == "held" and self.kernel:
+        if self.state.get(key) == "held" and self.kernel_up:
             self.state[key] = "beginning"
             if not self.node.start_work(key):
                 self.state[key] = "held"
@@ -155,12 +155,12 @@
         if self.state.get(key) != "beginning":
             return
         self.state[key] = "running"
-        self.sim.history.runs.append(Run(key, self.number, self.sim.now, self.came[key]))
+        self.sim.history.runs.append(Run(key, self.number, self.sim.now, self.read_at[key]))
         took = round(self.sim.random.expovariate(1 / 0.2) * SECOND)
-        self.sim.at(self.sim.now + took, self, lambda: self._ended(key))
+        self.sim.at(self.sim.now + took, self, lambda: self._end_run(key))
 
-    def _ended(self, key: Key) -> None:
-        if self.state.get(key) == "running" and self.kernel:
+    def _end_run(self, key: Key) -> None:
+        if self.state.get(key) == "running" and self.kernel_up:
             self.state[key] = "over"
             self.results[key] = b"%d of %d" % (self.sim.now, self.number)
             self.sim.results[key].add(self.results[key] or b"")
@@ -201,15 +201,15 @@
     def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool:
         if not self.fit():
             return False
-        self.came[key] = round(order.arrived_unix_ms * MS)
-        if self.sim.random.random() < self.sim.course.turned:
-            self.sim.at(self.sim.now + 5 * MS, self, lambda: self._turn_away(key))
+        self.read_at[key] = round(order.arrived_unix_ms * MS)
+        if self.sim.random.random() < self.sim.course.rejection:
+            self.sim.at(self.sim.now + 5 * MS, self, lambda: self._reject(key))
             self.state[key] = "held"
         else:
             self._hold(key)
         return True
 
-    def _turn_away(self, key: Key) -> None:
+    def _reject(self, key: Key) -> None:
         if self.state.get(key) == "held":
             del self.state[key]
             self.node.release_work(key, turned=True)
@@ -219,16 +219,16 @@
         return state in ("held", "beginning", "running"), state == "over", self.results.get(key)
 
     def fit(self) -> bool:
-        return self.kernel and not self.away
+        return self.kernel_up and not self.draining
 
     def forgot(self, key: Key) -> None: ...
 
     # ---- what happens to it ----
 
-    def ask(self, key: Key) -> None:
+    def receive_request(self, key: Key) -> None:
         """A caller asks for this key here."""
-        if key not in self.state and not self.away and self.kernel:
-            self.came[key] = self.sim.now
+        if key not in self.state and not self.draining and self.kernel_up:
+            self.read_at[key] = self.sim.now
             self.sim.history.asked.append((key, self.number, self.sim.now))
             order = WorkRequest(
                 "r", "write", None, key.decode(), b"", self.sim.now / MS, None, 0, 0.0, 0.0, None
@@ -236,11 +236,11 @@
             self.state[key] = "claiming"
             self.node.claim(key, 1, order, self.sim.now + self.sim.longest)
 
-    def look(self) -> None:
+    def check_self(self) -> None:
         self.node.publish_status(cores=1)
         if not self.fit():
             self.node.hand_over_held()
-        self.sim.at(self.sim.now + 100 * MS, self, self.look)
+        self.sim.at(self.sim.now + 100 * MS, self, self.check_self)
 
 
 class Simulation:
@@ -249,41 +249,43 @@
     def __init__(
         self,
         seed: int,
-        course: Course | None = None,
+        course: Scenario | None = None,
         make: type[Node] = Node,
         process: type[Process] = Process,
         amnesia: bool = True,
     ) -> None:
         """`amnesia`: False is a seeded mistake, a keeper that has forgotten votes as if it had not."""
-        self.seed, self.course = seed, course or Course()
+        self.seed, self.course = seed, course or Scenario()
         self.random, self.now = Random(seed), 0
         self.seats = Placement([Seat(f"n{i}", ("", 0), f"z{i % 2}") for i in range(self.course.seats)])
-        self.longest = round(self.course.window_s * SECOND) + MARGIN
+        self.longest = round(self.course.window_s * SECOND) + WINDOW_MARGIN_US
         self.history = History()
         self.results: defaultdict[Key, set[bytes]] = defaultdict(set)
-        self.hearing: Process | None = None
-        self._make, self._process, self._amnesia = make, process, amnesia
+        self.sender: Process | None = None
+        self._node_class, self._process_class, self._amnesia = make, process, amnesia
         self._queue: list[tuple[int, int, Process | None, Callable[[], None]]] = []
         self._order, self._numbers = count(), count(1)
-        self.whose = [JournalHeader(JOURNAL_VERSION, "f", "s", f"n{i}") for i in range(self.course.seats)]
-        self.disks = [encode_records([w]) for w in self.whose]
-        self.silent: set[tuple[int, int]] = set()  # ways on which nothing comes through
-        self.processes = [self.born(i, remembers=True) for i in range(self.course.seats)]
+        self.headers = [JournalHeader(JOURNAL_VERSION, "f", "s", f"n{i}") for i in range(self.course.seats)]
+        self.journals = [encode_records([w]) for w in self.headers]
+        self.cut_links: set[tuple[int, int]] = set()  # ways on which nothing comes through
+        self.processes = [self.start_process(i, remembers=True) for i in range(self.course.seats)]
         self.events: list[str] = []
         self._plan()
 
-    def born(self, seat: int, remembers: bool, inc: int = 0) -> Process:
+    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> Process:
         number = next(self._numbers)
-        made = self._process(self, seat, number, inc or self.now + 1 + number, remembers, self._make)
-        if self.course.disks and self.now:
-            image = read_journal(self.disks[seat], self.whose[seat])
-            self.disks[seat] = self.disks[seat][: image.valid_bytes]  # as a new file has it
+        made = self._process_class(
+            self, seat, number, inc or self.now + 1 + number, remembers, self._node_class
+        )
+        if self.course.journals and self.now:
+            image = read_journal(self.journals[seat], self.headers[seat])
+            self.journals[seat] = self.journals[seat][: image.valid_bytes]  # as a new file has it
             if image.recovered:
                 made.node.restore(image)
             else:
-                self.disks[seat] = encode_records([self.whose[seat]])
+                self.journals[seat] = encode_records([self.headers[seat]])
         self.at(self.now, made, made.node.start)
-        self.at(self.now + 100 * MS, made, made.look)
+        self.at(self.now + 100 * MS, made, made.check_self)
         return made
 
     # ---- time and messages ----
@@ -293,23 +295,23 @@
 
     def send(self, by: Process, to: int, message: Any, only: Process | None) -> None:
         self.history.messages += 1
-        if self.random.random() < self.course.lost:
+        if self.random.random() < self.course.loss:
             return
-        for _ in range(2 if self.random.random() < self.course.doubled else 1):
+        for _ in range(2 if self.random.random() < self.course.duplication else 1):
             delay = round(self.random.uniform(0.1, 2.0) * MS)
             if self.random.random() < 0.02:
                 delay += round(self.random.uniform(0, 300) * MS)
-            self.at(self.now + delay, None, lambda: self._arrive(by, to, message, only))
+            self.at(self.now + delay, None, lambda: self._deliver(by, to, message, only))
 
-    def _arrive(self, by: Process, to: int, message: Any, only: Process | None) -> None:
+    def _deliver(self, by: Process, to: int, message: Any, only: Process | None) -> None:
         target = self.processes[to]
-        if (by.seat, to) in self.silent or not target.alive or (only is not None and target is not only):
+        if (by.seat, to) in self.cut_links or not target.alive or (only is not None and target is not only):
             return
 
         def hear() -> None:
-            self.hearing = by
+            self.sender = by
             target.node.receive(f"n{by.seat}", by.node.owner.incarnation, message)
-            self.hearing = None
+            self.sender = None
 
         if target.stopped_until > self.now:
             self.at(target.stopped_until, target, hear)
@@ -335,22 +337,22 @@
         r, c = self.random, self.course
         for i in range(c.keys):
             key, at = b"k%d" % i, r.uniform(0, c.seconds)
-            self._asked(key, at)
+            self._plan_request(key, at)
             while r.random() < c.repeats:
                 at += r.choice((0.0, r.uniform(0, 0.01), r.uniform(0, 3)))
-                self._asked(key, at)
+                self._plan_request(key, at)
         for _ in range(c.faults):
-            kind, seat, at = r.choice(c.kinds), r.randrange(c.seats), r.uniform(0, c.seconds)
+            kind, seat, at = r.choice(c.fault_kinds), r.randrange(c.seats), r.uniform(0, c.seconds)
             lasts = r.choice((r.uniform(0, 0.6), r.uniform(0.5, 4)))
             self.at(round(at * SECOND), None, lambda k=kind, s=seat, n=lasts: self._fault(k, s, n))  # type: ignore[misc]
 
-    def _asked(self, key: Key, at: float) -> None:
+    def _plan_request(self, key: Key, at: float) -> None:
         seat = self.random.randrange(self.course.seats)
 
         def ask() -> None:
             process = self.processes[seat]
             if process.alive:
-                self.at(self.now, process, lambda: process.ask(key))
+                self.at(self.now, process, lambda: process.receive_request(key))
 
         self.at(round(at * SECOND), None, ask)
 
@@ -362,34 +364,36 @@
         if kind == "power":  # of all
             for p in self.processes:
                 if p.alive:
-                    self._end(p)
-                    self._begin_again(
+                    self._kill(p)
+                    self._restart_later(
                         p.seat, self.now + round(self.random.uniform(0.02, min(lasts, 1)) * SECOND), 0
                     )
             return
         if kind in ("kill", "forget", "clock"):
-            self._end(process)
+            self._kill(process)
             inc = (
-                max(1, process.node.owner.incarnation - 5) if kind == "clock" and not self.course.disks else 0
+                max(1, process.node.owner.incarnation - 5)
+                if kind == "clock" and not self.course.journals
+                else 0
             )
-            self._begin_again(seat, end if kind == "kill" else self.now + 20 * MS, inc)
+            self._restart_later(seat, end if kind == "kill" else self.now + 20 * MS, inc)
         elif kind == "stop":
             process.stopped_until = end
         elif kind == "kernel":
-            process.kernel = False
+            process.kernel_up = False
 
             def kernel_back() -> None:
-                process.kernel = True
+                process.kernel_up = True
                 for key, state in list(process.state.items()):
                     if state == "held":
                         process._hold(key)
                     elif state == "running":
-                        process._ended(key)
+                        process._end_run(key)
 
             self.at(end, process, kernel_back)
         elif kind == "leave":
-            process.away = True
-            self.at(end, process, lambda: setattr(process, "away", False))
+            process.draining = True
+            self.at(end, process, lambda: setattr(process, "draining", False))
         else:
             others = [i for i in range(self.course.seats) if i != seat]
             if kind == "cut":
@@ -399,18 +403,20 @@
                 if kind == "one way"
                 else {w for o in others for w in ((seat, o), (o, seat))}
             )
-            self.silent |= ways
-            self.at(end, None, lambda: self.silent.difference_update(ways))
+            self.cut_links |= ways
+            self.at(end, None, lambda: self.cut_links.difference_update(ways))
 
-    def _end(self, process: Process) -> None:
+    def _kill(self, process: Process) -> None:
         process.alive = False
         self.history.ended.append((process.number, self.now))
-        if process.writing:  # torn anywhere; whole maybe, and not confirmed
-            self.disks[process.seat] += process.writing[: self.random.randint(0, len(process.writing))]
+        if process.being_written:  # torn anywhere; whole maybe, and not confirmed
+            self.journals[process.seat] += process.being_written[
+                : self.random.randint(0, len(process.being_written))
+            ]
 
-    def _begin_again(self, seat: int, when: int, inc: int) -> None:
+    def _restart_later(self, seat: int, when: int, inc: int) -> None:
         def again() -> None:
-            self.processes[seat] = self.born(seat, remembers=not self._amnesia, inc=inc)
+            self.processes[seat] = self.start_process(seat, remembers=not self._amnesia, inc=inc)
 
         self.at(when, None, again)
 
@@ -419,46 +425,47 @@
     def play(self) -> str | None:
         """What is wrong with this course; None where nothing is."""
         self.run(round((self.course.seconds + 5) * SECOND))
-        self.silent.clear()
+        self.cut_links.clear()
         for p in self.processes:
             p.stopped_until = 0
         self.run(self.now + 8 * SECOND)
-        return self.wrong()
+        return self.violation()
 
-    def wrong(self) -> str | None:
+    def violation(self) -> str | None:
         h, window = self.history, round(self.course.window_s * SECOND)
         for key in {r.key for r in h.runs}:
             runs = [r for r in h.runs if r.key == key]
             for first, second in pairwise(runs):
-                if second.at < first.came + window:
+                if second.started_at < first.read_at + window:
                     return f"{key!r} ran at process {first.process} and again at {second.process}"
         for key, number, _, result, how in h.answers:
             if result is not None and result not in self.results[key]:
                 return f"{key!r} was answered at process {number} with what no run gave ({how})"
         if any(len(found) > 1 for found in self.results.values()):
             return "two results of one key"
-        return self._ran_after_all() or self._forgotten()
+        return self._ran_after_refusal() or self._forgotten_work()
 
-    def _ran_after_all(self) -> str | None:
+    def _ran_after_refusal(self) -> str | None:
         """A caller was told that it never ran, by a process that still lives, and nobody asked again."""
         tries = defaultdict(list)
         for key, number, at in self.history.asked:
             tries[key].append((number, at))
         dead = {number: at for number, at in self.history.ended}
         for run in self.history.runs:
-            before = [(number, at) for number, at in tries[run.key] if at <= run.at]
+            before = [(number, at) for number, at in tries[run.key] if at <= run.started_at]
             if all(
                 any(
-                    k == run.key and n == number and at < when < run.at and how == "refused"
+                    k == run.key and n == number and at < when < run.started_at and how == "refused"
                     for k, n, when, _, how in self.history.answers
                 )
-                and dead.get(number, self.now + 1) > run.at
+                and dead.get(number, self.now + 1) > run.started_at
                 for number, at in before
             ):
-                return f"{run.key!r} ran at process {run.process} at {run.at}, though all were told that it never ran"
+                ran = f"{run.key!r} ran at process {run.process} at {run.started_at}"
+                return f"{ran}, though all were told that it never ran"
         return None
 
-    def _refused(self, key: Key) -> set[Owner]:
+    def _withdrawing_owners(self, key: Key) -> set[Owner]:
         """Its owners that have given their callers up, and are taking it back."""
         told = {
             number
@@ -467,7 +474,7 @@
         }
         return {p.node.owner for p in self.processes if p.number in told}
 
-    def _forgotten(self) -> str | None:
+    def _forgotten_work(self) -> str | None:
         """Work that a majority of its keepers knows, in their present lives, has come to an end."""
         live = {p.node.me: p for p in self.processes if p.alive}
         ran = {r.key for r in self.history.runs}
@@ -481,7 +488,7 @@
                 and slot.value.request is not None
                 and not slot.value.rejected_by
                 and p.node.acceptor.can_vote_on(key)
-                and slot.value.owner not in self._refused(key)
+                and slot.value.owner not in self._withdrawing_owners(key)
             ]
             if (
                 len(knows) >= 2
@@ -494,7 +501,7 @@
         return None
 
 
-def search(seeds: range, course: Course | None = None, **how: Any) -> tuple[int, str] | None:
+def find_failing_seed(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
     """The first seed whose course is wrong, with what is."""
     for seed in seeds:
         if (wrong := Simulation(seed, course, **how).play()) is not None:
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -24,7 +24,7 @@
 from ..leadership.participant import Worker
 from ..replication.acceptor import NO_BALLOT
 from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Course, Simulation
+from .cluster_simulation import MS, SECOND, Scenario, Simulation
 from .leadership_simulation import DutyProcess, DutySimulation, _post
 
 FAST = 600
@@ -32,10 +32,12 @@
 BEGAN_MS = 500_000 * HOUR_MS - 100_000
 POLICY = Policy(on=True, report_ms=40.0, save_ms=80.0)
 ROUTES = ("main", "spare", "new")
-COURSE = Course(
-    seats=5, keys=0, faults=2, seconds=24.0, kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+COURSE = Scenario(
+    seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+)
+DISKS = Scenario(
+    seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "stop", "cut", "one way", "power")
 )
-DISKS = Course(seats=4, keys=0, faults=2, seconds=24.0, kinds=("kill", "stop", "cut", "one way", "power"))
 
 
 class CountingProcess(DutyProcess):
@@ -106,7 +108,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course | None = None,
+        course: Scenario | None = None,
         lasting: bool = False,
         member: type[Member] = Member,
         forecaster: type[Forecaster] = Forecaster,
@@ -143,7 +145,7 @@
         ]
         return Ledger.unpack(states[0], {}) if states else None
 
-    def wrong(self) -> str | None:
+    def violation(self) -> str | None:
         ledger = self.ledger()
         if ledger is None:
             return None
@@ -163,7 +165,7 @@
         return None
 
 
-def search(seeds: range, course: Course | None = None, **how: Any) -> tuple[int, str] | None:
+def search(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
     """The first seed whose course is wrong, with what is."""
     for seed in seeds:
         if (wrong := ForecastSimulation(seed, course, **how).play()) is not None:
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -14,7 +14,7 @@
 from ..replication.messages import FAST_BALLOT
 from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Owner
-from .register_interleavings import KEY, SEATS, Limits, Registers, Runner
+from .register_interleavings import KEY, SEATS, Limits, RegisterModel, Runner
 
 WHAT = b"job"
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Terms(Registers):
+class Terms(RegisterModel):
     """`kind`: what both owners want to do: "fenced", at a receiver that compares; "once", one job for both, at one that
     can't; "state", a change of the duty's own state. The rest are seeded mistakes."""
 
@@ -45,39 +45,39 @@
 
     @classmethod
     def held(cls, limits: Limits, **how: Any) -> Terms:
-        made: Terms = cls.begun(limits, **how)  # type: ignore[assignment]
+        made: Terms = cls.initial(limits, **how)  # type: ignore[assignment]
         p = made.runners["P"]
-        post = pack(Post("d", "test", 1, 1, 1, Life.HELD.value, Owner("P", p.inc)))
-        for k in made.keepers.values():
+        post = pack(Post("d", "test", 1, 1, 1, Life.HELD.value, Owner("P", p.incarnation)))
+        for k in made.acceptors.values():
             k.permanent = True
-            k.registers[KEY] = RegisterState((1, p.inc, 0), FAST_BALLOT, post)
-        made.holds = CarriedPromise((1, p.inc, 0), post, {s: 1 for s in SEATS})
+            k.registers[KEY] = RegisterState((1, p.incarnation, 0), FAST_BALLOT, post)
+        made.first_promise = CarriedPromise((1, p.incarnation, 0), post, {s: 1 for s in SEATS})
         return made
 
-    def print(self) -> Hashable:
-        return Registers.print(self), self.highest, self.done, self.asked, self.acked
+    def fingerprint(self) -> Hashable:
+        return RegisterModel.fingerprint(self), self.highest, self.done, self.asked, self.acked
 
     def moves(self) -> list[str]:
-        made = Registers.moves(self)
+        made = RegisterModel.moves(self)
         p = self.runners["P"]
-        if not self.wrong and p.writer is None and p.doing == "again":
+        if not self.failure and p.proposer is None and p.step == "again":
             made.append("P effects")
         return ["P effects" if m == "P claims" else "Q accepts" if m == "Q claims" else m for m in made]
 
-    def move(self, name: str) -> None:
+    def apply(self, name: str) -> None:
         if name == "P effects":
             r = self.runners["P"]
-            self._effect(r, 1, self.holds if not r.doing else None)
+            self._effect(r, 1, self.first_promise if not r.step else None)
         elif name == "Q accepts":
             r = self.runners["Q"]
-            r.doing = "accept"
-            self._write(r, self.accept(Owner("Q", r.inc), (1, 1), True, 5))
+            r.step = "accept"
+            self._change(r, self.accept(Owner("Q", r.incarnation), (1, 1), True, 5))
         else:
-            Registers.move(self, name)
+            RegisterModel.apply(self, name)
 
     def _effect(self, r: Runner, term: int, hold: CarriedPromise | None) -> None:
         r.attempt += 1
-        me, r.doing = Owner(r.name, r.inc), "effect"
+        me, r.step = Owner(r.name, r.incarnation), "effect"
         if self.kind == "once":
             change: Own = Intend(me, 1, term, r.attempt, "s", WHAT, Settle.TELL)
             if self.early:
@@ -87,32 +87,32 @@
         else:
             change = self.step(me, 1, term, r.attempt)
         r.change = change
-        self._write(r, change, hold)
+        self._change(r, change, hold)
 
     def _step(self, r: Runner) -> None:
-        if r.writer is None or r.writer.result is None:
+        if r.proposer is None or r.proposer.result is None:
             return
-        done = r.writer.result
-        r.writer = None
-        self.net = tuple(m for m in self.net if m[0] != r.name)
+        done = r.proposer.result
+        r.proposer = None
+        self.in_transit = tuple(m for m in self.in_transit if m[0] != r.name)
         post = unpack(done.value)
-        if r.doing == "accept":
-            if post is None or post.owner != Owner(r.name, r.inc):
-                r.doing = "over"
+        if r.step == "accept":
+            if post is None or post.owner != Owner(r.name, r.incarnation):
+                r.step = "over"
             elif post.intents:
-                r.doing, self.asked = "over", True
+                r.step, self.asked = "over", True
             else:
                 self._effect(r, post.term, done.promise)
             return
-        r.doing = "over"
+        r.step = "over"
         change: Own = r.change
         if post is None or not change.made_in(post):
             return
         fence = Fence(*post.at)
-        if post.owner != Owner(r.name, r.inc):
-            self.wrong = f"{r.name} has made {fence}, which is the other's"
+        if post.owner != Owner(r.name, r.incarnation):
+            self.failure = f"{r.name} has made {fence}, which is the other's"
         if any(f == fence and name != r.name for name, f in self.acked):
-            self.wrong = f"{r.name} acts at {fence}, as the other has"
+            self.failure = f"{r.name} acts at {fence}, as the other has"
         self.acked = (*self.acked, (r.name, fence))
         if self.kind == "state":
             self._keeps(post)
@@ -124,17 +124,17 @@
         numbers = {v.number for v in post.versions}
         lost = [f for _, f in self.acked if f.number not in numbers]
         if lost:
-            self.wrong = f"{lost[0]} was acknowledged, and {post.at} has lost it"
+            self.failure = f"{lost[0]} was acknowledged, and {post.at} has lost it"
 
     def _deliver(self, to: str, by: str, m: Any, heard: bool = True) -> None:
         if not isinstance(m, Tell):
-            return Registers._deliver(self, to, by, m, heard)
+            return RegisterModel._deliver(self, to, by, m, heard)
         if m.job:
             self.done += 1
             if self.done > 1 and not self.asked:
-                self.wrong = "the job was done twice, and no operator was told"
+                self.failure = "the job was done twice, and no operator was told"
         elif not self.compares or judge(self.highest, m.fence) is Verdict.NEW:
             if self.highest is not None and m.fence < self.highest:
-                self.wrong = f"{m.fence} of {by} took effect after {self.highest}"
+                self.failure = f"{m.fence} of {by} took effect after {self.highest}"
             self.highest = m.fence
         return None
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -23,8 +23,8 @@
 from ..replication.acceptor import NO_BALLOT
 from ..replication.journal import JournalHeader, encode_records, read_journal
 from ..replication.node import Node
-from ..replication.register_space import LASTING
-from .cluster_simulation import MS, SECOND, Course, Process, Simulation
+from ..replication.register_space import DUTY_SPACE
+from .cluster_simulation import MS, SECOND, Process, Scenario, Simulation
 
 POLICY = Policy(on=True, steady_ms=1_000)
 
@@ -139,7 +139,7 @@
     # ---- the lasting space's disk ----
 
     def durable(self, then: Callable[[], None], space: int) -> None:
-        if space != LASTING or not self.world.lasting:
+        if space != DUTY_SPACE or not self.world.lasting:
             return super().durable(then, space)
         self._wait.append(then)
         if not self._write_on:
@@ -231,7 +231,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course | None = None,
+        course: Scenario | None = None,
         duties: int = 6,
         lasting: bool = False,
         compares: bool = True,
@@ -256,8 +256,8 @@
                 self.random.choice(self.names), at + self.random.random(), self.random.randrange(seats)
             )
 
-    def born(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
-        made = super().born(seat, remembers, inc)
+    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
+        made = super().start_process(seat, remembers, inc)
         assert isinstance(made, DutyProcess)
         if self.lasting and self.now:
             image = read_journal(self.lasting_disks[seat], self.lasting_whose[seat])
@@ -269,8 +269,8 @@
         self.at(self.now, made, made.participant.start)
         return made
 
-    def _end(self, process: Process) -> None:
-        super()._end(process)
+    def _kill(self, process: Process) -> None:
+        super()._kill(process)
         assert isinstance(process, DutyProcess)
         if process._write_on not in (b"", b"\0"):
             data = process._write_on
@@ -301,7 +301,7 @@
 
     # ---- the whole ----
 
-    def wrong(self) -> str | None:
+    def violation(self) -> str | None:
         if self.reads:
             return self.reads[0]
         for name, facts in self.facts.items():
@@ -381,11 +381,13 @@
     return post
 
 
-COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
-DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power", "forget"))
+COURSE = Scenario(
+    seats=5, keys=0, faults=6, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+)
+DISKS = Scenario(seats=4, keys=0, faults=6, fault_kinds=("kill", "stop", "cut", "one way", "power", "forget"))
 
 
-def search(seeds: range, course: Course | None = None, **how: Any) -> tuple[int, str] | None:
+def search(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
     """The first seed whose course is wrong, with what is."""
     for seed in seeds:
         if (wrong := DutySimulation(seed, course, **how).play()) is not None:
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -20,7 +20,7 @@
 from ..maintenance.policy import Policy
 from ..maintenance.schedule import Ask, Roster, Stage, unpack
 from ..maintenance.transitions import AskFor, Cancel, Change, Go, Grant
-from .register_interleavings import copy
+from .register_interleavings import shallow_copy
 
 SEATS = ("a", "b", "c")
 POLICY = Policy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
@@ -109,12 +109,12 @@
         made.machines = {seat: Machine() for seat in SEATS}
         return made
 
-    def copied(self) -> Outages:
-        new = copy(self)
-        new.machines = {seat: copy(m) for seat, m in self.machines.items()}
+    def copy(self) -> Outages:
+        new = shallow_copy(self)
+        new.machines = {seat: shallow_copy(m) for seat, m in self.machines.items()}
         return new
 
-    def print(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         def shown(m: Machine) -> Hashable:
             return m.inc, m.mark, m.alive, m.known, m.waits, m.told, m.away, m.drained, m.warm
 
@@ -198,7 +198,7 @@
         named = {k: v for k, v in vars(change).items() if k not in ("error", "made", "late", "_touched")}
         self.sent += (Sent(by, inc, change, f"{type(change).__name__} of {by} {named}"),)
 
-    def move(self, name: str) -> None:
+    def apply(self, name: str) -> None:
         words = name.split(" ")
         if words[0] in ("arrives", "unwaited"):
             i = int(words[1].rstrip(":"))
@@ -259,5 +259,5 @@
         elif sent.by and (m := self.machines[sent.by]).alive and m.inc == sent.inc:
             m.known = self.roster
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         return self.wrong
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -19,18 +19,18 @@
 from ..membership.placement import majority
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Course, Process, Simulation
+from .cluster_simulation import MS, SECOND, Process, Scenario, Simulation
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
 )
-COURSE = Course(
+COURSE = Scenario(
     seats=6,
     keys=0,
     seconds=25.0,
     faults=9,
-    lost=0.01,
-    kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
+    loss=0.01,
+    fault_kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
 )
 COLD_S, LASTS_S = 0.6, 1.0
 BACK_S = 60.0  # after the course, until all that was asked for must have come about
@@ -157,15 +157,15 @@
     def do(self, doing: Doing, why: str) -> None:
         if doing is not self.doing:
             self.doing, self.since = doing, self.sim.now
-        self.away = doing in (Doing.DRAINS, Doing.GONE)
+        self.draining = doing in (Doing.DRAINS, Doing.GONE)
 
     def loud(self, what: str) -> None:
         self.world.said[what.split(" ", 2)[1]] += 1
 
-    def look(self) -> None:
-        weight = 0 if self.away else 100 if self.warm else 35
+    def check_self(self) -> None:
+        weight = 0 if self.draining else 100 if self.warm else 35
         self.node.load_figures = weight, self.world.load, self.world.load
-        super().look()
+        super().check_self()
 
     def lost(self, key: bytes) -> None:  # of keyed work, which there is none of here
         raise AssertionError(key)
@@ -177,7 +177,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course = COURSE,
+        course: Scenario = COURSE,
         policy: Policy = POLICY,
         load: float = 0.4,
         asks: int = 3,
@@ -203,8 +203,8 @@
         for i in range(asks):
             self._asks(f"ask {i}", r.uniform(1, course.seconds / 2))
 
-    def born(self, seat: int, remembers: bool, inc: int = 0) -> Process:
-        made = super().born(seat, remembers, inc)
+    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> Process:
+        made = super().start_process(seat, remembers, inc)
         assert isinstance(made, OutageProcess)
         self.at(self.now, made, made.coordinator.start)
         return made
@@ -306,22 +306,22 @@
         machine.told, machine.down = False, True
         process = self.processes[seat]
         if process.alive:
-            self._end(process)
+            self._kill(process)
         r = self.random
         fails = r.random() < 0.08  # and once more, shortly after its start
 
         def up() -> None:
             machine.down, machine.cold_after, machine.starts = False, True, machine.starts + 1
-            self.processes[seat] = self.born(seat, remembers=False)
+            self.processes[seat] = self.start_process(seat, remembers=False)
             if fails:
                 self.at(self.now + round(0.4 * SECOND), None, lambda: self._fault("power of one", seat, 0.5))
 
         self.at(self.now + round(r.uniform(0.5, 1.5) * LASTS_S * SECOND), None, up)
 
-    def _begin_again(self, seat: int, when: int, inc: int) -> None:
+    def _restart_later(self, seat: int, when: int, inc: int) -> None:
         def again() -> None:
             if not self.processes[seat].alive and not self.machines[seat].down:
-                self.processes[seat] = self.born(seat, remembers=not self._amnesia, inc=inc)
+                self.processes[seat] = self.start_process(seat, remembers=not self._amnesia, inc=inc)
 
         self.at(when, None, again)
 
@@ -330,10 +330,10 @@
         if kind == "power of one":
             if process.alive and not machine.down:
                 self.events.append(f"{self.now / SECOND:.3f} s: n{seat} loses power")
-                self._end(process)
+                self._kill(process)
                 machine.told, machine.starts = False, machine.starts + 1
                 self.stuck.discard(seat)
-                self._begin_again(seat, self.now + round(min(lasts, 2) * SECOND), 0)
+                self._restart_later(seat, self.now + round(min(lasts, 2) * SECOND), 0)
         elif kind == "limit":  # a lower one in one file, under whatever is granted
             if process.alive and isinstance(process, OutageProcess):
                 process.coordinator.follow(Policy(**{**_figures(self.policy), "most": 1}))
@@ -349,7 +349,7 @@
 
     def play(self) -> str | None:
         self.run(round(self.course.seconds * SECOND))
-        self.silent.clear()
+        self.cut_links.clear()
         for p in self.processes:
             p.stopped_until = 0
         end = self.now + round(BACK_S * SECOND)
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -94,10 +94,10 @@
     def __post_init__(self) -> None:
         self.owners["P"] = Owner(self, "P", 1, b"", self.kind)
 
-    def copied(self) -> Publishes:
+    def copy(self) -> Publishes:
         made = Publishes(self.kind)
         for name in self.way:
-            made.move(name)
+            made.apply(name)
         return made
 
     def means(self, number: int, draft: bytes) -> None:
@@ -122,7 +122,7 @@
                     made.append(f"{who} drops {i}")
         return made
 
-    def move(self, name: str) -> None:
+    def apply(self, name: str) -> None:
         self.way = (*self.way, name)
         words = name.split()
         if name == "Q takes over":
@@ -170,7 +170,7 @@
 
     # ---- what must hold ----
 
-    def print(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         return (
             self.term,
             self.state,
@@ -189,7 +189,7 @@
             ),
         )
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         if self.wrong:
             return self.wrong
         book = unpack(self.state, CUSTOMER)
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -28,13 +28,15 @@
 from ..namespaces.revisions import Book, Submission, unpack
 from ..replication.acceptor import NO_BALLOT
 from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Course, Simulation
+from .cluster_simulation import MS, SECOND, Scenario, Simulation
 from .leadership_simulation import DutyProcess, DutySimulation, _post
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANTED = Granted(frozenset({"s"}))
-COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
-DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power"))
+COURSE = Scenario(
+    seats=5, keys=0, faults=6, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+)
+DISKS = Scenario(seats=4, keys=0, faults=6, fault_kinds=("kill", "stop", "cut", "one way", "power"))
 Draft = tuple[str, At]
 
 
@@ -100,7 +102,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course | None = None,
+        course: Scenario | None = None,
         lasting: bool = False,
         replica: type[Replica] = Replica,
         submissions: int = 30,
@@ -129,8 +131,8 @@
         for _ in range(deletions):
             self._delete(r.choice(CUSTOMERS), r.uniform(1.0, self.course.seconds))
 
-    def born(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
-        made = super().born(seat, remembers, inc)
+    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
+        made = super().start_process(seat, remembers, inc)
         assert isinstance(made, PublishProcess)
         self.at(self.now, made, made.begin)
         return made
@@ -207,7 +209,7 @@
 
     # ---- the whole ----
 
-    def wrong(self) -> str | None:
+    def violation(self) -> str | None:
         if self.found:
             return self.found[0]
         for customer in CUSTOMERS:
@@ -286,7 +288,7 @@
         return f"{at} is there, and {behind} have not come to it" if behind else None
 
 
-def search(seeds: range, course: Course | None = None, **how: Any) -> tuple[int, str] | None:
+def search(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
     """The first seed whose course is wrong, with what is."""
     for seed in seeds:
         if (wrong := PublishSimulation(seed, course, **how).play()) is not None:
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -33,7 +33,7 @@
 )
 from .owned_work import OwnedWork
 from .policy import Policy
-from .register_space import SHARED, WORK, RegisterSpace
+from .register_space import CLUSTER_SPACE, WORK_SPACE, RegisterSpace
 from .watched_work import WatchedWork
 from .work_record import Key, Owner
 from .work_takeover import WorkTakeover
@@ -70,8 +70,8 @@
         )
         self.detector = FailureDetector(me, inc, seats.names, self)
         self.tenures: dict[Key, Tenure] = {}
-        self.registers = RegisterSpace(WORK, self.acceptor, self, longest_us)
-        self.spaces = {WORK: self.registers}
+        self.registers = RegisterSpace(WORK_SPACE, self.acceptor, self, longest_us)
+        self.spaces = {WORK_SPACE: self.registers}
         self.change = self.registers.change
         self.components: dict[str, Callable[[str, bytes], None]] = {}  # of what else the fleet does, by name
         self.longest_window_us = longest_us
@@ -227,7 +227,7 @@
 
     def publish_status(self, predecessor: int = 0, cores: int = 0) -> None:
         """Of this runner, where it has changed. `predecessor`: the process that it replaces, while that one lives."""
-        whole = SHARED not in self.spaces or self.spaces[SHARED].acceptor.recovered
+        whole = CLUSTER_SPACE not in self.spaces or self.spaces[CLUSTER_SPACE].acceptor.recovered
         self.detector.publish_status(
             MemberStatus(
                 self.host.fit(),
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -35,7 +35,7 @@
     4,
 )  # and how soon, and how often, it looks again where a change is under way
 FOREVER_US = 1 << 50  # us
-WORK, LASTING, SHARED = 0, 1, 2  # the spaces that there are
+WORK_SPACE, DUTY_SPACE, CLUSTER_SPACE = 0, 1, 2  # the spaces that there are
 
 
 class RegisterHost(Protocol):
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -88,7 +88,7 @@
         service, core = self._service, self._service.core
         accepting = service.listeners.accepting() & set(CLIENT_LISTENERS)
         runs = core.replaced and len(core.runs)  # their results go to the one that serves on
-        if core.owed or accepting or runs or (service.fleet is not None and service.fleet.busy):
+        if core.owed or accepting or runs or (service.fleet is not None and service.fleet.is_busy):
             self._heard = core.clock.now
             return
         heard = max((c.active for c in service.front.connections), default=0)
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -140,7 +140,7 @@
     probes = new.probes
     service.reporter.set_policy(probes.policy)
     if service.fleet is not None:
-        service.fleet.follow(service.config.fleet)
+        service.fleet.reconfigure(service.config.fleet)
     if service.agent is not None:
         service.agent.maxconn = probes.maxconn
     if service.health is not None:
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -118,9 +118,9 @@
         self.succession: Any = None
         self.fleet: Any = None  # other runners, imported only where they are set
         if config.fleet.listen is not None:
-            from ..cluster_transport.replication import FleetLink
+            from ..cluster_transport.replication import ReplicationService
 
-            self.fleet = FleetLink(
+            self.fleet = ReplicationService(
                 reactor,
                 self.core,
                 config.fleet,
@@ -132,12 +132,12 @@
         if config.namespaces.on:
             from ..cluster_transport.config_distribution import NamespaceLink
 
-            self.namespaces = NamespaceLink(self.fleet.duties, config.namespaces, reactor)
+            self.namespaces = NamespaceLink(self.fleet.leadership, config.namespaces, reactor)
         self.forecast: Any = None  # of demand, imported only where it is set
         if config.forecast.on:
             from ..cluster_transport.forecast import ForecastLink
 
-            self.forecast = ForecastLink(self.fleet.duties, config.forecast, reactor)
+            self.forecast = ForecastLink(self.fleet.leadership, config.forecast, reactor)
         self.outage: Any = None  # machines' outages, imported only where they are set
         if config.outage.on:
             from ..cluster_transport.maintenance import OutageLink
@@ -159,9 +159,9 @@
         if config.uwsgi.listen is not None:
             planned["uwsgi"] = config.uwsgi.listen, self.uwsgi
         if self.fleet is not None and config.fleet.listen is not None:
-            from ..cluster_transport.peers import PeerFactory
+            from ..cluster_transport.peers import PeerServerFactory
 
-            planned["fleet"] = config.fleet.listen, PeerFactory(self.fleet)
+            planned["fleet"] = config.fleet.listen, PeerServerFactory(self.fleet)
         probes = config.probes
         if probes.agent is not None:
             from ..frontends.agent import AgentFront
--- a/moorusher/storage/journal_files.py
+++ b/moorusher/storage/journal_files.py
@@ -28,14 +28,16 @@
 
 log = logging.getLogger("moorusher")
 
-GROWN = 1 << 20  # bytes appended, at least, before a file is written anew without what no longer counts
-PATIENCE_S = 1.0  # at the start, for a folder that can't be read
-PAUSE_S = 0.05
-NAME = re.compile(r"(\d{1,20})\.log")
-UNFINISHED = re.compile(r"\d{1,20}\.log\.new")  # a life that was killed while it wrote a whole file
+COMPACT_AFTER_BYTES = (
+    1 << 20
+)  # bytes appended, at least, before a file is written anew without what no longer counts
+OPEN_TIMEOUT_S = 1.0  # at the start, for a folder that can't be read
+OPEN_RETRY_S = 0.05
+JOURNAL_NAME = re.compile(r"(\d{1,20})\.log")
+UNFINISHED_NAME = re.compile(r"\d{1,20}\.log\.new")  # a life that was killed while it wrote a whole file
 
 
-class Files:
+class FileSystem:
     """What is asked of the operating system; a test fails or ends it at each step."""
 
     def read(self, file: BinaryIO) -> bytes:
@@ -55,41 +57,41 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Opened:
+class OpenedJournal:
     """The folder of a life that begins, and what the last life has left there."""
 
-    folder: Folder
-    inc: int  # the incarnation of the life that begins
+    folder: JournalFolder
+    incarnation: int  # the incarnation of the life that begins
     image: JournalImage | None
     reason: str  # why there is no image, or why nothing can be written
 
     @property
-    def written(self) -> bool:
+    def is_written(self) -> bool:
         return self.folder.size > 0
 
 
-def opened(path: Path, whose: JournalHeader, inc: int, files: Files | None = None) -> Opened:
+def open_folder(path: Path, whose: JournalHeader, inc: int, files: FileSystem | None = None) -> OpenedJournal:
     """What can't be read is tried for a second. What was read counts even where nothing can be written yet: then no
     vote leaves until it is. Raises ConfigError where not even the names of earlier lives can be read."""
-    folder = Folder(path, whose, files)
-    until = time.monotonic() + PATIENCE_S
+    folder = JournalFolder(path, whose, files)
+    until = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
             inc, image, reason = folder.open(inc, last_try=time.monotonic() >= until)
         except OSError as exc:
-            if folder.inc:
-                return Opened(folder, folder.inc, folder.image, f"can't be written: {exc}")
+            if folder.incarnation:
+                return OpenedJournal(folder, folder.incarnation, folder.image, f"can't be written: {exc}")
             if time.monotonic() >= until:
                 raise ConfigError(
                     f"fleet.journal: {path} can't be read: {exc}; check the disk, or name another folder"
                 ) from exc
         else:
-            return Opened(folder, inc, image, reason)
-        time.sleep(PAUSE_S)
+            return OpenedJournal(folder, inc, image, reason)
+        time.sleep(OPEN_RETRY_S)
 
 
 @dataclass(slots=True, frozen=True)
-class _Last:
+class _FormerJournal:
     """The file of the last life. `damaged`: it is kept for whoever wants to look into it."""
 
     image: JournalImage | None
@@ -98,54 +100,54 @@
     damaged: bool = False
 
 
-class Folder:
+class JournalFolder:
     """Blocking, and for one thread at a time. Raises OSError where the disk is full or fails."""
 
-    def __init__(self, path: Path, whose: JournalHeader, files: Files | None = None) -> None:
-        self.path, self.whose, self._files = path, whose, files or Files()
+    def __init__(self, path: Path, whose: JournalHeader, files: FileSystem | None = None) -> None:
+        self.path, self.header, self._files = path, whose, files or FileSystem()
         self._fd = -1
-        self.inc = 0  # of this life, once it is known
+        self.incarnation = 0  # of this life, once it is known
         self.image: JournalImage | None = None
-        self.size = self.base = 0  # bytes of the file, and of what it began with
+        self.size = self.base_size = 0  # bytes of the file, and of what it began with
 
     @property
     def name(self) -> str:
-        return f"{self.inc}.log"
+        return f"{self.incarnation}.log"
 
     def open(self, inc: int, last_try: bool = True) -> tuple[int, JournalImage | None, str]:
         """A new life begins: its incarnation, above that of all that have a file here; what the last one has left,
         or why nothing of it can be used. Before the last try a file that can't be read raises OSError."""
         self.path.mkdir(parents=True, exist_ok=True)
         entries = [entry.name for entry in self.path.iterdir()]
-        lives = sorted(int(m[1]) for name in entries if (m := NAME.fullmatch(name)))
-        last = _Last(None, "nothing is there", b"")
+        lives = sorted(int(m[1]) for name in entries if (m := JOURNAL_NAME.fullmatch(name)))
+        last = _FormerJournal(None, "nothing is there", b"")
         if lives:
             inc = max(inc, lives[-1] + 1)
-            last = self._last(self.path / f"{lives[-1]}.log", last_try)
+            last = self._former_journal(self.path / f"{lives[-1]}.log", last_try)
         if last.image is not None:
-            inc = max(inc, last.image.incarnations.get(self.whose.seat, 0) + 1)
-        self.inc, self.image = inc, last.image
+            inc = max(inc, last.image.incarnations.get(self.header.seat, 0) + 1)
+        self.incarnation, self.image = inc, last.image
         self.rewrite(
-            encode_records([self.whose]) if last.image is None else last.data[: last.image.valid_bytes]
+            encode_records([self.header]) if last.image is None else last.data[: last.image.valid_bytes]
         )
         # Only now: until here the last one is what counts.
         if last.damaged:
-            self._tidy(self.path / f"{lives.pop()}.log", keep=True)
-        unfinished = [name for name in entries if UNFINISHED.fullmatch(name)]
+            self._discard(self.path / f"{lives.pop()}.log", keep=True)
+        unfinished = [name for name in entries if UNFINISHED_NAME.fullmatch(name)]
         for name in [*(f"{life}.log" for life in lives), *unfinished]:
-            self._tidy(self.path / name)
+            self._discard(self.path / name)
         return inc, last.image, last.reason
 
-    def _last(self, path: Path, last_try: bool) -> _Last:
+    def _former_journal(self, path: Path, last_try: bool) -> _FormerJournal:
         try:
             return self._read(path)
         except OSError as exc:
             if not last_try:
                 raise
-            return _Last(None, f"{path.name} can't be read and is kept: {exc}", b"", damaged=True)
+            return _FormerJournal(None, f"{path.name} can't be read and is kept: {exc}", b"", damaged=True)
 
-    def _read(self, path: Path) -> _Last:
-        writing = _Last(None, "another process of this seat is writing", b"")
+    def _read(self, path: Path) -> _FormerJournal:
+        writing = _FormerJournal(None, "another process of this seat is writing", b"")
         with open(path, "rb") as file:
             try:
                 fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
@@ -156,14 +158,14 @@
             if os.fstat(file.fileno()).st_ino != path.stat().st_ino:
                 return writing
         try:
-            image = read_journal(data, self.whose)
+            image = read_journal(data, self.header)
         except ValueError as exc:
-            return _Last(None, f"{path.name} is not used, and is kept: {exc}", b"", damaged=True)
+            return _FormerJournal(None, f"{path.name} is not used, and is kept: {exc}", b"", damaged=True)
         if not image.recovered:
-            return _Last(None, "that life had forgotten, too", b"")
-        return _Last(image, "", data)
+            return _FormerJournal(None, "that life had forgotten, too", b"")
+        return _FormerJournal(image, "", data)
 
-    def _tidy(self, path: Path, keep: bool = False) -> None:
+    def _discard(self, path: Path, keep: bool = False) -> None:
         """A file that no longer counts goes, unless another process has it; one that may be looked into is renamed."""
         try:
             if not self._is_free(path):
@@ -212,7 +214,7 @@
             os.close(fd)
             raise
         self.close()
-        self._fd, self.size, self.base = fd, len(data), len(data)
+        self._fd, self.size, self.base_size = fd, len(data), len(data)
 
     def close(self) -> None:
         if self._fd >= 0:
@@ -220,11 +222,11 @@
             self._fd = -1
 
 
-def journal(config: FleetConfig, part: str, digest: str, seat: str, inc: int) -> Opened | None:
+def open_journal(config: FleetConfig, part: str, digest: str, seat: str, inc: int) -> OpenedJournal | None:
     """The journal of one part of a seat, where the operator's file names a folder for journals."""
     if not config.journal:
         return None
-    found = opened(
+    found = open_folder(
         Path(config.journal) / part, JournalHeader(JOURNAL_VERSION, config.name, digest, seat), inc
     )
     told = found.reason if found.image is None else f"{len(found.image.registers)} keys recalled"
@@ -232,13 +234,13 @@
     return found
 
 
-class Disk:
+class JournalWriter:
     """Between the keeper and its folder: what waits for the disk, in the order in which it came."""
 
     def __init__(
         self,
         reactor: Any,
-        folder: Folder,
+        folder: JournalFolder,
         keeper: Acceptor,
         clock: Callable[[], int],
         count: Callable[[str], None],
@@ -246,31 +248,31 @@
         self._reactor, self._folder, self._keeper = reactor, folder, keeper
         self._clock, self._count = clock, count
         self._waiting: list[Callable[[], None]] = []
-        self._busy = self._soon = False
-        self.failing = ""
+        self._writing = self._save_scheduled = False
+        self.failure = ""
         self.closed = False
         keeper.journaled = True
 
     def durable(self, then: Callable[[], None]) -> None:
-        if self.failing:
+        if self.failure:
             return  # whoever waits for a vote asks others, or again
         self._waiting.append(then)
-        if not self._busy and not self._soon:
-            self._soon = True
+        if not self._writing and not self._save_scheduled:
+            self._save_scheduled = True
             self._reactor.callLater(0, self._save)  # with all that this turn still brings
 
     def _save(self, anew: bool = False) -> None:
-        self._soon = False
-        if self.closed or self._busy:
+        self._save_scheduled = False
+        if self.closed or self._writing:
             return
         folder, waiting, self._waiting = self._folder, self._waiting, []
-        anew = anew or folder.size - folder.base > max(GROWN, folder.base)
+        anew = anew or folder.size - folder.base_size > max(COMPACT_AFTER_BYTES, folder.base_size)
         now = self._clock()
         records = self._keeper.all_records(now) if anew else self._keeper.unsaved_records(now)
         if not records:
             return self._run(waiting)
-        data = encode_records([folder.whose, *records] if anew else records)
-        self._busy = True
+        data = encode_records([folder.header, *records] if anew else records)
+        self._writing = True
         done = deferToThreadPool(
             self._reactor, self._reactor.getThreadPool(), folder.rewrite if anew else folder.append, data
         )
@@ -279,11 +281,11 @@
         return None
 
     def _saved(self, waiting: list[Callable[[], None]]) -> None:
-        self._busy = False
+        self._writing = False
         self._count("fleet: written to the disk")
-        if self.failing:
+        if self.failure:
             log.warning("fleet: the journal is written again")
-            self.failing, self._keeper.journal_failing = "", False
+            self.failure, self._keeper.journal_failing = "", False
         self._run(waiting)
         if self._waiting:
             self._save()
@@ -298,20 +300,20 @@
                 self._count("faults")
 
     def _failed(self, failure: Failure) -> None:
-        self._busy = False
-        self.fails(str(failure.value))
+        self._writing = False
+        self.fail(str(failure.value))
 
-    def fails(self, why: str) -> None:
+    def fail(self, why: str) -> None:
         """No vote leaves that is not written; the file is left alone until a whole new one could be."""
         self._waiting.clear()
-        if not self.failing:
+        if not self.failure:
             log.error("fleet: the journal can't be written, this keeper has no vote: %s", why)
             self._count("fleet: the disk failed")
-        self.failing, self._keeper.journal_failing = why or "failed", True
+        self.failure, self._keeper.journal_failing = why or "failed", True
         if not self.closed:
             self._reactor.callLater(1, self._save, True)
 
     def close(self) -> None:
         self.closed = True
-        if not self._busy:
+        if not self._writing:
             self._folder.close()
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -29,7 +29,7 @@
 from moorusher.namespaces import revisions
 from moorusher.replication import journal
 from moorusher.replication.policy import Seat
-from moorusher.storage.journal_files import opened
+from moorusher.storage.journal_files import open_folder
 from moorusher.storage.revisions import Store
 from moorusher.warm_start import snapshot
 from moorusher.warm_start.learned_state import Knowledge
@@ -76,9 +76,9 @@
 
 def folder_of(path: Path) -> tuple[int, bool]:
     """A life begins there: its incarnation, and whether the last one is recalled."""
-    found = opened(path, WHOSE, 3)
+    found = open_folder(path, WHOSE, 3)
     found.folder.close()
-    return found.inc, found.image is not None
+    return found.incarnation, found.image is not None
 
 
 def read_ledger(data: bytes) -> Any:
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -154,7 +154,7 @@
     # ---- what its pages would tell of values that others have written ----
 
     def duty_told(self, array: list[Any]) -> Any:
-        return self.service.fleet.duties._told(msgspec.convert(array, Post))
+        return self.service.fleet.leadership._told(msgspec.convert(array, Post))
 
     def outages_told(self, array: list[Any]) -> Any:
         return self.service.outage._told(msgspec.convert(array, Roster), True)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -57,7 +57,7 @@
 from moorusher.leadership.policy import Policy
 from moorusher.leadership.state_replication import Library
 from moorusher.membership.failure_detector import MemberState
-from moorusher.model_checking.cluster_simulation import SECOND, Course
+from moorusher.model_checking.cluster_simulation import SECOND, Scenario
 from moorusher.model_checking.explorer import explore
 from moorusher.model_checking.leadership_interleavings import Terms
 from moorusher.model_checking.leadership_simulation import (
@@ -273,8 +273,8 @@
 
 @pytest.mark.parametrize("kind", ["fenced", "once", "state"])
 def test_an_owner_stopped_anywhere_and_the_next_one_in_every_order(kind: str) -> None:
-    found = explore(Terms.held(Limits(again=(0, 0), patient=True), kind=kind), most=5_000)
-    assert found.broken is None, str(found)
+    found = explore(Terms.held(Limits(retries=(0, 0), patient=True), kind=kind), most=5_000)
+    assert found.violation is None, str(found)
 
 
 class Blind(Step):
@@ -309,15 +309,15 @@
 )
 def test_the_search_finds_each_seeded_mistake(how: dict[str, Any]) -> None:
     again = (1, 0) if "step" in how else (0, 0)
-    found = explore(Terms.held(Limits(again=again, patient=True), **how), most=60_000, deep=True)
-    assert found.broken is not None, str(found)
+    found = explore(Terms.held(Limits(retries=again, patient=True), **how), most=60_000, deep=True)
+    assert found.violation is not None, str(found)
 
 
 # ---- seeds in virtual time ----
 
 
 @pytest.mark.parametrize("course, how", [(COURSE, {}), (DISKS, {"lasting": True})], ids=["memory", "disks"])
-def test_seeds(course: Course, how: dict[str, Any]) -> None:
+def test_seeds(course: Scenario, how: dict[str, Any]) -> None:
     found = search(range(7), course, **how)
     assert found is None, f"DutySimulation({found[0]}, {course}, **{how}).play(): {found[1]}" if found else ""
 
@@ -329,7 +329,7 @@
         then(True)
 
     monkeypatch.setattr(Library, "put", put)
-    assert search(range(10), Course(seats=5, keys=0, faults=8, kinds=("kill", "forget"))) is not None
+    assert search(range(10), Scenario(seats=5, keys=0, faults=8, fault_kinds=("kill", "forget"))) is not None
 
 
 def test_seeds_find_a_receiver_that_does_not_compare() -> None:
@@ -339,7 +339,7 @@
 
 def test_seeds_find_keepers_that_forgot_and_vote() -> None:
     assert (
-        search(range(60), Course(seats=3, keys=0, faults=12, kinds=("forget", "cut")), amnesia=False)
+        search(range(60), Scenario(seats=3, keys=0, faults=12, fault_kinds=("forget", "cut")), amnesia=False)
         is not None
     )
 
@@ -351,7 +351,7 @@
     monkeypatch.setattr(Own, "make", make)
     monkeypatch.setattr(Own, "made_in", lambda self, found: found is not None)
     monkeypatch.setattr(Advance, "make", make)
-    assert search(range(20), Course(seats=5, keys=0, faults=12, kinds=("stop", "cut"))) is not None
+    assert search(range(20), Scenario(seats=5, keys=0, faults=12, fault_kinds=("stop", "cut"))) is not None
 
 
 def test_seeds_find_a_look_that_takes_one_keepers_word_for_that_of_a_majority(
@@ -367,7 +367,7 @@
 
 def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, Ownership]:
     """A fleet in which the first duty has an owner, and nothing else happens."""
-    sim = DutySimulation(1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0), duties, **how)
+    sim = DutySimulation(1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0), duties, **how)
     sim.run(2 * SECOND)
     for p in sim.processes:
         assert isinstance(p, DutyProcess)
@@ -455,7 +455,7 @@
             for p in sim.processes
             if isinstance(p, DutyProcess) and p.alive and key_of("duty-0") in p.participant.ownerships
         ]
-        sim.processes[owner.seat] = sim.born(owner.seat, remembers=True)
+        sim.processes[owner.seat] = sim.start_process(owner.seat, remembers=True)
         if not found:
             break
         owner = found[0]
@@ -524,14 +524,14 @@
 
 def test_an_owner_that_is_not_fit_gives_its_duties_up_in_order() -> None:
     sim, owner, _ = settled(seats=4, duties=4)
-    owner.away = True
+    owner.draining = True
     sim.run(sim.now + 4 * SECOND)
     assert not owner.participant.ownerships and sim.history.counts["duties: given up"] >= 1
     facts = sim.facts["duty-0"]
-    assert sim.wrong() is None and facts.acknowledged, "a last state was handed on"
-    owner.away = False
+    assert sim.violation() is None and facts.acknowledged, "a last state was handed on"
+    owner.draining = False
     sim.run(sim.now + 2 * SECOND)
-    assert sim.wrong() is None
+    assert sim.violation() is None
 
 
 def test_a_duty_taken_away_has_no_owner_and_made_anew_is_another() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,9 +12,9 @@
 
 from moorusher.membership.failure_detector import FailureDetector, MemberState
 from moorusher.membership.placement import Placement
-from moorusher.model_checking.cluster_simulation import Course, Process, Simulation, search
+from moorusher.model_checking.cluster_simulation import Process, Scenario, Simulation, find_failing_seed
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.register_interleavings import Limits, Registers
+from moorusher.model_checking.register_interleavings import Limits, RegisterModel
 from moorusher.replication import node as node_module
 from moorusher.replication import watched_work as watched_module
 from moorusher.replication import work_takeover as left_module
@@ -207,12 +207,12 @@
 
 
 def test_one_seat_lost_for_good_keeps_nobody_who_begins_anew_from_voting_and_telling_the_next() -> None:
-    sim = Simulation(3, Course(seats=5, keys=0, faults=0))
+    sim = Simulation(3, Scenario(seats=5, keys=0, faults=0))
     sim.run(1_000_000)
-    sim._end(sim.processes[4])
+    sim._kill(sim.processes[4])
     for seat in range(4):  # one after the other, as in a round of restarts
-        sim._end(sim.processes[seat])
-        sim.processes[seat] = sim.born(seat, remembers=False)
+        sim._kill(sim.processes[seat])
+        sim.processes[seat] = sim.start_process(seat, remembers=False)
         sim.run(sim.now + 3_000_000)
     keys = [b"k%d" % i for i in range(400)]
     without = [k for k in keys if "n4" not in sim.seats.replicas(k)]
@@ -264,10 +264,10 @@
 
 
 def test_the_word_that_a_fleet_is_new_counts_for_no_later_process() -> None:
-    sim = Simulation(1, Course(seats=3, keys=0, faults=0))
+    sim = Simulation(1, Scenario(seats=3, keys=0, faults=0))
     for other in sim.processes:
-        sim._end(other)
-    process = sim.processes[0] = sim.born(0, remembers=False, inc=7)
+        sim._kill(other)
+    process = sim.processes[0] = sim.start_process(0, remembers=False, inc=7)
     process.node.receive("n1", 9, Bootstrap(6))
     sim.run(sim.now + 200_000)
     assert not process.node.acceptor.recovered
@@ -277,10 +277,10 @@
 
 
 def test_those_who_hear_of_others_that_began_before_the_word_itself_take_it_all_the_same() -> None:
-    sim = Simulation(1, Course(seats=4, keys=0, faults=0, lost=0, doubled=0))
+    sim = Simulation(1, Scenario(seats=4, keys=0, faults=0, loss=0, duplication=0))
     for seat in range(4):
-        sim._end(sim.processes[seat])
-        sim.processes[seat] = sim.born(seat, remembers=False, inc=100 + seat)
+        sim._kill(sim.processes[seat])
+        sim.processes[seat] = sim.start_process(seat, remembers=False, inc=100 + seat)
     sim.run(1_000_000)
     registers = sim.processes[0].node.registers
     sent: list[tuple[str, Any]] = []
@@ -306,33 +306,33 @@
 
 
 def test_no_interleaving_of_the_owners_begin_and_a_taker_runs_a_key_twice() -> None:
-    found = explore(Registers.begun(Limits(held=True, again=(0, 1), patient=True)), 60_000)
-    assert found.whole and found.states > 10_000 and found.broken is None, str(found)
+    found = explore(RegisterModel.initial(Limits(starts_held=True, retries=(0, 1), patient=True)), 60_000)
+    assert found.complete and found.states > 10_000 and found.violation is None, str(found)
 
 
 @pytest.mark.parametrize(
     "limits, how",
     [
-        (Limits(held=True, again=(0, 0)), {"hasty": True}),
+        (Limits(starts_held=True, retries=(0, 0)), {"runs_early": True}),
         (
-            Limits(again=(0, 1), patient=True),
-            {"seats": {"P": ("a", "b", "c"), "Q": ("c", "d", "e")}, "alike": ("a", "b")},
+            Limits(retries=(0, 1), patient=True),
+            {"replicas": {"P": ("a", "b", "c"), "Q": ("c", "d", "e")}, "interchangeable": ("a", "b")},
         ),
     ],
     ids=["commanded before it is begun", "other seats in one step"],
 )
 def test_every_interleaving_finds_the_seeded_mistakes(limits: Limits, how: dict[str, Any]) -> None:
-    case = Registers.begun(limits, **how)
+    case = RegisterModel.initial(limits, **how)
     found = explore(case, 60_000, deep=True)
-    assert found.broken is not None, str(found)
-    assert replay(case, found.way) == found.broken, "the way that is told leads there"
+    assert found.violation is not None, str(found)
+    assert replay(case, found.path) == found.violation, "the way that is told leads there"
 
 
 # ---- seeds in virtual time ----
 
 
 def test_no_course_in_virtual_time_runs_twice_forgets_or_makes_a_result_up() -> None:
-    found = search(range(40))
+    found = find_failing_seed(range(40))
     assert found is None, (
         f"moorusher lab run fleet --seed {found[0]} plays it again: {found[1]}" if found else ""
     )
@@ -342,7 +342,7 @@
     """A seeded mistake: commanded while others are asked."""
 
     def _start(self, key: bytes) -> None:
-        if self.state.get(key) == "held" and self.kernel:
+        if self.state.get(key) == "held" and self.kernel_up:
             self.state[key] = "beginning"
             self.begun(key)
 
@@ -376,7 +376,7 @@
     if where:
         for module in (node_module, left_module, watched_module):
             monkeypatch.setattr(module, name, what, raising=False)
-    assert search(range(60), Course(faults=10), **how) is not None
+    assert find_failing_seed(range(60), Scenario(faults=10), **how) is not None
 
 
 def test_a_seed_plays_the_same_course_each_time() -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -17,7 +17,7 @@
 
 from moorusher.config.loader import read_fronts
 from moorusher.config.section import ConfigError
-from moorusher.model_checking.cluster_simulation import Course, Process, search
+from moorusher.model_checking.cluster_simulation import Process, Scenario, find_failing_seed
 from moorusher.replication.acceptor import Acceptor
 from moorusher.replication.journal import (
     JOURNAL_VERSION,
@@ -31,7 +31,7 @@
 from moorusher.replication.messages import FAST_BALLOT, BallotRequest
 from moorusher.replication.work_record import Owner, WorkRecord, WorkState
 from moorusher.storage import journal_files as disk
-from moorusher.storage.journal_files import Files, Folder, opened
+from moorusher.storage.journal_files import FileSystem, JournalFolder, open_folder
 
 from .fleets import Fleet, fleet, token
 from .test_sockets import has, sockets
@@ -109,7 +109,7 @@
 
 
 @dataclass
-class Ends(Files):
+class Ends(FileSystem):
     """Power is lost at step `at`. What no fsync has confirmed is there in part, or not at all; so is a rename."""
 
     at: int
@@ -154,9 +154,9 @@
         super().remove(path)
 
 
-def a_life(path: Path, files: Files, left: dict[bytes, int], known: bool) -> None:
+def a_life(path: Path, files: FileSystem, left: dict[bytes, int], known: bool) -> None:
     """A keeper's life: what its votes say that left is in `left`, by key the round that it promised."""
-    folder = Folder(path, WHOSE, files)
+    folder = JournalFolder(path, WHOSE, files)
     try:
         inc, image, _ = folder.open(1)
         keeper = Acceptor(
@@ -188,14 +188,14 @@
     for at in range(1, 200):
         left: dict[bytes, int] = {}
         path = tmp_path / f"{part}.{at}"
-        a_life(path, Files(), left, known=False)
+        a_life(path, FileSystem(), left, known=False)
         files = Ends(at, part)
         try:
             a_life(path, files, left, known=True)
         except Ended:
             steps += 1
-            a_life(path, Files(), left, known=True)
-            a_life(path, Files(), left, known=True)
+            a_life(path, FileSystem(), left, known=True)
+            a_life(path, FileSystem(), left, known=True)
             assert len([p for p in path.iterdir() if p.suffix == ".log"]) == 1, (
                 "each life leaves a file behind"
             )
@@ -204,7 +204,7 @@
     assert steps > 15
 
 
-class Early(Folder):
+class Early(JournalFolder):
     """A seeded mistake: votes leave before the disk has confirmed them."""
 
     def _write(self, fd: int, data: bytes) -> None:
@@ -220,17 +220,17 @@
                 p.write_bytes(p.read_bytes()[: len(encode_records([WHOSE]))])
             raise Ended
 
-    monkeypatch.setattr("tests.test_journal.Folder", Early)
+    monkeypatch.setattr("tests.test_journal.JournalFolder", Early)
     left: dict[bytes, int] = {}
-    a_life(tmp_path / "f", Files(), left, known=False)
+    a_life(tmp_path / "f", FileSystem(), left, known=False)
     with pytest.raises(Ended):
         a_life(tmp_path / "f", Forgets(7, 0.0), left, known=True)
     with pytest.raises(AssertionError, match="its votes left"):
-        a_life(tmp_path / "f", Files(), left, known=True)
+        a_life(tmp_path / "f", FileSystem(), left, known=True)
 
 
 def test_a_folder_that_another_process_writes_to_is_begun_anew_and_left_to_it(tmp_path: Path) -> None:
-    elder, younger = Folder(tmp_path, WHOSE), Folder(tmp_path, WHOSE)
+    elder, younger = JournalFolder(tmp_path, WHOSE), JournalFolder(tmp_path, WHOSE)
     first, _, _ = elder.open(10)
     elder.append(encode_records([line(1), RecoveredRecord()]))
     second, image, why = younger.open(3)
@@ -238,7 +238,7 @@
     elder.rewrite(encode_records([WHOSE, line(2), RecoveredRecord()]))
     elder.close()
     younger.close()
-    third = Folder(tmp_path, WHOSE)
+    third = JournalFolder(tmp_path, WHOSE)
     inc, image, why = third.open(1)
     assert inc > second and image is None and "forgotten" in why, (
         "the younger one has forgotten, and voted since"
@@ -250,7 +250,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The lock was taken on the old file, which its writer had just let go."""
-    elder, younger = Folder(tmp_path, WHOSE), Folder(tmp_path, WHOSE)
+    elder, younger = JournalFolder(tmp_path, WHOSE), JournalFolder(tmp_path, WHOSE)
     elder.open(10)
     elder.append(encode_records([line(1), RecoveredRecord()]))
     lock, turns = fcntl.flock, iter([True])
@@ -270,7 +270,7 @@
 def test_a_clock_that_was_set_back_makes_no_incarnation_of_the_past(tmp_path: Path) -> None:
     incs = []
     for at in (1_000, 500, 400):
-        folder = Folder(tmp_path, WHOSE)
+        folder = JournalFolder(tmp_path, WHOSE)
         incs.append(folder.open(at)[0])
         folder.close()
     assert incs == [1000, 1001, 1002]
@@ -278,21 +278,21 @@
 
 def test_a_full_disk_at_the_start_leaves_what_the_last_life_wrote(tmp_path: Path) -> None:
     left: dict[bytes, int] = {}
-    a_life(tmp_path, Files(), left, known=False)
+    a_life(tmp_path, FileSystem(), left, known=False)
 
-    class Full(Files):
+    class Full(FileSystem):
         def write(self, fd: int, data: bytes) -> int:
             raise OSError(28, "No space left on device")
 
-    folder = Folder(tmp_path, WHOSE, Full())
+    folder = JournalFolder(tmp_path, WHOSE, Full())
     with pytest.raises(OSError, match="No space"):
         folder.open(1)
-    assert folder.inc and not folder.size, "its incarnation is known, and it may be written later"
-    a_life(tmp_path, Files(), left, known=True)
+    assert folder.incarnation and not folder.size, "its incarnation is known, and it may be written later"
+    a_life(tmp_path, FileSystem(), left, known=True)
 
 
 @dataclass
-class Failing(Files):
+class Failing(FileSystem):
     """Each call of this kind fails, as many times as are left."""
 
     kind: str
@@ -329,7 +329,7 @@
 
 
 def life_that_remembers(path: Path) -> None:
-    folder = Folder(path, WHOSE)
+    folder = JournalFolder(path, WHOSE)
     folder.open(10)
     folder.append(encode_records([line(1), line(2), RecoveredRecord()]))
     folder.close()
@@ -341,27 +341,27 @@
     tmp_path: Path, kind: str, number: int
 ) -> None:
     life_that_remembers(tmp_path)
-    found = opened(tmp_path, WHOSE, 1, Failing(kind, FOR_EVER, number))
-    assert not found.written and os.strerror(number) in found.reason
+    found = open_folder(tmp_path, WHOSE, 1, Failing(kind, FOR_EVER, number))
+    assert not found.is_written and os.strerror(number) in found.reason
     assert found.image is not None and found.image.recovered and len(found.image.registers) == 2
-    assert found.inc == 11
+    assert found.incarnation == 11
 
 
 def test_a_file_that_can_be_read_a_moment_later_is_read(tmp_path: Path) -> None:
     life_that_remembers(tmp_path)
-    found = opened(tmp_path, WHOSE, 1, Failing("read", 3))
-    assert found.written and found.image is not None and len(found.image.registers) == 2
+    found = open_folder(tmp_path, WHOSE, 1, Failing("read", 3))
+    assert found.is_written and found.image is not None and len(found.image.registers) == 2
     found.folder.close()
 
 
 def test_a_file_that_stays_unreadable_is_kept_and_the_life_begins_as_one_that_forgot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(disk, "PATIENCE_S", 0.1)
+    monkeypatch.setattr(disk, "OPEN_TIMEOUT_S", 0.1)
     life_that_remembers(tmp_path)
-    found = opened(tmp_path, WHOSE, 1, Failing("read", FOR_EVER))
-    assert found.written and found.image is None and "10.log can't be read and is kept" in found.reason
-    assert found.inc == 11 and (tmp_path / "10.log.damaged").exists()
+    found = open_folder(tmp_path, WHOSE, 1, Failing("read", FOR_EVER))
+    assert found.is_written and found.image is None and "10.log can't be read and is kept" in found.reason
+    assert found.incarnation == 11 and (tmp_path / "10.log.damaged").exists()
     found.folder.close()
 
 
@@ -370,11 +370,11 @@
     data = bytearray((tmp_path / "10.log").read_bytes())
     data[len(encode_records([WHOSE])) + 15] ^= 1
     (tmp_path / "10.log").write_bytes(data)
-    found = opened(tmp_path, WHOSE, 1)
+    found = open_folder(tmp_path, WHOSE, 1)
     assert found.image is None and "10.log is not used, and is kept: damaged at byte" in found.reason
     assert (tmp_path / "10.log.damaged").read_bytes() == data
     found.folder.close()
-    again = opened(tmp_path, WHOSE, 1)
+    again = open_folder(tmp_path, WHOSE, 1)
     assert again.image is None and "forgotten" in again.reason, "a file kept aside counts for nothing"
     again.folder.close()
 
@@ -383,25 +383,25 @@
     life_that_remembers(tmp_path)
     for name in ("7.log.new", "10.log.new"):
         (tmp_path / name).write_bytes(b"half")
-    found = opened(tmp_path, WHOSE, 1)
+    found = open_folder(tmp_path, WHOSE, 1)
     assert found.image is not None and [p.name for p in tmp_path.iterdir()] == ["11.log"]
     found.folder.close()
 
 
 def test_a_file_that_can_not_be_removed_does_not_matter(tmp_path: Path) -> None:
     life_that_remembers(tmp_path)
-    found = opened(tmp_path, WHOSE, 1, Failing("remove", 1))
-    assert found.written and found.image is not None
+    found = open_folder(tmp_path, WHOSE, 1, Failing("remove", 1))
+    assert found.is_written and found.image is not None
     found.folder.close()
 
 
 def test_a_folder_that_can_not_be_read_is_named_with_its_remedy(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(disk, "PATIENCE_S", 0.1)
+    monkeypatch.setattr(disk, "OPEN_TIMEOUT_S", 0.1)
     (tmp_path / "file").write_text("no folder")
     with pytest.raises(ConfigError, match="check the disk, or name another folder"):
-        opened(tmp_path / "file", WHOSE, 1)
+        open_folder(tmp_path / "file", WHOSE, 1)
 
 
 def test_the_folder_is_named_from_the_root(tmp_path: Path) -> None:
@@ -413,13 +413,15 @@
 
 # ---- a fleet in virtual time ----
 
-DISKS = Course(
-    disks=True, faults=9, kinds=("kill", "forget", "power", "power", "stop", "cut", "one way", "kernel")
+DISKS = Scenario(
+    journals=True,
+    faults=9,
+    fault_kinds=("kill", "forget", "power", "power", "stop", "cut", "one way", "kernel"),
 )
 
 
 def test_no_seed_loses_work_or_runs_it_twice_with_disks_and_power_that_fails() -> None:
-    found = search(range(30), DISKS)
+    found = find_failing_seed(range(30), DISKS)
     assert found is None, f"Simulation({found[0]}, DISKS).play(): {found[1]}" if found else ""
 
 
@@ -432,7 +434,7 @@
 
 
 def test_the_seeds_find_a_vote_that_left_too_early() -> None:
-    assert search(range(150), DISKS, process=Unwritten) is not None
+    assert find_failing_seed(range(150), DISKS, process=Unwritten) is not None
 
 
 # ---- real processes ----
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,7 +11,7 @@
 
 from moorusher.backends.database import IDLE, SETTLE, DatabasePool
 from moorusher.backends.kernel import MOST_UNREAD, QUIET, SURE, KernelConnection, KernelLink
-from moorusher.cluster_transport.peers import Dial
+from moorusher.cluster_transport.peers import PeerDialer
 from moorusher.core.answer import Verdict
 from moorusher.core.call import Asked
 from moorusher.core.outcomes import Ending
@@ -294,16 +294,16 @@
 
 def test_a_link_between_runners_that_is_hung_up_is_dialled_at_once_and_by_itself_again() -> None:
     link = _Link()
-    dial = Dial(link, "n1", ("127.0.0.1", 1))  # type: ignore[arg-type]
-    dial.say("first")  # type: ignore[arg-type]
+    dial = PeerDialer(link, "n1", ("127.0.0.1", 1))  # type: ignore[arg-type]
+    dial.send("first")  # type: ignore[arg-type]
     made = link.reactor.tcpClients
     assert len(made) == 1
-    dial._dialling = False  # it was made,
-    dial.down()  # and a later process has the seat
+    dial._connecting = False  # it was made,
+    dial.disconnected()  # and a later process has the seat
     assert len(made) == 2
-    dial._dialling = False
+    dial._connecting = False
     link.touch()
-    dial.down()  # and again: not at once each time
+    dial.disconnected()  # and again: not at once each time
     assert len(made) == 2
     link.reactor.advance(1.1)
     assert len(made) == 3
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -352,13 +352,13 @@
 
 def test_every_interleaving_of_two_asks_and_a_withdrawal_keeps_the_limit() -> None:
     found = explore(Outages.begun(Limits(crashes=0, given_up=0)), 60_000)
-    assert found.whole and found.broken is None, found
+    assert found.complete and found.violation is None, found
 
 
 def test_with_a_crash_or_a_change_that_comes_late_none_is_found_either() -> None:
     for limits in (Limits(crashes=1, given_up=0), Limits(crashes=0, given_up=1)):
         found = explore(Outages.begun(limits), 25_000, deep=True)
-        assert found.broken is None, found
+        assert found.violation is None, found
 
 
 class Unlimited(Grant):
@@ -402,8 +402,8 @@
 )
 def test_every_interleaving_finds_the_seeded_mistakes(limits: Limits, how: dict[str, Any]) -> None:
     found = explore(Outages.begun(limits, **how), 200_000)
-    assert found.broken is not None, found
-    assert replay(Outages.begun(limits, **how), found.way) == found.broken
+    assert found.violation is not None, found
+    assert replay(Outages.begun(limits, **how), found.path) == found.violation
 
 
 # ---- seeds in virtual time ----
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -433,7 +433,7 @@
 
 def test_publish_against_publish_in_every_interleaving() -> None:
     found = explore(Publishes())
-    assert found.whole and found.broken is None, str(found)
+    assert found.complete and found.violation is None, str(found)
     assert found.states > 5_000
 
 
@@ -443,8 +443,8 @@
 )
 def test_a_seeded_mistake_is_found_with_the_way_to_it(kind: type[Publisher], how: str) -> None:
     found = explore(Publishes(kind))
-    assert found.broken is not None and re.search(how, found.broken), str(found)
-    assert replay(Publishes(kind), found.way) == found.broken
+    assert found.violation is not None and re.search(how, found.violation), str(found)
+    assert replay(Publishes(kind), found.path) == found.violation
 
 
 @pytest.mark.parametrize(
