--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -1,4 +1,9 @@
-"""What runners of a fleet say to each other. One form for all, versioned by `VERSION` in the greeting."""
+"""The messages among the runners of a cluster, and their frames.
+
+Wire form: msgpack arrays. Each message is `[tag, field, ...]` in the order in which the fields stand here, with
+trailing defaults left out. The tags and the order of the fields belong to version 4 of the protocol; class and field
+names do not reach the wire.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +12,20 @@
 
 import msgspec
 
+from .errors import UnreadableFrame
 from .work_record import Key, Owner, WorkRecord
 
-PROTOCOL_VERSION = 4
-MAX_FRAME_BYTES = (
-    1 << 20
-)  # bytes of one frame: all that is said to a peer in one turn, cut into as many as it takes
+PROTOCOL_VERSION = 4  # both sides of a connection must name the same in their greeting
+MAX_FRAME_BYTES = 1 << 20  # of one frame; what is sent to a peer in one turn is cut into as many as it takes
 
-Ballot = tuple[
-    int, int, int
-]  # (round, the proposer's incarnation, which of its writers); compared as a whole
-FAST_BALLOT: Ballot = (
-    0,
-    0,
-    0,
-)  # of a first write without a promise: anyone's, and chosen only where all keepers took it
-Incarnations = dict[str, int]  # incarnations of seats, the highest that somebody has heard of
+# (round, incarnation of the proposer, number of the proposer within its process); compared as a whole, so that no two
+# proposers ever use the same ballot.
+Ballot = tuple[int, int, int]
+# The ballot of a first write without a promise. It is anyone's, and chosen only where all replicas accepted it.
+FAST_BALLOT: Ballot = (0, 0, 0)
+Incarnations = dict[str, int]  # by seat, the highest that the sender has heard of
+# A register as it is sent to a recovering acceptor: key, promised ballot, accepted ballot, value, ttl in ms.
+SyncedRegister = tuple[Key, Ballot, Ballot | None, WorkRecord | bytes | None, int]
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
@@ -30,21 +33,29 @@
 
 
 class ComponentPayload(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The base of what a part of the fleet's doings says; goes as the body of a `For`."""
+    """The base of the messages of a component of the cluster; one goes as the body of a `ComponentMessage`."""
 
 
 class Hello(_Message, frozen=True, tag="hello"):
-    """The first word on a connection, by who made it."""
+    """The first message on a connection, from either side.
+
+    Attributes:
+        version: `int`, see `PROTOCOL_VERSION`.
+        fleet: `str`, the cluster's name in the settings.
+        seats_digest: `str`, digest of the seats in the settings.
+        seat: `str`, the sender's.
+        incarnation: `int`, of the sending process.
+    """
 
     version: int
     fleet: str
-    seats_digest: str  # digest of the seats in the file
+    seats_digest: str
     seat: str
     incarnation: int
 
 
 class HandshakeRejected(_Message, frozen=True, tag="no"):
-    """The answer to a greeting that is not taken, with the reason; the connection closes."""
+    """The answer to a greeting that is not accepted; the connection closes."""
 
     reason: str
 
@@ -53,53 +64,85 @@
 
 
 class BallotRequest(_Message, frozen=True, tag="ask"):
-    """To a keeper. `value` is None for a promise alone; `ballot` is FAST for a first write. Where the keeper takes the
-    value it promises `after` as well, so that the same proposer's next write needs no round of its own."""
+    """A proposer's request to an acceptor: to promise a ballot, or to accept a value.
+
+    Attributes:
+        serial: `int`, repeated in the `Vote`.
+        key: `bytes`, of the register.
+        ballot: the ballot to promise or to accept at; `FAST_BALLOT` for a first write.
+        value: the value to accept, or None where only a promise is wanted.
+        next_ballot: promised together with an accepted value, so that the proposer's next write needs no prepare round.
+        quorum: who promised `ballot`, in which incarnation; empty for a promise and for a first write.
+        ttl_ms: `int`, how long the key still counts, by the proposer's clock.
+        space: `int`, see `register_space`.
+    """
 
     serial: int
     key: Key
     ballot: Ballot
     value: WorkRecord | bytes | None
     next_ballot: Ballot
-    quorum: Incarnations  # who promised `ballot`, in which incarnation; empty for a promise and a first write
-    ttl_ms: int  # how long the key still counts, by the proposer's clock
-    space: int = 0  # see `registers`
+    quorum: Incarnations
+    ttl_ms: int
+    space: int = 0
 
 
 class Vote(_Message, frozen=True, tag="vote"):
-    """A keeper's answer to a question or a change of a register."""
+    """An acceptor's answer to a `BallotRequest`.
+
+    Attributes:
+        serial: `int`, of the request.
+        key: `bytes`, of the register.
+        accepted: `bool`, the promise was given, or the value accepted.
+        promised: the highest ballot that the acceptor has promised.
+        accepted_ballot: of the value that it has, or None.
+        value: the value that it has, or None.
+        incarnation: `int`, the acceptor's own.
+        incarnations: of the key's replicas, as far as the acceptor knows.
+        recovering: `bool`, it may have forgotten something and has no vote.
+        at_capacity: `bool`, it has no capacity for a further key.
+        space: `int`, see `register_space`.
+    """
 
     serial: int
     key: Key
     accepted: bool
     promised: Ballot
-    accepted_ballot: Ballot | None  # of the value that the keeper has
+    accepted_ballot: Ballot | None
     value: WorkRecord | bytes | None
-    incarnation: int  # the keeper's own
-    incarnations: Incarnations  # of the key's keepers, as far as this one knows
-    recovering: bool = False  # it may have forgotten: it has no vote
-    at_capacity: bool = False  # no room for a further key
+    incarnation: int
+    incarnations: Incarnations
+    recovering: bool = False
+    at_capacity: bool = False
     space: int = 0
 
 
-# ---- a keeper that has forgotten ----
+# ---- recovery of an acceptor ----
 
 
 class SyncRequest(_Message, frozen=True, tag="sync"):
-    """A keeper that remembers nothing asks for all that it may have known."""
+    """A recovering acceptor asks for every register that it may have known. `incarnation`: its own."""
 
     incarnation: int
     space: int = 0
 
 
 class SyncReply(_Message, frozen=True, tag="slots"):
-    """(key, promised, ballot, value, left_ms) each; `last` ends the answer. `blank`: who was asked has forgotten too.
-    `vouches`: the slices that it speaks of; all, where None. `inc` is what the asker's incarnation must be above, where
-    it was too low."""
+    """Registers for a recovering acceptor, one part of several.
+
+    Attributes:
+        incarnation: `int`, the asker's as it was named; a higher one where the asker's was too low: it must be above.
+        incarnations: all that the sender has heard of.
+        registers: see `SyncedRegister`.
+        last: `bool`, this part ends the answer.
+        recovering: `bool`, the sender has forgotten too.
+        space: `int`, see `register_space`.
+        known_slices: slices that the answer is complete for; None where it is complete for all.
+    """
 
     incarnation: int
     incarnations: Incarnations
-    registers: list[tuple[Key, Ballot, Ballot | None, WorkRecord | bytes | None, int]]
+    registers: list[SyncedRegister]
     last: bool
     recovering: bool = False
     space: int = 0
@@ -107,9 +150,15 @@
 
 
 class Bootstrap(_Message, frozen=True, tag="begin"):
-    """An operator's word that nothing of this fleet ran before: all of its seats are up, and none remembers. For that
-    incarnation alone: one that is heard late must not have a later process vote as if it remembered. `lost`: what it
-    was told again is to count as all there was."""
+    """An operator's statement that nothing of this cluster ran before.
+
+    It counts for one incarnation alone: heard late, it must not make a later process vote as if it had recovered.
+
+    Attributes:
+        incarnation: `int`, the receiver's, for which it counts.
+        space: `int`, see `register_space`.
+        accept_loss: `bool`, what the receiver has been synced is to count as all there was.
+    """
 
     incarnation: int
     space: int = 0
@@ -117,7 +166,7 @@
 
 
 class ComponentMessage(_Message, frozen=True, tag="for"):
-    """To a part of the fleet's doings that is not always there, in that part's own form."""
+    """To a component of the cluster that not every runner has; the body is in that component's own form."""
 
     component: str
     body: bytes
@@ -127,14 +176,14 @@
 
 
 class OwnershipQuery(_Message, frozen=True, tag="has"):
-    """To the owner of a key: have you still got it in hand?"""
+    """To the owner of a key: is its work still in hand?"""
 
     key: Key
     attempt: int
 
 
 class OwnershipReply(_Message, frozen=True, tag="had"):
-    """`over`: it is, with this result; else whether it is in hand."""
+    """The owner's answer: whether the work is in hand; or that it is finished, with its result."""
 
     key: Key
     attempt: int
@@ -144,7 +193,7 @@
 
 
 class TakeoverOffer(_Message, frozen=True, tag="take"):
-    """To the seat whose turn it is: go on with this work, which its owner has left."""
+    """To the seat whose turn it is: take over this work, which `owner` has left."""
 
     key: Key
     owner: Owner
@@ -155,40 +204,61 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself."""
-
-    accepts_work: bool = False  # to take work over
+    """What a member says of itself.
+
+    Attributes:
+        accepts_work: `bool`, it can take over work.
+        cores: `int`.
+        predecessor: `int`, incarnation of the process that it replaces, while that one lives; else 0.
+        duties: `int`, how many it leads.
+        duty_replicas: `int`, registers of duties that it is a replica of.
+        weight: `int`, percent of its full capacity, as load balancers are told; 0: no new requests.
+        load: `int`, hundredths of a core that it serves, rounded.
+        peak_load: `int`, the most of them in the last while.
+        recovered: `bool`, as a replica of the cluster's own registers it has forgotten nothing.
+        durable: `bool`, its next process will know what this one knows.
+    """
+
+    accepts_work: bool = False
     cores: int = 0
-    predecessor: int = 0  # the process that it replaces, while that one lives
+    predecessor: int = 0
     duties: int = 0
-    duty_replicas: int = 0  # registers of duties
-    weight: int = 0  # percent of its full capacity, as balancers are told; 0: no new requests
-    load: int = 0  # hundredths of a core that it serves, coarsely,
-    peak_load: int = 0  # and the most of them in the last while
-    recovered: bool = False  # as a keeper of what is the fleet's it has forgotten nothing,
-    durable: bool = False  # and its next process will not have
+    duty_replicas: int = 0
+    weight: int = 0
+    load: int = 0
+    peak_load: int = 0
+    recovered: bool = False
+    durable: bool = False
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member. `version` grows as it tells something new of itself."""
+    """Gossip about one member.
+
+    Attributes:
+        seat: `str`.
+        incarnation: `int`, of the process that the update is about.
+        version: `int`, grows as the member publishes a new status or refutes a suspicion.
+        state: `int`, the value of a `failure_detector.MemberState`.
+        status: `MemberStatus`.
+    """
 
     seat: str
     incarnation: int
     version: int
-    state: int  # of `member.State`
+    state: int
     status: MemberStatus
 
 
 class Ping(_Message, frozen=True, tag="ping"):
-    """Asks a member whether it is there; carries news."""
+    """Probes a member; carries gossip. `requested_by`: the seat that asked for the probe, or empty."""
 
     serial: int
     updates: list[MemberUpdate]
-    requested_by: str = ""  # of the seat that asked for it
+    requested_by: str = ""
 
 
 class PingAck(_Message, frozen=True, tag="pong"):
-    """The answer to a ping; carries news."""
+    """The answer to a ping; carries gossip. `requested_by` as in the ping."""
 
     serial: int
     updates: list[MemberUpdate]
@@ -196,7 +266,7 @@
 
 
 class PingRequest(_Message, frozen=True, tag="pingfor"):
-    """Ask that one for me: I don't hear from it."""
+    """Asks a member to probe `seat`, which does not answer the sender."""
 
     serial: int
     seat: str
@@ -222,7 +292,10 @@
 
 
 def component_codec(kinds: Any) -> tuple[Callable[[Any], bytes], Callable[[bytes], Any]]:
-    """How a part's messages, a union of them, are written and read. Reading raises msgspec.MsgspecError."""
+    """The encoder and the decoder of a component's messages, a union of them.
+
+    The decoder raises `msgspec.MsgspecError`.
+    """
     return msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(kinds).decode
 
 
@@ -236,8 +309,8 @@
 
 
 def decode(frame: bytes) -> list[Any]:
-    """Raises ValueError where it is no frame of ours."""
+    """The messages of a frame. Raises UnreadableFrame where it is none of this protocol."""
     try:
         return _decoder.decode(frame)
     except (msgspec.MsgspecError, RecursionError) as exc:
-        raise ValueError(str(exc)) from exc
+        raise UnreadableFrame(str(exc)) from exc
