--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -303,7 +303,7 @@
     def render_GET(self, request: Any) -> bytes:
         path = [p for p in request.postpath if p]
         if path == [b"work"]:
-            return reply(request, 200, self._fleet.work_in_hand())
+            return reply(request, 200, self._fleet.work_status())
         return (
             reply(request, 200, self._fleet.status())
             if not path
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -1,10 +1,11 @@
-"""Keyed work between the core and the fleet: what the core asks before a key is used and a run begins, what the fleet
-has settled of them, and work of other runners that this one goes on with.
+"""Keyed work between the core and the node: what the core asks before a key is used and a run starts, what the cluster
+has settled of a key, and work of other runners that this one takes over.
 """
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Callable
 from typing import Any
 
 from ..core.answer import Answer
@@ -13,190 +14,251 @@
 from ..core.request_engine import Decider
 from ..core.requests import Arrival, Request
 from ..replication.node import Node
+from ..replication.work_events import (
+    BodyDiffers,
+    ClaimGranted,
+    ClaimJoined,
+    ClaimUncovered,
+    HandedOver,
+    KeyForgotten,
+    RejectedByAll,
+    ResultKnown,
+    StartConfirmed,
+    StartLost,
+    StartUncovered,
+    WorkEvent,
+    WorkInHand,
+)
 from ..replication.work_record import Key, WorkRequest, key_of
 
 log = logging.getLogger("moorusher")
 
+MAX_REQUEST_ID = 56  # characters of a request id that is in use here already, before a number is added
+
 
 class NoReply:
-    """The way back of work that another runner has read: who asks for it again is told through its key."""
+    """The way back of work that another runner has read: whoever asks for it again is answered through its key."""
 
     def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
-        return None
+        """Drops the answer."""
 
 
 class KeyedWorkCoordinator:
-    """The part of `fleet.tenure.Host` about work, and the core's `KeyCoordinator`. `alone`: what no majority answers
-    for is run all the same."""
+    """The part of `replication.interfaces.NodeHost` about work, and the core's `KeyCoordinator`.
+
+    Attributes:
+        core: the request engine.
+        node: `Node`.
+        namespaces: customers' namespaces, or None where there are none.
+    """
 
     node: Node
-    namespaces: Any  # customers' namespaces, where there are some
+    namespaces: Any
 
     def __init__(self, core: Decider, alone: bool) -> None:
-        self.core, self._alone = core, alone
+        """`alone`: work that no majority answers for is run all the same."""
+        self.core = core
+        self._alone = alone
         self._core_keys: dict[Key, CoreKey] = {}
-        self._awaiting_rules: set[Key] = set()  # taken up, and its rules are being looked for
-        self._sink = NoReply()
+        # Work that was taken over, and whose customer's rules are being fetched.
+        self._awaiting_rules: set[Key] = set()
+        self._no_reply = NoReply()
+        self._handlers: dict[type[WorkEvent], Callable[[Any], None]] = {
+            ClaimGranted: self._claim_granted,
+            ClaimJoined: self._claim_joined,
+            BodyDiffers: self._body_differs,
+            ClaimUncovered: self._claim_uncovered,
+            StartConfirmed: self._start_confirmed,
+            StartLost: self._given_away,
+            StartUncovered: self._start_uncovered,
+            ResultKnown: self._result_known,
+            RejectedByAll: self._rejected_by_all,
+            HandedOver: self._given_away,
+            KeyForgotten: self._key_forgotten,
+        }
 
     def count(self, name: str) -> None:
+        """One more in the counter of that name."""
         self.core.counters.add(name)
 
-    # ---- for the core: `KeyCoordinator` and `keys.Told` ----
+    # ---- for the core: `KeyCoordinator`, and who is notified of its keys ----
 
     def hold_back(self, request: Request) -> bool:
+        """Claims the key of a request. False where there is nothing to claim: no key, or a repeat of a known one."""
         entry = None if request.key is None else self.core.keys.of_try(request.number)
         if entry is None or entry.number != request.number or entry.theirs:
-            return False  # not keyed, or a repeat of what is known here
-        a, key = request.arrival, key_of(*entry.key)
+            return False
+        key = key_of(*entry.key)
         self._core_keys[key] = entry.key
-        self.node.claim(
-            key,
-            entry.body,
-            WorkRequest(
-                a.rid,
-                request.cls.name,
-                request.tenant,
-                entry.key[1],
-                request.body,
-                self.core.clock.to_unix_ms(request.came),
-                a.budget_ms,
-                a.caller,
-                a.memory_kb,
-                a.rank,
-                a.subject,
-                None if request.ruling is None else request.ruling.at,
-            ),
-            entry.until,
-        )
+        self.node.claim(key, entry.body, self._work_request(request, entry), entry.until)
         return True
 
+    def _work_request(self, request: Request, entry: Entry) -> WorkRequest:
+        arrival = request.arrival
+        return WorkRequest(
+            arrival.rid,
+            request.cls.name,
+            request.tenant,
+            entry.key[1],
+            request.body,
+            self.core.clock.to_unix_ms(request.came),
+            arrival.budget_ms,
+            arrival.caller,
+            arrival.memory_kb,
+            arrival.rank,
+            arrival.subject,
+            None if request.ruling is None else request.ruling.at,
+        )
+
     def begins(self, request: Request) -> bool:
+        """Before a run is commanded. True where a majority must know of it first."""
         return request.key is not None and self.node.start_work(key_of(*request.key))
 
     def freed(self, entry: Entry) -> None:
+        """An attempt is over, and never ran."""
         self.node.release_work(key_of(*entry.key))
 
     def settled(self, entry: Entry) -> None:
+        """A run is over."""
         self.node.finish_work(key_of(*entry.key), entry.result)
 
-    # ---- what the fleet has settled ----
+    # ---- for the node: what the cluster has settled ----
+
+    def notify(self, event: WorkEvent) -> None:
+        """Carries out in the core what is settled about a key."""
+        self._handlers[type(event)](event)
 
     def _request(self, key: Key) -> Request | None:
-        name = self._core_keys.get(key)
-        entry = None if name is None else self.core.keys.find(name, self.core.clock.now)
+        core_key = self._core_keys.get(key)
+        entry = None if core_key is None else self.core.keys.find(core_key, self.core.clock.now)
         return None if entry is None else self.core.table.by_number.get(entry.number)
 
-    def mine(self, key: Key) -> None:
-        if (request := self._request(key)) is not None:
-            tenure = self.node.tenures.get(key)
+    def _claim_granted(self, event: ClaimGranted) -> None:
+        if (request := self._request(event.key)) is not None:
+            tenure = self.node.tenures.get(event.key)
             if tenure is not None and tenure.attempt > 1:
-                request.first = False  # an earlier try was turned away, here or elsewhere
+                request.first = False  # an earlier attempt was rejected, here or elsewhere
             self.core.others.granted(request)
 
-    def theirs(self, key: Key) -> None:
-        if (request := self._request(key)) is not None:
+    def _claim_joined(self, event: ClaimJoined) -> None:
+        if (request := self._request(event.key)) is not None:
             self.core.others.joined(request)
 
-    def differs(self, key: Key) -> None:
-        if (request := self._request(key)) is not None:
+    def _body_differs(self, event: BodyDiffers) -> None:
+        if (request := self._request(event.key)) is not None:
             self.core.others.uncovered(request, "this token came before with another body")
 
-    def uncovered(self, key: Key, why: str, proven: bool) -> None:
-        request = self._request(key)
+    def _claim_uncovered(self, event: ClaimUncovered) -> None:
+        request = self._request(event.key)
         if request is None:
             return
         if self._alone:
             self.core.others.granted(request)
         else:
-            self.core.others.uncovered(request, why, proven)
+            self.core.others.uncovered(request, event.reason, event.proven)
 
-    def over(self, key: Key, result: bytes | None) -> None:
-        if (request := self._request(key)) is not None:  # found while it was being claimed
-            self.core.others.joined(request)
-        name = self._core_keys.get(key)
-        if name is not None:
-            self.core.others.result_of_another(name, result)
+    def _start_confirmed(self, event: StartConfirmed) -> None:
+        if (request := self._request(event.key)) is not None:
+            self.core.others.begun(request)
 
-    def none_ran(self, key: Key) -> None:
-        if (name := self._core_keys.get(key)) is not None:
-            self.core.others.none_ran(name)
+    def _start_uncovered(self, event: StartUncovered) -> None:
+        if (request := self._request(event.key)) is not None:
+            self.core.others.not_begun(request, event.reason)
 
-    def begun(self, key: Key) -> None:
-        if (request := self._request(key)) is not None:
-            self.core.others.begun(request)
+    def _given_away(self, event: StartLost | HandedOver) -> None:
+        if (request := self._request(event.key)) is not None:
+            self.core.others.given(request)
 
-    def lost(self, key: Key) -> None:
-        self.given(key)
+    def _result_known(self, event: ResultKnown) -> None:
+        if (request := self._request(event.key)) is not None:  # found while it was being claimed
+            self.core.others.joined(request)
+        core_key = self._core_keys.get(event.key)
+        if core_key is not None:
+            self.core.others.result_of_another(core_key, event.result)
 
-    def not_begun(self, key: Key, why: str) -> None:
-        if (request := self._request(key)) is not None:
-            self.core.others.not_begun(request, why)
+    def _rejected_by_all(self, event: RejectedByAll) -> None:
+        if (core_key := self._core_keys.get(event.key)) is not None:
+            self.core.others.none_ran(core_key)
 
-    def given(self, key: Key) -> None:
-        if (request := self._request(key)) is not None:
-            self.core.others.given(request)
+    def _key_forgotten(self, event: KeyForgotten) -> None:
+        self._core_keys.pop(event.key, None)
 
-    def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool:
-        self._core_keys[key] = (order.tenant, order.token)
-        rid = (
-            order.request_id
-            if order.request_id not in self.core.table.by_rid
-            else f"{order.request_id[:56]}.{len(self.core.table)}"
-        )
-        arrival = Arrival(
-            rid,
-            order.request_class,
-            order.content,
-            order.arrived_unix_ms,
-            None,
-            order.budget_ms,
-            order.tenant,
-            order.caller,
-            order.memory_kb,
-            order.rank,
-            order.token,
-            order.subject,
-        )
-        if order.rules_revision is None:
-            return self._take_up(arrival, None)
+    # ---- for the node: work of other runners ----
+
+    def accept_takeover(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> bool:
+        """Queues another runner's work under the rules that it was read under; False where that can't be."""
+        self._core_keys[key] = (request.tenant, request.token)
+        arrival = self._arrival(request)
+        if request.rules_revision is None:
+            return self._queue(arrival, None)
         if self.namespaces is None:
-            log.warning("fleet: %s of another runner was read under rules that are not set here", order.token)
+            log.warning(
+                "fleet: work of another runner not taken over: key=%s reason=no rules here", request.token
+            )
             return False
         self._awaiting_rules.add(key)
-        self.namespaces.ruling(arrival, order.rules_revision, lambda got: self._with_rules(key, arrival, got))
+        self.namespaces.ruling(
+            arrival, request.rules_revision, lambda ruling: self._queue_with_rules(key, arrival, ruling)
+        )
         return True
 
-    def _with_rules(self, key: Key, arrival: Arrival, got: Any) -> None:
-        """The revision that it was read under is here, or can't be had: then another may have it."""
+    def _arrival(self, request: WorkRequest) -> Arrival:
+        request_id = request.request_id
+        if request_id in self.core.table.by_rid:
+            request_id = f"{request_id[:MAX_REQUEST_ID]}.{len(self.core.table)}"
+        return Arrival(
+            request_id,
+            request.request_class,
+            request.content,
+            request.arrived_unix_ms,
+            None,
+            request.budget_ms,
+            request.tenant,
+            request.caller,
+            request.memory_kb,
+            request.rank,
+            request.token,
+            request.subject,
+        )
+
+    def _queue_with_rules(self, key: Key, arrival: Arrival, ruling: Any) -> None:
+        """`ruling`: by the revision that it was read under, or the error why that can't be had: then another runner may
+        have the work."""
         self._awaiting_rules.discard(key)
         tenure = self.node.tenures.get(key)
         if tenure is None or not tenure.is_held:
             return  # it went to another meanwhile
-        if isinstance(got, Exception):
+        if isinstance(ruling, Exception):
             self.count("fleet: not taken up without its rules")
-            log.warning("fleet: %s of another runner can't be taken up: %s", arrival.token, got)
-            self.node.release_work(key, turned=True)
-        elif not self._take_up(arrival, got):
-            self.node.release_work(key, turned=True)
-
-    def _take_up(self, arrival: Arrival, ruling: Any) -> bool:
-        taken = self.core.others.take_up(arrival, self._sink, 0, ruling)
+            log.warning(
+                "fleet: work of another runner not taken over: key=%s reason=%s", arrival.token, ruling
+            )
+            self.node.release_work(key, rejected=True)
+        elif not self._queue(arrival, ruling):
+            self.node.release_work(key, rejected=True)
+
+    def _queue(self, arrival: Arrival, ruling: Any) -> bool:
+        taken = self.core.others.take_up(arrival, self._no_reply, 0, ruling)
         if not isinstance(taken, Request):
-            log.warning("fleet: %s of another runner can't be taken up: %s", arrival.token, taken.value)
+            log.warning(
+                "fleet: work of another runner not taken over: key=%s reason=%s", arrival.token, taken.value
+            )
             return False
         return True
 
-    def has(self, key: Key) -> tuple[bool, bool, bytes | None]:
+    def work_in_hand(self, key: Key) -> WorkInHand:
+        """What this runner, or the process that it replaces, knows of a key."""
         if key in self._awaiting_rules:
-            return True, False, None
-        name = self._core_keys.get(key)
-        entry = None if name is None else self.core.keys.find(name, self.core.clock.now)
-        if entry is None and self.core.claims.peer is not None:  # of the other process of this runner?
-            entry = next((e for e in self.core.keys.entries() if e.theirs and key_of(*e.key) == key), None)
+            return WorkInHand(in_hand=True)
+        core_key = self._core_keys.get(key)
+        entry = None if core_key is None else self.core.keys.find(core_key, self.core.clock.now)
+        has_sibling = self.core.claims.peer is not None  # another process of this runner
+        if entry is None and has_sibling:
+            entry = next(
+                (other for other in self.core.keys.entries() if other.theirs and key_of(*other.key) == key),
+                None,
+            )
         if entry is None:
-            return False, False, None
-        ours = not entry.theirs or self.core.claims.peer is not None
-        return ours and not entry.over, entry.over, entry.result
-
-    def forgot(self, key: Key) -> None:
-        self._core_keys.pop(key, None)
+            return WorkInHand(in_hand=False)
+        is_ours = not entry.theirs or has_sibling
+        return WorkInHand(is_ours and not entry.over, entry.over, entry.result)
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -276,7 +276,7 @@
             "counters": {k: v for k, v in self.core.counters.total.items() if k.startswith("fleet")},
         }
 
-    def work_in_hand(self) -> dict[str, object]:
+    def work_status(self) -> dict[str, object]:
         """Keys that this runner has in hand or waits for, without their bodies and tokens."""
         self.core.touch()
         now = self.core.clock.now
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -9,7 +9,7 @@
 from ..core.requests import is_word
 from ..leadership.policy import Policy as Duties
 from ..leadership.policy import Report
-from ..replication.policy import MAX_SEATS, Seat
+from ..membership.policy import MAX_SEATS, Seat
 from ..replication.policy import Policy as FleetPolicy
 from .section import Address, ConfigError, Section, inside
 
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -15,7 +15,7 @@
 from math import ceil, log2
 from typing import Protocol
 
-from ..replication.messages import MemberStatus, MemberUpdate, Ping, PingAck, PingRequest
+from .messages import MemberStatus, MemberUpdate, Ping, PingAck, PingRequest
 
 MS = 1_000
 PROBE_PERIOD_US = 200 * MS  # one member is asked in each
--- a/moorusher/membership/placement.py
+++ b/moorusher/membership/placement.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from ..replication.policy import Seat
+from .policy import Seat
 
 SLICES = (
     4096  # keys share their keepers by slices: that is worked out once for each, however many seats there are
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -7,18 +7,61 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum
 from itertools import count, pairwise
 from random import Random
 from typing import Any
 
 from ..membership.placement import Placement
+from ..membership.policy import Seat
 from ..replication.journal import JOURNAL_VERSION, JournalHeader, encode_records, read_journal
 from ..replication.node import Node
-from ..replication.policy import Policy, Seat
+from ..replication.policy import Policy
+from ..replication.work_events import (
+    BodyDiffers,
+    ClaimGranted,
+    ClaimJoined,
+    ClaimUncovered,
+    HandedOver,
+    RejectedByAll,
+    ResultKnown,
+    StartConfirmed,
+    StartLost,
+    StartUncovered,
+    WorkEvent,
+    WorkInHand,
+)
 from ..replication.work_record import Key, Owner, WorkRequest
 
-MS, SECOND = 1_000, 1_000_000
+MS = 1_000  # us
+SECOND = 1_000_000  # us
 WINDOW_MARGIN_US = 500 * MS
+MEAN_QUEUE_S = 0.3  # how long a process holds work before it starts it
+MEAN_RUN_S = 0.2
+REJECTED_AFTER_US = 5 * MS  # work that was taken over, and is rejected
+
+
+class KeyState(Enum):
+    """How far one process is with a key."""
+
+    CLAIMING = "claiming"
+    HELD = "held"
+    STARTING = "starting"
+    RUNNING = "running"
+    FINISHED = "finished"
+    ELSEWHERE = "another process has it"
+
+
+IN_HAND = (KeyState.HELD, KeyState.STARTING, KeyState.RUNNING)
+
+
+class Answered(Enum):
+    """How a caller was answered."""
+
+    RAN = "ran"
+    TOLD = "told"  # of another process's result
+    REFUSED = "refused"  # with the promise that it never runs
+    FAILED = "failed"  # without that promise
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +91,23 @@
     read_at: int  # when the try that ran was read
 
 
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """What a caller was answered. `at`: us."""
+
+    key: Key
+    process: int
+    at: int
+    result: bytes | None
+    how: Answered
+
+
 @dataclass(slots=True)
 class History:
     """Everything that a course is judged by."""
 
     runs: list[Run] = field(default_factory=list)
-    answers: list[tuple[Key, int, int, bytes | None, str]] = field(default_factory=list)
+    answers: list[Answer] = field(default_factory=list)
     granted: dict[Key, int] = field(default_factory=dict)
     asked: list[tuple[Key, int, int]] = field(default_factory=list)
     ended: list[tuple[int, int]] = field(default_factory=list)  # processes, and when
@@ -71,7 +125,7 @@
         self.alive, self.kernel_up, self.draining = True, True, False
         self.stopped_until = 0
         self._wake_at: int | None = None
-        self.state: dict[Key, str] = {}  # held, running, over, theirs
+        self.state: dict[Key, KeyState] = {}  # held, running, over, theirs
         self.results: dict[Key, bytes | None] = {}
         self.read_at: dict[Key, int] = {}
         self.random = sim.random.random
@@ -136,93 +190,94 @@
     def count(self, name: str) -> None:
         self.sim.history.counts[name] += 1
 
-    def mine(self, key: Key) -> None:
-        self.sim.history.granted[key] = self.number
-        self._hold(key)
+    def notify(self, event: WorkEvent) -> None:
+        """Plays the runner's part in what is settled about a key."""
+        key = event.key
+        match event:
+            case ClaimGranted():
+                self.sim.history.granted[key] = self.number
+                self._hold(key)
+            case ClaimJoined() | StartLost() | HandedOver():
+                self.state[key] = KeyState.ELSEWHERE
+            case BodyDiffers():
+                self.state.pop(key, None)
+            case ClaimUncovered():
+                self.state.pop(key, None)
+                self._answer(key, None, Answered.REFUSED if event.proven else Answered.FAILED)
+            case StartConfirmed():
+                self.run_work(key)
+            case StartUncovered():
+                self.state.pop(key, None)
+                self.node.release_work(key)
+                self._answer(key, None, Answered.FAILED)
+            case ResultKnown():
+                self.state[key] = KeyState.FINISHED
+                self.results[key] = event.result
+                self._answer(key, event.result, Answered.TOLD)
+            case RejectedByAll():
+                self.state.pop(key, None)
+                self._answer(key, None, Answered.REFUSED)
+            case _:
+                pass
 
     def _hold(self, key: Key) -> None:
-        self.state[key] = "held"
-        wait = round(self.sim.random.expovariate(1 / 0.3) * SECOND)
+        self.state[key] = KeyState.HELD
+        wait = round(self.sim.random.expovariate(1 / MEAN_QUEUE_S) * SECOND)
         self.sim.at(self.sim.now + wait, self, lambda: self._start(key))
 
     def _start(self, key: Key) -> None:
-        if self.state.get(key) == "held" and self.kernel_up:
-            self.state[key] = "beginning"
+        if self.state.get(key) is KeyState.HELD and self.kernel_up:
+            self.state[key] = KeyState.STARTING
             if not self.node.start_work(key):
-                self.state[key] = "held"
+                self.state[key] = KeyState.HELD
 
-    def begun(self, key: Key) -> None:
-        if self.state.get(key) != "beginning":
+    def run_work(self, key: Key) -> None:
+        """The run is commanded."""
+        if self.state.get(key) is not KeyState.STARTING:
             return
-        self.state[key] = "running"
+        self.state[key] = KeyState.RUNNING
         self.sim.history.runs.append(Run(key, self.number, self.sim.now, self.read_at[key]))
-        took = round(self.sim.random.expovariate(1 / 0.2) * SECOND)
-        self.sim.at(self.sim.now + took, self, lambda: self._end_run(key))
+        duration = round(self.sim.random.expovariate(1 / MEAN_RUN_S) * SECOND)
+        self.sim.at(self.sim.now + duration, self, lambda: self._end_run(key))
 
     def _end_run(self, key: Key) -> None:
-        if self.state.get(key) == "running" and self.kernel_up:
-            self.state[key] = "over"
-            self.results[key] = b"%d of %d" % (self.sim.now, self.number)
-            self.sim.results[key].add(self.results[key] or b"")
-            self.node.finish_work(key, self.results[key])
-            self._answer(key, self.results[key], "ran")
-
-    def _answer(self, key: Key, result: bytes | None, how: str) -> None:
-        self.sim.history.answers.append((key, self.number, self.sim.now, result, how))
-
-    def theirs(self, key: Key) -> None:
-        self.state[key] = "theirs"
-
-    def differs(self, key: Key) -> None:
-        self.state.pop(key, None)
-
-    def uncovered(self, key: Key, why: str, proven: bool) -> None:
-        self.state.pop(key, None)
-        self._answer(key, None, "refused" if proven else "failed")
-
-    def over(self, key: Key, result: bytes | None) -> None:
-        self.state[key], self.results[key] = "over", result
-        self._answer(key, result, "told")
-
-    def none_ran(self, key: Key) -> None:
-        self.state.pop(key, None)
-        self._answer(key, None, "refused")
-
-    def lost(self, key: Key) -> None:
-        self.state[key] = "theirs"
-
-    given = lost
-
-    def not_begun(self, key: Key, why: str) -> None:
-        self.state.pop(key, None)
-        self.node.release_work(key)
-        self._answer(key, None, "failed")
-
-    def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool:
+        if self.state.get(key) is KeyState.RUNNING and self.kernel_up:
+            self.state[key] = KeyState.FINISHED
+            result = b"%d of %d" % (self.sim.now, self.number)
+            self.results[key] = result
+            self.sim.results[key].add(result)
+            self.node.finish_work(key, result)
+            self._answer(key, result, Answered.RAN)
+
+    def _answer(self, key: Key, result: bytes | None, how: Answered) -> None:
+        self.sim.history.answers.append(Answer(key, self.number, self.sim.now, result, how))
+
+    def accept_takeover(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> bool:
+        """Queues another runner's work; rejects a share of it a little later."""
         if not self.fit():
             return False
-        self.read_at[key] = round(order.arrived_unix_ms * MS)
+        self.read_at[key] = round(request.arrived_unix_ms * MS)
         if self.sim.random.random() < self.sim.course.rejection:
-            self.sim.at(self.sim.now + 5 * MS, self, lambda: self._reject(key))
-            self.state[key] = "held"
+            self.sim.at(self.sim.now + REJECTED_AFTER_US, self, lambda: self._reject(key))
+            self.state[key] = KeyState.HELD
         else:
             self._hold(key)
         return True
 
     def _reject(self, key: Key) -> None:
-        if self.state.get(key) == "held":
+        if self.state.get(key) is KeyState.HELD:
             del self.state[key]
-            self.node.release_work(key, turned=True)
+            self.node.release_work(key, rejected=True)
 
-    def has(self, key: Key) -> tuple[bool, bool, bytes | None]:
+    def work_in_hand(self, key: Key) -> WorkInHand:
+        """What this process knows of a key."""
         state = self.state.get(key)
-        return state in ("held", "beginning", "running"), state == "over", self.results.get(key)
+        return WorkInHand(state in IN_HAND, state is KeyState.FINISHED, self.results.get(key))
 
     def fit(self) -> bool:
+        """It can take work over."""
         return self.kernel_up and not self.draining
 
-    def forgot(self, key: Key) -> None: ...
-
     # ---- what happens to it ----
 
     def receive_request(self, key: Key) -> None:
@@ -233,7 +288,7 @@
             order = WorkRequest(
                 "r", "write", None, key.decode(), b"", self.sim.now / MS, None, 0, 0.0, 0.0, None
             )
-            self.state[key] = "claiming"
+            self.state[key] = KeyState.CLAIMING
             self.node.claim(key, 1, order, self.sim.now + self.sim.longest)
 
     def check_self(self) -> None:
@@ -385,9 +440,9 @@
             def kernel_back() -> None:
                 process.kernel_up = True
                 for key, state in list(process.state.items()):
-                    if state == "held":
+                    if state is KeyState.HELD:
                         process._hold(key)
-                    elif state == "running":
+                    elif state is KeyState.RUNNING:
                         process._end_run(key)
 
             self.at(end, process, kernel_back)
@@ -438,41 +493,48 @@
             for first, second in pairwise(runs):
                 if second.started_at < first.read_at + window:
                     return f"{key!r} ran at process {first.process} and again at {second.process}"
-        for key, number, _, result, how in h.answers:
-            if result is not None and result not in self.results[key]:
-                return f"{key!r} was answered at process {number} with what no run gave ({how})"
+        for answer in h.answers:
+            if answer.result is not None and answer.result not in self.results[answer.key]:
+                where = f"at process {answer.process}"
+                return f"{answer.key!r} was answered {where} with what no run gave ({answer.how.value})"
         if any(len(found) > 1 for found in self.results.values()):
             return "two results of one key"
         return self._ran_after_refusal() or self._forgotten_work()
 
     def _ran_after_refusal(self) -> str | None:
         """A caller was told that it never ran, by a process that still lives, and nobody asked again."""
-        tries = defaultdict(list)
+        requests: defaultdict[Key, list[tuple[int, int]]] = defaultdict(list)
         for key, number, at in self.history.asked:
-            tries[key].append((number, at))
-        dead = {number: at for number, at in self.history.ended}
+            requests[key].append((number, at))
+        ended_at = dict(self.history.ended)
         for run in self.history.runs:
-            before = [(number, at) for number, at in tries[run.key] if at <= run.started_at]
+            before = [(number, at) for number, at in requests[run.key] if at <= run.started_at]
             if all(
-                any(
-                    k == run.key and n == number and at < when < run.started_at and how == "refused"
-                    for k, n, when, _, how in self.history.answers
-                )
-                and dead.get(number, self.now + 1) > run.started_at
+                self._was_refused(run, number, at) and ended_at.get(number, self.now + 1) > run.started_at
                 for number, at in before
             ):
                 ran = f"{run.key!r} ran at process {run.process} at {run.started_at}"
                 return f"{ran}, though all were told that it never ran"
         return None
 
+    def _was_refused(self, run: Run, process: int, asked_at: int) -> bool:
+        """That process refused the key after it was asked for, and before it ran."""
+        return any(
+            answer.key == run.key
+            and answer.process == process
+            and asked_at < answer.at < run.started_at
+            and answer.how is Answered.REFUSED
+            for answer in self.history.answers
+        )
+
     def _withdrawing_owners(self, key: Key) -> set[Owner]:
-        """Its owners that have given their callers up, and are taking it back."""
-        told = {
-            number
-            for k, number, _, _, how in self.history.answers
-            if k == key and how in ("refused", "failed")
+        """Its owners that have given their callers up, and are withdrawing their claims."""
+        given_up = {
+            answer.process
+            for answer in self.history.answers
+            if answer.key == key and answer.how in (Answered.REFUSED, Answered.FAILED)
         }
-        return {p.node.owner for p in self.processes if p.number in told}
+        return {p.node.owner for p in self.processes if p.number in given_up}
 
     def _forgotten_work(self) -> str | None:
         """Work that a majority of its keepers knows, in their present lives, has come to an end."""
@@ -493,7 +555,7 @@
             if (
                 len(knows) >= 2
                 and key not in ran
-                and all(p.state.get(key) not in ("held", "beginning") for p in self.processes)
+                and all(p.state.get(key) not in (KeyState.HELD, KeyState.STARTING) for p in self.processes)
             ):
                 work = [p.node.acceptor.registers[key].value for p in knows]
                 if all(w.state.name in ("HELD", "FREE") for w in work):
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -378,7 +378,7 @@
                 script.over = True
             if (
                 all(not m.down for m in self.machines)
-                and blank[0].coordinator.registers.bootstrap(lost=True) is None
+                and blank[0].coordinator.registers.recovery.bootstrap(accept_loss=True) is None
             ):
                 self.forgot += 1
             return
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -1,18 +1,17 @@
-"""What one runner knows of a key that it has to do with, and what its part in the fleet asks of the runner."""
+"""What one runner knows of a key that it has to do with, as its owner or as one that waits for its result."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Protocol
 
 from .proposer import CarriedPromise
 from .work_record import Key, Owner, WorkRequest, WorkState
 
 
 class TenureStage(Enum):
-    """How far one runner has come with a key."""
+    """How far one runner has come with a key. The values are told by `GET /fleet/work`."""
 
     CLAIMING = "claiming"
     HELD = "held"
@@ -24,7 +23,24 @@
 
 @dataclass(slots=True, eq=False)
 class Tenure:
-    """A key that this runner has something to do with."""
+    """A key that this runner has something to do with.
+
+    Attributes:
+        key: `bytes`.
+        body_digest: `int`, of the request that came here.
+        request: `WorkRequest`, or None once nobody may take it over.
+        expires_at: `int`, us; the key does not count any more from then on.
+        stage: `TenureStage`.
+        attempt: `int`, of the register, as last read.
+        owner: `Owner` where another runner has the work, else None.
+        state: `WorkState` of the register, as last read.
+        promise: `CarriedPromise` for this runner's next change of the register, or None.
+        watch_serial: `int`; an answer or an alarm that belongs to an earlier watch counts for nothing.
+        waiting_seats: seats that wait for this runner's result.
+        busy: `bool`, a step is under way; see `run_step`.
+        taken_over: `bool`, the work was another runner's.
+        result: `bytes`, of this runner's run, while it is being written to the register.
+    """
 
     key: Key
     body_digest: int
@@ -32,17 +48,14 @@
     expires_at: int
     stage: TenureStage
     attempt: int = 0
-    owner: Owner | None = None  # where another has it
-    state: WorkState = WorkState.HELD  # of the register, as last read
+    owner: Owner | None = None
+    state: WorkState = WorkState.HELD
     promise: CarriedPromise | None = None
-    watch_serial: int = (
-        0  # serial of the watch: an answer or a delay that belongs to an older one counts for nothing
-    )
-    alive: bool = False  # the owner has answered since
+    watch_serial: int = 0
     waiting_seats: set[str] = field(default_factory=set)
     _steps: list[Callable[[], None]] = field(default_factory=list)
     busy: bool = False
-    taken_over: bool = False  # it was another's
+    taken_over: bool = False
     result: bytes | None = None
 
     @property
@@ -50,8 +63,14 @@
         """Its register says that this runner holds it."""
         return self.stage is TenureStage.HELD
 
+    def take_promise(self) -> CarriedPromise | None:
+        """The promise for the next change; it serves one change only."""
+        promise = self.promise
+        self.promise = None
+        return promise
+
     def run_step(self, step: Callable[[], None]) -> None:
-        """One step after the other on each key; each ends with `next_step`."""
+        """Runs steps on the key one after the other; each must end with `finish_step`."""
         if self.busy:
             self._steps.append(step)
         else:
@@ -64,39 +83,3 @@
             self._steps.pop(0)()
         else:
             self.busy = False
-
-
-class NodeHost(Protocol):
-    """The runner, as its part in the fleet sees it."""
-
-    def send(self, seat: str, message: Any) -> None: ...
-    def reply(self, seat: str, message: Any) -> None: ...  # to the process whose message is being heard
-    def random(self) -> float: ...
-    def clock(self) -> int: ...
-    def wake(self, when: int) -> None: ...  # call `ring` then
-    def count(self, name: str) -> None: ...
-
-    # Before a vote counts for anybody: `then` once all that this keeper has changed so far is on its disk; at once
-    # where it has none; never where the disk fails.
-    def durable(self, then: Callable[[], None], space: int) -> None: ...
-    def replier(self, seat: str) -> Callable[[Any], None]: ...  # `reply`, for later
-
-    # What becomes of a key that was claimed.
-    def mine(self, key: Key) -> None: ...
-    def theirs(self, key: Key) -> None: ...
-    def differs(self, key: Key) -> None: ...
-    def uncovered(self, key: Key, why: str, proven: bool) -> None: ...  # that nobody else knows of it
-    def over(self, key: Key, result: bytes | None) -> None: ...  # of another's run
-
-    def none_ran(self, key: Key) -> None: ...  # another's work, that nobody goes on with
-
-    # What becomes of a run that is to begin.
-    def begun(self, key: Key) -> None: ...
-    def lost(self, key: Key) -> None: ...  # another has it; `over` follows
-    def not_begun(self, key: Key, why: str) -> None: ...
-
-    def given(self, key: Key) -> None: ...  # held work was handed over; `over` follows
-    def take_up(self, key: Key, body: int, order: WorkRequest, until: int) -> bool: ...
-    def has(self, key: Key) -> tuple[bool, bool, bytes | None]: ...  # in hand, over, its result
-    def fit(self) -> bool: ...  # to take work over
-    def forgot(self, key: Key) -> None: ...  # nothing more is said of it
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from ..membership.messages import Ping, PingAck, PingRequest, WireMessage
 from .errors import UnreadableFrame
 from .work_record import Key, Owner, WorkRecord
 
@@ -28,15 +29,11 @@
 SyncedRegister = tuple[Key, Ballot, Ballot | None, WorkRecord | bytes | None, int]
 
 
-class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
-    pass
-
-
 class ComponentPayload(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """The base of the messages of a component of the cluster; one goes as the body of a `ComponentMessage`."""
 
 
-class Hello(_Message, frozen=True, tag="hello"):
+class Hello(WireMessage, frozen=True, tag="hello"):
     """The first message on a connection, from either side.
 
     Attributes:
@@ -54,7 +51,7 @@
     incarnation: int
 
 
-class HandshakeRejected(_Message, frozen=True, tag="no"):
+class HandshakeRejected(WireMessage, frozen=True, tag="no"):
     """The answer to a greeting that is not accepted; the connection closes."""
 
     reason: str
@@ -63,7 +60,7 @@
 # ---- registers ----
 
 
-class BallotRequest(_Message, frozen=True, tag="ask"):
+class BallotRequest(WireMessage, frozen=True, tag="ask"):
     """A proposer's request to an acceptor: to promise a ballot, or to accept a value.
 
     Attributes:
@@ -87,7 +84,7 @@
     space: int = 0
 
 
-class Vote(_Message, frozen=True, tag="vote"):
+class Vote(WireMessage, frozen=True, tag="vote"):
     """An acceptor's answer to a `BallotRequest`.
 
     Attributes:
@@ -120,14 +117,14 @@
 # ---- recovery of an acceptor ----
 
 
-class SyncRequest(_Message, frozen=True, tag="sync"):
+class SyncRequest(WireMessage, frozen=True, tag="sync"):
     """A recovering acceptor asks for every register that it may have known. `incarnation`: its own."""
 
     incarnation: int
     space: int = 0
 
 
-class SyncReply(_Message, frozen=True, tag="slots"):
+class SyncReply(WireMessage, frozen=True, tag="slots"):
     """Registers for a recovering acceptor, one part of several.
 
     Attributes:
@@ -149,7 +146,7 @@
     known_slices: list[int] | None = None
 
 
-class Bootstrap(_Message, frozen=True, tag="begin"):
+class Bootstrap(WireMessage, frozen=True, tag="begin"):
     """An operator's statement that nothing of this cluster ran before.
 
     It counts for one incarnation alone: heard late, it must not make a later process vote as if it had recovered.
@@ -165,7 +162,7 @@
     accept_loss: bool = False
 
 
-class ComponentMessage(_Message, frozen=True, tag="for"):
+class ComponentMessage(WireMessage, frozen=True, tag="for"):
     """To a component of the cluster that not every runner has; the body is in that component's own form."""
 
     component: str
@@ -175,14 +172,14 @@
 # ---- work ----
 
 
-class OwnershipQuery(_Message, frozen=True, tag="has"):
+class OwnershipQuery(WireMessage, frozen=True, tag="has"):
     """To the owner of a key: is its work still in hand?"""
 
     key: Key
     attempt: int
 
 
-class OwnershipReply(_Message, frozen=True, tag="had"):
+class OwnershipReply(WireMessage, frozen=True, tag="had"):
     """The owner's answer: whether the work is in hand; or that it is finished, with its result."""
 
     key: Key
@@ -192,7 +189,7 @@
     result: bytes | None = None
 
 
-class TakeoverOffer(_Message, frozen=True, tag="take"):
+class TakeoverOffer(WireMessage, frozen=True, tag="take"):
     """To the seat whose turn it is: take over this work, which `owner` has left."""
 
     key: Key
@@ -200,79 +197,6 @@
     attempt: int
 
 
-# ---- membership ----
-
-
-class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself.
-
-    Attributes:
-        accepts_work: `bool`, it can take over work.
-        cores: `int`.
-        predecessor: `int`, incarnation of the process that it replaces, while that one lives; else 0.
-        duties: `int`, how many it leads.
-        duty_replicas: `int`, registers of duties that it is a replica of.
-        weight: `int`, percent of its full capacity, as load balancers are told; 0: no new requests.
-        load: `int`, hundredths of a core that it serves, rounded.
-        peak_load: `int`, the most of them in the last while.
-        recovered: `bool`, as a replica of the cluster's own registers it has forgotten nothing.
-        durable: `bool`, its next process will know what this one knows.
-    """
-
-    accepts_work: bool = False
-    cores: int = 0
-    predecessor: int = 0
-    duties: int = 0
-    duty_replicas: int = 0
-    weight: int = 0
-    load: int = 0
-    peak_load: int = 0
-    recovered: bool = False
-    durable: bool = False
-
-
-class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Gossip about one member.
-
-    Attributes:
-        seat: `str`.
-        incarnation: `int`, of the process that the update is about.
-        version: `int`, grows as the member publishes a new status or refutes a suspicion.
-        state: `int`, the value of a `failure_detector.MemberState`.
-        status: `MemberStatus`.
-    """
-
-    seat: str
-    incarnation: int
-    version: int
-    state: int
-    status: MemberStatus
-
-
-class Ping(_Message, frozen=True, tag="ping"):
-    """Probes a member; carries gossip. `requested_by`: the seat that asked for the probe, or empty."""
-
-    serial: int
-    updates: list[MemberUpdate]
-    requested_by: str = ""
-
-
-class PingAck(_Message, frozen=True, tag="pong"):
-    """The answer to a ping; carries gossip. `requested_by` as in the ping."""
-
-    serial: int
-    updates: list[MemberUpdate]
-    requested_by: str = ""
-
-
-class PingRequest(_Message, frozen=True, tag="pingfor"):
-    """Asks a member to probe `seat`, which does not answer the sender."""
-
-    serial: int
-    seat: str
-    updates: list[MemberUpdate]
-
-
 Message = (
     Hello
     | HandshakeRejected
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -1,13 +1,13 @@
-"""Keyed work that this runner claims, begins, settles, frees and hands over: each by a change of its register."""
+"""Keyed work that this runner claims, starts, finishes, releases and hands over: each a change of its register."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from ..membership.failure_detector import MS
+from .interfaces import WorkNode
 from .key_tenure import Tenure, TenureStage
 from .messages import OwnershipReply
 from .proposer import ChangeFunction, ChangeResult
+from .work_events import ClaimUncovered, HandedOver, StartConfirmed, StartLost, StartUncovered
 from .work_record import (
     ClaimWork,
     FinishWork,
@@ -20,246 +20,281 @@
     WorkState,
 )
 
-if TYPE_CHECKING:
-    from .node import Node
-
-# To take a claim back where nobody waits, and there may be thousands: the side of a cut without majorities.
+# Of claims that are withdrawn: nobody waits, and there may be thousands, on the side of a partition without majorities.
 MAX_WITHDRAW_BACKOFF_US = 8_000 * MS
-MAX_WITHDRAWALS = 4_000
+MAX_WITHDRAWALS = 4_000  # under way at a time
+NO_MAJORITY = "no majority of its keepers answers"  # told to callers
 
 
 class OwnedWork:
-    """An owner's path through the life of work. Steps on one key go one after the other (`Tenure.do`)."""
+    """An owner's path through the life of work. Steps on one key go one after the other (`Tenure.run_step`)."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: WorkNode) -> None:
         self._node = node
         self._withdrawals = 0
 
-    def claim(self, key: Key, body: int, order: WorkRequest, until: int) -> None:
-        """One of `mine`, `theirs`, `over`, `differs` and `uncovered` follows, maybe at once."""
-        before = self._node.tenures.get(key)
-        t = self._node.tenures[key] = Tenure(key, body, order, until, TenureStage.CLAIMING)
-
-        def claimed(done: ChangeResult | None) -> None:
-            if (
-                t.stage is not TenureStage.CLAIMING
-            ):  # its caller has gone meanwhile: what was written is taken back
-                work: WorkRecord | None = None if done is None else done.value
-                t.attempt = work.attempt if work is not None and work.owner == self._node.owner else 0
-                return t.finish_step()
-            if done is None:
-                self._node.host.count("fleet: uncovered")
-                self._node.host.uncovered(
-                    key, "no majority of its keepers answers", not self._node.registers.last_may_be_chosen
-                )
-                if self._node.registers.last_may_be_chosen:
-                    self._withdraw(t)
-                else:
-                    self._node.forget(t)
-                return t.finish_step()
-            self._node.watched_work.adopt(t, done)
-            t.finish_step()
-
-        def step() -> None:
-            if t.stage is not TenureStage.CLAIMING:
-                return t.finish_step()
-            self._node.change(
-                key,
-                ClaimWork(self._node.owner, body, order),
-                until,
-                round(self._node.policy.claim_ms * MS),
-                claimed,
-            )
-
-        def late() -> None:
-            if self._node.tenures.get(key) is t and t.stage is TenureStage.CLAIMING and not t.busy:
-                t.stage = TenureStage.FINISHING
-                self._node.host.count("fleet: uncovered")
-                self._node.host.uncovered(key, "an earlier try is not taken back yet", False)
-                self._node.forget(t)
-
-        if before is not None and before.busy:  # an earlier try is still being taken back: that goes first
-            self._node.at(self._node.clock() + round(self._node.policy.claim_ms * MS), late)
+    # ---- claim ----
 
-            def after() -> None:
-                t.run_step(step)
-                before.finish_step()
+    def claim(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> None:
+        """Claims a key that is new here.
 
-            before._steps.append(after)
-        else:
-            t.run_step(step)
-
-    def start(self, key: Key) -> bool:
-        """Before a run is commanded: `begun`, `lost` or `not_begun` follows. False where it is not the fleet's."""
-        t = self._node.tenures.get(key)
-        if t is None or t.stage is not TenureStage.HELD:
-            return False
-        t.stage = TenureStage.STARTING
-
-        def answered(done: ChangeResult | None) -> None:
-            if done is None:
-                self._node.host.count("fleet: not begun")
-                if self._node.policy.alone:
-                    t.stage = TenureStage.STARTED
-                    self._node.host.begun(key)
-                else:
-                    t.stage = TenureStage.HELD
-                    self._node.host.not_begun(key, "no majority of its keepers answers")
-                return t.finish_step()
-            work: WorkRecord | None = done.value
-            if (
-                work is not None
-                and work.state is WorkState.STARTED
-                and work.owner == self._node.owner
-                and work.attempt == t.attempt
-            ):
-                t.stage, t.promise = TenureStage.STARTED, done.promise
-                self._node.host.begun(key)
-            else:
-                self._node.host.count("fleet: lost to another")
-                self._node.host.lost(key)
-                t.stage, t.promise = TenureStage.OWNED_ELSEWHERE, None
-                self._node.watched_work.adopt(t, done)
-            return t.finish_step()
-
-        def step() -> None:
-            if t.stage is not TenureStage.STARTING:  # given away meanwhile
-                return t.finish_step()
-            hold, t.promise = t.promise, None
-            self._node.change(
-                key,
-                StartWork(self._node.owner, t.attempt),
-                t.expires_at,
-                round(self._node.policy.claim_ms * MS),
-                answered,
-                hold,
-            )
+        `ClaimGranted`, `ClaimJoined`, `ResultKnown`, `BodyDiffers` or `ClaimUncovered` follows, maybe at once.
+        `expires_at`: us.
+        """
+        former = self._node.tenures.get(key)
+        tenure = Tenure(key, body_digest, request, expires_at, TenureStage.CLAIMING)
+        self._node.tenures[key] = tenure
+        if former is None or not former.busy:
+            return tenure.run_step(lambda: self._claim(tenure, request))
+        # An earlier attempt is still being withdrawn: that goes first.
+        give_up_at = self._node.clock() + self._node.claim_timeout_us
+        self._node.at(give_up_at, lambda: self._give_up_claim(tenure))
 
-        t.run_step(step)
-        return True
+        def claim_after_former() -> None:
+            tenure.run_step(lambda: self._claim(tenure, request))
+            former.finish_step()
 
-    def finish(self, key: Key, result: bytes | None) -> None:
-        """A run of ours is over."""
-        t = self._node.tenures.get(key)
-        if t is None or t.stage is TenureStage.OWNED_ELSEWHERE:
-            return
-        t.stage, t.result = TenureStage.FINISHING, result
-        for seat in t.waiting_seats:
-            self._node.host.send(seat, OwnershipReply(key, t.attempt, False, True, result))
-        t.waiting_seats.clear()
-        self._write_until_chosen(t, FinishWork(self._node.owner, t.attempt, result))
-
-    def release(self, key: Key, turned: bool = False) -> None:
-        """A try of ours is over, and never ran. `turned`: work that was another's, or that others wait for, goes on to
-        the next one."""
-        t = self._node.tenures.get(key)
-        if t is None or t.stage is TenureStage.OWNED_ELSEWHERE:
-            return
-        offer = t.request if t.taken_over or t.waiting_seats else None
-        t.stage = TenureStage.FINISHING
-
-        def step() -> None:
-            attempt = t.attempt or 1
-
-            def freed(done: ChangeResult | None) -> None:
-                self._node.forget(t)
-                work = None if done is None else done.value
-                if work is not None and work.state is WorkState.RELEASED and work.request is not None:
-                    self._node.takeover.offer(key, work)
-                for seat in t.waiting_seats:
-                    self._node.host.send(seat, OwnershipReply(key, t.attempt, False))
-                t.finish_step()
-
-            hold, t.promise = t.promise, None
-            self._node.change(
-                key,
-                ReleaseWork(self._node.owner, attempt, offer, turned),
-                t.expires_at,
-                max(MS, t.expires_at - self._node.clock()),
-                freed,
-                hold,
-            )
+        former.run_step(claim_after_former)
+        return None
 
-        t.run_step(step)
+    def _claim(self, tenure: Tenure, request: WorkRequest) -> None:
+        if tenure.stage is not TenureStage.CLAIMING:
+            return tenure.finish_step()
+        self._node.change(
+            tenure.key,
+            ClaimWork(self._node.owner, tenure.body_digest, request),
+            tenure.expires_at,
+            self._node.claim_timeout_us,
+            lambda result: self._claimed(tenure, result),
+        )
+        return None
 
-    def _withdraw(self, t: Tenure) -> None:
-        """What nobody waits for may be ours in the register yet: were this runner lost later, another would run it."""
+    def _claimed(self, tenure: Tenure, result: ChangeResult | None) -> None:
+        if tenure.stage is not TenureStage.CLAIMING:
+            # Its caller has gone meanwhile: the next step releases what was written.
+            work: WorkRecord | None = None if result is None else result.value
+            is_ours = work is not None and work.owner == self._node.owner
+            tenure.attempt = work.attempt if work is not None and is_ours else 0
+        elif result is None:
+            self._claim_uncovered(tenure)
+        else:
+            self._node.adopt(tenure, result)
+        tenure.finish_step()
+
+    def _claim_uncovered(self, tenure: Tenure) -> None:
+        may_be_chosen = self._node.last_may_be_chosen
+        self._node.host.count("fleet: uncovered")
+        self._node.host.notify(ClaimUncovered(tenure.key, NO_MAJORITY, proven=not may_be_chosen))
+        if may_be_chosen:
+            self._withdraw(tenure)
+        else:
+            self._node.forget(tenure)
+
+    def _give_up_claim(self, tenure: Tenure) -> None:
+        """The earlier attempt took too long to be withdrawn."""
+        is_waiting = tenure.stage is TenureStage.CLAIMING and not tenure.busy
+        if self._node.tenures.get(tenure.key) is tenure and is_waiting:
+            tenure.stage = TenureStage.FINISHING
+            self._node.host.count("fleet: uncovered")
+            reason = "an earlier try is not taken back yet"
+            self._node.host.notify(ClaimUncovered(tenure.key, reason, proven=False))
+            self._node.forget(tenure)
+
+    def _withdraw(self, tenure: Tenure) -> None:
+        """Releases a claim whose outcome is not known.
+
+        Nobody waits for it, but the register may name this runner: were it lost later, another would run the work.
+        """
         if self._node.policy.alone:
-            return self._node.forget(t)
+            return self._node.forget(tenure)
         if self._withdrawals >= MAX_WITHDRAWALS:
             self._node.host.count("fleet: not taken back")
-            return self._node.forget(t)
-        t.stage = TenureStage.FINISHING
+            return self._node.forget(tenure)
+        tenure.stage = TenureStage.FINISHING
         self._withdrawals += 1
 
-        def back(done: ChangeResult | None) -> None:
+        def withdrawn(result: ChangeResult | None) -> None:
             self._withdrawals -= 1
-            self._node.forget(t)
-            t.finish_step()
+            self._node.forget(tenure)
+            tenure.finish_step()
 
-        t.run_step(
+        tenure.run_step(
             lambda: self._node.change(
-                t.key,
+                tenure.key,
                 WithdrawClaim(self._node.owner),
-                t.expires_at,
-                max(MS, t.expires_at - self._node.clock()),
-                back,
-                most=MAX_WITHDRAW_BACKOFF_US,
-            ),
+                tenure.expires_at,
+                self._time_left(tenure),
+                withdrawn,
+                max_backoff_us=MAX_WITHDRAW_BACKOFF_US,
+            )
         )
         return None
 
-    def _write_until_chosen(self, t: Tenure, change: ChangeFunction) -> None:
-        """Tried until it is chosen, or no longer counts."""
+    # ---- start ----
 
-        def settled(done: ChangeResult | None) -> None:
-            self._node.forget(t)
-            t.finish_step()
+    def start(self, key: Key) -> bool:
+        """Before a run is commanded. False where the key is not the cluster's business.
 
-        def step() -> None:
-            hold, t.promise = t.promise, None
+        Else `StartConfirmed`, `StartLost` or `StartUncovered` follows, maybe at once.
+        """
+        tenure = self._node.tenures.get(key)
+        if tenure is None or tenure.stage is not TenureStage.HELD:
+            return False
+        tenure.stage = TenureStage.STARTING
+        tenure.run_step(lambda: self._start(tenure))
+        return True
+
+    def _start(self, tenure: Tenure) -> None:
+        if tenure.stage is not TenureStage.STARTING:  # released meanwhile
+            return tenure.finish_step()
+        self._node.change(
+            tenure.key,
+            StartWork(self._node.owner, tenure.attempt),
+            tenure.expires_at,
+            self._node.claim_timeout_us,
+            lambda result: self._started(tenure, result),
+            tenure.take_promise(),
+        )
+        return None
+
+    def _started(self, tenure: Tenure, result: ChangeResult | None) -> None:
+        if result is None:
+            self._start_uncovered(tenure)
+        elif self._is_started_here(tenure, result.value):
+            tenure.stage = TenureStage.STARTED
+            tenure.promise = result.promise
+            self._node.host.notify(StartConfirmed(tenure.key))
+        else:
+            self._node.host.count("fleet: lost to another")
+            self._node.host.notify(StartLost(tenure.key))
+            tenure.stage = TenureStage.OWNED_ELSEWHERE
+            tenure.promise = None
+            self._node.adopt(tenure, result)
+        tenure.finish_step()
+
+    def _start_uncovered(self, tenure: Tenure) -> None:
+        self._node.host.count("fleet: not begun")
+        if self._node.policy.alone:
+            tenure.stage = TenureStage.STARTED
+            self._node.host.notify(StartConfirmed(tenure.key))
+        else:
+            tenure.stage = TenureStage.HELD
+            self._node.host.notify(StartUncovered(tenure.key, NO_MAJORITY))
+
+    def _is_started_here(self, tenure: Tenure, work: WorkRecord | None) -> bool:
+        return (
+            work is not None
+            and work.state is WorkState.STARTED
+            and work.owner == self._node.owner
+            and work.attempt == tenure.attempt
+        )
+
+    # ---- the end ----
+
+    def finish(self, key: Key, result: bytes | None) -> None:
+        """A run of this runner is over."""
+        tenure = self._node.tenures.get(key)
+        if tenure is None or tenure.stage is TenureStage.OWNED_ELSEWHERE:
+            return
+        tenure.stage = TenureStage.FINISHING
+        tenure.result = result
+        for seat in tenure.waiting_seats:
+            self._node.host.send(seat, OwnershipReply(key, tenure.attempt, False, True, result))
+        tenure.waiting_seats.clear()
+        self._write_until_chosen(tenure, FinishWork(self._node.owner, tenure.attempt, result))
+
+    def _write_until_chosen(self, tenure: Tenure, change: ChangeFunction) -> None:
+        """Retried until it is chosen, or the key no longer counts."""
+
+        def written(result: ChangeResult | None) -> None:
+            self._node.forget(tenure)
+            tenure.finish_step()
+
+        def write() -> None:
             self._node.change(
-                t.key, change, t.expires_at, max(MS, t.expires_at - self._node.clock()), settled, hold
+                tenure.key,
+                change,
+                tenure.expires_at,
+                self._time_left(tenure),
+                written,
+                tenure.take_promise(),
             )
 
-        t.run_step(step)
+        tenure.run_step(write)
 
-    def hand_over(self, key: Key) -> None:
-        """Held work of ours, to whoever can run it: `given` follows once nobody can lose it any more."""
-        t = self._node.tenures.get(key)
-        if t is None or t.stage is not TenureStage.HELD or t.request is None:
+    def release(self, key: Key, rejected: bool = False) -> None:
+        """An attempt of this runner is over, and never ran.
+
+        `rejected`: work that was another's, or that others wait for, goes on to the next seat.
+        """
+        tenure = self._node.tenures.get(key)
+        if tenure is None or tenure.stage is TenureStage.OWNED_ELSEWHERE:
             return
-        order = t.request
-
-        def freed(done: ChangeResult | None) -> None:
-            work = None if done is None else done.value
-            if (
-                done is not None
-                and work is not None
-                and not (work.owner == self._node.owner and work.state is WorkState.HELD)
-            ):
-                self._node.host.given(key)
-                self._node.host.count("fleet: handed over")
-                t.stage, t.promise = TenureStage.OWNED_ELSEWHERE, None
-                if work.state is WorkState.RELEASED:
-                    self._node.takeover.offer(key, work)
-                for seat in t.waiting_seats:
-                    self._node.host.send(seat, OwnershipReply(key, t.attempt, False))
-                t.waiting_seats.clear()
-                self._node.watched_work.adopt(t, done)
-            t.finish_step()
-
-        def step() -> None:
-            if t.stage is not TenureStage.HELD:
-                return t.finish_step()
-            hold, t.promise = t.promise, None
+        request = tenure.request if tenure.taken_over or tenure.waiting_seats else None
+        tenure.stage = TenureStage.FINISHING
+
+        def release() -> None:
             self._node.change(
                 key,
-                ReleaseWork(self._node.owner, t.attempt, order, rejected=False),
-                t.expires_at,
-                round(self._node.policy.claim_ms * MS),
-                freed,
-                hold,
+                ReleaseWork(self._node.owner, tenure.attempt or 1, request, rejected),
+                tenure.expires_at,
+                self._time_left(tenure),
+                lambda result: self._released(tenure, result),
+                tenure.take_promise(),
             )
 
-        t.run_step(step)
+        tenure.run_step(release)
+
+    def _released(self, tenure: Tenure, result: ChangeResult | None) -> None:
+        self._node.forget(tenure)
+        work: WorkRecord | None = None if result is None else result.value
+        if work is not None and work.state is WorkState.RELEASED and work.request is not None:
+            self._node.offer_work(tenure.key, work)
+        self._answer_not_in_hand(tenure)
+        tenure.finish_step()
+
+    def hand_over(self, key: Key) -> None:
+        """Held work, to whichever runner can run it: `HandedOver` follows once nobody can lose it any more."""
+        tenure = self._node.tenures.get(key)
+        if tenure is None or tenure.stage is not TenureStage.HELD or tenure.request is None:
+            return
+        request = tenure.request
+        tenure.run_step(lambda: self._hand_over(tenure, request))
+
+    def _hand_over(self, tenure: Tenure, request: WorkRequest) -> None:
+        if tenure.stage is not TenureStage.HELD:
+            return tenure.finish_step()
+        self._node.change(
+            tenure.key,
+            ReleaseWork(self._node.owner, tenure.attempt, request, rejected=False),
+            tenure.expires_at,
+            self._node.claim_timeout_us,
+            lambda result: self._handed_over(tenure, result),
+            tenure.take_promise(),
+        )
+        return None
+
+    def _handed_over(self, tenure: Tenure, result: ChangeResult | None) -> None:
+        work: WorkRecord | None = None if result is None else result.value
+        if result is not None and work is not None and not self._is_held_here(work):
+            self._node.host.notify(HandedOver(tenure.key))
+            self._node.host.count("fleet: handed over")
+            tenure.stage = TenureStage.OWNED_ELSEWHERE
+            tenure.promise = None
+            if work.state is WorkState.RELEASED:
+                self._node.offer_work(tenure.key, work)
+            self._answer_not_in_hand(tenure)
+            tenure.waiting_seats.clear()
+            self._node.adopt(tenure, result)
+        tenure.finish_step()
+
+    def _is_held_here(self, work: WorkRecord) -> bool:
+        return work.owner == self._node.owner and work.state is WorkState.HELD
+
+    def _answer_not_in_hand(self, tenure: Tenure) -> None:
+        for seat in tenure.waiting_seats:
+            self._node.host.send(seat, OwnershipReply(tenure.key, tenure.attempt, False))
+
+    def _time_left(self, tenure: Tenure) -> int:
+        """us; at least one attempt is made."""
+        return max(MS, tenure.expires_at - self._node.clock())
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -1,188 +1,215 @@
-"""Keyed work that another runner has: asked for, waited for, and gone on with where its owner is silent or gone."""
+"""Keyed work that another runner has: watched, waited for, and continued where its owner is silent or gone."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import TYPE_CHECKING
+from dataclasses import dataclass
 
 from ..membership.failure_detector import MS
+from .interfaces import WorkNode
 from .key_tenure import Tenure, TenureStage
 from .messages import OwnershipQuery, OwnershipReply
 from .proposer import ChangeFunction, ChangeResult
+from .work_events import BodyDiffers, ClaimGranted, ClaimJoined, RejectedByAll, ResultKnown
 from .work_record import ClaimWork, EndOrphanedWork, ReadOnly, TakeOverWork, WorkRecord, WorkState
 
-if TYPE_CHECKING:
-    from .node import Node
-
-OWNER_ANSWER_TIMEOUT_US = 150 * MS  # an owner says by then that it has the work, or is taken for silent
-OWNER_POLL_US = 400 * MS  # until it is asked again
+OWNER_ANSWER_TIMEOUT_US = 150 * MS  # an owner that has not answered by then is taken for silent
+OWNER_POLL_US = 400 * MS  # until an owner that has the work in hand is asked again
 
 
 class WatchedWork:
     """What a runner does about work that it waits for."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: WorkNode) -> None:
         self._node = node
 
-    def finished(self, t: Tenure, result: bytes | None) -> None:
-        """Of another's work."""
-        self._node.host.count(
-            "fleet: ended without a result" if result is None else "fleet: result of another"
-        )
-        self._node.host.over(t.key, result)
-        self._node.forget(t)
-
-    def adopt(self, t: Tenure, done: ChangeResult) -> None:
-        """What a claim, or a look at another's work, has found."""
-        work: WorkRecord | None = done.value
-        claiming = t.stage is TenureStage.CLAIMING
-        if work is not None and work.body_digest != t.body_digest:
-            if claiming:
-                self._node.host.differs(t.key)
-            else:
-                self._node.host.over(t.key, None)
-            return self._node.forget(t)
-        if work is not None and work.state is WorkState.HELD and work.owner == self._node.owner:
-            t.stage, t.attempt, t.promise, t.owner = TenureStage.HELD, work.attempt, done.promise, None
-            if claiming:
-                self._node.host.count("fleet: covered")
-                return self._node.host.mine(t.key)
-            t.taken_over, t.request = True, work.request
-            self._node.host.count("fleet: taken over")
-            if work.request is None or not self._node.host.take_up(
-                t.key, t.body_digest, work.request, t.expires_at
-            ):
-                self._node.owned_work.release(t.key, turned=True)
-            return None
-        if work is not None and work.state is WorkState.FINISHED:
-            return self.finished(t, work.result)
-        t.stage = TenureStage.OWNED_ELSEWHERE
+    # ---- what a register says ----
+
+    def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
+        """Goes by what a claim, or a read of another's work, has found."""
+        work: WorkRecord | None = result.value
+        is_claim = tenure.stage is TenureStage.CLAIMING
         if work is None:  # forgotten, as its time is over
-            t.owner, t.state = None, WorkState.RELEASED
+            self._wait_for(tenure, None, is_claim)
+        elif work.body_digest != tenure.body_digest:
+            self._body_differs(tenure, is_claim)
+        elif work.state is WorkState.HELD and work.owner == self._node.owner:
+            self._hold(tenure, work, result, is_claim)
+        elif work.state is WorkState.FINISHED:
+            self._result_known(tenure, work.result)
+        else:
+            self._wait_for(tenure, work, is_claim)
+
+    def _body_differs(self, tenure: Tenure, is_claim: bool) -> None:
+        if is_claim:
+            self._node.host.notify(BodyDiffers(tenure.key))
+        else:
+            self._node.host.notify(ResultKnown(tenure.key, None))
+        self._node.forget(tenure)
+
+    def _hold(self, tenure: Tenure, work: WorkRecord, result: ChangeResult, is_claim: bool) -> None:
+        """The work is this runner's: claimed, or taken over."""
+        tenure.stage = TenureStage.HELD
+        tenure.attempt = work.attempt
+        tenure.promise = result.promise
+        tenure.owner = None
+        if is_claim:
+            self._node.host.count("fleet: covered")
+            return self._node.host.notify(ClaimGranted(tenure.key))
+        tenure.taken_over = True
+        tenure.request = work.request
+        self._node.host.count("fleet: taken over")
+        if work.request is None or not self._node.host.accept_takeover(
+            tenure.key, tenure.body_digest, work.request, tenure.expires_at
+        ):
+            self._node.release_work(tenure.key, rejected=True)
+        return None
+
+    def _wait_for(self, tenure: Tenure, work: WorkRecord | None, is_claim: bool) -> None:
+        """The work is another runner's."""
+        tenure.stage = TenureStage.OWNED_ELSEWHERE
+        if work is None:
+            tenure.owner = None
+            tenure.state = WorkState.RELEASED
         else:
-            t.owner, t.attempt, t.state = work.owner, work.attempt, work.state
-            if (
-                work.state is WorkState.RELEASED
-                and self._node.me in work.rejected_by
-                and t.stage is TenureStage.OWNED_ELSEWHERE
-                and not claiming
-            ):
-                # All that can run it have turned it away, and this one has too.
+            tenure.owner = work.owner
+            tenure.attempt = work.attempt
+            tenure.state = work.state
+            is_rejected_here = work.state is WorkState.RELEASED and self._node.me in work.rejected_by
+            if is_rejected_here and not is_claim:
+                # Work comes back to a seat that has rejected it only once all that can run it have.
                 self._node.host.count("fleet: turned away by all")
-                self._node.host.none_ran(t.key)
-                return self._node.forget(t)
-        if claiming:
+                self._node.host.notify(RejectedByAll(tenure.key))
+                return self._node.forget(tenure)
+        if is_claim:
             self._node.host.count("fleet: joined")
-            self._node.host.theirs(t.key)
-        self.watch(t)
+            self._node.host.notify(ClaimJoined(tenure.key))
+        self._watch(tenure)
         return None
 
-    def watch(self, t: Tenure) -> None:
-        """Asks the owner whether it still has it. Who does not answer is not waited for."""
-        t.watch_serial += 1
-        mark, t.alive = t.watch_serial, False
-        if t.owner is not None and t.owner.seat != self._node.me and t.state is not WorkState.RELEASED:
-            self._node.host.send(t.owner.seat, OwnershipQuery(t.key, t.attempt))
-
-        def silent() -> None:
-            if (
-                t.watch_serial == mark
-                and t.stage is TenureStage.OWNED_ELSEWHERE
-                and self._node.tenures.get(t.key) is t
-            ):
-                self.continue_work(t)
-
-        self._node.at(self._node.clock() + OWNER_ANSWER_TIMEOUT_US, silent)
-
-    def continue_work(self, t: Tenure, gone: bool = False) -> None:
-        """Its owner is silent, or has said that it is not in its hands (`gone`)."""
-        t.watch_serial += 1
-        if self._node.clock() >= t.expires_at:
-            return self.finished(t, None)
-        owner = t.owner
-        change: ChangeFunction
-        if (
-            t.state is WorkState.STARTED
-            and owner is not None
-            and (gone or self._node.takeover.is_lost(owner))
-        ):
-            change = EndOrphanedWork(owner, t.attempt)
-        elif t.state is WorkState.STARTED or not self._node.host.fit():
-            change = ReadOnly()
-        elif t.state is WorkState.RELEASED and t.request is not None:
-            change = _FirstThatApplies(
-                TakeOverWork(self._node.owner, owner or self._node.owner, t.attempt),
-                ClaimWork(self._node.owner, t.body_digest, t.request),
-            )
-        else:
-            change = TakeOverWork(self._node.owner, owner or self._node.owner, t.attempt)
+    def _result_known(self, tenure: Tenure, result: bytes | None) -> None:
+        counter = "fleet: ended without a result" if result is None else "fleet: result of another"
+        self._node.host.count(counter)
+        self._node.host.notify(ResultKnown(tenure.key, result))
+        self._node.forget(tenure)
 
-        def looked(done: ChangeResult | None) -> None:
-            if self._node.tenures.get(t.key) is t and t.stage is TenureStage.OWNED_ELSEWHERE:
-                if done is None:
-                    self._watch_later(t)
+    # ---- the owner ----
+
+    def _watch(self, tenure: Tenure) -> None:
+        """Asks the owner whether it still has the work; an owner that does not answer is not waited for."""
+        tenure.watch_serial += 1
+        serial = tenure.watch_serial
+        owner = tenure.owner
+        if owner is not None and owner.seat != self._node.me and tenure.state is not WorkState.RELEASED:
+            self._node.host.send(owner.seat, OwnershipQuery(tenure.key, tenure.attempt))
+
+        def owner_is_silent() -> None:
+            if self._is_current(tenure, serial):
+                self.continue_work(tenure)
+
+        self._node.at(self._node.clock() + OWNER_ANSWER_TIMEOUT_US, owner_is_silent)
+
+    def _watch_later(self, tenure: Tenure) -> None:
+        tenure.watch_serial += 1
+        serial = tenure.watch_serial
+
+        def watch_again() -> None:
+            if self._is_current(tenure, serial):
+                self._watch(tenure)
+
+        self._node.at(self._node.clock() + OWNER_POLL_US, watch_again)
+
+    def _is_current(self, tenure: Tenure, serial: int) -> bool:
+        """Nothing has happened to the tenure since that watch began."""
+        return (
+            tenure.watch_serial == serial
+            and tenure.stage is TenureStage.OWNED_ELSEWHERE
+            and self._node.tenures.get(tenure.key) is tenure
+        )
+
+    def continue_work(self, tenure: Tenure, not_in_hand: bool = False) -> None:
+        """The owner is silent, or has said that the work is `not_in_hand`: reads the register, and changes it."""
+        tenure.watch_serial += 1
+        if self._node.clock() >= tenure.expires_at:
+            return self._result_known(tenure, None)
+        change = self._next_change(tenure, not_in_hand)
+
+        def changed(result: ChangeResult | None) -> None:
+            is_ours_to_watch = tenure.stage is TenureStage.OWNED_ELSEWHERE
+            if self._node.tenures.get(tenure.key) is tenure and is_ours_to_watch:
+                if result is None:
+                    self._watch_later(tenure)
                 else:
-                    self.adopt(t, done)
-            t.finish_step()
+                    self.adopt(tenure, result)
+            tenure.finish_step()
 
-        t.run_step(
+        tenure.run_step(
             lambda: self._node.change(
-                t.key, change, t.expires_at, round(self._node.policy.claim_ms * MS), looked
+                tenure.key, change, tenure.expires_at, self._node.claim_timeout_us, changed
             )
         )
         return None
 
-    def _watch_later(self, t: Tenure) -> None:
-        t.watch_serial += 1
-        mark = t.watch_serial
-
-        def again() -> None:
-            if (
-                t.watch_serial == mark
-                and t.stage is TenureStage.OWNED_ELSEWHERE
-                and self._node.tenures.get(t.key) is t
-            ):
-                self.watch(t)
-
-        self._node.at(self._node.clock() + OWNER_POLL_US, again)
-
-    def handle_query(self, seat: str, m: OwnershipQuery) -> None:
-        t = self._node.tenures.get(m.key)
-        if t is not None and t.stage is TenureStage.OWNED_ELSEWHERE:
-            return self._node.host.reply(seat, OwnershipReply(m.key, m.attempt, False))
-        in_hand, over, result = self._node.host.has(m.key)
-        if t is not None and t.stage is TenureStage.FINISHING:
-            over, result = over or t.result is not None, result if t.result is None else t.result
-        elif in_hand and t is not None:
-            t.waiting_seats.add(seat)
-        return self._node.host.reply(seat, OwnershipReply(m.key, m.attempt, in_hand, over, result))
-
-    def handle_reply(self, seat: str, m: OwnershipReply) -> None:
-        t = self._node.tenures.get(m.key)
-        if (
-            t is None
-            or t.stage is not TenureStage.OWNED_ELSEWHERE
-            or t.owner is None
-            or t.owner.seat != seat
-            or t.attempt != m.attempt
-        ):
+    def _next_change(self, tenure: Tenure, not_in_hand: bool) -> ChangeFunction:
+        """What may be made of work whose owner does not have it, or does not answer.
+
+        Started work ends without a result once its owner is lost, and is never run again; held or released work is
+        taken over, where this runner can run it.
+        """
+        owner = tenure.owner
+        if tenure.state is WorkState.STARTED:
+            if owner is not None and (not_in_hand or self._node.is_lost(owner)):
+                return EndOrphanedWork(owner, tenure.attempt)
+            return ReadOnly()
+        if not self._node.host.fit():
+            return ReadOnly()
+        take_over = TakeOverWork(self._node.owner, owner or self._node.owner, tenure.attempt)
+        if tenure.state is WorkState.RELEASED and tenure.request is not None:
+            claim = ClaimWork(self._node.owner, tenure.body_digest, tenure.request)
+            return _FirstThatApplies(take_over, claim)
+        return take_over
+
+    # ---- messages ----
+
+    def handle_query(self, seat: str, query: OwnershipQuery) -> None:
+        """Another runner waits for work that it takes for this one's."""
+        tenure = self._node.tenures.get(query.key)
+        if tenure is not None and tenure.stage is TenureStage.OWNED_ELSEWHERE:
+            return self._node.host.reply(seat, OwnershipReply(query.key, query.attempt, False))
+        known = self._node.host.work_in_hand(query.key)
+        finished = known.finished
+        result = known.result
+        if tenure is not None and tenure.stage is TenureStage.FINISHING:
+            finished = finished or tenure.result is not None
+            result = result if tenure.result is None else tenure.result
+        elif known.in_hand and tenure is not None:
+            tenure.waiting_seats.add(seat)
+        reply = OwnershipReply(query.key, query.attempt, known.in_hand, finished, result)
+        return self._node.host.reply(seat, reply)
+
+    def handle_reply(self, seat: str, reply: OwnershipReply) -> None:
+        """The owner's answer."""
+        tenure = self._node.tenures.get(reply.key)
+        if tenure is None or tenure.stage is not TenureStage.OWNED_ELSEWHERE:
+            return
+        if tenure.owner is None or tenure.owner.seat != seat or tenure.attempt != reply.attempt:
             return
-        if m.finished:
-            self.finished(t, m.result)
-        elif m.in_hand:
-            self._watch_later(t)
+        if reply.finished:
+            self._result_known(tenure, reply.result)
+        elif reply.in_hand:
+            self._watch_later(tenure)
         else:
-            self.continue_work(t, gone=True)
+            self.continue_work(tenure, not_in_hand=True)
 
 
+@dataclass(frozen=True, slots=True)
 class _FirstThatApplies:
-    def __init__(
-        self,
-        first: Callable[[WorkRecord | None], WorkRecord | None],
-        second: Callable[[WorkRecord | None], WorkRecord | None],
-    ) -> None:
-        self._first, self._second = first, second
+    """The first change, or the second where the first leaves the value as it is."""
+
+    first: ChangeFunction
+    second: ChangeFunction
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        made = self._first(old)
-        return self._second(old) if made is None else made
+        new: WorkRecord | None = self.first(old)
+        if new is None:
+            new = self.second(old)
+        return new
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -26,9 +26,9 @@
 from moorusher.leadership.journal import LastingKeeper
 from moorusher.maintenance import schedule as roster
 from moorusher.membership.placement import Placement
+from moorusher.membership.policy import Seat
 from moorusher.namespaces import revisions
 from moorusher.replication import journal
-from moorusher.replication.policy import Seat
 from moorusher.storage.journal_files import open_folder
 from moorusher.storage.revisions import Store
 from moorusher.warm_start import snapshot
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -14,7 +14,7 @@
 
 from moorusher.lab.relays import Relay
 from moorusher.membership.placement import Placement
-from moorusher.replication.policy import Seat
+from moorusher.membership.policy import Seat
 from moorusher.replication.work_record import key_of
 
 from .stand_ins import HOST, SETTINGS, FrontEnd, Kernel, Runner, exchange, free_port, reactor, until
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -57,6 +57,7 @@
 from moorusher.leadership.policy import Policy
 from moorusher.leadership.state_replication import Library
 from moorusher.membership.failure_detector import MemberState
+from moorusher.membership.messages import MemberStatus
 from moorusher.model_checking.cluster_simulation import SECOND, Scenario
 from moorusher.model_checking.explorer import explore
 from moorusher.model_checking.leadership_interleavings import Terms
@@ -69,8 +70,7 @@
     search,
 )
 from moorusher.model_checking.register_interleavings import Limits
-from moorusher.replication.messages import MemberStatus
-from moorusher.replication.register_space import RegisterSpace
+from moorusher.replication.register_reader import RegisterReader
 from moorusher.replication.work_record import Owner
 
 A, B = Owner("a", 1), Owner("b", 2)
@@ -357,7 +357,7 @@
 def test_seeds_find_a_look_that_takes_one_keepers_word_for_that_of_a_majority(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(RegisterSpace, "votes_needed", staticmethod(lambda looking, vote: 1))
+    monkeypatch.setattr(RegisterReader, "votes_needed", staticmethod(lambda looking, vote: 1))
     found = search(range(20))
     assert found is not None and "missing" in found[1]
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,25 +11,23 @@
 import pytest
 
 from moorusher.membership.failure_detector import FailureDetector, MemberState
+from moorusher.membership.messages import Ping, PingAck, PingRequest
 from moorusher.membership.placement import Placement
-from moorusher.model_checking.cluster_simulation import Process, Scenario, Simulation, find_failing_seed
+from moorusher.membership.policy import Seat
+from moorusher.model_checking.cluster_simulation import (
+    KeyState,
+    Process,
+    Scenario,
+    Simulation,
+    find_failing_seed,
+)
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.register_interleavings import Limits, RegisterModel
 from moorusher.replication import node as node_module
 from moorusher.replication import watched_work as watched_module
-from moorusher.replication import work_takeover as left_module
+from moorusher.replication import work_takeover as takeover_module
 from moorusher.replication.acceptor import Acceptor
-from moorusher.replication.messages import (
-    FAST_BALLOT,
-    BallotRequest,
-    Bootstrap,
-    Ping,
-    PingAck,
-    PingRequest,
-    decode,
-    encode,
-)
-from moorusher.replication.policy import Seat
+from moorusher.replication.messages import FAST_BALLOT, BallotRequest, Bootstrap, decode, encode
 from moorusher.replication.proposer import Proposer
 from moorusher.replication.work_record import (
     ClaimWork,
@@ -293,11 +291,11 @@
             send(seat, message)
 
     sim.processes[0].send = caught  # type: ignore[method-assign]
-    assert registers.bootstrap() is None
+    assert registers.recovery.bootstrap() is None
     for name, m in sent:  # the word takes another way than answers do
         sim.at(sim.now + (50_000 if name in ("n2", "n3") else 1_000), None, partial(send, name, m))
     for late in sim.processes[2:]:
-        sim.at(sim.now + 20_000, None, partial(late.node.registers._sync_all, 500_000))
+        sim.at(sim.now + 20_000, None, partial(late.node.registers.recovery.request_sync, 500_000))
     sim.run(sim.now + 3_000_000)
     assert all(p.node.acceptor.recovered for p in sim.processes)
 
@@ -342,9 +340,9 @@
     """A seeded mistake: commanded while others are asked."""
 
     def _start(self, key: bytes) -> None:
-        if self.state.get(key) == "held" and self.kernel_up:
-            self.state[key] = "beginning"
-            self.begun(key)
+        if self.state.get(key) is KeyState.HELD and self.kernel_up:
+            self.state[key] = KeyState.STARTING
+            self.run_work(key)
 
 
 class Amnesiac(Acceptor):
@@ -374,7 +372,7 @@
     where: str, name: str, what: Any, how: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if where:
-        for module in (node_module, left_module, watched_module):
+        for module in (node_module, takeover_module, watched_module):
             monkeypatch.setattr(module, name, what, raising=False)
     assert find_failing_seed(range(60), Scenario(faults=10), **how) is not None
 
@@ -465,7 +463,7 @@
 
 
 def m_about(seat: str, inc: int, version: int, state: MemberState) -> Any:
-    from moorusher.replication.messages import MemberStatus, MemberUpdate
+    from moorusher.membership.messages import MemberStatus, MemberUpdate
 
     return MemberUpdate(seat, inc, version, state.value, MemberStatus(True, 2))
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -289,7 +289,7 @@
     def touch(self) -> None:
         self.clock.now = round(self.reactor.seconds() * 1e6)
 
-    def unreached(self, seat: str, refused: bool) -> None: ...
+    def connect_failed(self, seat: str, refused: bool) -> None: ...
 
 
 def test_a_link_between_runners_that_is_hung_up_is_dialled_at_once_and_by_itself_again() -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -26,7 +26,7 @@
 from moorusher.forecasting.policy import Policy as ForecastPolicy
 from moorusher.frontends.jsonrpc import END_FAULTS, MOST_FAULTS, MOST_OPEN
 from moorusher.maintenance.policy import Policy as OutagePolicy
-from moorusher.replication.policy import Seat
+from moorusher.membership.policy import Seat
 from moorusher.scheduling import Balancer
 from moorusher.scheduling import interface as api
 from moorusher.server.server import FIXED_SOCKETS, IDLE_CALLS_SHARE, LEAST_CONSOLE, Service
