--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -70,10 +70,6 @@
         self.predecessor = 0  # the process of this seat that this one replaces
         self._handed_over = False  # what is held here is for others to take
         self.closed = False
-        if config.duties.on:
-            from .leadership import DutyLink
-
-            self.leadership = DutyLink(self, config.duties)
         core.coordinator = self
         core.keys.told.append(self)
 
@@ -297,7 +293,8 @@
     @property
     def is_busy(self) -> bool:
         return bool(
-            self.node.unfinished or (self.leadership is not None and self.leadership.participant.ownerships)
+            self.node.unfinished
+            or (self.leadership is not None and self.leadership.participant.leases.by_key)
         )
 
     # ---- for the node: `Host` ----
