--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -18,7 +18,8 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import LeaseRecord, LeaseStatus
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MS, MemberState
+from ..membership.failure_detector import MS
+from ..membership.member import MemberState
 from ..namespaces.customers import Customers, Revision, Stale
 from ..namespaces.document import Namespace
 from ..namespaces.errors import ERRORS as NAMESPACE_ERRORS
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -18,7 +18,7 @@
 from moorusher.forecast_service import messages as forecasting
 from moorusher.leadership import messages as duties
 from moorusher.maintenance import messages as outage
-from moorusher.membership.failure_detector import MemberState
+from moorusher.membership.member import MemberState
 from moorusher.replication import messages as fleet
 from moorusher.replication import work_record as work
 
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -28,7 +28,7 @@
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import LeaseRecord
 from moorusher.maintenance.schedule import Roster
-from moorusher.membership.failure_detector import MemberState
+from moorusher.membership.member import MemberState
 from moorusher.server import server as service
 from moorusher.server.server import Service
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from moorusher.membership.failure_detector import FailureDetector, MemberState
+from moorusher.membership.failure_detector import FailureDetector
+from moorusher.membership.member import MemberState
 from moorusher.membership.messages import Ping, PingAck, PingRequest
 from moorusher.membership.placement import Placement
 from moorusher.membership.policy import Seat
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -28,7 +28,7 @@
 )
 from moorusher.leadership.messages import ChunkFetched, LeaseOffer
 from moorusher.leadership.policy import Policy
-from moorusher.membership.failure_detector import MemberState
+from moorusher.membership.member import MemberState
 from moorusher.membership.messages import MemberStatus
 from moorusher.model_checking.cluster_simulation import SECOND, Scenario
 from moorusher.model_checking.leadership_simulation import (
