--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -1,11 +1,12 @@
-"""The connections among the runners of a fleet: frames of messages over TCP.
+"""The connections among the runners of a cluster: frames of messages over TCP. What they mean is decided elsewhere.
 
-A connection is made by whoever has something to say; answers come back on it, so that they reach the very process that
-asked, though another may have taken its seat.
+A connection is made by whoever has something to send; answers come back on it, so that they reach the very process that
+asked, though another one may have taken its seat.
 """
 
 from __future__ import annotations
 
+import errno
 import logging
 from typing import Any, Protocol
 
@@ -16,6 +17,7 @@
 from ..core.clock import MS, Alarm
 from ..core.outcomes import Ending
 from ..core.request_engine import Decider
+from ..replication.errors import UnreadableFrame
 from ..replication.messages import (
     MAX_FRAME_BYTES,
     ComponentMessage,
@@ -28,48 +30,86 @@
 
 log = logging.getLogger("moorusher")
 
-MAX_QUEUED_MESSAGES = 512  # messages for a peer while the link to it is being made
+MAX_QUEUED_MESSAGES = 512  # for a peer while the connection to it is being made
 MAX_UNSENT_BYTES = (
     4 << 20
-)  # bytes; a peer that reads more slowly loses what comes: to the others it is silent
+)  # a peer that reads more slowly loses what follows: it is silent for the others then
+MAX_MESSAGES_PER_FRAME = 256
 HANDSHAKE_TIMEOUT_US = 2_000 * MS
-RECONNECT_BACKOFF_US, MAX_RECONNECT_BACKOFF_US = 50 * MS, 1_000 * MS
-MAX_MESSAGES_PER_FRAME = 256  # messages in one
+RECONNECT_BACKOFF_US = 50 * MS  # doubles with each attempt
+MAX_RECONNECT_BACKOFF_US = 1_000 * MS
+CONNECT_TIMEOUT_S = 1
+US_PER_S = 1_000_000
 
 
 class PeerOwner(Protocol):
-    """Whose connections they are: who is let in, and who hears what is said."""
+    """Whose connections they are: who is accepted, and who gets the messages.
+
+    Attributes:
+        core: has the clock and the alarms.
+        reactor: the loop.
+        closed: `bool`, nothing more is connected.
+        incoming: connections that others have made.
+    """
 
     core: Decider
     reactor: Any
     closed: bool
     incoming: set[PeerConnection]
 
-    def hello(self) -> Hello: ...
-    def check_hello(self, peer: PeerConnection, m: Hello) -> str | None: ...
-    def connected(self, peer: PeerConnection) -> None: ...
-    def rejected_by_peer(self, peer: PeerConnection, why: str) -> None: ...
-    def disconnected(self, peer: PeerConnection) -> None: ...
-    def connect_failed(self, seat: str, refused: bool) -> None: ...
-    def receive(self, peer: PeerConnection, message: Message) -> None: ...
-    def flush_soon(self, peer: PeerConnection) -> None: ...
-    def count(self, name: str) -> None: ...
+    def hello(self) -> Hello:
+        """This process's greeting."""
+
+    def check_hello(self, peer: PeerConnection, hello: Hello) -> str | None:
+        """Takes the peer for a member of the cluster, or returns the reason why not."""
+
+    def connected(self, peer: PeerConnection) -> None:
+        """A connection to a peer was made."""
+
+    def rejected_by_peer(self, peer: PeerConnection, reason: str) -> None:
+        """The peer does not take this process for a member."""
+
+    def disconnected(self, peer: PeerConnection) -> None:
+        """A connection has ended, whoever made it."""
+
+    def connect_failed(self, seat: str, refused: bool) -> None:
+        """No connection could be made. `refused`: nothing listens at the address."""
+
+    def receive(self, peer: PeerConnection, message: Message) -> None:
+        """A message of a peer that has greeted."""
+
+    def flush_soon(self, peer: PeerConnection) -> None:
+        """Call `peer.flush` in this turn of the loop."""
+
+    def count(self, name: str) -> None:
+        """One more in the counter of that name."""
 
 
 class PeerConnection(Int32StringReceiver):
-    """A connection to or from another seat's process."""
+    """A connection to or from another seat's process.
+
+    Attributes:
+        seat: `str`; empty until the peer has greeted, where it made the connection.
+        incarnation: `int`, of the peer's process; 0 until it has greeted.
+        is_outgoing: `bool`, this process made the connection.
+        rejected: `bool`, the peer does not take this process for a member.
+    """
 
     transport: Any
     MAX_LENGTH = MAX_FRAME_BYTES
 
-    def __init__(self, link: PeerOwner, seat: str = "") -> None:
-        self.owner, self.seat, self.incarnation = link, seat, 0
+    def __init__(self, owner: PeerOwner, seat: str = "") -> None:
+        """`seat`: where this process makes the connection."""
+        self.owner = owner
+        self.seat = seat
+        self.incarnation = 0
         self.is_outgoing = bool(seat)
-        self._outgoing: list[Message] = []
         self.rejected = False
+        self._outgoing: list[Message] = []
         self._handshake_timer: Alarm | None = None
 
     def connectionMade(self) -> None:
+        """Greets, or waits for a greeting."""
         self.transport.setTcpNoDelay(True)
         core = self.owner.core
         core.touch()
@@ -78,124 +118,161 @@
             self.owner.connected(self)
         else:
             self.owner.incoming.add(self)
-            self._handshake_timer = core.alarms.at(
-                core.clock.now + HANDSHAKE_TIMEOUT_US, self._handshake_timed_out
-            )
+            due = core.clock.now + HANDSHAKE_TIMEOUT_US
+            self._handshake_timer = core.alarms.at(due, self._handshake_timed_out)
 
     def _handshake_timed_out(self) -> None:
         self.owner.count("fleet links: " + Ending.SILENT.value)
         self.transport.abortConnection()
 
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """The connection has ended."""
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+        self.owner.core.touch()
+        self.owner.disconnected(self)
+
+    # ---- out ----
+
+    def send(self, message: Message) -> None:
+        """Sends in this turn of the loop, in one frame with all that the turn still brings."""
+        self._outgoing.append(message)
+        if len(self._outgoing) == 1:
+            self.owner.flush_soon(self)
+
+    def flush(self) -> None:
+        """Sends what has gathered; drops it where the peer reads too slowly."""
+        messages = self._outgoing
+        self._outgoing = []
+        if self._unsent_bytes() > MAX_UNSENT_BYTES:
+            self.owner.count("fleet links: " + Ending.READS_TOO_SLOWLY.value)
+            return
+        self.send_now(messages)
+
+    def _unsent_bytes(self) -> int:
+        buffered = len(getattr(self.transport, "dataBuffer", b""))
+        return buffered + sum(map(len, self.transport._tempDataBuffer))
+
     def send_now(self, messages: list[Message]) -> None:
+        """In as many frames as it takes: one is never too long for the peer."""
         frame: list[Message] = []
         size = 0
         for message in messages:
-            more = len(message.body) if isinstance(message, ComponentMessage) else 0
-            if len(frame) >= MAX_MESSAGES_PER_FRAME or size + more > MAX_FRAME_BYTES // 2:
+            added = len(message.body) if isinstance(message, ComponentMessage) else 0
+            if len(frame) >= MAX_MESSAGES_PER_FRAME or size + added > MAX_FRAME_BYTES // 2:
                 self.sendString(encode(frame))  # type: ignore[no-untyped-call]
-                frame, size = [], 0
+                frame = []
+                size = 0
             frame.append(message)
-            size += more
+            size += added
         if frame:
             self.sendString(encode(frame))  # type: ignore[no-untyped-call]
 
-    def send(self, message: Message) -> None:
-        self._outgoing.append(message)
-        self.owner.flush_soon(self)
-
-    def flush(self) -> None:
-        out, self._outgoing = self._outgoing, []
-        if (
-            len(getattr(self.transport, "dataBuffer", b"")) + sum(map(len, self.transport._tempDataBuffer))
-            > MAX_UNSENT_BYTES
-        ):
-            self.owner.count("fleet links: " + Ending.READS_TOO_SLOWLY.value)
-            return
-        self.send_now(out)
+    # ---- in ----
 
     def stringReceived(self, string: bytes) -> None:
-        core = self.owner.core
-        core.touch()
+        """A frame. Whatever comes before the greeting is dropped."""
+        self.owner.core.touch()
         try:
             messages = decode(string)
-        except ValueError as exc:
-            log.warning("fleet: a peer sent what can't be read: %s", exc)
+        except UnreadableFrame as exc:
+            log.warning("fleet: a peer sent an unreadable frame: seat=%s reason=%s", self.seat, exc)
             self.owner.count("fleet links: " + Ending.BAD_FRAME.value)
             self.transport.abortConnection()
             return
         for message in messages:
             if isinstance(message, Hello):
-                if (why := self.owner.check_hello(self, message)) is not None:
-                    log.warning("fleet: %s of %s refused: %s", message.seat, message.fleet, why)
-                    self.owner.count("fleet links: refused")
-                    self.send_now([HandshakeRejected(why)])
-                    self.transport.loseConnection()
+                if not self._greeted(message):
                     return
-                if self._handshake_timer is not None:
-                    self._handshake_timer.cancel()
-                    self._handshake_timer = None
             elif isinstance(message, HandshakeRejected):
                 self.owner.rejected_by_peer(self, message.reason)
                 return
             elif self.incarnation:
                 self.owner.receive(self, message)
 
+    def _greeted(self, hello: Hello) -> bool:
+        """Whether the connection goes on."""
+        reason = self.owner.check_hello(self, hello)
+        if reason is not None:
+            log.warning("fleet: %s of %s refused: %s", hello.seat, hello.fleet, reason)
+            self.owner.count("fleet links: refused")
+            self.send_now([HandshakeRejected(reason)])
+            self.transport.loseConnection()
+            return False
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+            self._handshake_timer = None
+        return True
+
     def lengthLimitExceeded(self, length: int) -> None:
+        """A frame that is longer than any of ours."""
         self.owner.count("fleet links: " + Ending.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure | None = None) -> None:
-        if self._handshake_timer is not None:
-            self._handshake_timer.cancel()
-        self.owner.core.touch()
-        self.owner.disconnected(self)
-
 
 class PeerDialer(ClientFactory):
-    """The way to one seat: made when there is something to say, made anew when it breaks."""
+    """The connection to one seat: made when there is something to send, made anew when it breaks.
+
+    Attributes:
+        seat: `str`.
+        address: host and port; may be changed for the next connection.
+        peer: `PeerConnection`, or None where there is none.
+    """
 
     noisy = False
 
-    def __init__(self, link: PeerOwner, seat: str, address: tuple[str, int]) -> None:
-        self.owner, self.seat, self.address = link, seat, address
+    def __init__(self, owner: PeerOwner, seat: str, address: tuple[str, int]) -> None:
+        self.owner = owner
+        self.seat = seat
+        self.address = address
         self.peer: PeerConnection | None = None
         self._queued: list[Message] = []
         self._connecting = False
-        self._not_before, self._backoff = 0, RECONNECT_BACKOFF_US
+        self._not_before = 0  # us; no attempt is made before that
+        self._backoff = RECONNECT_BACKOFF_US
 
     def send(self, message: Message) -> None:
+        """Sends, or queues until there is a connection; drops what is too much."""
         if self.peer is not None:
             return self.peer.send(message)
         if len(self._queued) < MAX_QUEUED_MESSAGES:
             self._queued.append(message)
         self.connect()
+        return None
 
     def connect(self) -> None:
+        """Connects, now or as soon as the backoff allows it."""
         if self._connecting or self.owner.closed:
             return
         self._connecting = True
-        wait = self._not_before - self.owner.core.clock.now
-        if wait > 0:  # what is said meanwhile must not wait until something else is said
-            self.owner.reactor.callLater(wait / 1e6, self._connect_now)
+        wait_us = self._not_before - self.owner.core.clock.now
+        if wait_us > 0:  # what is queued must not wait until something else is sent
+            self.owner.reactor.callLater(wait_us / US_PER_S, self._connect_now)
         else:
             self._connect_now()
 
     def _connect_now(self) -> None:
         if not self.owner.closed:
-            self.owner.reactor.connectTCP(*self.address, self, timeout=1)
+            self.owner.reactor.connectTCP(*self.address, self, timeout=CONNECT_TIMEOUT_S)
 
     def buildProtocol(self, addr: object) -> PeerConnection:
+        """The connection was made."""
         return PeerConnection(self.owner, self.seat)
 
     def connected(self, peer: PeerConnection) -> None:
-        self._connecting, self.peer, self._backoff = False, peer, RECONNECT_BACKOFF_US
-        waiting, self._queued = self._queued, []
-        for message in waiting:
+        """Sends what is queued."""
+        self._connecting = False
+        self.peer = peer
+        self._backoff = RECONNECT_BACKOFF_US
+        queued = self._queued
+        self._queued = []
+        for message in queued:
             peer.send(message)
 
     def disconnected(self) -> None:
+        """Connects anew at once: whether anything listens, and whether that is a later process, is known soon."""
         self.peer = None
-        self.connect()  # at once: where nothing listens any more, that is known soon; and where a later process does
+        self.connect()
         self._back_off()
 
     def _back_off(self) -> None:
@@ -203,21 +280,23 @@
         self._backoff = min(MAX_RECONNECT_BACKOFF_US, self._backoff * 2)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+        """What was queued is dropped: to whom it mattered, it is sent again."""
         self.owner.core.touch()
         self._connecting = False
         self._queued.clear()
         self._back_off()
-        code = getattr(reason.value, "osError", None)
-        self.owner.connect_failed(self.seat, refused=code == 111)
+        error_number = getattr(reason.value, "osError", None)
+        self.owner.connect_failed(self.seat, refused=error_number == errno.ECONNREFUSED)
 
 
 class PeerServerFactory(Factory):
-    """Listens for the other runners of the fleet."""
+    """Listens for the other runners of the cluster."""
 
     noisy = False
 
-    def __init__(self, link: PeerOwner) -> None:
-        self.link = link
+    def __init__(self, owner: PeerOwner) -> None:
+        self.owner = owner
 
     def buildProtocol(self, addr: object) -> PeerConnection:
-        return PeerConnection(self.link)
+        """Another runner connects."""
+        return PeerConnection(self.owner)
--- a/moorusher/server/secondary_listeners.py
+++ b/moorusher/server/secondary_listeners.py
@@ -18,7 +18,7 @@
     if service.cluster.replication is not None and config.fleet.listen is not None:
         from ..cluster_transport.peers import PeerServerFactory
 
-        planned["fleet"] = config.fleet.listen, PeerServerFactory(service.cluster.replication)
+        planned["fleet"] = config.fleet.listen, PeerServerFactory(service.cluster.replication.links)
     _plan_health_checks(service)
     if config.admin.listen is not None:
         planned["admin"] = config.admin.listen, _admin_site(service)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -357,11 +357,11 @@
     running.fleet = fleet(here, Seat("n2", ("127.0.0.1", 3)))
     with caplog.at_level("INFO"):
         assert running.reload(json.dumps(CONFIG))
-    assert link._dialers["n2"].address == ("127.0.0.1", 3) and "for the next start" not in caplog.text
+    assert link.links.address_of("n2") == ("127.0.0.1", 3) and "for the next start" not in caplog.text
     running.fleet = fleet(here, Seat("n2", ("127.0.0.1", 4)), Seat("n3", ("127.0.0.1", 5)))
     with caplog.at_level("INFO"):
         running.reload(json.dumps(CONFIG))
-    assert "fleet: changed, for the next start" in caplog.text and link._dialers["n2"].address == (
+    assert "fleet: changed, for the next start" in caplog.text and link.links.address_of("n2") == (
         "127.0.0.1",
         3,
     )
