--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from ..core.answer import Answer
-from ..core.idempotency_keys import Entry
 from ..core.idempotency_keys import Key as CoreKey
-from ..core.request_engine import Decider
+from ..core.idempotency_keys import KeyEntry
+from ..core.request_engine import RequestEngine
 from ..core.requests import Arrival, Request
 from ..replication.node import Node
 from ..replication.work_events import (
@@ -55,7 +55,7 @@
     node: Node
     namespaces: Any
 
-    def __init__(self, core: Decider, alone: bool) -> None:
+    def __init__(self, core: RequestEngine, alone: bool) -> None:
         """`alone`: work that no majority answers for is run all the same."""
         self.core = core
         self._alone = alone
@@ -81,27 +81,27 @@
         """One more in the counter of that name."""
         self.core.counters.add(name)
 
-    # ---- for the core: `KeyCoordinator`, and who is notified of its keys ----
+    # ---- for the core: `KeyCoordinator` and `KeyObserver` ----
 
-    def hold_back(self, request: Request) -> bool:
+    def acquire_key(self, request: Request) -> bool:
         """Claims the key of a request. False where there is nothing to claim: no key, or a repeat of a known one."""
-        entry = None if request.key is None else self.core.keys.of_try(request.number)
-        if entry is None or entry.number != request.number or entry.theirs:
+        entry = None if request.key is None else self.core.keys.of_attempt(request.number)
+        if entry is None or entry.number != request.number or entry.remote:
             return False
         key = key_of(*entry.key)
         self._core_keys[key] = entry.key
-        self.node.claim(key, entry.body, self._work_request(request, entry), entry.until)
+        self.node.claim(key, entry.body_digest, self._work_request(request, entry), entry.expires_us)
         return True
 
-    def _work_request(self, request: Request, entry: Entry) -> WorkRequest:
+    def _work_request(self, request: Request, entry: KeyEntry) -> WorkRequest:
         arrival = request.arrival
         return WorkRequest(
             arrival.rid,
-            request.cls.name,
+            request.request_class.name,
             request.tenant,
             entry.key[1],
             request.body,
-            self.core.clock.to_unix_ms(request.came),
+            self.core.clock.to_unix_ms(request.arrived_us),
             arrival.budget_ms,
             arrival.caller,
             arrival.memory_kb,
@@ -110,15 +110,15 @@
             None if request.ruling is None else request.ruling.at,
         )
 
-    def begins(self, request: Request) -> bool:
+    def announce_start(self, request: Request) -> bool:
         """Before a run is commanded. True where a majority must know of it first."""
         return request.key is not None and self.node.start_work(key_of(*request.key))
 
-    def freed(self, entry: Entry) -> None:
+    def key_released(self, entry: KeyEntry) -> None:
         """An attempt is over, and never ran."""
         self.node.release_work(key_of(*entry.key))
 
-    def settled(self, entry: Entry) -> None:
+    def key_finished(self, entry: KeyEntry) -> None:
         """A run is over."""
         self.node.finish_work(key_of(*entry.key), entry.result)
 
@@ -137,48 +137,48 @@
         if (request := self._request(event.key)) is not None:
             tenure = self.node.tenures.get(event.key)
             if tenure is not None and tenure.attempt > 1:
-                request.first = False  # an earlier attempt was rejected, here or elsewhere
-            self.core.others.granted(request)
+                request.uncounted = False  # an earlier attempt was rejected, here or elsewhere
+            self.core.remote_claims.granted(request)
 
     def _claim_joined(self, event: ClaimJoined) -> None:
         if (request := self._request(event.key)) is not None:
-            self.core.others.joined(request)
+            self.core.remote_claims.joined(request)
 
     def _body_differs(self, event: BodyDiffers) -> None:
         if (request := self._request(event.key)) is not None:
-            self.core.others.uncovered(request, "this token came before with another body")
+            self.core.remote_claims.unavailable(request, "this token came before with another body")
 
     def _claim_uncovered(self, event: ClaimUncovered) -> None:
         request = self._request(event.key)
         if request is None:
             return
         if self._alone:
-            self.core.others.granted(request)
+            self.core.remote_claims.granted(request)
         else:
-            self.core.others.uncovered(request, event.reason, event.proven)
+            self.core.remote_claims.unavailable(request, event.reason, event.proven)
 
     def _start_confirmed(self, event: StartConfirmed) -> None:
         if (request := self._request(event.key)) is not None:
-            self.core.others.begun(request)
+            self.core.remote_claims.start_confirmed(request)
 
     def _start_uncovered(self, event: StartUncovered) -> None:
         if (request := self._request(event.key)) is not None:
-            self.core.others.not_begun(request, event.reason)
+            self.core.remote_claims.start_unconfirmed(request, event.reason)
 
     def _given_away(self, event: StartLost | HandedOver) -> None:
         if (request := self._request(event.key)) is not None:
-            self.core.others.given(request)
+            self.core.remote_claims.moved_away(request)
 
     def _result_known(self, event: ResultKnown) -> None:
         if (request := self._request(event.key)) is not None:  # found while it was being claimed
-            self.core.others.joined(request)
+            self.core.remote_claims.joined(request)
         core_key = self._core_keys.get(event.key)
         if core_key is not None:
-            self.core.others.result_of_another(core_key, event.result)
+            self.core.remote_claims.result_received(core_key, event.result)
 
     def _rejected_by_all(self, event: RejectedByAll) -> None:
         if (core_key := self._core_keys.get(event.key)) is not None:
-            self.core.others.none_ran(core_key)
+            self.core.remote_claims.never_ran(core_key)
 
     def _key_forgotten(self, event: KeyForgotten) -> None:
         self._core_keys.pop(event.key, None)
@@ -238,7 +238,7 @@
             self.node.release_work(key, rejected=True)
 
     def _queue(self, arrival: Arrival, ruling: Any) -> bool:
-        taken = self.core.others.take_up(arrival, self._no_reply, 0, ruling)
+        taken = self.core.remote_claims.take_over(arrival, self._no_reply, 0, ruling)
         if not isinstance(taken, Request):
             log.warning(
                 "fleet: work of another runner not taken over: key=%s reason=%s", arrival.token, taken.value
@@ -252,13 +252,13 @@
             return WorkInHand(in_hand=True)
         core_key = self._core_keys.get(key)
         entry = None if core_key is None else self.core.keys.find(core_key, self.core.clock.now)
-        has_sibling = self.core.claims.peer is not None  # another process of this runner
+        has_sibling = self.core.key_claims.peer is not None  # another process of this runner
         if entry is None and has_sibling:
             entry = next(
-                (other for other in self.core.keys.entries() if other.theirs and key_of(*other.key) == key),
+                (other for other in self.core.keys.entries() if other.remote and key_of(*other.key) == key),
                 None,
             )
         if entry is None:
             return WorkInHand(in_hand=False)
-        is_ours = not entry.theirs or has_sibling
-        return WorkInHand(is_ours and not entry.over, entry.over, entry.result)
+        is_ours = not entry.remote or has_sibling
+        return WorkInHand(is_ours and not entry.finished, entry.finished, entry.result)
--- a/moorusher/cluster_transport/peer_links.py
+++ b/moorusher/cluster_transport/peer_links.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..config.fleet import FleetConfig
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..replication.messages import PROTOCOL_VERSION, Hello, Message
 from ..replication.node import Node
 from .peers import PeerConnection, PeerDialer
@@ -25,7 +25,9 @@
         incoming: connections that others have made.
     """
 
-    def __init__(self, reactor: Any, core: Decider, config: FleetConfig, digest: str, node: Node) -> None:
+    def __init__(
+        self, reactor: Any, core: RequestEngine, config: FleetConfig, digest: str, node: Node
+    ) -> None:
         """`digest`: of the seats in the settings, which all members must have alike."""
         self.reactor = reactor
         self.core = core
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -15,8 +15,8 @@
 from twisted.python.failure import Failure
 
 from ..core.clock import MS, Alarm
-from ..core.outcomes import Ending
-from ..core.request_engine import Decider
+from ..core.outcomes import EndReason
+from ..core.request_engine import RequestEngine
 from ..replication.errors import UnreadableFrame
 from ..replication.messages import (
     MAX_FRAME_BYTES,
@@ -52,7 +52,7 @@
         incoming: connections that others have made.
     """
 
-    core: Decider
+    core: RequestEngine
     reactor: Any
     closed: bool
     incoming: set[PeerConnection]
@@ -112,7 +112,7 @@
         """Greets, or waits for a greeting."""
         self.transport.setTcpNoDelay(True)
         core = self.owner.core
-        core.touch()
+        core.begin_turn()
         if self.is_outgoing:
             self.send_now([self.owner.hello()])
             self.owner.connected(self)
@@ -122,14 +122,14 @@
             self._handshake_timer = core.alarms.at(due, self._handshake_timed_out)
 
     def _handshake_timed_out(self) -> None:
-        self.owner.count("fleet links: " + Ending.SILENT.value)
+        self.owner.count("fleet links: " + EndReason.READ_TIMEOUT.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """The connection has ended."""
         if self._handshake_timer is not None:
             self._handshake_timer.cancel()
-        self.owner.core.touch()
+        self.owner.core.begin_turn()
         self.owner.disconnected(self)
 
     # ---- out ----
@@ -145,7 +145,7 @@
         messages = self._outgoing
         self._outgoing = []
         if self._unsent_bytes() > MAX_UNSENT_BYTES:
-            self.owner.count("fleet links: " + Ending.READS_TOO_SLOWLY.value)
+            self.owner.count("fleet links: " + EndReason.SLOW_READER.value)
             return
         self.send_now(messages)
 
@@ -172,12 +172,12 @@
 
     def stringReceived(self, string: bytes) -> None:
         """A frame. Whatever comes before the greeting is dropped."""
-        self.owner.core.touch()
+        self.owner.core.begin_turn()
         try:
             messages = decode(string)
         except UnreadableFrame as exc:
             log.warning("fleet: a peer sent an unreadable frame: seat=%s reason=%s", self.seat, exc)
-            self.owner.count("fleet links: " + Ending.BAD_FRAME.value)
+            self.owner.count("fleet links: " + EndReason.FRAMING_LOST.value)
             self.transport.abortConnection()
             return
         for message in messages:
@@ -206,7 +206,7 @@
 
     def lengthLimitExceeded(self, length: int) -> None:
         """A frame that is longer than any of ours."""
-        self.owner.count("fleet links: " + Ending.LINE_TOO_LONG.value)
+        self.owner.count("fleet links: " + EndReason.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
 
@@ -281,7 +281,7 @@
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         """What was queued is dropped: to whom it mattered, it is sent again."""
-        self.owner.core.touch()
+        self.owner.core.begin_turn()
         self._connecting = False
         self._queued.clear()
         self._back_off()
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -13,7 +13,7 @@
 from ..config.fleet import FleetConfig
 from ..core.clock import MS
 from ..core.idempotency_keys import window_end
-from ..core.request_engine import Decider
+from ..core.request_engine import RequestEngine
 from ..membership.placement import Placement
 from ..replication.acceptor import Acceptor
 from ..replication.journal import JournalImage
@@ -49,7 +49,7 @@
     def __init__(
         self,
         reactor: Any,
-        core: Decider,
+        core: RequestEngine,
         config: FleetConfig,
         name: str,
         accepts_work: Callable[[], bool],
@@ -85,14 +85,14 @@
         self._wake_at: int | None = None  # us; the node is woken then
         self.predecessor = 0
         self._handed_over = False  # what is held here is for others to take
-        core.coordinator = self
-        core.keys.told.append(self)
+        core.hooks.coordinator = self
+        core.keys.observers.append(self)
 
     # ---- life ----
 
     def start(self) -> None:
         """Restores what the journal has, and starts the node and its parts."""
-        self.core.touch()
+        self.core.begin_turn()
         if self._image is not None:
             self.node.restore(self._image)
             self._image = None
@@ -118,12 +118,12 @@
 
     def longest_window_us(self) -> int:
         """The longest window of a class of requests, with its margin."""
-        return window_end(0, max(self.core.keyed_windows(), default=0.0))
+        return window_end(0, self.core.state.longest_key_window_ms())
 
     def _check_self(self) -> None:
         """Publishes this runner's status; hands held work over while it can't serve."""
         core = self.core
-        is_replacing = core.claims.first and core.claims.peer is not None
+        is_replacing = core.key_claims.is_successor and core.key_claims.peer is not None
         if self.maintenance is not None:
             self.maintenance.look()
         self.node.publish_status(self.predecessor if is_replacing else 0, core.settings.cores)
@@ -136,9 +136,10 @@
 
     def _must_hand_over(self) -> bool:
         core = self.core
-        if core.draining or (self.maintenance is not None and self.maintenance.away):
+        if core.drain_state.draining or (self.maintenance is not None and self.maintenance.away):
             return True
-        is_lost = core.link_since is not None and core.clock.now - core.link_since >= KERNEL_LOST_US
+        lost_at = core.kernel_status.link_lost_at
+        is_lost = lost_at is not None and core.clock.now - lost_at >= KERNEL_LOST_US
         return is_lost and core.ready
 
     def _hand_over(self) -> None:
@@ -181,7 +182,7 @@
 
     def bootstrap(self, accept_loss: bool) -> str | None:
         """An operator's word; see `Node.bootstrap`. Returns the reason where that can't be."""
-        self.core.touch()
+        self.core.begin_turn()
         return self.node.bootstrap(accept_loss)
 
     def status(self) -> dict[str, object]:
@@ -226,7 +227,7 @@
 
     def now(self) -> int:
         """us, read anew."""
-        self.core.touch()
+        self.core.begin_turn()
         return self.core.clock.now
 
     def wake(self, when: int) -> None:
@@ -243,4 +244,9 @@
     def fit(self) -> bool:
         """This runner can take work over."""
         core = self.core
-        return core.ready and not core.leaving and core.link_since is None and self._accepts_work()
+        return (
+            core.ready
+            and not core.drain_state.shutting_down
+            and core.kernel_status.link_lost_at is None
+            and self._accepts_work()
+        )
