--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -20,7 +20,8 @@
 from ..replication.messages import Message
 from ..replication.node import Node
 from ..replication.register_space import WORK_SPACE
-from ..storage.journal_files import JournalWriter, OpenedJournal, open_journal
+from ..storage.journal_files import OpenedJournal, open_journal
+from ..storage.journal_writer import JournalWriter
 from .keyed_work import KeyedWorkCoordinator
 from .peer_links import PeerLinks
 from .replication_status import cluster_document, work_document
--- a/moorusher/cluster_transport/replication_status.py
+++ b/moorusher/cluster_transport/replication_status.py
@@ -11,7 +11,7 @@
 from ..membership.member import Member
 from ..replication.key_tenure import Tenure
 from ..replication.node import Node
-from ..storage.journal_files import JournalWriter
+from ..storage.journal_writer import JournalWriter
 
 MAX_LISTED_KEYS = 1_000
 KEY_DIGITS = 12  # hexadecimal digits by which a key is shown
