--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -1,18 +1,19 @@
-"""The register of a key and the life of work on it: three keepers, two runners that both want to run it, messages that
-are lost, doubled and late, one keeper that begins anew with or without its memory."""
+"""The register of a key and the life of work on it: three acceptors, two runners that both want to run the work,
+messages that are lost, doubled and late, an acceptor that restarts with or without its memory."""
 
 from __future__ import annotations
 
-from collections.abc import Hashable
+from collections.abc import Callable, Hashable, Mapping
 from dataclasses import dataclass, field
 from functools import cache
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 from ..replication.acceptor import Acceptor, RegisterState
 from ..replication.messages import FAST_BALLOT, BallotRequest, SyncReply, SyncRequest, Vote
 from ..replication.proposer import CarriedPromise, Proposer
 from ..replication.work_record import (
     ClaimWork,
+    Key,
     Owner,
     ReleaseWork,
     StartWork,
@@ -25,60 +26,113 @@
 T = TypeVar("T")
 KEY = b"k"
 SEATS = ("a", "b", "c")
-ORDER = WorkRequest("r", "write", None, "t", b"", 0.0, None, 0, 0.0, 0.0, None)
-NEXT_INCARNATION = 100  # an incarnation later
+RESTARTING = "a"  # the acceptor that crashes or restarts
+REQUEST = WorkRequest("r", "write", None, "t", b"", 0.0, None, 0, 0.0, 0.0, None)
+NEXT_INCARNATION = 100  # from one incarnation to the next
+NEVER_EXPIRES = 1 << 60  # us
+TTL_MS = 10_000
+SERIALS_PER_CHANGE = 1_000
+BODY_DIGEST = 1
+
+
+class InTransit(NamedTuple):
+    """A message on its way; `text` is the message as it is told from others."""
+
+    to: str
+    sender: str
+    message: Any
+    text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """How large the case is that is walked."""
-
-    retries: tuple[int, int] = (0, 1)  # further rounds that P and Q may begin, whenever they like
-    patient: bool = False  # a further round only after a conflict, not at any time
-    answers_travel: bool = False  # answers travel by themselves; else they come at once, or are lost
+    """How large the case is that is explored.
+
+    Attributes:
+        retries: further rounds that P and Q may begin, whenever they like.
+        patient: `bool`, a further round only after a conflict, not at any time.
+        answers_travel: `bool`, answers travel by themselves; else they come at once, or are lost.
+        duplicates: `int`, messages that are doubled.
+        crashes: `int`, of acceptor a, without its memory.
+        restarts: `int`, of acceptor a, with it.
+        starts_held: `bool`, P has the key already, and is to start; Q takes it over.
+        takes_over: `bool`, Q goes on with what P holds.
+        releases: `bool`, P may say that the work never ran, after it has asked to start.
+    """
+
+    retries: tuple[int, int] = (0, 1)
+    patient: bool = False
+    answers_travel: bool = False
     duplicates: int = 0
-    crashes: int = 0  # of keeper a, without its memory
-    restarts: int = 0  # of keeper a, with it
-    starts_held: bool = False  # the first one has the key already, and is to begin; the second takes it
-    takes_over: bool = True  # the second runner goes on with what the first holds
-    releases: bool = False  # the first one may say that it never ran, after it has asked to begin
+    crashes: int = 0
+    restarts: int = 0
+    starts_held: bool = False
+    takes_over: bool = True
+    releases: bool = False
 
 
 @cache
 def _fields(kind: Hashable) -> tuple[str, ...]:
-    return tuple(
-        name for base in reversed(getattr(kind, "__mro__", ())) for name in getattr(base, "__slots__", ())
-    )
+    bases = reversed(getattr(kind, "__mro__", ()))
+    return tuple(name for base in bases for name in getattr(base, "__slots__", ()))
 
 
-def shallow_copy(one: T) -> T:
+def shallow_copy(original: T) -> T:
     """One level deep, as `copy.copy` of a dataclass with slots, in a third of the time."""
-    new = object.__new__(type(one))
-    kind: Any = type(one)
+    new = object.__new__(type(original))
+    kind: Any = type(original)
     for name in _fields(kind):
-        setattr(new, name, getattr(one, name))
+        setattr(new, name, getattr(original, name))
     return new
 
 
-def _register_values(k: Acceptor) -> tuple[Hashable, ...]:
-    return tuple((x.promised, x.accepted_ballot, x.value) for x in k.registers.values())
+def _register_values(acceptor: Acceptor) -> tuple[Hashable, ...]:
+    return tuple(
+        (register.promised, register.accepted_ballot, register.value)
+        for register in acceptor.registers.values()
+    )
 
 
-def _described(m: Any) -> str:
+def _text_of(message: Any) -> str:
     """A message but for the names of seats, which are told apart elsewhere, and for what follows from the rest."""
-    if isinstance(m, BallotRequest):
-        return f"ask {m.ballot} {m.value!r} {m.serial}"
-    if isinstance(m, Vote):
-        accepted = f"{m.accepted} {m.accepted_ballot} {m.value!r}"
-        return f"vote {accepted} {m.promised} {m.incarnation} {m.recovering} {m.serial}"
-    if isinstance(m, SyncReply):
-        return f"slots {m.incarnation} {m.registers} {m.recovering}"
-    return str(m)
+    if isinstance(message, BallotRequest):
+        return f"ask {message.ballot} {message.value!r} {message.serial}"
+    if isinstance(message, Vote):
+        vote = f"{message.accepted} {message.accepted_ballot} {message.value!r} {message.promised}"
+        return f"vote {vote} {message.incarnation} {message.recovering} {message.serial}"
+    if isinstance(message, SyncReply):
+        return f"slots {message.incarnation} {message.registers} {message.recovering}"
+    return str(message)
+
+
+def _move_name(sent: InTransit) -> str:
+    message = sent.message
+    kind = type(message).__name__
+    if isinstance(message, BallotRequest):
+        kind += f" {message.ballot}"
+        if isinstance(message.value, WorkRecord):
+            kind += f" {message.value.state.name}"
+    elif isinstance(message, Vote):
+        kind += " taken" if message.accepted else " refused"
+    return f"{kind} from {sent.sender} to {sent.to}"
 
 
 @dataclass(slots=True)
 class Runner:
-    """Claims the key, or takes it; then begins; then runs, once it has been told that BEGUN is chosen."""
+    """Claims the key, or takes it over; then starts; then runs, once it has learnt that STARTED is chosen.
+
+    Attributes:
+        name: `str`, P or Q.
+        incarnation: `int`.
+        retries: `int`, further rounds that it may begin.
+        step: `str`, what its change is for; empty before the first one, "over" at the end.
+        attempt: `int`, of the work that it holds.
+        proposer: `Proposer` of the change under way, or None.
+        serial: `int`, how many changes it has begun.
+        ran: `int`, how often it has run the work.
+        released: `bool`, it has given the work up.
+        change: of a subclass.
+    """
 
     name: str
     incarnation: int
@@ -94,22 +148,33 @@
 
 @dataclass(slots=True)
 class RegisterModel:
-    """`keeper` and `writer` are the real ones, or those with a seeded mistake."""
+    """A state of the case, see `explorer.Model`. Two of the same `fingerprint` can't be told apart.
+
+    Attributes:
+        limits: `Limits`.
+        acceptor_class, proposer_class: the real ones, or those with a seeded mistake.
+        runs_early: `bool`, a seeded mistake: the work is run when the request to start goes out.
+        forgets: `bool`; False is a seeded mistake: an acceptor that has lost its memory votes as one that has not.
+        interchangeable: seats that nothing but their names tells apart; all three, where empty.
+        replicas_by_runner: where the runners do not have the same replicas.
+        acceptors: by seat.
+        runners: by name.
+        in_transit: messages on their way, in order.
+        first_promise: of P, where it holds the key at the beginning.
+        duplicates, crashes, restarts: `int`, how many there were.
+        failure: what has gone wrong.
+    """
 
     limits: Limits
     acceptor_class: type[Acceptor] = Acceptor
     proposer_class: type[Proposer] = Proposer
-    runs_early: bool = False  # a seeded mistake: commanded when the question to begin goes out
-    forgets: bool = True  # else: a keeper that has lost its memory votes as one that has not
-    interchangeable: tuple[
-        str, ...
-    ] = ()  # seats that nothing but their names tells apart; all three, where not said
-    replicas_by_runner: dict[str, tuple[str, ...]] = field(
-        default_factory=dict
-    )  # by runner, where they differ
+    runs_early: bool = False
+    forgets: bool = True
+    interchangeable: tuple[str, ...] = ()
+    replicas_by_runner: dict[str, tuple[str, ...]] = field(default_factory=dict)
     acceptors: dict[str, Acceptor] = field(default_factory=dict)
     runners: dict[str, Runner] = field(default_factory=dict)
-    in_transit: tuple[tuple[str, str, Any, str], ...] = ()  # (to, from, message, the same as text)
+    in_transit: tuple[InTransit, ...] = ()
     first_promise: CarriedPromise | None = None
     duplicates: int = 0
     crashes: int = 0
@@ -120,304 +185,357 @@
     def initial(
         cls, limits: Limits, replicas: dict[str, tuple[str, ...]] | None = None, **how: Any
     ) -> RegisterModel:
-        made = cls(limits, replicas_by_runner=replicas or {}, **how)
+        """The state in which nothing has happened. `how`: further attributes."""
+        model = cls(limits, replicas_by_runner=replicas or {}, **how)
         if limits.crashes or limits.restarts:
-            made.interchangeable = "b", "c"
-        every = sorted({s for names in made.replicas_by_runner.values() for s in names} | set(SEATS))
-        made.acceptors = {
-            s: made.acceptor_class(s, 1, made._replicas_of(s), frozenset(every) - {s}, True) for s in every
+            model.interchangeable = ("b", "c")
+        named = {seat for seats in model.replicas_by_runner.values() for seat in seats}
+        every = sorted(named | set(SEATS))
+        model.acceptors = {
+            seat: model.acceptor_class(seat, 1, model._replicas(), frozenset(every) - {seat}, True)
+            for seat in every
+        }
+        model.runners = {
+            "P": Runner("P", 11, limits.retries[0]),
+            "Q": Runner("Q", 22, limits.retries[1]),
         }
-        made.runners = {"P": Runner("P", 11, limits.retries[0]), "Q": Runner("Q", 22, limits.retries[1])}
         if limits.starts_held:
-            p, q = made.runners["P"], made.runners["Q"]
-            work = WorkRecord(WorkState.HELD, Owner("P", p.incarnation), 1, 1, ORDER)
-            for k in made.acceptors.values():
-                k.registers[KEY] = RegisterState((1, p.incarnation, 0), FAST_BALLOT, work, 1 << 60)
-            made.first_promise = CarriedPromise((1, p.incarnation, 0), work, {s: 1 for s in SEATS})
-            p.attempt = q.attempt = 1
-        return made
-
-    def _replicas_of(self, seat: str) -> Any:
-        everywhere = tuple(sorted({s for names in self.replicas_by_runner.values() for s in names})) or SEATS
+            model._hold()
+        return model
+
+    def _replicas(self) -> Callable[[Key], tuple[str, ...]]:
+        """Each acceptor takes itself for a replica, whichever runner asks."""
+        named = {seat for seats in self.replicas_by_runner.values() for seat in seats}
+        everywhere = tuple(sorted(named)) or SEATS
         return lambda key: everywhere
 
+    def _hold(self) -> None:
+        """P has claimed the key in a fast round."""
+        holder = self.runners["P"]
+        owner = Owner(holder.name, holder.incarnation)
+        work = WorkRecord(WorkState.HELD, owner, 1, BODY_DIGEST, REQUEST)
+        promised = (1, holder.incarnation, 0)
+        for acceptor in self.acceptors.values():
+            acceptor.registers[KEY] = RegisterState(promised, FAST_BALLOT, work, NEVER_EXPIRES)
+        self.first_promise = CarriedPromise(promised, work, dict.fromkeys(SEATS, 1))
+        for runner in self.runners.values():
+            runner.attempt = 1
+
     # ---- copies ----
 
     def copy(self) -> RegisterModel:
+        """Shares nothing that a move changes."""
         new = shallow_copy(self)
-        new.acceptors = {s: self._copy_acceptor(k) for s, k in self.acceptors.items()}
-        new.runners = {}
-        for name, r in self.runners.items():
-            new.runners[name] = other = shallow_copy(r)
-            if r.proposer is not None:
-                other.proposer = w = shallow_copy(r.proposer)
-                w._votes, w._rejections, w._may_have_accepted = (
-                    dict(w._votes),
-                    set(w._rejections),
-                    set(w._may_have_accepted),
-                )
+        new.acceptors = {seat: self._copy_acceptor(acceptor) for seat, acceptor in self.acceptors.items()}
+        new.runners = {name: self._copy_runner(runner) for name, runner in self.runners.items()}
         return new
 
     @staticmethod
-    def _copy_acceptor(k: Acceptor) -> Acceptor:
-        new = type(k)(
-            k.seat,
-            k.incarnation,
-            k.replicas,
-            k.other_seats,
-            k.recovered,
-            k.max_registers,
+    def _copy_runner(runner: Runner) -> Runner:
+        new = shallow_copy(runner)
+        if runner.proposer is not None:
+            proposer = shallow_copy(runner.proposer)
+            proposer._votes = dict(proposer._votes)
+            proposer._rejections = set(proposer._rejections)
+            proposer._may_have_accepted = set(proposer._may_have_accepted)
+            new.proposer = proposer
+        return new
+
+    @staticmethod
+    def _copy_acceptor(acceptor: Acceptor) -> Acceptor:
+        new = type(acceptor)(
+            acceptor.seat,
+            acceptor.incarnation,
+            acceptor.replicas,
+            acceptor.other_seats,
+            acceptor.recovered,
+            acceptor.max_registers,
             {},
-            dict(k.incarnations),
-            set(k.synced_from),
+            dict(acceptor.incarnations),
+            set(acceptor.synced_from),
         )
-        for key, x in k.registers.items():
-            new.registers[key] = RegisterState(x.promised, x.accepted_ballot, x.value, x.expires_at)
+        for key, register in acceptor.registers.items():
+            new.registers[key] = RegisterState(
+                register.promised, register.accepted_ballot, register.value, register.expires_at
+            )
         return new
 
+    # ---- the fingerprint ----
+
     def fingerprint(self) -> Hashable:
-        """Seats of which nothing can be told apart are put in an order of what they know: six states are one then."""
-        local: dict[str, list[Hashable]] = {s: [*_register_values(k)] for s, k in self.acceptors.items()}
-        net = []
-        for to, by, _, told in self.in_transit:
-            seat = to if to in local else by
-            if seat in local:
-                local[seat].append((seat == to, told))
-        for r in self.runners.values():
-            if r.proposer is not None:
-                for s, v in r.proposer._votes.items():
-                    local[s].append((r.name, v.accepted_ballot, v.value))
-                for s in r.proposer._rejections:
-                    local[s].append((r.name, "no"))
-        alike = self.interchangeable or ("a", "b", "c")
-        order = sorted(alike, key=lambda s: repr(local[s]))
-        rank = {s: i for i, s in enumerate([*order, *(s for s in self.acceptors if s not in alike)])}
-
-        def named(incs: dict[str, int]) -> Hashable:
-            return tuple(sorted((rank.get(s, s), i) for s, i in incs.items()))
-
-        for to, by, m, told in self.in_transit:
-            net.append(
-                (
-                    rank.get(to, to),
-                    rank.get(by, by),
-                    told,
-                    named(m.quorum) if isinstance(m, BallotRequest) else (),
-                    named(m.incarnations) if isinstance(m, (Vote, SyncReply)) else (),
-                )
-            )
+        """Seats that nothing tells apart are put in an order of what they know: six states are one then."""
+        rank = self._rank_seats()
         return (
-            tuple(
-                sorted(
-                    (
-                        rank[s],
-                        k.incarnation,
-                        k.recovered,
-                        named(k.incarnations),
-                        tuple(sorted(rank[x] for x in k.synced_from)),
-                        *_register_values(k),
-                    )
-                    for s, k in self.acceptors.items()
-                )
-            ),
-            tuple(
-                (
-                    r.step,
-                    r.attempt,
-                    r.retries,
-                    r.ran,
-                    r.released,
-                    None
-                    if r.proposer is None
-                    else (
-                        r.proposer._ballot,
-                        r.proposer._value,
-                        r.proposer._highest_round,
-                        tuple(
-                            sorted(
-                                (rank[s], v.incarnation, v.accepted_ballot, v.value, named(v.incarnations))
-                                for s, v in r.proposer._votes.items()
-                            )
-                        ),
-                        tuple(sorted(rank[s] for s in r.proposer._rejections)),
-                        named(r.proposer._quorum),
-                    ),
-                )
-                for r in self.runners.values()
-            ),
-            tuple(sorted(net, key=repr)),
+            tuple(sorted(self._acceptor_print(seat, rank) for seat in self.acceptors)),
+            tuple(self._runner_print(runner, rank) for runner in self.runners.values()),
+            tuple(sorted((self._message_print(sent, rank) for sent in self.in_transit), key=repr)),
             self.duplicates,
             self.crashes,
             self.restarts,
             self.failure,
         )
 
+    def _rank_seats(self) -> dict[str, int]:
+        known: dict[str, list[Hashable]] = {
+            seat: [*_register_values(acceptor)] for seat, acceptor in self.acceptors.items()
+        }
+        for sent in self.in_transit:
+            seat = sent.to if sent.to in known else sent.sender
+            if seat in known:
+                known[seat].append((seat == sent.to, sent.text))
+        for runner in self.runners.values():
+            if runner.proposer is not None:
+                for seat, vote in runner.proposer._votes.items():
+                    known[seat].append((runner.name, vote.accepted_ballot, vote.value))
+                for seat in runner.proposer._rejections:
+                    known[seat].append((runner.name, "no"))
+        interchangeable = self.interchangeable or SEATS
+        order = sorted(interchangeable, key=lambda seat: repr(known[seat]))
+        others = [seat for seat in self.acceptors if seat not in interchangeable]
+        return {seat: position for position, seat in enumerate([*order, *others])}
+
+    @staticmethod
+    def _incarnations_print(incarnations: Mapping[str, int], rank: Mapping[str, int]) -> Hashable:
+        return tuple(sorted((rank.get(seat, seat), number) for seat, number in incarnations.items()))
+
+    def _acceptor_print(self, seat: str, rank: Mapping[str, int]) -> tuple[Any, ...]:
+        acceptor = self.acceptors[seat]
+        return (
+            rank[seat],
+            acceptor.incarnation,
+            acceptor.recovered,
+            self._incarnations_print(acceptor.incarnations, rank),
+            tuple(sorted(rank[other] for other in acceptor.synced_from)),
+            *_register_values(acceptor),
+        )
+
+    def _runner_print(self, runner: Runner, rank: Mapping[str, int]) -> Hashable:
+        proposer = None if runner.proposer is None else self._proposer_print(runner.proposer, rank)
+        return (runner.step, runner.attempt, runner.retries, runner.ran, runner.released, proposer)
+
+    def _proposer_print(self, proposer: Proposer, rank: Mapping[str, int]) -> Hashable:
+        votes = (
+            (
+                rank[seat],
+                vote.incarnation,
+                vote.accepted_ballot,
+                vote.value,
+                self._incarnations_print(vote.incarnations, rank),
+            )
+            for seat, vote in proposer._votes.items()
+        )
+        return (
+            proposer._ballot,
+            proposer._value,
+            proposer._highest_round,
+            tuple(sorted(votes)),
+            tuple(sorted(rank[seat] for seat in proposer._rejections)),
+            self._incarnations_print(proposer._quorum, rank),
+        )
+
+    def _message_print(self, sent: InTransit, rank: Mapping[str, int]) -> Hashable:
+        message = sent.message
+        quorum: Hashable = ()
+        incarnations: Hashable = ()
+        if isinstance(message, BallotRequest):
+            quorum = self._incarnations_print(message.quorum, rank)
+        elif isinstance(message, (Vote, SyncReply)):
+            incarnations = self._incarnations_print(message.incarnations, rank)
+        return (
+            rank.get(sent.to, sent.to),
+            rank.get(sent.sender, sent.sender),
+            sent.text,
+            quorum,
+            incarnations,
+        )
+
     # ---- moves ----
 
     def moves(self) -> list[str]:
+        """What may happen next, each under its name."""
         if self.failure:
             return []
-        made = [f"deliver {i}: {self._move_name(m)}" for i, m in enumerate(self.in_transit)]
-        if not self.limits.answers_travel:
-            made += [
-                f"unheard {i}: {self._move_name(m)}"
-                for i, m in enumerate(self.in_transit)
-                if isinstance(m[2], BallotRequest)
-            ]
-        if self.duplicates < self.limits.duplicates:
-            made += [
-                f"double {i}: {self._move_name(m)}"
-                for i, m in enumerate(self.in_transit)
-                if isinstance(m[2], BallotRequest)
-            ]
-        for r in self.runners.values():
-            if r.proposer is None and not r.step:
-                first = "claims" if not self.limits.starts_held else "begins" if r.name == "P" else "takes"
-                made.append(f"{r.name} {first}")
-            elif (
-                r.proposer is not None
-                and r.proposer.result is None
-                and r.retries > 0
-                and (r.proposer.blocked or not self.limits.patient)
-            ):
-                made.append(f"{r.name} asks again")
-                if r.proposer.in_fast_round and len(r.proposer._votes) >= 2:
-                    made.append(f"{r.name} goes on with a majority")
+        moves = self._message_moves()
+        for runner in self.runners.values():
+            moves += self._runner_moves(runner)
         if self.crashes < self.limits.crashes:
-            made.append("a forgets")
+            moves.append(f"{RESTARTING} forgets")
         if self.restarts < self.limits.restarts:
-            made.append("a restarts")
-        return made
+            moves.append(f"{RESTARTING} restarts")
+        return moves
+
+    def _message_moves(self) -> list[str]:
+        named = [(position, sent, _move_name(sent)) for position, sent in enumerate(self.in_transit)]
+        requests = [
+            (position, name) for position, sent, name in named if isinstance(sent.message, BallotRequest)
+        ]
+        moves = [f"deliver {position}: {name}" for position, _, name in named]
+        if not self.limits.answers_travel:
+            moves += [f"unheard {position}: {name}" for position, name in requests]
+        if self.duplicates < self.limits.duplicates:
+            moves += [f"double {position}: {name}" for position, name in requests]
+        return moves
+
+    def _runner_moves(self, runner: Runner) -> list[str]:
+        proposer = runner.proposer
+        if proposer is None:
+            return [] if runner.step else [f"{runner.name} {self._first_move(runner)}"]
+        may_retry = runner.retries > 0 and (proposer.blocked or not self.limits.patient)
+        if proposer.result is not None or not may_retry:
+            return []
+        moves = [f"{runner.name} asks again"]
+        if proposer.in_fast_round and len(proposer._votes) >= 2:
+            moves.append(f"{runner.name} goes on with a majority")
+        return moves
 
-    @staticmethod
-    def _move_name(m: tuple[str, str, Any, str]) -> str:
-        to, by, what, _ = m
-        kind = type(what).__name__
-        if isinstance(what, BallotRequest):
-            kind += f" {what.ballot}" + (
-                "" if not isinstance(what.value, WorkRecord) else f" {what.value.state.name}"
-            )
-        elif isinstance(what, Vote):
-            kind += " taken" if what.accepted else " refused"
-        return f"{kind} from {by} to {to}"
+    def _first_move(self, runner: Runner) -> str:
+        if not self.limits.starts_held:
+            return "claims"
+        return "begins" if runner.name == "P" else "takes"
 
     def apply(self, name: str) -> None:
-        words = name.split(" ")
-        if words[0] in ("deliver", "double", "unheard"):
-            i = int(words[1].rstrip(":"))
-            message = self.in_transit[i]
-            if words[0] != "double":
-                self.in_transit = self.in_transit[:i] + self.in_transit[i + 1 :]
-            else:
-                self.duplicates += 1
-            self._deliver(*message[:3], heard=words[0] != "unheard")
-        elif words[0] == "a":
-            old = self.acceptors["a"]
-            if words[1] == "restarts":
-                # What was on its way from it is lost; what it has promised and taken it still knows.
-                self.restarts += 1
-                self.in_transit = tuple(m for m in self.in_transit if m[1] != "a")
-                return
-            self.crashes += 1
-            self.acceptors["a"] = new = self.acceptor_class(
-                "a", old.incarnation + NEXT_INCARNATION, old.replicas, old.other_seats, not self.forgets
-            )
-            if self.forgets:
-                self._send("a", [(s, SyncRequest(new.incarnation)) for s in sorted(new.other_seats)])
+        """Makes that move."""
+        subject, verb = name.split(" ")[:2]
+        if subject in ("deliver", "double", "unheard"):
+            self._apply_to_message(subject, int(verb.rstrip(":")))
+        elif subject == RESTARTING:
+            self._restart(with_memory=verb == "restarts")
         else:
-            r = self.runners[words[0]]
-            if words[1] == "begins":
-                r.step = "begin"
-                if self.runs_early:
-                    self._run(r)
-                self._change(r, StartWork(Owner("P", r.incarnation), 1), self.first_promise)
-            elif words[1] == "takes":
-                r.step = "take"
-                self._change(r, TakeOverWork(Owner("Q", r.incarnation), Owner("P", 11), 1))
-            elif words[1] == "claims":
-                r.step = "claim"
-                self._change(r, ClaimWork(Owner(r.name, r.incarnation), 1, ORDER))
-            else:
-                r.retries -= 1
-                asks = r.proposer.retry() if words[1] == "asks" else r.proposer.settle_for_majority()
-                self._request(r, asks)
-
-    def _send(self, by: str, messages: list[tuple[str, Any]]) -> None:
-        self.in_transit = tuple(
-            sorted(
-                self.in_transit + tuple((to, by, m, _described(m)) for to, m in messages),
-                key=lambda m: (m[0], m[1], m[3]),
-            )
-        )
+            self._apply_to_runner(self.runners[subject], verb)
 
-    def _change(self, r: Runner, change: Any, hold: Any = None) -> None:
-        r.serial += 1
-        r.proposer = self.proposer_class(
-            KEY, self.replicas_by_runner.get(r.name, SEATS), r.incarnation, r.serial, change, 10_000, hold
+    def _apply_to_message(self, verb: str, position: int) -> None:
+        sent = self.in_transit[position]
+        if verb == "double":
+            self.duplicates += 1
+        else:
+            self.in_transit = self.in_transit[:position] + self.in_transit[position + 1 :]
+        self._deliver(sent.to, sent.sender, sent.message, heard=verb != "unheard")
+
+    def _restart(self, with_memory: bool) -> None:
+        old = self.acceptors[RESTARTING]
+        if with_memory:
+            # What was on its way from it is lost; what it has promised and accepted it still knows.
+            self.restarts += 1
+            self.in_transit = tuple(sent for sent in self.in_transit if sent.sender != RESTARTING)
+            return
+        self.crashes += 1
+        incarnation = old.incarnation + NEXT_INCARNATION
+        new = self.acceptor_class(RESTARTING, incarnation, old.replicas, old.other_seats, not self.forgets)
+        self.acceptors[RESTARTING] = new
+        if self.forgets:
+            request = SyncRequest(new.incarnation)
+            self._send(RESTARTING, [(seat, request) for seat in sorted(new.other_seats)])
+
+    def _apply_to_runner(self, runner: Runner, verb: str) -> None:
+        owner = Owner(runner.name, runner.incarnation)
+        if verb == "begins":
+            runner.step = "begin"
+            if self.runs_early:
+                self._run(runner)
+            self._change(runner, StartWork(owner, 1), self.first_promise)
+        elif verb == "takes":
+            runner.step = "take"
+            self._change(runner, TakeOverWork(owner, Owner("P", self.runners["P"].incarnation), 1))
+        elif verb == "claims":
+            runner.step = "claim"
+            self._change(runner, ClaimWork(owner, BODY_DIGEST, REQUEST))
+        else:
+            runner.retries -= 1
+            proposer = runner.proposer
+            requests = proposer.retry() if verb == "asks" else proposer.settle_for_majority()
+            self._request(runner, requests)
+
+    # ---- what follows from a move ----
+
+    def _send(self, sender: str, messages: list[tuple[str, Any]]) -> None:
+        sent = tuple(InTransit(to, sender, message, _text_of(message)) for to, message in messages)
+        order = sorted(self.in_transit + sent, key=lambda sent: (sent.to, sent.sender, sent.text))
+        self.in_transit = tuple(order)
+
+    def _change(self, runner: Runner, change: Any, promise: CarriedPromise | None = None) -> None:
+        runner.serial += 1
+        replicas = self.replicas_by_runner.get(runner.name, SEATS)
+        runner.proposer = self.proposer_class(
+            KEY, replicas, runner.incarnation, runner.serial, change, TTL_MS, promise
         )
-        self._request(r, r.proposer.start(r.serial * 1000))
+        self._request(runner, runner.proposer.start(runner.serial * SERIALS_PER_CHANGE))
 
-    def _request(self, r: Runner, asks: list[BallotRequest]) -> None:
-        # What is still on its way to a question of before is not listened to.
+    def _request(self, runner: Runner, requests: list[BallotRequest]) -> None:
+        # An answer to an earlier round that is still on its way is not listened to.
         self.in_transit = tuple(
-            m for m in self.in_transit if not (m[0] == r.name and m[2].serial != r.proposer.serial)
+            sent
+            for sent in self.in_transit
+            if not (sent.to == runner.name and sent.message.serial != runner.proposer.serial)
+        )
+        self._send(
+            runner.name, [(seat, request) for request in requests for seat in runner.proposer.replicas]
         )
-        self._send(r.name, [(s, ask) for ask in asks for s in r.proposer.replicas])
-        self._step(r)
+        self._step(runner)
 
-    def _deliver(self, to: str, by: str, m: Any, heard: bool = True) -> None:
-        if isinstance(m, BallotRequest):
-            vote = self.acceptors[to].vote(0, m)
+    def _deliver(self, to: str, by: str, message: Any, heard: bool = True) -> None:
+        """`heard`: the answer comes; else it is lost."""
+        if isinstance(message, BallotRequest):
+            vote = self.acceptors[to].vote(0, message)
             if self.limits.answers_travel:
                 self._send(to, [(by, vote)])
             elif heard:
                 self._deliver(by, to, vote)
-        elif isinstance(m, SyncRequest):
-            self._send(to, [(by, part) for part in self.acceptors[to].answer_sync(0, by, m.incarnation)])
-        elif isinstance(m, SyncReply):
-            if m.incarnation == self.acceptors[to].incarnation:
-                self.acceptors[to].apply_sync(0, by, m)
+        elif isinstance(message, SyncRequest):
+            parts = self.acceptors[to].answer_sync(0, by, message.incarnation)
+            self._send(to, [(by, part) for part in parts])
+        elif isinstance(message, SyncReply):
+            if message.incarnation == self.acceptors[to].incarnation:
+                self.acceptors[to].apply_sync(0, by, message)
         else:
-            r = self.runners[to]
-            if r.proposer is not None:
-                self._request(r, r.proposer.handle_vote(by, m))
+            runner = self.runners[to]
+            if runner.proposer is not None:
+                self._request(runner, runner.proposer.handle_vote(by, message))
 
-    def _step(self, r: Runner) -> None:
-        if r.proposer is None or r.proposer.result is None:
+    def _step(self, runner: Runner) -> None:
+        """A change of the runner may be over: then its next one follows, or it runs the work."""
+        if runner.proposer is None or runner.proposer.result is None:
             return
-        done, me = r.proposer.result, Owner(r.name, r.incarnation)
-        r.proposer = None
-        self.in_transit = tuple(m for m in self.in_transit if m[0] != r.name)
-        work: WorkRecord | None = done.value
-        mine = work is not None and work.owner == me
-        if r.step in ("claim", "take") and mine and work is not None and work.state is WorkState.HELD:
-            r.step, r.attempt = "begin", work.attempt
+        result = runner.proposer.result
+        runner.proposer = None
+        self.in_transit = tuple(sent for sent in self.in_transit if sent.to != runner.name)
+        work: WorkRecord | None = result.value
+        owner = Owner(runner.name, runner.incarnation)
+        is_own = work is not None and work.owner == owner
+        if work is None:
+            runner.step = "over"
+        elif runner.step in ("claim", "take") and is_own and work.state is WorkState.HELD:
+            runner.step = "begin"
+            runner.attempt = work.attempt
             if self.runs_early:
-                self._run(r)
-            self._change(r, StartWork(me, r.attempt), done.promise)
-        elif (
-            r.step == "claim"
-            and work is not None
-            and work.state in (WorkState.HELD, WorkState.RELEASED)
-            and self.limits.takes_over
-        ):
-            r.step = "take"
-            self._change(r, TakeOverWork(me, work.owner, work.attempt))
-        elif r.step == "begin" and mine and work is not None and work.state is WorkState.STARTED:
-            if self.limits.releases and r.name == "P":
-                r.step, r.released = "free", True  # it gives up before the command, and says so
-                self._change(r, ReleaseWork(me, r.attempt, ORDER, False), done.promise)
-            else:
-                r.step = "over"
-                if not self.runs_early:
-                    self._run(r)
+                self._run(runner)
+            self._change(runner, StartWork(owner, runner.attempt), result.promise)
+        elif runner.step == "claim" and self._may_take_over(work):
+            runner.step = "take"
+            self._change(runner, TakeOverWork(owner, work.owner, work.attempt))
+        elif runner.step == "begin" and is_own and work.state is WorkState.STARTED:
+            self._started(runner, owner, result.promise)
         else:
-            r.step = "over"
+            runner.step = "over"
+
+    def _may_take_over(self, work: WorkRecord) -> bool:
+        return work.state in (WorkState.HELD, WorkState.RELEASED) and self.limits.takes_over
+
+    def _started(self, runner: Runner, owner: Owner, promise: CarriedPromise | None) -> None:
+        if self.limits.releases and runner.name == "P":
+            # It gives up before the run is commanded, and says so.
+            runner.step = "free"
+            runner.released = True
+            self._change(runner, ReleaseWork(owner, runner.attempt, REQUEST, False), promise)
+            return
+        runner.step = "over"
+        if not self.runs_early:
+            self._run(runner)
 
-    def _run(self, r: Runner) -> None:
-        r.ran += 1
-        if sum(x.ran for x in self.runners.values()) > 1:
-            self.failure = f"{r.name} runs what another has run"
+    def _run(self, runner: Runner) -> None:
+        runner.ran += 1
+        if sum(other.ran for other in self.runners.values()) > 1:
+            self.failure = f"{runner.name} runs what another has run"
 
     def violation(self) -> str | None:
+        """What is broken in this state."""
         return self.failure
