--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -126,7 +126,7 @@
         core = self.core
         is_replacing = core.key_claims.is_successor and core.key_claims.peer is not None
         if self.maintenance is not None:
-            self.maintenance.look()
+            self.maintenance.report_load()
         self.node.publish_status(self.predecessor if is_replacing else 0, core.settings.cores)
         if self._must_hand_over():
             self._hand_over()
@@ -137,7 +137,7 @@
 
     def _must_hand_over(self) -> bool:
         core = self.core
-        if core.drain_state.draining or (self.maintenance is not None and self.maintenance.away):
+        if core.drain_state.draining or (self.maintenance is not None and self.maintenance.is_out):
             return True
         lost_at = core.kernel_status.link_lost_at
         is_lost = lost_at is not None and core.clock.now - lost_at >= KERNEL_LOST_US
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -15,13 +15,14 @@
 import pytest
 
 from moorusher.backends.announce import Announcer
-from moorusher.backends.kernel import KernelConnection, KernelLink
+from moorusher.backends.kernel import KernelClient
+from moorusher.backends.kernel_protocol import KernelProtocol
 from moorusher.backends.uwsgi import UwsgiCalls
 from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.call import CallRequest
-from moorusher.frontends.agent import AgentFront
-from moorusher.frontends.health import HealthFront
-from moorusher.frontends.uwsgi import UwsgiFront
+from moorusher.frontends.agent import AgentCheckFactory
+from moorusher.frontends.health import HealthCheckFactory
+from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.frontends.uwsgi_packets import HEAD, PING
 from moorusher.health.formatting import Codes
 from moorusher.health.policy import Policy
@@ -69,7 +70,7 @@
 def uwsgi() -> Fed:
     world = World()
     connection, transport = (
-        UwsgiFront(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None),
+        UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None),
         Transport(),
     )
     assert connection is not None
@@ -81,9 +82,9 @@
     world = World()
     reporter = Reporter(world.core, Policy(), "n1")
     factory = (
-        AgentFront(world.core, reporter)
+        AgentCheckFactory(world.core, reporter)
         if kind == "agent"
-        else HealthFront(world.core, reporter, Codes(), None)
+        else HealthCheckFactory(world.core, reporter, Codes(), None)
     )
     connection, transport = factory.buildProtocol(None), Transport()
     connection.makeConnection(transport)
@@ -92,11 +93,11 @@
 
 def kernel() -> Fed:
     world = World()
-    link = KernelLink(SimpleNamespace(), ("127.0.0.1", 1))
+    link = KernelClient(SimpleNamespace(), ("127.0.0.1", 1))
     link.core = heard = Heard(world)  # type: ignore[assignment]
-    connection, transport = KernelConnection(link), Transport()
+    connection, transport = KernelProtocol(link), Transport()
     connection.makeConnection(transport)  # type: ignore[no-untyped-call]
-    return connection, lambda: (heard.said, transport.value(), transport.aborted, link.last)
+    return connection, lambda: (heard.said, transport.value(), transport.aborted, link.session.last_notice)
 
 
 def database() -> Fed:
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -10,7 +10,7 @@
 import pytest
 
 from moorusher import cli
-from moorusher.backends.server_pool import OUTCOME_OF_ENDING
+from moorusher.backends.server_pool import OUTCOME_OF_END_REASON
 from moorusher.core.outcomes import EVIDENCE_OF_CALL, SCHEDULER_OUTCOMES, EndReason
 from moorusher.load_balancing.messages import AttemptOutcome
 from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME
@@ -45,7 +45,7 @@
 def test_endings_prove_to_load_balancing_what_they_prove_to_the_scheduler() -> None:
     for ending, outcome in SCHEDULER_OUTCOMES.items():
         if ending.name.startswith("CALL_"):
-            evidence = OUTCOME_OF_ENDING.get(ending, AttemptOutcome.FAILED).evidence
+            evidence = OUTCOME_OF_END_REASON.get(ending, AttemptOutcome.FAILED).evidence
             assert evidence.proves_never_ran is outcome.never_ran
             assert evidence.proves_never_ran is EVIDENCE_OF_CALL[ending].proves_never_ran
             assert evidence.proves_never_ran is EVIDENCE_OF_OUTCOME[outcome].proves_never_ran
@@ -164,5 +164,5 @@
 
 def test_a_cancelled_call_is_no_servers_outcome() -> None:
     assert (
-        EndReason.CALL_TIMED_OUT not in OUTCOME_OF_ENDING
+        EndReason.CALL_TIMED_OUT not in OUTCOME_OF_END_REASON
     )  # our own doing is never told to the router as a server's
