--- a/moorusher/admin/replication.py
+++ b/moorusher/admin/replication.py
@@ -20,10 +20,10 @@
         """Answer 200 with the members, or with the work in hand; 404."""
         path = path_of(request)
         if path == ["work"]:
-            return reply(request, 200, self._link.work())
+            return reply(request, 200, self._link.work_status())
         if path:
             return reply(request, 404, {"error": "no such page"})
-        return reply(request, 200, self._link.told())
+        return reply(request, 200, self._link.status())
 
     def render_POST(self, request: Any) -> bytes:
         """Take the operator's word that no keyed work ran before (`begin`), or that what no member remembers any more
@@ -36,7 +36,7 @@
             return reply(request, 404, {"error": "expected /fleet/begin or /fleet/begin/lost"})
         if not self.allowed(request):
             return reply(request, 401, NO_TOKEN)
-        refusal = self._link.begin(len(path) > 1)
+        refusal = self._link.bootstrap(len(path) > 1)
         return (
             reply(request, 200, {"begun": True})
             if refusal is None
--- a/moorusher/admin/site.py
+++ b/moorusher/admin/site.py
@@ -60,10 +60,10 @@
     """Pages of parts that are off are not imported."""
     if parts.replication is not None:
         root.putChild(b"fleet", ReplicationPages(parts.token, parts.replication))
-        if parts.replication.duties is not None:
+        if parts.replication.leadership is not None:
             from .leadership import DutyPages
 
-            root.putChild(b"duties", DutyPages(parts.token, parts.replication.duties))
+            root.putChild(b"duties", DutyPages(parts.token, parts.replication.leadership))
     if parts.config_distribution is not None:
         from .namespaces import NamespacePages
 
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -78,7 +78,7 @@
     def _is_drained(self) -> bool:
         """Nothing is open or runs, nothing of it is the fleet's, and whoever sends requests had the time to notice."""
         core = self._core
-        if core.table.unanswered or len(core.runs) or self._fleet.busy:
+        if core.table.unanswered or len(core.runs) or self._fleet.is_busy:
             return False
         horizon_us = self._reporter.tracker.horizon_us(core.clock.now)
         return core.clock.now - self._out_since_us >= horizon_us
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -14,7 +14,7 @@
 from ..membership.failure_detector import MS
 from ..replication.acceptor import RegisterState
 from ..replication.node import Node
-from ..replication.register_space import LASTING, RegisterSpace
+from ..replication.register_space import DUTY_SPACE, RegisterSpace
 from ..replication.work_record import Key
 from . import messages
 from .candidates import StabilityTracker
@@ -76,7 +76,7 @@
         self._host = host
         self.store = ChunkStore(policy.state_bytes * (policy.versions + 1))
         self.acceptor = self._create_acceptor(acceptor_class, remembers)
-        registers = RegisterSpace(LASTING, self.acceptor, node, None)
+        registers = RegisterSpace(DUTY_SPACE, self.acceptor, node, None)
         node.add_space(registers)
         self.services = MemberServices(node, registers, self._dispatch)
         chunks_repaired = self.acceptor.chunks_repaired
--- a/moorusher/maintenance/schedule_replica.py
+++ b/moorusher/maintenance/schedule_replica.py
@@ -11,7 +11,7 @@
 from ..replication.messages import ComponentMessage
 from ..replication.node import Node
 from ..replication.proposer import ChangeResult
-from ..replication.register_space import FOREVER_US, SHARED, RegisterSpace
+from ..replication.register_space import CLUSTER_SPACE, FOREVER_US, RegisterSpace
 from ..replication.work_record import Key
 from . import messages
 from .errors import NoMajority, OutageError
@@ -54,7 +54,7 @@
         self._on_read = on_read
         self.replicas = node.placement.replicas(KEY)
         self.acceptor = self._create_acceptor(acceptor_class, remembers)
-        self.registers = RegisterSpace(SHARED, self.acceptor, node, None)
+        self.registers = RegisterSpace(CLUSTER_SPACE, self.acceptor, node, None)
         node.add_space(self.registers)
         node.components[messages.PART] = self._on_message
         self.schedule = EMPTY
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -18,7 +18,7 @@
 from ..replication.messages import FAST_BALLOT
 from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Owner
-from .register_interleavings import KEY, SEATS, Limits, Registers, Runner
+from .register_interleavings import KEY, SEATS, Limits, RegisterModel, Runner
 
 JOB = b"job"
 RECEIVER = "out"
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Terms(Registers):
+class Terms(RegisterModel):
     """Two terms of one duty.
 
     kind: what both leaders want to do: "fenced", at a receiver that compares; "once", one job for both, at one that
@@ -64,22 +64,22 @@
     @classmethod
     def held(cls, limits: Limits, **options: Any) -> Terms:
         """Return the case that begins with the lease held by P."""
-        made: Terms = cls.begun(limits, **options)  # type: ignore[assignment]
+        made: Terms = cls.initial(limits, **options)  # type: ignore[assignment]
         leader = made.runners["P"]
-        owner = Owner("P", leader.inc)
+        owner = Owner("P", leader.incarnation)
         record = LeaseRecord("d", "test", GENERATION, FIRST_TERM, 1, LeaseStatus.HELD, owner)
         value = encode_record(record)
-        ballot = (1, leader.inc, 0)
-        for acceptor in made.keepers.values():
+        ballot = (1, leader.incarnation, 0)
+        for acceptor in made.acceptors.values():
             acceptor.permanent = True
             acceptor.registers[KEY] = RegisterState(ballot, FAST_BALLOT, value)
-        made.holds = CarriedPromise(ballot, value, {seat: 1 for seat in SEATS})
+        made.first_promise = CarriedPromise(ballot, value, {seat: 1 for seat in SEATS})
         return made
 
-    def print(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         """Return what tells two states of the search apart."""
         return (
-            Registers.print(self),
+            RegisterModel.fingerprint(self),
             self.highest,
             self.jobs_done,
             self.operator_notified,
@@ -90,35 +90,35 @@
 
     def moves(self) -> list[str]:
         """Return the names of all moves that are possible now."""
-        names = Registers.moves(self)
+        names = RegisterModel.moves(self)
         leader = self.runners["P"]
-        if not self.wrong and leader.writer is None and leader.doing == "again":
+        if not self.failure and leader.proposer is None and leader.step == "again":
             names.append("P effects")
         renamed = {"P claims": "P effects", "Q claims": "Q accepts"}
         return [renamed.get(name, name) for name in names]
 
-    def move(self, name: str) -> None:
+    def apply(self, name: str) -> None:
         """Make a move."""
         if name == "P effects":
             runner = self.runners["P"]
-            self._begin_effect(runner, FIRST_TERM, None if runner.doing else self.holds)
+            self._begin_effect(runner, FIRST_TERM, None if runner.step else self.first_promise)
         elif name == "Q accepts":
             runner = self.runners["Q"]
-            runner.doing = "accept"
-            owner = Owner("Q", runner.inc)
+            runner.step = "accept"
+            owner = Owner("Q", runner.incarnation)
             expected = (GENERATION, FIRST_TERM)
-            self._write(runner, self.acquire_change(owner, expected, True, MAX_LOST_LEADERS))
+            self._change(runner, self.acquire_change(owner, expected, True, MAX_LOST_LEADERS))
         else:
-            Registers.move(self, name)
+            RegisterModel.apply(self, name)
 
     def _begin_effect(self, runner: Runner, term: int, hold: CarriedPromise | None) -> None:
         runner.attempt += 1
-        runner.doing = "effect"
-        owner = Owner(runner.name, runner.inc)
+        runner.step = "effect"
+        owner = Owner(runner.name, runner.incarnation)
         if self.kind == "once" and self.early:
             self._send(runner.name, [(RECEIVER, EffectMessage(0, FencingToken(GENERATION, term, 0), True))])
         runner.change = self._effect_change(runner, owner, term)
-        self._write(runner, runner.change, hold)
+        self._change(runner, runner.change, hold)
 
     def _effect_change(self, runner: Runner, owner: Owner, term: int) -> HolderChange:
         if self.kind == "once":
@@ -133,34 +133,34 @@
     # ---- what follows from a chosen value ----
 
     def _step(self, runner: Runner) -> None:
-        if runner.writer is None or runner.writer.result is None:
+        if runner.proposer is None or runner.proposer.result is None:
             return
-        done = runner.writer.result
-        runner.writer = None
-        self.net = tuple(message for message in self.net if message[0] != runner.name)
+        done = runner.proposer.result
+        runner.proposer = None
+        self.in_transit = tuple(message for message in self.in_transit if message[0] != runner.name)
         record = decode_record(done.value)
-        if runner.doing == "accept":
+        if runner.step == "accept":
             self._acquired(runner, record, done.promise)
         else:
-            runner.doing = "over"
+            runner.step = "over"
             if record is not None and runner.change.is_applied_in(record):
                 self._effect_chosen(runner, record)
 
     def _acquired(self, runner: Runner, record: LeaseRecord | None, hold: CarriedPromise | None) -> None:
-        if record is None or record.holder != Owner(runner.name, runner.inc):
-            runner.doing = "over"
+        if record is None or record.holder != Owner(runner.name, runner.incarnation):
+            runner.step = "over"
         elif record.intents:
-            runner.doing = "over"
+            runner.step = "over"
             self.operator_notified = True
         else:
             self._begin_effect(runner, record.term, hold)
 
     def _effect_chosen(self, runner: Runner, record: LeaseRecord) -> None:
         token = FencingToken(*record.position)
-        if record.holder != Owner(runner.name, runner.inc):
-            self.wrong = f"{runner.name} has made {token}, which is the other's"
+        if record.holder != Owner(runner.name, runner.incarnation):
+            self.failure = f"{runner.name} has made {token}, which is the other's"
         if any(other == token and name != runner.name for name, other in self.acknowledged):
-            self.wrong = f"{runner.name} acts at {token}, as the other has"
+            self.failure = f"{runner.name} acts at {token}, as the other has"
         self.acknowledged = (*self.acknowledged, (runner.name, token))
         if self.kind == "state":
             self._check_versions(record)
@@ -172,13 +172,13 @@
         revisions = {version.revision for version in record.versions}
         lost = [token for _, token in self.acknowledged if token.revision not in revisions]
         if lost:
-            self.wrong = f"{lost[0]} was acknowledged, and {record.position} has lost it"
+            self.failure = f"{lost[0]} was acknowledged, and {record.position} has lost it"
 
     # ---- the receiver ----
 
     def _deliver(self, to: str, by: str, message: Any, heard: bool = True) -> None:
         if not isinstance(message, EffectMessage):
-            Registers._deliver(self, to, by, message, heard)
+            RegisterModel._deliver(self, to, by, message, heard)
         elif message.is_job:
             self._receive_job()
         else:
@@ -187,11 +187,11 @@
     def _receive_job(self) -> None:
         self.jobs_done += 1
         if self.jobs_done > 1 and not self.operator_notified:
-            self.wrong = "the job was done twice, and no operator was told"
+            self.failure = "the job was done twice, and no operator was told"
 
     def _receive_fenced(self, by: str, token: FencingToken) -> None:
         if self.compares and check_token(self.highest, token) is not TokenVerdict.CURRENT:
             return
         if self.highest is not None and token < self.highest:
-            self.wrong = f"{token} of {by} took effect after {self.highest}"
+            self.failure = f"{token} of {by} took effect after {self.highest}"
         self.highest = token
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -22,7 +22,7 @@
 from ..maintenance.slot_changes import ClearMachine, GrantSlots
 from ..maintenance.transitions import Change
 from .maintenance_machines import Machine, SentChange
-from .register_interleavings import copy
+from .register_interleavings import shallow_copy
 
 SEATS = ("a", "b", "c")
 POLICY = Policy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
@@ -113,13 +113,13 @@
         made.machines = {seat: Machine() for seat in SEATS}
         return made
 
-    def copied(self) -> MaintenanceCase:
+    def copy(self) -> MaintenanceCase:
         """Return a copy that moves by itself."""
-        new = copy(self)
-        new.machines = {seat: copy(machine) for seat, machine in self.machines.items()}
+        new = shallow_copy(self)
+        new.machines = {seat: shallow_copy(machine) for seat, machine in self.machines.items()}
         return new
 
-    def print(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         """Return what tells two states of the search apart."""
         return (
             self.register,
@@ -228,7 +228,7 @@
         text = f"{type(change).__name__} of {sender} {terms}"
         self.sent += (SentChange(sender, incarnation, change, text),)
 
-    def move(self, name: str) -> None:
+    def apply(self, name: str) -> None:
         """Make a move."""
         subject, _, rest = name.partition(" ")
         if subject in ("arrives", "abandoned"):
@@ -305,6 +305,6 @@
             if machine.is_alive and machine.incarnation == sent.incarnation:
                 machine.known = self.register
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         """Return what is wrong, in words."""
         return self.wrong
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -61,9 +61,9 @@
     """Build the parts that the configuration switches on."""
     parts = ClusterParts()
     if config.fleet.listen is not None:
-        from ..cluster_transport.replication import FleetLink
+        from ..cluster_transport.replication import ReplicationService
 
-        parts.replication = FleetLink(
+        parts.replication = ReplicationService(
             reactor,
             core,
             config.fleet,
@@ -71,14 +71,18 @@
             accepts_more_work,
             random.Random(config.name).random,
         )
+        if config.fleet.duties.on:
+            from ..cluster_transport.leadership import DutyLink
+
+            parts.replication.leadership = DutyLink(parts.replication, config.fleet.duties)
     if config.namespaces.on:
         from ..cluster_transport.config_distribution import NamespaceLink
 
-        parts.config_distribution = NamespaceLink(parts.replication.duties, config.namespaces, reactor)
+        parts.config_distribution = NamespaceLink(parts.replication.leadership, config.namespaces, reactor)
     if config.forecast.on:
         from ..cluster_transport.forecast import ForecastLink
 
-        parts.forecast = ForecastLink(parts.replication.duties, config.forecast, reactor)
+        parts.forecast = ForecastLink(parts.replication.leadership, config.forecast, reactor)
     if config.outage.on:
         from ..cluster_transport.maintenance import MaintenanceLink
 
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -149,7 +149,7 @@
     probes = new.probes
     service.reporter.set_policy(probes.policy)
     if service.cluster.replication is not None:
-        service.cluster.replication.follow(service.config.fleet)
+        service.cluster.replication.reconfigure(service.config.fleet)
     if service.agent_check is not None:
         service.agent_check.maxconn = probes.maxconn
     if service.health_check is not None:
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -31,13 +31,13 @@
 
 def test_every_interleaving_of_two_requests_and_a_withdrawal_keeps_the_limit() -> None:
     found = explore(MaintenanceCase.begun(Limits(crashes=0, abandoned=0)), 60_000)
-    assert found.whole and found.broken is None, found
+    assert found.complete and found.violation is None, found
 
 
 def test_interleavings_with_a_crash_or_a_late_change_keep_the_limit() -> None:
     for limits in (Limits(crashes=1, abandoned=0), Limits(crashes=0, abandoned=1)):
         found = explore(MaintenanceCase.begun(limits), 25_000, deep=True)
-        assert found.broken is None, found
+        assert found.violation is None, found
 
 
 class Unlimited(GrantSlots):
@@ -85,8 +85,8 @@
 )
 def test_the_interleavings_find_each_seeded_mistake(limits: Limits, how: dict[str, Any]) -> None:
     found = explore(MaintenanceCase.begun(limits, **how), 200_000)
-    assert found.broken is not None, found
-    assert replay(MaintenanceCase.begun(limits, **how), found.way) == found.broken
+    assert found.violation is not None, found
+    assert replay(MaintenanceCase.begun(limits, **how), found.path) == found.violation
 
 
 # ---- seeds in virtual time ----
