--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -14,8 +14,8 @@
 from ..core.call import CallRequest
 from ..core.clock import MS, SECOND, Alarm
 from ..core.outcomes import EndReason
-from ..core.request_engine import RequestEngine
 from .http_client import HttpClientProtocol, HttpResponse
+from .owner import BackendOwner
 
 CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
 SETTLE_US = 20 * MS  # after a response, for data that should not follow it
@@ -171,14 +171,14 @@
 
     reactor: Twisted's.
     address: of the database (Address).
-    core: the request engine; set by the owner.
+    core: the request engine or the server pool, which calls come from (BackendOwner); set by it.
     max_idle: connections kept without a call (int).
     max_busy: connections that carry or are made for a call (int).
     """
 
     def __init__(self, reactor: Any, address: Address, max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
         """`max_idle` may be changed by `set_max_idle`."""
-        self.core: RequestEngine
+        self.core: BackendOwner
         self.reactor = reactor
         self.address = address
         self.max_idle = max_idle
--- a/moorusher/backends/server_backends.py
+++ b/moorusher/backends/server_backends.py
@@ -6,6 +6,7 @@
 
 from ..load_balancing.policy import EndpointConfig, EndpointProtocol
 from .database import DatabasePool
+from .owner import BackendOwner
 from .uwsgi import UwsgiCalls
 
 MAX_IDLE_PER_SERVER = 4  # that are kept to one server: there are many servers
@@ -16,10 +17,10 @@
 class ServerBackends:
     """A backend for each server that was called, by its name."""
 
-    def __init__(self, reactor: Any, receiver: Any) -> None:
-        """`receiver` takes the place of the request engine: the ends of attempts are reported to it."""
+    def __init__(self, reactor: Any, owner: BackendOwner) -> None:
+        """The ends of attempts are reported to the owner."""
         self._reactor = reactor
-        self._receiver = receiver
+        self._owner = owner
         self._by_name: dict[str, Backend] = {}
 
     def get(self, server: EndpointConfig) -> Backend:
@@ -41,7 +42,7 @@
             backend = UwsgiCalls(self._reactor, server.address)
         else:
             backend = DatabasePool(self._reactor, server.address, MAX_IDLE_PER_SERVER)
-        backend.core = self._receiver
+        backend.core = self._owner
         return backend
 
     def update(self, server: EndpointConfig) -> None:
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -50,30 +50,40 @@
     body: bytes
 
 
-class _AttemptReceiver:
-    """What a server's backend takes for the request engine: its calls are attempts, numbered by attempt id."""
+class AttemptOwner:
+    """The owner of the servers' backends: their calls are attempts, numbered by attempt id."""
 
     def __init__(self, pool: ServerPool) -> None:
+        """The ends of attempts are reported to the pool."""
         self._pool = pool
-        self.execution = self  # a backend reports to `core.execution.call_ended`
 
     @property
     def clock(self) -> Clock:
+        """That of the request engine."""
         return self._pool.core.clock
 
     @property
     def alarms(self) -> Alarms:
+        """Those of the request engine."""
         return self._pool.core.alarms
 
     @property
     def counters(self) -> Counters:
+        """Those of the request engine."""
         return self._pool.core.counters
 
+    @property
+    def execution(self) -> AttemptOwner:
+        """Takes the ends of attempts."""
+        return self
+
     def begin_turn(self) -> None:
+        """Begin a turn of the request engine."""
         self._pool.core.begin_turn()
 
-    def call_ended(self, attempt_id: int, reason: EndReason, body: bytes) -> None:
-        self._pool.attempt_ended(AttemptReply(attempt_id, reason, body))
+    def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
+        """Report an attempt."""
+        self._pool.attempt_ended(AttemptReply(number, reason, body))
 
 
 class ServerPool:
@@ -99,7 +109,7 @@
         self._draw = draw
         self._grants = grants or Grants()
         self._routes: RouteTable | None = None
-        self._backends = ServerBackends(reactor, _AttemptReceiver(self))
+        self._backends = ServerBackends(reactor, AttemptOwner(self))
         self._calls: dict[int, CallRequest] = {}  # open calls by id
         self._backend_of: dict[int, Backend] = {}  # by attempt in flight
         self._alarm: Alarm | None = None
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -10,9 +10,9 @@
 from ..config.section import Address
 from ..core.call import CallRequest
 from ..core.outcomes import EndReason
-from ..core.request_engine import RequestEngine
 from ..frontends.uwsgi_packets import VARS, build_packet
 from .http_client import HttpClientProtocol, HttpResponse
+from .owner import BackendOwner
 
 CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
 NEVER_RAN_HEADER = b"x-moorusher-never-ran"
@@ -119,12 +119,12 @@
     """Calls to one uwsgi peer, each over a connection of its own.
 
     address: of the peer (Address).
-    core: the request engine; set by the owner.
+    core: the request engine or the server pool, which calls come from (BackendOwner); set by it.
     """
 
     def __init__(self, reactor: Any, address: Address) -> None:
         """`address` may be changed by `move`."""
-        self.core: RequestEngine
+        self.core: BackendOwner
         self.address = address
         self._reactor = reactor
         self._open: dict[int, UwsgiCallFactory] = {}  # by the call's number
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -110,7 +110,7 @@
 def uwsgi_below() -> Fed:
     world, dialled = World(), []
     link = UwsgiCalls(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
-    link.core = heard = Heard(world)  # type: ignore[assignment]
+    link.core = heard = Heard(world)
     link.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
     connection, transport = dialled[0].buildProtocol(None), Transport()
     connection.makeConnection(transport)
