--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -24,8 +24,8 @@
 from moorusher.frontends.health import HealthCheckFactory
 from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.frontends.uwsgi_packets import HEAD, PING
-from moorusher.health.formatting import Codes
-from moorusher.health.policy import Policy
+from moorusher.health.formatting import StatusCodes
+from moorusher.health.policy import HealthPolicy
 from moorusher.scheduling.interface import Effect
 from moorusher.server.health_report import Reporter
 
@@ -80,11 +80,11 @@
 
 def probes(kind: str) -> Fed:
     world = World()
-    reporter = Reporter(world.core, Policy(), "n1")
+    reporter = Reporter(world.core, HealthPolicy(), "n1")
     factory = (
         AgentCheckFactory(world.core, reporter)
         if kind == "agent"
-        else HealthCheckFactory(world.core, reporter, Codes(), None)
+        else HealthCheckFactory(world.core, reporter, StatusCodes(), None)
     )
     connection, transport = factory.buildProtocol(None), Transport()
     connection.makeConnection(transport)
