--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -86,7 +86,7 @@
             else None
         )
         duties.namespaces = self
-        duties.fleet.rules = self
+        duties.fleet.namespaces = self
         self.core.hooks.routes = self
 
     def start(self) -> None:
--- a/moorusher/cluster_transport/fleet_member.py
+++ b/moorusher/cluster_transport/fleet_member.py
@@ -1,6 +1,7 @@
 """The interface of this runner's link to its fleet, for the parts that build on it.
 
-`replication.FleetLink` implements it. The parts import this module alone, so that no circle of imports leads back.
+`replication.ReplicationService` implements it. The parts import this module alone, so that no circle of imports
+leads back.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from ..core.request_engine import RequestEngine
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
-from ..storage.journal_files import Opened
+from ..storage.journal_files import OpenedJournal
 
 
 class FleetMember(Protocol):
@@ -23,7 +24,7 @@
     name: str, this runner's seat.
     node: registers, membership and messages.
     predecessor: int, incarnation of the process that this one replaces; 0 if none.
-    rules, forecast, outage: parts that are started with the fleet; each enters itself.
+    namespaces, forecast, maintenance: parts that are started with the fleet; each enters itself.
     """
 
     reactor: Any
@@ -32,19 +33,19 @@
     name: str
     node: Node
     predecessor: int
-    rules: Any
+    namespaces: Any
     forecast: Any
-    outage: Any
+    maintenance: Any
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Work or duties of the fleet are still here."""
 
     def fit(self) -> bool:
         """Whether this runner may take work and duties of the fleet."""
 
-    def journal_of(self, part: str) -> Opened | None:
+    def open_part_journal(self, part: str) -> OpenedJournal | None:
         """Open the journal of a part; None if the settings have none."""
 
-    def write_to(self, found: Opened, space: int, keeper: Acceptor) -> None:
+    def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
         """Write what this acceptor promises to that journal, before it is said."""
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -19,7 +19,7 @@
 from ..leadership.policy import Policy
 from ..leadership.worker import Worker
 from ..replication.journal import JournalImage
-from ..replication.register_space import LASTING
+from ..replication.register_space import DUTY_SPACE
 from .effect_receivers import HttpEffectReceivers
 from .fleet_member import FleetMember
 
@@ -80,13 +80,13 @@
         self.forecast: WorkerFactory | None = None
         self._receivers = HttpEffectReceivers(fleet.reactor, fleet.core)
         self._journal_image: JournalImage | None = None
-        journal = fleet.journal_of("duties")
+        journal = fleet.open_part_journal("duties")
         if journal is not None:
             self._journal_image = journal.image
         self.participant = Participant(fleet.node, self, policy)
         if journal is not None:
             self.participant.store.has_disk = True
-            fleet.write_to(journal, LASTING, self.participant.acceptor)
+            fleet.attach_journal(journal, DUTY_SPACE, self.participant.acceptor)
         for report in policy.reports:
             self.participant.directory.declare(report.name, HEARTBEAT_KIND)
 
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -15,7 +15,7 @@
 from ..maintenance.start_estimate import estimate_starts
 from ..maintenance.waiters import WaitCallback
 from ..replication.journal import JournalImage
-from ..replication.register_space import SHARED
+from ..replication.register_space import CLUSTER_SPACE
 from ..server.health_report import Reporter
 from .fleet_member import FleetMember
 from .machine_host import LocalMachineHost, read_boot_id
@@ -101,7 +101,7 @@
         self._reporter = reporter
         self._journal_image: JournalImage | None = None
         self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_s * SECOND_US))
-        journal = fleet.journal_of("outage")
+        journal = fleet.open_part_journal("outage")
         if journal is not None:
             self._journal_image = journal.image
         self.coordinator = MaintenanceCoordinator(fleet.node, self.machine, policy)
@@ -109,8 +109,8 @@
             acceptor = self.coordinator.replica.acceptor
             acceptor.journaled = True
             fleet.node.is_durable = True
-            fleet.write_to(journal, SHARED, acceptor)
-        fleet.outage = self
+            fleet.attach_journal(journal, CLUSTER_SPACE, acceptor)
+        fleet.maintenance = self
 
     @property
     def is_out(self) -> bool:
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MemberState
+from ..membership.member import MemberState
 from ..replication.messages import ComponentMessage
 from . import messages
 from .messages import PART, RevisionId
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -416,11 +416,11 @@
 
 def messages(seats: int) -> float:
     """A member a second, while the fleet goes round, all asked for."""
-    from ..model_checking.cluster_simulation import Course
+    from ..model_checking.cluster_simulation import Scenario
     from ..model_checking.maintenance_simulation import MaintenanceSimulation
 
     sim = MaintenanceSimulation(
-        1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0, seconds=20), requests=0
+        1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0, seconds=20), requests=0
     )
     sim.run(3_000_000)
     ask = MaintenanceRequest(
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -8,7 +8,7 @@
 from ..replication.messages import ComponentMessage
 from ..replication.node import Node
 from ..replication.proposer import CarriedPromise, ChangeResult
-from ..replication.register_space import LASTING, RegisterSpace
+from ..replication.register_space import DUTY_SPACE, RegisterSpace
 from ..replication.work_record import Key, Owner
 from . import messages
 from .lease_transitions import Change
@@ -89,7 +89,7 @@
 
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call back once everything stored so far is on the disk; at once if there is none."""
-        self.node.durable(callback, LASTING)
+        self.node.durable(callback, DUTY_SPACE)
 
     def read_register(self, key: Key, callback: RegisterCallback) -> None:
         """Read a register without hindering changes of it."""
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -20,7 +20,7 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.worker import Worker
 from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Course, Simulation
+from .cluster_simulation import MS, SECOND, Scenario, Simulation
 from .leadership_simulation import (
     MIN_REPLICAS,
     DutyProcess,
@@ -34,10 +34,12 @@
 BEGAN_MS = 500_000 * HOUR_MS - 100_000
 POLICY = Policy(on=True, report_ms=40.0, save_ms=80.0)
 ROUTES = ("main", "spare", "new")
-COURSE = Course(
-    seats=5, keys=0, faults=2, seconds=24.0, kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+COURSE = Scenario(
+    seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+)
+DISKS = Scenario(
+    seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "stop", "cut", "one way", "power")
 )
-DISKS = Course(seats=4, keys=0, faults=2, seconds=24.0, kinds=("kill", "stop", "cut", "one way", "power"))
 
 
 class CountingProcess(DutyProcess):
@@ -108,7 +110,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course | None = None,
+        course: Scenario | None = None,
         lasting: bool = False,
         member: type[Member] = Member,
         forecaster: type[Forecaster] = Forecaster,
@@ -127,7 +129,7 @@
         state = replicated_state(NAME, record, replicas)
         return None if state is None else Ledger.unpack(state, {})
 
-    def wrong(self) -> str | None:
+    def violation(self) -> str | None:
         ledger = self.ledger()
         if ledger is None:
             return None
@@ -147,7 +149,7 @@
         return None
 
 
-def search(seeds: range, course: Course | None = None, **how: Any) -> tuple[int, str] | None:
+def search(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
     """The first seed whose course is wrong, with what is."""
     for seed in seeds:
         if (wrong := ForecastSimulation(seed, course, **how).play()) is not None:
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -10,7 +10,7 @@
 
 from ..maintenance.schedule import MaintenanceRequest, SlotStage
 from ..membership.placement import majority
-from .cluster_simulation import SECOND, Course
+from .cluster_simulation import SECOND, Scenario
 from .maintenance_scripts import MaintainedProcess, MaintenanceWorld, Script
 
 EPOCH_S = 1e9  # Unix time at the begin of a course
@@ -23,7 +23,7 @@
 class OperatedWorld(MaintenanceWorld, Protocol):
     """The course, as operators see it."""
 
-    course: Course
+    course: Scenario
 
     def live_processes(self) -> Sequence[MaintainedProcess]:
         """Return the processes that are alive."""
@@ -183,5 +183,5 @@
         forgetful = next(
             process for process in self._replicas(live) if not process.coordinator.replica.acceptor.recovered
         )
-        if forgetful.coordinator.replica.registers.bootstrap(lost=True) is None:
+        if forgetful.coordinator.replica.registers.recovery.bootstrap(accept_loss=True) is None:
             self.majority_losses += 1
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -16,20 +16,20 @@
 from ..maintenance.policy import Policy
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Course, Process, Simulation
+from .cluster_simulation import MS, SECOND, Process, Scenario, Simulation
 from .maintenance_operators import EPOCH_S, WORK_S, SimulatedOperators
 from .maintenance_scripts import Machine, MaintainedProcess
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
 )
-COURSE = Course(
+COURSE = Scenario(
     seats=6,
     keys=0,
     seconds=25.0,
     faults=9,
-    lost=0.01,
-    kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
+    loss=0.01,
+    fault_kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
 )
 WARM_UP_S = 0.6
 DRAIN_US = 300 * MS
@@ -87,17 +87,17 @@
         if mode is not self.mode:
             self.mode = mode
             self.mode_since_us = self.sim.now
-        self.away = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
+        self.draining = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
 
     def alert(self, text: str) -> None:
         """Nobody reads it: `MaintenanceSimulation` finds by itself what is stuck."""
 
-    def look(self) -> None:
+    def check_self(self) -> None:
         self.node.load_figures = self._weight(), self.world.load, self.world.load
-        super().look()
+        super().check_self()
 
     def _weight(self) -> int:
-        if self.away:
+        if self.draining:
             return 0
         return FULL_WEIGHT if self._check_warm() else WARM_UP_WEIGHT
 
@@ -119,7 +119,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course = COURSE,
+        course: Scenario = COURSE,
         policy: Policy = POLICY,
         load: float = 0.4,
         requests: int = 3,
@@ -142,8 +142,8 @@
         for number in range(requests):
             self.operators.plan_request(f"ask {number}", self.random.uniform(1, course.seconds / 2))
 
-    def born(self, seat: int, remembers: bool, inc: int = 0) -> Process:
-        made = super().born(seat, remembers, inc)
+    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> Process:
+        made = super().start_process(seat, remembers, inc)
         assert isinstance(made, MaintenanceProcess)
         self.at(self.now, made, made.coordinator.start)
         return made
@@ -177,14 +177,14 @@
         machine.is_down = True
         process = self.processes[seat]
         if process.alive:
-            self._end(process)
+            self._kill(process)
         refails = self.random.random() < REFAIL_SHARE
 
         def boot() -> None:
             machine.is_down = False
             machine.is_warming_up = True
             machine.boots += 1
-            self.processes[seat] = self.born(seat, remembers=False)
+            self.processes[seat] = self.start_process(seat, remembers=False)
             if refails:
                 fail_at_us = self.now + round(0.4 * SECOND)
                 self.at(fail_at_us, None, lambda: self._fault("power of one", seat, 0.5))
@@ -192,10 +192,10 @@
         work_s = self.random.uniform(0.5, 1.5) * WORK_S
         self.at(self.now + round(work_s * SECOND), None, boot)
 
-    def _begin_again(self, seat: int, when: int, inc: int) -> None:
+    def _restart_later(self, seat: int, when: int, inc: int) -> None:
         def again() -> None:
             if not self.processes[seat].alive and not self.machines[seat].is_down:
-                self.processes[seat] = self.born(seat, remembers=not self._amnesia, inc=inc)
+                self.processes[seat] = self.start_process(seat, remembers=not self._amnesia, inc=inc)
 
         self.at(when, None, again)
 
@@ -214,11 +214,11 @@
         process = self.processes[seat]
         if process.alive and not machine.is_down:
             self.events.append(f"{self.now / SECOND:.3f} s: n{seat} loses power")
-            self._end(process)
+            self._kill(process)
             machine.is_cleared = False
             machine.boots += 1
             self.stuck.discard(seat)
-            self._begin_again(seat, self.now + round(min(lasts_s, 2) * SECOND), 0)
+            self._restart_later(seat, self.now + round(min(lasts_s, 2) * SECOND), 0)
 
     def _lower_limit(self, seat: int, lasts_s: float) -> None:
         """One file has a lower bound for a while, under whatever is granted."""
@@ -234,7 +234,7 @@
     def play(self) -> str | None:
         """Play the course. Returns what was wrong, in words."""
         self.run(round(self.course.seconds * SECOND))
-        self.silent.clear()
+        self.cut_links.clear()
         for process in self.processes:
             process.stopped_until = 0
         end = self.now + round(RECOVERY_S * SECOND)
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -18,7 +18,7 @@
 )
 from moorusher.leadership.lease_transitions import AcquireLease
 from moorusher.leadership.state_replication import StateReplication
-from moorusher.model_checking.cluster_simulation import Course
+from moorusher.model_checking.cluster_simulation import Scenario
 from moorusher.model_checking.explorer import explore
 from moorusher.model_checking.leadership_interleavings import Terms
 from moorusher.model_checking.leadership_simulation import (
@@ -27,15 +27,15 @@
     search,
 )
 from moorusher.model_checking.register_interleavings import Limits
-from moorusher.replication.register_space import RegisterSpace
+from moorusher.replication.register_reader import RegisterReader
 
 # ---- every interleaving ----
 
 
 @pytest.mark.parametrize("kind", ["fenced", "once", "state"])
 def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: str) -> None:
-    found = explore(Terms.held(Limits(again=(0, 0), patient=True), kind=kind), most=5_000)
-    assert found.broken is None, str(found)
+    found = explore(Terms.held(Limits(retries=(0, 0), patient=True), kind=kind), most=5_000)
+    assert found.violation is None, str(found)
 
 
 class Blind(IssueToken):
@@ -72,15 +72,15 @@
 )
 def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
     again = (1, 0) if "token_change" in how else (0, 0)
-    found = explore(Terms.held(Limits(again=again, patient=True), **how), most=60_000, deep=True)
-    assert found.broken is not None, str(found)
+    found = explore(Terms.held(Limits(retries=again, patient=True), **how), most=60_000, deep=True)
+    assert found.violation is not None, str(found)
 
 
 # ---- seeds in virtual time ----
 
 
 @pytest.mark.parametrize("course, how", [(COURSE, {}), (DISKS, {"lasting": True})], ids=["memory", "disks"])
-def test_seeds(course: Course, how: dict[str, Any]) -> None:
+def test_seeds(course: Scenario, how: dict[str, Any]) -> None:
     found = search(range(7), course, **how)
     assert found is None, f"DutySimulation({found[0]}, {course}, **{how}).play(): {found[1]}" if found else ""
 
@@ -100,7 +100,7 @@
         callback(True)
 
     monkeypatch.setattr(StateReplication, "replicate", replicate)
-    assert search(range(10), Course(seats=5, keys=0, faults=8, kinds=("kill", "forget"))) is not None
+    assert search(range(10), Scenario(seats=5, keys=0, faults=8, fault_kinds=("kill", "forget"))) is not None
 
 
 def test_seeds_find_a_receiver_that_does_not_compare_tokens() -> None:
@@ -110,7 +110,7 @@
 
 def test_seeds_find_replicas_that_vote_after_a_loss_of_memory() -> None:
     assert (
-        search(range(60), Course(seats=3, keys=0, faults=12, kinds=("forget", "cut")), amnesia=False)
+        search(range(60), Scenario(seats=3, keys=0, faults=12, fault_kinds=("forget", "cut")), amnesia=False)
         is not None
     )
 
@@ -122,12 +122,12 @@
     monkeypatch.setattr(HolderChange, "apply", apply)
     monkeypatch.setattr(HolderChange, "is_applied_in", lambda self, found: found is not None)
     monkeypatch.setattr(UpdateState, "apply", apply)
-    assert search(range(20), Course(seats=5, keys=0, faults=12, kinds=("stop", "cut"))) is not None
+    assert search(range(20), Scenario(seats=5, keys=0, faults=12, fault_kinds=("stop", "cut"))) is not None
 
 
 def test_seeds_find_a_read_that_takes_one_replica_for_a_majority(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(RegisterSpace, "votes_needed", staticmethod(lambda looking, vote: 1))
+    monkeypatch.setattr(RegisterReader, "votes_needed", staticmethod(lambda looking, vote: 1))
     found = search(range(20))
     assert found is not None and "missing" in found[1]
