--- a/moorusher/health/tracker.py
+++ b/moorusher/health/tracker.py
@@ -138,7 +138,8 @@
         now = observation.now
         if balancer:
             self.probes.probed(now, balancer)
-        link = self._link_state(now)
+        grace_us = round(self.policy.link_down_grace_ms * 1000)
+        link = self.link.state(now, grace_us, round(self.policy.link_settle_ms * 1000))
         outlook = self._look_ahead(observation)
         state, reason = self._next_state(observation, link, outlook.pressure)
         changed = self._enter(state, now)
@@ -160,24 +161,17 @@
             pressure_parts=outlook.pressure_parts,
         )
 
-    def _link_state(self, now: int) -> LinkState:
-        grace_us = round(self.policy.link_down_grace_ms * 1000)
-        return self.link.state(now, grace_us, round(self.policy.link_settle_ms * 1000))
-
     def _look_ahead(self, observation: Observation) -> _Outlook:
         runnable, unknown = self._believed_runnable(observation)
         horizon_us = self.horizon_us(observation.now)
-        survivable = self._survivable(observation)
+        per_core = self.policy.survivable_runs_per_core or self.facts.survivable_runs_per_core
+        survivable = survivable_runs(self.facts.cores, per_core, observation.speed)
         forecast = self._forecast(observation, runnable, horizon_us)
         parts = self._pressure_parts(observation, forecast / survivable)
         return _Outlook(horizon_us, forecast, survivable, parts, max(parts.values()), unknown)
 
     # ---- pressure ----
 
-    def _survivable(self, observation: Observation) -> float:
-        per_core = self.policy.survivable_runs_per_core or self.facts.survivable_runs_per_core
-        return survivable_runs(self.facts.cores, per_core, observation.speed)
-
     def _forecast(self, observation: Observation, runnable: float, horizon_us: int) -> float:
         """The highest mean of runs on the cores until balancers have acted."""
         facts = self.facts
@@ -190,15 +184,10 @@
             min_level=runnable,
             waiting=observation.queued + observation.at_calls,
             arrivals_per_s=self._arrivals.per_second(now),
-            ends_per_s=self._ends_per_s(now),
+            ends_per_s=_cautious_rate(self._ends.count(now), ENDS_WINDOW_US / 1e6),
             max_level=facts.max_running_fraction * survivable,
         )
 
-    def _ends_per_s(self, now: int) -> float:
-        """Runs a second that end, less a deviation: chance must not promise a quick end of an overload."""
-        count = float(self._ends.count(now))
-        return (count - math.sqrt(count)) / (ENDS_WINDOW_US / 1e6)
-
     def _believed_runnable(self, observation: Observation) -> tuple[float, tuple[str, ...]]:
         """What wants a core by the kernel's gauges, as far as they can be believed, and why they can't be. They can
         only add to the own count: gauges that are stuck at idle must not hide the forty runs that were started."""
@@ -237,14 +226,6 @@
             "refused": min(MAX_INDIRECT_PRESSURE, rejected),
         }
 
-    def _zone(self, pressure: float) -> PressureZone:
-        policy = self.policy
-        if pressure >= policy.no_traffic_above:
-            return PressureZone.CROSSING
-        if pressure >= policy.overloaded_above:
-            return PressureZone.OVERLOADED
-        return PressureZone.DEAD_BAND if pressure >= policy.recovered_below else PressureZone.RELAXED
-
     # ---- state ----
 
     def _next_state(
@@ -290,7 +271,7 @@
             cap = step_down(FULL_WEIGHT * link.trust * min(1.0, observation.speed))
         floor = self._floor(cap, observation.now)
         return self._weight.update(
-            observation.now, cap, self._zone(outlook.pressure), floor, outlook.horizon_us
+            observation.now, cap, _pressure_zone(self.policy, outlook.pressure), floor, outlook.horizon_us
         )
 
     def _floor(self, cap: int, now: int) -> int:
@@ -333,6 +314,19 @@
         return ", ".join(phrases)
 
 
+def _cautious_rate(count: int, window_s: float) -> float:
+    """Events a second, less a deviation: chance must not promise a quick end of an overload."""
+    return (count - math.sqrt(count)) / window_s
+
+
+def _pressure_zone(policy: HealthPolicy, pressure: float) -> PressureZone:
+    if pressure >= policy.no_traffic_above:
+        return PressureZone.CROSSING
+    if pressure >= policy.overloaded_above:
+        return PressureZone.OVERLOADED
+    return PressureZone.DEAD_BAND if pressure >= policy.recovered_below else PressureZone.RELAXED
+
+
 def _maintenance_reason(maintenance: Maintenance, now: int) -> str:
     if maintenance.expires_us is None:
         return maintenance.reason
