--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
+from ..server.health_document import health_document
 from ..server.health_report import Reporter
 from .api import NO_TOKEN, BadBody, Guarded, reply
 
@@ -42,7 +43,7 @@
 
     def render_GET(self, request: Any) -> bytes:
         """Answer 200 with the maintenance that is set, or null."""
-        return reply(request, 200, {"maintenance": self._reporter.inputs()["maintenance"]})
+        return reply(request, 200, {"maintenance": health_document(self._reporter)["maintenance"]})
 
     def render_PUT(self, request: Any) -> bytes:
         """Set maintenance: 200, 400 for a faulty body, 401 without the token, 409 while shutting down."""
@@ -52,7 +53,7 @@
             reason, duration_s = read_maintenance(self.body(request))
         except BadBody as error:
             return reply(request, 400, {"error": str(error)})
-        if not self._reporter.maintain(reason, duration_s):
+        if not self._reporter.set_maintenance(reason, duration_s):
             return reply(request, 409, {"error": "the runner is leaving, and does not come back"})
         return self.render_GET(request)
 
@@ -60,7 +61,7 @@
         """End maintenance: 200, 401 without the token, 409 where none is set or while shutting down."""
         if not self.allowed(request):
             return reply(request, 401, NO_TOKEN)
-        if self._reporter.put_back():
+        if self._reporter.end_maintenance():
             return reply(request, 200, {"maintenance": None})
         draining = self._reporter.core.drain_state.draining
         return reply(
--- a/moorusher/admin/site.py
+++ b/moorusher/admin/site.py
@@ -9,6 +9,7 @@
 from .. import __version__
 from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy_agent_state
+from ..server.health_document import health_document
 from ..server.health_report import Reporter
 from .api import ChangePage, JsonPage, Resource, quiet_site
 from .maintenance_mode import MaintenanceModePage
@@ -45,7 +46,7 @@
     root = Resource()
     root.putChild(b"status", JsonPage(lambda: status_of(core, parts.reporter, parts.name)))
     root.putChild(b"counters", JsonPage(lambda: dict(core.counters.total)))
-    root.putChild(b"standing", JsonPage(parts.reporter.inputs))
+    root.putChild(b"standing", JsonPage(lambda: health_document(parts.reporter)))
     root.putChild(b"maintenance", MaintenanceModePage(parts.token, parts.reporter))
     root.putChild(b"tenants", TenantsPage(core))
     root.putChild(b"drain", ChangePage(parts.token, lambda: _drain(parts)))
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -92,10 +92,10 @@
         elif self.is_out and not is_out:
             log.info("outage: this machine is back in service: state=%s", mode.value)
         self.is_out = is_out
-        if is_out and self._reporter.wanted:
-            self._reporter.maintain(REASON_PREFIX + reason)
+        if is_out and self._reporter.is_in_rotation:
+            self._reporter.set_maintenance(REASON_PREFIX + reason)
         elif not is_out and self._is_own_maintenance():
-            self._reporter.put_back()
+            self._reporter.end_maintenance()
 
     def _is_own_maintenance(self) -> bool:
         """The maintenance that is set comes from here, or from the process that this one replaced."""
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -41,7 +41,7 @@
         self._factory.limiter.connection_closing(self)
         self._factory.count_check()
         report = self._factory.reporter.report(self.host)
-        line = haproxy_agent_state(report, self._factory.reporter.doors_closed, self._factory.maxconn)
+        line = haproxy_agent_state(report, self._factory.reporter.stopped_accepting, self._factory.maxconn)
         self.transport.write(line.encode("ascii") + b"\n")
         self.transport.loseWriteConnection()
         self._alarm = self._core.alarms.at(self._core.clock.now + PROBE_TIMEOUT_US, self.cut)
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -94,7 +94,7 @@
         return handler()
 
     def _state(self, status: int) -> HttpReply:
-        maintenance = self.reporter.tracker.maintenance if not self.reporter.wanted else None
+        maintenance = self.reporter.tracker.maintenance if not self.reporter.is_in_rotation else None
         document = {
             "ready": self._is_ready,
             "kernel": self.core.ready,
@@ -106,7 +106,7 @@
 
     @property
     def _is_ready(self) -> bool:
-        return self._is_serving() and self.reporter.fit
+        return self._is_serving() and self.reporter.is_fit
 
     def _health(self) -> HttpReply:
         return self._state(200 if self._is_ready else 503)
@@ -114,10 +114,10 @@
     def _quiesce(self) -> HttpReply:
         """Set maintenance without an end. Where the runner drains, nothing new is sent to it already."""
         maintenance = self.reporter.tracker.maintenance
-        if self.reporter.wanted or (maintenance is not None and maintenance.expires_us is not None):
-            self.reporter.maintain(QUIESCE_REASON)  # one that ends by itself would put the runner back
+        if self.reporter.is_in_rotation or (maintenance is not None and maintenance.expires_us is not None):
+            self.reporter.set_maintenance(QUIESCE_REASON)  # one that ends by itself would put the runner back
         return self._state(200)
 
     def _resume(self) -> HttpReply:
-        self.reporter.put_back()
+        self.reporter.end_maintenance()
         return self._state(409 if self.core.drain_state.draining else 200)
--- a/moorusher/server/health_report.py
+++ b/moorusher/server/health_report.py
@@ -1,4 +1,4 @@
-"""Joins the core to the standing: takes down what is to be seen of a runner when a probe asks."""
+"""Joins the request engine to the health state: observes a runner when a health check asks for its report."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from moorusher.scheduling.concurrency import MAX_RUNNING_FRACTION
 from moorusher.scheduling.interface import Settings
 
-from ..core.clock import MS
+from ..core.clock import MS, SECOND
 from ..core.observer import EngineObserver
 from ..core.request_engine import RequestEngine
-from ..health.observation import KernelGauges, Maintenance, Observation
+from ..health.observation import Maintenance, Observation
 from ..health.policy import HealthPolicy
 from ..health.report import HealthReport
 from ..health.states import HealthState, ImpossibleTransitionError
@@ -21,128 +21,147 @@
 
 log = logging.getLogger("moorusher")
 
-KEPT = (
-    10 * MS
-)  # a report is worked out anew after so long, or at once where something `changed`: a flood of probes
-# must not have each of them walk through what is held
+# A report is worked out anew after this time, or at once where something changed: each report walks through what is
+# queued, and a flood of health checks must not cost that much each.
+REPORT_CACHE_US = 10 * MS
 
 
 class Reporter(EngineObserver):
-    """One runner's standing, worked out as it is asked for."""
+    """One runner's health state, worked out when it is asked for, and its maintenance mode.
+
+    `core`: the request engine, which notifies this observer. `tracker`: the health state. `stopped_accepting`: clients
+    are not accepted any more. `on_maintenance_changed`: called after an operator has set or ended maintenance.
+    """
 
     def __init__(self, core: RequestEngine, policy: HealthPolicy, name: str) -> None:
-        s = core.settings
         self.core = core
-        self.doors_closed = False
-        self.told: Callable[[], None] = lambda: None  # an operator has taken the runner out, or put it back
-        phase = zlib.crc32(name.encode()) / 2**32  # neighbours' names differ, and so their pace
-        self.tracker = HealthTracker(self._facts(s, phase), policy, core.clock.now)
-        self._last: HealthReport | None = None
-        self._at = 0
+        self.stopped_accepting = False
+        self.on_maintenance_changed: Callable[[], None] = lambda: None
+        jitter = (
+            zlib.crc32(name.encode()) / 2**32
+        )  # runners with other names change their weights at other moments
+        self.tracker = HealthTracker(self._facts(core.settings, jitter), policy, core.clock.now)
+        self._cached: HealthReport | None = None
+        self._cached_at_us = 0
         core.hooks.observer = self
 
     @staticmethod
-    def _facts(s: Settings, phase: float) -> RunnerFacts:
+    def _facts(settings: Settings, jitter: float) -> RunnerFacts:
+        shortest_objective_ms = min(c.latency_objective_ms for c in settings.classes)
         return RunnerFacts(
-            s.cores,
-            s.survivable_runs_per_core,
-            round(s.overload_window_ms * MS),
-            round(min(c.latency_objective_ms for c in s.classes) * MS),
+            settings.cores,
+            settings.survivable_runs_per_core,
+            round(settings.overload_window_ms * MS),
+            round(shortest_objective_ms * MS),
             MAX_RUNNING_FRACTION,
-            phase,
+            jitter,
         )
 
-    def retune(self, settings: Settings) -> None:
-        """What was observed stays; what it is held against has changed."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Apply new settings; what was observed stays."""
         self.tracker.facts = self._facts(settings, self.tracker.facts.jitter)
-        self._last = None
+        self._cached = None
 
-    # ---- as it happens ----
+    def set_policy(self, policy: HealthPolicy) -> None:
+        """Apply a new policy of `[standing]`."""
+        self.tracker.set_policy(policy)
+        self._cached = None
+
+    def stop_accepting(self) -> None:
+        """Clients are not accepted any more."""
+        self.stopped_accepting = True
+        self._cached = None
+
+    # ---- what the engine notifies; `now` in us ----
 
     def runs_on_cores(self, now: int, on_cores: int) -> None:
+        """So many runs use the cores."""
         self.tracker.runs_on_cores(now, on_cores)
 
     def request_arrived(self, now: int) -> None:
+        """A request was read."""
         self.tracker.request_arrived(now)
 
     def run_ended(self, now: int) -> None:
+        """A run has ended."""
         self.tracker.run_ended(now)
 
     def request_rejected(self, now: int) -> None:
+        """A request was rejected."""
         self.tracker.request_rejected(now)
 
     def link_up(self, now: int) -> None:
+        """The kernel is connected."""
         self.tracker.link.up(now)
-        self._last = None
+        self._cached = None
 
     def link_lost(self, now: int) -> None:
+        """The kernel's connection was lost."""
         self.tracker.link.lost(now)
-        self._last = None
+        self._cached = None
 
     def state_changed(self) -> None:
-        self._last = None
-
-    def stop_accepting(self) -> None:
-        self.doors_closed, self._last = True, None
-
-    def set_policy(self, policy: HealthPolicy) -> None:
-        self.tracker.set_policy(policy)
-        self._last = None
+        """Something else has changed that a report tells."""
+        self._cached = None
 
     # ---- maintenance ----
 
-    def maintain(self, reason: str, for_s: float | None = None) -> bool:
-        """False where the runner leaves already. The one state behind maintenance and quiesce: health is bad from
-        this turn on, and whatever still comes is served."""
+    def set_maintenance(self, reason: str, duration_s: float | None = None) -> bool:
+        """Take the runner out of its load balancers; what still comes is served. None: until it is ended.
+
+        Returns False, and changes nothing, where the runner drains already.
+        """
         self.core.begin_turn()
         log.info("taken out: %s", reason)
         now = self.core.clock.now
-        self._last = None
+        self._cached = None
         if self.core.drain_state.draining:
             return False
-        taken = self.tracker.set_maintenance(
-            Maintenance(reason, now, None if for_s is None else now + round(for_s * 1e6))
-        )
-        self.told()
-        return taken
+        expires_us = None if duration_s is None else now + round(duration_s * SECOND)
+        is_set = self.tracker.set_maintenance(Maintenance(reason, now, expires_us))
+        self.on_maintenance_changed()
+        return is_set
 
-    def put_back(self) -> bool:
-        """False where no maintenance was set."""
+    def end_maintenance(self) -> bool:
+        """Put the runner back. Returns False where no maintenance was set, or where the runner drains."""
         self.core.begin_turn()
-        was = self.tracker.maintenance
-        self._last = None
-        back = not self.core.drain_state.draining and self.tracker.set_maintenance(None) and was is not None
-        if back:
-            log.info("put back")
-            self.told()
-        return back
-
-    def follow(self, maintenance: Maintenance | None) -> None:
-        """As an operator has told another process of this runner."""
+        had_maintenance = self.tracker.maintenance is not None
+        self._cached = None
+        if self.core.drain_state.draining or not self.tracker.set_maintenance(None) or not had_maintenance:
+            return False
+        log.info("put back")
+        self.on_maintenance_changed()
+        return True
+
+    def copy_maintenance(self, maintenance: Maintenance | None) -> None:
+        """Take over what an operator has set at another process of this runner."""
         self.core.begin_turn()
-        self._last = None
+        self._cached = None
         self.tracker.set_maintenance(maintenance)
 
     @property
-    def wanted(self) -> bool:
-        """No operator has taken it out: what the platform's own health checks hear."""
-        m = self.tracker.maintenance
-        return m is None or m.has_expired(self.core.clock.now)
+    def is_in_rotation(self) -> bool:
+        """Whether no maintenance is set."""
+        maintenance = self.tracker.maintenance
+        return maintenance is None or maintenance.has_expired(self.core.clock.now)
 
     @property
-    def fit(self) -> bool:
-        """The short answer of all health checks that know only yes and no. Not the whole standing: a crowd or a link
-        that is gone for a moment would take a runner off lists that learn of its return seconds late
-        (docs/design/standing.md has what that cost)."""
+    def is_fit(self) -> bool:
+        """The answer of health checks that know only yes and no.
+
+        It leaves overload and a short loss of the kernel out: lists that learn of the return seconds late would keep
+        the runner off for longer than either lasts (docs/design/standing.md).
+        """
         core = self.core
-        return core.ready and core.state.healthy and not core.drain_state.draining and self.wanted
+        return core.ready and core.state.healthy and not core.drain_state.draining and self.is_in_rotation
 
-    # ---- as probes ask ----
+    # ---- reports ----
 
     def observe(self) -> Observation:
+        """Return what is to be seen of the runner now."""
         core = self.core
-        held, oldest = core.table.queued(core.clock.now)
-        values = core.kernel_status.gauges
+        queued, oldest_queued_us = core.table.queued(core.clock.now)
+        gauges = core.kernel_status.gauges
         return Observation(
             core.clock.now,
             core.ready,
@@ -150,95 +169,54 @@
             False,
             core.runs.on_cores,
             core.runs.at_calls,
-            held,
-            oldest,
+            queued,
+            oldest_queued_us,
             core.table.unanswered,
             core.state.healthy,
             core.drain_state.draining,
-            self.doors_closed,
+            self.stopped_accepting,
             core.drain_state.remaining_us,
-            gauges_of(core.settings.gauges, values, core.kernel_status.gauges_at) if values else None,
+            gauges_of(core.settings.gauges, gauges, core.kernel_status.gauges_at) if gauges else None,
         )
 
     def report(self, source: str = "") -> HealthReport:
+        """Return the health report, at most `REPORT_CACHE_US` old.
+
+        :param source: the load balancer that asks, "" for anybody else; its interval bounds how fast weights change.
+        """
         self.core.begin_turn()
         now = self.core.clock.now
-        if self._last is not None and now - self._at < KEPT:
+        if self._cached is not None and now - self._cached_at_us < REPORT_CACHE_US:
             if source:
                 self.tracker.probes.probed(now, source)
-            return self._last
+            return self._cached
+        report = self._make_report(source)
+        self._record_change(report)
+        # `changed` is told once: those who share this report must not take it for a further change.
+        self._cached = replace(report, changed="")
+        self._cached_at_us = now
+        return report
+
+    def _make_report(self, source: str) -> HealthReport:
+        """A report that contradicts itself can't be trusted to take traffic, and no health check goes unanswered."""
         try:
-            made = self.tracker.report(self.observe(), source)
-        except ImpossibleTransitionError as exc:
-            # What contradicts itself can't be trusted to take traffic; it is said, and no probe goes unanswered.
-            log.error("observations of this runner contradict each other, it reports failed: reason=%s", exc)
-            made = HealthReport(
-                HealthState.FAILED, 0, f"standing unknown: {exc}", False, "", 0.0, 0.0, 0.0, 0.0, 0, 0
+            return self.tracker.report(self.observe(), source)
+        except ImpossibleTransitionError as error:
+            log.error(
+                "observations of this runner contradict each other, it reports failed: reason=%s", error
             )
-        if made.changed:
+            reason = f"standing unknown: {error}"
+            return HealthReport(HealthState.FAILED, 0, reason, False, "", 0.0, 0.0, 0.0, 0.0, 0, 0)
+
+    def _record_change(self, report: HealthReport) -> None:
+        if report.changed:
             log.info(
                 "health state changed: state=%s weight=%d change=%r reason=%r",
-                made.state.value,
-                made.weight,
-                made.changed,
-                made.reason,
+                report.state.value,
+                report.weight,
+                report.changed,
+                report.reason,
             )
-            self.core.counters.add("standing: " + made.state.value)
-        elif self._last is not None and self._last.weight != made.weight:
+            self.core.counters.add("standing: " + report.state.value)
+        elif self._cached is not None and self._cached.weight != report.weight:
             self.core.counters.add("weights changed")
-        # `changed` is said once: those who share this report must not take it for a further change.
-        self._last, self._at = replace(made, changed=""), now
-        return made
-
-    def inputs(self) -> dict[str, object]:
-        """All that the standing is made of, with ages in ms, for `GET /standing`."""
-        made = self.report()
-        seen, tracker = self.observe(), self.tracker
-        m = tracker.maintenance
-        return {
-            "standing": made.state.value,
-            "weight": made.weight,
-            "reason": made.reason,
-            "since_ms": (seen.now - tracker.since_us) / MS,
-            "routable": made.routable,
-            "pressure": made.pressure,
-            "parts": made.pressure_parts,
-            "unknown": list(made.unknown),
-            "crowd": {
-                "now": seen.on_cores,
-                "mean_per_core": made.mean_per_core,
-                "forecast_per_core": made.forecast_per_core,
-                "survives_per_core": made.survivable_per_core,
-                "horizon_ms": made.horizon_us / MS,
-                "trend_per_s": tracker.on_cores.trend(seen.now),
-            },
-            "at_calls": seen.at_calls,
-            "held": seen.queued,
-            "oldest_held_ms": seen.oldest_queued_us / MS,
-            "open": seen.unanswered,
-            "speed": seen.speed,
-            "gauge": None if seen.gauges is None else _gauges_json(seen.gauges, seen.now),
-            "link": {"losses_in_30_s": tracker.link.flaps(seen.now)},
-            "maintenance": None
-            if m is None
-            else {
-                "reason": m.reason,
-                "for_ms": (seen.now - m.since_us) / MS,
-                "left_ms": None if m.expires_us is None else (m.expires_us - seen.now) / MS,
-            },
-            "draining": seen.draining,
-            "left_ms": seen.shutdown_remaining_us / MS,
-            "balancers": {
-                "known": len(tracker.probes),
-                "slowest_ms": tracker.probes.longest_us(seen.now) / MS,
-            },
-        }
-
-
-def _gauges_json(gauges: KernelGauges, now: int) -> dict[str, float | None]:
-    return {
-        "busy": gauges.busy,
-        "runnable": gauges.runnable,
-        "memory": gauges.memory,
-        "age_ms": (now - gauges.read_at_us) / MS,
-    }
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -140,7 +140,7 @@
     """Return the names of the settings that wait for the next start."""
     if settings_plan.settings != service.core.settings:
         service.core.reconfigure(settings_plan)
-        service.reporter.retune(settings_plan.settings)
+        service.reporter.reconfigure(settings_plan.settings)
     return [f"settings.{name}" for name in settings_plan.deferred]
 
 
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -125,7 +125,7 @@
             return
         self.hot_restart = HotRestart(self.reactor, self.core, self, path, self.config.name)
         self.core.hooks.kernel_up = self.hot_restart.kernel_up
-        self.reporter.told = self.hot_restart.maintenance_changed
+        self.reporter.on_maintenance_changed = self.hot_restart.maintenance_changed
         self.hot_restart.start()
 
     # ---- beside another process of this runner ----
@@ -209,7 +209,7 @@
 
     def follow_maintenance(self, fields: dict[str, Any] | None) -> None:
         """Take over the maintenance state of another process of this runner."""
-        self.reporter.follow(
+        self.reporter.copy_maintenance(
             None if fields is None else Maintenance(fields["reason"], fields["since"], fields["until"])
         )
 
@@ -224,13 +224,13 @@
             self.cluster.replication.predecessor = incarnation
 
     def _is_fit(self) -> bool:
-        return self.reporter.fit
+        return self.reporter.is_fit
 
     def _accepts_more_work(self) -> bool:
         """Whether to take over orphaned work of another runner: not where this one is overloaded itself."""
         from ..health.states import HealthState
 
-        return self.reporter.fit and self.reporter.report().state is not HealthState.OVERLOADED
+        return self.reporter.is_fit and self.reporter.report().state is not HealthState.OVERLOADED
 
     def load_condition(self) -> Any:
         """The condition under which this runner's latencies were measured, for whoever learns from them."""
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -100,7 +100,7 @@
         self.world = World()
         self.owner = Runner(self.world)
         self.link = HotRestart(self, self.world.core, self.owner, "/nowhere/socket", "n1")
-        self.owner.reporter.told = self.link.maintenance_changed
+        self.owner.reporter.on_maintenance_changed = self.link.maintenance_changed
         self.transport, self.peer = Transport(), PeerConnection(self.link, accepted=True)
 
     def callLater(self, seconds: float, action: Any) -> None:
@@ -131,7 +131,7 @@
         self.world.turn()
 
     def taken_out(self, reason: str, for_s: float | None) -> None:
-        self.owner.reporter.maintain(reason, for_s)
+        self.owner.reporter.set_maintenance(reason, for_s)
 
     def has_no_room(self) -> None:
         self.peer.full(9, ("acme", "other"))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -27,7 +27,7 @@
         self.reporter = Reporter(self.core, HealthPolicy(), "n1")
         self.serving, self.transports = True, list[Transport]()
         self.console = Console(self.core, self.reporter, most, lambda: self.serving)
-        self.fit = lambda: self.reporter.fit
+        self.fit = lambda: self.reporter.is_fit
         self.front = JsonRpcFactory(self.core, 10, self.fit)
         self.uwsgi = UwsgiFactory(self.core, 10, 2048, 60.0, self.fit)
 
@@ -81,7 +81,7 @@
 
 def test_a_drain_outlasts_a_maintenance_that_ends_by_itself_and_a_kernel_that_comes_up() -> None:
     o = Operated(kernel=False)
-    o.reporter.maintain("disk", 1.0)
+    o.reporter.set_maintenance("disk", 1.0)
     assert o.call("POST", "/admin/quiesce") == 200
     o.core.kernel_up(False, 0)
     o.world.wait(2000)
@@ -137,7 +137,7 @@
         assert int(transport.value().split(b" ", 2)[1]) == code
         connection.dataReceived(b"GET /admin/health HTTP/1.1\r\n\r\n" * 3)  # one call a connection
         assert transport.value().count(b"HTTP/1.1 ") == 1
-        assert o.reporter.wanted
+        assert o.reporter.is_in_rotation
 
 
 def test_405_says_what_is_allowed() -> None:
@@ -163,7 +163,7 @@
         assert not transport.value()
     o.world.wait(150)
     assert transport.value().startswith(b"HTTP/1.1 408 ") and transport.disconnecting
-    assert o.reporter.wanted
+    assert o.reporter.is_in_rotation
 
 
 def test_a_hundred_silent_callers_neither_keep_a_call_from_its_answer_nor_hold_places() -> None:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -191,9 +191,9 @@
     p = Probes(link_down_grace_ms=500)
     core = p.world.core
     assert p.line().startswith("ready up")
-    assert p.reporter.maintain("disk\nready up 100%")
+    assert p.reporter.set_maintenance("disk\nready up 100%")
     assert p.line() == "maint #maintenance: disk?ready up 100%\n"
-    assert p.reporter.put_back() and not p.reporter.put_back()
+    assert p.reporter.end_maintenance() and not p.reporter.end_maintenance()
     assert p.line().startswith("ready up 5%")
     core.kernel_status.link_lost()
     p.world.wait(1000)
@@ -203,7 +203,7 @@
     assert p.line().startswith("ready up")
     core.drain(4000)
     assert p.line().startswith("drain #draining: leaving, 4.0 s left")
-    assert not p.reporter.maintain("late")
+    assert not p.reporter.set_maintenance("late")
     p.reporter.stop_accepting()
     assert p.line().startswith("drain stopped")
 
