--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -13,7 +13,8 @@
 from .errors import DistributionError, error_from_wire
 from .messages import RevisionId
 from .publisher import BookCallback, duty_of
-from .revision_fetching import DraftReader, RevisionFetcher
+from .revision_fetching import RevisionFetcher
+from .services import DraftReader
 
 
 class RegisterReader:
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -14,7 +14,7 @@
 from ..namespaces.document import Namespace
 from ..namespaces.errors import NamespaceError
 from .messages import RevisionId, RevisionReply, RevisionRequest
-from .services import Member, ObtainCallback
+from .services import DraftReader, Member, ObtainCallback
 
 MAX_CONCURRENT_FETCHES = 1_024  # customers
 FETCH_TIMEOUT_US = 5_000 * MS
@@ -28,14 +28,6 @@
         ...
 
 
-class DraftReader(Protocol):
-    """What fetching uses of the process."""
-
-    def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
-        """Parse a draft, and call `then` in a later turn."""
-        ...
-
-
 @dataclass(slots=True, eq=False)
 class _Fetch:
     """One customer's fetch.
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica use of their member: identity, time, messages, who is alive."""
+"""What the parts of a replica use of their member (identity, time, messages, who is alive) and of the process."""
 
 from __future__ import annotations
 
@@ -7,6 +7,9 @@
 
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MemberState
+from ..namespaces.document import Namespace
+from ..namespaces.errors import NamespaceError
+from ..namespaces.policy import Bounds, Granted
 from ..replication.messages import ComponentMessage
 from . import messages
 from .messages import PART, RevisionId
@@ -56,6 +59,46 @@
         ...
 
 
+class DraftReader(Protocol):
+    """What reads drafts: the process."""
+
+    def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
+        """Parse a draft, and call `then` in a later turn."""
+        ...
+
+
+class ReplicaHost(DraftReader, Protocol):
+    """What a replica uses of the process."""
+
+    def granted(self, customer: str) -> Granted | None:
+        """Return what is granted to a customer; None where the settings have no such customer."""
+        ...
+
+    def bounds(self, customer: str) -> Bounds:
+        """Return how much a customer may publish and retain."""
+        ...
+
+    def check(self, draft: bytes, granted: Granted, then: Callable[[NamespaceError | None], None]) -> None:
+        """Call `then` in a later turn with what is wrong with a draft, or None."""
+        ...
+
+    def keep(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
+        """Store the current revision; None: the namespace is deleted."""
+        ...
+
+    def unix_ms(self) -> int:
+        """Return the wall-clock time."""
+        ...
+
+    def became_ready(self) -> None:
+        """The replica knows what the other members have, or has stopped waiting for it."""
+        ...
+
+    def changed(self, customer: str) -> None:
+        """Another revision is current, or none."""
+        ...
+
+
 class MemberServices:
     """A participant of the cluster as a `Member`."""
 
