--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -22,7 +22,7 @@
 from ..leadership.errors import DutyError
 from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
-from .config_distribution import SWITCH_S, Pool
+from .draft_parsing import SWITCH_INTERVAL_S, DaemonThreadPool
 from .leadership import DutyLink
 
 log = logging.getLogger("moorusher")
@@ -55,7 +55,7 @@
 
     def __init__(self, duties: DutyLink, policy: Policy, reactor: Any) -> None:
         self.duties, self.policy, self.core, self._reactor = duties, policy, duties.core, reactor
-        self._pool = Pool(0, 1, name="forecast")
+        self._pool = DaemonThreadPool(0, 1, name="forecast")
         self.member = Member(duties.participant, self, policy)
         duties.forecast = self
         duties.fleet.forecast = self
@@ -109,7 +109,7 @@
 
     def _in_thread(self, work: Callable[[], Any], then: Callable[[Any], None]) -> None:
         def run() -> Any:
-            sys.setswitchinterval(SWITCH_S)
+            sys.setswitchinterval(SWITCH_INTERVAL_S)
             try:
                 return work()
             except ModuleNotFoundError as exc:
@@ -168,5 +168,5 @@
             "dropped": self.member.tally.dropped,
             "every_ms": self.policy.report_ms,
             "clock_ms": self.unix_ms(),
-            "turn_ms": SWITCH_S * MS,
+            "turn_ms": SWITCH_INTERVAL_S * MS,
         }
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -72,9 +72,9 @@
             random.Random(config.name).random,
         )
     if config.namespaces.on:
-        from ..cluster_transport.config_distribution import NamespaceLink
+        from ..cluster_transport.config_distribution import NamespaceService
 
-        parts.config_distribution = NamespaceLink(parts.replication.duties, config.namespaces, reactor)
+        parts.config_distribution = NamespaceService(parts.replication.duties, config.namespaces, reactor)
     if config.forecast.on:
         from ..cluster_transport.forecast import ForecastLink
 
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from moorusher.cluster_transport.config_distribution import Pool
+from moorusher.cluster_transport.draft_parsing import DaemonThreadPool
 from moorusher.storage import revisions
 from moorusher.storage.revisions import Store, connect
 
@@ -59,7 +59,7 @@
 
 @asynccontextmanager
 async def store(path: Path, disk: Disk | None = None) -> AsyncIterator[tuple[Store, Counter[str]]]:
-    pool, counts = Pool(0, 1), Counter[str]()
+    pool, counts = DaemonThreadPool(0, 1), Counter[str]()
     pool.start()
     made = Store(
         reactor(),
