--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -1,8 +1,8 @@
-"""Customers' current revisions on this runner's own disk, so that a start without a majority finds what it had last.
+"""Customers' current revisions on this runner's disk, so that a start without a majority has what it had last.
 
-One SQLite file, written by one thread. A revision that can't be written is owed: it is tried again each second until
-it stands in the file, or a newer one does. A damaged file is put aside, and the runner begins without: others have it.
-A file that can't be read for the moment is left as it is.
+One SQLite file, written by one thread. A revision that can't be written stays pending: the write is retried each second
+until the file has it, or a newer one. A damaged file is renamed and the runner begins without it: other runners have
+the revisions. A file that can't be read for the moment is left as it is.
 """
 
 from __future__ import annotations
@@ -31,36 +31,41 @@
     "insert into had values (?, ?, ?, ?) on conflict (customer) do update set born = excluded.born, number = "
     "excluded.number, draft = excluded.draft where (excluded.born, excluded.number) > (born, number)"
 )
-AGAIN_S = 1.0  # from a write that failed to the next one
-PATIENCE_S = 1.0  # at the start, while nothing is served yet, for a file that can't be read
-BUSY_S = 1.0  # for which SQLite itself waits for another process's lock
+WRITE_RETRY_PAUSE_S = 1.0
+OPEN_PATIENCE_S = 1.0  # at the start, while nothing is served yet, for a file that can't be read
+BUSY_TIMEOUT_S = 1.0  # for which SQLite itself waits for another process's lock
+DAMAGED_SUFFIX = ".damaged"
 
-# What says that the file's content is wrong. All other errors (full, input/output, locked, can't open) may pass.
-DAMAGE = frozenset(
+# These say that the file's content is wrong. All other errors (full, input/output, locked, can't open) may pass.
+DAMAGE_CODES = frozenset(
     {sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB, sqlite3.SQLITE_FORMAT, sqlite3.SQLITE_ERROR}
 )
-PRIMARY = 0xFF  # the part of an extended error code that names its kind
+PRIMARY_CODE_MASK = 0xFF  # the part of an extended error code that names its kind
 
-Stored = tuple[str, RevisionId, bytes | None]
+Stored = tuple[str, RevisionId, bytes | None]  # customer, revision, draft; None: the namespace is deleted
+Pending = dict[str, tuple[RevisionId, bytes | None]]  # by customer
 
 
-def is_damage(exc: Exception) -> bool:
-    """Whether the file itself is at fault, so that it would fail the same way for ever."""
-    if not isinstance(exc, sqlite3.DatabaseError):
+def is_damage(error: Exception) -> bool:
+    """Whether the file itself is at fault, so that each attempt would fail the same way."""
+    if not isinstance(error, sqlite3.DatabaseError):
         return False
-    code = getattr(
-        exc, "sqlite_errorcode", None
-    )  # absent where the module and not the library found the fault
-    return code is not None and code & PRIMARY in DAMAGE
+    # Absent where Python's module found the fault, and not the library.
+    code = getattr(error, "sqlite_errorcode", None)
+    return code is not None and code & PRIMARY_CODE_MASK in DAMAGE_CODES
 
 
 def connect(path: Path) -> sqlite3.Connection:
-    """A connection whose every statement is a transaction of its own, on the disk when it returns."""
-    return sqlite3.connect(path, check_same_thread=False, isolation_level=None, timeout=BUSY_S)
+    """Return a connection each of whose statements is a transaction, on the disk when it returns."""
+    return sqlite3.connect(path, check_same_thread=False, isolation_level=None, timeout=BUSY_TIMEOUT_S)
 
 
 class Store:
-    """The file, the thread that writes to it, and what it does not have yet."""
+    """The file, and the thread that writes to it.
+
+    path: Path, of the file.
+    failing: str, the last error until a write succeeds; "" where there is none.
+    """
 
     def __init__(
         self,
@@ -70,127 +75,132 @@
         count: Callable[[str], None],
         connect: Callable[[Path], sqlite3.Connection] = connect,
     ) -> None:
-        """`pool`: of one thread."""
-        self._reactor, self.path, self._pool, self._count = reactor, path, pool, count
-        self._connect = connect
-        self._db: sqlite3.Connection | None = None
-        self._owed: dict[str, tuple[RevisionId, bytes | None]] = {}  # a customer each
-        self._writing = self._waiting = self._closed = False
+        """`pool`: of one thread, which alone uses the connection. `count`: increments a counter."""
+        self.path = path
         self.failing = ""
+        self._reactor = reactor
+        self._pool = pool
+        self._count = count
+        self._connect = connect
+        self._connection: sqlite3.Connection | None = None
+        self._pending: Pending = {}  # not known to be in the file
+        self._writing = False
+        self._retry_scheduled = False
+        self._closed = False
 
     # ---- the start ----
 
     def open(self) -> list[Stored]:
-        """What was had last. Called once, before the loop has work to do."""
+        """Return what is stored; [] where it can't be read. Called once, before the reactor has work to do."""
         try:
-            return retry_transient(self._open, PATIENCE_S, may_pass=lambda exc: not is_damage(exc))
-        except (OSError, sqlite3.Error) as exc:
-            self._drop()
-            if is_damage(exc):
-                return self._begin_anew(exc)
-            self._fails(exc)
+            return retry_transient(self._open, OPEN_PATIENCE_S, may_pass=lambda error: not is_damage(error))
+        except (OSError, sqlite3.Error) as error:
+            self._disconnect()
+            if is_damage(error):
+                return self._replace_damaged(error)
+            self._note_failure(error)
             return []
 
-    def _begin_anew(self, exc: Exception) -> list[Stored]:
+    def _replace_damaged(self, damage: Exception) -> list[Stored]:
+        damaged_path = self.path.with_suffix(DAMAGED_SUFFIX)
         log.error(
-            "namespaces: %s can't be read, and is put aside as %s: %s",
-            self.path,
-            self.path.with_suffix(".damaged").name,
-            exc,
+            "namespaces: %s can't be read, and is put aside as %s: %s", self.path, damaged_path.name, damage
         )
         self._count("namespaces: a damaged store")
         try:
-            self.path.replace(self.path.with_suffix(".damaged"))
+            self.path.replace(damaged_path)
             return self._open()
-        except (OSError, sqlite3.Error) as again:
-            self._drop()
-            self._fails(again)
+        except (OSError, sqlite3.Error) as error:
+            self._disconnect()
+            self._note_failure(error)
             return []
 
     def _open(self) -> list[Stored]:
-        self._drop()
+        self._disconnect()
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        self._db = self._connect(self.path)
-        self._db.execute("pragma journal_mode=delete")
-        self._db.execute("pragma synchronous=full")
-        self._db.execute(SCHEMA)
-        found = self._db.execute(SELECT).fetchall()
-        return [(customer, (born, number), draft) for customer, born, number, draft in found]
-
-    def _drop(self) -> None:
-        db, self._db = self._db, None
-        if db is not None:
-            db.close()
+        self._connection = self._connect(self.path)
+        self._connection.execute("pragma journal_mode=delete")
+        self._connection.execute("pragma synchronous=full")
+        self._connection.execute(SCHEMA)
+        rows = self._connection.execute(SELECT).fetchall()
+        return [(customer, (incarnation, number), draft) for customer, incarnation, number, draft in rows]
+
+    def _disconnect(self) -> None:
+        connection = self._connection
+        self._connection = None
+        if connection is not None:
+            connection.close()
 
     # ---- writes ----
 
-    def put(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
-        """`draft` is None where it is gone. An older one than what is there changes nothing."""
+    def put(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
+        """Write a revision, or with None that the namespace is deleted; one older than what is there is ignored."""
         if self._closed:
             return
-        owed = self._owed.get(customer)
-        if owed is None or at > owed[0]:
-            self._owed[customer] = at, draft
-        if not self._waiting:
+        pending = self._pending.get(customer)
+        if pending is None or revision_id > pending[0]:
+            self._pending[customer] = (revision_id, draft)
+        if not self._retry_scheduled:
             self._write()
 
     def _write(self) -> None:
-        """All that is owed; what comes meanwhile goes with the next write."""
-        if self._closed or self._writing or not self._owed:
+        """Write all that is pending; what is put meanwhile goes with the next write."""
+        if self._closed or self._writing or not self._pending:
             return
         self._writing = True
-        batch = dict(self._owed)
-        done = deferToThreadPool(self._reactor, self._pool, self._write_all, batch)
-        done.addCallbacks(lambda _: self._written(batch), self._not_written)
-        done.addErrback(lambda failure: log.error("namespaces: %s", failure.getTraceback()))
+        batch = dict(self._pending)
+        writing = deferToThreadPool(self._reactor, self._pool, self._write_all, batch)
+        writing.addCallbacks(lambda _: self._on_written(batch), self._on_write_failed)
+        writing.addErrback(lambda failure: log.error("namespaces: %s", failure.getTraceback()))
 
-    def _write_all(self, batch: dict[str, tuple[RevisionId, bytes | None]]) -> None:
+    def _write_all(self, batch: Pending) -> None:
         """In the pool's thread. A connection that has failed is not used again."""
         try:
-            if self._db is None:
+            if self._connection is None:
                 self._open()
-            assert self._db is not None
-            for customer, (at, draft) in batch.items():
-                self._db.execute(PUT, (customer, *at, draft))
+            assert self._connection is not None
+            for customer, (revision_id, draft) in batch.items():
+                self._connection.execute(PUT, (customer, *revision_id, draft))
         except BaseException:
-            self._drop()
+            self._disconnect()
             raise
 
-    def _written(self, batch: dict[str, tuple[RevisionId, bytes | None]]) -> None:
+    def _on_written(self, batch: Pending) -> None:
         self._writing = False
-        for customer, had in batch.items():
-            if self._owed.get(customer) == had:
-                del self._owed[customer]
+        for customer, written in batch.items():
+            if self._pending.get(customer) == written:
+                del self._pending[customer]
         if self.failing:
             log.warning("namespaces: %s is written again", self.path)
             self.failing = ""
         self._write()
 
-    def _not_written(self, failure: Failure) -> None:
+    def _on_write_failed(self, failure: Failure) -> None:
         self._writing = False
-        self._fails(failure.value or RuntimeError("failed"))
-        self._waiting = True
-        self._reactor.callLater(AGAIN_S, self._again)
+        self._note_failure(failure.value or RuntimeError("failed"))
+        self._retry_scheduled = True
+        self._reactor.callLater(WRITE_RETRY_PAUSE_S, self._retry)
 
-    def _again(self) -> None:
-        self._waiting = False
+    def _retry(self) -> None:
+        self._retry_scheduled = False
         self._write()
 
-    def _fails(self, exc: BaseException) -> None:
-        if str(exc) != self.failing:
-            log.error("namespaces: %s can't be written, and is tried again: %s", self.path, exc)
-        self.failing = str(exc) or type(exc).__name__
+    def _note_failure(self, error: BaseException) -> None:
+        """Count each failure; log it where it differs from the last one."""
+        if str(error) != self.failing:
+            log.error("namespaces: %s can't be written, and is tried again: %s", self.path, error)
+        self.failing = str(error) or type(error).__name__
         self._count("namespaces: store not written")
 
     def close(self) -> None:
-        """What is owed gets one more try."""
+        """Attempt once more to write what is pending, then close the file."""
         self._closed = True
-        self._pool.callInThread(self._last_write, dict(self._owed))
+        self._pool.callInThread(self._write_last, dict(self._pending))
 
-    def _last_write(self, batch: dict[str, tuple[RevisionId, bytes | None]]) -> None:
+    def _write_last(self, batch: Pending) -> None:
         try:
             self._write_all(batch)
-        except (OSError, sqlite3.Error) as exc:
-            log.error("namespaces: %d customers' revisions are not in %s: %s", len(batch), self.path, exc)
+        except (OSError, sqlite3.Error) as error:
+            log.error("namespaces: %d customers' revisions are not in %s: %s", len(batch), self.path, error)
         finally:
-            self._drop()
+            self._disconnect()
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -110,7 +110,7 @@
         self._store._write_all(had)
 
     def close(self) -> None:
-        self._store._drop()
+        self._store._disconnect()
 
 
 FIGURES: dict[str, Any] = {
