--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -14,7 +14,7 @@
 from ..namespaces.customers import Revision
 from ..namespaces.errors import NoSuchCustomer
 from ..namespaces.revisions import Book, Submission, difference
-from ..namespaces.rules import Asked
+from ..namespaces.rules import RequestAttributes
 from ..routing.route import decide_route
 
 ResultCallback = Callable[[dict[str, Any] | DistributionError], None]
@@ -54,7 +54,7 @@
     }
 
 
-def _explanation_json(customer: str, revision: Revision | None, asked: Asked) -> dict[str, Any]:
+def _explanation_json(customer: str, revision: Revision | None, asked: RequestAttributes) -> dict[str, Any]:
     if revision is None:
         return {"customer": customer, "revision": 0, "decides": "the platform's default"}
     decision = decide_route(revision, asked)
@@ -128,7 +128,7 @@
         if self._is_customer(customer, then):
             self._replica.delete(customer, self._after_change(customer, wait, then))
 
-    def explain(self, customer: str, asked: Asked, then: ResultCallback) -> None:
+    def explain(self, customer: str, asked: RequestAttributes, then: ResultCallback) -> None:
         """Say which rule decides for such a request at this runner, and what its calls would do now."""
         if self._is_customer(customer, then):
             then(_explanation_json(customer, self._replica.customers.of(customer), asked))
--- a/moorusher/admin/namespaces.py
+++ b/moorusher/admin/namespaces.py
@@ -12,8 +12,8 @@
 
 from ..cluster_transport.config_distribution import NamespaceService
 from ..namespaces.errors import Malformed
-from ..namespaces.revisions import MOST_BY, Submission
-from ..namespaces.rules import Asked
+from ..namespaces.revisions import MAX_AUTHOR_LENGTH, Submission
+from ..namespaces.rules import RequestAttributes
 from .api import NO_TOKEN, Guarded, later, path_of, reply
 from .namespace_operations import NamespaceOperations
 
@@ -51,15 +51,15 @@
         customer,
         submission_id,
         int(_number(request, "expects", -1, -1, MAX_NUMBER)),
-        _query(request, "by", "api")[:MOST_BY],
+        _query(request, "by", "api")[:MAX_AUTHOR_LENGTH],
         draft,
         back_to,
     )
 
 
-def _asked(request: Any) -> Asked:
+def _asked(request: Any) -> RequestAttributes:
     """Return the request that `explain` asks about."""
-    return Asked(
+    return RequestAttributes(
         _query(request, "class"),
         int(_number(request, "caller", -1, -1, MAX_NUMBER)),
         int(_number(request, "subject", -1, -1, MAX_NUMBER)),
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -21,7 +21,7 @@
 from ..namespaces.document import Namespace
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
-from ..namespaces.rules import Asked
+from ..namespaces.rules import RequestAttributes
 from ..routing.route import RoutingDecision, decide_route
 from ..storage.revisions import Store
 from .draft_parsing import SWITCH_INTERVAL_S, DaemonThreadPool, DraftParser
@@ -32,13 +32,13 @@
 STORE_FILE = "namespaces.db"
 
 
-def asked_of(arrival: Arrival) -> Asked:
+def attributes_of(arrival: Arrival) -> RequestAttributes:
     """Return what rules may look at of a request.
 
     A split of a request without a key goes by its caller's subject, else by its own id: then its retries may differ.
     """
     subject = -1 if arrival.subject is None else arrival.subject
-    return Asked(
+    return RequestAttributes(
         arrival.class_name,
         arrival.caller,
         subject,
@@ -103,7 +103,7 @@
         revision = self.replica.customers.of(tenant)
         if revision is None:
             return None
-        return decide_route(revision, asked_of(arrival))
+        return decide_route(revision, attributes_of(arrival))
 
     def ruling(
         self,
@@ -118,7 +118,7 @@
             return
 
         def found(got: Revision | DistributionError) -> None:
-            then(decide_route(got, asked_of(arrival)) if isinstance(got, Revision) else got)
+            then(decide_route(got, attributes_of(arrival)) if isinstance(got, Revision) else got)
 
         self.replica.register.revision(customer, revision_id, found)
 
--- a/moorusher/cluster_transport/draft_parsing.py
+++ b/moorusher/cluster_transport/draft_parsing.py
@@ -11,7 +11,7 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ..namespaces.document import Namespace, read
+from ..namespaces.document import Namespace, parse_draft
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Granted
 
@@ -41,7 +41,7 @@
     """
     gc.disable()
     try:
-        return read(draft, granted)
+        return parse_draft(draft, granted)
     except NamespaceError as exc:
         return exc
     finally:
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -16,7 +16,7 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
-from ..namespaces.revisions import Book, Submission, drafted, pack, published, unpack
+from ..namespaces.revisions import Book, Submission, draft_to_publish, pack, published, unpack
 from .errors import DistributionError
 from .messages import RevisionId
 
@@ -148,7 +148,7 @@
             self._done((self.incarnation, before.number))
             return
         try:
-            draft = drafted(book, submission)
+            draft = draft_to_publish(book, submission)
         except NamespaceError as exc:
             self._done(exc)
             return
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -12,7 +12,7 @@
 
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
-from ..namespaces.customers import Customers
+from ..namespaces.customers import CurrentRevisions
 from ..namespaces.revisions import Submission
 from . import messages
 from .anti_entropy import AntiEntropy
@@ -55,7 +55,7 @@
         """`max_customers`: deleted namespaces that are remembered."""
         self._host = host
         self.member = member = MemberServices(participant, self._handle)
-        self.revisions = RevisionFetcher(member, Customers(max_customers), host, self._changed)
+        self.revisions = RevisionFetcher(member, CurrentRevisions(max_customers), host, self._changed)
         self.disseminator = Disseminator(member, self.revisions, member.seats, member.incarnation)
         self.anti_entropy = AntiEntropy(member, self.revisions, len(member.seats), host.became_ready)
         self.submissions = SubmissionForwarder(member, participant, host.granted, member.incarnation)
@@ -78,7 +78,7 @@
         participant.node.components[PART] = self._on_message
 
     @property
-    def customers(self) -> Customers:
+    def customers(self) -> CurrentRevisions:
         """The current revisions."""
         return self.revisions.customers
 
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ..membership.failure_detector import MS
-from ..namespaces.customers import Customers, Revision, Stale
+from ..namespaces.customers import CurrentRevisions, Revision, Stale
 from ..namespaces.document import Namespace
 from ..namespaces.errors import NamespaceError
 from .messages import RevisionId, RevisionReply, RevisionRequest
@@ -49,13 +49,13 @@
 
     Serves as `dissemination.DraftSource` and as `anti_entropy.KnownRevisions`.
 
-    customers: Customers, the current revisions.
+    customers: CurrentRevisions, the current revisions.
     """
 
     def __init__(
         self,
         member: FetchingMember,
-        customers: Customers,
+        customers: CurrentRevisions,
         reader: DraftReader,
         on_changed: Callable[[str, bytes | None], None],
     ) -> None:
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -13,12 +13,12 @@
 
 from twisted.internet.threads import deferToThread
 
-from ..namespaces.customers import Customers
-from ..namespaces.document import read
+from ..namespaces.customers import CurrentRevisions
+from ..namespaces.document import parse_draft
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import UNBOUNDED, Granted
-from ..namespaces.rules import Asked, Rule
-from ..namespaces.table import Table
+from ..namespaces.rules import RequestAttributes, Rule
+from ..namespaces.table import RuleTable
 from .balancer import Server
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
@@ -35,13 +35,13 @@
 SLOW_S = 0.005  # of a server below
 
 
-def plain(rules: list[Rule], asked: Asked) -> str | None:
+def plain(rules: list[Rule], asked: RequestAttributes) -> str | None:
     """A team's first; of those that match, the one whose parts are the smallest, looked at one after the other."""
     best: Rule | None = None
     for rule in rules:
         if not all(
             getattr(asked, name) in getattr(rule.match, name)
-            for name in ("key", "subject", "caller", "klass", "rank")
+            for name in ("key", "subject", "caller", "class_name", "rank")
         ):
             continue
         if best is None or bool(rule.team) > bool(best.team):
@@ -85,12 +85,12 @@
     rng, wrong, done, refused = random.Random(seed), 0, 0, 0
     while done < wanted:
         try:
-            table: Table = read(drawn(rng), GRANTED).table
+            table: RuleTable = parse_draft(drawn(rng), GRANTED).table
         except NamespaceError:
             refused += 1
             continue
         for _ in range(200):
-            asked = Asked(
+            asked = RequestAttributes(
                 rng.choice(("check", "submit", "seek")),
                 rng.randint(-1, 10),
                 rng.randint(-1, 10),
@@ -113,9 +113,9 @@
     ).encode()
 
 
-def look_up_us(customers: Customers, name: str, rules: int) -> float:
+def look_up_us(customers: CurrentRevisions, name: str, rules: int) -> float:
     """The median of several goes, as a request's way through the core has it: by name, then by its rules."""
-    asked = [Asked("submit", i % 60, -1, 0.1, f"{i % rules:05x}-abc") for i in range(5_000)]
+    asked = [RequestAttributes("submit", i % 60, -1, 0.1, f"{i % rules:05x}-abc") for i in range(5_000)]
     goes = []
     for _ in range(7):
         began = time.perf_counter()
@@ -129,7 +129,7 @@
 
 def look_ups(others: int, rules_of_others: int) -> dict[str, float]:
     """How long a look-up takes, alone and beside others."""
-    customers = Customers(others + 1)
+    customers = CurrentRevisions(others + 1)
     customers.take("acme", (1, 1), ruled(1_000), GRANTED)
     alone = look_up_us(customers, "acme", 1_000)
     shared = ruled(rules_of_others)
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -22,7 +22,7 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.worker import Worker
-from ..namespaces.document import Namespace, read
+from ..namespaces.document import Namespace, parse_draft
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
@@ -80,7 +80,7 @@
 
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
         try:
-            got: Namespace | NamespaceError = read(draft, None)
+            got: Namespace | NamespaceError = parse_draft(draft, None)
         except NamespaceError as exc:
             got = exc
         self.sim.at(self.sim.now + round(self.sim.random.uniform(0.2, 40) * MS), self, lambda: then(got))
--- a/moorusher/namespaces/atoms.py
+++ b/moorusher/namespaces/atoms.py
@@ -10,13 +10,13 @@
 from bisect import bisect_right
 from collections.abc import Iterable
 
-from .sets import MOST_NUMBER, Part, Ranges, Words
+from .sets import MAX_NUMBER, NumberRanges, Part, StringSet
 
 
-class WordAtoms:
+class StringAtoms:
     """Sets of words, told apart as far as rules tell them apart."""
 
-    def __init__(self, sets: Iterable[Words]) -> None:
+    def __init__(self, sets: Iterable[StringSet]) -> None:
         prefixes, words = {""}, set[str]()
         for one in sets:
             prefixes |= one.prefixes
@@ -43,7 +43,7 @@
         raise AssertionError("the empty prefix holds every string")
 
     def bits(self, part: Part) -> int:
-        assert isinstance(part, Words)
+        assert isinstance(part, StringSet)
         made = 0
         for w in part.words:
             made |= 1 << self._words[w]
@@ -66,20 +66,22 @@
 class NumberAtoms:
     """`ends_of`: the values that there can be at all."""
 
-    def __init__(self, sets: Iterable[Ranges], ends_of: tuple[float, float] = (-1.0, MOST_NUMBER)) -> None:
+    def __init__(
+        self, sets: Iterable[NumberRanges], ends_of: tuple[float, float] = (-1.0, MAX_NUMBER)
+    ) -> None:
         ends = set(ends_of)
         for one in sets:
             for part in one.parts:
                 ends.update(part)
         self._ends = sorted(ends)
         self.count = len(self._ends) + 1
-        self.whole = self.bits(Ranges(((ends_of[0], ends_of[1]),)))
+        self.whole = self.bits(NumberRanges(((ends_of[0], ends_of[1]),)))
 
     def of(self, number: float) -> int:
         return bisect_right(self._ends, number)
 
     def bits(self, part: Part) -> int:
-        assert isinstance(part, Ranges)
+        assert isinstance(part, NumberRanges)
         made = 0
         for low, high in part.parts:
             first, last = self.of(low), self.of(high)
@@ -90,4 +92,4 @@
         return self._ends[min(max(atom - 1, 0), len(self._ends) - 1)]
 
 
-Atoms = WordAtoms | NumberAtoms
+Atoms = StringAtoms | NumberAtoms
--- a/moorusher/namespaces/customers.py
+++ b/moorusher/namespaces/customers.py
@@ -10,10 +10,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .document import Namespace, Route, read
+from .document import Namespace, Route, parse_draft
 from .errors import NamespaceError
 from .policy import Granted
-from .rules import Asked
+from .rules import RequestAttributes
 from .table import Decision
 
 
@@ -33,13 +33,13 @@
     namespace: Namespace
     draft: bytes = b""
 
-    def decide(self, asked: Asked) -> tuple[Decision, tuple[Route, ...]]:
+    def decide(self, asked: RequestAttributes) -> tuple[Decision, tuple[Route, ...]]:
         """What was decided, and the routes to try in their order; none where it is refused."""
         decision = self.namespace.table.decide(asked)
-        return decision, () if decision.route is None else self.namespace.way(decision.route)
+        return decision, () if decision.route is None else self.namespace.fallback_chain(decision.route)
 
 
-class Customers:
+class CurrentRevisions:
     """`most`: namespaces and tombstones of them at a time."""
 
     def __init__(self, most: int = 10_000) -> None:
@@ -53,7 +53,7 @@
     def take(self, customer: str, at: tuple[int, int], draft: bytes, granted: Granted | None) -> Revision:
         """A revision that was published. Raises Stale, or what is wrong with it; then the one before stays."""
         self._later(customer, at)
-        return self.put(Revision(customer, at, read(draft, granted), draft))
+        return self.put(Revision(customer, at, parse_draft(draft, granted), draft))
 
     def put(self, made: Revision) -> Revision:
         """One that was read elsewhere. Raises Stale."""
--- a/moorusher/namespaces/document.py
+++ b/moorusher/namespaces/document.py
@@ -23,26 +23,32 @@
 from .errors import Circular, Foreign, Malformed, OverBudget
 from .names import checked
 from .policy import UNBOUNDED, Granted
-from .rules import Match, Outcome, Refuse, Rule, Split, To
-from .sets import EVERY_NUMBER, EVERY_RANK, EVERY_WORD, MOST_NUMBER, Ranges, Words
-from .table import Table
+from .rules import Match, Outcome, Reject, RouteTo, Rule, Split
+from .sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, MAX_NUMBER, NumberRanges, StringSet
+from .table import RuleTable
 
-MOST_REASON = 200  # characters
-MOST_WEIGHT = 1_000_000
+MAX_REASON_LENGTH = 200  # characters
+MAX_WEIGHT = 1_000_000
 EVERYTHING = Match()
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """`servers`: weights by name, this customer's own; or `pool`, one that was granted. `limit`: calls at a time, 0 for
-    none; `tries`: 1 is no further one; `fall_back`: the route where this one can't."""
+    """Where calls go: servers of the customer's own, or one pool.
+
+    servers: names with weights; none where it is a pool.
+    pool: the name of one that is granted, "" where it is servers.
+    max_in_flight: calls at a time; 0 for no limit.
+    max_attempts: of one call.
+    fallback: the route to take where this one fails, "" for none.
+    """
 
     name: str
     servers: tuple[tuple[str, int], ...] = ()
     pool: str = ""
-    limit: int = 0
-    tries: int = 1
-    fall_back: str = ""
+    max_in_flight: int = 0
+    max_attempts: int = 1
+    fallback: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,19 +56,19 @@
     """One revision's meaning: the same bytes and grants give the same one."""
 
     routes: Mapping[str, Route]
-    table: Table
+    table: RuleTable
     default: str
 
-    def way(self, route: str) -> tuple[Route, ...]:
+    def fallback_chain(self, route: str) -> tuple[Route, ...]:
         """That route and those that it falls back to, in order."""
         found: list[Route] = []
         while route:
             found.append(self.routes[route])
-            route = found[-1].fall_back
+            route = found[-1].fallback
         return tuple(found)
 
 
-def read(draft: bytes, granted: Granted | None) -> Namespace:
+def parse_draft(draft: bytes, granted: Granted | None) -> Namespace:
     """Raises one of `errors.ERRORS`, with the path of what is wrong. `granted` is None for a draft that was published:
     it was checked then, and what it names that is not granted here, or no longer, is passed over by whoever routes."""
     published, granted = granted is None, granted or Granted()
@@ -84,8 +90,8 @@
     if default not in routes:
         raise Foreign(f"default: no such route of yours: {default!r}")
     for route in routes.values():
-        if route.fall_back and route.fall_back not in routes:
-            raise Foreign(f"routes.{route.name}.fall_back: no such route of yours: {route.fall_back!r}")
+        if route.fallback and route.fallback not in routes:
+            raise Foreign(f"routes.{route.name}.fall_back: no such route of yours: {route.fallback!r}")
     _no_circle(routes)
     rules = _rules(root.get("rules"), "rules", routes, EVERYTHING, "")
     for team, one in _named(root.get("teams"), "teams").items():
@@ -95,7 +101,7 @@
         rules += _rules(said.get("rules"), f"{path}.rules", routes, inside, team)
     _count("rules", len(rules), budget.rules)
     _count("words", sum(_words(r.match) for r in rules), budget.words)
-    return Namespace(routes, Table(rules, default, budget.steps, budget.table_bytes, published), default)
+    return Namespace(routes, RuleTable(rules, default, budget.steps, budget.table_bytes, published), default)
 
 
 def _count(what: str, there: int, granted: int) -> None:
@@ -136,7 +142,7 @@
     said = _object(raw, path, {"servers", "pool", "limit", "tries", "fall_back"})
     servers = tuple(
         sorted(
-            (s, _whole(w, f"{path}.servers.{s}", 0, MOST_WEIGHT))
+            (s, _whole(w, f"{path}.servers.{s}", 0, MAX_WEIGHT))
             for s, w in _named(said.get("servers"), f"{path}.servers").items()
         )
     )
@@ -163,7 +169,7 @@
 def _no_circle(routes: Mapping[str, Route]) -> None:
     for name in sorted(routes):
         seen = [name]
-        while (then := routes[seen[-1]].fall_back) and then not in seen:
+        while (then := routes[seen[-1]].fallback) and then not in seen:
             seen.append(then)
         if then == name:
             raise Circular(f"routes: {' falls back to '.join([*seen, name])}")
@@ -185,20 +191,20 @@
         raise Malformed(f"{path}: expected one of to, split, refuse")
     value = said[kinds[0]]
     if kinds[0] == "refuse":
-        if not isinstance(value, str) or not 0 < len(value) <= MOST_REASON:
-            raise Malformed(f"{path}.refuse: expected a reason of 1 to {MOST_REASON} characters")
-        return Refuse(value)
+        if not isinstance(value, str) or not 0 < len(value) <= MAX_REASON_LENGTH:
+            raise Malformed(f"{path}.refuse: expected a reason of 1 to {MAX_REASON_LENGTH} characters")
+        return Reject(value)
     weights = (
         {value: 1} if kinds[0] == "to" and isinstance(value, str) else _named(value, f"{path}.{kinds[0]}")
     )
     for name, weight in weights.items():
         if name not in routes:
             raise Foreign(f"{path}.{kinds[0]}: no such route of yours: {name!r}")
-        _whole(weight, f"{path}.split.{name}", 0, MOST_WEIGHT)
+        _whole(weight, f"{path}.split.{name}", 0, MAX_WEIGHT)
     if kinds[0] == "to":
         if not isinstance(value, str):
             raise Malformed(f"{path}.to: expected the name of a route")
-        return To(value)
+        return RouteTo(value)
     if not any(weights.values()):
         raise Malformed(f"{path}.split: expected a weight above 0")
     return Split(tuple(sorted(weights.items())))
@@ -208,27 +214,29 @@
     said = _object(raw, path, {"key", "class", "caller", "subject", "rank"})
     return Match(
         _strings(said, "key", path),
-        _numbers(said, "subject", path, -1, MOST_NUMBER, EVERY_NUMBER),
-        _numbers(said, "caller", path, -1, MOST_NUMBER, EVERY_NUMBER),
+        _numbers(said, "subject", path, -1, MAX_NUMBER, ALL_NUMBERS),
+        _numbers(said, "caller", path, -1, MAX_NUMBER, ALL_NUMBERS),
         _strings(said, "class", path),
-        _numbers(said, "rank", path, 0, 1, EVERY_RANK),
+        _numbers(said, "rank", path, 0, 1, ALL_RANKS),
     )
 
 
-def _strings(said: Mapping[str, Any], name: str, path: str) -> Words:
+def _strings(said: Mapping[str, Any], name: str, path: str) -> StringSet:
     if name not in said:
-        return EVERY_WORD
+        return ALL_STRINGS
     listed = said[name]
     if not isinstance(listed, list) or not all(isinstance(w, str) and len(w) <= 256 for w in listed):
         raise Malformed(
             f"{path}.{name}: expected a list of strings of at most 256 characters; a last * is a prefix"
         )
-    return Words.of([w for w in listed if not w.endswith("*")], [w[:-1] for w in listed if w.endswith("*")])
+    return StringSet.of(
+        [w for w in listed if not w.endswith("*")], [w[:-1] for w in listed if w.endswith("*")]
+    )
 
 
 def _numbers(
-    said: Mapping[str, Any], name: str, path: str, least: float, most: float, every: Ranges
-) -> Ranges:
+    said: Mapping[str, Any], name: str, path: str, least: float, most: float, every: NumberRanges
+) -> NumberRanges:
     if name not in said:
         return every
     parts = said[name]
@@ -239,22 +247,22 @@
         for p in parts
     ):
         raise Malformed(f"{path}.{name}: expected a list of [from, to], from {least:g} to {most:g}")
-    return Ranges.of([(float(a), float(b)) for a, b in parts])
+    return NumberRanges.of([(float(a), float(b)) for a, b in parts])
 
 
 def _meet(a: Match, b: Match) -> Match:
     if b is EVERYTHING:
         return a
     return Match(
-        a.key.meet(b.key),
-        a.subject.meet(b.subject),
-        a.caller.meet(b.caller),
-        a.klass.meet(b.klass),
-        a.rank.meet(b.rank),
+        a.key.intersect(b.key),
+        a.subject.intersect(b.subject),
+        a.caller.intersect(b.caller),
+        a.class_name.intersect(b.class_name),
+        a.rank.intersect(b.rank),
     )
 
 
 def _words(match: Match) -> int:
     return sum(
-        len(p.prefixes) + len(p.words) if isinstance(p, Words) else len(p.parts) for p in match.parts()
+        len(p.prefixes) + len(p.words) if isinstance(p, StringSet) else len(p.parts) for p in match.parts()
     )
--- a/moorusher/namespaces/revisions.py
+++ b/moorusher/namespaces/revisions.py
@@ -14,8 +14,8 @@
 from .policy import SMALL, Bounds
 
 HOUR_MS = 3_600_000
-MOST_CHANGES = 20  # that are told of
-MOST_BY = 64  # characters
+MAX_LISTED_CHANGES = 20  # that are told of
+MAX_AUTHOR_LENGTH = 64  # characters
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -85,7 +85,7 @@
     return book
 
 
-def drafted(book: Book, s: Submission) -> bytes:
+def draft_to_publish(book: Book, s: Submission) -> bytes:
     """What is to be checked and published. Raises Conflict, Retired."""
     if s.expects >= 0 and s.expects != book.number:
         before, now = book.find(s.expects), book.current
@@ -110,7 +110,7 @@
         raise OverBudget(f"{len(times)} revisions within the hour; {bounds.an_hour} are granted")
     if len(draft) + SMALL > bounds.bytes:
         raise OverBudget(f"a draft of {len(draft)} bytes; {bounds.bytes - SMALL} can be kept")
-    entries = [Entry(book.number + 1, s.id, now_ms, s.by[:MOST_BY], draft, s.back_to)]
+    entries = [Entry(book.number + 1, s.id, now_ms, s.by[:MAX_AUTHOR_LENGTH], draft, s.back_to)]
     size = len(draft) + SMALL
     for entry in book.entries[: bounds.keep - 1]:
         size += len(entry.draft)
@@ -128,8 +128,8 @@
         for name in sorted(a.keys() | b.keys())
         if a.get(name) != b.get(name)
     ]
-    return tuple(told[:MOST_CHANGES]) + (
-        (f"and {len(told) - MOST_CHANGES} more",) if len(told) > MOST_CHANGES else ()
+    return tuple(told[:MAX_LISTED_CHANGES]) + (
+        (f"and {len(told) - MAX_LISTED_CHANGES} more",) if len(told) > MAX_LISTED_CHANGES else ()
     )
 
 
--- a/moorusher/namespaces/rules.py
+++ b/moorusher/namespaces/rules.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, fields
 
-from .sets import EVERY_NUMBER, EVERY_RANK, EVERY_WORD, Part, Ranges, Size, Words
+from .sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, NumberRanges, Part, Size, StringSet
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestAttributes:
     """Of a request, what rules may look at. -1 for no subject, "" for no key. `spread`: what splits go by where there
     is no key; no rule sees it."""
 
-    klass: str
+    class_name: str
     caller: int = -1
     subject: int = -1
     rank: float = 0.0
@@ -24,17 +24,17 @@
 class Match:
     """All of them must hold. In the order in which they count for how specific a rule is."""
 
-    key: Words = EVERY_WORD
-    subject: Ranges = EVERY_NUMBER
-    caller: Ranges = EVERY_NUMBER
-    klass: Words = EVERY_WORD
-    rank: Ranges = EVERY_RANK
+    key: StringSet = ALL_STRINGS
+    subject: NumberRanges = ALL_NUMBERS
+    caller: NumberRanges = ALL_NUMBERS
+    class_name: StringSet = ALL_STRINGS
+    rank: NumberRanges = ALL_RANKS
 
     def parts(self) -> tuple[Part, ...]:
-        return self.key, self.subject, self.caller, self.klass, self.rank
+        return self.key, self.subject, self.caller, self.class_name, self.rank
 
     def __contains__(self, asked: object) -> bool:
-        return isinstance(asked, Asked) and all(
+        return isinstance(asked, RequestAttributes) and all(
             getattr(asked, name) in getattr(self, name) for name in DIMENSIONS
         )
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class To:
+class RouteTo:
     """A route of this customer's."""
 
     route: str
@@ -62,13 +62,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """A rule's word that a request is turned away, with the reason that its client reads."""
 
     reason: str
 
 
-Outcome = To | Split | Refuse
+Outcome = RouteTo | Split | Reject
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/namespaces/sets.py
+++ b/moorusher/namespaces/sets.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
+class StringSet:
     """Strings that begin with one of `prefixes` (the empty one: all strings), and those in `words`. Normal: no prefix
     begins with another, and no word with a prefix."""
 
@@ -22,7 +22,7 @@
     words: frozenset[str] = frozenset()
 
     @classmethod
-    def of(cls, words: Iterable[str] = (), prefixes: Iterable[str] = ()) -> Words:
+    def of(cls, words: Iterable[str] = (), prefixes: Iterable[str] = ()) -> StringSet:
         outer: set[str] = set()
         for p in sorted(prefixes, key=len):
             if not any(p[:n] in outer for n in range(len(p) + 1)):
@@ -37,11 +37,11 @@
             word in self.words or any(word.startswith(p) for p in self.prefixes)
         )
 
-    def meet(self, other: Words) -> Words:
+    def intersect(self, other: StringSet) -> StringSet:
         prefixes = {p for p in self.prefixes if any(p.startswith(o) for o in other.prefixes)} | {
             o for o in other.prefixes if any(o.startswith(p) for p in self.prefixes)
         }
-        return Words.of(
+        return StringSet.of(
             {w for w in self.words if w in other} | {w for w in other.words if w in self}, prefixes
         )
 
@@ -51,13 +51,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ranges:
+class NumberRanges:
     """Numbers from the first of each pair up to, and without, the second. Normal: in order, apart from each other."""
 
     parts: tuple[tuple[float, float], ...] = ()
 
     @classmethod
-    def of(cls, parts: Iterable[tuple[float, float]]) -> Ranges:
+    def of(cls, parts: Iterable[tuple[float, float]]) -> NumberRanges:
         made: list[tuple[float, float]] = []
         for low, high in sorted(p for p in parts if p[0] < p[1]):
             if made and low <= made[-1][1]:
@@ -69,15 +69,15 @@
     def __contains__(self, number: object) -> bool:
         return isinstance(number, (int, float)) and any(low <= number < high for low, high in self.parts)
 
-    def meet(self, other: Ranges) -> Ranges:
-        return Ranges.of((max(a, c), min(b, d)) for a, b in self.parts for c, d in other.parts)
+    def intersect(self, other: NumberRanges) -> NumberRanges:
+        return NumberRanges.of((max(a, c), min(b, d)) for a, b in self.parts for c, d in other.parts)
 
     def size(self) -> Size:
         return sum((Fraction(b) - Fraction(a) for a, b in self.parts), Fraction()), 0
 
 
-MOST_NUMBER = float(1 << 53)
-EVERY_WORD = Words(frozenset([""]))
-EVERY_NUMBER = Ranges(((-1.0, MOST_NUMBER),))  # callers, subjects; -1 is a request without one
-EVERY_RANK = Ranges(((0.0, 1.0),))
-Part = Words | Ranges
+MAX_NUMBER = float(1 << 53)
+ALL_STRINGS = StringSet(frozenset([""]))
+ALL_NUMBERS = NumberRanges(((-1.0, MAX_NUMBER),))  # callers, subjects; -1 is a request without one
+ALL_RANKS = NumberRanges(((0.0, 1.0),))
+Part = StringSet | NumberRanges
--- a/moorusher/namespaces/table.py
+++ b/moorusher/namespaces/table.py
@@ -12,12 +12,12 @@
 
 import xxhash
 
-from .atoms import Atoms, NumberAtoms, WordAtoms
+from .atoms import Atoms, NumberAtoms, StringAtoms
 from .errors import Ambiguous, OverBudget, Unreachable
-from .rules import DIMENSIONS, Asked, Rule, Split
+from .rules import DIMENSIONS, RequestAttributes, Rule, Split
 
 Box = tuple[int, ...]  # the atoms of each dimension, as bits
-WORDS = ("key", "klass")
+STRING_DIMENSIONS = ("key", "class_name")
 RULE_BYTES = 3_500  # of memory, about: what a rule is kept as, besides the masks
 
 
@@ -30,7 +30,7 @@
     reason: str = ""
 
 
-class Table:
+class RuleTable:
     """Raises Ambiguous, Unreachable, OverBudget. `most_steps`: of working out what is reachable; `most_bytes`: of what
     look-ups need."""
 
@@ -58,8 +58,8 @@
 
     def _atoms(self, name: str) -> Atoms:
         sets = [getattr(r.match, name) for r in self.rules]
-        if name in WORDS:
-            return WordAtoms(sets)
+        if name in STRING_DIMENSIONS:
+            return StringAtoms(sets)
         return NumberAtoms(sets, (0.0, 1.0)) if name == "rank" else NumberAtoms(sets)
 
     def _box(self, rule: Rule) -> Box:
@@ -93,12 +93,12 @@
             left, covering = [box], list[int]()
             before = self._before(i, box)
             if before and self._ranks[before[-1]] == self._ranks[i]:
-                common = meet(box, self._boxes[before[-1]])
+                common = intersect(box, self._boxes[before[-1]])
                 assert common is not None
                 raise Ambiguous(self.rules[before[-1]].label, rule.label, self.example(common))
             for j in before:
                 self._spend(len(left))
-                less = [piece for one in left for piece in without(one, self._boxes[j])]
+                less = [piece for one in left for piece in subtract(one, self._boxes[j])]
                 if less != left:
                     covering.append(j)
                 left = less
@@ -129,36 +129,36 @@
         """A request in it, in words."""
         atoms = [(bits & -bits).bit_length() - 1 for bits in box]
         return ", ".join(
-            f"{'class' if name == 'klass' else name} {a.example(atom)!r}"
+            f"{'class' if name == 'class_name' else name} {a.example(atom)!r}"
             for name, a, atom in zip(DIMENSIONS, self.atoms, atoms, strict=True)
         )
 
     # ---- look-ups ----
 
-    def find(self, asked: Asked) -> Rule | None:
-        key, subject, caller, klass, rank = self.atoms
+    def find(self, asked: RequestAttributes) -> Rule | None:
+        key, subject, caller, class_name, rank = self.atoms
         masks = self._masks
         found = (
             masks[0][key.of(asked.key)]  # type: ignore[arg-type]
             & masks[1][subject.of(asked.subject)]  # type: ignore[arg-type]
             & masks[2][caller.of(asked.caller)]  # type: ignore[arg-type]
-            & masks[3][klass.of(asked.klass)]  # type: ignore[arg-type]
+            & masks[3][class_name.of(asked.class_name)]  # type: ignore[arg-type]
             & masks[4][rank.of(asked.rank)]  # type: ignore[arg-type]
         )
         return self.rules[(found & -found).bit_length() - 1] if found else None
 
-    def decide(self, asked: Asked) -> Decision:
+    def decide(self, asked: RequestAttributes) -> Decision:
         rule = self.find(asked)
         if rule is None:
             return Decision(None, self.default)
         outcome = rule.outcome
         if isinstance(outcome, Split):
-            return Decision(rule, share(outcome, asked.key or asked.spread))
+            return Decision(rule, split_route(outcome, asked.key or asked.spread))
         route = getattr(outcome, "route", None)
         return Decision(rule, route, "" if route is not None else outcome.reason)  # type: ignore[union-attr]
 
 
-def share(split: Split, key: str) -> str:
+def split_route(split: Split, key: str) -> str:
     """Weighted rendezvous: where a weight changes, only keys of the routes that lose or gain by it move."""
     from math import log
 
@@ -169,15 +169,15 @@
     return max(((score(name, weight), name) for name, weight in split.routes if weight > 0))[1]
 
 
-def meet(a: Box, b: Box) -> Box | None:
+def intersect(a: Box, b: Box) -> Box | None:
     """What two boxes have in common; None where that is nothing."""
     common = tuple(x & y for x, y in zip(a, b, strict=True))
     return common if all(common) else None
 
 
-def without(a: Box, b: Box) -> list[Box]:
+def subtract(a: Box, b: Box) -> list[Box]:
     """What of `a` is not in `b`, in boxes that don't meet."""
-    if meet(a, b) is None:
+    if intersect(a, b) is None:
         return [a]
     made, inside = [], list(a)
     for i, bits in enumerate(b):
--- a/moorusher/routing/route.py
+++ b/moorusher/routing/route.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..namespaces.customers import Revision
-from ..namespaces.rules import Asked
+from ..namespaces.rules import RequestAttributes
 
 
 class RouteKey(NamedTuple):
@@ -67,12 +67,15 @@
     path: RoutePath | None
 
 
-def decide_route(revision: Revision, request: Asked) -> RoutingDecision:
+def decide_route(revision: Revision, request: RequestAttributes) -> RoutingDecision:
     """Apply a revision of a customer's rules to one request."""
     decision, routes = revision.decide(request)
     label = "" if decision.rule is None else decision.rule.label
     if decision.route is None:
         return RoutingDecision(revision.at, label, decision.reason, None)
-    hops = tuple(Hop(route.name, route.servers, route.pool, route.limit, route.tries) for route in routes)
+    hops = tuple(
+        Hop(route.name, route.servers, route.pool, route.max_in_flight, route.max_attempts)
+        for route in routes
+    )
     path = RoutePath(revision.customer, revision.at[0], hops)
     return RoutingDecision(revision.at, label, "", path)
--- a/tests/test_namespaces.py
+++ b/tests/test_namespaces.py
@@ -14,8 +14,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from moorusher.namespaces.customers import Customers, Stale
-from moorusher.namespaces.document import read
+from moorusher.namespaces.customers import CurrentRevisions, Stale
+from moorusher.namespaces.document import parse_draft
 from moorusher.namespaces.errors import (
     ERRORS,
     Ambiguous,
@@ -28,18 +28,18 @@
 )
 from moorusher.namespaces.names import checked, is_normal
 from moorusher.namespaces.policy import Budget, Granted
-from moorusher.namespaces.rules import Asked, Match, Refuse, Rule, Split, To
-from moorusher.namespaces.sets import EVERY_NUMBER, EVERY_RANK, EVERY_WORD, Ranges, Words
-from moorusher.namespaces.table import Table, meet, share, without
+from moorusher.namespaces.rules import Match, Reject, RequestAttributes, RouteTo, Rule, Split
+from moorusher.namespaces.sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, NumberRanges, StringSet
+from moorusher.namespaces.table import RuleTable, intersect, split_route, subtract
 
 
-def words(*of: str) -> Words:
+def words(*of: str) -> StringSet:
     """A trailing star is a prefix."""
-    return Words.of([w for w in of if not w.endswith("*")], [w[:-1] for w in of if w.endswith("*")])
+    return StringSet.of([w for w in of if not w.endswith("*")], [w[:-1] for w in of if w.endswith("*")])
 
 
 def rule(name: str, team: str = "", **match: Any) -> Rule:
-    return Rule(name, Match(**match), To(name), team)
+    return Rule(name, Match(**match), RouteTo(name), team)
 
 
 # ---- names ----
@@ -57,9 +57,9 @@
 # ---- sets ----
 
 SHORT = st.text("ab", max_size=3)
-WORDS = st.builds(Words.of, st.lists(SHORT, max_size=3), st.lists(SHORT, max_size=2))
+WORDS = st.builds(StringSet.of, st.lists(SHORT, max_size=3), st.lists(SHORT, max_size=2))
 RANGES = st.builds(
-    lambda ends: Ranges.of(zip(ends[::2], ends[1::2], strict=False)),
+    lambda ends: NumberRanges.of(zip(ends[::2], ends[1::2], strict=False)),
     st.lists(st.integers(-1, 6).map(float), max_size=4).map(sorted),
 )
 STRINGS = ["".join(p) for n in range(5) for p in itertools.product("ab", repeat=n)]
@@ -67,7 +67,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(WORDS, WORDS)
-def test_of_two_sets_the_one_inside_the_other_is_smaller(a: Words, b: Words) -> None:
+def test_of_two_sets_the_one_inside_the_other_is_smaller(a: StringSet, b: StringSet) -> None:
     inside = {s for s in STRINGS if s in a} <= {s for s in STRINGS if s in b}
     if inside and a != b and all(any(p.startswith(q) for q in b.prefixes) for p in a.prefixes):
         assert a.size() < b.size()
@@ -77,26 +77,31 @@
 
 MATCHES = st.builds(
     Match,
-    WORDS | st.just(EVERY_WORD),
-    RANGES | st.just(EVERY_NUMBER),
-    st.just(EVERY_NUMBER) | RANGES,
-    WORDS | st.just(EVERY_WORD),
-    st.just(EVERY_RANK) | st.just(Ranges(((0.0, 0.5),))),
+    WORDS | st.just(ALL_STRINGS),
+    RANGES | st.just(ALL_NUMBERS),
+    st.just(ALL_NUMBERS) | RANGES,
+    WORDS | st.just(ALL_STRINGS),
+    st.just(ALL_RANKS) | st.just(NumberRanges(((0.0, 0.5),))),
 )
 ASKED = st.builds(
-    Asked, SHORT, st.integers(-1, 6), st.integers(-1, 6), st.sampled_from([0.0, 0.4, 0.5, 0.9]), SHORT
+    RequestAttributes,
+    SHORT,
+    st.integers(-1, 6),
+    st.integers(-1, 6),
+    st.sampled_from([0.0, 0.4, 0.5, 0.9]),
+    SHORT,
 )
 
 
-def plain(rules: list[Rule], asked: Asked) -> Rule | None:
+def plain(rules: list[Rule], asked: RequestAttributes) -> Rule | None:
     """The reference: of all that match, the most specific; a team's before the customer's."""
     matching = [r for r in rules if asked in r.match]
     return min(matching, key=lambda r: (not r.team, r.match.sizes()), default=None)
 
 
-def built(rules: list[Rule]) -> tuple[Table | None, Exception | None]:
+def built(rules: list[Rule]) -> tuple[RuleTable | None, Exception | None]:
     try:
-        return Table(rules, "default"), None
+        return RuleTable(rules, "default"), None
     except (Ambiguous, Unreachable) as exc:
         return None, exc
 
@@ -108,9 +113,9 @@
     st.randoms(),
 )
 def test_the_table_decides_as_the_plain_reference_and_typing_order_does_not_count(
-    matches: list[tuple[Match, bool]], requests: list[Asked], shuffled: random.Random
+    matches: list[tuple[Match, bool]], requests: list[RequestAttributes], shuffled: random.Random
 ) -> None:
-    rules = [Rule(f"r{i}", m, To(f"r{i}"), "t" if team else "") for i, (m, team) in enumerate(matches)]
+    rules = [Rule(f"r{i}", m, RouteTo(f"r{i}"), "t" if team else "") for i, (m, team) in enumerate(matches)]
     other = list(rules)
     shuffled.shuffle(other)
     (table, why), (again, why_again) = built(rules), built(other)
@@ -127,10 +132,10 @@
 def test_what_is_refused_is_so_for_a_reason_and_what_is_taken_has_none(matches: list[Match]) -> None:
     """Held against every request over the small alphabet; a rule that none of them reaches may be reached by others
     only where it names what that alphabet has not."""
-    rules = [Rule(f"r{i}", m, To("x")) for i, m in enumerate(matches)]
+    rules = [Rule(f"r{i}", m, RouteTo("x")) for i, m in enumerate(matches)]
     table, why = built(rules)
     sample = [
-        Asked(k, c, s, r, key)
+        RequestAttributes(k, c, s, r, key)
         for k in ("", "a", "b", "ab", "aabb", "ba\u00e9")
         for c in range(-1, 7)
         for s in (-1, 0, 3, 5, 6)
@@ -156,17 +161,23 @@
 
 def test_two_equally_specific_rules_that_meet_are_refused_with_both_names_and_a_request() -> None:
     # Each narrower in one thing: the order of the things decides. Equally narrow in the same: nothing does.
-    Table([rule("by key", key=words("eu-*")), rule("by class", klass=words("submit"))], "d")
+    RuleTable([rule("by key", key=words("eu-*")), rule("by class", class_name=words("submit"))], "d")
     with pytest.raises(Ambiguous) as told:
-        Table([rule("one", klass=words("submit", "check")), rule("two", klass=words("submit", "read"))], "d")
+        RuleTable(
+            [
+                rule("one", class_name=words("submit", "check")),
+                rule("two", class_name=words("submit", "read")),
+            ],
+            "d",
+        )
     assert told.value.rules == ("one", "two") and "class 'submit'" in told.value.example
-    Table([rule("one", klass=words("submit")), rule("two", klass=words("read"))], "d")
+    RuleTable([rule("one", class_name=words("submit")), rule("two", class_name=words("read"))], "d")
 
 
 def test_a_rule_that_others_cover_together_is_named_with_all_of_them() -> None:
-    low, high = Ranges(((-1.0, 5.0),)), Ranges(((5.0, float(1 << 53)),))
+    low, high = NumberRanges(((-1.0, 5.0),)), NumberRanges(((5.0, float(1 << 53)),))
     with pytest.raises(Unreachable) as told:
-        Table(
+        RuleTable(
             [
                 rule("low", key=words("a*"), caller=low),
                 rule("high", key=words("a*"), caller=high),
@@ -176,49 +187,63 @@
         )
     assert told.value.rule == "both" and set(told.value.by) == {"low", "high"}
     with pytest.raises(Unreachable, match="never can never match"):
-        Table([rule("never", klass=Words())], "d")
+        RuleTable([rule("never", class_name=StringSet())], "d")
 
 
 def test_a_teams_rules_go_first_inside_the_team_and_nowhere_else() -> None:
     team = rule("all", "eu", key=words("eu-*"))
-    table = Table([team, rule("narrow", key=words("eu-x*", "us-x*")), rule("rest")], "d")
-    assert table.find(Asked("check", key="eu-1")) == table.find(Asked("check", key="eu-x")) == team
-    decided = table.find(Asked("check", key="us-1"))
+    table = RuleTable([team, rule("narrow", key=words("eu-x*", "us-x*")), rule("rest")], "d")
+    assert (
+        table.find(RequestAttributes("check", key="eu-1"))
+        == table.find(RequestAttributes("check", key="eu-x"))
+        == team
+    )
+    decided = table.find(RequestAttributes("check", key="us-1"))
     assert decided is not None and decided.name == "rest"
     with pytest.raises(Unreachable):  # the team takes all of it
-        Table([team, rule("narrow", key=words("eu-x*"))], "d")
+        RuleTable([team, rule("narrow", key=words("eu-x*"))], "d")
 
 
 def test_outcomes_and_the_default() -> None:
-    table = Table(
-        [Rule("no", Match(klass=words("admin")), Refuse("not here")), rule("yes", klass=words("read"))], "d"
+    table = RuleTable(
+        [
+            Rule("no", Match(class_name=words("admin")), Reject("not here")),
+            rule("yes", class_name=words("read")),
+        ],
+        "d",
+    )
+    assert (
+        table.decide(RequestAttributes("admin")).reason == "not here"
+        and table.decide(RequestAttributes("admin")).route is None
+    )
+    assert (
+        table.decide(RequestAttributes("read")).route == "yes"
+        and table.decide(RequestAttributes("other")).route == "d"
     )
-    assert table.decide(Asked("admin")).reason == "not here" and table.decide(Asked("admin")).route is None
-    assert table.decide(Asked("read")).route == "yes" and table.decide(Asked("other")).route == "d"
 
 
 def test_a_split_follows_its_weights_and_moves_only_what_a_change_moves() -> None:
     old, new = Split((("a", 3), ("b", 1))), Split((("a", 3), ("b", 2)))
     keys = [f"k{i}" for i in range(8000)]
-    before, after = [share(old, k) for k in keys], [share(new, k) for k in keys]
+    before, after = [split_route(old, k) for k in keys], [split_route(new, k) for k in keys]
     assert abs(before.count("b") / 8000 - 1 / 4) < 0.02 and abs(after.count("b") / 8000 - 2 / 5) < 0.02
     assert all(a == b or b == "b" for a, b in zip(before, after, strict=True)), (
         "only to the one that weighs more"
     )
-    assert all(share(Split((("a", 0), ("b", 1))), k) == "b" for k in keys[:50])
+    assert all(split_route(Split((("a", 0), ("b", 1))), k) == "b" for k in keys[:50])
 
 
 def test_what_rules_may_cost_is_bounded() -> None:
     many = [rule(f"r{i}", key=words(f"k{i}")) for i in range(500)]
-    assert Table(many, "d").find(Asked("x", key="k77")) == many[77]
+    assert RuleTable(many, "d").find(RequestAttributes("x", key="k77")) == many[77]
     with pytest.raises(OverBudget, match="steps"):
-        Table(
-            [rule(f"r{i}", key=words(f"{i}*"), caller=Ranges(((0.0, 1.0 + i),))) for i in range(300)],
+        RuleTable(
+            [rule(f"r{i}", key=words(f"{i}*"), caller=NumberRanges(((0.0, 1.0 + i),))) for i in range(300)],
             "d",
             100,
         )
     with pytest.raises(OverBudget, match="bytes"):
-        Table(many, "d", most_bytes=1000)
+        RuleTable(many, "d", most_bytes=1000)
 
 
 def test_boxes_without_each_other_are_what_they_say() -> None:
@@ -231,7 +256,7 @@
             if all(x >> i & 1 for x, i in zip(a, c, strict=True))
         }
         there = {c for c in cells if all(x >> i & 1 for x, i in zip(b, c, strict=True))}
-        pieces = without(a, b)
+        pieces = subtract(a, b)
         found = [
             c
             for p in pieces
@@ -239,7 +264,7 @@
             if all(x >> i & 1 for x, i in zip(p, c, strict=True))
         ]
         assert len(found) == len(set(found)) and set(found) == cells - there
-        assert (meet(a, b) is None) == (not there)
+        assert (intersect(a, b) is None) == (not there)
 
 
 # ---- drafts ----
@@ -267,14 +292,16 @@
 
 
 def test_a_draft_is_read_into_routes_and_rules_and_a_team_stays_inside_itself() -> None:
-    got = read(draft(), GRANTED)
-    assert [r.name for r in got.way("main")] == ["main", "spare"] and got.routes["main"].limit == 50
-    assert got.table.decide(Asked("submit", 7, rank=0.9, key="eu-1")).route == "spare"
-    assert got.table.decide(Asked("admin", rank=0.9)).reason == "not from here"
-    assert got.table.decide(Asked("submit", rank=0.9, key="us")).route == "main"
-    found = got.table.find(Asked("x", key="lab-7"))
+    got = parse_draft(draft(), GRANTED)
+    assert [r.name for r in got.fallback_chain("main")] == ["main", "spare"] and got.routes[
+        "main"
+    ].max_in_flight == 50
+    assert got.table.decide(RequestAttributes("submit", 7, rank=0.9, key="eu-1")).route == "spare"
+    assert got.table.decide(RequestAttributes("admin", rank=0.9)).reason == "not from here"
+    assert got.table.decide(RequestAttributes("submit", rank=0.9, key="us")).route == "main"
+    found = got.table.find(RequestAttributes("x", key="lab-7"))
     assert found is not None and found.label == "lab/all"
-    assert got.table.find(Asked("x", rank=0.9, key="la")) is None, (
+    assert got.table.find(RequestAttributes("x", rank=0.9, key="la")) is None, (
         "the team's * is all of the team, and no more"
     )
 
@@ -324,7 +351,7 @@
     how: dict[str, Any], error: type[Exception], text: str
 ) -> None:
     with pytest.raises(error, match=re.escape(text)):
-        read(draft(**how), GRANTED)
+        parse_draft(draft(**how), GRANTED)
 
 
 @pytest.mark.parametrize(
@@ -341,7 +368,7 @@
 )
 def test_a_draft_that_is_none_is_refused(raw: bytes) -> None:
     with pytest.raises((Malformed, Foreign)):
-        read(raw, GRANTED)
+        parse_draft(raw, GRANTED)
 
 
 def test_each_bound_is_refused_with_what_is_granted() -> None:
@@ -349,13 +376,13 @@
     for name in ("rules", "routes", "words", "bytes"):
         budget = replace(Budget(), **{name: getattr(small, name)})
         with pytest.raises(OverBudget, match=str(getattr(small, name))):
-            read(draft(), replace(GRANTED, budget=budget))
+            parse_draft(draft(), replace(GRANTED, budget=budget))
 
 
 # ---- one customer beside another ----
 
 REQUESTS = [
-    Asked(k, key=key, rank=r)
+    RequestAttributes(k, key=key, rank=r)
     for k in ("submit", "admin", "x")
     for key in ("", "eu-1", "lab-1")
     for r in (0.1, 0.9)
@@ -370,7 +397,7 @@
 ]
 
 
-def decisions(all_of: Customers, customer: str) -> list[Any]:
+def decisions(all_of: CurrentRevisions, customer: str) -> list[Any]:
     found = all_of.of(customer)
     return [None if found is None else found.decide(a) for a in REQUESTS]
 
@@ -378,10 +405,10 @@
 @pytest.mark.parametrize("other", ["acme-eu", "Acme", "acm", "\u0430cme", "acme/lab", "lab"])
 def test_no_customer_changes_what_is_decided_for_another(other: str) -> None:
     for mine, theirs in itertools.product(SMALL, SMALL):
-        alone = Customers()
+        alone = CurrentRevisions()
         alone.take("acme", (1, 1), mine, GRANTED)
         expected = decisions(alone, "acme")
-        both = Customers()
+        both = CurrentRevisions()
         both.take("acme", (1, 1), mine, GRANTED)
         both.take(other, (1, 1), theirs, Granted(frozenset(["s1"]), {"shared": 1.0}))
         assert decisions(both, "acme") == expected
@@ -392,9 +419,9 @@
 
 
 def test_revisions_go_forwards_only_and_a_request_keeps_the_one_it_was_read_under() -> None:
-    c = Customers()
+    c = CurrentRevisions()
     first = c.take("acme", (5, 1), draft(), GRANTED)
-    asked = Asked("x", rank=0.9)
+    asked = RequestAttributes("x", rank=0.9)
     before = first.decide(asked)
     c.take("acme", (5, 2), draft(default="spare"), GRANTED)
     for at in ((5, 2), (5, 1), (4, 9)):
@@ -407,8 +434,8 @@
     with pytest.raises(Stale):
         c.take("acme", (5, 3), draft(), GRANTED)  # what comes late does not bring it back
     anew = c.take("acme", (6, 1), draft(rules={}), GRANTED)
-    assert anew.decide(Asked("admin"))[0].rule is None and c.told() == {"acme": (6, 1)}
-    small = Customers(most=3)
+    assert anew.decide(RequestAttributes("admin"))[0].rule is None and c.told() == {"acme": (6, 1)}
+    small = CurrentRevisions(most=3)
     for i in range(9):
         small.take(f"c{i}", (1, 1), draft(), GRANTED)
         small.delete(f"c{i}", (1, 2))
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -32,10 +32,10 @@
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.publish_interleavings import Publishes
 from moorusher.model_checking.publish_simulation import PublishSimulation, draft_of
-from moorusher.namespaces.customers import Customers, Revision
+from moorusher.namespaces.customers import CurrentRevisions, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
 from moorusher.namespaces.policy import Bounds
-from moorusher.namespaces.revisions import Book, Submission, drafted, pack, published, unpack
+from moorusher.namespaces.revisions import Book, Submission, draft_to_publish, pack, published, unpack
 
 # ---- books ----
 
@@ -50,13 +50,13 @@
     book = Book("acme")
     for i in range(3):
         s = submission(f"s{i}", i, draft_of(f"r{i}"))
-        book = published(book, s, drafted(book, s), 1_000 + i, BOUNDS)
+        book = published(book, s, draft_to_publish(book, s), 1_000 + i, BOUNDS)
     back = submission("back", 3, back_to=1)
-    book = published(book, back, drafted(book, back), 2_000, BOUNDS)
+    book = published(book, back, draft_to_publish(book, back), 2_000, BOUNDS)
     assert [(e.number, e.of) for e in book.entries] == [(4, 1), (3, 0), (2, 0)]
     assert book.entries[0].draft == draft_of("r0") and unpack(pack(book), "acme") == book
     with pytest.raises(Retired, match=r"revision 1 is not kept; there are 4, 3, 2"):
-        drafted(book, submission("x", back_to=1))
+        draft_to_publish(book, submission("x", back_to=1))
 
 
 def test_who_made_a_change_on_top_of_another_revision_is_told_what_changed_since() -> None:
@@ -65,10 +65,10 @@
         s = submission(f"s{i}", i, draft_of(name))
         book = published(book, s, s.draft, 0, BOUNDS)
     with pytest.raises(Conflict) as told:
-        drafted(book, submission("late", expects=1))
+        draft_to_publish(book, submission("late", expects=1))
     assert (told.value.expected, told.value.found) == (1, 3)
     assert told.value.changes == ("~ default", "- routes.main", "+ routes.other")
-    assert drafted(book, submission("any", expects=-1, draft=b"d")) == b"d"
+    assert draft_to_publish(book, submission("any", expects=-1, draft=b"d")) == b"d"
 
 
 def test_what_a_customer_publishes_in_an_hour_and_what_is_kept_are_bounded() -> None:
@@ -371,7 +371,7 @@
 # ---- mistakes that must be found ----
 
 
-class Backwards(Customers):
+class Backwards(CurrentRevisions):
     def put(self, made: Revision) -> Revision:
         self._current[made.customer] = made
         self._gone.pop(made.customer, None)
@@ -430,7 +430,7 @@
     def _judge(self, book: Book) -> None:
         s = self._waiting[0][0]
         try:
-            draft = drafted(book, s)
+            draft = draft_to_publish(book, s)
         except NamespaceError as exc:
             return self._done(exc)
         return self._publish(book, s, draft)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -20,8 +20,8 @@
     TimerFired,
 )
 from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
-from moorusher.namespaces.customers import Customers
-from moorusher.namespaces.rules import Asked
+from moorusher.namespaces.customers import CurrentRevisions
+from moorusher.namespaces.rules import RequestAttributes
 from moorusher.routing.grants import Grants, Pool
 from moorusher.routing.route import Hop, RouteKey, RoutePath, decide_route
 from moorusher.routing.route_balancers import MAX_BALANCERS
@@ -219,7 +219,7 @@
 
 
 def test_a_routing_decision_is_a_value_of_its_revision() -> None:
-    customers = Customers()
+    customers = CurrentRevisions()
     draft = {
         "default": "main",
         "routes": {
@@ -229,10 +229,10 @@
         "rules": {"no": {"match": {"class": ["admin"]}, "refuse": "not here"}},
     }
     found = customers.take("acme", (4, 2), json.dumps(draft).encode(), None)
-    ruled = decide_route(found, Asked("check"))
+    ruled = decide_route(found, RequestAttributes("check"))
     customers.delete("acme", (4, 3))
     assert ruled.path == path(
         hop("main", "a1", max_attempts=3), hop("spare", pool="shared", max_in_flight=7), incarnation=4
     )
-    refused = decide_route(found, Asked("admin"))
+    refused = decide_route(found, RequestAttributes("admin"))
     assert (refused.refusal, refused.path, refused.rule, refused.at) == ("not here", None, "no", (4, 2))
