--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..health.policy import MOST_MAINTENANCE_S, MOST_REASON
+from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
 from ..server.health_report import Reporter
 from .api import NO_TOKEN, BadBody, Guarded, reply
 
@@ -20,17 +20,17 @@
     if unknown:
         raise BadBody(f"{unknown[0]}: no such key; known are for_s, reason")
     reason = document.get("reason", DEFAULT_REASON)
-    if not isinstance(reason, str) or not 0 < len(reason) <= MOST_REASON:
-        raise BadBody(f"reason: expected a string of 1 to {MOST_REASON} characters")
+    if not isinstance(reason, str) or not 0 < len(reason) <= MAX_REASON_LENGTH:
+        raise BadBody(f"reason: expected a string of 1 to {MAX_REASON_LENGTH} characters")
     duration_s = document.get("for_s")
     if duration_s is not None and not _is_duration(duration_s):
-        raise BadBody(f"for_s: expected seconds above 0 and up to {MOST_MAINTENANCE_S:g}")
+        raise BadBody(f"for_s: expected seconds above 0 and up to {MAX_MAINTENANCE_S:g}")
     return reason, duration_s
 
 
 def _is_duration(value: object) -> bool:
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    return is_number and 0 < value <= MOST_MAINTENANCE_S  # type: ignore[operator]
+    return is_number and 0 < value <= MAX_MAINTENANCE_S  # type: ignore[operator]
 
 
 class MaintenanceModePage(Guarded):
--- a/moorusher/admin/site.py
+++ b/moorusher/admin/site.py
@@ -8,7 +8,7 @@
 
 from .. import __version__
 from ..core.request_engine import RequestEngine
-from ..health.formatting import haproxy
+from ..health.formatting import haproxy_agent_state
 from ..server.health_report import Reporter
 from .api import ChangePage, JsonPage, Resource, quiet_site
 from .maintenance_mode import MaintenanceModePage
@@ -60,10 +60,10 @@
     """Pages of parts that are off are not imported."""
     if parts.replication is not None:
         root.putChild(b"fleet", ReplicationPages(parts.token, parts.replication))
-        if parts.replication.duties is not None:
+        if parts.replication.leadership is not None:
             from .leadership import DutyPages
 
-            root.putChild(b"duties", DutyPages(parts.token, parts.replication.duties))
+            root.putChild(b"duties", DutyPages(parts.token, parts.replication.leadership))
     if parts.config_distribution is not None:
         from .namespaces import NamespacePages
 
@@ -95,7 +95,7 @@
     return {
         "name": name,
         "version": __version__,
-        "state": haproxy(reporter.report()),
+        "state": haproxy_agent_state(reporter.report()),
         "draining": core.drain_state.draining,
         "kernel_up": core.ready,
         "healthy": core.state.healthy,
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -72,7 +72,7 @@
             path = Path(journal) / STORE_FILE
             self.store = Store(reactor, path, self._pool, self.core.counters.add)
         duties.namespaces = self
-        duties.fleet.rules = self
+        duties.fleet.namespaces = self
         self.core.hooks.routes = self
 
     def start(self) -> None:
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from ..leadership.directory import Reading
 from ..leadership.effects import ResponseCallback
@@ -19,11 +19,9 @@
 from ..leadership.policy import Policy
 from ..leadership.worker import Worker
 from ..replication.journal import JournalImage
-from ..replication.register_space import LASTING
+from ..replication.register_space import DUTY_SPACE
 from .effect_receivers import HttpEffectReceivers
-
-if TYPE_CHECKING:
-    from .replication import FleetLink
+from .fleet_member import FleetMember
 
 log = logging.getLogger("moorusher")
 
@@ -74,7 +72,7 @@
         only then.
     """
 
-    def __init__(self, fleet: FleetLink, policy: Policy) -> None:
+    def __init__(self, fleet: FleetMember, policy: Policy) -> None:
         self.fleet = fleet
         self.policy = policy
         self.core = fleet.core
@@ -82,13 +80,13 @@
         self.forecast: WorkerFactory | None = None
         self._receivers = HttpEffectReceivers(fleet.reactor, fleet.core)
         self._journal_image: JournalImage | None = None
-        journal = fleet.journal_of("duties")
+        journal = fleet.open_part_journal("duties")
         if journal is not None:
             self._journal_image = journal.image
         self.participant = Participant(fleet.node, self, policy)
         if journal is not None:
             self.participant.store.has_disk = True
-            fleet.write_to(journal, LASTING, self.participant.acceptor)
+            fleet.attach_journal(journal, DUTY_SPACE, self.participant.acceptor)
         for report in policy.reports:
             self.participant.directory.declare(report.name, HEARTBEAT_KIND)
 
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -5,21 +5,19 @@
 import logging
 import time
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import xxhash
 
-from ..health.states import Standing
+from ..health.states import HealthState
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..server.health_report import Reporter
-
-if TYPE_CHECKING:
-    from .replication import FleetLink
+from .fleet_member import FleetMember
 
 log = logging.getLogger("moorusher")
 
 REASON_PREFIX = "outage: "  # of maintenance that is set here, and not by an operator
-WARM_STATES = (Standing.SERVING, Standing.CROWDED)
+WARM_STATES = (HealthState.SERVING, HealthState.OVERLOADED)
 MAX_BOOT_ID_CHARS = 64
 
 
@@ -41,7 +39,7 @@
     is_out: bool, nothing new is taken, and what has not begun goes to others.
     """
 
-    def __init__(self, fleet: FleetLink, reporter: Reporter, boot_id: str) -> None:
+    def __init__(self, fleet: FleetMember, reporter: Reporter, boot_id: str) -> None:
         self.boot_id = boot_id
         self.is_out = False
         self._fleet = fleet
@@ -66,7 +64,7 @@
             boot_id=self.boot_id,
             settings_digest=self._settings_digest(),
             is_drained=self.is_out and self._is_drained(),
-            is_warm=report.standing in WARM_STATES,
+            is_warm=report.state in WARM_STATES,
             recovered=all(space.acceptor.recovered for space in spaces),
         )
 
@@ -80,9 +78,9 @@
     def _is_drained(self) -> bool:
         """Nothing is open or runs, nothing of it is the fleet's, and whoever sends requests had the time to notice."""
         core = self._core
-        if core.table.unanswered or len(core.runs) or self._fleet.busy:
+        if core.table.unanswered or len(core.runs) or self._fleet.is_busy:
             return False
-        horizon_us = self._reporter.tracker.horizon(core.clock.now)
+        horizon_us = self._reporter.tracker.horizon_us(core.clock.now)
         return core.clock.now - self._out_since_us >= horizon_us
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from ..core.request_engine import RequestEngine
 from ..maintenance.coordinator import MaintenanceCoordinator
@@ -16,13 +15,11 @@
 from ..maintenance.start_estimate import estimate_starts
 from ..maintenance.waiters import WaitCallback
 from ..replication.journal import JournalImage
-from ..replication.register_space import SHARED
+from ..replication.register_space import CLUSTER_SPACE
 from ..server.health_report import Reporter
+from .fleet_member import FleetMember
 from .machine_host import LocalMachineHost, read_boot_id
 
-if TYPE_CHECKING:
-    from .replication import FleetLink
-
 MAX_WAIT_S = 30.0  # of one question; a caller asks again
 SECOND_US = 1e6
 
@@ -96,7 +93,7 @@
     coordinator: the member's part.
     """
 
-    def __init__(self, fleet: FleetLink, policy: Policy, reporter: Reporter) -> None:
+    def __init__(self, fleet: FleetMember, policy: Policy, reporter: Reporter) -> None:
         self.fleet = fleet
         self.policy = policy
         self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
@@ -104,7 +101,7 @@
         self._reporter = reporter
         self._journal_image: JournalImage | None = None
         self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_s * SECOND_US))
-        journal = fleet.journal_of("outage")
+        journal = fleet.open_part_journal("outage")
         if journal is not None:
             self._journal_image = journal.image
         self.coordinator = MaintenanceCoordinator(fleet.node, self.machine, policy)
@@ -112,8 +109,8 @@
             acceptor = self.coordinator.replica.acceptor
             acceptor.journaled = True
             fleet.node.is_durable = True
-            fleet.write_to(journal, SHARED, acceptor)
-        fleet.outage = self
+            fleet.attach_journal(journal, CLUSTER_SPACE, acceptor)
+        fleet.maintenance = self
 
     @property
     def is_out(self) -> bool:
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MemberState
+from ..membership.member import MemberState
 from ..namespaces.document import Namespace
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -35,14 +35,16 @@
 from ..replication.acceptor import NO_BALLOT
 from ..replication.journal import JournalHeader, encode_records, read_journal
 from ..replication.node import Node
-from ..replication.register_space import LASTING
-from .cluster_simulation import MS, SECOND, Course, Process, Simulation
+from ..replication.register_space import DUTY_SPACE
+from .cluster_simulation import MS, SECOND, Process, Scenario, Simulation
 from .leadership_history import DutyHistory
 from .leadership_worker import RandomWorker
 
 POLICY = Policy(on=True, steady_ms=1_000)
-COURSE = Course(seats=5, keys=0, faults=6, kinds=("kill", "forget", "stop", "cut", "one way", "leave"))
-DISKS = Course(seats=4, keys=0, faults=6, kinds=("kill", "stop", "cut", "one way", "power", "forget"))
+COURSE = Scenario(
+    seats=5, keys=0, faults=6, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
+)
+DISKS = Scenario(seats=4, keys=0, faults=6, fault_kinds=("kill", "stop", "cut", "one way", "power", "forget"))
 RESPONSE_TIMEOUT_US = 300 * MS
 REQUEST_LOSS = 0.02
 RESPONSE_LOSS = 0.03
@@ -73,7 +75,7 @@
     # ---- the disk of the duties' journal ----
 
     def durable(self, then: Callable[[], None], space: int) -> None:
-        if space != LASTING or not self.world.lasting:
+        if space != DUTY_SPACE or not self.world.lasting:
             return super().durable(then, space)
         self._waiting_for_disk.append(then)
         if not self.disk_write:
@@ -107,7 +109,7 @@
 
     def work(self, lease: LeaseHolder) -> Worker | None:
         """Return the worker for a duty."""
-        return RandomWorker(self, lease)
+        return RandomWorker(self, self.world, lease)
 
     def send_fenced(
         self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
@@ -161,7 +163,7 @@
     def __init__(
         self,
         seed: int,
-        course: Course | None = None,
+        course: Scenario | None = None,
         duties: int = 6,
         lasting: bool = False,
         compares: bool = True,
@@ -198,8 +200,8 @@
         self._jobs += 1
         return b"job %d" % self._jobs
 
-    def born(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
-        made = super().born(seat, remembers, inc)
+    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
+        made = super().start_process(seat, remembers, inc)
         assert isinstance(made, DutyProcess)
         if self.lasting and self.now:
             self._restore(made)
@@ -215,8 +217,8 @@
         else:
             self.lasting_disks[seat] = encode_records([self.lasting_whose[seat]])
 
-    def _end(self, process: Process) -> None:
-        super()._end(process)
+    def _kill(self, process: Process) -> None:
+        super()._kill(process)
         assert isinstance(process, DutyProcess)
         if process.disk_write not in (b"", NOTHING_TO_WRITE):
             written = self.random.randint(0, len(process.disk_write))
@@ -250,7 +252,7 @@
 
     # ---- the end ----
 
-    def wrong(self) -> str | None:
+    def violation(self) -> str | None:
         """Return what was wrong in the course, in words."""
         if self.wrong_reads:
             return self.wrong_reads[0]
@@ -328,7 +330,7 @@
     return None
 
 
-def search(seeds: range, course: Course | None = None, **options: Any) -> tuple[int, str] | None:
+def search(seeds: range, course: Scenario | None = None, **options: Any) -> tuple[int, str] | None:
     """Return the first seed whose course is wrong, with what is."""
     for seed in seeds:
         wrong = DutySimulation(seed, course, **options).play()
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -105,7 +105,7 @@
             core.table.unanswered
             or accepts
             or hands_results_over
-            or (replication is not None and replication.busy)
+            or (replication is not None and replication.is_busy)
         )
 
     def _end_if_quiet(self) -> None:
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -29,7 +29,7 @@
 from moorusher.core.requests import Arrival
 from moorusher.leadership.lease_record import LeaseRecord
 from moorusher.maintenance.schedule import Schedule
-from moorusher.membership.failure_detector import MemberState
+from moorusher.membership.member import MemberState
 from moorusher.server import server as service
 from moorusher.server.server import Service
 
@@ -157,7 +157,7 @@
 
     def duty_told(self, array: list[Any]) -> Any:
         record = msgspec.convert(array, LeaseRecord)
-        return snapshot_document(self.service.cluster.replication.duties._snapshot(record))
+        return snapshot_document(self.service.cluster.replication.leadership._snapshot(record))
 
     def outages_told(self, array: list[Any]) -> Any:
         return status_document(
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -28,19 +28,19 @@
 )
 from moorusher.leadership.messages import ChunkFetched, LeaseOffer
 from moorusher.leadership.policy import Policy
-from moorusher.membership.failure_detector import MemberState
-from moorusher.model_checking.cluster_simulation import SECOND, Course
+from moorusher.membership.member import MemberState
+from moorusher.membership.messages import MemberStatus
+from moorusher.model_checking.cluster_simulation import SECOND, Scenario
 from moorusher.model_checking.leadership_simulation import (
     POLICY,
     DutyProcess,
     DutySimulation,
 )
-from moorusher.replication.messages import MemberStatus
 
 
 def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, LeaseHolder]:
     """A fleet in which the first duty has an owner, and nothing else happens."""
-    sim = DutySimulation(1, Course(seats=seats, keys=0, faults=0, lost=0, doubled=0), duties, **how)
+    sim = DutySimulation(1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0), duties, **how)
     sim.run(2 * SECOND)
     for p in sim.processes:
         assert isinstance(p, DutyProcess)
@@ -145,7 +145,7 @@
             and p.alive
             and register_key("duty-0") in p.participant.leases.by_key
         ]
-        sim.processes[owner.seat] = sim.born(owner.seat, remembers=True)
+        sim.processes[owner.seat] = sim.start_process(owner.seat, remembers=True)
         if not found:
             break
         owner = found[0]
@@ -222,14 +222,14 @@
 def test_a_leader_that_is_not_fit_releases_its_duties_in_order() -> None:
     """The leader loses what it needs to work, and stays alive. It hands its last state on."""
     sim, owner, _ = settled(seats=4, duties=4)
-    owner.away = True
+    owner.draining = True
     sim.run(sim.now + 4 * SECOND)
     assert not owner.participant.leases.by_key and sim.history.counts["duties: given up"] >= 1
     history = sim.histories["duty-0"]
-    assert sim.wrong() is None and history.acknowledged, "a last state was handed on"
-    owner.away = False
+    assert sim.violation() is None and history.acknowledged, "a last state was handed on"
+    owner.draining = False
     sim.run(sim.now + 2 * SECOND)
-    assert sim.wrong() is None
+    assert sim.violation() is None
 
 
 def test_a_removed_duty_has_no_leader_and_created_again_is_another() -> None:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -9,12 +9,12 @@
 from twisted.internet.address import IPv4Address
 
 from moorusher.core.answer import Answer, Verdict
-from moorusher.frontends.agent import MOST_SENT, AgentCheckFactory
+from moorusher.frontends.agent import MAX_SENT_BYTES, AgentCheckFactory
 from moorusher.frontends.health import HealthCheckFactory, wants_json
-from moorusher.frontends.probes import MOST, MOST_OF_ONE, LoadReport
+from moorusher.frontends.probes import MAX_CONNECTIONS, MAX_CONNECTIONS_OF_HOST, LoadReport
 from moorusher.frontends.uwsgi import UwsgiFactory
-from moorusher.health.formatting import Codes
-from moorusher.health.policy import Policy
+from moorusher.health.formatting import StatusCodes
+from moorusher.health.policy import HealthPolicy
 from moorusher.server.health_report import Reporter
 
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
@@ -28,10 +28,10 @@
 
     def __init__(self, kernel: bool = True, **policy: Any) -> None:
         self.world = World()
-        self.reporter = Reporter(self.world.core, Policy(**policy), "n1")
+        self.reporter = Reporter(self.world.core, HealthPolicy(**policy), "n1")
         self.agent = AgentCheckFactory(self.world.core, self.reporter)
         self.health = HealthCheckFactory(
-            self.world.core, self.reporter, Codes(), LoadReport(self.world.core, self.reporter)
+            self.world.core, self.reporter, StatusCodes(), LoadReport(self.world.core, self.reporter)
         )
 
     def connect(self, front: Any, *sent: bytes, address: Any = None) -> tuple[Any, Transport]:
@@ -134,7 +134,9 @@
 def test_places_are_bounded_and_the_longest_useless_one_makes_room() -> None:
     p = Probes()
     for front in (p.agent, p.health):
-        held = [p.connect(front, address=IPv4Address("TCP", f"127.0.0.{i}", 1)) for i in range(MOST)]
+        held = [
+            p.connect(front, address=IPv4Address("TCP", f"127.0.0.{i}", 1)) for i in range(MAX_CONNECTIONS)
+        ]
         # An agent's line may still be on its way; who has said nothing yet over HTTP goes where there is no other.
         assert (front.buildProtocol(None) is None) is (front is p.agent)
         p.world.wait(1000)
@@ -146,13 +148,13 @@
     p = Probes()
     flood, other = IPv4Address("TCP", "127.0.0.9", 1), IPv4Address("TCP", "127.0.0.2", 1)
     for front in (p.agent, p.health):
-        held = [p.connect(front, address=flood) for _ in range(MOST_OF_ONE)]
+        held = [p.connect(front, address=flood) for _ in range(MAX_CONNECTIONS_OF_HOST)]
         assert front.buildProtocol(flood) is None and front.buildProtocol(other) is not None
         held[0][0].connectionLost()
         assert front.buildProtocol(flood) is not None
         for connection, _ in held[1:]:
             connection.connectionLost()
-        assert front._of == {"127.0.0.2": 1, "127.0.0.9": 1}
+        assert front._connections_of_host == {"127.0.0.2": 1, "127.0.0.9": 1}
 
 
 # ---- agent check ----
@@ -166,9 +168,9 @@
             assert transport.value().startswith(b"ready up") and transport.half_closed
             connection.connectionLost()
         p.world.wait(1000)
-    known = p.reporter.tracker.balancers
+    known = p.reporter.tracker.probes
     assert {s.rpartition(" ")[2] for s in known._sources} >= {"lb1", "lb2"}
-    connection, transport = p.connect(p.agent, b"x" * (MOST_SENT + 1))
+    connection, transport = p.connect(p.agent, b"x" * (MAX_SENT_BYTES + 1))
     assert transport.aborted
 
 
@@ -186,7 +188,7 @@
 
 
 def test_a_notice_a_maintenance_and_a_lost_link_are_in_the_very_next_report() -> None:
-    p = Probes(link_trust_ms=500)
+    p = Probes(link_down_grace_ms=500)
     core = p.world.core
     assert p.line().startswith("ready up")
     assert p.reporter.maintain("disk\nready up 100%")
