--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -10,11 +10,11 @@
 from typing import Protocol
 
 from ..membership.failure_detector import MS
-from ..namespaces.customers import Customers, Revision, Stale
+from ..namespaces.customers import CurrentRevisions, Revision, Stale
 from ..namespaces.document import Namespace
 from ..namespaces.errors import NamespaceError
 from .messages import RevisionId, RevisionReply, RevisionRequest
-from .services import Member, ObtainCallback
+from .services import DraftReader, Member, ObtainCallback
 
 MAX_CONCURRENT_FETCHES = 1_024  # customers
 FETCH_TIMEOUT_US = 5_000 * MS
@@ -28,14 +28,6 @@
         ...
 
 
-class DraftReader(Protocol):
-    """What fetching uses of the process."""
-
-    def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
-        """Parse a draft, and call `then` in a later turn."""
-        ...
-
-
 @dataclass(slots=True, eq=False)
 class _Fetch:
     """One customer's fetch.
@@ -57,13 +49,13 @@
 
     Serves as `dissemination.DraftSource` and as `anti_entropy.KnownRevisions`.
 
-    customers: Customers, the current revisions.
+    customers: CurrentRevisions, the current revisions.
     """
 
     def __init__(
         self,
         member: FetchingMember,
-        customers: Customers,
+        customers: CurrentRevisions,
         reader: DraftReader,
         on_changed: Callable[[str, bytes | None], None],
     ) -> None:
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -76,9 +76,9 @@
 
             parts.replication.leadership = DutyLink(parts.replication, config.fleet.duties)
     if config.namespaces.on:
-        from ..cluster_transport.config_distribution import NamespaceLink
+        from ..cluster_transport.config_distribution import NamespaceService
 
-        parts.config_distribution = NamespaceLink(parts.replication.leadership, config.namespaces, reactor)
+        parts.config_distribution = NamespaceService(parts.replication.leadership, config.namespaces, reactor)
     if config.forecast.on:
         from ..cluster_transport.forecast import ForecastLink
 
