--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -20,8 +20,8 @@
 from ..leadership.worker import Worker
 from ..replication.journal import JournalImage
 from ..replication.register_space import DUTY_SPACE
+from .cluster_member import ClusterMember
 from .effect_receivers import HttpEffectReceivers
-from .replication import ReplicationService
 
 log = logging.getLogger("moorusher")
 
@@ -72,7 +72,7 @@
         only then.
     """
 
-    def __init__(self, fleet: ReplicationService, policy: Policy) -> None:
+    def __init__(self, fleet: ClusterMember, policy: Policy) -> None:
         self.fleet = fleet
         self.policy = policy
         self.core = fleet.core
