--- a/moorusher/model_checking/explorer.py
+++ b/moorusher/model_checking/explorer.py
@@ -1,7 +1,7 @@
-"""Every interleaving: from a state all of its moves are made, each state once, until none is left.
+"""Every interleaving: from each state all of its moves are made, each state once, until none is left.
 
-A case gives states that can be copied, moves with names, and a word of what is broken. The shortest way to a broken
-state is found first, and can be played again by its names.
+A model gives states that can be copied, moves with names, and what is violated. The shortest path to a violation is
+found first, and can be replayed by its names.
 """
 
 from __future__ import annotations
@@ -13,72 +13,98 @@
 
 import xxhash
 
+# By the fingerprint of each state seen: that of the state before, and the move that led from there; None for the first.
+Seen = dict[bytes, tuple[bytes, str] | None]
+
 
 class Model(Protocol):
-    """One state. `copied` must share nothing that a move changes."""
+    """One state of what is explored."""
+
+    def moves(self) -> Sequence[str]:
+        """The names of all moves from here."""
+
+    def apply(self, name: str) -> None:
+        """Makes a move; this becomes the next state."""
+
+    def copy(self) -> Model:
+        """A state that shares nothing that a move changes."""
+
+    def fingerprint(self) -> Hashable:
+        """The same for states that can't be told apart."""
 
-    def moves(self) -> Sequence[str]: ...
-    def apply(self, name: str) -> None: ...
-    def copy(self) -> Model: ...
-    def fingerprint(self) -> Hashable: ...  # the same for states that can't be told apart
-    def violation(self) -> str | None: ...
+    def violation(self) -> str | None:
+        """What is broken in this state."""
 
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What a walk of all interleavings has seen."""
+    """What was seen of a model.
+
+    Attributes:
+        states: `int`, how many.
+        complete: `bool`, all states were seen.
+        violation: what is broken in the last one, or None.
+        path: the moves that lead there.
+    """
 
     states: int
-    complete: bool  # all states were seen
+    complete: bool
     violation: str | None = None
     path: tuple[str, ...] = ()
 
     def __str__(self) -> str:
         if self.violation is None:
-            return f"{self.states} states, {'all' if self.complete else 'not all'} seen, nothing broken"
-        return "\n".join(
-            [
-                f"broken after {self.states} states: {self.violation}",
-                *(f"  {i + 1}. {step}" for i, step in enumerate(self.path)),
-            ]
-        )
+            extent = "all" if self.complete else "not all"
+            return f"{self.states} states, {extent} seen, nothing broken"
+        steps = [f"  {number}. {move}" for number, move in enumerate(self.path, start=1)]
+        return "\n".join([f"broken after {self.states} states: {self.violation}", *steps])
 
 
 def fingerprint_of(state: Model) -> bytes:
-    """16 bytes for each state seen: millions fit."""
+    """16 bytes for each state: millions fit into memory."""
     return xxhash.xxh3_128_digest(repr(state.fingerprint()).encode())
 
 
 def explore(first: Model, most: int = 1_000_000, deep: bool = False) -> Exploration:
-    """Breadth first, so that the way that is told is the shortest; `deep`: depth first, which finds some way sooner."""
-    seen: dict[bytes, tuple[bytes, str] | None] = {fingerprint_of(first): None}
-    queue: deque[tuple[bytes, Model]] = deque([(fingerprint_of(first), first)])
+    """Visits at most `most` states.
+
+    Breadth first, so that the path to a violation is the shortest; `deep`: depth first, which finds some path sooner.
+    """
+    start = fingerprint_of(first)
+    seen: Seen = {start: None}
+    queue: deque[tuple[bytes, Model]] = deque([(start, first)])
     while queue:
         here, state = queue.pop() if deep else queue.popleft()
-        for name in state.moves():
-            then = state.copy()
-            then.apply(name)
-            there = fingerprint_of(then)
+        for move in state.moves():
+            following = state.copy()
+            following.apply(move)
+            there = fingerprint_of(following)
             if there in seen:
                 continue
-            seen[there] = here, name
-            if (broken := then.violation()) is not None:
-                way, at = list[str](), there
-                while (step := seen[at]) is not None:
-                    at, made = step
-                    way.append(made)
-                return Exploration(len(seen), False, broken, tuple(reversed(way)))
+            seen[there] = (here, move)
+            violation = following.violation()
+            if violation is not None:
+                return Exploration(len(seen), False, violation, _path_to(there, seen))
             if len(seen) >= most:
                 return Exploration(len(seen), False)
-            queue.append((there, then))
+            queue.append((there, following))
     return Exploration(len(seen), True)
 
 
-def replay(first: Model, way: Sequence[str]) -> str | None:
-    """What is broken at the end of these moves. Raises KeyError where one can't be made."""
+def _path_to(fingerprint: bytes, seen: Seen) -> tuple[str, ...]:
+    path: list[str] = []
+    at = fingerprint
+    while (step := seen[at]) is not None:
+        at, move = step
+        path.append(move)
+    return tuple(reversed(path))
+
+
+def replay(first: Model, path: Sequence[str]) -> str | None:
+    """What is violated at the end of these moves. Raises KeyError where one can't be made."""
     state = first.copy()
-    for name in way:
-        if name not in state.moves():
-            raise KeyError(name)
-        state.apply(name)
+    for move in path:
+        if move not in state.moves():
+            raise KeyError(move)
+        state.apply(move)
     return state.violation()
