--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -12,7 +12,7 @@
 from ..health.states import HealthState
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..server.health_report import Reporter
-from .fleet_member import FleetMember
+from .cluster_member import ClusterMember
 
 log = logging.getLogger("moorusher")
 
@@ -39,7 +39,7 @@
     is_out: bool, nothing new is taken, and what has not begun goes to others.
     """
 
-    def __init__(self, fleet: FleetMember, reporter: Reporter, boot_id: str) -> None:
+    def __init__(self, fleet: ClusterMember, reporter: Reporter, boot_id: str) -> None:
         self.boot_id = boot_id
         self.is_out = False
         self._fleet = fleet
