--- a/moorusher/cluster_transport/fleet_member.py
+++ b/moorusher/cluster_transport/cluster_member.py
@@ -15,7 +15,7 @@
 from ..storage.journal_files import OpenedJournal
 
 
-class FleetMember(Protocol):
+class ClusterMember(Protocol):
     """This runner as a member of its fleet.
 
     reactor: of Twisted.
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -17,7 +17,7 @@
 from ..replication.journal import JournalImage
 from ..replication.register_space import CLUSTER_SPACE
 from ..server.health_report import Reporter
-from .fleet_member import FleetMember
+from .cluster_member import ClusterMember
 from .machine_host import LocalMachineHost, read_boot_id
 
 MAX_WAIT_S = 30.0  # of one question; a caller asks again
@@ -93,7 +93,7 @@
     coordinator: the member's part.
     """
 
-    def __init__(self, fleet: FleetMember, policy: Policy, reporter: Reporter) -> None:
+    def __init__(self, fleet: ClusterMember, policy: Policy, reporter: Reporter) -> None:
         self.fleet = fleet
         self.policy = policy
         self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
