--- a/moorusher/admin/forecast.py
+++ b/moorusher/admin/forecast.py
@@ -41,6 +41,7 @@
         self._forecast = forecast
 
     def render_POST(self, request: Any) -> Any:
+        """Load a past of demand: 200, 400 for a faulty body, 401 without the token, 413."""
         if not self.allowed(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
         raw = request.content.read(MOST_PAST + 1)
@@ -63,6 +64,7 @@
         return later(request, lambda then: self._forecast.load(past, then))
 
     def render_GET(self, request: Any) -> Any:
+        """Answer 200 with the forecast of all customers or the named one, or with what this runner has counted; 404."""
         path = [p.decode("utf-8", "replace") for p in request.postpath if p]
         if path == ["+here"]:
             return reply(request, 200, self._forecast.told())
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -576,7 +576,7 @@
             "loose-report: crowds",
             "s",
             "runs a core, mean of 3 s",
-            {name: points for name, points in first["loose-report"].crowds.items()},
+            dict(first["loose-report"].crowds.items()),
             TIP,
         )
     )
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -73,7 +73,7 @@
         for acceptor in made.acceptors.values():
             acceptor.permanent = True
             acceptor.registers[KEY] = RegisterState(ballot, FAST_BALLOT, value)
-        made.first_promise = CarriedPromise(ballot, value, {seat: 1 for seat in SEATS})
+        made.first_promise = CarriedPromise(ballot, value, dict.fromkeys(SEATS, 1))
         return made
 
     def fingerprint(self) -> Hashable:
--- a/moorusher/server/connection_budget.py
+++ b/moorusher/server/connection_budget.py
@@ -42,6 +42,7 @@
 
     @property
     def console(self) -> int:
+        """Connections of the operators' console."""
         return max(MIN_CONSOLE_CONNECTIONS, self.reserved // CONSOLE_SHARE)
 
     def idle_backend_connections(self, maximum: int) -> int:
--- a/tests/test_leadership_parts.py
+++ b/tests/test_leadership_parts.py
@@ -148,5 +148,5 @@
     for kind in ERRORS:
         assert kind.remedy and kind.status in (404, 409, 413, 503)
         assert f"`{kind.__name__}`" in page, kind
-    assert {k for k in DutyError.__subclasses__()} == set(ERRORS)
+    assert set(DutyError.__subclasses__()) == set(ERRORS)
     assert set(re.findall(r"^\| `([A-Z]\w+)` \|", page, re.M)) == {k.__name__ for k in ERRORS}
