--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from ..health.policy import MOST_MAINTENANCE_S, MOST_REASON
+from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
+from ..server.health_document import health_document
 from ..server.health_report import Reporter
 from .api import NO_TOKEN, BadBody, Guarded, reply
 
@@ -20,17 +21,17 @@
     if unknown:
         raise BadBody(f"{unknown[0]}: no such key; known are for_s, reason")
     reason = document.get("reason", DEFAULT_REASON)
-    if not isinstance(reason, str) or not 0 < len(reason) <= MOST_REASON:
-        raise BadBody(f"reason: expected a string of 1 to {MOST_REASON} characters")
+    if not isinstance(reason, str) or not 0 < len(reason) <= MAX_REASON_LENGTH:
+        raise BadBody(f"reason: expected a string of 1 to {MAX_REASON_LENGTH} characters")
     duration_s = document.get("for_s")
     if duration_s is not None and not _is_duration(duration_s):
-        raise BadBody(f"for_s: expected seconds above 0 and up to {MOST_MAINTENANCE_S:g}")
+        raise BadBody(f"for_s: expected seconds above 0 and up to {MAX_MAINTENANCE_S:g}")
     return reason, duration_s
 
 
 def _is_duration(value: object) -> bool:
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    return is_number and 0 < value <= MOST_MAINTENANCE_S  # type: ignore[operator]
+    return is_number and 0 < value <= MAX_MAINTENANCE_S  # type: ignore[operator]
 
 
 class MaintenanceModePage(Guarded):
@@ -42,7 +43,7 @@
 
     def render_GET(self, request: Any) -> bytes:
         """Answer 200 with the maintenance that is set, or null."""
-        return reply(request, 200, {"maintenance": self._reporter.inputs()["maintenance"]})
+        return reply(request, 200, {"maintenance": health_document(self._reporter)["maintenance"]})
 
     def render_PUT(self, request: Any) -> bytes:
         """Set maintenance: 200, 400 for a faulty body, 401 without the token, 409 while shutting down."""
@@ -52,7 +53,7 @@
             reason, duration_s = read_maintenance(self.body(request))
         except BadBody as error:
             return reply(request, 400, {"error": str(error)})
-        if not self._reporter.maintain(reason, duration_s):
+        if not self._reporter.set_maintenance(reason, duration_s):
             return reply(request, 409, {"error": "the runner is leaving, and does not come back"})
         return self.render_GET(request)
 
@@ -60,7 +61,7 @@
         """End maintenance: 200, 401 without the token, 409 where none is set or while shutting down."""
         if not self.allowed(request):
             return reply(request, 401, NO_TOKEN)
-        if self._reporter.put_back():
+        if self._reporter.end_maintenance():
             return reply(request, 200, {"maintenance": None})
         draining = self._reporter.core.drain_state.draining
         return reply(
--- a/moorusher/cluster_transport/cluster_member.py
+++ b/moorusher/cluster_transport/cluster_member.py
@@ -1,7 +1,7 @@
 """The interface of this runner's link to its fleet, for the parts that build on it.
 
-`replication.ReplicationService` implements it. The parts import this module alone, so that no circle of imports leads
-back.
+`replication.ReplicationService` implements it. The parts import this module alone, so that no circle of imports
+leads back.
 """
 
 from __future__ import annotations
@@ -47,5 +47,5 @@
     def open_part_journal(self, part: str) -> OpenedJournal | None:
         """Open the journal of a part; None if the settings have none."""
 
-    def attach_journal(self, found: OpenedJournal, space: int, keeper: Acceptor) -> None:
+    def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
         """Write what this acceptor promises to that journal, before it is said."""
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from ..health.states import Standing
+from ..health.states import HealthState
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..server.health_report import Reporter
 from .cluster_member import ClusterMember
@@ -17,7 +17,7 @@
 log = logging.getLogger("moorusher")
 
 REASON_PREFIX = "outage: "  # of maintenance that is set here, and not by an operator
-WARM_STATES = (Standing.SERVING, Standing.CROWDED)
+WARM_STATES = (HealthState.SERVING, HealthState.OVERLOADED)
 MAX_BOOT_ID_CHARS = 64
 
 
@@ -64,7 +64,7 @@
             boot_id=self.boot_id,
             settings_digest=self._settings_digest(),
             is_drained=self.is_out and self._is_drained(),
-            is_warm=report.standing in WARM_STATES,
+            is_warm=report.state in WARM_STATES,
             recovered=all(space.acceptor.recovered for space in spaces),
         )
 
@@ -80,7 +80,7 @@
         core = self._core
         if core.table.unanswered or len(core.runs) or self._fleet.is_busy:
             return False
-        horizon_us = self._reporter.tracker.horizon(core.clock.now)
+        horizon_us = self._reporter.tracker.horizon_us(core.clock.now)
         return core.clock.now - self._out_since_us >= horizon_us
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
@@ -92,10 +92,10 @@
         elif self.is_out and not is_out:
             log.info("outage: this machine is back in service: state=%s", mode.value)
         self.is_out = is_out
-        if is_out and self._reporter.wanted:
-            self._reporter.maintain(REASON_PREFIX + reason)
+        if is_out and self._reporter.is_in_rotation:
+            self._reporter.set_maintenance(REASON_PREFIX + reason)
         elif not is_out and self._is_own_maintenance():
-            self._reporter.put_back()
+            self._reporter.end_maintenance()
 
     def _is_own_maintenance(self) -> bool:
         """The maintenance that is set comes from here, or from the process that this one replaced."""
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -6,7 +6,7 @@
 
 from ..core.request_engine import RequestEngine
 from ..health import formatting
-from ..health.tracker import Report
+from ..health.report import HealthReport
 from ..server.health_report import Reporter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 from .probes import LoadReport, ProbeFactory
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, core: RequestEngine, reporter: Reporter, codes: formatting.Codes, load: LoadReport | None
+        self, core: RequestEngine, reporter: Reporter, codes: formatting.StatusCodes, load: LoadReport | None
     ) -> None:
         super().__init__(core, reporter, HttpServerProtocol)
         self.codes = codes
@@ -65,29 +65,29 @@
         if answer is None:
             return HttpReply(404, b"known are /health, /ready, /startup and /alive\n")
         extra_headers = self._headers(answer, path)
-        reason = formatting.clean(report.reason)
+        reason = formatting.one_line(report.reason)
         if wants_json(headers.get("accept", "")):
             document = {
-                "standing": report.standing.value,
+                "standing": report.state.value,
                 "weight": report.weight,
                 "reason": reason,
                 "unknown": list(report.unknown),
             }
             body = json.dumps(document).encode() + b"\n"
             return HttpReply(answer.status, body, "application/json", extra_headers)
-        line = f"{report.standing.value} {report.weight}% {reason}\n"
+        line = f"{report.state.value} {report.weight}% {reason}\n"
         return HttpReply(answer.status, line.encode("ascii"), headers=extra_headers)
 
-    def _answer(self, path: str, report: Report) -> formatting.Answer | None:
+    def _answer(self, path: str, report: HealthReport) -> formatting.ProbeResponse | None:
         if path == "/health":
-            return formatting.routing(report, self.codes)
+            return formatting.health_response(report, self.codes)
         if path == "/ready":
-            return formatting.readiness(report)
+            return formatting.readiness_response(report)
         if path == "/startup":
-            return formatting.startup(report, self.core.ready)
+            return formatting.startup_response(self.core.ready)
         return None
 
-    def _headers(self, answer: formatting.Answer, path: str) -> list[tuple[str, str]]:
+    def _headers(self, answer: formatting.ProbeResponse, path: str) -> list[tuple[str, str]]:
         headers = []
         if answer.retry_after_s is not None:
             headers.append(("Retry-After", str(answer.retry_after_s)))
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -11,7 +11,7 @@
 from ..core.clock import SECOND
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from ..health.formatting import orca
+from ..health.formatting import orca_load_metrics
 from ..server.health_report import Reporter
 from .connection_limits import ConnectionLimiter
 
@@ -101,7 +101,9 @@
         """Return the report. Utilization is left out where the gauges are too old."""
         report = self._reporter.report()
         self._rates.update()
-        gauge = self._reporter.observe().gauge
-        if gauge is None or any(part.startswith("gauges") for part in report.unknown):
-            return orca(report, None, None, self._rates.served_per_s, self._rates.failed_per_s)
-        return orca(report, gauge.busy, gauge.memory, self._rates.served_per_s, self._rates.failed_per_s)
+        gauges = self._reporter.observe().gauges
+        if gauges is None or any(part.startswith("gauges") for part in report.unknown):
+            return orca_load_metrics(report, None, None, self._rates.served_per_s, self._rates.failed_per_s)
+        return orca_load_metrics(
+            report, gauges.busy, gauges.memory, self._rates.served_per_s, self._rates.failed_per_s
+        )
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -125,7 +125,7 @@
             return
         self.hot_restart = HotRestart(self.reactor, self.core, self, path, self.config.name)
         self.core.hooks.kernel_up = self.hot_restart.kernel_up
-        self.reporter.told = self.hot_restart.maintenance_changed
+        self.reporter.on_maintenance_changed = self.hot_restart.maintenance_changed
         self.hot_restart.start()
 
     # ---- beside another process of this runner ----
@@ -205,11 +205,11 @@
     def maintenance_fields(self) -> dict[str, Any] | None:
         """The maintenance state, as another process of this runner is told it."""
         m = self.reporter.tracker.maintenance
-        return None if m is None else {"reason": m.reason, "since": m.since, "until": m.until}
+        return None if m is None else {"reason": m.reason, "since": m.since_us, "until": m.expires_us}
 
     def follow_maintenance(self, fields: dict[str, Any] | None) -> None:
         """Take over the maintenance state of another process of this runner."""
-        self.reporter.follow(
+        self.reporter.copy_maintenance(
             None if fields is None else Maintenance(fields["reason"], fields["since"], fields["until"])
         )
 
@@ -224,23 +224,24 @@
             self.cluster.replication.predecessor = incarnation
 
     def _is_fit(self) -> bool:
-        return self.reporter.fit
+        return self.reporter.is_fit
 
     def _accepts_more_work(self) -> bool:
         """Whether to take over orphaned work of another runner: not where this one is overloaded itself."""
-        from ..health.states import Standing
+        from ..health.states import HealthState
 
-        return self.reporter.fit and self.reporter.report().standing is not Standing.CROWDED
+        return self.reporter.is_fit and self.reporter.report().state is not HealthState.OVERLOADED
 
     def load_condition(self) -> Any:
         """The condition under which this runner's latencies were measured, for whoever learns from them."""
-        from ..health.states import Standing
+        from ..health.states import HealthState
         from ..warm_start.learned_state import DonorCondition
 
-        standing = self.reporter.report().standing
-        return {Standing.CROWDED: DonorCondition.OVERLOADED, Standing.WARMING: DonorCondition.WARMING_UP}.get(
-            standing, DonorCondition.HEALTHY
-        )
+        standing = self.reporter.report().state
+        return {
+            HealthState.OVERLOADED: DonorCondition.OVERLOADED,
+            HealthState.WARMING_UP: DonorCondition.WARMING_UP,
+        }.get(standing, DonorCondition.HEALTHY)
 
     # ---- limits and new settings ----
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -24,8 +24,8 @@
 from moorusher.frontends.health import HealthCheckFactory
 from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.frontends.uwsgi_packets import HEAD, PING
-from moorusher.health.formatting import Codes
-from moorusher.health.policy import Policy
+from moorusher.health.formatting import StatusCodes
+from moorusher.health.policy import HealthPolicy
 from moorusher.scheduling.interface import Effect
 from moorusher.server.health_report import Reporter
 
@@ -80,11 +80,11 @@
 
 def probes(kind: str) -> Fed:
     world = World()
-    reporter = Reporter(world.core, Policy(), "n1")
+    reporter = Reporter(world.core, HealthPolicy(), "n1")
     factory = (
         AgentCheckFactory(world.core, reporter)
         if kind == "agent"
-        else HealthCheckFactory(world.core, reporter, Codes(), None)
+        else HealthCheckFactory(world.core, reporter, StatusCodes(), None)
     )
     connection, transport = factory.buildProtocol(None), Transport()
     connection.makeConnection(transport)
@@ -110,7 +110,7 @@
 def uwsgi_below() -> Fed:
     world, dialled = World(), []
     link = UwsgiCalls(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
-    link.core = heard = Heard(world)  # type: ignore[assignment]
+    link.core = heard = Heard(world)
     link.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
     connection, transport = dialled[0].buildProtocol(None), Transport()
     connection.makeConnection(transport)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -13,8 +13,8 @@
 from moorusher.frontends.health import HealthCheckFactory, wants_json
 from moorusher.frontends.probes import MAX_CONNECTIONS, MAX_CONNECTIONS_OF_HOST, LoadReport
 from moorusher.frontends.uwsgi import UwsgiFactory
-from moorusher.health.formatting import Codes
-from moorusher.health.policy import Policy
+from moorusher.health.formatting import StatusCodes
+from moorusher.health.policy import HealthPolicy
 from moorusher.server.health_report import Reporter
 
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
@@ -28,10 +28,10 @@
 
     def __init__(self, kernel: bool = True, **policy: Any) -> None:
         self.world = World()
-        self.reporter = Reporter(self.world.core, Policy(**policy), "n1")
+        self.reporter = Reporter(self.world.core, HealthPolicy(**policy), "n1")
         self.agent = AgentCheckFactory(self.world.core, self.reporter)
         self.health = HealthCheckFactory(
-            self.world.core, self.reporter, Codes(), LoadReport(self.world.core, self.reporter)
+            self.world.core, self.reporter, StatusCodes(), LoadReport(self.world.core, self.reporter)
         )
 
     def connect(self, front: Any, *sent: bytes, address: Any = None) -> tuple[Any, Transport]:
@@ -168,7 +168,7 @@
             assert transport.value().startswith(b"ready up") and transport.half_closed
             connection.connectionLost()
         p.world.wait(1000)
-    known = p.reporter.tracker.balancers
+    known = p.reporter.tracker.probes
     assert {s.rpartition(" ")[2] for s in known._sources} >= {"lb1", "lb2"}
     connection, transport = p.connect(p.agent, b"x" * (MAX_SENT_BYTES + 1))
     assert transport.aborted
@@ -188,12 +188,12 @@
 
 
 def test_a_notice_a_maintenance_and_a_lost_link_are_in_the_very_next_report() -> None:
-    p = Probes(link_trust_ms=500)
+    p = Probes(link_down_grace_ms=500)
     core = p.world.core
     assert p.line().startswith("ready up")
-    assert p.reporter.maintain("disk\nready up 100%")
+    assert p.reporter.set_maintenance("disk\nready up 100%")
     assert p.line() == "maint #maintenance: disk?ready up 100%\n"
-    assert p.reporter.put_back() and not p.reporter.put_back()
+    assert p.reporter.end_maintenance() and not p.reporter.end_maintenance()
     assert p.line().startswith("ready up 5%")
     core.kernel_status.link_lost()
     p.world.wait(1000)
@@ -203,7 +203,7 @@
     assert p.line().startswith("ready up")
     core.drain(4000)
     assert p.line().startswith("drain #draining: leaving, 4.0 s left")
-    assert not p.reporter.maintain("late")
+    assert not p.reporter.set_maintenance("late")
     p.reporter.stop_accepting()
     assert p.line().startswith("drain stopped")
 
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from moorusher.cluster_transport.config_distribution import Pool
+from moorusher.cluster_transport.draft_parsing import DaemonThreadPool
 from moorusher.storage import revisions
 from moorusher.storage.revisions import Store, connect
 
@@ -52,14 +52,14 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(revisions, "AGAIN_S", 0.05)
-    monkeypatch.setattr(revisions, "PATIENCE_S", 0.3)
-    monkeypatch.setattr(revisions, "BUSY_S", 0.05)
+    monkeypatch.setattr(revisions, "WRITE_RETRY_PAUSE_S", 0.05)
+    monkeypatch.setattr(revisions, "OPEN_PATIENCE_S", 0.3)
+    monkeypatch.setattr(revisions, "BUSY_TIMEOUT_S", 0.05)
 
 
 @asynccontextmanager
 async def store(path: Path, disk: Disk | None = None) -> AsyncIterator[tuple[Store, Counter[str]]]:
-    pool, counts = Pool(0, 1), Counter[str]()
+    pool, counts = DaemonThreadPool(0, 1), Counter[str]()
     pool.start()
     made = Store(
         reactor(),
