--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any
 
-from ..namespaces.policy import SMALL, Bounds, Budget, Granted
+from ..namespaces.policy import STATE_OVERHEAD_BYTES, Bounds, Budget, Granted
 from ..routing.grants import Grants, Pool
 from .section import ConfigError, Section
 
@@ -103,11 +103,11 @@
             raise ConfigError(
                 f"{section.key('on')}: namespaces are published by duties of a fleet: set duties.on"
             )
-        if common.granted.budget.bytes + SMALL > state_bytes or any(
-            c.granted.budget.bytes + SMALL > state_bytes for c in customers.values()
+        if common.granted.budget.bytes + STATE_OVERHEAD_BYTES > state_bytes or any(
+            c.granted.budget.bytes + STATE_OVERHEAD_BYTES > state_bytes for c in customers.values()
         ):
             raise ConfigError(
-                f"{section.key('bytes')}: expected {SMALL} less than duties.state_bytes, {state_bytes}"
+                f"{section.key('bytes')}: expected {STATE_OVERHEAD_BYTES} less than duties.state_bytes, {state_bytes}"
             )
         if not servers:
             raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
@@ -147,12 +147,12 @@
 
 
 def _name(one: Section, others: dict[str, Any]) -> str:
-    from ..namespaces.names import MOST, is_normal  # where there are some: the platform has none
+    from ..namespaces.names import MAX_LENGTH, is_normal  # where there are some: the platform has none
 
     name = one.get("name", "")
     if not is_normal(name) or name in others:
         raise ConfigError(
-            f"{one.key('name')}: expected 1 to {MOST} characters in Unicode's form NFC, without spaces, "
+            f"{one.key('name')}: expected 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces, "
             f"that no other has, got {name!r}"
         )
     return name
--- a/moorusher/namespaces/atoms.py
+++ b/moorusher/namespaces/atoms.py
@@ -14,7 +14,11 @@
 
 
 class StringAtoms:
-    """Sets of words, told apart as far as rules tell them apart."""
+    """The atoms of strings.
+
+    count: number of atoms.
+    whole: the bits of all of them.
+    """
 
     def __init__(self, sets: Iterable[StringSet]) -> None:
         prefixes, words = {""}, set[str]()
@@ -33,6 +37,7 @@
         self.whole = (1 << self.count) - 1
 
     def of(self, word: str) -> int:
+        """Return the atom that a string is in."""
         found = self._words.get(word)
         if found is not None:
             return found
@@ -43,6 +48,7 @@
         raise AssertionError("the empty prefix holds every string")
 
     def bits(self, part: Part) -> int:
+        """Return the atoms that a set consists of, as bits."""
         assert isinstance(part, StringSet)
         made = 0
         for w in part.words:
@@ -52,7 +58,7 @@
         return made
 
     def example(self, atom: int) -> str:
-        """A string in it; the shortest of the plain ones."""
+        """Return a string in an atom; the shortest of the plain ones."""
         for w, i in self._words.items():
             if i == atom:
                 return w
@@ -64,7 +70,11 @@
 
 
 class NumberAtoms:
-    """`ends_of`: the values that there can be at all."""
+    """The atoms of numbers.
+
+    count: number of atoms.
+    whole: the bits of those that a number can be in.
+    """
 
     def __init__(
         self, sets: Iterable[NumberRanges], ends_of: tuple[float, float] = (-1.0, MAX_NUMBER)
@@ -78,9 +88,11 @@
         self.whole = self.bits(NumberRanges(((ends_of[0], ends_of[1]),)))
 
     def of(self, number: float) -> int:
+        """Return the atom that a number is in."""
         return bisect_right(self._ends, number)
 
     def bits(self, part: Part) -> int:
+        """Return the atoms that a set consists of, as bits."""
         assert isinstance(part, NumberRanges)
         made = 0
         for low, high in part.parts:
@@ -89,6 +101,7 @@
         return made
 
     def example(self, atom: int) -> float:
+        """Return a number in an atom."""
         return self._ends[min(max(atom - 1, 0), len(self._ends) - 1)]
 
 
--- a/moorusher/namespaces/customers.py
+++ b/moorusher/namespaces/customers.py
@@ -18,15 +18,20 @@
 
 
 class Stale(NamespaceError):
-    """Not later than what is there."""
+    """A revision is not later than the current one. The class name is part of the API."""
 
     remedy = "Nothing: this runner has that revision, or a later one."
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """`at`: the incarnation of the namespace, and the number of the revision in it. One that was deleted and made anew
-    has a later incarnation, and nothing of the earlier one."""
+    """One revision of a customer's namespace.
+
+    at: incarnation of the namespace, and number of the revision in it. A namespace that is deleted and created again
+        has a later incarnation, and nothing of the earlier one.
+    namespace: the rules and routes.
+    draft: from which they were parsed.
+    """
 
     customer: str
     at: tuple[int, int]
@@ -34,13 +39,16 @@
     draft: bytes = b""
 
     def decide(self, asked: RequestAttributes) -> tuple[Decision, tuple[Route, ...]]:
-        """What was decided, and the routes to try in their order; none where it is refused."""
+        """Return the decision, and the routes to attempt in order; none where the request is rejected."""
         decision = self.namespace.table.decide(asked)
         return decision, () if decision.route is None else self.namespace.fallback_chain(decision.route)
 
 
 class CurrentRevisions:
-    """`most`: namespaces and tombstones of them at a time."""
+    """The revision of each customer that is current at one runner.
+
+    most: int, tombstones of deleted namespaces that are remembered.
+    """
 
     def __init__(self, most: int = 10_000) -> None:
         self.most = most
@@ -51,12 +59,19 @@
         return len(self._current)
 
     def take(self, customer: str, at: tuple[int, int], draft: bytes, granted: Granted | None) -> Revision:
-        """A revision that was published. Raises Stale, or what is wrong with it; then the one before stays."""
+        """Parse a published draft and make it current.
+
+        :raises Stale: a later revision is current.
+        :raises NamespaceError: what is wrong with the draft; the current revision stays.
+        """
         self._later(customer, at)
         return self.put(Revision(customer, at, parse_draft(draft, granted), draft))
 
     def put(self, made: Revision) -> Revision:
-        """One that was read elsewhere. Raises Stale."""
+        """Make a parsed revision current.
+
+        :raises Stale: a later one is.
+        """
         self._later(made.customer, made.at)
         self._current[made.customer] = made
         self._gone.pop(made.customer, None)
@@ -67,7 +82,10 @@
             raise Stale(f"{at} is not later than {self.at(customer)}")
 
     def delete(self, customer: str, at: tuple[int, int]) -> None:
-        """Raises Stale."""
+        """Remember that the namespace is deleted.
+
+        :raises Stale: a later revision is current.
+        """
         self._later(customer, at)
         self._current.pop(customer, None)
         self._gone[customer] = at
@@ -75,17 +93,18 @@
             del self._gone[next(iter(self._gone))]
 
     def at(self, customer: str) -> tuple[int, int]:
+        """Return the id of the latest revision or deletion known here; (0, 0) for none."""
         found = self._current.get(customer)
         return self._gone.get(customer, (0, 0)) if found is None else found.at
 
     def of(self, customer: str | None) -> Revision | None:
-        """None: the platform's default is for that one."""
+        """Return the current revision; None where the platform's default applies."""
         return None if customer is None else self._current.get(customer)
 
     def gone(self, customer: str) -> bool:
-        """It was deleted, as far as is known here."""
+        """Whether the namespace is deleted, as far as is known here."""
         return customer in self._gone
 
     def told(self) -> Mapping[str, tuple[int, int]]:
-        """What this runner has, and what it knows to be gone."""
+        """Return the id of each customer's latest revision or deletion."""
         return {name: r.at for name, r in self._current.items()} | self._gone
--- a/moorusher/namespaces/document.py
+++ b/moorusher/namespaces/document.py
@@ -53,14 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Namespace:
-    """One revision's meaning: the same bytes and grants give the same one."""
+    """The meaning of one draft.
+
+    routes: by name.
+    table: the rules.
+    default: the route where no rule matches.
+    """
 
     routes: Mapping[str, Route]
     table: RuleTable
     default: str
 
     def fallback_chain(self, route: str) -> tuple[Route, ...]:
-        """That route and those that it falls back to, in order."""
+        """Return the route and its fallbacks, in order."""
         found: list[Route] = []
         while route:
             found.append(self.routes[route])
@@ -69,8 +74,13 @@
 
 
 def parse_draft(draft: bytes, granted: Granted | None) -> Namespace:
-    """Raises one of `errors.ERRORS`, with the path of what is wrong. `granted` is None for a draft that was published:
-    it was checked then, and what it names that is not granted here, or no longer, is passed over by whoever routes."""
+    """Parse a draft, and check it against what is granted.
+
+    `granted` is None for a published draft, which was checked then: what it names that is not granted here, or no
+    longer, is skipped by routing.
+
+    :raises NamespaceError: one of `errors.ERRORS`, with the path of what is wrong.
+    """
     published, granted = granted is None, granted or Granted()
     budget = UNBOUNDED if published else granted.budget
     if len(draft) > budget.bytes:
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -1,4 +1,7 @@
-"""Why a customer's rules can't be published, or decide nothing. Each names what is wrong, and says what helps."""
+"""Errors of customers' namespaces. Each says what is wrong, and in `remedy` what helps.
+
+The names of the classes are part of the API, and are sent between runners.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class NamespaceError(Remediable):
-    """Why a draft, or a call about a namespace, is turned down."""
+    """Why a draft, or a call about a namespace, is rejected, with the HTTP status and the remedy."""
 
 
 class Malformed(NamespaceError):
@@ -17,18 +20,27 @@
 
 
 class Ambiguous(NamespaceError):
-    """Two rules match one request, and neither is more specific."""
+    """Two rules match one request, and neither is more specific.
+
+    rules: their labels.
+    example: a request that both match.
+    """
 
     remedy = "Narrow one of the two, or add a third for what both match."
 
     def __init__(self, first: str, second: str, example: str) -> None:
         first, second = sorted((first, second))
         super().__init__(f"{first} and {second} are equally specific, and both match {example}")
-        self.rules, self.example = (first, second), example
+        self.rules = (first, second)
+        self.example = example
 
 
 class Unreachable(NamespaceError):
-    """A rule that no request can reach."""
+    """A rule that no request can reach.
+
+    rule: its label.
+    by: labels of the rules that cover it.
+    """
 
     remedy = "Take it out, or narrow what covers it."
 
@@ -36,7 +48,8 @@
         super().__init__(
             f"{rule} can never match: covered by {', '.join(by)}" if by else f"{rule} can never match"
         )
-        self.rule, self.by = rule, by
+        self.rule = rule
+        self.by = by
 
 
 class Foreign(NamespaceError):
@@ -60,7 +73,11 @@
 
 
 class Conflict(NamespaceError):
-    """Another revision came first."""
+    """Another revision came first.
+
+    expected, found: numbers of revisions.
+    changes: what changed in between.
+    """
 
     remedy = (
         "Read what is there now (`moorusher namespace show`), make the change on top of it, and publish that."
@@ -71,11 +88,13 @@
         super().__init__(
             f"made on top of revision {expected}, and {found} is there; changed since then: {what}"
         )
-        self.expected, self.found, self.changes = expected, found, changes
+        self.expected = expected
+        self.found = found
+        self.changes = changes
 
 
 class Retired(NamespaceError):
-    """A revision that is kept no longer, or never was."""
+    """A revision that is not retained any more, or never was there."""
 
     status = 404
     remedy = "Publish it anew from a copy of your own: `moorusher namespace show` lists those that are kept."
--- a/moorusher/namespaces/names.py
+++ b/moorusher/namespaces/names.py
@@ -11,24 +11,27 @@
 
 from .errors import Malformed
 
-MOST = 64  # characters
-_BAD = {"Cc", "Cf", "Cs", "Co", "Cn", "Zl", "Zp", "Zs"}
+MAX_LENGTH = 64  # characters
+_REJECTED_CATEGORIES = {"Cc", "Cf", "Cs", "Co", "Cn", "Zl", "Zp", "Zs"}
 
 
 def is_normal(name: str) -> bool:
-    """Written the one way in which names are compared."""
+    """Whether it is a valid name in normal form."""
     return (
-        0 < len(name) <= MOST
+        0 < len(name) <= MAX_LENGTH
         and unicodedata.is_normalized("NFC", name)
-        and not any(unicodedata.category(c) in _BAD for c in name)
+        and not any(unicodedata.category(c) in _REJECTED_CATEGORIES for c in name)
     )
 
 
 def checked(name: object, path: str) -> str:
-    """Raises Malformed."""
+    """Return the name.
+
+    :raises Malformed: it is none, or not in normal form; `path` says where it stands.
+    """
     if not isinstance(name, str) or not is_normal(name):
         raise Malformed(
-            f"{path}: expected a name of 1 to {MOST} characters in Unicode's form NFC, without spaces and "
+            f"{path}: expected a name of 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces and "
             f"control characters, got {name!r}"
         )
     return name
--- a/moorusher/namespaces/policy.py
+++ b/moorusher/namespaces/policy.py
@@ -1,23 +1,26 @@
-"""What the platform grants a customer, from its settings. Imports nothing: read where there are no customers, too."""
+"""What the platform grants a customer, from its settings.
+
+Imports nothing: it is loaded where there are no customers, too. Names of fields are keys of `[namespaces]`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-SMALL = 4 << 10  # bytes of the state of a customer's duty, besides the drafts
+STATE_OVERHEAD_BYTES = 4 << 10  # of the state of a customer's lease, besides the drafts
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one customer may cost, from the platform's settings."""
+    """What one customer may cost."""
 
     bytes: int = 240_000  # of the draft
     rules: int = 1_000
     routes: int = 64
-    route_servers: int = 256  # in all its routes
-    words: int = 10_000  # strings and ranges in all its rules
-    steps: int = 2_000_000  # of working out what is reachable
+    route_servers: int = 256  # in all routes together
+    words: int = 10_000  # strings and ranges in all rules together
+    steps: int = 2_000_000  # of finding out which rules are reachable
     table_bytes: int = 8 << 20
 
 
@@ -27,7 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """Of the platform, to this customer: its own servers, and pools that others use as well, with its share of each."""
+    """What one customer may use.
+
+    servers: its own.
+    pools: those that others use as well, with its quota of each, from 0 to 1.
+    budget: what its rules may cost.
+    """
 
     servers: frozenset[str] = frozenset()
     pools: Mapping[str, float] = field(default_factory=dict)
@@ -36,8 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Of the platform, for each customer's revisions."""
+    """How much of one customer's revisions is published and retained."""
 
-    keep: int = 8
-    bytes: int = 256 << 10  # of all that are kept
-    an_hour: int = 120
+    keep: int = 8  # revisions
+    bytes: int = 256 << 10  # of all retained revisions together
+    an_hour: int = 120  # revisions published
--- a/moorusher/namespaces/revisions.py
+++ b/moorusher/namespaces/revisions.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from .errors import Conflict, OverBudget, Retired
-from .policy import SMALL, Bounds
+from .policy import STATE_OVERHEAD_BYTES, Bounds
 
 HOUR_MS = 3_600_000
 MAX_LISTED_CHANGES = 20  # that are told of
@@ -19,19 +19,29 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One that was published. `of`: the number of the one that it brings back, or 0."""
+    """One published revision. The order of fields is the stored form.
+
+    id: of the submission that became it.
+    by: who published it.
+    of: the number of the earlier revision whose draft it has again; 0 for none.
+    """
 
     number: int
     id: str
-    at_ms: int
+    at_ms: int  # Unix
     by: str
     draft: bytes
     of: int = 0
 
 
 class Submission(msgspec.Struct, frozen=True, array_like=True):
-    """`expects`: the number that it was made on top of, 0 for the first one, -1 for whichever there is. `back_to`: in
-    place of a draft, the number of an earlier one."""
+    """A change that somebody wants published. The order of fields is the protocol.
+
+    id: the same in each retry.
+    expects: the number of the revision that it was made on top of; 0 for none, -1 for any.
+    by: who submits it.
+    back_to: in place of a draft, the number of the earlier revision to publish again.
+    """
 
     customer: str
     id: str
@@ -42,7 +52,11 @@
 
 
 class Book(msgspec.Struct, frozen=True, array_like=True):
-    """`entries`: the newest first; `times`: of what was published in the last hour, in Unix ms."""
+    """One customer's retained revisions: the state of its lease. The order of fields is the stored form.
+
+    entries: the newest first.
+    times: when revisions were published in the last hour, in Unix ms.
+    """
 
     customer: str
     entries: tuple[Entry, ...] = ()
@@ -50,17 +64,21 @@
 
     @property
     def current(self) -> Entry | None:
+        """The newest revision."""
         return self.entries[0] if self.entries else None
 
     @property
     def number(self) -> int:
+        """Of the newest revision; 0 for none."""
         return self.entries[0].number if self.entries else 0
 
     def find(self, number: int) -> Entry | None:
-        return next((e for e in self.entries if e.number == number), None)
+        """Return the revision of that number; None where it is not retained."""
+        return next((entry for entry in self.entries if entry.number == number), None)
 
     def submitted(self, id: str) -> Entry | None:
-        return next((e for e in self.entries if e.id == id), None)
+        """Return the revision that a submission became."""
+        return next((entry for entry in self.entries if entry.id == id), None)
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -68,12 +86,15 @@
 
 
 def pack(book: Book) -> bytes:
-    """A book as bytes, for the duty's state."""
+    """Encode a book as the state of a lease."""
     return _encode(book)
 
 
 def unpack(state: bytes, customer: str) -> Book:
-    """Raises ValueError where it is another's, or none."""
+    """Decode the state of a customer's lease.
+
+    :raises ValueError: it is another customer's, or damaged.
+    """
     if not state:
         return Book(customer)
     try:
@@ -85,33 +106,49 @@
     return book
 
 
-def draft_to_publish(book: Book, s: Submission) -> bytes:
-    """What is to be checked and published. Raises Conflict, Retired."""
-    if s.expects >= 0 and s.expects != book.number:
-        before, now = book.find(s.expects), book.current
+def draft_to_publish(book: Book, submission: Submission) -> bytes:
+    """Return the draft to check and publish.
+
+    :raises Conflict: the submission was made on top of another revision than the current one.
+    :raises Retired: the revision to publish again is not retained.
+    """
+    if submission.expects >= 0 and submission.expects != book.number:
+        before, now = book.find(submission.expects), book.current
         raise Conflict(
-            s.expects,
+            submission.expects,
             book.number,
             difference(b"" if before is None else before.draft, b"" if now is None else now.draft),
         )
-    if not s.back_to:
-        return s.draft
-    if (entry := book.find(s.back_to)) is None:
+    if not submission.back_to:
+        return submission.draft
+    if (entry := book.find(submission.back_to)) is None:
         kept = ", ".join(str(e.number) for e in book.entries)
-        raise Retired(f"revision {s.back_to} is not kept; there are {kept or 'none'}")
+        raise Retired(f"revision {submission.back_to} is not kept; there are {kept or 'none'}")
     return entry.draft
 
 
-def published(book: Book, s: Submission, draft: bytes, now_ms: int, bounds: Bounds) -> Book:
-    """With that draft on top. Raises OverBudget."""
-    # A clock that is set back or forward forgives nothing, and shuts nobody out for longer than an hour.
+def published(book: Book, submission: Submission, draft: bytes, now_ms: int, bounds: Bounds) -> Book:
+    """Return the book with that draft as the next revision.
+
+    :raises OverBudget: too many in an hour, or too large.
+    """
+    # The absolute difference: a clock that is set back or forward resets no budget, and blocks nobody for over an hour.
     times = tuple(t for t in book.times if abs(now_ms - t) < HOUR_MS)
     if len(times) >= bounds.an_hour:
         raise OverBudget(f"{len(times)} revisions within the hour; {bounds.an_hour} are granted")
-    if len(draft) + SMALL > bounds.bytes:
-        raise OverBudget(f"a draft of {len(draft)} bytes; {bounds.bytes - SMALL} can be kept")
-    entries = [Entry(book.number + 1, s.id, now_ms, s.by[:MAX_AUTHOR_LENGTH], draft, s.back_to)]
-    size = len(draft) + SMALL
+    if len(draft) + STATE_OVERHEAD_BYTES > bounds.bytes:
+        raise OverBudget(f"a draft of {len(draft)} bytes; {bounds.bytes - STATE_OVERHEAD_BYTES} can be kept")
+    entries = [
+        Entry(
+            book.number + 1,
+            submission.id,
+            now_ms,
+            submission.by[:MAX_AUTHOR_LENGTH],
+            draft,
+            submission.back_to,
+        )
+    ]
+    size = len(draft) + STATE_OVERHEAD_BYTES
     for entry in book.entries[: bounds.keep - 1]:
         size += len(entry.draft)
         if size > bounds.bytes:
@@ -121,7 +158,7 @@
 
 
 def difference(old: bytes, new: bytes) -> tuple[str, ...]:
-    """In words, by the names of what is there; neither need be in order."""
+    """Return what differs between two drafts, by the names of routes, rules and teams; neither need be valid."""
     a, b = _names(old), _names(new)
     told = [
         f"{'+' if name not in a else '-' if name not in b else '~'} {name}"
--- a/moorusher/namespaces/rules.py
+++ b/moorusher/namespaces/rules.py
@@ -9,8 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAttributes:
-    """Of a request, what rules may look at. -1 for no subject, "" for no key. `spread`: what splits go by where there
-    is no key; no rule sees it."""
+    """What rules may look at of a request.
+
+    class_name: of the request.
+    caller: its number; -1 for none.
+    subject: its number; -1 for none.
+    rank: its priority, from 0 up to, without, 1.
+    key: the idempotency key, "" for none.
+    spread: what splits go by where there is no key; no rule looks at it.
+    """
 
     class_name: str
     caller: int = -1
@@ -22,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """All of them must hold. In the order in which they count for how specific a rule is."""
+    """The sets that a request's attributes must all be in, the most important for how specific a rule is first."""
 
     key: StringSet = ALL_STRINGS
     subject: NumberRanges = ALL_NUMBERS
@@ -31,6 +38,7 @@
     rank: NumberRanges = ALL_RANKS
 
     def parts(self) -> tuple[Part, ...]:
+        """Return the sets in order."""
         return self.key, self.subject, self.caller, self.class_name, self.rank
 
     def __contains__(self, asked: object) -> bool:
@@ -39,8 +47,10 @@
         )
 
     def sizes(self) -> tuple[Size, ...]:
-        """Compared as a whole: the smaller, the more specific. One match that strictly holds another is larger, as none
-        of its parts is smaller and one is larger."""
+        """Return what orders matches: the smaller is the more specific.
+
+        A match that strictly contains another is larger: none of its parts is smaller, and one is larger.
+        """
         return tuple(part.size() for part in self.parts())
 
 
@@ -49,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTo:
-    """A route of this customer's."""
+    """Calls take this route of the customer's."""
 
     route: str
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Of several routes, by weight; the same key goes the same way, as long as the weights stay."""
+    """Calls take one of several routes, by weight; the same key takes the same one as long as the weights stay."""
 
     routes: tuple[tuple[str, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """A rule's word that a request is turned away, with the reason that its client reads."""
+    """The request is rejected; its client gets the reason."""
 
     reason: str
 
@@ -73,7 +83,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """`team`: narrower than the customer as a whole; inside what the team is for, its rules go first."""
+    """One rule of a customer.
+
+    match: which requests it is for.
+    outcome: what is decided of them.
+    team: the part of the customer that it belongs to, "" for the whole; rules of teams go first.
+    """
 
     name: str
     match: Match
@@ -82,7 +97,9 @@
 
     @property
     def label(self) -> str:
+        """The name, with that of the team."""
         return f"{self.team}/{self.name}" if self.team else self.name
 
     def order(self) -> tuple[bool, tuple[Size, ...]]:
+        """Return the rank: of two rules that match, the one with the smaller rank decides."""
         return not self.team, self.match.sizes()
--- a/moorusher/namespaces/sets.py
+++ b/moorusher/namespaces/sets.py
@@ -9,71 +9,92 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-ALPHABET = 0x110000  # characters
+ALPHABET = 0x110000  # characters that a string may consist of
 Size = tuple[Fraction, int]
 
 
 @dataclass(frozen=True, slots=True)
 class StringSet:
-    """Strings that begin with one of `prefixes` (the empty one: all strings), and those in `words`. Normal: no prefix
-    begins with another, and no word with a prefix."""
+    """A set of strings, in normal form: no prefix begins with another one, and no word with a prefix.
+
+    prefixes: all strings that begin with one of them are in the set; "" is for all strings.
+    words: single strings in the set.
+    """
 
     prefixes: frozenset[str] = frozenset()
     words: frozenset[str] = frozenset()
 
     @classmethod
     def of(cls, words: Iterable[str] = (), prefixes: Iterable[str] = ()) -> StringSet:
+        """Return the set in normal form."""
         outer: set[str] = set()
-        for p in sorted(prefixes, key=len):
-            if not any(p[:n] in outer for n in range(len(p) + 1)):
-                outer.add(p)
-        return cls(
-            frozenset(outer),
-            frozenset(w for w in words if not any(w[:n] in outer for n in range(len(w) + 1))),
-        )
+
+        def is_covered(text: str) -> bool:
+            return any(text[:length] in outer for length in range(len(text) + 1))
+
+        for prefix in sorted(prefixes, key=len):
+            if not is_covered(prefix):
+                outer.add(prefix)
+        return cls(frozenset(outer), frozenset(word for word in words if not is_covered(word)))
 
     def __contains__(self, word: object) -> bool:
         return isinstance(word, str) and (
-            word in self.words or any(word.startswith(p) for p in self.prefixes)
+            word in self.words or any(word.startswith(prefix) for prefix in self.prefixes)
         )
 
     def intersect(self, other: StringSet) -> StringSet:
-        prefixes = {p for p in self.prefixes if any(p.startswith(o) for o in other.prefixes)} | {
-            o for o in other.prefixes if any(o.startswith(p) for p in self.prefixes)
+        """Return the strings that are in both."""
+        prefixes = self._prefixes_within(other) | other._prefixes_within(self)
+        words = {word for word in self.words if word in other} | {
+            word for word in other.words if word in self
+        }
+        return StringSet.of(words, prefixes)
+
+    def _prefixes_within(self, other: StringSet) -> set[str]:
+        return {
+            prefix for prefix in self.prefixes if any(prefix.startswith(outer) for outer in other.prefixes)
         }
-        return StringSet.of(
-            {w for w in self.words if w in other} | {w for w in other.words if w in self}, prefixes
-        )
 
     def size(self) -> Size:
-        """(share of all strings that the prefixes hold, single words)."""
-        return sum((Fraction(1, ALPHABET ** len(p)) for p in self.prefixes), Fraction()), len(self.words)
+        """Return the part of all strings that the prefixes cover, and the number of single words."""
+        covered = sum((Fraction(1, ALPHABET ** len(prefix)) for prefix in self.prefixes), Fraction())
+        return covered, len(self.words)
 
 
 @dataclass(frozen=True, slots=True)
 class NumberRanges:
-    """Numbers from the first of each pair up to, and without, the second. Normal: in order, apart from each other."""
+    """A set of numbers, in normal form: in order, without parts that touch.
+
+    parts: pairs of numbers; from the first up to, without, the second.
+    """
 
     parts: tuple[tuple[float, float], ...] = ()
 
     @classmethod
     def of(cls, parts: Iterable[tuple[float, float]]) -> NumberRanges:
-        made: list[tuple[float, float]] = []
-        for low, high in sorted(p for p in parts if p[0] < p[1]):
-            if made and low <= made[-1][1]:
-                made[-1] = made[-1][0], max(high, made[-1][1])
+        """Return the set in normal form."""
+        merged: list[tuple[float, float]] = []
+        for low, high in sorted(part for part in parts if part[0] < part[1]):
+            if merged and low <= merged[-1][1]:
+                merged[-1] = (merged[-1][0], max(high, merged[-1][1]))
             else:
-                made.append((low, high))
-        return cls(tuple(made))
+                merged.append((low, high))
+        return cls(tuple(merged))
 
     def __contains__(self, number: object) -> bool:
         return isinstance(number, (int, float)) and any(low <= number < high for low, high in self.parts)
 
     def intersect(self, other: NumberRanges) -> NumberRanges:
-        return NumberRanges.of((max(a, c), min(b, d)) for a, b in self.parts for c, d in other.parts)
+        """Return the numbers that are in both."""
+        return NumberRanges.of(
+            (max(low, other_low), min(high, other_high))
+            for low, high in self.parts
+            for other_low, other_high in other.parts
+        )
 
     def size(self) -> Size:
-        return sum((Fraction(b) - Fraction(a) for a, b in self.parts), Fraction()), 0
+        """Return the length of all parts together; the second figure is for comparison with other sets' alone."""
+        return sum((Fraction(high) - Fraction(low) for low, high in self.parts), Fraction()), 0
 
 
 MAX_NUMBER = float(1 << 53)
--- a/moorusher/namespaces/table.py
+++ b/moorusher/namespaces/table.py
@@ -1,8 +1,8 @@
-"""A customer's rules made ready: which one decides for a request. Built once for a revision; a look-up is five steps
-and an AND, however many rules there are, and whatever other customers have.
+"""A customer's rules as a table that finds the one that decides for a request.
 
-Building refuses two rules that can't be told apart, and one that no request reaches. Both are decided on the atoms: all
-requests that the rules can tell apart are covered, none is tried.
+Built once for a revision. A look-up takes five steps and an AND, however many rules there are, and whatever other
+customers have. Building fails for two rules that are equally specific and match one request, and for a rule that no
+request reaches. Both are decided on atoms, which cover all requests that the rules can distinguish.
 """
 
 from __future__ import annotations
@@ -23,16 +23,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """`rule` is None where none matches: the customer's default."""
+    """What a table decides of a request.
+
+    rule: the one that decides; None where none matches and the customer's default applies.
+    route: where its calls go; None where it is rejected.
+    reason: for the client of a rejected request.
+    """
 
     rule: Rule | None
-    route: str | None  # None where it is refused
+    route: str | None
     reason: str = ""
 
 
 class RuleTable:
-    """Raises Ambiguous, Unreachable, OverBudget. `most_steps`: of working out what is reachable; `most_bytes`: of what
-    look-ups need."""
+    """The rules of one revision, ready for look-ups.
+
+    rules: in the order in which they are preferred.
+    default: the route where none matches.
+    """
 
     def __init__(
         self,
@@ -42,7 +50,13 @@
         most_bytes: int = 32 << 20,
         checked: bool = False,
     ) -> None:
-        """`checked`: it was found in order before, and is only made ready."""
+        """`most_steps`: of finding out which rules are reachable. `most_bytes`: of memory, estimated. `checked`: the
+        rules have been checked before, and the bounds don't apply.
+
+        :raises Ambiguous: two rules are equally specific and match one request.
+        :raises Unreachable: no request reaches a rule.
+        :raises OverBudget: a bound is exceeded.
+        """
         ranked = sorted(((r.order(), r.label, r) for r in rules), key=lambda one: one[:2])
         self._ranks, self.rules = [one[0] for one in ranked], [one[2] for one in ranked]
         self.default = default
@@ -66,7 +80,7 @@
         return tuple(a.bits(part) for a, part in zip(self.atoms, rule.match.parts(), strict=True))
 
     def _masks_of(self, dimension: int) -> list[int]:
-        """By atom: the rules that hold it."""
+        """Return for each atom the rules that contain it, as bits."""
         masks, everywhere = [0] * (self.atoms[dimension].count + 1), 0
         whole = self.atoms[dimension].whole
         for i, box in enumerate(self._boxes):
@@ -86,7 +100,7 @@
             raise OverBudget("working out which rules can be reached takes more steps than are granted")
 
     def _check(self) -> None:
-        """Rules of one rank must not meet, and each must be left something by those before it."""
+        """Check that rules of one rank are disjoint, and that those before a rule leave something to it."""
         for i, (rule, box) in enumerate(zip(self.rules, self._boxes, strict=True)):
             if not all(box):
                 raise Unreachable(rule.label, ())
@@ -106,7 +120,7 @@
                     raise Unreachable(rule.label, tuple(self.rules[k].label for k in covering))
 
     def _before(self, i: int, box: Box) -> list[int]:
-        """Rules that go before that one and meet it."""
+        """Return the preferred rules that match a request that this one matches too."""
         mask = (1 << i) - 1
         for atoms, masks, bits in zip(self.atoms, self._masks, box, strict=True):
             if bits & atoms.whole == atoms.whole:
@@ -126,7 +140,7 @@
         return found
 
     def example(self, box: Box) -> str:
-        """A request in it, in words."""
+        """Return a request in a box, in words."""
         atoms = [(bits & -bits).bit_length() - 1 for bits in box]
         return ", ".join(
             f"{'class' if name == 'class_name' else name} {a.example(atom)!r}"
@@ -136,6 +150,7 @@
     # ---- look-ups ----
 
     def find(self, asked: RequestAttributes) -> Rule | None:
+        """Return the rule that decides for a request; None where none matches."""
         key, subject, caller, class_name, rank = self.atoms
         masks = self._masks
         found = (
@@ -148,6 +163,7 @@
         return self.rules[(found & -found).bit_length() - 1] if found else None
 
     def decide(self, asked: RequestAttributes) -> Decision:
+        """Return what is decided of a request."""
         rule = self.find(asked)
         if rule is None:
             return Decision(None, self.default)
@@ -159,7 +175,7 @@
 
 
 def split_route(split: Split, key: str) -> str:
-    """Weighted rendezvous: where a weight changes, only keys of the routes that lose or gain by it move."""
+    """Choose a route by weighted rendezvous hashing: a changed weight moves only keys of the routes concerned."""
     from math import log
 
     def score(name: str, weight: int) -> float:
@@ -170,13 +186,13 @@
 
 
 def intersect(a: Box, b: Box) -> Box | None:
-    """What two boxes have in common; None where that is nothing."""
+    """Return what two boxes have in common; None where they are disjoint."""
     common = tuple(x & y for x, y in zip(a, b, strict=True))
     return common if all(common) else None
 
 
 def subtract(a: Box, b: Box) -> list[Box]:
-    """What of `a` is not in `b`, in boxes that don't meet."""
+    """Return what of `a` is not in `b`, as disjoint boxes."""
     if intersect(a, b) is None:
         return [a]
     made, inside = [], list(a)
