--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -9,8 +9,8 @@
 from ..routing.grants import Grants, Pool
 from .section import ConfigError, Section
 
-MOST_CUSTOMERS = 10_000
-MEMORY_MB = 64.0  # for all customers' drafts and tables at a runner
+MAX_CUSTOMERS = 10_000
+DEFAULT_MEMORY_MB = 64.0  # for all customers' drafts and tables at a runner
 # What each figure of a customer's budget may be, and the revisions that are kept of it.
 BUDGET: dict[str, tuple[float, float]] = {
     "bytes": (1 << 10, 768 << 10),
@@ -21,12 +21,13 @@
     "steps": (1_000, 100_000_000),
     "table_bytes": (1 << 16, 64 << 20),
 }
+ROUNDING = 1e-9  # of a sum of quotas
 KEPT: dict[str, tuple[float, float]] = {"keep": (1, 64), "an_hour": (1, 100_000)}
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A tenant with servers of its own, and its shares of pools."""
+    """What is granted to one tenant, and how much it may publish."""
 
     granted: Granted = field(default_factory=Granted)
     bounds: Bounds = field(default_factory=Bounds)
@@ -34,7 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NamespacesConfig:
-    """`start_ms`: a process that begins asks others for so long what they have, before it serves without."""
+    """The section `[namespaces]`.
+
+    on: whether customers have namespaces.
+    customers: by name.
+    grants: which servers and pools customers may use.
+    most: deleted namespaces that are remembered.
+    start_ms: how long a process that starts waits to learn what the others have.
+    """
 
     on: bool = False
     customers: dict[str, Customer] = field(default_factory=dict)
@@ -43,20 +51,22 @@
     start_ms: float = 2_000.0
 
 
-def _budget(section: Section, d: Customer) -> Customer:
-    """The figures of this section over those of `d`."""
+def _budget(section: Section, default: Customer) -> Customer:
+    """Return `default` with the figures that the section has."""
     budget = Budget(
         **{
-            f.name: section.between(f.name, getattr(d.granted.budget, f.name), *BUDGET[f.name])
-            for f in fields(Budget)
+            figure.name: section.between(
+                figure.name, getattr(default.granted.budget, figure.name), *BUDGET[figure.name]
+            )
+            for figure in fields(Budget)
         }
     )
     bounds = Bounds(
-        section.between("keep", d.bounds.keep, *KEPT["keep"]),
-        d.bounds.bytes,
-        section.between("an_hour", d.bounds.an_hour, *KEPT["an_hour"]),
+        section.between("keep", default.bounds.keep, *KEPT["keep"]),
+        default.bounds.bytes,
+        section.between("an_hour", default.bounds.an_hour, *KEPT["an_hour"]),
     )
-    return Customer(replace(d.granted, budget=budget), bounds)
+    return Customer(replace(default.granted, budget=budget), bounds)
 
 
 def _servers(section: Section, known: set[str]) -> tuple[str, ...]:
@@ -70,66 +80,93 @@
 
 
 def read_namespaces(section: Section, servers: set[str], duties: bool, state_bytes: int) -> NamespacesConfig:
-    """`servers`: of the tier; `duties`: there are some, with states of up to `state_bytes`."""
+    """Read and check the section.
+
+    `servers`: names of all servers of the tier. `duties`: whether there are leases, with states of up to `state_bytes`.
+
+    :raises ConfigError: with the key that is wrong.
+    """
     section.unknown({"on", "most", "memory_mb", "start_ms", "customer", "pool", *BUDGET, *KEPT})
-    d = NamespacesConfig()
-    on = section.get("on", d.on)
+    default = NamespacesConfig()
+    on = section.get("on", default.on)
     common = _budget(section, Customer(bounds=Bounds(bytes=state_bytes)))
+    pools = _pools(section, servers)
+    customers = _customers(section, servers, pools, common)
+    own = {name: customer.granted.servers for name, customer in customers.items()}
+    quotas = {name: dict(customer.granted.pools) for name, customer in customers.items()}
+    _check_servers_apart(section, own, pools)
+    if len(customers) > MAX_CUSTOMERS:
+        raise ConfigError(f"{section.key('customer')}: more than {MAX_CUSTOMERS}")
+    _check_quotas(section, pools, quotas)
+    grants = Grants(own, quotas, pools)
+    if on:
+        _check_memory(section, customers)
+        _check_needs(section, [common, *customers.values()], servers, duties, state_bytes)
+        if not servers - grants.reserved_servers():
+            raise ConfigError(
+                f"{section.key('customer')}: all servers of the tier are granted to customers or in pools, "
+                "and none is left for who has no rules"
+            )
+    return NamespacesConfig(
+        on,
+        customers,
+        grants,
+        section.between("most", default.most, 1, MAX_CUSTOMERS),
+        section.between("start_ms", default.start_ms, 0.0, 60_000.0),
+    )
+
+
+def _pools(section: Section, servers: set[str]) -> dict[str, Pool]:
     pools: dict[str, Pool] = {}
     for one in _each(section, "pool", {"name", "servers", "limit"}):
         name = _name(one, pools)
         pools[name] = Pool(name, _servers(one, servers), one.between("limit", 64, 1, 1_000_000))
+    return pools
+
+
+def _customers(
+    section: Section, servers: set[str], pools: dict[str, Pool], common: Customer
+) -> dict[str, Customer]:
     customers: dict[str, Customer] = {}
-    own: dict[str, frozenset[str]] = {}
-    shares: dict[str, dict[str, float]] = {}
     for one in _each(section, "customer", {"name", "servers", "pools", *BUDGET, *KEPT}):
         name = _name(one, customers)
-        share = one.section("pools")
-        if odd := sorted(set(share.data) - pools.keys()):
-            raise ConfigError(f"{share.key(odd[0])}: no such pool")
-        shares[name] = {pool: share.between(pool, 0.0, 0.0, 1.0) for pool in share.data}
-        own[name] = frozenset(_servers(one, servers))
-        made = _budget(one, common)
-        customers[name] = replace(made, granted=Granted(own[name], shares[name], made.granted.budget))
-    _apart(section, own, pools)
-    if len(customers) > MOST_CUSTOMERS:
-        raise ConfigError(f"{section.key('customer')}: more than {MOST_CUSTOMERS}")
+        listed = one.section("pools")
+        if unknown := sorted(set(listed.data) - pools.keys()):
+            raise ConfigError(f"{listed.key(unknown[0])}: no such pool")
+        quotas = {pool: listed.between(pool, 0.0, 0.0, 1.0) for pool in listed.data}
+        own = frozenset(_servers(one, servers))
+        customer = _budget(one, common)
+        customers[name] = replace(customer, granted=Granted(own, quotas, customer.granted.budget))
+    return customers
+
+
+def _check_quotas(section: Section, pools: dict[str, Pool], quotas: dict[str, dict[str, float]]) -> None:
     for pool in pools:
-        if (total := sum(s.get(pool, 0.0) for s in shares.values())) > 1.0 + 1e-9:
+        total = sum(customer.get(pool, 0.0) for customer in quotas.values())
+        if total > 1.0 + ROUNDING:
             raise ConfigError(f"{section.key('pool')}: shares of {pool} come to {total:g}, above 1")
-    if on:
-        _fits(section, customers)
-        if not duties:
-            raise ConfigError(
-                f"{section.key('on')}: namespaces are published by duties of a fleet: set duties.on"
-            )
-        if common.granted.budget.bytes + STATE_OVERHEAD_BYTES > state_bytes or any(
-            c.granted.budget.bytes + STATE_OVERHEAD_BYTES > state_bytes for c in customers.values()
-        ):
-            raise ConfigError(
-                f"{section.key('bytes')}: expected {STATE_OVERHEAD_BYTES} less than duties.state_bytes, {state_bytes}"
-            )
-        if not servers:
-            raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
-    grants = Grants(own, shares, pools)
-    if on and not servers - grants.reserved_servers():
+
+
+def _check_needs(
+    section: Section, customers: list[Customer], servers: set[str], duties: bool, state_bytes: int
+) -> None:
+    """Namespaces need leases, whose states have space for a draft, and servers."""
+    if not duties:
         raise ConfigError(
-            f"{section.key('customer')}: all servers of the tier are granted to customers or in pools, "
-            "and none is left for who has no rules"
+            f"{section.key('on')}: namespaces are published by duties of a fleet: set duties.on"
         )
-    return NamespacesConfig(
-        on,
-        customers,
-        grants,
-        section.between("most", d.most, 1, MOST_CUSTOMERS),
-        section.between("start_ms", d.start_ms, 0.0, 60_000.0),
-    )
+    largest_bytes = max(customer.granted.budget.bytes for customer in customers)
+    if largest_bytes + STATE_OVERHEAD_BYTES > state_bytes:
+        raise ConfigError(
+            f"{section.key('bytes')}: expected {STATE_OVERHEAD_BYTES} less than duties.state_bytes, {state_bytes}"
+        )
+    if not servers:
+        raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
 
 
-def _fits(section: Section, customers: dict[str, Customer]) -> None:
-    """What is granted is there for each, whatever the others use of theirs: so it must all fit, and none is refused at
-    publishing because of another."""
-    most = section.between("memory_mb", MEMORY_MB, 1.0, 1_048_576.0)
+def _check_memory(section: Section, customers: dict[str, Customer]) -> None:
+    """All budgets must fit into the memory together: then no publication is rejected because of another customer."""
+    most = section.between("memory_mb", DEFAULT_MEMORY_MB, 1.0, 1_048_576.0)
     granted = sum(c.granted.budget.table_bytes + c.granted.budget.bytes for c in customers.values()) / 2**20
     if granted > most:
         raise ConfigError(
@@ -158,8 +195,8 @@
     return name
 
 
-def _apart(section: Section, own: dict[str, frozenset[str]], pools: dict[str, Pool]) -> None:
-    """A server is one customer's, or in pools, or for everybody: nobody's own is reached by another."""
+def _check_servers_apart(section: Section, own: dict[str, frozenset[str]], pools: dict[str, Pool]) -> None:
+    """A server is one customer's, or in pools, or for everybody: no customer reaches another's own."""
     whose: dict[str, str] = {}
     for name, servers in own.items():
         for server in servers:
