--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -12,7 +12,7 @@
 from ..health.states import HealthState
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..server.health_report import Reporter
-from .fleet_member import FleetMember
+from .cluster_member import ClusterMember
 
 log = logging.getLogger("moorusher")
 
@@ -39,7 +39,7 @@
     is_out: bool, nothing new is taken, and what has not begun goes to others.
     """
 
-    def __init__(self, fleet: FleetMember, reporter: Reporter, boot_id: str) -> None:
+    def __init__(self, fleet: ClusterMember, reporter: Reporter, boot_id: str) -> None:
         self.boot_id = boot_id
         self.is_out = False
         self._fleet = fleet
@@ -92,10 +92,10 @@
         elif self.is_out and not is_out:
             log.info("outage: this machine is back in service: state=%s", mode.value)
         self.is_out = is_out
-        if is_out and self._reporter.wanted:
-            self._reporter.maintain(REASON_PREFIX + reason)
+        if is_out and self._reporter.is_in_rotation:
+            self._reporter.set_maintenance(REASON_PREFIX + reason)
         elif not is_out and self._is_own_maintenance():
-            self._reporter.put_back()
+            self._reporter.end_maintenance()
 
     def _is_own_maintenance(self) -> bool:
         """The maintenance that is set comes from here, or from the process that this one replaced."""
