--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
-from ..server.health_document import health_document
-from ..server.health_report import Reporter
+from ..health_reporting.document import health_document
+from ..health_reporting.reporter import Reporter
 from .api import NO_TOKEN, BadBody, Guarded, reply
 
 DEFAULT_REASON = "maintenance"
--- a/moorusher/admin/site.py
+++ b/moorusher/admin/site.py
@@ -9,8 +9,8 @@
 from .. import __version__
 from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy_agent_state
-from ..server.health_document import health_document
-from ..server.health_report import Reporter
+from ..health_reporting.document import health_document
+from ..health_reporting.reporter import Reporter
 from .api import ChangePage, JsonPage, Resource, quiet_site
 from .maintenance_mode import MaintenanceModePage
 from .replication import ReplicationPages
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -10,7 +10,7 @@
 from ..config.section import Address
 from ..core.call import CallRequest
 from ..core.outcomes import EndReason
-from ..frontends.uwsgi_packets import VARS, build_packet
+from ..protocols.uwsgi_packets import VARS, build_packet
 from .http_client import HttpClientProtocol, HttpResponse
 from .owner import BackendOwner
 
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -10,8 +10,8 @@
 import xxhash
 
 from ..health.states import HealthState
+from ..health_reporting.reporter import Reporter
 from ..maintenance.local_machine import MachineMode, MachineState
-from ..server.health_report import Reporter
 from .cluster_member import ClusterMember
 
 log = logging.getLogger("moorusher")
@@ -104,5 +104,5 @@
 
     def alert(self, text: str) -> None:
         """Log and count something that an operator must look at."""
-        log.error("%s", text)
+        log.error("planned maintenance of this machine needs a person: %s", text)
         self._core.counters.add("outages that need a person")
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 
 from ..core.request_engine import RequestEngine
+from ..health_reporting.reporter import Reporter
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
 from ..maintenance.load_report import LoadGauge
@@ -16,7 +17,6 @@
 from ..maintenance.waiters import WaitCallback
 from ..replication.journal import JournalImage
 from ..replication.register_space import CLUSTER_SPACE
-from ..server.health_report import Reporter
 from .cluster_member import ClusterMember
 from .machine_host import LocalMachineHost, read_boot_id
 
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -63,7 +63,7 @@
         if request is None or run is None:
             return
         if reason is EndReason.RUN_UNKNOWN_TO_KERNEL and run.acknowledged:
-            log.error("the kernel disowns a run that it had started: request=%s", rid)
+            log.error("the kernel reports a run as unknown that it had acknowledged: request=%s", rid)
         self._calls.drop(request.number)
         state = self._state
         sharing = self._runs.on_cores + 1
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -70,8 +70,8 @@
             self._execution.start(request)
 
     def start_unconfirmed(self, request: Request, why: str) -> None:
-        """No majority could be told: it is not commanded here, and never will be. The others may take this runner for
-        dead and run it, so that its caller gets no promise."""
+        """No majority acknowledged the start: the run is not commanded here, and never will be. The others may take
+        this runner for dead and run it, so that its caller gets no promise."""
         if not self._is_starting(request):
             return
         self._turn.begin()
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -9,7 +9,7 @@
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
 from ..health.formatting import haproxy_agent_state
-from ..server.health_report import Reporter
+from ..health_reporting.reporter import Reporter
 from .probes import PROBE_TIMEOUT_US, ProbeFactory
 
 MAX_SENT_BYTES = 256  # of `agent-send`; more is no load balancer's
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -15,7 +15,7 @@
 from ..core.clock import MS
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from ..server.health_report import Reporter
+from ..health_reporting.reporter import Reporter
 from .connection_limits import ConnectionLimiter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -7,7 +7,7 @@
 from ..core.request_engine import RequestEngine
 from ..health import formatting
 from ..health.report import HealthReport
-from ..server.health_report import Reporter
+from ..health_reporting.reporter import Reporter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 from .probes import LoadReport, ProbeFactory
 
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -12,7 +12,7 @@
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
 from ..health.formatting import orca_load_metrics
-from ..server.health_report import Reporter
+from ..health_reporting.reporter import Reporter
 from .connection_limits import ConnectionLimiter
 
 MAX_CONNECTIONS = 128  # of load balancers at a time, for each listener
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -15,10 +15,7 @@
 from ..core.registration import NEVER_RAN, RETRY_AFTER_MS, InvalidArrival
 from ..core.request_engine import RequestEngine
 from ..core.requests import Request
-from .connection_limits import ConnectionLimiter
-from .limited_protocol import LimitedFactory
-from .unread_input import read_unread_input
-from .uwsgi_packets import (
+from ..protocols.uwsgi_packets import (
     FAILED_STATUS,
     FAULT_STATUS,
     HEAD,
@@ -31,6 +28,9 @@
     read_arrival,
     response,
 )
+from .connection_limits import ConnectionLimiter
+from .limited_protocol import LimitedFactory
+from .unread_input import read_unread_input
 
 LINGER_US = 2 * SECOND  # for an answer to be read, and for the other side to close
 
--- a/moorusher/server/health_document.py
+++ b/moorusher/health_reporting/document.py
@@ -4,7 +4,7 @@
 
 from ..core.clock import MS
 from ..health.observation import KernelGauges, Maintenance
-from .health_report import Reporter
+from .reporter import Reporter
 
 
 def health_document(reporter: Reporter) -> dict[str, object]:
--- a/moorusher/server/health_report.py
+++ b/moorusher/health_reporting/reporter.py
@@ -112,13 +112,13 @@
         Returns False, and changes nothing, where the runner drains already.
         """
         self.core.begin_turn()
-        log.info("taken out: %s", reason)
         now = self.core.clock.now
         self._cached = None
         if self.core.drain_state.draining:
             return False
         expires_us = None if duration_s is None else now + round(duration_s * SECOND)
         is_set = self.tracker.set_maintenance(Maintenance(reason, now, expires_us))
+        log.info("taken out: %s", reason)
         self.on_maintenance_changed()
         return is_set
 
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -18,7 +18,8 @@
     SYNCING_KEYS = "takes its keys over"
     AWAITING_KERNEL = "has its keys, and waits for the kernel"
     REQUESTING_HANDOVER = "is ready, and waits to be let on"
-    # Accepts on sockets of its own. A key that is new here may have run there: such requests are rejected.
+    # Accepts on sockets of its own. A key that is new here may have run there: such requests are rejected. The value
+    # is the name of a counter, and older than this rule.
     SERVING_WITHOUT_KEYS = "serves beside one that does not speak; keyed classes wait"
     KEYS_SYNCED_LATE = "has the keys of one that did not speak, and waits for the kernel"
     # Accepts. The other one accepts nothing more, and each key is claimed with it.
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -19,7 +19,7 @@
 from ..core.request_engine import RequestEngine
 from ..frontends.agent import AgentCheckFactory
 from ..health.policy import HealthPolicy
-from ..server.health_report import Reporter
+from ..health_reporting.reporter import Reporter
 from ..server.reactor import LoopTimer
 from .balancer import Choice, Prober, Server, ask
 from .cores import Machine
--- a/moorusher/lab/stand_ins.py
+++ b/moorusher/lab/stand_ins.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.protocols.basic import LineOnlyReceiver, LineReceiver
 
-from ..frontends.uwsgi_packets import HEAD, VARS, parse_vars
+from ..protocols.uwsgi_packets import HEAD, VARS, parse_vars
 from .cores import FAR, Cores, Machine
 
 HOST = "127.0.0.1"
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -128,7 +128,7 @@
     def _suspend(self, receiver: str, highest: FencingToken, found: LeaseRecord) -> None:
         lease = self.lease
         reason = (
-            f"{receiver} knows of birth {highest.generation}, term {highest.term}; "
+            f"{receiver} knows of generation {highest.generation}, term {highest.term}; "
             f"the registers, {found.generation}, {found.term}"
         )
         lease.context.services.count("duties: forgotten")
--- a/moorusher/load_balancing/ejection.py
+++ b/moorusher/load_balancing/ejection.py
@@ -2,7 +2,8 @@
 
 Inputs: each endpoint's outlier detection, the outcome of health checks, how many are out, the weight in service.
 An ejected endpoint returns by a health check: when its ejection is over, one call that may run twice is sent to it. An
-answer that is not slow reinstates it; any other end ejects it anew, for longer.
+answer that is not slow reinstates it; a failure or a slow answer ejects it again, for longer. An end that says nothing
+of the endpoint, such as a cancelled call, repeats the check.
 """
 
 from __future__ import annotations
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -27,7 +27,7 @@
 
 
 class OwnedWork:
-    """An owner's path through the life of work. Steps on one key go one after the other (`Tenure.run_step`)."""
+    """An owner's path through the lifecycle of work. Steps on one key go one after the other (`Tenure.run_step`)."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -1,4 +1,4 @@
-"""How an acceptor that has forgotten recovers: from the other replicas, by time, or by an operator's word."""
+"""How an acceptor that has forgotten recovers: from other replicas, by time, or by an operator's bootstrap command."""
 
 from __future__ import annotations
 
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -25,7 +25,7 @@
     # ---- what a register says ----
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
-        """Goes by what a claim, or a read of another's work, has found."""
+        """Apply the register's value that a claim, or a read of another's work, has found."""
         work: WorkRecord | None = result.value
         is_claim = tenure.stage is TenureStage.CLAIMING
         if work is None:  # forgotten, as its time is over
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -33,7 +33,7 @@
         # Unfinished work in the registers here, both ways round.
         self._keys_of: dict[Owner, set[Key]] = {}
         self._owner_of: dict[Key, Owner] = {}
-        # Orphaned or released work that is being seen to: how often that was tried.
+        # Orphaned or released work that is checked for takeover: attempts so far.
         self._attempts: dict[Key, int] = {}
         # Offers that are to be taken up in the next turns.
         self._offers: list[TakeoverOffer] = []
@@ -74,7 +74,7 @@
     # ---- what becomes orphaned ----
 
     def owner_lost(self, owner: Owner) -> None:
-        """All work of that process in the registers here is seen to."""
+        """Check all work of that process in the registers here for takeover."""
         for key in sorted(self._keys_of.get(owner, ())):
             self._schedule_check(key)
 
@@ -111,7 +111,7 @@
     # ---- orphaned work in the registers here ----
 
     def _schedule_check(self, key: Key) -> None:
-        """The first replica that is up sees to it at once, the next ones later, where it is still orphaned then."""
+        """The first replica that is up checks it at once, the next ones later, if it is still orphaned then."""
         if key in self._attempts:
             return
         self._attempts[key] = 0
--- a/moorusher/scheduling/concurrency.py
+++ b/moorusher/scheduling/concurrency.py
@@ -17,7 +17,7 @@
         settings: the present settings.
         started_at: when the runner opened, in ms of its clock; warming up counts from here.
         predecessor: what the process that this one replaces still takes.
-        limit: number of slots, at least the number of cores while they are busy.
+        limit: number of slots, at least the number of cores.
         slots: the job in each slot; its length is `limit`.
         on_cores: jobs in state `RUNNING`, with a slot or without.
         running: jobs that have started and not ended, downstream calls included.
--- a/moorusher/scheduling/load_shedding.py
+++ b/moorusher/scheduling/load_shedding.py
@@ -1,4 +1,7 @@
-"""How a request is rejected: whether its caller may try another runner, and when it may come back."""
+"""How a request is rejected: whether its caller may try another runner, and when it may come back.
+
+Whether it is rejected at all is decided in `admission` (on arrival) and `deadlines` (in the queue).
+"""
 
 from __future__ import annotations
 
--- a/moorusher/scheduling/memory.py
+++ b/moorusher/scheduling/memory.py
@@ -5,7 +5,7 @@
 from moorusher.scheduling.interface import PredecessorLoad, Settings
 from moorusher.scheduling.job import Job
 
-MEMORY_FRACTION = 0.97  # of the memory that is used
+MAX_RESERVED_FRACTION = 0.97  # of `memory_kb` in the settings
 
 
 class MemoryBudget:
@@ -23,7 +23,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.limit_kb = settings.memory_kb * MEMORY_FRACTION
+        self.limit_kb = settings.memory_kb * MAX_RESERVED_FRACTION
         self.jobs_kb = 0.0
         self.key_entries = 0
         self.predecessor = PredecessorLoad()
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from ..backends.server_pool import ServerPool
     from ..core.request_engine import RequestEngine
-    from .health_report import Reporter
+    from ..health_reporting.reporter import Reporter
 
 
 def build_backend(config: Config, reactor: Any) -> ServerPool | UwsgiCalls | DatabasePool | None:
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -19,11 +19,11 @@
 from ..frontends.jsonrpc import JsonRpcFactory
 from ..frontends.uwsgi import UwsgiFactory
 from ..health.observation import Maintenance
+from ..health_reporting.reporter import Reporter
 from ..hot_restart.shared_budget import ProcessLoad, rendezvous_path
 from .composition import build_backend, build_cluster_parts, reports_health
 from .connection_budget import MIN_CLIENT_CONNECTIONS, ConnectionBudget
 from .graceful_shutdown import GracefulShutdown
-from .health_report import Reporter
 from .listen_retry import ListenRetry
 from .listeners import Listeners
 from .reactor import LoopTimer
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -19,9 +19,9 @@
 from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.outcomes import EndReason
 from moorusher.health.policy import HealthPolicy
+from moorusher.health_reporting.reporter import Reporter
 from moorusher.hot_restart.process_role import Event, State
 from moorusher.hot_restart.shared_budget import ProcessLoad
-from moorusher.server.health_report import Reporter
 from moorusher.server.server import Service
 
 from ..test_core import World
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,8 +20,8 @@
 
 from twisted.internet.asyncioreactor import AsyncioSelectorReactor
 
-from moorusher.frontends.uwsgi_packets import VARS, build_packet
 from moorusher.lab import runners, stand_ins
+from moorusher.protocols.uwsgi_packets import VARS, build_packet
 
 HOST, ROOT, free_port = stand_ins.HOST, runners.ROOT, runners.free_port
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,9 +10,9 @@
 from moorusher.frontends.console import Console
 from moorusher.frontends.jsonrpc import JsonRpcFactory
 from moorusher.frontends.uwsgi import UwsgiFactory
-from moorusher.frontends.uwsgi_packets import HEAD, PING
 from moorusher.health.policy import HealthPolicy
-from moorusher.server.health_report import Reporter
+from moorusher.health_reporting.reporter import Reporter
+from moorusher.protocols.uwsgi_packets import HEAD, PING
 
 from .test_core import World
 from .test_fronts import Transport, said
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -23,11 +23,11 @@
 from moorusher.frontends.agent import AgentCheckFactory
 from moorusher.frontends.health import HealthCheckFactory
 from moorusher.frontends.uwsgi import UwsgiFactory
-from moorusher.frontends.uwsgi_packets import HEAD, PING
 from moorusher.health.formatting import StatusCodes
 from moorusher.health.policy import HealthPolicy
+from moorusher.health_reporting.reporter import Reporter
+from moorusher.protocols.uwsgi_packets import HEAD, PING
 from moorusher.scheduling.interface import Effect
-from moorusher.server.health_report import Reporter
 
 from .stand_ins import uwsgi_request
 from .test_core import World
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -14,7 +14,7 @@
 from moorusher.frontends.jsonrpc import MAX_UNSENT_BYTES, JsonRpcFactory, JsonRpcProtocol
 from moorusher.frontends.jsonrpc_session import MAX_FAULTS, MAX_FAULTS_BEFORE_LEAVE
 from moorusher.frontends.uwsgi import UwsgiFactory
-from moorusher.frontends.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
+from moorusher.protocols.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
 from moorusher.scheduling.interface import SignalKind
 
 from .stand_ins import uwsgi_request
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -184,13 +184,24 @@
 
 @sockets
 async def test_a_machine_killed_while_it_drains_is_queued_again() -> None:
-    """The process of a machine is killed while it drains for its slot."""
+    """The process of a machine is killed while it drains for its slot. Its next process gives that slot back, and is
+    granted a later one.
+
+    A machine drains from the moment that its process has accepted the slot, which raises the schedule's number. One
+    that is killed before that has not begun: the next process accepts the same slot, and nothing is queued again.
+    """
     async with machines(3, work=30.0) as m:
         front = await m.fleet.front(1)
         run = front.send("check")  # it drains for as long as that runs: it must not be over before the kill
         assert (await m.api(0, "ask", id="a", seats=["n1"], reason="patch"))[0] == 200
         await m.until_at(1, "draining")
         first = (await m.show(0))["turns"][0]["number"]
+
+        async def accepted() -> bool:
+            return bool((await m.show(0))["number"] > first)
+
+        await until(accepted)
+        assert (await m.show(0))["turns"][0]["number"] == first
         m.fleet.kill(1)
         await m.fleet.gone(1)
         run.cancel()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -20,8 +20,9 @@
 from moorusher.config.operator_file import DEFAULT_OPERATOR_FILE, read_operator_file
 from moorusher.core.outcomes import SCHEDULER_OUTCOMES, EndReason
 from moorusher.forecasting.policy import Policy as ForecastPolicy
-from moorusher.frontends import jsonrpc_messages, uwsgi_packets
+from moorusher.frontends import jsonrpc_messages
 from moorusher.maintenance.policy import Policy as OutagePolicy
+from moorusher.protocols import uwsgi_packets
 from moorusher.routing.grants import Grants
 
 GOOD = {
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -15,7 +15,7 @@
 from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.health.formatting import StatusCodes
 from moorusher.health.policy import HealthPolicy
-from moorusher.server.health_report import Reporter
+from moorusher.health_reporting.reporter import Reporter
 
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
 from .test_core import World
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from moorusher.frontends.uwsgi_packets import HEAD, PING, build_packet
+from moorusher.protocols.uwsgi_packets import HEAD, PING, build_packet
 
 from .stand_ins import (
     HOST,
