--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -145,7 +145,7 @@
 
     def _hand_over(self) -> None:
         if not self._handed_over:
-            log.info("fleet: keyed work that has not started is handed over to other runners")
+            log.info("fleet: keyed work that has not started goes to others")
             if self.forecast is not None:
                 self.forecast.leave()
         self._handed_over = True
