--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -15,6 +15,7 @@
 import tempfile
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -73,6 +74,11 @@
 
         await until(there)
 
+    async def is_seen_lost(self, by: int, i: int) -> bool:
+        """Whether runner `by` takes machine i for dead."""
+        members = (await self.fleet.runners[by].counters("fleet"))["members"]
+        return next(bool(member["state"] == "dead") for member in members if member["seat"] == f"n{i}")
+
     async def over(self, at: int = 0) -> None:
         """No request is open."""
 
@@ -239,6 +245,8 @@
         m.fleet.stop(1)  # with its run still out, and for longer than every limit
         status, got = await m.api(0, "cancel", id="a", by="another operator")
         assert status == 200 and not got["turns"]
+        for i in (0, 2):  # until then nobody can know that it is lost, and another may be granted a slot
+            await until(partial(m.is_seen_lost, i, 1))
         second = asyncio.ensure_future(m.script(2))
         await asyncio.sleep(3.5)
         assert not m.went  # stopped it counts as lost, and so as out
