--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -26,9 +26,9 @@
 from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
 from .experiment import Experiment, Plot, Result
 from .load import Kind
+from .ports import HOST
 from .receiver import Book, Receiver
 from .runners import settings_of
-from .stand_ins import HOST
 from .together import Together
 
 LEASE = SECOND  # a usual figure: the failure detector's patience
--- a/moorusher/lab/many.py
+++ b/moorusher/lab/many.py
@@ -21,9 +21,10 @@
 
 from .cores import Machine
 from .load import Arrival, Kind, Target, draw
+from .ports import HOST, free_port
 from .receiver import Book, Receiver
-from .runners import GAUGES, Runner, free_port, reap_children, settings_of
-from .stand_ins import HOST, Database, Kernel
+from .runners import GAUGES, Runner, reap_children, settings_of
+from .stand_ins import Database, Kernel
 
 CORES, WORK_MS, AHEAD_S = 2, 150.0, 3600.0
 KINDS = [
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -23,8 +23,9 @@
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
 from .load import Kind, Load, Target, draw
+from .ports import HOST
 from .runners import GAUGES, settings_of
-from .stand_ins import HOST, Database
+from .stand_ins import Database
 from .together import Together
 
 RUNNERS, CORES, WORK_MS = 6, 2, 150.0
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -41,9 +41,10 @@
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
 from .load import Arrival, Kind, Load, Target, draw
+from .ports import HOST, free_port
 from .relays import Relay
-from .runners import GAUGES, Runner, free_port, reap_children, settings_of
-from .stand_ins import HOST, Kernel, now_us
+from .runners import GAUGES, Runner, reap_children, settings_of
+from .stand_ins import Kernel, now_us
 
 RUNNERS, CORES, WORK_MS, LOAD = 8, 2, 60.0, 0.7
 KINDS = [
--- a/moorusher/lab/receiver.py
+++ b/moorusher/lab/receiver.py
@@ -16,7 +16,7 @@
 
 from ..admin.api import quiet_site
 from ..leadership.fencing_token import FencingToken, TokenVerdict, check_token
-from .stand_ins import HOST
+from .ports import HOST
 
 Resource: Any = resource.Resource
 
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
-from .stand_ins import HOST
+from .ports import HOST, free_port
 
 MOST_HELD = 8 << 20  # bytes that a slow or silent direction keeps back
 
@@ -83,7 +83,7 @@
         self.ends: set[_End] = set()
         self.silent_there = self.silent_back = self.half_open = False
         self.delay, self.cut_after, self.passed = 0.0, 0, 0
-        self._port: Any = reactor.listenTCP(0, self, interface=HOST)
+        self._port: Any = reactor.listenTCP(free_port(), self, interface=HOST)
         self.port: int = self._port.getHost().port
 
     def buildProtocol(self, addr: object) -> _End:
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -2,17 +2,13 @@
 
 from __future__ import annotations
 
-import itertools
 import json
 import logging
 import os
 import signal
-import socket
 import sys
 import tempfile
-from collections import deque
 from collections.abc import Callable
-from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -20,50 +16,13 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from .load import Kind
-from .stand_ins import HOST, Kernel
+from .ports import HOST, free_port
+from .stand_ins import Kernel
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")
 
 
-FIRST_PORT, PORTS = 15_000, 15_000
-_PORTS = itertools.cycle(range(FIRST_PORT, FIRST_PORT + PORTS))
-_begun: list[int] = []
-MOST_NAMED = 1_000
-_named: deque[socket.socket] = deque()
-
-
-def free_port() -> int:
-    """Below the range that outgoing connections take theirs from: a flood of those must not take a runner's port
-    between here and its start. Nor does another test or laboratory, which begins elsewhere and passes over what this
-    one has named."""
-    if not _begun:
-        _begun.extend(itertools.islice(_PORTS, os.getpid() * 61 % PORTS))
-    for port in itertools.islice(_PORTS, PORTS):
-        if not _is_named_first(port):
-            continue
-        with socket.socket() as s, suppress(OSError):
-            s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # as the runner will
-            s.bind((HOST, port))
-            return port
-    raise OSError("no free port")
-
-
-def _is_named_first(port: int) -> bool:
-    """Runners share their addresses with further processes, so that two that meet on a port would share its clients. An
-    abstract name, gone with this process, tells others that the port is taken."""
-    name = socket.socket(socket.AF_UNIX)
-    try:
-        name.bind(f"\0moorusher-port-{port}")
-    except OSError:
-        name.close()
-        return False
-    _named.append(name)
-    if len(_named) > MOST_NAMED:
-        _named.popleft().close()
-    return True
-
-
 def settings_of(
     kinds: list[Kind], tenants: list[str], cores: int, tip: float = 5.0, **extra: Any
 ) -> dict[str, Any]:
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -25,8 +25,9 @@
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
 from .load import Arrival, Kind, Load, Target, draw
+from .ports import HOST
 from .runners import GAUGES, ROOT, Runner, settings_of
-from .stand_ins import HOST, Database, Kernel, now_us
+from .stand_ins import Database, Kernel, now_us
 
 CORES, WORK_MS = 4, 200.0
 KINDS = [
--- a/moorusher/lab/stand_ins.py
+++ b/moorusher/lab/stand_ins.py
@@ -14,8 +14,8 @@
 
 from ..protocols.uwsgi_packets import HEAD, VARS, parse_vars
 from .cores import FAR, Cores, Machine
+from .ports import HOST, free_port
 
-HOST = "127.0.0.1"
 LOOK = 50_000  # us; cores are looked at so often while something runs: speeds change under it
 SCALE = (
     "work "  # a body that begins so says what its run takes: 'work 20 30' is 20 ms, a call, and 30 ms more
@@ -40,7 +40,7 @@
         self.open: set[Any] = set()
 
     def listen(self, port: int = 0) -> None:
-        self._port = self.reactor.listenTCP(port, self, interface=HOST)
+        self._port = self.reactor.listenTCP(port or free_port(), self, interface=HOST)
         self.port = self._port.getHost().port
 
     def deafen(self) -> None:
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -16,9 +16,10 @@
 from .cores import Machine
 from .experiment import Experiment, Result
 from .load import Arrival, Kind, Target, draw
+from .ports import HOST, free_port
 from .relays import Relay
-from .runners import GAUGES, Runner, free_port, settings_of
-from .stand_ins import HOST, Kernel, now_us
+from .runners import GAUGES, Runner, settings_of
+from .stand_ins import Kernel, now_us
 
 RUNNERS, CORES, WORK_MS = 6, 2, 60.0
 KINDS = [
--- a/moorusher/lab/together.py
+++ b/moorusher/lab/together.py
@@ -11,8 +11,9 @@
 from twisted.internet.task import deferLater
 from twisted.internet.threads import deferToThread
 
-from .runners import Runner, free_port
-from .stand_ins import HOST, Kernel
+from .ports import HOST, free_port
+from .runners import Runner
+from .stand_ins import Kernel
 
 
 class Together:
--- a/moorusher/lab/up.py
+++ b/moorusher/lab/up.py
@@ -10,8 +10,9 @@
 from .balancer import Choice, Prober, Server
 from .cores import Machine
 from .load import Arrival, Kind, Load, Target, draw
+from .ports import HOST
 from .runners import GAUGES, Runner, reap_children, settings_of
-from .stand_ins import HOST, Database, Kernel, now_us
+from .stand_ins import Database, Kernel, now_us
 
 CORES, WORK_MS = 4, 100.0
 KINDS = [
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,10 +20,10 @@
 
 from twisted.internet.asyncioreactor import AsyncioSelectorReactor
 
-from moorusher.lab import runners, stand_ins
+from moorusher.lab import ports, runners, stand_ins
 from moorusher.protocols.uwsgi_packets import VARS, build_packet
 
-HOST, ROOT, free_port = stand_ins.HOST, runners.ROOT, runners.free_port
+HOST, ROOT, free_port = ports.HOST, runners.ROOT, ports.free_port
 
 WAIT = 20.0  # for what must come at all; no test says how soon
 SETTINGS: dict[str, Any] = {
