--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -9,6 +9,8 @@
 
 from twisted.web import resource, server
 
+from ..errors import kind_of
+
 # Twisted's web classes carry no types; named once here, so that the rest is checked.
 Resource: Any = resource.Resource
 Site: Any = server.Site
@@ -135,4 +137,4 @@
 
 
 def _error_document(error: Exception) -> dict[str, str]:
-    return {"error": str(error), "kind": type(error).__name__, "remedy": getattr(error, "remedy", "")}
+    return {"error": str(error), "kind": kind_of(type(error)), "remedy": getattr(error, "remedy", "")}
--- a/moorusher/admin/leadership.py
+++ b/moorusher/admin/leadership.py
@@ -13,7 +13,7 @@
 
 from ..cluster_transport.leadership import DutyLink, DutyReading, DutySnapshot
 from ..core.clock import MS
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution, LeaseStatus
 from .api import Guarded, later, reply
@@ -69,10 +69,12 @@
     return path[-2].isdigit() and len(path[-2]) <= MAX_NUMBER_DIGITS
 
 
-def _as_document(answer: Callable[[Any], None]) -> Callable[[DutyReading | DutySnapshot | DutyError], None]:
+def _as_document(
+    answer: Callable[[Any], None],
+) -> Callable[[DutyReading | DutySnapshot | LeadershipError], None]:
     """Return a callback that answers with the document of a result, or with an error as it is."""
 
-    def callback(result: DutyReading | DutySnapshot | DutyError) -> None:
+    def callback(result: DutyReading | DutySnapshot | LeadershipError) -> None:
         if isinstance(result, DutyReading):
             answer(reading_document(result))
         elif isinstance(result, DutySnapshot):
--- a/moorusher/admin/maintenance.py
+++ b/moorusher/admin/maintenance.py
@@ -23,7 +23,7 @@
     RequestForm,
     SeatSelection,
 )
-from ..maintenance.errors import OutageError
+from ..maintenance.errors import MaintenanceError
 from ..maintenance.schedule import CompletionProof
 from ..maintenance.waiters import WaitResult
 from .api import BadBody, Guarded, later, reply
@@ -208,10 +208,10 @@
         return later(request, wait)
 
 
-def _as_document(answer: Callable[[Any], None]) -> Callable[[MaintenanceStatus | OutageError], None]:
+def _as_document(answer: Callable[[Any], None]) -> Callable[[MaintenanceStatus | MaintenanceError], None]:
     """Return a callback that answers with the document of a status, or with an error as it is."""
 
-    def callback(result: MaintenanceStatus | OutageError) -> None:
-        answer(result if isinstance(result, OutageError) else status_document(result))
+    def callback(result: MaintenanceStatus | MaintenanceError) -> None:
+        answer(result if isinstance(result, MaintenanceError) else status_document(result))
 
     return callback
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -10,7 +10,7 @@
 from ..config_distribution.messages import RevisionId
 from ..config_distribution.propagation import DELETED_NUMBER
 from ..core.clock import MS
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..namespaces.customers import Revision
 from ..namespaces.errors import NoSuchCustomer
 from ..namespaces.revisions import Book, Submission, difference
@@ -107,8 +107,8 @@
     def show(self, customer: str, then: ResultCallback) -> None:
         """Read what is current for the whole cluster, and which earlier revisions are retained."""
 
-        def got_book(got: tuple[int, Book] | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def got_book(got: tuple[int, Book] | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             incarnation, book = got
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -19,7 +19,7 @@
 from ..forecasting.demand import Key
 from ..forecasting.ledger import Series
 from ..forecasting.policy import Policy
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
 from .draft_parsing import SWITCH_INTERVAL_S, DaemonThreadPool
@@ -149,11 +149,11 @@
 
     # ---- for operators ----
 
-    def show(self, customer: str, then: Callable[[bytes | ForecastError | DutyError], None]) -> None:
+    def show(self, customer: str, then: Callable[[bytes | ForecastError | LeadershipError], None]) -> None:
         self.core.begin_turn()
         self.member.ask(customer, then)
 
-    def load(self, past: list[Past], then: Callable[[bytes | ForecastError | DutyError], None]) -> None:
+    def load(self, past: list[Past], then: Callable[[bytes | ForecastError | LeadershipError], None]) -> None:
         self.core.begin_turn()
         self.member.load(past, then)
 
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -9,7 +9,7 @@
 
 from ..leadership.directory import Reading
 from ..leadership.effects import ResponseCallback
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.fencing_token import FencingToken
 from ..leadership.heartbeat import KIND as HEARTBEAT_KIND
 from ..leadership.heartbeat import HeartbeatWorker
@@ -51,7 +51,7 @@
     now_us: int
 
 
-SnapshotCallback = Callable[[DutySnapshot | DutyError], None]
+SnapshotCallback = Callable[[DutySnapshot | LeadershipError], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,11 +173,11 @@
             lease = None
         return DutySnapshot(record, lease, self.core.clock.now)
 
-    def read(self, name: str, callback: Callable[[DutyReading | DutyError], None]) -> None:
+    def read(self, name: str, callback: Callable[[DutyReading | LeadershipError], None]) -> None:
         """Read a duty through its register, with its state."""
 
-        def got(reading: Reading | DutyError) -> None:
-            if isinstance(reading, DutyError):
+        def got(reading: Reading | LeadershipError) -> None:
+            if isinstance(reading, LeadershipError):
                 callback(reading)
             else:
                 callback(DutyReading(self._snapshot(reading.record), reading.state))
@@ -203,8 +203,8 @@
         )
         self.participant.directory.resolve_intent(name, intent_revision, self._snapshot_to(callback))
 
-    def _snapshot_to(self, callback: SnapshotCallback) -> Callable[[LeaseRecord | DutyError], None]:
-        def got(result: LeaseRecord | DutyError) -> None:
-            callback(result if isinstance(result, DutyError) else self._snapshot(result))
+    def _snapshot_to(self, callback: SnapshotCallback) -> Callable[[LeaseRecord | LeadershipError], None]:
+        def got(result: LeaseRecord | LeadershipError) -> None:
+            callback(result if isinstance(result, LeadershipError) else self._snapshot(result))
 
         return got
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -8,7 +8,7 @@
 from ..core.request_engine import RequestEngine
 from ..health_reporting.reporter import Reporter
 from ..maintenance.coordinator import MaintenanceCoordinator
-from ..maintenance.errors import NoSuchSeat, NotHere, OutageError
+from ..maintenance.errors import MaintenanceError, NotLocalError, UnknownSeatError
 from ..maintenance.load_report import LoadGauge
 from ..maintenance.next_step import NextStep
 from ..maintenance.policy import Policy
@@ -81,7 +81,7 @@
     now_s: float
 
 
-StatusCallback = Callable[[MaintenanceStatus | OutageError], None]
+StatusCallback = Callable[[MaintenanceStatus | MaintenanceError], None]
 
 
 class MaintenanceLink:
@@ -138,13 +138,13 @@
     # ---- operators ----
 
     def submit(self, form: RequestForm, callback: StatusCallback) -> None:
-        """Add a request. Errors: NoSuchSeat, NotHere, and those of `MaintenanceCoordinator.submit`."""
+        """Add a request. Errors: UnknownSeatError, NotLocalError, and those of `MaintenanceCoordinator.submit`."""
         self.core.begin_turn()
         seats = self._selected_seats(form.selection)
         if not seats:
-            return callback(NoSuchSeat("no seat of that zone or group"))
+            return callback(UnknownSeatError("no seat of that zone or group"))
         if form.ends_with_caller and seats != (self.fleet.name,):
-            return callback(NotHere(f"{', '.join(seats[:3])}: this is {self.fleet.name}"))
+            return callback(NotLocalError(f"{', '.join(seats[:3])}: this is {self.fleet.name}"))
         request = MaintenanceRequest(
             id=form.id,
             reason=form.reason,
@@ -201,14 +201,14 @@
     def wait(
         self, request_id: str, seat: str, timeout_s: float, callback: WaitCallback
     ) -> Callable[[], None]:
-        """See `MaintenanceCoordinator.wait`. Raises NotHere."""
+        """See `MaintenanceCoordinator.wait`. Raises NotLocalError."""
         self.core.begin_turn()
         timeout_us = round(min(timeout_s, MAX_WAIT_S) * SECOND_US)
         return self.coordinator.wait(request_id, seat, timeout_us, callback)
 
-    def _status_to(self, callback: StatusCallback) -> Callable[[Schedule | OutageError], None]:
-        def got(result: Schedule | OutageError) -> None:
-            callback(result if isinstance(result, OutageError) else self.status(result, True))
+    def _status_to(self, callback: StatusCallback) -> Callable[[Schedule | MaintenanceError], None]:
+        def got(result: Schedule | MaintenanceError) -> None:
+            callback(result if isinstance(result, MaintenanceError) else self.status(result, True))
 
         return got
 
--- a/moorusher/config_distribution/local_publishers.py
+++ b/moorusher/config_distribution/local_publishers.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable
 
-from ..leadership.errors import Busy
+from ..errors import kind_of
+from ..leadership.errors import LeaderBusyError
 from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.errors import NamespaceError, NoSuchCustomer
 from ..namespaces.policy import Bounds
@@ -49,14 +50,14 @@
 
         def answer(got: RevisionId | DistributionError) -> None:
             if isinstance(got, Exception):
-                self._member.send(seat, SubmitResult(message.serial, (0, 0), type(got).__name__, str(got)))
+                self._member.send(seat, SubmitResult(message.serial, (0, 0), kind_of(type(got)), str(got)))
             else:
                 self._member.send(seat, SubmitResult(message.serial, got))
 
         name = duty_of(message.submission.customer)
         publisher = self.by_lease.get(name)
         if publisher is None:
-            answer(Busy(f"{name}: not with this runner"))
+            answer(LeaderBusyError(f"{name}: not with this runner"))
         else:
             publisher.submit(message.submission, answer)
 
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_record import LeaseRecord, LeaseStatus
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
@@ -88,8 +88,8 @@
     def delete(self, customer: str, then: Answer) -> None:
         """Delete a namespace with its book; created again, it has another incarnation."""
 
-        def removed(got: LeaseRecord | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def removed(got: LeaseRecord | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             incarnation = got.generation
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from ..leadership.effects import Completed, Outcome, StateUpdate
-from ..leadership.errors import Busy, DutyError, NoMajority
+from ..leadership.errors import LeaderBusyError, LeadershipError, NoMajorityError
 from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
@@ -24,7 +24,7 @@
 PREFIX = "namespace/"
 MAX_WAITING = 16  # submissions a customer
 Answer = Callable[[RevisionId | DistributionError], None]
-BookCallback = Callable[[tuple[int, Book] | DutyError], None]  # with the namespace's incarnation
+BookCallback = Callable[[tuple[int, Book] | LeadershipError], None]  # with the namespace's incarnation
 
 
 def duty_of(customer: str) -> str:
@@ -77,7 +77,7 @@
             None  # None: unknown, the register is read before the next submission is judged
         )
         self._waiting: deque[tuple[Submission, Answer]] = deque()  # the first one is being published
-        self._stop_reason: DutyError | None = None
+        self._stop_reason: LeadershipError | None = None
         self._stopped = False
 
     # ---- leadership.worker.Worker ----
@@ -94,7 +94,7 @@
     def before_release(self) -> None:
         """Nothing has to be written before the lease is released."""
 
-    def stop(self, why: DutyError | None) -> None:
+    def stop(self, why: LeadershipError | None) -> None:
         """Fail all waiting submissions with `why`, or `Busy` where the lease is released."""
         self._stopped = True
         self._stop_reason = why
@@ -104,8 +104,8 @@
         for _, then in waiting:
             then(why or self._being_released())
 
-    def _being_released(self) -> Busy:
-        return Busy(f"{self.lease.name}: it is being given to another")
+    def _being_released(self) -> LeaderBusyError:
+        return LeaderBusyError(f"{self.lease.name}: it is being given to another")
 
     # ---- submissions, one after the other ----
 
@@ -115,7 +115,7 @@
             then(self._stop_reason or self._being_released())
             return
         if len(self._waiting) >= MAX_WAITING:
-            then(Busy(f"{self.lease.name}: {MAX_WAITING} submissions wait already"))
+            then(LeaderBusyError(f"{self.lease.name}: {MAX_WAITING} submissions wait already"))
             return
         self._waiting.append((submission, then))
         if len(self._waiting) == 1:
@@ -126,10 +126,10 @@
             self._judge(self._book)
             return
 
-        def read(got: tuple[int, Book] | DutyError) -> None:
+        def read(got: tuple[int, Book] | LeadershipError) -> None:
             if self._stopped:
                 return
-            if isinstance(got, DutyError):
+            if isinstance(got, LeadershipError):
                 self._done(got)
                 return
             incarnation, book = got
@@ -179,7 +179,7 @@
                 self.host.published(self.customer, revision_id, draft)
                 self._done(revision_id)
                 return
-            if isinstance(outcome, (NoMajority, Busy)):
+            if isinstance(outcome, (NoMajorityError, LeaderBusyError)):
                 # The change may still be accepted. Judged by the old book, the next draft would get the same number:
                 # the register is read first, which also prevents the change from being accepted afterwards.
                 self._book = None
--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Container
 
 from ..leadership.directory import Reading
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.participant import Participant
 from ..namespaces.customers import Revision
 from ..namespaces.errors import NamespaceError, Retired
@@ -40,14 +40,14 @@
         """
         name = duty_of(customer)
 
-        def read(got: Reading | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def read(got: Reading | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             try:
                 book = unpack(got.state or b"", customer)
             except ValueError as exc:
-                then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a DutyError
+                then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a LeadershipError
                 return
             then((got.record.generation, book))
 
@@ -57,8 +57,8 @@
         """Call `then` with the draft of exactly that revision; None where it is not there or not readable."""
         incarnation, number = revision_id
 
-        def got_book(got: tuple[int, Book] | DutyError) -> None:
-            entry = None if isinstance(got, DutyError) or got[0] != incarnation else got[1].find(number)
+        def got_book(got: tuple[int, Book] | LeadershipError) -> None:
+            entry = None if isinstance(got, LeadershipError) or got[0] != incarnation else got[1].find(number)
             then(None if entry is None else entry.draft)
 
         self.book(customer, got_book)
@@ -79,8 +79,8 @@
             return
         incarnation, number = revision_id
 
-        def got_book(got: tuple[int, Book] | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def got_book(got: tuple[int, Book] | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             entry = got[1].find(number) if got[0] == incarnation else None
--- a/moorusher/config_distribution/submission_forwarding.py
+++ b/moorusher/config_distribution/submission_forwarding.py
@@ -6,7 +6,13 @@
 from dataclasses import dataclass
 
 from ..leadership.directory import Reading
-from ..leadership.errors import Busy, DutyError, NoMajority, Superseded, Unknown
+from ..leadership.errors import (
+    LeaderBusyError,
+    LeadershipError,
+    LeaseSupersededError,
+    NoMajorityError,
+    UnknownLeaseError,
+)
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
@@ -70,7 +76,7 @@
             then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
             return
         if len(self._forwarded) >= MAX_SUBMISSIONS:
-            then(Busy(f"{MAX_SUBMISSIONS} submissions wait at this runner"))
+            then(LeaderBusyError(f"{MAX_SUBMISSIONS} submissions wait at this runner"))
             return
         self._serial += 1
         deadline_us = self._member.now() + SUBMIT_TIMEOUT_US
@@ -85,20 +91,20 @@
         name = duty_of(forwarded.submission.customer)
         if self._member.now() >= forwarded.deadline_us:
             del self._forwarded[serial]
-            forwarded.then(forwarded.last_error or NoMajority(name))
+            forwarded.then(forwarded.last_error or NoMajorityError(name))
             return
         forwarded.attempt += 1
         attempt = forwarded.attempt
 
-        def looked_up(got: Reading | DutyError) -> None:
+        def looked_up(got: Reading | LeadershipError) -> None:
             if self._forwarded.get(serial) is forwarded and forwarded.attempt == attempt:
                 self._forward(serial, forwarded, got)
 
         self._directory.read(name, looked_up, state=False)
 
-    def _forward(self, serial: int, forwarded: _Forwarded, got: Reading | DutyError) -> None:
+    def _forward(self, serial: int, forwarded: _Forwarded, got: Reading | LeadershipError) -> None:
         name = duty_of(forwarded.submission.customer)
-        if isinstance(got, Unknown):
+        if isinstance(got, UnknownLeaseError):
             if not forwarded.lease_created:
                 forwarded.lease_created = True
                 attempt = forwarded.attempt
@@ -108,7 +114,7 @@
                 return
             self._retry_after(RETRY_PAUSE_US, serial, forwarded, forwarded.attempt)
             return
-        if isinstance(got, DutyError):
+        if isinstance(got, LeadershipError):
             forwarded.last_error = got
             self._retry_after(RETRY_PAUSE_US, serial, forwarded, forwarded.attempt)
             return
@@ -118,7 +124,7 @@
             self._retry_after(LEADER_TIMEOUT_US, serial, forwarded, forwarded.attempt)
             return
         status = LeaseStatus(record.status).api_name
-        forwarded.last_error = Busy(f"{name}: nobody has it at this time ({status})")
+        forwarded.last_error = LeaderBusyError(f"{name}: nobody has it at this time ({status})")
         self._retry_after(RETRY_PAUSE_US, serial, forwarded, forwarded.attempt)
 
     def _retry_after(self, pause_us: int, serial: int, forwarded: _Forwarded, attempt: int) -> None:
@@ -140,7 +146,7 @@
             forwarded.then(message.revision_id)
             return
         error = error_from_wire(message.error, message.error_text)
-        if isinstance(error, (Busy, NoMajority, Superseded)):
+        if isinstance(error, (LeaderBusyError, NoMajorityError, LeaseSupersededError)):
             forwarded.last_error = error
             forwarded.attempt += 1
             self._retry_after(RETRY_PAUSE_US, message.serial, forwarded, forwarded.attempt)
--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..errors import Remediable
+from ..errors import OperatorError
 
 
-class ForecastError(Remediable):
+class ForecastError(OperatorError):
     """Why there is no forecast to be had, with its status and remedy for operators."""
 
 
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -16,7 +16,7 @@
 from ..forecasting.ledger import Ledger, Series
 from ..forecasting.policy import Policy, Scaling
 from ..leadership.effects import Completed, FencedRequest, Outcome, StateUpdate
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
 from .errors import BadPast, ForecastError, NotYet, Unreadable
@@ -84,7 +84,7 @@
     def before_release(self) -> None:
         return None
 
-    def stop(self, why: DutyError | None) -> None:
+    def stop(self, why: LeadershipError | None) -> None:
         self._over = True
         self._pending.clear()
         self.host.ended(self)
@@ -134,7 +134,7 @@
 
         self.lease.submit(StateUpdate(self.ledger.pack()), over)
 
-    def load(self, past: list[Past], then: Callable[[ForecastError | DutyError | None], None]) -> None:
+    def load(self, past: list[Past], then: Callable[[ForecastError | LeadershipError | None], None]) -> None:
         """`then(None)` once a majority has it."""
         if self.unreadable and self.wrong is not None:
             return then(self.wrong)
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -7,10 +7,11 @@
 
 import msgspec
 
+from ..errors import kind_of
 from ..forecasting.demand import Tally
 from ..forecasting.policy import Policy
 from ..leadership.directory import Reading
-from ..leadership.errors import DutyError, NoMajority
+from ..leadership.errors import LeadershipError, NoMajorityError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
@@ -26,8 +27,8 @@
 MOST_ASKED = 64
 MOST_TOLD = 400 << 10  # bytes of what an owner tells
 _KINDS: tuple[type[ForecastError], ...] = ERRORS
-_ERRORS = {kind.__name__: kind for kind in _KINDS}
-Then = Callable[[bytes | ForecastError | DutyError], None]
+_ERRORS = {kind_of(kind): kind for kind in _KINDS}
+Then = Callable[[bytes | ForecastError | LeadershipError], None]
 
 
 class Host(Protocol):
@@ -125,22 +126,22 @@
             )
             self._owner(self._found)
 
-    def _found(self, owner: str | DutyError) -> None:
+    def _found(self, owner: str | LeadershipError) -> None:
         if isinstance(owner, str):
             self._whom, self._unanswered = owner, 0
 
     def _known(self) -> str:
         """By the news of its register, where this member keeps it."""
         known = self.participant.directory.last_known(NAME)
-        owner = None if isinstance(known, DutyError) else known.record.holder
+        owner = None if isinstance(known, LeadershipError) else known.record.holder
         return "" if owner is None or not self.participant.node.is_up(owner.seat) else owner.seat
 
-    def _owner(self, then: Callable[[str | DutyError], None]) -> None:
-        def read(got: Reading | DutyError) -> None:
-            if isinstance(got, DutyError):
+    def _owner(self, then: Callable[[str | LeadershipError], None]) -> None:
+        def read(got: Reading | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 return then(got)
             owner = got.record.holder
-            return then(NoMajority(NAME) if owner is None else owner.seat)
+            return then(NoMajorityError(NAME) if owner is None else owner.seat)
 
         if self.forecaster is not None:
             return then(self.participant.services.me)
@@ -158,8 +159,8 @@
         if len(self._asked) >= MOST_ASKED:
             return then(NotYet(f"{MOST_ASKED} questions wait at this runner"))
 
-        def found(owner: str | DutyError) -> None:
-            if isinstance(owner, DutyError):
+        def found(owner: str | LeadershipError) -> None:
+            if isinstance(owner, LeadershipError):
                 return then(owner)
             self._serial += 1
             serial = self._serial
@@ -180,7 +181,7 @@
                 raise NotYet(f"{self.participant.services.me} has not got the forecast")
             body = msgspec.json.encode(self.forecaster.told(m.customer))
         except ForecastError as exc:
-            return Told(m.serial, b"", type(exc).__name__, str(exc))
+            return Told(m.serial, b"", kind_of(type(exc)), str(exc))
         if len(body) > MOST_TOLD:
             return Told(m.serial, b"", "NotYet", f"{len(body)} bytes: ask for one customer")
         return Told(m.serial, body)
@@ -191,7 +192,7 @@
                 seat,
                 Told(m.serial, b"{}")
                 if wrong is None
-                else Told(m.serial, b"", type(wrong).__name__, str(wrong)),
+                else Told(m.serial, b"", kind_of(type(wrong)), str(wrong)),
             )
 
         if self.forecaster is None:
--- a/moorusher/leadership/directory.py
+++ b/moorusher/leadership/directory.py
@@ -9,7 +9,15 @@
 from ..replication.proposer import ChangeResult
 from ..replication.work_record import Key
 from .election import Election
-from .errors import Busy, Damaged, DutyError, NoMajority, OverBudget, SetAside, Unknown
+from .errors import (
+    LeaderBusyError,
+    LeadershipError,
+    LeaseSuspendedError,
+    LimitExceededError,
+    NoMajorityError,
+    StateDamagedError,
+    UnknownLeaseError,
+)
 from .held_leases import HeldLeases
 from .journal import DutyAcceptor
 from .lease_record import MAX_NAME_BYTES, LeaseRecord, LeaseStatus, decode_record, register_key
@@ -28,8 +36,8 @@
     state: bytes | None
 
 
-RecordCallback = Callable[[LeaseRecord | DutyError], None]
-ReadingCallback = Callable[[Reading | DutyError], None]
+RecordCallback = Callable[[LeaseRecord | LeadershipError], None]
+ReadingCallback = Callable[[Reading | LeadershipError], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +49,7 @@
 
 
 class DutyDirectory:
-    """Operations on any duty, at any member. Callbacks get a DutyError if the operation failed."""
+    """Operations on any duty, at any member. Callbacks get a LeadershipError if the operation failed."""
 
     def __init__(
         self,
@@ -80,18 +88,18 @@
     # ---- operations ----
 
     def create(self, name: str, kind: str, callback: RecordCallback) -> None:
-        """Create a duty. Errors: OverBudget for the name, NoMajority, Busy."""
+        """Create a duty. Errors: LimitExceededError for the name, NoMajorityError, LeaderBusyError."""
         size = len(name.encode())
         if not 0 < size <= MAX_NAME_BYTES:
-            return callback(OverBudget(f"a name of {size} bytes: 1 to {MAX_NAME_BYTES} are taken"))
+            return callback(LimitExceededError(f"a name of {size} bytes: 1 to {MAX_NAME_BYTES} are taken"))
         change = Create(name, kind, self._services.incarnation)
         return self._change(name, change, _exists, callback)
 
     def remove(self, name: str, callback: RecordCallback) -> None:
-        """Remove a duty, and supersede its leader. Errors: Unknown, NoMajority, Busy."""
+        """Remove a duty, and supersede its leader. Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError."""
 
-        def read(found: LeaseRecord | DutyError) -> None:
-            if isinstance(found, DutyError):
+        def read(found: LeaseRecord | LeadershipError) -> None:
+            if isinstance(found, LeadershipError):
                 return callback(found)
             generation = found.generation
 
@@ -103,11 +111,14 @@
         self._change(name, Read(), _always, read)
 
     def resume(self, name: str, callback: RecordCallback) -> None:
-        """Let a suspended duty go on. Errors: Unknown, NoMajority, Busy."""
+        """Let a suspended duty go on. Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError."""
         self._change(name, Resume(), _is_not_suspended, callback)
 
     def resolve_intent(self, name: str, intent_revision: int, callback: RecordCallback) -> None:
-        """Close an open intent, on an operator's statement. Errors: Unknown, NoMajority, Busy."""
+        """Close an open intent, on an operator's statement.
+
+        Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError.
+        """
 
         def is_closed(record: LeaseRecord) -> bool:
             return all(intent.revision != intent_revision for intent in record.intents)
@@ -117,18 +128,18 @@
     def read(
         self, name: str, callback: ReadingCallback, state: bool = True, after_abandoned_changes: bool = False
     ) -> None:
-        """Read a duty as a majority has it. Errors: Unknown, NoMajority, Damaged.
+        """Read a duty as a majority has it. Errors: UnknownLeaseError, NoMajorityError, StateDamagedError.
 
         state: bool, read the state as well.
         after_abandoned_changes: bool, no change that was abandoned before can come about later, unless it is seen now.
             Such a read hinders changes that are made at the same time.
         """
 
-        def found(record: LeaseRecord | DutyError) -> None:
-            if isinstance(record, DutyError):
+        def found(record: LeaseRecord | LeadershipError) -> None:
+            if isinstance(record, LeadershipError):
                 return callback(record)
             if record.status == LeaseStatus.REMOVED:
-                return callback(Unknown(name))
+                return callback(UnknownLeaseError(name))
             if not state or not record.versions:
                 return callback(Reading(record, b"" if state else None))
             return self._read_state(name, record, callback)
@@ -145,14 +156,14 @@
 
         def fetched(state: bytes | None) -> None:
             if state is None:
-                callback(Damaged(f"{name}: no whole copy of version {version.revision}"))
+                callback(StateDamagedError(f"{name}: no whole copy of version {version.revision}"))
             else:
                 callback(Reading(record, state))
 
         deadline_us = self._services.now() + FETCH_TIMEOUT_US
         self._fetching.fetch(register_key(name), version, deadline_us, fetched)
 
-    def last_known(self, name: str) -> Reading | DutyError:
+    def last_known(self, name: str) -> Reading | LeadershipError:
         """Return what this member knows without asking others; it may be out of date."""
         key = register_key(name)
         lease = self._leases.by_key.get(key)
@@ -160,9 +171,9 @@
             return Reading(lease.record, lease.state)
         record = self._election.records.get(key)
         if record is None or record.status == LeaseStatus.REMOVED:
-            return Unknown(name)
+            return UnknownLeaseError(name)
         if record.status == LeaseStatus.SUSPENDED:
-            return SetAside(name, record.suspension_reason)
+            return LeaseSuspendedError(name, record.suspension_reason)
         return Reading(record, None)
 
     def _change(
@@ -175,13 +186,13 @@
 
 def _checked(
     name: str, done: ChangeResult | None, is_done: Callable[[LeaseRecord], bool]
-) -> LeaseRecord | DutyError:
+) -> LeaseRecord | LeadershipError:
     if done is None:
-        return NoMajority(name)
+        return NoMajorityError(name)
     record = decode_record(done.value)
     if record is None:
-        return Unknown(name)
-    return record if is_done(record) else Busy(f"{name}: not as it should be by now")
+        return UnknownLeaseError(name)
+    return record if is_done(record) else LeaderBusyError(f"{name}: not as it should be by now")
 
 
 def _always(record: LeaseRecord) -> bool:
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -13,7 +13,13 @@
     ReceiverResponse,
     StateUpdate,
 )
-from .errors import Busy, Forgotten, NoMajority, OverBudget, Unreached
+from .errors import (
+    LeaderBusyError,
+    LimitExceededError,
+    NoMajorityError,
+    ReceiverUnreachableError,
+    RegistersLostError,
+)
 from .fencing_token import FencingToken
 from .holder_changes import IssueToken, Suspend, UpdateState
 from .intent_resolution import IntentResolver
@@ -51,7 +57,7 @@
         max_bytes = lease.context.policy.state_bytes
         if len(state) > max_bytes:
             return lease.finish(
-                OverBudget(f"{lease.name}: a state of {len(state)} bytes; state_bytes is {max_bytes}")
+                LimitExceededError(f"{lease.name}: a state of {len(state)} bytes; state_bytes is {max_bytes}")
             )
         record = lease.record
         max_versions = lease.context.policy.versions
@@ -60,13 +66,13 @@
             if lease.is_ended:
                 return
             if not by_majority:
-                return lease.finish(NoMajority(lease.name))
+                return lease.finish(NoMajorityError(lease.name))
             lease.register.change(
                 changed, UpdateState, record.revision, len(state), chunk_names(state), max_versions
             )
 
         def changed(outcome: Outcome) -> None:
-            if isinstance(outcome, Busy) and attempt < MAX_ATTEMPTS:
+            if isinstance(outcome, LeaderBusyError) and attempt < MAX_ATTEMPTS:
                 return self._update_state(state, attempt + 1)  # for the revision that there is now
             if isinstance(outcome, Completed):
                 lease.state = state
@@ -108,7 +114,7 @@
                 return lease.finish(Completed(token, response.body, response.done))
             if attempt < MAX_ATTEMPTS:
                 return lease.after(RETRY_US, lambda: self.send_fenced(request, token, attempt + 1))
-            return lease.finish(Unreached(f"{lease.name}: {request.receiver} does not answer"))
+            return lease.finish(ReceiverUnreachableError(f"{lease.name}: {request.receiver} does not answer"))
 
         lease.context.receivers.send_fenced(request.receiver, lease.name, token, request.body, responded)
 
@@ -118,9 +124,9 @@
 
         def verified(found: LeaseRecord | None) -> None:
             if found is None:
-                return lease.finish(NoMajority(lease.name))
+                return lease.finish(NoMajorityError(lease.name))
             if FencingToken(*found.position) > highest:
-                return lease.finish(Busy(f"{lease.name}: overtaken by a later change of its own"))
+                return lease.finish(LeaderBusyError(f"{lease.name}: overtaken by a later change of its own"))
             return self._suspend(receiver, highest, found)
 
         lease.register.verify(verified)
@@ -134,6 +140,6 @@
         lease.context.services.count("duties: forgotten")
 
         def suspended(outcome: Outcome) -> None:
-            lease.end(Forgotten(f"{lease.name}: {reason}"))
+            lease.end(RegistersLostError(f"{lease.name}: {reason}"))
 
         lease.register.change(suspended, Suspend, reason, highest.generation + 1)
--- a/moorusher/leadership/effects.py
+++ b/moorusher/leadership/effects.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .errors import DutyError
+from .errors import LeadershipError
 from .fencing_token import FencingToken
 from .lease_record import IntentResolution
 
@@ -61,7 +61,7 @@
     done: bool = True
 
 
-Outcome = Completed | DutyError
+Outcome = Completed | LeadershipError
 OutcomeCallback = Callable[[Outcome], None]
 
 
--- a/moorusher/leadership/heartbeat.py
+++ b/moorusher/leadership/heartbeat.py
@@ -13,7 +13,7 @@
 
 from ..membership.failure_detector import MS
 from .effects import Completed, DeferredStateUpdate, FencedRequest, Outcome, StateUpdate
-from .errors import DutyError
+from .errors import LeadershipError
 from .lease_holder import LeaseHolder
 from .policy import Report
 from .serial_queue import ignore_outcome
@@ -63,7 +63,7 @@
         """Hand the count on. A report may be pending: it counts in that state, as the state is read after it."""
         self._lease.submit(DeferredStateUpdate(lambda: _json.encode(self.state)), ignore_outcome)
 
-    def stop(self, reason: DutyError | None) -> None:
+    def stop(self, reason: LeadershipError | None) -> None:
         """Send nothing any more."""
         self._is_stopped = True
 
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -9,7 +9,7 @@
 from ..replication.work_record import Key
 from .candidates import overload_threshold
 from .election import Election
-from .errors import DutyError
+from .errors import LeadershipError
 from .lease_holder import LeaseHolder
 from .lease_interface import LeaderContext
 from .lease_record import LeaseRecord, LeaseStatus, decode_record
@@ -140,7 +140,7 @@
             self.workers[lease.key] = worker
             worker.start()
 
-    def ended(self, lease: LeaseHolder, reason: DutyError | None) -> None:
+    def ended(self, lease: LeaseHolder, reason: LeadershipError | None) -> None:
         """A term is over: stop the worker."""
         if self.by_key.get(lease.key) is lease:
             del self.by_key[lease.key]
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -6,7 +6,7 @@
 
 from ..membership.failure_detector import MS
 from .effects import Completed, IntentRequest, Outcome, ReceiverResponse
-from .errors import Busy, OverBudget, Uncertain
+from .errors import IntentUncertainError, LeaderBusyError, LimitExceededError
 from .fencing_token import FencingToken
 from .holder_changes import AddIntent, CloseIntent
 from .lease_interface import HeldLease
@@ -35,14 +35,14 @@
         lease = self._lease
         open_intents = len(lease.record.intents)
         if open_intents >= lease.context.policy.intents:
-            return lease.finish(OverBudget(f"{lease.name}: {open_intents} intents are open"))
+            return lease.finish(LimitExceededError(f"{lease.name}: {open_intents} intents are open"))
 
         def recorded(outcome: Outcome) -> None:
             if not isinstance(outcome, Completed):
                 return lease.finish(outcome)
             intent = self._find_unsent(request)
             if intent is None:
-                return lease.finish(Busy(f"{lease.name}: an operator has settled it at once"))
+                return lease.finish(LeaderBusyError(f"{lease.name}: an operator has settled it at once"))
             return self._send(intent, outcome.token)
 
         return lease.register.change(
@@ -73,7 +73,9 @@
         if not response.answered:
             self.resolve_open()
             return lease.finish(
-                Uncertain(f"{lease.name}: {intent.receiver} has not said whether {intent.revision} was done")
+                IntentUncertainError(
+                    f"{lease.name}: {intent.receiver} has not said whether {intent.revision} was done"
+                )
             )
 
         def closed(outcome: Outcome) -> None:
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -15,7 +15,13 @@
 from ..replication.work_record import Key
 from .effect_executor import EffectExecutor
 from .effects import Completed, Effect, IntentRequest, Outcome, OutcomeCallback
-from .errors import Busy, Damaged, DutyError, OverBudget, Superseded
+from .errors import (
+    LeaderBusyError,
+    LeadershipError,
+    LeaseSupersededError,
+    LimitExceededError,
+    StateDamagedError,
+)
 from .holder_changes import ClearLostLeaders, ReleaseLease, StartRelease
 from .intent_resolution import IntentResolver
 from .lease_interface import LeaderContext
@@ -43,7 +49,7 @@
     def started(self, lease: LeaseHolder) -> None:
         """The state is there: the work may begin."""
 
-    def ended(self, lease: LeaseHolder, reason: DutyError | None) -> None:
+    def ended(self, lease: LeaseHolder, reason: LeadershipError | None) -> None:
         """The term is over; `reason` is None after a release in order."""
 
 
@@ -77,7 +83,7 @@
         self.stage = Stage.STARTING
         self.state = b""
         self.since_us = context.services.now()
-        self.last_error: DutyError | None = None
+        self.last_error: LeadershipError | None = None
         self.intents = IntentResolver(self)
         self._executor = self.effect_executor_class(self, self.intents)
         self._queue = SerialQueue(self._release_when_idle)
@@ -118,7 +124,7 @@
             return
         if state is None:
             # The replicas that have it may be back soon, and then any later leader finds it, too.
-            self.last_error = Damaged(f"{self.name}: no whole copy of its state")
+            self.last_error = StateDamagedError(f"{self.name}: no whole copy of its state")
             self.context.services.count("duties: state not found")
             self.context.services.after(RETRY_US, self._fetch_state)
             return
@@ -144,17 +150,21 @@
     def submit(self, effect: Effect, callback: OutcomeCallback) -> None:
         """Carry out an effect after those submitted before it.
 
-        `callback` is called once, with what was done or why nothing was, as far as that is known: after NoMajority a
-        state update may come about yet. Errors: Busy, OverBudget, NoMajority, Superseded, Unreached, Uncertain,
-        Forgotten.
+        `callback` is called once, with what was done or why nothing was, as far as that is known: after
+        NoMajorityError a state update may come about yet.
+
+        Errors: LeaderBusyError, LimitExceededError, NoMajorityError, LeaseSupersededError, ReceiverUnreachableError,
+        IntentUncertainError, RegistersLostError.
         """
         if self.is_ended:
             return callback(_ended_error(self.record))
         if self.stage is not Stage.ACTIVE or len(self._queue) >= MAX_QUEUED_EFFECTS:
-            return callback(Busy(f"{self.name}: {self.stage.value}"))
+            return callback(LeaderBusyError(f"{self.name}: {self.stage.value}"))
         if isinstance(effect, IntentRequest) and len(effect.payload) > MAX_INTENT_BYTES:
             size = len(effect.payload)
-            return callback(OverBudget(f"{self.name}: an intent of {size} bytes; {MAX_INTENT_BYTES} at most"))
+            return callback(
+                LimitExceededError(f"{self.name}: an intent of {size} bytes; {MAX_INTENT_BYTES} at most")
+            )
         return self.enqueue(lambda: self._executor.execute(effect), callback)
 
     def enqueue(self, run: Callable[[], None], callback: OutcomeCallback) -> None:
@@ -166,7 +176,7 @@
         if self.is_ended:
             return
         step = self._queue.complete()
-        self.last_error = outcome if isinstance(outcome, DutyError) else None
+        self.last_error = outcome if isinstance(outcome, LeadershipError) else None
         step.callback(outcome)
         self._queue.start_next()
 
@@ -229,9 +239,9 @@
         if found is None:
             self.end(_ended_error(self.record))
         else:
-            self.end(Superseded(self.name, self.record.term, found.holder, found.term))
+            self.end(LeaseSupersededError(self.name, self.record.term, found.holder, found.term))
 
-    def end(self, reason: DutyError | None) -> None:
+    def end(self, reason: LeadershipError | None) -> None:
         """End the term. Effects that had not ended get `reason` as their outcome."""
         if self.is_ended:
             return
@@ -244,6 +254,6 @@
             step.callback(reason or _ended_error(self.record))
 
 
-def _ended_error(record: LeaseRecord) -> Superseded:
+def _ended_error(record: LeaseRecord) -> LeaseSupersededError:
     """The term is over, and nothing is known of a later leader."""
-    return Superseded(record.name, record.term, None, record.term)
+    return LeaseSupersededError(record.name, record.term, None, record.term)
--- a/moorusher/leadership/lease_interface.py
+++ b/moorusher/leadership/lease_interface.py
@@ -8,7 +8,7 @@
 
 from ..replication.work_record import Key
 from .effects import Outcome, OutcomeCallback
-from .errors import DutyError
+from .errors import LeadershipError
 from .lease_record import LeaseRecord
 from .lease_register import LeaseRegister
 from .policy import Policy
@@ -66,5 +66,5 @@
     def after(self, delay_us: int, action: Callable[[], None]) -> None:
         """Call `action` after the delay, unless the term is over by then."""
 
-    def end(self, reason: DutyError | None) -> None:
+    def end(self, reason: LeadershipError | None) -> None:
         """End the term."""
--- a/moorusher/leadership/lease_register.py
+++ b/moorusher/leadership/lease_register.py
@@ -8,7 +8,7 @@
 from ..replication.proposer import CarriedPromise, ChangeResult
 from ..replication.work_record import Key
 from .effects import Completed, OutcomeCallback
-from .errors import Busy, NoMajority
+from .errors import LeaderBusyError, NoMajorityError
 from .fencing_token import FencingToken
 from .holder_changes import HolderChange
 from .lease_record import LeaseRecord, decode_record
@@ -47,8 +47,8 @@
     def change(self, callback: OutcomeCallback, change_type: type[HolderChange], *arguments: Any) -> None:
         """Make a change, with the arguments of its kind beside those of every leader's change.
 
-        `callback` gets Completed with the token of the change, NoMajority, or Busy if an operator's change came
-        between. It is not called if the lease is not held any more.
+        `callback` gets Completed with the token of the change, NoMajorityError, or LeaderBusyError if an operator's
+        change came between. It is not called if the lease is not held any more.
         """
         self._sequence += 1
         change = change_type(self.owner, self.record.generation, self.record.term, self._sequence, *arguments)
@@ -60,7 +60,7 @@
                 return
             if done is None:
                 self._services.count("duties: no majority")
-                return callback(NoMajority(self.record.name))
+                return callback(NoMajorityError(self.record.name))
             found = decode_record(done.value)
             if found is None or not (change.is_applied_in(found) or self.record.is_same_tenure(found)):
                 return self._superseded(found)
@@ -68,7 +68,7 @@
             self._hold = done.promise
             if change.is_applied_in(found):
                 return callback(Completed(FencingToken(*found.position)))
-            return callback(Busy(f"{found.name}: it was changed meanwhile"))
+            return callback(LeaderBusyError(f"{found.name}: it was changed meanwhile"))
 
         self._services.change_register(self.key, change, hold, answered)
 
--- a/moorusher/leadership/worker.py
+++ b/moorusher/leadership/worker.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from .effects import ResponseCallback
-from .errors import DutyError
+from .errors import LeadershipError
 from .fencing_token import FencingToken
 from .lease_record import Intent
 
@@ -19,7 +19,7 @@
     def before_release(self) -> None:
         """The lease is about to be released: a last state may be submitted now."""
 
-    def stop(self, reason: DutyError | None) -> None:
+    def stop(self, reason: LeadershipError | None) -> None:
         """The term is over. Nothing may go on. `reason` is None after a release in order."""
 
 
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -7,7 +7,7 @@
 from ..membership.failure_detector import MS
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
-from .errors import NoSuchSeat, NotHere
+from .errors import NotLocalError, UnknownSeatError
 from .machine_controller import MachineController, MachineHost
 from .next_step import NextStep
 from .operator_changes import FinishSlot, PauseAll, Resume, SubmitRequest, WithdrawRequest
@@ -29,7 +29,7 @@
 
 
 class MaintenanceCoordinator:
-    """One member's part in maintenance. Callbacks of operations get an OutageError if the operation failed.
+    """One member's part in maintenance. Callbacks of operations get an MaintenanceError if the operation failed.
 
     policy: settings.
     replica: this member's copy of the schedule.
@@ -118,32 +118,41 @@
     # ---- operators ----
 
     def submit(self, request: MaintenanceRequest, callback: ScheduleCallback) -> None:
-        """Add a request; idempotent by its id. Errors: NoSuchSeat, OtherAsk, TooMany, NoMajority."""
+        """Add a request; idempotent by its id.
+
+        Errors: UnknownSeatError, RequestIdConflictError, TooManyRequestsError, NoMajorityError.
+        """
         unknown = [seat for seat in request.queued if seat not in self._node.placement.by_name]
         if unknown or not request.queued:
-            return callback(NoSuchSeat(f"{', '.join(unknown) or 'none named'}: no such seat"))
+            return callback(UnknownSeatError(f"{', '.join(unknown) or 'none named'}: no such seat"))
         change = SubmitRequest(request, self.policy.most_asks)
         return self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def withdraw(
         self, request_id: str, seats: list[str], requested_by: str, callback: ScheduleCallback
     ) -> None:
-        """Withdraw seats of a request; all if none is named. Errors: NoSuchAsk, TooLate, NoMajority."""
+        """Withdraw seats of a request; all if none is named.
+
+        Errors: UnknownRequestError, AlreadyClearedError, NoMajorityError.
+        """
         change = WithdrawRequest(request_id, seats, self._host.unix_s(), requested_by, self.policy.most_kept)
         self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def pause(self, reason: str, callback: ScheduleCallback) -> None:
-        """Grant no slots until resumed. Errors: NoMajority."""
+        """Grant no slots until resumed. Errors: NoMajorityError."""
         self.replica.write(PauseAll(reason), OPERATOR_TIMEOUT_US, callback)
 
     def resume(self, seat: str, callback: ScheduleCallback) -> None:
-        """End the pause, or queue a suspended seat again. Errors: NotOut, NoMajority."""
+        """End the pause, or queue a suspended seat again. Errors: MachineInServiceError, NoMajorityError."""
         self.replica.write(Resume(seat), OPERATOR_TIMEOUT_US, callback)
 
     def finish(self, seat: str, stated_by: str, callback: ScheduleCallback) -> None:
-        """State that the work on a machine is over. Errors: NoSuchSeat, NotOut, NoMajority."""
+        """State that the work on a machine is over.
+
+        Errors: UnknownSeatError, MachineInServiceError, NoMajorityError.
+        """
         if seat not in self._node.placement.by_name:
-            return callback(NoSuchSeat(f"{seat}: no such seat"))
+            return callback(UnknownSeatError(f"{seat}: no such seat"))
         change = FinishSlot(seat, self._host.unix_s(), stated_by, self.policy.most_kept)
         return self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
@@ -162,12 +171,12 @@
     def wait(self, request_id: str, seat: str, timeout_us: int, callback: WaitCallback) -> Callable[[], None]:
         """Call back once: as soon as the machine may be worked on or will not be, or after the timeout.
 
-        Returns a function that takes the caller off the list. Raises NotHere for another machine, if the next boot of
-        it ends the slot: a caller that is told late would work on a machine that nobody counts as out.
+        Returns a function that takes the caller off the list. Raises NotLocalError for another machine, if the next
+        boot of it ends the slot: a caller that is told late would work on a machine that nobody counts as out.
         """
         request = self.schedule.request(request_id)
         if seat != self.me and (request is None or request.completion == CompletionProof.REBOOT):
-            raise NotHere(f"{seat}: this is {self.me}")
+            raise NotLocalError(f"{seat}: this is {self.me}")
         if len(self.waiters) >= MAX_WAITERS:
             callback(WaitResult(WaitStatus.QUEUED, "too many wait at this runner; ask another one"))
             return lambda: None
--- a/moorusher/maintenance/operator_changes.py
+++ b/moorusher/maintenance/operator_changes.py
@@ -4,7 +4,13 @@
 
 from collections.abc import Sequence
 
-from .errors import NoSuchAsk, NotOut, OtherAsk, TooLate, TooMany
+from .errors import (
+    AlreadyClearedError,
+    MachineInServiceError,
+    RequestIdConflictError,
+    TooManyRequestsError,
+    UnknownRequestError,
+)
 from .schedule import HistoryEntry, MaintenanceRequest, Outcome, Schedule, Slot, SlotStage
 from .transitions import (
     Change,
@@ -19,7 +25,7 @@
 
 
 class SubmitRequest(Change):
-    """Adds a request. Idempotent by its id. Errors: OtherAsk, TooMany."""
+    """Adds a request. Idempotent by its id. Errors: RequestIdConflictError, TooManyRequestsError."""
 
     def __init__(self, request: MaintenanceRequest, max_requests: int) -> None:
         self.request = request
@@ -30,21 +36,22 @@
         known = schedule.request(self.request.id)
         if known is not None:
             if not known.is_same_request(self.request):
-                self.error = OtherAsk(
+                self.error = RequestIdConflictError(
                     f"{self.request.id}: another ask has that id: {known.reason}, by {known.requested_by}"
                 )
             return None
         if schedule.is_finished(self.request.id):
             return None
         if len(schedule.requests) >= self.max_requests:
-            self.error = TooMany(f"{len(schedule.requests)} asks are open")
+            self.error = TooManyRequestsError(f"{len(schedule.requests)} asks are open")
             return None
         return updated(schedule, requests=(*schedule.requests, self.request))
 
 
 class WithdrawRequest(Change):
-    """Withdraws what is queued or drains. Errors: NoSuchAsk; TooLate, though the rest is withdrawn.
+    """Withdraws what is queued or drains.
 
+    Errors: UnknownRequestError; AlreadyClearedError, though the rest is withdrawn.
     seats: to be withdrawn; all if empty.
     too_late: seats that have been cleared, as last found.
     """
@@ -67,7 +74,7 @@
         self._revoked = []
         if request is None:
             if not schedule.is_finished(self.request_id):
-                self.error = NoSuchAsk(f"{self.request_id}: no such ask is open")
+                self.error = UnknownRequestError(f"{self.request_id}: no such ask is open")
             return None
         revoked = self._revoke_slots(schedule)
         queued = [seat for seat in request.queued if self._includes(seat)]
@@ -90,7 +97,7 @@
         ]
         self.too_late = [slot.seat for slot in slots if slot.stage is not SlotStage.DRAINING]
         if self.too_late:
-            self.error = TooLate(
+            self.error = AlreadyClearedError(
                 f"{', '.join(self.too_late)}: told to go already; the rest of {self.request_id} is withdrawn"
             )
         return sorted(slot.seat for slot in slots if slot.seat not in self.too_late)
@@ -138,7 +145,11 @@
 
 
 class Resume(Change):
-    """Ends the pause, or queues one suspended seat again. Errors: NotOut. `seat`: empty for the pause."""
+    """Ends the pause, or queues one suspended seat again.
+
+    seat: empty for the pause.
+    Errors: MachineInServiceError.
+    """
 
     def __init__(self, seat: str = "") -> None:
         self.seat = seat
@@ -157,7 +168,7 @@
             return changed
         slot = schedule.slot(self.seat)
         state = "" if slot is None else f"; it is {slot.stage.api_name}"
-        self.error = NotOut(f"{self.seat}: not held back{state}")
+        self.error = MachineInServiceError(f"{self.seat}: not held back{state}")
         return None
 
     def _queued_again(self, request: MaintenanceRequest) -> MaintenanceRequest:
@@ -169,7 +180,10 @@
 
 
 class FinishSlot(Change):
-    """An operator's statement: the machine is back, or is not going after all, or never comes back. Errors: NotOut."""
+    """An operator's statement: the machine is back, or is not going after all, or never comes back.
+
+    Errors: MachineInServiceError.
+    """
 
     def __init__(self, seat: str, at_s: float, stated_by: str, max_history: int) -> None:
         self.seat = seat
@@ -182,7 +196,7 @@
         slot = schedule.slot(self.seat)
         if slot is None or slot.stage is SlotStage.DRAINING:
             state = "" if slot is None else ", it drains"
-            self.error = NotOut(f"{self.seat}: not out{state}")
+            self.error = MachineInServiceError(f"{self.seat}: not out{state}")
             return None
         outcome = Outcome.COMPLETED if slot.stage is SlotStage.RETURNED else Outcome.ABANDONED
         return finish_slot(schedule, slot, outcome, self.at_s, f"said by {self.stated_by}", self.max_history)
--- a/moorusher/maintenance/schedule_replica.py
+++ b/moorusher/maintenance/schedule_replica.py
@@ -14,7 +14,7 @@
 from ..replication.register_space import CLUSTER_SPACE, FOREVER_US, RegisterSpace
 from ..replication.work_record import Key
 from . import messages
-from .errors import NoMajority, OutageError
+from .errors import MaintenanceError, NoMajorityError
 from .messages import ScheduleChanged
 from .schedule import EMPTY, KEY, Schedule, decode_schedule
 from .transitions import Change
@@ -24,7 +24,7 @@
 READ_JITTER_MIN = 0.75  # times the interval
 READ_JITTER_RANGE = 0.5
 
-ScheduleCallback = Callable[[Schedule | OutageError], None]
+ScheduleCallback = Callable[[Schedule | MaintenanceError], None]
 
 
 class ScheduleReplica:
@@ -126,7 +126,7 @@
     def write(self, change: Change, timeout_us: int = 0, callback: ScheduleCallback | None = None) -> None:
         """Make a change. Without a callback it is of this member's own, and `is_writing` until it is answered.
 
-        `callback` gets the schedule, or why the change was not made: NoMajority, or the error of the change.
+        `callback` gets the schedule, or why the change was not made: NoMajorityError, or the error of the change.
         """
         if callback is None:
             self.is_writing = True
@@ -137,7 +137,7 @@
             if result is None:
                 self.read_soon()  # it may have come about
                 if callback is not None:
-                    callback(NoMajority("no majority of the seats that keep the order answers"))
+                    callback(NoMajorityError("no majority of the seats that keep the order answers"))
                 return
             self._learn(result.value)
             if result.applied:
--- a/moorusher/maintenance/transitions.py
+++ b/moorusher/maintenance/transitions.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .errors import OutageError
+from .errors import MaintenanceError
 from .schedule import (
     HistoryEntry,
     MaintenanceRequest,
@@ -32,7 +32,7 @@
     error: why the change can't be made to the schedule that was found last; None if it was made, then or before.
     """
 
-    error: OutageError | None = None
+    error: MaintenanceError | None = None
 
     def __call__(self, value: bytes | None) -> bytes | None:
         """Return the new value of the register, or None if it stays as it is."""
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -18,7 +18,7 @@
     ReceiverResponse,
     ResponseCallback,
 )
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.fencing_token import FencingToken
 from ..leadership.journal import DutyAcceptor
 from ..leadership.lease_holder import LeaseHolder, Stage
@@ -240,7 +240,7 @@
         if not process.alive or process.stopped_until > self.now or not isinstance(process, DutyProcess):
             return
 
-        def got(reading: Reading | DutyError) -> None:
+        def got(reading: Reading | LeadershipError) -> None:
             if isinstance(reading, Reading) and reading.state is not None:
                 missing = self.histories[name].missing_updates(reading.state, before_us=began_us)
                 if missing:
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..leadership.effects import Completed, FencedRequest, IntentRequest, Outcome, StateUpdate
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution
 from .cluster_simulation import MS, Process
@@ -50,7 +50,7 @@
         """Hand a last state on."""
         self._update_state()
 
-    def stop(self, reason: DutyError | None) -> None:
+    def stop(self, reason: LeadershipError | None) -> None:
         """Submit nothing any more."""
         self._is_stopped = True
 
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -14,7 +14,7 @@
 from ..config_distribution.messages import RevisionId
 from ..config_distribution.publisher import Publisher
 from ..leadership.effects import Completed, Outcome, StateUpdate
-from ..leadership.errors import DutyError, NoMajority, Superseded
+from ..leadership.errors import LeadershipError, LeaseSupersededError, NoMajorityError
 from ..leadership.fencing_token import FencingToken
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
@@ -45,7 +45,7 @@
     def __init__(self, case: Publishes, who: str, term: int, state: bytes, kind: type[Publisher]) -> None:
         self.case, self.who, self.term, self.state, self.record = case, who, term, state, _Record()
         self.changes: list[_Change] = []
-        self.reads: list[Callable[[tuple[int, Book] | DutyError], None]] = []
+        self.reads: list[Callable[[tuple[int, Book] | LeadershipError], None]] = []
         self.over = False
         self.publisher = kind(self, self)  # type: ignore[arg-type]
         self.publisher.start()
@@ -57,7 +57,7 @@
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
 
-    def book(self, customer: str, then: Callable[[tuple[int, Book] | DutyError], None]) -> None:
+    def book(self, customer: str, then: Callable[[tuple[int, Book] | LeadershipError], None]) -> None:
         self.reads.append(then)
 
     def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
@@ -74,7 +74,7 @@
 
     def end(self) -> None:
         self.over = True
-        self.publisher.stop(Superseded(NAME, self.term, None, 2))
+        self.publisher.stop(LeaseSupersededError(NAME, self.term, None, 2))
 
 
 @dataclass(slots=True)
@@ -150,7 +150,7 @@
         then, change.then = change.then, None
         assert then is not None
         if what == "drops":
-            then(NoMajority(NAME))
+            then(NoMajorityError(NAME))
         elif change.made:
             then(Completed(FencingToken(1, owner.term, 1)))
         else:
@@ -163,7 +163,7 @@
                 change.made = False
         owner.reads.pop(0)((1, unpack(self.state, CUSTOMER)))
 
-    def _told(self, id: str, got: RevisionId | NamespaceError | DutyError) -> None:
+    def _told(self, id: str, got: RevisionId | NamespaceError | LeadershipError) -> None:
         if not isinstance(got, Exception):
             self.told.append((id, got[1]))
             self.means(got[1], id.encode())
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -19,6 +19,7 @@
 from ..config_distribution.propagation import DELETED_NUMBER
 from ..config_distribution.publisher import duty_of
 from ..config_distribution.replica import Replica
+from ..errors import kind_of
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.worker import Worker
@@ -157,7 +158,7 @@
 
         def over(process: PublishProcess, got: RevisionId | DistributionError) -> None:
             if isinstance(got, Exception):
-                return self.failed.append((id, type(got).__name__))
+                return self.failed.append((id, kind_of(type(got))))
             self.told.append((customer, got, id, draft, self.now))
             self._means(customer, got, draft)
             began = self.now
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from ..errors import Remediable
+from ..errors import OperatorError
 
 
-class NamespaceError(Remediable):
+class NamespaceError(OperatorError):
     """Why a draft, or a call about a namespace, is rejected, with the HTTP status and the remedy."""
 
 
--- a/tests/compatibility/test_pages.py
+++ b/tests/compatibility/test_pages.py
@@ -14,7 +14,7 @@
 import pytest
 
 from moorusher.admin.api import later
-from moorusher.errors import Remediable
+from moorusher.errors import OperatorError
 
 from .golden import assert_golden
 from .whole_runner import Connection, Runner, runner
@@ -277,7 +277,7 @@
 # ---- errors ----
 
 
-def errors(kind: type[Remediable] = Remediable) -> Iterator[type[Remediable]]:
+def errors(kind: type[OperatorError] = OperatorError) -> Iterator[type[OperatorError]]:
     """Those that are told: none of the bases."""
     for one in kind.__subclasses__():
         yield from errors(one)
@@ -301,7 +301,7 @@
         self.written += data
 
 
-def answer_of(kind: type[Remediable]) -> list[Any]:
+def answer_of(kind: type[OperatorError]) -> list[Any]:
     request, error = Asked(), kind.__new__(kind)
     Exception.__init__(error, "what")
     later(request, lambda told: told(error))
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -28,7 +28,7 @@
 from moorusher.forecasting.ledger import HOURS, PATIENCE_MS, WHOLE, Ledger, Series
 from moorusher.forecasting.policy import Policy
 from moorusher.leadership.effects import Completed
-from moorusher.leadership.errors import NoMajority
+from moorusher.leadership.errors import NoMajorityError
 from moorusher.leadership.fencing_token import FencingToken
 from moorusher.model_checking import forecast_simulation as check
 from moorusher.model_checking.forecast_simulation import ForecastSimulation
@@ -271,7 +271,7 @@
     there.ring()
     assert not there.said
     state, then = there.changes.pop()
-    then(NoMajority("forecast"))
+    then(NoMajorityError("forecast"))
     assert not there.said, "it may not have come about"
     there.ring()
     state, then = there.changes.pop()
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -11,12 +11,12 @@
 from moorusher.leadership.directory import Reading
 from moorusher.leadership.effects import Effect, IntentRequest, StateUpdate
 from moorusher.leadership.errors import (
-    DutyError,
-    Forgotten,
-    NoMajority,
-    OverBudget,
-    Superseded,
-    Unknown,
+    LeadershipError,
+    LeaseSupersededError,
+    LimitExceededError,
+    NoMajorityError,
+    RegistersLostError,
+    UnknownLeaseError,
 )
 from moorusher.leadership.fencing_token import FencingToken
 from moorusher.leadership.held_leases import HeldLeases
@@ -52,7 +52,7 @@
 def watch_ended(leases: HeldLeases, ended: list[Any]) -> None:
     """Notes the reason of each term that ends."""
 
-    def watched(lease: LeaseHolder, reason: DutyError | None) -> None:
+    def watched(lease: LeaseHolder, reason: LeadershipError | None) -> None:
         ended.append(reason)
         HeldLeases.ended(leases, lease, reason)
 
@@ -92,7 +92,7 @@
         sim.at(sim.now, p, lambda p=p: look(p))  # type: ignore[misc]
     change()
     sim.run(sim.now + 2 * SECOND)
-    done = {name: sum(not isinstance(g, DutyError) for g in found) for name, found in got.items()}
+    done = {name: sum(not isinstance(g, LeadershipError) for g in found) for name, found in got.items()}
     if closed:
         assert done["changes"] < 20 and done["looks"] < 0.5 * len(got["looks"])
     else:
@@ -108,13 +108,13 @@
     for p in sim.processes:
         if p is not owner:
             p.stopped_until = sim.now + 4 * SECOND
-    assert isinstance(answers(sim, lease, StateUpdate(b"new"), 2.5), NoMajority)
+    assert isinstance(answers(sim, lease, StateUpdate(b"new"), 2.5), NoMajorityError)
     known = owner.participant.directory.last_known("duty-0")
     assert isinstance(known, Reading) and known.state is not None and known.state.startswith(state)
     got: list[Any] = []
     owner.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
-    assert isinstance(got[0], NoMajority), "a read that must be current"
+    assert isinstance(got[0], NoMajorityError), "a read that must be current"
 
 
 def test_a_leader_that_wakes_hears_that_it_is_superseded_and_drops_its_state() -> None:
@@ -127,9 +127,9 @@
     lease.submit(StateUpdate(b"what was under way"), pending.append)
     sim.run(sim.now + 5 * SECOND)
     (why,) = ended
-    assert isinstance(why, Superseded) and why.term < why.by_term and lease.state == b""
+    assert isinstance(why, LeaseSupersededError) and why.term < why.by_term and lease.state == b""
     assert len(pending) == 1 and not owner.participant.leases.workers.get(lease.key)
-    assert isinstance(answers(sim, lease, StateUpdate(b"late")), Superseded)
+    assert isinstance(answers(sim, lease, StateUpdate(b"late")), LeaseSupersededError)
 
 
 def test_a_duty_whose_leaders_are_lost_one_after_another_is_suspended_until_resumed() -> None:
@@ -173,7 +173,7 @@
     ended: list[Any] = []
     watch_ended(owner.participant.leases, ended)
     sim.run(sim.now + 3 * SECOND)
-    assert isinstance(ended[0], Forgotten)
+    assert isinstance(ended[0], RegistersLostError)
     before = len(sim.histories["duty-0"].accepted)
     owner.participant.directory.resume("duty-0", lambda got: None)
     sim.run(sim.now + 5 * SECOND)
@@ -183,15 +183,16 @@
 def test_states_intents_and_names_over_their_bounds_are_refused_with_the_bound() -> None:
     sim, owner, lease = settled()
     too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.state_bytes + 1)))
-    assert isinstance(too_large, OverBudget) and str(POLICY.state_bytes) in str(too_large)
+    assert isinstance(too_large, LimitExceededError) and str(POLICY.state_bytes) in str(too_large)
     assert isinstance(
-        answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.OPERATOR_DECIDES)), OverBudget
+        answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.OPERATOR_DECIDES)),
+        LimitExceededError,
     )
     got: list[Any] = []
     owner.participant.directory.create("x" * 200, "test", got.append)
     owner.participant.directory.read("nobody-made-it", got.append)
     sim.run(sim.now + SECOND)
-    assert isinstance(got[0], OverBudget) and isinstance(got[1], Unknown)
+    assert isinstance(got[0], LimitExceededError) and isinstance(got[1], UnknownLeaseError)
 
 
 def test_a_large_state_is_replicated_in_chunks_and_a_damaged_chunk_is_repaired() -> None:
@@ -243,7 +244,7 @@
     sim.run(sim.now + SECOND)
     owner.participant.directory.create("duty-0", "test", got.append)
     sim.run(sim.now + 3 * SECOND)
-    assert isinstance(got[1], Unknown) and got[2].generation > got[0].generation
+    assert isinstance(got[1], UnknownLeaseError) and got[2].generation > got[0].generation
     assert any(
         register_key("duty-0") in p.participant.leases.by_key
         for p in sim.processes
--- a/tests/test_leadership_parts.py
+++ b/tests/test_leadership_parts.py
@@ -23,7 +23,7 @@
 from moorusher.leadership.chunks import CHUNK_BYTES, ChunkStore, chunk_names, digest, join, split
 from moorusher.leadership.errors import (
     ERRORS,
-    DutyError,
+    LeadershipError,
 )
 from moorusher.leadership.lease_record import (
     LeaseRecord,
@@ -147,6 +147,6 @@
     page = (Path(__file__).parent.parent / "docs" / "operate" / "duties.md").read_text()
     for kind in ERRORS:
         assert kind.remedy and kind.status in (404, 409, 413, 503)
-        assert f"`{kind.__name__}`" in page, kind
-    assert set(DutyError.__subclasses__()) == set(ERRORS)
-    assert set(re.findall(r"^\| `([A-Z]\w+)` \|", page, re.M)) == {k.__name__ for k in ERRORS}
+        assert f"`{kind.kind}`" in page, kind
+    assert set(LeadershipError.__subclasses__()) == set(ERRORS)
+    assert set(re.findall(r"^\| `([A-Z]\w+)` \|", page, re.M)) == {k.kind for k in ERRORS}
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -134,7 +134,7 @@
     schedule = granted(schedule, "a", "n1")
     cancel = WithdrawRequest("a", [], 5.0, "you", MAX_HISTORY)
     after = apply_changes(schedule, cancel)
-    assert cancel.too_late == ["n0"] and isinstance(cancel.error, errors.TooLate)
+    assert cancel.too_late == ["n0"] and isinstance(cancel.error, errors.AlreadyClearedError)
     assert [t.seat for t in after.slots] == ["n0"] and slot(after).stage is not SlotStage.DRAINING
     assert not list(after.queue()) and cancel.affected_seats() == ["n1"]
     assert after.request("a") is not None  # until that one is back
@@ -146,12 +146,14 @@
     schedule, more = requested(request()), SubmitRequest(request(), 9)
     assert apply_changes(schedule, more) == schedule and more.error is None
     other = SubmitRequest(request("a", "n0", priority=3), 9)
-    assert apply_changes(schedule, other) == schedule and isinstance(other.error, errors.OtherAsk)
+    assert apply_changes(schedule, other) == schedule and isinstance(
+        other.error, errors.RequestIdConflictError
+    )
     over = apply_changes(schedule, WithdrawRequest("a", [], 1.0, "me", MAX_HISTORY))
     late = SubmitRequest(request(), 9)
     assert apply_changes(over, late) == over and late.error is None  # it is over: a repeat does not ask anew
     full = SubmitRequest(request("b"), 1)
-    assert apply_changes(schedule, full) == schedule and isinstance(full.error, errors.TooMany)
+    assert apply_changes(schedule, full) == schedule and isinstance(full.error, errors.TooManyRequestsError)
 
 
 def test_two_failed_grants_or_two_failed_returns_wait_for_an_operator() -> None:
@@ -209,16 +211,18 @@
     schedule = requested(request())
     assert (
         apply_changes(schedule, change) == schedule
-        and isinstance(change.error, errors.OutageError)
+        and isinstance(change.error, errors.MaintenanceError)
         and change.error.remedy
     )
 
 
 def test_every_error_says_what_an_operator_can_do_and_the_page_lists_it() -> None:
     page = (Path(__file__).parent.parent / "docs" / "operate" / "outage.md").read_text()
-    kinds = [k for _, k in inspect.getmembers(errors, inspect.isclass) if issubclass(k, errors.OutageError)]
-    assert set(errors.ERRORS) == set(kinds) - {errors.OutageError}
-    assert all(k.remedy and f"`{k.__name__}`" in page for k in errors.ERRORS)
+    kinds = [
+        k for _, k in inspect.getmembers(errors, inspect.isclass) if issubclass(k, errors.MaintenanceError)
+    ]
+    assert set(errors.ERRORS) == set(kinds) - {errors.MaintenanceError}
+    assert all(k.remedy and f"`{k.kind}`" in page for k in errors.ERRORS)
 
 
 # ---- the local machine ----
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -26,7 +26,7 @@
 from moorusher.config_distribution.publisher import Publisher
 from moorusher.config_distribution.replica import Replica
 from moorusher.leadership.effects import Completed, Outcome
-from moorusher.leadership.errors import NoMajority, Superseded
+from moorusher.leadership.errors import LeaseSupersededError, NoMajorityError
 from moorusher.leadership.fencing_token import FencingToken
 from moorusher.model_checking import publish_simulation as check
 from moorusher.model_checking.explorer import explore, replay
@@ -109,7 +109,7 @@
         told, made = self.outcomes.pop(0) if self.outcomes else (True, True)
         if made:
             self.register = unpack(effect.state, "acme")
-        then(Completed(FencingToken(7, 1, 1)) if told else NoMajority(self.name))
+        then(Completed(FencingToken(7, 1, 1)) if told else NoMajorityError(self.name))
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
@@ -140,7 +140,7 @@
     publisher.start()
     for id in ("first", "unsure", "next", "unsure"):
         publisher.submit(submission(id, draft=id.encode()), got.append)
-    assert isinstance(got[1], NoMajority) and there.reads == 1
+    assert isinstance(got[1], NoMajorityError) and there.reads == 1
     ids = [e.id for e in reversed(there.register.entries)]
     assert ids == (["first", "unsure", "next"] if came_about else ["first", "next", "unsure"])
     assert got[3] == (7, ids.index("unsure") + 1), "handed in again it is what it became, or becomes it now"
@@ -153,9 +153,9 @@
     there.submit = lambda effect, then: None  # type: ignore[method-assign]
     publisher.submit(submission("a"), got.append)
     publisher.submit(submission("b"), got.append)
-    publisher.stop(Superseded("namespace/acme", 1, None, 2))
+    publisher.stop(LeaseSupersededError("namespace/acme", 1, None, 2))
     publisher.submit(submission("c"), got.append)
-    assert [type(g) for g in got] == [Superseded] * 3 and not there.told
+    assert [type(g) for g in got] == [LeaseSupersededError] * 3 and not there.told
 
 
 # ---- the tree ----
@@ -392,7 +392,7 @@
         super()._judge(book)
 
     def _done(self, got: Any) -> None:
-        if isinstance(got, NoMajority):
+        if isinstance(got, NoMajorityError):
             self._book = self._last
         super()._done(got)
 
