--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -105,7 +105,7 @@
 
     # ---- the connection ----
 
-    def soon(self, action: Callable[[], None]) -> None:
+    def call_soon(self, action: Callable[[], None]) -> None:
         """Have the event loop call a function once."""
         self._reactor.callLater(0, action)
 
--- a/moorusher/cluster_transport/hot_restart/frames.py
+++ b/moorusher/cluster_transport/hot_restart/frames.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Granted:
+class ClaimGranted:
     """A claim is granted."""
 
     serial: int
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Held:
+class KeyInUse:
     """A claimed key belongs to an attempt of the other process."""
 
     serial: int
@@ -103,7 +103,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Full:
+class KeyTableFull:
     """A claimed key can't be noted by the other process."""
 
     serial: int
@@ -111,14 +111,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Freed:
+class KeyReleased:
     """An attempt of the other process never ran."""
 
     key: Key
 
 
 @dataclass(slots=True, frozen=True)
-class Settled:
+class KeyFinished:
     """A run of the other process is over."""
 
     key: Key
@@ -174,11 +174,11 @@
     UnsupportedWelcome,
     KeyRecord,
     Claim,
-    Granted,
-    Held,
-    Full,
-    Freed,
-    Settled,
+    ClaimGranted,
+    KeyInUse,
+    KeyTableFull,
+    KeyReleased,
+    KeyFinished,
     LoadReport,
     MaintenanceChanged,
     Ready,
@@ -244,7 +244,7 @@
 
 
 def _settled(fields: Fields, result: bytes) -> Message:
-    return Settled(_key(fields), fields["b"], fields["u"], result if fields["r"] else None)
+    return KeyFinished(_key(fields), fields["b"], fields["u"], result if fields["r"] else None)
 
 
 def _load(fields: Fields, result: bytes) -> Message:
@@ -263,10 +263,10 @@
     "WELCOME": _welcome,
     "KEY": _key_record,
     "CLAIM": lambda fields, _: Claim(fields["n"], _key(fields), fields["b"], fields["u"]),
-    "GRANTED": lambda fields, _: Granted(fields["n"], _key(fields)),
-    "HELD": lambda fields, _: Held(fields["n"], _key(fields), fields["b"], fields["u"]),
-    "FULL": lambda fields, _: Full(fields["n"], _key(fields)),
-    "FREED": lambda fields, _: Freed(_key(fields)),
+    "GRANTED": lambda fields, _: ClaimGranted(fields["n"], _key(fields)),
+    "HELD": lambda fields, _: KeyInUse(fields["n"], _key(fields), fields["b"], fields["u"]),
+    "FULL": lambda fields, _: KeyTableFull(fields["n"], _key(fields)),
+    "FREED": lambda fields, _: KeyReleased(_key(fields)),
     "SETTLED": _settled,
     "LOAD": _load,
     "OUT": lambda fields, _: MaintenanceChanged(fields["out"]),
@@ -305,7 +305,7 @@
     return "KEY", fields, message.result or b""
 
 
-def _encode_settled(message: Settled) -> Encoded:
+def _encode_key_finished(message: KeyFinished) -> Encoded:
     fields = {
         "k": message.key,
         "b": message.body_digest,
@@ -326,7 +326,7 @@
     return "LOAD", fields, b""
 
 
-def _claim_fields(message: Claim | Held) -> Fields:
+def _claim_fields(message: Claim | KeyInUse) -> Fields:
     return {"n": message.serial, "k": message.key, "b": message.body_digest, "u": message.expires_us}
 
 
@@ -335,11 +335,11 @@
     Welcome: _encode_welcome,
     KeyRecord: _encode_key_record,
     Claim: lambda claim: ("CLAIM", _claim_fields(claim), b""),
-    Granted: lambda granted: ("GRANTED", {"n": granted.serial, "k": granted.key}, b""),
-    Held: lambda held: ("HELD", _claim_fields(held), b""),
-    Full: lambda full: ("FULL", {"n": full.serial, "k": full.key}, b""),
-    Freed: lambda freed: ("FREED", {"k": freed.key}, b""),
-    Settled: _encode_settled,
+    ClaimGranted: lambda granted: ("GRANTED", {"n": granted.serial, "k": granted.key}, b""),
+    KeyInUse: lambda answer: ("HELD", _claim_fields(answer), b""),
+    KeyTableFull: lambda full: ("FULL", {"n": full.serial, "k": full.key}, b""),
+    KeyReleased: lambda released: ("FREED", {"k": released.key}, b""),
+    KeyFinished: _encode_key_finished,
     LoadReport: _encode_load,
     MaintenanceChanged: lambda changed: ("OUT", {"out": changed.maintenance}, b""),
     Ready: lambda ready: ("READY", {"labels": ready.labels}, b""),
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -103,7 +103,7 @@
         self._handover.close_sockets()
 
     def _peer_gone(self, died: bool) -> None:
-        self._core.key_claims.peer_gone(died=died)
+        self._core.key_claims.peer_disconnected(died=died)
         self._core.keys.limits.share_memory_with(None)
         self._process.coexist(ProcessLoad())
 
--- a/moorusher/cluster_transport/hot_restart/message_receiver.py
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -35,11 +35,11 @@
             frames.UnsupportedWelcome: self._unsupported_welcome,
             frames.KeyRecord: self._key_record,
             frames.Claim: self._claim,
-            frames.Granted: lambda message: self._claims.granted(message.serial, message.key),
-            frames.Held: self._held,
-            frames.Full: lambda message: self._claims.full(message.serial, message.key),
-            frames.Freed: lambda message: self._claims.peer_freed(message.key),
-            frames.Settled: self._settled,
+            frames.ClaimGranted: lambda message: self._claims.claim_granted(message.serial, message.key),
+            frames.KeyInUse: self._key_in_use,
+            frames.KeyTableFull: lambda message: self._claims.key_table_full(message.serial, message.key),
+            frames.KeyReleased: lambda message: self._claims.peer_released_key(message.key),
+            frames.KeyFinished: self._key_finished,
             frames.LoadReport: lambda message: self._process.coexist(message.load),
             frames.MaintenanceChanged: self._maintenance_changed,
             frames.Ready: self._ready,
@@ -79,11 +79,13 @@
     def _claim(self, claim: frames.Claim) -> None:
         self._claims.peer_claims(claim.serial, claim.key, claim.body_digest, claim.expires_us)
 
-    def _held(self, held: frames.Held) -> None:
-        self._claims.held(held.serial, held.key, held.body_digest, held.expires_us)
+    def _key_in_use(self, answer: frames.KeyInUse) -> None:
+        self._claims.key_in_use(answer.serial, answer.key, answer.body_digest, answer.expires_us)
 
-    def _settled(self, settled: frames.Settled) -> None:
-        self._claims.peer_settled(settled.key, settled.body_digest, settled.expires_us, settled.result)
+    def _key_finished(self, finished: frames.KeyFinished) -> None:
+        self._claims.peer_finished_key(
+            finished.key, finished.body_digest, finished.expires_us, finished.result
+        )
 
     def _maintenance_changed(self, changed: frames.MaintenanceChanged) -> None:
         self._process.follow_maintenance(changed.maintenance)
--- a/moorusher/cluster_transport/hot_restart/peer_connection.py
+++ b/moorusher/cluster_transport/hot_restart/peer_connection.py
@@ -47,7 +47,7 @@
     def lost(self, peer: PeerConnection) -> None:
         """The connection is lost, and this side has not closed it."""
 
-    def soon(self, action: Callable[[], None]) -> None:
+    def call_soon(self, action: Callable[[], None]) -> None:
         """Have the event loop call a function once."""
 
 
@@ -152,25 +152,25 @@
         """This process wants to run the key."""
         self.send(frames.Claim(serial, key, body_digest, expires_us))
 
-    def granted(self, serial: int, key: Key) -> None:
+    def claim_granted(self, serial: int, key: Key) -> None:
         """The claimed key is the other process's."""
-        self.send(frames.Granted(serial, key))
+        self.send(frames.ClaimGranted(serial, key))
 
-    def held(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def key_in_use(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
         """The claimed key belongs to an attempt here."""
-        self.send(frames.Held(serial, key, body_digest, expires_us))
+        self.send(frames.KeyInUse(serial, key, body_digest, expires_us))
 
-    def full(self, serial: int, key: Key) -> None:
+    def key_table_full(self, serial: int, key: Key) -> None:
         """The claimed key can't be noted here."""
-        self.send(frames.Full(serial, key))
+        self.send(frames.KeyTableFull(serial, key))
 
-    def freed(self, key: Key) -> None:
+    def key_released(self, key: Key) -> None:
         """The attempt here never ran."""
-        self.send(frames.Freed(key))
+        self.send(frames.KeyReleased(key))
 
-    def settled(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+    def key_finished(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
         """The run here is over."""
-        self.send(frames.Settled(key, body_digest, expires_us, result))
+        self.send(frames.KeyFinished(key, body_digest, expires_us, result))
 
 
 class _KeySender:
@@ -209,4 +209,4 @@
             connection.send(
                 frames.KeyRecord(entry.key, entry.body_digest, entry.expires_us, entry.finished, entry.result)
             )
-        connection.owner.soon(self.send_some)
+        connection.owner.call_soon(self.send_some)
--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -16,7 +16,7 @@
 from .execution import Execution
 from .kernel_status import KernelStatus
 from .outcomes import EndReason
-from .requests import STARTED_STAGES, Stage
+from .requests import STARTED_STAGES, RequestStage
 
 log = logging.getLogger("moorusher")
 
@@ -40,7 +40,7 @@
             api.Stop: self._stop,
             api.Reject: self._reject,
             api.Fail: self._fail,
-            api.Call: self._call,
+            api.StartCall: self._call,
             api.SkipCall: self._skip_call,
             api.StoreKey: self._remember,
             api.DropKey: self._forget,
@@ -58,17 +58,17 @@
 
     def _start(self, action: api.Start) -> None:
         request = self._table.by_number.get(action.id)
-        if request is None or request.stage is not Stage.QUEUED:
-            self._turn.events.append(api.RunEnded(action.id, api.Outcome.NOT_AWAITED))
+        if request is None or request.stage is not RequestStage.QUEUED:
+            self._turn.events.append(api.RunEnded(action.id, api.ExecutionOutcome.NOT_AWAITED))
             self._turn.begin()
         elif request.key is not None and self._state.hooks.coordinator.announce_start(request):
-            request.stage = Stage.STARTING
+            request.stage = RequestStage.STARTING
         else:
             self._execution.start(request)
 
     def _stop(self, action: api.Stop) -> None:
         request = self._table.by_number.get(action.id)
-        if request is not None and request.stage is Stage.STARTING:
+        if request is not None and request.stage is RequestStage.STARTING:
             request.stop_requested = True
         else:
             self._state.runs.stop(action.id)
@@ -77,7 +77,7 @@
         request = self._table.by_number.get(action.id)
         if request is None:
             return
-        if request.stage is not Stage.QUEUED:
+        if request.stage is not RequestStage.QUEUED:
             # It has run, or waits for an attempt that may have: a rejection would promise that it never ran.
             log.error("the scheduler rejected a request that had started: request=%s", request.rid)
             self._fail(api.Fail(action.id))
@@ -96,7 +96,7 @@
         if request.stage not in STARTED_STAGES:
             self._completion.drop_unstarted(action.id)
 
-    def _call(self, action: api.Call) -> None:
+    def _call(self, action: api.StartCall) -> None:
         run = self._state.runs.get(action.id)
         if run is None or not run.notice:
             return
@@ -134,7 +134,7 @@
         if request is None:
             return
         entry = None if request.retry_of is None else self._state.keys.of_attempt(request.retry_of)
-        request.stage = Stage.AWAITING_SHARED_RESULT
+        request.stage = RequestStage.AWAITING_SHARED_RESULT
         if entry is not None and not entry.finished:
             entry.waiters.append(action.id)
         else:
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -58,7 +58,7 @@
         self._opened_warming_up = self._kernel_status.is_warming_up()
         scheduler = self._make_scheduler(replace(state.settings, warming_up=self._opened_warming_up))
         self.scheduler = scheduler
-        opened_at_us = self._kernel_status.born_us if self._opened_warming_up else state.clock.now
+        opened_at_us = self._kernel_status.started_at_us if self._opened_warming_up else state.clock.now
         for action in scheduler.open(state.clock.scheduler_ms(opened_at_us)):
             self._executor.carry_out(action)
         self._turn.events.append(self.coexisting)
--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -9,7 +9,7 @@
 from .counters import Counters
 from .drain_state import DrainState
 from .hooks import EngineHooks
-from .idempotency_keys import KeyTable, window_end
+from .idempotency_keys import IdempotencyKeyTable, window_end
 from .requests import RequestTable
 from .run import KernelTransport, Runs
 from .turn import Turn
@@ -43,7 +43,7 @@
         self.hooks = EngineHooks()
         self.counters = Counters()
         self.table = RequestTable()
-        self.keys = KeyTable(memory_mb)
+        self.keys = IdempotencyKeyTable(memory_mb)
         self.runs = Runs(kernel, clock, self.hooks)
         self.calls = OpenCalls(calls, clock, alarms)
         self.drain_state = DrainState(clock)
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -13,7 +13,7 @@
 from .completion import Completion
 from .engine_state import EngineState
 from .outcomes import SCHEDULER_OUTCOMES, EndReason
-from .requests import Request, Stage
+from .requests import Request, RequestStage
 
 log = logging.getLogger("moorusher")
 
@@ -49,7 +49,7 @@
             self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.INTERNAL_ERROR))
             self._completion.end(request, EndReason.RUN_UNKNOWN_TO_KERNEL)
             return
-        request.stage = Stage.RUNNING
+        request.stage = RequestStage.RUNNING
         self._counters.add("runs", request.tenant)
         self._runs.start(request)
 
@@ -141,7 +141,7 @@
         if took_ms is None:
             return
         outcome = SCHEDULER_OUTCOMES[reason]
-        answered = outcome is api.Outcome.OK
+        answered = outcome is api.ExecutionOutcome.OK
         self._counters.add("calls " + ("answered" if answered else reason.value))
         if answered:
             self._runs.resume(number, body)
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -79,7 +79,7 @@
     return arrived_us + round(window_ms * MS) + MARGIN
 
 
-class KeyTable:
+class IdempotencyKeyTable:
     """All keys that count. Entries that have expired are removed as new ones come: there is no timer.
 
     Attributes:
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -128,7 +128,7 @@
             self._state.hooks.demand.requested(request)
         request.uncounted = False
 
-    def caller_gone(self, request: Request) -> None:
+    def caller_disconnected(self, request: Request) -> None:
         """Its caller has cancelled it, or the connection is lost: no answer is owed."""
         if request.reply is None:
             return
--- a/moorusher/core/kernel_status.py
+++ b/moorusher/core/kernel_status.py
@@ -13,7 +13,7 @@
         gauges: in the order of `Settings.gauges`; () before its first word.
         gauges_at: the engine's time (us) of the turn before they came: no report makes them younger than they are.
         link_lost_at: since when (us) there is no connection to it; None while there is one.
-        born_us: when it started, by the engine's clock.
+        started_at_us: when it started, by the engine's clock.
     """
 
     def __init__(self, state: EngineState) -> None:
@@ -22,12 +22,12 @@
         self.gauges_at = 0
         self.link_lost_at: int | None = 0
         self._started_cold = False
-        self.born_us = 0
+        self.started_at_us = 0
 
     def started(self, cold: bool, age_ms: float) -> None:
         """Its first word: how long ago it started, and whether its caches were cold then."""
         self._started_cold = cold
-        self.born_us = self._state.clock.now - round(age_ms * MS)
+        self.started_at_us = self._state.clock.now - round(age_ms * MS)
 
     def link_up(self) -> None:
         """It has answered on its connection."""
@@ -54,7 +54,7 @@
 
     def is_warming_up(self) -> bool:
         """It started cold, and the time that the settings allow it to warm up is not over."""
-        age_us = self._state.clock.now - self.born_us
+        age_us = self._state.clock.now - self.started_at_us
         return self._started_cold and age_us < self._state.settings.warm_up_ms * MS
 
     def warm_up_speed(self) -> float:
@@ -62,6 +62,6 @@
         settings = self._state.settings
         if not self._started_cold or settings.warm_up_ms <= 0:
             return 1.0
-        age_us = self._state.clock.now - self.born_us
+        age_us = self._state.clock.now - self.started_at_us
         warmed_up = min(1.0, age_us / (settings.warm_up_ms * MS))
         return settings.warm_up_initial_speed + (1 - settings.warm_up_initial_speed) * warmed_up
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -13,7 +13,7 @@
 
 from .clock import MS, Alarm, Alarms, Clock
 from .counters import Counters
-from .idempotency_keys import Key, KeyEntry, KeyTable
+from .idempotency_keys import IdempotencyKeyTable, Key, KeyEntry
 from .requests import Request, RequestTable
 
 CLAIM_TIMEOUT = 250 * MS  # an answer takes the other process a turn of its loop, unless it hangs
@@ -25,19 +25,19 @@
     def claim(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
         """This process wants to run the key; `serial` is repeated in the answer."""
 
-    def granted(self, serial: int, key: Key) -> None:
+    def claim_granted(self, serial: int, key: Key) -> None:
         """The claimed key is yours."""
 
-    def held(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def key_in_use(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
         """The claimed key belongs to an attempt here."""
 
-    def full(self, serial: int, key: Key) -> None:
+    def key_table_full(self, serial: int, key: Key) -> None:
         """The claimed key can't be noted here."""
 
-    def freed(self, key: Key) -> None:
+    def key_released(self, key: Key) -> None:
         """The attempt here that had the key is over and never ran."""
 
-    def settled(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+    def key_finished(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
         """The run here that had the key is over."""
 
 
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        keys: KeyTable,
+        keys: IdempotencyKeyTable,
         table: RequestTable,
         clock: Clock,
         alarms: Alarms,
@@ -127,12 +127,12 @@
         if pending is not None:
             pending.timeout.cancel()
         if self.peer is not None and not entry.remote:
-            self.peer.freed(entry.key)
+            self.peer.key_released(entry.key)
 
     def key_finished(self, entry: KeyEntry) -> None:
         """From the key table: a run of this process is over."""
         if self.peer is not None:
-            self.peer.settled(entry.key, entry.body_digest, entry.expires_us, entry.result)
+            self.peer.key_finished(entry.key, entry.body_digest, entry.expires_us, entry.result)
 
     # ---- the other process's answers ----
 
@@ -145,19 +145,19 @@
         pending.timeout.cancel()
         return pending.request if pending.request.number in self._table.by_number else None
 
-    def granted(self, serial: int, key: Key) -> None:
+    def claim_granted(self, serial: int, key: Key) -> None:
         """The key is this process's."""
         request = self._take_pending(serial, key)
         if request is not None:
             self._listener.key_claimed(request)
 
-    def held(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def key_in_use(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
         """An attempt of the other process has the key: the request here waits for its result."""
         request = self._take_pending(serial, key)
         if request is not None:
             self._cede(request, key, body_digest, expires_us)
 
-    def full(self, serial: int, key: Key) -> None:
+    def key_table_full(self, serial: int, key: Key) -> None:
         """The other process can't note a further key."""
         request = self._take_pending(serial, key)
         if request is not None:
@@ -186,34 +186,34 @@
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
             if self._keys.is_full():
-                peer.full(serial, key)
+                peer.key_table_full(serial, key)
                 return
             self._keys.reserve_remote(key, self._table.take_number(), body_digest, expires_us)
-            peer.granted(serial, key)
+            peer.claim_granted(serial, key)
             return
         if entry.remote and not entry.finished:
-            peer.granted(serial, key)
+            peer.claim_granted(serial, key)
             return
         pending = self._pending.get(key)
         if pending is not None and not self.is_successor:  # two claims cross, and the successor's counts
             del self._pending[key]
             pending.timeout.cancel()
-            peer.granted(serial, key)
+            peer.claim_granted(serial, key)
             if pending.request.number in self._table.by_number:
                 self._cede(pending.request, key, body_digest, expires_us)
             return
-        peer.held(serial, key, entry.body_digest, entry.expires_us)
+        peer.key_in_use(serial, key, entry.body_digest, entry.expires_us)
         if entry.finished:
-            peer.settled(key, entry.body_digest, entry.expires_us, entry.result)
+            peer.key_finished(key, entry.body_digest, entry.expires_us, entry.result)
 
-    def peer_freed(self, key: Key) -> None:
+    def peer_released_key(self, key: Key) -> None:
         """The attempt there never ran; who waits for it here gets no result."""
         entry = self._keys.find(key, self._clock.now)
         if entry is not None and entry.remote and not entry.finished:
             for waiter in self._keys.release_remote(entry):
                 self._share_result(waiter, None)
 
-    def peer_settled(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+    def peer_finished_key(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
         """The run there is over."""
         entry = self._find_or_note(key, body_digest, expires_us)
         if entry.remote:  # else it is this process's, which knows better
@@ -246,7 +246,7 @@
         if finished and entry.remote:
             self._finish_remote(entry, result)
 
-    def peer_gone(self, died: bool) -> None:
+    def peer_disconnected(self, died: bool) -> None:
         """There is no other process any more.
 
         Where it died, what it left open may have run: those keys are finished without a result, and don't run again in
--- a/moorusher/core/outcomes.py
+++ b/moorusher/core/outcomes.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from moorusher.scheduling.interface import Outcome
+from moorusher.scheduling.interface import ExecutionOutcome
 from moorusher.scheduling.retry_policy import Evidence
 
 
@@ -43,21 +43,21 @@
 
 
 # What the scheduler is told. The reasons that are missing here are those of connections: it never hears of them.
-SCHEDULER_OUTCOMES: dict[EndReason, Outcome] = {
-    EndReason.RUN_SUCCEEDED: Outcome.OK,
-    EndReason.RUN_FAILED: Outcome.ERROR,
-    EndReason.RUN_KILLED: Outcome.CANCELLED,
-    EndReason.RUN_NEVER_STARTED: Outcome.NOT_AWAITED,
-    EndReason.RUN_UNKNOWN_TO_KERNEL: Outcome.ERROR,
-    EndReason.CALL_ANSWERED: Outcome.OK,
-    EndReason.CALL_FAILED: Outcome.ERROR,
-    EndReason.CALL_REJECTED: Outcome.FULL,
-    EndReason.CALL_NOT_AWAITED: Outcome.NOT_AWAITED,
-    EndReason.CALL_DEADLINE_EXCEEDED: Outcome.TIMEOUT,
-    EndReason.CALL_TIMED_OUT: Outcome.TIMEOUT,
-    EndReason.CALL_NOT_CONNECTED: Outcome.CONNECT_FAILED,
-    EndReason.CALL_CONNECTION_LOST: Outcome.RESET,  # proves nothing: the call may have run
-    EndReason.CALL_REPLY_UNREADABLE: Outcome.ERROR,
+SCHEDULER_OUTCOMES: dict[EndReason, ExecutionOutcome] = {
+    EndReason.RUN_SUCCEEDED: ExecutionOutcome.OK,
+    EndReason.RUN_FAILED: ExecutionOutcome.ERROR,
+    EndReason.RUN_KILLED: ExecutionOutcome.CANCELLED,
+    EndReason.RUN_NEVER_STARTED: ExecutionOutcome.NOT_AWAITED,
+    EndReason.RUN_UNKNOWN_TO_KERNEL: ExecutionOutcome.ERROR,
+    EndReason.CALL_ANSWERED: ExecutionOutcome.OK,
+    EndReason.CALL_FAILED: ExecutionOutcome.ERROR,
+    EndReason.CALL_REJECTED: ExecutionOutcome.FULL,
+    EndReason.CALL_NOT_AWAITED: ExecutionOutcome.NOT_AWAITED,
+    EndReason.CALL_DEADLINE_EXCEEDED: ExecutionOutcome.TIMEOUT,
+    EndReason.CALL_TIMED_OUT: ExecutionOutcome.TIMEOUT,
+    EndReason.CALL_NOT_CONNECTED: ExecutionOutcome.CONNECT_FAILED,
+    EndReason.CALL_CONNECTION_LOST: ExecutionOutcome.RESET,  # proves nothing: the call may have run
+    EndReason.CALL_REPLY_UNREADABLE: ExecutionOutcome.ERROR,
 }
 
 # What the end of a call proves about whether it ran. A reason that is missing here proves nothing.
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -10,7 +10,7 @@
 from .answer import Reply
 from .clock import MS, SECOND, Clock
 from .former_key_classes import FormerKeyClasses
-from .idempotency_keys import KeyTable, digest, window_end
+from .idempotency_keys import IdempotencyKeyTable, digest, window_end
 from .requests import Arrival, Request, RequestTable
 
 # An open request takes its body, 2 KiB, and small change; the scheduler rejects long before, by its own memory.
@@ -59,7 +59,9 @@
         former_classes: windows in ms of classes that were dropped, by name; the latest last.
     """
 
-    def __init__(self, settings: api.Settings, clock: Clock, table: RequestTable, keys: KeyTable) -> None:
+    def __init__(
+        self, settings: api.Settings, clock: Clock, table: RequestTable, keys: IdempotencyKeyTable
+    ) -> None:
         self._clock = clock
         self._table = table
         self._keys = keys
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -19,7 +19,7 @@
 from .intake import Intake
 from .outcomes import EndReason
 from .registration import RETRY_AFTER_MS, InvalidArrival
-from .requests import Arrival, Request, Stage
+from .requests import Arrival, Request, RequestStage
 from .routes import Ruling
 
 log = logging.getLogger("moorusher")
@@ -82,13 +82,13 @@
         self._end_unstarted(request)
 
     def _is_starting(self, request: Request) -> bool:
-        return self._table.by_number.get(request.number) is request and request.stage is Stage.STARTING
+        return self._table.by_number.get(request.number) is request and request.stage is RequestStage.STARTING
 
     def _end_unstarted(self, request: Request) -> None:
         """The scheduler has started it, and it was not commanded."""
         if request.reply is not None:
             self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.ABANDONED))
-        self._turn.events.append(api.RunEnded(request.number, api.Outcome.NOT_AWAITED))
+        self._turn.events.append(api.RunEnded(request.number, api.ExecutionOutcome.NOT_AWAITED))
         self._table.remove(request)
         self._completion.fail_waiters(self._keys.release(request.number))
 
@@ -102,11 +102,11 @@
             return
         self._turn.begin()
         self._cede_key(request)
-        if request.stage is Stage.STARTING:
-            self._turn.events.append(api.RunEnded(request.number, api.Outcome.NOT_AWAITED))
+        if request.stage is RequestStage.STARTING:
+            self._turn.events.append(api.RunEnded(request.number, api.ExecutionOutcome.NOT_AWAITED))
         else:
             self._turn.events.append(api.RequestAbandoned(request.number))
-        request.stage = Stage.AWAITING_SHARED_RESULT
+        request.stage = RequestStage.AWAITING_SHARED_RESULT
         if request.reply is None:
             self._table.remove(request)
             return
--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -31,7 +31,7 @@
 from .reconfiguration import Plan
 from .registration import RETRY_AFTER_MS, InvalidArrival
 from .remote_claims import RemoteClaims
-from .requests import Arrival, Request, Stage
+from .requests import Arrival, Request, RequestStage
 from .run import KernelTransport
 from .turn import Turn
 
@@ -56,13 +56,15 @@
         alarms: Alarms,
         kernel: KernelTransport,
         calls: CallTransport,
-        soon: Callable[[Callable[[], None]], None],
+        call_soon: Callable[[Callable[[], None]], None],
         make_scheduler: Callable[[api.Settings], Scheduler] = Scheduler,
         memory_mb: float = 192.0,
     ) -> None:
-        """`soon` has the event loop call a function once, after what else is ready now has been read; `memory_mb` is
-        the limit of the process."""
-        turn = Turn(clock, soon)
+        """`call_soon` has the event loop call a function once, after what else is ready now has been read.
+
+        `memory_mb` is the limit of the process.
+        """
+        turn = Turn(clock, call_soon)
         state = EngineState(settings, clock, alarms, turn, kernel, calls, memory_mb)
         self.state = state
         self.clock = clock
@@ -115,9 +117,9 @@
             return self.intake.invalid(InvalidArrival.NOT_READY)
         return self.intake.submit(arrival, reply, tag)
 
-    def caller_gone(self, request: Request) -> None:
+    def caller_disconnected(self, request: Request) -> None:
         """The caller has cancelled the request, or its connection is lost."""
-        self.intake.caller_gone(request)
+        self.intake.caller_disconnected(request)
 
     # ---- the kernel ----
 
@@ -156,7 +158,7 @@
     def _last_answer(self, request: Request) -> Answer:
         """A rejection promises that the request never runs: not where other runners may go on with it."""
         no_other_runner = request.key is None or isinstance(self.hooks.coordinator, NoCoordinator)
-        if request.stage is Stage.QUEUED and request.retry_of is None and no_other_runner:
+        if request.stage is RequestStage.QUEUED and request.retry_of is None and no_other_runner:
             return Answer(Verdict.REJECTED, cause=Cause.SHUTTING_DOWN, retry_after_ms=RETRY_AFTER_MS)
         return Answer(Verdict.FAILED, cause=Cause.SHUTTING_DOWN)
 
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -14,7 +14,7 @@
 MAX_REQUEST_NUMBER = 0xFFFF_FFFF  # then the numbering starts again at 1
 
 
-class Stage(Enum):
+class RequestStage(Enum):
     """How far a request has come."""
 
     QUEUED = "queued"  # the scheduler, or who has a say in its key, has not decided yet
@@ -23,7 +23,7 @@
     AWAITING_SHARED_RESULT = "awaiting shared result"  # waits for the result of an earlier attempt
 
 
-STARTED_STAGES = (Stage.STARTING, Stage.RUNNING)  # for the scheduler, it runs
+STARTED_STAGES = (RequestStage.STARTING, RequestStage.RUNNING)  # for the scheduler, it runs
 
 
 def is_identifier(text: str, max_length: int) -> bool:
@@ -123,7 +123,7 @@
     tag: int
     arrival: Arrival
     key: tuple[str | None, str] | None = None
-    stage: Stage = Stage.QUEUED
+    stage: RequestStage = RequestStage.QUEUED
     retry_of: int | None = None
     uncounted: bool = False
     stop_requested: bool = False
@@ -174,12 +174,12 @@
 
     def queued(self, now: int) -> tuple[int, int]:
         """How many requests are queued, and the age of the oldest of them in us."""
-        arrivals = [r.arrived_us for r in self.by_number.values() if r.stage is Stage.QUEUED]
+        arrivals = [r.arrived_us for r in self.by_number.values() if r.stage is RequestStage.QUEUED]
         return len(arrivals), max(0, now - min(arrivals)) if arrivals else 0
 
     def memory_kb(self, run_memory_factor: float) -> float:
         """About what the open requests take in the kernel; one that runs takes `run_memory_factor` times as much."""
         return sum(
-            request.arrival.memory_kb * (run_memory_factor if request.stage is Stage.RUNNING else 1.0)
+            request.arrival.memory_kb * (run_memory_factor if request.stage is RequestStage.RUNNING else 1.0)
             for request in self.by_number.values()
         )
--- a/moorusher/core/turn.py
+++ b/moorusher/core/turn.py
@@ -17,12 +17,12 @@
         on_end: called at the end of the turn.
     """
 
-    __slots__ = ("_clock", "_open", "_soon", "events", "on_end")
+    __slots__ = ("_clock", "_open", "_call_soon", "events", "on_end")
 
-    def __init__(self, clock: Clock, soon: Callable[[Callable[[], None]], None]) -> None:
-        """`soon` has the event loop call a function once, after what else is ready now has been read."""
+    def __init__(self, clock: Clock, call_soon: Callable[[Callable[[], None]], None]) -> None:
+        """`call_soon` has the event loop call a function once, after what else is ready now has been read."""
         self._clock = clock
-        self._soon = soon
+        self._call_soon = call_soon
         self._open = False
         self.events: list[api.Event] = []
         self.on_end: Callable[[], None] = lambda: None
@@ -32,7 +32,7 @@
         if not self._open:
             self._open = True
             self._clock.read()
-            self._soon(self.on_end)
+            self._call_soon(self.on_end)
 
     def close(self) -> list[api.Event]:
         """The turn ends. Returns its events, each once."""
--- a/moorusher/frontends/jsonrpc_session.py
+++ b/moorusher/frontends/jsonrpc_session.py
@@ -94,7 +94,7 @@
         self.open = {}
         self._id_by_rid.clear()
         for request in requests:
-            self._core.caller_gone(request)
+            self._core.caller_disconnected(request)
 
     def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
         """Send the final answer of the request with this id."""
@@ -174,7 +174,7 @@
         request = self.open.pop(revoked, None) if isinstance(revoked, int) else None
         if request is not None:
             self._id_by_rid.pop(request.rid, None)
-            self._core.caller_gone(request)
+            self._core.caller_disconnected(request)
             self._note_idle()
         if tag is not None and tag not in self.open:
             self._connection.send(result_line(tag, {}))
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -112,7 +112,7 @@
         )
         self._core.counters.add("uwsgi connections: " + ending.value)
         if self.request is not None:
-            self._core.caller_gone(self.request)
+            self._core.caller_disconnected(self.request)
         self.state = State.ANSWERED
         self.request = None
 
--- a/moorusher/load_balancing/calls.py
+++ b/moorusher/load_balancing/calls.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class OpenCall:
     """One call.
 
     call_id: the request's number.
--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from .calls import Call
+from .calls import OpenCall
 from .endpoint import Endpoint
 from .policy import LoadBalancingPolicy
 from .retry import has_time_remaining
@@ -15,7 +15,7 @@
 MIN_TYPICAL_LATENCIES = 2.0  # so many typical latencies are waited for at least
 
 
-def may_hedge(call: Call, policy: LoadBalancingPolicy, is_health_check: bool) -> bool:
+def may_hedge(call: OpenCall, policy: LoadBalancingPolicy, is_health_check: bool) -> bool:
     """Whether an attempt of the call that is sent now may be hedged later."""
     return (
         policy.hedging_enabled
@@ -26,7 +26,7 @@
     )
 
 
-def hedge_at(now: int, call: Call, endpoint: Endpoint, typical_latency_us: float) -> int | None:
+def hedge_at(now: int, call: OpenCall, endpoint: Endpoint, typical_latency_us: float) -> int | None:
     """Return the time (us) to hedge an attempt sent now; None where nothing is known or the deadline comes first."""
     percentile_us = endpoint.latency.quantile(HEDGE_QUANTILE) or 0.0
     # An endpoint that has answered little yet, or hangs from the start, has no percentile: the set's figure stands in.
@@ -36,6 +36,6 @@
     return now + round(wait_us)
 
 
-def hedge_still_useful(now: int, call: Call) -> bool:
+def hedge_still_useful(now: int, call: OpenCall) -> bool:
     """Whether, at the time to hedge, the call still waits for its one attempt and has time left."""
     return not call.hedged and len(call.attempts) == 1 and has_time_remaining(now, call.deadline)
--- a/moorusher/load_balancing/load_balancer.py
+++ b/moorusher/load_balancing/load_balancer.py
@@ -12,7 +12,7 @@
 from itertools import count
 
 from .call_queue import CallQueue
-from .calls import Call, CallState
+from .calls import CallState, OpenCall
 from .endpoint import Endpoint
 from .endpoint_set import EndpointSet, Selection
 from .hedging import hedge_at, hedge_still_useful, may_hedge
@@ -81,9 +81,9 @@
         self._slot_timer_at = 0  # the time of the newest SLOT timer, in microseconds
         self._attempt_ids = count(1) if attempt_ids is None else attempt_ids
         # Calls that have not ended, by id.
-        self._calls: dict[int, Call] = {}
+        self._calls: dict[int, OpenCall] = {}
         # By attempt in flight: `_call_of[a]` is a call of `_calls`, and `a` is one of its `attempts`.
-        self._call_of: dict[int, Call] = {}
+        self._call_of: dict[int, OpenCall] = {}
 
     @property
     def open_calls(self) -> int:
@@ -114,7 +114,7 @@
         instructions = self._on_call_cancelled(event.now, event.call_id)
         self.counts.calls += 1
         self._budget.call_started()
-        call = Call(event.call_id, event.effect, event.deadline, event.max_attempts)
+        call = OpenCall(event.call_id, event.effect, event.deadline, event.max_attempts)
         self._calls[event.call_id] = call
         return instructions + self._start_attempt(event.now, call)
 
@@ -168,7 +168,7 @@
 
     # ---- transitions of a call ----
 
-    def _start_attempt(self, now: int, call: Call, avoid: Endpoint | None = None) -> list[Instruction]:
+    def _start_attempt(self, now: int, call: OpenCall, avoid: Endpoint | None = None) -> list[Instruction]:
         """From STARTING or BACKING_OFF: send an attempt, wait in the queue, or reject the call."""
         selection = self.endpoints.select(now, call.tolerates_duplicates, avoid)
         if selection is None and avoid is not None:
@@ -182,7 +182,7 @@
         self._transition_to_queued(now, call)
         return []
 
-    def _transition_to_in_flight(self, now: int, call: Call, selection: Selection) -> Instruction:
+    def _transition_to_in_flight(self, now: int, call: OpenCall, selection: Selection) -> Instruction:
         endpoint = selection.endpoint
         attempt_id = next(self._attempt_ids)
         call.state = CallState.IN_FLIGHT
@@ -199,25 +199,27 @@
         timeout_us = max(1, call.deadline - now)
         return SendAttempt(call.call_id, attempt_id, endpoint.config.name, timeout_us)
 
-    def _transition_to_queued(self, now: int, call: Call) -> None:
+    def _transition_to_queued(self, now: int, call: OpenCall) -> None:
         self.counts.queued += 1
         self._queue.push(call)
         self._set_slot_timer(now)
 
-    def _transition_in_flight_backing_off(self, now: int, call: Call, at: int) -> list[Instruction]:
+    def _transition_in_flight_backing_off(self, now: int, call: OpenCall, at: int) -> list[Instruction]:
         self.counts.retries += 1
         call.state = CallState.BACKING_OFF
         call.retry_at = at
         self._timers.add(at, call.call_id, TimerKind.RETRY)
         return self._serve_queue(now)
 
-    def _complete(self, now: int, call: Call, attempt_id: int, outcome: AttemptOutcome) -> list[Instruction]:
+    def _complete(
+        self, now: int, call: OpenCall, attempt_id: int, outcome: AttemptOutcome
+    ) -> list[Instruction]:
         """From IN_FLIGHT: the call ends as one of its attempts did, and other copies are cancelled."""
         del self._calls[call.call_id]
         completed: list[Instruction] = [CompleteCall(call.call_id, attempt_id, outcome)]
         return completed + self._cancel_attempts(now, call) + self._serve_queue(now)
 
-    def _cancel_attempts(self, now: int, call: Call) -> list[Instruction]:
+    def _cancel_attempts(self, now: int, call: OpenCall) -> list[Instruction]:
         """Cancel what is in flight; an unresponsive attempt counts against its endpoint all the same."""
         instructions: list[Instruction] = []
         for attempt_id, endpoint in call.attempts.items():
@@ -229,7 +231,7 @@
         call.attempts.clear()
         return instructions
 
-    def _hedge(self, now: int, call: Call) -> list[Instruction]:
+    def _hedge(self, now: int, call: OpenCall) -> list[Instruction]:
         """Send a second copy where another endpoint has capacity and the budget allows it."""
         first = next(iter(call.attempts.values()))
         selection = self.endpoints.select(now, call.tolerates_duplicates, avoid=first)
--- a/moorusher/load_balancing/retry.py
+++ b/moorusher/load_balancing/retry.py
@@ -12,7 +12,7 @@
 
 from moorusher.scheduling.retry_policy import may_retry
 
-from .calls import Call
+from .calls import OpenCall
 from .messages import AttemptOutcome
 from .policy import LoadBalancingPolicy
 from .retry_budget import RetryBudget
@@ -51,7 +51,7 @@
 
 def decide_retry(
     now: int,
-    call: Call,
+    call: OpenCall,
     outcome: AttemptOutcome,
     policy: LoadBalancingPolicy,
     budget: RetryBudget,
--- a/moorusher/scheduling/actions.py
+++ b/moorusher/scheduling/actions.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class StartCall:
     """Make the downstream call that a request waits for; it is given up after `timeout_ms`."""
 
     id: int
@@ -121,7 +121,7 @@
     Stop,
     Reject,
     Fail,
-    Call,
+    StartCall,
     SkipCall,
     StoreKey,
     DropKey,
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from moorusher.scheduling.interface import Call, CallEnded, Downstream, Outcome, Settings
+from moorusher.scheduling.interface import CallEnded, Downstream, ExecutionOutcome, Settings, StartCall
 from moorusher.scheduling.job import Job, JobState
 from moorusher.scheduling.lifecycle import Lifecycle
 from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME, may_retry
@@ -109,8 +109,8 @@
         if job.state is not JobState.CALLING:
             return
         state = self._state
-        succeeded = event.outcome is Outcome.OK
-        timed_out = event.outcome is Outcome.TIMEOUT
+        succeeded = event.outcome is ExecutionOutcome.OK
+        timed_out = event.outcome is ExecutionOutcome.TIMEOUT
         self.in_flight -= 1
         lingering_ms = timed_out * state.settings.abandoned_call_ms
         self.spent_ms += event.latency_ms + lingering_ms - job.call_charge_ms
@@ -175,7 +175,7 @@
         timeout_ms = max(MIN_TIMEOUT_MS, min(until_due_ms, self._timeout_ms(self.spent_ms)))
         job.call_charge_ms = timeout_ms + state.settings.abandoned_call_ms
         self.spent_ms += job.call_charge_ms
-        state.actions.append(Call(job.id, timeout_ms))
+        state.actions.append(StartCall(job.id, timeout_ms))
 
     def _timeout_ms(self, spent_ms: float) -> float:
         """How long a call may take if all that may be out at once are to stay within the budget."""
--- a/moorusher/scheduling/events.py
+++ b/moorusher/scheduling/events.py
@@ -9,7 +9,7 @@
 from moorusher.scheduling.settings import RequestClass, Settings
 
 
-class Outcome(Enum):
+class ExecutionOutcome(Enum):
     """How a run or a downstream call ended."""
 
     OK = "ok"
@@ -24,7 +24,7 @@
     @property
     def never_ran(self) -> bool:
         """True where the outcome proves that no work was started."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_AWAITED)
+        return self in (ExecutionOutcome.FULL, ExecutionOutcome.CONNECT_FAILED, ExecutionOutcome.NOT_AWAITED)
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
     """A run is over, or a request that waited for another's result."""
 
     id: int
-    outcome: Outcome
+    outcome: ExecutionOutcome
     latency_ms: float = 0.0
 
 
@@ -85,7 +85,7 @@
     """A downstream call has ended; the request is back at its call unless the outcome is ok."""
 
     id: int
-    outcome: Outcome
+    outcome: ExecutionOutcome
     latency_ms: float = 0.0
 
 
--- a/moorusher/scheduling/idempotency.py
+++ b/moorusher/scheduling/idempotency.py
@@ -16,7 +16,7 @@
 KEY_MARGIN_MS = 2 * TICK_MS  # an entry is kept so much longer than the window in which repeats come
 
 
-class KeyTable:
+class StoredKeys:
     """The entries that the runner keeps for this scheduler.
 
     Attributes:
--- a/moorusher/scheduling/interface.py
+++ b/moorusher/scheduling/interface.py
@@ -9,7 +9,6 @@
 
 from moorusher.scheduling.actions import (
     Action,
-    Call,
     CloseIdleConnections,
     DropKey,
     Fail,
@@ -21,6 +20,7 @@
     Signal,
     SkipCall,
     Start,
+    StartCall,
     Stop,
     StoreKey,
 )
@@ -29,7 +29,7 @@
     CallNeeded,
     DrainNotice,
     Event,
-    Outcome,
+    ExecutionOutcome,
     PredecessorLoad,
     Reconfiguration,
     Request,
@@ -49,7 +49,6 @@
 
 __all__ = [
     "Action",
-    "Call",
     "CallEnded",
     "CallNeeded",
     "CloseIdleConnections",
@@ -58,9 +57,9 @@
     "DropKey",
     "Effect",
     "Event",
+    "ExecutionOutcome",
     "Fail",
     "Log",
-    "Outcome",
     "PredecessorLoad",
     "Preemption",
     "Reconfiguration",
@@ -77,6 +76,7 @@
     "SignalKind",
     "SkipCall",
     "Start",
+    "StartCall",
     "Stop",
     "StoreKey",
     "Tenant",
--- a/moorusher/scheduling/retry_policy.py
+++ b/moorusher/scheduling/retry_policy.py
@@ -10,7 +10,7 @@
 
 from enum import Enum
 
-from moorusher.scheduling.interface import Effect, Outcome
+from moorusher.scheduling.interface import Effect, ExecutionOutcome
 
 
 class Evidence(Enum):
@@ -74,13 +74,13 @@
     return may_retry(effect, Evidence.IN_DOUBT)
 
 
-EVIDENCE_OF_OUTCOME: dict[Outcome, Evidence] = {
-    Outcome.OK: Evidence.SUCCEEDED,
-    Outcome.ERROR: Evidence.FAILED,
-    Outcome.FULL: Evidence.REJECTED,
-    Outcome.TIMEOUT: Evidence.TIMED_OUT,
-    Outcome.CONNECT_FAILED: Evidence.NOT_CONNECTED,
-    Outcome.RESET: Evidence.CONNECTION_RESET,
-    Outcome.CANCELLED: Evidence.ABANDONED,
-    Outcome.NOT_AWAITED: Evidence.NOT_AWAITED,
+EVIDENCE_OF_OUTCOME: dict[ExecutionOutcome, Evidence] = {
+    ExecutionOutcome.OK: Evidence.SUCCEEDED,
+    ExecutionOutcome.ERROR: Evidence.FAILED,
+    ExecutionOutcome.FULL: Evidence.REJECTED,
+    ExecutionOutcome.TIMEOUT: Evidence.TIMED_OUT,
+    ExecutionOutcome.CONNECT_FAILED: Evidence.NOT_CONNECTED,
+    ExecutionOutcome.RESET: Evidence.CONNECTION_RESET,
+    ExecutionOutcome.CANCELLED: Evidence.ABANDONED,
+    ExecutionOutcome.NOT_AWAITED: Evidence.NOT_AWAITED,
 }
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -124,7 +124,7 @@
         if job.state is JobState.CALLING:
             self.calls.in_flight -= 1
         # A run that failed early shows nothing of cost.
-        self.lifecycle.end(job, completed=event.outcome is api.Outcome.OK)
+        self.lifecycle.end(job, completed=event.outcome is api.ExecutionOutcome.OK)
 
     def _timer_fired(self, event: api.Timer) -> None:
         state = self.state
--- a/moorusher/scheduling/state.py
+++ b/moorusher/scheduling/state.py
@@ -5,7 +5,7 @@
 from moorusher.scheduling.concurrency import Concurrency
 from moorusher.scheduling.draining import Draining
 from moorusher.scheduling.fair_queue import FairQueue
-from moorusher.scheduling.idempotency import KeyTable
+from moorusher.scheduling.idempotency import StoredKeys
 from moorusher.scheduling.interface import Action, PredecessorLoad, Settings
 from moorusher.scheduling.job import Job
 from moorusher.scheduling.memory import MemoryBudget
@@ -54,7 +54,7 @@
         self.queue = FairQueue(settings.tenants, settings.cores, self.service_time)
         self.concurrency = Concurrency(settings)
         self.memory = MemoryBudget(settings)
-        self.keys = KeyTable(self.memory)
+        self.keys = StoredKeys(self.memory)
         self.draining = Draining()
 
     def open(self, now: float) -> None:
--- a/moorusher/simulator/wire.py
+++ b/moorusher/simulator/wire.py
@@ -81,14 +81,14 @@
 
 
 OUTCOMES = {
-    0: api.Outcome.OK,
-    255: api.Outcome.ERROR,
-    254: api.Outcome.FULL,
-    253: api.Outcome.TIMEOUT,
-    252: api.Outcome.CONNECT_FAILED,
-    251: api.Outcome.RESET,
-    250: api.Outcome.CANCELLED,
-    249: api.Outcome.NOT_AWAITED,
+    0: api.ExecutionOutcome.OK,
+    255: api.ExecutionOutcome.ERROR,
+    254: api.ExecutionOutcome.FULL,
+    253: api.ExecutionOutcome.TIMEOUT,
+    252: api.ExecutionOutcome.CONNECT_FAILED,
+    251: api.ExecutionOutcome.RESET,
+    250: api.ExecutionOutcome.CANCELLED,
+    249: api.ExecutionOutcome.NOT_AWAITED,
 }
 
 MAX_FRAME_BYTES = 1 << 30
@@ -253,7 +253,7 @@
     return InstanceDied(), offset
 
 
-def _outcome(code: int) -> api.Outcome:
+def _outcome(code: int) -> api.ExecutionOutcome:
     try:
         return OUTCOMES[code]
     except KeyError:
@@ -314,7 +314,7 @@
     api.StoreKey: lambda action: _ID_MS.pack(ActionCode.REMEMBER, action.id, action.ttl_ms),
     api.SetTimer: lambda action: _SET_TIMER.pack(ActionCode.SET_TIMER, action.delay_ms, action.token),
     api.Signal: lambda action: _SIGNAL.pack(ActionCode.SIGNAL, action.value),
-    api.Call: lambda action: _ID_MS.pack(ActionCode.CALL, action.id, action.timeout_ms),
+    api.StartCall: lambda action: _ID_MS.pack(ActionCode.CALL, action.id, action.timeout_ms),
     api.Start: lambda action: _ID.pack(ActionCode.START, action.id),
     api.Reject: lambda action: _REJECT.pack(
         ActionCode.REJECT, action.id, action.retry_after_ms, action.final
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -134,7 +134,7 @@
         self.owner.reporter.set_maintenance(reason, for_s)
 
     def has_no_room(self) -> None:
-        self.peer.full(9, ("acme", "other"))
+        self.peer.key_table_full(9, ("acme", "other"))
 
     def says_goodbye(self) -> None:
         self.link.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,7 @@
     Action,
     Effect,
     Event,
-    Outcome,
+    ExecutionOutcome,
     Request,
     RequestClass,
     RunEnded,
@@ -64,4 +64,4 @@
 
 
 def done(*ids: int) -> list[Event]:
-    return [RunEnded(i, Outcome.OK) for i in ids]
+    return [RunEnded(i, ExecutionOutcome.OK) for i in ids]
--- a/tests/scheduling/generated_day.py
+++ b/tests/scheduling/generated_day.py
@@ -112,7 +112,7 @@
                 self.at_call.add(request_id)
                 events.append(api.CallNeeded(request_id))
             else:
-                outcome = self.rng.choice([api.Outcome.OK] * 9 + [api.Outcome.ERROR])
+                outcome = self.rng.choice([api.ExecutionOutcome.OK] * 9 + [api.ExecutionOutcome.ERROR])
                 events.append(api.RunEnded(request_id, outcome))
                 self.owed.pop(request_id, None)
         return events
@@ -121,9 +121,11 @@
         events: list[api.Event] = []
         for request_id in [one for one, end in self.calling.items() if end <= self.now]:
             del self.calling[request_id]
-            outcome = self.rng.choice([api.Outcome.OK] * 3 + [api.Outcome.FULL, api.Outcome.TIMEOUT])
+            outcome = self.rng.choice(
+                [api.ExecutionOutcome.OK] * 3 + [api.ExecutionOutcome.FULL, api.ExecutionOutcome.TIMEOUT]
+            )
             events.append(api.CallEnded(request_id, outcome, 40.0))
-            if outcome is api.Outcome.OK:
+            if outcome is api.ExecutionOutcome.OK:
                 self.running[request_id] = self.now + 20.0
             else:
                 self.at_call.add(request_id)
@@ -135,7 +137,7 @@
             if self.rng.random() < 0.1:
                 self.sharing.discard(request_id)
                 self.owed.pop(request_id, None)
-                events.append(api.RunEnded(request_id, api.Outcome.OK))
+                events.append(api.RunEnded(request_id, api.ExecutionOutcome.OK))
         return events
 
     def _arrival(self) -> api.Request:
@@ -192,8 +194,8 @@
             assert self.settings.preemption is not api.Preemption.OFF
             assert request_id not in self.owed
             self.running.pop(request_id, None)
-            self.next_events.append(api.RunEnded(request_id, api.Outcome.CANCELLED))
-        elif isinstance(action, api.Call):
+            self.next_events.append(api.RunEnded(request_id, api.ExecutionOutcome.CANCELLED))
+        elif isinstance(action, api.StartCall):
             assert request_id in self.at_call
             self.at_call.discard(request_id)
             self.calling[request_id] = self.now + self.rng.expovariate(1 / 60.0)
@@ -227,7 +229,7 @@
         self.sharing.discard(request_id)
         if request_id in self.at_call or request_id in self.calling:
             self._leave_call(request_id)
-            self.next_events.append(api.RunEnded(request_id, api.Outcome.CANCELLED))
+            self.next_events.append(api.RunEnded(request_id, api.ExecutionOutcome.CANCELLED))
 
     def _leave_call(self, request_id: int) -> None:
         self.at_call.discard(request_id)
--- a/tests/scheduling/test_downstream_calls.py
+++ b/tests/scheduling/test_downstream_calls.py
@@ -9,7 +9,7 @@
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.downstream_calls import ABANDON_SLOT_TIMES
 from moorusher.scheduling.interface import (
-    Outcome,
+    ExecutionOutcome,
 )
 
 from ..helpers import KEYED, SAFE, done, only, opened, request, started
@@ -31,9 +31,9 @@
     charge lingered."""
     scheduler = opened(**SHARED_DEPENDENCY)
     scheduler.step(0.0, [request(1), request(2)])
-    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
-    scheduler.step(300.0, [api.CallEnded(1, api.Outcome.OK, 3.0), *done(1)])
-    assert only(scheduler.step(305.0, [api.CallNeeded(2)]), api.Call) != []
+    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.StartCall)
+    scheduler.step(300.0, [api.CallEnded(1, api.ExecutionOutcome.OK, 3.0), *done(1)])
+    assert only(scheduler.step(305.0, [api.CallNeeded(2)]), api.StartCall) != []
 
 
 def test_downstream_calls_keep_to_the_quota_over_a_window_even_when_they_hang() -> None:
@@ -47,12 +47,12 @@
             batch.append(request(i + 1, i % 2))
         actions = scheduler.step(now, batch)
         ends = [api.CallNeeded(other) for other in started(actions)]
-        for call in only(actions, api.Call):
+        for call in only(actions, api.StartCall):
             at[call.id] = now + call.timeout_ms
             spent += call.timeout_ms + 200.0
         for request_id in [other for other, due in at.items() if due <= now]:
             del at[request_id]
-            ends.append(api.CallEnded(request_id, api.Outcome.TIMEOUT, 750.0))
+            ends.append(api.CallEnded(request_id, api.ExecutionOutcome.TIMEOUT, 750.0))
     assert 0.0 < spent <= 0.3 * 5000.0
 
 
@@ -65,10 +65,10 @@
         cores=3,
     )
     scheduler.step(0.0, [request(1), request(2), request(3, class_index=1)])
-    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
+    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.StartCall)
     scheduler.step(20.0, [api.CallNeeded(2), api.CallNeeded(3)])
-    actions = scheduler.step(60.0, [api.CallEnded(1, api.Outcome.OK, 50.0)])
-    assert [c.id for c in only(actions, api.Call)] == [3]
+    actions = scheduler.step(60.0, [api.CallEnded(1, api.ExecutionOutcome.OK, 50.0)])
+    assert [c.id for c in only(actions, api.StartCall)] == [3]
     assert only(scheduler.step(400.0, [api.Timer(0, (0.5,))]), api.SkipCall) == [api.SkipCall(2)]
 
 
@@ -81,7 +81,7 @@
         downstream=api.Downstream.TIER, classes=(replace(CALLING, value_fraction_without_call=without),)
     )
     scheduler.step(0.0, [request(1)])
-    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.Call)
+    assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.StartCall)
     now, skips = 10.0, list[float]()
     while now < 1_000.0:  # its aim
         now += 25.0
@@ -112,8 +112,10 @@
         ends = [event for event in ends if event[0] > now]
         slow = now >= 6500.0  # the first calls of the slow time teach how long calls have become
         for _, request_id, took, ok in due:
-            events.append(api.CallEnded(request_id, Outcome.OK if ok else Outcome.TIMEOUT, took))
-            later += [api.RunEnded(request_id, Outcome.OK if ok else Outcome.CANCELLED)]
+            events.append(
+                api.CallEnded(request_id, ExecutionOutcome.OK if ok else ExecutionOutcome.TIMEOUT, took)
+            )
+            later += [api.RunEnded(request_id, ExecutionOutcome.OK if ok else ExecutionOutcome.CANCELLED)]
             if slow:
                 seen["ended" if ok else "given up"].append(took)
         if turn % 15 == 0:
@@ -121,7 +123,7 @@
         for action in scheduler.step(now, [*events, api.Timer(0, (0.5,))]):
             if isinstance(action, api.Start):
                 later.append(api.CallNeeded(action.id))
-            elif isinstance(action, api.Call):
+            elif isinstance(action, api.StartCall):
                 needs = takes if now >= 5000.0 else 30.0
                 ends.append(
                     (
@@ -177,9 +179,11 @@
             if whole or call[2] <= now:
                 del hands[i, request_id]
                 later[i].append(
-                    api.CallEnded(request_id, Outcome.OK if whole else Outcome.TIMEOUT, now - call[1])
+                    api.CallEnded(
+                        request_id, ExecutionOutcome.OK if whole else ExecutionOutcome.TIMEOUT, now - call[1]
+                    )
                 )
-                later[i] += [api.RunEnded(request_id, Outcome.OK)] if whole else []
+                later[i] += [api.RunEnded(request_id, ExecutionOutcome.OK)] if whole else []
                 ended, given_up = ended + (whole and now > 5000.0), given_up + (not whole and now > 5000.0)
         for i, scheduler in enumerate(fleet):
             events, later[i] = later[i], []
@@ -188,10 +192,10 @@
             for action in scheduler.step(now, [*events, api.Timer(0, (0.5,))]):
                 if isinstance(action, api.Start):
                     later[i].append(api.CallNeeded(action.id))
-                elif isinstance(action, api.Call):
+                elif isinstance(action, api.StartCall):
                     hands[i, action.id] = [320.0 if now > 3000.0 else 40.0, now, now + action.timeout_ms]
                 elif isinstance(action, api.Fail):
-                    later[i].append(api.RunEnded(action.id, Outcome.CANCELLED))
+                    later[i].append(api.RunEnded(action.id, ExecutionOutcome.CANCELLED))
     return ended / max(1, ended + given_up)
 
 
--- a/tests/scheduling/test_fair_queue.py
+++ b/tests/scheduling/test_fair_queue.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from moorusher.scheduling.interface import (
-    Outcome,
+    ExecutionOutcome,
     RequestClass,
     RunEnded,
     Tenant,
@@ -125,7 +125,7 @@
     for i, (tenant, cost) in enumerate([(0, 20.0), (1, 20.0), (0, 20.0), (1, 70.0), (0, 20.0), (1, 20.0)], 1):
         at = scheduler.state.now + 500.0
         scheduler.step(at, [request(i, tenant), Timer(0)])
-        scheduler.step(at + cost, [RunEnded(i, Outcome.OK)])
+        scheduler.step(at + cost, [RunEnded(i, ExecutionOutcome.OK)])
     assert (
         scheduler.state.queue.tenants[1].max_cost_ratios[scheduler.state.service_time.classes[0]]
         > 2 * scheduler.state.queue.tenants[0].max_cost_ratios[scheduler.state.service_time.classes[0]]
--- a/tests/scheduling/test_invariants.py
+++ b/tests/scheduling/test_invariants.py
@@ -13,7 +13,7 @@
 
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.interface import (
-    Outcome,
+    ExecutionOutcome,
     Tenant,
 )
 
@@ -92,9 +92,9 @@
 def test_events_about_unknown_requests_are_ignored_and_the_clock_does_not_step_back() -> None:
     scheduler = opened()
     unknown: list[api.Event] = [
-        api.RunEnded(9, api.Outcome.OK),
+        api.RunEnded(9, api.ExecutionOutcome.OK),
         api.CallNeeded(9),
-        api.CallEnded(9, api.Outcome.OK),
+        api.CallEnded(9, api.ExecutionOutcome.OK),
         api.RequestAbandoned(9),
     ]
     assert scheduler.step(5.0, unknown) == []
@@ -141,10 +141,12 @@
                 del owed[action.id]
             elif isinstance(action, api.Start):
                 calls = scheduler.state.settings.downstream is not api.Downstream.OFF
-                ends.append(api.CallNeeded(action.id) if calls else api.RunEnded(action.id, api.Outcome.OK))
+                ends.append(
+                    api.CallNeeded(action.id) if calls else api.RunEnded(action.id, api.ExecutionOutcome.OK)
+                )
             elif isinstance(action, api.SkipCall):
-                ends.append(api.RunEnded(action.id, api.Outcome.OK))
-            assert not isinstance(action, api.Call)
+                ends.append(api.RunEnded(action.id, api.ExecutionOutcome.OK))
+            assert not isinstance(action, api.StartCall)
         for event in ends:
             if isinstance(event, api.RunEnded):
                 del owed[event.id]
@@ -177,7 +179,9 @@
             batch.append(request(i, i % 2, cost_hint_ms=hint, ttl_ms=ttl))
         actions = scheduler.step(20.0 * i, batch)
         ends = [
-            api.RunEnded(started_id, Outcome.ERROR if started_id % 5 == 0 else Outcome.OK, 0.0)
+            api.RunEnded(
+                started_id, ExecutionOutcome.ERROR if started_id % 5 == 0 else ExecutionOutcome.OK, 0.0
+            )
             for started_id in started(actions)
         ]
         owed -= {action.id for action in actions if isinstance(action, (api.Reject, api.Fail))} | set(
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -10,7 +10,7 @@
 
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.interface import (
-    Outcome,
+    ExecutionOutcome,
     Tenant,
 )
 
@@ -45,7 +45,9 @@
     seen: dict[str, Any] = {"ran": [], "refused": [], "asked": [], "advice": {GREEDY: [], MODEST: []}}
     for turn in range(seconds * 100):
         now, events = 10.0 * turn, []  # type: float, list[api.Event]
-        events += [api.RunEnded(request_id, Outcome.OK) for request_id, at in ends.items() if at <= now]
+        events += [
+            api.RunEnded(request_id, ExecutionOutcome.OK) for request_id, at in ends.items() if at <= now
+        ]
         ends = {request_id: at for request_id, at in ends.items() if at > now}
         new = [(GREEDY, rng.randrange(2)) for _ in range(each)] if turn % 5 == 0 else []
         new += [(MODEST, (turn // 50) % 2)] if turn % 50 == 25 else []
--- a/tests/scheduling/test_service_time.py
+++ b/tests/scheduling/test_service_time.py
@@ -4,7 +4,7 @@
 
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.interface import (
-    Outcome,
+    ExecutionOutcome,
 )
 
 from ..helpers import done, opened, request, started
@@ -18,7 +18,7 @@
     cost, wall = scheduler.state.service_time.mean_cost_ms, scheduler.state.service_time.classes[0].run_ms
     for i in range(2, 20):
         scheduler.step(300.0 + i, [request(i)])
-        scheduler.step(300.5 + i, [api.RunEnded(i, Outcome.ERROR, 0.5)])
+        scheduler.step(300.5 + i, [api.RunEnded(i, ExecutionOutcome.ERROR, 0.5)])
     assert (scheduler.state.service_time.mean_cost_ms, scheduler.state.service_time.classes[0].run_ms) == (
         cost,
         wall,
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -70,7 +70,7 @@
 def test_what_nobody_waits_for_any_more_is_not_commanded_and_its_key_is_free() -> None:
     w, coordinator = world()
     request = started(w, coordinator)
-    w.core.caller_gone(request)
+    w.core.caller_disconnected(request)
     w.turn()
     w.core.remote_claims.start_confirmed(request)
     w.turn()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 from moorusher.core.answer import Answer, Verdict
 from moorusher.core.call import CallRequest
 from moorusher.core.clock import SECOND, Alarms, Clock
-from moorusher.core.idempotency_keys import MARGIN, KeyTable
+from moorusher.core.idempotency_keys import MARGIN, IdempotencyKeyTable
 from moorusher.core.outcomes import EndReason
 from moorusher.core.registration import InvalidArrival
 from moorusher.core.request_engine import RequestEngine
@@ -163,7 +163,7 @@
 
 def test_a_caller_that_leaves_while_its_try_is_held_frees_the_key() -> None:
     w = World()
-    w.core.caller_gone(w.take("a", 1))
+    w.core.caller_disconnected(w.take("a", 1))
     w.take("b", 2)
     w.turn()
     assert w.runs() == ["b"] and len(w.core.table) == 1
@@ -173,8 +173,8 @@
     w = World()
     first = w.take("a", 1)
     w.turn()
-    w.core.caller_gone(first)
-    w.core.caller_gone(first)
+    w.core.caller_disconnected(first)
+    w.core.caller_disconnected(first)
     w.turn()
     w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     w.turn()
@@ -404,7 +404,7 @@
 
 
 def test_keys_are_bounded_and_go_when_their_time_is_over() -> None:
-    keys = KeyTable()
+    keys = IdempotencyKeyTable()
     for i in range(3):
         keys.reserve(("acme", str(i)), i)
     assert keys.start(0, 0, 1000.0) and not keys.start(0, 0, 1000.0)
@@ -419,7 +419,7 @@
 
 @pytest.mark.parametrize("memory_mb, entries", [(8, 666), (32, 1_000), (80, 8_000), (192, 8_000)])
 def test_the_bounds_of_keys_follow_the_limit_on_memory(memory_mb: float, entries: int) -> None:
-    keys = KeyTable(memory_mb)
+    keys = IdempotencyKeyTable(memory_mb)
     assert keys.limits.max_entries == entries and keys.limits.max_result_bytes <= max(
         2e6, memory_mb * 1e6 - 26e6
     )
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -199,7 +199,11 @@
     def read(self, by: int, most: int = 1_000) -> None:
         """What the other one has said."""
         claims: Any = self.both[by].core.key_claims
-        names = {"claim": "peer_claims", "freed": "peer_freed", "settled": "peer_settled"}
+        names = {
+            "claim": "peer_claims",
+            "key_released": "peer_released_key",
+            "key_finished": "peer_finished_key",
+        }
         while self.said[1 - by] and most:
             kind, args = self.said[1 - by].popleft()
             getattr(claims, names.get(kind, kind))(*args)
@@ -217,7 +221,7 @@
         """What it said before reaches the other one, as over a socket; nothing more."""
         self.dead.add(which)
         self.read(1 - which)
-        self.both[1 - which].core.key_claims.peer_gone(died=True)
+        self.both[1 - which].core.key_claims.peer_disconnected(died=True)
         self.both[1 - which].turn()
 
     def runs(self) -> Counter[str]:
@@ -268,7 +272,7 @@
     old, new = p.both
     first = old.take("k-1", 1, token="k")
     second = new.take("k-2", 2, token="k")
-    new.core.caller_gone(second)
+    new.core.caller_disconnected(second)
     p.settle()
     assert not p.runs() and old.verdicts() == [(1, Verdict.FAILED)]  # it waited for what never ran
     old.take("k-3", 3, token="k")
@@ -280,7 +284,7 @@
     new.take("k-2", 2, token="k")
     p.read(1)  # the successor goes first: it hears the claim of the other, and keeps its own
     p.read(0)
-    old.core.caller_gone(first)
+    old.core.caller_disconnected(first)
     p.settle()
     assert new.runs() == ["k-2"]
 
@@ -304,7 +308,7 @@
 
 
 def give_up(world: World) -> bool:
-    world.core.key_claims.peer_gone(died=False)
+    world.core.key_claims.peer_disconnected(died=False)
     return True
 
 
@@ -349,7 +353,7 @@
     new.take("m-2", 2, token="m")
     new.turn()
     assert new.verdicts() == [(1, Verdict.SERVED)] and not new.runs()
-    new.core.key_claims.peer_gone(died=True)
+    new.core.key_claims.peer_disconnected(died=True)
     new.turn()
     assert new.verdicts()[1] == (2, Verdict.FAILED)
     new.core.state.forget_keys_for_a_window()
--- a/tests/test_retries_and_hedging.py
+++ b/tests/test_retries_and_hedging.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from moorusher.load_balancing.calls import Call
+from moorusher.load_balancing.calls import OpenCall
 from moorusher.load_balancing.endpoint import Endpoint
 from moorusher.load_balancing.hedging import hedge_at, hedge_still_useful, may_hedge
 from moorusher.load_balancing.messages import UNLIMITED_ATTEMPTS, AttemptOutcome
@@ -21,11 +21,11 @@
 IDEMPOTENT, WITH_KEY = Effect.IDEMPOTENT, Effect.IDEMPOTENT_WITH_KEY
 
 
-def call(effect: Effect = IDEMPOTENT, max_attempts: int = UNLIMITED_ATTEMPTS, made: int = 1) -> Call:
-    return Call(1, effect, DEADLINE, max_attempts, attempts_made=made)
+def call(effect: Effect = IDEMPOTENT, max_attempts: int = UNLIMITED_ATTEMPTS, made: int = 1) -> OpenCall:
+    return OpenCall(1, effect, DEADLINE, max_attempts, attempts_made=made)
 
 
-def decide(now: int, one: Call, outcome: AttemptOutcome, tokens: int = 1) -> RetryAt | NoRetry:
+def decide(now: int, one: OpenCall, outcome: AttemptOutcome, tokens: int = 1) -> RetryAt | NoRetry:
     budget = RetryBudget(0.0, 0.0, 0)
     while tokens < 1 and budget.try_take(0):
         pass
@@ -80,7 +80,7 @@
     ],
 )
 def test_only_a_call_that_tolerates_duplicates_is_hedged_and_no_health_check(
-    one: Call, policy: dict[str, Any], is_health_check: bool, is_hedged: bool
+    one: OpenCall, policy: dict[str, Any], is_health_check: bool, is_hedged: bool
 ) -> None:
     assert may_hedge(one, LoadBalancingPolicy(**policy), is_health_check) is is_hedged
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from moorusher.scheduling.interface import Effect, Outcome
+from moorusher.scheduling.interface import Effect, ExecutionOutcome
 from moorusher.scheduling.retry_policy import (
     EVIDENCE_OF_OUTCOME,
     Evidence,
@@ -58,8 +58,8 @@
     assert tolerates_duplicates(effect) is (effect is Effect.IDEMPOTENT)
 
 
-@pytest.mark.parametrize("outcome", Outcome)
-def test_outcomes_prove_what_their_evidence_does(outcome: Outcome) -> None:
+@pytest.mark.parametrize("outcome", ExecutionOutcome)
+def test_outcomes_prove_what_their_evidence_does(outcome: ExecutionOutcome) -> None:
     assert EVIDENCE_OF_OUTCOME[outcome].proves_never_ran is outcome.never_ran
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -183,7 +183,7 @@
     w.take("a", 1)
     key = ("", "t")
     follow(w, classes(SAFE))
-    w.core.key_claims.granted(1, key)
+    w.core.key_claims.claim_granted(1, key)
     w.turn()
     assert w.runs() == ["a"]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -72,7 +72,7 @@
         (api.SkipCall(1), 6),
         (api.DropKey(1), 6),
         (api.ShareResult(1), 6),
-        (api.Call(1, 5.0), 14),
+        (api.StartCall(1, 5.0), 14),
         (api.StoreKey(1, 5.0), 14),
         (api.SetHealth(True, True), 4),
         (api.Signal(0.5), 6),
