--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -170,10 +170,12 @@
     def bootstrap(self, accept_loss: bool = False) -> str | None:
         """See `AcceptorRecovery.bootstrap`; a space that has recovered is left as it is where another one has not.
 
-        Returns the reason where no space can be bootstrapped.
+        Each space that can be is bootstrapped. Returns the reason where one that has not recovered can't be, or where
+        all have recovered: an operator who was told that all began would wait for the other one for ever.
         """
-        reasons = [space.recovery.bootstrap(accept_loss) for space in self.spaces.values()]
-        return None if None in reasons else reasons[0]
+        spaces = [space for space in self.spaces.values() if not space.acceptor.recovered]
+        reasons = [space.recovery.bootstrap(accept_loss) for space in spaces or self.spaces.values()]
+        return next((reason for reason in reasons if reason is not None), None)
 
     def add_space(self, space: RegisterSpace) -> None:
         """A space for registers of another kind."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,8 +28,9 @@
 from moorusher.replication import watched_work as watched_module
 from moorusher.replication import work_takeover as takeover_module
 from moorusher.replication.acceptor import Acceptor
-from moorusher.replication.messages import FAST_BALLOT, BallotRequest, Bootstrap, decode, encode
+from moorusher.replication.messages import FAST_BALLOT, BallotRequest, Bootstrap, SyncReply, decode, encode
 from moorusher.replication.proposer import Proposer
+from moorusher.replication.register_space import CLUSTER_SPACE, RegisterSpace
 from moorusher.replication.work_record import (
     ClaimWork,
     EndOrphanedWork,
@@ -301,6 +302,38 @@
     assert all(p.node.acceptor.recovered for p in sim.processes)
 
 
+def test_the_word_that_a_fleet_is_new_is_refused_until_it_holds_for_all_spaces() -> None:
+    """A seat has answered for keyed work alone when the operator's word comes. Told that all has begun, nobody says it
+    again, and the other space never votes."""
+    sim = Simulation(1, Scenario(seats=3, keys=0, faults=0, loss=0, duplication=0))
+    for seat in range(3):
+        sim._kill(sim.processes[seat])
+        sim.processes[seat] = process = sim.start_process(seat, remembers=False, inc=100 + seat)
+        node = process.node
+        others = frozenset(node.placement.names) - {node.me}
+        acceptor = Acceptor(node.me, node.owner.incarnation, node.placement.replicas, others, permanent=True)
+        node.add_space(RegisterSpace(CLUSTER_SPACE, acceptor, node, None))
+    first = sim.processes[0].node
+    receive = first.receive
+
+    def without_one_reply(seat: str, incarnation: int, message: Any) -> None:
+        if not (seat == "n2" and isinstance(message, SyncReply) and message.space == CLUSTER_SPACE):
+            receive(seat, incarnation, message)
+
+    first.receive = without_one_reply  # type: ignore[method-assign]
+    sim.run(1_000_000)
+    assert first.bootstrap() == "not heard as one that remembers nothing: n2"
+    sim.run(sim.now + 1_000_000)
+    spaces = [space for process in sim.processes for space in process.node.spaces.values()]
+    assert [space.acceptor.recovered for space in spaces] == [True, False] * 3
+    first.receive = receive  # type: ignore[method-assign]
+    sim.run(sim.now + 1_000_000)
+    assert first.bootstrap() is None
+    sim.run(sim.now + 1_000_000)
+    assert all(space.acceptor.recovered for space in spaces)
+    assert first.bootstrap() == "this runner remembers: the fleet has begun"
+
+
 # ---- every interleaving ----
 
 
