--- /dev/null
+++ b/tests/compatibility/test_namespace_rules.py
@@ -0,0 +1,258 @@
+"""What customers' drafts mean, the texts of what is wrong with them, and which route a split gives a key.
+
+Guards against a renamed rule or error: operators' scripts read the texts and the names of the errors, and a key that
+gets another route of a split after an upgrade would run on servers that do not know it.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+from moorusher.namespaces import document, errors, names, policy, revisions, rules, table
+
+from .golden import assert_golden
+
+# ---- the names of the program, once ----
+
+GRANTED = policy.Granted(frozenset({"s1", "s2"}), {"shared": 0.5})
+REQUEST_FORM = rules.RequestAttributes
+
+
+def parse(draft: bytes, bounds: dict[str, int] | None = None) -> Any:
+    budget = policy.Budget(**(bounds or {}))
+    return document.parse_draft(draft, policy.Granted(GRANTED.servers, GRANTED.pools, budget))
+
+
+def decide(namespace: Any, request: dict[str, Any]) -> list[Any]:
+    decision = namespace.table.decide(REQUEST_FORM(**request))
+    chain = () if decision.route is None else namespace.fallback_chain(decision.route)
+    return [
+        None if decision.rule is None else decision.rule.label,
+        decision.route,
+        decision.reason,
+        [route.name for route in chain],
+    ]
+
+
+def splits(weights: dict[str, int], keys: list[str]) -> list[str]:
+    split = rules.Split(tuple(sorted(weights.items())))
+    return [table.split_route(split, key) for key in keys]
+
+
+def next_book(book: Any, submission: list[Any], now_ms: int, keep: int = 2, an_hour: int = 3) -> Any:
+    sent = revisions.Submission("acme", *submission)
+    bounds = policy.Bounds(keep, 8 << 10, an_hour)
+    return revisions.published(book, sent, revisions.draft_to_publish(book, sent), now_ms, bounds)
+
+
+def empty_book() -> Any:
+    return revisions.unpack(b"", "acme")
+
+
+def pack_book(book: Any) -> bytes:
+    return revisions.pack(book)
+
+
+def unpack_book(state: bytes, customer: str) -> Any:
+    return revisions.unpack(state, customer)
+
+
+differences = revisions.difference
+checked_name = names.checked
+all_errors = errors.ERRORS
+
+
+# ---- drafts ----
+
+ROUTES = {"main": {"servers": {"s1": 1, "s2": 3}, "fall_back": "spare"}, "spare": {"pool": "shared"}}
+DRAFT: dict[str, Any] = {
+    "default": "main",
+    "routes": ROUTES,
+    "rules": {
+        "eu": {"match": {"key": ["eu-*", "x"], "class": ["submit"], "caller": [[0, 100]]}, "to": "spare"},
+        "new": {"match": {"rank": [[0, 0.5]]}, "split": {"main": 9, "spare": 1}},
+        "subjects": {"match": {"subject": [[5, 9], [1, 6]]}, "to": "spare"},
+        "no": {"match": {"class": ["admin"]}, "refuse": "not from here"},
+    },
+    "teams": {"lab": {"match": {"key": ["lab-*"]}, "rules": {"all": {"to": "spare"}}}},
+}
+REQUESTS: list[dict[str, Any]] = [
+    {"class_name": class_name, "key": key, "rank": rank, "caller": caller, "subject": subject, "spread": "7"}
+    for class_name in ("submit", "admin")
+    for key in ("", "eu-1", "x", "lab-3", "lab")
+    for rank in (0.1, 0.5)
+    for caller, subject in ((-1, -1), (7, 1), (100, 8))
+]
+
+
+def rule(**match: Any) -> dict[str, Any]:
+    return {"match": match, "to": "main"}
+
+
+FAULTS: list[tuple[Any, dict[str, int]]] = [
+    (b"{", {}),
+    (b"[]", {}),
+    ({"default": 7}, {}),
+    ({"default": "none"}, {}),
+    ({"routes": 7}, {}),
+    ({"routes": {"main": 7}}, {}),
+    ({"routes": {"a b": {"pool": "shared"}}}, {}),
+    ({"routes": {"main": {}}}, {}),
+    ({"routes": {"main": {"servers": {"s1": 1}, "pool": "shared"}}}, {}),
+    ({"routes": {"main": {"servers": {"s1": -1}}}}, {}),
+    ({"routes": {"main": {"servers": {"s1": True}}}}, {}),
+    ({"routes": {"main": {"servers": {"s9": 1}}}}, {}),
+    ({"routes": {"main": {"pool": "other"}}}, {}),
+    ({"routes": {"main": {"pool": 7}}}, {}),
+    ({"routes": {"main": {"pool": "shared", "limit": 1_000_001}}}, {}),
+    ({"routes": {"main": {"pool": "shared", "tries": 6}}}, {}),
+    ({"routes": {"main": {"pool": "shared", "fall_back": 7}}}, {}),
+    ({"routes": {"main": {"pool": "shared", "fall_back": "x"}}}, {}),
+    (
+        {
+            "routes": {
+                "main": {"pool": "shared", "fall_back": "b"},
+                "b": {"pool": "shared", "fall_back": "main"},
+            }
+        },
+        {},
+    ),
+    ({"rules": {"r": 7}}, {}),
+    ({"rules": {"r": {}}}, {}),
+    ({"rules": {"r": {"to": "main", "refuse": "x"}}}, {}),
+    ({"rules": {"r": {"to": "x"}}}, {}),
+    ({"rules": {"r": {"to": 7}}}, {}),
+    ({"rules": {"r": {"to": {"main": 1}}}}, {}),
+    ({"rules": {"r": {"split": "main"}}}, {}),
+    ({"rules": {"r": {"split": {}}}}, {}),
+    ({"rules": {"r": {"split": {"main": 0}}}}, {}),
+    ({"rules": {"r": {"split": {"main": 1_000_001}}}}, {}),
+    ({"rules": {"r": {"split": {"x": 1}}}}, {}),
+    ({"rules": {"r": {"refuse": ""}}}, {}),
+    ({"rules": {"r": {"refuse": 7}}}, {}),
+    ({"rules": {"r": {"match": 7, "to": "main"}}}, {}),
+    ({"rules": {"r": rule(key="x")}}, {}),
+    ({"rules": {"r": rule(key=["x" * 257])}}, {}),
+    ({"rules": {"r": rule(caller=[[5, "x"]])}}, {}),
+    ({"rules": {"r": rule(caller=[[-2, 1]])}}, {}),
+    ({"rules": {"r": rule(subject=[1, 2])}}, {}),
+    ({"rules": {"r": rule(rank=[[0, 2]])}}, {}),
+    ({"rules": {"r": rule(rank=[[0, True]])}}, {}),
+    ({"rules": {"r": rule(key=[])}}, {}),
+    ({"rules": {"a": rule(key=["k*"]), "b": rule(key=["k*"])}}, {}),
+    ({"rules": {"a": rule(rank=[[0, 0.5]]), "b": rule(rank=[[0.25, 0.75]])}}, {}),
+    ({"rules": {"a": rule(caller=[[-1, 5]]), "b": rule(caller=[[5, 1 << 53]]), "c": rule()}}, {}),
+    ({"teams": 7}, {}),
+    ({"teams": {"t": 7}}, {}),
+    ({"teams": {"t u": {}}}, {}),
+    ({"teams": {"t": {"match": {"key": ["a"]}, "rules": {"r": rule(key=["b"])}}}}, {}),
+    ({"teams": {"t": {"rules": {"r": rule()}}}, "rules": {"r": rule(key=["b"])}}, {}),
+    ({}, {"bytes": 10}),
+    ({}, {"rules": 4}),
+    ({}, {"routes": 1}),
+    ({}, {"route_servers": 1}),
+    ({}, {"words": 3}),
+    ({}, {"table_bytes": 1_000}),
+    ({}, {"steps": 1}),
+]
+
+
+def error_of(call: Callable[[], Any]) -> list[Any] | str:
+    """The name, status, text and remedy of what is raised."""
+    try:
+        call()
+    except errors.NamespaceError as exc:
+        return [type(exc).__name__, exc.status, str(exc), exc.remedy]
+    except ValueError as exc:
+        return [type(exc).__name__, str(exc)]
+    return "accepted"
+
+
+def test_a_draft_decides_alike() -> None:
+    namespace = parse(json.dumps(DRAFT).encode())
+    decided = [[list(request.values()), decide(namespace, request)] for request in REQUESTS]
+    assert_golden("namespace_decisions", decided)
+
+
+def test_a_key_keeps_its_route_of_a_split() -> None:
+    keys = [f"key-{number}" for number in range(40)] + ["", "é"]
+    weights: list[dict[str, int]] = [{"a": 1, "b": 1}, {"a": 9, "b": 1, "c": 5}, {"a": 0, "b": 2}]
+    assert_golden("namespace_splits", [[one, splits(one, keys)] for one in weights])
+
+
+def test_faults_of_a_draft_have_the_same_texts() -> None:
+    def text_of(change: Any, bounds: dict[str, int]) -> Any:
+        draft = change if isinstance(change, bytes) else json.dumps(DRAFT | change).encode()
+        return error_of(lambda: parse(draft, bounds))
+
+    told = [
+        [change.decode() if isinstance(change, bytes) else change, bounds, text_of(change, bounds)]
+        for change, bounds in FAULTS
+    ]
+    assert_golden("namespace_faults", told)
+
+
+def test_faults_of_a_name_have_the_same_texts() -> None:
+    odd = ["", "a b", "a\u0000", "u\u0308", "x" * 65, 7, None, "\u200d", "ü", "Acme"]
+    assert_golden(
+        "namespace_names",
+        [[name, error_of(lambda name=name: checked_name(name, "customer"))] for name in odd],  # type: ignore[misc]
+    )
+
+
+def test_errors_have_the_same_names_statuses_and_remedies() -> None:
+    assert_golden("namespace_errors", [[one.__name__, one.status, one.remedy] for one in all_errors])
+
+
+# ---- revisions ----
+
+
+def draft(**routes: Any) -> bytes:
+    return json.dumps({"default": "main", "routes": routes}).encode()
+
+
+def test_books_grow_alike() -> None:
+    """Published, published again, rolled back, refused: the bytes of each state, or the text of the error."""
+    book, told = empty_book(), []
+    for now_ms, submission in (
+        (1_000_000, ["a", 0, "me", draft(main=1)]),
+        (1_000_001, ["b", 0, "me", draft(main=2)]),
+        (1_000_002, ["b", 1, "x" * 70, draft(main=2, spare=3)]),
+        (1_000_003, ["c", -1, "you", b"", 1]),
+        (1_000_004, ["d", 3, "you", draft(main=4)]),
+        (9_000_000, ["d", 3, "you", b"x" * 5_000]),
+        (9_000_000, ["d", 3, "you", draft(main=4)]),
+        (9_000_001, ["e", 4, "you", b"", 1]),
+        (9_000_002, ["e", 9, "you", b"odd"]),
+        (9_000_003, ["e", 4, "you", b"odd"]),
+        (9_000_004, ["f", 1, "you", b"odd"]),
+    ):
+        result: list[Any] = []
+        error = error_of(lambda: result.append(next_book(book, submission, now_ms)))  # noqa: B023
+        if result:
+            book = result[0]
+        told.append([now_ms, submission[0], error, pack_book(book).hex()])
+    assert_golden("namespace_books", told)
+
+
+def test_a_damaged_book_has_the_same_text() -> None:
+    book = pack_book(next_book(empty_book(), ["a", 0, "me", b"{}"], 5))
+    told = [error_of(lambda: unpack_book(book, "bolt")), error_of(lambda: unpack_book(b"\x93", "acme"))]
+    assert_golden("namespace_damaged", told)
+
+
+def test_differences_have_the_same_texts() -> None:
+    many = {f"r{number}": number for number in range(30)}
+    pairs: list[tuple[Any, Any]] = [
+        (DRAFT, DRAFT | {"default": "spare"}),
+        (DRAFT, DRAFT | {"rules": {"eu": {"to": "main"}, "more": {"to": "main"}}, "teams": {}}),
+        ({}, {"routes": many}),
+        ([], DRAFT),
+        ({"rules": 7}, {"rules": {"x": 1}}),
+    ]
+    told = [
+        list(differences(json.dumps(before).encode(), json.dumps(after).encode())) for before, after in pairs
+    ]
+    assert_golden("namespace_differences", [*told, list(differences(b"\xff", b""))])
