--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -7,13 +7,14 @@
 
 from ..cluster_transport.config_distribution import NamespaceService
 from ..config_distribution.errors import DistributionError
-from ..config_distribution.messages import RevisionId
 from ..config_distribution.propagation import DELETED_NUMBER
 from ..core.clock import MS
 from ..leadership.errors import DutyError
-from ..namespaces.customers import Revision
+from ..namespaces.current_revisions import Revision
+from ..namespaces.draft_changes import draft_changes
 from ..namespaces.errors import NoSuchCustomer
-from ..namespaces.revisions import Book, Submission, difference
+from ..namespaces.revision_history import RevisionHistory, Submission
+from ..namespaces.revision_id import RevisionId
 from ..namespaces.rules import RequestAttributes
 from ..routing.route import decide_route
 
@@ -21,23 +22,23 @@
 ABSENT_REASONS = ("down", "never heard of")  # of seats that a revision need not have come to
 
 
-def _book_json(book: Book) -> dict[str, Any]:
+def _history_json(history: RevisionHistory) -> dict[str, Any]:
     """Return the revisions that are retained, each with its changes since the one before it."""
     revisions = []
-    for entry in book.entries:
-        before = book.find(entry.number - 1)
+    for entry in history.revisions:
+        before = history.find(entry.number - 1)
         revisions.append(
             {
                 "number": entry.number,
                 "at_ms": entry.at_ms,
-                "by": entry.by,
-                "of": entry.of,
-                "changes": None if before is None else list(difference(before.draft, entry.draft)),
+                "by": entry.author,
+                "of": entry.restored_number,
+                "changes": None if before is None else list(draft_changes(before.draft, entry.draft)),
             }
         )
-    current = book.current
+    current = history.current
     return {
-        "number": book.number,
+        "number": history.current_number,
         "draft": None if current is None else current.draft.decode(),
         "revisions": revisions,
     }
@@ -58,12 +59,12 @@
     if revision is None:
         return {"customer": customer, "revision": 0, "decides": "the platform's default"}
     decision = decide_route(revision, asked)
-    matching = [rule.label for rule in revision.namespace.table.rules if asked in rule.match]
+    matching = [rule.label for rule in revision.namespace.table.rules if asked in rule.matcher]
     hops = () if decision.path is None else decision.path.hops
     return {
         "customer": customer,
-        "born": revision.at[0],
-        "revision": revision.at[1],
+        "born": revision.revision_id[0],
+        "revision": revision.revision_id[1],
         "decides": decision.rule or "the customer's default route",
         "refused": decision.refusal or None,
         "way": [
@@ -107,16 +108,20 @@
     def show(self, customer: str, then: ResultCallback) -> None:
         """Read what is current for the whole cluster, and which earlier revisions are retained."""
 
-        def got_book(got: tuple[int, Book] | DutyError) -> None:
+        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
             if isinstance(got, DutyError):
                 then(got)
                 return
-            incarnation, book = got
-            here = {"current": True, "born": incarnation, "here": self._replica.customers.at(customer)[1]}
-            then(self._local_json(customer) | here | _book_json(book))
+            incarnation, history = got
+            here = {
+                "current": True,
+                "born": incarnation,
+                "here": self._replica.customers.latest_id(customer)[1],
+            }
+            then(self._local_json(customer) | here | _history_json(history))
 
         if self._is_customer(customer, then):
-            self._replica.register.book(customer, got_book)
+            self._replica.register.history(customer, got_history)
 
     def publish(self, submission: Submission, wait: bool, then: ResultCallback) -> None:
         """Publish a submission; `wait` for it to be everywhere."""
@@ -131,7 +136,7 @@
     def explain(self, customer: str, asked: RequestAttributes, then: ResultCallback) -> None:
         """Say which rule decides for such a request at this runner, and what its calls would do now."""
         if self._is_customer(customer, then):
-            then(_explanation_json(customer, self._replica.customers.of(customer), asked))
+            then(_explanation_json(customer, self._replica.customers.get(customer), asked))
 
     # ---- parts of them ----
 
--- a/moorusher/admin/namespaces.py
+++ b/moorusher/admin/namespaces.py
@@ -12,7 +12,7 @@
 
 from ..cluster_transport.config_distribution import NamespaceService
 from ..namespaces.errors import Malformed
-from ..namespaces.revisions import MAX_AUTHOR_LENGTH, Submission
+from ..namespaces.revision_history import MAX_AUTHOR_LENGTH, Submission
 from ..namespaces.rules import RequestAttributes
 from .api import NO_TOKEN, Guarded, later, path_of, reply
 from .namespace_operations import NamespaceOperations
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -11,16 +11,16 @@
 
 from ..config.namespaces import NamespacesConfig
 from ..config_distribution.errors import DistributionError
-from ..config_distribution.messages import RevisionId
 from ..config_distribution.publisher import Publisher
 from ..config_distribution.replica import Replica
 from ..core.clock import MS
 from ..core.requests import Arrival
 from ..leadership.lease_holder import LeaseHolder
-from ..namespaces.customers import Revision
-from ..namespaces.document import Namespace
+from ..namespaces.current_revisions import Revision
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds, Granted
+from ..namespaces.namespace import Namespace
+from ..namespaces.policy import Grant, PublishingLimits
+from ..namespaces.revision_id import RevisionId
 from ..namespaces.rules import RequestAttributes
 from ..routing.route import RoutingDecision, decide_route
 from ..storage.revisions import Store
@@ -65,7 +65,7 @@
         self.core = duties.core
         self._pool = DaemonThreadPool(0, 1, name="drafts")
         self._parser = DraftParser(reactor, self._pool, self.core.begin_turn)
-        self.replica = Replica(duties.participant, self, config.most)
+        self.replica = Replica(duties.participant, self, config.max_tombstones)
         self.ready = True
         self.store: Store | None = None
         if journal := duties.fleet.config.journal:
@@ -83,7 +83,7 @@
         stored = [] if self.store is None else self.store.open()
         if stored:
             log.info("namespaces: %d customers' rules found on disk", len(stored))
-        self.replica.start(stored, round(self.config.start_ms * MS))
+        self.replica.start(stored, round(self.config.startup_wait_ms * MS))
 
     def close(self) -> None:
         """Write what is not on disk yet."""
@@ -100,7 +100,7 @@
         """Return what the tenant's rules decide; None where the platform's default applies."""
         if tenant is None or tenant not in self.config.customers:
             return None
-        revision = self.replica.customers.of(tenant)
+        revision = self.replica.customers.get(tenant)
         if revision is None:
             return None
         return decide_route(revision, attributes_of(arrival))
@@ -130,19 +130,19 @@
 
     # ---- config_distribution.services.ReplicaHost ----
 
-    def granted(self, customer: str) -> Granted | None:
+    def grant_of(self, customer: str) -> Grant | None:
         """Return what is granted to a customer; None where the settings have no such customer."""
         found = self.config.customers.get(customer)
-        return None if found is None else found.granted
+        return None if found is None else found.grant
 
-    def bounds(self, customer: str) -> Bounds:
+    def publishing_limits(self, customer: str) -> PublishingLimits:
         """Return how much a customer may publish and retain."""
         found = self.config.customers.get(customer)
-        return Bounds() if found is None else found.bounds
+        return PublishingLimits() if found is None else found.publishing_limits
 
-    def check(self, draft: bytes, granted: Granted, then: Callable[[NamespaceError | None], None]) -> None:
+    def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
         """Call `then` with what is wrong with a draft, or None."""
-        self._parser.parse(draft, granted, lambda got: then(got if isinstance(got, NamespaceError) else None))
+        self._parser.parse(draft, grant, lambda got: then(got if isinstance(got, NamespaceError) else None))
 
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
         """Parse a draft that was published."""
@@ -169,4 +169,4 @@
 
     def changed(self, customer: str) -> None:
         """Another revision is current, or none."""
-        log.info("namespaces: %s is at %s here", customer, self.replica.customers.at(customer))
+        log.info("namespaces: %s is at %s here", customer, self.replica.customers.latest_id(customer))
--- a/moorusher/cluster_transport/draft_parsing.py
+++ b/moorusher/cluster_transport/draft_parsing.py
@@ -11,9 +11,10 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ..namespaces.document import Namespace, parse_draft
+from ..namespaces.draft import parse_draft
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Granted
+from ..namespaces.namespace import Namespace
+from ..namespaces.policy import Grant
 
 log = logging.getLogger("moorusher")
 
@@ -33,7 +34,7 @@
     threadFactory = _DaemonThread
 
 
-def _parse(draft: bytes, granted: Granted | None) -> Namespace | NamespaceError:
+def _parse(draft: bytes, grant: Grant | None) -> Namespace | NamespaceError:
     """In the thread. Parsing makes up to half a million objects.
 
     A garbage collection meanwhile, or the next one, would stop the reactor for 80 ms: collection is off while a draft
@@ -41,7 +42,7 @@
     """
     gc.disable()
     try:
-        return parse_draft(draft, granted)
+        return parse_draft(draft, grant)
     except NamespaceError as exc:
         return exc
     finally:
@@ -60,14 +61,14 @@
         self._begin_turn = begin_turn
 
     def parse(
-        self, draft: bytes, granted: Granted | None, then: Callable[[Namespace | NamespaceError], None]
+        self, draft: bytes, grant: Grant | None, then: Callable[[Namespace | NamespaceError], None]
     ) -> None:
-        """Call `then` with the namespace or its error; without `granted` it is not checked against a grant."""
+        """Call `then` with the namespace or its error; without `grant` it is not checked against a grant."""
 
         def parsed(got: Any) -> None:
             self._begin_turn()
             then(got)
 
-        parsing = deferToThreadPool(self._reactor, self._pool, _parse, draft, granted)
+        parsing = deferToThreadPool(self._reactor, self._pool, _parse, draft, grant)
         parsing.addCallback(parsed)
         parsing.addErrback(lambda failure: log.error("namespaces: a draft could not be read: %s", failure))
--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -2,35 +2,58 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, fields, replace
-from typing import Any
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field, replace
+from typing import Any, NamedTuple
 
-from ..namespaces.policy import STATE_OVERHEAD_BYTES, Bounds, Budget, Granted
+from ..namespaces.policy import STATE_OVERHEAD_BYTES, Grant, PublishingLimits
 from ..routing.grants import Grants, Pool
 from .section import ConfigError, Section
 
 MAX_CUSTOMERS = 10_000
+MAX_STARTUP_WAIT_MS = 60_000.0
 DEFAULT_MEMORY_MB = 64.0  # for all customers' drafts and tables at a runner
-# What each figure of a customer's budget may be, and the revisions that are kept of it.
-BUDGET: dict[str, tuple[float, float]] = {
-    "bytes": (1 << 10, 768 << 10),
-    "rules": (1, 100_000),
-    "routes": (1, 1_000),
-    "route_servers": (1, 10_000),
-    "words": (1, 1_000_000),
-    "steps": (1_000, 100_000_000),
-    "table_bytes": (1 << 16, 64 << 20),
+MAX_MEMORY_MB = 1_048_576.0
+MAX_POOL_LIMIT = 1_000_000
+MAX_QUOTA_SUM = 1.0 + 1e-9  # of a pool; with what adding up rounds
+MB = 1 << 20
+
+
+class Figure(NamedTuple):
+    """A figure of a customer's settings.
+
+    attribute: of `Budget` or `PublishingLimits`.
+    minimum, maximum: of its value.
+    """
+
+    attribute: str
+    minimum: float
+    maximum: float
+
+
+# By key of the settings.
+BUDGET_FIGURES = {
+    "bytes": Figure("max_draft_bytes", 1 << 10, 768 << 10),
+    "rules": Figure("max_rules", 1, 100_000),
+    "routes": Figure("max_routes", 1, 1_000),
+    "route_servers": Figure("max_route_servers", 1, 10_000),
+    "words": Figure("max_set_members", 1, 1_000_000),
+    "steps": Figure("max_check_steps", 1_000, 100_000_000),
+    "table_bytes": Figure("max_table_bytes", 1 << 16, 64 << 20),
+}
+PUBLISHING_FIGURES = {
+    "keep": Figure("max_revisions", 1, 64),
+    "an_hour": Figure("max_per_hour", 1, 100_000),
 }
-ROUNDING = 1e-9  # of a sum of quotas
-KEPT: dict[str, tuple[float, float]] = {"keep": (1, 64), "an_hour": (1, 100_000)}
+CUSTOMER_KEYS = BUDGET_FIGURES.keys() | PUBLISHING_FIGURES.keys()
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
     """What is granted to one tenant, and how much it may publish."""
 
-    granted: Granted = field(default_factory=Granted)
-    bounds: Bounds = field(default_factory=Bounds)
+    grant: Grant = field(default_factory=Grant)
+    publishing_limits: PublishingLimits = field(default_factory=PublishingLimits)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,43 +63,15 @@
     on: whether customers have namespaces.
     customers: by name.
     grants: which servers and pools customers may use.
-    most: deleted namespaces that are remembered.
-    start_ms: how long a process that starts waits to learn what the others have.
+    max_tombstones: deleted namespaces that are remembered (`most`).
+    startup_wait_ms: how long a process that starts waits to learn what the others have (`start_ms`).
     """
 
     on: bool = False
     customers: dict[str, Customer] = field(default_factory=dict)
     grants: Grants = field(default_factory=Grants)
-    most: int = 1_000
-    start_ms: float = 2_000.0
-
-
-def _budget(section: Section, default: Customer) -> Customer:
-    """Return `default` with the figures that the section has."""
-    budget = Budget(
-        **{
-            figure.name: section.between(
-                figure.name, getattr(default.granted.budget, figure.name), *BUDGET[figure.name]
-            )
-            for figure in fields(Budget)
-        }
-    )
-    bounds = Bounds(
-        section.between("keep", default.bounds.keep, *KEPT["keep"]),
-        default.bounds.bytes,
-        section.between("an_hour", default.bounds.an_hour, *KEPT["an_hour"]),
-    )
-    return Customer(replace(default.granted, budget=budget), bounds)
-
-
-def _servers(section: Section, known: set[str]) -> tuple[str, ...]:
-    listed: list[Any] = section.get("servers", [])
-    for name in listed:
-        if not isinstance(name, str) or name not in known:
-            raise ConfigError(f"{section.key('servers')}: no such server in tier.server: {name!r}")
-    if len(set(listed)) != len(listed):
-        raise ConfigError(f"{section.key('servers')}: one is named more than once")
-    return tuple(listed)
+    max_tombstones: int = 1_000
+    startup_wait_ms: float = 2_000.0
 
 
 def read_namespaces(section: Section, servers: set[str], duties: bool, state_bytes: int) -> NamespacesConfig:
@@ -86,127 +81,172 @@
 
     :raises ConfigError: with the key that is wrong.
     """
-    section.unknown({"on", "most", "memory_mb", "start_ms", "customer", "pool", *BUDGET, *KEPT})
-    default = NamespacesConfig()
-    on = section.get("on", default.on)
-    common = _budget(section, Customer(bounds=Bounds(bytes=state_bytes)))
-    pools = _pools(section, servers)
-    customers = _customers(section, servers, pools, common)
-    own = {name: customer.granted.servers for name, customer in customers.items()}
-    quotas = {name: dict(customer.granted.pools) for name, customer in customers.items()}
-    _check_servers_apart(section, own, pools)
-    if len(customers) > MAX_CUSTOMERS:
-        raise ConfigError(f"{section.key('customer')}: more than {MAX_CUSTOMERS}")
-    _check_quotas(section, pools, quotas)
-    grants = Grants(own, quotas, pools)
+    section.unknown({"on", "most", "memory_mb", "start_ms", "customer", "pool", *CUSTOMER_KEYS})
+    defaults = NamespacesConfig()
+    on = section.get("on", defaults.on)
+    common = _read_figures(section, Customer(publishing_limits=PublishingLimits(max_state_bytes=state_bytes)))
+    pools = _read_pools(section, servers)
+    customers = _read_customers(section, servers, pools, common)
+    grants = _grants(section, customers, pools)
     if on:
-        _check_memory(section, customers)
-        _check_needs(section, [common, *customers.values()], servers, duties, state_bytes)
-        if not servers - grants.reserved_servers():
-            raise ConfigError(
-                f"{section.key('customer')}: all servers of the tier are granted to customers or in pools, "
-                "and none is left for who has no rules"
-            )
+        _check_memory(section, customers.values())
+        _check_leases(section, [common, *customers.values()], duties, state_bytes)
+        _check_free_servers(section, servers, grants)
     return NamespacesConfig(
         on,
         customers,
         grants,
-        section.between("most", default.most, 1, MAX_CUSTOMERS),
-        section.between("start_ms", default.start_ms, 0.0, 60_000.0),
+        section.between("most", defaults.max_tombstones, 1, MAX_CUSTOMERS),
+        section.between("start_ms", defaults.startup_wait_ms, 0.0, MAX_STARTUP_WAIT_MS),
     )
 
 
-def _pools(section: Section, servers: set[str]) -> dict[str, Pool]:
+def _read_figures(section: Section, defaults: Customer) -> Customer:
+    """Return `defaults` with the figures that the section has."""
+    budget = replace(
+        defaults.grant.budget, **_changed_figures(section, BUDGET_FIGURES, defaults.grant.budget)
+    )
+    limits = replace(
+        defaults.publishing_limits,
+        **_changed_figures(section, PUBLISHING_FIGURES, defaults.publishing_limits),
+    )
+    return Customer(replace(defaults.grant, budget=budget), limits)
+
+
+def _changed_figures(section: Section, figures: Mapping[str, Figure], defaults: object) -> dict[str, Any]:
+    return {
+        figure.attribute: section.between(
+            key, getattr(defaults, figure.attribute), figure.minimum, figure.maximum
+        )
+        for key, figure in figures.items()
+    }
+
+
+def _read_pools(section: Section, servers: set[str]) -> dict[str, Pool]:
     pools: dict[str, Pool] = {}
-    for one in _each(section, "pool", {"name", "servers", "limit"}):
-        name = _name(one, pools)
-        pools[name] = Pool(name, _servers(one, servers), one.between("limit", 64, 1, 1_000_000))
+    for entry in _listed(section, "pool", {"name", "servers", "limit"}):
+        name = _read_name(entry, pools)
+        pools[name] = Pool(name, _read_servers(entry, servers), entry.between("limit", 64, 1, MAX_POOL_LIMIT))
     return pools
 
 
-def _customers(
+def _read_customers(
     section: Section, servers: set[str], pools: dict[str, Pool], common: Customer
 ) -> dict[str, Customer]:
     customers: dict[str, Customer] = {}
-    for one in _each(section, "customer", {"name", "servers", "pools", *BUDGET, *KEPT}):
-        name = _name(one, customers)
-        listed = one.section("pools")
+    for entry in _listed(section, "customer", {"name", "servers", "pools", *CUSTOMER_KEYS}):
+        name = _read_name(entry, customers)
+        listed = entry.section("pools")
         if unknown := sorted(set(listed.data) - pools.keys()):
             raise ConfigError(f"{listed.key(unknown[0])}: no such pool")
         quotas = {pool: listed.between(pool, 0.0, 0.0, 1.0) for pool in listed.data}
-        own = frozenset(_servers(one, servers))
-        customer = _budget(one, common)
-        customers[name] = replace(customer, granted=Granted(own, quotas, customer.granted.budget))
+        own_servers = frozenset(_read_servers(entry, servers))
+        customer = _read_figures(entry, common)
+        customers[name] = replace(customer, grant=Grant(own_servers, quotas, customer.grant.budget))
     return customers
 
 
-def _check_quotas(section: Section, pools: dict[str, Pool], quotas: dict[str, dict[str, float]]) -> None:
-    for pool in pools:
-        total = sum(customer.get(pool, 0.0) for customer in quotas.values())
-        if total > 1.0 + ROUNDING:
-            raise ConfigError(f"{section.key('pool')}: shares of {pool} come to {total:g}, above 1")
+def _listed(section: Section, name: str, known_keys: set[str]) -> list[Section]:
+    listed: list[Any] = section.get(name, [])
+    entries = [Section(raw, f"{section.key(name)}[{index}]") for index, raw in enumerate(listed)]
+    for entry in entries:
+        entry.unknown(known_keys)
+    return entries
 
 
-def _check_needs(
-    section: Section, customers: list[Customer], servers: set[str], duties: bool, state_bytes: int
-) -> None:
-    """Namespaces need leases, whose states have space for a draft, and servers."""
-    if not duties:
-        raise ConfigError(
-            f"{section.key('on')}: namespaces are published by duties of a fleet: set duties.on"
-        )
-    largest_bytes = max(customer.granted.budget.bytes for customer in customers)
-    if largest_bytes + STATE_OVERHEAD_BYTES > state_bytes:
-        raise ConfigError(
-            f"{section.key('bytes')}: expected {STATE_OVERHEAD_BYTES} less than duties.state_bytes, {state_bytes}"
-        )
-    if not servers:
-        raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
-
+def _read_name(entry: Section, taken: Mapping[str, object]) -> str:
+    from ..namespaces.names import (  # only where there are some: the platform has none
+        MAX_LENGTH,
+        is_valid_name,
+    )
 
-def _check_memory(section: Section, customers: dict[str, Customer]) -> None:
-    """All budgets must fit into the memory together: then no publication is rejected because of another customer."""
-    most = section.between("memory_mb", DEFAULT_MEMORY_MB, 1.0, 1_048_576.0)
-    granted = sum(c.granted.budget.table_bytes + c.granted.budget.bytes for c in customers.values()) / 2**20
-    if granted > most:
+    name = entry.get("name", "")
+    if not is_valid_name(name) or name in taken:
         raise ConfigError(
-            f"{section.key('memory_mb')}: {len(customers)} customers may take {granted:.0f} MB together, "
-            f"and {most:g} are set; set a lower table_bytes, or more"
+            f"{entry.key('name')}: expected 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces, "
+            f"that no other has, got {name!r}"
         )
+    return name
 
 
-def _each(section: Section, name: str, known: set[str]) -> list[Section]:
-    listed: list[Any] = section.get(name, [])
-    made = [Section(raw, f"{section.key(name)}[{i}]") for i, raw in enumerate(listed)]
-    for one in made:
-        one.unknown(known)
-    return made
-
+def _read_servers(entry: Section, known: set[str]) -> tuple[str, ...]:
+    listed: list[Any] = entry.get("servers", [])
+    for name in listed:
+        if not isinstance(name, str) or name not in known:
+            raise ConfigError(f"{entry.key('servers')}: no such server in tier.server: {name!r}")
+    if len(set(listed)) != len(listed):
+        raise ConfigError(f"{entry.key('servers')}: one is named more than once")
+    return tuple(listed)
 
-def _name(one: Section, others: dict[str, Any]) -> str:
-    from ..namespaces.names import MAX_LENGTH, is_normal  # where there are some: the platform has none
 
-    name = one.get("name", "")
-    if not is_normal(name) or name in others:
-        raise ConfigError(
-            f"{one.key('name')}: expected 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces, "
-            f"that no other has, got {name!r}"
-        )
-    return name
+def _grants(section: Section, customers: Mapping[str, Customer], pools: dict[str, Pool]) -> Grants:
+    """Return what all customers may use, and check that it is theirs to use."""
+    own_servers = {name: customer.grant.servers for name, customer in customers.items()}
+    quotas = {name: dict(customer.grant.pools) for name, customer in customers.items()}
+    _check_servers_apart(section, own_servers, pools)
+    if len(customers) > MAX_CUSTOMERS:
+        raise ConfigError(f"{section.key('customer')}: more than {MAX_CUSTOMERS}")
+    _check_quotas(section, pools, quotas)
+    return Grants(own_servers, quotas, pools)
 
 
-def _check_servers_apart(section: Section, own: dict[str, frozenset[str]], pools: dict[str, Pool]) -> None:
+def _check_servers_apart(
+    section: Section, own_servers: Mapping[str, frozenset[str]], pools: Mapping[str, Pool]
+) -> None:
     """A server is one customer's, or in pools, or for everybody: no customer reaches another's own."""
-    whose: dict[str, str] = {}
-    for name, servers in own.items():
+    owners: dict[str, str] = {}
+    for customer, servers in own_servers.items():
         for server in servers:
-            if server in whose:
+            if server in owners:
                 raise ConfigError(
-                    f"{section.key('customer')}: server {server!r} is granted to {whose[server]} and to "
-                    f"{name}; make a pool of it"
+                    f"{section.key('customer')}: server {server!r} is granted to {owners[server]} and to "
+                    f"{customer}; make a pool of it"
                 )
-            whose[server] = name
+            owners[server] = customer
     for pool in pools.values():
         for server in pool.servers:
-            if server in whose:
-                raise ConfigError(f"{section.key('pool')}: server {server!r} is {whose[server]}'s own")
+            if server in owners:
+                raise ConfigError(f"{section.key('pool')}: server {server!r} is {owners[server]}'s own")
+
+
+def _check_quotas(section: Section, pools: Iterable[str], quotas: Mapping[str, Mapping[str, float]]) -> None:
+    for pool in pools:
+        total = sum(customer.get(pool, 0.0) for customer in quotas.values())
+        if total > MAX_QUOTA_SUM:
+            raise ConfigError(f"{section.key('pool')}: shares of {pool} come to {total:g}, above 1")
+
+
+def _check_memory(section: Section, customers: Iterable[Customer]) -> None:
+    """All budgets must fit into the memory together: then no publication is rejected because of another customer."""
+    max_mb = section.between("memory_mb", DEFAULT_MEMORY_MB, 1.0, MAX_MEMORY_MB)
+    budgets = [customer.grant.budget for customer in customers]
+    granted_mb = sum(budget.max_table_bytes + budget.max_draft_bytes for budget in budgets) / MB
+    if granted_mb > max_mb:
+        raise ConfigError(
+            f"{section.key('memory_mb')}: {len(budgets)} customers may take {granted_mb:.0f} MB together, "
+            f"and {max_mb:g} are set; set a lower table_bytes, or more"
+        )
+
+
+def _check_leases(section: Section, customers: Iterable[Customer], duties: bool, state_bytes: int) -> None:
+    """Namespaces need leases, whose states have space for a draft."""
+    if not duties:
+        raise ConfigError(
+            f"{section.key('on')}: namespaces are published by duties of a fleet: set duties.on"
+        )
+    largest_bytes = max(customer.grant.budget.max_draft_bytes for customer in customers)
+    if largest_bytes + STATE_OVERHEAD_BYTES > state_bytes:
+        raise ConfigError(
+            f"{section.key('bytes')}: expected {STATE_OVERHEAD_BYTES} less than duties.state_bytes, {state_bytes}"
+        )
+
+
+def _check_free_servers(section: Section, servers: set[str], grants: Grants) -> None:
+    """Some servers must be left for requests that no customer's rules are for."""
+    if not servers:
+        raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
+    if not servers - grants.reserved_servers():
+        raise ConfigError(
+            f"{section.key('customer')}: all servers of the tier are granted to customers or in pools, "
+            "and none is left for who has no rules"
+        )
--- a/moorusher/config_distribution/anti_entropy.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -16,7 +16,8 @@
 
 from ..membership.failure_detector import MS
 from ..membership.placement import majority
-from .messages import DigestDifference, DigestSummary, RevisionId
+from ..namespaces.revision_id import RevisionId
+from .messages import DigestDifference, DigestSummary
 from .services import Member, ObtainsRevisions
 
 BUCKETS = 64
--- a/moorusher/config_distribution/dissemination.py
+++ b/moorusher/config_distribution/dissemination.py
@@ -13,7 +13,8 @@
 from typing import Protocol
 
 from ..membership.failure_detector import MS
-from .messages import Disseminate, DisseminateReceived, DisseminateResult, RevisionId
+from ..namespaces.revision_id import RevisionId
+from .messages import Disseminate, DisseminateReceived, DisseminateResult
 from .services import Member, ObtainsRevisions
 
 FAN_OUT = 4
--- a/moorusher/config_distribution/local_publishers.py
+++ b/moorusher/config_distribution/local_publishers.py
@@ -7,11 +7,12 @@
 from ..leadership.errors import Busy
 from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.errors import NamespaceError, NoSuchCustomer
-from ..namespaces.policy import Bounds
+from ..namespaces.policy import PublishingLimits
+from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError
-from .messages import RevisionId, SubmitDraft, SubmitResult
+from .messages import SubmitDraft, SubmitResult
 from .propagation import Propagation
-from .publisher import BookCallback, Publisher, duty_of
+from .publisher import HistoryCallback, Publisher, duty_of
 from .register_reader import RegisterReader
 from .services import MemberServices, ReplicaHost
 
@@ -34,7 +35,7 @@
         self.propagation: Propagation
 
     def connect(self, register: RegisterReader, propagation: Propagation) -> None:
-        """Set where books are read, and who distributes what is published."""
+        """Set where histories are read, and who distributes what is published."""
         self.register = register
         self.propagation = propagation
 
@@ -64,24 +65,24 @@
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         """Check a draft against what is granted to the customer now."""
-        granted = self._host.granted(customer)
-        if granted is None:
+        grant = self._host.grant_of(customer)
+        if grant is None:
             then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
         else:
-            self._host.check(draft, granted, then)
+            self._host.check(draft, grant, then)
 
-    def book(self, customer: str, then: BookCallback) -> None:
-        """Read the customer's book from a majority of the register."""
-        self.register.book(customer, then)
+    def history(self, customer: str, then: HistoryCallback) -> None:
+        """Read the customer's history from a majority of the register."""
+        self.register.history(customer, then)
 
     def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
         """Distribute a published revision."""
         self._member.count("namespaces: published")
         self.propagation.published(customer, revision_id, draft)
 
-    def bounds(self, customer: str) -> Bounds:
+    def publishing_limits(self, customer: str) -> PublishingLimits:
         """Return how much the customer may publish and retain."""
-        return self._host.bounds(customer)
+        return self._host.publishing_limits(customer)
 
     def ended(self, publisher: Publisher) -> None:
         """Forget a publisher whose term is over."""
--- a/moorusher/config_distribution/messages.py
+++ b/moorusher/config_distribution/messages.py
@@ -5,13 +5,11 @@
 
 from __future__ import annotations
 
-from ..namespaces.revisions import Submission
+from ..namespaces.revision_history import Submission
+from ..namespaces.revision_id import RevisionId
 from ..replication.messages import ComponentPayload, component_codec
 
 PART = "namespaces"  # the component's name in `replication.messages.ComponentMessage`
-RevisionId = tuple[
-    int, int
-]  # incarnation of a namespace, number of a revision in it; the larger one is later
 
 
 class SubmitDraft(ComponentPayload, frozen=True, tag="submit"):
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -6,8 +6,8 @@
 from ..leadership.lease_record import LeaseRecord, LeaseStatus
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
+from ..namespaces.revision_id import RevisionId
 from .dissemination import MAX_LACKING, Disseminator, LackingCallback
-from .messages import RevisionId
 from .publisher import Answer, duty_of
 from .register_reader import RegisterReader
 from .revision_fetching import RevisionFetcher
@@ -42,7 +42,7 @@
         """Make a revision that was published here current here, and broadcast it."""
 
         def obtained(reason: str) -> None:
-            if not reason and self._revisions.customers.at(customer) == revision_id:
+            if not reason and self._revisions.customers.latest_id(customer) == revision_id:
                 self.disseminator.broadcast(
                     customer, revision_id, False, PROPAGATION_TIMEOUT_US, lambda lacking: None
                 )
@@ -70,7 +70,7 @@
             self.disseminator.broadcast(customer, *self._revisions.known(customer), left_us, then)
 
         def fetched(draft: bytes | None) -> None:
-            if draft is not None or customers.at(customer) >= revision_id:
+            if draft is not None or customers.latest_id(customer) >= revision_id:
                 self._revisions.obtain(customer, revision_id, False, draft, self._member.me, obtained)
             elif self._member.now() >= deadline_us:
                 obtained("its draft is not to be had")
@@ -80,13 +80,13 @@
         def fetch() -> None:
             self._register.draft(customer, revision_id, fetched)
 
-        if deleted or customers.at(customer) >= revision_id:
+        if deleted or customers.latest_id(customer) >= revision_id:
             self._revisions.obtain(customer, revision_id, deleted, None, self._member.me, obtained)
         else:
             fetch()
 
     def delete(self, customer: str, then: Answer) -> None:
-        """Delete a namespace with its book; created again, it has another incarnation."""
+        """Delete a namespace with its history; created again, it has another incarnation."""
 
         def removed(got: LeaseRecord | DutyError) -> None:
             if isinstance(got, DutyError):
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -15,16 +15,25 @@
 from ..leadership.errors import Busy, DutyError, NoMajority
 from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds
-from ..namespaces.revisions import Book, Submission, draft_to_publish, pack, published, unpack
+from ..namespaces.policy import PublishingLimits
+from ..namespaces.revision_history import (
+    RevisionHistory,
+    Submission,
+    add_revision,
+    decode_history,
+    draft_to_publish,
+    encode_history,
+)
+from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError
-from .messages import RevisionId
 
 KIND = "namespace"
 PREFIX = "namespace/"
 MAX_WAITING = 16  # submissions a customer
 Answer = Callable[[RevisionId | DistributionError], None]
-BookCallback = Callable[[tuple[int, Book] | DutyError], None]  # with the namespace's incarnation
+HistoryCallback = Callable[
+    [tuple[int, RevisionHistory] | DutyError], None
+]  # with the namespace's incarnation
 
 
 def duty_of(customer: str) -> str:
@@ -39,15 +48,15 @@
         """Call `then` with what is wrong with a draft, or None."""
         ...
 
-    def book(self, customer: str, then: BookCallback) -> None:
-        """Read the customer's book from a majority of the register."""
+    def history(self, customer: str, then: HistoryCallback) -> None:
+        """Read the customer's history from a majority of the register."""
         ...
 
     def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
         """A revision has been published: distribute it."""
         ...
 
-    def bounds(self, customer: str) -> Bounds:
+    def publishing_limits(self, customer: str) -> PublishingLimits:
         """Return how much may be published and retained."""
         ...
 
@@ -73,7 +82,7 @@
         self.host = host
         self.customer = lease.name.removeprefix(PREFIX)
         self.incarnation = lease.record.generation
-        self._book: Book | None = (
+        self._history: RevisionHistory | None = (
             None  # None: unknown, the register is read before the next submission is judged
         )
         self._waiting: deque[tuple[Submission, Answer]] = deque()  # the first one is being published
@@ -85,10 +94,10 @@
     def start(self) -> None:
         """Distribute the current revision again: the previous leader may have died before all had it."""
         try:
-            self._book = unpack(self.lease.state, self.customer)
+            self._history = decode_history(self.lease.state, self.customer)
         except ValueError:
             return
-        if (entry := self._book.current) is not None:
+        if (entry := self._history.current) is not None:
             self.host.published(self.customer, (self.incarnation, entry.number), entry.draft)
 
     def before_release(self) -> None:
@@ -122,33 +131,35 @@
             self._process_first()
 
     def _process_first(self) -> None:
-        if self._book is not None:
-            self._judge(self._book)
+        if self._history is not None:
+            self._judge(self._history)
             return
 
-        def read(got: tuple[int, Book] | DutyError) -> None:
+        def read(got: tuple[int, RevisionHistory] | DutyError) -> None:
             if self._stopped:
                 return
             if isinstance(got, DutyError):
                 self._done(got)
                 return
-            incarnation, book = got
+            incarnation, history = got
             if incarnation != self.incarnation:
                 self._done(self._being_released())
                 return
-            self._book = book
-            self._judge(book)
+            self._history = history
+            self._judge(history)
 
-        self.host.book(self.customer, read)
+        self.host.history(self.customer, read)
 
-    def _judge(self, book: Book) -> None:
-        """Check the first submission against the book, and publish it."""
+    def _judge(self, history: RevisionHistory) -> None:
+        """Check the first submission against the history, and publish it."""
         submission = self._waiting[0][0]
-        if (before := book.submitted(submission.id)) is not None:  # a retry: the answer was lost
+        if (
+            before := history.find_submission(submission.submission_id)
+        ) is not None:  # a retry: the answer was lost
             self._done((self.incarnation, before.number))
             return
         try:
-            draft = draft_to_publish(book, submission)
+            draft = draft_to_publish(history, submission)
         except NamespaceError as exc:
             self._done(exc)
             return
@@ -159,13 +170,14 @@
             if error is not None:
                 self._done(error)
                 return
-            self._publish(book, submission, draft)
+            self._publish(history, submission, draft)
 
         self.host.check(self.customer, draft, checked)
 
-    def _publish(self, book: Book, submission: Submission, draft: bytes) -> None:
+    def _publish(self, history: RevisionHistory, submission: Submission, draft: bytes) -> None:
         try:
-            updated = published(book, submission, draft, self.host.unix_ms(), self.host.bounds(self.customer))
+            limits = self.host.publishing_limits(self.customer)
+            updated = add_revision(history, submission, draft, self.host.unix_ms(), limits)
         except NamespaceError as exc:
             self._done(exc)
             return
@@ -174,18 +186,18 @@
             if self._stopped:
                 return
             if isinstance(outcome, Completed):
-                self._book = updated
-                revision_id = (self.incarnation, updated.number)
+                self._history = updated
+                revision_id = (self.incarnation, updated.current_number)
                 self.host.published(self.customer, revision_id, draft)
                 self._done(revision_id)
                 return
             if isinstance(outcome, (NoMajority, Busy)):
-                # The change may still be accepted. Judged by the old book, the next draft would get the same number:
+                # The change may still be accepted. Judged by the old history, the next draft would get the same number:
                 # the register is read first, which also prevents the change from being accepted afterwards.
-                self._book = None
+                self._history = None
             self._done(outcome)
 
-        self.lease.submit(StateUpdate(pack(updated)), finished)
+        self.lease.submit(StateUpdate(encode_history(updated)), finished)
 
     def _done(self, answer: RevisionId | DistributionError) -> None:
         if self._stopped:
--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -1,4 +1,4 @@
-"""Revisions and books as a majority of the register has them, rather than as they are current at this member."""
+"""Revisions and histories as a majority of the register has them, rather than as they are current at this member."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from ..leadership.directory import Reading
 from ..leadership.errors import DutyError
 from ..leadership.participant import Participant
-from ..namespaces.customers import Revision
+from ..namespaces.current_revisions import Revision
 from ..namespaces.errors import NamespaceError, Retired
-from ..namespaces.revisions import Book, unpack
+from ..namespaces.revision_history import RevisionHistory, decode_history
+from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError, error_from_wire
-from .messages import RevisionId
-from .publisher import BookCallback, duty_of
+from .publisher import HistoryCallback, duty_of
 from .revision_fetching import RevisionFetcher
 from .services import DraftReader
 
 
 class RegisterReader:
-    """Reads customers' books from the registers of their leases."""
+    """Reads customers' histories from the registers of their leases."""
 
     def __init__(
         self,
@@ -33,8 +33,8 @@
         self._revisions = revisions
         self._reader = reader
 
-    def book(self, customer: str, then: BookCallback) -> None:
-        """Call `then` with the namespace's incarnation and its book.
+    def history(self, customer: str, then: HistoryCallback) -> None:
+        """Call `then` with the namespace's incarnation and its history.
 
         Read by the leader itself, no change that it has given up on is accepted afterwards.
         """
@@ -45,11 +45,11 @@
                 then(got)
                 return
             try:
-                book = unpack(got.state or b"", customer)
+                history = decode_history(got.state or b"", customer)
             except ValueError as exc:
                 then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a DutyError
                 return
-            then((got.record.generation, book))
+            then((got.record.generation, history))
 
         self._directory.read(name, read, after_abandoned_changes=name in self._led_here)
 
@@ -57,11 +57,11 @@
         """Call `then` with the draft of exactly that revision; None where it is not there or not readable."""
         incarnation, number = revision_id
 
-        def got_book(got: tuple[int, Book] | DutyError) -> None:
+        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
             entry = None if isinstance(got, DutyError) or got[0] != incarnation else got[1].find(number)
             then(None if entry is None else entry.draft)
 
-        self.book(customer, got_book)
+        self.history(customer, got_history)
 
     def revision(
         self,
@@ -73,13 +73,13 @@
 
         For work that another runner has begun under it. `Retired` where it is retained no longer.
         """
-        current = self._revisions.customers.of(customer)
-        if current is not None and current.at == revision_id:
+        current = self._revisions.customers.get(customer)
+        if current is not None and current.revision_id == revision_id:
             then(current)
             return
         incarnation, number = revision_id
 
-        def got_book(got: tuple[int, Book] | DutyError) -> None:
+        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
             if isinstance(got, DutyError):
                 then(got)
                 return
@@ -95,4 +95,4 @@
                 ),
             )
 
-        self.book(customer, got_book)
+        self.history(customer, got_history)
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -12,8 +12,9 @@
 
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
-from ..namespaces.customers import CurrentRevisions
-from ..namespaces.revisions import Submission
+from ..namespaces.current_revisions import CurrentRevisions
+from ..namespaces.revision_history import Submission
+from ..namespaces.revision_id import RevisionId
 from . import messages
 from .anti_entropy import AntiEntropy
 from .dissemination import Disseminator
@@ -25,7 +26,6 @@
     Disseminate,
     DisseminateReceived,
     DisseminateResult,
-    RevisionId,
     RevisionReply,
     RevisionRequest,
     SubmitDraft,
@@ -58,7 +58,7 @@
         self.revisions = RevisionFetcher(member, CurrentRevisions(max_customers), host, self._changed)
         self.disseminator = Disseminator(member, self.revisions, member.seats, member.incarnation)
         self.anti_entropy = AntiEntropy(member, self.revisions, len(member.seats), host.became_ready)
-        self.submissions = SubmissionForwarder(member, participant, host.granted, member.incarnation)
+        self.submissions = SubmissionForwarder(member, participant, host.grant_of, member.incarnation)
         by_lease: dict[str, Publisher] = {}
         self.publishers = LocalPublishers(member, host, by_lease)
         self.register = RegisterReader(participant, by_lease, self.revisions, host)
@@ -115,5 +115,5 @@
 
     def _changed(self, customer: str, draft: bytes | None) -> None:
         self.anti_entropy.note_changed(customer)
-        self._host.keep(customer, self.customers.at(customer), draft)
+        self._host.keep(customer, self.customers.latest_id(customer), draft)
         self._host.changed(customer)
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -10,10 +10,11 @@
 from typing import Protocol
 
 from ..membership.failure_detector import MS
-from ..namespaces.customers import CurrentRevisions, Revision, Stale
-from ..namespaces.document import Namespace
-from ..namespaces.errors import NamespaceError
-from .messages import RevisionId, RevisionReply, RevisionRequest
+from ..namespaces.current_revisions import CurrentRevisions, Revision
+from ..namespaces.errors import NamespaceError, Stale
+from ..namespaces.namespace import Namespace
+from ..namespaces.revision_id import RevisionId
+from .messages import RevisionReply, RevisionRequest
 from .services import DraftReader, Member, ObtainCallback
 
 MAX_CONCURRENT_FETCHES = 1_024  # customers
@@ -70,12 +71,12 @@
 
     def known(self, customer: str) -> tuple[RevisionId, bool]:
         """Return the latest revision known here, and whether it is a deletion."""
-        return self.customers.at(customer), self.customers.gone(customer)
+        return self.customers.latest_id(customer), self.customers.is_deleted(customer)
 
     def draft(self, customer: str, revision_id: RevisionId) -> bytes | None:
         """Return the draft of exactly that revision, where it is current."""
-        revision = self.customers.of(customer)
-        return revision.draft if revision is not None and revision.at == revision_id else None
+        revision = self.customers.get(customer)
+        return revision.draft if revision is not None and revision.revision_id == revision_id else None
 
     def obtain(
         self,
@@ -87,7 +88,7 @@
         then: ObtainCallback,
     ) -> None:
         """Make that revision, or a later one, current here; without a draft it is requested from the seat `source`."""
-        if revision_id <= self.customers.at(customer):
+        if revision_id <= self.customers.latest_id(customer):
             then("")
             return
         if deleted:
@@ -130,7 +131,7 @@
                 self._fail(customer, fetch, f"it can't be read: {got}")
                 return
             try:
-                self.customers.put(Revision(customer, revision_id, got, draft))
+                self.customers.install(Revision(customer, revision_id, got, draft))
             except Stale:  # a later one has become current while this one was parsed
                 self._complete(customer, fetch)
                 return
@@ -145,7 +146,7 @@
 
     def _complete(self, customer: str, fetch: _Fetch) -> None:
         """Call back who wanted what is current now, and go on for the others."""
-        current = self.customers.at(customer)
+        current = self.customers.latest_id(customer)
         served = [then for revision_id, then in fetch.waiting if revision_id <= current]
         fetch.waiting = [(revision_id, then) for revision_id, then in fetch.waiting if revision_id > current]
         if not fetch.waiting and self._fetches.get(customer) is fetch:
@@ -168,16 +169,18 @@
     def on_request(self, seat: str, message: RevisionRequest) -> None:
         """Send the revision, or a later one; nothing where neither is here."""
         customer = message.customer
-        revision = self.customers.of(customer)
-        if revision is not None and revision.at >= message.revision_id:
-            self._member.send(seat, RevisionReply(customer, revision.at, False, revision.draft))
-        elif self.customers.gone(customer) and self.customers.at(customer) >= message.revision_id:
-            self._member.send(seat, RevisionReply(customer, self.customers.at(customer), True, b""))
+        revision = self.customers.get(customer)
+        if revision is not None and revision.revision_id >= message.revision_id:
+            self._member.send(seat, RevisionReply(customer, revision.revision_id, False, revision.draft))
+        elif (
+            self.customers.is_deleted(customer) and self.customers.latest_id(customer) >= message.revision_id
+        ):
+            self._member.send(seat, RevisionReply(customer, self.customers.latest_id(customer), True, b""))
 
     def on_reply(self, seat: str, message: RevisionReply) -> None:
         """Take a revision that was requested; one that is not wanted any more is ignored."""
         fetch = self._fetches.get(message.customer)
-        if fetch is None or message.revision_id <= self.customers.at(message.customer):
+        if fetch is None or message.revision_id <= self.customers.latest_id(message.customer):
             return
         if message.deleted:
             self._delete(message.customer, message.revision_id)
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -7,12 +7,13 @@
 
 from ..leadership.participant import Participant
 from ..membership.member import MemberState
-from ..namespaces.document import Namespace
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds, Granted
+from ..namespaces.namespace import Namespace
+from ..namespaces.policy import Grant, PublishingLimits
+from ..namespaces.revision_id import RevisionId
 from ..replication.messages import ComponentMessage
 from . import messages
-from .messages import PART, RevisionId
+from .messages import PART
 
 ObtainCallback = Callable[[str], None]  # "" once the revision is current here, else the reason why it is not
 UNREACHABLE_REASONS = {
@@ -70,15 +71,15 @@
 class ReplicaHost(DraftReader, Protocol):
     """What a replica uses of the process."""
 
-    def granted(self, customer: str) -> Granted | None:
+    def grant_of(self, customer: str) -> Grant | None:
         """Return what is granted to a customer; None where the settings have no such customer."""
         ...
 
-    def bounds(self, customer: str) -> Bounds:
+    def publishing_limits(self, customer: str) -> PublishingLimits:
         """Return how much a customer may publish and retain."""
         ...
 
-    def check(self, draft: bytes, granted: Granted, then: Callable[[NamespaceError | None], None]) -> None:
+    def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
         """Call `then` in a later turn with what is wrong with a draft, or None."""
         ...
 
--- a/moorusher/config_distribution/submission_forwarding.py
+++ b/moorusher/config_distribution/submission_forwarding.py
@@ -11,8 +11,8 @@
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
 from ..namespaces.errors import NoSuchCustomer
-from ..namespaces.policy import Granted
-from ..namespaces.revisions import Submission
+from ..namespaces.policy import Grant
+from ..namespaces.revision_history import Submission
 from .errors import DistributionError, error_from_wire
 from .messages import SubmitDraft, SubmitResult
 from .publisher import KIND, Answer, duty_of
@@ -48,15 +48,15 @@
         self,
         member: Member,
         participant: Participant,
-        granted: Callable[[str], Granted | None],
+        grant_of: Callable[[str], Grant | None],
         first_serial: int,
     ) -> None:
-        """`granted`: None for who is no customer. `first_serial`: the process's incarnation, so that an answer to an
+        """`grant_of`: None for who is no customer. `first_serial`: the process's incarnation, so that an answer to an
         earlier process of this seat matches no submission of this one.
         """
         self._member = member
         self._directory = participant.directory
-        self._granted = granted
+        self._grant_of = grant_of
         self._serial = first_serial
         self._forwarded: dict[int, _Forwarded] = {}
 
@@ -66,7 +66,7 @@
         Given up after `SUBMIT_TIMEOUT_US`; then it may be published yet, and a retry with the same id is safe.
         """
         customer = submission.customer
-        if self._granted(customer) is None:
+        if self._grant_of(customer) is None:
             then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
             return
         if len(self._forwarded) >= MAX_SUBMISSIONS:
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -13,12 +13,12 @@
 
 from twisted.internet.threads import deferToThread
 
-from ..namespaces.customers import CurrentRevisions
-from ..namespaces.document import parse_draft
+from ..namespaces.current_revisions import CurrentRevisions
+from ..namespaces.draft import parse_draft
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import UNBOUNDED, Granted
+from ..namespaces.policy import UNBOUNDED, Grant
+from ..namespaces.rule_table import RuleTable
 from ..namespaces.rules import RequestAttributes, Rule
-from ..namespaces.table import RuleTable
 from .balancer import Server
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
@@ -30,7 +30,7 @@
 
 RUNNERS, CORES, WORK_MS = 6, 2, 150.0
 TENANTS = ["large", "north", "south", "west"]
-GRANTED = Granted(frozenset({"s"}), {}, UNBOUNDED)
+GRANTED = Grant(frozenset({"s"}), {}, UNBOUNDED)
 KEYS = [f"{a}{b}" for a in "abc" for b in ("", "x", "y-", "y-1")]
 KIND = Kind("check", 1.0, WORK_MS, True, 2_000, 6_000)
 SLOW_S = 0.005  # of a server below
@@ -41,14 +41,14 @@
     best: Rule | None = None
     for rule in rules:
         if not all(
-            getattr(asked, name) in getattr(rule.match, name)
+            getattr(asked, name) in getattr(rule.matcher, name)
             for name in ("key", "subject", "caller", "class_name", "rank")
         ):
             continue
         if best is None or bool(rule.team) > bool(best.team):
             best = rule
         elif bool(rule.team) == bool(best.team):
-            for a, b in zip(rule.match.parts(), best.match.parts(), strict=True):
+            for a, b in zip(rule.matcher.attribute_sets(), best.matcher.attribute_sets(), strict=True):
                 if a.size() != b.size():
                     best = rule if a.size() < b.size() else best
                     break
@@ -121,7 +121,7 @@
     for _ in range(7):
         began = time.perf_counter()
         for one in asked:
-            found = customers.of(name)
+            found = customers.get(name)
             assert found is not None
             found.namespace.table.find(one)
         goes.append((time.perf_counter() - began) / len(asked) * 1e6)
@@ -131,11 +131,11 @@
 def look_ups(others: int, rules_of_others: int) -> dict[str, float]:
     """How long a look-up takes, alone and beside others."""
     customers = CurrentRevisions(others + 1)
-    customers.take("acme", (1, 1), ruled(1_000), GRANTED)
+    customers.install_draft("acme", (1, 1), ruled(1_000), GRANTED)
     alone = look_up_us(customers, "acme", 1_000)
     shared = ruled(rules_of_others)
     for i in range(others):
-        customers.take(f"c{i}", (1, 1), shared, None)
+        customers.install_draft(f"c{i}", (1, 1), shared, None)
     return {"alone us": alone, "beside others us": look_up_us(customers, "acme", 1_000)}
 
 
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..config_distribution.messages import RevisionId
 from ..config_distribution.publisher import Publisher
 from ..leadership.effects import Completed, Outcome, StateUpdate
 from ..leadership.errors import DutyError, NoMajority, Superseded
 from ..leadership.fencing_token import FencingToken
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds
-from ..namespaces.revisions import Book, Submission, unpack
+from ..namespaces.policy import PublishingLimits
+from ..namespaces.revision_history import RevisionHistory, Submission, decode_history
+from ..namespaces.revision_id import RevisionId
 
 CUSTOMER, NAME = "acme", "namespace/acme"
 SUBMISSIONS = {id: Submission(CUSTOMER, id, -1, "x", id.encode()) for id in ("s1", "s2")}
@@ -45,7 +45,7 @@
     def __init__(self, case: Publishes, who: str, term: int, state: bytes, kind: type[Publisher]) -> None:
         self.case, self.who, self.term, self.state, self.record = case, who, term, state, _Record()
         self.changes: list[_Change] = []
-        self.reads: list[Callable[[tuple[int, Book] | DutyError], None]] = []
+        self.reads: list[Callable[[tuple[int, RevisionHistory] | DutyError], None]] = []
         self.over = False
         self.publisher = kind(self, self)  # type: ignore[arg-type]
         self.publisher.start()
@@ -57,14 +57,14 @@
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
 
-    def book(self, customer: str, then: Callable[[tuple[int, Book] | DutyError], None]) -> None:
+    def history(self, customer: str, then: Callable[[tuple[int, RevisionHistory] | DutyError], None]) -> None:
         self.reads.append(then)
 
     def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
         self.case.means(at[1], draft)
 
-    def bounds(self, customer: str) -> Bounds:
-        return Bounds(keep=9)
+    def publishing_limits(self, customer: str) -> PublishingLimits:
+        return PublishingLimits(max_revisions=9)
 
     def ended(self, publisher: Publisher) -> None:
         return None
@@ -144,7 +144,7 @@
             change.made = owner.term == self.term
             if change.made:
                 self.state = change.state
-                if (entry := unpack(self.state, CUSTOMER).current) is not None:
+                if (entry := decode_history(self.state, CUSTOMER).current) is not None:
                     self.means(entry.number, entry.draft)
             return
         then, change.then = change.then, None
@@ -161,7 +161,7 @@
         for change in owner.changes:
             if change.made is None and change.then is None:
                 change.made = False
-        owner.reads.pop(0)((1, unpack(self.state, CUSTOMER)))
+        owner.reads.pop(0)((1, decode_history(self.state, CUSTOMER)))
 
     def _told(self, id: str, got: RevisionId | NamespaceError | DutyError) -> None:
         if not isinstance(got, Exception):
@@ -180,8 +180,8 @@
                 (
                     who,
                     o.over,
-                    o.publisher._book,
-                    tuple(s.id for s, _ in o.publisher._waiting),
+                    o.publisher._history,
+                    tuple(s.submission_id for s, _ in o.publisher._waiting),
                     len(o.reads),
                     tuple((c.state, c.then is None, c.made) for c in o.changes),
                 )
@@ -192,11 +192,11 @@
     def violation(self) -> str | None:
         if self.wrong:
             return self.wrong
-        book = unpack(self.state, CUSTOMER)
-        ids = [e.id for e in book.entries]
+        history = decode_history(self.state, CUSTOMER)
+        ids = [e.submission_id for e in history.revisions]
         if len(set(ids)) != len(ids):
             return f"one submission became two revisions: {ids}"
-        if [e.number for e in book.entries] != list(range(len(ids), 0, -1)):
-            return f"numbers {[e.number for e in book.entries]}"
-        lost = [(id, n) for id, n in self.told if (e := book.find(n)) is None or e.id != id]
+        if [e.number for e in history.revisions] != list(range(len(ids), 0, -1)):
+            return f"numbers {[e.number for e in history.revisions]}"
+        lost = [(id, n) for id, n in self.told if (e := history.find(n)) is None or e.submission_id != id]
         return f"{lost[0]} was told, and is not there" if lost else None
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -15,17 +15,18 @@
 import msgspec
 
 from ..config_distribution.errors import DistributionError
-from ..config_distribution.messages import RevisionId
 from ..config_distribution.propagation import DELETED_NUMBER
 from ..config_distribution.publisher import duty_of
 from ..config_distribution.replica import Replica
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.worker import Worker
-from ..namespaces.document import Namespace, parse_draft
+from ..namespaces.draft import parse_draft
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds, Granted
-from ..namespaces.revisions import Book, Submission, unpack
+from ..namespaces.namespace import Namespace
+from ..namespaces.policy import Grant, PublishingLimits
+from ..namespaces.revision_history import RevisionHistory, Submission, decode_history
+from ..namespaces.revision_id import RevisionId
 from ..replication.node import Node
 from .cluster_simulation import MS, SECOND, Scenario, Simulation
 from .leadership_simulation import (
@@ -37,7 +38,7 @@
 )
 
 CUSTOMERS = ("acme", "bolt", "Acme")
-GRANTED = Granted(frozenset({"s"}))
+GRANTED = Grant(frozenset({"s"}))
 COURSE = Scenario(
     seats=5, keys=0, faults=6, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
 )
@@ -71,13 +72,13 @@
 
     # ---- desk.Host ----
 
-    def granted(self, customer: str) -> Granted | None:
+    def grant_of(self, customer: str) -> Grant | None:
         return GRANTED
 
-    def bounds(self, customer: str) -> Bounds:
-        return Bounds(keep=64)
+    def publishing_limits(self, customer: str) -> PublishingLimits:
+        return PublishingLimits(max_revisions=64)
 
-    def check(self, draft: bytes, granted: Granted, then: Callable[[NamespaceError | None], None]) -> None:
+    def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
         self.read(draft, lambda got: then(got if isinstance(got, NamespaceError) else None))
 
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
@@ -191,11 +192,11 @@
             self.found.append(f"{customer} {at} means {sorted(self.drafts[customer, at])}")
 
     def had(self, process: PublishProcess, customer: str) -> None:
-        at = process.replica.customers.at(customer)
+        at = process.replica.customers.latest_id(customer)
         if at < self.last.get((process.number, customer), (0, 0)):
             self.found.append(f"process {process.number} went back to {at} of {customer}")
         self.last[process.number, customer] = at
-        found = process.replica.customers.of(customer)
+        found = process.replica.customers.get(customer)
         if found is not None:
             self._means(customer, at, found.draft)
 
@@ -208,10 +209,10 @@
                 and p.alive
                 and p.node.me not in lacking
                 and p.born_at < began
-                and p.replica.customers.at(customer) < at
+                and p.replica.customers.latest_id(customer) < at
             ):
                 self.found.append(
-                    f"n{p.seat} was said to have {at} of {customer}, and has {p.replica.customers.at(customer)}"
+                    f"n{p.seat} was said to have {at} of {customer}, and has {p.replica.customers.latest_id(customer)}"
                 )
 
     # ---- the whole ----
@@ -250,31 +251,33 @@
         state = replicated_state(duty, record, replicas)
         if record.versions and state is None:
             return None  # `leadership_simulation` checks that
-        book = unpack(state or b"", customer)
-        found = self._of_the_book(book, record.generation, told)
-        if found is None and book.number:
-            found = self._all_have(live, customer, (record.generation, book.number))
+        history = decode_history(state or b"", customer)
+        found = self._of_the_history(history, record.generation, told)
+        if found is None and history.current_number:
+            found = self._all_have(live, customer, (record.generation, history.current_number))
         return found
 
     @staticmethod
-    def _of_the_book(book: Book, born: int, told: list[tuple[RevisionId, bytes]]) -> str | None:
-        there = [e.number for e in book.entries]
+    def _of_the_history(
+        history: RevisionHistory, born: int, told: list[tuple[RevisionId, bytes]]
+    ) -> str | None:
+        there = [e.number for e in history.revisions]
         if there != list(range(len(there), 0, -1)):
             return f"numbers {there}"
-        ids = [e.id for e in book.entries]
+        ids = [e.submission_id for e in history.revisions]
         if len(set(ids)) != len(ids):
             return f"one submission became two revisions: {ids}"
         for (its, number), draft in told:
-            entry = book.find(number)
+            entry = history.find(number)
             if its > born or (its == born and (entry is None or entry.draft != draft)):
                 return f"{(its, number)} was told to be published, and {there} of {born} are there"
         return None
 
     def _all_have(self, live: list[PublishProcess], customer: str, at: RevisionId) -> str | None:
         behind = {
-            p.node.me: p.replica.customers.at(customer)
+            p.node.me: p.replica.customers.latest_id(customer)
             for p in live
-            if p.replica.customers.at(customer) != at
+            if p.replica.customers.latest_id(customer) != at
         }
         return f"{at} is there, and {behind} have not come to it" if behind else None
 
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -1,6 +1,6 @@
 """Errors of customers' namespaces. Each says what is wrong, and in `remedy` what helps.
 
-The names of the classes are part of the API, and are sent between runners.
+The names of the classes, their statuses and remedies are part of the API, and the names are sent between runners.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class NamespaceError(Remediable):
-    """Why a draft, or a call about a namespace, is rejected, with the HTTP status and the remedy."""
+    """A draft, or a call about a namespace, is rejected."""
 
 
 class Malformed(NamespaceError):
@@ -22,8 +22,8 @@
 class Ambiguous(NamespaceError):
     """Two rules match one request, and neither is more specific.
 
-    rules: their labels.
-    example: a request that both match.
+    rules: their labels, sorted.
+    example: a request that both match, in words.
     """
 
     remedy = "Narrow one of the two, or add a third for what both match."
@@ -39,35 +39,34 @@
     """A rule that no request can reach.
 
     rule: its label.
-    by: labels of the rules that cover it.
+    covered_by: labels of the rules that cover it; none where it matches nothing by itself.
     """
 
     remedy = "Take it out, or narrow what covers it."
 
-    def __init__(self, rule: str, by: tuple[str, ...]) -> None:
-        super().__init__(
-            f"{rule} can never match: covered by {', '.join(by)}" if by else f"{rule} can never match"
-        )
+    def __init__(self, rule: str, covered_by: tuple[str, ...]) -> None:
+        reason = f": covered by {', '.join(covered_by)}" if covered_by else ""
+        super().__init__(f"{rule} can never match{reason}")
         self.rule = rule
-        self.by = by
+        self.covered_by = covered_by
 
 
 class Foreign(NamespaceError):
-    """It names what is not this customer's, nor granted to it."""
+    """A draft names what is not this customer's, nor granted to it."""
 
     status = 403
     remedy = "Name one of your own routes, servers or pools; the platform grants further ones."
 
 
 class OverBudget(NamespaceError):
-    """More than the customer may cost; the bound is named."""
+    """More than the customer may cost; the text names the bound."""
 
     status = 413
     remedy = "Make it smaller, or ask the platform for a larger bound."
 
 
 class Circular(NamespaceError):
-    """A route that falls back on itself: one of its fall-backs has to go."""
+    """A route falls back on itself, directly or by others; the text names all of them."""
 
     remedy = "Break the circle of fall-backs that is named."
 
@@ -75,8 +74,8 @@
 class Conflict(NamespaceError):
     """Another revision came first.
 
-    expected, found: numbers of revisions.
-    changes: what changed in between.
+    expected, found: numbers of the revision that the change was made on top of, and of the current one.
+    changes: what changed in between, a line each.
     """
 
     remedy = (
@@ -84,9 +83,9 @@
     )
 
     def __init__(self, expected: int, found: int, changes: tuple[str, ...]) -> None:
-        what = "; ".join(changes) or "nothing that can be told any more"
+        listed = "; ".join(changes) or "nothing that can be told any more"
         super().__init__(
-            f"made on top of revision {expected}, and {found} is there; changed since then: {what}"
+            f"made on top of revision {expected}, and {found} is there; changed since then: {listed}"
         )
         self.expected = expected
         self.found = found
@@ -107,6 +106,13 @@
     remedy = "`moorusher namespace list` has those that there are; the platform adds one with [[namespaces.customer]]."
 
 
+class Stale(NamespaceError):
+    """A revision is not later than the current one. Not sent: it is in this runner's log only."""
+
+    remedy = "Nothing: this runner has that revision, or a later one."
+
+
+# Those that are sent between runners, by the names of their classes.
 ERRORS: tuple[type[NamespaceError], ...] = (
     Malformed,
     Ambiguous,
--- a/moorusher/namespaces/names.py
+++ b/moorusher/namespaces/names.py
@@ -12,24 +12,33 @@
 from .errors import Malformed
 
 MAX_LENGTH = 64  # characters
-_REJECTED_CATEGORIES = {"Cc", "Cf", "Cs", "Co", "Cn", "Zl", "Zp", "Zs"}
-
-
-def is_normal(name: str) -> bool:
-    """Whether it is a valid name in normal form."""
+_REJECTED_CATEGORIES = {
+    "Cc",
+    "Cf",
+    "Cs",
+    "Co",
+    "Cn",
+    "Zl",
+    "Zp",
+    "Zs",
+}  # controls, formats, unassigned, spaces
+
+
+def is_valid_name(name: str) -> bool:
+    """Return whether a string is a valid name in normal form."""
     return (
         0 < len(name) <= MAX_LENGTH
         and unicodedata.is_normalized("NFC", name)
-        and not any(unicodedata.category(c) in _REJECTED_CATEGORIES for c in name)
+        and not any(unicodedata.category(character) in _REJECTED_CATEGORIES for character in name)
     )
 
 
-def checked(name: object, path: str) -> str:
+def require_name(name: object, path: str) -> str:
     """Return the name.
 
     :raises Malformed: it is none, or not in normal form; `path` says where it stands.
     """
-    if not isinstance(name, str) or not is_normal(name):
+    if not isinstance(name, str) or not is_valid_name(name):
         raise Malformed(
             f"{path}: expected a name of 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces and "
             f"control characters, got {name!r}"
--- a/moorusher/namespaces/policy.py
+++ b/moorusher/namespaces/policy.py
@@ -1,6 +1,6 @@
 """What the platform grants a customer, from its settings.
 
-Imports nothing: it is loaded where there are no customers, too. Names of fields are keys of `[namespaces]`.
+Imports nothing: it is loaded where there are no customers, too. `config/namespaces.py` has the keys of the settings.
 """
 
 from __future__ import annotations
@@ -13,15 +13,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one customer may cost."""
+    """What one customer's draft and its rules may cost.
+
+    max_draft_bytes: of the draft as it is sent.
+    max_rules: in the customer's own part and all teams together.
+    max_routes: by name.
+    max_route_servers: in all routes together.
+    max_set_members: strings, prefixes and ranges in all matchers together.
+    max_check_steps: of finding out which rules are reachable; one step is one mask or one box.
+    max_table_bytes: of memory for rules and look-ups, estimated.
+    """
 
-    bytes: int = 240_000  # of the draft
-    rules: int = 1_000
-    routes: int = 64
-    route_servers: int = 256  # in all routes together
-    words: int = 10_000  # strings and ranges in all rules together
-    steps: int = 2_000_000  # of finding out which rules are reachable
-    table_bytes: int = 8 << 20
+    max_draft_bytes: int = 240_000
+    max_rules: int = 1_000
+    max_routes: int = 64
+    max_route_servers: int = 256
+    max_set_members: int = 10_000
+    max_check_steps: int = 2_000_000
+    max_table_bytes: int = 8 << 20
 
 
 _NO_BOUND = 1 << 62
@@ -29,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class Grant:
     """What one customer may use.
 
     servers: its own.
@@ -43,9 +52,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """How much of one customer's revisions is published and retained."""
+class PublishingLimits:
+    """How much of one customer's revisions is published and retained.
+
+    max_revisions: retained, with the current one.
+    max_state_bytes: of all retained drafts together, with `STATE_OVERHEAD_BYTES`.
+    max_per_hour: revisions published.
+    """
 
-    keep: int = 8  # revisions
-    bytes: int = 256 << 10  # of all retained revisions together
-    an_hour: int = 120  # revisions published
+    max_revisions: int = 8
+    max_state_bytes: int = 256 << 10
+    max_per_hour: int = 120
--- /dev/null
+++ b/moorusher/namespaces/reachability.py
@@ -0,0 +1,101 @@
+"""Checks on a customer's rules: no two equally specific ones match one request, and each is reached by some request."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .atoms import Atoms
+from .boxes import Box, intersect, set_bits, subtract
+from .errors import Ambiguous, OverBudget, Unreachable
+from .rules import DIMENSIONS, Rule
+
+ATTRIBUTE_LABELS = {"class_name": "class"}  # in texts, where it differs from the field
+
+
+def example_request(box: Box, atoms: Sequence[Atoms]) -> str:
+    """Return a request in a box, in words."""
+    parts = []
+    for dimension, values, mask in zip(DIMENSIONS, atoms, box, strict=True):
+        lowest_atom = (mask & -mask).bit_length() - 1
+        label = ATTRIBUTE_LABELS.get(dimension, dimension)
+        parts.append(f"{label} {values.example(lowest_atom)!r}")
+    return ", ".join(parts)
+
+
+class ReachabilityCheck:
+    """One check of a rule set, in a bounded number of steps.
+
+    rules: in order of precedence.
+    boxes: of each rule, the requests that it matches.
+    atoms: by dimension.
+    masks: by dimension and atom, the rules that contain it, a bit a rule.
+    """
+
+    def __init__(
+        self,
+        rules: Sequence[Rule],
+        boxes: Sequence[Box],
+        atoms: Sequence[Atoms],
+        masks: Sequence[Sequence[int]],
+        max_steps: int,
+    ) -> None:
+        self._rules = rules
+        self._boxes = boxes
+        self._atoms = atoms
+        self._masks = masks
+        self._precedences = [rule.precedence() for rule in rules]
+        self._steps_left = max_steps
+
+    def run(self) -> None:
+        """Check each rule against those that precede it.
+
+        :raises Ambiguous: two rules are equally specific and match one request.
+        :raises Unreachable: no request reaches a rule.
+        :raises OverBudget: it would take more steps than are granted.
+        """
+        for index, rule in enumerate(self._rules):
+            if not all(self._boxes[index]):
+                raise Unreachable(rule.label, ())
+            overlapping = self._preceding_overlaps(index)
+            self._check_unambiguous(index, overlapping)
+            self._check_reachable(index, overlapping)
+
+    def _check_unambiguous(self, index: int, overlapping: Sequence[int]) -> None:
+        if not overlapping or self._precedences[overlapping[-1]] != self._precedences[index]:
+            return
+        other = overlapping[-1]
+        common = intersect(self._boxes[index], self._boxes[other])
+        assert common is not None
+        raise Ambiguous(
+            self._rules[other].label, self._rules[index].label, example_request(common, self._atoms)
+        )
+
+    def _check_reachable(self, index: int, overlapping: Sequence[int]) -> None:
+        remaining, covering = [self._boxes[index]], list[int]()
+        for other in overlapping:
+            self._spend(len(remaining))
+            reduced = [piece for box in remaining for piece in subtract(box, self._boxes[other])]
+            if reduced != remaining:
+                covering.append(other)
+            remaining = reduced
+            if not remaining:
+                labels = tuple(self._rules[covered_by].label for covered_by in covering)
+                raise Unreachable(self._rules[index].label, labels)
+
+    def _preceding_overlaps(self, index: int) -> list[int]:
+        """Return the rules of higher precedence that match a request which this one matches too."""
+        candidates = (1 << index) - 1
+        for atoms, masks, box_mask in zip(self._atoms, self._masks, self._boxes[index], strict=True):
+            if box_mask & atoms.full_mask == atoms.full_mask:
+                continue  # every rule has some of it
+            overlapping = 0
+            for atom in set_bits(box_mask):
+                overlapping |= masks[atom]
+                self._spend(1)
+            candidates &= overlapping
+        return list(set_bits(candidates))
+
+    def _spend(self, steps: int) -> None:
+        self._steps_left -= steps
+        if self._steps_left < 0:
+            raise OverBudget("working out which rules can be reached takes more steps than are granted")
--- a/moorusher/namespaces/rules.py
+++ b/moorusher/namespaces/rules.py
@@ -1,10 +1,11 @@
-"""A customer's rules as values: what each matches, and what follows where it does."""
+"""A customer's rules as values: which requests each matches, and its outcome."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from .sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, NumberRanges, Part, Size, StringSet
+from .sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, AttributeSet, NumberRanges, SetSize, StringSet
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +28,13 @@
     spread: str = ""
 
 
+# The attributes that matchers look at, the most important for how specific a rule is first.
+DIMENSIONS = ("key", "subject", "caller", "class_name", "rank")
+
+
 @dataclass(frozen=True, slots=True)
-class Match:
-    """The sets that a request's attributes must all be in, the most important for how specific a rule is first."""
+class Matcher:
+    """The predicate of a rule: sets that a request's attributes must all be in. Fields are `DIMENSIONS`, in order."""
 
     key: StringSet = ALL_STRINGS
     subject: NumberRanges = ALL_NUMBERS
@@ -37,24 +42,44 @@
     class_name: StringSet = ALL_STRINGS
     rank: NumberRanges = ALL_RANKS
 
-    def parts(self) -> tuple[Part, ...]:
-        """Return the sets in order."""
+    def attribute_sets(self) -> tuple[AttributeSet, ...]:
+        """Return the sets in the order of `DIMENSIONS`."""
         return self.key, self.subject, self.caller, self.class_name, self.rank
 
-    def __contains__(self, asked: object) -> bool:
-        return isinstance(asked, RequestAttributes) and all(
-            getattr(asked, name) in getattr(self, name) for name in DIMENSIONS
+    def __contains__(self, request: object) -> bool:
+        return isinstance(request, RequestAttributes) and all(
+            getattr(request, name) in allowed
+            for name, allowed in zip(DIMENSIONS, self.attribute_sets(), strict=True)
         )
 
-    def sizes(self) -> tuple[Size, ...]:
-        """Return what orders matches: the smaller is the more specific.
+    def specificity(self) -> tuple[SetSize, ...]:
+        """Return what orders matchers: the smaller is the more specific.
 
-        A match that strictly contains another is larger: none of its parts is smaller, and one is larger.
+        A matcher that strictly contains another is larger: none of its sets is smaller, and one is larger.
         """
-        return tuple(part.size() for part in self.parts())
+        return tuple(allowed.size() for allowed in self.attribute_sets())
+
+    def intersect(self, other: Matcher) -> Matcher:
+        """Return the matcher of the requests that both match."""
+        return Matcher(
+            self.key.intersect(other.key),
+            self.subject.intersect(other.subject),
+            self.caller.intersect(other.caller),
+            self.class_name.intersect(other.class_name),
+            self.rank.intersect(other.rank),
+        )
+
+    def member_count(self) -> int:
+        """Return the number of strings, prefixes and ranges in all sets together."""
+        return sum(
+            len(allowed.prefixes) + len(allowed.literals)
+            if isinstance(allowed, StringSet)
+            else len(allowed.ranges)
+            for allowed in self.attribute_sets()
+        )
 
 
-DIMENSIONS = tuple(f.name for f in fields(Match))
+MATCH_ALL = Matcher()
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Calls take one of several routes, by weight; the same key takes the same one as long as the weights stay."""
+    """Calls take one of several routes, by weight; the same key takes the same one as long as the weights stay.
+
+    routes: names with weights, sorted by name.
+    """
 
     routes: tuple[tuple[str, int], ...]
 
@@ -81,17 +109,28 @@
 Outcome = RouteTo | Split | Reject
 
 
+class Precedence(NamedTuple):
+    """Orders rules: of two that match, the one with the smaller precedence decides.
+
+    customer_wide: whether it is no team's; rules of teams go first.
+    specificity: of its matcher.
+    """
+
+    customer_wide: bool
+    specificity: tuple[SetSize, ...]
+
+
 @dataclass(frozen=True, slots=True)
 class Rule:
     """One rule of a customer.
 
-    match: which requests it is for.
+    matcher: which requests it is for.
     outcome: what is decided of them.
     team: the part of the customer that it belongs to, "" for the whole; rules of teams go first.
     """
 
     name: str
-    match: Match
+    matcher: Matcher
     outcome: Outcome
     team: str = ""
 
@@ -100,6 +139,6 @@
         """The name, with that of the team."""
         return f"{self.team}/{self.name}" if self.team else self.name
 
-    def order(self) -> tuple[bool, tuple[Size, ...]]:
-        """Return the rank: of two rules that match, the one with the smaller rank decides."""
-        return not self.team, self.match.sizes()
+    def precedence(self) -> Precedence:
+        """Return what orders this rule among others."""
+        return Precedence(not self.team, self.matcher.specificity())
--- a/moorusher/namespaces/sets.py
+++ b/moorusher/namespaces/sets.py
@@ -1,6 +1,6 @@
-"""The sets that rules are made of: strings by prefix or one by one, and numbers by range.
+"""The sets that matchers are made of: strings by prefix or one by one, and numbers by range.
 
-`size` orders them by how specific they are: of two of which one strictly holds the other, the inner one is smaller.
+`size` orders them by how specific they are: where one set strictly contains another, the inner one is smaller.
 """
 
 from __future__ import annotations
@@ -8,24 +8,35 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from fractions import Fraction
+from typing import NamedTuple
 
-ALPHABET = 0x110000  # characters that a string may consist of
-Size = tuple[Fraction, int]
+ALPHABET_SIZE = 0x110000  # characters that a string may consist of
+
+
+class SetSize(NamedTuple):
+    """How much a set contains; ordered.
+
+    measure: the share of all strings under its prefixes, or the length of its ranges.
+    literals: number of single strings, 0 for numbers.
+    """
+
+    measure: Fraction
+    literals: int
 
 
 @dataclass(frozen=True, slots=True)
 class StringSet:
-    """A set of strings, in normal form: no prefix begins with another one, and no word with a prefix.
+    """A set of strings, in normal form: no prefix begins with another one, and no literal with a prefix.
 
     prefixes: all strings that begin with one of them are in the set; "" is for all strings.
-    words: single strings in the set.
+    literals: single strings in the set.
     """
 
     prefixes: frozenset[str] = frozenset()
-    words: frozenset[str] = frozenset()
+    literals: frozenset[str] = frozenset()
 
     @classmethod
-    def of(cls, words: Iterable[str] = (), prefixes: Iterable[str] = ()) -> StringSet:
+    def of(cls, literals: Iterable[str] = (), prefixes: Iterable[str] = ()) -> StringSet:
         """Return the set in normal form."""
         outer: set[str] = set()
 
@@ -35,70 +46,75 @@
         for prefix in sorted(prefixes, key=len):
             if not is_covered(prefix):
                 outer.add(prefix)
-        return cls(frozenset(outer), frozenset(word for word in words if not is_covered(word)))
+        return cls(frozenset(outer), frozenset(text for text in literals if not is_covered(text)))
 
-    def __contains__(self, word: object) -> bool:
-        return isinstance(word, str) and (
-            word in self.words or any(word.startswith(prefix) for prefix in self.prefixes)
+    def __contains__(self, text: object) -> bool:
+        return isinstance(text, str) and (
+            text in self.literals or any(text.startswith(prefix) for prefix in self.prefixes)
         )
 
     def intersect(self, other: StringSet) -> StringSet:
         """Return the strings that are in both."""
         prefixes = self._prefixes_within(other) | other._prefixes_within(self)
-        words = {word for word in self.words if word in other} | {
-            word for word in other.words if word in self
-        }
-        return StringSet.of(words, prefixes)
+        own_literals = {text for text in self.literals if text in other}
+        other_literals = {text for text in other.literals if text in self}
+        return StringSet.of(own_literals | other_literals, prefixes)
 
     def _prefixes_within(self, other: StringSet) -> set[str]:
         return {
             prefix for prefix in self.prefixes if any(prefix.startswith(outer) for outer in other.prefixes)
         }
 
-    def size(self) -> Size:
-        """Return the part of all strings that the prefixes cover, and the number of single words."""
-        covered = sum((Fraction(1, ALPHABET ** len(prefix)) for prefix in self.prefixes), Fraction())
-        return covered, len(self.words)
+    def size(self) -> SetSize:
+        """Return the share of all strings that the prefixes cover, and the number of literals."""
+        shares = (Fraction(1, ALPHABET_SIZE ** len(prefix)) for prefix in self.prefixes)
+        return SetSize(sum(shares, Fraction()), len(self.literals))
+
+
+class NumberRange(NamedTuple):
+    """Numbers from `low` up to, without, `high`."""
+
+    low: float
+    high: float
 
 
 @dataclass(frozen=True, slots=True)
 class NumberRanges:
-    """A set of numbers, in normal form: in order, without parts that touch.
+    """A set of numbers, in normal form: ranges in order, of which no two touch."""
 
-    parts: pairs of numbers; from the first up to, without, the second.
-    """
-
-    parts: tuple[tuple[float, float], ...] = ()
+    ranges: tuple[NumberRange, ...] = ()
 
     @classmethod
-    def of(cls, parts: Iterable[tuple[float, float]]) -> NumberRanges:
-        """Return the set in normal form."""
-        merged: list[tuple[float, float]] = []
-        for low, high in sorted(part for part in parts if part[0] < part[1]):
-            if merged and low <= merged[-1][1]:
-                merged[-1] = (merged[-1][0], max(high, merged[-1][1]))
+    def of(cls, ranges: Iterable[tuple[float, float]]) -> NumberRanges:
+        """Return the set of all these ranges, each a low and a high number, in normal form."""
+        merged: list[NumberRange] = []
+        for low, high in sorted(one for one in ranges if one[0] < one[1]):
+            if merged and low <= merged[-1].high:
+                merged[-1] = NumberRange(merged[-1].low, max(high, merged[-1].high))
             else:
-                merged.append((low, high))
+                merged.append(NumberRange(low, high))
         return cls(tuple(merged))
 
     def __contains__(self, number: object) -> bool:
-        return isinstance(number, (int, float)) and any(low <= number < high for low, high in self.parts)
+        return isinstance(number, (int, float)) and any(low <= number < high for low, high in self.ranges)
 
     def intersect(self, other: NumberRanges) -> NumberRanges:
         """Return the numbers that are in both."""
         return NumberRanges.of(
             (max(low, other_low), min(high, other_high))
-            for low, high in self.parts
-            for other_low, other_high in other.parts
+            for low, high in self.ranges
+            for other_low, other_high in other.ranges
         )
 
-    def size(self) -> Size:
-        """Return the length of all parts together; the second figure is for comparison with other sets' alone."""
-        return sum((Fraction(high) - Fraction(low) for low, high in self.parts), Fraction()), 0
+    def size(self) -> SetSize:
+        """Return the length of all ranges together."""
+        lengths = (Fraction(high) - Fraction(low) for low, high in self.ranges)
+        return SetSize(sum(lengths, Fraction()), 0)
 
 
+MIN_NUMBER = -1.0  # of a request without a caller or subject
 MAX_NUMBER = float(1 << 53)
 ALL_STRINGS = StringSet(frozenset([""]))
-ALL_NUMBERS = NumberRanges(((-1.0, MAX_NUMBER),))  # callers, subjects; -1 is a request without one
-ALL_RANKS = NumberRanges(((0.0, 1.0),))
-Part = StringSet | NumberRanges
+ALL_NUMBERS = NumberRanges.of([(MIN_NUMBER, MAX_NUMBER)])  # callers, subjects
+ALL_RANKS = NumberRanges.of([(0.0, 1.0)])
+AttributeSet = StringSet | NumberRanges
--- a/moorusher/routing/route.py
+++ b/moorusher/routing/route.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ..namespaces.customers import Revision
+from ..namespaces.current_revisions import Revision
 from ..namespaces.rules import RequestAttributes
 
 
@@ -72,10 +72,10 @@
     decision, routes = revision.decide(request)
     label = "" if decision.rule is None else decision.rule.label
     if decision.route is None:
-        return RoutingDecision(revision.at, label, decision.reason, None)
+        return RoutingDecision(revision.revision_id, label, decision.reason, None)
     hops = tuple(
         Hop(route.name, route.servers, route.pool, route.max_in_flight, route.max_attempts)
         for route in routes
     )
-    path = RoutePath(revision.customer, revision.at[0], hops)
-    return RoutingDecision(revision.at, label, "", path)
+    path = RoutePath(revision.customer, revision.revision_id[0], hops)
+    return RoutingDecision(revision.revision_id, label, "", path)
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
-from ..config_distribution.messages import RevisionId
+from ..namespaces.revision_id import RevisionId
 from ..transient_errors import retry_transient
 
 log = logging.getLogger("moorusher")
--- a/tests/compatibility/test_namespace_rules.py
+++ b/tests/compatibility/test_namespace_rules.py
@@ -10,19 +10,37 @@
 from collections.abc import Callable
 from typing import Any
 
-from moorusher.namespaces import document, errors, names, policy, revisions, rules, table
+from moorusher.namespaces import draft as drafts
+from moorusher.namespaces import (
+    draft_changes,
+    errors,
+    names,
+    policy,
+    revision_history,
+    rules,
+    weighted_split,
+)
 
 from .golden import assert_golden
 
 # ---- the names of the program, once ----
 
-GRANTED = policy.Granted(frozenset({"s1", "s2"}), {"shared": 0.5})
+BUDGET_FIELDS = {
+    "bytes": "max_draft_bytes",
+    "rules": "max_rules",
+    "routes": "max_routes",
+    "route_servers": "max_route_servers",
+    "words": "max_set_members",
+    "steps": "max_check_steps",
+    "table_bytes": "max_table_bytes",
+}
+GRANTED = policy.Grant(frozenset({"s1", "s2"}), {"shared": 0.5})
 REQUEST_FORM = rules.RequestAttributes
 
 
 def parse(draft: bytes, bounds: dict[str, int] | None = None) -> Any:
-    budget = policy.Budget(**(bounds or {}))
-    return document.parse_draft(draft, policy.Granted(GRANTED.servers, GRANTED.pools, budget))
+    budget = policy.Budget(**{BUDGET_FIELDS[name]: value for name, value in (bounds or {}).items()})
+    return drafts.parse_draft(draft, policy.Grant(GRANTED.servers, GRANTED.pools, budget))
 
 
 def decide(namespace: Any, request: dict[str, Any]) -> list[Any]:
@@ -38,29 +56,31 @@
 
 def splits(weights: dict[str, int], keys: list[str]) -> list[str]:
     split = rules.Split(tuple(sorted(weights.items())))
-    return [table.split_route(split, key) for key in keys]
+    return [weighted_split.split_route(split, key) for key in keys]
 
 
 def next_book(book: Any, submission: list[Any], now_ms: int, keep: int = 2, an_hour: int = 3) -> Any:
-    sent = revisions.Submission("acme", *submission)
-    bounds = policy.Bounds(keep, 8 << 10, an_hour)
-    return revisions.published(book, sent, revisions.draft_to_publish(book, sent), now_ms, bounds)
+    sent = revision_history.Submission("acme", *submission)
+    bounds = policy.PublishingLimits(keep, 8 << 10, an_hour)
+    return revision_history.add_revision(
+        book, sent, revision_history.draft_to_publish(book, sent), now_ms, bounds
+    )
 
 
 def empty_book() -> Any:
-    return revisions.unpack(b"", "acme")
+    return revision_history.decode_history(b"", "acme")
 
 
 def pack_book(book: Any) -> bytes:
-    return revisions.pack(book)
+    return revision_history.encode_history(book)
 
 
 def unpack_book(state: bytes, customer: str) -> Any:
-    return revisions.unpack(state, customer)
+    return revision_history.decode_history(state, customer)
 
 
-differences = revisions.difference
-checked_name = names.checked
+differences = draft_changes.draft_changes
+checked_name = names.require_name
 all_errors = errors.ERRORS
 
 
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -26,7 +26,7 @@
 from moorusher.maintenance import schedule
 from moorusher.membership.placement import Placement
 from moorusher.membership.policy import Seat
-from moorusher.namespaces import revisions
+from moorusher.namespaces import revision_history
 from moorusher.replication import journal
 from moorusher.storage.journal_files import open_folder
 from moorusher.storage.revisions import Store
@@ -40,10 +40,10 @@
 
 RECORDS = get_args(journal.Record)
 WHOSE = journal.JournalHeader(journal.JOURNAL_VERSION, "f", "0123456789abcdef", "n1")
-POST, ROSTER, BOOK = lease_record.LeaseRecord, schedule.Schedule, revisions.Book
+POST, ROSTER, BOOK = lease_record.LeaseRecord, schedule.Schedule, revision_history.RevisionHistory
 pack_post, read_post = lease_record.encode_record, lease_record.decode_record
 pack_roster, read_roster = schedule.encode_schedule, schedule.decode_schedule
-pack_book = revisions.pack
+pack_book = revision_history.encode_history
 pack_file, read_record = journal.encode_records, journal._decoder.decode
 REPORTS, read_reports = duty_report.HeartbeatState, msgspec.json.Decoder(duty_report.HeartbeatState).decode
 write_json = msgspec.json.Encoder().encode
@@ -52,7 +52,7 @@
 
 
 def read_book(data: bytes) -> Any:
-    return revisions.unpack(data, "w1")
+    return revision_history.decode_history(data, "w1")
 
 
 def records_of(data: bytes) -> list[Any]:
--- a/tests/test_config_namespaces.py
+++ b/tests/test_config_namespaces.py
@@ -8,7 +8,7 @@
 
 from moorusher.config.namespaces import NamespacesConfig, read_namespaces
 from moorusher.config.section import ConfigError, Section
-from moorusher.namespaces.policy import Budget, Granted
+from moorusher.namespaces.policy import Budget, Grant
 
 SERVERS = {"a1", "a2", "b1", "p1", "free"}
 ACME = {"name": "acme", "servers": ["a1", "a2"], "pools": {"shared": 0.5}}
@@ -25,11 +25,14 @@
 
 def test_each_customer_has_its_own_servers_shares_and_budget() -> None:
     got = read({"rules": 50, "customer": [ACME | {"rules": 70, "keep": 3}, BOLT]})
-    assert got.customers["acme"].granted == Granted(
-        frozenset({"a1", "a2"}), {"shared": 0.5}, Budget(rules=70)
+    assert got.customers["acme"].grant == Grant(
+        frozenset({"a1", "a2"}), {"shared": 0.5}, Budget(max_rules=70)
     )
-    assert got.customers["acme"].bounds.keep == 3 and got.customers["bolt"].bounds.keep == 8
-    assert got.customers["bolt"].granted.budget.rules == 50
+    assert (
+        got.customers["acme"].publishing_limits.max_revisions == 3
+        and got.customers["bolt"].publishing_limits.max_revisions == 8
+    )
+    assert got.customers["bolt"].grant.budget.max_rules == 50
     assert got.grants.pool_quota("acme", "shared") == 5 and got.grants.pool_quota("nobody", "shared") == 0
     assert got.grants.reserved_servers() == SERVERS - {"free"}
 
--- a/tests/test_namespaces.py
+++ b/tests/test_namespaces.py
@@ -14,8 +14,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from moorusher.namespaces.customers import CurrentRevisions, Stale
-from moorusher.namespaces.document import parse_draft
+from moorusher.namespaces.boxes import intersect, subtract
+from moorusher.namespaces.current_revisions import CurrentRevisions
+from moorusher.namespaces.draft import parse_draft
 from moorusher.namespaces.errors import (
     ERRORS,
     Ambiguous,
@@ -24,13 +25,15 @@
     Malformed,
     NamespaceError,
     OverBudget,
+    Stale,
     Unreachable,
 )
-from moorusher.namespaces.names import checked, is_normal
-from moorusher.namespaces.policy import Budget, Granted
-from moorusher.namespaces.rules import Match, Reject, RequestAttributes, RouteTo, Rule, Split
+from moorusher.namespaces.names import is_valid_name, require_name
+from moorusher.namespaces.policy import Budget, Grant
+from moorusher.namespaces.rule_table import RuleTable, TableLimits
+from moorusher.namespaces.rules import Matcher, Reject, RequestAttributes, RouteTo, Rule, Split
 from moorusher.namespaces.sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, NumberRanges, StringSet
-from moorusher.namespaces.table import RuleTable, intersect, split_route, subtract
+from moorusher.namespaces.weighted_split import split_route
 
 
 def words(*of: str) -> StringSet:
@@ -39,7 +42,7 @@
 
 
 def rule(name: str, team: str = "", **match: Any) -> Rule:
-    return Rule(name, Match(**match), RouteTo(name), team)
+    return Rule(name, Matcher(**match), RouteTo(name), team)
 
 
 # ---- names ----
@@ -47,11 +50,11 @@
 
 def test_names_that_look_alike_are_different_and_others_are_refused_not_changed() -> None:
     alike = ["acme", "Acme", "acme-eu", "\u0430cme", "acmé"]
-    assert len({checked(n, "customer") for n in alike}) == len(alike)
+    assert len({require_name(n, "customer") for n in alike}) == len(alike)
     for wrong in ("", "a b", "a\u0000", "acme\u0301x\u200d", "acme\u0065\u0301", "x" * 65, 7, None):
         with pytest.raises(Malformed, match="customer"):
-            checked(wrong, "customer")
-    assert is_normal("ü") and not is_normal("u\u0308")
+            require_name(wrong, "customer")
+    assert is_valid_name("ü") and not is_valid_name("u\u0308")
 
 
 # ---- sets ----
@@ -76,12 +79,12 @@
 # ---- which rule decides ----
 
 MATCHES = st.builds(
-    Match,
+    Matcher,
     WORDS | st.just(ALL_STRINGS),
     RANGES | st.just(ALL_NUMBERS),
     st.just(ALL_NUMBERS) | RANGES,
     WORDS | st.just(ALL_STRINGS),
-    st.just(ALL_RANKS) | st.just(NumberRanges(((0.0, 0.5),))),
+    st.just(ALL_RANKS) | st.just(NumberRanges.of([(0.0, 0.5)])),
 )
 ASKED = st.builds(
     RequestAttributes,
@@ -95,8 +98,8 @@
 
 def plain(rules: list[Rule], asked: RequestAttributes) -> Rule | None:
     """The reference: of all that match, the most specific; a team's before the customer's."""
-    matching = [r for r in rules if asked in r.match]
-    return min(matching, key=lambda r: (not r.team, r.match.sizes()), default=None)
+    matching = [r for r in rules if asked in r.matcher]
+    return min(matching, key=lambda r: (not r.team, r.matcher.specificity()), default=None)
 
 
 def built(rules: list[Rule]) -> tuple[RuleTable | None, Exception | None]:
@@ -113,7 +116,7 @@
     st.randoms(),
 )
 def test_the_table_decides_as_the_plain_reference_and_typing_order_does_not_count(
-    matches: list[tuple[Match, bool]], requests: list[RequestAttributes], shuffled: random.Random
+    matches: list[tuple[Matcher, bool]], requests: list[RequestAttributes], shuffled: random.Random
 ) -> None:
     rules = [Rule(f"r{i}", m, RouteTo(f"r{i}"), "t" if team else "") for i, (m, team) in enumerate(matches)]
     other = list(rules)
@@ -129,7 +132,7 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(st.lists(MATCHES, min_size=1, max_size=5))
-def test_what_is_refused_is_so_for_a_reason_and_what_is_taken_has_none(matches: list[Match]) -> None:
+def test_what_is_refused_is_so_for_a_reason_and_what_is_taken_has_none(matches: list[Matcher]) -> None:
     """Held against every request over the small alphabet; a rule that none of them reaches may be reached by others
     only where it names what that alphabet has not."""
     rules = [Rule(f"r{i}", m, RouteTo("x")) for i, m in enumerate(matches)]
@@ -144,18 +147,18 @@
     ]
     if isinstance(why, Ambiguous):
         one, two = (next(r for r in rules if r.label == n) for n in why.rules)
-        assert one.match.sizes() == two.match.sizes()
+        assert one.matcher.specificity() == two.matcher.specificity()
     elif isinstance(why, Unreachable):
         dead = next(r for r in rules if r.label == why.rule)
         assert all(plain(rules, a) is not dead for a in sample)
-        assert not why.by or all(
-            any(r.label == n and r.order() <= dead.order() for r in rules) for n in why.by
+        assert not why.covered_by or all(
+            any(r.label == n and r.precedence() <= dead.precedence() for r in rules) for n in why.covered_by
         )
     else:
         assert table is not None
         for a in sample:
-            matching = [r for r in rules if a in r.match]
-            best = [r for r in matching if r.order() == min(m.order() for m in matching)]
+            matching = [r for r in rules if a in r.matcher]
+            best = [r for r in matching if r.precedence() == min(m.precedence() for m in matching)]
             assert len(best) <= 1
 
 
@@ -175,7 +178,7 @@
 
 
 def test_a_rule_that_others_cover_together_is_named_with_all_of_them() -> None:
-    low, high = NumberRanges(((-1.0, 5.0),)), NumberRanges(((5.0, float(1 << 53)),))
+    low, high = NumberRanges.of([(-1.0, 5.0)]), NumberRanges.of([(5.0, float(1 << 53))])
     with pytest.raises(Unreachable) as told:
         RuleTable(
             [
@@ -185,7 +188,7 @@
             ],
             "d",
         )
-    assert told.value.rule == "both" and set(told.value.by) == {"low", "high"}
+    assert told.value.rule == "both" and set(told.value.covered_by) == {"low", "high"}
     with pytest.raises(Unreachable, match="never can never match"):
         RuleTable([rule("never", class_name=StringSet())], "d")
 
@@ -207,7 +210,7 @@
 def test_outcomes_and_the_default() -> None:
     table = RuleTable(
         [
-            Rule("no", Match(class_name=words("admin")), Reject("not here")),
+            Rule("no", Matcher(class_name=words("admin")), Reject("not here")),
             rule("yes", class_name=words("read")),
         ],
         "d",
@@ -238,12 +241,12 @@
     assert RuleTable(many, "d").find(RequestAttributes("x", key="k77")) == many[77]
     with pytest.raises(OverBudget, match="steps"):
         RuleTable(
-            [rule(f"r{i}", key=words(f"{i}*"), caller=NumberRanges(((0.0, 1.0 + i),))) for i in range(300)],
+            [rule(f"r{i}", key=words(f"{i}*"), caller=NumberRanges.of([(0.0, 1.0 + i)])) for i in range(300)],
             "d",
-            100,
+            TableLimits(max_check_steps=100),
         )
     with pytest.raises(OverBudget, match="bytes"):
-        RuleTable(many, "d", most_bytes=1000)
+        RuleTable(many, "d", limits=TableLimits(max_bytes=1000))
 
 
 def test_boxes_without_each_other_are_what_they_say() -> None:
@@ -269,7 +272,7 @@
 
 # ---- drafts ----
 
-GRANTED = Granted(frozenset(["s1", "s2"]), {"shared": 0.5})
+GRANTED = Grant(frozenset(["s1", "s2"]), {"shared": 0.5})
 DRAFT: dict[str, Any] = {
     "default": "main",
     "routes": {
@@ -334,7 +337,11 @@
             Malformed,
             "rules.r.match.caller",
         ),
-        ({"rules": {"r": {"match": {"tenant": ["bolt"]}, "to": "main"}}}, Malformed, "rules.r.match.tenant"),
+        (
+            {"rules": {"r": {"match": {"tenant": ["bolt"]}, "to": "main"}}},
+            Malformed,
+            "rules.r.match.tenant",
+        ),
         ({"rules": {"a b": {"to": "main"}}}, Malformed, "rules"),
         (
             {
@@ -372,8 +379,8 @@
 
 
 def test_each_bound_is_refused_with_what_is_granted() -> None:
-    small = Budget(rules=2, routes=1, route_servers=1, words=3, bytes=100)
-    for name in ("rules", "routes", "words", "bytes"):
+    small = Budget(max_rules=2, max_routes=1, max_route_servers=1, max_set_members=3, max_draft_bytes=100)
+    for name in ("max_rules", "max_routes", "max_set_members", "max_draft_bytes"):
         budget = replace(Budget(), **{name: getattr(small, name)})
         with pytest.raises(OverBudget, match=str(getattr(small, name))):
             parse_draft(draft(), replace(GRANTED, budget=budget))
@@ -398,7 +405,7 @@
 
 
 def decisions(all_of: CurrentRevisions, customer: str) -> list[Any]:
-    found = all_of.of(customer)
+    found = all_of.get(customer)
     return [None if found is None else found.decide(a) for a in REQUESTS]
 
 
@@ -406,40 +413,40 @@
 def test_no_customer_changes_what_is_decided_for_another(other: str) -> None:
     for mine, theirs in itertools.product(SMALL, SMALL):
         alone = CurrentRevisions()
-        alone.take("acme", (1, 1), mine, GRANTED)
+        alone.install_draft("acme", (1, 1), mine, GRANTED)
         expected = decisions(alone, "acme")
         both = CurrentRevisions()
-        both.take("acme", (1, 1), mine, GRANTED)
-        both.take(other, (1, 1), theirs, Granted(frozenset(["s1"]), {"shared": 1.0}))
+        both.install_draft("acme", (1, 1), mine, GRANTED)
+        both.install_draft(other, (1, 1), theirs, Grant(frozenset(["s1"]), {"shared": 1.0}))
         assert decisions(both, "acme") == expected
         with pytest.raises((Stale, Foreign)):  # refused: what was there stays
-            both.take(other, (1, 2), draft(default="nowhere"), GRANTED)
+            both.install_draft(other, (1, 2), draft(default="nowhere"), GRANTED)
         both.delete(other, (1, 9))
-        assert decisions(both, "acme") == expected and both.of(other) is None and both.of(None) is None
+        assert decisions(both, "acme") == expected and both.get(other) is None and both.get(None) is None
 
 
 def test_revisions_go_forwards_only_and_a_request_keeps_the_one_it_was_read_under() -> None:
     c = CurrentRevisions()
-    first = c.take("acme", (5, 1), draft(), GRANTED)
+    first = c.install_draft("acme", (5, 1), draft(), GRANTED)
     asked = RequestAttributes("x", rank=0.9)
     before = first.decide(asked)
-    c.take("acme", (5, 2), draft(default="spare"), GRANTED)
+    c.install_draft("acme", (5, 2), draft(default="spare"), GRANTED)
     for at in ((5, 2), (5, 1), (4, 9)):
         with pytest.raises(Stale):
-            c.take("acme", at, draft(), GRANTED)
-    held = c.of("acme")
+            c.install_draft("acme", at, draft(), GRANTED)
+    held = c.get("acme")
     assert held is not None and held.decide(asked) != before == first.decide(asked)
     c.delete("acme", (5, 3))
-    assert c.of("acme") is None and first.decide(asked) == before
+    assert c.get("acme") is None and first.decide(asked) == before
     with pytest.raises(Stale):
-        c.take("acme", (5, 3), draft(), GRANTED)  # what comes late does not bring it back
-    anew = c.take("acme", (6, 1), draft(rules={}), GRANTED)
-    assert anew.decide(RequestAttributes("admin"))[0].rule is None and c.told() == {"acme": (6, 1)}
-    small = CurrentRevisions(most=3)
+        c.install_draft("acme", (5, 3), draft(), GRANTED)  # what comes late does not bring it back
+    anew = c.install_draft("acme", (6, 1), draft(rules={}), GRANTED)
+    assert anew.decide(RequestAttributes("admin"))[0].rule is None and c.latest_ids() == {"acme": (6, 1)}
+    small = CurrentRevisions(max_tombstones=3)
     for i in range(9):
-        small.take(f"c{i}", (1, 1), draft(), GRANTED)
+        small.install_draft(f"c{i}", (1, 1), draft(), GRANTED)
         small.delete(f"c{i}", (1, 2))
-    assert len(small) == 0 and small.at("c8") == (1, 2) and small.at("c0") == (0, 0)
+    assert len(small) == 0 and small.latest_id("c8") == (1, 2) and small.latest_id("c0") == (0, 0)
 
 
 def test_each_error_says_what_helps_and_stands_on_the_page_for_on_call_staff() -> None:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -393,4 +393,6 @@
         settings.FleetConfig(),
         NamespacesConfig(),
     )
-    assert all(f"# {name} = " in shipped for name in {**POLICY_BOUNDS, **TIER_BOUNDS, **settings.BOUNDS})
+    assert all(
+        f"# {name} = " in shipped for name in {**POLICY_BOUNDS, **TIER_BOUNDS, **settings.DUTY_FIGURES}
+    )
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -1,4 +1,4 @@
-"""Customers' revisions without sockets: books, the tree, comparing, seeds in virtual time, mistakes to be found."""
+"""Customers' revisions without sockets: histories, the tree, comparing, seeds in virtual time, mistakes to be found."""
 
 from __future__ import annotations
 
@@ -20,7 +20,6 @@
     Disseminate,
     DisseminateReceived,
     DisseminateResult,
-    RevisionId,
 )
 from moorusher.config_distribution.propagation import DELETED_NUMBER
 from moorusher.config_distribution.publisher import Publisher
@@ -32,14 +31,22 @@
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.publish_interleavings import Publishes
 from moorusher.model_checking.publish_simulation import PublishSimulation, draft_of
-from moorusher.namespaces.customers import CurrentRevisions, Revision
+from moorusher.namespaces.current_revisions import CurrentRevisions, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
-from moorusher.namespaces.policy import Bounds
-from moorusher.namespaces.revisions import Book, Submission, draft_to_publish, pack, published, unpack
+from moorusher.namespaces.policy import PublishingLimits
+from moorusher.namespaces.revision_history import (
+    RevisionHistory,
+    Submission,
+    add_revision,
+    decode_history,
+    draft_to_publish,
+    encode_history,
+)
+from moorusher.namespaces.revision_id import RevisionId
 
-# ---- books ----
+# ---- histories ----
 
-BOUNDS = Bounds(keep=3, bytes=40_000, an_hour=4)
+BOUNDS = PublishingLimits(max_revisions=3, max_state_bytes=40_000, max_per_hour=4)
 
 
 def submission(id: str, expects: int = -1, draft: bytes = b"{}", back_to: int = 0) -> Submission:
@@ -47,48 +54,55 @@
 
 
 def test_numbers_grow_by_one_and_an_earlier_draft_comes_back_as_a_new_revision() -> None:
-    book = Book("acme")
+    history = RevisionHistory("acme")
     for i in range(3):
         s = submission(f"s{i}", i, draft_of(f"r{i}"))
-        book = published(book, s, draft_to_publish(book, s), 1_000 + i, BOUNDS)
+        history = add_revision(history, s, draft_to_publish(history, s), 1_000 + i, BOUNDS)
     back = submission("back", 3, back_to=1)
-    book = published(book, back, draft_to_publish(book, back), 2_000, BOUNDS)
-    assert [(e.number, e.of) for e in book.entries] == [(4, 1), (3, 0), (2, 0)]
-    assert book.entries[0].draft == draft_of("r0") and unpack(pack(book), "acme") == book
+    history = add_revision(history, back, draft_to_publish(history, back), 2_000, BOUNDS)
+    assert [(e.number, e.restored_number) for e in history.revisions] == [(4, 1), (3, 0), (2, 0)]
+    assert (
+        history.revisions[0].draft == draft_of("r0")
+        and decode_history(encode_history(history), "acme") == history
+    )
     with pytest.raises(Retired, match=r"revision 1 is not kept; there are 4, 3, 2"):
-        draft_to_publish(book, submission("x", back_to=1))
+        draft_to_publish(history, submission("x", back_to=1))
 
 
 def test_who_made_a_change_on_top_of_another_revision_is_told_what_changed_since() -> None:
-    book = Book("acme")
+    history = RevisionHistory("acme")
     for i, name in enumerate(("main", "main", "other")):
         s = submission(f"s{i}", i, draft_of(name))
-        book = published(book, s, s.draft, 0, BOUNDS)
+        history = add_revision(history, s, s.draft, 0, BOUNDS)
     with pytest.raises(Conflict) as told:
-        draft_to_publish(book, submission("late", expects=1))
+        draft_to_publish(history, submission("late", expects=1))
     assert (told.value.expected, told.value.found) == (1, 3)
     assert told.value.changes == ("~ default", "- routes.main", "+ routes.other")
-    assert draft_to_publish(book, submission("any", expects=-1, draft=b"d")) == b"d"
+    assert draft_to_publish(history, submission("any", expects=-1, draft=b"d")) == b"d"
 
 
 def test_what_a_customer_publishes_in_an_hour_and_what_is_kept_are_bounded() -> None:
-    book, now = Book("acme"), 10 * 3_600_000
+    history, now = RevisionHistory("acme"), 10 * 3_600_000
     for i in range(4):
-        book = published(book, submission(f"s{i}"), b"x" * 15_000, now + i, BOUNDS)
-    assert [e.number for e in book.entries] == [4, 3], "three would be more bytes than are kept"
+        history = add_revision(history, submission(f"s{i}"), b"x" * 15_000, now + i, BOUNDS)
+    assert [e.number for e in history.revisions] == [4, 3], "three would be more bytes than are kept"
     for when in (now + 3_599_999, now - 3_599_000):
         with pytest.raises(OverBudget, match="4 revisions within the hour; 4 are granted"):
-            published(book, submission("more"), b"", when, BOUNDS)
-    assert published(book, submission("later"), b"", now + 3_600_004, BOUNDS).number == 5
+            add_revision(history, submission("more"), b"", when, BOUNDS)
+    assert add_revision(history, submission("later"), b"", now + 3_600_004, BOUNDS).current_number == 5
     with pytest.raises(OverBudget, match="35904 can be kept"):
-        published(Book("acme"), submission("big"), b"x" * 40_000, now, BOUNDS)
+        add_revision(RevisionHistory("acme"), submission("big"), b"x" * 40_000, now, BOUNDS)
 
 
 def test_a_state_that_is_anothers_or_damaged_is_not_taken() -> None:
-    assert unpack(b"", "acme") == Book("acme")
-    for state in (pack(Book("Acme")), b"\x93garbage", pack(Book("acme"))[:-1]):
+    assert decode_history(b"", "acme") == RevisionHistory("acme")
+    for state in (
+        encode_history(RevisionHistory("Acme")),
+        b"\x93garbage",
+        encode_history(RevisionHistory("acme"))[:-1],
+    ):
         with pytest.raises(ValueError, match="acme"):
-            unpack(state, "acme")
+            decode_history(state, "acme")
 
 
 # ---- the owner's part ----
@@ -100,7 +114,7 @@
     def __init__(self, *outcomes: tuple[bool, bool]) -> None:
         """(told as made, made in truth) of each change in turn; then all are made."""
         self.outcomes = list(outcomes)
-        self.register, self.reads, self.told = Book("acme"), 0, list[RevisionId]()
+        self.register, self.reads, self.told = RevisionHistory("acme"), 0, list[RevisionId]()
         self.name, self.state = "namespace/acme", b""
         self.record: Any = self
         self.generation = 7
@@ -108,21 +122,21 @@
     def submit(self, effect: Any, then: Callable[[Outcome], None]) -> None:
         told, made = self.outcomes.pop(0) if self.outcomes else (True, True)
         if made:
-            self.register = unpack(effect.state, "acme")
+            self.register = decode_history(effect.state, "acme")
         then(Completed(FencingToken(7, 1, 1)) if told else NoMajority(self.name))
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
 
-    def book(self, customer: str, then: Callable[[Any], None]) -> None:
+    def history(self, customer: str, then: Callable[[Any], None]) -> None:
         self.reads += 1
         then((self.generation, self.register))
 
     def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
         self.told.append(at)
 
-    def bounds(self, customer: str) -> Bounds:
-        return Bounds()
+    def publishing_limits(self, customer: str) -> PublishingLimits:
+        return PublishingLimits()
 
     def ended(self, publisher: Publisher) -> None:
         return None
@@ -141,7 +155,7 @@
     for id in ("first", "unsure", "next", "unsure"):
         publisher.submit(submission(id, draft=id.encode()), got.append)
     assert isinstance(got[1], NoMajority) and there.reads == 1
-    ids = [e.id for e in reversed(there.register.entries)]
+    ids = [e.submission_id for e in reversed(there.register.revisions)]
     assert ids == (["first", "unsure", "next"] if came_about else ["first", "next", "unsure"])
     assert got[3] == (7, ids.index("unsure") + 1), "handed in again it is what it became, or becomes it now"
 
@@ -372,10 +386,10 @@
 
 
 class Backwards(CurrentRevisions):
-    def put(self, made: Revision) -> Revision:
-        self._current[made.customer] = made
-        self._gone.pop(made.customer, None)
-        return made
+    def install(self, revision: Revision) -> Revision:
+        self._current[revision.customer] = revision
+        self._tombstones.pop(revision.customer, None)
+        return revision
 
 
 class GoesBack(Replica):
@@ -387,13 +401,13 @@
 class Twice(Publisher):
     """Goes on from what it thinks is there, though it does not know whether the last one came about."""
 
-    def _judge(self, book: Book) -> None:
-        self._last = book
-        super()._judge(book)
+    def _judge(self, history: RevisionHistory) -> None:
+        self._last = history
+        super()._judge(history)
 
     def _done(self, got: Any) -> None:
         if isinstance(got, NoMajority):
-            self._book = self._last
+            self._history = self._last
         super()._done(got)
 
 
@@ -406,7 +420,7 @@
 class Early(Publisher):
     """Says that it is published before a majority has taken it."""
 
-    def _publish(self, book: Book, s: Submission, draft: bytes) -> None:
+    def _publish(self, history: RevisionHistory, s: Submission, draft: bytes) -> None:
         submit = self.lease.submit
 
         def early(effect: Any, callback: Callable[[Outcome], None]) -> None:
@@ -414,7 +428,7 @@
             callback(Completed(None))  # type: ignore[arg-type]
 
         self.lease.submit = early  # type: ignore[method-assign]
-        super()._publish(book, s, draft)
+        super()._publish(history, s, draft)
         self.lease.submit = submit  # type: ignore[method-assign]
 
 
@@ -427,13 +441,13 @@
 class Forgetful(Publisher):
     """Takes a submission that is handed in again for another one."""
 
-    def _judge(self, book: Book) -> None:
+    def _judge(self, history: RevisionHistory) -> None:
         s = self._waiting[0][0]
         try:
-            draft = draft_to_publish(book, s)
+            draft = draft_to_publish(history, s)
         except NamespaceError as exc:
             return self._done(exc)
-        return self._publish(book, s, draft)
+        return self._publish(history, s, draft)
 
 
 class ForgetsIds(Replica):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -20,7 +20,7 @@
     TimerFired,
 )
 from moorusher.load_balancing.policy import EndpointConfig, LoadBalancingPolicy
-from moorusher.namespaces.customers import CurrentRevisions
+from moorusher.namespaces.current_revisions import CurrentRevisions
 from moorusher.namespaces.rules import RequestAttributes
 from moorusher.routing.grants import Grants, Pool
 from moorusher.routing.route import Hop, RouteKey, RoutePath, decide_route
@@ -228,7 +228,7 @@
         },
         "rules": {"no": {"match": {"class": ["admin"]}, "refuse": "not here"}},
     }
-    found = customers.take("acme", (4, 2), json.dumps(draft).encode(), None)
+    found = customers.install_draft("acme", (4, 2), json.dumps(draft).encode(), None)
     ruled = decide_route(found, RequestAttributes("check"))
     customers.delete("acme", (4, 3))
     assert ruled.path == path(
