--- /dev/null
+++ b/moorusher/cli/api_client.py
@@ -0,0 +1,130 @@
+"""A client of a runner's administration API, and the options that say which runner it is."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable, Container
+from dataclasses import dataclass
+from functools import wraps
+from pathlib import Path
+from typing import Any
+from urllib.error import HTTPError
+from urllib.parse import quote
+from urllib.request import Request, urlopen
+
+import click
+
+from ..config.loader import load
+from ..config.operator_file import DEFAULT_OPERATOR_FILE, read_operator_file
+from ..config.section import Address, ConfigError, parse_address
+from ..server.main import REFUSED, UNREACHED
+from .output import CommandError
+
+TIMEOUT_S = 5.0
+
+
+@dataclass(frozen=True, slots=True)
+class ApiClient:
+    """A runner's administration API.
+
+    host, port: where it listens.
+    token: that changes need; "" for none.
+    """
+
+    host: str
+    port: int
+    token: str = ""
+
+    def request(
+        self, method: str, path: str, body: object = None, accepted_statuses: Container[int] = ()
+    ) -> Any:
+        """Send `body` as JSON, nothing where it is None, and return the answer's JSON.
+
+        :param accepted_statuses: those besides 2xx whose JSON is returned, too.
+        :raises CommandError: the runner can't be reached, or refuses.
+        """
+        content = None if body is None else json.dumps(body).encode()
+        return self.send(method, path, content, TIMEOUT_S, accepted_statuses)
+
+    def send(
+        self,
+        method: str,
+        path: str,
+        content: bytes | None,
+        timeout_s: float,
+        accepted_statuses: Container[int] = (),
+    ) -> Any:
+        """Send bytes as they are; else as `request`."""
+        url = f"http://{self.host}:{self.port}/{path}"
+        headers = {"Authorization": f"Bearer {self.token}"} if self.token and method != "GET" else {}
+        request = Request(url, data=content, method=method, headers=headers)
+        try:
+            with urlopen(request, timeout=timeout_s) as response:
+                return json.load(response)
+        except HTTPError as exc:
+            if exc.code in accepted_statuses:
+                return json.load(exc)
+            text = f"{self.host}:{self.port}: {exc.code}: {_refusal_text(exc)}"
+            raise CommandError(text, REFUSED) from exc
+        except (OSError, ValueError) as exc:
+            raise CommandError(f"{self.host}:{self.port}: {exc}", UNREACHED) from exc
+
+
+def _refusal_text(response: HTTPError) -> str:
+    """Return the error and its remedy, or the reason of the status where the answer has none."""
+    try:
+        refusal = json.load(response)
+        text = refusal["error"]
+        return str(text + (f"\n{refusal['remedy']}" if refusal.get("remedy") else ""))
+    except (ValueError, KeyError, TypeError):
+        return str(response.reason)
+
+
+def path_segment(name: str) -> str:
+    """Return a name as one segment of a path."""
+    return quote(name, safe="")
+
+
+def with_api(command: Callable[..., None]) -> Callable[..., None]:
+    """Pass the command, as its first argument, the API that --address, or the operator's file, names."""
+
+    @click.option("--address", help="HOST:PORT of the API (default: admin.listen of the operator's file).")
+    @click.option(
+        "--fronts",
+        type=click.Path(path_type=Path),
+        default=DEFAULT_OPERATOR_FILE,
+        help="The operator's file.",
+    )
+    @click.option(
+        "--token", envvar="MOORUSHER_TOKEN", help="For changes (default: that of the operator's file)."
+    )
+    @wraps(command)
+    def command_with_api(address: str | None, fronts: Path, token: str | None, **arguments: Any) -> None:
+        command(_client(address, fronts, token), **arguments)
+
+    return command_with_api
+
+
+def _client(address: str | None, operator_file: Path, token: str | None) -> ApiClient:
+    try:
+        admin = read_operator_file(operator_file).admin
+        listen = parse_address(address, "--address") if address else admin.listen
+    except ConfigError as exc:
+        raise CommandError(str(exc)) from exc
+    if listen is None:
+        raise CommandError(f"admin.listen: not set in {operator_file.name}; name the API with --address")
+    return ApiClient(*listen, token if token is not None else admin.token)
+
+
+def console_address(address: str | None) -> Address:
+    """Return the second address: the one given, else that of the configuration.
+
+    :raises CommandError: the configuration can't be used, or sets none.
+    """
+    try:
+        listen = parse_address(address, "--address") if address else load().console
+    except ConfigError as exc:
+        raise CommandError(str(exc)) from exc
+    if listen is None:
+        raise CommandError("console: not set; name it with --address")
+    return listen
--- a/moorusher/cli/configuration.py
+++ b/moorusher/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Verbs on the configuration."""
+"""The command that checks the configuration."""
 
 from __future__ import annotations
 
@@ -10,56 +10,63 @@
 from ..config.loader import load
 from ..config.model import Config
 from ..config.section import Address, ConfigError
-from . import FRONTS, JSON, Shown, show
+from .options import json_option, operator_file_option
+from .output import CommandError, print_lines
 
 
-def _at(address: Address | None) -> str:
+def _address_text(address: Address | None) -> str:
     return "off" if address is None else f"{address[0]}:{address[1]}"
 
 
-def told(config: Config) -> dict[str, object]:
-    """What the configuration comes to, without secrets."""
-    s, u, p = config.settings, config.uwsgi, config.probes
+def _fleet_text(config: Config) -> str:
+    fleet = config.fleet
+    if fleet.listen is None:
+        return "off"
+    return f"{fleet.name} at {_address_text(fleet.listen)}, {len(fleet.seats)} seats"
+
+
+def configuration_json(config: Config) -> dict[str, object]:
+    """Return what the configuration comes to, without secrets. The keys are what scripts read."""
+    probes, settings, uwsgi = config.probes, config.settings, config.uwsgi
     return {
         "name": config.name,
-        "listen": _at(config.listen),
-        "kernel": _at(config.kernel),
-        "db": _at(config.db),
-        "announce": _at(config.announce),
-        "console": _at(config.console),
-        "uwsgi": _at(u.listen),
-        "below": f"{_at(u.below)} (uwsgi)",
-        "agent": _at(p.agent),
-        "health": _at(p.health),
-        "admin": f"{_at(config.admin.listen)}{'' if config.admin.token else ' (no token: read only)'}",
-        "fleet": "off"
-        if config.fleet.listen is None
-        else f"{config.fleet.name} at {_at(config.fleet.listen)}, {len(config.fleet.seats)} seats",
-        "classes": [f"{c.name} ({c.effect.value})" for c in s.classes],
-        "tenants": [t.name for t in s.tenants],
+        "listen": _address_text(config.listen),
+        "kernel": _address_text(config.kernel),
+        "db": _address_text(config.db),
+        "announce": _address_text(config.announce),
+        "console": _address_text(config.console),
+        "uwsgi": _address_text(uwsgi.listen),
+        "below": f"{_address_text(uwsgi.below)} (uwsgi)",
+        "agent": _address_text(probes.agent),
+        "health": _address_text(probes.health),
+        "admin": _address_text(config.admin.listen)
+        + ("" if config.admin.token else " (no token: read only)"),
+        "fleet": _fleet_text(config),
+        "classes": [
+            f"{request_class.name} ({request_class.effect.value})" for request_class in settings.classes
+        ],
+        "tenants": [tenant.name for tenant in settings.tenants],
         "limits": f"{config.limits.memory_mb:g} MB, {config.limits.sockets} descriptors",
-        "standing": health_policy_json(p.policy),
+        "standing": health_policy_json(probes.policy),
     }
 
 
+def _value_text(value: object) -> object:
+    if isinstance(value, dict):
+        return ", ".join(f"{name} {figure:g}" for name, figure in value.items())
+    if isinstance(value, list):
+        return ", ".join(value) or "none"
+    return value
+
+
 @click.command("check-config")
-@FRONTS
-@JSON
+@operator_file_option
+@json_option
 def check_config(fronts: Path | None, as_json: bool) -> None:
     """Read the configuration and say what it comes to, or name the faulty key."""
     try:
         config = load(operator_file=fronts)
     except ConfigError as exc:
-        raise Shown(str(exc)) from exc
-    parts = told(config)
-    lines = []
-    for name, value in parts.items():
-        if isinstance(value, dict):
-            value = ", ".join(f"{k} {v:g}" for k, v in value.items())
-        elif isinstance(value, list):
-            value = ", ".join(value) or "none"
-        lines.append(f"{name:<9} {value}")
-    show(parts, as_json, "\n".join(lines))
-
-
-COMMANDS = (check_config,)
+        raise CommandError(str(exc)) from exc
+    parts = configuration_json(config)
+    print_lines(parts, as_json, [f"{name:<9} {_value_text(value)}" for name, value in parts.items()])
--- a/moorusher/cli/laboratory.py
+++ b/moorusher/cli/laboratory.py
@@ -1,4 +1,4 @@
-"""Verbs of the laboratory: `pip install moorusher[lab]`."""
+"""Commands of the laboratory: `pip install moorusher[lab]`."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 
 import click
 
-from . import JSON, Shown, show
+from .options import json_option
+from .output import CommandError, print_lines
 
 
-def _needs_extra() -> None:
+def _require_extra() -> None:
+    """Check that what the laboratory needs besides is installed."""
     try:
         import hdrh.histogram  # noqa: F401
         import matplotlib  # noqa: F401
     except ImportError as exc:
-        raise Shown(f"{exc.name} is missing: pip install 'moorusher[lab]'") from exc
+        raise CommandError(f"{exc.name} is missing: pip install 'moorusher[lab]'") from exc
 
 
 @click.group()
@@ -23,14 +25,14 @@
 
 
 @lab.command("list")
-@JSON
-def lab_list(as_json: bool) -> None:
+@json_option
+def list_experiments(as_json: bool) -> None:
     """Name the experiments."""
-    _needs_extra()
+    _require_extra()
     from ..lab.experiment import known
 
-    found = {name: e.about for name, e in known().items()}
-    show(found, as_json, "\n".join(f"{name:<10} {about}" for name, about in found.items()))
+    subjects = {name: experiment.about for name, experiment in known().items()}
+    print_lines(subjects, as_json, [f"{name:<10} {about}" for name, about in subjects.items()])
 
 
 @lab.command("run")
@@ -38,13 +40,13 @@
 @click.option("--quick", is_flag=True, help="One seed; under a minute.")
 @click.option("--seed", default=1, show_default=True, help="All that is random follows from it.")
 @click.option("--out", type=click.Path(path_type=Path), help="Where the report goes (default: lab-NAME).")
-def lab_run(name: str, quick: bool, seed: int, out: Path | None) -> None:
+def run_experiment(name: str, quick: bool, seed: int, out: Path | None) -> None:
     """Play one; exits with 0 only if all its criteria hold."""
-    _needs_extra()
+    _require_extra()
     from ..lab.experiment import known, run
 
     if name not in known():
-        raise Shown(f"no experiment {name}; known are {', '.join(known())}")
+        raise CommandError(f"no experiment {name}; known are {', '.join(known())}")
     folder = out or Path(f"lab-{name}")
     holds = run(name, quick, seed, folder, click.echo)
     click.echo(f"report: {folder / 'report.html'}")
@@ -57,16 +59,13 @@
 @click.option(
     "--runners", default=1, show_default=True, help="More than one are a fleet; kill NAME and stop NAME."
 )
-def lab_up(seconds: float, load: float, runners: int) -> None:
+def run_stand_ins(seconds: float, load: float, runners: int) -> None:
     """A runner in service with its kernel, what is below and a trickle of load; a line each second."""
-    _needs_extra()
+    _require_extra()
     if runners > 1:
         from ..lab import many
 
         raise SystemExit(many.up(runners, seconds, load, click.echo))
-    from ..lab.up import up
+    from ..lab import up
 
-    raise SystemExit(up(seconds, load, click.echo))
-
-
-COMMANDS = (lab,)
+    raise SystemExit(up.up(seconds, load, click.echo))
--- a/moorusher/cli/namespace.py
+++ b/moorusher/cli/namespace.py
@@ -1,4 +1,4 @@
-"""Verbs on customers' routing rules."""
+"""Commands on customers' routing rules."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 import os
 from pathlib import Path
 from typing import Any
-from urllib.parse import quote, urlencode
+from urllib.parse import urlencode
 
 import click
 
 from ..server.main import REFUSED
-from . import JSON, show
-from .runner import Api, api
+from .api_client import ApiClient, path_segment, with_api
+from .options import json_option
+from .output import print_lines, print_result
 
-PUBLISH_S = 15.0  # a submission is given up by the runner after eight seconds, and waited for after that
+PUBLISH_TIMEOUT_S = (
+    15.0  # a submission is given up by the runner after eight seconds, and waited for after that
+)
 
 
 @click.group()
@@ -22,157 +25,166 @@
     """Customers' routing rules: each customer's decide for its own requests, and for nobody else's."""
 
 
-def _lines(told: dict[str, Any]) -> list[str]:
-    what = "deleted" if told["deleted"] else f"revision {told['revision']}"
-    lines = [f"{told['customer']}: {what} of incarnation {told['born']}"]
-    if "complete" in told:
-        lines.append(
-            f"  {'everywhere' if told['complete'] else 'not everywhere yet'} after {told['took_ms']:.0f} ms"
-        )
-        lines += [f"  lacks it  {seat}: {why}" for seat, why in sorted(told["lacking"].items())]
+wait_option = click.option(
+    "--wait", is_flag=True, help="Until each live runner has it; exit code 3 names who has not."
+)
+author_option = click.option("--by", "author", help="Who publishes (default: the user's name).")
+expected_number_option = click.option(
+    "--expects",
+    "expected_number",
+    type=int,
+    default=-1,
+    help="The revision that it was made on top of; refused with what changed where another is there.",
+)
+
+
+def _change_lines(change: dict[str, Any]) -> list[str]:
+    result = "deleted" if change["deleted"] else f"revision {change['revision']}"
+    lines = [f"{change['customer']}: {result} of incarnation {change['born']}"]
+    if "complete" in change:
+        extent = "everywhere" if change["complete"] else "not everywhere yet"
+        lines.append(f"  {extent} after {change['took_ms']:.0f} ms")
+        lines += [f"  lacks it  {seat}: {reason}" for seat, reason in sorted(change["lacking"].items())]
     return lines
 
 
-def _changed(told: dict[str, Any], as_json: bool) -> None:
-    show(told, as_json, "\n".join(_lines(told)))
-    if told.get("complete") is False:
+def _submit(
+    api: ApiClient, method: str, path: str, query: dict[str, str], as_json: bool, draft: bytes = b""
+) -> None:
+    """Send a change of a namespace, and print what became of it."""
+    change = api.send(method, f"namespaces/{path}?{urlencode(query)}", draft, PUBLISH_TIMEOUT_S)
+    print_lines(change, as_json, _change_lines(change))
+    if change.get("complete") is False:
         raise SystemExit(REFUSED)
 
 
-def _query(wait: bool, by: str | None, **more: str) -> str:
-    given = (
-        {"id": os.urandom(12).hex(), "by": by or getpass.getuser()} | more | ({"wait": "1"} if wait else {})
-    )
-    return urlencode(given)
+def _submission_query(wait: bool, author: str | None, **more: str) -> dict[str, str]:
+    query = {"id": os.urandom(12).hex(), "by": author or getpass.getuser()} | more
+    return query | ({"wait": "1"} if wait else {})
 
 
-WAIT = click.option(
-    "--wait", is_flag=True, help="Until each live runner has it; exit code 3 names who has not."
-)
-BY = click.option("--by", help="Who publishes (default: the user's name).")
-EXPECTS = click.option(
-    "--expects",
-    type=int,
-    default=-1,
-    help="The revision that it was made on top of; refused with what changed where another is there.",
-)
+def _current_text(entry: dict[str, Any]) -> str:
+    if entry["published"]:
+        return f"revision {entry['revision']:<6} incarnation {entry['born']}"
+    return "deleted" if entry["deleted"] else "the platform's default"
 
 
 @namespace.command("list")
-@api
-@JSON
-def list_(api: Api, as_json: bool) -> None:
+@with_api
+@json_option
+def list_namespaces(api: ApiClient, as_json: bool) -> None:
     """Print the customers, and the revision that this runner goes by."""
-    got = api.ask("GET", "namespaces")
-    lines = [
-        f"{n['customer']:<28} "
-        + (
-            f"revision {n['revision']:<6} incarnation {n['born']}"
-            if n["published"]
-            else "deleted"
-            if n["deleted"]
-            else "the platform's default"
-        )
-        for n in got["namespaces"]
-    ]
-    if got["cut_off"]:
+    answer = api.request("GET", "namespaces")
+    lines = [f"{entry['customer']:<28} {_current_text(entry)}" for entry in answer["namespaces"]]
+    if answer["cut_off"]:
         lines.append(
-            f"{got['seats_up']} of {got['seats']} runners are heard of: others may go by later revisions"
+            f"{answer['seats_up']} of {answer['seats']} runners are heard of: others may go by later revisions"
         )
-    show(got, as_json, "\n".join(lines) or "no customers are set")
+    print_result(answer, as_json, "\n".join(lines) or "no customers are set")
+
+
+def _revision_line(revision: dict[str, Any]) -> str:
+    restored = f" (back to {revision['of']})" if revision["of"] else ""
+    changes = "; ".join(revision["changes"] or [])
+    return f"  {revision['number']:<5} by {revision['by']}{restored}  {changes}"
 
 
 @namespace.command("show")
 @click.argument("customer")
 @click.option("--draft", is_flag=True, help="Print the draft that is current, alone.")
-@api
-@JSON
-def show_(api: Api, customer: str, draft: bool, as_json: bool) -> None:
+@with_api
+@json_option
+def show_namespace(api: ApiClient, customer: str, draft: bool, as_json: bool) -> None:
     """Print what a majority has as current, and the revisions that can be taken back to."""
-    got = api.ask("GET", f"namespaces/{quote(customer, safe='')}")
+    answer = api.request("GET", f"namespaces/{path_segment(customer)}")
     if draft:
-        return click.echo(got["draft"] or "")
-    lines = [f"{customer}: revision {got['number']} of incarnation {got['born']}; here {got['here']}"]
-    for entry in got["revisions"]:
-        back = f" (back to {entry['of']})" if entry["of"] else ""
-        lines.append(f"  {entry['number']:<5} by {entry['by']}{back}  {'; '.join(entry['changes'] or [])}")
-    return show(got, as_json, "\n".join(lines))
+        click.echo(answer["draft"] or "")
+        return
+    current = (
+        f"{customer}: revision {answer['number']} of incarnation {answer['born']}; here {answer['here']}"
+    )
+    print_lines(answer, as_json, [current, *(_revision_line(one) for one in answer["revisions"])])
 
 
 @namespace.command("publish")
 @click.argument("customer")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@EXPECTS
-@BY
-@WAIT
-@api
-@JSON
-def publish(
-    api: Api, customer: str, file: Path, expects: int, by: str | None, wait: bool, as_json: bool
+@expected_number_option
+@author_option
+@wait_option
+@with_api
+@json_option
+def publish_draft(
+    api: ApiClient,
+    customer: str,
+    file: Path,
+    expected_number: int,
+    author: str | None,
+    wait: bool,
+    as_json: bool,
 ) -> None:
     """Publish the draft in FILE as the customer's next revision."""
-    query = _query(wait, by, expects=str(expects))
-    _changed(
-        api.send("PUT", f"namespaces/{quote(customer, safe='')}?{query}", file.read_bytes(), PUBLISH_S),
-        as_json,
-    )
+    query = _submission_query(wait, author, expects=str(expected_number))
+    _submit(api, "PUT", path_segment(customer), query, as_json, file.read_bytes())
 
 
 @namespace.command("back")
 @click.argument("customer")
 @click.argument("number", type=click.IntRange(1))
-@BY
-@WAIT
-@api
-@JSON
-def back(api: Api, customer: str, number: int, by: str | None, wait: bool, as_json: bool) -> None:
+@author_option
+@wait_option
+@with_api
+@json_option
+def roll_back(
+    api: ApiClient, customer: str, number: int, author: str | None, wait: bool, as_json: bool
+) -> None:
     """Publish the draft of revision NUMBER anew, as the next revision."""
-    _changed(
-        api.send(
-            "POST", f"namespaces/{quote(customer, safe='')}/back/{number}?{_query(wait, by)}", b"", PUBLISH_S
-        ),
-        as_json,
-    )
+    path = f"{path_segment(customer)}/back/{number}"
+    _submit(api, "POST", path, _submission_query(wait, author), as_json)
 
 
 @namespace.command("delete")
 @click.argument("customer")
 @click.confirmation_option(prompt="Its requests will go by the platform's default. Delete its rules?")
-@WAIT
-@api
-@JSON
-def delete(api: Api, customer: str, wait: bool, as_json: bool) -> None:
+@wait_option
+@with_api
+@json_option
+def delete_namespace(api: ApiClient, customer: str, wait: bool, as_json: bool) -> None:
     """Delete a customer's rules. Made anew, they are another namespace."""
-    _changed(
-        api.send("DELETE", f"namespaces/{quote(customer, safe='')}?{_query(wait, None)}", b"", PUBLISH_S),
-        as_json,
-    )
+    _submit(api, "DELETE", path_segment(customer), _submission_query(wait, None), as_json)
+
+
+def _hop_line(hop: dict[str, Any]) -> str:
+    if hop["pool"]:
+        servers = f"pool {hop['pool']}"
+    else:
+        servers = ", ".join(f"{server} ({weight})" for server, weight in hop["servers"].items())
+    return f"route     {hop['route']}: {servers}; {hop['tries']} tries, limit {hop['limit'] or 'none'}"
+
+
+def _explanation_lines(explanation: dict[str, Any]) -> list[str]:
+    revision = f" (revision {explanation['revision']})" if explanation["revision"] else ""
+    lines = [f"decides   {explanation['decides']}{revision}"]
+    if explanation.get("refused"):
+        lines.append(f"refused   {explanation['refused']}")
+    lines += [_hop_line(hop) for hop in explanation.get("way", ())]
+    lines += [f"also      {label} matches, less specific" for label in explanation.get("also_match", ())]
+    return lines
 
 
 @namespace.command("explain")
 @click.argument("customer")
-@click.option("--class", "klass", required=True)
+@click.option("--class", "class_name", required=True)
 @click.option("--key", default="")
 @click.option("--subject", type=int, default=-1)
 @click.option("--caller", type=int, default=-1)
 @click.option("--rank", type=float, default=0.0)
-@api
-@JSON
-def explain(api: Api, customer: str, as_json: bool, klass: str, **asked: Any) -> None:
+@with_api
+@json_option
+def explain_decision(
+    api: ApiClient, customer: str, as_json: bool, class_name: str, **attributes: object
+) -> None:
     """Print which rule decides for such a request, and where its calls go."""
-    query = urlencode({"class": klass} | {name: str(value) for name, value in asked.items()})
-    got = api.ask("GET", f"namespaces/{quote(customer, safe='')}/explain?{query}")
-    lines = [f"decides   {got['decides']}" + (f" (revision {got['revision']})" if got["revision"] else "")]
-    if got.get("refused"):
-        lines.append(f"refused   {got['refused']}")
-    for hop in got.get("way", ()):
-        where = (
-            f"pool {hop['pool']}"
-            if hop["pool"]
-            else ", ".join(f"{s} ({w})" for s, w in hop["servers"].items())
-        )
-        lines.append(
-            f"route     {hop['route']}: {where}; {hop['tries']} tries, limit {hop['limit'] or 'none'}"
-        )
-    lines += [f"also      {label} matches, less specific" for label in got.get("also_match", ())]
-    show(got, as_json, "\n".join(lines))
+    query = urlencode({"class": class_name} | {name: str(value) for name, value in attributes.items()})
+    explanation = api.request("GET", f"namespaces/{path_segment(customer)}/explain?{query}")
+    print_lines(explanation, as_json, _explanation_lines(explanation))
--- a/tests/compatibility/test_command_texts.py
+++ b/tests/compatibility/test_command_texts.py
@@ -86,7 +86,8 @@
         patch.setenv("COLUMNS", "100")
         patch.setenv("TZ", "UTC")
         time.tzset()
-        patch.delenv("GW_CONSOLE", raising=False)
+        for name in ("GW_CONSOLE", "GW_LISTEN", "GW_NAME"):
+            patch.delenv(name, raising=False)
         yield Scripted(patch)
     time.tzset()
     for number, handler in zip(SIGNALS, before, strict=True):
