--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line, in this process: exit codes, and commands on a runner over its API."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
     assert capsys.readouterr().out == f"moorusher {__version__}\n"
 
 
-def test_check_config_says_what_it_holds_or_names_the_key(
+def test_check_config_prints_the_configuration_or_names_the_key(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    file, fronts = tmp_path / "c.json", tmp_path / "fronts.toml"
-    monkeypatch.setenv("GW_CONFIG", str(file))
-    data = {"name": "n1", "listen": f"{HOST}:1", "kernel": f"{HOST}:2", "settings": SETTINGS}
-    file.write_text(json.dumps(data))
-    fronts.write_text(f'[uwsgi]\nlisten = "{HOST}:3"\n')
-    assert cli.main(["check-config", "--fronts", str(fronts)]) == 0
+    platform_file, operator_file = tmp_path / "c.json", tmp_path / "fronts.toml"
+    monkeypatch.setenv("GW_CONFIG", str(platform_file))
+    platform = {"name": "n1", "listen": f"{HOST}:1", "kernel": f"{HOST}:2", "settings": SETTINGS}
+    platform_file.write_text(json.dumps(platform))
+    operator_file.write_text(f'[uwsgi]\nlisten = "{HOST}:3"\n')
+    assert cli.main(["check-config", "--fronts", str(operator_file)]) == 0
     out = capsys.readouterr().out
     assert f"uwsgi     {HOST}:3" in out and "submit (keyed)" in out and "acme, bolt" in out
-    file.write_text(json.dumps(data | {"kernel": "nowhere"}))
-    assert cli.main(["check-config", "--fronts", str(fronts)]) == 2
+    platform_file.write_text(json.dumps(platform | {"kernel": "nowhere"}))
+    assert cli.main(["check-config", "--fronts", str(operator_file)]) == 2
     assert "kernel: expected HOST:PORT" in capsys.readouterr().err
 
 
-def test_stats_without_a_runner_fails_in_words(capsys: pytest.CaptureFixture[str]) -> None:
+def test_commands_without_a_runner_fail_with_an_error_text(capsys: pytest.CaptureFixture[str]) -> None:
+    """Nobody listens at the address, or the command is a faulty one: exit code and text say which."""
     assert cli.main(["stats", "--address", f"{HOST}:{free_port()}"]) == 1
     assert "refused" in capsys.readouterr().err
     assert (
@@ -49,29 +50,30 @@
 
 @pytest.mark.processes
 @sockets
-async def test_a_runner_that_cannot_listen_ends_with_an_error() -> None:
-    with socket.socket() as taken:
-        taken.bind((HOST, 0))
-        taken.listen()
-        async with running(Kernel(), wait=False, listen=taken.getsockname()[1]) as r:
-            await has(lambda: r.process.poll() is not None)
-            assert r.process.returncode == 1 and "could not start" in r.text()
+async def test_a_runner_whose_port_is_taken_ends_with_an_error() -> None:
+    """Another process listens where the runner should: it ends with exit code 1 and says that it could not start."""
+    with socket.socket() as other:
+        other.bind((HOST, 0))
+        other.listen()
+        async with running(Kernel(), wait=False, listen=other.getsockname()[1]) as runner:
+            await has(lambda: runner.process.poll() is not None)
+            assert runner.process.returncode == 1 and "could not start" in runner.text()
 
 
 @pytest.mark.processes
 @sockets
-async def test_verbs_on_a_runner_over_its_api() -> None:
-    async with running(Kernel()) as r:
+async def test_commands_on_a_runner_over_its_api() -> None:
+    async with running(Kernel()) as runner:
 
-        def say(*args: str) -> int:
-            return cli.main([*args, "--address", f"{HOST}:{r.admin}", "--token", "t0p"])
+        def run_command(*arguments: str) -> int:
+            return cli.main([*arguments, "--address", f"{HOST}:{runner.admin}", "--token", "t0p"])
 
-        async def said(*args: str) -> int:
-            return await asyncio.to_thread(say, *args)
+        async def exit_code(*arguments: str) -> int:
+            return await asyncio.to_thread(run_command, *arguments)
 
         assert [
-            await said(*v)
-            for v in (
+            await exit_code(*command)
+            for command in (
                 ("standing", "--check"),
                 ("standing", "--json"),
                 ("maintenance", "set", "--reason", "disk", "--for", "60"),
@@ -86,6 +88,8 @@
             )
         ] == [0, 0, 0, 4, 0, 0, 3, 3, 0, 0, 3]
         assert (
-            await asyncio.to_thread(cli.main, ["drain", "--address", f"{HOST}:{r.admin}", "--token", "no"])
+            await asyncio.to_thread(
+                cli.main, ["drain", "--address", f"{HOST}:{runner.admin}", "--token", "no"]
+            )
             == 3
         )
--- a/tests/test_config_namespaces.py
+++ b/tests/test_config_namespaces.py
@@ -1,4 +1,4 @@
-"""What the settings grant to customers: apart from each other, within what there is; each faulty key is named."""
+"""`[namespaces]`: grants to customers are disjoint and within what there is; errors name the key."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def read(
-    said: dict[str, Any], duties: bool = True, state_bytes: int = 1 << 18, servers: set[str] = SERVERS
+    changes: dict[str, Any], duties: bool = True, state_bytes: int = 1 << 18, servers: set[str] = SERVERS
 ) -> NamespacesConfig:
-    section = Section({"on": True, "customer": [ACME, BOLT], "pool": [SHARED]} | said, "namespaces")
+    section = Section({"on": True, "customer": [ACME, BOLT], "pool": [SHARED]} | changes, "namespaces")
     return read_namespaces(section, servers, duties, state_bytes)
 
 
-def test_each_customer_has_its_own_servers_shares_and_budget() -> None:
+def test_each_customer_has_its_own_servers_quotas_and_budget() -> None:
     got = read({"rules": 50, "customer": [ACME | {"rules": 70, "keep": 3}, BOLT]})
     assert got.customers["acme"].grant == Grant(
         frozenset({"a1", "a2"}), {"shared": 0.5}, Budget(max_rules=70)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "what"),
+    ("changes", "text"),
     [
         ({"customer": [ACME, BOLT | {"servers": ["a1"]}]}, "'a1' is granted to acme and to bolt"),
         ({"pool": [SHARED | {"servers": ["a1"]}]}, "'a1' is acme's own"),
@@ -54,9 +54,9 @@
         ({"pool": [SHARED | {"servers": ["p1", "free"]}]}, "none is left for who has no rules"),
     ],
 )
-def test_a_faulty_key_is_named(said: dict[str, Any], what: str) -> None:
-    with pytest.raises(ConfigError, match=what):
-        read(said)
+def test_errors_name_the_key(changes: dict[str, Any], text: str) -> None:
+    with pytest.raises(ConfigError, match=text):
+        read(changes)
 
 
 def test_namespaces_need_duties_and_servers() -> None:
--- a/tests/test_namespaces.py
+++ b/tests/test_namespaces.py
@@ -1,4 +1,4 @@
-"""Customers' rules: which one decides, held against a plain reference written apart; what is refused, and with what."""
+"""Customers' rules: which one decides, against a reference implementation; what drafts are rejected, and with what."""
 
 from __future__ import annotations
 
@@ -36,9 +36,10 @@
 from moorusher.namespaces.weighted_split import split_route
 
 
-def words(*of: str) -> StringSet:
-    """A trailing star is a prefix."""
-    return StringSet.of([w for w in of if not w.endswith("*")], [w[:-1] for w in of if w.endswith("*")])
+def string_set(*patterns: str) -> StringSet:
+    """A trailing star makes a prefix."""
+    literals = [pattern for pattern in patterns if not pattern.endswith("*")]
+    return StringSet.of(literals, [pattern[:-1] for pattern in patterns if pattern.endswith("*")])
 
 
 def rule(name: str, team: str = "", **match: Any) -> Rule:
@@ -48,7 +49,7 @@
 # ---- names ----
 
 
-def test_names_that_look_alike_are_different_and_others_are_refused_not_changed() -> None:
+def test_names_are_compared_exactly_and_unnormalized_ones_are_rejected() -> None:
     alike = ["acme", "Acme", "acme-eu", "\u0430cme", "acmé"]
     assert len({require_name(n, "customer") for n in alike}) == len(alike)
     for wrong in ("", "a b", "a\u0000", "acme\u0301x\u200d", "acme\u0065\u0301", "x" * 65, 7, None):
@@ -59,8 +60,10 @@
 
 # ---- sets ----
 
-SHORT = st.text("ab", max_size=3)
-WORDS = st.builds(StringSet.of, st.lists(SHORT, max_size=3), st.lists(SHORT, max_size=2))
+SHORT_STRINGS = st.text("ab", max_size=3)
+STRING_SETS = st.builds(
+    StringSet.of, st.lists(SHORT_STRINGS, max_size=3), st.lists(SHORT_STRINGS, max_size=2)
+)
 RANGES = st.builds(
     lambda ends: NumberRanges.of(zip(ends[::2], ends[1::2], strict=False)),
     st.lists(st.integers(-1, 6).map(float), max_size=4).map(sorted),
@@ -69,8 +72,8 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(WORDS, WORDS)
-def test_of_two_sets_the_one_inside_the_other_is_smaller(a: StringSet, b: StringSet) -> None:
+@given(STRING_SETS, STRING_SETS)
+def test_a_subset_has_a_smaller_size(a: StringSet, b: StringSet) -> None:
     inside = {s for s in STRINGS if s in a} <= {s for s in STRINGS if s in b}
     if inside and a != b and all(any(p.startswith(q) for q in b.prefixes) for p in a.prefixes):
         assert a.size() < b.size()
@@ -78,31 +81,31 @@
 
 # ---- which rule decides ----
 
-MATCHES = st.builds(
+MATCHERS = st.builds(
     Matcher,
-    WORDS | st.just(ALL_STRINGS),
+    STRING_SETS | st.just(ALL_STRINGS),
     RANGES | st.just(ALL_NUMBERS),
     st.just(ALL_NUMBERS) | RANGES,
-    WORDS | st.just(ALL_STRINGS),
+    STRING_SETS | st.just(ALL_STRINGS),
     st.just(ALL_RANKS) | st.just(NumberRanges.of([(0.0, 0.5)])),
 )
-ASKED = st.builds(
+REQUEST = st.builds(
     RequestAttributes,
-    SHORT,
+    SHORT_STRINGS,
     st.integers(-1, 6),
     st.integers(-1, 6),
     st.sampled_from([0.0, 0.4, 0.5, 0.9]),
-    SHORT,
+    SHORT_STRINGS,
 )
 
 
-def plain(rules: list[Rule], asked: RequestAttributes) -> Rule | None:
-    """The reference: of all that match, the most specific; a team's before the customer's."""
-    matching = [r for r in rules if asked in r.matcher]
-    return min(matching, key=lambda r: (not r.team, r.matcher.specificity()), default=None)
+def reference_decision(rules: list[Rule], request: RequestAttributes) -> Rule | None:
+    """Of all rules that match, the most specific; a team's before the customer's."""
+    matching = [rule for rule in rules if request in rule.matcher]
+    return min(matching, key=lambda rule: (not rule.team, rule.matcher.specificity()), default=None)
 
 
-def built(rules: list[Rule]) -> tuple[RuleTable | None, Exception | None]:
+def build_table(rules: list[Rule]) -> tuple[RuleTable | None, Exception | None]:
     try:
         return RuleTable(rules, "default"), None
     except (Ambiguous, Unreachable) as exc:
@@ -111,32 +114,33 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(
-    st.lists(st.tuples(MATCHES, st.booleans()), max_size=6),
-    st.lists(ASKED, min_size=8, max_size=8),
+    st.lists(st.tuples(MATCHERS, st.booleans()), max_size=6),
+    st.lists(REQUEST, min_size=8, max_size=8),
     st.randoms(),
 )
-def test_the_table_decides_as_the_plain_reference_and_typing_order_does_not_count(
+def test_the_table_decides_as_the_reference_in_any_order_of_rules(
     matches: list[tuple[Matcher, bool]], requests: list[RequestAttributes], shuffled: random.Random
 ) -> None:
     rules = [Rule(f"r{i}", m, RouteTo(f"r{i}"), "t" if team else "") for i, (m, team) in enumerate(matches)]
     other = list(rules)
     shuffled.shuffle(other)
-    (table, why), (again, why_again) = built(rules), built(other)
+    (table, why), (again, why_again) = build_table(rules), build_table(other)
     assert type(why) is type(why_again)
     if table is None or again is None:
         return
-    for asked in requests:
-        found = table.find(asked)
-        assert found == plain(rules, asked) == again.find(asked)
+    for request in requests:
+        found = table.find(request)
+        assert found == reference_decision(rules, request) == again.find(request)
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(st.lists(MATCHES, min_size=1, max_size=5))
-def test_what_is_refused_is_so_for_a_reason_and_what_is_taken_has_none(matches: list[Matcher]) -> None:
-    """Held against every request over the small alphabet; a rule that none of them reaches may be reached by others
-    only where it names what that alphabet has not."""
+@given(st.lists(MATCHERS, min_size=1, max_size=5))
+def test_exactly_ambiguous_and_unreachable_rules_are_rejected(matches: list[Matcher]) -> None:
+    """Compared with every request over a small alphabet; a rule that none of them reaches may be reached by others only
+    where it names what that alphabet has not.
+    """
     rules = [Rule(f"r{i}", m, RouteTo("x")) for i, m in enumerate(matches)]
-    table, why = built(rules)
+    table, why = build_table(rules)
     sample = [
         RequestAttributes(k, c, s, r, key)
         for k in ("", "a", "b", "ab", "aabb", "ba\u00e9")
@@ -150,7 +154,7 @@
         assert one.matcher.specificity() == two.matcher.specificity()
     elif isinstance(why, Unreachable):
         dead = next(r for r in rules if r.label == why.rule)
-        assert all(plain(rules, a) is not dead for a in sample)
+        assert all(reference_decision(rules, a) is not dead for a in sample)
         assert not why.covered_by or all(
             any(r.label == n and r.precedence() <= dead.precedence() for r in rules) for n in why.covered_by
         )
@@ -162,40 +166,45 @@
             assert len(best) <= 1
 
 
-def test_two_equally_specific_rules_that_meet_are_refused_with_both_names_and_a_request() -> None:
-    # Each narrower in one thing: the order of the things decides. Equally narrow in the same: nothing does.
-    RuleTable([rule("by key", key=words("eu-*")), rule("by class", class_name=words("submit"))], "d")
-    with pytest.raises(Ambiguous) as told:
+def test_overlapping_rules_of_equal_specificity_are_ambiguous() -> None:
+    """Rules that are each narrower in another attribute are ordered by the attributes. Of two that are equally narrow
+    in the same one, which decides would depend on the order of typing.
+    """
+    RuleTable(
+        [rule("by key", key=string_set("eu-*")), rule("by class", class_name=string_set("submit"))], "d"
+    )
+    with pytest.raises(Ambiguous) as raised:
         RuleTable(
             [
-                rule("one", class_name=words("submit", "check")),
-                rule("two", class_name=words("submit", "read")),
+                rule("one", class_name=string_set("submit", "check")),
+                rule("two", class_name=string_set("submit", "read")),
             ],
             "d",
         )
-    assert told.value.rules == ("one", "two") and "class 'submit'" in told.value.example
-    RuleTable([rule("one", class_name=words("submit")), rule("two", class_name=words("read"))], "d")
+    assert raised.value.rules == ("one", "two") and "class 'submit'" in raised.value.example
+    RuleTable([rule("one", class_name=string_set("submit")), rule("two", class_name=string_set("read"))], "d")
 
 
-def test_a_rule_that_others_cover_together_is_named_with_all_of_them() -> None:
+def test_an_unreachable_rule_is_named_with_all_rules_that_cover_it() -> None:
+    """A rule that is covered by several together, by none of them alone, would be published and never decide."""
     low, high = NumberRanges.of([(-1.0, 5.0)]), NumberRanges.of([(5.0, float(1 << 53))])
-    with pytest.raises(Unreachable) as told:
+    with pytest.raises(Unreachable) as raised:
         RuleTable(
             [
-                rule("low", key=words("a*"), caller=low),
-                rule("high", key=words("a*"), caller=high),
-                rule("both", key=words("a*")),
+                rule("low", key=string_set("a*"), caller=low),
+                rule("high", key=string_set("a*"), caller=high),
+                rule("both", key=string_set("a*")),
             ],
             "d",
         )
-    assert told.value.rule == "both" and set(told.value.covered_by) == {"low", "high"}
+    assert raised.value.rule == "both" and set(raised.value.covered_by) == {"low", "high"}
     with pytest.raises(Unreachable, match="never can never match"):
         RuleTable([rule("never", class_name=StringSet())], "d")
 
 
-def test_a_teams_rules_go_first_inside_the_team_and_nowhere_else() -> None:
-    team = rule("all", "eu", key=words("eu-*"))
-    table = RuleTable([team, rule("narrow", key=words("eu-x*", "us-x*")), rule("rest")], "d")
+def test_team_rules_take_precedence_within_their_scope_only() -> None:
+    team = rule("all", "eu", key=string_set("eu-*"))
+    table = RuleTable([team, rule("narrow", key=string_set("eu-x*", "us-x*")), rule("rest")], "d")
     assert (
         table.find(RequestAttributes("check", key="eu-1"))
         == table.find(RequestAttributes("check", key="eu-x"))
@@ -204,14 +213,14 @@
     decided = table.find(RequestAttributes("check", key="us-1"))
     assert decided is not None and decided.name == "rest"
     with pytest.raises(Unreachable):  # the team takes all of it
-        RuleTable([team, rule("narrow", key=words("eu-x*"))], "d")
+        RuleTable([team, rule("narrow", key=string_set("eu-x*"))], "d")
 
 
-def test_outcomes_and_the_default() -> None:
+def test_outcomes_and_the_default_route() -> None:
     table = RuleTable(
         [
-            Rule("no", Matcher(class_name=words("admin")), Reject("not here")),
-            rule("yes", class_name=words("read")),
+            Rule("no", Matcher(class_name=string_set("admin")), Reject("not here")),
+            rule("yes", class_name=string_set("read")),
         ],
         "d",
     )
@@ -225,7 +234,7 @@
     )
 
 
-def test_a_split_follows_its_weights_and_moves_only_what_a_change_moves() -> None:
+def test_a_split_follows_its_weights_and_a_change_moves_only_its_keys() -> None:
     old, new = Split((("a", 3), ("b", 1))), Split((("a", 3), ("b", 2)))
     keys = [f"k{i}" for i in range(8000)]
     before, after = [split_route(old, k) for k in keys], [split_route(new, k) for k in keys]
@@ -236,12 +245,16 @@
     assert all(split_route(Split((("a", 0), ("b", 1))), k) == "b" for k in keys[:50])
 
 
-def test_what_rules_may_cost_is_bounded() -> None:
-    many = [rule(f"r{i}", key=words(f"k{i}")) for i in range(500)]
+def test_table_limits_bound_steps_and_memory() -> None:
+    """A customer whose rules take long to check, or much memory, would take it from all others at the runner."""
+    many = [rule(f"r{i}", key=string_set(f"k{i}")) for i in range(500)]
     assert RuleTable(many, "d").find(RequestAttributes("x", key="k77")) == many[77]
     with pytest.raises(OverBudget, match="steps"):
         RuleTable(
-            [rule(f"r{i}", key=words(f"{i}*"), caller=NumberRanges.of([(0.0, 1.0 + i)])) for i in range(300)],
+            [
+                rule(f"r{i}", key=string_set(f"{i}*"), caller=NumberRanges.of([(0.0, 1.0 + i)]))
+                for i in range(300)
+            ],
             "d",
             TableLimits(max_check_steps=100),
         )
@@ -249,7 +262,7 @@
         RuleTable(many, "d", limits=TableLimits(max_bytes=1000))
 
 
-def test_boxes_without_each_other_are_what_they_say() -> None:
+def test_box_subtraction_is_exact_and_its_pieces_are_disjoint() -> None:
     r = random.Random(1)
     for _ in range(300):
         a, b = (tuple(r.randrange(1, 8) for _ in range(3)) for _ in range(2))
@@ -294,7 +307,7 @@
     return json.dumps(DRAFT | how).encode()
 
 
-def test_a_draft_is_read_into_routes_and_rules_and_a_team_stays_inside_itself() -> None:
+def test_a_draft_is_parsed_and_a_team_stays_within_its_scope() -> None:
     got = parse_draft(draft(), GRANTED)
     assert [r.name for r in got.fallback_chain("main")] == ["main", "spare"] and got.routes[
         "main"
@@ -354,9 +367,7 @@
         ),
     ],
 )
-def test_what_is_wrong_with_a_draft_is_named_by_its_path(
-    how: dict[str, Any], error: type[Exception], text: str
-) -> None:
+def test_draft_errors_name_the_path(how: dict[str, Any], error: type[Exception], text: str) -> None:
     with pytest.raises(error, match=re.escape(text)):
         parse_draft(draft(**how), GRANTED)
 
@@ -373,12 +384,12 @@
         b'{"default": "a", "routes": {"a": {"pool": []}}}',
     ],
 )
-def test_a_draft_that_is_none_is_refused(raw: bytes) -> None:
+def test_malformed_drafts_are_rejected(raw: bytes) -> None:
     with pytest.raises((Malformed, Foreign)):
         parse_draft(raw, GRANTED)
 
 
-def test_each_bound_is_refused_with_what_is_granted() -> None:
+def test_budget_errors_name_what_is_granted() -> None:
     small = Budget(max_rules=2, max_routes=1, max_route_servers=1, max_set_members=3, max_draft_bytes=100)
     for name in ("max_rules", "max_routes", "max_set_members", "max_draft_bytes"):
         budget = replace(Budget(), **{name: getattr(small, name)})
@@ -386,7 +397,7 @@
             parse_draft(draft(), replace(GRANTED, budget=budget))
 
 
-# ---- one customer beside another ----
+# ---- customers and revisions ----
 
 REQUESTS = [
     RequestAttributes(k, key=key, rank=r)
@@ -394,7 +405,7 @@
     for key in ("", "eu-1", "lab-1")
     for r in (0.1, 0.9)
 ]
-SMALL = [
+DRAFTS = [
     draft(),
     draft(rules={}),
     draft(teams={}),
@@ -404,14 +415,17 @@
 ]
 
 
-def decisions(all_of: CurrentRevisions, customer: str) -> list[Any]:
-    found = all_of.get(customer)
-    return [None if found is None else found.decide(a) for a in REQUESTS]
+def decisions(current: CurrentRevisions, customer: str) -> list[Any]:
+    found = current.get(customer)
+    return [None if found is None else found.decide(request) for request in REQUESTS]
 
 
 @pytest.mark.parametrize("other", ["acme-eu", "Acme", "acm", "\u0430cme", "acme/lab", "lab"])
-def test_no_customer_changes_what_is_decided_for_another(other: str) -> None:
-    for mine, theirs in itertools.product(SMALL, SMALL):
+def test_customers_are_isolated_from_each_other(other: str) -> None:
+    """Another customer, under a name that looks alike or begins alike, publishes, is refused and is deleted. Each
+    decision for the first one stays.
+    """
+    for mine, theirs in itertools.product(DRAFTS, DRAFTS):
         alone = CurrentRevisions()
         alone.install_draft("acme", (1, 1), mine, GRANTED)
         expected = decisions(alone, "acme")
@@ -425,19 +439,22 @@
         assert decisions(both, "acme") == expected and both.get(other) is None and both.get(None) is None
 
 
-def test_revisions_go_forwards_only_and_a_request_keeps_the_one_it_was_read_under() -> None:
+def test_revisions_only_advance_and_a_request_keeps_its_own() -> None:
+    """A message that was delayed brings an earlier revision, or one of an earlier incarnation, after a later one or
+    after the deletion: it must not come back. A request that was read before goes by the revision of that time.
+    """
     c = CurrentRevisions()
     first = c.install_draft("acme", (5, 1), draft(), GRANTED)
-    asked = RequestAttributes("x", rank=0.9)
-    before = first.decide(asked)
+    request = RequestAttributes("x", rank=0.9)
+    before = first.decide(request)
     c.install_draft("acme", (5, 2), draft(default="spare"), GRANTED)
     for at in ((5, 2), (5, 1), (4, 9)):
         with pytest.raises(Stale):
             c.install_draft("acme", at, draft(), GRANTED)
     held = c.get("acme")
-    assert held is not None and held.decide(asked) != before == first.decide(asked)
+    assert held is not None and held.decide(request) != before == first.decide(request)
     c.delete("acme", (5, 3))
-    assert c.get("acme") is None and first.decide(asked) == before
+    assert c.get("acme") is None and first.decide(request) == before
     with pytest.raises(Stale):
         c.install_draft("acme", (5, 3), draft(), GRANTED)  # what comes late does not bring it back
     anew = c.install_draft("acme", (6, 1), draft(rules={}), GRANTED)
@@ -449,7 +466,7 @@
     assert len(small) == 0 and small.latest_id("c8") == (1, 2) and small.latest_id("c0") == (0, 0)
 
 
-def test_each_error_says_what_helps_and_stands_on_the_page_for_on_call_staff() -> None:
+def test_each_error_has_a_remedy_and_is_on_the_page_for_on_call_staff() -> None:
     page = (Path(__file__).parent.parent / "docs" / "operate" / "namespaces.md").read_text()
     for kind in NamespaceError.__subclasses__():
         assert f"| `{kind.__name__}` |" in page
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Customers' revisions on a disk that fails: nothing is dropped, and nothing that is well is put aside."""
+"""The store of revisions on a failing disk: no write is lost, and no intact file is set aside."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from .test_sockets import has, sockets
 
 
-class Disk:
-    """Fails the statements that begin with `statement`, as often as `errors` says."""
+class FailingDisk:
+    """Connections whose statements that begin with `statement` fail, one for each of `errors`."""
 
     def __init__(self) -> None:
         self.statement = "insert"
@@ -51,17 +51,17 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(revisions, "WRITE_RETRY_PAUSE_S", 0.05)
     monkeypatch.setattr(revisions, "OPEN_PATIENCE_S", 0.3)
     monkeypatch.setattr(revisions, "BUSY_TIMEOUT_S", 0.05)
 
 
 @asynccontextmanager
-async def store(path: Path, disk: Disk | None = None) -> AsyncIterator[tuple[Store, Counter[str]]]:
+async def store(path: Path, disk: FailingDisk | None = None) -> AsyncIterator[tuple[Store, Counter[str]]]:
     pool, counts = DaemonThreadPool(0, 1), Counter[str]()
     pool.start()
-    made = Store(
+    opened = Store(
         reactor(),
         path,
         pool,
@@ -69,101 +69,109 @@
         connect if disk is None else disk.connect,
     )
     try:
-        yield made, counts
+        yield opened, counts
     finally:
-        made.close()
+        opened.close()
         await asyncio.to_thread(pool.stop)
 
 
-def had(path: Path) -> dict[str, tuple[int, int, bytes | None]]:
+def stored_rows(path: Path) -> dict[str, tuple[int, int, bytes | None]]:
     with sqlite3.connect(path) as db:
         return {c: (b, n, d) for c, b, n, d in db.execute("select customer, born, number, draft from had")}
 
 
-async def written(path: Path) -> None:
-    """A store that has one revision, and is closed."""
-    async with store(path) as (made, _):
-        made.open()
-        made.put("acme", (1, 1), b"one")
-        await has(lambda: bool(had(path)))
+async def write_one_revision(path: Path) -> None:
+    """Leave a closed store with one revision."""
+    async with store(path) as (revisions_store, _):
+        revisions_store.open()
+        revisions_store.put("acme", (1, 1), b"one")
+        await has(lambda: bool(stored_rows(path)))
 
 
 @pytest.mark.parametrize("error", [FULL, BROKEN])
 @sockets
-async def test_what_a_failing_disk_did_not_take_is_written_when_it_does(
+async def test_failed_writes_are_retried_until_the_disk_takes_them(
     tmp_path: Path, error: tuple[str, int]
 ) -> None:
-    path, disk = tmp_path / "n.db", Disk()
-    async with store(path, disk) as (made, counts):
-        assert made.open() == []
+    """The disk is full, or has errors, for three writes. What came meanwhile, also a later revision of the same
+    customer, is written once it works again; until then the store says that it is failing.
+    """
+    path, disk = tmp_path / "n.db", FailingDisk()
+    async with store(path, disk) as (revisions_store, counts):
+        assert revisions_store.open() == []
         disk.fail(*error, times=3)
-        made.put("acme", (1, 1), b"one")
-        await has(lambda: bool(made.failing))
-        made.put("bolt", (1, 1), b"other")
-        made.put("acme", (1, 2), b"two")
-        await has(lambda: not made.failing)
-        assert had(path) == {"acme": (1, 2, b"two"), "bolt": (1, 1, b"other")}
+        revisions_store.put("acme", (1, 1), b"one")
+        await has(lambda: bool(revisions_store.failing))
+        revisions_store.put("bolt", (1, 1), b"other")
+        revisions_store.put("acme", (1, 2), b"two")
+        await has(lambda: not revisions_store.failing)
+        assert stored_rows(path) == {"acme": (1, 2, b"two"), "bolt": (1, 1, b"other")}
         assert counts["namespaces: store not written"] == 3
 
 
 @sockets
-async def test_anothers_success_does_not_hide_what_is_still_owed(tmp_path: Path) -> None:
-    path, disk = tmp_path / "n.db", Disk()
-    async with store(path, disk) as (made, _):
-        made.open()
+async def test_another_customers_write_does_not_hide_a_failed_one(tmp_path: Path) -> None:
+    """One write fails, the next one of another customer succeeds: the first one is still retried."""
+    path, disk = tmp_path / "n.db", FailingDisk()
+    async with store(path, disk) as (revisions_store, _):
+        revisions_store.open()
         disk.fail(*FULL)
-        made.put("acme", (1, 1), b"one")
-        made.put("bolt", (1, 1), b"other")
-        await has(lambda: len(had(path)) == 2 and not made.failing)
+        revisions_store.put("acme", (1, 1), b"one")
+        revisions_store.put("bolt", (1, 1), b"other")
+        await has(lambda: len(stored_rows(path)) == 2 and not revisions_store.failing)
 
 
 @pytest.mark.parametrize("error", [FULL, BROKEN, ("database is locked", sqlite3.SQLITE_BUSY)])
 @sockets
-async def test_a_disk_that_fails_for_a_moment_at_the_start_costs_nothing(
-    tmp_path: Path, error: tuple[str, int]
-) -> None:
-    path, disk = tmp_path / "n.db", Disk()
-    await written(path)
+async def test_a_short_disk_failure_at_startup_loses_nothing(tmp_path: Path, error: tuple[str, int]) -> None:
+    """Two reads fail as the process starts: the file is read again, and not taken for a damaged one."""
+    path, disk = tmp_path / "n.db", FailingDisk()
+    await write_one_revision(path)
     disk.fail(*error, times=2, statement="select")
-    async with store(path, disk) as (made, _):
-        assert made.open() == [("acme", (1, 1), b"one")]
+    async with store(path, disk) as (revisions_store, _):
+        assert revisions_store.open() == [("acme", (1, 1), b"one")]
     assert not path.with_suffix(".damaged").exists()
 
 
 @sockets
-async def test_a_file_that_stays_locked_is_left_in_place_and_written_to_later(tmp_path: Path) -> None:
+async def test_a_locked_file_stays_in_place_and_is_written_later(tmp_path: Path) -> None:
+    """Another process has the file locked for longer than the store waits. The runner serves without it; once it is
+    free the later revisions are written, and none that the file has is overwritten by an older one.
+    """
     path = tmp_path / "n.db"
-    await written(path)
+    await write_one_revision(path)
     other = sqlite3.connect(path, isolation_level=None)
     other.execute("begin exclusive")
-    async with store(path) as (made, counts):
-        assert made.open() == [] and made.failing
+    async with store(path) as (revisions_store, counts):
+        assert revisions_store.open() == [] and revisions_store.failing
         assert not counts["namespaces: a damaged store"] and not path.with_suffix(".damaged").exists()
-        made.put("bolt", (1, 1), b"other")
-        made.put("acme", (1, 0), b"older")
+        revisions_store.put("bolt", (1, 1), b"other")
+        revisions_store.put("acme", (1, 0), b"older")
         other.execute("rollback")
-        await has(lambda: not made.failing)
-        assert had(path) == {"acme": (1, 1, b"one"), "bolt": (1, 1, b"other")}
+        await has(lambda: not revisions_store.failing)
+        assert stored_rows(path) == {"acme": (1, 1, b"one"), "bolt": (1, 1, b"other")}
     other.close()
 
 
 @sockets
-async def test_a_damaged_file_is_kept_aside_and_the_store_begins_anew(tmp_path: Path) -> None:
+async def test_a_damaged_file_is_set_aside_and_the_store_starts_empty(tmp_path: Path) -> None:
+    """The file is no database: it is kept under another name for whoever looks into it, and the store works."""
     path = tmp_path / "n.db"
     path.write_bytes(b"no database at all, " * 200)
-    async with store(path) as (made, counts):
-        assert made.open() == [] and counts["namespaces: a damaged store"] == 1
+    async with store(path) as (revisions_store, counts):
+        assert revisions_store.open() == [] and counts["namespaces: a damaged store"] == 1
         assert path.with_suffix(".damaged").exists()
-        made.put("acme", (1, 1), b"one")
-        await has(lambda: bool(had(path)))
+        revisions_store.put("acme", (1, 1), b"one")
+        await has(lambda: bool(stored_rows(path)))
 
 
 @sockets
-async def test_what_is_owed_at_the_end_is_tried_once_more(tmp_path: Path) -> None:
-    path, disk = tmp_path / "n.db", Disk()
-    async with store(path, disk) as (made, _):
-        made.open()
+async def test_pending_writes_are_tried_once_more_at_shutdown(tmp_path: Path) -> None:
+    """A write has failed, and the process ends before its retry: it is written as the store is closed."""
+    path, disk = tmp_path / "n.db", FailingDisk()
+    async with store(path, disk) as (revisions_store, _):
+        revisions_store.open()
         disk.fail(*FULL)
-        made.put("acme", (1, 1), b"one")
-        await has(lambda: bool(made.failing))
-    assert had(path) == {"acme": (1, 1, b"one")}
+        revisions_store.put("acme", (1, 1), b"one")
+        await has(lambda: bool(revisions_store.failing))
+    assert stored_rows(path) == {"acme": (1, 1, b"one")}
