--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -9,7 +9,7 @@
 from ..config_distribution.errors import DistributionError
 from ..config_distribution.propagation import DELETED_NUMBER
 from ..core.clock import MS
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..namespaces.current_revisions import Revision
 from ..namespaces.draft_changes import draft_changes
 from ..namespaces.errors import NoSuchCustomer
@@ -108,8 +108,8 @@
     def show(self, customer: str, then: ResultCallback) -> None:
         """Read what is current for the whole cluster, and which earlier revisions are retained."""
 
-        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             incarnation, history = got
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -32,7 +32,7 @@
 MAX_WAITING = 16  # submissions a customer
 Answer = Callable[[RevisionId | DistributionError], None]
 HistoryCallback = Callable[
-    [tuple[int, RevisionHistory] | DutyError], None
+    [tuple[int, RevisionHistory] | LeadershipError], None
 ]  # with the namespace's incarnation
 
 
@@ -135,7 +135,7 @@
             self._judge(self._history)
             return
 
-        def read(got: tuple[int, RevisionHistory] | DutyError) -> None:
+        def read(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
             if self._stopped:
                 return
             if isinstance(got, LeadershipError):
@@ -191,7 +191,7 @@
                 self.host.published(self.customer, revision_id, draft)
                 self._done(revision_id)
                 return
-            if isinstance(outcome, (NoMajority, Busy)):
+            if isinstance(outcome, (NoMajorityError, LeaderBusyError)):
                 # The change may still be accepted. Judged by the old history, the next draft would get the same number:
                 # the register is read first, which also prevents the change from being accepted afterwards.
                 self._history = None
--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -57,8 +57,8 @@
         """Call `then` with the draft of exactly that revision; None where it is not there or not readable."""
         incarnation, number = revision_id
 
-        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
-            entry = None if isinstance(got, DutyError) or got[0] != incarnation else got[1].find(number)
+        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            entry = None if isinstance(got, LeadershipError) or got[0] != incarnation else got[1].find(number)
             then(None if entry is None else entry.draft)
 
         self.history(customer, got_history)
@@ -79,8 +79,8 @@
             return
         incarnation, number = revision_id
 
-        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             entry = got[1].find(number) if got[0] == incarnation else None
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -45,7 +45,7 @@
     def __init__(self, case: Publishes, who: str, term: int, state: bytes, kind: type[Publisher]) -> None:
         self.case, self.who, self.term, self.state, self.record = case, who, term, state, _Record()
         self.changes: list[_Change] = []
-        self.reads: list[Callable[[tuple[int, RevisionHistory] | DutyError], None]] = []
+        self.reads: list[Callable[[tuple[int, RevisionHistory] | LeadershipError], None]] = []
         self.over = False
         self.publisher = kind(self, self)  # type: ignore[arg-type]
         self.publisher.start()
@@ -57,7 +57,9 @@
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
 
-    def history(self, customer: str, then: Callable[[tuple[int, RevisionHistory] | DutyError], None]) -> None:
+    def history(
+        self, customer: str, then: Callable[[tuple[int, RevisionHistory] | LeadershipError], None]
+    ) -> None:
         self.reads.append(then)
 
     def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -8,7 +8,7 @@
 from ..errors import OperatorError
 
 
-class NamespaceError(Remediable):
+class NamespaceError(OperatorError):
     """A draft, or a call about a namespace, is rejected."""
 
 
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -123,7 +123,7 @@
         told, made = self.outcomes.pop(0) if self.outcomes else (True, True)
         if made:
             self.register = decode_history(effect.state, "acme")
-        then(Completed(FencingToken(7, 1, 1)) if told else NoMajority(self.name))
+        then(Completed(FencingToken(7, 1, 1)) if told else NoMajorityError(self.name))
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
@@ -154,7 +154,7 @@
     publisher.start()
     for id in ("first", "unsure", "next", "unsure"):
         publisher.submit(submission(id, draft=id.encode()), got.append)
-    assert isinstance(got[1], NoMajority) and there.reads == 1
+    assert isinstance(got[1], NoMajorityError) and there.reads == 1
     ids = [e.submission_id for e in reversed(there.register.revisions)]
     assert ids == (["first", "unsure", "next"] if came_about else ["first", "next", "unsure"])
     assert got[3] == (7, ids.index("unsure") + 1), "handed in again it is what it became, or becomes it now"
@@ -406,7 +406,7 @@
         super()._judge(history)
 
     def _done(self, got: Any) -> None:
-        if isinstance(got, NoMajority):
+        if isinstance(got, NoMajorityError):
             self._history = self._last
         super()._done(got)
 
