--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -1,4 +1,4 @@
-"""The forecast of demand, carried out: the core's counts, work in a thread, hints for whoever starts runners."""
+"""Connects the forecast to this process: demand from the engine, calculations in a thread, operators."""
 
 from __future__ import annotations
 
@@ -6,167 +6,212 @@
 import sys
 import time
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from twisted.internet.threads import deferToThreadPool
 
 from ..core.demand import DemandObserver
 from ..core.requests import Request
-from ..forecast_service.errors import ForecastError, NoNumpy, NotYet
-from ..forecast_service.forecaster import Forecaster, label
-from ..forecast_service.member import Member
-from ..forecast_service.messages import Past
-from ..forecasting.demand import Key
-from ..forecasting.ledger import Series
-from ..forecasting.policy import Policy
-from ..leadership.errors import DutyError
+from ..forecast_service.errors import NoNumpy, NotYet
+from ..forecast_service.forecaster import Forecaster
+from ..forecast_service.leader_queries import DocumentCallback
+from ..forecast_service.member import ForecastMember
+from ..forecast_service.messages import ImportedHistory, Message
+from ..forecast_service.rolling_forecast import ForecastCallback
+from ..forecasting.demand_counts import DemandCounts, RouteKey, decode_key
+from ..forecasting.hourly_series import HourlySeries
+from ..forecasting.policy import ForecastPolicy
 from ..leadership.lease_holder import LeaseHolder
-from ..membership.failure_detector import MS
 from .draft_parsing import SWITCH_INTERVAL_S, DaemonThreadPool
 from .leadership import DutyLink
 
+if TYPE_CHECKING:
+    from ..forecasting.weekly_forecast import WeeklyForecast
+
 log = logging.getLogger("moorusher")
 
+MS_PER_S = 1_000
+NS_PER_MS = 1_000_000
+
 
-class Counting(DemandObserver):
-    """First tries, by the customer's route that they were given when they were read."""
+class DemandCounting(DemandObserver):
+    """Counts first attempts, by the route that they were given when they were read."""
 
     def __init__(self, link: ForecastLink) -> None:
         self._link = link
 
-    def _key(self, request: Request) -> Key:
-        ruling = request.ruling
-        path = None if ruling is None else ruling.path
-        route = "" if path is None else path.hops[0].route
-        return Key(request.tenant or "", 0 if ruling is None else ruling.at[0], route, self._link.member.zone)
-
     def requested(self, request: Request) -> None:
-        self._link.add(self._key(request), asked=1, worth=request.request_class.priority_weight)
+        """See `DemandObserver`."""
+        priority_weight = request.request_class.priority_weight
+        self._count(request, DemandCounts(requests=1, priority_weight=priority_weight))
 
     def rejected(self, request: Request) -> None:
-        self._link.add(self._key(request), refused=1)
+        """See `DemandObserver`."""
+        self._count(request, DemandCounts(rejected=1))
 
     def run_ended(self, request: Request, core_us: int) -> None:
-        self._link.add(self._key(request), runs=1, core_us=core_us)
+        """See `DemandObserver`."""
+        self._count(request, DemandCounts(runs=1, core_us=core_us))
 
+    def _count(self, request: Request, counts: DemandCounts) -> None:
+        member = self._link.member
+        member.counter.count(self._link.unix_ms(), _route_key(request, member.zone), counts)
 
-class ForecastLink:
-    """`forecasting.member.Host`, and `forecaster.Host` for the one that has the duty."""
 
-    def __init__(self, duties: DutyLink, policy: Policy, reactor: Any) -> None:
-        self.duties, self.policy, self.core, self._reactor = duties, policy, duties.core, reactor
+def _route_key(request: Request, zone: str) -> RouteKey:
+    ruling = request.ruling
+    incarnation = 0 if ruling is None else ruling.at[0]
+    path = None if ruling is None else ruling.path
+    route = "" if path is None else path.hops[0].route
+    return RouteKey(request.tenant or "", incarnation, route, zone)
+
+
+class ForecastLink:
+    """The process of a member and of its forecaster (`MemberHost`, `ForecasterHost`), and the operators' way to them.
+
+    duties: this runner's link to the duties.
+    policy: settings.
+    core: the engine of this runner.
+    member: this runner's part in the forecast.
+    """
+
+    def __init__(self, duties: DutyLink, policy: ForecastPolicy, reactor: Any) -> None:
+        self.duties = duties
+        self.policy = policy
+        self.core = duties.core
+        self._reactor = reactor
         self._pool = DaemonThreadPool(0, 1, name="forecast")
-        self.member = Member(duties.participant, self, policy)
+        self.member = ForecastMember(duties.participant, self, policy)
         duties.forecast = self
         duties.fleet.forecast = self
-        self.core.hooks.demand = Counting(self)
+        self.core.hooks.demand = DemandCounting(self)
 
     def start(self) -> None:
+        """Begin to report."""
         self._pool.start()
         self.member.start()
 
-    def add(self, key: Key, **more: float) -> None:
-        self.member.tally.count(self.unix_ms(), key, **more)
-
     def leave(self) -> None:
-        """What was counted last is told before the end."""
-        self.member.tell()
-
-    # ---- for the member, and for the forecaster ----
-
-    def unix_ms(self) -> int:
-        return time.time_ns() // 1_000_000
+        """The process is about to end: report what was counted last."""
+        self.member.report()
 
     def work(self, lease: LeaseHolder) -> Forecaster:
+        """Return the worker for a term that begins (`leadership.WorkerFactory`)."""
         return self.member.work(lease)
 
-    def worker(self, lease: LeaseHolder) -> Forecaster:
-        seats = {name: seat.zone for name, seat in self.duties.fleet.node.placement.by_name.items()}
-        return Forecaster(lease, self, self.policy, seats)
+    # ---- the member's host ----
 
-    def say(self, seat: str, message: Any) -> None:
-        self.member.say(seat, message)
+    def unix_ms(self) -> int:
+        """See `MemberHost`."""
+        return time.time_ns() // NS_PER_MS
 
-    def count(self, name: str) -> None:
-        self.core.counters.add(name)
+    def make_forecaster(self, lease: LeaseHolder) -> Forecaster:
+        """See `MemberHost`."""
+        placement = self.duties.fleet.node.placement
+        zones = {name: seat.zone for name, seat in placement.by_name.items()}
+        return Forecaster(lease, self, self.policy, zones)
+
+    # ---- the forecaster's host ----
 
-    def at(self, when: int, action: Callable[[], None]) -> None:
-        self.duties.participant.services.at(when, action)
+    def send_to_member(self, seat: str, message: Message) -> None:
+        """See `ForecasterHost`."""
+        self.member.send(seat, message)
+
+    def at(self, when_us: int, action: Callable[[], None]) -> None:
+        """See `ForecasterHost`."""
+        self.duties.participant.services.at(when_us, action)
 
     def clock(self) -> int:
+        """See `ForecasterHost`."""
         return self.duties.participant.services.now()
 
+    def count(self, name: str) -> None:
+        """See `ForecasterHost`."""
+        self.core.counters.add(name)
+
+    def running_by_zone(self) -> Mapping[str, int]:
+        """See `ForecasterHost`."""
+        node = self.duties.fleet.node
+        running: dict[str, int] = {}
+        for member in node.detector.by_seat.values():
+            zone = node.placement.by_name[member.seat].zone
+            running[zone] = running.get(zone, 0) + member.is_alive
+        return running
+
     def ended(self, worker: Forecaster) -> None:
+        """See `ForecasterHost`."""
         self.member.ended(worker)
 
-    def running(self) -> Mapping[str, int]:
-        node = self.duties.fleet.node
-        made: dict[str, int] = {}
-        for m in node.detector.by_seat.values():
-            zone = node.placement.by_name[m.seat].zone
-            made[zone] = made.get(zone, 0) + m.is_alive
-        return made
-
-    def _in_thread(self, work: Callable[[], Any], then: Callable[[Any], None]) -> None:
-        def run() -> Any:
-            sys.setswitchinterval(SWITCH_INTERVAL_S)
-            try:
-                return work()
-            except ModuleNotFoundError as exc:
-                return NoNumpy(f"this runner owns the forecast, and can't work it out: {exc}")
+    def calculate_forecast(
+        self,
+        series: Mapping[str, HourlySeries],
+        customers: Mapping[str, str],
+        first_hour: int,
+        callback: ForecastCallback,
+    ) -> None:
+        """See `ForecastCalculator`."""
 
-        def done(got: Any) -> None:
-            self.core.begin_turn()
-            then(got)
+        def calculate() -> WeeklyForecast:
+            from ..forecasting.weekly_forecast import forecast_week
 
-        def failed(failure: Any) -> None:
-            log.error("forecast: could not be worked out: %s", failure)
-            done(NotYet(f"it could not be worked out: {failure.value}"))
+            return forecast_week(series, customers, first_hour, self.policy.calendars)
 
-        deferToThreadPool(self._reactor, self._pool, run).addCallbacks(done, failed)
+        self._in_thread(calculate, callback)
 
-    def work_out(
-        self,
-        series: Mapping[str, Series],
-        customers: Mapping[str, str],
-        last: int,
-        then: Callable[[Any], None],
+    def calculate_correction(
+        self, forecast: WeeklyForecast, actual: Mapping[str, list[float]], callback: ForecastCallback
     ) -> None:
-        def work() -> Any:
-            from ..forecasting.week import week_ahead
+        """See `ForecastCalculator`."""
 
-            return week_ahead(series, customers, last, self.policy.calendars)
+        def calculate() -> WeeklyForecast:
+            from ..forecasting.intraday_correction import correct_with_actuals
 
-        self._in_thread(work, then)
+            return correct_with_actuals(forecast, actual)
 
-    def correct(self, week: Any, hours: Mapping[str, list[float]], then: Callable[[Any], None]) -> None:
-        def work() -> Any:
-            from ..forecasting.week import corrected
+        self._in_thread(calculate, callback)
 
-            return corrected(week, hours)
+    def _in_thread(self, calculate: Callable[[], WeeklyForecast], callback: ForecastCallback) -> None:
+        def run() -> WeeklyForecast | NoNumpy:
+            sys.setswitchinterval(
+                SWITCH_INTERVAL_S
+            )  # the reactor must not wait long for the interpreter's lock
+            try:
+                return calculate()
+            except ModuleNotFoundError as error:
+                return NoNumpy(f"this runner owns the forecast, and can't work it out: {error}")
+
+        def done(result: WeeklyForecast | NoNumpy | NotYet) -> None:
+            self.core.begin_turn()
+            callback(result)
 
-        self._in_thread(work, then)
+        def failed(failure: Any) -> None:
+            log.error("forecast: the calculation failed: error=%s", failure)
+            done(NotYet(f"it could not be worked out: {failure.value}"))
+
+        deferToThreadPool(self._reactor, self._pool, run).addCallbacks(done, failed)
 
-    # ---- for operators ----
+    # ---- operators ----
 
-    def show(self, customer: str, then: Callable[[bytes | ForecastError | DutyError], None]) -> None:
+    def query(self, customer: str, callback: DocumentCallback) -> None:
+        """Ask the leader for the forecast of one customer, or with "" of all."""
         self.core.begin_turn()
-        self.member.ask(customer, then)
+        self.member.query(customer, callback)
 
-    def load(self, past: list[Past], then: Callable[[bytes | ForecastError | DutyError], None]) -> None:
+    def import_history(self, histories: list[ImportedHistory], callback: DocumentCallback) -> None:
+        """Have the leader import histories that were counted elsewhere."""
         self.core.begin_turn()
-        self.member.load(past, then)
+        self.member.import_history(histories, callback)
 
-    def told(self) -> dict[str, Any]:
-        """Of this runner's own part."""
-        owner = self.member.forecaster
-        lately = {} if owner is None else {label(name): n for name, n in owner.ledger.lately().items()}
+    def local_document(self) -> dict[str, Any]:
+        """Return this runner's own part as JSON of the administration API, whose keys these are."""
+        member, forecaster = self.member, self.member.forecaster
+        requests = {} if forecaster is None else forecaster.ledger.requests_this_hour()
         return {
-            "owner": owner is not None,
-            "lately": lately,
-            "untold_buckets": len(self.member.tally),
-            "dropped": self.member.tally.dropped,
-            "every_ms": self.policy.report_ms,
+            "owner": forecaster is not None,
+            "lately": {decode_key(route).label(): count for route, count in requests.items()},
+            "untold_buckets": len(member.counter),
+            "dropped": member.counter.dropped_buckets,
+            "every_ms": self.policy.report_interval_ms,
             "clock_ms": self.unix_ms(),
-            "turn_ms": SWITCH_INTERVAL_S * MS,
+            "turn_ms": SWITCH_INTERVAL_S * MS_PER_S,
         }
--- a/moorusher/config/forecast.py
+++ b/moorusher/config/forecast.py
@@ -5,15 +5,16 @@
 from datetime import date
 from typing import Any
 
-from ..forecasting.policy import Days, Policy, Scaling
+from ..forecasting.policy import Calendar, ForecastPolicy, ScalingPolicy
 from .section import ConfigError, Section, inside
 
-FIGURES: dict[str, tuple[float, float]] = {
+# Bounds of the numbers, by key.
+FORECAST_BOUNDS: dict[str, tuple[float, float]] = {
     "report_ms": (100, 3_600_000),
     "save_ms": (100, 3_600_000),
     "routes": (1, 10_000),
 }
-SCALING: dict[str, tuple[float, float]] = {
+SCALING_BOUNDS: dict[str, tuple[float, float]] = {
     "cores": (0.1, 1_000),
     "fill": (0.05, 1),
     "least": (0, 100_000),
@@ -23,58 +24,100 @@
     "valid_min": (1, 10_080),
     "worthy": (0, 1e9),
 }
-ROUTE_BYTES = 6_000  # of the duty's state, at most, for eight weeks of one
-MOST_DAYS = 1_000
+MAX_ROUTE_BYTES = 6_000  # of the duty's state, for eight weeks of one route
+MAX_SPECIAL_DAYS = 1_000  # of one calendar
 
 
-def _calendar(one: Section) -> tuple[str, Days]:
-    from ..forecasting.zones import zone_of
+def read_forecast(section: Section, duties: bool, state_bytes: int) -> ForecastPolicy:
+    """Return the settings of `[forecast]`.
 
-    one.unknown({"customer", "zone", "days"})
-    name, zone = one.get("customer", ""), one.get("zone", "UTC")
+    :param duties: the cluster has duties.
+    :param state_bytes: that the state of a duty may take.
+    :raises ConfigError: a value can't be used; the text names its key.
+    """
+    section.unknown({"on", "calendar", "scaling", *FORECAST_BOUNDS})
+    defaults = ForecastPolicy()
+
+    def number(key: str, default: Any) -> Any:
+        return section.between(key, default, *FORECAST_BOUNDS[key])
+
+    report_interval_ms = number("report_ms", defaults.report_interval_ms)
+    save_interval_ms = number("save_ms", defaults.save_interval_ms)
+    max_routes = number("routes", defaults.max_routes)
+    scaling = _read_scaling(section.section("scaling"))
+    calendars = _read_calendars(section)
+    enabled = section.get("on", False)
+    if enabled and not duties:
+        raise ConfigError(f"{section.key('on')}: a forecast is a duty of a fleet: set duties.on")
+    if enabled and max_routes * MAX_ROUTE_BYTES > state_bytes:
+        raise ConfigError(
+            f"{section.key('routes')}: {max_routes} of them may take "
+            f"{max_routes * MAX_ROUTE_BYTES} bytes; duties.state_bytes is {state_bytes}"
+        )
+    return ForecastPolicy(enabled, report_interval_ms, save_interval_ms, max_routes, calendars, scaling)
+
+
+def _read_scaling(section: Section) -> ScalingPolicy:
+    section.unknown({"to", *SCALING_BOUNDS})
+    defaults = ScalingPolicy()
+
+    def number(key: str, default: Any) -> Any:
+        return section.between(key, default, *SCALING_BOUNDS[key])
+
+    policy = ScalingPolicy(
+        cores_per_runner=number("cores", defaults.cores_per_runner),
+        target_utilization=number("fill", defaults.target_utilization),
+        min_runners=number("least", defaults.min_runners),
+        max_runners=number("most", defaults.max_runners),
+        startup_min=number("cold_min", defaults.startup_min),
+        scale_down_delay_h=number("down_h", defaults.scale_down_delay_h),
+        validity_min=number("valid_min", defaults.validity_min),
+        priority_threshold=number("worthy", defaults.priority_threshold),
+        receiver=inside(section.address("to"), section.key("to")),
+    )
+    if policy.min_runners > policy.max_runners:
+        raise ConfigError(f"{section.key('least')}: expected at most most, {policy.max_runners}")
+    return policy
+
+
+def _read_calendars(section: Section) -> dict[str, Calendar]:
+    """By customer."""
+    listed: list[Any] = section.get("calendar", [])
+    calendars: dict[str, Calendar] = {}
+    for index, raw in enumerate(listed):
+        entry = Section(raw, f"{section.key('calendar')}[{index}]")
+        entry.unknown({"customer", "zone", "days"})
+        customer, calendar = entry.get("customer", ""), _read_calendar(entry)
+        if customer in calendars:
+            raise ConfigError(f"{entry.key('customer')}: {customer!r} has one already")
+        calendars[customer] = calendar
+    return calendars
+
+
+def _read_calendar(entry: Section) -> Calendar:
+    from ..forecasting.time_zones import time_zone
+
+    zone_name = entry.get("zone", "UTC")
     try:
-        zone_of(zone)
-    except ValueError as exc:
-        raise ConfigError(f"{one.key('zone')}: {exc}") from exc
-    said = one.section("days")
-    days: dict[str, str] = {}
-    for kind in said.data:
-        listed: list[Any] = said.get(kind, [])
+        time_zone(zone_name)
+    except ValueError as error:
+        raise ConfigError(f"{entry.key('zone')}: {error}") from error
+    day_types = _read_days(entry.section("days"))
+    if len(day_types) > MAX_SPECIAL_DAYS:
+        raise ConfigError(f"{entry.key('days')}: more than {MAX_SPECIAL_DAYS}")
+    return Calendar(zone_name, day_types)
+
+
+def _read_days(section: Section) -> dict[str, str]:
+    """The type of each special day, by ISO date; the section lists the days by type."""
+    day_types: dict[str, str] = {}
+    for day_type in section.data:
+        listed: list[Any] = section.get(day_type, [])
         for day in listed:
             try:
-                days[date.fromisoformat(str(day)).isoformat()] = kind
+                day_types[date.fromisoformat(str(day)).isoformat()] = day_type
             except ValueError:
-                raise ConfigError(f"{said.key(kind)}: expected days as 2026-12-24, got {day!r}") from None
-    if len(days) > MOST_DAYS:
-        raise ConfigError(f"{one.key('days')}: more than {MOST_DAYS}")
-    return name, Days(zone, days)
-
-
-def read_forecast(section: Section, duties: bool, state_bytes: int) -> Policy:
-    """`[forecast]`, read and checked. Raises ConfigError."""
-    section.unknown({"on", "calendar", "scaling", *FIGURES})
-    d, s = Policy(), Scaling()
-    figures: dict[str, Any] = {n: section.between(n, getattr(d, n), *bounds) for n, bounds in FIGURES.items()}
-    scaling = section.section("scaling")
-    scaling.unknown({"to", *SCALING})
-    hints: dict[str, Any] = {n: scaling.between(n, getattr(s, n), *bounds) for n, bounds in SCALING.items()}
-    made = Scaling(inside(scaling.address("to"), scaling.key("to")), **hints)
-    if made.least > made.most:
-        raise ConfigError(f"{scaling.key('least')}: expected at most most, {made.most}")
-    listed: list[Any] = section.get("calendar", [])
-    calendars: dict[str, Days] = {}
-    for i, raw in enumerate(listed):
-        one = Section(raw, f"{section.key('calendar')}[{i}]")
-        name, days = _calendar(one)
-        if name in calendars:
-            raise ConfigError(f"{one.key('customer')}: {name!r} has one already")
-        calendars[name] = days
-    on = section.get("on", False)
-    if on and not duties:
-        raise ConfigError(f"{section.key('on')}: a forecast is a duty of a fleet: set duties.on")
-    if on and figures["routes"] * ROUTE_BYTES > state_bytes:
-        raise ConfigError(
-            f"{section.key('routes')}: {figures['routes']} of them may take "
-            f"{figures['routes'] * ROUTE_BYTES} bytes; duties.state_bytes is {state_bytes}"
-        )
-    return Policy(on=on, calendars=calendars, scaling=made, **figures)
+                raise ConfigError(
+                    f"{section.key(day_type)}: expected days as 2026-12-24, got {day!r}"
+                ) from None
+    return day_types
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -7,7 +7,7 @@
 
 from moorusher.scheduling.interface import Settings
 
-from ..forecasting.policy import Policy as ForecastPolicy
+from ..forecasting.policy import ForecastPolicy
 from ..health.formatting import StatusCodes
 from ..health.policy import HealthPolicy
 from ..maintenance.policy import Policy as MaintenancePolicy
--- a/moorusher/config/operator_file.py
+++ b/moorusher/config/operator_file.py
@@ -5,7 +5,7 @@
 import tomllib
 from pathlib import Path
 
-from ..forecasting.policy import Policy as ForecastPolicy
+from ..forecasting.policy import ForecastPolicy
 from ..maintenance.policy import Policy as MaintenancePolicy
 from .fleet import FleetConfig, read_fleet
 from .health import read_health_checks
--- a/moorusher/forecast_service/__init__.py
+++ b/moorusher/forecast_service/__init__.py
@@ -1,3 +1,4 @@
-"""The duty `forecast`: runners' counts come to its owner, which keeps them, forecasts by them and hints. Pure;
-`cluster_transport/forecast.py` carries it out.
+"""The duty `forecast`: all members report their counts to its leader, which replicates them, forecasts and sends hints.
+
+Pure; `cluster_transport/forecast.py` connects it to the process.
 """
--- /dev/null
+++ b/moorusher/forecast_service/documents.py
@@ -0,0 +1,55 @@
+"""The forecast as JSON documents of the administration API. The keys belong to the API."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from ..forecasting.demand_counts import decode_key
+from ..forecasting.quantile_levels import MEDIAN
+from ..forecasting.scaling_hints import ScalingHints
+from ..forecasting.time_units import HOURS_PER_DAY
+
+if TYPE_CHECKING:
+    from ..forecasting.weekly_forecast import WeeklyForecast
+
+
+def forecast_document(
+    forecast: WeeklyForecast, hints: ScalingHints | None, term: int, late_reports: int, customer: str
+) -> dict[str, Any]:
+    """Return the document of one customer's routes, or with "" of all.
+
+    :param term: of the leader's lease.
+    :param late_reports: reports that came after their bucket was closed.
+    """
+    return {
+        "first_hour": forecast.first_hour,
+        "term": term,
+        "routes": [
+            _route_document(forecast, route)
+            for route in forecast.routes
+            if not customer or decode_key(route).customer == customer
+        ],
+        "untold": {
+            decode_key(route).label(): reason
+            for route, reason in forecast.skipped.items()
+            if not customer or decode_key(route).customer == customer
+        },
+        "late": late_reports,
+        "hints": None if hints is None else msgspec.to_builtins(hints),
+    }
+
+
+def _route_document(forecast: WeeklyForecast, route: str) -> dict[str, Any]:
+    key, quantiles = decode_key(route), forecast.quantiles_of(route)
+    median = quantiles[MEDIAN]
+    return {
+        "customer": key.customer,
+        "route": key.route,
+        "zone": key.zone,
+        "model": forecast.main_models[forecast.routes.index(route)],
+        "day": [round(float(hours[:HOURS_PER_DAY].sum()), 1) for hours in quantiles],
+        "week": round(float(median.sum()), 1),
+        "hours": [round(float(requests), 1) for requests in median],
+    }
--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -1,4 +1,8 @@
-"""What can go wrong with a forecast. Each says what an operator can do."""
+"""Errors of the forecast. Each says what happened, and in `remedy` what an operator can do.
+
+The names of the classes are on the wire and in the administration API, which answers with them as `kind`; the
+operators' page (`docs/operate/forecast.md`) lists them.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +10,18 @@
 
 
 class ForecastError(Remediable):
-    """Why there is no forecast to be had, with its status and remedy for operators."""
+    """Why there is no forecast, or why an operation was rejected."""
 
 
 class NotYet(ForecastError):
-    """It has not been worked out, or has not come here, yet."""
+    """The forecast has not been worked out, or its leader does not answer, yet."""
 
     status = 503
     remedy = "Again in some minutes: its owner has just begun, or too little has been counted."
 
 
 class Unreadable(ForecastError):
-    """The state of the forecast can't be read."""
+    """The replicated state of the duty can't be decoded."""
 
     status = 503
     remedy = (
@@ -27,16 +31,22 @@
 
 
 class NoNumpy(ForecastError):
-    """The library that works it out is not installed."""
+    """The library that works the forecast out is not installed at the leader."""
 
     remedy = "Install the extra on all runners that may own the forecast: moorusher[forecast]."
 
 
 class BadPast(ForecastError):
-    """Hours that were counted elsewhere, and can't be taken."""
+    """A history that can't be imported; nothing of it was."""
 
     status = 400
     remedy = "Mend what is named; only hours before those that are counted here can be brought."
 
 
 ERRORS: tuple[type[ForecastError], ...] = (NotYet, Unreadable, NoNumpy, BadPast)
+ERRORS_BY_NAME = {error_type.__name__: error_type for error_type in ERRORS}
+
+
+def error_from_wire(name: str, text: str) -> ForecastError:
+    """Return the error that another runner answered with; `NotYet` where its name is unknown."""
+    return ERRORS_BY_NAME.get(name, NotYet)(text)
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -1,267 +1,242 @@
-"""The work of the duty `forecast`: takes counts, keeps them by majority before it says so, forecasts, hints.
+"""The leader's work: takes reports, replicates the ledger before it acknowledges them, forecasts, and sends hints.
 
-What is acknowledged is in the state that a majority has; whoever takes the duty over goes on from it to the same
-figures. A hint goes out fenced: an earlier owner's that arrives late changes nothing at its receiver.
+What is acknowledged is in the state that a majority has; the next leader goes on from it to the same figures. Hints are
+sent with a fencing token: one of a former leader that arrives late changes nothing at its receiver.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, Protocol
 
 import msgspec
 
-from ..forecasting.demand import BUCKET_MS, HOUR_BUCKETS, pack_key, unpack_key
-from ..forecasting.hints import Hints, Need, hints
-from ..forecasting.ledger import Ledger, Series
-from ..forecasting.policy import Policy, Scaling
+from ..forecasting.demand_counts import encode_key
+from ..forecasting.demand_ledger import DemandLedger
+from ..forecasting.ledger_codec import LedgerCodec
+from ..forecasting.policy import ForecastPolicy
+from ..forecasting.scaling_hints import ScalingHints
 from ..leadership.effects import Completed, FencedRequest, Outcome, StateUpdate
 from ..leadership.errors import DutyError
 from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
+from .documents import forecast_document
 from .errors import BadPast, ForecastError, NotYet, Unreadable
-from .messages import Past, Report, Took
-
-NAME = KIND = "forecast"
-HOUR_MS = BUCKET_MS * HOUR_BUCKETS
-ANEW_H = 6  # hours; in between, what was said is corrected by what came
-SLICE = 16  # series made ready in a turn
-TURN = 2 * MS
-RETRY = 1_000 * MS
-MOST_PENDING = 10_000  # reports that wait to be kept
-_json = msgspec.json.Encoder()
-
-
-class Host(Protocol):
-    """What the forecaster needs of the member that owns it."""
-
-    def say(self, seat: str, message: Any) -> None: ...
-    def at(self, when: int, action: Callable[[], None]) -> None: ...
-    def clock(self) -> int: ...
-    def unix_ms(self) -> int: ...
-    def count(self, name: str) -> None: ...
-    def running(self) -> Mapping[str, int]: ...  # runners that are up, by zone
-    def ended(self, worker: Forecaster) -> None: ...
-
-    # In a thread: `then` with a `week.Week`, or with why there is none.
-    def work_out(
-        self,
-        series: Mapping[str, Series],
-        customers: Mapping[str, str],
-        last: int,
-        then: Callable[[Any], None],
-    ) -> None: ...
-    def correct(self, week: Any, hours: Mapping[str, list[float]], then: Callable[[Any], None]) -> None: ...
+from .hint_planning import plan_hints
+from .messages import BucketProgress, DemandReport, ImportedHistory, Message, ReportAck
+from .rolling_forecast import ForecastCalculator, RollingForecast
+
+if TYPE_CHECKING:
+    from ..forecasting.weekly_forecast import WeeklyForecast
+
+NAME = KIND = "forecast"  # of the duty
+SERIES_PER_TURN = 16  # compressed in one turn of the reactor
+TURN_INTERVAL_US = 2 * MS  # between two such turns
+MAX_PENDING_REPORTS = 10_000  # that wait to be replicated; further ones are dropped, and will be sent again
+
+ImportCallback = Callable[[ForecastError | DutyError | None], None]
+
+
+class ForecasterHost(ForecastCalculator, Protocol):
+    """What a forecaster needs of its process."""
+
+    def send_to_member(self, seat: str, message: Message) -> None:
+        """Send a message to a member, this one included."""
+
+    def at(self, when_us: int, action: Callable[[], None]) -> None:
+        """Call `action` at that time of `clock`."""
+
+    def clock(self) -> int:
+        """The monotonic time in us."""
+
+    def unix_ms(self) -> int:
+        """The time of day."""
+
+    def count(self, name: str) -> None:
+        """Add 1 to a counter."""
+
+    def running_by_zone(self) -> Mapping[str, int]:
+        """The number of runners that are up, by zone."""
+
+    def ended(self, worker: Forecaster) -> None:
+        """The term of that worker is over."""
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingAck:
+    """A report in the ledger that is acknowledged once a majority has it."""
+
+    seat: str
+    serial: int
+    buckets: list[BucketProgress]
 
 
 class Forecaster:
-    """Keeps counts, forecasts by them and hints (`leadership.worker.Worker`)."""
-
-    make = Ledger
-
-    def __init__(self, lease: LeaseHolder, host: Host, policy: Policy, seats: Mapping[str, str]) -> None:
-        """`seats`: of the fleet, with their zones."""
-        self.lease, self.host, self.policy, self.seats = lease, host, policy, seats
-        self.ledger = self.make(seats, policy.routes)
-        self.wrong: ForecastError | None = None  # why nothing is forecast; counts are kept all the same, but
-        self.unreadable = False  # for these
-        self.week: Any = None  # as worked out, and
-        self.said: Any = None  # as corrected since
-        self.hints: Hints | None = None
-        self._pending: list[tuple[str, int, list[tuple[int, int]]]] = []
-        self._saving = self._working = self._over = False
-        self._hour = 0  # up to which the last forecast knew
+    """The worker of the duty (`leadership.worker.Worker`).
+
+    lease: of this term.
+    ledger: the counts of all members.
+    hints: the last ones; None before the first forecast.
+    """
+
+    ledger_type: type[DemandLedger] = DemandLedger
+
+    def __init__(
+        self, lease: LeaseHolder, host: ForecasterHost, policy: ForecastPolicy, zones: Mapping[str, str]
+    ) -> None:
+        """:param zones: the seats of the cluster, with their zones."""
+        self.lease = lease
+        self.ledger = self.ledger_type(zones, policy.max_routes)
+        self.hints: ScalingHints | None = None
+        self._host = host
+        self._policy = policy
+        self._codec = LedgerCodec(self.ledger)
+        self._forecast = RollingForecast(host, self._send_hints)
+        self._state_error: Unreadable | None = (
+            None  # nothing is counted then: the damaged state must stay as it is
+        )
+        self._pending: list[_PendingAck] = []
+        self._is_saving = self._is_stopped = False
+
+    # ---- the lease's worker ----
 
     def start(self) -> None:
+        """Go on from the replicated state."""
         try:
-            self.ledger = self.make.unpack(self.lease.state, self.seats, self.policy.routes)
-        except ValueError as exc:
-            self.wrong, self.unreadable = Unreadable(f"the counts can't be read: {exc}"), True
-            self.host.count("forecast: state not read")
+            self._codec.decode(self.lease.state)
+        except ValueError as error:
+            self._state_error = Unreadable(f"the counts can't be read: {error}")
+            self._host.count("forecast: state not read")
             return
         self._tick()
 
     def before_release(self) -> None:
-        return None
+        """Nothing is left to submit: what is not acknowledged will be reported to the next leader."""
 
-    def stop(self, why: DutyError | None) -> None:
-        self._over = True
+    def stop(self, reason: DutyError | None) -> None:
+        """The term is over."""
+        self._is_stopped = True
+        self._forecast.stop()
         self._pending.clear()
-        self.host.ended(self)
+        self._host.ended(self)
+
+    def _tick(self) -> None:
+        if self._is_stopped:
+            return
+        self._host.at(self._host.clock() + round(self._policy.save_interval_ms * MS), self._tick)
+        self.ledger.close_buckets(self._host.unix_ms())
+        if self._pending and not self._is_saving:
+            self._is_saving = True
+            self._compress_and_save()
+        self._forecast.update(self.ledger)
 
     # ---- counts ----
 
-    def report(self, seat: str, m: Report) -> None:
-        if self._over or self.unreadable or len(self._pending) >= MOST_PENDING:
+    def receive_report(self, seat: str, report: DemandReport) -> None:
+        """Take a member's counts. It is acknowledged once a majority has them."""
+        if self._is_stopped or self._state_error is not None or len(self._pending) >= MAX_PENDING_REPORTS:
             return
-        for part in m.parts:
-            if part.seat == seat:
-                self.ledger.take(part)
+        for bucket in report.buckets:
+            if bucket.seat == seat:
+                self.ledger.record(bucket)
         # Late ones are acknowledged as well: their runner need not keep them.
-        self._pending.append((seat, m.serial, [(p.bucket, p.until_ms) for p in m.parts]))
+        progress = [(bucket.bucket, bucket.counted_until_ms) for bucket in report.buckets]
+        self._pending.append(_PendingAck(seat, report.serial, progress))
 
-    def _tick(self) -> None:
-        if self._over:
-            return
-        self.host.at(self.host.clock() + round(self.policy.save_ms * MS), self._tick)
-        self.ledger.close(self.host.unix_ms())
-        if self._pending and not self._saving:
-            self._saving = True
-            self._prepare()
-        self._work()
-
-    def _prepare(self) -> None:
-        """In slices: hundreds of routes change with each hour."""
-        if self._over:
+    def _compress_and_save(self) -> None:
+        """In several turns: hundreds of series change with each hour, and compressing them takes a while."""
+        if self._is_stopped:
             return
-        if self.ledger.prepare(SLICE):
-            return self._save()
-        return self.host.at(self.host.clock() + TURN, self._prepare)
+        if self._codec.compress_some(SERIES_PER_TURN):
+            self._save()
+        else:
+            self._host.at(self._host.clock() + TURN_INTERVAL_US, self._compress_and_save)
 
     def _save(self) -> None:
-        kept, self._pending = self._pending, []
+        saved, self._pending = self._pending, []
 
-        def over(outcome: Outcome) -> None:
-            self._saving = False
-            if self._over:
+        def replicated(outcome: Outcome) -> None:
+            self._is_saving = False
+            if self._is_stopped:
                 return
-            if not isinstance(outcome, Completed):
-                self.host.count("forecast: counts not kept")
-                self._pending = kept + self._pending
-                return
-            for seat, serial, told in kept:
-                self.host.say(seat, Took(serial, told))
-
-        self.lease.submit(StateUpdate(self.ledger.pack()), over)
-
-    def load(self, past: list[Past], then: Callable[[ForecastError | DutyError | None], None]) -> None:
-        """`then(None)` once a majority has it."""
-        if self.unreadable and self.wrong is not None:
-            return then(self.wrong)
-        if not self.ledger.closed:
-            return then(NotYet("nothing has been counted yet: there is no hour that these come before"))
-        for one in past:  # all of them, or none
-            if not self.ledger.takes(pack_key(one.key), one.first, one.asked):
-                return then(BadPast(f"{label(pack_key(one.key))}: its hours reach into those counted here"))
-        names = {pack_key(one.key) for one in past}
-        if len(names) < len(past):
-            return then(BadPast("a route is named more than once"))
-        if len(self.ledger.series.keys() | names) > self.policy.routes:
-            return then(BadPast(f"more than {self.policy.routes} routes"))
-        for one in past:
-            self.ledger.load(pack_key(one.key), one.first, one.asked, one.core_us, one.worth)
-        self.week, self._hour = None, 0
+            if isinstance(outcome, Completed):
+                for ack in saved:
+                    self._host.send_to_member(ack.seat, ReportAck(ack.serial, ack.buckets))
+            else:
+                self._host.count("forecast: counts not kept")
+                self._pending = saved + self._pending
+
+        self.lease.submit(StateUpdate(self._codec.encode()), replicated)
+
+    def import_history(self, histories: list[ImportedHistory], callback: ImportCallback) -> None:
+        """Import histories that were counted elsewhere: all of them or none.
+
+        :param callback: called with None once a majority has them. Errors: Unreadable, NotYet, BadPast, or that of the
+            state update.
+        """
+        error = self._import_error(histories)
+        if error is not None:
+            return callback(error)
+        for one in histories:
+            self.ledger.import_history(
+                encode_key(one.key), one.first_hour, one.requests, one.core_us, one.priority_weight
+            )
+        self._forecast.invalidate()
         return self.lease.submit(
-            StateUpdate(self.ledger.pack()),
-            lambda outcome: then(None if isinstance(outcome, Completed) else outcome),
+            StateUpdate(self._codec.encode()),
+            lambda outcome: callback(None if isinstance(outcome, Completed) else outcome),
         )
 
-    # ---- forecasts ----
-
-    @property
-    def hour(self) -> int:
-        """The first that is not closed."""
-        return self.ledger.closed // HOUR_BUCKETS
-
-    def _work(self) -> None:
-        if self._working or not self.ledger.series or self.hour <= self._hour:
-            return
-        self._working, hour = True, self.hour
-        if self.week is None or hour - self.week.first >= ANEW_H:
-            customers = {name: unpack_key(name).customer for name in self.ledger.series}
-            self.host.work_out(
-                dict(self.ledger.series), customers, hour, lambda got: self._worked(got, hour, True)
-            )
-        else:
-            since = self.week.first
-            hours = {name: s.since(since) for name, s in self.ledger.series.items() if s.first <= since}
-            self.host.correct(self.week, hours, lambda got: self._worked(got, hour, False))
-
-    def _worked(self, got: Any, hour: int, anew: bool) -> None:
-        self._working = False
-        if self._over:
-            return
-        self._hour = hour
-        if isinstance(got, ForecastError):
-            self.wrong = got
-            return
-        self.wrong = None
-        if anew:
-            self.week = got
-        self.said = got
-        self.host.count("forecast: worked out")
-        self._hint(hour)
-
-    def _hint(self, hour: int) -> None:
-        scaling, week = self.policy.scaling, self.said
-        needs = [self._need(name, i, hour, scaling) for i, name in enumerate(week.names)]
-        untold = {
-            unpack_key(name).zone: f"{label(name)}: {why}"
-            for name, why in week.untold.items()
-            if unpack_key(name).zone not in {n.zone for n in needs}
-        }
-        self.hints = hints(needs, hour, scaling, self.host.unix_ms(), untold, self.host.running())
-        if scaling.to is not None:
-            self.lease.submit(
-                FencedRequest("{}:{}".format(*scaling.to), _json.encode(self.hints)), self._hinted
-            )
+    def _import_error(self, histories: list[ImportedHistory]) -> ForecastError | None:
+        if self._state_error is not None:
+            return self._state_error
+        if not self.ledger.next_bucket:
+            return NotYet("nothing has been counted yet: there is no hour that these come before")
+        for one in histories:
+            if not self.ledger.can_import(encode_key(one.key), one.first_hour, one.requests):
+                return BadPast(f"{one.key.label()}: its hours reach into those counted here")
+        routes = {encode_key(one.key) for one in histories}
+        if len(routes) < len(histories):
+            return BadPast("a route is named more than once")
+        if len(self.ledger.series.keys() | routes) > self._policy.max_routes:
+            return BadPast(f"more than {self._policy.max_routes} routes")
+        return None
 
-    def _need(self, name: str, i: int, hour: int, scaling: Scaling) -> Need:
-        series = self.ledger.series.get(name)
-        core_us, worth = (0.0, 0.0) if series is None else (series.core_us, series.worth)
-        level = 2 if worth >= scaling.worthy else 1
-        return Need(
-            label(name),
-            unpack_key(name).zone,
-            tuple(float(v) for v in self.said.levels[level, i, hour - self.said.first :]),
-            core_us,
-        )
+    # ---- hints ----
 
-    def _hinted(self, outcome: Outcome) -> None:
-        self.host.count(
-            "forecast: hints given" if isinstance(outcome, Completed) else "forecast: hints not given"
+    def _send_hints(self, forecast: WeeklyForecast, first_hour: int) -> None:
+        """There is a new forecast, up to date with the hours before that one."""
+        host, scaling = self._host, self._policy.scaling
+        host.count("forecast: worked out")
+        self.hints = plan_hints(
+            forecast, self.ledger, first_hour, scaling, host.unix_ms(), host.running_by_zone()
         )
-
-    # ---- to be looked at ----
-
-    def told(self, customer: str) -> dict[str, Any]:
-        """Raises ForecastError."""
-        if self.wrong is not None:
-            raise self.wrong
-        if self.said is None:
+        if scaling.receiver is not None:
+            address, port = scaling.receiver
+            body = msgspec.json.encode(self.hints)
+            self.lease.submit(FencedRequest(f"{address}:{port}", body), self._hints_answered)
+
+    def _hints_answered(self, outcome: Outcome) -> None:
+        was_sent = isinstance(outcome, Completed)
+        self._host.count("forecast: hints given" if was_sent else "forecast: hints not given")
+
+    # ---- operators ----
+
+    def document(self, customer: str) -> dict[str, Any]:
+        """Return the forecast of one customer, or with "" of all, as JSON of the administration API.
+
+        :raises ForecastError: there is none.
+        """
+        error = self._state_error or self._forecast.error
+        if error is not None:
+            raise error
+        if self._forecast.latest is None:
             raise NotYet(f"{len(self.ledger.series)} routes are counted, and nothing is forecast yet")
-        week, routes = self.said, []
-        for i, name in enumerate(week.names):
-            key = unpack_key(name)
-            if customer and key.customer != customer:
-                continue
-            middle, high, highest = (week.levels[j, i] for j in range(3))
-            routes.append(
-                {
-                    "customer": key.customer,
-                    "route": key.route,
-                    "zone": key.zone,
-                    "model": week.models[i],
-                    "day": [round(float(x[:24].sum()), 1) for x in (middle, high, highest)],
-                    "week": round(float(middle.sum()), 1),
-                    "hours": [round(float(v), 1) for v in middle],
-                }
-            )
-        return {
-            "first_hour": week.first,
-            "term": self.lease.record.term,
-            "routes": routes,
-            "untold": {
-                label(name): why
-                for name, why in week.untold.items()
-                if not customer or unpack_key(name).customer == customer
-            },
-            "late": self.ledger.late,
-            "hints": None if self.hints is None else msgspec.to_builtins(self.hints),
-        }
-
-
-def label(name: str) -> str:
-    """A key in words, for operators."""
-    key = unpack_key(name)
-    return f"{key.customer or '-'}/{key.route or '-'}" + (f"@{key.zone}" if key.zone else "")
+        return forecast_document(
+            self._forecast.latest,
+            self.hints,
+            self.lease.record.term,
+            self.ledger.late_reports,
+            customer,
+        )
--- /dev/null
+++ b/moorusher/forecast_service/hint_planning.py
@@ -0,0 +1,51 @@
+"""From the forecast of each route to the scaling hints of each zone."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from ..forecasting.demand_counts import decode_key
+from ..forecasting.demand_ledger import DemandLedger
+from ..forecasting.policy import ScalingPolicy
+from ..forecasting.quantile_levels import HIGH, HIGHEST
+from ..forecasting.scaling_hints import RouteDemand, ScalingHints, make_hints
+
+if TYPE_CHECKING:
+    from ..forecasting.weekly_forecast import WeeklyForecast
+
+
+def plan_hints(
+    forecast: WeeklyForecast,
+    ledger: DemandLedger,
+    first_hour: int,
+    policy: ScalingPolicy,
+    now_ms: int,
+    running: Mapping[str, int],
+) -> ScalingHints:
+    """Return the hints for the hours from `first_hour` (since 1970, UTC) on.
+
+    :param ledger: has the cost and the priority of each route's requests.
+    :param now_ms: Unix time.
+    :param running: runners that are up, by zone.
+    """
+    demands = [_route_demand(forecast, route, ledger, first_hour, policy) for route in forecast.routes]
+    zones = {demand.zone for demand in demands}
+    skipped_zones = {
+        key.zone: f"{key.label()}: {reason}"
+        for key, reason in ((decode_key(route), reason) for route, reason in forecast.skipped.items())
+        if key.zone not in zones
+    }
+    return make_hints(demands, first_hour, policy, now_ms, skipped_zones, running)
+
+
+def _route_demand(
+    forecast: WeeklyForecast, route: str, ledger: DemandLedger, first_hour: int, policy: ScalingPolicy
+) -> RouteDemand:
+    """The demand to plan for: a higher quantile for requests of high priority."""
+    series, key = ledger.series.get(route), decode_key(route)
+    core_us = 0.0 if series is None else series.core_us
+    priority_weight = 0.0 if series is None else series.priority_weight
+    index = HIGHEST if priority_weight >= policy.priority_threshold else HIGH
+    hours = forecast.quantiles_of(route)[index, first_hour - forecast.first_hour :]
+    return RouteDemand(key.label(), key.zone, tuple(float(requests) for requests in hours), core_us)
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -1,209 +1,184 @@
-"""One member's part in the forecast: it counts, tells the owner of the duty, and asks it."""
+"""One member's part in the forecast: counts, reports to the leader, queries it, and may lead the forecast itself."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any, Protocol
+from itertools import count
+from typing import Protocol, assert_never
 
 import msgspec
 
-from ..forecasting.demand import Tally
-from ..forecasting.policy import Policy
-from ..leadership.directory import Reading
-from ..leadership.errors import DutyError, NoMajority
+from ..forecasting.demand_counter import DemandCounter
+from ..forecasting.policy import ForecastPolicy
+from ..leadership.errors import DutyError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
 from ..replication.messages import ComponentMessage
 from . import messages
-from .errors import ERRORS, ForecastError, NotYet
+from .demand_reporter import DemandReporter
+from .errors import ForecastError, NotYet
 from .forecaster import KIND, NAME, Forecaster
-from .messages import PART, Ask, Elsewhere, Load, Past, Report, Told, Took
-
-ANSWER = 2_000 * MS
-LOOK = 1_000 * MS  # between two looks into the register; more, by chance
-UNANSWERED = 3  # reports, before another owner is looked for
-MOST_ASKED = 64
-MOST_TOLD = 400 << 10  # bytes of what an owner tells
-_KINDS: tuple[type[ForecastError], ...] = ERRORS
-_ERRORS = {kind.__name__: kind for kind in _KINDS}
-Then = Callable[[bytes | ForecastError | DutyError], None]
-
-
-class Host(Protocol):
-    """What a member needs of the process."""
-
-    def unix_ms(self) -> int: ...
-    def worker(self, lease: LeaseHolder) -> Forecaster: ...
-
-
-class Member:
-    """One member's part in the forecast: it tells what it counted, and may own the duty."""
-
-    def __init__(self, participant: Participant, host: Host, policy: Policy) -> None:
-        self.participant, self._host, self.policy = participant, host, policy
-        self.zone = participant.node.placement.by_name[participant.services.me].zone
-        self.tally = Tally(
-            participant.services.me,
-            participant.services.incarnation,
-            self.zone,
-            host.unix_ms(),
-            policy.routes,
-        )
+from .leader_lookup import LeaderCallback, LeaderLookup
+from .leader_queries import DocumentCallback, LeaderQueries
+from .messages import (
+    PART,
+    DemandReport,
+    ForecastQuery,
+    HistoryImport,
+    ImportedHistory,
+    LeaderReply,
+    Message,
+    NotLeader,
+    ReportAck,
+)
+
+MAX_DOCUMENT_BYTES = 400 << 10  # of an answer: it has to fit into a frame
+
+
+class MemberHost(Protocol):
+    """What a member needs of its process."""
+
+    def unix_ms(self) -> int:
+        """The time of day."""
+
+    def make_forecaster(self, lease: LeaseHolder) -> Forecaster:
+        """Return the worker for a term that begins."""
+
+
+class ForecastMember:
+    """One member's part in the forecast.
+
+    participant: this member's part in the duties.
+    zone: str, of this runner.
+    counter: of this runner's demand.
+    forecaster: the worker, while this member leads the forecast.
+    """
+
+    def __init__(self, participant: Participant, host: MemberHost, policy: ForecastPolicy) -> None:
+        self.participant = participant
+        self._host = host
+        self._policy = policy
+        self._services = participant.services
+        me, incarnation = self._services.me, self._services.incarnation
+        self.zone = participant.node.placement.by_name[me].zone
+        self.counter = DemandCounter(me, incarnation, self.zone, host.unix_ms(), policy.max_routes)
         self.forecaster: Forecaster | None = None
-        self._serial = (
-            participant.services.incarnation
-        )  # answers to an earlier process of this seat are none to this one
-        self._asked: dict[int, Then] = {}
-        self._whom, self._unanswered = "", 0  # who has the duty, as last heard
-        self._look_at = 0
-        participant.node.components[PART] = self._heard
+        self._lookup = LeaderLookup(participant)
+        # From the incarnation on: an answer to an earlier process of this seat must not pass for one to this process.
+        serials = count(incarnation + 1)
+        self._reporter = DemandReporter(participant, self.counter, self._lookup, self.send, serials)
+        self._queries = LeaderQueries(self._services, self._find_leader, self.send, serials)
+        participant.node.components[PART] = self._message_received
         participant.directory.declare(NAME, KIND)
 
     def start(self) -> None:
+        """Begin to report."""
         self._tick()
 
-    def say(self, seat: str, message: Any) -> None:
-        if seat == self.participant.services.me:
-            self.participant.services.at(
-                self.participant.services.now(), lambda: self._told_of(seat, message)
-            )
+    def _tick(self) -> None:
+        interval_us = round(self._policy.report_interval_ms * MS)
+        self._services.at(self._services.now() + interval_us, self._tick)
+        self.counter.tick(self._host.unix_ms())
+        self.report()
+
+    def report(self) -> None:
+        """Report now what is not acknowledged."""
+        self._reporter.report(self._host.unix_ms(), self.forecaster is not None)
+
+    # ---- messages ----
+
+    def send(self, seat: str, message: Message) -> None:
+        """Send a message to a member. One to this member itself arrives in a later turn."""
+        if seat == self._services.me:
+            self._services.at(self._services.now(), lambda: self._dispatch(seat, message))
         else:
             self.participant.node.send(seat, ComponentMessage(PART, messages.encode(message)))
 
-    def _heard(self, seat: str, body: bytes) -> None:
+    def _message_received(self, seat: str, body: bytes) -> None:
         try:
             message = messages.decode(body)
         except msgspec.MsgspecError:
-            self.participant.services.count("forecast: a message that can't be read")
-            return
-        self._told_of(seat, message)
-
-    def _told_of(self, seat: str, m: Any) -> None:
-        if isinstance(m, Report):
-            if self.forecaster is not None:
-                self.forecaster.report(seat, m)
-            else:
-                self.say(seat, Elsewhere(m.serial, self._known()))
-        elif isinstance(m, Took):
-            self._whom, self._unanswered = seat, 0
-            self.tally.acknowledged(m.told)
-        elif isinstance(m, Elsewhere):
-            self._whom = m.seat if m.seat != seat else ""
-        elif isinstance(m, Ask):
-            self.say(seat, self._tell(m))
-        elif isinstance(m, Load):
-            self._load(seat, m)
-        elif (then := self._asked.pop(m.serial, None)) is not None:
-            then(_ERRORS.get(m.error, NotYet)(m.what) if m.error else m.body)
-
-    # ---- counts ----
-
-    def _tick(self) -> None:
-        self.participant.services.at(
-            self.participant.services.now() + round(self.policy.report_ms * MS), self._tick
-        )
-        self.tally.tick(self._host.unix_ms())
-        self.tell()
-
-    def tell(self) -> None:
-        """To whoever has the duty, as far as is known, what it has not acknowledged; told twice it counts once. The
-        register is asked only where nobody answers: of a thousand runners that read it with each report, none would get
-        through, and the owner's own changes neither."""
-        if not (parts := self.tally.parts(self._host.unix_ms())):
+            self._services.count("forecast: a message that can't be read")
             return
-        if self._unanswered >= UNANSWERED:
-            self._whom = ""
-        whom = self.participant.services.me if self.forecaster is not None else self._whom or self._known()
-        if whom:
-            self._unanswered += 1
-            self._serial += 1
-            self.say(whom, Report(self._serial, parts))
-        elif self.participant.services.now() >= self._look_at:
-            self._look_at = self.participant.services.now() + round(
-                LOOK * (1 + 2 * self.participant.node.random())
-            )
-            self._owner(self._found)
-
-    def _found(self, owner: str | DutyError) -> None:
-        if isinstance(owner, str):
-            self._whom, self._unanswered = owner, 0
-
-    def _known(self) -> str:
-        """By the news of its register, where this member keeps it."""
-        known = self.participant.directory.last_known(NAME)
-        owner = None if isinstance(known, DutyError) else known.record.holder
-        return "" if owner is None or not self.participant.node.is_up(owner.seat) else owner.seat
-
-    def _owner(self, then: Callable[[str | DutyError], None]) -> None:
-        def read(got: Reading | DutyError) -> None:
-            if isinstance(got, DutyError):
-                return then(got)
-            owner = got.record.holder
-            return then(NoMajority(NAME) if owner is None else owner.seat)
-
+        self._dispatch(seat, message)
+
+    def _dispatch(self, seat: str, message: Message) -> None:
+        match message:
+            case DemandReport():
+                self._report_received(seat, message)
+            case ReportAck():
+                self._reporter.acknowledged(seat, message)
+            case NotLeader():
+                self._reporter.redirected(seat, message)
+            case ForecastQuery():
+                self.send(seat, self._answer(message))
+            case HistoryImport():
+                self._import_received(seat, message)
+            case LeaderReply():
+                self._queries.answered(message)
+            case _:
+                assert_never(message)
+
+    def _report_received(self, seat: str, report: DemandReport) -> None:
         if self.forecaster is not None:
-            return then(self.participant.services.me)
-        return self.participant.directory.read(NAME, read, state=False)
-
-    # ---- to be asked ----
-
-    def ask(self, customer: str, then: Then) -> None:
-        self._of_the_owner(lambda serial: Ask(serial, customer), then)
-
-    def load(self, past: list[Past], then: Then) -> None:
-        self._of_the_owner(lambda serial: Load(serial, past), then)
+            self.forecaster.receive_report(seat, report)
+        else:
+            self.send(seat, NotLeader(report.serial, self._lookup.last_known()))
 
-    def _of_the_owner(self, make: Callable[[int], Any], then: Then) -> None:
-        if len(self._asked) >= MOST_ASKED:
-            return then(NotYet(f"{MOST_ASKED} questions wait at this runner"))
+    def _answer(self, query: ForecastQuery) -> LeaderReply:
+        try:
+            document = msgspec.json.encode(self._leading_forecaster().document(query.customer))
+        except ForecastError as error:
+            return _error_reply(query.serial, error)
+        if len(document) > MAX_DOCUMENT_BYTES:
+            return _error_reply(query.serial, NotYet(f"{len(document)} bytes: ask for one customer"))
+        return LeaderReply(query.serial, document)
+
+    def _import_received(self, seat: str, request: HistoryImport) -> None:
+        def done(error: ForecastError | DutyError | None) -> None:
+            reply = (
+                LeaderReply(request.serial, b"{}") if error is None else _error_reply(request.serial, error)
+            )
+            self.send(seat, reply)
 
-        def found(owner: str | DutyError) -> None:
-            if isinstance(owner, DutyError):
-                return then(owner)
-            self._serial += 1
-            serial = self._serial
-            self._asked[serial] = then
+        try:
+            self._leading_forecaster().import_history(request.histories, done)
+        except ForecastError as error:
+            done(error)
 
-            def late() -> None:
-                if self._asked.pop(serial, None) is not None:
-                    then(NotYet(f"{owner} has the forecast, and does not answer"))
+    def _leading_forecaster(self) -> Forecaster:
+        if self.forecaster is None:
+            raise NotYet(f"{self._services.me} has not got the forecast")
+        return self.forecaster
 
-            self.participant.services.at(self.participant.services.now() + ANSWER, late)
-            return self.say(owner, make(serial))
+    # ---- operators ----
 
-        return self._owner(found)
+    def query(self, customer: str, callback: DocumentCallback) -> None:
+        """Ask the leader for the forecast of one customer, or with "" of all. See `LeaderQueries.ask`."""
+        self._queries.ask(lambda serial: ForecastQuery(serial, customer), callback)
 
-    def _tell(self, m: Ask) -> Told:
-        try:
-            if self.forecaster is None:
-                raise NotYet(f"{self.participant.services.me} has not got the forecast")
-            body = msgspec.json.encode(self.forecaster.told(m.customer))
-        except ForecastError as exc:
-            return Told(m.serial, b"", type(exc).__name__, str(exc))
-        if len(body) > MOST_TOLD:
-            return Told(m.serial, b"", "NotYet", f"{len(body)} bytes: ask for one customer")
-        return Told(m.serial, body)
-
-    def _load(self, seat: str, m: Load) -> None:
-        def done(wrong: Exception | None) -> None:
-            self.say(
-                seat,
-                Told(m.serial, b"{}")
-                if wrong is None
-                else Told(m.serial, b"", type(wrong).__name__, str(wrong)),
-            )
+    def import_history(self, histories: list[ImportedHistory], callback: DocumentCallback) -> None:
+        """Have the leader import histories. See `LeaderQueries.ask`, and for errors `Forecaster.import_history`."""
+        self._queries.ask(lambda serial: HistoryImport(serial, histories), callback)
 
-        if self.forecaster is None:
-            return done(NotYet(f"{self.participant.services.me} has not got the forecast"))
-        return self.forecaster.load(m.past, done)
+    def _find_leader(self, callback: LeaderCallback) -> None:
+        if self.forecaster is not None:
+            callback(self._services.me)
+        else:
+            self._lookup.read(callback)
 
-    # ---- as an owner ----
+    # ---- leadership ----
 
     def work(self, lease: LeaseHolder) -> Forecaster:
-        self.forecaster = self._host.worker(lease)
+        """Return the worker for a term that begins."""
+        self.forecaster = self._host.make_forecaster(lease)
         return self.forecaster
 
     def ended(self, worker: Forecaster) -> None:
+        """The term of that worker is over; a later one may have begun."""
         if self.forecaster is worker:
             self.forecaster = None
+
+
+def _error_reply(serial: int, error: Exception) -> LeaderReply:
+    return LeaderReply(serial, b"", type(error).__name__, str(error))
--- a/moorusher/forecast_service/messages.py
+++ b/moorusher/forecast_service/messages.py
@@ -1,65 +1,85 @@
-"""What runners say to each other about demand."""
+"""The messages between members about demand and its forecast.
+
+Wire form: msgpack arrays of the tag and the fields in the order in which they stand here. Class and field names do not
+reach the wire.
+"""
 
 from __future__ import annotations
 
-from ..forecasting.demand import Key, Part
+from ..forecasting.demand_counts import BucketCounts, RouteKey
 from ..replication.messages import ComponentPayload, component_codec
 
-PART = "forecast"  # of `fleet.messages.For`
+PART = "forecast"  # names these messages among all that members exchange
+
+# A bucket, and until when (Unix ms) it had been counted when it was reported.
+BucketProgress = tuple[int, int]
 
 
-class Report(ComponentPayload, frozen=True, tag="report"):
-    """What a member has counted since its last report that was kept."""
+class DemandReport(ComponentPayload, frozen=True, tag="report"):
+    """From a member to the leader: its buckets that are not acknowledged as far as they were counted."""
 
     serial: int
-    parts: list[Part]
+    buckets: list[BucketCounts]
 
 
-class Took(ComponentPayload, frozen=True, tag="took"):
-    """A majority has what that report said: by (bucket, until when it had counted)."""
+class ReportAck(ComponentPayload, frozen=True, tag="took"):
+    """The answer of the leader: a majority has what the report of that serial said."""
 
     serial: int
-    told: list[tuple[int, int]]
+    buckets: list[BucketProgress]
 
 
-class Elsewhere(ComponentPayload, frozen=True, tag="elsewhere"):
-    """To who has reported: another has the forecast, as far as is known here; "" where that is not."""
+class NotLeader(ComponentPayload, frozen=True, tag="elsewhere"):
+    """The answer of a member that doesn't lead the forecast. `leader`: the seat that does, "" where unknown."""
 
     serial: int
-    seat: str
+    leader: str
 
 
-class Ask(ComponentPayload, frozen=True, tag="ask"):
-    """What is forecast for that customer; "" for all."""
+class ForecastQuery(ComponentPayload, frozen=True, tag="ask"):
+    """To the leader: the forecast of one customer, or with "" of all. Answered by `LeaderReply`."""
 
     serial: int
     customer: str
 
 
-class Past(ComponentPayload, frozen=True, tag="past"):
-    """Hours of one route that were counted elsewhere."""
+class ImportedHistory(ComponentPayload, frozen=True, tag="past"):
+    """Hours of one route that were counted elsewhere.
+
+    first_hour: int, hours since 1970, UTC.
+    requests: by hour.
+    core_us: float, processor time of a request; 0 where unknown.
+    priority_weight: float, of a request; 0 where unknown.
+    """
 
-    key: Key
-    first: int
-    asked: list[int]
+    key: RouteKey
+    first_hour: int
+    requests: list[int]
     core_us: float
-    worth: float
+    priority_weight: float
 
 
-class Load(ComponentPayload, frozen=True, tag="load"):
-    """Counts of the past, brought by an operator."""
+class HistoryImport(ComponentPayload, frozen=True, tag="load"):
+    """To the leader: histories that an operator brings. Answered by `LeaderReply`."""
 
     serial: int
-    past: list[Past]
+    histories: list[ImportedHistory]
 
 
-class Told(ComponentPayload, frozen=True, tag="told"):
-    """JSON; `error` and `what` where there is nothing to tell."""
+class LeaderReply(ComponentPayload, frozen=True, tag="told"):
+    """The answer to a query or an import.
+
+    document: JSON; b"" after an error.
+    error: str, the name of its class; "" after success.
+    error_text: str.
+    """
 
     serial: int
-    body: bytes
+    document: bytes
     error: str = ""
-    what: str = ""
+    error_text: str = ""
+
 
+Message = DemandReport | ReportAck | NotLeader | ForecastQuery | HistoryImport | LeaderReply
 
-encode, decode = component_codec(Report | Took | Elsewhere | Ask | Load | Told)
+encode, decode = component_codec(Message)
--- a/moorusher/forecasting/__init__.py
+++ b/moorusher/forecasting/__init__.py
@@ -1,4 +1,5 @@
-"""Demand per route, a week ahead: counted without loss or doubling, forecast at three levels, turned into hints. Pure.
+"""The demand of each route: counted by all runners, forecast for the next week, and turned into scaling hints. Pure.
 
-`docs/design/forecast.md` says why it is so. What needs numpy is imported by the owner of the duty alone.
+`docs/design/forecast.md` gives the reasons. Modules that need numpy are imported only by the member that leads the
+forecast.
 """
--- /dev/null
+++ b/moorusher/forecasting/demand_ledger.py
@@ -0,0 +1,184 @@
+"""The ledger: all runners' counts, as open buckets and as the closed hours of each route.
+
+A bucket is closed once all seats that should have reported it have, or a deadline has passed; reports of it that come
+later change nothing. So the closed hours are the same, whichever member leads the forecast.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from .demand_counts import (
+    BUCKET_MS,
+    BUCKETS_PER_HOUR,
+    BucketCounts,
+    DemandCounts,
+    decode_key,
+)
+from .hourly_series import FULL_COVERAGE, HourlySeries
+
+REPORT_DEADLINE_MS = 900_000  # after its end, until when a bucket waits for reports
+# Buckets for which a seat that reported one is expected to report more (a day): one that is gone for longer must not
+# make all later hours look incomplete.
+EXPECTED_BUCKETS = 288
+
+
+class DemandLedger:
+    """Takes reports, closes buckets, and keeps the hours of each route.
+
+    zones: the seats of the cluster, with their zones.
+    max_routes: int; further routes are not kept.
+    series: the closed hours, by encoded `RouteKey`.
+    changed_routes: routes whose series has changed or gone since the set was last emptied.
+    first_bucket: int, the first that was counted (the start of its hour), 0 before any report.
+    next_bucket: int, the first that is not closed, 0 before any report.
+    last_bucket_by_seat: the last bucket that each seat reported.
+    open_buckets: by bucket, and within by seat and incarnation.
+    hour_counts: of the closed buckets of the hour that is not closed, by route.
+    hour_coverage: the sum of the covered shares of those buckets, by zone.
+    late_reports: int, of closed buckets.
+    invalid_reports: int, of a span outside of their bucket.
+    """
+
+    def __init__(self, zones: Mapping[str, str], max_routes: int = 1_000) -> None:
+        self.zones, self.max_routes = zones, max_routes
+        self.series: dict[str, HourlySeries] = {}
+        self.changed_routes: set[str] = set()
+        self.first_bucket = self.next_bucket = 0
+        self.last_bucket_by_seat: dict[str, int] = {}
+        self.open_buckets: dict[int, dict[tuple[str, int], BucketCounts]] = {}
+        self.hour_counts: dict[str, DemandCounts] = {}
+        self.hour_coverage: dict[str, float] = {}
+        self.late_reports = self.invalid_reports = 0
+
+    @property
+    def next_hour(self) -> int:
+        """The first hour (since 1970, UTC) that is not closed."""
+        return self.next_bucket // BUCKETS_PER_HOUR
+
+    # ---- reports ----
+
+    def record(self, report: BucketCounts) -> bool:
+        """Take a report. Return False if it changes nothing: its bucket is closed, or it is invalid."""
+        if not report.is_valid:
+            self.invalid_reports += 1
+            return False
+        if report.bucket < self.next_bucket:
+            self.late_reports += 1
+            return False
+        if not self.next_bucket:
+            self.first_bucket = self.next_bucket = report.bucket - report.bucket % BUCKETS_PER_HOUR
+        reports = self.open_buckets.setdefault(report.bucket, {})
+        process = report.seat, report.incarnation
+        reports[process] = self.merge(reports[process], report) if process in reports else report
+        last = self.last_bucket_by_seat.get(report.seat, 0)
+        self.last_bucket_by_seat[report.seat] = max(last, report.bucket)
+        return True
+
+    def merge(self, known: BucketCounts, report: BucketCounts) -> BucketCounts:
+        """Merge two reports of one process on one bucket, in whichever order they came."""
+        return known.merged(report)
+
+    def requests_this_hour(self) -> dict[str, int]:
+        """Return the requests of the hours that are not closed, as far as they were reported, by route."""
+        requests = {route: counts.requests for route, counts in self.hour_counts.items()}
+        for reports in self.open_buckets.values():
+            for report in reports.values():
+                for route, counts in report.counts.items():
+                    requests[route] = requests.get(route, 0) + counts.requests
+        return requests
+
+    # ---- history from elsewhere ----
+
+    def can_import(self, route: str, first_hour: int, requests: Sequence[int]) -> bool:
+        """Whether such hours can be imported: they must not overlap those that were counted here."""
+        series = self.series.get(route)
+        counted_from = self.next_hour if series is None else series.first_hour
+        return first_hour + len(requests) <= counted_from
+
+    def import_history(
+        self, route: str, first_hour: int, requests: Sequence[int], core_us: float, priority_weight: float
+    ) -> None:
+        """Put hours that were counted elsewhere before those known here; `can_import` has to be true of them.
+
+        :param first_hour: hours since 1970, UTC.
+        :param core_us: processor time of a request.
+        :param priority_weight: of a request.
+        """
+        imported = HourlySeries(first_hour, core_us=core_us)
+        for index, count in enumerate(requests):
+            imported.append(first_hour + index, DemandCounts(count), 1.0)
+        imported.priority_weight = priority_weight
+        if (known := self.series.get(route)) is not None:
+            for index, (count, coverage) in enumerate(zip(known.requests, known.coverage, strict=True)):
+                imported.append(known.first_hour + index, DemandCounts(count), coverage / FULL_COVERAGE)
+            imported.core_us = known.core_us or core_us
+            imported.priority_weight = known.priority_weight or priority_weight
+            imported.rejected_share = known.rejected_share
+        self.series[route] = imported
+        self.changed_routes.add(route)
+
+    # ---- closing ----
+
+    def close_buckets(self, now_ms: int) -> int:
+        """Close, in order, the buckets that can be closed at that Unix time. Return how many."""
+        first = self.next_bucket
+        while self.next_bucket and self._can_close(self.next_bucket, now_ms):
+            self._close(self.next_bucket)
+        return self.next_bucket - first
+
+    def _can_close(self, bucket: int, now_ms: int) -> bool:
+        end_ms = (bucket + 1) * BUCKET_MS
+        if now_ms < end_ms:
+            return False
+        if now_ms >= end_ms + REPORT_DEADLINE_MS:
+            return True
+        reports = self.open_buckets.get(bucket, {}).values()
+        complete = {report.seat for report in reports if report.counted_until_ms >= end_ms}
+        return complete >= self._expected_seats(bucket).keys()
+
+    def _expected_seats(self, bucket: int) -> dict[str, str]:
+        """Seats that should report the bucket, with their zones: all but those that were silent for a day."""
+        return {
+            seat: zone
+            for seat, zone in self.zones.items()
+            if bucket - self.last_bucket_by_seat.get(seat, self.first_bucket) < EXPECTED_BUCKETS
+        }
+
+    def covered_shares(self, bucket: int) -> dict[str, float]:
+        """Return which share of an open bucket each seat counted, over all its processes."""
+        covered_ms: dict[str, int] = {}
+        for report in self.open_buckets.get(bucket, {}).values():
+            covered_ms[report.seat] = covered_ms.get(report.seat, 0) + report.covered_ms
+        return {seat: min(1.0, ms / BUCKET_MS) for seat, ms in covered_ms.items()}
+
+    def _close(self, bucket: int) -> None:
+        self._add_coverage(bucket)
+        for report in self.open_buckets.pop(bucket, {}).values():
+            for route, counts in report.counts.items():
+                self.hour_counts[route] = self.hour_counts.get(route, DemandCounts()).plus(counts)
+        self.next_bucket = bucket + 1
+        if self.next_bucket % BUCKETS_PER_HOUR == 0:
+            self._close_hour(bucket // BUCKETS_PER_HOUR)
+
+    def _add_coverage(self, bucket: int) -> None:
+        """Add each zone's covered share: the mean over its expected seats, none of one that did not report."""
+        shares = self.covered_shares(bucket)
+        by_zone: dict[str, list[float]] = {}
+        for seat, zone in self._expected_seats(bucket).items():
+            by_zone.setdefault(zone, []).append(shares.get(seat, 0.0))
+        for zone, found in by_zone.items():
+            self.hour_coverage[zone] = self.hour_coverage.get(zone, 0.0) + sum(found) / len(found)
+
+    def _close_hour(self, hour: int) -> None:
+        # Sorted, so that another leader, which may close the same hour again, takes the same routes.
+        for route in sorted(self.hour_counts.keys() - self.series.keys()):
+            if len(self.series) < self.max_routes:
+                self.series[route] = HourlySeries(hour)
+        for route, series in list(self.series.items()):
+            share = self.hour_coverage.get(decode_key(route).zone, 0.0) / BUCKETS_PER_HOUR
+            series.append(hour, self.hour_counts.get(route, DemandCounts()), share)
+            self.changed_routes.add(route)
+            if not any(series.requests):
+                del self.series[route]
+        self.hour_counts, self.hour_coverage = {}, {}
--- /dev/null
+++ b/moorusher/forecasting/level_adjustment.py
@@ -0,0 +1,35 @@
+"""A history brought to today's level: its level shifts and its trend are removed."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import numpy as np
+
+from .arrays import Floats, Ints
+from .level_shifts import remove_level_shifts
+from .time_units import HOURS_PER_WEEK
+from .trend import weekly_trend
+
+
+@dataclass(frozen=True, slots=True)
+class AdjustedHistory:
+    """A history at the level of its last hour.
+
+    demand: (routes, hours), NaN where unknown.
+    trend: (routes, 1), of a week, as a logarithm.
+    log_shift: (routes, hours), the log of the level shifts after each hour, which were removed from it.
+    """
+
+    demand: Floats
+    trend: Floats
+    log_shift: Floats
+
+
+def adjust_to_current_level(history: Floats, hour_of_week: Ints) -> AdjustedHistory:
+    """Return the history without its level shifts and its trend. `history`: (routes, hours)."""
+    unshifted = remove_level_shifts(history, hour_of_week)
+    trend = weekly_trend(unshifted.demand, hour_of_week)
+    weeks_back = np.arange(history.shape[1] - 1, -1, -1) / HOURS_PER_WEEK
+    detrended = unshifted.demand * np.exp(trend * weeks_back[None, :])
+    return AdjustedHistory(detrended, trend, unshifted.log_shift)
--- /dev/null
+++ b/moorusher/forecasting/level_shifts.py
@@ -0,0 +1,126 @@
+"""Level shifts: abrupt, lasting changes of a route's demand, found in its daily levels (changepoint detection).
+
+A shift is a difference between the medians of the days before and after it that is large and that noise does not
+explain. Of several candidates the day counts whose split leaves the least scatter.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import numpy as np
+
+from .arrays import Bools, Floats, Ints, nan_median
+from .daily_levels import daily_levels
+from .time_units import HOURS_PER_DAY
+
+WINDOW_DAYS = 10  # compared on each side of a shift
+MIN_DAYS_BEFORE, MIN_DAYS_AFTER = 7, 2  # known days on each side
+MIN_SHIFT = 0.3  # as a logarithm
+MIN_Z_SCORE = 5.0  # difference of the medians over its standard error
+MIN_KNOWN_DAYS = 14  # before a shift: within a single week, a weekend looks like one
+MAX_SHIFTS = 2  # of one route
+MIN_NOISE, DEFAULT_NOISE = 0.03, 0.1  # of a daily log level
+MAD_TO_SIGMA = 1.4826  # median absolute deviation to standard deviation, for normal noise
+MEDIAN_VARIANCE = 1.6  # of the median of n days, times n, over that of one day
+
+
+@dataclass(frozen=True, slots=True)
+class UnshiftedHistory:
+    """A history at the level after its last shift.
+
+    demand: (routes, hours), NaN where unknown.
+    log_shift: (routes, hours), the log of what each hour was multiplied by.
+    """
+
+    demand: Floats
+    log_shift: Floats
+
+
+@dataclass(slots=True)
+class _BestShift:
+    """The clearest shift of each route so far; `scatter_removed` is 0 where there is none."""
+
+    scatter_removed: Floats
+    log_size: Floats
+    day: Ints
+
+
+@dataclass(frozen=True, slots=True)
+class _Candidate:
+    """The split at one day, for all routes. `valid`: routes for which it may be a shift."""
+
+    log_size: Floats
+    scatter_removed: Floats
+    valid: Bools
+
+
+def remove_level_shifts(history: Floats, hour_of_week: Ints) -> UnshiftedHistory:
+    """Return the history at the level after its last shift. `history`: (routes, hours), NaN where unknown."""
+    unshifted = UnshiftedHistory(history.copy(), np.zeros_like(history))
+    for _ in range(MAX_SHIFTS):
+        if not _remove_clearest_shift(unshifted, hour_of_week):
+            break
+    return unshifted
+
+
+def _remove_clearest_shift(history: UnshiftedHistory, hour_of_week: Ints) -> bool:
+    """Scale, in place, what lies before the clearest shift of each route. Return False if no route has one."""
+    levels = daily_levels(history.demand, hour_of_week)
+    days = levels.log_level.shape[1]
+    if days < MIN_DAYS_BEFORE + MIN_DAYS_AFTER:
+        return False
+    best = _clearest_shifts(levels.log_level, levels.requests)
+    routes = np.flatnonzero(best.scatter_removed > 0)
+    for route in routes:
+        until = levels.first_hour + HOURS_PER_DAY * best.day[route]
+        history.demand[route, :until] *= np.exp(best.log_size[route])
+        history.log_shift[route, :until] += best.log_size[route]
+    return bool(len(routes))
+
+
+def _clearest_shifts(log_level: Floats, requests: Floats) -> _BestShift:
+    routes, days = log_level.shape
+    best = _BestShift(np.zeros(routes), np.zeros(routes), np.zeros(routes, int))
+    with np.errstate(all="ignore"):
+        noise = _daily_noise(log_level, requests)
+        for day in range(MIN_DAYS_BEFORE, days - MIN_DAYS_AFTER + 1):
+            candidate = _split_at(day, log_level, noise)
+            better = candidate.valid & (candidate.scatter_removed > best.scatter_removed)
+            best.scatter_removed = np.where(better, candidate.scatter_removed, best.scatter_removed)
+            best.log_size = np.where(better, candidate.log_size, best.log_size)
+            best.day = np.where(better, day, best.day)
+    return best
+
+
+def _daily_noise(log_level: Floats, requests: Floats) -> Floats:
+    """The standard deviation of a route's daily log level: that seen from day to day, and that of a count."""
+    steps = np.diff(log_level, axis=1)
+    deviation = nan_median(np.abs(steps - nan_median(steps, 1)[:, None]), 1)
+    seen = np.maximum(MAD_TO_SIGMA * deviation / np.sqrt(2), MIN_NOISE)
+    counting = 1 / np.maximum(np.nanmean(requests, axis=1), 1.0)
+    return np.asarray(np.sqrt(np.nan_to_num(seen, nan=DEFAULT_NOISE) ** 2 + counting))
+
+
+def _split_at(day: int, log_level: Floats, noise: Floats) -> _Candidate:
+    window_start = max(0, day - WINDOW_DAYS)
+    before, after = log_level[:, window_start:day], log_level[:, day : day + WINDOW_DAYS]
+    days_before, days_after = np.isfinite(before).sum(axis=1), np.isfinite(after).sum(axis=1)
+    log_size = nan_median(after, 1) - nan_median(before, 1)
+    variance = MEDIAN_VARIANCE / np.maximum(days_before, 1) + MEDIAN_VARIANCE / np.maximum(days_after, 1)
+    z_score = np.abs(log_size) / (noise * np.sqrt(variance))
+    known_days = np.isfinite(log_level[:, :day]).sum(axis=1)
+    enough_days = (
+        (days_before >= MIN_DAYS_BEFORE) & (known_days >= MIN_KNOWN_DAYS) & (days_after >= MIN_DAYS_AFTER)
+    )
+    unsplit = _scatter(log_level[:, window_start : day + WINDOW_DAYS])
+    return _Candidate(
+        log_size,
+        unsplit - _scatter(before) - _scatter(after),
+        enough_days & (np.abs(log_size) > MIN_SHIFT) & (z_score > MIN_Z_SCORE),
+    )
+
+
+def _scatter(log_level: Floats) -> Floats:
+    """The sum of the absolute deviations from the median."""
+    return np.asarray(np.nansum(np.abs(log_level - nan_median(log_level, 1)[:, None]), axis=1))
--- a/moorusher/forecasting/policy.py
+++ b/moorusher/forecasting/policy.py
@@ -1,4 +1,4 @@
-"""Figures of `[forecast]` in the operator's file. Imports nothing: it is read where there is none, too."""
+"""Settings of the forecast, as read from `[forecast]` in the operator's file. Imports nothing else of the package."""
 
 from __future__ import annotations
 
@@ -7,36 +7,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Days:
-    """A customer's calendar: its zone, and kinds of days by ISO date."""
+class Calendar:
+    """A customer's calendar.
 
-    zone: str = "UTC"
-    days: Mapping[str, str] = field(default_factory=dict)
+    time_zone: str, its name in the IANA database.
+    day_types: the type of each special day, such as "holiday", by ISO date.
+    """
 
+    time_zone: str = "UTC"
+    day_types: Mapping[str, str] = field(default_factory=dict)
 
-@dataclass(frozen=True, slots=True)
-class Scaling:
-    """Bounds of hints. `cores`: of one runner; `fill`: the share of them that is to be used; `cold_min`: how long
-    before its work one must be started; `down_h`: how long less must be enough before one is taken away."""
 
-    to: tuple[str, int] | None = None  # who adds and removes runners
-    cores: float = 1.0
-    fill: float = 0.7
-    least: int = 1  # runners of a zone
-    most: int = 1_000
-    cold_min: float = 10.0
-    down_h: float = 2.0
-    valid_min: float = 120.0
-    worthy: float = 1.0  # worth of a request from which hints go by 99 of 100; below it, by 90
+@dataclass(frozen=True, slots=True)
+class ScalingPolicy:
+    """Bounds of the scaling hints.
+
+    receiver: host and port of the service that starts and stops runners; None where hints are not sent.
+    cores_per_runner: float.
+    target_utilization: float, share of the cores that is planned to be used.
+    min_runners, max_runners: int, of one zone.
+    startup_min: float, minutes from the start of a runner until it is warmed up.
+    scale_down_delay_h: float, hours for which fewer runners must have been enough before one is stopped.
+    validity_min: float, minutes after which hints expire.
+    priority_threshold: float, priority weight of a request from which the 0.99 quantile is planned for; below it, the
+        0.9 quantile.
+    """
+
+    receiver: tuple[str, int] | None = None
+    cores_per_runner: float = 1.0
+    target_utilization: float = 0.7
+    min_runners: int = 1
+    max_runners: int = 1_000
+    startup_min: float = 10.0
+    scale_down_delay_h: float = 2.0
+    validity_min: float = 120.0
+    priority_threshold: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
-    """What the operator sets of the forecast; `config/forecast.py` reads and bounds it."""
-
-    on: bool = False
-    report_ms: float = 20_000.0  # how often counts are told
-    save_ms: float = 5_000.0  # how often the owner keeps what it was told
-    routes: int = 1_000  # that are followed
-    calendars: Mapping[str, Days] = field(default_factory=dict)  # by customer
-    scaling: Scaling = field(default_factory=Scaling)
+class ForecastPolicy:
+    """The operator's settings of the forecast; `config/forecast.py` reads and checks them.
+
+    report_interval_ms: float, between two demand reports of a runner.
+    save_interval_ms: float, between two updates of the replicated state by the leader.
+    max_routes: int, routes that are forecast.
+    calendars: by customer.
+    """
+
+    enabled: bool = False
+    report_interval_ms: float = 20_000.0
+    save_interval_ms: float = 5_000.0
+    max_routes: int = 1_000
+    calendars: Mapping[str, Calendar] = field(default_factory=dict)
+    scaling: ScalingPolicy = field(default_factory=ScalingPolicy)
--- /dev/null
+++ b/moorusher/forecasting/quantile_levels.py
@@ -0,0 +1,6 @@
+"""The quantiles that are forecast, and their indexes in arrays. Imports no numpy."""
+
+from __future__ import annotations
+
+QUANTILES = (0.5, 0.9, 0.99)
+MEDIAN, HIGH, HIGHEST = range(len(QUANTILES))
--- a/moorusher/forecasting/quantiles.py
+++ b/moorusher/forecasting/quantiles.py
@@ -1,80 +1,108 @@
-"""How far a route's demand may be from what is said of it: levels for 50, 90 and 99 of 100, by its own past errors.
+"""Quantiles of each hour's demand (0.5, 0.9, 0.99), from the errors that the forecast made in the route's own backtest.
 
-Errors are told apart by how far ahead they were made, and measured in a size that grows with what was said: chance
-makes the root of a count, what is wrong with a level its share. A few origins have seen little of what can happen, and
-errors of one day hang together, so what they say is widened as for as many days as there were.
+Errors are grouped by lead time, and measured in units of a scale that grows with the forecast: noise makes the root of
+a count, an error of the level a share of it. A few origins have seen little of what can happen, and errors of one day
+are correlated, so the quantiles are widened as for as many independent errors as there were.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from itertools import pairwise
 
 import numpy as np
 
-from .choose import BANDS, Chosen
-from .clean import Floats, median
-from .models import Ints
-
-LEVELS = (0.5, 0.9, 0.99)
-SHARE = 0.1  # of what is said, that its level may be wrong by
-A_DAY = 3.0  # errors that those of one day's hours are worth
-LEAST = 24  # errors, to go by a route's own
-NORMAL = {0.5: 0.0, 0.9: 1.2816, 0.99: 2.3263}
-TAIL = 1.15  # a normal tail that ends at the 90 would end too soon at the 99
-
-
-def size_of(said: Floats) -> Floats:
-    """The size that an error at such a forecast is measured by."""
-    return np.sqrt(np.maximum(said, 0.25) + (SHARE * said) ** 2)
-
-
-def quantiles(chosen: Chosen) -> Floats:
-    """(levels, routes, 168), none under the one before it."""
-    ahead = chosen.ahead
-    made = np.empty((len(LEVELS), *ahead.shape))
-    for first, last in pairwise(BANDS):
-        with np.errstate(all="ignore"):
-            off = chosen.errors[:, :, first:last] / size_of(chosen.said[:, :, first:last])
-        flat = off.reshape(len(off), -1)
-        days = np.isfinite(off).any(axis=2).sum(axis=1) * max(1, (last - first) // 24)
-        for i, level in enumerate(LEVELS):
-            here = ahead[:, first:last]
-            if level == 0.5:
-                made[i, :, first:last] = _middle(here)
-                continue
-            at = _quantile(flat, days, level)
-            made[i, :, first:last] = np.maximum(0.0, here + at[:, None] * size_of(here))
-    return np.maximum.accumulate(made, axis=0)
-
-
-def _middle(mean: Floats) -> Floats:
-    """The median of a count: seldom asked for, most hours have none."""
-    return np.where(mean >= 10, mean, np.floor(mean + 1 / 3 - 0.02 / np.maximum(mean, 0.1)).clip(0.0))
-
-
-def _quantile(errors: Floats, days: Ints, level: float) -> Floats:
-    """Of each route's errors. What lies beyond where the errors of so few days can tell is taken from a normal tail."""
-    known = np.isfinite(errors).sum(axis=1)
+from .arrays import Floats, Ints, nan_median
+from .ensemble import EnsembleForecast
+from .quantile_levels import HIGH, HIGHEST, MEDIAN, QUANTILES
+from .time_units import HOURS_PER_DAY, HOURS_PER_WEEK
+
+LEAD_TIME_EDGES_H = (0, 24, 72, HOURS_PER_WEEK)  # hours ahead between which errors are pooled
+
+LEVEL_ERROR = 0.1  # share of a forecast by which its level may be wrong
+MIN_MEAN = 0.25  # requests an hour, for the scale of an error
+INDEPENDENT_ERRORS_PER_DAY = 3.0  # that the correlated errors of a day's hours are worth
+MIN_ERRORS = 24  # of a route, to estimate quantiles from them
+NORMAL_QUANTILE = {0.9: 1.2816, 0.99: 2.3263}  # of the standard normal distribution
+DEFAULT_QUANTILE = 3.0 * NORMAL_QUANTILE[0.9]  # in units of the scale, where too few errors are known
+MAX_EMPIRICAL = 0.9  # the highest quantile that few errors can tell
+MAX_WIDENED = 0.995  # to which a quantile is widened at most
+TAIL_WIDTH = 1.15  # of the tail from 0.9 to 0.99, over a normal one
+MIN_TAIL = 0.5  # from the median to the 0.9 quantile, in units of the scale
+MIN_NORMAL_MEAN = 10.0  # requests an hour, from which the median of a count is its mean
+
+
+@dataclass(frozen=True, slots=True)
+class _ScaledErrors:
+    """Errors in units of `error_scale`.
+
+    values: (routes, errors), NaN where unknown.
+    days: (routes,), how many days they are of.
+    """
+
+    values: Floats
+    days: Ints
+
+
+def error_scale(forecast: Floats) -> Floats:
+    """Return the unit in which errors of such forecasts are measured, in requests an hour."""
+    return np.sqrt(np.maximum(forecast, MIN_MEAN) + (LEVEL_ERROR * forecast) ** 2)
+
+
+def forecast_quantiles(forecast: EnsembleForecast) -> Floats:
+    """Return (quantiles, routes, 168), in requests an hour; none is below the one before it."""
+    quantiles = np.empty((len(QUANTILES), *forecast.mean.shape))
+    for first, end in pairwise(LEAD_TIME_EDGES_H):
+        mean = forecast.mean[:, first:end]
+        errors = _scaled_errors(forecast, first, end)
+        quantiles[MEDIAN, :, first:end] = _median_of_count(mean)
+        for index in (HIGH, HIGHEST):
+            error = _error_quantile(errors, QUANTILES[index])
+            quantiles[index, :, first:end] = np.maximum(0.0, mean + error[:, None] * error_scale(mean))
+    return np.maximum.accumulate(quantiles, axis=0)
+
+
+def _scaled_errors(forecast: EnsembleForecast, first: int, end: int) -> _ScaledErrors:
+    """The backtest's errors at the lead times from `first` up to `end`, in hours."""
     with np.errstate(all="ignore"):
-        reach = np.minimum(level, 0.9)
-        # As if one more had been seen, worse than all others; hours of one day count for a few.
-        n = np.maximum(days * A_DAY, 1.0)
-        wanted = np.minimum(0.995, reach * (n + 1.0) / n)
-        at = np.array(
-            [
-                np.nanquantile(row, q) if k >= LEAST else np.nan
-                for row, q, k in zip(errors, wanted, known, strict=True)
-            ]
-        )
-        middle = np.nan_to_num(median(errors, 1))
-    at = np.where(np.isfinite(at), at, 3.0 * NORMAL[0.9])
-    if level > 0.9:
-        own = np.array(
-            [
-                np.nanquantile(row, level) if n >= LEAST else np.nan
-                for row, n in zip(errors, known, strict=True)
-            ]
-        )
-        tail = middle + TAIL * np.maximum(at - middle, 0.5) * NORMAL[level] / NORMAL[0.9]
-        at = np.fmax(own, tail)
-    return at
+        scale = error_scale(forecast.backtest_forecasts[:, :, first:end])
+        errors = forecast.backtest_errors[:, :, first:end] / scale
+    origins = np.isfinite(errors).any(axis=2).sum(axis=1)
+    days = origins * max(1, (end - first) // HOURS_PER_DAY)
+    return _ScaledErrors(errors.reshape(len(errors), -1), days)
+
+
+def _median_of_count(mean: Floats) -> Floats:
+    """The median of a Poisson count: a route that is seldom called has none in most hours."""
+    small = np.floor(mean + 1 / 3 - 0.02 / np.maximum(mean, 0.1)).clip(0.0)
+    return np.where(mean >= MIN_NORMAL_MEAN, mean, small)
+
+
+def _error_quantile(errors: _ScaledErrors, quantile: float) -> Floats:
+    """The quantile of each route's errors; beyond what errors of so few days can tell, from a normal tail."""
+    error = _empirical_quantile(errors.values, _widened(min(quantile, MAX_EMPIRICAL), errors.days))
+    error = np.where(np.isfinite(error), error, DEFAULT_QUANTILE)
+    if quantile <= MAX_EMPIRICAL:
+        return error
+    observed = _empirical_quantile(errors.values, np.full(len(errors.values), quantile))
+    median = np.nan_to_num(nan_median(errors.values, 1))
+    reach = np.maximum(error - median, MIN_TAIL)
+    tail = median + TAIL_WIDTH * reach * NORMAL_QUANTILE[quantile] / NORMAL_QUANTILE[MAX_EMPIRICAL]
+    return np.asarray(np.fmax(observed, tail))
+
+
+def _widened(quantile: float, days: Ints) -> Floats:
+    """The quantile as if one more error, larger than all others, had been seen."""
+    count = np.maximum(days * INDEPENDENT_ERRORS_PER_DAY, 1.0)
+    return np.asarray(np.minimum(MAX_WIDENED, quantile * (count + 1.0) / count))
+
+
+def _empirical_quantile(errors: Floats, quantiles: Floats) -> Floats:
+    """Each route's own quantile of its errors; NaN where too few are known."""
+    known = np.isfinite(errors).sum(axis=1)
+    return np.array(
+        [
+            np.nanquantile(row, quantile) if count >= MIN_ERRORS else np.nan
+            for row, quantile, count in zip(errors, quantiles, known, strict=True)
+        ]
+    )
--- a/moorusher/lab/courses.py
+++ b/moorusher/lab/courses.py
@@ -8,8 +8,9 @@
 import numpy as np
 import numpy.typing as npt
 
-from ..forecasting.policy import Days
-from ..forecasting.season import WEEK, hours_of_week
+from ..forecasting.policy import Calendar
+from ..forecasting.seasonality import hours_of_week
+from ..forecasting.time_units import HOURS_PER_WEEK as WEEK
 
 Floats = npt.NDArray[np.float64]
 WEEKS = 8
@@ -23,7 +24,7 @@
     kind: str
     y: Floats
     counted: Floats
-    calendar: Days
+    calendar: Calendar
     first: int = FIRST
 
 
@@ -121,4 +122,4 @@
             share = rng.choice([0.0, 0.3, 0.7])
             counted[at : at + n] = share
             y[at : at + n] = np.floor(y[at : at + n] * share)
-    return Drawn(kind, y, counted, Days(zone), first)
+    return Drawn(kind, y, counted, Calendar(zone), first)
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -17,14 +17,17 @@
 import numpy as np
 from twisted.internet.threads import deferToThread
 
-from ..forecasting.choose import choose, cleaned
-from ..forecasting.hints import steps
-from ..forecasting.ledger import WHOLE, Series
-from ..forecasting.models import Known, last_week
-from ..forecasting.policy import Days, Scaling
-from ..forecasting.quantiles import quantiles
-from ..forecasting.season import WEEK, hours_of_week
-from ..forecasting.week import week_ahead
+from ..forecasting.ensemble import forecast_ensemble
+from ..forecasting.hourly_series import FULL_COVERAGE, HourlySeries
+from ..forecasting.models import seasonal_naive
+from ..forecasting.policy import Calendar, ScalingPolicy
+from ..forecasting.preprocessing import training_history
+from ..forecasting.quantiles import forecast_quantiles
+from ..forecasting.scaling_hints import required_runners
+from ..forecasting.seasonality import hours_of_week
+from ..forecasting.time_units import HOURS_PER_WEEK as WEEK
+from ..forecasting.training_window import TrainingWindow
+from ..forecasting.weekly_forecast import forecast_week
 from .courses import FIRST, KINDS, WEEKS, Drawn, Floats, draw
 from .experiment import Experiment, Plot, Result
 
@@ -34,10 +37,12 @@
 
 def said(drawn: Drawn) -> tuple[Floats, Floats, Floats]:
     """(levels, 168), the same hour of last week as it was counted, and what came."""
-    hour_of_week = hours_of_week(drawn.first, PAST + WEEK, drawn.calendar.zone)
+    hour_of_week = hours_of_week(drawn.first, PAST + WEEK, drawn.calendar.time_zone)
     y, counted = drawn.y[None, :PAST], drawn.counted[None, :PAST]
-    levels = quantiles(choose(cleaned(y, counted, hour_of_week[:PAST]), hour_of_week))[:, 0]
-    plain = last_week(Known(y, hour_of_week))[0]
+    levels = forecast_quantiles(
+        forecast_ensemble(training_history(y, counted, hour_of_week[:PAST]), hour_of_week)
+    )[:, 0]
+    plain = seasonal_naive(TrainingWindow(y, hour_of_week))[0]
     return levels, plain, drawn.y[PAST:]
 
 
@@ -66,10 +71,10 @@
 # ---- hints ----
 
 
-def simulate(asked: Floats, core_s: float, plan: list[int], scaling: Scaling) -> tuple[float, float]:
+def simulate(asked: Floats, core_s: float, plan: list[int], scaling: ScalingPolicy) -> tuple[float, float]:
     """(share of worth lost, runner-hours) of a week in steps of five minutes: a runner that is started is of no use for
-    `cold_min`, one that is ended is gone at once; what the warm ones can't do is lost."""
-    cold = max(1, round(scaling.cold_min / 60 * BY_FIVE))
+    `startup_min`, one that is ended is gone at once; what the warm ones can't do is lost."""
+    cold = max(1, round(scaling.startup_min / 60 * BY_FIVE))
     warm, starting = float(plan[0]), list[int]()
     lost = hours = 0.0
     for step in range(len(asked) * BY_FIVE):
@@ -88,23 +93,30 @@
             warm -= away
         hours += (warm + len(starting)) / BY_FIVE
         demand = asked[step // BY_FIVE] / BY_FIVE * core_s / (3600 / BY_FIVE)
-        lost += max(0.0, demand - warm * scaling.cores) * 3600 / BY_FIVE / core_s
+        lost += max(0.0, demand - warm * scaling.cores_per_runner) * 3600 / BY_FIVE / core_s
     return lost / max(1.0, float(asked.sum())), hours
 
 
-def plans(drawn: Drawn, levels: Floats, scaling: Scaling, core_s: float) -> dict[str, tuple[float, float]]:
+def plans(
+    drawn: Drawn, levels: Floats, scaling: ScalingPolicy, core_s: float
+) -> dict[str, tuple[float, float]]:
     """(share of worth lost, runner-hours) by hints; and by what the last hour needed, and the same hour of last week,
     each with as much to spare as makes its runner-hours those of the hints."""
     came = drawn.y[PAST - 1 : PAST + WEEK]
     ahead = drawn.y[PAST:]
-    by_hints = simulate(ahead, core_s, steps([float(v) * core_s / 3600 for v in levels[1]], scaling), scaling)
+    by_hints = simulate(
+        ahead, core_s, required_runners([float(v) * core_s / 3600 for v in levels[1]], scaling), scaling
+    )
     made = {"hints": by_hints}
     for name, rate in (("last hour", came[:WEEK]), ("same hour last week", drawn.y[PAST - WEEK : PAST])):
         low, high = 0.02, 2.0  # shares of the cores that are to be used
         for _ in range(14):
             fill = (low + high) / 2
             plan = [
-                min(scaling.most, max(scaling.least, ceil(r * core_s / 3600 / scaling.cores / fill)))
+                min(
+                    scaling.max_runners,
+                    max(scaling.min_runners, ceil(r * core_s / 3600 / scaling.cores_per_runner / fill)),
+                )
                 for r in rate
             ]
             got = simulate(ahead, core_s, plan, scaling)
@@ -124,7 +136,7 @@
     highest: list[float] = []
     lost: dict[str, list[float]] = {}
     hours: dict[str, list[float]] = {}
-    scaling = Scaling(cores=2.0, cold_min=15.0)
+    scaling = ScalingPolicy(cores_per_runner=2.0, startup_min=15.0)
     for kind in KINDS:
         for seed in seeds:
             drawn = draw(seed, kind)
@@ -156,26 +168,26 @@
 SIZE = """
 import json, time, tracemalloc
 from moorusher.lab.forecast import thousand
-from moorusher.forecast.week import week_ahead
+from moorusher.forecasting.weekly_forecast import forecast_week
 from moorusher.lab.courses import FIRST, WEEKS
 series, customers = thousand({seed})
 began = time.process_time()
-week_ahead(series, customers, FIRST + WEEKS * 168, {{}})
+forecast_week(series, customers, FIRST + WEEKS * 168, {{}})
 took = time.process_time() - began
 tracemalloc.start()
-week_ahead(series, customers, FIRST + WEEKS * 168, {{}})
+forecast_week(series, customers, FIRST + WEEKS * 168, {{}})
 print(json.dumps([took, tracemalloc.get_traced_memory()[1] / 2**20]))
 """
 
 
-def thousand(seed: int, routes: int = 1_000) -> tuple[dict[str, Series], dict[str, str]]:
+def thousand(seed: int, routes: int = 1_000) -> tuple[dict[str, HourlySeries], dict[str, str]]:
     """A thousand routes of all kinds, for the time and memory that they take."""
-    kinds, series, customers = list(KINDS), dict[str, Series](), dict[str, str]()
+    kinds, series, customers = list(KINDS), dict[str, HourlySeries](), dict[str, str]()
     for i in range(routes):
         drawn = draw(seed * 1_000 + i // len(kinds), kinds[i % len(kinds)])
-        one = Series(FIRST)
-        one.asked = array("I", [int(v) for v in drawn.y[:PAST]])
-        one.counted = array("B", [round(c * WHOLE) for c in drawn.counted[:PAST]])
+        one = HourlySeries(FIRST)
+        one.requests = array("I", [int(v) for v in drawn.y[:PAST]])
+        one.coverage = array("B", [round(c * FULL_COVERAGE) for c in drawn.counted[:PAST]])
         series[f"r{i:04}"], customers[f"r{i:04}"] = one, f"c{i // 50}"
     return series, customers
 
@@ -197,15 +209,15 @@
     """What another owner works out of the same state."""
     series, customers = thousand(seed, 60)
     weeks = [
-        week_ahead(
+        forecast_week(
             dict(reversed(list(series.items())) if i else series),
             customers,
             FIRST + PAST,
-            {"c0": Days("Europe/Copenhagen")},
+            {"c0": Calendar("Europe/Copenhagen")},
         )
         for i in range(2)
     ]
-    return weeks[0].names == weeks[1].names and weeks[0].levels.tobytes() == weeks[1].levels.tobytes()
+    return weeks[0].routes == weeks[1].routes and weeks[0].quantiles.tobytes() == weeks[1].quantiles.tobytes()
 
 
 async def play(reactor: Any, quick: bool, seed: int, say: Callable[[str], None]) -> Result:
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -13,10 +13,14 @@
 
 from ..forecast_service.errors import NotYet
 from ..forecast_service.forecaster import NAME, Forecaster
-from ..forecast_service.member import Member
-from ..forecasting.demand import BUCKET_MS, HOUR_BUCKETS, Key, unpack_key
-from ..forecasting.ledger import WHOLE, Ledger, Series
-from ..forecasting.policy import Policy
+from ..forecast_service.member import ForecastMember
+from ..forecast_service.messages import Message
+from ..forecast_service.rolling_forecast import ForecastCallback
+from ..forecasting.demand_counts import HOUR_MS, DemandCounts, RouteKey, decode_key
+from ..forecasting.demand_ledger import DemandLedger
+from ..forecasting.hourly_series import FULL_COVERAGE, HourlySeries
+from ..forecasting.ledger_codec import decode_ledger
+from ..forecasting.policy import ForecastPolicy
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.worker import Worker
 from ..replication.node import Node
@@ -30,9 +34,8 @@
 )
 
 FAST = 600
-HOUR_MS = BUCKET_MS * HOUR_BUCKETS
 BEGAN_MS = 500_000 * HOUR_MS - 100_000
-POLICY = Policy(on=True, report_ms=40.0, save_ms=80.0)
+POLICY = ForecastPolicy(enabled=True, report_interval_ms=40.0, save_interval_ms=80.0)
 ROUTES = ("main", "spare", "new")
 COURSE = Scenario(
     seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
@@ -62,45 +65,47 @@
         if self.sim.now >= self.whole.until:
             return
         route, now_ms = r.choice(ROUTES), self.unix_ms()
-        key = Key("acme", 1, route, self.member.zone)
-        self.member.tally.count(now_ms, key, asked=1, worth=1.0)
+        key = RouteKey("acme", 1, route, self.member.zone)
+        self.member.counter.count(now_ms, key, DemandCounts(requests=1, priority_weight=1.0))
         self.whole.truth[route, self.member.zone, now_ms // HOUR_MS] += 1
 
     def work(self, lease: LeaseHolder) -> Worker | None:
         return self.member.work(lease)
 
-    # ---- forecasting.member.Host, forecaster.Host ----
+    # ---- MemberHost, ForecasterHost ----
 
     def unix_ms(self) -> int:
         return BEGAN_MS + self.sim.now * FAST // MS
 
-    def worker(self, lease: LeaseHolder) -> Forecaster:
+    def make_forecaster(self, lease: LeaseHolder) -> Forecaster:
         return self.whole.forecaster(
             lease, self, POLICY, {f"n{i}": f"z{i % 2}" for i in range(self.sim.course.seats)}
         )
 
-    def say(self, seat: str, message: Any) -> None:
-        self.member.say(seat, message)
+    def send_to_member(self, seat: str, message: Message) -> None:
+        self.member.send(seat, message)
 
-    def at(self, when: int, action: Callable[[], None]) -> None:
-        self.participant.services.at(when, action)
+    def at(self, when_us: int, action: Callable[[], None]) -> None:
+        self.participant.services.at(when_us, action)
 
     def ended(self, worker: Forecaster) -> None:
         self.member.ended(worker)
 
-    def running(self) -> Mapping[str, int]:
+    def running_by_zone(self) -> Mapping[str, int]:
         return {}
 
-    def work_out(
+    def calculate_forecast(
         self,
-        series: Mapping[str, Series],
+        series: Mapping[str, HourlySeries],
         customers: Mapping[str, str],
-        last: int,
-        then: Callable[[Any], None],
+        first_hour: int,
+        callback: ForecastCallback,
     ) -> None:
-        self.sim.at(self.sim.now + 10 * MS, self, lambda: then(NotYet("not here")))
+        self.sim.at(self.sim.now + 10 * MS, self, lambda: callback(NotYet("not here")))
 
-    def correct(self, week: Any, hours: Mapping[str, list[float]], then: Callable[[Any], None]) -> None:
+    def calculate_correction(
+        self, forecast: Any, actual: Mapping[str, list[float]], callback: ForecastCallback
+    ) -> None:
         raise AssertionError("nothing was worked out")
 
 
@@ -112,7 +117,7 @@
         seed: int,
         course: Scenario | None = None,
         lasting: bool = False,
-        member: type[Member] = Member,
+        member: type[ForecastMember] = ForecastMember,
         forecaster: type[Forecaster] = Forecaster,
     ) -> None:
         self.member, self.forecaster = member, forecaster
@@ -120,14 +125,14 @@
         self.until = round((course or COURSE).seconds * SECOND) + 3 * SECOND
         super().__init__(seed, course or COURSE, duties=0, lasting=lasting, process=CountingProcess)
 
-    def ledger(self) -> Ledger | None:
+    def ledger(self) -> DemandLedger | None:
         """What a majority has in the end; None where it is not to be had."""
         replicas = self.voting_replicas(NAME)
         record = latest_record(NAME, replicas)
         if len(replicas) < MIN_REPLICAS or record is None:
             return None
         state = replicated_state(NAME, record, replicas)
-        return None if state is None else Ledger.unpack(state, {})
+        return None if state is None else decode_ledger(state, {})
 
     def violation(self) -> str | None:
         ledger = self.ledger()
@@ -135,14 +140,14 @@
             return None
         self.hours = self.whole_hours = 0
         for name, series in ledger.series.items():
-            key = unpack_key(name)
-            for i, (asked, counted) in enumerate(zip(series.asked, series.counted, strict=True)):
-                hour = series.first + i
+            key = decode_key(name)
+            for i, (asked, counted) in enumerate(zip(series.requests, series.coverage, strict=True)):
+                hour = series.first_hour + i
                 true = self.truth[key.route, key.zone, hour]
                 self.hours += 1
                 if asked > true:
                     return f"{key.route} of {key.zone}: {asked} are said to have been asked in hour {hour}, {true} were"
-                if counted == WHOLE:
+                if counted == FULL_COVERAGE:
                     self.whole_hours += 1
                     if asked != true:
                         return f"{key.route} of {key.zone}: hour {hour} is said to be whole with {asked}, had {true}"
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -79,7 +79,7 @@
         from ..cluster_transport.config_distribution import NamespaceService
 
         parts.config_distribution = NamespaceService(parts.replication.leadership, config.namespaces, reactor)
-    if config.forecast.on:
+    if config.forecast.enabled:
         from ..cluster_transport.forecast import ForecastLink
 
         parts.forecast = ForecastLink(parts.replication.leadership, config.forecast, reactor)
--- a/tests/compatibility/test_forecast_documents.py
+++ b/tests/compatibility/test_forecast_documents.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from moorusher.forecast_service import forecaster
-from moorusher.forecasting import demand, ledger, models, policy, week
+from moorusher.forecasting import demand_counts, demand_ledger, ledger_codec, models, policy, weekly_forecast
 from moorusher.leadership.effects import Completed
 from moorusher.leadership.fencing_token import FencingToken
 
@@ -23,22 +23,27 @@
 
 MODEL_NAMES = list(models.MODELS)
 ZONES = {"n1": "a", "n2": "b", "n3": "c"}
-HOUR_MS = demand.BUCKET_MS * demand.HOUR_BUCKETS
-Scaling, Policy, Forecaster = policy.Scaling, policy.Policy, forecaster.Forecaster
+HOUR_MS, BUCKET_MS, BUCKETS_PER_HOUR = (
+    demand_counts.HOUR_MS,
+    demand_counts.BUCKET_MS,
+    demand_counts.BUCKETS_PER_HOUR,
+)
+Forecaster = forecaster.Forecaster
+POLICY = policy.ForecastPolicy(enabled=True, scaling=policy.ScalingPolicy(receiver=("127.0.0.1", 9300)))
 
 
 def name_of(customer: str, route: str, zone: str) -> str:
-    return demand.pack_key(demand.Key(customer, 0, route, zone))
+    return demand_counts.encode_key(demand_counts.RouteKey(customer, 0, route, zone))
 
 
 def state_with(pasts: list[tuple[str, int, list[int], float, float]], first_bucket: int) -> bytes:
     """The stored state of a duty that has counted nothing itself but the bucket of `first_bucket`."""
-    kept = ledger.Ledger(ZONES)
-    start = first_bucket * demand.BUCKET_MS
-    kept.take(demand.Part("n1", 1, "a", first_bucket, start, start + 1, {}))
+    ledger = demand_ledger.DemandLedger(ZONES)
+    start = first_bucket * BUCKET_MS
+    ledger.record(demand_counts.BucketCounts("n1", 1, "a", first_bucket, start, start + 1, {}))
     for past in pasts:
-        kept.load(*past)
-    return kept.pack()
+        ledger.import_history(*past)
+    return ledger_codec.encode_ledger(ledger)
 
 
 class Owner:
@@ -66,11 +71,13 @@
     def count(self, name: str) -> None:
         self.counters.append(name)
 
-    def running(self) -> Mapping[str, int]:
+    def running_by_zone(self) -> Mapping[str, int]:
         return {"a": 1}
 
-    def work_out(self, series: Any, customers: Any, last: int, callback: Callable[[Any], None]) -> None:
-        callback(week.week_ahead(series, customers, last, {}))
+    def calculate_forecast(
+        self, series: Any, customers: Any, first_hour: int, callback: Callable[[Any], None]
+    ) -> None:
+        callback(weekly_forecast.forecast_week(series, customers, first_hour, {}))
 
 
 def test_models_have_the_same_names() -> None:
@@ -87,12 +94,12 @@
             (name_of("acme", "new", "b"), hour - 30, [40] * 30, 200_000_000.0, 2.0),
             (name_of("cord", "main", "c"), hour - 8 * 168, [9] * 8 * 168, 0.0, 2.0),
         ],
-        hour * demand.HOUR_BUCKETS,
+        hour * BUCKETS_PER_HOUR,
     )
     owner = Owner(state, hour * HOUR_MS + 1)
-    worker = Forecaster(owner, owner, Policy(on=True, scaling=Scaling(to=("127.0.0.1", 9300))), ZONES)  # type: ignore[arg-type]
+    worker = Forecaster(owner, owner, POLICY, ZONES)  # type: ignore[arg-type]
     worker.start()
-    documents = {customer: worker.told(customer) for customer in ("", "acme", "nobody")}
+    documents = {customer: worker.document(customer) for customer in ("", "acme", "nobody")}
     for document in documents.values():
         for route in document["routes"]:
             route["hours"] = [len(route["hours"]), *sorted(set(route["hours"]))]
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -14,7 +14,7 @@
 
 from moorusher.config_distribution import errors as publishing_errors
 from moorusher.config_distribution import messages as publishing
-from moorusher.forecast_service import member as forecasting_member
+from moorusher.forecast_service import errors as forecast_errors
 from moorusher.forecast_service import messages as forecasting
 from moorusher.leadership import messages as duties
 from moorusher.maintenance import messages as outage
@@ -37,7 +37,7 @@
     "forecast": (forecasting.PART, (forecasting.encode, forecasting.decode)),
     "outages": (outage.PART, (outage.encode, outage.decode)),
 }
-ERRORS_OF_PUBLISHING, ERRORS_OF_FORECASTING = publishing_errors.ERRORS_BY_NAME, forecasting_member._ERRORS
+ERRORS_OF_PUBLISHING, ERRORS_OF_FORECASTING = publishing_errors.ERRORS_BY_NAME, forecast_errors.ERRORS_BY_NAME
 VERSION, FIRST_BALLOT, MEMBER_STATES = (
     fleet.PROTOCOL_VERSION,
     fleet.FAST_BALLOT,
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -18,8 +18,7 @@
 
 from moorusher.config_distribution import publisher
 from moorusher.forecast_service import forecaster
-from moorusher.forecasting import demand, hints
-from moorusher.forecasting.ledger import Ledger
+from moorusher.forecasting import demand_counts, demand_ledger, ledger_codec, scaling_hints
 from moorusher.leadership import chunks, lease_record
 from moorusher.leadership import heartbeat as duty_report
 from moorusher.leadership.journal import DutyAcceptor
@@ -48,7 +47,12 @@
 REPORTS, read_reports = duty_report.HeartbeatState, msgspec.json.Decoder(duty_report.HeartbeatState).decode
 write_json = msgspec.json.Encoder().encode
 write_snapshot, read_snapshot = snapshot.encode_snapshot, snapshot.decode_snapshot
-HINTS, ANSWERS_OF_DEMAND = hints.Hints, demand.Part
+HINTS, COUNTS_OF_DEMAND = scaling_hints.ScalingHints, demand_counts.BucketCounts
+Ledger, pack_ledger = demand_ledger.DemandLedger, ledger_codec.encode_ledger
+
+
+def pack_key(customer: str, incarnation: int, route: str, zone: str) -> str:
+    return demand_counts.encode_key(demand_counts.RouteKey(customer, incarnation, route, zone))
 
 
 def read_book(data: bytes) -> Any:
@@ -81,19 +85,19 @@
 
 
 def read_ledger(data: bytes) -> Any:
-    return Ledger.unpack(data, {"n1": "a", "n2": "b"})
+    return ledger_codec.decode_ledger(data, {"n1": "a", "n2": "b"})
 
 
 def counted(parts: list[Any], now_ms: int, more: list[Any]) -> bytes:
     """Closed at that moment, with more that comes afterwards, and with an hour that was counted elsewhere."""
     ledger = Ledger({"n1": "a", "n2": "b"})
     for part in parts:
-        ledger.take(msgspec.convert(part, demand.Part))
-    ledger.close(now_ms)
+        ledger.record(msgspec.convert(part, COUNTS_OF_DEMAND))
+    ledger.close_buckets(now_ms)
     for part in more:
-        ledger.take(msgspec.convert(part, demand.Part))
-    ledger.load(demand.pack_key(demand.Key("bolt", 0, "main", "a")), 998, [3, 4], 80.5, 1.5)
-    return ledger.pack()
+        ledger.record(msgspec.convert(part, COUNTS_OF_DEMAND))
+    ledger.import_history(pack_key("bolt", 0, "main", "a"), 998, [3, 4], 80.5, 1.5)
+    return pack_ledger(ledger)
 
 
 class Stored:
@@ -125,7 +129,7 @@
     "stages of a turn": [one.value for one in schedule.SlotStage],
     "ends of a turn": [one.value for one in schedule.CompletionProof],
     "outcomes of an ask": [one.value for one in schedule.Outcome],
-    "demand's keys": demand.pack_key(demand.Key("acme", 3, "main", "a")),
+    "demand's keys": pack_key("acme", 3, "main", "a"),
 }
 
 
@@ -226,12 +230,12 @@
 def test_the_forecasts_ledger_is_read_and_written_as_it_was() -> None:
     state = counted(PARTS, CLOSED_AT_MS, LATER_PARTS)
     assert_golden("stored_ledger", unpacked(state))
-    assert read_ledger(packed(read_golden("stored_ledger"))).pack() == state
+    assert pack_ledger(read_ledger(packed(read_golden("stored_ledger")))) == state
 
 
 def test_demand_and_hints_have_the_same_form() -> None:
     decode = msgspec.json.Decoder(HINTS).decode
-    forms = {"hints": told(HINTS, write_json, decode), "counts": form(ANSWERS_OF_DEMAND)}
+    forms = {"hints": told(HINTS, write_json, decode), "counts": form(COUNTS_OF_DEMAND)}
     assert_golden("stored_hints", forms)
     assert_golden("stored_hints_json", [write_json(one).decode() for one in (Samples(0).of(HINTS, True),)])
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -19,7 +19,7 @@
 from moorusher.config.namespaces import NamespacesConfig
 from moorusher.config.operator_file import DEFAULT_OPERATOR_FILE, read_operator_file
 from moorusher.core.outcomes import SCHEDULER_OUTCOMES, EndReason
-from moorusher.forecasting.policy import Policy as ForecastPolicy
+from moorusher.forecasting.policy import ForecastPolicy
 from moorusher.frontends import jsonrpc_messages
 from moorusher.maintenance.policy import Policy as OutagePolicy
 from moorusher.protocols import uwsgi_packets
