--- a/moorusher/forecast_service/rolling_forecast.py
+++ b/moorusher/forecast_service/rolling_forecast.py
@@ -54,6 +54,7 @@
         self._on_update = on_update
         self._uncorrected: WeeklyForecast | None = None  # what corrections are made to
         self._is_calculating = self._is_stopped = False
+        self._is_outdated = False  # the history has changed since the calculation under way began
         self._known_until_hour = 0  # closed hours before it are in the last forecast
 
     def stop(self) -> None:
@@ -63,6 +64,7 @@
     def invalidate(self) -> None:
         """Make the next forecast anew: the history before it has changed."""
         self._uncorrected, self._known_until_hour = None, 0
+        self._is_outdated = self._is_calculating
 
     def update(self, ledger: DemandLedger) -> None:
         """Calculate, if hours were closed since the last forecast."""
@@ -79,7 +81,8 @@
         def done(result: WeeklyForecast | ForecastError) -> None:
             if isinstance(result, ForecastError):
                 return self._failed(result, hour)
-            self._uncorrected = result
+            if not self._is_outdated:
+                self._uncorrected = result
             return self._succeeded(result, hour)
 
         customers = {route: decode_key(route).customer for route in ledger.series}
@@ -109,8 +112,12 @@
             self._on_update(forecast, hour)
 
     def _take_result(self, hour: int) -> bool:
-        """A calculation is over. Return whether its result counts."""
+        """A calculation is over. Return whether its result counts.
+
+        One from a history that has changed meanwhile counts until the next calculation, which follows at once.
+        """
         self._is_calculating = False
-        if not self._is_stopped:
+        if not self._is_outdated:
             self._known_until_hour = hour
+        self._is_outdated = False
         return not self._is_stopped
