--- a/moorusher/forecasting/level_shifts.py
+++ b/moorusher/forecasting/level_shifts.py
@@ -94,12 +94,12 @@
 
 
 def _daily_noise(log_level: Floats, requests: Floats) -> Floats:
-    """The standard deviation of a route's daily log level: that seen from day to day, and that of a count."""
+    """The standard deviation of a route's daily log level: that observed from day to day, and that of a count."""
     steps = np.diff(log_level, axis=1)
     deviation = nan_median(np.abs(steps - nan_median(steps, 1)[:, None]), 1)
-    seen = np.maximum(MAD_TO_SIGMA * deviation / np.sqrt(2), MIN_NOISE)
+    observed = np.maximum(MAD_TO_SIGMA * deviation / np.sqrt(2), MIN_NOISE)
     counting = 1 / np.maximum(np.nanmean(requests, axis=1), 1.0)
-    return np.asarray(np.sqrt(np.nan_to_num(seen, nan=DEFAULT_NOISE) ** 2 + counting))
+    return np.asarray(np.sqrt(np.nan_to_num(observed, nan=DEFAULT_NOISE) ** 2 + counting))
 
 
 def _split_at(day: int, log_level: Floats, noise: Floats) -> _Candidate:
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -1,6 +1,6 @@
-"""Real runners that share a forecast, with faults between them: counts, a past that was brought, hints that count once.
+"""Real runners that share a forecast, with faults between them: counts, imported histories, hints that count once.
 
-Each runner reaches who takes hints over a relay of its own, so that what an owner has sent can be held back.
+Each runner reaches the receiver of the hints over a relay of its own, so that what a leader has sent can be held back.
 """
 
 from __future__ import annotations
@@ -27,22 +27,24 @@
 
 pytestmark = pytest.mark.processes
 
-WEEKS = 3
+WEEKS = 3  # of an imported history
+HOURS_PER_WEEK = 168
+REPLICATED_S = 0.5  # after which a majority has what the leader has counted
 
 
-def past(route: str = "main") -> bytes:
-    """Three weeks of one route, up to the hour before this one."""
-    hours = 168 * WEEKS
-    first = int(time.time()) // 3600 - hours
-    asked = [round(4000 + 3000 * math.sin(2 * math.pi * (first + i) / 24)) for i in range(hours)]
+def history(route: str = "main") -> bytes:
+    """Three weeks of one route, up to the hour before this one, as the API takes them."""
+    hours = HOURS_PER_WEEK * WEEKS
+    first_hour = int(time.time()) // 3600 - hours
+    requests = [round(4000 + 3000 * math.sin(2 * math.pi * (first_hour + i) / 24)) for i in range(hours)]
     return json.dumps(
         [
             {
                 "customer": "acme",
                 "route": route,
                 "zone": "z0",
-                "first_hour": first,
-                "asked": asked,
+                "first_hour": first_hour,
+                "asked": requests,
                 "core_ms": 500,
                 "worth": 2,
             }
@@ -50,169 +52,187 @@
     ).encode()
 
 
-class Forecast:
-    def __init__(self, f: Fleet, scaler: Receiver, ways: list[Relay]) -> None:
-        self.fleet, self.scaler, self.ways = f, scaler, ways
+class ForecastingFleet:
+    """A fleet with a forecast. `relays[i]`: the way from runner i to the receiver of the hints."""
 
-    async def ask(
+    def __init__(self, runners: Fleet, receiver: Receiver, relays: list[Relay]) -> None:
+        self.fleet, self.receiver, self.relays = runners, receiver, relays
+
+    async def call(
         self, i: int, path: str = "forecast/acme", method: str = "GET", body: bytes = b""
     ) -> tuple[int, Any]:
-        got = await exchange(
+        """Status and JSON of the administration API of a runner."""
+        answer = await exchange(
             self.fleet.runners[i].admin,
             f"{method} /{path} HTTP/1.0\r\nAuthorization: Bearer t0p\r\n"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body,
         )
-        head, _, rest = got.partition(b"\r\n\r\n")
-        return int(head.split()[1]), json.loads(rest)
+        head, _, document = answer.partition(b"\r\n\r\n")
+        return int(head.split()[1]), json.loads(document)
 
-    async def owner(self, i: int) -> int:
-        found = [9]
+    async def leader(self, i: int) -> int:
+        """Who leads the forecast, as runner i reads it."""
+        found: list[int] = []
 
-        async def known() -> bool:
-            status, told = await self.ask(i, "duties/forecast")
-            if status == 200 and told["owner"]:
-                found[0] = int(told["owner"][1:])
-            return found[0] != 9
+        async def is_known() -> bool:
+            status, duty = await self.call(i, "duties/forecast")
+            if status == 200 and duty["owner"]:
+                found.append(int(duty["owner"][1:]))
+            return bool(found)
 
-        await until(known)
+        await until(is_known)
         return found[0]
 
-    async def load(self, i: int, route: str = "main") -> None:
-        async def taken() -> bool:
-            return (await self.ask(i, "forecast", "POST", past(route)))[0] == 200
+    async def other_leader(self, i: int, former: int) -> int:
+        """Who leads the forecast after another one has, as runner i reads it."""
+
+        async def has_changed() -> bool:
+            return await self.leader(i) != former
 
-        await until(taken)
+        await until(has_changed)
+        return await self.leader(i)
+
+    async def import_history(self, i: int, route: str = "main") -> None:
+        async def is_taken() -> bool:
+            status, _ = await self.call(i, "forecast", "POST", history(route))
+            return status == 200
+
+        await until(is_taken)
 
     async def forecast(self, i: int) -> dict[str, Any]:
         found: list[dict[str, Any]] = []
 
-        async def there() -> bool:
-            status, told = await self.ask(i)
-            if status == 200 and told["routes"]:
-                found.append(told)
+        async def is_there() -> bool:
+            status, document = await self.call(i)
+            if status == 200 and document["routes"]:
+                found.append(document)
             return bool(found)
 
-        await until(there)
+        await until(is_there)
         return found[0]
 
-    def in_order(self) -> None:
-        fences = [t.fence for t in self.scaler.took]
-        assert all(a < b for a, b in pairwise(fences))
+    async def counted_requests(self, i: int) -> int:
+        """What runner i, as the leader, has counted in this hour."""
+        _, document = await self.call(i, "forecast/+here")
+        return sum(int(requests) for requests in document["lately"].values())
+
+    def live_runner(self, lost: int) -> int:
+        return next(i for i in range(len(self.fleet.runners)) if i != lost)
+
+    def assert_tokens_grow(self) -> None:
+        tokens = [taken.fence for taken in self.receiver.took]
+        assert all(earlier < later for earlier, later in pairwise(tokens))
 
 
 @asynccontextmanager
-async def forecasting(n: int = 4, **how: Any) -> AsyncIterator[Forecast]:
+async def forecasting_fleet(n: int = 4, **how: Any) -> AsyncIterator[ForecastingFleet]:
     with TemporaryDirectory() as folder:
-        scaler = Receiver(reactor(), Book(Path(folder) / "book"))
-        ways = [Relay(reactor(), scaler.port) for _ in range(n)]
+        receiver = Receiver(reactor(), Book(Path(folder) / "book"))
+        relays = [Relay(reactor(), receiver.port) for _ in range(n)]
 
         def toml(i: int) -> str:
             return (
                 f"[duties]\non = true\nsteady_ms = 300\n[forecast]\non = true\nreport_ms = 100\nsave_ms = 100\n"
-                f'routes = 20\n[forecast.scaling]\nto = "{HOST}:{ways[i].port}"\ncores = 2.0\n'
+                f'routes = 20\n[forecast.scaling]\nto = "{HOST}:{relays[i].port}"\ncores = 2.0\n'
             )
 
         try:
-            async with fleet(n, more=toml, **how) as f:
-                made = Forecast(f, scaler, ways)
+            async with fleet(n, more=toml, **how) as runners:
+                made = ForecastingFleet(runners, receiver, relays)
                 yield made
-                made.in_order()
+                made.assert_tokens_grow()
         finally:
-            for way in ways:
-                way.close()
-            scaler.close()
+            for relay in relays:
+                relay.close()
+            receiver.close()
 
 
 @sockets
-async def test_what_is_asked_at_all_runners_is_counted_once_whoever_owns_the_forecast() -> None:
-    async with forecasting() as w:
+async def test_requests_at_all_runners_are_counted_once_whoever_leads_the_forecast() -> None:
+    """The leader is killed after it has replicated its counts. The next one has these, and gets them again from all
+    runners whose reports were not acknowledged: neither doubles them. Duplicates of a request are no demand."""
+    async with forecasting_fleet() as f:
         for i in range(4):
-            front, other = await w.fleet.front(i), await w.fleet.front((i + 1) % 4)
-            t = token()
-            for asked in (front, front, other):  # two of them are repeats, one at another runner
-                await asked.ask("submit", token=t, body=t.encode())
+            front, other = await f.fleet.front(i), await f.fleet.front((i + 1) % 4)
+            key = token()
+            for connection in (front, front, other):  # two of them are duplicates, one at another runner
+                await connection.ask("submit", token=key, body=key.encode())
             await front.ask("check")
+        leader = await f.leader(0)
 
-        owner = await w.owner(0)
-
-        async def told() -> bool:
-            _, here = await w.ask(owner, "forecast/+here")
-            return sum(map(int, here["lately"].values())) == 8
-
-        await until(told)
-        await asyncio.sleep(0.5)  # a majority has it by then
-        w.fleet.kill(owner)
-        live = next(i for i in range(4) if i != owner)
+        async def all_are_counted() -> bool:
+            return await f.counted_requests(leader) == 8
 
-        async def another() -> bool:
-            return await w.owner(live) != owner
+        await until(all_are_counted)
+        await asyncio.sleep(REPLICATED_S)
+        f.fleet.kill(leader)
+        next_leader = await f.other_leader(f.live_runner(leader), leader)
 
-        await until(another)
-        then = await w.owner(live)
+        async def are_counted_again() -> bool:
+            return await f.counted_requests(next_leader) >= 8
 
-        async def counted() -> bool:
-            """By the new one: what the last one had kept, and what all tell it again."""
-            _, told = await w.ask(then, "forecast/+here")
-            return sum(map(int, told["lately"].values())) >= 8
-
-        await until(counted)
-        await asyncio.sleep(0.5)
-        _, here = await w.ask(then, "forecast/+here")
-        assert sum(here["lately"].values()) == 8, (
-            "of sixteen: repeats are no demand, and nothing counts twice"
-        )
+        await until(are_counted_again)
+        await asyncio.sleep(REPLICATED_S)
+        assert await f.counted_requests(next_leader) == 8, "of sixteen"
 
 
 @sockets
-async def test_a_past_that_was_brought_is_forecast_by_and_the_next_owner_comes_to_the_same_figures() -> None:
-    async with forecasting() as w:
-        await w.load(1)
-        first = await w.forecast(2)
-        assert first["routes"][0]["day"][0] > 24 * 2_500 and first["hints"]["hints"]
-        await has(lambda: len(w.scaler.took) > 0)
-        hint = w.scaler.took[-1].body["hints"][0]
-        assert hint["zone"] == "z0" and "cores" in hint["why"]
-        owner = await w.owner(0)
-        w.fleet.kill(owner)
-        live = next(i for i in range(4) if i != owner)
-        await has(lambda: w.scaler.took[-1].fence.term > first["term"])
-        again = await w.forecast(live)
+async def test_an_imported_history_is_forecast_from_and_the_next_leader_has_the_same_figures() -> None:
+    """The leader is killed; the next one works the forecast out again, from the replicated counts."""
+    async with forecasting_fleet() as f:
+        await f.import_history(1)
+        first = await f.forecast(2)
+        assert first["routes"][0]["day"][0] > 24 * 2_500
+        assert first["hints"]["hints"]
+        await has(lambda: len(f.receiver.took) > 0)
+        hint = f.receiver.took[-1].body["hints"][0]
+        assert hint["zone"] == "z0"
+        assert "cores" in hint["why"]
+        leader = await f.leader(0)
+        f.fleet.kill(leader)
+        await has(lambda: f.receiver.took[-1].fence.term > first["term"])
+        again = await f.forecast(f.live_runner(leader))
         assert again["term"] > first["term"]
         if again["first_hour"] == first["first_hour"]:  # else an hour has ended meanwhile
             assert again["routes"] == first["routes"]
 
 
 @sockets
-async def test_a_hint_of_an_owner_of_before_that_arrives_late_changes_nothing() -> None:
-    async with forecasting() as w:
-        await w.load(0)
-        await has(lambda: len(w.scaler.took) > 0)
-        owner = await w.owner(0)
-        others = [i for i in range(4) if i != owner]
-        w.ways[owner].silence()
-        seen = len(w.scaler.took)
-        await w.load(others[0], "other")  # it works out anew, and its hint is held on the way
-        await has(lambda: w.ways[owner].holding > 0)
-        assert len(w.scaler.took) == seen
-        w.fleet.stop(owner)
-        await has(lambda: len(w.scaler.took) > seen)
-        term = w.scaler.took[-1].fence.term
-        w.ways[owner].silence(False)
-        await has(lambda: any(f.term < term for f in w.scaler.refused))
+async def test_a_hint_of_a_former_leader_that_arrives_late_changes_nothing() -> None:
+    """The leader's hint is held up on the way, the leader is stopped, and the next one's hint arrives first. Then the
+    first one arrives: without its fencing token it would replace the newer one."""
+    async with forecasting_fleet() as f:
+        await f.import_history(0)
+        await has(lambda: len(f.receiver.took) > 0)
+        leader = await f.leader(0)
+        others = [i for i in range(4) if i != leader]
+        f.relays[leader].silence()
+        taken = len(f.receiver.took)
+        await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
+        await has(lambda: f.relays[leader].holding > 0)
+        assert len(f.receiver.took) == taken
+        f.fleet.stop(leader)
+        await has(lambda: len(f.receiver.took) > taken)
+        term = f.receiver.took[-1].fence.term
+        f.relays[leader].silence(False)
+        await has(lambda: any(fence.term < term for fence in f.receiver.refused))
 
 
 @sockets
-async def test_hours_that_can_not_be_taken_are_refused_with_what_helps() -> None:
-    async with forecasting(3) as w:
-        await w.load(0)
-        status, told = await w.ask(1, "forecast", "POST", past())
-        assert (
-            status == 400 and told["kind"] == "BadPast" and "acme/main@z0" in told["error"] and told["remedy"]
-        )
-        for wrong in (b"{}", b'[{"first_hour": 5, "asked": [-1]}]', b'[{"asked": [1]}]', b"[" * 5000):
-            status, told = await w.ask(1, "forecast", "POST", wrong)
-            assert status == 400 and told["error"]
-        await w.forecast(2)
-        status, told = await w.ask(2, "forecast/nobody")
-        assert status == 200 and told["routes"] == []
+async def test_histories_that_can_not_be_imported_are_rejected_with_a_remedy() -> None:
+    async with forecasting_fleet(3) as f:
+        await f.import_history(0)
+        status, answer = await f.call(1, "forecast", "POST", history())
+        assert status == 400
+        assert answer["kind"] == "BadPast"
+        assert "acme/main@z0" in answer["error"]
+        assert answer["remedy"]
+        for body in (b"{}", b'[{"first_hour": 5, "asked": [-1]}]', b'[{"asked": [1]}]', b"[" * 5000):
+            status, answer = await f.call(1, "forecast", "POST", body)
+            assert status == 400
+            assert answer["error"]
+        await f.forecast(2)
+        status, document = await f.call(2, "forecast/nobody")
+        assert status == 200
+        assert document["routes"] == []
