--- a/moorusher/forecast_service/demand_reporter.py
+++ b/moorusher/forecast_service/demand_reporter.py
@@ -66,13 +66,17 @@
 
     def _found(self, leader: str | DutyError) -> None:
         if isinstance(leader, str):
-            self._leader, self._unanswered = leader, 0
+            self._leader_answered(leader)
 
     def acknowledged(self, seat: str, ack: ReportAck) -> None:
         """The leader has replicated a report."""
-        self._leader, self._unanswered = seat, 0
+        self._leader_answered(seat)
         self._counter.acknowledge(ack.buckets)
 
+    def _leader_answered(self, leader: str) -> None:
+        self._leader = leader
+        self._unanswered = 0
+
     def redirected(self, seat: str, answer: NotLeader) -> None:
         """A member that got a report doesn't lead the forecast."""
         self._leader = answer.leader if answer.leader != seat else ""
--- a/moorusher/forecast_service/documents.py
+++ b/moorusher/forecast_service/documents.py
@@ -42,7 +42,8 @@
 
 
 def _route_document(forecast: WeeklyForecast, route: str) -> dict[str, Any]:
-    key, quantiles = decode_key(route), forecast.quantiles_of(route)
+    key = decode_key(route)
+    quantiles = forecast.quantiles_of(route)
     median = quantiles[MEDIAN]
     return {
         "customer": key.customer,
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -207,7 +207,8 @@
 
     def _send_hints(self, forecast: WeeklyForecast, first_hour: int) -> None:
         """There is a new forecast, up to date with the hours before that one."""
-        host, scaling = self._host, self._policy.scaling
+        host = self._host
+        scaling = self._policy.scaling
         host.count("forecast: worked out")
         self.hints = plan_hints(
             forecast, self.ledger, first_hour, scaling, host.unix_ms(), host.running_by_zone()
--- a/moorusher/forecast_service/hint_planning.py
+++ b/moorusher/forecast_service/hint_planning.py
@@ -43,7 +43,8 @@
     forecast: WeeklyForecast, route: str, ledger: DemandLedger, first_hour: int, policy: ScalingPolicy
 ) -> RouteDemand:
     """The demand to plan for: a higher quantile for requests of high priority."""
-    series, key = ledger.series.get(route), decode_key(route)
+    series = ledger.series.get(route)
+    key = decode_key(route)
     core_us = 0.0 if series is None else series.core_us
     priority_weight = 0.0 if series is None else series.priority_weight
     index = HIGHEST if priority_weight >= policy.priority_threshold else HIGH
--- a/moorusher/forecast_service/rolling_forecast.py
+++ b/moorusher/forecast_service/rolling_forecast.py
@@ -63,12 +63,14 @@
 
     def invalidate(self) -> None:
         """Make the next forecast anew: the history before it has changed."""
-        self._uncorrected, self._known_until_hour = None, 0
+        self._uncorrected = None
+        self._known_until_hour = 0
         self._is_outdated = self._is_calculating
 
     def update(self, ledger: DemandLedger) -> None:
         """Calculate, if hours were closed since the last forecast."""
-        hour, base = ledger.next_hour, self._uncorrected
+        hour = ledger.next_hour
+        base = self._uncorrected
         if self._is_calculating or not ledger.series or hour <= self._known_until_hour:
             return
         self._is_calculating = True
@@ -108,7 +110,8 @@
 
     def _succeeded(self, forecast: WeeklyForecast, hour: int) -> None:
         if self._take_result(hour):
-            self.error, self.latest = None, forecast
+            self.error = None
+            self.latest = forecast
             self._on_update(forecast, hour)
 
     def _take_result(self, hour: int) -> bool:
--- a/moorusher/forecasting/backtest.py
+++ b/moorusher/forecasting/backtest.py
@@ -58,7 +58,7 @@
 
 def _origins(hours: int) -> list[int]:
     """Hours of the history that models forecast from, the newest first; none in a short one."""
-    candidates = (hours - LAST_ORIGIN_H - i * ORIGIN_SPACING_H for i in range(MAX_ORIGINS))
+    candidates = (hours - LAST_ORIGIN_H - number * ORIGIN_SPACING_H for number in range(MAX_ORIGINS))
     return [origin for origin in candidates if origin >= MIN_TRAINING_H]
 
 
--- a/moorusher/forecasting/demand_counter.py
+++ b/moorusher/forecasting/demand_counter.py
@@ -42,7 +42,9 @@
 
     def __init__(self, seat: str, incarnation: int, zone: str, now_ms: int, max_routes: int = 1_000) -> None:
         """:param max_routes: of one bucket; further ones are counted under no route of their customer."""
-        self.seat, self.incarnation, self.zone = seat, incarnation, zone
+        self.seat = seat
+        self.incarnation = incarnation
+        self.zone = zone
         self.dropped_buckets = 0
         self._max_routes = max_routes
         self._buckets = {now_ms // BUCKET_MS: _Bucket(now_ms, now_ms)}
@@ -57,7 +59,8 @@
 
         Where the clock was set back, counting goes on in the bucket that it had reached.
         """
-        previous_ms, now_ms = self._last_tick_ms, max(self._last_tick_ms, now_ms)
+        previous_ms = self._last_tick_ms
+        now_ms = max(previous_ms, now_ms)
         self._last_tick_ms = now_ms
         if now_ms // BUCKET_MS != previous_ms // BUCKET_MS:
             self._begin_bucket(previous_ms, now_ms)
@@ -72,7 +75,8 @@
         return self._buckets[self._current_number]
 
     def _begin_bucket(self, previous_ms: int, now_ms: int) -> None:
-        number, was_stopped = now_ms // BUCKET_MS, now_ms - previous_ms > MAX_TICK_GAP_MS
+        number = now_ms // BUCKET_MS
+        was_stopped = now_ms - previous_ms > MAX_TICK_GAP_MS
         previous = self._buckets.get(previous_ms // BUCKET_MS)
         if previous is not None and not was_stopped:
             previous.counted_until_ms = (previous_ms // BUCKET_MS + 1) * BUCKET_MS
@@ -85,7 +89,8 @@
     def count(self, now_ms: int, key: RouteKey, counts: DemandCounts) -> None:
         """Add counts to a route's."""
         self.tick(now_ms)
-        by_route, name = self._current.counts, encode_key(key)
+        by_route = self._current.counts
+        name = encode_key(key)
         if name not in by_route and len(by_route) >= self._max_routes:
             name = encode_key(RouteKey(key.customer, key.namespace_incarnation, "", key.zone))
         by_route[name] = by_route.get(name, DemandCounts()).plus(counts)
--- a/moorusher/forecasting/demand_ledger.py
+++ b/moorusher/forecasting/demand_ledger.py
@@ -41,7 +41,8 @@
     """
 
     def __init__(self, zones: Mapping[str, str], max_routes: int = 1_000) -> None:
-        self.zones, self.max_routes = zones, max_routes
+        self.zones = zones
+        self.max_routes = max_routes
         self.series: dict[str, HourlySeries] = {}
         self.changed_routes: set[str] = set()
         self.first_bucket = self.next_bucket = 0
--- a/moorusher/forecasting/intraday_correction.py
+++ b/moorusher/forecasting/intraday_correction.py
@@ -23,7 +23,8 @@
     quantiles = forecast.quantiles.copy()
     for index, route in enumerate(forecast.routes):
         requests = np.asarray(actual.get(route, ()), float)
-        passed, known = len(requests), np.isfinite(requests)
+        passed = len(requests)
+        known = np.isfinite(requests)
         expected = float(forecast.quantiles[MEDIAN, index, :passed][known].sum())
         if expected > 0:
             ratio = (float(requests[known].sum()) + PRIOR_REQUESTS) / (expected + PRIOR_REQUESTS)
--- a/moorusher/forecasting/ledger_codec.py
+++ b/moorusher/forecasting/ledger_codec.py
@@ -12,7 +12,8 @@
 from .hourly_series import HourlySeries
 
 COMPRESSION_LEVEL = 6
-REQUESTS_BYTES, COVERAGE_BYTES = 4, 1  # of an hour
+REQUESTS_BYTES = 4  # of an hour
+COVERAGE_BYTES = 1  # of an hour
 
 
 class StoredSeries(msgspec.Struct, array_like=True):
@@ -108,10 +109,13 @@
     def _fill(self, stored: StoredLedger, series: dict[str, HourlySeries]) -> None:
         ledger = self._ledger
         ledger.series = series
-        ledger.next_bucket, ledger.first_bucket = stored.next_bucket, stored.first_bucket
+        ledger.next_bucket = stored.next_bucket
+        ledger.first_bucket = stored.first_bucket
         ledger.last_bucket_by_seat = stored.last_bucket_by_seat
-        ledger.hour_counts, ledger.hour_coverage = stored.hour_counts, stored.hour_coverage
-        ledger.late_reports, ledger.invalid_reports = stored.late_reports, stored.invalid_reports
+        ledger.hour_counts = stored.hour_counts
+        ledger.hour_coverage = stored.hour_coverage
+        ledger.late_reports = stored.late_reports
+        ledger.invalid_reports = stored.invalid_reports
         for report in stored.open_buckets:
             reports = ledger.open_buckets.setdefault(report.bucket, {})
             reports[report.seat, report.incarnation] = report
--- a/moorusher/forecasting/level_shifts.py
+++ b/moorusher/forecasting/level_shifts.py
@@ -15,12 +15,14 @@
 from .time_units import HOURS_PER_DAY
 
 WINDOW_DAYS = 10  # compared on each side of a shift
-MIN_DAYS_BEFORE, MIN_DAYS_AFTER = 7, 2  # known days on each side
+MIN_DAYS_BEFORE = 7  # known days on that side
+MIN_DAYS_AFTER = 2
 MIN_SHIFT = 0.3  # as a logarithm
 MIN_Z_SCORE = 5.0  # difference of the medians over its standard error
 MIN_KNOWN_DAYS = 14  # before a shift: within a single week, a weekend looks like one
 MAX_SHIFTS = 2  # of one route
-MIN_NOISE, DEFAULT_NOISE = 0.03, 0.1  # of a daily log level
+MIN_NOISE = 0.03  # standard deviation of a daily log level
+DEFAULT_NOISE = 0.1  # where it is unknown
 MAD_TO_SIGMA = 1.4826  # median absolute deviation to standard deviation, for normal noise
 MEDIAN_VARIANCE = 1.6  # of the median of n days, times n, over that of one day
 
@@ -104,8 +106,10 @@
 
 def _split_at(day: int, log_level: Floats, noise: Floats) -> _Candidate:
     window_start = max(0, day - WINDOW_DAYS)
-    before, after = log_level[:, window_start:day], log_level[:, day : day + WINDOW_DAYS]
-    days_before, days_after = np.isfinite(before).sum(axis=1), np.isfinite(after).sum(axis=1)
+    before = log_level[:, window_start:day]
+    after = log_level[:, day : day + WINDOW_DAYS]
+    days_before = np.isfinite(before).sum(axis=1)
+    days_after = np.isfinite(after).sum(axis=1)
     log_size = nan_median(after, 1) - nan_median(before, 1)
     variance = MEDIAN_VARIANCE / np.maximum(days_before, 1) + MEDIAN_VARIANCE / np.maximum(days_after, 1)
     z_score = np.abs(log_size) / (noise * np.sqrt(variance))
--- a/moorusher/forecasting/seasonal_profile.py
+++ b/moorusher/forecasting/seasonal_profile.py
@@ -18,8 +18,10 @@
 # Share of an hour's noise that the hours of its day have in common: hours of a day rise and fall together, so the noise
 # of a day's level is not a 24th of theirs.
 SHARED_DAY_NOISE = 0.5
-WORKING_DAYS, WEEKEND = slice(0, 5), slice(5, 7)  # from Monday on
-MIN_HOUR, MIN_COMMON_HOUR = 0.2, 0.05  # of a profile with a mean of 1, where something is divided or squared
+WORKING_DAYS = slice(0, 5)  # from Monday on
+WEEKEND = slice(5, 7)
+MIN_HOUR = 0.2  # of a profile with a mean of 1, for the variance of an hour that is hardly known
+MIN_COMMON_HOUR = 0.05  # of such a profile, where something is divided by it
 TINY = 1e-12  # keeps a variance in a denominator above 0
 MIN_DAY_LEVEL = 1e-9
 
--- a/moorusher/forecasting/seasonality.py
+++ b/moorusher/forecasting/seasonality.py
@@ -36,7 +36,8 @@
     :param first_hour: hours since 1970, UTC.
     :raises ValueError: there is no such time zone.
     """
-    zone, hours = time_zone(zone_name), np.empty(count, np.int64)
+    zone = time_zone(zone_name)
+    hours = np.empty(count, np.int64)
     start = _start_of(first_hour)
     for done in range(0, count, HOURS_PER_DAY):
         length = min(HOURS_PER_DAY, count - done)
@@ -51,7 +52,8 @@
     if first.utcoffset() == last.utcoffset():
         return np.asarray((_hour_of_week(first) + np.arange(length)) % HOURS_PER_WEEK)
     return np.array(
-        [_hour_of_week((start + timedelta(hours=i)).astimezone(zone)) for i in range(length)], np.int64
+        [_hour_of_week((start + timedelta(hours=index)).astimezone(zone)) for index in range(length)],
+        np.int64,
     )
 
 
@@ -72,11 +74,12 @@
     by_hour = np.full(count, ORDINARY_DAY, np.int64)
     if not calendar.day_types:
         return DayTypes(names, by_hour)
-    zone, start = time_zone(calendar.time_zone), _start_of(first_hour)
-    for i in range(count):
-        date = (start + timedelta(hours=i)).astimezone(zone).date().isoformat()
+    zone = time_zone(calendar.time_zone)
+    start = _start_of(first_hour)
+    for index in range(count):
+        date = (start + timedelta(hours=index)).astimezone(zone).date().isoformat()
         if (name := calendar.day_types.get(date)) is not None:
-            by_hour[i] = names.index(name)
+            by_hour[index] = names.index(name)
     return DayTypes(names, by_hour)
 
 
--- a/moorusher/forecasting/weekly_forecast.py
+++ b/moorusher/forecasting/weekly_forecast.py
@@ -140,5 +140,5 @@
         with_special_days = mask_before_first_request(scale_to_full_hours(counts.requests, counts.coverage))
         factors = day_type_factors(with_special_days, past_hour_of_week, past_types)
         quantiles = quantiles * factors[:, types.by_hour[hours:]][None]
-    main_models = [ensemble.model_names[i] for i in ensemble.weights.argmax(axis=0)]
+    main_models = [ensemble.model_names[model] for model in ensemble.weights.argmax(axis=0)]
     return _CustomerForecast(main_models, quantiles)
