--- a/tests/compatibility/test_forecast_documents.py
+++ b/tests/compatibility/test_forecast_documents.py
@@ -11,7 +11,9 @@
 from typing import Any
 
 import msgspec
+import pytest
 
+from moorusher.admin import forecast as admin_forecast
 from moorusher.forecast_service import forecaster
 from moorusher.forecasting import demand_counts, demand_ledger, ledger_codec, models, policy, weekly_forecast
 from moorusher.leadership.effects import Completed
@@ -32,6 +34,27 @@
 POLICY = policy.ForecastPolicy(enabled=True, scaling=policy.ScalingPolicy(receiver=("127.0.0.1", 9300)))
 
 
+HistoryBodies = list[admin_forecast._HistoryBody]
+FAULTY_BODIES = (
+    "{}",
+    '[{"asked":[1]}]',
+    '[{"first_hour":1}]',
+    '[{"first_hour":1,"asked":[]}]',
+    '[{"first_hour":1,"asked":[-1]}]',
+    '[{"first_hour":1,"asked":[4294967296]}]',
+    '[{"first_hour":-1,"asked":[1]}]',
+    '[{"first_hour":100000001,"asked":[1]}]',
+    '[{"first_hour":1,"asked":[1],"born":-1}]',
+    '[{"first_hour":1,"asked":[1],"worth":"x"}]',
+    '[{"first_hour":1,"asked":[1],"worth":1e10}]',
+    '[{"first_hour":1,"asked":[1],"core_ms":1e8}]',
+    '[{"first_hour":1,"asked":[1],"customer":1}]',
+    '[{"first_hour":1,"asked":[1],"route":1}]',
+    '[{"first_hour":1,"asked":[1],"zone":1}]',
+    '[{"first_hour":1,"asked":[1],"odd":1}]',
+)
+
+
 def name_of(customer: str, route: str, zone: str) -> str:
     return demand_counts.encode_key(demand_counts.RouteKey(customer, 0, route, zone))
 
@@ -111,3 +134,12 @@
             "counters": owner.counters,
         },
     )
+
+
+def test_a_faulty_history_is_answered_with_the_same_text() -> None:
+    texts = {}
+    for body in FAULTY_BODIES:
+        with pytest.raises(msgspec.MsgspecError) as raised:
+            msgspec.json.decode(body, type=HistoryBodies)
+        texts[body] = str(raised.value)
+    assert_golden("forecast_bodies", texts)
