--- a/moorusher/forecast_service/demand_reporter.py
+++ b/moorusher/forecast_service/demand_reporter.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 
 from ..forecasting.demand_counter import DemandCounter
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
 from .leader_lookup import LeaderLookup
@@ -64,7 +64,7 @@
         self._next_lookup_us = self._services.now() + round(MIN_LOOKUP_INTERVAL_US * jitter)
         self._lookup.read(self._found)
 
-    def _found(self, leader: str | DutyError) -> None:
+    def _found(self, leader: str | LeadershipError) -> None:
         if isinstance(leader, str):
             self._leader_answered(leader)
 
--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -6,10 +6,8 @@
 
 from __future__ import annotations
 
-from ..errors import OperatorError
 
-
-class ForecastError(Remediable):
+class ForecastError(OperatorError):
     """Why there is no forecast, or why an operation was rejected."""
 
 
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -35,7 +35,7 @@
 TURN_INTERVAL_US = 2 * MS  # between two such turns
 MAX_PENDING_REPORTS = 10_000  # that wait to be replicated; further ones are dropped, and will be sent again
 
-ImportCallback = Callable[[ForecastError | DutyError | None], None]
+ImportCallback = Callable[[ForecastError | LeadershipError | None], None]
 
 
 class ForecasterHost(ForecastCalculator, Protocol):
@@ -114,7 +114,7 @@
     def before_release(self) -> None:
         """Nothing is left to submit: what is not acknowledged will be reported to the next leader."""
 
-    def stop(self, reason: DutyError | None) -> None:
+    def stop(self, reason: LeadershipError | None) -> None:
         """The term is over."""
         self._is_stopped = True
         self._forecast.stop()
--- a/moorusher/forecast_service/leader_lookup.py
+++ b/moorusher/forecast_service/leader_lookup.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from ..leadership.directory import Reading
-from ..leadership.errors import DutyError, NoMajority
+from ..leadership.errors import LeadershipError, NoMajorityError
 from ..leadership.participant import Participant
 from .forecaster import NAME
 
-LeaderCallback = Callable[[str | DutyError], None]
+LeaderCallback = Callable[[str | LeadershipError], None]
 
 
 class LeaderLookup:
@@ -21,18 +21,18 @@
     def last_known(self) -> str:
         """Return the leader by this member's own copy of the record; "" where it has none, or the leader is down."""
         known = self._participant.directory.last_known(NAME)
-        holder = None if isinstance(known, DutyError) else known.record.holder
+        holder = None if isinstance(known, LeadershipError) else known.record.holder
         if holder is None or not self._participant.node.is_up(holder.seat):
             return ""
         return holder.seat
 
     def read(self, callback: LeaderCallback) -> None:
-        """Ask a majority for the leader. Errors: NoMajority, also where nobody leads it, and those of the read."""
+        """Ask a majority for the leader. Errors: NoMajorityError, also where nobody leads it, and those of the read."""
 
-        def got(reading: Reading | DutyError) -> None:
-            if isinstance(reading, DutyError):
+        def got(reading: Reading | LeadershipError) -> None:
+            if isinstance(reading, LeadershipError):
                 return callback(reading)
             holder = reading.record.holder
-            return callback(NoMajority(NAME) if holder is None else holder.seat)
+            return callback(NoMajorityError(NAME) if holder is None else holder.seat)
 
         self._participant.directory.read(NAME, got, state=False)
--- a/moorusher/forecast_service/leader_queries.py
+++ b/moorusher/forecast_service/leader_queries.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.services import MemberServices
 from ..membership.failure_detector import MS
 from .errors import ForecastError, NotYet, error_from_wire
@@ -14,7 +14,7 @@
 REPLY_TIMEOUT_US = 2_000 * MS
 MAX_QUERIES = 64  # that wait for an answer
 
-DocumentCallback = Callable[[bytes | ForecastError | DutyError], None]
+DocumentCallback = Callable[[bytes | ForecastError | LeadershipError], None]
 
 
 class LeaderQueries:
@@ -46,8 +46,8 @@
         if len(self._waiting) >= MAX_QUERIES:
             return callback(NotYet(f"{MAX_QUERIES} questions wait at this runner"))
 
-        def found(leader: str | DutyError) -> None:
-            if isinstance(leader, DutyError):
+        def found(leader: str | LeadershipError) -> None:
+            if isinstance(leader, LeadershipError):
                 return callback(leader)
             serial = next(self._serials)
             self._waiting[serial] = callback
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -9,7 +9,7 @@
 
 from ..forecasting.demand_counter import DemandCounter
 from ..forecasting.policy import ForecastPolicy
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
 from ..membership.failure_detector import MS
@@ -135,7 +135,7 @@
         return LeaderReply(query.serial, document)
 
     def _import_received(self, seat: str, request: HistoryImport) -> None:
-        def done(error: ForecastError | DutyError | None) -> None:
+        def done(error: ForecastError | LeadershipError | None) -> None:
             reply = (
                 LeaderReply(request.serial, b"{}") if error is None else _error_reply(request.serial, error)
             )
--- a/tests/test_forecaster.py
+++ b/tests/test_forecaster.py
@@ -15,7 +15,7 @@
 from moorusher.forecasting.ledger_codec import decode_ledger
 from moorusher.forecasting.policy import ForecastPolicy
 from moorusher.leadership.effects import Completed, Outcome
-from moorusher.leadership.errors import NoMajority
+from moorusher.leadership.errors import NoMajorityError
 from moorusher.leadership.fencing_token import FencingToken
 
 from .test_demand_counting import KEY, ROUTE, START_MS, ZONES, report_of
@@ -79,7 +79,7 @@
     host.pass_time()
     assert not host.sent
     _, callback = host.submitted.pop()
-    callback(NoMajority("forecast"))
+    callback(NoMajorityError("forecast"))
     assert not host.sent, "it may not have come about"
     host.pass_time()
     state, callback = host.submitted.pop()
