--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -22,8 +22,9 @@
 from ..leadership.fencing_token import FencingToken
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
-from ..model_checking.cluster_simulation import SECOND, Scenario
 from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
+from ..model_checking.scenario import FaultKind, Scenario
+from ..model_checking.virtual_time import SECOND
 from .experiment import Experiment, Plot, Result
 from .load import Kind
 from .ports import HOST
@@ -67,9 +68,20 @@
 
 def out_of_order(seed: int, leases: bool) -> tuple[int, int]:
     """Effects of an earlier term that came to count after one of a later; all effects."""
-    course = Scenario(seats=5, keys=0, faults=10, fault_kinds=("stop", "stop", "cut", "one way", "kill"))
+    course = Scenario(
+        seats=5,
+        keys=0,
+        faults=10,
+        fault_kinds=(
+            FaultKind.PAUSE,
+            FaultKind.PAUSE,
+            FaultKind.PARTITION,
+            FaultKind.ONE_WAY_PARTITION,
+            FaultKind.CRASH,
+        ),
+    )
     sim = DutySimulation(
-        seed, course, compares=not leases, participant=ClockLeaseParticipant if leases else Participant
+        seed, course, compares=not leases, participant_class=ClockLeaseParticipant if leases else Participant
     )
     sim.play()
     wrong = total = 0
@@ -93,7 +105,7 @@
     """A fleet that has been up for a while is given duties; then it is looked at, and a fifth of it is lost."""
     up, given = (8.0, 8.0) if seats <= 100 else (30.0, 20.0)
     sim = DutySimulation(
-        seed, Scenario(seats=seats, keys=0, faults=0, loss=0.0, duplication=0.0), 0, process=Idle
+        seed, Scenario(seats=seats, keys=0, faults=0, loss=0.0, duplication=0.0), 0, process_class=Idle
     )
     sim.run(round(up * SECOND))
     participants = [p.participant for p in sim.processes if isinstance(p, DutyProcess)]
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -417,8 +417,8 @@
 
 def messages(seats: int) -> float:
     """A member a second, while the fleet goes round, all asked for."""
-    from ..model_checking.cluster_simulation import Scenario
     from ..model_checking.maintenance_simulation import MaintenanceSimulation
+    from ..model_checking.scenario import Scenario
 
     sim = MaintenanceSimulation(
         1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0, seconds=20), requests=0
--- /dev/null
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -0,0 +1,145 @@
+"""The invariants of keyed work, checked on the whole history of a simulated cluster.
+
+Each function returns what is violated, in words, or None.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from itertools import pairwise
+from typing import TYPE_CHECKING
+
+from ..replication.work_record import Key, Owner, WorkState
+from .cluster_history import AnswerKind, History, Request, Run
+from .simulated_request_engine import KeyState
+from .virtual_time import SECOND
+
+if TYPE_CHECKING:
+    from .cluster_process import Process
+    from .cluster_simulation import Simulation
+
+MAJORITY = 2  # of the three replicas of a key
+
+
+def find_violation(sim: Simulation) -> str | None:
+    """Check all invariants at the end of a simulation."""
+    history = sim.history
+    return (
+        repeated_run(history, window_us=round(sim.scenario.window_s * SECOND))
+        or unknown_result(history)
+        or conflicting_results(history)
+        or run_after_rejection(history, sim.now)
+        or abandoned_work(sim)
+    )
+
+
+def repeated_run(history: History, window_us: int) -> str | None:
+    """No key runs twice within its window, counted from when the first request was received."""
+    runs_by_key: dict[Key, list[Run]] = {}
+    for run in history.runs:
+        runs_by_key.setdefault(run.key, []).append(run)
+    for key, runs in runs_by_key.items():
+        for first, second in pairwise(runs):
+            if second.started_at < first.received_at + window_us:
+                return f"{key!r} ran at process {first.process} and again at {second.process}"
+    return None
+
+
+def unknown_result(history: History) -> str | None:
+    """No client is answered with a result that no run had."""
+    for answer in history.answers:
+        if answer.result is not None and answer.result not in history.results[answer.key]:
+            where = f"at process {answer.process}"
+            return f"{answer.key!r} was answered {where} with what no run gave ({answer.kind.value})"
+    return None
+
+
+def conflicting_results(history: History) -> str | None:
+    """No key has two results."""
+    has_conflict = any(len(results) > 1 for results in history.results.values())
+    return "two results of one key" if has_conflict else None
+
+
+def run_after_rejection(history: History, now_us: int) -> str | None:
+    """No key runs that all its clients were told never runs.
+
+    Only the word of processes that had not crashed counts, and only while nobody asks again.
+    """
+    requests: defaultdict[Key, list[Request]] = defaultdict(list)
+    for request in history.requests:
+        requests[request.key].append(request)
+    for run in history.runs:
+        earlier = [request for request in requests[run.key] if request.at <= run.started_at]
+        if all(
+            _was_rejected(history, run, request)
+            and history.crashed_at.get(request.process, now_us + 1) > run.started_at
+            for request in earlier
+        ):
+            ran = f"{run.key!r} ran at process {run.process} at {run.started_at}"
+            return f"{ran}, though all were told that it never ran"
+    return None
+
+
+def _was_rejected(history: History, run: Run, request: Request) -> bool:
+    """That process rejected the key after it was asked for, and before it ran."""
+    return any(
+        answer.key == run.key
+        and answer.process == request.process
+        and request.at < answer.at < run.started_at
+        and answer.kind is AnswerKind.REJECTED
+        for answer in history.answers
+    )
+
+
+def abandoned_work(sim: Simulation) -> str | None:
+    """Work that a majority of its live replicas knows is run, finished or released in the end."""
+    ran = {run.key for run in sim.history.runs}
+    for key in sim.history.granted:
+        replicas = _replicas_with_open_work(sim, key)
+        if len(replicas) < MAJORITY or key in ran or _is_in_progress(sim, key):
+            continue
+        work = [process.node.acceptor.registers[key].value for process in replicas]
+        if all(record.state in (WorkState.HELD, WorkState.RELEASED) for record in work):
+            return f"{key!r} is known to {len(replicas)} keepers, and nobody goes on with it: {work}"
+    return None
+
+
+def _is_in_progress(sim: Simulation, key: Key) -> bool:
+    return any(
+        process.engine.states.get(key) in (KeyState.HELD, KeyState.STARTING) for process in sim.processes
+    )
+
+
+def _replicas_with_open_work(sim: Simulation, key: Key) -> list[Process]:
+    """The live replicas of a key that have a vote on it, and know of work that somebody has to go on with."""
+    live = {process.node.me: process for process in sim.processes if process.alive}
+    withdrawing = _withdrawing_owners(sim, key)
+    return [
+        live[seat]
+        for seat in sim.placement.replicas(key)
+        if seat in live and _has_open_work(live[seat], key, withdrawing)
+    ]
+
+
+def _has_open_work(process: Process, key: Key, withdrawing: set[Owner]) -> bool:
+    acceptor = process.node.acceptor
+    register = acceptor.registers.get(key)
+    if register is None or register.value is None:
+        return False
+    work = register.value
+    return (
+        work.request is not None
+        and not work.rejected_by
+        and acceptor.can_vote_on(key)
+        and work.owner not in withdrawing
+    )
+
+
+def _withdrawing_owners(sim: Simulation, key: Key) -> set[Owner]:
+    """Its owners that have given their clients up, and are withdrawing their claims."""
+    given_up = {
+        answer.process
+        for answer in sim.history.answers
+        if answer.key == key and answer.kind in (AnswerKind.REJECTED, AnswerKind.FAILED)
+    }
+    return {process.node.owner for process in sim.processes if process.number in given_up}
--- /dev/null
+++ b/moorusher/model_checking/fault_injection.py
@@ -0,0 +1,111 @@
+"""Fault injection: the schedule of faults, drawn before a simulation runs, and what each fault does."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+from .cluster_process import Process
+from .scenario import FaultKind
+from .simulated_network import Link
+from .virtual_time import MS, SECOND
+
+if TYPE_CHECKING:
+    from .cluster_simulation import Simulation
+
+MAX_SHORT_S = 0.6
+MIN_LONG_S = 0.5
+MAX_LONG_S = 4
+QUICK_RESTART_US = 20 * MS
+MIN_POWER_FAILURE_S = 0.02
+MAX_POWER_FAILURE_S = 1
+CLOCK_STEP = 5  # by how much an incarnation is lower once the clock was set back
+
+
+class FaultInjector:
+    """Injects the faults of a scenario.
+
+    Attributes:
+        log: one line for each fault.
+    """
+
+    def __init__(self, sim: Simulation) -> None:
+        self.log: list[str] = []
+        self._sim = sim
+
+    def plan(self) -> None:
+        """Draw all faults: kind, member, begin and duration."""
+        random = self._sim.random
+        scenario = self._sim.scenario
+        for _ in range(scenario.faults):
+            kind = random.choice(scenario.fault_kinds)
+            seat = random.randrange(scenario.seats)
+            at_s = random.uniform(0, scenario.seconds)
+            duration_s = random.choice(
+                (random.uniform(0, MAX_SHORT_S), random.uniform(MIN_LONG_S, MAX_LONG_S))
+            )
+            self._sim.at(round(at_s * SECOND), None, partial(self.inject, kind, seat, duration_s))
+
+    def inject(self, kind: FaultKind, seat: int, duration_s: float) -> None:
+        """Inject a fault at a member; none where it is down already."""
+        process = self._sim.processes[seat]
+        if not process.alive:
+            return
+        self.log.append(f"{self._sim.now / SECOND:.3f} s: {kind} n{seat} for {duration_s:.3f} s")
+        end_us = self._sim.now + round(duration_s * SECOND)
+        match kind:
+            case FaultKind.POWER_FAILURE:
+                self._fail_power(duration_s)
+            case FaultKind.CRASH:
+                self._sim.crash(process)
+                self._sim.restart_later(seat, end_us)
+            case FaultKind.QUICK_RESTART:
+                self._sim.crash(process)
+                self._sim.restart_later(seat, self._sim.now + QUICK_RESTART_US)
+            case FaultKind.CLOCK_SET_BACK:
+                self._set_clock_back(process)
+            case FaultKind.PAUSE:
+                process.stopped_until = end_us
+            case FaultKind.KERNEL_OUTAGE:
+                process.engine.kernel_is_up = False
+                self._sim.at(end_us, process, process.engine.restore_kernel)
+            case FaultKind.DRAIN:
+                self._drain(process, end_us)
+            case FaultKind.PARTITION | FaultKind.ONE_WAY_PARTITION:
+                self._cut_links(self._draw_links(kind, seat), end_us)
+            case _:
+                raise ValueError(f"no cluster of this kind has the fault {kind}")
+
+    def _fail_power(self, duration_s: float) -> None:
+        """All processes crash at once; each is restarted at a time of its own."""
+        for process in self._sim.processes:
+            if process.alive:
+                self._sim.crash(process)
+                delay_s = self._sim.random.uniform(MIN_POWER_FAILURE_S, min(duration_s, MAX_POWER_FAILURE_S))
+                self._sim.restart_later(process.seat, self._sim.now + round(delay_s * SECOND))
+
+    def _set_clock_back(self, process: Process) -> None:
+        self._sim.crash(process)
+        incarnation: int | None = None
+        if not self._sim.scenario.journals:
+            incarnation = max(1, process.node.owner.incarnation - CLOCK_STEP)
+        self._sim.restart_later(process.seat, self._sim.now + QUICK_RESTART_US, incarnation)
+
+    def _drain(self, process: Process, end_us: int) -> None:
+        def end() -> None:
+            process.draining = False
+
+        process.draining = True
+        self._sim.at(end_us, process, end)
+
+    def _draw_links(self, kind: FaultKind, seat: int) -> set[Link]:
+        others = [other for other in range(self._sim.scenario.seats) if other != seat]
+        if kind is FaultKind.ONE_WAY_PARTITION:
+            return {(seat, other) for other in others}
+        others = self._sim.random.sample(others, self._sim.random.randint(1, len(others)))
+        return {link for other in others for link in ((seat, other), (other, seat))}
+
+    def _cut_links(self, links: set[Link], end_us: int) -> None:
+        cut_links = self._sim.network.cut_links
+        cut_links |= links
+        self._sim.at(end_us, None, lambda: cut_links.difference_update(links))
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -19,8 +19,8 @@
 from ..forecasting.policy import Policy
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.worker import Worker
-from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Scenario, Simulation
+from .cluster_process import ProcessStart
+from .cluster_simulation import Simulation
 from .leadership_simulation import (
     MIN_REPLICAS,
     DutyProcess,
@@ -28,27 +28,23 @@
     latest_record,
     replicated_state,
 )
+from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
+from .virtual_time import MS, SECOND
 
 FAST = 600
 HOUR_MS = BUCKET_MS * HOUR_BUCKETS
 BEGAN_MS = 500_000 * HOUR_MS - 100_000
 POLICY = Policy(on=True, report_ms=40.0, save_ms=80.0)
 ROUTES = ("main", "spare", "new")
-COURSE = Scenario(
-    seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
-)
-DISKS = Scenario(
-    seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=("kill", "stop", "cut", "one way", "power")
-)
+SCENARIO = Scenario(seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=MEMORY_FAULTS)
+DISK_SCENARIO = Scenario(seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=DISK_FAULTS)
 
 
 class CountingProcess(DutyProcess):
     """One process that counts demand, and may own the forecast."""
 
-    def __init__(
-        self, sim: Simulation, seat: int, number: int, inc: int, remembers: bool, make: type[Node]
-    ) -> None:
-        super().__init__(sim, seat, number, inc, remembers, make)
+    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+        super().__init__(sim, start)
         assert isinstance(sim, ForecastSimulation)
         self.whole = sim
         self.member = sim.member(self.participant, self, POLICY)
@@ -76,7 +72,7 @@
 
     def worker(self, lease: LeaseHolder) -> Forecaster:
         return self.whole.forecaster(
-            lease, self, POLICY, {f"n{i}": f"z{i % 2}" for i in range(self.sim.course.seats)}
+            lease, self, POLICY, {f"n{i}": f"z{i % 2}" for i in range(self.sim.scenario.seats)}
         )
 
     def say(self, seat: str, message: Any) -> None:
@@ -110,15 +106,17 @@
     def __init__(
         self,
         seed: int,
-        course: Scenario | None = None,
-        lasting: bool = False,
+        scenario: Scenario | None = None,
+        has_disks: bool = False,
         member: type[Member] = Member,
         forecaster: type[Forecaster] = Forecaster,
     ) -> None:
         self.member, self.forecaster = member, forecaster
         self.truth: Counter[tuple[str, str, int]] = Counter()
-        self.until = round((course or COURSE).seconds * SECOND) + 3 * SECOND
-        super().__init__(seed, course or COURSE, duties=0, lasting=lasting, process=CountingProcess)
+        self.until = round((scenario or SCENARIO).seconds * SECOND) + 3 * SECOND
+        super().__init__(
+            seed, scenario or SCENARIO, duties=0, has_disks=has_disks, process_class=CountingProcess
+        )
 
     def ledger(self) -> Ledger | None:
         """What a majority has in the end; None where it is not to be had."""
@@ -147,11 +145,3 @@
                     if asked != true:
                         return f"{key.route} of {key.zone}: hour {hour} is said to be whole with {asked}, had {true}"
         return None
-
-
-def search(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
-    """The first seed whose course is wrong, with what is."""
-    for seed in seeds:
-        if (wrong := ForecastSimulation(seed, course, **how).play()) is not None:
-            return seed, wrong
-    return None
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -9,7 +9,6 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from ..leadership.chunks import join
 from ..leadership.directory import Reading
@@ -33,73 +32,62 @@
 from ..leadership.policy import Policy
 from ..leadership.worker import Worker
 from ..replication.acceptor import NO_BALLOT
-from ..replication.journal import JournalHeader, encode_records, read_journal
-from ..replication.node import Node
+from ..replication.journal import JOURNAL_VERSION, JournalHeader, encode_records
 from ..replication.register_space import DUTY_SPACE
-from .cluster_simulation import MS, SECOND, Process, Scenario, Simulation
+from .cluster_process import Process, ProcessStart
+from .cluster_simulation import Simulation
 from .leadership_history import DutyHistory
 from .leadership_worker import RandomWorker
+from .scenario import DISK_FAULTS, MEMORY_FAULTS, FaultKind, Scenario
+from .simulated_journal import JournalWriter, SimulatedJournal, draw_fast_write_time_us
+from .virtual_time import MS, SECOND
 
 POLICY = Policy(on=True, steady_ms=1_000)
-COURSE = Scenario(
-    seats=5, keys=0, faults=6, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
-)
-DISKS = Scenario(seats=4, keys=0, faults=6, fault_kinds=("kill", "stop", "cut", "one way", "power", "forget"))
+SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
+DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=(*DISK_FAULTS, FaultKind.QUICK_RESTART))
 RESPONSE_TIMEOUT_US = 300 * MS
 REQUEST_LOSS = 0.02
 RESPONSE_LOSS = 0.03
 LATE_REQUESTS = 0.05  # share of requests that take up to MAX_LATE_MS
 MAX_LATE_MS = 6_000
-DISK_WRITE_MS = (0.1, 8)
-NOTHING_TO_WRITE = b"\0"  # stands for a write without records, which takes its time all the same
 MIN_REPLICAS = 2  # a majority of the three
 
 
 class DutyProcess(Process):
-    """One process of a simulated fleet, with the real participant in its duties."""
+    """One process of a simulated cluster, with the real participant in its duties.
 
-    def __init__(
-        self, sim: Simulation, seat: int, number: int, inc: int, remembers: bool, make: type[Node]
-    ) -> None:
-        super().__init__(sim, seat, number, inc, remembers, make)
+    Attributes:
+        world: `DutySimulation`.
+        participant: the real one, or one with a seeded mistake.
+        duty_journal_writer: writes what the duties' acceptor must not forget.
+    """
+
+    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+        super().__init__(sim, start)
         assert isinstance(sim, DutySimulation)
         self.world = sim
-        self.participant = sim.participant_class(self.node, self, sim.policy, remembers, sim.acceptor_class)
-        self.participant.acceptor.journaled = sim.lasting
-        self.participant.store.has_disk = sim.lasting
+        self.participant = sim.participant_class(
+            self.node, self, sim.policy, start.recovered, sim.acceptor_class
+        )
+        self.participant.acceptor.journaled = sim.has_disks
+        self.participant.store.has_disk = sim.has_disks
         for name in sim.names:
             self.participant.directory.declare(name, "test")
-        self.disk_write = b""  # on its way to the disk
-        self._waiting_for_disk: list[Callable[[], None]] = []
-
-    # ---- the disk of the duties' journal ----
-
-    def durable(self, then: Callable[[], None], space: int) -> None:
-        if space != DUTY_SPACE or not self.world.lasting:
-            return super().durable(then, space)
-        self._waiting_for_disk.append(then)
-        if not self.disk_write:
-            self._begin_disk_write()
-        return None
-
-    def _begin_disk_write(self) -> None:
-        waiting = self._waiting_for_disk
-        self._waiting_for_disk = []
-        self.disk_write = (
-            encode_records(self.participant.acceptor.unsaved_records(self.sim.now)) or NOTHING_TO_WRITE
+        self.duty_journal_writer = JournalWriter(
+            process=self,
+            time=sim,
+            journal=sim.duty_journals[start.seat],
+            unsaved_records=lambda: encode_records(self.participant.acceptor.unsaved_records(sim.now)),
+            draw_write_time_us=lambda: draw_fast_write_time_us(sim.random),
+            skips_empty_writes=False,
         )
 
-        def written() -> None:
-            if self.disk_write != NOTHING_TO_WRITE:
-                self.world.lasting_disks[self.seat] += self.disk_write
-            self.disk_write = b""
-            for callback in waiting:
-                callback()
-            if self._waiting_for_disk and not self.disk_write:
-                self._begin_disk_write()
-
-        delay_us = round(self.sim.random.uniform(*DISK_WRITE_MS) * MS)
-        self.sim.at(self.sim.now + delay_us, self, written)
+    def durable(self, then: Callable[[], None], space: int) -> None:
+        """Call `then` once all that has changed so far in that space is on its disk."""
+        if space == DUTY_SPACE and self.world.has_disks:
+            self.duty_journal_writer.durable(then)
+        else:
+            super().durable(then, space)
 
     def lost(self, key: bytes) -> None:
         """Of keyed work, which there is none of here."""
@@ -153,40 +141,53 @@
 
 
 class DutySimulation(Simulation):
-    """One course of a fleet with duties.
-
-    participant_class, acceptor_class: the real ones, or those with a seeded mistake.
-    compares: bool, the receiver compares tokens; False is a seeded mistake.
-    lasting: bool, replicas of duties have disks.
+    """One simulation of a cluster with duties.
+
+    Attributes:
+        names: of all duties.
+        histories: by duty, what has been done to it.
+        participant_class, acceptor_class: the real ones, or those with a seeded mistake.
+        policy: `Policy` of leadership.
+        has_disks: `bool`, replicas of duties have disks.
+        compares: `bool`, the receiver compares tokens; False is a seeded mistake.
+        wrong_reads: reads that lacked an acknowledged update, in words.
+        duty_journals: by seat, what is on the disk of its duties.
     """
 
     def __init__(
         self,
         seed: int,
-        course: Scenario | None = None,
+        scenario: Scenario | None = None,
         duties: int = 6,
-        lasting: bool = False,
+        has_disks: bool = False,
         compares: bool = True,
-        participant: type[Participant] = Participant,
-        acceptor: type[DutyAcceptor] = DutyAcceptor,
+        participant_class: type[Participant] = Participant,
+        acceptor_class: type[DutyAcceptor] = DutyAcceptor,
         policy: Policy = POLICY,
         amnesia: bool = True,
-        process: type[DutyProcess] | None = None,
+        process_class: type[DutyProcess] = DutyProcess,
     ) -> None:
+        """Prepare a simulation.
+
+        :param duties: how many there are.
+        :param amnesia: see `Simulation`.
+        """
+        scenario = scenario or SCENARIO
         self.names = [f"duty-{i}" for i in range(duties)]
         self.histories: dict[str, DutyHistory] = {name: DutyHistory() for name in self.names}
-        self.participant_class = participant
-        self.acceptor_class = acceptor
+        self.participant_class = participant_class
+        self.acceptor_class = acceptor_class
         self.policy = policy
-        self.lasting = lasting
+        self.has_disks = has_disks
         self.compares = compares
         self.wrong_reads: list[str] = []
         self._updates = 0
         self._jobs = 0
-        course = course or COURSE
-        self.lasting_whose = [JournalHeader(1, "f", "s", f"n{i}") for i in range(course.seats)]
-        self.lasting_disks = [encode_records([whose]) for whose in self.lasting_whose]
-        super().__init__(seed, course, process=process or DutyProcess, amnesia=amnesia)
+        self.duty_journals = [
+            SimulatedJournal(JournalHeader(JOURNAL_VERSION, "f", "s", f"n{seat}"))
+            for seat in range(scenario.seats)
+        ]
+        super().__init__(seed, scenario, process_class=process_class, amnesia=amnesia)
         if duties:
             self._plan_reads()
 
@@ -200,37 +201,30 @@
         self._jobs += 1
         return b"job %d" % self._jobs
 
-    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
-        made = super().start_process(seat, remembers, inc)
-        assert isinstance(made, DutyProcess)
-        if self.lasting and self.now:
-            self._restore(made)
-        self.at(self.now, made, made.participant.start)
-        return made
-
-    def _restore(self, process: DutyProcess) -> None:
-        seat = process.seat
-        image = read_journal(self.lasting_disks[seat], self.lasting_whose[seat])
-        self.lasting_disks[seat] = self.lasting_disks[seat][: image.valid_bytes]
-        if image.recovered:
-            process.participant.acceptor.restore(self.now, image)
-        else:
-            self.lasting_disks[seat] = encode_records([self.lasting_whose[seat]])
-
-    def _kill(self, process: Process) -> None:
-        super()._kill(process)
+    def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> DutyProcess:
+        """Start a process of a member, see `Simulation`."""
+        process = super().start_process(seat, recovered, incarnation)
+        assert isinstance(process, DutyProcess)
+        if self.has_disks and self.now:
+            image = self.duty_journals[seat].recover()
+            if image is not None:
+                process.participant.acceptor.restore(self.now, image)
+        self.at(self.now, process, process.participant.start)
+        return process
+
+    def crash(self, process: Process) -> None:
+        """The process ends at once, and all that it has not written is lost."""
+        super().crash(process)
         assert isinstance(process, DutyProcess)
-        if process.disk_write not in (b"", NOTHING_TO_WRITE):
-            written = self.random.randint(0, len(process.disk_write))
-            self.lasting_disks[process.seat] += process.disk_write[:written]
+        process.duty_journal_writer.crash(self.random)
 
     # ---- reads through the register ----
 
     def _plan_reads(self) -> None:
-        for second in range(2, round(self.course.seconds) + 4):
+        for second in range(2, round(self.scenario.seconds) + 4):
             name = self.random.choice(self.names)
             when_s = second + self.random.random()
-            seat = self.random.randrange(self.course.seats)
+            seat = self.random.randrange(self.scenario.seats)
             self.at(round(when_s * SECOND), None, partial(self._read, name, seat))
 
     def _read(self, name: str, seat: int) -> None:
@@ -302,7 +296,8 @@
         return [
             process
             for process in self.live_processes()
-            if process.node.me in self.seats.replicas(key) and process.participant.acceptor.can_vote_on(key)
+            if process.node.me in self.placement.replicas(key)
+            and process.participant.acceptor.can_vote_on(key)
         ]
 
 
@@ -328,12 +323,3 @@
         if state is not None:
             return state
     return None
-
-
-def search(seeds: range, course: Scenario | None = None, **options: Any) -> tuple[int, str] | None:
-    """Return the first seed whose course is wrong, with what is."""
-    for seed in seeds:
-        wrong = DutySimulation(seed, course, **options).play()
-        if wrong is not None:
-            return seed, wrong
-    return None
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -10,8 +10,9 @@
 
 from ..maintenance.schedule import MaintenanceRequest, SlotStage
 from ..membership.placement import majority
-from .cluster_simulation import SECOND, Scenario
 from .maintenance_scripts import MaintainedProcess, MaintenanceWorld, Script
+from .scenario import Scenario
+from .virtual_time import SECOND
 
 EPOCH_S = 1e9  # Unix time at the begin of a course
 WORK_S = 1.0
@@ -23,7 +24,7 @@
 class OperatedWorld(MaintenanceWorld, Protocol):
     """The course, as operators see it."""
 
-    course: Scenario
+    scenario: Scenario
 
     def live_processes(self) -> Sequence[MaintainedProcess]:
         """Return the processes that are alive."""
@@ -47,7 +48,7 @@
 
     def plan_request(self, request_id: str, at_s: float) -> None:
         random = self._world.random
-        seats = self._world.course.seats
+        seats = self._world.scenario.seats
         has_own_script = random.random() < OWN_SCRIPT_SHARE
         if has_own_script:
             machines = [random.randrange(seats)]
@@ -88,7 +89,7 @@
         if script is not None and not script.is_alive:
             self.requested.pop(request.id, None)  # it has gone before anybody heard of it
             return
-        seat = self._world.random.randrange(self._world.course.seats) if script is None else script.seat
+        seat = self._world.random.randrange(self._world.scenario.seats) if script is None else script.seat
         process = self._world.live_process(seat)
         if process is not None:
             submit = partial(process.coordinator.submit, request, lambda result: None)
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -9,7 +9,8 @@
 
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.waiters import WaitResult, WaitStatus
-from .cluster_simulation import SECOND, Process
+from .cluster_process import Process
+from .virtual_time import SECOND, Schedulable
 
 WAIT_TIMEOUT_S = 2
 RETRY_S = 3
@@ -57,7 +58,7 @@
     machines: list[Machine]
     stuck: set[int]
 
-    def at(self, when: int, process: Process | None, action: Callable[[], None]) -> None:
+    def at(self, when: int, process: Schedulable | None, action: Callable[[], None]) -> None:
         """Call `action` at that time, if the process is alive."""
 
     def live_process(self, seat: int) -> MaintainedProcess | None:
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -9,27 +9,38 @@
 from collections import Counter
 from dataclasses import replace
 from functools import partial
-from typing import Any
 
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..maintenance.policy import Policy
 from ..replication.acceptor import Acceptor
-from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Process, Scenario, Simulation
+from .cluster_process import Process, ProcessStart
+from .cluster_simulation import Simulation
+from .fault_injection import FaultInjector
 from .maintenance_operators import EPOCH_S, WORK_S, SimulatedOperators
 from .maintenance_scripts import Machine, MaintainedProcess
+from .scenario import FaultKind, Scenario
+from .virtual_time import MS, SECOND
 
 POLICY = Policy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
 )
-COURSE = Scenario(
+SCENARIO = Scenario(
     seats=6,
     keys=0,
     seconds=25.0,
     faults=9,
     loss=0.01,
-    fault_kinds=("kill", "forget", "stop", "cut", "one way", "clock", "power of one", "limit"),
+    fault_kinds=(
+        FaultKind.CRASH,
+        FaultKind.QUICK_RESTART,
+        FaultKind.PAUSE,
+        FaultKind.PARTITION,
+        FaultKind.ONE_WAY_PARTITION,
+        FaultKind.CLOCK_SET_BACK,
+        FaultKind.MACHINE_POWER_LOSS,
+        FaultKind.LOWERED_LIMIT,
+    ),
 )
 WARM_UP_S = 0.6
 DRAIN_US = 300 * MS
@@ -39,22 +50,24 @@
 WARM_UP_WEIGHT = 35
 HUNDREDTHS = 100
 REFAIL_SHARE = 0.08  # of machines, shortly after they have come back
+REFAIL_DURATION_S = 0.5
+MAX_POWER_LOSS_S = 2
 
 
 class MaintenanceProcess(MaintainedProcess):
     """One process of a simulated fleet, with the real coordinator."""
 
-    def __init__(
-        self, sim: Simulation, seat: int, number: int, inc: int, remembers: bool, make: type[Node]
-    ) -> None:
-        super().__init__(sim, seat, number, inc, remembers, make)
+    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+        super().__init__(sim, start)
         assert isinstance(sim, MaintenanceSimulation)
         self.world = sim
-        self.boot = sim.machines[seat].boots
+        self.boot = sim.machines[start.seat].boots
         self.started_at_us = sim.now
         self.mode = MachineMode.SERVING
         self.mode_since_us = 0
-        self.coordinator = sim.coordinator_class(self.node, self, sim.policy, remembers, sim.acceptor_class)
+        self.coordinator = sim.coordinator_class(
+            self.node, self, sim.policy, start.recovered, sim.acceptor_class
+        )
 
     # ---- `machine_controller.MachineHost` ----
 
@@ -106,6 +119,48 @@
         raise AssertionError(key)
 
 
+class MaintenanceFaultInjector(FaultInjector):
+    """Injects faults of machines as well."""
+
+    def __init__(self, sim: Simulation) -> None:
+        super().__init__(sim)
+        assert isinstance(sim, MaintenanceSimulation)
+        self._world = sim
+
+    def inject(self, kind: FaultKind, seat: int, duration_s: float) -> None:
+        """Inject a fault at a member, or at its machine."""
+        if kind is FaultKind.MACHINE_POWER_LOSS:
+            self._lose_power(seat, duration_s)
+        elif kind is FaultKind.LOWERED_LIMIT:
+            self._lower_limit(seat, duration_s)
+        else:
+            if kind is FaultKind.CLOCK_SET_BACK:
+                self._world.clock_skews_us[seat] -= CLOCK_SET_BACK_US
+            super().inject(kind, seat, duration_s)
+
+    def _lose_power(self, seat: int, duration_s: float) -> None:
+        world = self._world
+        machine = world.machines[seat]
+        process = world.processes[seat]
+        if not process.alive or machine.is_down:
+            return
+        self.log.append(f"{world.now / SECOND:.3f} s: n{seat} loses power")
+        world.crash(process)
+        machine.is_cleared = False
+        machine.boots += 1
+        world.stuck.discard(seat)
+        world.restart_later(seat, world.now + round(min(duration_s, MAX_POWER_LOSS_S) * SECOND))
+
+    def _lower_limit(self, seat: int, duration_s: float) -> None:
+        """One member's settings have a lower limit for a while, under whatever is granted."""
+        process = self._world.live_process(seat)
+        if process is not None:
+            coordinator = process.coordinator
+            coordinator.reconfigure(replace(self._world.policy, most=1))
+            restore = partial(coordinator.reconfigure, self._world.policy)
+            self._world.at(self._world.now + round(duration_s * SECOND), process, restore)
+
+
 class MaintenanceSimulation(Simulation):
     """One course of a fleet whose machines are maintained.
 
@@ -116,34 +171,37 @@
     most_cleared: int, machines that could be worked on at one time.
     """
 
+    fault_injector_class = MaintenanceFaultInjector
+
     def __init__(
         self,
         seed: int,
-        course: Scenario = COURSE,
+        scenario: Scenario = SCENARIO,
         policy: Policy = POLICY,
         load: float = 0.4,
         requests: int = 3,
-        coordinator: type[MaintenanceCoordinator] = MaintenanceCoordinator,
-        acceptor: type[Acceptor] = Acceptor,
-        process: type[MaintenanceProcess] = MaintenanceProcess,
+        coordinator_class: type[MaintenanceCoordinator] = MaintenanceCoordinator,
+        acceptor_class: type[Acceptor] = Acceptor,
+        process_class: type[MaintenanceProcess] = MaintenanceProcess,
     ) -> None:
         """`load`: of each member, in cores."""
-        self.machines = [Machine() for _ in range(course.seats)]
-        self.clock_skews_us = [0] * course.seats
+        self.machines = [Machine() for _ in range(scenario.seats)]
+        self.clock_skews_us = [0] * scenario.seats
         self.policy = policy
         self.load = round(load * HUNDREDTHS)
-        self.coordinator_class = coordinator
-        self.acceptor_class = acceptor
+        self.coordinator_class = coordinator_class
+        self.acceptor_class = acceptor_class
         self.most_cleared = 0
         self.stuck: set[int] = set()
         self.violations: list[str] = []
-        super().__init__(seed, course, process=process)
+        super().__init__(seed, scenario, process_class=process_class)
         self.operators = SimulatedOperators(self)
         for number in range(requests):
-            self.operators.plan_request(f"ask {number}", self.random.uniform(1, course.seconds / 2))
+            self.operators.plan_request(f"ask {number}", self.random.uniform(1, scenario.seconds / 2))
 
-    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> Process:
-        made = super().start_process(seat, remembers, inc)
+    def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> Process:
+        """Start a process of a member, see `Simulation`."""
+        made = super().start_process(seat, recovered, incarnation)
         assert isinstance(made, MaintenanceProcess)
         self.at(self.now, made, made.coordinator.start)
         return made
@@ -177,66 +235,40 @@
         machine.is_down = True
         process = self.processes[seat]
         if process.alive:
-            self._kill(process)
+            self.crash(process)
         refails = self.random.random() < REFAIL_SHARE
 
         def boot() -> None:
             machine.is_down = False
             machine.is_warming_up = True
             machine.boots += 1
-            self.processes[seat] = self.start_process(seat, remembers=False)
+            self.processes[seat] = self.start_process(seat, recovered=False)
             if refails:
                 fail_at_us = self.now + round(0.4 * SECOND)
-                self.at(fail_at_us, None, lambda: self._fault("power of one", seat, 0.5))
+                self.at(
+                    fail_at_us,
+                    None,
+                    lambda: self.faults.inject(FaultKind.MACHINE_POWER_LOSS, seat, REFAIL_DURATION_S),
+                )
 
         work_s = self.random.uniform(0.5, 1.5) * WORK_S
         self.at(self.now + round(work_s * SECOND), None, boot)
 
-    def _restart_later(self, seat: int, when: int, inc: int) -> None:
-        def again() -> None:
-            if not self.processes[seat].alive and not self.machines[seat].is_down:
-                self.processes[seat] = self.start_process(seat, remembers=not self._amnesia, inc=inc)
-
-        self.at(when, None, again)
-
-    def _fault(self, kind: str, seat: int, lasts: float) -> None:
-        if kind == "power of one":
-            self._lose_power(seat, lasts)
-        elif kind == "limit":
-            self._lower_limit(seat, lasts)
-        else:
-            if kind == "clock":
-                self.clock_skews_us[seat] -= CLOCK_SET_BACK_US
-            super()._fault(kind, seat, lasts)
+    def restart_later(self, seat: int, when: int, incarnation: int | None = None) -> None:
+        """Start a further process of a member at that time, in us, unless its machine is being worked on then."""
 
-    def _lose_power(self, seat: int, lasts_s: float) -> None:
-        machine = self.machines[seat]
-        process = self.processes[seat]
-        if process.alive and not machine.is_down:
-            self.events.append(f"{self.now / SECOND:.3f} s: n{seat} loses power")
-            self._kill(process)
-            machine.is_cleared = False
-            machine.boots += 1
-            self.stuck.discard(seat)
-            self._restart_later(seat, self.now + round(min(lasts_s, 2) * SECOND), 0)
+        def restart() -> None:
+            if not self.processes[seat].alive and not self.machines[seat].is_down:
+                self.processes[seat] = self.start_process(seat, not self._has_amnesia, incarnation)
 
-    def _lower_limit(self, seat: int, lasts_s: float) -> None:
-        """One file has a lower bound for a while, under whatever is granted."""
-        process = self.live_process(seat)
-        if process is not None:
-            coordinator = process.coordinator
-            coordinator.reconfigure(replace(self.policy, most=1))
-            restore = partial(coordinator.reconfigure, self.policy)
-            self.at(self.now + round(lasts_s * SECOND), process, restore)
+        self.at(when, None, restart)
 
     # ---- the whole course ----
 
     def play(self) -> str | None:
         """Play the course. Returns what was wrong, in words."""
-        self.run(round(self.course.seconds * SECOND))
-        self.cut_links.clear()
-        for process in self.processes:
-            process.stopped_until = 0
+        self.run(round(self.scenario.seconds * SECOND))
+        self.end_faults()
         end = self.now + round(RECOVERY_S * SECOND)
         while self.now < end and not (self.violations or self._is_all_finished()):
             self.run(self.now + SECOND)
@@ -257,12 +289,3 @@
             if not last.is_finished(request_id):
                 return f"{request_id} is forgotten"
         return None
-
-
-def search(seeds: range, **options: Any) -> tuple[int, str] | None:
-    """Return the first seed whose course is wrong, with what is; `MaintenanceSimulation(seed)` is that course."""
-    for seed in seeds:
-        wrong = MaintenanceSimulation(seed, **options).play()
-        if wrong is not None:
-            return seed, wrong
-    return None
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -10,7 +10,6 @@
 
 from collections import defaultdict
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
@@ -26,8 +25,8 @@
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
 from ..namespaces.revisions import Book, Submission, unpack
-from ..replication.node import Node
-from .cluster_simulation import MS, SECOND, Scenario, Simulation
+from .cluster_process import ProcessStart
+from .cluster_simulation import Simulation
 from .leadership_simulation import (
     MIN_REPLICAS,
     DutyProcess,
@@ -35,13 +34,13 @@
     latest_record,
     replicated_state,
 )
+from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
+from .virtual_time import MS, SECOND
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANTED = Granted(frozenset({"s"}))
-COURSE = Scenario(
-    seats=5, keys=0, faults=6, fault_kinds=("kill", "forget", "stop", "cut", "one way", "leave")
-)
-DISKS = Scenario(seats=4, keys=0, faults=6, fault_kinds=("kill", "stop", "cut", "one way", "power"))
+SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
+DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=DISK_FAULTS)
 Draft = tuple[str, RevisionId]
 
 
@@ -53,10 +52,8 @@
 class PublishProcess(DutyProcess):
     """One process of a simulated fleet, with the real replica of all revisions."""
 
-    def __init__(
-        self, sim: Simulation, seat: int, number: int, inc: int, remembers: bool, make: type[Node]
-    ) -> None:
-        super().__init__(sim, seat, number, inc, remembers, make)
+    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+        super().__init__(sim, start)
         assert isinstance(sim, PublishSimulation)
         self.whole = sim
         self.born_at = sim.now
@@ -88,7 +85,7 @@
         self.sim.at(self.sim.now + round(self.sim.random.uniform(0.2, 40) * MS), self, lambda: then(got))
 
     def keep(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
-        if self.whole.lasting:
+        if self.whole.has_disks:
             self.whole.stored[self.seat][customer] = at, draft
 
     def unix_ms(self) -> int:
@@ -107,15 +104,15 @@
     def __init__(
         self,
         seed: int,
-        course: Scenario | None = None,
-        lasting: bool = False,
+        scenario: Scenario | None = None,
+        has_disks: bool = False,
         replica: type[Replica] = Replica,
         submissions: int = 30,
         deletions: int = 2,
     ) -> None:
         self.replica = replica
         self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [
-            {} for _ in range((course or COURSE).seats)
+            {} for _ in range((scenario or SCENARIO).seats)
         ]
         self.drafts: defaultdict[Draft, set[bytes]] = defaultdict(
             set
@@ -126,20 +123,22 @@
         self.found: list[str] = []
         self.waited: list[int] = []  # us from publishing to everywhere
         self._published: dict[Draft, int] = {}
-        super().__init__(seed, course or COURSE, duties=0, lasting=lasting, process=PublishProcess)
+        super().__init__(
+            seed, scenario or SCENARIO, duties=0, has_disks=has_disks, process_class=PublishProcess
+        )
         r = self.random
         for i in range(submissions):
-            customer, at = r.choice(CUSTOMERS), r.uniform(0.3, self.course.seconds)
+            customer, at = r.choice(CUSTOMERS), r.uniform(0.3, self.scenario.seconds)
             expects = r.choice((-1, -1, -1, 0, 1, 2))
             for again in range(
                 r.choice((1, 1, 2, 3))
             ):  # handed in once more, elsewhere or here, as no answer came
                 self._submit(customer, f"s{i}", expects, at + again * r.uniform(0, 2))
         for _ in range(deletions):
-            self._delete(r.choice(CUSTOMERS), r.uniform(1.0, self.course.seconds))
+            self._delete(r.choice(CUSTOMERS), r.uniform(1.0, self.scenario.seconds))
 
-    def start_process(self, seat: int, remembers: bool, inc: int = 0) -> DutyProcess:
-        made = super().start_process(seat, remembers, inc)
+    def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> DutyProcess:
+        made = super().start_process(seat, recovered, incarnation)
         assert isinstance(made, PublishProcess)
         self.at(self.now, made, made.begin)
         return made
@@ -166,7 +165,7 @@
             )
 
         self._somebody(
-            self.random.randrange(self.course.seats),
+            self.random.randrange(self.scenario.seats),
             at,
             lambda p: p.replica.submit(
                 Submission(customer, id, expects, "x", draft), lambda got: over(p, got)
@@ -179,7 +178,7 @@
                 self.told.append((customer, got, "", b"", self.now))
 
         self._somebody(
-            self.random.randrange(self.course.seats), at, lambda p: p.replica.delete(customer, over)
+            self.random.randrange(self.scenario.seats), at, lambda p: p.replica.delete(customer, over)
         )
 
     # ---- what is seen ----
@@ -277,11 +276,3 @@
             if p.replica.customers.at(customer) != at
         }
         return f"{at} is there, and {behind} have not come to it" if behind else None
-
-
-def search(seeds: range, course: Scenario | None = None, **how: Any) -> tuple[int, str] | None:
-    """The first seed whose course is wrong, with what is."""
-    for seed in seeds:
-        if (wrong := PublishSimulation(seed, course, **how).play()) is not None:
-            return seed, wrong
-    return None
--- /dev/null
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -0,0 +1,178 @@
+"""A runner's part in the work of keys: a queue and a kernel that only wait, and results that are made up."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import TYPE_CHECKING
+
+from ..replication.work_events import (
+    BodyDiffers,
+    ClaimGranted,
+    ClaimJoined,
+    ClaimUncovered,
+    HandedOver,
+    RejectedByAll,
+    ResultKnown,
+    StartConfirmed,
+    StartLost,
+    StartUncovered,
+    WorkEvent,
+    WorkInHand,
+)
+from ..replication.work_record import Key, WorkRequest
+from .cluster_history import Answer, AnswerKind, Request, Run
+from .virtual_time import MS, SECOND
+
+if TYPE_CHECKING:
+    from .cluster_process import Process
+
+MEAN_QUEUE_S = 0.3  # how long work is queued before it is started
+MEAN_RUN_S = 0.2
+REJECTED_AFTER_US = 5 * MS  # work that was taken over
+BODY_DIGEST = 1  # of all requests
+
+
+class KeyState(Enum):
+    """How far one process is with a key."""
+
+    CLAIMING = "claiming"
+    HELD = "held"
+    STARTING = "starting"
+    RUNNING = "running"
+    FINISHED = "finished"
+    ELSEWHERE = "another process has it"
+
+
+IN_HAND = (KeyState.HELD, KeyState.STARTING, KeyState.RUNNING)
+
+
+class SimulatedRequestEngine:
+    """The queue and the kernel of one process.
+
+    Attributes:
+        states: by key, how far this process is with it.
+        results: by key, of those that are finished.
+        received_at: by key, when the request was received that is run, in us.
+        kernel_is_up: `bool`.
+    """
+
+    def __init__(self, process: Process) -> None:
+        self._process = process
+        self._sim = process.sim
+        self._history = process.sim.history
+        self.states: dict[Key, KeyState] = {}
+        self.results: dict[Key, bytes | None] = {}
+        self.received_at: dict[Key, int] = {}
+        self.kernel_is_up = True
+
+    # ---- requests ----
+
+    def receive_request(self, key: Key) -> None:
+        """A client asks for this key here."""
+        if key in self.states or self._process.draining or not self.kernel_is_up:
+            return
+        now = self._sim.now
+        self.received_at[key] = now
+        self._history.requests.append(Request(key, self._process.number, now))
+        request = WorkRequest("r", "write", None, key.decode(), b"", now / MS, None, 0, 0.0, 0.0, None)
+        self.states[key] = KeyState.CLAIMING
+        self._process.node.claim(key, BODY_DIGEST, request, now + self._sim.longest_window_us)
+
+    def accept_takeover(self, key: Key, request: WorkRequest) -> None:
+        """Queue another runner's work; a share of it is rejected a little later."""
+        self.received_at[key] = round(request.arrived_unix_ms * MS)
+        if self._sim.random.random() < self._sim.scenario.rejection:
+            self._sim.at(self._sim.now + REJECTED_AFTER_US, self._process, lambda: self._reject(key))
+            self.states[key] = KeyState.HELD
+        else:
+            self._enqueue(key)
+
+    def _reject(self, key: Key) -> None:
+        if self.states.get(key) is KeyState.HELD:
+            del self.states[key]
+            self._process.node.release_work(key, rejected=True)
+
+    def in_hand(self, key: Key) -> WorkInHand:
+        """Return what this process knows of a key."""
+        state = self.states.get(key)
+        return WorkInHand(state in IN_HAND, state is KeyState.FINISHED, self.results.get(key))
+
+    # ---- what the node has settled ----
+
+    def on_event(self, event: WorkEvent) -> None:
+        """Do the runner's part in what is settled about a key."""
+        key = event.key
+        match event:
+            case ClaimGranted():
+                self._history.granted[key] = self._process.number
+                self._enqueue(key)
+            case ClaimJoined() | StartLost() | HandedOver():
+                self.states[key] = KeyState.ELSEWHERE
+            case BodyDiffers():
+                self.states.pop(key, None)
+            case ClaimUncovered():
+                self._give_up(key, AnswerKind.REJECTED if event.proven else AnswerKind.FAILED)
+            case StartConfirmed():
+                self.run(key)
+            case StartUncovered():
+                self.states.pop(key, None)
+                self._process.node.release_work(key)
+                self._answer(key, None, AnswerKind.FAILED)
+            case ResultKnown():
+                self.states[key] = KeyState.FINISHED
+                self.results[key] = event.result
+                self._answer(key, event.result, AnswerKind.SHARED)
+            case RejectedByAll():
+                self._give_up(key, AnswerKind.REJECTED)
+            case _:
+                pass
+
+    def _give_up(self, key: Key, kind: AnswerKind) -> None:
+        self.states.pop(key, None)
+        self._answer(key, None, kind)
+
+    def _answer(self, key: Key, result: bytes | None, kind: AnswerKind) -> None:
+        self._history.answers.append(Answer(key, self._process.number, self._sim.now, result, kind))
+
+    # ---- queue and kernel ----
+
+    def _enqueue(self, key: Key) -> None:
+        self.states[key] = KeyState.HELD
+        wait_us = round(self._sim.random.expovariate(1 / MEAN_QUEUE_S) * SECOND)
+        self._sim.at(self._sim.now + wait_us, self._process, lambda: self.start(key))
+
+    def start(self, key: Key) -> None:
+        """The turn of queued work has come: the node has to confirm that it may be run."""
+        if self.states.get(key) is KeyState.HELD and self.kernel_is_up:
+            self.states[key] = KeyState.STARTING
+            if not self._process.node.start_work(key):
+                self.states[key] = KeyState.HELD
+
+    def run(self, key: Key) -> None:
+        """Run work that is being started."""
+        if self.states.get(key) is not KeyState.STARTING:
+            return
+        self.states[key] = KeyState.RUNNING
+        now = self._sim.now
+        self._history.runs.append(Run(key, self._process.number, now, self.received_at[key]))
+        duration_us = round(self._sim.random.expovariate(1 / MEAN_RUN_S) * SECOND)
+        self._sim.at(now + duration_us, self._process, lambda: self._finish(key))
+
+    def _finish(self, key: Key) -> None:
+        if self.states.get(key) is not KeyState.RUNNING or not self.kernel_is_up:
+            return
+        self.states[key] = KeyState.FINISHED
+        result = b"%d of %d" % (self._sim.now, self._process.number)
+        self.results[key] = result
+        self._history.results[key].add(result)
+        self._process.node.finish_work(key, result)
+        self._answer(key, result, AnswerKind.RAN)
+
+    def restore_kernel(self) -> None:
+        """The kernel is back: what is queued is started later, and what was running has ended."""
+        self.kernel_is_up = True
+        for key, state in list(self.states.items()):
+            if state is KeyState.HELD:
+                self._enqueue(key)
+            elif state is KeyState.RUNNING:
+                self._finish(key)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -30,8 +30,7 @@
 from moorusher.leadership.effects import Completed
 from moorusher.leadership.errors import NoMajority
 from moorusher.leadership.fencing_token import FencingToken
-from moorusher.model_checking import forecast_simulation as check
-from moorusher.model_checking.forecast_simulation import ForecastSimulation
+from moorusher.model_checking.forecast_simulation import DISK_SCENARIO, SCENARIO, ForecastSimulation
 
 HOUR_MS = BUCKET_MS * HOUR_BUCKETS
 T0 = 500_000 * HOUR_MS
@@ -323,9 +322,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_hours_that_say_they_are_whole_are_and_none_says_too_much(seed: int) -> None:
-    for course, lasting in ((check.COURSE, False), (check.DISKS, True)):
-        sim = ForecastSimulation(seed, course, lasting)
-        assert sim.play() is None, sim.events
+    for scenario, has_disks in ((SCENARIO, False), (DISK_SCENARIO, True)):
+        sim = ForecastSimulation(seed, scenario, has_disks)
+        assert sim.play() is None, sim.faults.log
         assert sim.ledger() is None or sim.whole_hours > 0
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,15 +15,12 @@
 from moorusher.membership.messages import Ping, PingAck, PingRequest
 from moorusher.membership.placement import Placement
 from moorusher.membership.policy import Seat
-from moorusher.model_checking.cluster_simulation import (
-    KeyState,
-    Process,
-    Scenario,
-    Simulation,
-    find_failing_seed,
-)
+from moorusher.model_checking.cluster_process import Process
+from moorusher.model_checking.cluster_simulation import Simulation, find_counterexample
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.register_interleavings import Limits, RegisterModel
+from moorusher.model_checking.scenario import Scenario
+from moorusher.model_checking.simulated_request_engine import KeyState, SimulatedRequestEngine
 from moorusher.replication import node as node_module
 from moorusher.replication import watched_work as watched_module
 from moorusher.replication import work_takeover as takeover_module
@@ -208,18 +205,18 @@
 def test_one_seat_lost_for_good_keeps_nobody_who_begins_anew_from_voting_and_telling_the_next() -> None:
     sim = Simulation(3, Scenario(seats=5, keys=0, faults=0))
     sim.run(1_000_000)
-    sim._kill(sim.processes[4])
+    sim.crash(sim.processes[4])
     for seat in range(4):  # one after the other, as in a round of restarts
-        sim._kill(sim.processes[seat])
-        sim.processes[seat] = sim.start_process(seat, remembers=False)
+        sim.crash(sim.processes[seat])
+        sim.processes[seat] = sim.start_process(seat, recovered=False)
         sim.run(sim.now + 3_000_000)
     keys = [b"k%d" % i for i in range(400)]
-    without = [k for k in keys if "n4" not in sim.seats.replicas(k)]
+    without = [k for k in keys if "n4" not in sim.placement.replicas(k)]
     assert without and all(
         p.node.acceptor.can_vote_on(k)
         for k in without
         for p in sim.processes[:4]
-        if p.node.me in sim.seats.replicas(k)
+        if p.node.me in sim.placement.replicas(k)
     )
     # Where it is needed nobody guesses: two of three are not enough to know again what all three were.
     assert not any(
@@ -227,7 +224,7 @@
         for k in keys
         if k not in without
         for p in sim.processes[:4]
-        if p.node.me in sim.seats.replicas(k)
+        if p.node.me in sim.placement.replicas(k)
     )
 
 
@@ -265,8 +262,8 @@
 def test_the_word_that_a_fleet_is_new_counts_for_no_later_process() -> None:
     sim = Simulation(1, Scenario(seats=3, keys=0, faults=0))
     for other in sim.processes:
-        sim._kill(other)
-    process = sim.processes[0] = sim.start_process(0, remembers=False, inc=7)
+        sim.crash(other)
+    process = sim.processes[0] = sim.start_process(0, recovered=False, incarnation=7)
     process.node.receive("n1", 9, Bootstrap(6))
     sim.run(sim.now + 200_000)
     assert not process.node.acceptor.recovered
@@ -278,8 +275,8 @@
 def test_those_who_hear_of_others_that_began_before_the_word_itself_take_it_all_the_same() -> None:
     sim = Simulation(1, Scenario(seats=4, keys=0, faults=0, loss=0, duplication=0))
     for seat in range(4):
-        sim._kill(sim.processes[seat])
-        sim.processes[seat] = sim.start_process(seat, remembers=False, inc=100 + seat)
+        sim.crash(sim.processes[seat])
+        sim.processes[seat] = sim.start_process(seat, recovered=False, incarnation=100 + seat)
     sim.run(1_000_000)
     registers = sim.processes[0].node.registers
     sent: list[tuple[str, Any]] = []
@@ -331,19 +328,25 @@
 
 
 def test_no_course_in_virtual_time_runs_twice_forgets_or_makes_a_result_up() -> None:
-    found = find_failing_seed(range(40))
+    found = find_counterexample(range(40), Simulation)
     assert found is None, (
-        f"moorusher lab run fleet --seed {found[0]} plays it again: {found[1]}" if found else ""
+        f"Simulation({found.seed}).play() plays it again: {found.violation}" if found else ""
     )
 
 
-class Hasty(Process):
-    """A seeded mistake: commanded while others are asked."""
+class UnconfirmedStart(SimulatedRequestEngine):
+    """A seeded mistake: work is run while the replicas are asked whether it may be."""
+
+    def start(self, key: bytes) -> None:
+        if self.states.get(key) is KeyState.HELD and self.kernel_is_up:
+            self.states[key] = KeyState.STARTING
+            self.run(key)
+
 
-    def _start(self, key: bytes) -> None:
-        if self.state.get(key) is KeyState.HELD and self.kernel_up:
-            self.state[key] = KeyState.STARTING
-            self.run_work(key)
+class HastyProcess(Process):
+    """A process with that engine."""
+
+    engine_class = UnconfirmedStart
 
 
 class Amnesiac(Acceptor):
@@ -363,7 +366,7 @@
 @pytest.mark.parametrize(
     "where, name, what, how",
     [
-        ("", "", None, {"process": Hasty}),
+        ("", "", None, {"process_class": HastyProcess}),
         ("node", "Acceptor", Amnesiac, {}),
         ("node", "TakeOverWork", Grasping, {}),
     ],
@@ -375,14 +378,16 @@
     if where:
         for module in (node_module, takeover_module, watched_module):
             monkeypatch.setattr(module, name, what, raising=False)
-    assert find_failing_seed(range(60), Scenario(faults=10), **how) is not None
+    assert (
+        find_counterexample(range(60), partial(Simulation, scenario=Scenario(faults=10), **how)) is not None
+    )
 
 
 def test_a_seed_plays_the_same_course_each_time() -> None:
     one, two = Simulation(3), Simulation(3)
     one.play()
     two.play()
-    assert one.history == two.history and one.events == two.events
+    assert one.history == two.history and one.faults.log == two.faults.log
 
 
 # ---- members ----
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -10,6 +10,7 @@
 import resource
 import time
 from dataclasses import dataclass, field
+from functools import partial
 from pathlib import Path
 from typing import Any, BinaryIO
 
@@ -17,7 +18,9 @@
 
 from moorusher.config.operator_file import read_operator_file
 from moorusher.config.section import ConfigError
-from moorusher.model_checking.cluster_simulation import Process, Scenario, find_failing_seed
+from moorusher.model_checking.cluster_process import Process
+from moorusher.model_checking.cluster_simulation import Simulation, find_counterexample
+from moorusher.model_checking.scenario import FaultKind, Scenario
 from moorusher.replication.acceptor import Acceptor
 from moorusher.replication.journal import (
     JOURNAL_VERSION,
@@ -416,13 +419,22 @@
 DISKS = Scenario(
     journals=True,
     faults=9,
-    fault_kinds=("kill", "forget", "power", "power", "stop", "cut", "one way", "kernel"),
+    fault_kinds=(
+        FaultKind.CRASH,
+        FaultKind.QUICK_RESTART,
+        FaultKind.POWER_FAILURE,
+        FaultKind.POWER_FAILURE,
+        FaultKind.PAUSE,
+        FaultKind.PARTITION,
+        FaultKind.ONE_WAY_PARTITION,
+        FaultKind.KERNEL_OUTAGE,
+    ),
 )
 
 
 def test_no_seed_loses_work_or_runs_it_twice_with_disks_and_power_that_fails() -> None:
-    found = find_failing_seed(range(30), DISKS)
-    assert found is None, f"Simulation({found[0]}, DISKS).play(): {found[1]}" if found else ""
+    found = find_counterexample(range(30), partial(Simulation, scenario=DISKS))
+    assert found is None, f"Simulation({found.seed}, DISKS).play(): {found.violation}" if found else ""
 
 
 class Unwritten(Process):
@@ -434,7 +446,10 @@
 
 
 def test_the_seeds_find_a_vote_that_left_too_early() -> None:
-    assert find_failing_seed(range(150), DISKS, process=Unwritten) is not None
+    assert (
+        find_counterexample(range(150), partial(Simulation, scenario=DISKS, process_class=Unwritten))
+        is not None
+    )
 
 
 # ---- real processes ----
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -30,12 +30,13 @@
 from moorusher.leadership.policy import Policy
 from moorusher.membership.member import MemberState
 from moorusher.membership.messages import MemberStatus
-from moorusher.model_checking.cluster_simulation import SECOND, Scenario
 from moorusher.model_checking.leadership_simulation import (
     POLICY,
     DutyProcess,
     DutySimulation,
 )
+from moorusher.model_checking.scenario import Scenario
+from moorusher.model_checking.virtual_time import SECOND
 
 
 def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, LeaseHolder]:
@@ -145,7 +146,7 @@
             and p.alive
             and register_key("duty-0") in p.participant.leases.by_key
         ]
-        sim.processes[owner.seat] = sim.start_process(owner.seat, remembers=True)
+        sim.processes[owner.seat] = sim.start_process(owner.seat, recovered=True)
         if not found:
             break
         owner = found[0]
@@ -258,11 +259,13 @@
         def work(self, lease: LeaseHolder) -> None:
             return None
 
-    sim, owner, lease = settled(seats=5, process=Idle)
+    sim, owner, lease = settled(seats=5, process_class=Idle)
     taker = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me not in sim.seats.replicas(lease.key)
+        if isinstance(p, DutyProcess)
+        and p is not owner
+        and p.node.me not in sim.placement.replicas(lease.key)
     )
     taker.participant.leases.on_offer(
         "n0", LeaseOffer(lease.key, lease.record.generation, lease.record.term, False, True)
@@ -277,7 +280,7 @@
     keeper = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.seats.replicas(lease.key)
+        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.placement.replicas(lease.key)
     )
     member = keeper.node.detector.by_seat[owner.node.me]
     member.state, member.status = MemberState.UNKNOWN, MemberStatus()
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from functools import partial
 from typing import Any
 
 import pytest
@@ -18,15 +19,16 @@
 )
 from moorusher.leadership.lease_transitions import AcquireLease
 from moorusher.leadership.state_replication import StateReplication
-from moorusher.model_checking.cluster_simulation import Scenario
+from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore
 from moorusher.model_checking.leadership_interleavings import Terms
 from moorusher.model_checking.leadership_simulation import (
-    COURSE,
-    DISKS,
-    search,
+    DISK_SCENARIO,
+    SCENARIO,
+    DutySimulation,
 )
 from moorusher.model_checking.register_interleavings import Limits
+from moorusher.model_checking.scenario import FaultKind, Scenario
 from moorusher.replication.register_reader import RegisterReader
 
 # ---- every interleaving ----
@@ -79,10 +81,14 @@
 # ---- seeds in virtual time ----
 
 
-@pytest.mark.parametrize("course, how", [(COURSE, {}), (DISKS, {"lasting": True})], ids=["memory", "disks"])
-def test_seeds(course: Scenario, how: dict[str, Any]) -> None:
-    found = search(range(7), course, **how)
-    assert found is None, f"DutySimulation({found[0]}, {course}, **{how}).play(): {found[1]}" if found else ""
+@pytest.mark.parametrize(
+    "scenario, how", [(SCENARIO, {}), (DISK_SCENARIO, {"has_disks": True})], ids=["memory", "disks"]
+)
+def test_seeds(scenario: Scenario, how: dict[str, Any]) -> None:
+    found = find_counterexample(range(7), partial(DutySimulation, scenario=scenario, **how))
+    assert found is None, (
+        f"DutySimulation({found.seed}, {scenario}, **{how}).play(): {found.violation}" if found else ""
+    )
 
 
 def test_seeds_find_a_state_that_is_named_before_it_is_replicated(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -99,20 +105,22 @@
             self.store.add(key, mark, piece)  # here; the others will be told some day
         callback(True)
 
+    scenario = Scenario(seats=5, keys=0, faults=8, fault_kinds=(FaultKind.CRASH, FaultKind.QUICK_RESTART))
     monkeypatch.setattr(StateReplication, "replicate", replicate)
-    assert search(range(10), Scenario(seats=5, keys=0, faults=8, fault_kinds=("kill", "forget"))) is not None
+    assert find_counterexample(range(10), partial(DutySimulation, scenario=scenario)) is not None
 
 
 def test_seeds_find_a_receiver_that_does_not_compare_tokens() -> None:
-    found = search(range(60), compares=False)
-    assert found is not None and "took" in found[1]
+    found = find_counterexample(range(60), partial(DutySimulation, compares=False))
+    assert found is not None and "took" in found.violation
 
 
 def test_seeds_find_replicas_that_vote_after_a_loss_of_memory() -> None:
-    assert (
-        search(range(60), Scenario(seats=3, keys=0, faults=12, fault_kinds=("forget", "cut")), amnesia=False)
-        is not None
+    scenario = Scenario(
+        seats=3, keys=0, faults=12, fault_kinds=(FaultKind.QUICK_RESTART, FaultKind.PARTITION)
     )
+    simulation = partial(DutySimulation, scenario=scenario, amnesia=False)
+    assert find_counterexample(range(60), simulation) is not None
 
 
 def test_seeds_find_a_former_leader_whose_change_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -122,12 +130,13 @@
     monkeypatch.setattr(HolderChange, "apply", apply)
     monkeypatch.setattr(HolderChange, "is_applied_in", lambda self, found: found is not None)
     monkeypatch.setattr(UpdateState, "apply", apply)
-    assert search(range(20), Scenario(seats=5, keys=0, faults=12, fault_kinds=("stop", "cut"))) is not None
+    scenario = Scenario(seats=5, keys=0, faults=12, fault_kinds=(FaultKind.PAUSE, FaultKind.PARTITION))
+    assert find_counterexample(range(20), partial(DutySimulation, scenario=scenario)) is not None
 
 
 def test_seeds_find_a_read_that_takes_one_replica_for_a_majority(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(RegisterReader, "votes_needed", staticmethod(lambda looking, vote: 1))
-    found = search(range(20))
-    assert found is not None and "missing" in found[1]
+    found = find_counterexample(range(20), DutySimulation)
+    assert found is not None and "missing" in found.violation
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from functools import partial
 from typing import Any
 
 import pytest
@@ -22,9 +23,10 @@
     GrantSlots,
 )
 from moorusher.maintenance.waiters import Waiters, WaitResult, WaitStatus
+from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.maintenance_interleavings import Limits, MaintenanceCase
-from moorusher.model_checking.maintenance_simulation import COURSE, MaintenanceSimulation, search
+from moorusher.model_checking.maintenance_simulation import SCENARIO, MaintenanceSimulation
 
 # ---- every interleaving ----
 
@@ -93,13 +95,13 @@
 
 
 def test_no_seed_has_too_many_machines_out_or_forgets_a_request() -> None:
-    found = search(range(40))
-    assert found is None, f"MaintenanceSimulation({found[0]}).play(): {found[1]}" if found else ""
+    found = find_counterexample(range(40), MaintenanceSimulation)
+    assert found is None, f"MaintenanceSimulation({found.seed}).play(): {found.violation}" if found else ""
 
 
 def test_a_seed_plays_the_same_course_each_time() -> None:
     first, second = MaintenanceSimulation(7), MaintenanceSimulation(7)
-    assert first.play() == second.play() and first.events == second.events
+    assert first.play() == second.play() and first.faults.log == second.faults.log
     assert first.history.messages == second.history.messages
 
 
@@ -120,9 +122,11 @@
 
 
 def test_seeds_find_a_clearance_that_is_told_on_a_later_boot() -> None:
-    assert search(range(120), coordinator=Eager) is not None
+    assert (
+        find_counterexample(range(120), partial(MaintenanceSimulation, coordinator_class=Eager)) is not None
+    )
 
 
 def test_without_faults_every_request_is_finished_soon() -> None:
-    sim = MaintenanceSimulation(1, replace(COURSE, faults=0))
+    sim = MaintenanceSimulation(1, replace(SCENARIO, faults=0))
     assert sim.play() is None and sim.most_cleared >= 1 and not sim.operators.majority_losses
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -8,6 +8,7 @@
 import re
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 import pytest
@@ -28,10 +29,10 @@
 from moorusher.leadership.effects import Completed, Outcome
 from moorusher.leadership.errors import NoMajority, Superseded
 from moorusher.leadership.fencing_token import FencingToken
-from moorusher.model_checking import publish_simulation as check
+from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.publish_interleavings import Publishes
-from moorusher.model_checking.publish_simulation import PublishSimulation, draft_of
+from moorusher.model_checking.publish_simulation import DISK_SCENARIO, PublishSimulation, draft_of
 from moorusher.namespaces.customers import CurrentRevisions, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
 from moorusher.namespaces.policy import Bounds
@@ -359,13 +360,13 @@
 @pytest.mark.parametrize("seed", range(14))
 def test_published_once_forwards_only_and_the_same_everywhere_in_the_end(seed: int) -> None:
     sim = PublishSimulation(seed)
-    assert sim.play() is None, sim.events
+    assert sim.play() is None, sim.faults.log
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_the_same_with_disks_and_power_cuts(seed: int) -> None:
-    sim = PublishSimulation(seed, check.DISKS, lasting=True)
-    assert sim.play() is None, sim.events
+    sim = PublishSimulation(seed, DISK_SCENARIO, has_disks=True)
+    assert sim.play() is None, sim.faults.log
 
 
 # ---- mistakes that must be found ----
@@ -490,5 +491,5 @@
     ],
 )
 def test_a_seeded_mistake_is_found(replica: type[Replica], how: str) -> None:
-    found = check.search(range(40), replica=replica)
-    assert found is not None and re.search(how, found[1]), found
+    found = find_counterexample(range(40), partial(PublishSimulation, replica=replica))
+    assert found is not None and re.search(how, found.violation), found
