--- a/moorusher/leadership/state_replication.py
+++ b/moorusher/leadership/state_replication.py
@@ -101,7 +101,7 @@
             del self._stores[serial]
             return pending.callback(False)
         for seat in self._services.replicas(pending.key):
-            for name in pending.missing_at(seat):
+            for name in sorted(pending.missing_at(seat)):
                 self._send_chunk(serial, pending, seat, name, b"")
         return self._retry_store_later(serial)
 
--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -85,7 +85,8 @@
     journaled: bool = False
     permanent: bool = False
     journal_failing: bool = False
-    _unsaved_registers: set[Key] = field(default_factory=set)
+    # A dict for its order: records are written in the order of the changes, in whichever process.
+    _unsaved_registers: dict[Key, None] = field(default_factory=dict)
     _unsaved_incarnations: bool = True
     _unsaved_recovered: bool = True
 
@@ -214,7 +215,7 @@
 
     def _schedule_expiry(self, key: Key, register: RegisterState, expires_at: int) -> None:
         if self.journaled:
-            self._unsaved_registers.add(key)
+            self._unsaved_registers[key] = None
         if self.permanent:
             return
         if expires_at > register.expires_at:
@@ -322,7 +323,7 @@
 
     def all_records(self, now: int) -> list[Any]:
         """Records of everything, in place of all that was written before."""
-        self._unsaved_registers.update(self.registers)
+        self._unsaved_registers.update(dict.fromkeys(self.registers))
         self._unsaved_incarnations = True
         self._unsaved_recovered = True
         return self.unsaved_records(now)
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -198,7 +198,7 @@
             return
         tenure.stage = TenureStage.FINISHING
         tenure.result = result
-        for seat in tenure.waiting_seats:
+        for seat in sorted(tenure.waiting_seats):
             self._node.host.send(seat, OwnershipReply(key, tenure.attempt, False, True, result))
         tenure.waiting_seats.clear()
         self._write_until_chosen(tenure, FinishWork(self._node.owner, tenure.attempt, result))
@@ -292,7 +292,7 @@
         return work.owner == self._node.owner and work.state is WorkState.HELD
 
     def _answer_not_in_hand(self, tenure: Tenure) -> None:
-        for seat in tenure.waiting_seats:
+        for seat in sorted(tenure.waiting_seats):
             self._node.host.send(seat, OwnershipReply(tenure.key, tenure.attempt, False))
 
     def _time_left(self, tenure: Tenure) -> int:
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -130,7 +130,7 @@
         if missing := sorted(acceptor.other_seats - known):
             reason = "not heard of" if accept_loss else "not heard as one that remembers nothing"
             return f"{reason}: {', '.join(missing)}"
-        for seat in acceptor.other_seats:
+        for seat in sorted(acceptor.other_seats):
             self._host.send(seat, Bootstrap(acceptor.incarnations[seat], self._space, accept_loss))
         self.handle_bootstrap(acceptor.seat, Bootstrap(acceptor.incarnation, self._space, accept_loss))
         return None
