--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -1,202 +1,314 @@
-"""Publish against publish: every interleaving of an owner that is superseded at any moment and the next one, two
-submissions that are handed in again anywhere, changes that arrive late or whose answer is lost. Real publishers.
+"""Every interleaving of a publisher that may be superseded at any moment, and the publisher of the next term.
 
-The register is one atomic value here: that it is one is walked in `terms`. A change that its owner has given up may
-arrive yet, until that owner has read the register again.
+Two submissions are handed in again anywhere; changes of the register arrive late, or their answer is lost. The
+publishers are the real ones. The register takes a change at one moment here (`register_interleavings` walks how it does
+that). A change that its leader has given up may arrive yet, until that leader has read the register again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from ..config_distribution.messages import RevisionId
-from ..config_distribution.publisher import Publisher
+from ..config_distribution.publisher import BookCallback, Publisher
 from ..leadership.effects import Completed, Outcome, StateUpdate
 from ..leadership.errors import DutyError, NoMajority, Superseded
 from ..leadership.fencing_token import FencingToken
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds
-from ..namespaces.revisions import Book, Submission, unpack
+from ..namespaces.revisions import Submission, unpack
 
-CUSTOMER, NAME = "acme", "namespace/acme"
-SUBMISSIONS = {id: Submission(CUSTOMER, id, -1, "x", id.encode()) for id in ("s1", "s2")}
-MOST_HANDED = 2  # times that each is
+CUSTOMER = "acme"
+LEASE = "namespace/acme"
+GENERATION = 1
+SUBMISSIONS = {
+    submission_id: Submission(CUSTOMER, submission_id, -1, "x", submission_id.encode())
+    for submission_id in ("s1", "s2")
+}
+MAX_HANDED_IN = 2  # times that each submission is
+MAX_REVISIONS = 9
+FIRST = "P"  # the leader of the first term
+NEXT = "Q"
+NEXT_LEADS = f"{NEXT} takes over"
 
 
-@dataclass(frozen=True, slots=True)
-class _Record:
-    generation: int = 1
+class Confirmation(NamedTuple):
+    """A submission that was confirmed, and the number of its revision."""
 
+    submission_id: str
+    number: int
 
-@dataclass(slots=True, eq=False)
-class _Change:
-    state: bytes
-    then: Callable[[Outcome], None] | None  # None: given up
-    made: bool | None = None  # what the register said, once it has arrived
 
+@dataclass(frozen=True, slots=True)
+class LeaseGeneration:
+    """What a publisher reads of its lease record."""
 
-class Owner:
-    """One in its term: what a publisher takes for its lease, and for its host."""
+    generation: int = GENERATION
+
+
+@dataclass(slots=True, eq=False)
+class PendingChange:
+    """A change of the register that a leader has sent.
 
-    name = NAME
+    Attributes:
+        state: `bytes`, what the register is to hold.
+        callback: gets the outcome; None once the leader has heard it, or has given the change up.
+        is_applied: whether the register took it; None until it has arrived.
+    """
 
-    def __init__(self, case: Publishes, who: str, term: int, state: bytes, kind: type[Publisher]) -> None:
-        self.case, self.who, self.term, self.state, self.record = case, who, term, state, _Record()
-        self.changes: list[_Change] = []
-        self.reads: list[Callable[[tuple[int, Book] | DutyError], None]] = []
-        self.over = False
-        self.publisher = kind(self, self)  # type: ignore[arg-type]
+    state: bytes
+    callback: Callable[[Outcome], None] | None
+    is_applied: bool | None = None
+
+
+class SimulatedLeader:
+    """A leader in its term: the lease and the host of a real publisher.
+
+    Attributes:
+        name: of its lease, as `LeaseHolder`.
+        who: `str`, its name in the moves.
+        term: `int`.
+        state: `bytes`, what the register held as it acquired the lease.
+        record: as `LeaseHolder`.
+        changes: `PendingChange`s, in the order in which they were sent.
+        reads: callbacks of reads of the register that are under way.
+        is_over: `bool`, it has heard that it is superseded.
+        publisher: the real one, or one with a seeded mistake.
+    """
+
+    name = LEASE
+
+    def __init__(self, model: PublishModel, who: str, term: int, state: bytes) -> None:
+        self._model = model
+        self.who = who
+        self.term = term
+        self.state = state
+        self.record = LeaseGeneration()
+        self.changes: list[PendingChange] = []
+        self.reads: list[BookCallback] = []
+        self.is_over = False
+        self.publisher = model.publisher_class(self, self)  # type: ignore[arg-type]
         self.publisher.start()
 
-    def submit(self, effect: Any, then: Callable[[Outcome], None]) -> None:
+    # ---- `leadership.lease_holder.LeaseHolder` ----
+
+    def submit(self, effect: Any, callback: Callable[[Outcome], None]) -> None:
+        """Send a change of the register."""
         assert isinstance(effect, StateUpdate)
-        self.changes.append(_Change(effect.state, then))
+        self.changes.append(PendingChange(effect.state, callback))
+
+    # ---- `config_distribution.publisher.PublisherHost` ----
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
+        """Every draft is right."""
         then(None)
 
-    def book(self, customer: str, then: Callable[[tuple[int, Book] | DutyError], None]) -> None:
+    def book(self, customer: str, then: BookCallback) -> None:
+        """Begin a read of the register."""
         self.reads.append(then)
 
-    def published(self, customer: str, at: RevisionId, draft: bytes) -> None:
-        self.case.means(at[1], draft)
+    def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
+        """A revision is published."""
+        self._model.see_draft(revision_id[1], draft)
 
     def bounds(self, customer: str) -> Bounds:
-        return Bounds(keep=9)
+        """Return bounds that nothing here comes to."""
+        return Bounds(keep=MAX_REVISIONS)
 
     def ended(self, publisher: Publisher) -> None:
-        return None
+        """Nobody waits for it here."""
 
     def unix_ms(self) -> int:
+        """Return the wall-clock time, which stands still."""
         return 0
 
-    def end(self) -> None:
-        self.over = True
-        self.publisher.stop(Superseded(NAME, self.term, None, 2))
+    # ---- moves ----
 
+    def supersede(self) -> None:
+        """It hears that the next term has begun."""
+        self.is_over = True
+        self.publisher.stop(Superseded(LEASE, self.term, None, self.term + 1))
 
-@dataclass(slots=True)
-class Publishes:
-    """Publishers hold callbacks, so a state is copied by making its way anew."""
+    def abandon_late_changes(self) -> None:
+        """What this leader has given up, and has not arrived yet, never will."""
+        for change in self.changes:
+            if change.is_applied is None and change.callback is None:
+                change.is_applied = False
 
-    kind: type[Publisher] = Publisher
-    way: tuple[str, ...] = ()
+    def fingerprint(self) -> Hashable:
+        """The same for leaders that can't be told apart."""
+        return (
+            self.who,
+            self.is_over,
+            self.publisher._book,
+            tuple(submission.id for submission, _ in self.publisher._waiting),
+            len(self.reads),
+            tuple((change.state, change.callback is None, change.is_applied) for change in self.changes),
+        )
+
+
+@dataclass(slots=True)
+class PublishModel:
+    """A state of what is explored, see `explorer.Model`.
+
+    Publishers hold callbacks, so a state is copied by making all moves that lead to it again.
+
+    Attributes:
+        publisher_class: the real one, or one with a seeded mistake.
+        path: the moves that lead to this state.
+        term: `int`, of the register.
+        state: `bytes`, what the register holds.
+        handed_in: by submission, how often it was handed in.
+        drafts: by number of a revision, its draft.
+        confirmations: in order.
+        failure: what is violated, in words, or None.
+        leaders: by name.
+    """
+
+    publisher_class: type[Publisher] = Publisher
+    path: tuple[str, ...] = ()
     term: int = 1
     state: bytes = b""
-    handed: dict[str, int] = field(default_factory=lambda: dict.fromkeys(SUBMISSIONS, 0))
-    meaning: dict[int, bytes] = field(default_factory=dict)
-    told: list[tuple[str, int]] = field(default_factory=list)
-    wrong: str | None = None
-    owners: dict[str, Owner] = field(default_factory=dict)
+    handed_in: dict[str, int] = field(default_factory=lambda: dict.fromkeys(SUBMISSIONS, 0))
+    drafts: dict[int, bytes] = field(default_factory=dict)
+    confirmations: list[Confirmation] = field(default_factory=list)
+    failure: str | None = None
+    leaders: dict[str, SimulatedLeader] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.owners["P"] = Owner(self, "P", 1, b"", self.kind)
+        self.leaders[FIRST] = SimulatedLeader(self, FIRST, self.term, self.state)
 
-    def copy(self) -> Publishes:
-        made = Publishes(self.kind)
-        for name in self.way:
-            made.apply(name)
-        return made
+    def copy(self) -> PublishModel:
+        """Return a copy that moves by itself."""
+        new = PublishModel(self.publisher_class)
+        for move in self.path:
+            new.apply(move)
+        return new
 
-    def means(self, number: int, draft: bytes) -> None:
-        if self.meaning.setdefault(number, draft) != draft:
-            self.wrong = f"{number} means {self.meaning[number]!r} and {draft!r}"
+    def see_draft(self, number: int, draft: bytes) -> None:
+        """A revision means this draft, somewhere: none ever means two."""
+        if self.drafts.setdefault(number, draft) != draft:
+            self.failure = f"{number} means {self.drafts[number]!r} and {draft!r}"
 
     # ---- moves ----
 
     def moves(self) -> list[str]:
-        if self.wrong:
+        """Return the names of all moves that are possible now."""
+        if self.failure:
             return []
-        made = ["Q takes over"] if "Q" not in self.owners else []
-        for who, owner in self.owners.items():
-            if not owner.over:
-                made += [f"{id} to {who}" for id, n in self.handed.items() if n < MOST_HANDED]
-                made += [f"{who} reads"] if owner.reads else []
-            for i, change in enumerate(owner.changes):
-                if change.made is None:
-                    made.append(f"{who} change {i} arrives")
-                if change.then is not None and not owner.over:
-                    made += [f"{who} hears {i}"] if change.made is not None else []
-                    made.append(f"{who} drops {i}")
-        return made
+        names = [] if NEXT in self.leaders else [NEXT_LEADS]
+        for leader in self.leaders.values():
+            if not leader.is_over:
+                names += self._leader_moves(leader)
+            for index, change in enumerate(leader.changes):
+                names += self._change_moves(leader, index, change)
+        return names
+
+    def _leader_moves(self, leader: SimulatedLeader) -> list[str]:
+        names = [
+            f"{submission_id} to {leader.who}"
+            for submission_id, count in self.handed_in.items()
+            if count < MAX_HANDED_IN
+        ]
+        if leader.reads:
+            names.append(f"{leader.who} reads")
+        return names
+
+    @staticmethod
+    def _change_moves(leader: SimulatedLeader, index: int, change: PendingChange) -> list[str]:
+        names: list[str] = []
+        if change.is_applied is None:
+            names.append(f"{leader.who} change {index} arrives")
+        if change.callback is not None and not leader.is_over:
+            if change.is_applied is not None:
+                names.append(f"{leader.who} hears {index}")
+            names.append(f"{leader.who} drops {index}")
+        return names
 
     def apply(self, name: str) -> None:
-        self.way = (*self.way, name)
-        words = name.split()
-        if name == "Q takes over":
-            self.term = 2
-            self.owners["Q"] = Owner(self, "Q", 2, self.state, self.kind)
-        elif words[0] in SUBMISSIONS:
-            self.handed[words[0]] += 1
-            self.owners[words[2]].publisher.submit(
-                SUBMISSIONS[words[0]], lambda got: self._told(words[0], got)
-            )
-        elif words[1] == "reads":
-            self._reads(self.owners[words[0]])
+        """Make a move."""
+        self.path = (*self.path, name)
+        subject, verb, *rest = name.split()
+        if name == NEXT_LEADS:
+            self.term += 1
+            self.leaders[NEXT] = SimulatedLeader(self, NEXT, self.term, self.state)
+        elif subject in SUBMISSIONS:
+            self._hand_in(subject, self.leaders[rest[0]])
+        elif verb == "reads":
+            self._read(self.leaders[subject])
+        elif verb == "change":
+            self._arrive(self.leaders[subject], int(rest[0]))
         else:
-            self._changes(self.owners[words[0]], words[1], int(words[2]))
-
-    def _changes(self, owner: Owner, what: str, i: int) -> None:
-        change = owner.changes[i]
-        if what == "change":
-            change.made = owner.term == self.term
-            if change.made:
-                self.state = change.state
-                if (entry := unpack(self.state, CUSTOMER).current) is not None:
-                    self.means(entry.number, entry.draft)
-            return
-        then, change.then = change.then, None
-        assert then is not None
-        if what == "drops":
-            then(NoMajority(NAME))
-        elif change.made:
-            then(Completed(FencingToken(1, owner.term, 1)))
-        else:
-            owner.end()
+            self._answer(self.leaders[subject], int(rest[0]), is_lost=verb == "drops")
 
-    def _reads(self, owner: Owner) -> None:
-        """A majority has promised a later ballot by then: what its owner has given up does not arrive any more."""
-        for change in owner.changes:
-            if change.made is None and change.then is None:
-                change.made = False
-        owner.reads.pop(0)((1, unpack(self.state, CUSTOMER)))
+    def _hand_in(self, submission_id: str, leader: SimulatedLeader) -> None:
+        self.handed_in[submission_id] += 1
+        leader.publisher.submit(
+            SUBMISSIONS[submission_id], lambda result: self._on_result(submission_id, result)
+        )
 
-    def _told(self, id: str, got: RevisionId | NamespaceError | DutyError) -> None:
-        if not isinstance(got, Exception):
-            self.told.append((id, got[1]))
-            self.means(got[1], id.encode())
+    def _on_result(self, submission_id: str, result: RevisionId | NamespaceError | DutyError) -> None:
+        if isinstance(result, Exception):
+            return
+        number = result[1]
+        self.confirmations.append(Confirmation(submission_id, number))
+        self.see_draft(number, submission_id.encode())
+
+    def _read(self, leader: SimulatedLeader) -> None:
+        """A majority has promised a later ballot by then: what its leader has given up does not arrive any more."""
+        leader.abandon_late_changes()
+        callback = leader.reads.pop(0)
+        callback((GENERATION, unpack(self.state, CUSTOMER)))
+
+    def _arrive(self, leader: SimulatedLeader, index: int) -> None:
+        change = leader.changes[index]
+        change.is_applied = leader.term == self.term
+        if not change.is_applied:
+            return
+        self.state = change.state
+        current = unpack(self.state, CUSTOMER).current
+        if current is not None:
+            self.see_draft(current.number, current.draft)
+
+    def _answer(self, leader: SimulatedLeader, index: int, is_lost: bool) -> None:
+        change = leader.changes[index]
+        callback = change.callback
+        assert callback is not None
+        change.callback = None
+        if is_lost:
+            callback(NoMajority(LEASE))
+        elif change.is_applied:
+            callback(Completed(FencingToken(GENERATION, leader.term, 1)))
+        else:
+            leader.supersede()
 
-    # ---- what must hold ----
+    # ---- invariants ----
 
     def fingerprint(self) -> Hashable:
+        """The same for states that can't be told apart."""
         return (
             self.term,
             self.state,
-            tuple(self.handed.values()),
-            tuple(sorted(set(self.told))),
-            tuple(
-                (
-                    who,
-                    o.over,
-                    o.publisher._book,
-                    tuple(s.id for s, _ in o.publisher._waiting),
-                    len(o.reads),
-                    tuple((c.state, c.then is None, c.made) for c in o.changes),
-                )
-                for who, o in self.owners.items()
-            ),
+            tuple(self.handed_in.values()),
+            tuple(sorted(set(self.confirmations))),
+            tuple(leader.fingerprint() for leader in self.leaders.values()),
         )
 
     def violation(self) -> str | None:
-        if self.wrong:
-            return self.wrong
+        """Return what is violated in this state, in words."""
+        if self.failure:
+            return self.failure
         book = unpack(self.state, CUSTOMER)
-        ids = [e.id for e in book.entries]
-        if len(set(ids)) != len(ids):
-            return f"one submission became two revisions: {ids}"
-        if [e.number for e in book.entries] != list(range(len(ids), 0, -1)):
-            return f"numbers {[e.number for e in book.entries]}"
-        lost = [(id, n) for id, n in self.told if (e := book.find(n)) is None or e.id != id]
-        return f"{lost[0]} was told, and is not there" if lost else None
+        submission_ids = [entry.id for entry in book.entries]
+        if len(set(submission_ids)) != len(submission_ids):
+            return f"one submission became two revisions: {submission_ids}"
+        numbers = [entry.number for entry in book.entries]
+        if numbers != list(range(len(numbers), 0, -1)):
+            return f"numbers {numbers}"
+        for confirmation in self.confirmations:
+            entry = book.find(confirmation.number)
+            if entry is None or entry.id != confirmation.submission_id:
+                return f"{tuple(confirmation)} was told, and is not there"
+        return None
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -1,14 +1,12 @@
-"""Customers' revisions in virtual time: the real desks, publishers and duties, submissions at any runner, the faults of
-`check.fleets`. One seed is one course; its whole history is checked.
+"""Customers' revisions in virtual time: real replicas, publishers and leases, submissions at any member, and faults.
 
-No number of an incarnation ever means two drafts; what was told to be published stays; a submission becomes one
-revision however often it is handed in; no process goes back; who is said to have a revision has it; in the end all have
-the same.
+One seed is one simulation of `cluster_simulation`; its whole history is checked. No number of an incarnation ever means
+two drafts; what was confirmed stays; a submission becomes one revision however often it is handed in; no process goes
+back; who is said to have a revision has it; in the end all have the same.
 """
 
 from __future__ import annotations
 
-from collections import defaultdict
 from collections.abc import Callable
 
 import msgspec
@@ -19,12 +17,12 @@
 from ..config_distribution.publisher import duty_of
 from ..config_distribution.replica import Replica
 from ..leadership.lease_holder import LeaseHolder
-from ..leadership.lease_record import LeaseStatus
+from ..leadership.lease_record import LeaseRecord, LeaseStatus
 from ..leadership.worker import Worker
 from ..namespaces.document import Namespace, parse_draft
 from ..namespaces.errors import NamespaceError
 from ..namespaces.policy import Bounds, Granted
-from ..namespaces.revisions import Book, Submission, unpack
+from ..namespaces.revisions import Submission, unpack
 from .cluster_process import ProcessStart
 from .cluster_simulation import Simulation
 from .leadership_simulation import (
@@ -34,245 +32,267 @@
     latest_record,
     replicated_state,
 )
+from .publish_history import Confirmation, Failure, PublishHistory, wrong_in_book
 from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
 from .virtual_time import MS, SECOND
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANTED = Granted(frozenset({"s"}))
+BOUNDS = Bounds(keep=64)
 SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
 DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=DISK_FAULTS)
-Draft = tuple[str, RevisionId]
+MAX_CUSTOMERS = 100
+READY_TIMEOUT_US = 2_000 * MS
+PARSE_MS = (0.2, 40)  # least and most time that a draft is read in
+EPOCH_MS = 1_700_000_000_000  # Unix time at the begin of a simulation
+EXPECTATIONS = (-1, -1, -1, 0, 1, 2)  # the revision that a submission builds on; -1: whichever
+TIMES_HANDED_IN = (1, 1, 2, 3)  # as no answer came
+MAX_RESUBMIT_S = 2
+FIRST_SUBMISSION_S = 0.3
+FIRST_DELETION_S = 1.0
 
 
 def draft_of(name: str) -> bytes:
-    """A draft that is told apart by its one name."""
+    """Return a draft that is told apart by its one name."""
     return msgspec.json.encode({"default": name, "routes": {name: {"servers": {"s": 1}}}})
 
 
 class PublishProcess(DutyProcess):
-    """One process of a simulated fleet, with the real replica of all revisions."""
+    """One process of a simulated cluster, with the real replica of all revisions; its `ReplicaHost`.
+
+    Attributes:
+        publishing: `PublishSimulation`.
+        started_at_us: `int`.
+        replica: the real one, or one with a seeded mistake.
+    """
 
     def __init__(self, sim: Simulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, PublishSimulation)
-        self.whole = sim
-        self.born_at = sim.now
-        self.replica = sim.replica(self.participant, self, 100)
+        self.publishing = sim
+        self.started_at_us = sim.now
+        self.replica = sim.replica_class(self.participant, self, MAX_CUSTOMERS)
 
     def work(self, lease: LeaseHolder) -> Worker | None:
+        """Return the publisher for a lease."""
         return self.replica.work(lease)
 
-    def begin(self) -> None:
-        stored = self.whole.stored[self.seat]
-        self.replica.start([(c, at, d) for c, (at, d) in stored.items()], 2_000 * MS)
+    def start_replica(self) -> None:
+        """Begin with what the disk of this member has."""
+        stored = self.publishing.stored[self.seat]
+        self.replica.start(
+            [(customer, revision_id, draft) for customer, (revision_id, draft) in stored.items()],
+            READY_TIMEOUT_US,
+        )
 
-    # ---- desk.Host ----
+    # ---- `config_distribution.services.ReplicaHost` ----
 
     def granted(self, customer: str) -> Granted | None:
+        """Return what a customer may route to."""
         return GRANTED
 
     def bounds(self, customer: str) -> Bounds:
-        return Bounds(keep=64)
+        """Return how much may be published and retained."""
+        return BOUNDS
 
     def check(self, draft: bytes, granted: Granted, then: Callable[[NamespaceError | None], None]) -> None:
-        self.read(draft, lambda got: then(got if isinstance(got, NamespaceError) else None))
+        """Call `then` with what is wrong with a draft, or None."""
+        self.read(draft, lambda parsed: then(parsed if isinstance(parsed, NamespaceError) else None))
 
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
+        """Parse a draft, which takes its time."""
         try:
-            got: Namespace | NamespaceError = parse_draft(draft, None)
+            parsed: Namespace | NamespaceError = parse_draft(draft, None)
         except NamespaceError as exc:
-            got = exc
-        self.sim.at(self.sim.now + round(self.sim.random.uniform(0.2, 40) * MS), self, lambda: then(got))
+            parsed = exc
+        delay_us = round(self.sim.random.uniform(*PARSE_MS) * MS)
+        self.sim.at(self.sim.now + delay_us, self, lambda: then(parsed))
 
     def keep(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
-        if self.whole.has_disks:
-            self.whole.stored[self.seat][customer] = at, draft
+        """Store a revision on the disk, if there is one; no draft: it was deleted."""
+        if self.world.has_disks:
+            self.publishing.stored[self.seat][customer] = (at, draft)
 
     def unix_ms(self) -> int:
-        return 1_700_000_000_000 + self.sim.now // MS
+        """Return the wall-clock time."""
+        return EPOCH_MS + self.sim.now // MS
 
     def became_ready(self) -> None:
-        return None
+        """Nobody waits for it here."""
 
     def changed(self, customer: str) -> None:
-        self.whole.had(self, customer)
+        """The customer has another current revision here."""
+        history = self.publishing.publish_history
+        revision_id = self.replica.customers.at(customer)
+        history.see_current(self.number, customer, revision_id)
+        found = self.replica.customers.of(customer)
+        if found is not None:
+            history.see_draft(customer, revision_id, found.draft)
 
 
 class PublishSimulation(DutySimulation):
-    """`replica` is the real one, or one with a seeded mistake."""
+    """One simulation of a cluster whose members publish revisions.
+
+    Attributes:
+        replica_class: the real one, or one with a seeded mistake.
+        stored: by seat and customer, the revision and draft on its disk; no draft where it was deleted.
+        publish_history: `PublishHistory`.
+    """
 
     def __init__(
         self,
         seed: int,
         scenario: Scenario | None = None,
         has_disks: bool = False,
-        replica: type[Replica] = Replica,
+        replica_class: type[Replica] = Replica,
         submissions: int = 30,
         deletions: int = 2,
     ) -> None:
-        self.replica = replica
-        self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [
-            {} for _ in range((scenario or SCENARIO).seats)
-        ]
-        self.drafts: defaultdict[Draft, set[bytes]] = defaultdict(
-            set
-        )  # what each number was seen to mean, anywhere
-        self.last: dict[tuple[int, str], RevisionId] = {}  # of each process
-        self.told: list[tuple[str, RevisionId, str, bytes, int]] = []  # customer, as what, id, draft, when
-        self.failed: list[tuple[str, str]] = []
-        self.found: list[str] = []
-        self.waited: list[int] = []  # us from publishing to everywhere
-        self._published: dict[Draft, int] = {}
-        super().__init__(
-            seed, scenario or SCENARIO, duties=0, has_disks=has_disks, process_class=PublishProcess
-        )
-        r = self.random
-        for i in range(submissions):
-            customer, at = r.choice(CUSTOMERS), r.uniform(0.3, self.scenario.seconds)
-            expects = r.choice((-1, -1, -1, 0, 1, 2))
-            for again in range(
-                r.choice((1, 1, 2, 3))
-            ):  # handed in once more, elsewhere or here, as no answer came
-                self._submit(customer, f"s{i}", expects, at + again * r.uniform(0, 2))
+        """Prepare a simulation with so many submissions and deletions."""
+        scenario = scenario or SCENARIO
+        self.replica_class = replica_class
+        self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [{} for _ in range(scenario.seats)]
+        self.publish_history = PublishHistory()
+        super().__init__(seed, scenario, duties=0, has_disks=has_disks, process_class=PublishProcess)
+        for number in range(submissions):
+            self._plan_submission(f"s{number}")
         for _ in range(deletions):
-            self._delete(r.choice(CUSTOMERS), r.uniform(1.0, self.scenario.seconds))
-
-    def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> DutyProcess:
-        made = super().start_process(seat, recovered, incarnation)
-        assert isinstance(made, PublishProcess)
-        self.at(self.now, made, made.begin)
-        return made
-
-    def _somebody(self, seat: int, at: float, do: Callable[[PublishProcess], None]) -> None:
-        def now() -> None:
-            process = self.processes[seat]
-            if process.alive and isinstance(process, PublishProcess):
-                self.at(self.now, process, lambda: do(process))
-
-        self.at(round(at * SECOND), None, now)
-
-    def _submit(self, customer: str, id: str, expects: int, at: float) -> None:
-        draft = draft_of(id)
-
-        def over(process: PublishProcess, got: RevisionId | DistributionError) -> None:
-            if isinstance(got, Exception):
-                return self.failed.append((id, type(got).__name__))
-            self.told.append((customer, got, id, draft, self.now))
-            self._means(customer, got, draft)
-            began = self.now
-            return process.replica.propagation.everywhere(
-                customer, got, lambda lacking: self._everywhere(customer, got, lacking, began)
+            self._plan_deletion(
+                self.random.choice(CUSTOMERS), self.random.uniform(FIRST_DELETION_S, self.scenario.seconds)
             )
 
-        self._somebody(
-            self.random.randrange(self.scenario.seats),
-            at,
-            lambda p: p.replica.submit(
-                Submission(customer, id, expects, "x", draft), lambda got: over(p, got)
-            ),
+    def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> DutyProcess:
+        """Start a process of a member, see `Simulation`."""
+        process = super().start_process(seat, recovered, incarnation)
+        assert isinstance(process, PublishProcess)
+        self.at(self.now, process, process.start_replica)
+        return process
+
+    # ---- submissions and deletions ----
+
+    def _plan_submission(self, submission_id: str) -> None:
+        """A submission, handed in once more, elsewhere or at the same member, where no answer came."""
+        random = self.random
+        customer = random.choice(CUSTOMERS)
+        at_s = random.uniform(FIRST_SUBMISSION_S, self.scenario.seconds)
+        expects = random.choice(EXPECTATIONS)
+        submission = Submission(customer, submission_id, expects, "x", draft_of(submission_id))
+        for repeat in range(random.choice(TIMES_HANDED_IN)):
+            self._plan_attempt(submission, at_s + repeat * random.uniform(0, MAX_RESUBMIT_S))
+
+    def _plan_attempt(self, submission: Submission, at_s: float) -> None:
+        def submit(process: PublishProcess) -> None:
+            process.replica.submit(submission, lambda result: self._on_result(process, submission, result))
+
+        self._at_process(self.random.randrange(self.scenario.seats), at_s, submit)
+
+    def _on_result(
+        self, process: PublishProcess, submission: Submission, result: RevisionId | DistributionError
+    ) -> None:
+        history = self.publish_history
+        if isinstance(result, Exception):
+            history.failures.append(Failure(submission.id, type(result).__name__))
+            return
+        customer = submission.customer
+        confirmed_us = self.now
+        history.confirmations.append(
+            Confirmation(customer, result, submission.id, submission.draft, confirmed_us)
+        )
+        history.see_draft(customer, result, submission.draft)
+        process.replica.propagation.everywhere(
+            customer, result, lambda lacking: self._on_propagated(customer, result, lacking, confirmed_us)
         )
 
-    def _delete(self, customer: str, at: float) -> None:
-        def over(got: RevisionId | DistributionError) -> None:
-            if not isinstance(got, Exception):
-                self.told.append((customer, got, "", b"", self.now))
+    def _plan_deletion(self, customer: str, at_s: float) -> None:
+        def on_result(result: RevisionId | DistributionError) -> None:
+            if not isinstance(result, Exception):
+                self.publish_history.confirmations.append(Confirmation(customer, result, "", b"", self.now))
 
-        self._somebody(
-            self.random.randrange(self.scenario.seats), at, lambda p: p.replica.delete(customer, over)
-        )
+        def delete(process: PublishProcess) -> None:
+            process.replica.delete(customer, on_result)
 
-    # ---- what is seen ----
+        self._at_process(self.random.randrange(self.scenario.seats), at_s, delete)
 
-    def _means(self, customer: str, at: RevisionId, draft: bytes) -> None:
-        self.drafts[customer, at].add(draft)
-        self._published.setdefault((customer, at), self.now)
-        if len(self.drafts[customer, at]) > 1:
-            self.found.append(f"{customer} {at} means {sorted(self.drafts[customer, at])}")
+    def _at_process(self, seat: int, at_s: float, action: Callable[[PublishProcess], None]) -> None:
+        """Call `action` with whichever process the member has at that time."""
 
-    def had(self, process: PublishProcess, customer: str) -> None:
-        at = process.replica.customers.at(customer)
-        if at < self.last.get((process.number, customer), (0, 0)):
-            self.found.append(f"process {process.number} went back to {at} of {customer}")
-        self.last[process.number, customer] = at
-        found = process.replica.customers.of(customer)
-        if found is not None:
-            self._means(customer, at, found.draft)
+        def call() -> None:
+            process = self.processes[seat]
+            if process.alive and isinstance(process, PublishProcess):
+                self.at(self.now, process, lambda: action(process))
 
-    def _everywhere(self, customer: str, at: RevisionId, lacking: dict[str, str], began: int) -> None:
+        self.at(round(at_s * SECOND), None, call)
+
+    def _on_propagated(
+        self, customer: str, revision_id: RevisionId, lacking: dict[str, str], confirmed_us: int
+    ) -> None:
+        """All members but those that are lacking are said to have the revision."""
+        history = self.publish_history
         if not lacking:
-            self.waited.append(self.now - began)
-        for p in self.processes:
-            if (
-                isinstance(p, PublishProcess)
-                and p.alive
-                and p.node.me not in lacking
-                and p.born_at < began
-                and p.replica.customers.at(customer) < at
-            ):
-                self.found.append(
-                    f"n{p.seat} was said to have {at} of {customer}, and has {p.replica.customers.at(customer)}"
+            history.propagation_times_us.append(self.now - confirmed_us)
+        for process in self._live_replicas():
+            current = process.replica.customers.at(customer)
+            is_said_to_have = process.node.me not in lacking and process.started_at_us < confirmed_us
+            if is_said_to_have and current < revision_id:
+                history.violations.append(
+                    f"n{process.seat} was said to have {revision_id} of {customer}, and has {current}"
                 )
 
-    # ---- the whole ----
+    def _live_replicas(self) -> list[PublishProcess]:
+        return [process for process in self.live_processes() if isinstance(process, PublishProcess)]
+
+    # ---- the end ----
 
     def violation(self) -> str | None:
-        if self.found:
-            return self.found[0]
+        """Return what was wrong in the simulation, in words."""
+        if self.publish_history.violations:
+            return self.publish_history.violations[0]
         for customer in CUSTOMERS:
-            if (found := self._at_the_end_of(customer)) is not None:
+            found = self.publish_history.confirmed_twice(customer) or self._wrong_in_register(customer)
+            if found is not None:
                 return f"{customer}: {found}"
         return None
 
-    def _at_the_end_of(self, customer: str) -> str | None:
+    def _wrong_in_register(self, customer: str) -> str | None:
+        """All faults are over for a while: a majority has what was confirmed, and all members have the same."""
         duty = duty_of(customer)
-        numbers: dict[tuple[int, str], int] = {}
-        for name, (born, number), id, _, _ in self.told:
-            if name == customer and id and numbers.setdefault((born, id), number) != number:
-                return f"{id} was published as {numbers[born, id]} and as {number}"
-        live = [p for p in self.processes if p.alive and isinstance(p, PublishProcess)]
         replicas = self.voting_replicas(duty)
         if len(replicas) < MIN_REPLICAS:
             return None
         record = latest_record(duty, replicas)
-        told = [(at, draft) for name, at, _, draft, _ in self.told if name == customer]
+        confirmations = self.publish_history.of_customer(customer)
         if record is None:
-            return f"no register, though {told} was told" if told else None
+            confirmed = [(confirmation.revision_id, confirmation.draft) for confirmation in confirmations]
+            return f"no register, though {confirmed} was told" if confirmed else None
         if record.status == LeaseStatus.REMOVED:
-            late = [at for at, _ in told if at[0] > record.generation]
-            return (
-                f"told {late} after the last birth {record.generation}"
-                if late
-                else self._all_have(live, customer, (record.generation, DELETED_NUMBER))
-            )
+            return self._wrong_after_deletion(customer, record, confirmations)
         if record.status == LeaseStatus.SUSPENDED:
             return None
         state = replicated_state(duty, record, replicas)
         if record.versions and state is None:
             return None  # `leadership_simulation` checks that
         book = unpack(state or b"", customer)
-        found = self._of_the_book(book, record.generation, told)
+        found = wrong_in_book(book, record.generation, confirmations)
         if found is None and book.number:
-            found = self._all_have(live, customer, (record.generation, book.number))
+            found = self._lagging_replicas(customer, (record.generation, book.number))
         return found
 
-    @staticmethod
-    def _of_the_book(book: Book, born: int, told: list[tuple[RevisionId, bytes]]) -> str | None:
-        there = [e.number for e in book.entries]
-        if there != list(range(len(there), 0, -1)):
-            return f"numbers {there}"
-        ids = [e.id for e in book.entries]
-        if len(set(ids)) != len(ids):
-            return f"one submission became two revisions: {ids}"
-        for (its, number), draft in told:
-            entry = book.find(number)
-            if its > born or (its == born and (entry is None or entry.draft != draft)):
-                return f"{(its, number)} was told to be published, and {there} of {born} are there"
-        return None
-
-    def _all_have(self, live: list[PublishProcess], customer: str, at: RevisionId) -> str | None:
-        behind = {
-            p.node.me: p.replica.customers.at(customer)
-            for p in live
-            if p.replica.customers.at(customer) != at
+    def _wrong_after_deletion(
+        self, customer: str, record: LeaseRecord, confirmations: list[Confirmation]
+    ) -> str | None:
+        late = [
+            confirmation.revision_id
+            for confirmation in confirmations
+            if confirmation.revision_id[0] > record.generation
+        ]
+        if late:
+            return f"told {late} after the last birth {record.generation}"
+        return self._lagging_replicas(customer, (record.generation, DELETED_NUMBER))
+
+    def _lagging_replicas(self, customer: str, revision_id: RevisionId) -> str | None:
+        lagging = {
+            process.node.me: process.replica.customers.at(customer)
+            for process in self._live_replicas()
+            if process.replica.customers.at(customer) != revision_id
         }
-        return f"{at} is there, and {behind} have not come to it" if behind else None
+        return f"{revision_id} is there, and {lagging} have not come to it" if lagging else None
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -31,7 +31,7 @@
 from moorusher.leadership.fencing_token import FencingToken
 from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.publish_interleavings import Publishes
+from moorusher.model_checking.publish_interleavings import PublishModel
 from moorusher.model_checking.publish_simulation import DISK_SCENARIO, PublishSimulation, draft_of
 from moorusher.namespaces.customers import CurrentRevisions, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
@@ -466,7 +466,7 @@
 
 
 def test_publish_against_publish_in_every_interleaving() -> None:
-    found = explore(Publishes())
+    found = explore(PublishModel())
     assert found.complete and found.violation is None, str(found)
     assert found.states > 5_000
 
@@ -476,9 +476,9 @@
     [(Twice, "1 means"), (Forgetful, "was told, and is not|became two|means"), (Early, "told|means")],
 )
 def test_a_seeded_mistake_is_found_with_the_way_to_it(kind: type[Publisher], how: str) -> None:
-    found = explore(Publishes(kind))
+    found = explore(PublishModel(kind))
     assert found.violation is not None and re.search(how, found.violation), str(found)
-    assert replay(Publishes(kind), found.path) == found.violation
+    assert replay(PublishModel(kind), found.path) == found.violation
 
 
 @pytest.mark.parametrize(
@@ -491,5 +491,5 @@
     ],
 )
 def test_a_seeded_mistake_is_found(replica: type[Replica], how: str) -> None:
-    found = find_counterexample(range(40), partial(PublishSimulation, replica=replica))
+    found = find_counterexample(range(40), partial(PublishSimulation, replica_class=replica))
     assert found is not None and re.search(how, found.violation), found
