--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -368,7 +368,7 @@
         (
             f
             for seed in itertools.islice(itertools.count(), 12)
-            if (f := ForecastSimulation(seed, forecaster=kind).play()) is not None
+            if (f := ForecastSimulation(seed, forecaster_class=kind).play()) is not None
         ),
         None,
     )
