--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from ..errors import OperatorError
+
 
 class ForecastError(OperatorError):
     """Why there is no forecast, or why an operation was rejected."""
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -36,9 +36,8 @@
 from .virtual_time import MS, SECOND
 
 SPEED = 600  # of the time of day
-HOUR_MS = BUCKET_MS * HOUR_BUCKETS
 EPOCH_MS = 500_000 * HOUR_MS - 100_000  # Unix time at the begin of a simulation
-POLICY = Policy(on=True, report_ms=40.0, save_ms=80.0)
+POLICY = ForecastPolicy(enabled=True, report_interval_ms=40.0, save_interval_ms=80.0)
 CUSTOMER = "acme"
 NAMESPACE_INCARNATION = 1
 ROUTES = ("main", "spare", "new")
@@ -83,38 +82,38 @@
         route = random.choice(ROUTES)
         zone = self.member.zone
         now_ms = self.unix_ms()
-        key = Key(CUSTOMER, NAMESPACE_INCARNATION, route, zone)
-        self.member.tally.count(now_ms, key, asked=1, worth=1.0)
+        key = RouteKey(CUSTOMER, NAMESPACE_INCARNATION, route, zone)
+        self.member.counter.count(now_ms, key, DemandCounts(requests=1, priority_weight=1.0))
         self.counting.true_counts[HourOfDemand(route, zone, now_ms // HOUR_MS)] += 1
 
     def work(self, lease: LeaseHolder) -> Worker | None:
         """Return the worker for the lease of the forecast."""
         return self.member.work(lease)
 
-    # ---- `forecast_service.member.Host` and `forecast_service.forecaster.Host` ----
+    # ---- `forecast_service`: `MemberHost` and `ForecasterHost` ----
 
     def unix_ms(self) -> int:
         """Return the time of day."""
         return EPOCH_MS + self.sim.now * SPEED // MS
 
-    def worker(self, lease: LeaseHolder) -> Forecaster:
+    def make_forecaster(self, lease: LeaseHolder) -> Forecaster:
         """Return a forecaster that leads by this lease."""
         zones = {f"n{seat}": f"z{seat % 2}" for seat in range(self.sim.scenario.seats)}
         return self.counting.forecaster_class(lease, self, POLICY, zones)
 
-    def say(self, seat: str, message: Any) -> None:
+    def send_to_member(self, seat: str, message: Message) -> None:
         """Send a message of the forecaster."""
-        self.member.say(seat, message)
+        self.member.send(seat, message)
 
-    def at(self, when: int, action: Callable[[], None]) -> None:
+    def at(self, when_us: int, action: Callable[[], None]) -> None:
         """Call `action` at that time, in us."""
-        self.participant.services.at(when, action)
+        self.participant.services.at(when_us, action)
 
     def ended(self, worker: Forecaster) -> None:
         """A forecaster's term is over."""
         self.member.ended(worker)
 
-    def running(self) -> Mapping[str, int]:
+    def running_by_zone(self) -> Mapping[str, int]:
         """Return the servers that run; none are simulated."""
         return {}
 
@@ -126,9 +125,11 @@
         callback: ForecastCallback,
     ) -> None:
         """No forecast is computed here: only the counts are checked."""
-        self.sim.at(self.sim.now + NO_FORECAST_AFTER_US, self, lambda: then(NotYet("not here")))
+        self.sim.at(self.sim.now + NO_FORECAST_AFTER_US, self, lambda: callback(NotYet("not here")))
 
-    def correct(self, week: Any, hours: Mapping[str, list[float]], then: Callable[[Any], None]) -> None:
+    def calculate_correction(
+        self, forecast: Any, actual: Mapping[str, list[float]], callback: ForecastCallback
+    ) -> None:
         """Never called, as no forecast is computed here."""
         raise AssertionError("nothing was worked out")
 
@@ -149,7 +150,7 @@
         seed: int,
         scenario: Scenario | None = None,
         has_disks: bool = False,
-        member_class: type[Member] = Member,
+        member_class: type[ForecastMember] = ForecastMember,
         forecaster_class: type[Forecaster] = Forecaster,
     ) -> None:
         scenario = scenario or SCENARIO
@@ -161,7 +162,7 @@
         self.whole_hours = 0
         super().__init__(seed, scenario, duties=0, has_disks=has_disks, process_class=CountingProcess)
 
-    def ledger(self) -> Ledger | None:
+    def ledger(self) -> DemandLedger | None:
         """Return what a majority has in the end; None where it is not to be had."""
         replicas = self.voting_replicas(NAME)
         record = latest_record(NAME, replicas)
@@ -178,22 +179,22 @@
         self.hours = 0
         self.whole_hours = 0
         for name, series in ledger.series.items():
-            found = self._wrong_in_series(unpack_key(name), series)
+            found = self._wrong_in_series(decode_key(name), series)
             if found is not None:
                 return found
         return None
 
-    def _wrong_in_series(self, key: Key, series: Series) -> str | None:
-        counts = zip(series.asked, series.counted, strict=True)
-        for hour, (asked, counted) in enumerate(counts, start=series.first):
+    def _wrong_in_series(self, key: RouteKey, series: HourlySeries) -> str | None:
+        counts = zip(series.requests, series.coverage, strict=True)
+        for hour, (requests, coverage) in enumerate(counts, start=series.first_hour):
             true_count = self.true_counts[HourOfDemand(key.route, key.zone, hour)]
             where = f"{key.route} of {key.zone}"
             self.hours += 1
-            if asked > true_count:
-                return f"{where}: {asked} are said to have been asked in hour {hour}, {true_count} were"
-            if counted != WHOLE:
+            if requests > true_count:
+                return f"{where}: {requests} are said to have been asked in hour {hour}, {true_count} were"
+            if coverage != FULL_COVERAGE:
                 continue
             self.whole_hours += 1
-            if asked != true_count:
-                return f"{where}: hour {hour} is said to be whole with {asked}, had {true_count}"
+            if requests != true_count:
+                return f"{where}: hour {hour} is said to be whole with {requests}, had {true_count}"
         return None
--- a/moorusher/model_checking/publish_history.py
+++ b/moorusher/model_checking/publish_history.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from ..config_distribution.messages import RevisionId
-from ..namespaces.revisions import Book
+from ..namespaces.revision_history import RevisionHistory
+from ..namespaces.revision_id import RevisionId
 
 Draft = tuple[str, RevisionId]  # a customer, and one of its revisions
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A submission whose sender was told an error, by the name of its class."""
+    """A submission whose sender was told an error, by its kind."""
 
     submission_id: str
     error: str
@@ -88,21 +88,23 @@
         return [confirmation for confirmation in self.confirmations if confirmation.customer == customer]
 
 
-def wrong_in_book(book: Book, incarnation: int, confirmations: list[Confirmation]) -> str | None:
-    """Return what is wrong with the book that a majority has in the end, in words.
+def wrong_in_history(
+    history: RevisionHistory, incarnation: int, confirmations: list[Confirmation]
+) -> str | None:
+    """Return what is wrong with the history that a majority has in the end, in words.
 
     :param incarnation: of the namespace.
-    :param confirmations: of its customer; each must be in the book, unless its namespace was deleted.
+    :param confirmations: of its customer; each must be in the history, unless its namespace was deleted.
     """
-    numbers = [entry.number for entry in book.entries]
+    numbers = [entry.number for entry in history.revisions]
     if numbers != list(range(len(numbers), 0, -1)):
         return f"numbers {numbers}"
-    submission_ids = [entry.id for entry in book.entries]
+    submission_ids = [entry.submission_id for entry in history.revisions]
     if len(set(submission_ids)) != len(submission_ids):
         return f"one submission became two revisions: {submission_ids}"
     for confirmation in confirmations:
         confirmed_incarnation, number = confirmation.revision_id
-        entry = book.find(number)
+        entry = history.find(number)
         is_lost = entry is None or entry.draft != confirmation.draft
         if confirmed_incarnation > incarnation or (confirmed_incarnation == incarnation and is_lost):
             published = f"{confirmation.revision_id} was told to be published"
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..config_distribution.messages import RevisionId
-from ..config_distribution.publisher import BookCallback, Publisher
+from ..config_distribution.publisher import HistoryCallback, Publisher
 from ..leadership.effects import Completed, Outcome, StateUpdate
 from ..leadership.errors import LeadershipError, LeaseSupersededError, NoMajorityError
 from ..leadership.fencing_token import FencingToken
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds
-from ..namespaces.revisions import Submission, unpack
+from ..namespaces.policy import PublishingLimits
+from ..namespaces.revision_history import Submission, decode_history
+from ..namespaces.revision_id import RevisionId
 
 CUSTOMER = "acme"
 LEASE = "namespace/acme"
@@ -87,7 +87,7 @@
         self.state = state
         self.record = LeaseGeneration()
         self.changes: list[PendingChange] = []
-        self.reads: list[BookCallback] = []
+        self.reads: list[HistoryCallback] = []
         self.is_over = False
         self.publisher = model.publisher_class(self, self)  # type: ignore[arg-type]
         self.publisher.start()
@@ -105,7 +105,7 @@
         """Every draft is right."""
         then(None)
 
-    def book(self, customer: str, then: BookCallback) -> None:
+    def history(self, customer: str, then: HistoryCallback) -> None:
         """Begin a read of the register."""
         self.reads.append(then)
 
@@ -113,9 +113,9 @@
         """A revision is published."""
         self._model.see_draft(revision_id[1], draft)
 
-    def bounds(self, customer: str) -> Bounds:
-        """Return bounds that nothing here comes to."""
-        return Bounds(keep=MAX_REVISIONS)
+    def publishing_limits(self, customer: str) -> PublishingLimits:
+        """Return limits that nothing here comes to."""
+        return PublishingLimits(max_revisions=MAX_REVISIONS)
 
     def ended(self, publisher: Publisher) -> None:
         """Nobody waits for it here."""
@@ -129,7 +129,7 @@
     def supersede(self) -> None:
         """It hears that the next term has begun."""
         self.is_over = True
-        self.publisher.stop(Superseded(LEASE, self.term, None, self.term + 1))
+        self.publisher.stop(LeaseSupersededError(LEASE, self.term, None, self.term + 1))
 
     def abandon_late_changes(self) -> None:
         """What this leader has given up, and has not arrived yet, never will."""
@@ -142,8 +142,8 @@
         return (
             self.who,
             self.is_over,
-            self.publisher._book,
-            tuple(submission.id for submission, _ in self.publisher._waiting),
+            self.publisher._history,
+            tuple(submission.submission_id for submission, _ in self.publisher._waiting),
             len(self.reads),
             tuple((change.state, change.callback is None, change.is_applied) for change in self.changes),
         )
@@ -249,7 +249,7 @@
             SUBMISSIONS[submission_id], lambda result: self._on_result(submission_id, result)
         )
 
-    def _on_result(self, submission_id: str, result: RevisionId | NamespaceError | DutyError) -> None:
+    def _on_result(self, submission_id: str, result: RevisionId | NamespaceError | LeadershipError) -> None:
         if isinstance(result, Exception):
             return
         number = result[1]
@@ -260,7 +260,7 @@
         """A majority has promised a later ballot by then: what its leader has given up does not arrive any more."""
         leader.abandon_late_changes()
         callback = leader.reads.pop(0)
-        callback((GENERATION, unpack(self.state, CUSTOMER)))
+        callback((GENERATION, decode_history(self.state, CUSTOMER)))
 
     def _arrive(self, leader: SimulatedLeader, index: int) -> None:
         change = leader.changes[index]
@@ -268,7 +268,7 @@
         if not change.is_applied:
             return
         self.state = change.state
-        current = unpack(self.state, CUSTOMER).current
+        current = decode_history(self.state, CUSTOMER).current
         if current is not None:
             self.see_draft(current.number, current.draft)
 
@@ -278,7 +278,7 @@
         assert callback is not None
         change.callback = None
         if is_lost:
-            callback(NoMajority(LEASE))
+            callback(NoMajorityError(LEASE))
         elif change.is_applied:
             callback(Completed(FencingToken(GENERATION, leader.term, 1)))
         else:
@@ -300,15 +300,15 @@
         """Return what is violated in this state, in words."""
         if self.failure:
             return self.failure
-        book = unpack(self.state, CUSTOMER)
-        submission_ids = [entry.id for entry in book.entries]
+        history = decode_history(self.state, CUSTOMER)
+        submission_ids = [entry.submission_id for entry in history.revisions]
         if len(set(submission_ids)) != len(submission_ids):
             return f"one submission became two revisions: {submission_ids}"
-        numbers = [entry.number for entry in book.entries]
+        numbers = [entry.number for entry in history.revisions]
         if numbers != list(range(len(numbers), 0, -1)):
             return f"numbers {numbers}"
         for confirmation in self.confirmations:
-            entry = book.find(confirmation.number)
-            if entry is None or entry.id != confirmation.submission_id:
+            entry = history.find(confirmation.number)
+            if entry is None or entry.submission_id != confirmation.submission_id:
                 return f"{tuple(confirmation)} was told, and is not there"
         return None
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -21,8 +21,10 @@
 from ..leadership.worker import Worker
 from ..namespaces.draft import parse_draft
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import Bounds, Granted
-from ..namespaces.revisions import Submission, unpack
+from ..namespaces.namespace import Namespace
+from ..namespaces.policy import Grant, PublishingLimits
+from ..namespaces.revision_history import Submission, decode_history
+from ..namespaces.revision_id import RevisionId
 from .cluster_process import ProcessStart
 from .cluster_simulation import Simulation
 from .leadership_simulation import (
@@ -32,13 +34,13 @@
     latest_record,
     replicated_state,
 )
-from .publish_history import Confirmation, Failure, PublishHistory, wrong_in_book
+from .publish_history import Confirmation, Failure, PublishHistory, wrong_in_history
 from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
 from .virtual_time import MS, SECOND
 
 CUSTOMERS = ("acme", "bolt", "Acme")
-GRANTED = Granted(frozenset({"s"}))
-BOUNDS = Bounds(keep=64)
+GRANT = Grant(frozenset({"s"}))
+PUBLISHING_LIMITS = PublishingLimits(max_revisions=64)
 SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
 DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=DISK_FAULTS)
 MAX_CUSTOMERS = 100
@@ -87,15 +89,15 @@
 
     # ---- `config_distribution.services.ReplicaHost` ----
 
-    def granted(self, customer: str) -> Granted | None:
+    def grant_of(self, customer: str) -> Grant | None:
         """Return what a customer may route to."""
-        return GRANTED
+        return GRANT
 
-    def bounds(self, customer: str) -> Bounds:
+    def publishing_limits(self, customer: str) -> PublishingLimits:
         """Return how much may be published and retained."""
-        return BOUNDS
+        return PUBLISHING_LIMITS
 
-    def check(self, draft: bytes, granted: Granted, then: Callable[[NamespaceError | None], None]) -> None:
+    def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
         """Call `then` with what is wrong with a draft, or None."""
         self.read(draft, lambda parsed: then(parsed if isinstance(parsed, NamespaceError) else None))
 
@@ -123,9 +125,9 @@
     def changed(self, customer: str) -> None:
         """The customer has another current revision here."""
         history = self.publishing.publish_history
-        revision_id = self.replica.customers.at(customer)
+        revision_id = self.replica.customers.latest_id(customer)
         history.see_current(self.number, customer, revision_id)
-        found = self.replica.customers.of(customer)
+        found = self.replica.customers.get(customer)
         if found is not None:
             history.see_draft(customer, revision_id, found.draft)
 
@@ -191,12 +193,12 @@
     ) -> None:
         history = self.publish_history
         if isinstance(result, Exception):
-            history.failures.append(Failure(submission.id, type(result).__name__))
+            history.failures.append(Failure(submission.submission_id, kind_of(type(result))))
             return
         customer = submission.customer
         confirmed_us = self.now
         history.confirmations.append(
-            Confirmation(customer, result, submission.id, submission.draft, confirmed_us)
+            Confirmation(customer, result, submission.submission_id, submission.draft, confirmed_us)
         )
         history.see_draft(customer, result, submission.draft)
         process.replica.propagation.everywhere(
@@ -231,7 +233,7 @@
         if not lacking:
             history.propagation_times_us.append(self.now - confirmed_us)
         for process in self._live_replicas():
-            current = process.replica.customers.at(customer)
+            current = process.replica.customers.latest_id(customer)
             is_said_to_have = process.node.me not in lacking and process.started_at_us < confirmed_us
             if is_said_to_have and current < revision_id:
                 history.violations.append(
@@ -271,10 +273,10 @@
         state = replicated_state(duty, record, replicas)
         if record.versions and state is None:
             return None  # `leadership_simulation` checks that
-        book = unpack(state or b"", customer)
-        found = wrong_in_book(book, record.generation, confirmations)
-        if found is None and book.number:
-            found = self._lagging_replicas(customer, (record.generation, book.number))
+        history = decode_history(state or b"", customer)
+        found = wrong_in_history(history, record.generation, confirmations)
+        if found is None and history.current_number:
+            found = self._lagging_replicas(customer, (record.generation, history.current_number))
         return found
 
     def _wrong_after_deletion(
@@ -291,8 +293,8 @@
 
     def _lagging_replicas(self, customer: str, revision_id: RevisionId) -> str | None:
         lagging = {
-            process.node.me: process.replica.customers.at(customer)
+            process.node.me: process.replica.customers.latest_id(customer)
             for process in self._live_replicas()
-            if process.replica.customers.at(customer) != revision_id
+            if process.replica.customers.latest_id(customer) != revision_id
         }
         return f"{revision_id} is there, and {lagging} have not come to it" if lagging else None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -304,8 +304,8 @@
     again, and the other space never votes."""
     sim = Simulation(1, Scenario(seats=3, keys=0, faults=0, loss=0, duplication=0))
     for seat in range(3):
-        sim._kill(sim.processes[seat])
-        sim.processes[seat] = process = sim.start_process(seat, remembers=False, inc=100 + seat)
+        sim.crash(sim.processes[seat])
+        sim.processes[seat] = process = sim.start_process(seat, recovered=False, incarnation=100 + seat)
         node = process.node
         others = frozenset(node.placement.names) - {node.me}
         acceptor = Acceptor(node.me, node.owner.incarnation, node.placement.replicas, others, permanent=True)
--- a/tests/test_forecast_checking.py
+++ b/tests/test_forecast_checking.py
@@ -10,17 +10,16 @@
 from moorusher.forecast_service.forecaster import Forecaster
 from moorusher.forecasting.demand_counts import BucketCounts
 from moorusher.forecasting.demand_ledger import DemandLedger
-from moorusher.model_checking import forecast_simulation
-from moorusher.model_checking.forecast_simulation import ForecastSimulation
+from moorusher.model_checking.forecast_simulation import DISK_SCENARIO, SCENARIO, ForecastSimulation
 
 MAX_SEEDS = 12  # within which a seeded mistake must be found
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_hours_that_were_counted_completely_have_all_requests_and_none_has_more(seed: int) -> None:
-    for course, lasting in ((forecast_simulation.COURSE, False), (forecast_simulation.DISKS, True)):
-        simulation = ForecastSimulation(seed, course, lasting)
-        assert simulation.play() is None, simulation.events
+    for scenario, has_disks in ((SCENARIO, False), (DISK_SCENARIO, True)):
+        simulation = ForecastSimulation(seed, scenario, has_disks)
+        assert simulation.play() is None, simulation.faults.log
         assert simulation.ledger() is None or simulation.whole_hours > 0
 
 
@@ -67,7 +66,7 @@
         (
             result
             for seed in itertools.islice(itertools.count(), MAX_SEEDS)
-            if (result := ForecastSimulation(seed, forecaster=forecaster).play()) is not None
+            if (result := ForecastSimulation(seed, forecaster_class=forecaster).play()) is not None
         ),
         None,
     )
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -32,7 +32,7 @@
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.publish_interleavings import PublishModel
 from moorusher.model_checking.publish_simulation import DISK_SCENARIO, PublishSimulation, draft_of
-from moorusher.namespaces.customers import CurrentRevisions, Revision
+from moorusher.namespaces.current_revisions import CurrentRevisions, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
 from moorusher.namespaces.policy import PublishingLimits
 from moorusher.namespaces.revision_history import (
