--- a/moorusher/lab/balancer.py
+++ b/moorusher/lab/balancer.py
@@ -13,8 +13,8 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
+from .clock import now_us
 from .ports import HOST
-from .stand_ins import now_us
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/moorusher/lab/clock.py
@@ -0,0 +1,10 @@
+"""The clock of the laboratory."""
+
+from __future__ import annotations
+
+import time
+
+
+def now_us() -> int:
+    """The monotonic clock, in us."""
+    return time.monotonic_ns() // 1000
--- a/moorusher/lab/load.py
+++ b/moorusher/lab/load.py
@@ -16,8 +16,8 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
 
+from .clock import now_us
 from .ports import HOST
-from .stand_ins import now_us
 
 MOST_OPEN = 32  # requests on one connection
 MOST_OUT = 4000  # requests of one load at a time: what is beyond is counted as not sent, not piled up
--- a/moorusher/lab/many.py
+++ b/moorusher/lab/many.py
@@ -24,7 +24,8 @@
 from .ports import HOST, free_port
 from .receiver import Book, Receiver
 from .runners import GAUGES, Runner, reap_children, settings_of
-from .stand_ins import Database, Kernel
+from .stand_ins.database import Database
+from .stand_ins.kernel import Kernel
 
 CORES, WORK_MS, AHEAD_S = 2, 150.0, 3600.0
 KINDS = [
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -25,7 +25,7 @@
 from .load import Kind, Load, Target, draw
 from .ports import HOST
 from .runners import GAUGES, settings_of
-from .stand_ins import Database
+from .stand_ins.database import Database
 from .together import Together
 
 RUNNERS, CORES, WORK_MS = 6, 2, 150.0
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -38,13 +38,14 @@
 )
 from ..maintenance.slot_changes import AcceptSlot, ClearMachine, CompleteSlot, GrantSlots, MarkReturned
 from .balancer import Choice, Prober, Server
+from .clock import now_us
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
 from .load import Arrival, Kind, Load, Target, draw
 from .ports import HOST, free_port
 from .relays import Relay
 from .runners import GAUGES, Runner, reap_children, settings_of
-from .stand_ins import Kernel, now_us
+from .stand_ins.kernel import Kernel
 
 RUNNERS, CORES, WORK_MS, LOAD = 8, 2, 60.0, 0.7
 KINDS = [
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -17,7 +17,7 @@
 
 from .load import Kind
 from .ports import HOST, free_port
-from .stand_ins import Kernel
+from .stand_ins.kernel import Kernel
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/shed.py
@@ -22,12 +22,14 @@
 from ..health_reporting.reporter import Reporter
 from ..server.reactor import LoopTimer
 from .balancer import Choice, Prober, Server, ask
+from .clock import now_us
 from .cores import Machine
 from .experiment import Experiment, Plot, Result
 from .load import Arrival, Kind, Load, Target, draw
 from .ports import HOST
 from .runners import GAUGES, ROOT, Runner, settings_of
-from .stand_ins import Database, Kernel, now_us
+from .stand_ins.database import Database
+from .stand_ins.kernel import Kernel
 
 CORES, WORK_MS = 4, 200.0
 KINDS = [
--- /dev/null
+++ b/moorusher/lab/stand_ins/base.py
@@ -0,0 +1,130 @@
+"""What all stand-in servers share: a port, the open connections, and scripted replies."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from twisted.internet.protocol import Factory, Protocol
+from twisted.protocols.basic import LineReceiver
+
+from ..ports import HOST, free_port
+
+
+class StandInServer(Factory):
+    """Listens on a port of its own; what it has open is closed with it.
+
+    :ivar port: where it listens, 0 before the first `listen`.
+    :ivar accepted: connections accepted so far.
+    :ivar open: connections that are open.
+    """
+
+    noisy = False
+    protocol: Any
+
+    def __init__(self, reactor: Any) -> None:
+        self.reactor = reactor
+        self.port = 0
+        self.accepted = 0
+        self.open: set[Any] = set()
+        self._listening_port: Any = None
+
+    def listen(self, port: int = 0) -> None:
+        """Listen on `port`, or on a free one."""
+        self._listening_port = self.reactor.listenTCP(port or free_port(), self, interface=HOST)
+        self.port = self._listening_port.getHost().port
+
+    def deafen(self) -> None:
+        """Accept no further connection; what is open stays."""
+        if self._listening_port is not None:
+            self._listening_port.stopListening()
+            self._listening_port = None
+
+    def close(self) -> None:
+        """Stop listening and abort all connections."""
+        self.deafen()
+        for connection in list(self.open):
+            connection.transport.abortConnection()
+
+    def buildProtocol(self, addr: object) -> Any:
+        """A connection that knows its server."""
+        self.accepted += 1
+        connection = self.protocol()
+        connection.server = self
+        return connection
+
+
+class TrackedConnection(Protocol):
+    """A connection that its server lists as open."""
+
+    transport: Any
+    server: Any
+
+    def connectionMade(self) -> None:
+        """Add it to the open connections of its server."""
+        self.server.open.add(self)
+
+    def connectionLost(self, reason: object = None) -> None:
+        """Remove it from the open connections of its server."""
+        self.server.open.discard(self)
+
+
+class HttpConnection(TrackedConnection, LineReceiver):
+    """One HTTP connection: hands each request with its body to `server.request_received`."""
+
+    def connectionMade(self) -> None:
+        """Begin with an empty request."""
+        super().connectionMade()
+        self._content_length = 0
+        self._request_line = b""
+        self._body = b""
+
+    def lineReceived(self, line: bytes) -> None:
+        """The request line, a header, or the empty line before the body."""
+        if not self._request_line:
+            self._request_line = line
+        elif line.lower().startswith(b"content-length:"):
+            self._content_length = int(line.split(b":")[1])
+        elif not line:
+            self._body = b""
+            self.setRawMode()  # type: ignore[no-untyped-call]
+
+    def rawDataReceived(self, data: bytes) -> None:
+        """A part of the body; what follows the body is the next request."""
+        self._body += data
+        if len(self._body) < self._content_length:
+            return
+        body = self._body[: self._content_length]
+        rest = self._body[self._content_length :]
+        request_line = self._request_line
+        self._request_line = b""
+        self.server.request_received(self, request_line, body)
+        self.setLineMode(rest)  # type: ignore[no-untyped-call]
+
+
+class ScriptedServer(StandInServer):
+    """A server whose replies follow a script.
+
+    :param script: what becomes of each request in turn: a status, "reset", "hang", or a word of the subclass. The
+        last one stays.
+    :param delay: seconds until a reply.
+    :ivar calls: the bodies received, in order.
+    """
+
+    def __init__(self, reactor: Any, *script: int | str, delay: float = 0.0) -> None:
+        super().__init__(reactor)
+        self.script = list(script or (200,))
+        self.delay = delay
+        self.calls: list[bytes] = []
+
+    def answer(self, connection: Any, reply: int | str) -> None:
+        """Write the reply that the script names."""
+        raise NotImplementedError
+
+    def request_received(self, connection: Any, request_line: bytes, body: bytes) -> None:
+        """Take the next step of the script."""
+        self.calls.append(body)
+        reply = self.script.pop(0) if len(self.script) > 1 else self.script[0]
+        if reply == "reset":
+            connection.transport.abortConnection()
+        elif reply != "hang":
+            self.reactor.callLater(self.delay, self.answer, connection, reply)
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -13,13 +13,14 @@
 from twisted.internet.task import deferLater
 from twisted.internet.threads import deferToThread
 
+from .clock import now_us
 from .cores import Machine
 from .experiment import Experiment, Result
 from .load import Arrival, Kind, Target, draw
 from .ports import HOST, free_port
 from .relays import Relay
 from .runners import GAUGES, Runner, settings_of
-from .stand_ins import Kernel, now_us
+from .stand_ins.kernel import Kernel
 
 RUNNERS, CORES, WORK_MS = 6, 2, 60.0
 KINDS = [
--- a/moorusher/lab/together.py
+++ b/moorusher/lab/together.py
@@ -13,7 +13,7 @@
 
 from .ports import HOST, free_port
 from .runners import Runner
-from .stand_ins import Kernel
+from .stand_ins.kernel import Kernel
 
 
 class Together:
--- a/moorusher/lab/up.py
+++ b/moorusher/lab/up.py
@@ -8,11 +8,13 @@
 from typing import Any
 
 from .balancer import Choice, Prober, Server
+from .clock import now_us
 from .cores import Machine
 from .load import Arrival, Kind, Load, Target, draw
 from .ports import HOST
 from .runners import GAUGES, Runner, reap_children, settings_of
-from .stand_ins import Database, Kernel, now_us
+from .stand_ins.database import Database
+from .stand_ins.kernel import Kernel
 
 CORES, WORK_MS = 4, 100.0
 KINDS = [
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -44,14 +44,14 @@
         self._count: Counter[str] = Counter()
         self._wanted: dict[str, bytes] = {}
 
-    def heard_line(self, link: Any, m: dict[str, Any]) -> None:
+    def message_received(self, link: Any, m: dict[str, Any]) -> None:
         kind, rid = m["t"], m.get("rid", "")
         body = base64.b64decode(m.get("b64") or "")
-        if kind == "SCHED" and rid not in self._state and kind not in self.refuse:
+        if kind == "SCHED" and not self.has_run(rid) and kind not in self.refuse:
             self._history.append(Ran(time.monotonic(), rid, body))
-        if kind == "IODONE" and self._state.get(rid) == "waiting":
+        if kind == "IODONE" and self.is_waiting(rid):
             self._history.append(Given(time.monotonic(), rid, b"re:" + self._wanted[rid], body))
-        super().heard_line(link, m)
+        super().message_received(link, m)
 
     def notify(self, **notice: Any) -> None:
         rid = notice.get("rid", "")
@@ -63,7 +63,7 @@
             self._history.append(Result(time.monotonic(), rid, base64.b64decode(notice["b64"])))
         super().notify(**notice)
         if self.link is not None and self._draw.random() < self._twice:
-            self.link.say(self._notices[-1])
+            self.link.send_message(self._notices[-1])
 
 
 class WatchedDatabase(Database):
@@ -73,7 +73,7 @@
         super().__init__()
         self._history, self._draw, self._faults = history, draw, faults
 
-    def asked(self, connection: Any, first: bytes, body: bytes) -> None:
+    def request_received(self, connection: Any, request_line: bytes, body: bytes) -> None:
         luck = self._draw.random()
         never_ran = luck < self._faults.turned_away
         self._history.append(Called(time.monotonic(), body.split()[0].decode(), body, never_ran))
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,7 +20,8 @@
 
 from twisted.internet.asyncioreactor import AsyncioSelectorReactor
 
-from moorusher.lab import ports, runners, stand_ins
+from moorusher.lab import ports, runners
+from moorusher.lab.stand_ins import announce_service, database, kernel, uwsgi_peer
 from moorusher.protocols.uwsgi_packets import VARS, build_packet
 
 HOST, ROOT, free_port = ports.HOST, runners.ROOT, ports.free_port
@@ -67,22 +68,22 @@
     return loop.twisted
 
 
-class Kernel(stand_ins.Kernel):
+class Kernel(kernel.Kernel):
     def __init__(self, **how: Any) -> None:
         super().__init__(reactor(), **how)
 
 
-class Database(stand_ins.Database):
+class Database(database.Database):
     def __init__(self, *script: int | str) -> None:
         super().__init__(reactor(), *script)
 
 
-class UwsgiPeer(stand_ins.UwsgiPeer):
+class UwsgiPeer(uwsgi_peer.UwsgiPeer):
     def __init__(self, *script: int | str) -> None:
         super().__init__(reactor(), *script)
 
 
-class Announce(stand_ins.Announce):
+class Announce(announce_service.Announce):
     def __init__(self, cut_at: int = 0) -> None:
         super().__init__(reactor(), cut_at)
         self.listen()
--- a/tests/test_lab_ports.py
+++ b/tests/test_lab_ports.py
@@ -12,7 +12,7 @@
 
 from moorusher.lab.ports import _PORTS_APART, FIRST_PORT, HOST, PORT_COUNT, free_port
 from moorusher.lab.relays import Relay
-from moorusher.lab.stand_ins import Kernel
+from moorusher.lab.stand_ins.kernel import Kernel
 
 FIRST_OUTGOING = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -545,7 +545,7 @@
         await has(lambda: len(kernel.runs) == 1)
         dead, kernel.link = kernel.link, None  # it stays open, and nothing more is said on it
         assert dead is not None
-        dead.say = lambda message: None  # type: ignore[method-assign]
+        dead.send_message = lambda message: None  # type: ignore[method-assign]
         await has(lambda: len(kernel.opened) == 2)
         assert "result" in await asyncio.wait_for(asked, WAIT)
         assert "result" in await f.ask("check") and set(f.answers.values()) == {1}
