--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -49,7 +49,7 @@
     All runs progress alike, so that one number, the work that each has got since the beginning, says how far a run is:
     a run ends when that number reaches what it was at the run's start plus the run's own work.
 
-    :ivar born: when the machine started, in us.
+    :ivar started_at: when the machine started, in us.
     :ivar factor: an outside slowdown: 0.25 is four times as slow, 0 a pause.
     :ivar concurrency: runs at a time, over the window of the machine.
     :ivar busy_us: time of cores that were in use.
@@ -57,7 +57,7 @@
 
     def __init__(self, machine: Machine, now: int, cold: bool = False) -> None:
         self.machine = machine
-        self.born = now
+        self.started_at = now
         self.cold = cold
         self.factor = 1.0
         self.concurrency = LevelHistory(machine.window_us, now)
@@ -75,7 +75,7 @@
         machine = self.machine
         if not self.cold or not machine.warm_up_us:
             return 1.0
-        progress = min(1.0, (now - self.born) / machine.warm_up_us)
+        progress = min(1.0, (now - self.started_at) / machine.warm_up_us)
         return machine.cold_speed + (1 - machine.cold_speed) * progress
 
     def _work_rate(self, now: int) -> float:
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -21,7 +21,8 @@
 
 from .experiment import Experiment, Log, Plot, Result
 from .maintenance_simulation import messages_per_member, simulate_large_maintenance
-from .outage_arm import RUNNERS, OutageResult, RebootOrder
+from .outage_arm import OutageResult, RebootOrder
+from .outage_fleet import RUNNERS
 from .runners import reap_children
 
 ARMS_AT_A_TIME = 2
--- /dev/null
+++ b/moorusher/lab/outage_fleet.py
@@ -0,0 +1,222 @@
+"""The fleet of the experiment "outage": eight runners whose machines can be rebooted, lost and cut off."""
+
+from __future__ import annotations
+
+import json
+import signal
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.internet.task import deferLater
+
+from .admin_client import request_admin
+from .arrivals import RequestClass
+from .cores import Machine
+from .ports import HOST, free_port
+from .relays import Relay
+from .runners import GAUGES, Runner, runner_settings
+from .stand_ins.kernel import Kernel
+
+RUNNERS = 8
+CORES = 2
+ZONES = 2
+SERVICE_TIME_MS = 60.0
+CLASSES = [
+    RequestClass("check", 0.7, SERVICE_TIME_MS, False, 1500, 4000),
+    RequestClass("submit", 0.3, SERVICE_TIME_MS, False, 3000, 8000, keyed=True),
+]
+TENANTS = ["north", "south"]
+REBOOT_S = 3.0
+"""For how long a machine is down."""
+WARM_UP_S = 2.0
+COLD_SPEED = 0.5
+STOP_TIMEOUT_S = 4.2
+"""After which a runner that was told to leave is killed."""
+LOST_FOR_S = 6.0
+HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 250.0\nclimb_s = 2.0"
+
+
+class OutageFleet:
+    """Runners with a kernel each, and a relay for each of their links.
+
+    :param coordinated: whether the runners settle an order of maintenance.
+    :ivar down: machines that may be rebooted, or are not yet back.
+    :ivar max_down: machines that were down at a time.
+    :ivar reboots: machines that were rebooted and came back.
+    """
+
+    def __init__(self, reactor: Any, coordinated: bool) -> None:
+        self.reactor = reactor
+        self._coordinated = coordinated
+        self._temporary = tempfile.TemporaryDirectory(prefix="moorusher-lab-")
+        self._folder = Path(self._temporary.name)
+        self.kernels = [self._create_kernel(cold=False) for _ in range(RUNNERS)]
+        self._ports = [free_port() for _ in range(RUNNERS)]
+        self._relays = {
+            (source, target): Relay(reactor, self._ports[target])
+            for source in range(RUNNERS)
+            for target in range(RUNNERS)
+            if source != target
+        }
+        self.runners = self._start_runners()
+        self.down: set[int] = set()
+        self.max_down = 0
+        self.reboots = 0
+
+    def _create_kernel(self, cold: bool) -> Kernel:
+        kernel = Kernel(
+            self.reactor,
+            machine=Machine(CORES, cold_speed=COLD_SPEED, warm_up_us=round(WARM_UP_S * 1e6)),
+            gauges=GAUGES,
+            state="EMPTY" if cold else "LOADED",
+            age_ms=0 if cold else 5000,
+        )
+        kernel.listen()
+        return kernel
+
+    def _start_runners(self) -> list[Runner]:
+        settings = runner_settings(
+            CLASSES, TENANTS, CORES, below="off", classCalls=[False, False], worthWithout=[0, 0]
+        )
+        settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
+        runners = []
+        for index in range(RUNNERS):
+            self._write_machine_id(index, 1)
+            runner = Runner(
+                self.reactor,
+                self.kernels[index],
+                settings,
+                name=f"r{index}",
+                extra_toml=self._fleet_toml(index),
+                health_toml=HEALTH_TOML,
+            )
+            runner.comes_back = True
+            runners.append(runner)
+        return runners
+
+    def _write_machine_id(self, index: int, start: int) -> None:
+        """It changes with each start of the machine."""
+        (self._folder / f"m{index}").write_text(f"start {start}")
+
+    def _fleet_toml(self, index: int) -> str:
+        ports = [
+            self._relays[index, other].port if other != index else self._ports[index]
+            for other in range(RUNNERS)
+        ]
+        seats = "".join(
+            f'[[fleet.seat]]\nname = "r{other}"\nzone = "z{other % ZONES}"\naddress = "{HOST}:{port}"\n'
+            for other, port in enumerate(ports)
+        )
+        # A machine that starts anew has its disk.
+        fleet = (
+            f'[fleet]\nlisten = "{HOST}:{self._ports[index]}"\nname = "lab"\n'
+            f'journal = "{self._folder}/j{index}"\n{seats}'
+        )
+        if not self._coordinated:
+            return fleet
+        return fleet + (
+            f"[outage]\non = true\nsettle_s = 0.3\nfill = 1.0\npeak_s = 5.0\n"
+            f'machine_id = "{self._folder}/m{index}"\n'
+        )
+
+    async def pause(self, seconds: float) -> None:
+        """Wait."""
+        await deferLater(self.reactor, max(0.0, seconds), lambda: None)
+
+    async def request_admin(
+        self, index: int, path: str, sent: Any = None, method: str = "POST", timeout_s: float = 6
+    ) -> Any:
+        """The JSON of a reply, {} where none came or it is an error."""
+        body = None if sent is None else json.dumps(sent).encode()
+        reply = await request_admin(self.runners[index].admin, path, method, body, timeout_s)
+        return reply.decode() if reply.succeeded else {}
+
+    async def begin(self) -> None:
+        """Wait until every runner is in service, and form the fleet."""
+        for index in range(RUNNERS):
+            while not await self.is_routable(index):
+                await self.pause(0.1)
+        while not await self.request_admin(0, "fleet/begin"):
+            await self.pause(0.2)
+        await self.pause(1.0)
+
+    async def _health_report(self, index: int) -> Any:
+        return await self.request_admin(index, "standing", method="GET")
+
+    async def is_routable(self, index: int) -> bool:
+        """Whether it says that balancers may send to it."""
+        return bool((await self._health_report(index)).get("routable"))
+
+    async def _is_serving(self, index: int) -> bool:
+        return (await self._health_report(index)).get("standing") in ("serving", "crowded")
+
+    # ---- reboots ----
+
+    async def reboot(self, index: int) -> None:
+        """Stop the runner, in order as far as it ends in time; then the machine is down, and starts cold."""
+        self.down.add(index)
+        self.max_down = max(self.max_down, len(self.down))
+        await self._stop_runner(index)
+        self.kernels[index].close()
+        await self.pause(REBOOT_S)
+        self._start_machine(index, 2)
+        while not await self._is_serving(index):
+            await self.pause(0.1)
+        self.down.discard(index)
+        self.reboots += 1
+
+    async def _stop_runner(self, index: int) -> None:
+        runner = self.runners[index]
+        if runner.exit is not None:
+            return
+        ended = Deferred[int]()
+        runner.ended = lambda code: ended.callback(code) if not ended.called else None
+        runner.signal("TERM")
+        kill_timer = self.reactor.callLater(STOP_TIMEOUT_S, runner.signal, "KILL")
+        await ended
+        if kill_timer.active():
+            kill_timer.cancel()
+
+    def _start_machine(self, index: int, start: int) -> None:
+        """A cold kernel on the port of the former one, and a runner."""
+        former = self.kernels[index]
+        kernel = self._create_kernel(cold=True)
+        kernel.close()
+        kernel.runs.extend(former.runs)
+        kernel.listen(former.port)
+        self.kernels[index] = kernel
+        self._write_machine_id(index, start)
+        self.runners[index].start_process()
+
+    # ---- faults ----
+
+    async def lose_runner(self) -> None:
+        """Kill the last one that is up; it comes back after a while."""
+        index = next(
+            index
+            for index in reversed(range(RUNNERS))
+            if index not in self.down and self.runners[index].exit is None
+        )
+        self.runners[index].signal("KILL")
+        self.kernels[index].close()
+        await self.pause(LOST_FOR_S)
+        self._start_machine(index, 1)
+
+    def set_partition(self, silent: bool) -> None:
+        """Between runners of even and of odd number."""
+        for (source, target), relay in self._relays.items():
+            if source % 2 != target % 2:
+                relay.silence(silent)
+
+    def close(self) -> None:
+        """Kill all runners, close kernels and relays, remove their files."""
+        for runner in self.runners:
+            runner.comes_back = False
+            runner.signal(signal.SIGCONT)
+            runner.signal("KILL")
+        closed: list[Any] = [*self.kernels, *self._relays.values()]
+        for each in closed:
+            each.close()
+        self._temporary.cleanup()
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -133,7 +133,7 @@
         """Bytes that are on their way and kept back."""
         return sum(len(end.held) for end in self.ends)
 
-    def hear(self) -> None:
+    def resume(self) -> None:
         """Pass on again what was kept back."""
         self.silence(False)
 
--- a/moorusher/lab/shed_arm.py
+++ b/moorusher/lab/shed_arm.py
@@ -128,10 +128,10 @@
             gauges=GAUGES,
             age_ms=0 if is_cold else 60_000,
             state="EMPTY" if is_cold else "LOADED",
-            late=_LATE_KERNEL_S if is_cold else 0.0,
+            boot_delay_s=_LATE_KERNEL_S if is_cold else 0.0,
         )
         if options.without_guard:
-            kernel.stuck = IDLE_GAUGES
+            kernel.fixed_gauges = IDLE_GAUGES
         kernel.listen()
         multiple = LOOSE_COLLAPSE_MULTIPLE if options.without_guard else COLLAPSE_MULTIPLE
         settings = runner_settings(CLASSES, TENANTS, CORES, multiple)
@@ -145,7 +145,7 @@
             f"{self.name}-{index}",
             sends_maxconn=options.without_guard,
         )
-        kernel.fell = lambda: self._collapse(runner)
+        kernel.on_collapse = lambda: self._collapse(runner)
         return runner
 
     def _create_balancer(self, mode: BalancingMode, seed: int) -> _Balancer:
@@ -206,7 +206,7 @@
         for client in self._clients.values():
             client.close()
         for runner in self.runners:
-            runner.kernel.fell = None
+            runner.kernel.on_collapse = None
             runner.signal("KILL")
             runner.kernel.close()
         self._database.close()
@@ -233,7 +233,7 @@
 
     def worst_runs_per_core(self) -> float:
         """The highest mean of any runner."""
-        return max(runner.kernel.worst for runner in self.runners)
+        return max(runner.kernel.worst_runs_per_core for runner in self.runners)
 
     def traffic_share(self, runner: str, since_s: float, until_s: float) -> float:
         """Of the requests that were sent within some time."""
--- a/moorusher/lab/stand_ins/announce_service.py
+++ b/moorusher/lab/stand_ins/announce_service.py
@@ -11,20 +11,20 @@
     """Takes the reports of runners.
 
     :param cut_at: the number of the report at which it aborts the connection in place of a reply; 0 for none.
-    :ivar heard: method, path and body of each report, in order.
+    :ivar reports: method, path and body of each report, in order.
     """
 
     protocol = HttpConnection
 
     def __init__(self, reactor: Any, cut_at: int = 0) -> None:
         super().__init__(reactor)
-        self.heard: list[bytes] = []
+        self.reports: list[bytes] = []
         self._cut_at = cut_at
 
     def request_received(self, connection: Any, request_line: bytes, body: bytes) -> None:
         """Note the report, and reply without content."""
-        self.heard.append(request_line.split(b" HTTP")[0] + b" " + body)
-        if len(self.heard) == self._cut_at:
+        self.reports.append(request_line.split(b" HTTP")[0] + b" " + body)
+        if len(self.reports) == self._cut_at:
             connection.transport.abortConnection()
         else:
             connection.transport.write(b"HTTP/1.1 204 No Content\r\n\r\n")
--- a/moorusher/lab/stand_ins/kernel.py
+++ b/moorusher/lab/stand_ins/kernel.py
@@ -83,19 +83,19 @@
     :param work: seconds of a core that a run takes, where its body does not say it (see `_WORK_PREFIX`).
     :param hang: whether runs never end.
     :param calls: whether each run makes one call halfway.
-    :param late: seconds until the kernel is up.
+    :param boot_delay_s: seconds until the kernel is up.
     :param state: what it says as it boots: "LOADED", or "EMPTY" for a cold machine.
     :param machine: the cores, and what makes them slow or fall over.
     :param gauges: the names of the gauges it tells.
     :param age_ms: what it says of its age as it boots.
-    :ivar stuck: gauges told in place of the measured ones.
-    :ivar fell: called once, where more runs than the machine survives have run on it for too long.
-    :ivar worst: the highest mean of runs a core in the window of the machine.
+    :ivar fixed_gauges: gauges told in place of the measured ones.
+    :ivar on_collapse: called once, where more runs than the machine survives have run on it for too long.
+    :ivar worst_runs_per_core: the highest mean of runs a core in the window of the machine.
     :ivar runs: all runs that were begun, in order.
-    :ivar heard: messages received, by kind.
+    :ivar message_counts: messages received, by kind.
     :ivar opened: the last notice that each opened link had seen.
-    :ivar io: the reply to the last call of each run, by request.
-    :ivar left_out: numbers of the notices whose calls were skipped.
+    :ivar call_replies: the reply to the last call of each run, by request.
+    :ivar skipped_calls: numbers of the notices whose calls were skipped.
     :ivar refuse: kinds of messages that get EINVAL.
     """
 
@@ -108,34 +108,31 @@
         work: float = 0.02,
         hang: bool = False,
         calls: bool = False,
-        late: float = 0.0,
+        boot_delay_s: float = 0.0,
         state: str = "LOADED",
         machine: Machine | None = None,
         gauges: tuple[str, ...] = ("cpu_busy",),
         age_ms: int = 5000,
     ) -> None:
         super().__init__(reactor)
-        machine = machine or Machine(
-            cores, degradation_threshold=_UNBOUNDED, collapse_runs_per_core=_UNBOUNDED
-        )
-        self.cores = Cores(machine, now_us(), cold=state == "EMPTY")
+        self.cores = Cores(machine or _unbounded_machine(cores), now_us(), cold=state == "EMPTY")
         self.work = work
         self.hang = hang
         self.calls = calls
         self.state = state
-        self.up_at = now_us() + round(late * 1e6)
+        self.up_at = now_us() + round(boot_delay_s * 1e6)
         self.age_ms = age_ms
         self.gauges = gauges
-        self.stuck: list[float] | None = None
-        self.fell: Callable[[], None] | None = None
-        self.worst = 0.0
+        self.fixed_gauges: list[float] | None = None
+        self.on_collapse: Callable[[], None] | None = None
+        self.worst_runs_per_core = 0.0
         self.runs: list[KernelRun] = []
-        self.heard: Counter[str] = Counter()
+        self.message_counts: Counter[str] = Counter()
         self.opened: list[int] = []
-        self.io: dict[str, bytes] = {}
-        self.left_out: list[int] = []
+        self.call_replies: dict[str, bytes] = {}
+        self.skipped_calls: list[int] = []
         self.refuse: set[str] = set()
-        self.most_running = 0
+        self.max_running = 0
         self.link: KernelConnection | None = None
         self._notices: list[dict[str, Any]] = []
         self._run_of: dict[str, _Run] = {}
@@ -170,9 +167,9 @@
         self._poll()
 
     def come_up(self) -> None:
-        """Be up now, whatever `late` said: a cold kernel warms from here on."""
-        self.cores.born = now_us()
-        self.up_at = self.cores.born
+        """Be up now, whatever `boot_delay_s` said: a cold kernel warms from here on."""
+        self.cores.started_at = now_us()
+        self.up_at = self.cores.started_at
         pending = self._pending_open
         self._pending_open = None
         if pending is None:
@@ -194,7 +191,7 @@
         """One message of a runner; `t` is its kind, `rid` the request that it is about."""
         kind = message["t"]
         request_id = message.get("rid", "")
-        self.heard[kind] += 1
+        self.message_counts[kind] += 1
         run = self._run_of.get(request_id)
         if kind == "OPEN":
             self._open(link, message["no"])
@@ -202,7 +199,7 @@
             link.send_message({"t": "EINVAL", "status": kind, "rid": request_id})
         elif kind == "SYSINFO":
             link.send_message(
-                {"t": "INFO", "mark": message["mark"], "v": self.stuck or self._measure_gauges()}
+                {"t": "INFO", "mark": message["mark"], "v": self.fixed_gauges or self._measure_gauges()}
             )
         elif kind == "SCHED" and run is None:
             self._begin_run(request_id, message["route"], base64.b64decode(message["b64"]))
@@ -210,11 +207,11 @@
             self.cores.stop(now_us(), request_id)
             self._end_run(request_id, "KILLED", b"")
         elif kind == "IODONE" and run is not None and run.state is RunState.WAITING:
-            self.io[request_id] = base64.b64decode(message["b64"])
+            self.call_replies[request_id] = base64.b64decode(message["b64"])
             self._continue_run(request_id, run)
         elif kind == "NOIO" and run is not None and run.state is RunState.WAITING:
-            self.left_out.append(message["no"])
-            self.io[request_id] = b""
+            self.skipped_calls.append(message["no"])
+            self.call_replies[request_id] = b""
             self._continue_run(request_id, run)
         self._poll()
 
@@ -250,7 +247,7 @@
         self._run_of[request_id] = run
         self._continue_run(request_id, run)
         running = sum(other.state is RunState.RUNNING for other in self._run_of.values())
-        self.most_running = max(self.most_running, running)
+        self.max_running = max(self.max_running, running)
 
     def _work_pieces_us(self, body: bytes) -> list[float]:
         """Pieces of work in us; a call lies between two."""
@@ -300,13 +297,20 @@
         now = now_us()
         for request_id in self.cores.completed(now):
             self._work_done(request_id)
-        self.worst = max(self.worst, self.cores.concurrency.mean(now) / self.cores.machine.cores)
-        if self.fell is not None and self.cores.has_collapsed(now):
-            fell = self.fell
-            self.fell = None
-            return fell()
+        self.worst_runs_per_core = max(
+            self.worst_runs_per_core, self.cores.concurrency.mean(now) / self.cores.machine.cores
+        )
+        if self.on_collapse is not None and self.cores.has_collapsed(now):
+            on_collapse = self.on_collapse
+            self.on_collapse = None
+            return on_collapse()
         if self._poll_timer is not None and self._poll_timer.active():
             self._poll_timer.cancel()
         due = self.cores.next_completion(now)
         if due < NEVER:
             self._poll_timer = self.reactor.callLater(min(due - now, _POLL_US) / 1e6, self._poll)
+
+
+def _unbounded_machine(cores: int) -> Machine:
+    """Cores that bear any number of runs."""
+    return Machine(cores, degradation_threshold=_UNBOUNDED, collapse_runs_per_core=_UNBOUNDED)
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -5,7 +5,8 @@
 from typing import Any, NamedTuple
 
 from .experiment import Experiment, Log, Result
-from .takeover_arm import Loss, TakeoverArm, TakeoverResult
+from .takeover_arm import Loss, TakeoverArm
+from .takeover_result import TakeoverResult
 
 
 class ArmName(NamedTuple):
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -6,7 +6,6 @@
 import random
 import signal
 from collections import Counter
-from dataclasses import dataclass, field
 from typing import Any
 
 from twisted.internet.task import deferLater
@@ -20,6 +19,7 @@
 from .runner_client import RunnerClient
 from .runners import GAUGES, Runner, runner_settings
 from .stand_ins.kernel import Kernel
+from .takeover_result import CallerRequest, TakeoverResult, count_served, share_served
 
 RUNNERS = 6
 CORES = 2
@@ -60,78 +60,6 @@
     """Its links to the others are silent."""
 
 
-@dataclass(slots=True)
-class CallerRequest:
-    """One request, over all of its tries; times in s from the start.
-
-    Attributes:
-        token: its idempotency key, empty for none.
-        runners: that it was sent to, in order.
-        outcome: empty while it has none.
-    """
-
-    arrival: Arrival
-    token: str
-    sent_at: float
-    runners: list[int] = field(default_factory=list)
-    outcome: str = ""
-    ended_at: float = 0.0
-
-    @property
-    def deadline_s(self) -> float:
-        """From the first try."""
-        return self.arrival.request_class.deadline_ms / 1000
-
-    @property
-    def served_in_time(self) -> bool:
-        """Whether it was served within its deadline."""
-        return self.outcome == "served" and self.ended_at - self.sent_at <= self.deadline_s
-
-
-@dataclass(frozen=True, slots=True)
-class TakeoverResult:
-    """What came of one play.
-
-    Attributes:
-        tokens: keyed requests.
-        executed_twice: keys that were begun more than once.
-        open_at_loss: keyed requests without an answer at the runners that were lost.
-        held_at_loss: those of them that had not begun.
-        held_served: share of these that was served in time.
-        without_outcome: of those open at the loss.
-        executions_per_served: runs for each keyed request served in time.
-        served: share of the keyed requests that was served in time.
-        others_served: the same of later requests without a key, at the other runners.
-        takeover_s: from the loss until another runner began a held request, -1 for never.
-    """
-
-    tokens: int
-    executed_twice: int
-    open_at_loss: int
-    held_at_loss: int
-    held_served: float
-    without_outcome: int
-    executions_per_served: float
-    served: float
-    others_served: float
-    takeover_s: float
-
-    def figures(self) -> dict[str, float]:
-        """As they stand in a report."""
-        return {
-            "tokens": self.tokens,
-            "begun twice": self.executed_twice,
-            "in hand": self.open_at_loss,
-            "held": self.held_at_loss,
-            "held served": self.held_served,
-            "no ending": self.without_outcome,
-            "runs for one served": self.executions_per_served,
-            "served": self.served,
-            "rest": self.others_served,
-            "takeover s": self.takeover_s,
-        }
-
-
 class TakeoverArm:
     """One play.
 
@@ -343,11 +271,11 @@
             executed_twice=sum(count > 1 for count in executions.values()),
             open_at_loss=len(self._open_at_loss),
             held_at_loss=len(held),
-            held_served=_share_served(held),
+            held_served=share_served(held),
             without_outcome=sum(not request.outcome for request in self._open_at_loss),
-            executions_per_served=sum(executions.values()) / max(1, _served(keyed)),
-            served=_share_served(keyed),
-            others_served=_share_served(others),
+            executions_per_served=sum(executions.values()) / max(1, count_served(keyed)),
+            served=share_served(keyed),
+            others_served=share_served(others),
             takeover_s=takeover_s,
         )
 
@@ -359,11 +287,3 @@
         closed: list[Any] = [*self._clients, *self._kernels, *self._relays.values()]
         for each in closed:
             each.close()
-
-
-def _served(requests: list[CallerRequest]) -> int:
-    return sum(request.served_in_time for request in requests)
-
-
-def _share_served(requests: list[CallerRequest]) -> float:
-    return _served(requests) / max(1, len(requests))
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -173,7 +173,7 @@
         w.fleet.stop(first)
         await w.next_leader(first)
         await w.goes_on()
-        w.ways[first].hear()
+        w.ways[first].resume()
         await has(lambda: bool(w.receiver.rejected))
         assert all(f < w.receiver.accepted[-1].token for f in w.receiver.rejected)
         w.fleet.go_on(first)
@@ -215,7 +215,7 @@
         await has(
             lambda: "goes to others" in leaving.text()
         )  # the duty is given up, and the report has no answer yet
-        w.ways[first].hear()
+        w.ways[first].resume()
         then = await w.next_leader(first)
         _, told = await w.ask(then)
         mine = [t.body["reports"] for t in w.receiver.accepted]
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -319,7 +319,7 @@
         await asyncio.sleep(1.0)
         assert not m.went
         for relay in m.fleet.relays.values():
-            relay.hear()
+            relay.resume()
         assert await asyncio.gather(*scripts) == [0, 0] and m.most == 1
 
 
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -29,7 +29,7 @@
         self.runner, self.kernels = runner, kernels
 
     async def begin(self, *, late: float = 0.0, work: float = 0.0) -> None:
-        kernel = Kernel(late=late, work=work)
+        kernel = Kernel(boot_delay_s=late, work=work)
         kernel.listen()
         self.kernels.append(kernel)
         self.runner.start(kernel.port)
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -59,7 +59,9 @@
         f = await FrontEnd.connect(r.port)
         got = await some(f, 40)
         assert (
-            all("result" in a for a in got) and set(kernel.io.values()) == {b"reply"} and not kernel.left_out
+            all("result" in a for a in got)
+            and set(kernel.call_replies.values()) == {b"reply"}
+            and not kernel.skipped_calls
         )
         assert sum(len(s.calls) for s in servers) == 40 and all(s.calls for s in servers)
         api = json.loads(body_of(await exchange(r.admin, b"GET /servers HTTP/1.0\r\n\r\n")))
@@ -82,7 +84,7 @@
     async with running(kernel := Kernel(calls=True), more=more) as r:
         f = await FrontEnd.connect(r.port)
         got = [await f.ask("check") for _ in range(30)]
-        assert all("result" in a for a in got) and len(well.calls) == 30 and not kernel.left_out
+        assert all("result" in a for a in got) and len(well.calls) == 30 and not kernel.skipped_calls
         assert len(failing.calls) <= 8  # ejected after five, and probed now and then
     close([failing, well])
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -80,7 +80,9 @@
             f.ask("check", budget=1500), f.ask("submit", budget=1500, token=key())
         )
         assert (free["error"]["code"], keyed["error"]["code"]) == (-32000, -32000)
-        await has(lambda: kernel.heard["PREEMPT"] == 1)  # the free one is stopped, the keyed one runs on
+        await has(
+            lambda: kernel.message_counts["PREEMPT"] == 1
+        )  # the free one is stopped, the keyed one runs on
         assert set(f.answers.values()) == {1}
 
 
@@ -100,7 +102,7 @@
 
 @sockets
 async def test_a_late_kernel_is_waited_for() -> None:
-    async with running(kernel := Kernel(late=3600, state="EMPTY"), wait=False) as r:
+    async with running(kernel := Kernel(boot_delay_s=3600, state="EMPTY"), wait=False) as r:
 
         async def listens() -> bool:
             try:
@@ -162,7 +164,7 @@
         f.send("check", rid="00000000000000aa")
         await has(lambda: len(kernel.runs) == 1)
         f.raw(b'{"jsonrpc":"2.0","method":"revoke","params":{"rid":"00000000000000aa"}}')
-        await has(lambda: kernel.heard["PREEMPT"] == 1)
+        await has(lambda: kernel.message_counts["PREEMPT"] == 1)
 
 
 # ---- calls below ----
@@ -190,7 +192,7 @@
             got = await f.ask("submit", token=key(), budget=1500)
             assert ("result" in got) is served
             assert db.calls == [b"ask x"] * calls
-            assert list(kernel.io.values()) == ([b"reply"] if served else [])
+            assert list(kernel.call_replies.values()) == ([b"reply"] if served else [])
 
     run()
 
@@ -220,7 +222,7 @@
             assert ("result" in got) is served
             assert peer.calls == [b"ask x"] * calls
             assert peer.tokens == [f"{token}.1"] * calls  # so that the peer runs it once, whoever calls
-            assert list(kernel.io.values()) == ([b"reply"] if served else [])
+            assert list(kernel.call_replies.values()) == ([b"reply"] if served else [])
 
     run()
 
@@ -243,7 +245,7 @@
         f = await FrontEnd.connect(a.port)
         assert content(await f.ask("submit", token=key(), body=b"essay")) == b"did essay"
         assert [body for _, _, body in lower.runs] == [b"ask essay"]
-        assert list(upper.io.values()) == [b"did ask essay"]
+        assert list(upper.call_replies.values()) == [b"did ask essay"]
 
 
 @sockets
@@ -251,7 +253,7 @@
     async with running(kernel := Kernel(calls=True), below=1) as r:  # nothing listens there
         f = await FrontEnd.connect(r.port)
         assert "result" in await f.ask("check")
-        assert kernel.left_out == [1]
+        assert kernel.skipped_calls == [1]
 
 
 # ---- drain ----
@@ -305,7 +307,7 @@
         refused = [a["error"] for a in got if "error" in a]
         assert refused and {e["code"] for e in refused} == {-32014}
         assert all(e["data"]["backoff"] > 0 for e in refused)
-        assert kernel.most_running <= 5 * 2
+        assert kernel.max_running <= 5 * 2
         assert len(kernel.runs) == len(got) - len(refused)
 
 
@@ -435,7 +437,7 @@
 @sockets
 async def test_reports_go_out_while_it_serves_and_end_as_it_leaves() -> None:
     announce = Announce(cut_at=2)  # it goes away in the middle: the next report comes anyway
-    heard = announce.heard
+    heard = announce.reports
     async with running(Kernel(hang=True), announce=announce.port) as r:
         await has(lambda: len(heard) >= 4)
         assert set(heard) == {b'PUT /announce/n1 {"accepting":"true"}'}
@@ -469,7 +471,7 @@
         assert content(await f.ask("submit", token=token)) == content(got[0])  # kept through it
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
         assert len(kernel.opened) == 2 and later.calls
-        await has(lambda: bool(after.heard))
+        await has(lambda: bool(after.reports))
         # A file that can't be used changes nothing, and the log names the key.
         r.reload(kernel="nowhere")
         await has(lambda: "kernel: expected HOST:PORT" in r.text())
