--- a/moorusher/lab/child_process.py
+++ b/moorusher/lab/child_process.py
@@ -12,14 +12,18 @@
 
 
 class _OutputReader(ProcessProtocol):
+    """Collects what a process prints."""
+
     def __init__(self, output: Deferred[str]) -> None:
         self._output = output
         self._received = b""
 
     def outReceived(self, data: bytes) -> None:
+        """A part of the output."""
         self._received += data
 
     def processEnded(self, reason: Any) -> None:
+        """The output is whole."""
         self._output.callback(self._received.decode())
 
 
--- a/moorusher/lab/demo_fleet.py
+++ b/moorusher/lab/demo_fleet.py
@@ -72,6 +72,7 @@
         self._execute = execute
 
     def lineReceived(self, line: bytes) -> None:
+        """Execute one line."""
         self._execute(line.decode("utf-8", "replace").split())
 
 
--- a/moorusher/lab/drain_notices.py
+++ b/moorusher/lab/drain_notices.py
@@ -33,18 +33,23 @@
     """A kernel that only has to be there."""
 
     def run(self, rid: str, route: str, body: bytes) -> int:
+        """Nothing."""
         return 1
 
     def stop(self, rid: str) -> int:
+        """Nothing."""
         return 1
 
     def call_done(self, rid: str, body: bytes) -> int:
+        """Nothing."""
         return 1
 
     def call_skipped(self, rid: str, notice: int) -> int:
+        """Nothing."""
         return 1
 
-    def ask_gauges(self) -> None: ...
+    def ask_gauges(self) -> None:
+        """Nothing."""
 
 
 class DrainingEngine:
--- a/moorusher/lab/health_prober.py
+++ b/moorusher/lab/health_prober.py
@@ -28,22 +28,29 @@
 
 
 class _ProbeConnection(Protocol):
+    """The connection of one probe."""
+
     transport: Any
     factory: Any
 
     def connectionMade(self) -> None:
+        """Send the request, if there is one."""
         self._received = b""
         if self.factory.request:
             self.transport.write(self.factory.request)
 
     def dataReceived(self, data: bytes) -> None:
+        """A part of the reply."""
         self._received += data[:_MAX_READ_BYTES]
 
     def connectionLost(self, reason: object = None) -> None:
+        """The reply is whole."""
         self.factory.finish(self._received)
 
 
 class _ProbeFactory(ClientFactory):
+    """One probe; it ends once, by its reply or its time limit."""
+
     noisy = False
     protocol = _ProbeConnection
 
@@ -53,6 +60,7 @@
         self._on_reply: OnReply | None = on_reply
 
     def finish(self, reply: bytes) -> None:
+        """Hand over the reply, b"" for none; a second call does nothing."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         on_reply = self._on_reply
@@ -61,6 +69,7 @@
             on_reply(reply)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
+        """Nobody listens, or not in time."""
         self.finish(b"")
 
 
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -37,6 +37,7 @@
 
     @property
     def size(self) -> float:
+        """Warm runners, and those that are starting."""
         return self.warm + len(self._steps_until_warm)
 
     def advance(self) -> None:
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -74,6 +74,7 @@
         self.accepted = accepted
 
     def buildProtocol(self, addr: object) -> _RelayEnd:
+        """The other end of the relayed connection."""
         dialed = _RelayEnd(self.accepted.relay, forward=False)
         dialed.other = self.accepted
         self.accepted.other = dialed
@@ -81,6 +82,7 @@
         return dialed
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
+        """The target does not listen."""
         self.accepted.transport.abortConnection()
 
 
