--- a/moorusher/cli/laboratory.py
+++ b/moorusher/cli/laboratory.py
@@ -28,11 +28,11 @@
 @json_option
 def list_experiments(as_json: bool) -> None:
     """Name the experiments."""
-    _needs_extra()
+    _require_extra()
     from ..lab.registry import EXPERIMENTS
 
-    found = {name: experiment.about for name, experiment in EXPERIMENTS.items()}
-    show(found, as_json, "\n".join(f"{name:<10} {about}" for name, about in found.items()))
+    subjects = {name: experiment.about for name, experiment in EXPERIMENTS.items()}
+    print_lines(subjects, as_json, [f"{name:<10} {about}" for name, about in subjects.items()])
 
 
 @lab.command("run")
@@ -42,13 +42,13 @@
 @click.option("--out", type=click.Path(path_type=Path), help="Where the report goes (default: lab-NAME).")
 def run_experiment(name: str, quick: bool, seed: int, out: Path | None) -> None:
     """Play one; exits with 0 only if all its criteria hold."""
-    _needs_extra()
-    from ..lab.registry import EXPERIMENTS, run_experiment
+    _require_extra()
+    from ..lab import registry
 
-    if name not in EXPERIMENTS:
-        raise Shown(f"no experiment {name}; known are {', '.join(EXPERIMENTS)}")
+    if name not in registry.EXPERIMENTS:
+        raise CommandError(f"no experiment {name}; known are {', '.join(registry.EXPERIMENTS)}")
     folder = out or Path(f"lab-{name}")
-    holds = run_experiment(name, quick, seed, folder, click.echo)
+    holds = registry.run_experiment(name, quick, seed, folder, click.echo)
     click.echo(f"report: {folder / 'report.html'}")
     raise SystemExit(0 if holds else 1)
 
@@ -69,6 +69,3 @@
     from ..lab.demo_runner import run_demo_runner
 
     raise SystemExit(run_demo_runner(seconds, load, click.echo))
-
-
-COMMANDS = (lab,)
--- a/moorusher/lab/demand_series.py
+++ b/moorusher/lab/demand_series.py
@@ -9,8 +9,9 @@
 import numpy as np
 import numpy.typing as npt
 
-from ..forecasting.policy import Days
-from ..forecasting.season import WEEK, hours_of_week
+from ..forecasting.policy import Calendar
+from ..forecasting.seasonality import hours_of_week
+from ..forecasting.time_units import HOURS_PER_WEEK
 
 Floats = npt.NDArray[np.float64]
 WEEKS = 8
@@ -40,7 +41,7 @@
     kind: str
     requests: Floats
     counted: Floats
-    calendar: Days
+    calendar: Calendar
     first_hour: int = FIRST_HOUR
 
 
@@ -95,11 +96,11 @@
 
 
 def _growing(rng: np.random.Generator, mean: Floats, history_h: int) -> Floats:
-    return np.asarray(mean * np.exp(rng.uniform(0.05, 0.12) * np.arange(len(mean)) / WEEK))
+    return np.asarray(mean * np.exp(rng.uniform(0.05, 0.12) * np.arange(len(mean)) / HOURS_PER_WEEK))
 
 
 def _shrinking(rng: np.random.Generator, mean: Floats, history_h: int) -> Floats:
-    return np.asarray(mean * np.exp(-rng.uniform(0.05, 0.1) * np.arange(len(mean)) / WEEK))
+    return np.asarray(mean * np.exp(-rng.uniform(0.05, 0.1) * np.arange(len(mean)) / HOURS_PER_WEEK))
 
 
 def _level_shift(rng: np.random.Generator, mean: Floats, history_h: int) -> Floats:
@@ -144,9 +145,9 @@
     rng = np.random.default_rng([seed, sorted(KINDS).index(kind)])
     demand = KINDS[kind]
     zone = str(rng.choice(_ZONES))
-    history_h = weeks * WEEK
-    hours = history_h + WEEK
-    first_hour = FIRST_HOUR + int(rng.integers(0, 26)) * WEEK
+    history_h = weeks * HOURS_PER_WEEK
+    hours = history_h + HOURS_PER_WEEK
+    first_hour = FIRST_HOUR + int(rng.integers(0, 26)) * HOURS_PER_WEEK
     profile = _week_profile(rng, demand.peaks, demand.weekend)
     week = profile[hours_of_week(first_hour, hours, zone)]
     mean = demand.requests_per_hour * rng.lognormal(0.0, 0.5) * week
@@ -162,7 +163,7 @@
         _add_floods(rng, requests, mean, history_h)
     elif kind == "gaps":
         _add_gaps(rng, requests, counted, history_h)
-    return DemandSeries(kind, requests, counted, Days(zone), first_hour)
+    return DemandSeries(kind, requests, counted, Calendar(zone), first_hour)
 
 
 def _draw_hours(rng: np.random.Generator, history_h: int, shortest: int, longest: int) -> slice:
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -12,8 +12,9 @@
 from ..leadership.fencing_token import FencingToken
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
-from ..model_checking.cluster_simulation import SECOND, Scenario
 from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
+from ..model_checking.scenario import FaultKind, Scenario
+from ..model_checking.virtual_time import SECOND
 
 LEASE_US = SECOND
 """A usual figure: the failure detector's patience."""
@@ -57,6 +58,16 @@
 # ---- order ----
 
 
+_FAULT_KINDS = (
+    FaultKind.PAUSE,
+    FaultKind.PAUSE,
+    FaultKind.PARTITION,
+    FaultKind.ONE_WAY_PARTITION,
+    FaultKind.CRASH,
+)
+"""Each fault is drawn from these; pauses are twice as likely, since leases by the clock fail by them."""
+
+
 class EffectOrder(NamedTuple):
     """Effects that counted, and those of an earlier term that came to count after one of a later."""
 
@@ -66,12 +77,12 @@
 
 def count_out_of_order(seed: int, clock_leases: bool) -> EffectOrder:
     """Under pauses, cuts and kills, with fencing tokens or with leases by the clock."""
-    scenario = Scenario(seats=5, keys=0, faults=10, fault_kinds=("stop", "stop", "cut", "one way", "kill"))
+    scenario = Scenario(seats=5, keys=0, faults=10, fault_kinds=_FAULT_KINDS)
     simulation = DutySimulation(
         seed,
         scenario,
         compares=not clock_leases,
-        participant=ClockLeaseParticipant if clock_leases else Participant,
+        participant_class=ClockLeaseParticipant if clock_leases else Participant,
     )
     simulation.play()
     out_of_order = 0
@@ -140,7 +151,7 @@
     warm_up_s = 8.0 if is_small else 30.0
     settling_s = 8.0 if is_small else 20.0
     scenario = Scenario(seats=seats, keys=0, faults=0, loss=0.0, duplication=0.0)
-    simulation = DutySimulation(seed, scenario, 0, process=IdleProcess)
+    simulation = DutySimulation(seed, scenario, 0, process_class=IdleProcess)
     simulation.run(round(warm_up_s * SECOND))
     participants = [
         process.participant for process in simulation.processes if isinstance(process, DutyProcess)
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -18,13 +18,16 @@
 import numpy as np
 from twisted.internet.threads import deferToThread
 
-from ..forecasting.choose import choose, cleaned
-from ..forecasting.ledger import WHOLE, Series
-from ..forecasting.models import Known, last_week
-from ..forecasting.policy import Days, Scaling
-from ..forecasting.quantiles import quantiles
-from ..forecasting.season import WEEK, hours_of_week
-from ..forecasting.week import week_ahead
+from ..forecasting import weekly_forecast
+from ..forecasting.ensemble import forecast_ensemble
+from ..forecasting.hourly_series import FULL_COVERAGE, HourlySeries
+from ..forecasting.models import seasonal_naive
+from ..forecasting.policy import Calendar, ScalingPolicy
+from ..forecasting.preprocessing import training_history
+from ..forecasting.quantiles import forecast_quantiles
+from ..forecasting.seasonality import hours_of_week
+from ..forecasting.time_units import HOURS_PER_WEEK
+from ..forecasting.training_window import TrainingWindow
 from .demand_series import FIRST_HOUR, KINDS, DemandSeries, Floats, draw_series
 from .experiment import Experiment, Log, Plot, Result
 from .hint_simulation import HISTORY_H, compare_plans
@@ -33,7 +36,7 @@
 ROUTES_PER_CUSTOMER = 50
 PEAK_CORES = 40
 """That a series needs at its highest."""
-_SCALING = Scaling(cores=2.0, cold_min=15.0)
+_SCALING = ScalingPolicy(cores_per_runner=2.0, startup_min=15.0)
 _MEASUREMENT_TIMEOUT_S = 600
 
 
@@ -53,12 +56,12 @@
 
 def forecast_week(series: DemandSeries) -> WeekForecast:
     """The forecast of a series' last week by the weeks before it."""
-    hour_of_week = hours_of_week(series.first_hour, HISTORY_H + WEEK, series.calendar.zone)
+    hour_of_week = hours_of_week(series.first_hour, HISTORY_H + HOURS_PER_WEEK, series.calendar.time_zone)
     history = series.requests[None, :HISTORY_H]
     counted = series.counted[None, :HISTORY_H]
-    known = cleaned(history, counted, hour_of_week[:HISTORY_H])
-    levels = quantiles(choose(known, hour_of_week))[:, 0]
-    plain = last_week(Known(history, hour_of_week))[0]
+    known = training_history(history, counted, hour_of_week[:HISTORY_H])
+    levels = forecast_quantiles(forecast_ensemble(known, hour_of_week))[:, 0]
+    plain = seasonal_naive(TrainingWindow(history, hour_of_week))[0]
     return WeekForecast(levels, plain, series.requests[HISTORY_H:])
 
 
@@ -78,11 +81,11 @@
             trend="add",
             damped_trend=True,
             seasonal="add",
-            seasonal_periods=WEEK,
+            seasonal_periods=HOURS_PER_WEEK,
             initialization_method="heuristic",
         )
         fitted = model.fit(optimized=True, use_brute=False)
-        return np.asarray(np.maximum(0.0, np.asarray(fitted.forecast(WEEK))))
+        return np.asarray(np.maximum(0.0, np.asarray(fitted.forecast(HOURS_PER_WEEK))))
 
 
 def _mean_error(forecast: Floats, actual: Floats) -> float:
@@ -150,7 +153,7 @@
 class RouteHistories:
     """Histories of routes, and the customer of each."""
 
-    series: dict[str, Series] = field(default_factory=dict)
+    series: dict[str, HourlySeries] = field(default_factory=dict)
     customers: dict[str, str] = field(default_factory=dict)
 
 
@@ -160,9 +163,9 @@
     histories = RouteHistories()
     for index in range(routes):
         drawn = draw_series(seed * 1_000 + index // len(kinds), kinds[index % len(kinds)])
-        series = Series(FIRST_HOUR)
-        series.asked = array("I", [int(count) for count in drawn.requests[:HISTORY_H]])
-        series.counted = array("B", [round(share * WHOLE) for share in drawn.counted[:HISTORY_H]])
+        series = HourlySeries(FIRST_HOUR)
+        series.requests = array("I", [int(count) for count in drawn.requests[:HISTORY_H]])
+        series.coverage = array("B", [round(share * FULL_COVERAGE) for share in drawn.counted[:HISTORY_H]])
         route = f"r{index:04}"
         histories.series[route] = series
         histories.customers[route] = f"c{index // ROUTES_PER_CUSTOMER}"
@@ -172,15 +175,15 @@
 _MEASUREMENT = """
 import json, time, tracemalloc
 from moorusher.lab.forecast import draw_routes
-from moorusher.forecasting.week import week_ahead
+from moorusher.forecasting.weekly_forecast import forecast_week
 from moorusher.lab.demand_series import FIRST_HOUR, WEEKS
 routes = draw_routes({seed}, {routes})
 hour = FIRST_HOUR + WEEKS * 168
 began = time.process_time()
-week_ahead(routes.series, routes.customers, hour, {{}})
+forecast_week(routes.series, routes.customers, hour, {{}})
 seconds = time.process_time() - began
 tracemalloc.start()
-week_ahead(routes.series, routes.customers, hour, {{}})
+forecast_week(routes.series, routes.customers, hour, {{}})
 print(json.dumps([seconds, tracemalloc.get_traced_memory()[1] / 2**20]))
 """
 
@@ -211,12 +214,12 @@
 def is_reproducible(seed: int) -> bool:
     """Whether another owner works out the same from the same state, bit by bit."""
     routes = draw_routes(seed, 60)
-    calendars = {"c0": Days("Europe/Copenhagen")}
+    calendars = {"c0": Calendar("Europe/Copenhagen")}
     hour = FIRST_HOUR + HISTORY_H
     in_other_order = dict(reversed(list(routes.series.items())))
-    first = week_ahead(routes.series, routes.customers, hour, calendars)
-    second = week_ahead(in_other_order, routes.customers, hour, calendars)
-    return first.names == second.names and first.levels.tobytes() == second.levels.tobytes()
+    first = weekly_forecast.forecast_week(routes.series, routes.customers, hour, calendars)
+    second = weekly_forecast.forecast_week(in_other_order, routes.customers, hour, calendars)
+    return first.routes == second.routes and first.quantiles.tobytes() == second.quantiles.tobytes()
 
 
 # ---- the experiment ----
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from math import ceil
 
-from ..forecasting.hints import steps
-from ..forecasting.policy import Scaling
-from ..forecasting.season import WEEK
+from ..forecasting.policy import ScalingPolicy
+from ..forecasting.scaling_hints import required_runners
+from ..forecasting.time_units import HOURS_PER_WEEK
 from .demand_series import WEEKS, DemandSeries, Floats
 
-HISTORY_H = WEEKS * WEEK
+HISTORY_H = WEEKS * HOURS_PER_WEEK
 STEPS_PER_HOUR = 12
 _SECONDS_PER_HOUR = 3600
 _SECONDS_PER_STEP = _SECONDS_PER_HOUR / STEPS_PER_HOUR
@@ -59,14 +59,16 @@
         self.warm -= excess
 
 
-def simulate_scaling(requests: Floats, core_s: float, plan: list[int], scaling: Scaling) -> ScalingOutcome:
+def simulate_scaling(
+    requests: Floats, core_s: float, plan: list[int], scaling: ScalingPolicy
+) -> ScalingOutcome:
     """A week in steps of five minutes; what the warm runners can't do is lost.
 
     :param requests: of each hour.
     :param core_s: seconds of a core that a request takes.
     :param plan: runners wanted, of each hour.
     """
-    cold_start_steps = max(1, round(scaling.cold_min / 60 * STEPS_PER_HOUR))
+    cold_start_steps = max(1, round(scaling.startup_min / 60 * STEPS_PER_HOUR))
     pool = _Pool(plan[0], cold_start_steps)
     lost_requests = 0.0
     runner_hours = 0.0
@@ -76,13 +78,13 @@
         pool.scale_to(plan[hour])
         runner_hours += pool.size / STEPS_PER_HOUR
         demand_cores = requests[hour] / STEPS_PER_HOUR * core_s / _SECONDS_PER_STEP
-        missing_cores = max(0.0, demand_cores - pool.warm * scaling.cores)
+        missing_cores = max(0.0, demand_cores - pool.warm * scaling.cores_per_runner)
         lost_requests += missing_cores * _SECONDS_PER_HOUR / STEPS_PER_HOUR / core_s
     return ScalingOutcome(lost_requests / max(1.0, float(requests.sum())), runner_hours)
 
 
 def compare_plans(
-    series: DemandSeries, levels: Floats, scaling: Scaling, core_s: float
+    series: DemandSeries, levels: Floats, scaling: ScalingPolicy, core_s: float
 ) -> dict[str, ScalingOutcome]:
     """Hints against two plain rules: what the last hour needed, and the same hour of last week.
 
@@ -92,11 +94,11 @@
     """
     requests = series.requests
     week = requests[HISTORY_H:]
-    plan = steps([float(level) * core_s / _SECONDS_PER_HOUR for level in levels[1]], scaling)
+    plan = required_runners([float(level) * core_s / _SECONDS_PER_HOUR for level in levels[1]], scaling)
     by_hints = simulate_scaling(week, core_s, plan, scaling)
     rules = {
-        "last hour": requests[HISTORY_H - 1 : HISTORY_H + WEEK - 1],
-        "same hour last week": requests[HISTORY_H - WEEK : HISTORY_H],
+        "last hour": requests[HISTORY_H - 1 : HISTORY_H + HOURS_PER_WEEK - 1],
+        "same hour last week": requests[HISTORY_H - HOURS_PER_WEEK : HISTORY_H],
     }
     outcomes = {"hints": by_hints}
     for name, expected in rules.items():
@@ -105,7 +107,7 @@
 
 
 def _rule_at_same_cost(
-    week: Floats, expected: Floats, core_s: float, scaling: Scaling, runner_hours: float
+    week: Floats, expected: Floats, core_s: float, scaling: ScalingPolicy, runner_hours: float
 ) -> ScalingOutcome:
     """By bisection of the utilization that the rule aims at."""
     low = _LOWEST_UTILIZATION
@@ -122,6 +124,8 @@
     return outcome
 
 
-def _runners_needed(requests_per_hour: float, core_s: float, utilization: float, scaling: Scaling) -> int:
-    needed = ceil(requests_per_hour * core_s / _SECONDS_PER_HOUR / scaling.cores / utilization)
-    return min(scaling.most, max(scaling.least, needed))
+def _runners_needed(
+    requests_per_hour: float, core_s: float, utilization: float, scaling: ScalingPolicy
+) -> int:
+    needed = ceil(requests_per_hour * core_s / _SECONDS_PER_HOUR / scaling.cores_per_runner / utilization)
+    return min(scaling.max_runners, max(scaling.min_runners, needed))
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -21,8 +21,8 @@
     encode_schedule,
 )
 from ..maintenance.slot_changes import AcceptSlot, ClearMachine, CompleteSlot, GrantSlots, MarkReturned
-from ..model_checking.cluster_simulation import Scenario
 from ..model_checking.maintenance_simulation import MaintenanceSimulation
+from ..model_checking.scenario import Scenario
 
 CORES = 4.0
 ZONES = 4
--- a/moorusher/lab/namespace_rules.py
+++ b/moorusher/lab/namespace_rules.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..namespaces.customers import CurrentRevisions
-from ..namespaces.document import parse_draft
+from ..namespaces.current_revisions import CurrentRevisions
+from ..namespaces.draft import parse_draft
 from ..namespaces.errors import NamespaceError
-from ..namespaces.policy import UNBOUNDED, Granted
+from ..namespaces.policy import UNBOUNDED, Grant
 from ..namespaces.rules import RequestAttributes, Rule
 
-GRANTED = Granted(frozenset({"s"}), {}, UNBOUNDED)
+GRANT = Grant(frozenset({"s"}), {}, UNBOUNDED)
 KEYS = [f"{letter}{suffix}" for letter in "abc" for suffix in ("", "x", "y-", "y-1")]
 REQUESTS_PER_DRAFT = 200
 LOOKED_UP_RULES = 1_000
@@ -42,12 +42,12 @@
 
 
 def _matches(rule: Rule, request: RequestAttributes) -> bool:
-    return all(getattr(request, name) in getattr(rule.match, name) for name in _ATTRIBUTES)
+    return all(getattr(request, name) in getattr(rule.matcher, name) for name in _ATTRIBUTES)
 
 
 def _more_specific(first: Rule, second: Rule) -> Rule:
     """By the first parts of different size; `first` where all are alike."""
-    for own, other in zip(second.match.parts(), first.match.parts(), strict=True):
+    for own, other in zip(second.matcher.attribute_sets(), first.matcher.attribute_sets(), strict=True):
         if own.size() != other.size():
             return second if own.size() < other.size() else first
     return first
@@ -113,7 +113,7 @@
     counts = DecisionCounts()
     while counts.total < decisions:
         try:
-            table = parse_draft(draw_draft(rng), GRANTED).table
+            table = parse_draft(draw_draft(rng), GRANT).table
         except NamespaceError:
             counts.rejected_drafts += 1
             continue
@@ -156,11 +156,11 @@
 def measure_look_ups(others: int, rules_of_others: int) -> LookUpTimes:
     """For a customer with a thousand rules, alone and beside others."""
     customers = CurrentRevisions(others + 1)
-    customers.take("acme", _REVISION, draft_of_size(LOOKED_UP_RULES), GRANTED)
+    customers.install_draft("acme", _REVISION, draft_of_size(LOOKED_UP_RULES), GRANT)
     alone_us = _look_up_us(customers, "acme", LOOKED_UP_RULES)
     shared = draft_of_size(rules_of_others)
     for index in range(others):
-        customers.take(f"c{index}", _REVISION, shared, None)
+        customers.install_draft(f"c{index}", _REVISION, shared, None)
     return LookUpTimes(alone_us, _look_up_us(customers, "acme", LOOKED_UP_RULES))
 
 
@@ -174,7 +174,7 @@
     for _ in range(_REPETITIONS):
         began = time.perf_counter()
         for request in requests:
-            revision = customers.of(name)
+            revision = customers.get(name)
             assert revision is not None
             revision.namespace.table.find(request)
         times_us.append((time.perf_counter() - began) / len(requests) * 1e6)
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -52,11 +52,10 @@
     ).encode()
 
 
-class Forecast:
-    def __init__(self, f: Fleet, scaler: FencedReceiver, ways: list[Relay]) -> None:
-        self.fleet, self.scaler, self.ways = f, scaler, ways
+class ForecastingFleet:
+    """A fleet with a forecast. `relays[i]`: the way from runner i to the receiver of the hints."""
 
-    def __init__(self, runners: Fleet, receiver: Receiver, relays: list[Relay]) -> None:
+    def __init__(self, runners: Fleet, receiver: FencedReceiver, relays: list[Relay]) -> None:
         self.fleet, self.receiver, self.relays = runners, receiver, relays
 
     async def call(
@@ -113,16 +112,24 @@
         await until(is_there)
         return found[0]
 
-    def in_order(self) -> None:
-        fences = [t.token for t in self.scaler.accepted]
-        assert all(a < b for a, b in pairwise(fences))
+    async def counted_requests(self, i: int) -> int:
+        """What runner i, as the leader, has counted in this hour."""
+        _, document = await self.call(i, "forecast/+here")
+        return sum(int(requests) for requests in document["lately"].values())
+
+    def live_runner(self, lost: int) -> int:
+        return next(i for i in range(len(self.fleet.runners)) if i != lost)
+
+    def assert_tokens_grow(self) -> None:
+        tokens = [taken.token for taken in self.receiver.accepted]
+        assert all(earlier < later for earlier, later in pairwise(tokens))
 
 
 @asynccontextmanager
 async def forecasting_fleet(n: int = 4, **how: Any) -> AsyncIterator[ForecastingFleet]:
     with TemporaryDirectory() as folder:
-        scaler = FencedReceiver(reactor(), TokenStore(Path(folder) / "book"))
-        ways = [Relay(reactor(), scaler.port) for _ in range(n)]
+        receiver = FencedReceiver(reactor(), TokenStore(Path(folder) / "book"))
+        relays = [Relay(reactor(), receiver.port) for _ in range(n)]
 
         def toml(i: int) -> str:
             return (
@@ -171,41 +178,45 @@
 
 
 @sockets
-async def test_a_past_that_was_brought_is_forecast_by_and_the_next_owner_comes_to_the_same_figures() -> None:
-    async with forecasting() as w:
-        await w.load(1)
-        first = await w.forecast(2)
-        assert first["routes"][0]["day"][0] > 24 * 2_500 and first["hints"]["hints"]
-        await has(lambda: len(w.scaler.accepted) > 0)
-        hint = w.scaler.accepted[-1].body["hints"][0]
-        assert hint["zone"] == "z0" and "cores" in hint["why"]
-        owner = await w.owner(0)
-        w.fleet.kill(owner)
-        live = next(i for i in range(4) if i != owner)
-        await has(lambda: w.scaler.accepted[-1].token.term > first["term"])
-        again = await w.forecast(live)
+async def test_an_imported_history_is_forecast_from_and_the_next_leader_has_the_same_figures() -> None:
+    """The leader is killed; the next one works the forecast out again, from the replicated counts."""
+    async with forecasting_fleet() as f:
+        await f.import_history(1)
+        first = await f.forecast(2)
+        assert first["routes"][0]["day"][0] > 24 * 2_500
+        assert first["hints"]["hints"]
+        await has(lambda: len(f.receiver.accepted) > 0)
+        hint = f.receiver.accepted[-1].body["hints"][0]
+        assert hint["zone"] == "z0"
+        assert "cores" in hint["why"]
+        leader = await f.leader(0)
+        f.fleet.kill(leader)
+        await has(lambda: f.receiver.accepted[-1].token.term > first["term"])
+        again = await f.forecast(f.live_runner(leader))
         assert again["term"] > first["term"]
         if again["first_hour"] == first["first_hour"]:  # else an hour has ended meanwhile
             assert again["routes"] == first["routes"]
 
 
 @sockets
-async def test_a_hint_of_an_owner_of_before_that_arrives_late_changes_nothing() -> None:
-    async with forecasting() as w:
-        await w.load(0)
-        await has(lambda: len(w.scaler.accepted) > 0)
-        owner = await w.owner(0)
-        others = [i for i in range(4) if i != owner]
-        w.ways[owner].silence()
-        seen = len(w.scaler.accepted)
-        await w.load(others[0], "other")  # it works out anew, and its hint is held on the way
-        await has(lambda: w.ways[owner].holding > 0)
-        assert len(w.scaler.accepted) == seen
-        w.fleet.stop(owner)
-        await has(lambda: len(w.scaler.accepted) > seen)
-        term = w.scaler.accepted[-1].token.term
-        w.ways[owner].silence(False)
-        await has(lambda: any(f.term < term for f in w.scaler.rejected))
+async def test_a_hint_of_a_former_leader_that_arrives_late_changes_nothing() -> None:
+    """The leader's hint is held up on the way, the leader is stopped, and the next one's hint arrives first. Then the
+    first one arrives: without its fencing token it would replace the newer one."""
+    async with forecasting_fleet() as f:
+        await f.import_history(0)
+        await has(lambda: len(f.receiver.accepted) > 0)
+        leader = await f.leader(0)
+        others = [i for i in range(4) if i != leader]
+        f.relays[leader].silence()
+        taken = len(f.receiver.accepted)
+        await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
+        await has(lambda: f.relays[leader].holding > 0)
+        assert len(f.receiver.accepted) == taken
+        f.fleet.stop(leader)
+        await has(lambda: len(f.receiver.accepted) > taken)
+        term = f.receiver.accepted[-1].token.term
+        f.relays[leader].silence(False)
+        await has(lambda: any(fence.term < term for fence in f.receiver.rejected))
 
 
 @sockets
--- a/tests/test_forecasting.py
+++ b/tests/test_forecasting.py
@@ -27,7 +27,7 @@
 from moorusher.forecasting.time_units import HOURS_PER_DAY, HOURS_PER_WEEK
 from moorusher.forecasting.training_window import TrainingWindow
 from moorusher.forecasting.weekly_forecast import forecast_week
-from moorusher.lab.courses import draw
+from moorusher.lab.demand_series import draw_series
 
 FIRST_HOUR = 491_000 - 491_000 % HOURS_PER_WEEK
 HOURS = 8 * HOURS_PER_WEEK  # of a history
@@ -186,16 +186,16 @@
 
 @pytest.mark.parametrize("kind", ["office", "rare", "floods", "gaps", "new"])
 def test_quantiles_are_in_order_and_never_negative(kind: str) -> None:
-    drawn = draw(7, kind)
-    hour_of_week = hours_of_week(drawn.first, HOURS + HOURS_PER_WEEK, drawn.calendar.time_zone)
-    requests, coverage = drawn.y[None, :HOURS], drawn.counted[None, :HOURS]
+    drawn = draw_series(7, kind)
+    hour_of_week = hours_of_week(drawn.first_hour, HOURS + HOURS_PER_WEEK, drawn.calendar.time_zone)
+    requests, coverage = drawn.requests[None, :HOURS], drawn.counted[None, :HOURS]
     history = training_history(requests, coverage, hour_of_week[:HOURS])
     quantiles = forecast_quantiles(forecast_ensemble(history, hour_of_week))
     assert np.isfinite(quantiles).all()
     assert (quantiles >= 0).all()
     assert (quantiles[0] <= quantiles[1]).all()
     assert (quantiles[1] <= quantiles[2]).all()
-    assert 0.6 < (drawn.y[HOURS:] <= quantiles[1, 0]).mean() <= 1.0
+    assert 0.6 < (drawn.requests[HOURS:] <= quantiles[1, 0]).mean() <= 1.0
 
 
 @pytest.mark.parametrize("known_hours", [0, 1, 30, 100])
