--- a/moorusher/config/scheduler_settings.py
+++ b/moorusher/config/scheduler_settings.py
@@ -118,51 +118,56 @@
         root = _Object(json.loads(text))
     except (UnicodeDecodeError, json.JSONDecodeError, RecursionError) as exc:
         raise SettingsError(f"the settings are not valid JSON: {exc}") from exc
-    extra = root.object("extra")
-    invariants = root.object("invariants")
-    limits = root.object("limits")
     try:
-        return api.Settings(
-            cores=extra.require("cpus", int),
-            memory_kb=extra.require("memoryKb", float),
-            classes=_parse_classes(root, extra),
-            seed=seed,
-            tenants=_parse_tenants(root),
-            run_memory_factor=extra.get("blowup", 1.0),
-            key_entry_kb=extra.get("entryKb", 0.0),
-            answer_slack_ms=invariants.get("graceToAnswerMs", 50.0),
-            drain_grace_ms=invariants.get("stopSendingWithinMs", 1000.0),
-            survivable_runs_per_core=invariants.get("tipMultiple", 3.0),
-            overload_window_ms=invariants.get("overloadForMs", 2000.0),
-            warming_up=extra.get("cold", False),
-            warm_up_initial_speed=invariants.get("coldShare", 1.0),
-            warm_up_ms=invariants.get("warmAfterMs", 0.0),
-            preemption=extra.choice("halt", HALTING, api.Preemption.OFF),
-            signal=extra.choice("say", SIGNALS, api.SignalKind.OFF),
-            signal_ttl_ms=extra.get("heardForMs", 1000.0),
-            callers=extra.get("upstreams", 1),
-            peers=root.get("peersTotal", 1),
-            downstream=extra.choice("below", DEPENDENCIES, api.Downstream.OFF),
-            call_quota=extra.get("fairCalls", 0.0),
-            call_quota_window_ms=extra.get("depWindowMs", 5000.0),
-            abandoned_call_ms=extra.get("staysForMs", 0.0),
-            answer_cache_ms=extra.get("freshForMs", 0.0),
-            deep_checks=extra.get("deepChecks", False),
-            propagates_deadline=extra.get("passesDeadline", False),
-            discovery_follows_health=extra.get("registryFollows", False),
-            reports_disconnects=extra.get("tellsGone", False),
-            retries_marked=root.object("callers").get("marksRetry", False),
-            max_idle_connection_ms=extra.get("keepaliveMaxMs", 0.0),
-            max_retry_after_ms=_parse_max_retry_after_ms(limits),
-            over_quota_weight=root.get("overShareWorth", 1.0),
-            gauges=tuple(extra.values("gauges", str)),
-        )
+        return _settings(root, seed)
     except SettingsError:
         raise
     except (ValueError, OverflowError) as exc:
         raise SettingsError(_in_terms_of_the_file(exc)) from exc
 
 
+def _settings(root: _Object, seed: int) -> api.Settings:
+    """The settings; a ValueError names the field whose value `api.Settings` does not take."""
+    extra = root.object("extra")
+    invariants = root.object("invariants")
+    limits = root.object("limits")
+    return api.Settings(
+        cores=extra.require("cpus", int),
+        memory_kb=extra.require("memoryKb", float),
+        classes=_parse_classes(root, extra),
+        seed=seed,
+        tenants=_parse_tenants(root),
+        run_memory_factor=extra.get("blowup", 1.0),
+        key_entry_kb=extra.get("entryKb", 0.0),
+        answer_slack_ms=invariants.get("graceToAnswerMs", 50.0),
+        drain_grace_ms=invariants.get("stopSendingWithinMs", 1000.0),
+        survivable_runs_per_core=invariants.get("tipMultiple", 3.0),
+        overload_window_ms=invariants.get("overloadForMs", 2000.0),
+        warming_up=extra.get("cold", False),
+        warm_up_initial_speed=invariants.get("coldShare", 1.0),
+        warm_up_ms=invariants.get("warmAfterMs", 0.0),
+        preemption=extra.choice("halt", HALTING, api.Preemption.OFF),
+        signal=extra.choice("say", SIGNALS, api.SignalKind.OFF),
+        signal_ttl_ms=extra.get("heardForMs", 1000.0),
+        callers=extra.get("upstreams", 1),
+        peers=root.get("peersTotal", 1),
+        downstream=extra.choice("below", DEPENDENCIES, api.Downstream.OFF),
+        call_quota=extra.get("fairCalls", 0.0),
+        call_quota_window_ms=extra.get("depWindowMs", 5000.0),
+        abandoned_call_ms=extra.get("staysForMs", 0.0),
+        answer_cache_ms=extra.get("freshForMs", 0.0),
+        deep_checks=extra.get("deepChecks", False),
+        propagates_deadline=extra.get("passesDeadline", False),
+        discovery_follows_health=extra.get("registryFollows", False),
+        reports_disconnects=extra.get("tellsGone", False),
+        retries_marked=root.object("callers").get("marksRetry", False),
+        max_idle_connection_ms=extra.get("keepaliveMaxMs", 0.0),
+        max_retry_after_ms=_parse_max_retry_after_ms(limits),
+        over_quota_weight=root.get("overShareWorth", 1.0),
+        gauges=tuple(extra.values("gauges", str)),
+    )
+
+
 def _parse_classes(root: _Object, extra: _Object) -> tuple[api.RequestClass, ...]:
     """The classes; what they may call, and are worth without, is listed apart and may be shorter."""
     may_call = extra.values("classCalls", bool)
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -12,6 +12,8 @@
 from .clock import MS
 
 MAX_REQUEST_NUMBER = 0xFFFF_FFFF  # then the numbering starts again at 1
+MAX_REQUEST_ID_LENGTH = 64
+MAX_TOKEN_LENGTH = 128
 
 
 class RequestStage(Enum):
--- a/moorusher/frontends/jsonrpc_messages.py
+++ b/moorusher/frontends/jsonrpc_messages.py
@@ -9,7 +9,18 @@
 
 from ..core.answer import Answer, Verdict
 from ..core.registration import InvalidArrival
-from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, ValueRange, is_identifier
+from ..core.requests import (
+    BUDGET_MS,
+    MAX_REQUEST_ID_LENGTH,
+    MAX_TOKEN_LENGTH,
+    MEMORY_KB,
+    PEER,
+    RANK,
+    UNIX_MS,
+    Arrival,
+    ValueRange,
+    is_identifier,
+)
 
 # Codes of errors: JSON-RPC's own, and the platform's for a request that failed, or that never ran.
 PARSE = -32700
@@ -115,12 +126,45 @@
     """
     if not isinstance(params, dict):
         raise InvalidParams("params: expected an object")
-    rid = _text(params, "rid", 64)
-    token = _text(params, "token", 128)
-    if rid is None or not is_identifier(rid, 64):
+    rid = _request_id(params)
+    token = _token(params)
+    body = _body(params)
+    caller = _needed(params, "peer", PEER)
+    if caller != int(caller):
+        raise InvalidParams("peer: expected a whole number")
+    return Arrival(
+        rid=rid,
+        class_name=method,
+        body=body,
+        t0_unix_ms=_needed(params, "t0", UNIX_MS),
+        arrived_us=began_us,
+        budget_ms=_number(params, "budget", BUDGET_MS),
+        tenant=_text(params, "acct", 256),
+        caller=int(caller),
+        memory_kb=_needed(params, "mem", MEMORY_KB),
+        rank=_needed(params, "prio", RANK),
+        token=token,
+        subject=_hex(_text(params, "obj", 32), "obj"),
+        is_retry=bool(params.get("again")),
+        cost_hint_ms=_number(params, "est", BUDGET_MS),
+    )
+
+
+def _request_id(params: dict[str, Any]) -> str:
+    rid = _text(params, "rid", MAX_REQUEST_ID_LENGTH)
+    if rid is None or not is_identifier(rid, MAX_REQUEST_ID_LENGTH):
         raise InvalidParams("rid: required, of letters, digits and -_.:")
-    if token is not None and not is_identifier(token, 128):
+    return rid
+
+
+def _token(params: dict[str, Any]) -> str | None:
+    token = _text(params, "token", MAX_TOKEN_LENGTH)
+    if token is not None and not is_identifier(token, MAX_TOKEN_LENGTH):
         raise InvalidParams("token: expected letters, digits and -_.:")
+    return token
+
+
+def _body(params: dict[str, Any]) -> bytes:
     content = params.get("content", "")
     if not isinstance(content, str):
         raise InvalidParams("content: expected base64")
@@ -130,25 +174,7 @@
         raise InvalidParams("content: expected base64") from None
     if len(body) > MAX_BODY_BYTES:
         raise InvalidParams(f"content: more than {MAX_BODY_BYTES} bytes")
-    peer = _needed(params, "peer", PEER)
-    if peer != int(peer):
-        raise InvalidParams("peer: expected a whole number")
-    return Arrival(
-        rid,
-        method,
-        body,
-        _needed(params, "t0", UNIX_MS),
-        began_us,
-        _number(params, "budget", BUDGET_MS),
-        _text(params, "acct", 256),
-        int(peer),
-        _needed(params, "mem", MEMORY_KB),
-        _needed(params, "prio", RANK),
-        token,
-        _hex(_text(params, "obj", 32), "obj"),
-        bool(params.get("again")),
-        _number(params, "est", BUDGET_MS),
-    )
+    return body
 
 
 def error_line(tag: int | None, code: int, message: str, hint: float | None = None, **data: object) -> bytes:
--- a/moorusher/load_balancing/retry.py
+++ b/moorusher/load_balancing/retry.py
@@ -2,7 +2,8 @@
 
 Inputs: the call's effect, the outcome, attempts made and allowed, the time left until its deadline, the retry budget.
 A retry needs all of: an effect or a proof that allows it (`scheduling.retry_policy`), an attempt left, time left after
-the backoff, and a token of the budget.
+the backoff, and a token of the budget. A call that fails here may be made anew by the request that needs it
+(`scheduling/downstream_calls.py`).
 """
 
 from __future__ import annotations
--- a/moorusher/protocols/uwsgi_packets.py
+++ b/moorusher/protocols/uwsgi_packets.py
@@ -11,7 +11,18 @@
 
 from ..core.answer import Cause
 from ..core.registration import InvalidArrival
-from ..core.requests import BUDGET_MS, MEMORY_KB, PEER, RANK, UNIX_MS, Arrival, ValueRange, is_identifier
+from ..core.requests import (
+    BUDGET_MS,
+    MAX_REQUEST_ID_LENGTH,
+    MAX_TOKEN_LENGTH,
+    MEMORY_KB,
+    PEER,
+    RANK,
+    UNIX_MS,
+    Arrival,
+    ValueRange,
+    is_identifier,
+)
 
 HEAD = struct.Struct("<BHB")  # modifier1, size of the variables, modifier2
 LENGTH = struct.Struct("<H")
@@ -158,7 +169,9 @@
         raise InvalidPacket(400, f"{VARS['class']}: required")
     rid = variables.get(VARS["rid"], "") or secrets.token_hex(8)
     token = variables.get(VARS["token"], "") or None
-    if not is_identifier(rid, 64) or (token is not None and not is_identifier(token, 128)):
+    if not is_identifier(rid, MAX_REQUEST_ID_LENGTH) or (
+        token is not None and not is_identifier(token, MAX_TOKEN_LENGTH)
+    ):
         raise InvalidPacket(400, f"{VARS['rid']}, {VARS['token']}: expected letters, digits and -_.:")
     subject = variables.get(VARS["obj"], "")
     try:
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -3,6 +3,9 @@
 The dependency is shared by all runners (`Downstream.SHARED`), each of which has a part of the calls that it
 bears, or it is a further tier (`Downstream.TIER`), whose budget is unlimited and whose calls are bounded in
 number alone.
+
+Retries here are of a whole call, by the request's own deadline. Under `Downstream.TIER` each call is carried
+out by `load_balancing`, which makes several attempts of one call (`load_balancing/retry.py`) and hedges them.
 """
 
 from __future__ import annotations
