--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Container
 
 from ..leadership.directory import Reading
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.participant import Participant
 from ..namespaces.current_revisions import Revision
 from ..namespaces.errors import NamespaceError, Retired
@@ -40,14 +40,14 @@
         """
         name = duty_of(customer)
 
-        def read(got: Reading | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def read(got: Reading | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             try:
                 history = decode_history(got.state or b"", customer)
             except ValueError as exc:
-                then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a DutyError
+                then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a LeadershipError
                 return
             then((got.record.generation, history))
 
@@ -57,8 +57,8 @@
         """Call `then` with the draft of exactly that revision; None where it is not there or not readable."""
         incarnation, number = revision_id
 
-        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
-            entry = None if isinstance(got, DutyError) or got[0] != incarnation else got[1].find(number)
+        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            entry = None if isinstance(got, LeadershipError) or got[0] != incarnation else got[1].find(number)
             then(None if entry is None else entry.draft)
 
         self.history(customer, got_history)
@@ -79,8 +79,8 @@
             return
         incarnation, number = revision_id
 
-        def got_history(got: tuple[int, RevisionHistory] | DutyError) -> None:
-            if isinstance(got, DutyError):
+        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            if isinstance(got, LeadershipError):
                 then(got)
                 return
             entry = got[1].find(number) if got[0] == incarnation else None
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -5,11 +5,12 @@
 from typing import Protocol
 
 from ..leadership.effects import Completed, FencedRequest, IntentRequest, Outcome, StateUpdate
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution
-from .cluster_simulation import MS, Process
+from .cluster_process import Process
 from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
+from .virtual_time import MS
 
 EFFECT_INTERVAL_MS = (20, 300)
 STATE_UPDATE_SHARE = 0.4  # of effects
@@ -50,7 +51,7 @@
         """Hand a last state on."""
         self._update_state()
 
-    def stop(self, reason: DutyError | None) -> None:
+    def stop(self, reason: LeadershipError | None) -> None:
         """Submit nothing any more."""
         self._is_stopped = True
 
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from ..errors import Remediable
+from ..errors import OperatorError
 
 
-class NamespaceError(Remediable):
+class NamespaceError(OperatorError):
     """A draft, or a call about a namespace, is rejected."""
 
 
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -8,6 +8,7 @@
 import re
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 import pytest
@@ -25,13 +26,13 @@
 from moorusher.config_distribution.publisher import Publisher
 from moorusher.config_distribution.replica import Replica
 from moorusher.leadership.effects import Completed, Outcome
-from moorusher.leadership.errors import NoMajority, Superseded
+from moorusher.leadership.errors import LeaseSupersededError, NoMajorityError
 from moorusher.leadership.fencing_token import FencingToken
-from moorusher.model_checking import publish_simulation as check
+from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.publish_interleavings import Publishes
-from moorusher.model_checking.publish_simulation import PublishSimulation, draft_of
-from moorusher.namespaces.current_revisions import CurrentRevisions, Revision
+from moorusher.model_checking.publish_interleavings import PublishModel
+from moorusher.model_checking.publish_simulation import DISK_SCENARIO, PublishSimulation, draft_of
+from moorusher.namespaces.customers import CurrentRevisions, Revision
 from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
 from moorusher.namespaces.policy import PublishingLimits
 from moorusher.namespaces.revision_history import (
@@ -123,7 +124,7 @@
         told, made = self.outcomes.pop(0) if self.outcomes else (True, True)
         if made:
             self.register = decode_history(effect.state, "acme")
-        then(Completed(FencingToken(7, 1, 1)) if told else NoMajority(self.name))
+        then(Completed(FencingToken(7, 1, 1)) if told else NoMajorityError(self.name))
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
         then(None)
@@ -154,7 +155,7 @@
     publisher.start()
     for id in ("first", "unsure", "next", "unsure"):
         publisher.submit(submission(id, draft=id.encode()), got.append)
-    assert isinstance(got[1], NoMajority) and there.reads == 1
+    assert isinstance(got[1], NoMajorityError) and there.reads == 1
     ids = [e.submission_id for e in reversed(there.register.revisions)]
     assert ids == (["first", "unsure", "next"] if came_about else ["first", "next", "unsure"])
     assert got[3] == (7, ids.index("unsure") + 1), "handed in again it is what it became, or becomes it now"
@@ -167,9 +168,9 @@
     there.submit = lambda effect, then: None  # type: ignore[method-assign]
     publisher.submit(submission("a"), got.append)
     publisher.submit(submission("b"), got.append)
-    publisher.stop(Superseded("namespace/acme", 1, None, 2))
+    publisher.stop(LeaseSupersededError("namespace/acme", 1, None, 2))
     publisher.submit(submission("c"), got.append)
-    assert [type(g) for g in got] == [Superseded] * 3 and not there.told
+    assert [type(g) for g in got] == [LeaseSupersededError] * 3 and not there.told
 
 
 # ---- the tree ----
@@ -373,13 +374,13 @@
 @pytest.mark.parametrize("seed", range(14))
 def test_published_once_forwards_only_and_the_same_everywhere_in_the_end(seed: int) -> None:
     sim = PublishSimulation(seed)
-    assert sim.play() is None, sim.events
+    assert sim.play() is None, sim.faults.log
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_the_same_with_disks_and_power_cuts(seed: int) -> None:
-    sim = PublishSimulation(seed, check.DISKS, lasting=True)
-    assert sim.play() is None, sim.events
+    sim = PublishSimulation(seed, DISK_SCENARIO, has_disks=True)
+    assert sim.play() is None, sim.faults.log
 
 
 # ---- mistakes that must be found ----
@@ -406,7 +407,7 @@
         super()._judge(history)
 
     def _done(self, got: Any) -> None:
-        if isinstance(got, NoMajority):
+        if isinstance(got, NoMajorityError):
             self._history = self._last
         super()._done(got)
 
@@ -479,7 +480,7 @@
 
 
 def test_publish_against_publish_in_every_interleaving() -> None:
-    found = explore(Publishes())
+    found = explore(PublishModel())
     assert found.complete and found.violation is None, str(found)
     assert found.states > 5_000
 
@@ -489,9 +490,9 @@
     [(Twice, "1 means"), (Forgetful, "was told, and is not|became two|means"), (Early, "told|means")],
 )
 def test_a_seeded_mistake_is_found_with_the_way_to_it(kind: type[Publisher], how: str) -> None:
-    found = explore(Publishes(kind))
+    found = explore(PublishModel(kind))
     assert found.violation is not None and re.search(how, found.violation), str(found)
-    assert replay(Publishes(kind), found.path) == found.violation
+    assert replay(PublishModel(kind), found.path) == found.violation
 
 
 @pytest.mark.parametrize(
@@ -504,5 +505,5 @@
     ],
 )
 def test_a_seeded_mistake_is_found(replica: type[Replica], how: str) -> None:
-    found = check.search(range(40), replica=replica)
-    assert found is not None and re.search(how, found[1]), found
+    found = find_counterexample(range(40), partial(PublishSimulation, replica_class=replica))
+    assert found is not None and re.search(how, found.violation), found
