--- a/moorusher/cli/laboratory.py
+++ b/moorusher/cli/laboratory.py
@@ -29,9 +29,9 @@
 def list_experiments(as_json: bool) -> None:
     """Name the experiments."""
     _require_extra()
-    from ..lab.experiment import known
+    from ..lab.registry import EXPERIMENTS
 
-    subjects = {name: experiment.about for name, experiment in known().items()}
+    subjects = {name: experiment.about for name, experiment in EXPERIMENTS.items()}
     print_lines(subjects, as_json, [f"{name:<10} {about}" for name, about in subjects.items()])
 
 
@@ -43,12 +43,12 @@
 def run_experiment(name: str, quick: bool, seed: int, out: Path | None) -> None:
     """Play one; exits with 0 only if all its criteria hold."""
     _require_extra()
-    from ..lab.experiment import known, run
+    from ..lab import registry
 
-    if name not in known():
-        raise CommandError(f"no experiment {name}; known are {', '.join(known())}")
+    if name not in registry.EXPERIMENTS:
+        raise CommandError(f"no experiment {name}; known are {', '.join(registry.EXPERIMENTS)}")
     folder = out or Path(f"lab-{name}")
-    holds = run(name, quick, seed, folder, click.echo)
+    holds = registry.run_experiment(name, quick, seed, folder, click.echo)
     click.echo(f"report: {folder / 'report.html'}")
     raise SystemExit(0 if holds else 1)
 
@@ -63,9 +63,9 @@
     """A runner in service with its kernel, what is below and a trickle of load; a line each second."""
     _require_extra()
     if runners > 1:
-        from ..lab import many
+        from ..lab.demo_fleet import run_demo_fleet
 
-        raise SystemExit(many.up(runners, seconds, load, click.echo))
-    from ..lab import up
+        raise SystemExit(run_demo_fleet(runners, seconds, load, click.echo))
+    from ..lab.demo_runner import run_demo_runner
 
-    raise SystemExit(up.up(seconds, load, click.echo))
+    raise SystemExit(run_demo_runner(seconds, load, click.echo))
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from moorusher.lab.receiver import Book, Receiver
+from moorusher.lab.fenced_receiver import FencedReceiver, TokenStore
 from moorusher.lab.relays import Relay
 
 from .fleets import Fleet, fleet, token
@@ -55,7 +55,7 @@
 class ForecastingFleet:
     """A fleet with a forecast. `relays[i]`: the way from runner i to the receiver of the hints."""
 
-    def __init__(self, runners: Fleet, receiver: Receiver, relays: list[Relay]) -> None:
+    def __init__(self, runners: Fleet, receiver: FencedReceiver, relays: list[Relay]) -> None:
         self.fleet, self.receiver, self.relays = runners, receiver, relays
 
     async def call(
@@ -121,14 +121,14 @@
         return next(i for i in range(len(self.fleet.runners)) if i != lost)
 
     def assert_tokens_grow(self) -> None:
-        tokens = [taken.fence for taken in self.receiver.took]
+        tokens = [taken.token for taken in self.receiver.accepted]
         assert all(earlier < later for earlier, later in pairwise(tokens))
 
 
 @asynccontextmanager
 async def forecasting_fleet(n: int = 4, **how: Any) -> AsyncIterator[ForecastingFleet]:
     with TemporaryDirectory() as folder:
-        receiver = Receiver(reactor(), Book(Path(folder) / "book"))
+        receiver = FencedReceiver(reactor(), TokenStore(Path(folder) / "book"))
         relays = [Relay(reactor(), receiver.port) for _ in range(n)]
 
         def toml(i: int) -> str:
@@ -185,13 +185,13 @@
         first = await f.forecast(2)
         assert first["routes"][0]["day"][0] > 24 * 2_500
         assert first["hints"]["hints"]
-        await has(lambda: len(f.receiver.took) > 0)
-        hint = f.receiver.took[-1].body["hints"][0]
+        await has(lambda: len(f.receiver.accepted) > 0)
+        hint = f.receiver.accepted[-1].body["hints"][0]
         assert hint["zone"] == "z0"
         assert "cores" in hint["why"]
         leader = await f.leader(0)
         f.fleet.kill(leader)
-        await has(lambda: f.receiver.took[-1].fence.term > first["term"])
+        await has(lambda: f.receiver.accepted[-1].token.term > first["term"])
         again = await f.forecast(f.live_runner(leader))
         assert again["term"] > first["term"]
         if again["first_hour"] == first["first_hour"]:  # else an hour has ended meanwhile
@@ -204,19 +204,19 @@
     first one arrives: without its fencing token it would replace the newer one."""
     async with forecasting_fleet() as f:
         await f.import_history(0)
-        await has(lambda: len(f.receiver.took) > 0)
+        await has(lambda: len(f.receiver.accepted) > 0)
         leader = await f.leader(0)
         others = [i for i in range(4) if i != leader]
         f.relays[leader].silence()
-        taken = len(f.receiver.took)
+        taken = len(f.receiver.accepted)
         await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
         await has(lambda: f.relays[leader].holding > 0)
-        assert len(f.receiver.took) == taken
+        assert len(f.receiver.accepted) == taken
         f.fleet.stop(leader)
-        await has(lambda: len(f.receiver.took) > taken)
-        term = f.receiver.took[-1].fence.term
+        await has(lambda: len(f.receiver.accepted) > taken)
+        term = f.receiver.accepted[-1].token.term
         f.relays[leader].silence(False)
-        await has(lambda: any(fence.term < term for fence in f.receiver.refused))
+        await has(lambda: any(fence.term < term for fence in f.receiver.rejected))
 
 
 @sockets
