--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -12,7 +12,7 @@
 
 from ..core.demand import DemandObserver
 from ..core.requests import Request
-from ..forecast_service.errors import NoNumpy, NotYet
+from ..forecast_service.errors import ForecastNotReadyError, MissingLibraryError
 from ..forecast_service.forecaster import Forecaster
 from ..forecast_service.leader_queries import DocumentCallback
 from ..forecast_service.member import ForecastMember
@@ -171,22 +171,22 @@
         self._in_thread(calculate, callback)
 
     def _in_thread(self, calculate: Callable[[], WeeklyForecast], callback: ForecastCallback) -> None:
-        def run() -> WeeklyForecast | NoNumpy:
+        def run() -> WeeklyForecast | MissingLibraryError:
             sys.setswitchinterval(
                 SWITCH_INTERVAL_S
             )  # the reactor must not wait long for the interpreter's lock
             try:
                 return calculate()
             except ModuleNotFoundError as error:
-                return NoNumpy(f"this runner owns the forecast, and can't work it out: {error}")
+                return MissingLibraryError(f"this runner owns the forecast, and can't work it out: {error}")
 
-        def done(result: WeeklyForecast | NoNumpy | NotYet) -> None:
+        def done(result: WeeklyForecast | MissingLibraryError | ForecastNotReadyError) -> None:
             self.core.begin_turn()
             callback(result)
 
         def failed(failure: Any) -> None:
             log.error("forecast: the calculation failed: error=%s", failure)
-            done(NotYet(f"it could not be worked out: {failure.value}"))
+            done(ForecastNotReadyError(f"it could not be worked out: {failure.value}"))
 
         deferToThreadPool(self._reactor, self._pool, run).addCallbacks(done, failed)
 
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -18,11 +18,11 @@
 from ..forecasting.policy import ForecastPolicy
 from ..forecasting.scaling_hints import ScalingHints
 from ..leadership.effects import Completed, FencedRequest, Outcome, StateUpdate
-from ..leadership.errors import DutyError
+from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
 from .documents import forecast_document
-from .errors import BadPast, ForecastError, NotYet, Unreadable
+from .errors import CorruptLedgerError, ForecastError, ForecastNotReadyError, InvalidHistoryError
 from .hint_planning import plan_hints
 from .messages import BucketProgress, DemandReport, ImportedHistory, Message, ReportAck
 from .rolling_forecast import ForecastCalculator, RollingForecast
@@ -35,7 +35,7 @@
 TURN_INTERVAL_US = 2 * MS  # between two such turns
 MAX_PENDING_REPORTS = 10_000  # that wait to be replicated; further ones are dropped, and will be sent again
 
-ImportCallback = Callable[[ForecastError | DutyError | None], None]
+ImportCallback = Callable[[ForecastError | LeadershipError | None], None]
 
 
 class ForecasterHost(ForecastCalculator, Protocol):
@@ -93,9 +93,8 @@
         self._policy = policy
         self._codec = LedgerCodec(self.ledger)
         self._forecast = RollingForecast(host, self._send_hints)
-        self._state_error: Unreadable | None = (
-            None  # nothing is counted then: the damaged state must stay as it is
-        )
+        # Nothing is counted after it: an update would overwrite the damaged state, which may still be repaired.
+        self._state_error: CorruptLedgerError | None = None
         self._pending: list[_PendingAck] = []
         self._is_saving = self._is_stopped = False
 
@@ -106,7 +105,7 @@
         try:
             self._codec.decode(self.lease.state)
         except ValueError as error:
-            self._state_error = Unreadable(f"the counts can't be read: {error}")
+            self._state_error = CorruptLedgerError(f"the counts can't be read: {error}")
             self._host.count("forecast: state not read")
             return
         self._tick()
@@ -114,7 +113,7 @@
     def before_release(self) -> None:
         """Nothing is left to submit: what is not acknowledged will be reported to the next leader."""
 
-    def stop(self, reason: DutyError | None) -> None:
+    def stop(self, reason: LeadershipError | None) -> None:
         """The term is over."""
         self._is_stopped = True
         self._forecast.stop()
@@ -172,8 +171,8 @@
     def import_history(self, histories: list[ImportedHistory], callback: ImportCallback) -> None:
         """Import histories that were counted elsewhere: all of them or none.
 
-        :param callback: called with None once a majority has them. Errors: Unreadable, NotYet, BadPast, or that of the
-            state update.
+        :param callback: called with None once a majority has them. Errors: CorruptLedgerError, ForecastNotReadyError,
+            InvalidHistoryError, or that of the state update.
         """
         error = self._import_error(histories)
         if error is not None:
@@ -192,15 +191,17 @@
         if self._state_error is not None:
             return self._state_error
         if not self.ledger.next_bucket:
-            return NotYet("nothing has been counted yet: there is no hour that these come before")
+            return ForecastNotReadyError(
+                "nothing has been counted yet: there is no hour that these come before"
+            )
         for one in histories:
             if not self.ledger.can_import(encode_key(one.key), one.first_hour, one.requests):
-                return BadPast(f"{one.key.label()}: its hours reach into those counted here")
+                return InvalidHistoryError(f"{one.key.label()}: its hours reach into those counted here")
         routes = {encode_key(one.key) for one in histories}
         if len(routes) < len(histories):
-            return BadPast("a route is named more than once")
+            return InvalidHistoryError("a route is named more than once")
         if len(self.ledger.series.keys() | routes) > self._policy.max_routes:
-            return BadPast(f"more than {self._policy.max_routes} routes")
+            return InvalidHistoryError(f"more than {self._policy.max_routes} routes")
         return None
 
     # ---- hints ----
@@ -233,7 +234,9 @@
         if error is not None:
             raise error
         if self._forecast.latest is None:
-            raise NotYet(f"{len(self.ledger.series)} routes are counted, and nothing is forecast yet")
+            raise ForecastNotReadyError(
+                f"{len(self.ledger.series)} routes are counted, and nothing is forecast yet"
+            )
         return forecast_document(
             self._forecast.latest,
             self.hints,
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..forecast_service.errors import NotYet
+from ..forecast_service.errors import ForecastNotReadyError
 from ..forecast_service.forecaster import NAME, Forecaster
 from ..forecast_service.member import ForecastMember
 from ..forecast_service.messages import Message
@@ -101,7 +101,7 @@
         first_hour: int,
         callback: ForecastCallback,
     ) -> None:
-        self.sim.at(self.sim.now + 10 * MS, self, lambda: callback(NotYet("not here")))
+        self.sim.at(self.sim.now + 10 * MS, self, lambda: callback(ForecastNotReadyError("not here")))
 
     def calculate_correction(
         self, forecast: Any, actual: Mapping[str, list[float]], callback: ForecastCallback
--- a/tests/test_forecaster.py
+++ b/tests/test_forecaster.py
@@ -8,14 +8,20 @@
 
 import pytest
 
-from moorusher.forecast_service.errors import ERRORS, BadPast, ForecastError, NotYet, Unreadable
+from moorusher.forecast_service.errors import (
+    ERRORS,
+    CorruptLedgerError,
+    ForecastError,
+    ForecastNotReadyError,
+    InvalidHistoryError,
+)
 from moorusher.forecast_service.forecaster import Forecaster
 from moorusher.forecast_service.messages import DemandReport, ImportedHistory, ReportAck
 from moorusher.forecasting.demand_counts import BUCKET_MS, HOUR_MS, RouteKey
 from moorusher.forecasting.ledger_codec import decode_ledger
 from moorusher.forecasting.policy import ForecastPolicy
 from moorusher.leadership.effects import Completed, Outcome
-from moorusher.leadership.errors import NoMajority
+from moorusher.leadership.errors import NoMajorityError
 from moorusher.leadership.fencing_token import FencingToken
 
 from .test_demand_counting import KEY, ROUTE, START_MS, ZONES, report_of
@@ -79,7 +85,7 @@
     host.pass_time()
     assert not host.sent
     _, callback = host.submitted.pop()
-    callback(NoMajority("forecast"))
+    callback(NoMajorityError("forecast"))
     assert not host.sent, "it may not have come about"
     host.pass_time()
     state, callback = host.submitted.pop()
@@ -102,7 +108,7 @@
     host, outcomes = StateUpdates(), list[Any]()
     forecaster = started(host, max_routes=2)
     forecaster.import_history([ImportedHistory(KEY, 5, [1], 0.0, 0.0)], outcomes.append)
-    assert isinstance(outcomes.pop(), NotYet)
+    assert isinstance(outcomes.pop(), ForecastNotReadyError)
     forecaster.receive_report("n0", DemandReport(7, [report_of("n0", 1, 0, 5)]))
     first_hour = START_MS // HOUR_MS - 3
     good = ImportedHistory(KEY, first_hour, [1, 2, 3], 0.0, 0.0)
@@ -113,7 +119,7 @@
     ]
     for histories in ([good, overlapping], [good, good], too_many):
         forecaster.import_history(histories, outcomes.append)
-        assert isinstance(outcomes.pop(), BadPast)
+        assert isinstance(outcomes.pop(), InvalidHistoryError)
         assert not forecaster.ledger.series
         assert not host.submitted
     forecaster.import_history([good], outcomes.append)
@@ -130,7 +136,7 @@
     host.pass_time()
     assert not host.submitted
     assert not host.sent
-    with pytest.raises(Unreadable, match="can't be read"):
+    with pytest.raises(CorruptLedgerError, match="can't be read"):
         forecaster.document("")
 
 
@@ -140,4 +146,4 @@
     for error_type in ERRORS:
         assert error_type.remedy
         assert error_type.status in (400, 409, 503)
-        assert f"| `{error_type.__name__}` |" in page
+        assert f"| `{error_type.kind}` |" in page
