--- a/moorusher/forecast_service/documents.py
+++ b/moorusher/forecast_service/documents.py
@@ -12,7 +12,7 @@
 from ..forecasting.time_units import HOURS_PER_DAY
 
 if TYPE_CHECKING:
-    from ..forecasting.weekly_forecast import WeeklyForecast
+    from ..forecasting.weekly_forecast import RouteForecast, WeeklyForecast
 
 
 def forecast_document(
@@ -27,9 +27,9 @@
         "first_hour": forecast.first_hour,
         "term": term,
         "routes": [
-            _route_document(forecast, route)
-            for route in forecast.routes
-            if not customer or decode_key(route).customer == customer
+            _route_document(one)
+            for one in forecast.by_route()
+            if not customer or decode_key(one.route).customer == customer
         ],
         "untold": {
             decode_key(route).label(): reason
@@ -41,16 +41,15 @@
     }
 
 
-def _route_document(forecast: WeeklyForecast, route: str) -> dict[str, Any]:
-    key = decode_key(route)
-    quantiles = forecast.quantiles_of(route)
-    median = quantiles[MEDIAN]
+def _route_document(forecast: RouteForecast) -> dict[str, Any]:
+    key = decode_key(forecast.route)
+    median = forecast.quantiles[MEDIAN]
     return {
         "customer": key.customer,
         "route": key.route,
         "zone": key.zone,
-        "model": forecast.main_models[forecast.routes.index(route)],
-        "day": [round(float(hours[:HOURS_PER_DAY].sum()), 1) for hours in quantiles],
+        "model": forecast.main_model,
+        "day": [round(float(hours[:HOURS_PER_DAY].sum()), 1) for hours in forecast.quantiles],
         "week": round(float(median.sum()), 1),
         "hours": [round(float(requests), 1) for requests in median],
     }
--- a/moorusher/forecast_service/hint_planning.py
+++ b/moorusher/forecast_service/hint_planning.py
@@ -12,7 +12,7 @@
 from ..forecasting.scaling_hints import RouteDemand, ScalingHints, make_hints
 
 if TYPE_CHECKING:
-    from ..forecasting.weekly_forecast import WeeklyForecast
+    from ..forecasting.weekly_forecast import RouteForecast, WeeklyForecast
 
 
 def plan_hints(
@@ -29,7 +29,9 @@
     :param now_ms: Unix time.
     :param running: runners that are up, by zone.
     """
-    demands = [_route_demand(forecast, route, ledger, first_hour, policy) for route in forecast.routes]
+    demands = [
+        _route_demand(one, ledger, first_hour - forecast.first_hour, policy) for one in forecast.by_route()
+    ]
     zones = {demand.zone for demand in demands}
     skipped_zones = {
         key.zone: f"{key.label()}: {reason}"
@@ -40,13 +42,13 @@
 
 
 def _route_demand(
-    forecast: WeeklyForecast, route: str, ledger: DemandLedger, first_hour: int, policy: ScalingPolicy
+    forecast: RouteForecast, ledger: DemandLedger, start: int, policy: ScalingPolicy
 ) -> RouteDemand:
-    """The demand to plan for: a higher quantile for requests of high priority."""
-    series = ledger.series.get(route)
-    key = decode_key(route)
+    """The demand to plan for, from hour `start` of the forecast on: a higher quantile for requests of high priority."""
+    series = ledger.series.get(forecast.route)
+    key = decode_key(forecast.route)
     core_us = 0.0 if series is None else series.core_us
     priority_weight = 0.0 if series is None else series.priority_weight
     index = HIGHEST if priority_weight >= policy.priority_threshold else HIGH
-    hours = forecast.quantiles_of(route)[index, first_hour - forecast.first_hour :]
+    hours = forecast.quantiles[index, start:]
     return RouteDemand(key.label(), key.zone, tuple(float(requests) for requests in hours), core_us)
--- a/moorusher/forecasting/weekly_forecast.py
+++ b/moorusher/forecasting/weekly_forecast.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 
 import numpy as np
@@ -25,6 +25,20 @@
 MIN_KNOWN_HOURS = 48  # of a route, to forecast it
 
 
+@dataclass(frozen=True, slots=True)
+class RouteForecast:
+    """The forecast of one route.
+
+    route: str, its encoded key.
+    quantiles: (quantiles, 168), requests an hour.
+    main_model: str, the model with the largest weight.
+    """
+
+    route: str
+    quantiles: Floats
+    main_model: str
+
+
 @dataclass(frozen=True, slots=True)
 class WeeklyForecast:
     """The forecast of 168 hours.
@@ -42,6 +56,11 @@
     main_models: tuple[str, ...]
     skipped: Mapping[str, str]
 
+    def by_route(self) -> Iterator[RouteForecast]:
+        """Yield the forecast of each route."""
+        for index, route in enumerate(self.routes):
+            yield RouteForecast(route, self.quantiles[:, index], self.main_models[index])
+
     def quantiles_of(self, route: str) -> Floats:
         """Return (quantiles, 168) of one route.
 
