--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -22,7 +22,7 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..membership.failure_detector import MS
 from .documents import forecast_document
-from .errors import BadPast, ForecastError, NotYet, Unreadable
+from .errors import CorruptLedgerError, ForecastError, ForecastNotReadyError, InvalidHistoryError
 from .hint_planning import plan_hints
 from .messages import BucketProgress, DemandReport, ImportedHistory, Message, ReportAck
 from .rolling_forecast import ForecastCalculator, RollingForecast
@@ -93,9 +93,8 @@
         self._policy = policy
         self._codec = LedgerCodec(self.ledger)
         self._forecast = RollingForecast(host, self._send_hints)
-        self._state_error: Unreadable | None = (
-            None  # nothing is counted then: the damaged state must stay as it is
-        )
+        # Nothing is counted after it: an update would overwrite the damaged state, which may still be repaired.
+        self._state_error: CorruptLedgerError | None = None
         self._pending: list[_PendingAck] = []
         self._is_saving = self._is_stopped = False
 
@@ -106,7 +105,7 @@
         try:
             self._codec.decode(self.lease.state)
         except ValueError as error:
-            self._state_error = Unreadable(f"the counts can't be read: {error}")
+            self._state_error = CorruptLedgerError(f"the counts can't be read: {error}")
             self._host.count("forecast: state not read")
             return
         self._tick()
@@ -172,8 +171,8 @@
     def import_history(self, histories: list[ImportedHistory], callback: ImportCallback) -> None:
         """Import histories that were counted elsewhere: all of them or none.
 
-        :param callback: called with None once a majority has them. Errors: Unreadable, NotYet, BadPast, or that of the
-            state update.
+        :param callback: called with None once a majority has them. Errors: CorruptLedgerError, ForecastNotReadyError,
+            InvalidHistoryError, or that of the state update.
         """
         error = self._import_error(histories)
         if error is not None:
@@ -192,15 +191,17 @@
         if self._state_error is not None:
             return self._state_error
         if not self.ledger.next_bucket:
-            return NotYet("nothing has been counted yet: there is no hour that these come before")
+            return ForecastNotReadyError(
+                "nothing has been counted yet: there is no hour that these come before"
+            )
         for one in histories:
             if not self.ledger.can_import(encode_key(one.key), one.first_hour, one.requests):
-                return BadPast(f"{one.key.label()}: its hours reach into those counted here")
+                return InvalidHistoryError(f"{one.key.label()}: its hours reach into those counted here")
         routes = {encode_key(one.key) for one in histories}
         if len(routes) < len(histories):
-            return BadPast("a route is named more than once")
+            return InvalidHistoryError("a route is named more than once")
         if len(self.ledger.series.keys() | routes) > self._policy.max_routes:
-            return BadPast(f"more than {self._policy.max_routes} routes")
+            return InvalidHistoryError(f"more than {self._policy.max_routes} routes")
         return None
 
     # ---- hints ----
@@ -233,7 +234,9 @@
         if error is not None:
             raise error
         if self._forecast.latest is None:
-            raise NotYet(f"{len(self.ledger.series)} routes are counted, and nothing is forecast yet")
+            raise ForecastNotReadyError(
+                f"{len(self.ledger.series)} routes are counted, and nothing is forecast yet"
+            )
         return forecast_document(
             self._forecast.latest,
             self.hints,
--- a/moorusher/forecast_service/leader_queries.py
+++ b/moorusher/forecast_service/leader_queries.py
@@ -7,7 +7,7 @@
 from ..leadership.errors import LeadershipError
 from ..leadership.services import MemberServices
 from ..membership.failure_detector import MS
-from .errors import ForecastError, NotYet, error_from_wire
+from .errors import ForecastError, ForecastNotReadyError, error_from_wire
 from .leader_lookup import LeaderCallback
 from .messages import ForecastQuery, HistoryImport, LeaderReply, Message
 
@@ -40,11 +40,11 @@
         """Send a query to the leader.
 
         :param make_query: returns it, with that serial.
-        :param callback: called with the document of the answer. Errors: NotYet, that of the leader, and those of the
-            search for it.
+        :param callback: called with the document of the answer. Errors: ForecastNotReadyError, that of the leader, and
+            those of the search for it.
         """
         if len(self._waiting) >= MAX_QUERIES:
-            return callback(NotYet(f"{MAX_QUERIES} questions wait at this runner"))
+            return callback(ForecastNotReadyError(f"{MAX_QUERIES} questions wait at this runner"))
 
         def found(leader: str | LeadershipError) -> None:
             if isinstance(leader, LeadershipError):
@@ -67,4 +67,4 @@
     def _timed_out(self, serial: int, leader: str) -> None:
         callback = self._waiting.pop(serial, None)
         if callback is not None:
-            callback(NotYet(f"{leader} has the forecast, and does not answer"))
+            callback(ForecastNotReadyError(f"{leader} has the forecast, and does not answer"))
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from ..errors import kind_of
 from ..forecasting.demand_counter import DemandCounter
 from ..forecasting.policy import ForecastPolicy
 from ..leadership.errors import LeadershipError
@@ -16,7 +17,7 @@
 from ..replication.messages import ComponentMessage
 from . import messages
 from .demand_reporter import DemandReporter
-from .errors import ForecastError, NotYet
+from .errors import ForecastError, ForecastNotReadyError
 from .forecaster import KIND, NAME, Forecaster
 from .leader_lookup import LeaderCallback, LeaderLookup
 from .leader_queries import DocumentCallback, LeaderQueries
@@ -131,7 +132,9 @@
         except ForecastError as error:
             return _error_reply(query.serial, error)
         if len(document) > MAX_DOCUMENT_BYTES:
-            return _error_reply(query.serial, NotYet(f"{len(document)} bytes: ask for one customer"))
+            return _error_reply(
+                query.serial, ForecastNotReadyError(f"{len(document)} bytes: ask for one customer")
+            )
         return LeaderReply(query.serial, document)
 
     def _import_received(self, seat: str, request: HistoryImport) -> None:
@@ -148,7 +151,7 @@
 
     def _leading_forecaster(self) -> Forecaster:
         if self.forecaster is None:
-            raise NotYet(f"{self._services.me} has not got the forecast")
+            raise ForecastNotReadyError(f"{self._services.me} has not got the forecast")
         return self.forecaster
 
     # ---- operators ----
@@ -181,4 +184,4 @@
 
 
 def _error_reply(serial: int, error: Exception) -> LeaderReply:
-    return LeaderReply(serial, b"", type(error).__name__, str(error))
+    return LeaderReply(serial, b"", kind_of(type(error)), str(error))
--- a/moorusher/forecast_service/messages.py
+++ b/moorusher/forecast_service/messages.py
@@ -70,7 +70,7 @@
     """The answer to a query or an import.
 
     document: JSON; b"" after an error.
-    error: str, the name of its class; "" after success.
+    error: str, its `kind`; "" after success.
     error_text: str.
     """
 
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from ..forecast_service.errors import NotYet
+from ..forecast_service.errors import ForecastNotReadyError
 from ..forecast_service.forecaster import NAME, Forecaster
 from ..forecast_service.member import ForecastMember
 from ..forecast_service.messages import Message
@@ -125,7 +125,9 @@
         callback: ForecastCallback,
     ) -> None:
         """No forecast is computed here: only the counts are checked."""
-        self.sim.at(self.sim.now + NO_FORECAST_AFTER_US, self, lambda: callback(NotYet("not here")))
+        self.sim.at(
+            self.sim.now + NO_FORECAST_AFTER_US, self, lambda: callback(ForecastNotReadyError("not here"))
+        )
 
     def calculate_correction(
         self, forecast: Any, actual: Mapping[str, list[float]], callback: ForecastCallback
--- a/tests/test_rolling_forecast.py
+++ b/tests/test_rolling_forecast.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from moorusher.forecast_service.errors import NotYet
+from moorusher.forecast_service.errors import ForecastNotReadyError
 from moorusher.forecast_service.rolling_forecast import REFRESH_INTERVAL_H, RollingForecast
 from moorusher.forecasting.demand_counts import BUCKETS_PER_HOUR, DemandCounts, RouteKey, encode_key
 from moorusher.forecasting.demand_ledger import DemandLedger
@@ -86,7 +86,7 @@
 def test_a_calculation_that_fails_is_tried_again_with_the_next_hour() -> None:
     course = Course()
     course.update()
-    error = NotYet("it could not be worked out: no reason")
+    error = ForecastNotReadyError("it could not be worked out: no reason")
     course.calculator.forecasts.pop()[1](error)
     assert course.forecast.error is error
     course.update()
