--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -8,7 +8,8 @@
 
 from collections.abc import Hashable
 from dataclasses import dataclass
-from typing import Any
+from enum import StrEnum
+from typing import Any, Self
 
 from ..leadership.fencing_token import FencingToken, TokenVerdict, check_token
 from ..leadership.holder_changes import AddIntent, HolderChange, IssueToken, UpdateState
@@ -18,7 +19,9 @@
 from ..replication.messages import FAST_BALLOT
 from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Owner
-from .register_interleavings import KEY, SEATS, Limits, RegisterModel, Runner
+from . import register_moves as names
+from .register_interleavings import RegisterModel
+from .register_state import KEY, SEATS, Limits, Runner, Step
 
 JOB = b"job"
 RECEIVER = "out"
@@ -26,45 +29,71 @@
 FIRST_TERM = 1
 MAX_LOST_LEADERS = 5
 MAX_VERSIONS = 9
+PERFORM = "performs"  # P's first move
+ACQUIRE = "acquires the lease"  # Q's first move
+FIRST_MOVES = {f"P {names.CLAIM}": f"P {PERFORM}", f"Q {names.CLAIM}": f"Q {ACQUIRE}"}
+
+
+class EffectKind(StrEnum):
+    """What both leaders want to do."""
+
+    FENCED = "fenced"  # a request to a receiver that compares tokens
+    ONCE = "once"  # one job for both, at a receiver that can't compare
+    STATE = "state"  # an update of the duty's own state
 
 
 @dataclass(frozen=True, slots=True)
 class EffectMessage:
-    """On its way to the receiver: it arrives at any time, or never. `is_job`: at one that can't compare tokens."""
+    """In transit to the receiver: it arrives at any time, or never.
+
+    Attributes:
+        serial: `int`, which no answer ever names.
+        token: `FencingToken`.
+        is_job: `bool`, its receiver can't compare tokens.
+    """
 
     serial: int
     token: FencingToken
     is_job: bool
 
 
+@dataclass(frozen=True, slots=True)
+class Acknowledgement:
+    """A runner was told that a change of its own is chosen, at this token."""
+
+    runner: str
+    token: FencingToken
+
+
 @dataclass(slots=True)
-class Terms(RegisterModel):
-    """Two terms of one duty.
-
-    kind: what both leaders want to do: "fenced", at a receiver that compares; "once", one job for both, at one that
-        can't; "state", an update of the duty's own state.
-    compares, early, token_change, acquire_change: seeded mistakes if they are not as by default; `early` sends an
-        effect before its intent is chosen.
-    highest: the highest token at the receiver.
-    jobs_done: at the receiver that can't compare.
-    operator_notified: an operator was told that an outcome is uncertain.
-    acknowledged: who was told that a change of its own is chosen, and its token.
+class LeadershipModel(RegisterModel):
+    """A state of two terms of one duty.
+
+    Attributes:
+        kind: what both leaders want to do.
+        compares: `bool`; False is a seeded mistake: the receiver does not compare tokens.
+        sends_early: `bool`, a seeded mistake: an effect is sent before its intent is chosen.
+        token_change, acquire_change: the real ones, or those with a seeded mistake.
+        highest: the highest token at the receiver.
+        jobs_done: `int`, at the receiver that can't compare.
+        operator_notified: `bool`, an operator was told that an outcome is uncertain.
+        acknowledged: who was told that a change of its own is chosen, and its token.
     """
 
-    kind: str = "fenced"
+    kind: EffectKind = EffectKind.FENCED
     compares: bool = True
-    early: bool = False
+    sends_early: bool = False
     token_change: type[HolderChange] = IssueToken
     acquire_change: type[AcquireLease] = AcquireLease
     highest: FencingToken | None = None
     jobs_done: int = 0
     operator_notified: bool = False
-    acknowledged: tuple[tuple[str, FencingToken], ...] = ()
+    acknowledged: tuple[Acknowledgement, ...] = ()
 
     @classmethod
-    def held(cls, limits: Limits, **options: Any) -> Terms:
-        """Return the case that begins with the lease held by P."""
-        made: Terms = cls.initial(limits, **options)  # type: ignore[assignment]
+    def held(cls, limits: Limits, **options: Any) -> Self:
+        """Return the state that begins with the lease held by P; `options`: further attributes."""
+        made = cls.initial(limits, **options)
         leader = made.runners["P"]
         owner = Owner("P", leader.incarnation)
         record = LeaseRecord("d", "test", GENERATION, FIRST_TERM, 1, LeaseStatus.HELD, owner)
@@ -90,42 +119,37 @@
 
     def moves(self) -> list[str]:
         """Return the names of all moves that are possible now."""
-        names = RegisterModel.moves(self)
-        leader = self.runners["P"]
-        if not self.failure and leader.proposer is None and leader.step == "again":
-            names.append("P effects")
-        renamed = {"P claims": "P effects", "Q claims": "Q accepts"}
-        return [renamed.get(name, name) for name in names]
+        return [FIRST_MOVES.get(name, name) for name in RegisterModel.moves(self)]
 
     def apply(self, name: str) -> None:
         """Make a move."""
-        if name == "P effects":
-            runner = self.runners["P"]
-            self._begin_effect(runner, FIRST_TERM, None if runner.step else self.first_promise)
-        elif name == "Q accepts":
-            runner = self.runners["Q"]
-            runner.step = "accept"
+        subject, _, verb = name.partition(" ")
+        if verb == PERFORM:
+            self._begin_effect(self.runners[subject], FIRST_TERM, self.first_promise)
+        elif verb == ACQUIRE:
+            runner = self.runners[subject]
+            runner.step = Step.ACQUIRE_LEASE
             owner = Owner("Q", runner.incarnation)
             expected = (GENERATION, FIRST_TERM)
             self._change(runner, self.acquire_change(owner, expected, True, MAX_LOST_LEADERS))
         else:
             RegisterModel.apply(self, name)
 
-    def _begin_effect(self, runner: Runner, term: int, hold: CarriedPromise | None) -> None:
+    def _begin_effect(self, runner: Runner, term: int, promise: CarriedPromise | None) -> None:
         runner.attempt += 1
-        runner.step = "effect"
+        runner.step = Step.EFFECT
         owner = Owner(runner.name, runner.incarnation)
-        if self.kind == "once" and self.early:
+        if self.kind is EffectKind.ONCE and self.sends_early:
             self._send(runner.name, [(RECEIVER, EffectMessage(0, FencingToken(GENERATION, term, 0), True))])
         runner.change = self._effect_change(runner, owner, term)
-        self._change(runner, runner.change, hold)
+        self._change(runner, runner.change, promise)
 
     def _effect_change(self, runner: Runner, owner: Owner, term: int) -> HolderChange:
-        if self.kind == "once":
+        if self.kind is EffectKind.ONCE:
             return AddIntent(
                 owner, GENERATION, term, runner.attempt, "s", JOB, IntentResolution.OPERATOR_DECIDES
             )
-        if self.kind == "state":
+        if self.kind is EffectKind.STATE:
             base_revision = 1 if runner.name == "P" else 2
             return UpdateState(owner, GENERATION, term, runner.attempt, base_revision, 0, (), MAX_VERSIONS)
         return self.token_change(owner, GENERATION, term, runner.attempt)
@@ -135,63 +159,63 @@
     def _step(self, runner: Runner) -> None:
         if runner.proposer is None or runner.proposer.result is None:
             return
-        done = runner.proposer.result
+        result = runner.proposer.result
         runner.proposer = None
-        self.in_transit = tuple(message for message in self.in_transit if message[0] != runner.name)
-        record = decode_record(done.value)
-        if runner.step == "accept":
-            self._acquired(runner, record, done.promise)
+        self.in_transit = tuple(sent for sent in self.in_transit if sent.to != runner.name)
+        record = decode_record(result.value)
+        if runner.step is Step.ACQUIRE_LEASE:
+            self._acquired(runner, record, result.promise)
         else:
-            runner.step = "over"
+            runner.step = Step.OVER
             if record is not None and runner.change.is_applied_in(record):
                 self._effect_chosen(runner, record)
 
-    def _acquired(self, runner: Runner, record: LeaseRecord | None, hold: CarriedPromise | None) -> None:
+    def _acquired(self, runner: Runner, record: LeaseRecord | None, promise: CarriedPromise | None) -> None:
         if record is None or record.holder != Owner(runner.name, runner.incarnation):
-            runner.step = "over"
+            runner.step = Step.OVER
         elif record.intents:
-            runner.step = "over"
+            runner.step = Step.OVER
             self.operator_notified = True
         else:
-            self._begin_effect(runner, record.term, hold)
+            self._begin_effect(runner, record.term, promise)
 
     def _effect_chosen(self, runner: Runner, record: LeaseRecord) -> None:
         token = FencingToken(*record.position)
         if record.holder != Owner(runner.name, runner.incarnation):
             self.failure = f"{runner.name} has made {token}, which is the other's"
-        if any(other == token and name != runner.name for name, other in self.acknowledged):
+        if any(other.token == token and other.runner != runner.name for other in self.acknowledged):
             self.failure = f"{runner.name} acts at {token}, as the other has"
-        self.acknowledged = (*self.acknowledged, (runner.name, token))
-        if self.kind == "state":
+        self.acknowledged = (*self.acknowledged, Acknowledgement(runner.name, token))
+        if self.kind is EffectKind.STATE:
             self._check_versions(record)
-        elif not self.early:
-            self._send(runner.name, [(RECEIVER, EffectMessage(0, token, self.kind == "once"))])
+        elif not self.sends_early:
+            self._send(runner.name, [(RECEIVER, EffectMessage(0, token, self.kind is EffectKind.ONCE))])
 
     def _check_versions(self, record: LeaseRecord) -> None:
         """What was acknowledged in an earlier term is among the versions that are acknowledged later."""
         revisions = {version.revision for version in record.versions}
-        lost = [token for _, token in self.acknowledged if token.revision not in revisions]
+        lost = [other.token for other in self.acknowledged if other.token.revision not in revisions]
         if lost:
             self.failure = f"{lost[0]} was acknowledged, and {record.position} has lost it"
 
     # ---- the receiver ----
 
-    def _deliver(self, to: str, by: str, message: Any, heard: bool = True) -> None:
+    def _deliver(self, to: str, sender: str, message: Any, is_answered: bool = True) -> None:
         if not isinstance(message, EffectMessage):
-            RegisterModel._deliver(self, to, by, message, heard)
+            RegisterModel._deliver(self, to, sender, message, is_answered)
         elif message.is_job:
             self._receive_job()
         else:
-            self._receive_fenced(by, message.token)
+            self._receive_fenced(sender, message.token)
 
     def _receive_job(self) -> None:
         self.jobs_done += 1
         if self.jobs_done > 1 and not self.operator_notified:
             self.failure = "the job was done twice, and no operator was told"
 
-    def _receive_fenced(self, by: str, token: FencingToken) -> None:
+    def _receive_fenced(self, sender: str, token: FencingToken) -> None:
         if self.compares and check_token(self.highest, token) is not TokenVerdict.CURRENT:
             return
         if self.highest is not None and token < self.highest:
-            self.failure = f"{token} of {by} took effect after {self.highest}"
+            self.failure = f"{token} of {sender} took effect after {self.highest}"
         self.highest = token
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -22,7 +22,7 @@
 from ..maintenance.slot_changes import ClearMachine, GrantSlots
 from ..maintenance.transitions import Change
 from .maintenance_machines import Machine, SentChange
-from .register_interleavings import shallow_copy
+from .shallow_copy import shallow_copy
 
 SEATS = ("a", "b", "c")
 POLICY = Policy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
--- /dev/null
+++ b/moorusher/model_checking/shallow_copy.py
@@ -0,0 +1,24 @@
+"""A fast copy of objects with slots, for models that are copied at each move."""
+
+from __future__ import annotations
+
+from collections.abc import Hashable
+from functools import cache
+from typing import Any, TypeVar
+
+T = TypeVar("T")
+
+
+@cache
+def _fields(kind: Hashable) -> tuple[str, ...]:
+    bases = reversed(getattr(kind, "__mro__", ()))
+    return tuple(name for base in bases for name in getattr(base, "__slots__", ()))
+
+
+def shallow_copy(original: T) -> T:
+    """Return a copy one level deep, as `copy.copy` of a dataclass with slots, in a third of the time."""
+    new = object.__new__(type(original))
+    kind: Any = type(original)
+    for name in _fields(kind):
+        setattr(new, name, getattr(original, name))
+    return new
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,8 @@
 from moorusher.model_checking.cluster_process import Process
 from moorusher.model_checking.cluster_simulation import Simulation, find_counterexample
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.register_interleavings import Limits, RegisterModel
+from moorusher.model_checking.register_interleavings import RegisterModel
+from moorusher.model_checking.register_state import Limits
 from moorusher.model_checking.scenario import Scenario
 from moorusher.model_checking.simulated_request_engine import KeyState, SimulatedRequestEngine
 from moorusher.replication import node as node_module
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -21,22 +21,22 @@
 from moorusher.leadership.state_replication import StateReplication
 from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore
-from moorusher.model_checking.leadership_interleavings import Terms
+from moorusher.model_checking.leadership_interleavings import EffectKind, LeadershipModel
 from moorusher.model_checking.leadership_simulation import (
     DISK_SCENARIO,
     SCENARIO,
     DutySimulation,
 )
-from moorusher.model_checking.register_interleavings import Limits
+from moorusher.model_checking.register_state import Limits
 from moorusher.model_checking.scenario import FaultKind, Scenario
 from moorusher.replication.register_reader import RegisterReader
 
 # ---- every interleaving ----
 
 
-@pytest.mark.parametrize("kind", ["fenced", "once", "state"])
-def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: str) -> None:
-    found = explore(Terms.held(Limits(retries=(0, 0), patient=True), kind=kind), most=5_000)
+@pytest.mark.parametrize("kind", list(EffectKind))
+def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: EffectKind) -> None:
+    found = explore(LeadershipModel.held(Limits(retries=(0, 0), patient=True), kind=kind), most=5_000)
     assert found.violation is None, str(found)
 
 
@@ -68,13 +68,13 @@
         {"token_change": Blind},
         {"acquire_change": SameTerm},
         {"compares": False},
-        {"kind": "once", "early": True},
+        {"kind": EffectKind.ONCE, "sends_early": True},
     ],
     ids=["term looked at before", "same term twice", "receiver does not compare", "effect before intent"],
 )
 def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
     again = (1, 0) if "token_change" in how else (0, 0)
-    found = explore(Terms.held(Limits(retries=again, patient=True), **how), most=60_000, deep=True)
+    found = explore(LeadershipModel.held(Limits(retries=again, patient=True), **how), most=60_000, deep=True)
     assert found.violation is not None, str(found)
 
 
