--- a/moorusher/model_checking/__init__.py
+++ b/moorusher/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Looks through every course that a small case can take. For tests and the laboratory, never for what serves."""
+"""Model checking: every interleaving of small cases, and seeds in virtual time. For tests and the laboratory alone."""
--- a/moorusher/model_checking/explorer.py
+++ b/moorusher/model_checking/explorer.py
@@ -9,31 +9,39 @@
 from collections import deque
 from collections.abc import Hashable, Sequence
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import xxhash
 
-# By the fingerprint of each state seen: that of the state before, and the move that led from there; None for the first.
-Seen = dict[bytes, tuple[bytes, str] | None]
+
+class Transition(NamedTuple):
+    """The fingerprint of a state, and a move from there."""
+
+    source: bytes
+    move: str
+
+
+# By the fingerprint of each state that was visited, the transition that first led to it; None for the first state.
+Predecessors = dict[bytes, Transition | None]
 
 
 class Model(Protocol):
     """One state of what is explored."""
 
     def moves(self) -> Sequence[str]:
-        """The names of all moves from here."""
+        """Return the names of all moves from here."""
 
     def apply(self, name: str) -> None:
-        """Makes a move; this becomes the next state."""
+        """Make a move; this becomes the next state."""
 
     def copy(self) -> Model:
-        """A state that shares nothing that a move changes."""
+        """Return a state that shares nothing that a move changes."""
 
     def fingerprint(self) -> Hashable:
         """The same for states that can't be told apart."""
 
     def violation(self) -> str | None:
-        """What is broken in this state."""
+        """Return what is violated in this state, in words, or None."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,43 +73,48 @@
     return xxhash.xxh3_128_digest(repr(state.fingerprint()).encode())
 
 
-def explore(first: Model, most: int = 1_000_000, deep: bool = False) -> Exploration:
-    """Visits at most `most` states.
+def explore(first: Model, max_states: int = 1_000_000, depth_first: bool = False) -> Exploration:
+    """Visit the states that can be reached from the first one.
 
-    Breadth first, so that the path to a violation is the shortest; `deep`: depth first, which finds some path sooner.
+    :param max_states: how many are visited at most.
+    :param depth_first: finds some path to a violation sooner; breadth first finds the shortest one.
     """
     start = fingerprint_of(first)
-    seen: Seen = {start: None}
+    predecessors: Predecessors = {start: None}
     queue: deque[tuple[bytes, Model]] = deque([(start, first)])
     while queue:
-        here, state = queue.pop() if deep else queue.popleft()
+        here, state = queue.pop() if depth_first else queue.popleft()
         for move in state.moves():
             following = state.copy()
             following.apply(move)
             there = fingerprint_of(following)
-            if there in seen:
+            if there in predecessors:
                 continue
-            seen[there] = (here, move)
+            predecessors[there] = Transition(here, move)
             violation = following.violation()
             if violation is not None:
-                return Exploration(len(seen), False, violation, _path_to(there, seen))
-            if len(seen) >= most:
-                return Exploration(len(seen), False)
+                return Exploration(len(predecessors), False, violation, _path_to(there, predecessors))
+            if len(predecessors) >= max_states:
+                return Exploration(len(predecessors), False)
             queue.append((there, following))
-    return Exploration(len(seen), True)
+    return Exploration(len(predecessors), True)
 
 
-def _path_to(fingerprint: bytes, seen: Seen) -> tuple[str, ...]:
+def _path_to(fingerprint: bytes, predecessors: Predecessors) -> tuple[str, ...]:
     path: list[str] = []
-    at = fingerprint
-    while (step := seen[at]) is not None:
-        at, move = step
-        path.append(move)
+    transition = predecessors[fingerprint]
+    while transition is not None:
+        path.append(transition.move)
+        transition = predecessors[transition.source]
     return tuple(reversed(path))
 
 
 def replay(first: Model, path: Sequence[str]) -> str | None:
-    """What is violated at the end of these moves. Raises KeyError where one can't be made."""
+    """Make these moves.
+
+    :returns: what is violated after them, in words, or None.
+    :raises KeyError: one of them can't be made.
+    """
     state = first.copy()
     for move in path:
         if move not in state.moves():
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -137,7 +137,7 @@
         true_counts: the demand that there was.
         last_request_us: `int`, when requests end.
         hours: `int`, how many hours of a series the ledger had in the end.
-        whole_hours: `int`, how many of them it said were counted whole.
+        complete_hours: `int`, how many of them it said were counted whole.
     """
 
     def __init__(
@@ -154,7 +154,7 @@
         self.true_counts: Counter[HourOfDemand] = Counter()
         self.last_request_us = round(scenario.seconds * SECOND) + REQUESTS_AFTER_US
         self.hours = 0
-        self.whole_hours = 0
+        self.complete_hours = 0
         super().__init__(seed, scenario, duties=0, has_disks=has_disks, process_class=CountingProcess)
 
     def ledger(self) -> Ledger | None:
@@ -172,7 +172,7 @@
         if ledger is None:
             return None
         self.hours = 0
-        self.whole_hours = 0
+        self.complete_hours = 0
         for name, series in ledger.series.items():
             found = self._wrong_in_series(unpack_key(name), series)
             if found is not None:
@@ -189,7 +189,7 @@
                 return f"{where}: {asked} are said to have been asked in hour {hour}, {true_count} were"
             if counted != WHOLE:
                 continue
-            self.whole_hours += 1
+            self.complete_hours += 1
             if asked != true_count:
                 return f"{where}: hour {hour} is said to be whole with {asked}, had {true_count}"
         return None
--- a/moorusher/model_checking/leadership_history.py
+++ b/moorusher/model_checking/leadership_history.py
@@ -1,4 +1,4 @@
-"""What a simulated course has done to one duty, as no member of the fleet sees it, and the rules that it must keep."""
+"""What a simulation has done to one duty, as no member of the cluster sees it, and the rules that it must keep."""
 
 from __future__ import annotations
 
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -91,7 +91,7 @@
     acknowledged: tuple[Acknowledgement, ...] = ()
 
     @classmethod
-    def held(cls, limits: Limits, **options: Any) -> Self:
+    def with_lease(cls, limits: Limits, **options: Any) -> Self:
         """Return the state that begins with the lease held by P; `options`: further attributes."""
         made = cls.initial(limits, **options)
         leader = made.runners["P"]
@@ -125,7 +125,7 @@
         """Make a move."""
         subject, _, verb = name.partition(" ")
         if verb == PERFORM:
-            self._begin_effect(self.runners[subject], FIRST_TERM, self.first_promise)
+            self._start_effect(self.runners[subject], FIRST_TERM, self.first_promise)
         elif verb == ACQUIRE:
             runner = self.runners[subject]
             runner.step = Step.ACQUIRE_LEASE
@@ -135,7 +135,7 @@
         else:
             RegisterModel.apply(self, name)
 
-    def _begin_effect(self, runner: Runner, term: int, promise: CarriedPromise | None) -> None:
+    def _start_effect(self, runner: Runner, term: int, promise: CarriedPromise | None) -> None:
         runner.attempt += 1
         runner.step = Step.EFFECT
         owner = Owner(runner.name, runner.incarnation)
@@ -177,7 +177,7 @@
             runner.step = Step.OVER
             self.operator_notified = True
         else:
-            self._begin_effect(runner, record.term, promise)
+            self._start_effect(runner, record.term, promise)
 
     def _effect_chosen(self, runner: Runner, record: LeaseRecord) -> None:
         token = FencingToken(*record.position)
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -1,7 +1,7 @@
-"""Duties of a fleet in virtual time: the real pure parts, workers that try every kind of effect, and faults.
+"""Duties of a cluster in virtual time: the real pure parts, workers that try every kind of effect, and faults.
 
-One seed is one course of `cluster_simulation`; its whole history is checked. Each worker adds a number of its own to
-the state that it was handed: no acknowledged number may ever be missing. A receiver that compares accepts tokens in
+One seed is one simulation of `cluster_simulation`; its whole history is checked. Each worker adds a number of its own
+to the state that it was handed: no acknowledged number may ever be missing. A receiver that compares accepts tokens in
 order. No job of a receiver that can't compare is done twice, nor after it was settled as never done.
 """
 
@@ -50,6 +50,8 @@
 RESPONSE_LOSS = 0.03
 LATE_REQUESTS = 0.05  # share of requests that take up to MAX_LATE_MS
 MAX_LATE_MS = 6_000
+REQUEST_MS = (0.1, 3)  # least and most time in transit
+RESPONSE_MS = (0.1, 2)
 MIN_REPLICAS = 2  # a majority of the three
 
 
@@ -130,12 +132,12 @@
         def arrived() -> None:
             response = arrive()
             if random.random() > RESPONSE_LOSS:
-                delay_us = round(random.uniform(0.1, 2) * MS)
+                delay_us = round(random.uniform(*RESPONSE_MS) * MS)
                 self.sim.at(self.sim.now + delay_us, self, lambda: answer(response))
 
         if random.random() > REQUEST_LOSS:
             is_late = random.random() < LATE_REQUESTS
-            delay_ms = random.uniform(0, MAX_LATE_MS) if is_late else random.uniform(0.1, 3)
+            delay_ms = random.uniform(0, MAX_LATE_MS) if is_late else random.uniform(*REQUEST_MS)
             self.sim.at(self.sim.now + round(delay_ms * MS), None, arrived)
         self.sim.at(self.sim.now + RESPONSE_TIMEOUT_US, self, lambda: answer(NO_RESPONSE))
 
@@ -173,7 +175,7 @@
         :param amnesia: see `Simulation`.
         """
         scenario = scenario or SCENARIO
-        self.names = [f"duty-{i}" for i in range(duties)]
+        self.names = [f"duty-{number}" for number in range(duties)]
         self.histories: dict[str, DutyHistory] = {name: DutyHistory() for name in self.names}
         self.participant_class = participant_class
         self.acceptor_class = acceptor_class
@@ -247,7 +249,7 @@
     # ---- the end ----
 
     def violation(self) -> str | None:
-        """Return what was wrong in the course, in words."""
+        """Return what was wrong in the simulation, in words."""
         if self.wrong_reads:
             return self.wrong_reads[0]
         for name, history in self.histories.items():
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -12,13 +12,13 @@
 from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
 from .virtual_time import MS
 
-EFFECT_INTERVAL_MS = (20, 300)
+EFFECT_INTERVAL_MS = (20, 300)  # least and most time
 STATE_UPDATE_SHARE = 0.4  # of effects
 FENCED_SHARE = 0.3
 
 
 class DutyWorld(Protocol):
-    """The course, as a worker sees it. `histories`: of each duty."""
+    """The simulation, as a worker sees it. `histories`: of each duty."""
 
     histories: dict[str, DutyHistory]
 
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -74,13 +74,22 @@
 
 
 @dataclass(slots=True)
-class MaintenanceCase:
-    """Three machines and the schedule.
-
-    grant_change, clear_change, withdraw_change, budget_class: the real ones, or those with a seeded mistake.
-    machine_policy: settings of the machines.
-    clears_early: bool, a seeded mistake: the operator is told as the change goes out.
-    any_process: bool, a seeded mistake: any later process counts as a later boot of its machine.
+class MaintenanceModel:
+    """A state of three machines and the schedule, see `explorer.Model`.
+
+    Attributes:
+        limits: `Limits`.
+        grant_change, clear_change, withdraw_change, budget_class: the real ones, or those with a seeded mistake.
+        machine_policy: settings of the machines.
+        clears_early: `bool`, a seeded mistake: the operator is told as the change goes out.
+        any_process: `bool`, a seeded mistake: any later process counts as a later boot of its machine.
+        register: `bytes`, the schedule that is chosen.
+        machines: by seat.
+        sent: changes in transit.
+        crashes, abandoned: `int`, how many there were.
+        is_withdrawal_sent: `bool`.
+        is_withdrawn: `bool`, the operator has heard that nothing of it will come about.
+        failure: what is violated, in words, or None.
     """
 
     limits: Limits
@@ -97,24 +106,24 @@
     crashes: int = 0
     abandoned: int = 0
     is_withdrawal_sent: bool = False
-    is_withdrawn: bool = False  # the operator has heard that nothing of it will come about
-    wrong: str | None = None
+    is_withdrawn: bool = False
+    failure: str | None = None
 
     @classmethod
-    def begun(cls, limits: Limits, **options: Any) -> MaintenanceCase:
-        """Return the case in which every request was submitted."""
-        made = cls(limits, **options)
+    def initial(cls, limits: Limits, **options: Any) -> MaintenanceModel:
+        """Return the state in which every request was submitted; `options`: further attributes."""
+        model = cls(limits, **options)
         register: bytes | None = None
         for seat in limits.seats:
             request = MaintenanceRequest(f"for {seat}", "patch", "o", 1.0, 0.0, queued=(seat,))
             register = SubmitRequest(request, MAX_REQUESTS)(register) or register
         assert register is not None
-        made.register = register
-        made.machines = {seat: Machine() for seat in SEATS}
-        return made
+        model.register = register
+        model.machines = {seat: Machine() for seat in SEATS}
+        return model
 
-    def copy(self) -> MaintenanceCase:
-        """Return a copy that moves by itself."""
+    def copy(self) -> MaintenanceModel:
+        """Return a copy that shares nothing that a move changes."""
         new = shallow_copy(self)
         new.machines = {seat: shallow_copy(machine) for seat, machine in self.machines.items()}
         return new
@@ -159,7 +168,7 @@
             and not machine.is_drained
         ):
             names.append(f"{seat} has drained")
-        if machine.has_operator and not machine.is_cleared and self._tells_operator(seat):
+        if machine.has_operator and not machine.is_cleared and self._may_notify_operator(seat):
             names.append(f"{seat} tells its operator")
         if machine.is_cleared:
             names.append(f"{seat} is worked on")
@@ -210,7 +219,7 @@
             )
         return change
 
-    def _tells_operator(self, seat: str) -> bool:
+    def _may_notify_operator(self, seat: str) -> bool:
         if self.machines[seat].known is None:
             return False
         if self.clears_early and any(
@@ -286,12 +295,12 @@
     def _clear(self, seat: str, machine: Machine) -> None:
         machine.is_cleared = True
         if self.is_withdrawn and seat == self.limits.seats[0]:
-            self.wrong = f"{seat} was told to go, though its operator had heard that it is withdrawn"
+            self.failure = f"{seat} was told to go, though its operator had heard that it is withdrawn"
 
     def _check_limit(self) -> None:
         out = [seat for seat, machine in self.machines.items() if machine.is_cleared or machine.is_away]
         if len(out) > POLICY.most:
-            self.wrong = f"{out} may be worked on at one time"
+            self.failure = f"{out} may be worked on at one time"
 
     def _arrive(self, sent: SentChange) -> None:
         self.register = sent.change(self.register) or self.register
@@ -299,12 +308,12 @@
             if sent.change.error is None:
                 self.is_withdrawn = True
                 if self.machines[self.limits.seats[0]].is_cleared:
-                    self.wrong = "its operator heard that it is withdrawn, after the machine was told to go"
+                    self.failure = "its operator heard that it is withdrawn, after the machine was told to go"
         elif sent.sender:
             machine = self.machines[sent.sender]
             if machine.is_alive and machine.incarnation == sent.incarnation:
                 machine.known = self.register
 
     def violation(self) -> str | None:
-        """Return what is wrong, in words."""
-        return self.wrong
+        """Return what is violated in this state, in words."""
+        return self.failure
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -14,15 +14,19 @@
 from .scenario import Scenario
 from .virtual_time import SECOND
 
-EPOCH_S = 1e9  # Unix time at the begin of a course
+EPOCH_S = 1e9  # Unix time at the begin of a simulation
 WORK_S = 1.0
 OWN_SCRIPT_SHARE = 0.4  # of requests, for one machine by a script of its own; else for several at once
 GIVES_UP_SHARE = 0.08  # of scripts
 WITHDRAWN_SHARE = 0.2  # of requests
+MAX_WITHDRAWAL_DELAY_S = 8  # after the request
+SUBMIT_RETRY_US = 3 * SECOND
+PRIORITIES = 3
+SHARES_ZONE_SHARE = 0.5  # of requests
 
 
 class OperatedWorld(MaintenanceWorld, Protocol):
-    """The course, as operators see it."""
+    """The simulation, as operators see it."""
 
     scenario: Scenario
 
@@ -31,7 +35,7 @@
 
 
 class SimulatedOperators:
-    """The operators of one course.
+    """The operators of one simulation.
 
     requested: seats of each request that was made.
     scripts: that wait, or have ended.
@@ -47,6 +51,7 @@
     # ---- requests ----
 
     def plan_request(self, request_id: str, at_s: float) -> None:
+        """Draw a request that is made at that time, and whether it is withdrawn later."""
         random = self._world.random
         seats = self._world.scenario.seats
         has_own_script = random.random() < OWN_SCRIPT_SHARE
@@ -60,8 +65,8 @@
             "operator",
             WORK_S,
             EPOCH_S + at_s,
-            priority=random.randrange(3),
-            shares_zone=random.random() < 0.5,
+            priority=random.randrange(PRIORITIES),
+            shares_zone=random.random() < SHARES_ZONE_SHARE,
             queued=tuple(f"n{seat}" for seat in machines),
         )
         self.requested[request_id] = set(request.queued)
@@ -69,19 +74,22 @@
         is_withdrawn = random.random() < WITHDRAWN_SHARE
         at_us = round(at_s * SECOND)
         if has_own_script:
-            seat = machines[0]
-            script = Script(self._world, seat, request_id, seat in gives_up)
-            self.scripts.append(script)
-            request = structs.replace(request, boot_id=str(script.boot))
-            self._world.at(at_us, None, lambda: self._submit(request, script))
-            self._world.at(at_us + 1, None, script.wait)
+            self._plan_own_script(request, machines[0], at_us, gives_up=bool(gives_up))
         else:
             self._world.at(at_us, None, lambda: self._submit(request, None))
             self._world.at(at_us + 1, None, lambda: self._start_scripts(request_id, machines, gives_up))
         if is_withdrawn:
-            withdraw_s = at_s + random.uniform(0, 8)
+            withdraw_s = at_s + random.uniform(0, MAX_WITHDRAWAL_DELAY_S)
             self._world.at(round(withdraw_s * SECOND), None, lambda: self._withdraw(request_id))
 
+    def _plan_own_script(self, request: MaintenanceRequest, seat: int, at_us: int, gives_up: bool) -> None:
+        """The request for one machine is made by a script on it, which is there already."""
+        script = Script(self._world, seat, request.id, gives_up)
+        self.scripts.append(script)
+        from_script = structs.replace(request, boot_id=str(script.boot))
+        self._world.at(at_us, None, lambda: self._submit(from_script, script))
+        self._world.at(at_us + 1, None, script.wait)
+
     def _submit(self, request: MaintenanceRequest, script: Script | None) -> None:
         """Send a request until somebody knows it, or its own script is gone."""
         if self.is_known(request.id):
@@ -94,7 +102,7 @@
         if process is not None:
             submit = partial(process.coordinator.submit, request, lambda result: None)
             self._world.at(self._world.now, process, submit)
-        self._world.at(self._world.now + 3 * SECOND, None, lambda: self._submit(request, script))
+        self._world.at(self._world.now + SUBMIT_RETRY_US, None, lambda: self._submit(request, script))
 
     def _start_scripts(self, request_id: str, machines: list[int], gives_up: set[int]) -> None:
         """On each machine of a request something waits that is there after each boot."""
@@ -115,6 +123,7 @@
         )
 
     def is_known(self, request_id: str) -> bool:
+        """Return whether any member's schedule has the request, or has had it."""
         schedules = [process.coordinator.schedule for process in self._world.live_processes()]
         return any(
             schedule.request(request_id) is not None or schedule.is_finished(request_id)
@@ -136,7 +145,7 @@
 
     # ---- what is stuck ----
 
-    def look_after_machines(self) -> None:
+    def repair_stuck_machines(self) -> None:
         """As an operator does: finish what is stuck, resume what was suspended."""
         live = self._world.live_processes()
         if not live:
@@ -148,7 +157,7 @@
         for slot in coordinator.schedule.slots:
             seat = int(slot.seat[1:])
             is_open = slot.stage in (SlotStage.CLEARED, SlotStage.SUSPENDED)
-            if is_open and not self._is_under_way(seat, slot.request_id):
+            if is_open and not self._is_in_progress(seat, slot.request_id):
                 self._world.machines[seat].is_cleared = False
                 self._world.stuck.discard(seat)
                 coordinator.finish(slot.seat, "operator", lambda result: None)
@@ -156,7 +165,7 @@
             for seat_name, _ in request.suspended:
                 coordinator.resume(seat_name, lambda result: None)
 
-    def _is_under_way(self, seat: int, request_id: str) -> bool:
+    def _is_in_progress(self, seat: int, request_id: str) -> bool:
         machine = self._world.machines[seat]
         will_begin = machine.is_cleared and seat not in self._world.stuck
         return will_begin or self._has_script(request_id, seat) or machine.is_down or machine.is_warming_up
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -18,11 +18,12 @@
 STOPPED_SCRIPT_SHARE = 0.1  # of answers that come to a script which is stopped for up to MAX_STOPPED_S
 MAX_STOPPED_S = 4
 MAX_ANSWER_S = 0.05
+WORK_DELAY_S = (0.01, 1.5)  # least and most time until granted work begins
 
 
 @dataclass(slots=True)
 class Machine:
-    """A machine, as nobody in the fleet sees it.
+    """A machine, as nobody in the cluster sees it.
 
     boots: int, what its own file would say.
     is_cleared: bool, its script may begin the work at any time.
@@ -48,7 +49,7 @@
 
 
 class MaintenanceWorld(Protocol):
-    """The course, as scripts see it.
+    """The simulation, as scripts see it.
 
     stuck: machines that are cleared, and nobody is there who begins the work.
     """
@@ -113,18 +114,18 @@
                 is_answered = True
                 self.wait()
 
-        self._ask(answered)
+        self._request_clearance(answered)
         self._world.at(self._world.now + RETRY_S * SECOND, None, retry)
 
-    def _ask(self, answered: Callable[[WaitResult], None]) -> None:
+    def _request_clearance(self, answered: Callable[[WaitResult], None]) -> None:
         process = self._world.live_process(self.seat)
         if process is None:
             return
 
-        def ask() -> None:
+        def wait_for_grant() -> None:
             process.coordinator.wait(self.request_id, f"n{self.seat}", WAIT_TIMEOUT_S * SECOND, answered)
 
-        self._world.at(self._world.now, process, ask)
+        self._world.at(self._world.now, process, wait_for_grant)
 
     def _answer_delay_us(self) -> int:
         """An answer is on its way to the script, which may be stopped for long as well."""
@@ -151,8 +152,8 @@
                 self._world.stuck.add(self.seat)
         else:
             self._world.stuck.discard(self.seat)
-            begin_s = self._world.random.uniform(0.01, 1.5)
-            self._world.at(self._world.now + round(begin_s * SECOND), None, self._start_work)
+            delay_s = self._world.random.uniform(*WORK_DELAY_S)
+            self._world.at(self._world.now + round(delay_s * SECOND), None, self._start_work)
 
     def _start_work(self) -> None:
         if self._machine.boots == self.boot and not self._machine.is_down:
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -1,6 +1,6 @@
-"""Maintenance of a fleet in virtual time: the real pure parts, scripts that wait on their machines, and faults.
+"""Maintenance of a cluster in virtual time: the real pure parts, scripts that wait on their machines, and faults.
 
-One seed is one course of `cluster_simulation`. What is checked is the machines themselves: how many of them may be
+One seed is one simulation of `cluster_simulation`. What is checked is the machines themselves: how many of them may be
 worked on at any moment, and whether all that was requested comes about in the end.
 """
 
@@ -44,18 +44,21 @@
 )
 WARM_UP_S = 0.6
 DRAIN_US = 300 * MS
-RECOVERY_S = 60.0  # after the course, until all that was requested must have come about
+RECOVERY_S = 60.0  # after the faults, until all that was requested must have come about
 CLOCK_SET_BACK_US = 3600 * SECOND
 FULL_WEIGHT = 100
 WARM_UP_WEIGHT = 35
 HUNDREDTHS = 100
 REFAIL_SHARE = 0.08  # of machines, shortly after they have come back
+REFAIL_DELAY_S = 0.4
 REFAIL_DURATION_S = 0.5
+WORK_FACTORS = (0.5, 1.5)  # of the time that work was announced to take
+FIRST_REQUEST_S = 1
 MAX_POWER_LOSS_S = 2
 
 
 class MaintenanceProcess(MaintainedProcess):
-    """One process of a simulated fleet, with the real coordinator."""
+    """One process of a simulated cluster, with the real coordinator."""
 
     def __init__(self, sim: Simulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
@@ -106,6 +109,7 @@
         """Nobody reads it: `MaintenanceSimulation` finds by itself what is stuck."""
 
     def check_self(self) -> None:
+        """Publish weight and load, too."""
         self.node.load_figures = self._weight(), self.world.load, self.world.load
         super().check_self()
 
@@ -162,13 +166,13 @@
 
 
 class MaintenanceSimulation(Simulation):
-    """One course of a fleet whose machines are maintained.
+    """One simulation of a cluster whose machines are maintained.
 
     coordinator_class, acceptor_class: the real ones, or those with a seeded mistake.
     load: int, of each member, in hundredths of a core.
     operators: who make requests.
     stuck: machines that are cleared, and nobody is there who begins the work.
-    most_cleared: int, machines that could be worked on at one time.
+    max_cleared: int, machines that could be worked on at one time.
     """
 
     fault_injector_class = MaintenanceFaultInjector
@@ -191,13 +195,15 @@
         self.load = round(load * HUNDREDTHS)
         self.coordinator_class = coordinator_class
         self.acceptor_class = acceptor_class
-        self.most_cleared = 0
+        self.max_cleared = 0
         self.stuck: set[int] = set()
         self.violations: list[str] = []
         super().__init__(seed, scenario, process_class=process_class)
         self.operators = SimulatedOperators(self)
         for number in range(requests):
-            self.operators.plan_request(f"ask {number}", self.random.uniform(1, scenario.seconds / 2))
+            self.operators.plan_request(
+                f"ask {number}", self.random.uniform(FIRST_REQUEST_S, scenario.seconds / 2)
+            )
 
     def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> Process:
         """Start a process of a member, see `Simulation`."""
@@ -208,7 +214,9 @@
 
     def live_processes(self) -> list[MaintenanceProcess]:
         """Return the processes that are alive."""
-        return [p for p in self.processes if p.alive and isinstance(p, MaintenanceProcess)]
+        return [
+            process for process in self.processes if process.alive and isinstance(process, MaintenanceProcess)
+        ]
 
     def live_process(self, seat: int) -> MaintenanceProcess | None:
         """Return the process of a seat, if it is alive."""
@@ -220,9 +228,9 @@
     def clear_machine(self, seat: int) -> None:
         """A script was told that it may begin."""
         self.machines[seat].is_cleared = True
-        worked_on = [i for i, machine in enumerate(self.machines) if machine.is_worked_on]
-        self.most_cleared = max(self.most_cleared, len(worked_on))
-        by_zone = Counter(i % 2 for i in worked_on)
+        worked_on = [seat for seat, machine in enumerate(self.machines) if machine.is_worked_on]
+        self.max_cleared = max(self.max_cleared, len(worked_on))
+        by_zone = Counter(seat % 2 for seat in worked_on)
         if len(worked_on) > self.policy.most or max(by_zone.values()) > self.policy.most_zone:
             self.violations.append(
                 f"{self.now / SECOND:.3f} s: n{seat} was told to go, and {worked_on} may be worked on"
@@ -244,14 +252,14 @@
             machine.boots += 1
             self.processes[seat] = self.start_process(seat, recovered=False)
             if refails:
-                fail_at_us = self.now + round(0.4 * SECOND)
+                fail_at_us = self.now + round(REFAIL_DELAY_S * SECOND)
                 self.at(
                     fail_at_us,
                     None,
                     lambda: self.faults.inject(FaultKind.MACHINE_POWER_LOSS, seat, REFAIL_DURATION_S),
                 )
 
-        work_s = self.random.uniform(0.5, 1.5) * WORK_S
+        work_s = self.random.uniform(*WORK_FACTORS) * WORK_S
         self.at(self.now + round(work_s * SECOND), None, boot)
 
     def restart_later(self, seat: int, when: int, incarnation: int | None = None) -> None:
@@ -263,16 +271,19 @@
 
         self.at(when, None, restart)
 
-    # ---- the whole course ----
+    # ---- the whole simulation ----
 
     def play(self) -> str | None:
-        """Play the course. Returns what was wrong, in words."""
+        """Run the simulation to its end, and check it.
+
+        :returns: what is violated, in words; None where nothing is.
+        """
         self.run(round(self.scenario.seconds * SECOND))
         self.end_faults()
         end = self.now + round(RECOVERY_S * SECOND)
         while self.now < end and not (self.violations or self._is_all_finished()):
             self.run(self.now + SECOND)
-            self.operators.look_after_machines()
+            self.operators.repair_stuck_machines()
         return self.violations[0] if self.violations else self._unfinished()
 
     def _is_all_finished(self) -> bool:
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -232,8 +232,8 @@
             history.propagation_times_us.append(self.now - confirmed_us)
         for process in self._live_replicas():
             current = process.replica.customers.at(customer)
-            is_said_to_have = process.node.me not in lacking and process.started_at_us < confirmed_us
-            if is_said_to_have and current < revision_id:
+            is_reported_to_have = process.node.me not in lacking and process.started_at_us < confirmed_us
+            if is_reported_to_have and current < revision_id:
                 history.violations.append(
                     f"n{process.seat} was said to have {revision_id} of {customer}, and has {current}"
                 )
--- a/moorusher/model_checking/simulated_journal.py
+++ b/moorusher/model_checking/simulated_journal.py
@@ -81,7 +81,7 @@
         """Call `callback` once all that has changed so far is on the disk."""
         self._waiting.append(callback)
         if not self._is_writing:
-            self._begin_write()
+            self._start_write()
 
     def crash(self, random: Random) -> None:
         """The process ends: any part of a write under way is on the disk, all of it maybe, and not confirmed."""
@@ -89,7 +89,7 @@
             written = random.randint(0, len(self._in_progress))
             self._journal.content += self._in_progress[:written]
 
-    def _begin_write(self) -> None:
+    def _start_write(self) -> None:
         callbacks = self._waiting
         self._waiting = []
         self._in_progress = self._unsaved_records()
@@ -107,4 +107,4 @@
         for callback in callbacks:
             callback()
         if self._waiting and not self._is_writing:
-            self._begin_write()
+            self._start_write()
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -325,7 +325,7 @@
     for scenario, has_disks in ((SCENARIO, False), (DISK_SCENARIO, True)):
         sim = ForecastSimulation(seed, scenario, has_disks)
         assert sim.play() is None, sim.faults.log
-        assert sim.ledger() is None or sim.whole_hours > 0
+        assert sim.ledger() is None or sim.complete_hours > 0
 
 
 class Adds(Ledger):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -320,7 +320,7 @@
 )
 def test_every_interleaving_finds_the_seeded_mistakes(limits: Limits, how: dict[str, Any]) -> None:
     case = RegisterModel.initial(limits, **how)
-    found = explore(case, 60_000, deep=True)
+    found = explore(case, 60_000, depth_first=True)
     assert found.violation is not None, str(found)
     assert replay(case, found.path) == found.violation, "the way that is told leads there"
 
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -36,7 +36,9 @@
 
 @pytest.mark.parametrize("kind", list(EffectKind))
 def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: EffectKind) -> None:
-    found = explore(LeadershipModel.held(Limits(retries=(0, 0), patient=True), kind=kind), most=5_000)
+    found = explore(
+        LeadershipModel.with_lease(Limits(retries=(0, 0), patient=True), kind=kind), max_states=5_000
+    )
     assert found.violation is None, str(found)
 
 
@@ -74,7 +76,11 @@
 )
 def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
     again = (1, 0) if "token_change" in how else (0, 0)
-    found = explore(LeadershipModel.held(Limits(retries=again, patient=True), **how), most=60_000, deep=True)
+    found = explore(
+        LeadershipModel.with_lease(Limits(retries=again, patient=True), **how),
+        max_states=60_000,
+        depth_first=True,
+    )
     assert found.violation is not None, str(found)
 
 
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -25,20 +25,20 @@
 from moorusher.maintenance.waiters import Waiters, WaitResult, WaitStatus
 from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.maintenance_interleavings import Limits, MaintenanceCase
+from moorusher.model_checking.maintenance_interleavings import Limits, MaintenanceModel
 from moorusher.model_checking.maintenance_simulation import SCENARIO, MaintenanceSimulation
 
 # ---- every interleaving ----
 
 
 def test_every_interleaving_of_two_requests_and_a_withdrawal_keeps_the_limit() -> None:
-    found = explore(MaintenanceCase.begun(Limits(crashes=0, abandoned=0)), 60_000)
+    found = explore(MaintenanceModel.initial(Limits(crashes=0, abandoned=0)), 60_000)
     assert found.complete and found.violation is None, found
 
 
 def test_interleavings_with_a_crash_or_a_late_change_keep_the_limit() -> None:
     for limits in (Limits(crashes=1, abandoned=0), Limits(crashes=0, abandoned=1)):
-        found = explore(MaintenanceCase.begun(limits), 25_000, deep=True)
+        found = explore(MaintenanceModel.initial(limits), 25_000, depth_first=True)
         assert found.violation is None, found
 
 
@@ -61,9 +61,9 @@
 
 class WinsAfterGo(WithdrawRequest):
     def apply(self, schedule: Schedule) -> Schedule | None:
-        made = super().apply(schedule) or schedule
+        model = super().apply(schedule) or schedule
         self.error = None
-        return structs.replace(made, slots=tuple(t for t in made.slots if t.request_id != self.request_id))
+        return structs.replace(model, slots=tuple(t for t in model.slots if t.request_id != self.request_id))
 
 
 @pytest.mark.parametrize(
@@ -86,9 +86,9 @@
     ],
 )
 def test_the_interleavings_find_each_seeded_mistake(limits: Limits, how: dict[str, Any]) -> None:
-    found = explore(MaintenanceCase.begun(limits, **how), 200_000)
+    found = explore(MaintenanceModel.initial(limits, **how), 200_000)
     assert found.violation is not None, found
-    assert replay(MaintenanceCase.begun(limits, **how), found.path) == found.violation
+    assert replay(MaintenanceModel.initial(limits, **how), found.path) == found.violation
 
 
 # ---- seeds in virtual time ----
@@ -129,4 +129,4 @@
 
 def test_without_faults_every_request_is_finished_soon() -> None:
     sim = MaintenanceSimulation(1, replace(SCENARIO, faults=0))
-    assert sim.play() is None and sim.most_cleared >= 1 and not sim.operators.majority_losses
+    assert sim.play() is None and sim.max_cleared >= 1 and not sim.operators.majority_losses
