--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -144,7 +144,7 @@
         true_counts: the demand that there was.
         last_request_us: `int`, when requests end.
         hours: `int`, how many hours of a series the ledger had in the end.
-        whole_hours: `int`, how many of them it said were counted whole.
+        complete_hours: `int`, how many of them it said were counted whole.
     """
 
     def __init__(
@@ -161,7 +161,7 @@
         self.true_counts: Counter[HourOfDemand] = Counter()
         self.last_request_us = round(scenario.seconds * SECOND) + REQUESTS_AFTER_US
         self.hours = 0
-        self.whole_hours = 0
+        self.complete_hours = 0
         super().__init__(seed, scenario, duties=0, has_disks=has_disks, process_class=CountingProcess)
 
     def ledger(self) -> DemandLedger | None:
@@ -179,7 +179,7 @@
         if ledger is None:
             return None
         self.hours = 0
-        self.whole_hours = 0
+        self.complete_hours = 0
         for name, series in ledger.series.items():
             found = self._wrong_in_series(decode_key(name), series)
             if found is not None:
@@ -196,7 +196,7 @@
                 return f"{where}: {requests} are said to have been asked in hour {hour}, {true_count} were"
             if coverage != FULL_COVERAGE:
                 continue
-            self.whole_hours += 1
+            self.complete_hours += 1
             if requests != true_count:
                 return f"{where}: hour {hour} is said to be whole with {requests}, had {true_count}"
         return None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,8 @@
 from moorusher.model_checking.cluster_process import Process
 from moorusher.model_checking.cluster_simulation import Simulation, find_counterexample
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.register_interleavings import Limits, RegisterModel
+from moorusher.model_checking.register_interleavings import RegisterModel
+from moorusher.model_checking.register_state import Limits
 from moorusher.model_checking.scenario import Scenario
 from moorusher.model_checking.simulated_request_engine import KeyState, SimulatedRequestEngine
 from moorusher.replication import node as node_module
@@ -352,7 +353,7 @@
 )
 def test_every_interleaving_finds_the_seeded_mistakes(limits: Limits, how: dict[str, Any]) -> None:
     case = RegisterModel.initial(limits, **how)
-    found = explore(case, 60_000, deep=True)
+    found = explore(case, 60_000, depth_first=True)
     assert found.violation is not None, str(found)
     assert replay(case, found.path) == found.violation, "the way that is told leads there"
 
--- a/tests/test_forecast_checking.py
+++ b/tests/test_forecast_checking.py
@@ -20,7 +20,7 @@
     for scenario, has_disks in ((SCENARIO, False), (DISK_SCENARIO, True)):
         simulation = ForecastSimulation(seed, scenario, has_disks)
         assert simulation.play() is None, simulation.faults.log
-        assert simulation.ledger() is None or simulation.whole_hours > 0
+        assert simulation.ledger() is None or simulation.complete_hours > 0
 
 
 class AddingLedger(DemandLedger):
