--- a/moorusher/admin/maintenance_documents.py
+++ b/moorusher/admin/maintenance_documents.py
@@ -10,8 +10,8 @@
     CompletionProof,
     HistoryEntry,
     MaintenanceRequest,
-    Outcome,
     Slot,
+    SlotOutcome,
     SlotStage,
 )
 
@@ -94,7 +94,7 @@
     return {
         "ask": entry.request_id,
         "seat": entry.seat,
-        "how": Outcome(entry.outcome).api_name,
+        "how": SlotOutcome(entry.outcome).api_name,
         "ago_s": now_s - entry.at_s,
         "note": entry.note,
     }
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -16,7 +16,7 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, LeaseRecord, LeaseStatus, register_key
 from ..leadership.participant import Participant
-from ..leadership.policy import Policy
+from ..leadership.policy import LeadershipPolicy
 from ..leadership.worker import Worker
 from ..replication.journal import JournalImage
 from ..replication.register_space import DUTY_SPACE
@@ -72,7 +72,7 @@
         only then.
     """
 
-    def __init__(self, fleet: ClusterMember, policy: Policy) -> None:
+    def __init__(self, fleet: ClusterMember, policy: LeadershipPolicy) -> None:
         self.fleet = fleet
         self.policy = policy
         self.core = fleet.core
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -11,7 +11,7 @@
 from ..maintenance.errors import MaintenanceError, NotLocalError, UnknownSeatError
 from ..maintenance.load_report import LoadGauge
 from ..maintenance.next_step import NextStep
-from ..maintenance.policy import Policy
+from ..maintenance.policy import MaintenancePolicy
 from ..maintenance.schedule import CompletionProof, MaintenanceRequest, Schedule
 from ..maintenance.start_estimate import estimate_starts
 from ..maintenance.waiters import WaitCallback
@@ -74,7 +74,7 @@
     schedule: Schedule
     is_current: bool
     age_us: int | None
-    policy: Policy
+    policy: MaintenancePolicy
     step: NextStep
     starts_in_s: dict[tuple[str, str], float]
     alive_seats: frozenset[str]
@@ -93,7 +93,7 @@
     coordinator: the member's part.
     """
 
-    def __init__(self, fleet: ClusterMember, policy: Policy, reporter: Reporter) -> None:
+    def __init__(self, fleet: ClusterMember, policy: MaintenancePolicy, reporter: Reporter) -> None:
         self.fleet = fleet
         self.policy = policy
         self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
@@ -124,7 +124,7 @@
             self._journal_image = None
         self.coordinator.start()
 
-    def reconfigure(self, policy: Policy) -> None:
+    def reconfigure(self, policy: MaintenancePolicy) -> None:
         """Follow other settings, for what is granted from now on."""
         self.policy = policy
         self.coordinator.reconfigure(policy)
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -8,10 +8,9 @@
 from typing import Any, NamedTuple
 
 from ..core.requests import is_identifier
-from ..leadership.policy import Policy as DutyPolicy
-from ..leadership.policy import Report
+from ..leadership.policy import LeadershipPolicy, Report
 from ..membership.policy import MAX_SEATS, Seat
-from ..replication.policy import Policy as FleetPolicy
+from ..replication.policy import ReplicationPolicy
 from .section import Address, ConfigError, Section, inside
 
 MAX_NAME_LENGTH = 64  # characters
@@ -57,29 +56,29 @@
     listen: Address | None = None
     name: str = ""
     seats: tuple[Seat, ...] = ()
-    policy: FleetPolicy = field(default_factory=FleetPolicy)
+    policy: ReplicationPolicy = field(default_factory=ReplicationPolicy)
     journal: str = ""
-    duties: DutyPolicy = field(default_factory=DutyPolicy)
+    duties: LeadershipPolicy = field(default_factory=LeadershipPolicy)
 
     def but_for_addresses(self) -> FleetConfig:
         """Return what can't change while the runner serves: who keeps which key follows from it."""
         return replace(self, seats=tuple(replace(seat, address=("", 0)) for seat in self.seats))
 
 
-def read_duties(section: Section) -> DutyPolicy:
+def read_duties(section: Section) -> LeadershipPolicy:
     """Read and check `[duties]`.
 
     :raises ConfigError: with the key that is wrong.
     """
     section.unknown({"on", "report", *DUTY_FIGURES})
-    defaults = DutyPolicy()
+    defaults = LeadershipPolicy()
     figures: dict[str, Any] = {
         name: section.between(name, getattr(defaults, name), *bounds) for name, bounds in DUTY_FIGURES.items()
     }
     reports: list[Report] = []
     for entry in _listed(section, "report"):
         reports.append(_read_report(entry, reports))
-    return DutyPolicy(on=section.get("on", False), reports=tuple(reports), **figures)
+    return LeadershipPolicy(on=section.get("on", False), reports=tuple(reports), **figures)
 
 
 def read_fleet(section: Section, duties: Section) -> FleetConfig:
@@ -104,14 +103,14 @@
     return FleetConfig(listen, name, _read_seats(section), policy, journal, duty_policy)
 
 
-def _read_policy(section: Section) -> FleetPolicy:
-    defaults = FleetPolicy()
+def _read_policy(section: Section) -> ReplicationPolicy:
+    defaults = ReplicationPolicy()
     uncovered = section.get("uncovered", "refuse")
     if uncovered not in UNCOVERED_ALONE:
         raise ConfigError(
             f"{section.key('uncovered')}: expected one of {', '.join(UNCOVERED_ALONE)}, got {uncovered!r}"
         )
-    policy = FleetPolicy(
+    policy = ReplicationPolicy(
         section.between("claim_ms", defaults.claim_ms, 10, 10_000),
         section.between("copies", defaults.copies, 1, 7),
         UNCOVERED_ALONE[uncovered],
--- a/moorusher/config/maintenance.py
+++ b/moorusher/config/maintenance.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..maintenance.policy import Policy
+from ..maintenance.policy import MaintenancePolicy
 from .section import ConfigError, Section
 
 FIGURES: dict[str, tuple[float, float]] = {
@@ -25,14 +25,14 @@
 }
 
 
-def read_outage(section: Section, fleet: bool) -> Policy:
+def read_outage(section: Section, fleet: bool) -> MaintenancePolicy:
     """`fleet`: there is one."""
     section.unknown({"on", "machine_id", *FIGURES})
-    d = Policy()
+    d = MaintenancePolicy()
     figures: dict[str, Any] = {n: section.between(n, getattr(d, n), *bounds) for n, bounds in FIGURES.items()}
     on, machine = section.get("on", False), section.get("machine_id", d.machine_id)
     if not machine.startswith("/"):
         raise ConfigError(f"{section.key('machine_id')}: expected an absolute path, got {machine!r}")
     if on and not fleet:
         raise ConfigError(f"{section.key('on')}: runners settle outages in a fleet: set fleet.listen")
-    return Policy(on=on, machine_id=machine, **figures)
+    return MaintenancePolicy(on=on, machine_id=machine, **figures)
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -10,7 +10,7 @@
 from ..forecasting.policy import ForecastPolicy
 from ..health.formatting import StatusCodes
 from ..health.policy import HealthPolicy
-from ..maintenance.policy import Policy as MaintenancePolicy
+from ..maintenance.policy import MaintenancePolicy
 from .fleet import FleetConfig
 from .load_balancing import TierConfig
 from .namespaces import NamespacesConfig
--- a/moorusher/config/operator_file.py
+++ b/moorusher/config/operator_file.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from ..forecasting.policy import ForecastPolicy
-from ..maintenance.policy import Policy as MaintenancePolicy
+from ..maintenance.policy import MaintenancePolicy
 from .fleet import FleetConfig, read_fleet
 from .health import read_health_checks
 from .load_balancing import TierConfig, read_tier
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -11,7 +11,7 @@
 from ..maintenance.disruption_budget import SeatView
 from ..maintenance.next_step import plan
 from ..maintenance.operator_changes import SubmitRequest
-from ..maintenance.policy import Policy
+from ..maintenance.policy import MaintenancePolicy
 from ..maintenance.schedule import (
     EMPTY,
     MaintenanceRequest,
@@ -91,7 +91,7 @@
         rng = random.Random(seed)
         self._load = load
         self._max_down = max_down
-        self._policy = Policy(
+        self._policy = MaintenancePolicy(
             on=True, most=max_down, most_zone=max_down // 4, most_group=4, fill=MAX_FILL, settle_s=0
         )
         self._names = [f"m{index:04}" for index in range(machines)]
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -15,7 +15,7 @@
 from .lease_record import LeaseRecord, LeaseStatus, decode_record
 from .lease_transitions import AcquireLease, Change, Read
 from .messages import LeaseOffer, LeaseTaken, OfferDeclined
-from .policy import Policy
+from .policy import LeadershipPolicy
 from .services import MemberServices
 from .state_fetching import StateFetching
 from .state_replication import StateReplication
@@ -41,7 +41,7 @@
         replication: StateReplication,
         fetching: StateFetching,
         receivers: EffectReceivers,
-        policy: Policy,
+        policy: LeadershipPolicy,
         create_worker: Callable[[LeaseHolder], Worker | None],
         lease_holder_class: type[LeaseHolder],
     ) -> None:
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -34,7 +34,7 @@
 RETRY_US = 1_000 * MS  # of a register that no majority answered for, and of a fetch that found no state
 
 
-class Stage(Enum):
+class LeaseStage(Enum):
     """How far a term has come, at its leader. The values appear in the API and in messages to operators."""
 
     STARTING = "starting"  # the state is being fetched
@@ -80,7 +80,7 @@
         self._observer = observer
         self.key = key
         self.register = LeaseRegister(context.services, key, record, hold, self.superseded)
-        self.stage = Stage.STARTING
+        self.stage = LeaseStage.STARTING
         self.state = b""
         self.since_us = context.services.now()
         self.last_error: LeadershipError | None = None
@@ -106,12 +106,12 @@
     @property
     def is_ended(self) -> bool:
         """The term is over."""
-        return self.stage is Stage.ENDED
+        return self.stage is LeaseStage.ENDED
 
     @property
     def is_active(self) -> bool:
         """The lease is held, and not about to be released."""
-        return self.stage is Stage.ACTIVE and self.record.status == LeaseStatus.HELD
+        return self.stage is LeaseStage.ACTIVE and self.record.status == LeaseStatus.HELD
 
     # ---- start ----
 
@@ -120,7 +120,7 @@
         self.context.fetching.fetch(self.key, self.record.versions[0], deadline_us, self._on_state)
 
     def _on_state(self, state: bytes | None) -> None:
-        if self.stage is not Stage.STARTING:
+        if self.stage is not LeaseStage.STARTING:
             return
         if state is None:
             # The replicas that have it may be back soon, and then any later leader finds it, too.
@@ -132,7 +132,7 @@
 
     def _activate(self, state: bytes) -> None:
         self.state = state
-        self.stage = Stage.ACTIVE
+        self.stage = LeaseStage.ACTIVE
         self.last_error = None
         self.context.replication.announce_chosen(self.key, self.record)
         self._observer.started(self)
@@ -142,7 +142,7 @@
             self.context.services.after(stable_after_us, self._clear_lost_leaders)
 
     def _clear_lost_leaders(self) -> None:
-        if self.stage is Stage.ACTIVE and self.record.lost_leaders:
+        if self.stage is LeaseStage.ACTIVE and self.record.lost_leaders:
             self.enqueue(lambda: self.register.change(self.finish, ClearLostLeaders), ignore_outcome)
 
     # ---- effects, one after the other ----
@@ -158,7 +158,7 @@
         """
         if self.is_ended:
             return callback(_ended_error(self.record))
-        if self.stage is not Stage.ACTIVE or len(self._queue) >= MAX_QUEUED_EFFECTS:
+        if self.stage is not LeaseStage.ACTIVE or len(self._queue) >= MAX_QUEUED_EFFECTS:
             return callback(LeaderBusyError(f"{self.name}: {self.stage.value}"))
         if isinstance(effect, IntentRequest) and len(effect.payload) > MAX_INTENT_BYTES:
             size = len(effect.payload)
@@ -205,16 +205,16 @@
 
     def release(self, offered_to: str = "") -> None:
         """Finish what is under way, start nothing new, then give the lease up. `offered_to`: the first candidate."""
-        if self.stage is Stage.STARTING:
-            self.stage = Stage.ACTIVE
-        if self.stage is not Stage.ACTIVE:
+        if self.stage is LeaseStage.STARTING:
+            self.stage = LeaseStage.ACTIVE
+        if self.stage is not LeaseStage.ACTIVE:
             return
-        self.stage = Stage.RELEASING
+        self.stage = LeaseStage.RELEASING
         self._release_to = offered_to
         self.enqueue(lambda: self.register.change(self.finish, StartRelease), ignore_outcome)
 
     def _release_when_idle(self) -> None:
-        if self._release_to is not None and self.stage is Stage.RELEASING:
+        if self._release_to is not None and self.stage is LeaseStage.RELEASING:
             offered_to = self._release_to
             self._release_to = None
             self._send_release(offered_to)
@@ -246,7 +246,7 @@
         if self.is_ended:
             return
         unfinished = self._queue.close()
-        self.stage = Stage.ENDED
+        self.stage = LeaseStage.ENDED
         self.state = b""
         self.register.close()
         self._observer.ended(self, reason)
--- a/moorusher/leadership/lease_interface.py
+++ b/moorusher/leadership/lease_interface.py
@@ -11,7 +11,7 @@
 from .errors import LeadershipError
 from .lease_record import LeaseRecord
 from .lease_register import LeaseRegister
-from .policy import Policy
+from .policy import LeadershipPolicy
 from .services import MemberServices
 from .state_fetching import StateFetching
 from .state_replication import StateReplication
@@ -26,7 +26,7 @@
     replication: StateReplication
     fetching: StateFetching
     receivers: EffectReceivers
-    policy: Policy
+    policy: LeadershipPolicy
 
 
 class HeldLease(Protocol):
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -25,7 +25,7 @@
 from .journal import DutyAcceptor
 from .lease_holder import LeaseHolder
 from .lease_record import LeaseRecord, LeaseStatus, decode_record
-from .policy import Policy
+from .policy import LeadershipPolicy
 from .services import MemberServices
 from .state_fetching import StateFetching
 from .state_replication import StateReplication
@@ -66,7 +66,7 @@
         self,
         node: Node,
         host: ParticipantHost,
-        policy: Policy,
+        policy: LeadershipPolicy,
         remembers: bool = False,
         acceptor_class: type[DutyAcceptor] = DutyAcceptor,
     ) -> None:
--- a/moorusher/leadership/policy.py
+++ b/moorusher/leadership/policy.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class LeadershipPolicy:
     """The settings; each field has the name of its key. `config/fleet.py` reads and bounds them."""
 
     on: bool = False
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -12,7 +12,7 @@
 from .next_step import NextStep
 from .operator_changes import FinishSlot, PauseAll, Resume, SubmitRequest, WithdrawRequest
 from .planner import MaintenancePlanner
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import CompletionProof, MaintenanceRequest, Schedule
 from .schedule_replica import ScheduleCallback, ScheduleReplica
 from .waiters import WaitCallback, Waiter, Waiters, WaitResult, WaitStatus
@@ -43,7 +43,7 @@
         self,
         node: Node,
         host: MachineHost,
-        policy: Policy,
+        policy: MaintenancePolicy,
         remembers: bool = False,
         acceptor_class: type[Acceptor] = Acceptor,
     ) -> None:
@@ -71,7 +71,7 @@
         """The schedule, as last read."""
         return self.replica.schedule
 
-    def reconfigure(self, policy: Policy) -> None:
+    def reconfigure(self, policy: MaintenancePolicy) -> None:
         """Follow other settings."""
         self.policy = policy
         self._planner.reconfigure(policy)
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ..membership.placement import majority
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule
 
 UNHEALTHY_WEIGHT = 50  # percent, under which a machine goes before healthy ones
@@ -72,7 +72,7 @@
         views: Iterable[SeatView],
         schedule: Schedule,
         replicas: Sequence[str],
-        policy: Policy,
+        policy: MaintenancePolicy,
     ) -> None:
         self.views = {view.seat: view for view in views}
         self.policy = policy
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import CompletionProof, Slot, SlotStage
 from .slot_changes import AcceptSlot, ClearMachine, CompleteSlot, MarkReturned, ReturnSlot
 from .transitions import Change
@@ -69,7 +69,9 @@
     return is_reboot and bool(machine.boot_id) and machine.boot_id != slot.boot_id
 
 
-def decide(slot: Slot | None, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+def decide(
+    slot: Slot | None, machine: MachineState, policy: MaintenancePolicy, now_s: float
+) -> MachineAction:
     """Return what to do. `slot`: of this machine, as last known; `now_s`: Unix time, written down and no more."""
     if slot is None:
         return MachineAction(MachineMode.SERVING)
@@ -84,7 +86,9 @@
             return _decide_returned(slot, machine, policy, now_s)
 
 
-def _decide_draining(slot: Slot, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+def _decide_draining(
+    slot: Slot, machine: MachineState, policy: MaintenancePolicy, now_s: float
+) -> MachineAction:
     incarnation = machine.incarnation
     if machine.machines_out > policy.most:
         # Whoever granted it has a file with a higher bound; that is no fault of this machine.
@@ -104,7 +108,9 @@
     return MachineAction(MachineMode.DRAINING)
 
 
-def _decide_cleared(slot: Slot, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+def _decide_cleared(
+    slot: Slot, machine: MachineState, policy: MaintenancePolicy, now_s: float
+) -> MachineAction:
     if proves_work_over(slot, machine):
         change = MarkReturned(slot, machine.incarnation, now_s, machine.settings_digest)
         return MachineAction(MachineMode.RETURNING, change)
@@ -118,7 +124,9 @@
     return MachineAction(MachineMode.CLEARED, None, alert)
 
 
-def _decide_returned(slot: Slot, machine: MachineState, policy: Policy, now_s: float) -> MachineAction:
+def _decide_returned(
+    slot: Slot, machine: MachineState, policy: MaintenancePolicy, now_s: float
+) -> MachineAction:
     incarnation = machine.incarnation
     if slot.incarnation != incarnation:
         if machine.is_first_process:
--- a/moorusher/maintenance/machine_controller.py
+++ b/moorusher/maintenance/machine_controller.py
@@ -10,7 +10,7 @@
 from ..replication.node import Node
 from .local_machine import MachineAction, MachineMode, MachineState, decide
 from .operator_changes import WithdrawRequest
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import Slot, SlotStage
 from .schedule_replica import ScheduleReplica
 from .slot_changes import ClearMachine
@@ -57,7 +57,7 @@
         node: Node,
         host: MachineHost,
         replica: ScheduleReplica,
-        policy: Callable[[], Policy],
+        policy: Callable[[], MaintenancePolicy],
         waited_requests: Callable[[], set[str]],
     ) -> None:
         """`policy`: the settings as they are now. `waited_requests`: ids of requests that somebody waits for here."""
--- a/moorusher/maintenance/next_step.py
+++ b/moorusher/maintenance/next_step.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from .disruption_budget import DisruptionBudget, SeatView
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .queue_order import ordered_queue
 from .schedule import MaintenanceRequest, Schedule
 
@@ -57,7 +57,7 @@
     schedule: Schedule,
     views: Iterable[SeatView],
     replicas: Sequence[str],
-    policy: Policy,
+    policy: MaintenancePolicy,
     now_s: float,
     settles_in_s: float = 0.0,
     explain: bool = False,
--- a/moorusher/maintenance/operator_changes.py
+++ b/moorusher/maintenance/operator_changes.py
@@ -11,7 +11,7 @@
     TooManyRequestsError,
     UnknownRequestError,
 )
-from .schedule import HistoryEntry, MaintenanceRequest, Outcome, Schedule, Slot, SlotStage
+from .schedule import HistoryEntry, MaintenanceRequest, Schedule, Slot, SlotOutcome, SlotStage
 from .transitions import (
     Change,
     finish_requests,
@@ -111,7 +111,9 @@
         slots = tuple(slot for slot in schedule.slots if slot.seat not in self._revoked)
         changed = updated(with_request(schedule, remaining), slots=slots)
         entries = [
-            HistoryEntry(self.request_id, seat, Outcome.WITHDRAWN.value, self.at_s, f"by {self.requested_by}")
+            HistoryEntry(
+                self.request_id, seat, SlotOutcome.WITHDRAWN.value, self.at_s, f"by {self.requested_by}"
+            )
             for seat in withdrawn[:MAX_WITHDRAWN_ENTRIES]
         ]
         return finish_requests(changed, self.max_history, *entries)
@@ -198,7 +200,7 @@
             state = "" if slot is None else ", it drains"
             self.error = MachineInServiceError(f"{self.seat}: not out{state}")
             return None
-        outcome = Outcome.COMPLETED if slot.stage is SlotStage.RETURNED else Outcome.ABANDONED
+        outcome = SlotOutcome.COMPLETED if slot.stage is SlotStage.RETURNED else SlotOutcome.ABANDONED
         return finish_slot(schedule, slot, outcome, self.at_s, f"said by {self.stated_by}", self.max_history)
 
     def affected_seats(self) -> Sequence[str]:
@@ -207,7 +209,7 @@
 
 
 def finish_slot(
-    schedule: Schedule, slot: Slot, outcome: Outcome, at_s: float, note: str, max_history: int
+    schedule: Schedule, slot: Slot, outcome: SlotOutcome, at_s: float, note: str, max_history: int
 ) -> Schedule:
     """Return the schedule after the slot is finished, and counted to its request."""
     changed = without_slot(schedule, slot)
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -11,7 +11,7 @@
 from ..membership.placement import Placement
 from .disruption_budget import DisruptionBudget, SeatView
 from .next_step import CapacitySettling, NextStep, plan
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import Schedule, SlotStage
 from .slot_changes import GrantSlots
 
@@ -58,7 +58,7 @@
         placement: Placement,
         detector: FailureDetector,
         replicas: Sequence[str],
-        policy: Policy,
+        policy: MaintenancePolicy,
     ) -> None:
         self.replicas = tuple(replicas)
         self.settling = CapacitySettling(policy.settle_s)
@@ -70,7 +70,7 @@
         self._unchanged_since_us = 0
         self._notified_at_us = 0
 
-    def reconfigure(self, policy: Policy) -> None:
+    def reconfigure(self, policy: MaintenancePolicy) -> None:
         """Follow other settings."""
         self._policy = policy
         self.settling.settle_s = policy.settle_s
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class MaintenancePolicy:
     """The settings; each field has the name of its key. Times in seconds, shares from 0 to 1.
 
     No time lets a machine go, nor counts one back in: times decide only when something is tried or reported.
--- a/moorusher/maintenance/queue_order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .disruption_budget import DisruptionBudget
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule
 
 URGENT_DURATIONS = 2.0  # times the expected duration before its due time, a request goes before all others
@@ -12,7 +12,7 @@
 
 
 def sort_key(
-    request: MaintenanceRequest, seat: str, budget: DisruptionBudget, policy: Policy, now_s: float
+    request: MaintenanceRequest, seat: str, budget: DisruptionBudget, policy: MaintenancePolicy, now_s: float
 ) -> SortKey:
     """Return the sort key of a queued machine; the lowest goes first. `now_s`: Unix time.
 
@@ -37,7 +37,7 @@
 
 
 def ordered_queue(
-    schedule: Schedule, budget: DisruptionBudget, policy: Policy, now_s: float
+    schedule: Schedule, budget: DisruptionBudget, policy: MaintenancePolicy, now_s: float
 ) -> list[tuple[MaintenanceRequest, str]]:
     """Return every request and seat that is queued, the first one first. `now_s`: Unix time."""
     return sorted(schedule.queue(), key=lambda queued: sort_key(queued[0], queued[1], budget, policy, now_s))
--- a/moorusher/maintenance/schedule.py
+++ b/moorusher/maintenance/schedule.py
@@ -62,7 +62,7 @@
 _PROOF_API_NAMES = {CompletionProof.REBOOT: "boot", CompletionProof.OPERATOR: "done"}
 
 
-class Outcome(IntEnum):
+class SlotOutcome(IntEnum):
     """How a slot, or a request without open slots, came to an end. The values are stored."""
 
     COMPLETED = 0
@@ -76,9 +76,9 @@
 
 
 _OUTCOME_API_NAMES = {
-    Outcome.COMPLETED: "done",
-    Outcome.WITHDRAWN: "withdrawn",
-    Outcome.ABANDONED: "given up",
+    SlotOutcome.COMPLETED: "done",
+    SlotOutcome.WITHDRAWN: "withdrawn",
+    SlotOutcome.ABANDONED: "given up",
 }
 
 
--- a/moorusher/maintenance/slot_changes.py
+++ b/moorusher/maintenance/slot_changes.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from .operator_changes import finish_slot
-from .schedule import Outcome, Schedule, Slot, SlotStage
+from .schedule import Schedule, Slot, SlotOutcome, SlotStage
 from .transitions import Change, return_to_queue, updated, with_request, with_slot
 
 MAX_FAILED_RETURNS = 2  # after which an operator must look
@@ -216,4 +216,4 @@
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation != self.incarnation:
             return None
-        return finish_slot(schedule, slot, Outcome.COMPLETED, self.at_s, slot.note, self.max_history)
+        return finish_slot(schedule, slot, SlotOutcome.COMPLETED, self.at_s, slot.note, self.max_history)
--- a/moorusher/maintenance/start_estimate.py
+++ b/moorusher/maintenance/start_estimate.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Mapping, Sequence
 
-from .policy import Policy
+from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule, SlotStage
 
 OVERHEAD_S = 10.0  # assumed for draining and warming up, beside the work itself
@@ -16,7 +16,7 @@
     schedule: Schedule,
     order: Sequence[tuple[MaintenanceRequest, str]],
     zones: Mapping[str, str],
-    policy: Policy,
+    policy: MaintenancePolicy,
     now_s: float,
 ) -> dict[tuple[str, str], float]:
     """Return the seconds until each queued machine goes, by request id and seat, if all work takes as long as stated.
--- a/moorusher/maintenance/transitions.py
+++ b/moorusher/maintenance/transitions.py
@@ -14,9 +14,9 @@
 from .schedule import (
     HistoryEntry,
     MaintenanceRequest,
-    Outcome,
     Schedule,
     Slot,
+    SlotOutcome,
     decode_schedule,
     encode_schedule,
 )
@@ -91,10 +91,10 @@
     finished: Sequence[MaintenanceRequest], entries: Sequence[HistoryEntry]
 ) -> list[HistoryEntry]:
     at_s = entries[-1].at_s if entries else 0.0
-    is_completed = any(entry.outcome == Outcome.COMPLETED for entry in entries)
+    is_completed = any(entry.outcome == SlotOutcome.COMPLETED for entry in entries)
     made = []
     for request in finished:
-        outcome = Outcome.COMPLETED if request.completed or is_completed else Outcome.WITHDRAWN
+        outcome = SlotOutcome.COMPLETED if request.completed or is_completed else SlotOutcome.WITHDRAWN
         made.append(HistoryEntry(request.id, "", outcome.value, at_s, f"{request.completed} done"))
     return made
 
--- a/moorusher/maintenance/waiters.py
+++ b/moorusher/maintenance/waiters.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from .local_machine import MachineState, proves_work_over
-from .schedule import Outcome, Schedule, Slot, SlotStage
+from .schedule import Schedule, Slot, SlotOutcome, SlotStage
 
 
 class WaitStatus(Enum):
@@ -105,7 +105,7 @@
             if request is None and not is_known:
                 return None
             return WaitResult(WaitStatus.WITHDRAWN, "nothing is known of it any more")
-        is_withdrawn = entry.outcome == Outcome.WITHDRAWN
+        is_withdrawn = entry.outcome == SlotOutcome.WITHDRAWN
         status = WaitStatus.WITHDRAWN if is_withdrawn else WaitStatus.FINISHED
         return WaitResult(status, entry.note)
 
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, ClassVar
 
 from ..replication.journal import encode_records
-from ..replication.policy import Policy
+from ..replication.policy import ReplicationPolicy
 from ..replication.work_events import WorkEvent, WorkInHand
 from ..replication.work_record import Key, WorkRequest
 from .simulated_journal import JournalWriter, draw_write_time_us
@@ -70,7 +70,7 @@
             start.incarnation,
             sim.placement,
             self,
-            Policy(),
+            ReplicationPolicy(),
             sim.longest_window_us,
             start.recovered,
         )
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -20,7 +20,7 @@
 from ..leadership.errors import LeadershipError
 from ..leadership.fencing_token import FencingToken
 from ..leadership.journal import DutyAcceptor
-from ..leadership.lease_holder import LeaseHolder, Stage
+from ..leadership.lease_holder import LeaseHolder, LeaseStage
 from ..leadership.lease_record import (
     Intent,
     LeaseRecord,
@@ -29,7 +29,7 @@
     register_key,
 )
 from ..leadership.participant import Participant
-from ..leadership.policy import Policy
+from ..leadership.policy import LeadershipPolicy
 from ..leadership.worker import Worker
 from ..replication.acceptor import NO_BALLOT
 from ..replication.journal import JOURNAL_VERSION, JournalHeader, encode_records
@@ -42,7 +42,7 @@
 from .simulated_journal import JournalWriter, SimulatedJournal, draw_fast_write_time_us
 from .virtual_time import MS, SECOND
 
-POLICY = Policy(on=True, steady_ms=1_000)
+POLICY = LeadershipPolicy(on=True, steady_ms=1_000)
 SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
 DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=(*DISK_FAULTS, FaultKind.QUICK_RESTART))
 RESPONSE_TIMEOUT_US = 300 * MS
@@ -165,7 +165,7 @@
         compares: bool = True,
         participant_class: type[Participant] = Participant,
         acceptor_class: type[DutyAcceptor] = DutyAcceptor,
-        policy: Policy = POLICY,
+        policy: LeadershipPolicy = POLICY,
         amnesia: bool = True,
         process_class: type[DutyProcess] = DutyProcess,
     ) -> None:
@@ -272,7 +272,7 @@
             return None
         leases = self._leases(name)
         active = [
-            lease for lease in leases if lease.stage is Stage.ACTIVE and lease.record.term == record.term
+            lease for lease in leases if lease.stage is LeaseStage.ACTIVE and lease.record.term == record.term
         ]
         if len(active) != 1:
             known = [(lease.register.owner, lease.stage.value, lease.record.term) for lease in leases]
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -17,7 +17,7 @@
 from ..maintenance.disruption_budget import DisruptionBudget, SeatView
 from ..maintenance.local_machine import MachineMode, MachineState, decide
 from ..maintenance.operator_changes import SubmitRequest, WithdrawRequest
-from ..maintenance.policy import Policy
+from ..maintenance.policy import MaintenancePolicy
 from ..maintenance.schedule import MaintenanceRequest, Schedule, Slot, SlotStage, decode_schedule
 from ..maintenance.slot_changes import ClearMachine, GrantSlots
 from ..maintenance.transitions import Change
@@ -25,7 +25,7 @@
 from .shallow_copy import shallow_copy
 
 SEATS = ("a", "b", "c")
-POLICY = Policy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
+POLICY = MaintenancePolicy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
 MAX_REQUESTS = 9
 MAX_HISTORY = 8
 CACHED_SCHEDULES = 1 << 16
@@ -97,7 +97,7 @@
     clear_change: type[ClearMachine] = ClearMachine
     withdraw_change: type[WithdrawRequest] = WithdrawRequest
     budget_class: Any = DisruptionBudget
-    machine_policy: Policy = POLICY
+    machine_policy: MaintenancePolicy = POLICY
     clears_early: bool = False
     any_process: bool = False
     register: bytes = b""
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -12,7 +12,7 @@
 
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.local_machine import MachineMode, MachineState
-from ..maintenance.policy import Policy
+from ..maintenance.policy import MaintenancePolicy
 from ..replication.acceptor import Acceptor
 from .cluster_process import Process, ProcessStart
 from .cluster_simulation import Simulation
@@ -22,7 +22,7 @@
 from .scenario import FaultKind, Scenario
 from .virtual_time import MS, SECOND
 
-POLICY = Policy(
+POLICY = MaintenancePolicy(
     on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
 )
 SCENARIO = Scenario(
@@ -181,7 +181,7 @@
         self,
         seed: int,
         scenario: Scenario = SCENARIO,
-        policy: Policy = POLICY,
+        policy: MaintenancePolicy = POLICY,
         load: float = 0.4,
         requests: int = 3,
         coordinator_class: type[MaintenanceCoordinator] = MaintenanceCoordinator,
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -12,7 +12,7 @@
 from ..membership.placement import Placement
 from .acceptor import Acceptor
 from .key_tenure import Tenure
-from .policy import Policy
+from .policy import ReplicationPolicy
 from .proposer import CarriedPromise, ChangeFunction, ChangeResult
 from .work_events import WorkEvent, WorkInHand
 from .work_record import Key, Owner, WorkRecord, WorkRequest
@@ -99,7 +99,7 @@
     """A node, as the parts that care for keyed work see it. Times are in us."""
 
     tenures: dict[Key, Tenure]
-    policy: Policy
+    policy: ReplicationPolicy
     placement: Placement
     detector: FailureDetector
     acceptor: Acceptor
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -30,7 +30,7 @@
     Vote,
 )
 from .owned_work import OwnedWork
-from .policy import Policy
+from .policy import ReplicationPolicy
 from .proposer import ChangeResult
 from .register_space import CLUSTER_SPACE, WORK_SPACE, RegisterSpace
 from .watched_work import WatchedWork
@@ -65,7 +65,7 @@
         incarnation: int,
         placement: Placement,
         host: NodeHost,
-        policy: Policy,
+        policy: ReplicationPolicy,
         longest_window_us: int,
         recovered: bool = False,
         max_registers: int = 8_000,
--- a/moorusher/replication/policy.py
+++ b/moorusher/replication/policy.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class ReplicationPolicy:
     """Figures of `[fleet]`, under its keys.
 
     Attributes:
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -128,7 +128,7 @@
     "ways to settle an intent": [one.value for one in lease_record.IntentResolution],
     "stages of a turn": [one.value for one in schedule.SlotStage],
     "ends of a turn": [one.value for one in schedule.CompletionProof],
-    "outcomes of an ask": [one.value for one in schedule.Outcome],
+    "outcomes of an ask": [one.value for one in schedule.SlotOutcome],
     "demand's keys": pack_key("acme", 3, "main", "a"),
 }
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -27,7 +27,7 @@
     register_key,
 )
 from moorusher.leadership.messages import ChunkFetched, LeaseOffer
-from moorusher.leadership.policy import Policy
+from moorusher.leadership.policy import LeadershipPolicy
 from moorusher.membership.member import MemberState
 from moorusher.membership.messages import MemberStatus
 from moorusher.model_checking.leadership_simulation import (
@@ -135,7 +135,7 @@
 
 def test_a_duty_whose_leaders_are_lost_one_after_another_is_suspended_until_resumed() -> None:
     """Each leader is lost soon after it took the lease: the duty itself may kill them. It waits for an operator."""
-    sim, owner, _ = settled(seats=5, policy=Policy(on=True, steady_ms=60_000))
+    sim, owner, _ = settled(seats=5, policy=LeadershipPolicy(on=True, steady_ms=60_000))
     for _ in range(POLICY.most_lost):
         owner.alive = False
         sim.run(sim.now + round(2.5 * SECOND))
@@ -240,7 +240,7 @@
     got: list[Any] = []
     owner.participant.directory.remove("duty-0", got.append)
     sim.run(sim.now + 2 * SECOND)
-    assert got[0].status == LeaseStatus.REMOVED and lease.stage is lease_holder.Stage.ENDED
+    assert got[0].status == LeaseStatus.REMOVED and lease.stage is lease_holder.LeaseStage.ENDED
     owner.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
     owner.participant.directory.create("duty-0", "test", got.append)
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -14,7 +14,7 @@
 from moorusher.maintenance.operator_changes import (
     WithdrawRequest,
 )
-from moorusher.maintenance.policy import Policy
+from moorusher.maintenance.policy import MaintenancePolicy
 from moorusher.maintenance.schedule import (
     Schedule,
     SlotStage,
@@ -54,7 +54,7 @@
 class OverdueForgotten(DisruptionBudget):
     """One that is out is not counted."""
 
-    def __init__(self, seen: Any, schedule: Schedule, keepers: Any, policy: Policy) -> None:
+    def __init__(self, seen: Any, schedule: Schedule, keepers: Any, policy: MaintenancePolicy) -> None:
         kept = tuple(t for t in schedule.slots if t.stage is not SlotStage.CLEARED)
         super().__init__(seen, structs.replace(schedule, slots=kept), keepers, policy)
 
@@ -72,11 +72,15 @@
         (Limits(crashes=0), {"clears_early": True}),
         (
             Limits(crashes=0, abandoned=0, is_withdrawn=False),
-            {"grant_change": Unlimited, "machine_policy": Policy(most=9)},
+            {"grant_change": Unlimited, "machine_policy": MaintenancePolicy(most=9)},
         ),
         (
             Limits(crashes=0, abandoned=0, is_withdrawn=False),
-            {"budget_class": OverdueForgotten, "grant_change": Unlimited, "machine_policy": Policy(most=9)},
+            {
+                "budget_class": OverdueForgotten,
+                "grant_change": Unlimited,
+                "machine_policy": MaintenancePolicy(most=9),
+            },
         ),
         (Limits(crashes=0, abandoned=0), {"withdraw_change": WinsAfterGo}),
         (
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -21,7 +21,7 @@
 from moorusher.core.outcomes import SCHEDULER_OUTCOMES, EndReason
 from moorusher.forecasting.policy import ForecastPolicy
 from moorusher.frontends import jsonrpc_messages
-from moorusher.maintenance.policy import Policy as OutagePolicy
+from moorusher.maintenance.policy import MaintenancePolicy
 from moorusher.protocols import uwsgi_packets
 from moorusher.routing.grants import Grants
 
@@ -344,7 +344,7 @@
         settings.FleetConfig(),
         NamespacesConfig(),
         ForecastPolicy(),
-        OutagePolicy(),
+        MaintenancePolicy(),
     )
 
 
@@ -385,7 +385,7 @@
     )
     (tmp_path / "fronts.toml").write_text(on)
     got = read_operator_file(tmp_path / "fronts.toml")
-    assert got.forecast == ForecastPolicy() and got.outage == OutagePolicy()
+    assert got.forecast == ForecastPolicy() and got.outage == MaintenancePolicy()
     assert (got.uwsgi, got.probes, got.tier, got.fleet, replace(got.namespaces, grants=Grants())) == (
         UwsgiConfig(),
         HealthCheckConfig(),
