--- a/moorusher/forecasting/demand_counter.py
+++ b/moorusher/forecasting/demand_counter.py
@@ -30,6 +30,7 @@
 
     @property
     def is_acknowledged(self) -> bool:
+        """A majority has all that was counted so far."""
         return self.acknowledged_until_ms is not None and self.acknowledged_until_ms >= self.counted_until_ms
 
 
