--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -279,9 +279,13 @@
 
 @sockets
 async def test_a_runner_that_starts_alone_uses_the_revisions_on_its_disk() -> None:
-    """The whole cluster is killed, and one runner starts: it hears of nobody, and goes by what it has stored."""
+    """The whole cluster is killed, and one runner starts: it hears of nobody, and goes by what it has stored.
+
+    A publication is complete once the live runners have it; each writes it to its disk after that, which is waited for.
+    """
     async with routed_cluster(4, journals=True) as cluster:
         await cluster.publish(0)
+        await has(lambda: stored_count(cluster.fleet.journal(2) / "namespaces.db") == 1)
         for i in range(4):
             cluster.fleet.kill(i)
         await cluster.fleet.gone()
