--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -302,7 +302,8 @@
 # ---- every interleaving ----
 
 
-def test_no_interleaving_of_the_owners_begin_and_a_taker_runs_a_key_twice() -> None:
+def test_no_interleaving_of_a_start_and_a_takeover_runs_a_key_twice() -> None:
+    """P holds the key and starts it while Q, which takes P for lost, takes the work over."""
     found = explore(RegisterModel.initial(Limits(starts_held=True, retries=(0, 1), patient=True)), 60_000)
     assert found.complete and found.states > 10_000 and found.violation is None, str(found)
 
@@ -318,17 +319,18 @@
     ],
     ids=["commanded before it is begun", "other seats in one step"],
 )
-def test_every_interleaving_finds_the_seeded_mistakes(limits: Limits, how: dict[str, Any]) -> None:
-    case = RegisterModel.initial(limits, **how)
-    found = explore(case, 60_000, depth_first=True)
+def test_the_exploration_finds_each_seeded_mistake(limits: Limits, how: dict[str, Any]) -> None:
+    model = RegisterModel.initial(limits, **how)
+    found = explore(model, 60_000, depth_first=True)
     assert found.violation is not None, str(found)
-    assert replay(case, found.path) == found.violation, "the way that is told leads there"
+    assert replay(model, found.path) == found.violation, "the path of the counterexample leads there"
 
 
 # ---- seeds in virtual time ----
 
 
-def test_no_course_in_virtual_time_runs_twice_forgets_or_makes_a_result_up() -> None:
+def test_no_seed_runs_a_key_twice_abandons_work_or_answers_an_unknown_result() -> None:
+    """Processes crash, pause and drain, clocks are set back, links are cut, while clients ask for the same keys."""
     found = find_counterexample(range(40), Simulation)
     assert found is None, (
         f"Simulation({found.seed}).play() plays it again: {found.violation}" if found else ""
@@ -350,13 +352,15 @@
     engine_class = UnconfirmedStart
 
 
-class Amnesiac(Acceptor):
+class VotesWithoutMemory(Acceptor):
+    """A seeded mistake: an acceptor that has forgotten its votes votes again."""
+
     def can_vote_on(self, key: bytes) -> bool:
         return True
 
 
-class Grasping(TakeOverWork):
-    """A seeded mistake: what has begun is taken over, too."""
+class TakesOverStartedWork(TakeOverWork):
+    """A seeded mistake: work that has started is taken over, too."""
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
         if old is not None and old.state is WorkState.STARTED and old.owner == self.former_owner:
@@ -368,12 +372,12 @@
     "where, name, what, how",
     [
         ("", "", None, {"process_class": HastyProcess}),
-        ("node", "Acceptor", Amnesiac, {}),
-        ("node", "TakeOverWork", Grasping, {}),
+        ("node", "Acceptor", VotesWithoutMemory, {}),
+        ("node", "TakeOverWork", TakesOverStartedWork, {}),
     ],
     ids=["commanded before it is begun", "amnesia ignored", "begun work taken over"],
 )
-def test_the_seeds_find_the_seeded_mistakes(
+def test_some_seed_finds_each_seeded_mistake(
     where: str, name: str, what: Any, how: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if where:
@@ -384,11 +388,11 @@
     )
 
 
-def test_a_seed_plays_the_same_course_each_time() -> None:
-    one, two = Simulation(3), Simulation(3)
-    one.play()
-    two.play()
-    assert one.history == two.history and one.faults.log == two.faults.log
+def test_a_seed_replays_the_same_simulation() -> None:
+    first, second = Simulation(3), Simulation(3)
+    first.play()
+    second.play()
+    assert first.history == second.history and first.faults.log == second.faults.log
 
 
 # ---- members ----
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -433,21 +433,22 @@
 
 
 def test_no_seed_loses_work_or_runs_it_twice_with_disks_and_power_that_fails() -> None:
+    """The power of all members fails during writes; each restarts with the part of its journal that was written."""
     found = find_counterexample(range(30), partial(Simulation, scenario=DISKS))
     assert found is None, f"Simulation({found.seed}, DISKS).play(): {found.violation}" if found else ""
 
 
-class Unwritten(Process):
-    """A seeded mistake: a vote counts while it is on its way to the disk."""
+class VotesBeforeWrite(Process):
+    """A seeded mistake: a vote counts while it is being written to the disk."""
 
     def durable(self, then, space):  # type: ignore[no-untyped-def]
         super().durable(lambda: None, space)
         then()
 
 
-def test_the_seeds_find_a_vote_that_left_too_early() -> None:
+def test_some_seed_finds_a_vote_that_counts_before_it_is_written() -> None:
     assert (
-        find_counterexample(range(150), partial(Simulation, scenario=DISKS, process_class=Unwritten))
+        find_counterexample(range(150), partial(Simulation, scenario=DISKS, process_class=VotesBeforeWrite))
         is not None
     )
 
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -42,8 +42,8 @@
     assert found.violation is None, str(found)
 
 
-class Blind(IssueToken):
-    """Seeded: the term was looked at before the write, and is not part of it."""
+class IgnoresTerm(IssueToken):
+    """A seeded mistake: the term was read before the write, and is not part of it."""
 
     def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
         return None if old is None or old.holder_sequence >= self.sequence else self.changed(old)
@@ -53,7 +53,7 @@
 
 
 class SameTerm(AcquireLease):
-    """Seeded: the next owner goes on in the term of the last one, and counts anew."""
+    """A seeded mistake: the next leader goes on in the term of the last one, and counts anew."""
 
     def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
         new = super().apply(old)
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "how",
     [
-        {"token_change": Blind},
+        {"token_change": IgnoresTerm},
         {"acquire_change": SameTerm},
         {"compares": False},
         {"kind": EffectKind.ONCE, "sends_early": True},
@@ -75,9 +75,9 @@
     ids=["term looked at before", "same term twice", "receiver does not compare", "effect before intent"],
 )
 def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
-    again = (1, 0) if "token_change" in how else (0, 0)
+    retries = (1, 0) if "token_change" in how else (0, 0)
     found = explore(
-        LeadershipModel.with_lease(Limits(retries=again, patient=True), **how),
+        LeadershipModel.with_lease(Limits(retries=retries, patient=True), **how),
         max_states=60_000,
         depth_first=True,
     )
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     "scenario, how", [(SCENARIO, {}), (DISK_SCENARIO, {"has_disks": True})], ids=["memory", "disks"]
 )
-def test_seeds(scenario: Scenario, how: dict[str, Any]) -> None:
+def test_no_seed_violates_an_invariant_of_leadership(scenario: Scenario, how: dict[str, Any]) -> None:
     found = find_counterexample(range(7), partial(DutySimulation, scenario=scenario, **how))
     assert found is None, (
         f"DutySimulation({found.seed}, {scenario}, **{how}).play(): {found.violation}" if found else ""
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -43,7 +43,7 @@
 
 
 class Unlimited(GrantSlots):
-    """A grant counted as it is sent, and not as it is settled."""
+    """A seeded mistake: the limit is checked as a grant is sent, and not as it is chosen."""
 
     def apply(self, schedule: Schedule) -> Schedule | None:
         self.revision = schedule.revision
@@ -52,14 +52,16 @@
 
 
 class OverdueForgotten(DisruptionBudget):
-    """One that is out is not counted."""
+    """A seeded mistake: a machine that is out is not counted."""
 
     def __init__(self, seen: Any, schedule: Schedule, keepers: Any, policy: Policy) -> None:
         kept = tuple(t for t in schedule.slots if t.stage is not SlotStage.CLEARED)
         super().__init__(seen, structs.replace(schedule, slots=kept), keepers, policy)
 
 
-class WinsAfterGo(WithdrawRequest):
+class WithdrawsClearedSlots(WithdrawRequest):
+    """A seeded mistake: a withdrawal succeeds though the operator was told that the machine may be worked on."""
+
     def apply(self, schedule: Schedule) -> Schedule | None:
         model = super().apply(schedule) or schedule
         self.error = None
@@ -78,7 +80,7 @@
             Limits(crashes=0, abandoned=0, is_withdrawn=False),
             {"budget_class": OverdueForgotten, "grant_change": Unlimited, "machine_policy": Policy(most=9)},
         ),
-        (Limits(crashes=0, abandoned=0), {"withdraw_change": WinsAfterGo}),
+        (Limits(crashes=0, abandoned=0), {"withdraw_change": WithdrawsClearedSlots}),
         (
             Limits(crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)),
             {"any_process": True},
@@ -99,7 +101,7 @@
     assert found is None, f"MaintenanceSimulation({found.seed}).play(): {found.violation}" if found else ""
 
 
-def test_a_seed_plays_the_same_course_each_time() -> None:
+def test_a_seed_replays_the_same_simulation() -> None:
     first, second = MaintenanceSimulation(7), MaintenanceSimulation(7)
     assert first.play() == second.play() and first.faults.log == second.faults.log
     assert first.history.messages == second.history.messages
@@ -115,15 +117,16 @@
         return super().result_for(waiter, schedule, is_known)
 
 
-class Eager(MaintenanceCoordinator):
-    """With those waiters."""
+class EagerCoordinator(MaintenanceCoordinator):
+    """A coordinator with those waiters."""
 
     waiters_class = EagerWaiters
 
 
 def test_seeds_find_a_clearance_that_is_told_on_a_later_boot() -> None:
     assert (
-        find_counterexample(range(120), partial(MaintenanceSimulation, coordinator_class=Eager)) is not None
+        find_counterexample(range(120), partial(MaintenanceSimulation, coordinator_class=EagerCoordinator))
+        is not None
     )
 
 
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -358,13 +358,13 @@
 
 
 @pytest.mark.parametrize("seed", range(14))
-def test_published_once_forwards_only_and_the_same_everywhere_in_the_end(seed: int) -> None:
+def test_revisions_are_published_once_never_go_back_and_reach_all_members(seed: int) -> None:
     sim = PublishSimulation(seed)
     assert sim.play() is None, sim.faults.log
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
-def test_the_same_with_disks_and_power_cuts(seed: int) -> None:
+def test_revisions_are_published_once_with_disks_and_power_failures(seed: int) -> None:
     sim = PublishSimulation(seed, DISK_SCENARIO, has_disks=True)
     assert sim.play() is None, sim.faults.log
 
@@ -465,7 +465,7 @@
 # ---- every interleaving ----
 
 
-def test_publish_against_publish_in_every_interleaving() -> None:
+def test_no_interleaving_of_two_publishers_violates_an_invariant() -> None:
     found = explore(PublishModel())
     assert found.complete and found.violation is None, str(found)
     assert found.states > 5_000
@@ -475,7 +475,7 @@
     ("kind", "how"),
     [(Twice, "1 means"), (Forgetful, "was told, and is not|became two|means"), (Early, "told|means")],
 )
-def test_a_seeded_mistake_is_found_with_the_way_to_it(kind: type[Publisher], how: str) -> None:
+def test_the_exploration_finds_each_seeded_mistake_and_its_path(kind: type[Publisher], how: str) -> None:
     found = explore(PublishModel(kind))
     assert found.violation is not None and re.search(how, found.violation), str(found)
     assert replay(PublishModel(kind), found.path) == found.violation
@@ -490,6 +490,6 @@
         (SaysAll, "was said to have"),
     ],
 )
-def test_a_seeded_mistake_is_found(replica: type[Replica], how: str) -> None:
+def test_some_seed_finds_each_seeded_mistake(replica: type[Replica], how: str) -> None:
     found = find_counterexample(range(40), partial(PublishSimulation, replica_class=replica))
     assert found is not None and re.search(how, found.violation), found
