--- a/moorusher/admin/maintenance_documents.py
+++ b/moorusher/admin/maintenance_documents.py
@@ -29,9 +29,9 @@
         "current": status.is_current,
         "age_ms": None if status.age_us is None else status.age_us / MS,
         "limits": {
-            "most": policy.most,
-            "most_zone": policy.most_zone,
-            "most_group": policy.most_group,
+            "most": policy.max_out,
+            "most_zone": policy.max_out_per_zone,
+            "most_group": policy.max_out_per_group,
         },
         "asks": [_request_document(request) for request in schedule.requests],
         "turns": [_slot_document(slot, status) for slot in schedule.slots],
@@ -75,7 +75,7 @@
     if slot.stage is SlotStage.CLEARED:
         if is_up:
             return "may go"
-        return "overdue" if stage_s > slot.duration_s * status.policy.overdue else "out"
+        return "overdue" if stage_s > slot.duration_s * status.policy.overdue_factor else "out"
     if slot.stage is SlotStage.RETURNED:
         return "cold" if is_up else "back, and gone again"
     return slot.stage.api_name if is_up else f"{slot.stage.api_name}, and not heard of"
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -87,7 +87,7 @@
         if journal is not None:
             self.participant.store.has_disk = True
             fleet.attach_journal(journal, DUTY_SPACE, self.participant.acceptor)
-        for report in policy.reports:
+        for report in policy.heartbeats:
             self.participant.directory.declare(report.name, HEARTBEAT_KIND)
 
     def start(self) -> None:
@@ -133,7 +133,7 @@
     def _heartbeat_worker(self, lease: LeaseHolder) -> HeartbeatWorker | None:
         if lease.record.kind != HEARTBEAT_KIND:
             return None
-        for report in self.policy.reports:
+        for report in self.policy.heartbeats:
             if report.name == lease.name:
                 return HeartbeatWorker(lease, report, self.participant.services.after, self._fleet_summary)
         return None
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -96,11 +96,11 @@
     def __init__(self, fleet: ClusterMember, policy: MaintenancePolicy, reporter: Reporter) -> None:
         self.fleet = fleet
         self.policy = policy
-        self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.machine_id))
+        self.machine = LocalMachineHost(fleet, reporter, read_boot_id(policy.boot_id_path))
         self.core: RequestEngine = fleet.core
         self._reporter = reporter
         self._journal_image: JournalImage | None = None
-        self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_s * SECOND_US))
+        self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_window_s * SECOND_US))
         journal = fleet.open_part_journal("outage")
         if journal is not None:
             self._journal_image = journal.image
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -60,7 +60,7 @@
 
         Raises ConfigError where the folder of the journals can't be read.
         """
-        super().__init__(core, config.policy.alone)
+        super().__init__(core, config.policy.serves_without_majority)
         self.reactor = reactor
         self.config = config
         self.name = name
@@ -70,7 +70,7 @@
         self.namespaces = None
         self.forecast: Any = None
         self.maintenance: Any = None
-        placement = Placement(config.seats, config.policy.copies)
+        placement = Placement(config.seats, config.policy.replicas)
         self._digest = placement.digest()
         self.journals: dict[int, JournalWriter] = {}
         self._image: JournalImage | None = None
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -5,35 +5,28 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 from ..core.requests import is_identifier
-from ..leadership.policy import LeadershipPolicy, Report
+from ..leadership.policy import HeartbeatDuty, LeadershipPolicy
 from ..membership.policy import MAX_SEATS, Seat
 from ..replication.policy import ReplicationPolicy
-from .section import Address, ConfigError, Section, inside
+from .section import Address, ConfigError, Figure, Section, inside
 
 MAX_NAME_LENGTH = 64  # characters
 MAX_REPORT_INTERVAL_MS = 3_600_000
 
 
-class Bounds(NamedTuple):
-    """What a figure may be, both included."""
-
-    minimum: float
-    maximum: float
-
-
 # Figures of `[duties]`: `most` slots of some 300 bytes, `most` times `state_bytes` of memory at the very most.
 DUTY_FIGURES = {
-    "most": Bounds(1, 100_000),
-    "state_bytes": Bounds(1 << 10, 4 << 20),
-    "versions": Bounds(1, 8),
-    "intents": Bounds(1, 256),
-    "most_lost": Bounds(2, 100),
-    "steady_ms": Bounds(100, 600_000),
-    "moves_a_minute": Bounds(0.1, 600),
-    "patience_ms": Bounds(100, 60_000),
+    "most": Figure("max_duties", 1, 100_000),
+    "state_bytes": Figure("max_state_bytes", 1 << 10, 4 << 20),
+    "versions": Figure("max_versions", 1, 8),
+    "intents": Figure("max_open_intents", 1, 256),
+    "most_lost": Figure("max_lost_leaders", 2, 100),
+    "steady_ms": Figure("probation_ms", 100, 600_000),
+    "moves_a_minute": Figure("max_handovers_per_minute", 0.1, 600),
+    "patience_ms": Figure("unfit_timeout_ms", 100, 60_000),
 }
 UNCOVERED_ALONE = {
     "refuse": False,
@@ -71,14 +64,11 @@
     :raises ConfigError: with the key that is wrong.
     """
     section.unknown({"on", "report", *DUTY_FIGURES})
-    defaults = LeadershipPolicy()
-    figures: dict[str, Any] = {
-        name: section.between(name, getattr(defaults, name), *bounds) for name, bounds in DUTY_FIGURES.items()
-    }
-    reports: list[Report] = []
+    figures = section.figures(DUTY_FIGURES, LeadershipPolicy())
+    reports: list[HeartbeatDuty] = []
     for entry in _listed(section, "report"):
         reports.append(_read_report(entry, reports))
-    return LeadershipPolicy(on=section.get("on", False), reports=tuple(reports), **figures)
+    return LeadershipPolicy(enabled=section.get("on", False), heartbeats=tuple(reports), **figures)
 
 
 def read_fleet(section: Section, duties: Section) -> FleetConfig:
@@ -91,7 +81,7 @@
     policy = _read_policy(section)
     duty_policy = read_duties(duties)
     if listen is None:
-        if duty_policy.on:
+        if duty_policy.enabled:
             raise ConfigError(f"{duties.key('on')}: duties need a fleet: set {section.key('listen')}")
         return FleetConfig(policy=policy)
     name = section.get("name", "")
@@ -111,12 +101,12 @@
             f"{section.key('uncovered')}: expected one of {', '.join(UNCOVERED_ALONE)}, got {uncovered!r}"
         )
     policy = ReplicationPolicy(
-        section.between("claim_ms", defaults.claim_ms, 10, 10_000),
-        section.between("copies", defaults.copies, 1, 7),
+        section.between("claim_ms", defaults.claim_timeout_ms, 10, 10_000),
+        section.between("copies", defaults.replicas, 1, 7),
         UNCOVERED_ALONE[uncovered],
     )
-    if policy.copies % 2 == 0:
-        raise ConfigError(f"{section.key('copies')}: expected an odd number, got {policy.copies}")
+    if policy.replicas % 2 == 0:
+        raise ConfigError(f"{section.key('copies')}: expected an odd number, got {policy.replicas}")
     return policy
 
 
@@ -140,14 +130,14 @@
     return Seat(name, address, entry.get("zone", ""), entry.get("group", ""))
 
 
-def _read_report(entry: Section, others: Iterable[Report]) -> Report:
+def _read_report(entry: Section, others: Iterable[HeartbeatDuty]) -> HeartbeatDuty:
     entry.unknown({"name", "to", "every_ms"})
     name = entry.get("name", "")
     receiver = inside(entry.address("to"), entry.key("to"))
     _check_unique_name(entry, name, (other.name for other in others))
     if receiver is None:
         raise ConfigError(f"{entry.key('to')}: required, as HOST:PORT")
-    return Report(name, receiver, entry.between("every_ms", 5_000.0, 10, MAX_REPORT_INTERVAL_MS))
+    return HeartbeatDuty(name, receiver, entry.between("every_ms", 5_000.0, 10, MAX_REPORT_INTERVAL_MS))
 
 
 def _check_unique_name(entry: Section, name: str, others: Iterable[str]) -> None:
--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
-from typing import Any, NamedTuple
+from typing import Any
 
 from ..namespaces.policy import STATE_OVERHEAD_BYTES, Grant, PublishingLimits
 from ..routing.grants import Grants, Pool
-from .section import ConfigError, Section
+from .section import ConfigError, Figure, Section
 
 MAX_CUSTOMERS = 10_000
 MAX_STARTUP_WAIT_MS = 60_000.0
@@ -19,18 +19,6 @@
 MB = 1 << 20
 
 
-class Figure(NamedTuple):
-    """A figure of a customer's settings.
-
-    attribute: of `Budget` or `PublishingLimits`.
-    minimum, maximum: of its value.
-    """
-
-    attribute: str
-    minimum: float
-    maximum: float
-
-
 # By key of the settings.
 BUDGET_FIGURES = {
     "bytes": Figure("max_draft_bytes", 1 << 10, 768 << 10),
@@ -103,25 +91,14 @@
 
 def _read_figures(section: Section, defaults: Customer) -> Customer:
     """Return `defaults` with the figures that the section has."""
-    budget = replace(
-        defaults.grant.budget, **_changed_figures(section, BUDGET_FIGURES, defaults.grant.budget)
-    )
+    budget = replace(defaults.grant.budget, **section.figures(BUDGET_FIGURES, defaults.grant.budget))
     limits = replace(
         defaults.publishing_limits,
-        **_changed_figures(section, PUBLISHING_FIGURES, defaults.publishing_limits),
+        **section.figures(PUBLISHING_FIGURES, defaults.publishing_limits),
     )
     return Customer(replace(defaults.grant, budget=budget), limits)
 
 
-def _changed_figures(section: Section, figures: Mapping[str, Figure], defaults: object) -> dict[str, Any]:
-    return {
-        figure.attribute: section.between(
-            key, getattr(defaults, figure.attribute), figure.minimum, figure.maximum
-        )
-        for key, figure in figures.items()
-    }
-
-
 def _read_pools(section: Section, servers: set[str]) -> dict[str, Pool]:
     pools: dict[str, Pool] = {}
     for entry in _listed(section, "pool", {"name", "servers", "limit"}):
--- a/moorusher/config/operator_file.py
+++ b/moorusher/config/operator_file.py
@@ -93,7 +93,7 @@
     if not section.data:
         return NamespacesConfig()
     servers = {server.name for server in tier.servers}
-    return read_namespaces(section, servers, fleet.duties.on, fleet.duties.state_bytes)
+    return read_namespaces(section, servers, fleet.duties.enabled, fleet.duties.max_state_bytes)
 
 
 def _forecast(section: Section, fleet: FleetConfig) -> ForecastPolicy:
@@ -101,7 +101,7 @@
         return ForecastPolicy()
     from .forecast import read_forecast
 
-    return read_forecast(section, fleet.duties.on, fleet.duties.state_bytes)
+    return read_forecast(section, fleet.duties.enabled, fleet.duties.max_state_bytes)
 
 
 def _outage(section: Section, fleet: FleetConfig) -> MaintenancePolicy:
--- a/moorusher/config/section.py
+++ b/moorusher/config/section.py
@@ -5,7 +5,7 @@
 import errno
 import ipaddress
 from collections.abc import Mapping
-from typing import Any, TypeVar, cast
+from typing import Any, NamedTuple, TypeVar, cast
 
 from ..transient_errors import TRANSIENT
 
@@ -34,6 +34,14 @@
     return kind(f"{key}: {error}")
 
 
+class Figure(NamedTuple):
+    """A number of a section: the field that its key sets, and what it may be, both bounds included."""
+
+    field: str
+    minimum: float
+    maximum: float
+
+
 class Section:
     """One object of the configuration. `data`: its values by key. `path`: its own key, "" for the whole file.
 
@@ -79,6 +87,13 @@
             raise ConfigError(f"{self.key(name)}: expected {minimum:g} to {maximum:g}, got {value!r}")
         return value
 
+    def figures(self, figures: Mapping[str, Figure], defaults: object) -> dict[str, Any]:
+        """Return the values of these figures by field; those that are missing are as in `defaults`."""
+        return {
+            figure.field: self.between(key, getattr(defaults, figure.field), figure.minimum, figure.maximum)
+            for key, figure in figures.items()
+        }
+
     def section(self, name: str) -> Section:
         """Return the object under this key, empty where it is missing."""
         return Section(self.data.get(name, {}), self.key(name))
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -92,7 +92,12 @@
         self._load = load
         self._max_down = max_down
         self._policy = MaintenancePolicy(
-            on=True, most=max_down, most_zone=max_down // 4, most_group=4, fill=MAX_FILL, settle_s=0
+            enabled=True,
+            max_out=max_down,
+            max_out_per_zone=max_down // 4,
+            max_out_per_group=4,
+            max_utilization=MAX_FILL,
+            capacity_stable_s=0,
         )
         self._names = [f"m{index:04}" for index in range(machines)]
         lost_names = rng.sample(self._names, machines // LOST_PART)
@@ -148,7 +153,7 @@
         self._step_ms.append(1000 * (perf_counter() - began))
         if not step.grants:
             return
-        most = self._policy.most
+        most = self._policy.max_out
         self._apply(GrantSlots(self._schedule.revision, step.grants, most, self._now))
         for _, seat in step.grants:
             slot = self._schedule.slot(seat)
@@ -171,7 +176,7 @@
                 self._apply(MarkReturned(slot, 2, self._now, "s"))
                 returned = self._schedule.slot(slot.seat)
                 assert returned is not None
-                self._apply(CompleteSlot(returned, 2, self._now, self._policy.most_kept))
+                self._apply(CompleteSlot(returned, 2, self._now, self._policy.max_history))
 
 
 def simulate_large_maintenance(
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -54,13 +54,13 @@
 
     def _update_state(self, state: bytes, attempt: int = 0) -> None:
         lease = self.lease
-        max_bytes = lease.context.policy.state_bytes
+        max_bytes = lease.context.policy.max_state_bytes
         if len(state) > max_bytes:
             return lease.finish(
                 LimitExceededError(f"{lease.name}: a state of {len(state)} bytes; state_bytes is {max_bytes}")
             )
         record = lease.record
-        max_versions = lease.context.policy.versions
+        max_versions = lease.context.policy.max_versions
 
         def replicated(by_majority: bool) -> None:
             if lease.is_ended:
--- a/moorusher/leadership/heartbeat.py
+++ b/moorusher/leadership/heartbeat.py
@@ -15,7 +15,7 @@
 from .effects import Completed, DeferredStateUpdate, FencedRequest, Outcome, StateUpdate
 from .errors import LeadershipError
 from .lease_holder import LeaseHolder
-from .policy import Report
+from .policy import HeartbeatDuty
 from .serial_queue import ignore_outcome
 
 KIND = "report"
@@ -40,7 +40,7 @@
     def __init__(
         self,
         lease: LeaseHolder,
-        report: Report,
+        report: HeartbeatDuty,
         after: Callable[[int, Callable[[], None]], None],
         fleet_summary: Callable[[], dict[str, Any]],
     ) -> None:
@@ -70,7 +70,7 @@
     def _tick(self) -> None:
         if self._is_stopped:
             return
-        self._after(round(self._report.every_ms * MS), self._tick)
+        self._after(round(self._report.interval_ms * MS), self._tick)
         if not self._is_report_pending:
             self._send_report()
 
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -75,7 +75,7 @@
             self._services.owner,
             (offer.generation, offer.term),
             offer.leader_lost,
-            self._policy.most_lost,
+            self._policy.max_lost_leaders,
         )
         return self._acquire(offer.key, change)
 
@@ -202,4 +202,4 @@
                 return self.release(key, offered_to)
 
     def _move_interval_us(self) -> float:
-        return MINUTE_US / self._policy.moves_a_minute
+        return MINUTE_US / self._policy.max_handovers_per_minute
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -34,7 +34,7 @@
         """Have a majority record the intent, then send it."""
         lease = self._lease
         open_intents = len(lease.record.intents)
-        if open_intents >= lease.context.policy.intents:
+        if open_intents >= lease.context.policy.max_open_intents:
             return lease.finish(LimitExceededError(f"{lease.name}: {open_intents} intents are open"))
 
         def recorded(outcome: Outcome) -> None:
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -138,7 +138,7 @@
         self._observer.started(self)
         self.intents.resolve_open()
         if self.record.lost_leaders:
-            stable_after_us = round(self.context.policy.steady_ms * MS)
+            stable_after_us = round(self.context.policy.probation_ms * MS)
             self.context.services.after(stable_after_us, self._clear_lost_leaders)
 
     def _clear_lost_leaders(self) -> None:
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -74,7 +74,7 @@
         self.node = node
         self.policy = policy
         self._host = host
-        self.store = ChunkStore(policy.state_bytes * (policy.versions + 1))
+        self.store = ChunkStore(policy.max_state_bytes * (policy.max_versions + 1))
         self.acceptor = self._create_acceptor(acceptor_class, remembers)
         registers = RegisterSpace(DUTY_SPACE, self.acceptor, node, None)
         node.add_space(registers)
@@ -111,7 +111,7 @@
             seats.replicas,
             frozenset(seats.names) - {self.node.me},
             remembers,
-            self.policy.most,
+            self.policy.max_duties,
             on_change=self._on_slot,
             permanent=True,
             slice_of=seats.slice_of,
@@ -121,13 +121,13 @@
         return acceptor
 
     def _create_election(self) -> Election:
-        backoff_us = round(self.policy.steady_ms * MS)
+        backoff_us = round(self.policy.probation_ms * MS)
         return Election(
             self.services,
             is_fit=self._host.fit,
             led_duties=lambda: len(self.leases),
             stability=StabilityTracker(backoff_us, backoff_us * MAX_STABILITY_BACKOFF),
-            unfit_patience_us=round(2 * self.policy.patience_ms * MS),
+            unfit_patience_us=round(2 * self.policy.unfit_timeout_ms * MS),
         )
 
     def _create_handlers(self) -> dict[type, Callable[[str, Any], None]]:
@@ -179,7 +179,7 @@
             self.leases.rebalance()
         elif self._unfit_since_us is None:
             self._unfit_since_us = now_us
-        elif now_us - self._unfit_since_us >= round(self.policy.patience_ms * MS):
+        elif now_us - self._unfit_since_us >= round(self.policy.unfit_timeout_ms * MS):
             self.leave()
 
     def _announce(self, now_us: int) -> None:
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -102,4 +102,4 @@
         self.registers.change(key, change, NEVER_EXPIRES_US, self._register_timeout_us(), callback, hold)
 
     def _register_timeout_us(self) -> int:
-        return round(self.node.policy.claim_ms * MS)
+        return round(self.node.policy.claim_timeout_ms * MS)
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -125,7 +125,7 @@
         unknown = [seat for seat in request.queued if seat not in self._node.placement.by_name]
         if unknown or not request.queued:
             return callback(UnknownSeatError(f"{', '.join(unknown) or 'none named'}: no such seat"))
-        change = SubmitRequest(request, self.policy.most_asks)
+        change = SubmitRequest(request, self.policy.max_open_requests)
         return self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def withdraw(
@@ -135,7 +135,9 @@
 
         Errors: UnknownRequestError, AlreadyClearedError, NoMajorityError.
         """
-        change = WithdrawRequest(request_id, seats, self._host.unix_s(), requested_by, self.policy.most_kept)
+        change = WithdrawRequest(
+            request_id, seats, self._host.unix_s(), requested_by, self.policy.max_history
+        )
         self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def pause(self, reason: str, callback: ScheduleCallback) -> None:
@@ -153,7 +155,7 @@
         """
         if seat not in self._node.placement.by_name:
             return callback(UnknownSeatError(f"{seat}: no such seat"))
-        change = FinishSlot(seat, self._host.unix_s(), stated_by, self.policy.most_kept)
+        change = FinishSlot(seat, self._host.unix_s(), stated_by, self.policy.max_history)
         return self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def read(self, callback: Callable[[Schedule, bool], None]) -> None:
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -140,16 +140,16 @@
 
     def _over_bounds(self, request: MaintenanceRequest, view: SeatView) -> str | None:
         policy = self.policy
-        if len(self.out) + 1 > policy.most:
-            return f"{self._names_of_out()} out, at most {policy.most} may be"
+        if len(self.out) + 1 > policy.max_out:
+            return f"{self._names_of_out()} out, at most {policy.max_out} may be"
         zone = f"zone {view.zone or 'none'}"
         out_of_zone = self.zones[view.zone]
-        if out_of_zone + 1 > policy.most_zone:
-            return f"{zone} has {out_of_zone} out, at most {policy.most_zone} may be"
+        if out_of_zone + 1 > policy.max_out_per_zone:
+            return f"{zone} has {out_of_zone} out, at most {policy.max_out_per_zone} may be"
         if out_of_zone and (not request.shares_zone or view.zone in self._exclusive_zones):
             return f"{zone} has one out, and not both may be done with others"
-        if view.group and self.groups[view.group] + 1 > policy.most_group:
-            return f"group {view.group} has {self.groups[view.group]} out, at most {policy.most_group} may be"
+        if view.group and self.groups[view.group] + 1 > policy.max_out_per_group:
+            return f"group {view.group} has {self.groups[view.group]} out, at most {policy.max_out_per_group} may be"
         return None
 
     def _needed_as_replica(self, view: SeatView) -> str | None:
@@ -170,11 +170,12 @@
     def _needed_for_capacity(self, view: SeatView) -> str | None:
         policy = self.policy
         cores = self.cores - view.cores
-        if cores < policy.least_share * self.total_cores:
-            return f"{cores:g} of {self.total_cores:g} cores would stay, {policy.least_share:.0%} must"
+        if cores < policy.min_capacity_share * self.total_cores:
+            return f"{cores:g} of {self.total_cores:g} cores would stay, {policy.min_capacity_share:.0%} must"
         capacity = self.capacity - view.capacity
-        if self.needed_cores > policy.fill * capacity:
-            return f"{self.needed_cores:.1f} cores are needed, and {policy.fill:.0%} of {capacity:.1f} would be there"
+        if self.needed_cores > policy.max_utilization * capacity:
+            available = f"{policy.max_utilization:.0%} of {capacity:.1f}"
+            return f"{self.needed_cores:.1f} cores are needed, and {available} would be there"
         return None
 
     def _names_of_out(self) -> str:
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -90,9 +90,9 @@
     slot: Slot, machine: MachineState, policy: MaintenancePolicy, now_s: float
 ) -> MachineAction:
     incarnation = machine.incarnation
-    if machine.machines_out > policy.most:
+    if machine.machines_out > policy.max_out:
         # Whoever granted it has a file with a higher bound; that is no fault of this machine.
-        note = f"{machine.machines_out} are out, and {policy.most} may be by its own file"
+        note = f"{machine.machines_out} are out, and {policy.max_out} may be by its own file"
         return MachineAction(MachineMode.SERVING, ReturnSlot(slot, incarnation, note, counts=False))
     if slot.incarnation != incarnation:
         if slot.incarnation and machine.is_first_process:
@@ -100,10 +100,12 @@
             return MachineAction(MachineMode.SERVING, ReturnSlot(slot, incarnation, note))
         return MachineAction(MachineMode.DRAINING, AcceptSlot(slot, incarnation))
     if machine.is_drained:
-        change = ClearMachine(slot, incarnation, policy.most, now_s, machine.boot_id, machine.settings_digest)
+        change = ClearMachine(
+            slot, incarnation, policy.max_out, now_s, machine.boot_id, machine.settings_digest
+        )
         return MachineAction(MachineMode.DRAINING, change)
-    if machine.draining_us > policy.drain_s * SECOND_US:
-        note = f"not drained within {policy.drain_s:g} s"
+    if machine.draining_us > policy.drain_timeout_s * SECOND_US:
+        note = f"not drained within {policy.drain_timeout_s:g} s"
         return MachineAction(MachineMode.DRAINING, ReturnSlot(slot, incarnation, note))
     return MachineAction(MachineMode.DRAINING)
 
@@ -116,7 +118,7 @@
         return MachineAction(MachineMode.RETURNING, change)
     cleared_s = now_s - slot.since_s
     alert = ""
-    if cleared_s > policy.go_s:
+    if cleared_s > policy.departure_timeout_s:
         alert = (
             f"told to go {cleared_s:.0f} s ago, and up, on the same start: it counts as out until "
             "it has gone and is back, or `moorusher outage done` is said of it"
@@ -133,9 +135,11 @@
             change = MarkReturned(slot, incarnation, now_s, machine.settings_digest)
             return MachineAction(MachineMode.RETURNING, change)
         return MachineAction(MachineMode.RETURNING, AcceptSlot(slot, incarnation))
-    is_overdue = machine.returned_us > policy.back_s * SECOND_US
+    is_overdue = machine.returned_us > policy.return_timeout_s * SECOND_US
     if machine.is_warm and (machine.recovered or is_overdue):
-        return MachineAction(MachineMode.RETURNING, CompleteSlot(slot, incarnation, now_s, policy.most_kept))
+        return MachineAction(
+            MachineMode.RETURNING, CompleteSlot(slot, incarnation, now_s, policy.max_history)
+        )
     alert = ""
     if is_overdue:
         alert = f"back for {machine.returned_us / SECOND_US:.0f} s, and still cold"
--- a/moorusher/maintenance/machine_controller.py
+++ b/moorusher/maintenance/machine_controller.py
@@ -150,7 +150,7 @@
                 [self._node.me],
                 self._host.unix_s(),
                 "nobody: who waited has gone",
-                self._policy().most_kept,
+                self._policy().max_history,
             )
         )
 
--- a/moorusher/maintenance/next_step.py
+++ b/moorusher/maintenance/next_step.py
@@ -31,11 +31,11 @@
 class CapacitySettling:
     """Whether the staying capacity has settled: it has not shrunk for a while, and nobody went or came back.
 
-    settle_s: float, that while.
+    settling_time_s: float, that while.
     unsettled_at_s: float, when it was last unsettled.
     """
 
-    settle_s: float
+    settling_time_s: float
     unsettled_at_s: float = 0.0
     _capacity: float = -1.0
     _out: frozenset[str] = frozenset()
@@ -50,7 +50,7 @@
             self._capacity = budget.capacity
         self._out = out
         self._capacity = max(self._capacity, budget.capacity)
-        return max(0.0, self.settle_s - (now_s - self.unsettled_at_s))
+        return max(0.0, self.settling_time_s - (now_s - self.unsettled_at_s))
 
 
 def plan(
@@ -85,7 +85,7 @@
                 reason = "next"
         if explain:
             step.reasons[request.id, seat] = reason
-        elif len(budget.out) >= policy.most:
+        elif len(budget.out) >= policy.max_out:
             break
     return step
 
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -61,7 +61,7 @@
         policy: MaintenancePolicy,
     ) -> None:
         self.replicas = tuple(replicas)
-        self.settling = CapacitySettling(policy.settle_s)
+        self.settling = CapacitySettling(policy.capacity_stable_s)
         self._me = me
         self._placement = placement
         self._detector = detector
@@ -73,7 +73,7 @@
     def reconfigure(self, policy: MaintenancePolicy) -> None:
         """Follow other settings."""
         self._policy = policy
-        self.settling.settle_s = policy.settle_s
+        self.settling.settling_time_s = policy.capacity_stable_s
 
     def _rank(self, schedule: Schedule) -> int:
         """Return how many replicas come before this one."""
@@ -98,14 +98,14 @@
         if settles_in_s > 0:
             self._unchanged_since_us = max(self._unchanged_since_us, now_us)
             return None
-        if schedule.pause_reason or not schedule.requests or len(schedule.slots) >= self._policy.most:
+        if schedule.pause_reason or not schedule.requests or len(schedule.slots) >= self._policy.max_out:
             return None
         if now_us - self._unchanged_since_us < REPLICA_RANK_DELAY_US * self._rank(schedule):
             return None
         step = plan(schedule, views, self.replicas, self._policy, unix_s)
         if not step.grants:
             return None
-        return GrantSlots(schedule.revision, step.grants, self._policy.most, unix_s)
+        return GrantSlots(schedule.revision, step.grants, self._policy.max_out, unix_s)
 
     def explain(self, schedule: Schedule, now_us: int, unix_s: float) -> NextStep:
         """Return the next step with the reason of each machine that waits."""
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -9,24 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenancePolicy:
-    """The settings; each field has the name of its key. Times in seconds, shares from 0 to 1.
+    """The settings; `config/maintenance.py` has the key of each. Times in seconds, shares from 0 to 1.
 
     No time lets a machine go, nor counts one back in: times decide only when something is tried or reported.
     """
 
-    on: bool = False
-    most: int = 1  # machines out of service at a time, lost ones included
-    most_zone: int = 1  # of one zone
-    most_group: int = 1  # of one group of seats
-    least_share: float = 0.5  # of the fleet's cores that must stay
-    fill: float = 0.95  # of the staying capacity that the load and its recent peak may take
-    peak_s: float = 600.0  # how long a peak counts as recent
-    settle_s: float = 3.0  # the staying capacity must not have shrunk for so long before the next grant
-    drain_s: float = 60.0  # a machine that still has work after that is queued again
-    go_s: float = 300.0  # cleared and still up: reported
-    overdue: float = 1.5  # times the expected duration, after which it is reported
-    back_s: float = 120.0  # returned, and still warming up or without its memory: it counts as it is
-    ages_s: float = 3_600.0  # of waiting that weigh as much as one step of priority
-    most_asks: int = 64  # requests that are open at a time
-    most_kept: int = 64  # entries of the history
-    machine_id: str = BOOT_ID  # a file whose content changes with each boot of the machine
+    enabled: bool = False
+    max_out: int = 1  # machines out of service at a time, lost ones included
+    max_out_per_zone: int = 1  # of one zone
+    max_out_per_group: int = 1  # of one group of seats
+    min_capacity_share: float = 0.5  # of the fleet's cores that must stay
+    max_utilization: float = 0.95  # of the staying capacity that the load and its recent peak may take
+    peak_window_s: float = 600.0  # how long a peak counts as recent
+    capacity_stable_s: float = (
+        3.0  # the staying capacity must not have shrunk for so long before the next grant
+    )
+    drain_timeout_s: float = 60.0  # a machine that still has work after that is queued again
+    departure_timeout_s: float = 300.0  # cleared and still up: reported
+    overdue_factor: float = 1.5  # times the expected duration, after which it is reported
+    return_timeout_s: float = (
+        120.0  # returned, and still warming up or without its memory: it counts as it is
+    )
+    aging_step_s: float = 3_600.0  # of waiting that weigh as much as one step of priority
+    max_open_requests: int = 64  # requests that are open at a time
+    max_history: int = 64  # entries of the history
+    boot_id_path: str = BOOT_ID  # a file whose content changes with each boot of the machine
--- a/moorusher/maintenance/queue_order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -22,7 +22,7 @@
     view = budget.views.get(seat)
     urgent_s = URGENT_DURATIONS * request.duration_s
     is_urgent = bool(request.due_at_s) and now_s >= request.due_at_s - urgent_s
-    age = max(0.0, now_s - request.requested_at_s) / policy.ages_s
+    age = max(0.0, now_s - request.requested_at_s) / policy.aging_step_s
     # Rounded down, or no two requests would ever be alike and the rest of the key would never decide.
     weight = float(int(request.priority + age))
     return (
--- a/moorusher/maintenance/schedule_replica.py
+++ b/moorusher/maintenance/schedule_replica.py
@@ -86,7 +86,7 @@
         return self.read_at_us != NEVER_READ
 
     def _register_timeout_us(self) -> int:
-        return round(self._node.policy.claim_ms * MS)
+        return round(self._node.policy.claim_timeout_ms * MS)
 
     # ---- reading ----
 
--- a/moorusher/maintenance/start_estimate.py
+++ b/moorusher/maintenance/start_estimate.py
@@ -34,7 +34,7 @@
         waiting = []
         for request, seat in remaining:
             zone = zones.get(seat, "")
-            if len(ends) >= policy.most or out_by_zone[zone] >= policy.most_zone:
+            if len(ends) >= policy.max_out or out_by_zone[zone] >= policy.max_out_per_zone:
                 waiting.append((request, seat))
                 continue
             starts[request.id, seat] = max(elapsed_s, request.not_before_s - now_s)
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -42,7 +42,7 @@
 from .simulated_journal import JournalWriter, SimulatedJournal, draw_fast_write_time_us
 from .virtual_time import MS, SECOND
 
-POLICY = LeadershipPolicy(on=True, steady_ms=1_000)
+POLICY = LeadershipPolicy(enabled=True, probation_ms=1_000)
 SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
 DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=(*DISK_FAULTS, FaultKind.QUICK_RESTART))
 RESPONSE_TIMEOUT_US = 300 * MS
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -25,7 +25,15 @@
 from .shallow_copy import shallow_copy
 
 SEATS = ("a", "b", "c")
-POLICY = MaintenancePolicy(on=True, most=1, most_zone=1, settle_s=0, least_share=0.3, go_s=1e9, back_s=1e9)
+POLICY = MaintenancePolicy(
+    enabled=True,
+    max_out=1,
+    max_out_per_zone=1,
+    capacity_stable_s=0,
+    min_capacity_share=0.3,
+    departure_timeout_s=1e9,
+    return_timeout_s=1e9,
+)
 MAX_REQUESTS = 9
 MAX_HISTORY = 8
 CACHED_SCHEDULES = 1 << 16
@@ -215,7 +223,7 @@
         change = decide(slot, state, self.machine_policy, 0.0).change
         if isinstance(change, ClearMachine) and slot is not None:
             return self.clear_change(
-                slot, machine.incarnation, self.machine_policy.most, 0.0, state.boot_id, ""
+                slot, machine.incarnation, self.machine_policy.max_out, 0.0, state.boot_id, ""
             )
         return change
 
@@ -290,7 +298,7 @@
     def _plan(self, seat: str, machine: Machine, other: str) -> None:
         assert machine.known is not None
         granted = [one for one in grantable(machine.known, self.budget_class) if one[1] == other]
-        self._send(seat, self.grant_change(read(machine.known).revision, granted, POLICY.most, 0.0))
+        self._send(seat, self.grant_change(read(machine.known).revision, granted, POLICY.max_out, 0.0))
 
     def _clear(self, seat: str, machine: Machine) -> None:
         machine.is_cleared = True
@@ -299,7 +307,7 @@
 
     def _check_limit(self) -> None:
         out = [seat for seat, machine in self.machines.items() if machine.is_cleared or machine.is_away]
-        if len(out) > POLICY.most:
+        if len(out) > POLICY.max_out:
             self.failure = f"{out} may be worked on at one time"
 
     def _arrive(self, sent: SentChange) -> None:
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -23,7 +23,14 @@
 from .virtual_time import MS, SECOND
 
 POLICY = MaintenancePolicy(
-    on=True, most=2, most_zone=1, least_share=0.3, settle_s=0.3, drain_s=3.0, go_s=4.0, back_s=8.0
+    enabled=True,
+    max_out=2,
+    max_out_per_zone=1,
+    min_capacity_share=0.3,
+    capacity_stable_s=0.3,
+    drain_timeout_s=3.0,
+    departure_timeout_s=4.0,
+    return_timeout_s=8.0,
 )
 SCENARIO = Scenario(
     seats=6,
@@ -160,7 +167,7 @@
         process = self._world.live_process(seat)
         if process is not None:
             coordinator = process.coordinator
-            coordinator.reconfigure(replace(self._world.policy, most=1))
+            coordinator.reconfigure(replace(self._world.policy, max_out=1))
             restore = partial(coordinator.reconfigure, self._world.policy)
             self._world.at(self._world.now + round(duration_s * SECOND), process, restore)
 
@@ -231,7 +238,7 @@
         worked_on = [seat for seat, machine in enumerate(self.machines) if machine.is_worked_on]
         self.max_cleared = max(self.max_cleared, len(worked_on))
         by_zone = Counter(seat % 2 for seat in worked_on)
-        if len(worked_on) > self.policy.most or max(by_zone.values()) > self.policy.most_zone:
+        if len(worked_on) > self.policy.max_out or max(by_zone.values()) > self.policy.max_out_per_zone:
             self.violations.append(
                 f"{self.now / SECOND:.3f} s: n{seat} was told to go, and {worked_on} may be worked on"
             )
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -236,7 +236,7 @@
     @property
     def claim_timeout_us(self) -> int:
         """How long a change may take that somebody waits for."""
-        return round(self.policy.claim_ms * MS)
+        return round(self.policy.claim_timeout_ms * MS)
 
     @property
     def last_may_be_chosen(self) -> bool:
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -105,7 +105,7 @@
 
         Nobody waits for it, but the register may name this runner: were it lost later, another would run the work.
         """
-        if self._node.policy.alone:
+        if self._node.policy.serves_without_majority:
             return self._node.forget(tenure)
         if self._withdrawals >= MAX_WITHDRAWALS:
             self._node.host.count("fleet: not taken back")
@@ -174,7 +174,7 @@
 
     def _start_uncovered(self, tenure: Tenure) -> None:
         self._node.host.count("fleet: not begun")
-        if self._node.policy.alone:
+        if self._node.policy.serves_without_majority:
             tenure.stage = TenureStage.STARTED
             self._node.host.notify(StartConfirmed(tenure.key))
         else:
--- a/moorusher/replication/policy.py
+++ b/moorusher/replication/policy.py
@@ -7,14 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationPolicy:
-    """Figures of `[fleet]`, under its keys.
+    """Figures of `[fleet]`.
 
     Attributes:
-        claim_ms: `float`; a key whose majority has not answered by then is uncovered.
-        copies: `int`, replicas of each key.
-        alone: `bool`; uncovered keyed requests are served as by a runner without a cluster; else they are rejected.
+        claim_timeout_ms: `float`; a key whose majority has not answered by then is uncovered.
+        replicas: `int`, of each key.
+        serves_without_majority: `bool`; uncovered keyed requests are served as by a runner without a cluster; else they
+            are rejected.
     """
 
-    claim_ms: float = 250.0
-    copies: int = 3
-    alone: bool = False
+    claim_timeout_ms: float = 250.0
+    replicas: int = 3
+    serves_without_majority: bool = False
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -71,7 +71,7 @@
             accepts_more_work,
             random.Random(config.name).random,
         )
-        if config.fleet.duties.on:
+        if config.fleet.duties.enabled:
             from ..cluster_transport.leadership import DutyLink
 
             parts.replication.leadership = DutyLink(parts.replication, config.fleet.duties)
@@ -83,7 +83,7 @@
         from ..cluster_transport.forecast import ForecastLink
 
         parts.forecast = ForecastLink(parts.replication.leadership, config.forecast, reactor)
-    if config.outage.on:
+    if config.outage.enabled:
         from ..cluster_transport.maintenance import MaintenanceLink
 
         parts.maintenance = MaintenanceLink(parts.replication, config.outage, reporter)
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -125,7 +125,7 @@
     cluster = service.cluster
     changed = {
         "namespaces.on": new.namespaces.on != (cluster.config_distribution is not None),
-        "outage.on": new.outage.on != (cluster.maintenance is not None),
+        "outage.on": new.outage.enabled != (cluster.maintenance is not None),
         "tier.server": bool(new.tier.servers) != (service.server_pool is not None),
         "announce": (new.announce is None) != (service.announcer is None),
         "db": service.server_pool is None and (backend is None) != (service.backend is None),
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -135,8 +135,8 @@
 
 def test_a_duty_whose_leaders_are_lost_one_after_another_is_suspended_until_resumed() -> None:
     """Each leader is lost soon after it took the lease: the duty itself may kill them. It waits for an operator."""
-    sim, owner, _ = settled(seats=5, policy=LeadershipPolicy(on=True, steady_ms=60_000))
-    for _ in range(POLICY.most_lost):
+    sim, owner, _ = settled(seats=5, policy=LeadershipPolicy(enabled=True, probation_ms=60_000))
+    for _ in range(POLICY.max_lost_leaders):
         owner.alive = False
         sim.run(sim.now + round(2.5 * SECOND))
         found = [
@@ -183,8 +183,8 @@
 
 def test_states_intents_and_names_over_their_bounds_are_refused_with_the_bound() -> None:
     sim, owner, lease = settled()
-    too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.state_bytes + 1)))
-    assert isinstance(too_large, LimitExceededError) and str(POLICY.state_bytes) in str(too_large)
+    too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.max_state_bytes + 1)))
+    assert isinstance(too_large, LimitExceededError) and str(POLICY.max_state_bytes) in str(too_large)
     assert isinstance(
         answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.OPERATOR_DECIDES)),
         LimitExceededError,
--- a/tests/test_leadership_parts.py
+++ b/tests/test_leadership_parts.py
@@ -129,7 +129,7 @@
     def read(duties: dict[str, Any]) -> Any:
         return read_fleet(Section({}, "fleet"), Section(duties, "duties"))
 
-    assert not read({}).duties.on
+    assert not read({}).duties.enabled
     with pytest.raises(ConfigError, match=r"duties.on: duties need a fleet"):
         read({"on": True})
     for wrong, name in (
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -45,7 +45,9 @@
 from moorusher.maintenance.transitions import Change
 
 MAX_HISTORY = 8
-POLICY = MaintenancePolicy(on=True, most=2, most_zone=1, least_share=0.5, fill=0.9)
+POLICY = MaintenancePolicy(
+    enabled=True, max_out=2, max_out_per_zone=1, min_capacity_share=0.5, max_utilization=0.9
+)
 SECOND = 1_000_000
 
 
@@ -304,7 +306,9 @@
     assert blocking_reason(views(), schedule, "n0") == ""
     assert "cores are needed" in blocking_reason(views(peak_load=3.1), schedule, "n0")  # 18.6 of 90% of 20
     assert "cores are needed" in blocking_reason(views(load=3.1), schedule, "n0")
-    assert "must" in blocking_reason(views(), schedule, "n0", MaintenancePolicy(most=9, least_share=0.9))
+    assert "must" in blocking_reason(
+        views(), schedule, "n0", MaintenancePolicy(max_out=9, min_capacity_share=0.9)
+    )
     crowded = [replace(v, weight=50) for v in views(load=2.0)]
     assert "cores are needed" in blocking_reason(crowded, schedule, "n0")
 
@@ -324,7 +328,7 @@
 
 
 def test_two_of_a_zone_go_only_if_both_share_it() -> None:
-    policy = MaintenancePolicy(most=3, most_zone=2, fill=1.0)
+    policy = MaintenancePolicy(max_out=3, max_out_per_zone=2, max_utilization=1.0)
     for together, expected in (
         (True, ""),
         (False, "zone z0 has one out, and not both may be done with others"),
@@ -336,7 +340,7 @@
 def test_replicas_of_the_schedule_stay_so_that_a_further_loss_does_not_lose_it() -> None:
     """Replicas without a journal are out, and one more is lost unasked: a majority must remember the schedule."""
     schedule, keepers = requested(request("a", "n0", "n1")), ("n0", "n1", "n2", "n3", "n4")
-    policy = MaintenancePolicy(most=3, most_zone=3, fill=1.0)
+    policy = MaintenancePolicy(max_out=3, max_out_per_zone=3, max_utilization=1.0)
     after = granted(schedule, "a", "n0")
     assert "without a journal" in blocking_reason(views(), after, "n1", policy, keepers)
     assert blocking_reason(views(durable=True), after, "n1", policy, keepers) == ""
@@ -346,7 +350,7 @@
 
 def test_urgent_requests_go_first_then_by_priority_and_age_then_unhealthy_machines() -> None:
     def first(*asks: MaintenanceRequest, now: float = 100.0, seen: list[SeatView] | None = None) -> str:
-        step = plan(requested(*asks), seen or views(), (), MaintenancePolicy(most=1), now)
+        step = plan(requested(*asks), seen or views(), (), MaintenancePolicy(max_out=1), now)
         return step.grants[0][1]
 
     low, high = request("a", "n0"), request("b", "n1", priority=2)
@@ -390,11 +394,11 @@
     schedule = requested(request("a", "n0", "n1", "n2", "n3"))
     zones = {v.seat: v.zone for v in views()}
     told = estimate_starts(
-        schedule, list(schedule.queue()), zones, MaintenancePolicy(most=2, most_zone=1), 0.0
+        schedule, list(schedule.queue()), zones, MaintenancePolicy(max_out=2, max_out_per_zone=1), 0.0
     )
     assert [told["a", f"n{i}"] for i in range(4)] == [0, 0, 70, 70]
     one = estimate_starts(
-        schedule, list(schedule.queue()), zones, MaintenancePolicy(most=1, most_zone=1), 0.0
+        schedule, list(schedule.queue()), zones, MaintenancePolicy(max_out=1, max_out_per_zone=1), 0.0
     )
     assert [one["a", f"n{i}"] for i in range(4)] == [0, 70, 140, 210]
 
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -74,14 +74,14 @@
         (Limits(crashes=0), {"clears_early": True}),
         (
             Limits(crashes=0, abandoned=0, is_withdrawn=False),
-            {"grant_change": Unlimited, "machine_policy": MaintenancePolicy(most=9)},
+            {"grant_change": Unlimited, "machine_policy": MaintenancePolicy(max_out=9)},
         ),
         (
             Limits(crashes=0, abandoned=0, is_withdrawn=False),
             {
                 "budget_class": OverdueForgotten,
                 "grant_change": Unlimited,
-                "machine_policy": MaintenancePolicy(most=9),
+                "machine_policy": MaintenancePolicy(max_out=9),
             },
         ),
         (Limits(crashes=0, abandoned=0), {"withdraw_change": WithdrawsClearedSlots}),
