--- a/moorusher/admin/leadership.py
+++ b/moorusher/admin/leadership.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from ..cluster_transport.leadership import DutyLink, DutyReading, DutySnapshot
-from ..core.clock import MS
 from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution, LeaseStatus
+from ..time_units import MS
 from .api import Guarded, later, reply
 
 MAX_NUMBER_DIGITS = 18
--- a/moorusher/admin/maintenance_documents.py
+++ b/moorusher/admin/maintenance_documents.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 from ..cluster_transport.maintenance import MaintenanceStatus
-from ..core.clock import MS
 from ..maintenance.schedule import (
     CompletionProof,
     HistoryEntry,
@@ -14,6 +13,7 @@
     SlotOutcome,
     SlotStage,
 )
+from ..time_units import MS
 
 MAX_SHOWN_HISTORY = 16
 
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -8,7 +8,6 @@
 from ..cluster_transport.config_distribution import NamespaceService
 from ..config_distribution.errors import DistributionError
 from ..config_distribution.propagation import DELETED_NUMBER
-from ..core.clock import MS
 from ..leadership.errors import LeadershipError
 from ..namespaces.current_revisions import Revision
 from ..namespaces.draft_changes import draft_changes
@@ -17,6 +16,7 @@
 from ..namespaces.revision_id import RevisionId
 from ..namespaces.rules import RequestAttributes
 from ..routing.route import decide_route
+from ..time_units import MS
 
 ResultCallback = Callable[[dict[str, Any] | DistributionError], None]
 ABSENT_REASONS = ("down", "never heard of")  # of seats that a revision need not have come to
--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -10,8 +10,8 @@
 from twisted.python.failure import Failure
 
 from ..config.section import Address
-from ..core.clock import MS
 from ..core.request_engine import RequestEngine
+from ..time_units import MS
 from .http_client import NO_CONTENT, HttpClientProtocol, HttpResponse
 
 log = logging.getLogger("moorusher")
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -12,8 +12,9 @@
 
 from ..config.section import Address
 from ..core.call import CallRequest
-from ..core.clock import MS, SECOND, Alarm
+from ..core.clock import Alarm
 from ..core.outcomes import EndReason
+from ..time_units import MS, SECOND
 from .http_client import HttpClientProtocol, HttpResponse
 from .owner import BackendOwner
 
--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -10,9 +10,10 @@
 from twisted.python.failure import Failure
 
 from ..config.section import Address
-from ..core.clock import MS, Alarm
+from ..core.clock import Alarm
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
+from ..time_units import MS
 from .kernel_messages import Booted, KernelMessage
 from .kernel_protocol import MAX_LOGGED_BYTES, KernelProtocol
 from .kernel_session import KernelSession, SessionState
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..core.call import CallRequest
-from ..core.clock import MS, Alarm, Alarms, Clock
+from ..core.clock import Alarm, Alarms, Clock
 from ..core.counters import Counters
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
@@ -29,6 +29,7 @@
 from ..load_balancing.status import counts_json, servers_json
 from ..routing.grants import Grants
 from ..routing.route_table import RouteTable
+from ..time_units import MS
 from ..warm_start.learned_state import DonorCondition, LearnedState, capture_learned_state
 from .server_backends import Backend, ServerBackends
 
--- a/moorusher/backends/silence_detection.py
+++ b/moorusher/backends/silence_detection.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from ..core.clock import MS, SECOND
+from ..time_units import MS, SECOND
 
 PROBE_AFTER_US = SECOND  # without data, the peer is asked for an answer
 MAX_SILENCE_US = 3 * SECOND  # without data, the connection is doubted
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -13,7 +13,6 @@
 from ..config_distribution.errors import DistributionError
 from ..config_distribution.publisher import Publisher
 from ..config_distribution.replica import Replica
-from ..core.clock import MS
 from ..core.requests import Arrival
 from ..leadership.lease_holder import LeaseHolder
 from ..namespaces.current_revisions import Revision
@@ -24,6 +23,7 @@
 from ..namespaces.rules import RequestAttributes
 from ..routing.route import RoutingDecision, decide_route
 from ..storage.revisions import Store
+from ..time_units import MS
 from .draft_parsing import SWITCH_INTERVAL_S, DaemonThreadPool, DraftParser
 from .leadership import DutyLink
 
--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -19,11 +19,12 @@
 
 from ..backends.http_client import HttpClientProtocol, HttpResponse
 from ..config.section import parse_address
-from ..core.clock import MS, Alarm
+from ..core.clock import Alarm
 from ..core.request_engine import RequestEngine
 from ..leadership.effects import NO_RESPONSE, ReceiverResponse, ResponseCallback
 from ..leadership.fencing_token import FencingToken, TokenVerdict
 from ..leadership.lease_record import Intent
+from ..time_units import MS
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -7,9 +7,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ...core.clock import MS, Alarm
+from ...core.clock import Alarm
 from ...core.request_engine import RequestEngine
 from ...hot_restart.process_role import TIMEOUTS_MS, Event, State
+from ...time_units import MS
 from . import frames
 from .handover import Handover, RunnerProcess
 from .instruction_executor import InstructionExecutor
--- a/moorusher/cluster_transport/hot_restart/frames.py
+++ b/moorusher/cluster_transport/hot_restart/frames.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Union
 
-from ...core.idempotency_keys import Key
+from ...core.idempotency_keys import IdempotencyKey
 from ...hot_restart.shared_budget import ProcessLoad
 
 VERSION = 1
@@ -67,7 +67,7 @@
 class KeyRecord:
     """One entry of the key table."""
 
-    key: Key
+    key: IdempotencyKey
     body_digest: int
     expires_us: int
     finished: bool
@@ -79,7 +79,7 @@
     """The other process wants to run a key."""
 
     serial: int
-    key: Key
+    key: IdempotencyKey
     body_digest: int
     expires_us: int
 
@@ -89,7 +89,7 @@
     """A claim is granted."""
 
     serial: int
-    key: Key
+    key: IdempotencyKey
 
 
 @dataclass(slots=True, frozen=True)
@@ -97,7 +97,7 @@
     """A claimed key belongs to an attempt of the other process."""
 
     serial: int
-    key: Key
+    key: IdempotencyKey
     body_digest: int
     expires_us: int
 
@@ -107,21 +107,21 @@
     """A claimed key can't be noted by the other process."""
 
     serial: int
-    key: Key
+    key: IdempotencyKey
 
 
 @dataclass(slots=True, frozen=True)
 class KeyReleased:
     """An attempt of the other process never ran."""
 
-    key: Key
+    key: IdempotencyKey
 
 
 @dataclass(slots=True, frozen=True)
 class KeyFinished:
     """A run of the other process is over."""
 
-    key: Key
+    key: IdempotencyKey
     body_digest: int
     expires_us: int
     result: bytes | None
@@ -154,7 +154,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LetOn:
+class AcceptPermitted:
     """The process in service accepts nothing more."""
 
 
@@ -183,7 +183,7 @@
     MaintenanceChanged,
     Ready,
     KeysSynced,
-    LetOn,
+    AcceptPermitted,
     Busy,
     Bye,
 ]
@@ -213,7 +213,7 @@
 # ---- reading ----
 
 
-def _key(fields: Fields) -> Key:
+def _key(fields: Fields) -> IdempotencyKey:
     tenant, token = fields["k"]
     if not isinstance(token, str) or not isinstance(tenant, str | None):
         raise ValueError("no key")
@@ -243,7 +243,7 @@
     return KeyRecord(_key(fields), fields["b"], fields["u"], fields["o"], cached)
 
 
-def _settled(fields: Fields, result: bytes) -> Message:
+def _decode_key_finished(fields: Fields, result: bytes) -> Message:
     return KeyFinished(_key(fields), fields["b"], fields["u"], result if fields["r"] else None)
 
 
@@ -267,12 +267,12 @@
     "HELD": lambda fields, _: KeyInUse(fields["n"], _key(fields), fields["b"], fields["u"]),
     "FULL": lambda fields, _: KeyTableFull(fields["n"], _key(fields)),
     "FREED": lambda fields, _: KeyReleased(_key(fields)),
-    "SETTLED": _settled,
+    "SETTLED": _decode_key_finished,
     "LOAD": _load,
     "OUT": lambda fields, _: MaintenanceChanged(fields["out"]),
     "READY": lambda fields, _: Ready(fields["labels"]),
     "SYNCED": lambda fields, _: KeysSynced(),
-    "GO": lambda fields, _: LetOn(),
+    "GO": lambda fields, _: AcceptPermitted(),
     "BUSY": lambda fields, _: Busy(),
     "BYE": lambda fields, _: Bye(),
 }
@@ -344,7 +344,7 @@
     MaintenanceChanged: lambda changed: ("OUT", {"out": changed.maintenance}, b""),
     Ready: lambda ready: ("READY", {"labels": ready.labels}, b""),
     KeysSynced: lambda _: ("SYNCED", {}, b""),
-    LetOn: lambda _: ("GO", {}, b""),
+    AcceptPermitted: lambda _: ("GO", {}, b""),
     Busy: lambda _: ("BUSY", {}, b""),
     Bye: lambda _: ("BYE", {}, b""),
 }
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from ...core.clock import MS
 from ...core.request_engine import RequestEngine
 from ...hot_restart.process_role import Instruction
 from ...hot_restart.shared_budget import ProcessLoad
+from ...time_units import MS
 from . import frames
 from .handover import Handover, RunnerProcess
 from .peer_connection import close_descriptors
@@ -36,7 +36,7 @@
             Instruction.SEND_BUSY: lambda: None,  # to the further process, by whoever has its connection
             Instruction.SEND_READY: lambda: self._send(frames.Ready(list(handover.sockets))),
             Instruction.STOP_ACCEPTING: lambda: process.pause(handover.shared_labels),
-            Instruction.LET_ON: lambda: self._send(frames.LetOn()),
+            Instruction.LET_ON: lambda: self._send(frames.AcceptPermitted()),
             Instruction.RESUME_ACCEPTING: process.resume,
             Instruction.DISCONNECT: self._disconnect,
             Instruction.CLAIM_KEYS: lambda: self._claim_keys(is_successor=True),
--- a/moorusher/cluster_transport/hot_restart/message_receiver.py
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -44,7 +44,7 @@
             frames.MaintenanceChanged: self._maintenance_changed,
             frames.Ready: self._ready,
             frames.KeysSynced: lambda _: self._handle(Event.KEYS_SYNCED),
-            frames.LetOn: lambda _: self._handle(Event.LET_ON),
+            frames.AcceptPermitted: lambda _: self._handle(Event.LET_ON),
             frames.Busy: lambda _: self._peer_goes(Event.PEER_BUSY),
             frames.Bye: lambda _: self._peer_goes(Event.PEER_LEFT),
         }
--- a/moorusher/cluster_transport/hot_restart/peer_connection.py
+++ b/moorusher/cluster_transport/hot_restart/peer_connection.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from ...core.idempotency_keys import Key, KeyEntry
+from ...core.idempotency_keys import IdempotencyKey, KeyEntry
 from ...core.outcomes import EndReason
 from ...core.request_engine import RequestEngine
 from . import frames
@@ -148,27 +148,29 @@
 
     # ---- the key claims' view of the other process ----
 
-    def claim(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def claim(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """This process wants to run the key."""
         self.send(frames.Claim(serial, key, body_digest, expires_us))
 
-    def claim_granted(self, serial: int, key: Key) -> None:
+    def claim_granted(self, serial: int, key: IdempotencyKey) -> None:
         """The claimed key is the other process's."""
         self.send(frames.ClaimGranted(serial, key))
 
-    def key_in_use(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def key_in_use(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """The claimed key belongs to an attempt here."""
         self.send(frames.KeyInUse(serial, key, body_digest, expires_us))
 
-    def key_table_full(self, serial: int, key: Key) -> None:
+    def key_table_full(self, serial: int, key: IdempotencyKey) -> None:
         """The claimed key can't be noted here."""
         self.send(frames.KeyTableFull(serial, key))
 
-    def key_released(self, key: Key) -> None:
+    def key_released(self, key: IdempotencyKey) -> None:
         """The attempt here never ran."""
         self.send(frames.KeyReleased(key))
 
-    def key_finished(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+    def key_finished(
+        self, key: IdempotencyKey, body_digest: int, expires_us: int, result: bytes | None
+    ) -> None:
         """The run here is over."""
         self.send(frames.KeyFinished(key, body_digest, expires_us, result))
 
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -16,8 +16,8 @@
 from twisted.internet.protocol import ClientFactory, Factory
 from twisted.python.failure import Failure
 
-from ...core.clock import MS
 from ...hot_restart.process_role import Event
+from ...time_units import MS
 from .peer_connection import ConnectionOwner, PeerConnection
 
 log = logging.getLogger("moorusher")
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ..core.answer import Answer
-from ..core.idempotency_keys import Key as CoreKey
+from ..core.idempotency_keys import IdempotencyKey as CoreKey
 from ..core.idempotency_keys import KeyEntry
 from ..core.request_engine import RequestEngine
 from ..core.requests import Arrival, Request
@@ -29,7 +29,7 @@
     WorkEvent,
     WorkInHand,
 )
-from ..replication.work_record import Key, WorkRequest, key_of
+from ..replication.work_record import KeyDigest, WorkRequest, key_of
 
 log = logging.getLogger("moorusher")
 
@@ -59,9 +59,9 @@
         """`alone`: work that no majority answers for is run all the same."""
         self.core = core
         self._alone = alone
-        self._core_keys: dict[Key, CoreKey] = {}
+        self._core_keys: dict[KeyDigest, CoreKey] = {}
         # Work that was taken over, and whose customer's rules are being fetched.
-        self._awaiting_rules: set[Key] = set()
+        self._awaiting_rules: set[KeyDigest] = set()
         self._no_reply = NoReply()
         self._handlers: dict[type[WorkEvent], Callable[[Any], None]] = {
             ClaimGranted: self._claim_granted,
@@ -128,7 +128,7 @@
         """Carries out in the core what is settled about a key."""
         self._handlers[type(event)](event)
 
-    def _request(self, key: Key) -> Request | None:
+    def _request(self, key: KeyDigest) -> Request | None:
         core_key = self._core_keys.get(key)
         entry = None if core_key is None else self.core.keys.find(core_key, self.core.clock.now)
         return None if entry is None else self.core.table.by_number.get(entry.number)
@@ -185,7 +185,9 @@
 
     # ---- for the node: work of other runners ----
 
-    def accept_takeover(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> bool:
+    def accept_takeover(
+        self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
+    ) -> bool:
         """Queues another runner's work under the rules that it was read under; False where that can't be."""
         self._core_keys[key] = (request.tenant, request.token)
         arrival = self._arrival(request)
@@ -221,7 +223,7 @@
             request.subject,
         )
 
-    def _queue_with_rules(self, key: Key, arrival: Arrival, ruling: Any) -> None:
+    def _queue_with_rules(self, key: KeyDigest, arrival: Arrival, ruling: Any) -> None:
         """`ruling`: by the revision that it was read under, or the error why that can't be had: then another runner may
         have the work."""
         self._awaiting_rules.discard(key)
@@ -246,7 +248,7 @@
             return False
         return True
 
-    def work_in_hand(self, key: Key) -> WorkInHand:
+    def work_in_hand(self, key: KeyDigest) -> WorkInHand:
         """What this runner, or the process that it replaces, knows of a key."""
         if key in self._awaiting_rules:
             return WorkInHand(in_hand=True)
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -17,11 +17,11 @@
 from ..maintenance.waiters import WaitCallback
 from ..replication.journal import JournalImage
 from ..replication.register_space import CLUSTER_SPACE
+from ..time_units import SECOND
 from .cluster_member import ClusterMember
 from .machine_host import LocalMachineHost, read_boot_id
 
 MAX_WAIT_S = 30.0  # of one question; a caller asks again
-SECOND_US = 1e6
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
         self.core: RequestEngine = fleet.core
         self._reporter = reporter
         self._journal_image: JournalImage | None = None
-        self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_window_s * SECOND_US))
+        self._gauge = LoadGauge(self.core.settings.cores, round(policy.peak_window_s * SECOND))
         journal = fleet.open_part_journal("outage")
         if journal is not None:
             self._journal_image = journal.image
@@ -203,7 +203,7 @@
     ) -> Callable[[], None]:
         """See `MaintenanceCoordinator.wait`. Raises NotLocalError."""
         self.core.begin_turn()
-        timeout_us = round(min(timeout_s, MAX_WAIT_S) * SECOND_US)
+        timeout_us = round(min(timeout_s, MAX_WAIT_S) * SECOND)
         return self.coordinator.wait(request_id, seat, timeout_us, callback)
 
     def _status_to(self, callback: StatusCallback) -> Callable[[Schedule | MaintenanceError], None]:
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -14,7 +14,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from ..core.clock import MS, Alarm
+from ..core.clock import Alarm
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
 from ..replication.errors import UnreadableFrame
@@ -27,6 +27,7 @@
     decode,
     encode,
 )
+from ..time_units import MS
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 from ..config.fleet import FleetConfig
-from ..core.clock import MS
 from ..core.idempotency_keys import window_end
 from ..core.request_engine import RequestEngine
 from ..membership.placement import Placement
@@ -22,6 +21,7 @@
 from ..replication.register_space import WORK_SPACE
 from ..storage.journal_files import OpenedJournal, open_journal
 from ..storage.journal_writer import JournalWriter
+from ..time_units import MS
 from .keyed_work import KeyedWorkCoordinator
 from .peer_links import PeerLinks
 from .replication_status import cluster_document, work_document
--- a/moorusher/cluster_transport/replication_status.py
+++ b/moorusher/cluster_transport/replication_status.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Iterable
 
-from ..core.clock import MS
 from ..membership.member import Member
 from ..replication.key_tenure import Tenure
 from ..replication.node import Node
 from ..storage.journal_writer import JournalWriter
+from ..time_units import MS
 
 MAX_LISTED_KEYS = 1_000
 KEY_DIGITS = 12  # hexadecimal digits by which a key is shown
--- a/moorusher/config_distribution/anti_entropy.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -14,9 +14,9 @@
 
 import xxhash
 
-from ..membership.failure_detector import MS
 from ..membership.placement import majority
 from ..namespaces.revision_id import RevisionId
+from ..time_units import MS
 from .messages import DigestDifference, DigestSummary
 from .services import Member, ObtainsRevisions
 
--- a/moorusher/config_distribution/dissemination.py
+++ b/moorusher/config_distribution/dissemination.py
@@ -12,8 +12,8 @@
 from functools import partial
 from typing import Protocol
 
-from ..membership.failure_detector import MS
 from ..namespaces.revision_id import RevisionId
+from ..time_units import MS
 from .messages import Disseminate, DisseminateReceived, DisseminateResult
 from .services import Member, ObtainsRevisions
 
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -5,8 +5,8 @@
 from ..leadership.errors import LeadershipError
 from ..leadership.lease_record import LeaseRecord, LeaseStatus
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MS
 from ..namespaces.revision_id import RevisionId
+from ..time_units import MS
 from .dissemination import MAX_LACKING, Disseminator, LackingCallback
 from .publisher import Answer, duty_of
 from .register_reader import RegisterReader
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..membership.failure_detector import MS
 from ..namespaces.current_revisions import CurrentRevisions, Revision
 from ..namespaces.errors import NamespaceError, Stale
 from ..namespaces.namespace import Namespace
 from ..namespaces.revision_id import RevisionId
+from ..time_units import MS
 from .messages import RevisionReply, RevisionRequest
 from .services import DraftReader, Member, ObtainCallback
 
--- a/moorusher/config_distribution/submission_forwarding.py
+++ b/moorusher/config_distribution/submission_forwarding.py
@@ -15,10 +15,10 @@
 )
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MS
 from ..namespaces.errors import NoSuchCustomer
 from ..namespaces.policy import Grant
 from ..namespaces.revision_history import Submission
+from ..time_units import MS
 from .errors import DistributionError, error_from_wire
 from .messages import SubmitDraft, SubmitResult
 from .publisher import KIND, Answer, duty_of
--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -8,9 +8,9 @@
 
 from moorusher.scheduling import interface as api
 
+from ..time_units import MS
 from .answer import Answer, Cause, Verdict
 from .call import CallRequest
-from .clock import MS
 from .completion import Completion
 from .engine_state import EngineState
 from .execution import Execution
--- a/moorusher/core/call.py
+++ b/moorusher/core/call.py
@@ -8,7 +8,8 @@
 
 from moorusher.scheduling.interface import Effect
 
-from .clock import MS, Alarm, Alarms, Clock
+from ..time_units import MS
+from .clock import Alarm, Alarms, Clock
 from .outcomes import EndReason
 
 
--- a/moorusher/core/clock.py
+++ b/moorusher/core/clock.py
@@ -11,12 +11,11 @@
 from collections.abc import Callable
 from itertools import count
 
+from ..time_units import MS
 from .wall_clock import WallClock
 
 log = logging.getLogger("moorusher")
 
-MS = 1_000  # us
-SECOND = 1_000_000  # us
 SAME_MOMENT = 2 * MS  # two clocks that are read within it count as read at once
 MAX_READINGS = 4  # of both clocks, until they are read at one moment
 
--- a/moorusher/core/completion.py
+++ b/moorusher/core/completion.py
@@ -4,8 +4,8 @@
 
 from moorusher.scheduling import interface as api
 
+from ..time_units import MS
 from .answer import Answer, Cause, Verdict
-from .clock import MS
 from .engine_state import EngineState
 from .outcomes import SCHEDULER_OUTCOMES, EndReason
 from .requests import STARTED_STAGES, Request
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -10,9 +10,9 @@
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.scheduler import Scheduler
 
+from ..time_units import MS
 from .action_executor import ActionExecutor
 from .answer import Answer, Cause, Verdict
-from .clock import MS
 from .completion import Completion
 from .engine_state import EngineState
 from .kernel_status import KernelStatus
--- a/moorusher/core/drain_state.py
+++ b/moorusher/core/drain_state.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from .clock import MS, Clock
+from ..time_units import MS
+from .clock import Clock
 
 
 class DrainState:
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -11,12 +11,12 @@
 
 import xxhash
 
-from .clock import MS, SECOND
+from ..time_units import MS, SECOND
 from .key_table_limits import ENTRY_BYTES, KeyTableLimits
 
 # Tenant, by name, and token: tenants never share results. Not the class: where new settings put one class in another's
 # place, front ends send retries of an open request under the new name.
-Key = tuple[str | None, str]
+IdempotencyKey = tuple[str | None, str]
 
 # The window counts from t0 of the attempt that ran to the writing of a retry, with 50 ms on top; a retry may also lie
 # unread for a while. Serving a cached result late is allowed, a second run is not.
@@ -40,7 +40,7 @@
         former_numbers: numbers of the attempts that had the key before.
     """
 
-    key: Key
+    key: IdempotencyKey
     number: int
     body_digest: int
     expires_us: int = 0
@@ -91,7 +91,7 @@
 
     def __init__(self, memory_mb: float = 192.0) -> None:
         self.limits = KeyTableLimits(memory_mb)
-        self._by_key: dict[Key, KeyEntry] = {}
+        self._by_key: dict[IdempotencyKey, KeyEntry] = {}
         self._by_number: dict[int, KeyEntry] = {}
         # (expires_us, number of the attempt); stale where the entry's own time is later
         self._expiry_heap: list[tuple[int, int]] = []
@@ -113,7 +113,7 @@
 
     # ---- look-ups ----
 
-    def find(self, key: Key, now: int) -> KeyEntry | None:
+    def find(self, key: IdempotencyKey, now: int) -> KeyEntry | None:
         """The entry of a key that counts at this time."""
         self._remove_expired(now)
         return self._by_key.get(key)
@@ -128,7 +128,9 @@
 
     # ---- who has a key ----
 
-    def reserve(self, key: Key, number: int, body_digest: int = 0, expires_us: int = 0) -> KeyEntry:
+    def reserve(
+        self, key: IdempotencyKey, number: int, body_digest: int = 0, expires_us: int = 0
+    ) -> KeyEntry:
         """An attempt of this process has the key from the moment that it is read, so that a retry in the same turn is
         known as one."""
         entry = KeyEntry(key, number, body_digest)
@@ -137,7 +139,7 @@
         self.extend(number, expires_us)
         return entry
 
-    def reserve_remote(self, key: Key, number: int, body_digest: int, expires_us: int) -> KeyEntry:
+    def reserve_remote(self, key: IdempotencyKey, number: int, body_digest: int, expires_us: int) -> KeyEntry:
         """Another process has the key from now on."""
         entry = self.reserve(key, number, body_digest, expires_us)
         entry.remote = True
--- a/moorusher/core/kernel_status.py
+++ b/moorusher/core/kernel_status.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .clock import MS
+from ..time_units import MS
 from .engine_state import EngineState
 
 
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -11,9 +11,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .clock import MS, Alarm, Alarms, Clock
+from ..time_units import MS
+from .clock import Alarm, Alarms, Clock
 from .counters import Counters
-from .idempotency_keys import IdempotencyKeyTable, Key, KeyEntry
+from .idempotency_keys import IdempotencyKey, IdempotencyKeyTable, KeyEntry
 from .requests import Request, RequestTable
 
 CLAIM_TIMEOUT = 250 * MS  # an answer takes the other process a turn of its loop, unless it hangs
@@ -22,22 +23,24 @@
 class ClaimPeer(Protocol):
     """The other process. It receives these messages in their order; after a lost one, none."""
 
-    def claim(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def claim(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """This process wants to run the key; `serial` is repeated in the answer."""
 
-    def claim_granted(self, serial: int, key: Key) -> None:
+    def claim_granted(self, serial: int, key: IdempotencyKey) -> None:
         """The claimed key is yours."""
 
-    def key_in_use(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def key_in_use(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """The claimed key belongs to an attempt here."""
 
-    def key_table_full(self, serial: int, key: Key) -> None:
+    def key_table_full(self, serial: int, key: IdempotencyKey) -> None:
         """The claimed key can't be noted here."""
 
-    def key_released(self, key: Key) -> None:
+    def key_released(self, key: IdempotencyKey) -> None:
         """The attempt here that had the key is over and never ran."""
 
-    def key_finished(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+    def key_finished(
+        self, key: IdempotencyKey, body_digest: int, expires_us: int, result: bytes | None
+    ) -> None:
         """The run here that had the key is over."""
 
 
@@ -89,7 +92,7 @@
         self.peer: ClaimPeer | None = None
         self.is_successor = False
         self.peer_unresponsive: Callable[[], bool] = lambda: False
-        self._pending: dict[Key, _PendingClaim] = {}
+        self._pending: dict[IdempotencyKey, _PendingClaim] = {}
         self._serial = 0
         keys.observers.append(self)
 
@@ -109,7 +112,7 @@
         self.peer.claim(self._serial, entry.key, entry.body_digest, entry.expires_us)
         return True
 
-    def _timed_out(self, key: Key) -> None:
+    def _timed_out(self, key: IdempotencyKey) -> None:
         if key not in self._pending:
             return
         self._counters.add("claims unanswered")
@@ -136,7 +139,7 @@
 
     # ---- the other process's answers ----
 
-    def _take_pending(self, serial: int, key: Key) -> Request | None:
+    def _take_pending(self, serial: int, key: IdempotencyKey) -> Request | None:
         """The request whose claim is answered; None where it is over, or the answer is to an older claim."""
         pending = self._pending.get(key)
         if pending is None or pending.serial != serial:
@@ -145,25 +148,25 @@
         pending.timeout.cancel()
         return pending.request if pending.request.number in self._table.by_number else None
 
-    def claim_granted(self, serial: int, key: Key) -> None:
+    def claim_granted(self, serial: int, key: IdempotencyKey) -> None:
         """The key is this process's."""
         request = self._take_pending(serial, key)
         if request is not None:
             self._listener.key_claimed(request)
 
-    def key_in_use(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def key_in_use(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """An attempt of the other process has the key: the request here waits for its result."""
         request = self._take_pending(serial, key)
         if request is not None:
             self._cede(request, key, body_digest, expires_us)
 
-    def key_table_full(self, serial: int, key: Key) -> None:
+    def key_table_full(self, serial: int, key: IdempotencyKey) -> None:
         """The other process can't note a further key."""
         request = self._take_pending(serial, key)
         if request is not None:
             self._listener.reject_before_scheduling(request, "no room for a further key")
 
-    def _cede(self, request: Request, key: Key, body_digest: int, expires_us: int) -> None:
+    def _cede(self, request: Request, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
             return
@@ -178,7 +181,7 @@
 
     # ---- the other process's attempts ----
 
-    def peer_claims(self, serial: int, key: Key, body_digest: int, expires_us: int) -> None:
+    def peer_claims(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """The other process wants to run the key."""
         peer = self.peer
         if peer is None:
@@ -206,20 +209,22 @@
         if entry.finished:
             peer.key_finished(key, entry.body_digest, entry.expires_us, entry.result)
 
-    def peer_released_key(self, key: Key) -> None:
+    def peer_released_key(self, key: IdempotencyKey) -> None:
         """The attempt there never ran; who waits for it here gets no result."""
         entry = self._keys.find(key, self._clock.now)
         if entry is not None and entry.remote and not entry.finished:
             for waiter in self._keys.release_remote(entry):
                 self._share_result(waiter, None)
 
-    def peer_finished_key(self, key: Key, body_digest: int, expires_us: int, result: bytes | None) -> None:
+    def peer_finished_key(
+        self, key: IdempotencyKey, body_digest: int, expires_us: int, result: bytes | None
+    ) -> None:
         """The run there is over."""
         entry = self._find_or_note(key, body_digest, expires_us)
         if entry.remote:  # else it is this process's, which knows better
             self._finish_remote(entry, result)
 
-    def _find_or_note(self, key: Key, body_digest: int, expires_us: int) -> KeyEntry:
+    def _find_or_note(self, key: IdempotencyKey, body_digest: int, expires_us: int) -> KeyEntry:
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
             entry = self._keys.reserve_remote(key, self._table.take_number(), body_digest, expires_us)
@@ -239,7 +244,7 @@
                 yield entry
 
     def snapshot_entry(
-        self, key: Key, body_digest: int, expires_us: int, finished: bool, result: bytes | None
+        self, key: IdempotencyKey, body_digest: int, expires_us: int, finished: bool, result: bytes | None
     ) -> None:
         """One entry of the other process's snapshot."""
         entry = self._find_or_note(key, body_digest, expires_us)
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -7,8 +7,9 @@
 
 from moorusher.scheduling import interface as api
 
+from ..time_units import MS, SECOND
 from .answer import Reply
-from .clock import MS, SECOND, Clock
+from .clock import Clock
 from .former_key_classes import FormerKeyClasses
 from .idempotency_keys import IdempotencyKeyTable, digest, window_end
 from .requests import Arrival, Request, RequestTable
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -10,12 +10,12 @@
 
 from moorusher.scheduling import interface as api
 
+from ..time_units import MS
 from .answer import Answer, Cause, Reply, Verdict
-from .clock import MS
 from .completion import Completion
 from .engine_state import EngineState
 from .execution import Execution
-from .idempotency_keys import Key, KeyEntry
+from .idempotency_keys import IdempotencyKey, KeyEntry
 from .intake import Intake
 from .outcomes import EndReason
 from .registration import RETRY_AFTER_MS, InvalidArrival
@@ -130,7 +130,7 @@
 
     # ---- the end of other runners' attempts ----
 
-    def result_received(self, key: Key, result: bytes | None) -> None:
+    def result_received(self, key: IdempotencyKey, result: bytes | None) -> None:
         """Another runner's attempt under this key is over; None: without a result."""
         self._turn.begin()
         entry = self._open_remote_entry(key)
@@ -138,7 +138,7 @@
             for waiter in self._keys.finish(entry.number, result):
                 self._completion.share_result(waiter, result)
 
-    def never_ran(self, key: Key) -> None:
+    def never_ran(self, key: IdempotencyKey) -> None:
         """Another runner's attempt under this key never ran, and nobody goes on with it: who waits here may retry."""
         self._turn.begin()
         entry = self._open_remote_entry(key)
@@ -151,7 +151,7 @@
                 self._completion.answer(request, answer)
                 self._completion.end(request, EndReason.RUN_NEVER_STARTED)
 
-    def _open_remote_entry(self, key: Key) -> KeyEntry | None:
+    def _open_remote_entry(self, key: IdempotencyKey) -> KeyEntry | None:
         entry = self._keys.find(key, self._state.clock.now)
         if entry is None or not entry.remote or entry.finished:
             return None
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -8,8 +8,8 @@
 
 from moorusher.scheduling import interface as api
 
+from ..time_units import MS
 from .answer import Reply
-from .clock import MS
 
 MAX_REQUEST_NUMBER = 0xFFFF_FFFF  # then the numbering starts again at 1
 MAX_REQUEST_ID_LENGTH = 64
--- a/moorusher/core/wall_clock.py
+++ b/moorusher/core/wall_clock.py
@@ -8,7 +8,8 @@
 
 from __future__ import annotations
 
-MS = 1_000  # us
+from ..time_units import MS
+
 STEP = 50 * MS  # a smaller change is drift, or the moment between two readings
 MAX_OFFSETS = 8  # that are remembered
 MAX_TRANSIT = 1_000 * MS  # a message may be so long with its sender, or on its way
--- a/moorusher/forecast_service/demand_reporter.py
+++ b/moorusher/forecast_service/demand_reporter.py
@@ -7,7 +7,7 @@
 from ..forecasting.demand_counter import DemandCounter
 from ..leadership.errors import LeadershipError
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .leader_lookup import LeaderLookup
 from .messages import DemandReport, Message, NotLeader, ReportAck
 
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -20,7 +20,7 @@
 from ..leadership.effects import Completed, FencedRequest, Outcome, StateUpdate
 from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .documents import forecast_document
 from .errors import CorruptLedgerError, ForecastError, ForecastNotReadyError, InvalidHistoryError
 from .hint_planning import plan_hints
--- a/moorusher/forecast_service/leader_queries.py
+++ b/moorusher/forecast_service/leader_queries.py
@@ -6,7 +6,7 @@
 
 from ..leadership.errors import LeadershipError
 from ..leadership.services import MemberServices
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .errors import ForecastError, ForecastNotReadyError, error_from_wire
 from .leader_lookup import LeaderCallback
 from .messages import ForecastQuery, HistoryImport, LeaderReply, Message
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -13,8 +13,8 @@
 from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.participant import Participant
-from ..membership.failure_detector import MS
 from ..replication.messages import ComponentMessage
+from ..time_units import MS
 from . import messages
 from .demand_reporter import DemandReporter
 from .errors import ForecastError, ForecastNotReadyError
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -11,9 +11,10 @@
 from itertools import islice
 from typing import Protocol
 
-from ..core.clock import MS, SECOND, Alarm
+from ..core.clock import Alarm
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
+from ..time_units import MS, SECOND
 
 EVICTION_GRACE_US = (
     300 * MS
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -12,10 +12,10 @@
 
 from twisted.internet.protocol import Factory
 
-from ..core.clock import MS
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
 from ..health_reporting.reporter import Reporter
+from ..time_units import MS
 from .connection_limits import ConnectionLimiter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -11,8 +11,8 @@
 
 from twisted.protocols.basic import LineReceiver
 
-from ..core.clock import SECOND
 from ..core.outcomes import EndReason
+from ..time_units import SECOND
 from .unread_input import read_unread_input
 
 MAX_HEAD_BYTES = 4096  # of a call before its body, all lines together
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -9,9 +9,9 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
-from ..core.clock import MS, SECOND
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
+from ..time_units import MS, SECOND
 from .connection_limits import ConnectionLimiter
 from .jsonrpc_messages import LEAVING, PARSE, error_line
 from .jsonrpc_session import JsonRpcSession
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -8,11 +8,11 @@
 
 from twisted.internet.protocol import Factory
 
-from ..core.clock import SECOND
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
 from ..health.formatting import orca_load_metrics
 from ..health_reporting.reporter import Reporter
+from ..time_units import SECOND
 from .connection_limits import ConnectionLimiter
 
 MAX_CONNECTIONS = 128  # of load balancers at a time, for each listener
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Protocol
 
 from ..core.answer import Answer, Cause, Verdict
-from ..core.clock import SECOND, Alarm
+from ..core.clock import Alarm
 from ..core.outcomes import EndReason
 from ..core.registration import NEVER_RAN, RETRY_AFTER_MS, InvalidArrival
 from ..core.request_engine import RequestEngine
@@ -28,6 +28,7 @@
     read_arrival,
     response,
 )
+from ..time_units import SECOND
 from .connection_limits import ConnectionLimiter
 from .limited_protocol import LimitedFactory
 from .unread_input import read_unread_input
--- a/moorusher/health_reporting/document.py
+++ b/moorusher/health_reporting/document.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..core.clock import MS
 from ..health.observation import KernelGauges, Maintenance
+from ..time_units import MS
 from .reporter import Reporter
 
 
--- a/moorusher/health_reporting/reporter.py
+++ b/moorusher/health_reporting/reporter.py
@@ -10,7 +10,6 @@
 from moorusher.scheduling.concurrency import MAX_RUNNING_FRACTION
 from moorusher.scheduling.interface import Settings
 
-from ..core.clock import MS, SECOND
 from ..core.observer import EngineObserver
 from ..core.request_engine import RequestEngine
 from ..health.observation import Maintenance, Observation
@@ -18,6 +17,7 @@
 from ..health.report import HealthReport
 from ..health.states import HealthState, ImpossibleTransitionError
 from ..health.tracker import HealthTracker, RunnerFacts, gauges_of
+from ..time_units import MS, SECOND
 
 log = logging.getLogger("moorusher")
 
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -14,7 +14,7 @@
 from ..leadership.participant import Participant
 from ..model_checking.leadership_simulation import DutyProcess, DutySimulation
 from ..model_checking.scenario import FaultKind, Scenario
-from ..model_checking.virtual_time import SECOND
+from ..time_units import SECOND
 
 LEASE_US = SECOND
 """A usual figure: the failure detector's patience."""
--- a/moorusher/leadership/candidates.py
+++ b/moorusher/leadership/candidates.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from ..membership.placement import rendezvous_score
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
 
 CAPACITY_FACTOR = 1.25  # times the fair share: a member with as many is offered duties last
 OVERLOAD_FACTOR = 1.5  # times the fair share, plus one: above it a member declines offers and gives duties up
@@ -57,7 +57,7 @@
     return max(2, ceil(OVERLOAD_FACTOR * share) + 1)
 
 
-def preference_order(key: Key, candidates: Iterable[Candidate], share: float) -> list[str]:
+def preference_order(key: KeyDigest, candidates: Iterable[Candidate], share: float) -> list[str]:
     """Return the seats of fit members, the preferred one first; full ones come late, unstable ones last."""
     digest = xxhash.xxh64_digest(key)
     limit = capacity(share)
--- a/moorusher/leadership/chunks.py
+++ b/moorusher/leadership/chunks.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
 from .lease_record import LeaseRecord, StateVersion
 
 CHUNK_BYTES = 32 << 10
@@ -65,13 +65,13 @@
     """
 
     max_bytes: int
-    chunks: dict[Key, dict[bytes, bytes]] = field(default_factory=dict)
-    marks: dict[Key, dict[bytes, Mark]] = field(default_factory=dict)
-    chosen: dict[Key, Mark] = field(default_factory=dict)
+    chunks: dict[KeyDigest, dict[bytes, bytes]] = field(default_factory=dict)
+    marks: dict[KeyDigest, dict[bytes, Mark]] = field(default_factory=dict)
+    chosen: dict[KeyDigest, Mark] = field(default_factory=dict)
     has_disk: bool = False
-    unsaved: list[tuple[Key, bytes]] = field(default_factory=list)
+    unsaved: list[tuple[KeyDigest, bytes]] = field(default_factory=list)
 
-    def add(self, key: Key, mark: Mark, chunk: bytes) -> bool:
+    def add(self, key: KeyDigest, mark: Mark, chunk: bytes) -> bool:
         """Store a chunk. False if there is no room for it, or no change can name it any more."""
         stored = self.chunks.setdefault(key, {})
         name = digest(chunk)
@@ -87,7 +87,7 @@
         marks[name] = max(mark, marks.get(name, mark))
         return True
 
-    def find(self, key: Key, name: bytes) -> bytes | None:
+    def find(self, key: KeyDigest, name: bytes) -> bytes | None:
         """Return a chunk; None if it is not stored. A damaged one is deleted."""
         chunk = self.chunks.get(key, {}).get(name)
         if chunk is not None and digest(chunk) != name:
@@ -95,11 +95,11 @@
             return None
         return chunk
 
-    def missing(self, key: Key, record: LeaseRecord) -> list[bytes]:
+    def missing(self, key: KeyDigest, record: LeaseRecord) -> list[bytes]:
         """Return the names of chunks that the record names and that are not stored."""
         return sorted(name for name in named_chunks(record) if self.find(key, name) is None)
 
-    def delete_unnamed(self, key: Key, record: LeaseRecord) -> None:
+    def delete_unnamed(self, key: KeyDigest, record: LeaseRecord) -> None:
         """Delete what this record, known to be chosen, does not name and no later change will."""
         if record.position <= self.chosen.get(key, BEFORE_ALL_MARKS):
             return
@@ -112,7 +112,7 @@
                 del stored[name]
                 marks.pop(name, None)
 
-    def restore(self, key: Key, chunks: Sequence[bytes], mark: Mark | None = None) -> None:
+    def restore(self, key: KeyDigest, chunks: Sequence[bytes], mark: Mark | None = None) -> None:
         """Take chunks from a disk or another replica, that the register names or is to name at `mark`."""
         for chunk in chunks:
             name = digest(chunk)
--- a/moorusher/leadership/directory.py
+++ b/moorusher/leadership/directory.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..membership.failure_detector import MS
 from ..replication.proposer import ChangeResult
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from .election import Election
 from .errors import (
     LeaderBusyError,
@@ -80,7 +80,7 @@
                 change = Create(duty.name, duty.kind, self._services.incarnation, recreate=False)
                 self._services.change_register(key, change, None, lambda done: None)
 
-    def _is_first_replica(self, key: Key) -> bool:
+    def _is_first_replica(self, key: KeyDigest) -> bool:
         me = self._services.me
         up = [seat for seat in self._services.replicas(key) if seat == me or self._services.node.is_up(seat)]
         return up[:1] == [me] and self._acceptor.can_vote_on(key)
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .chunks import chunk_names, named_chunks
 from .effects import (
     Completed,
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..membership.failure_detector import MS
-from ..replication.work_record import Key, Owner
+from ..replication.work_record import KeyDigest, Owner
+from ..time_units import MS
 from .candidates import Candidate, StabilityTracker, fair_share, preference_order
 from .lease_record import LeaseRecord, LeaseStatus
 from .messages import LeaseOffer, OfferDeclined
@@ -45,17 +45,19 @@
     led_duties: Callable[[], int]
     stability: StabilityTracker
     unfit_patience_us: int
-    records: dict[Key, LeaseRecord] = field(default_factory=dict)
-    _declined: dict[Key, int] = field(default_factory=dict)  # answers to the latest offer
-    _keys_by_holder: dict[Owner, set[Key]] = field(default_factory=dict)
-    _attempts: dict[Key, int] = field(default_factory=dict)  # of duties for which an election is under way
-    _due: deque[Key] = field(default_factory=deque)
+    records: dict[KeyDigest, LeaseRecord] = field(default_factory=dict)
+    _declined: dict[KeyDigest, int] = field(default_factory=dict)  # answers to the latest offer
+    _keys_by_holder: dict[Owner, set[KeyDigest]] = field(default_factory=dict)
+    _attempts: dict[KeyDigest, int] = field(
+        default_factory=dict
+    )  # of duties for which an election is under way
+    _due: deque[KeyDigest] = field(default_factory=deque)
     _is_batch_scheduled: bool = False
     _unfit_since_us: dict[Owner, int] = field(default_factory=dict)
 
     # ---- what is known ----
 
-    def on_record(self, key: Key, record: LeaseRecord | None) -> None:
+    def on_record(self, key: KeyDigest, record: LeaseRecord | None) -> None:
         """This replica has accepted a value of the register."""
         previous = self.records.get(key)
         if previous is not None and previous.holder is not None:
@@ -73,7 +75,7 @@
         elif record.needs_leader:
             self._start(key)
 
-    def _forget_holder(self, key: Key, holder: Owner) -> None:
+    def _forget_holder(self, key: KeyDigest, holder: Owner) -> None:
         keys = self._keys_by_holder.get(holder, set())
         keys.discard(key)
         if not keys:
@@ -88,7 +90,7 @@
         member = self.services.members.by_seat.get(holder.seat)
         return member is None or member.is_lost(holder.incarnation)
 
-    def held_by(self, holder: Owner) -> list[Key]:
+    def held_by(self, holder: Owner) -> list[KeyDigest]:
         """Return the registers that name this process as the leader."""
         return sorted(self._keys_by_holder.get(holder, ()))
 
@@ -140,7 +142,7 @@
 
     # ---- offers ----
 
-    def _start(self, key: Key) -> None:
+    def _start(self, key: KeyDigest) -> None:
         if key in self._attempts:
             return
         self._attempts[key] = 0
@@ -154,10 +156,10 @@
         else:
             self._enqueue_after(key, rank * REPLICA_RANK_DELAY_US)
 
-    def _enqueue_after(self, key: Key, delay_us: int) -> None:
+    def _enqueue_after(self, key: KeyDigest, delay_us: int) -> None:
         self.services.after(delay_us, lambda: self._enqueue(key))
 
-    def _enqueue(self, key: Key) -> None:
+    def _enqueue(self, key: KeyDigest) -> None:
         self._due.append(key)
         if not self._is_batch_scheduled:
             self._is_batch_scheduled = True
@@ -171,7 +173,7 @@
         else:
             self._is_batch_scheduled = False
 
-    def _attempt(self, key: Key) -> None:
+    def _attempt(self, key: KeyDigest) -> None:
         """Offer the duty to a candidate, and again to the next one until it has a leader."""
         if key not in self._attempts:
             return
@@ -185,7 +187,7 @@
         self._enqueue_after(key, min(RETRY_BACKOFF_US * attempt, MAX_RETRY_BACKOFF_US))
         self._offer(key, record, attempt - 1)
 
-    def _offer(self, key: Key, record: LeaseRecord, attempt: int) -> None:
+    def _offer(self, key: KeyDigest, record: LeaseRecord, attempt: int) -> None:
         seats = self.candidates_for(key)
         if record.status == LeaseStatus.OFFERED and record.offered_to in seats:
             seats.remove(record.offered_to)
@@ -214,7 +216,7 @@
 
     # ---- candidates ----
 
-    def candidates_for(self, key: Key) -> list[str]:
+    def candidates_for(self, key: KeyDigest) -> list[str]:
         """Return the seats that may lead a duty, the preferred one first."""
         candidates = self.candidates()
         return preference_order(key, candidates, self.fair_share(candidates))
--- a/moorusher/leadership/heartbeat.py
+++ b/moorusher/leadership/heartbeat.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .effects import Completed, DeferredStateUpdate, FencedRequest, Outcome, StateUpdate
 from .errors import LeadershipError
 from .lease_holder import LeaseHolder
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from ..membership.failure_detector import MS
 from ..replication.proposer import ChangeResult
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from .candidates import overload_threshold
 from .election import Election
 from .errors import LeadershipError
@@ -45,15 +45,15 @@
         create_worker: Callable[[LeaseHolder], Worker | None],
         lease_holder_class: type[LeaseHolder],
     ) -> None:
-        self.by_key: dict[Key, LeaseHolder] = {}
-        self.workers: dict[Key, Worker] = {}
+        self.by_key: dict[KeyDigest, LeaseHolder] = {}
+        self.workers: dict[KeyDigest, Worker] = {}
         self._services = services
         self._election = election
         self._policy = policy
         self._create_worker = create_worker
         self._lease_holder_class = lease_holder_class
         self._context = LeaderContext(services, replication, fetching, receivers, policy)
-        self._acquiring: set[Key] = set()
+        self._acquiring: set[KeyDigest] = set()
         self._last_move_us = 0
 
     def __len__(self) -> int:
@@ -90,7 +90,7 @@
                 self._acquiring.add(key)
                 self._acquire(key, Read())
 
-    def _acquire(self, key: Key, change: Change) -> None:
+    def _acquire(self, key: KeyDigest, change: Change) -> None:
         def answered(done: ChangeResult | None) -> None:
             if (
                 done is None
@@ -101,7 +101,7 @@
 
         self._services.change_register(key, change, None, answered)
 
-    def _on_register(self, key: Key, change: Change, done: ChangeResult) -> None:
+    def _on_register(self, key: KeyDigest, change: Change, done: ChangeResult) -> None:
         record = decode_record(done.value)
         if record is None or record.holder != self._services.owner or not record.is_led:
             if record is not None and record.status == LeaseStatus.SUSPENDED:
@@ -117,7 +117,7 @@
             self._notify_former_holder(key, change, record)
         self.by_key[key] = self._lease_holder_class(self._context, self, key, record, done.promise)
 
-    def _notify_former_holder(self, key: Key, change: AcquireLease, record: LeaseRecord) -> None:
+    def _notify_former_holder(self, key: KeyDigest, change: AcquireLease, record: LeaseRecord) -> None:
         former = change.former_holder
         if former is not None and former.seat != self._services.me:
             taken = LeaseTaken(key, record.generation, record.term, self._services.owner)
@@ -162,7 +162,7 @@
         for key in list(self.by_key):
             self.release(key)
 
-    def release(self, key: Key, offered_to: str = "") -> None:
+    def release(self, key: KeyDigest, offered_to: str = "") -> None:
         """Give one lease up. `offered_to`: the seat that is offered it first, by default the preferred candidate."""
         lease = self.by_key.get(key)
         if lease is None or not lease.is_active:
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .effects import Completed, IntentRequest, Outcome, ReceiverResponse
 from .errors import IntentUncertainError, LeaderBusyError, LimitExceededError
 from .fencing_token import FencingToken
--- a/moorusher/leadership/journal.py
+++ b/moorusher/leadership/journal.py
@@ -7,7 +7,7 @@
 
 from ..replication.acceptor import Acceptor
 from ..replication.journal import ChunkRecord, JournalImage
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
 from .chunks import NO_MARK, ChunkStore
 from .lease_record import decode_record
 
@@ -29,11 +29,11 @@
         Acceptor.__post_init__(self)
         self.is_complete = self.recovered
 
-    def can_vote_on(self, key: Key) -> bool:
+    def can_vote_on(self, key: KeyDigest) -> bool:
         """Whether it may vote on a register."""
         return Acceptor.can_vote_on(self, key) and (self.is_complete or not self.missing_chunks(key))
 
-    def missing_chunks(self, key: Key) -> list[bytes]:
+    def missing_chunks(self, key: KeyDigest) -> list[bytes]:
         """Return the names of chunks that a register names and that are not stored here."""
         slot = self.registers.get(key)
         record = None if slot is None else decode_record(slot.value)
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -10,9 +10,9 @@
 from enum import Enum
 from typing import Protocol
 
-from ..membership.failure_detector import MS
 from ..replication.proposer import CarriedPromise
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from .effect_executor import EffectExecutor
 from .effects import Completed, Effect, IntentRequest, Outcome, OutcomeCallback
 from .errors import (
@@ -71,7 +71,7 @@
         self,
         context: LeaderContext,
         observer: LeaseObserver,
-        key: Key,
+        key: KeyDigest,
         record: LeaseRecord,
         hold: CarriedPromise | None,
     ) -> None:
--- a/moorusher/leadership/lease_interface.py
+++ b/moorusher/leadership/lease_interface.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
 from .effects import Outcome, OutcomeCallback
 from .errors import LeadershipError
 from .lease_record import LeaseRecord
@@ -40,7 +40,7 @@
     """
 
     context: LeaderContext
-    key: Key
+    key: KeyDigest
     register: LeaseRegister
     state: bytes
     since_us: int
--- a/moorusher/leadership/lease_record.py
+++ b/moorusher/leadership/lease_record.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..replication.work_record import Key, Owner
+from ..replication.work_record import KeyDigest, Owner
 
 MAX_NAME_BYTES = 128
 MAX_INTENT_BYTES = 512
@@ -168,6 +168,6 @@
     return None if value is None else _decoder.decode(value)
 
 
-def register_key(name: str) -> Key:
+def register_key(name: str) -> KeyDigest:
     """Return the key of a duty's register."""
     return b"duty:" + name.encode()
--- a/moorusher/leadership/lease_register.py
+++ b/moorusher/leadership/lease_register.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..replication.proposer import CarriedPromise, ChangeResult
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
 from .effects import Completed, OutcomeCallback
 from .errors import LeaderBusyError, NoMajorityError
 from .fencing_token import FencingToken
@@ -28,7 +28,7 @@
     def __init__(
         self,
         services: MemberServices,
-        key: Key,
+        key: KeyDigest,
         record: LeaseRecord,
         hold: CarriedPromise | None,
         superseded: Callable[[LeaseRecord | None], None],
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..replication.messages import ComponentPayload, component_codec
-from ..replication.work_record import Key, Owner
+from ..replication.work_record import KeyDigest, Owner
 from .chunks import Mark
 
 PART = "duties"  # names these messages among all that members exchange
@@ -17,7 +17,7 @@
     must_accept: bool, others have declined: only a member that is not fit may decline.
     """
 
-    key: Key
+    key: KeyDigest
     generation: int
     term: int
     leader_lost: bool
@@ -27,14 +27,14 @@
 class OfferDeclined(ComponentPayload, frozen=True, tag="declined"):
     """A member does not take the lease that it was offered."""
 
-    key: Key
+    key: KeyDigest
     term: int
 
 
 class LeaseTaken(ComponentPayload, frozen=True, tag="passed"):
     """To the former leader: another has the lease. A hint; the former leader's next change would tell it, too."""
 
-    key: Key
+    key: KeyDigest
     generation: int
     term: int
     holder: Owner
@@ -47,7 +47,7 @@
     """
 
     serial: int
-    key: Key
+    key: KeyDigest
     mark: Mark
     name: bytes
     chunk: bytes
@@ -71,21 +71,21 @@
 class RecordChosen(ComponentPayload, frozen=True, tag="named"):
     """This value of the register is chosen: chunks that no later change can name may be deleted."""
 
-    key: Key
+    key: KeyDigest
     value: bytes
 
 
 class FetchChunks(ComponentPayload, frozen=True, tag="fetch"):
     """Asks a replica for chunks."""
 
-    key: Key
+    key: KeyDigest
     names: list[bytes]
 
 
 class ChunkFetched(ComponentPayload, frozen=True, tag="fetched"):
     """One chunk; empty if the replica does not have it."""
 
-    key: Key
+    key: KeyDigest
     name: bytes
     chunk: bytes
 
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from ..membership.failure_detector import MS
 from ..replication.acceptor import RegisterState
 from ..replication.node import Node
 from ..replication.register_space import DUTY_SPACE, RegisterSpace
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from . import messages
 from .candidates import StabilityTracker
 from .chunks import ChunkStore
@@ -202,14 +202,14 @@
     def _dispatch(self, seat: str, message: messages.Message) -> None:
         self._handlers[type(message)](seat, message)
 
-    def _on_slot(self, key: Key, slot: RegisterState) -> None:
+    def _on_slot(self, key: KeyDigest, slot: RegisterState) -> None:
         """The acceptor has accepted a value."""
         record = decode_record(slot.value)
         self.election.on_record(key, record)
         if record is not None and self.store.missing(key, record):
             self.fetching.repair(key, at_once=not self.acceptor.is_complete)
 
-    def _replicated_record(self, key: Key) -> LeaseRecord | None:
+    def _replicated_record(self, key: KeyDigest) -> LeaseRecord | None:
         """Return the record of a register that this member replicates."""
         is_replica = self.services.me in self.services.replicas(key)
         return self.election.records.get(key) if is_replica else None
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -4,12 +4,13 @@
 
 from collections.abc import Callable
 
-from ..membership.failure_detector import MS, FailureDetector
+from ..membership.failure_detector import FailureDetector
 from ..replication.messages import ComponentMessage
 from ..replication.node import Node
 from ..replication.proposer import CarriedPromise, ChangeResult
 from ..replication.register_space import DUTY_SPACE, RegisterSpace
-from ..replication.work_record import Key, Owner
+from ..replication.work_record import KeyDigest, Owner
+from ..time_units import MS
 from . import messages
 from .lease_transitions import Change
 
@@ -72,7 +73,7 @@
         """Increment a counter of the member."""
         self.node.count(counter)
 
-    def replicas(self, key: Key) -> tuple[str, ...]:
+    def replicas(self, key: KeyDigest) -> tuple[str, ...]:
         """Return the seats that replicate a register, in their order."""
         return self.node.placement.replicas(key)
 
@@ -91,12 +92,12 @@
         """Call back once everything stored so far is on the disk; at once if there is none."""
         self.node.durable(callback, DUTY_SPACE)
 
-    def read_register(self, key: Key, callback: RegisterCallback) -> None:
+    def read_register(self, key: KeyDigest, callback: RegisterCallback) -> None:
         """Read a register without hindering changes of it."""
         self.registers.read(key, self._register_timeout_us(), callback)
 
     def change_register(
-        self, key: Key, change: Change, hold: CarriedPromise | None, callback: RegisterCallback
+        self, key: KeyDigest, change: Change, hold: CarriedPromise | None, callback: RegisterCallback
     ) -> None:
         """Change a register by a majority. `hold`: the promise from this proposer's last change, if it has one."""
         self.registers.change(key, change, NEVER_EXPIRES_US, self._register_timeout_us(), callback, hold)
--- a/moorusher/leadership/state_fetching.py
+++ b/moorusher/leadership/state_fetching.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..membership.failure_detector import MS
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from .chunks import ChunkStore, digest, join, named_chunks
 from .lease_record import LeaseRecord, StateVersion
 from .messages import ChunkFetched, FetchChunks
@@ -22,7 +22,7 @@
 class _Fetch:
     """A state that is being fetched. `attempt`: requests so far; picks the replica that is asked next."""
 
-    key: Key
+    key: KeyDigest
     version: StateVersion
     deadline_us: int
     callback: Callable[[bytes | None], None]
@@ -36,7 +36,7 @@
         self,
         services: MemberServices,
         store: ChunkStore,
-        replicated_record: Callable[[Key], LeaseRecord | None],
+        replicated_record: Callable[[KeyDigest], LeaseRecord | None],
         chunks_repaired: Callable[[], None],
     ) -> None:
         """`replicated_record`: of a register that this member replicates, else None. `chunks_repaired`: called when
@@ -45,14 +45,14 @@
         self._services = services
         self._replicated_record = replicated_record
         self._chunks_repaired = chunks_repaired
-        self._fetches: dict[Key, list[_Fetch]] = {}
-        self._repair_attempts: dict[Key, int] = {}
+        self._fetches: dict[KeyDigest, list[_Fetch]] = {}
+        self._repair_attempts: dict[KeyDigest, int] = {}
 
     # ---- fetching ----
 
     def fetch(
         self,
-        key: Key,
+        key: KeyDigest,
         version: StateVersion,
         deadline_us: int,
         callback: Callable[[bytes | None], None],
@@ -96,7 +96,7 @@
         names = dict.fromkeys(pending.version.chunks)
         return [name for name in names if self.store.find(pending.key, name) is None]
 
-    def _other_replicas(self, key: Key) -> list[str]:
+    def _other_replicas(self, key: KeyDigest) -> list[str]:
         return [seat for seat in self._services.replicas(key) if seat != self._services.me]
 
     def on_fetch_chunks(self, seat: str, message: FetchChunks) -> None:
@@ -142,13 +142,13 @@
 
     # ---- repair ----
 
-    def repair(self, key: Key, at_once: bool) -> None:
+    def repair(self, key: KeyDigest, at_once: bool) -> None:
         """Fetch what this replica lacks of a register's state, from the others, until it has it."""
         if key not in self._repair_attempts:
             self._repair_attempts[key] = 0
             self._services.after(0 if at_once else REPAIR_DELAY_US, lambda: self._repair(key))
 
-    def _repair(self, key: Key) -> None:
+    def _repair(self, key: KeyDigest) -> None:
         record = self._replicated_record(key)
         missing = [] if record is None else self.store.missing(key, record)
         seats = self._other_replicas(key)
--- a/moorusher/leadership/state_replication.py
+++ b/moorusher/leadership/state_replication.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..membership.failure_detector import MS
 from ..membership.placement import majority
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from .chunks import ChunkStore, Mark, digest, split
 from .lease_record import LeaseRecord, decode_record, encode_record
 from .messages import ChunkStored, RecordChosen, StoreChunk
@@ -24,7 +24,7 @@
     refused: seats that have no room.
     """
 
-    key: Key
+    key: KeyDigest
     mark: Mark
     chunks: dict[bytes, bytes]
     deadline_us: int
@@ -62,7 +62,7 @@
 
     def replicate(
         self,
-        key: Key,
+        key: KeyDigest,
         mark: Mark,
         state: bytes,
         known: set[bytes],
@@ -149,7 +149,7 @@
             for seat, (incarnation, names) in pending.stored.items()
         )
 
-    def announce_chosen(self, key: Key, record: LeaseRecord) -> None:
+    def announce_chosen(self, key: KeyDigest, record: LeaseRecord) -> None:
         """Tell the replicas that this record is chosen, so that they delete what it does not name."""
         value = encode_record(record)
         for seat in self._services.replicas(key):
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from ..membership.failure_detector import MS
 from ..replication.acceptor import Acceptor
 from ..replication.node import Node
+from ..time_units import MS
 from .errors import NotLocalError, UnknownSeatError
 from .machine_controller import MachineController, MachineHost
 from .next_step import NextStep
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -8,13 +8,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from ..time_units import SECOND
 from .policy import MaintenancePolicy
 from .schedule import CompletionProof, Slot, SlotStage
 from .slot_changes import AcceptSlot, ClearMachine, CompleteSlot, MarkReturned, ReturnSlot
 from .transitions import Change
 
-SECOND_US = 1e6
-
 
 class MachineMode(Enum):
     """What the machine does. The values appear in counters and log lines."""
@@ -104,7 +103,7 @@
             slot, incarnation, policy.max_out, now_s, machine.boot_id, machine.settings_digest
         )
         return MachineAction(MachineMode.DRAINING, change)
-    if machine.draining_us > policy.drain_timeout_s * SECOND_US:
+    if machine.draining_us > policy.drain_timeout_s * SECOND:
         note = f"not drained within {policy.drain_timeout_s:g} s"
         return MachineAction(MachineMode.DRAINING, ReturnSlot(slot, incarnation, note))
     return MachineAction(MachineMode.DRAINING)
@@ -135,12 +134,12 @@
             change = MarkReturned(slot, incarnation, now_s, machine.settings_digest)
             return MachineAction(MachineMode.RETURNING, change)
         return MachineAction(MachineMode.RETURNING, AcceptSlot(slot, incarnation))
-    is_overdue = machine.returned_us > policy.return_timeout_s * SECOND_US
+    is_overdue = machine.returned_us > policy.return_timeout_s * SECOND
     if machine.is_warm and (machine.recovered or is_overdue):
         return MachineAction(
             MachineMode.RETURNING, CompleteSlot(slot, incarnation, now_s, policy.max_history)
         )
     alert = ""
     if is_overdue:
-        alert = f"back for {machine.returned_us / SECOND_US:.0f} s, and still cold"
+        alert = f"back for {machine.returned_us / SECOND:.0f} s, and still cold"
     return MachineAction(MachineMode.RETURNING, None, alert)
--- a/moorusher/maintenance/machine_controller.py
+++ b/moorusher/maintenance/machine_controller.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from ..membership.failure_detector import MS
 from ..replication.node import Node
+from ..time_units import MS
 from .local_machine import MachineAction, MachineMode, MachineState, decide
 from .operator_changes import WithdrawRequest
 from .policy import MaintenancePolicy
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -7,8 +7,9 @@
 
 from collections.abc import Sequence
 
-from ..membership.failure_detector import MS, FailureDetector
+from ..membership.failure_detector import FailureDetector
 from ..membership.placement import Placement
+from ..time_units import MS, SECOND
 from .disruption_budget import DisruptionBudget, SeatView
 from .next_step import CapacitySettling, NextStep, plan
 from .policy import MaintenancePolicy
@@ -17,7 +18,6 @@
 
 REPLICA_RANK_DELAY_US = 1_500 * MS  # nothing has happened for so long: the next replica tries
 RENOTIFY_US = 1_000 * MS  # a grant that its machine has not accepted is announced again
-SECOND_US = 1e6
 HUNDREDTHS = 100  # members report loads in hundredths of a core
 
 
@@ -86,7 +86,7 @@
 
     def _settles_in_s(self, views: list[SeatView], schedule: Schedule, now_us: int) -> float:
         budget = DisruptionBudget(views, schedule, self.replicas, self._policy)
-        return self.settling.remaining_s(budget, now_us / SECOND_US)
+        return self.settling.remaining_s(budget, now_us / SECOND)
 
     def next_grants(self, schedule: Schedule, now_us: int, unix_s: float) -> GrantSlots | None:
         """Return what this replica should write now, if anything. `now_us`: of a monotonic clock."""
--- a/moorusher/maintenance/schedule_replica.py
+++ b/moorusher/maintenance/schedule_replica.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from ..membership.failure_detector import MS
 from ..replication.acceptor import Acceptor, RegisterState
 from ..replication.messages import ComponentMessage
 from ..replication.node import Node
 from ..replication.proposer import ChangeResult
 from ..replication.register_space import CLUSTER_SPACE, FOREVER_US, RegisterSpace
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS
 from . import messages
 from .errors import MaintenanceError, NoMajorityError
 from .messages import ScheduleChanged
@@ -118,7 +118,7 @@
             self.next_read_us = min(self.next_read_us, self.read_at_us + self._read_interval_us())
         self._on_read(is_new)
 
-    def _on_register_changed(self, key: Key, register: RegisterState) -> None:
+    def _on_register_changed(self, key: KeyDigest, register: RegisterState) -> None:
         self.read_soon()
 
     # ---- changing ----
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -11,11 +11,11 @@
 from math import log2
 from typing import Protocol
 
+from ..time_units import MS
 from .dissemination import UPDATES_PER_MESSAGE, Dissemination
 from .member import STATE_PRECEDENCE, Member, MemberState
 from .messages import MemberStatus, MemberUpdate, Ping, PingAck, PingRequest
 
-MS = 1_000  # us in a millisecond
 PROBE_PERIOD_US = 200 * MS  # one member is probed in each
 ACK_TIMEOUT_US = 80 * MS  # until others are asked to probe the member; and again until it is suspected
 INDIRECT_PROBES = 3  # how many others are asked
--- a/moorusher/model_checking/cluster_history.py
+++ b/moorusher/model_checking/cluster_history.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
 
 
 class AnswerKind(Enum):
@@ -23,13 +23,13 @@
     """One run of a key.
 
     Attributes:
-        key: `Key`.
+        key: `KeyDigest`.
         process: number of the process that ran it.
         started_at: us.
         received_at: us, when the request that it is the run of was received.
     """
 
-    key: Key
+    key: KeyDigest
     process: int
     started_at: int
     received_at: int
@@ -39,7 +39,7 @@
 class Answer:
     """What a client was answered, by the process of that number, and when, in us."""
 
-    key: Key
+    key: KeyDigest
     process: int
     at: int
     result: bytes | None
@@ -50,7 +50,7 @@
 class Request:
     """A client's request for a key at the process of that number, and when, in us."""
 
-    key: Key
+    key: KeyDigest
     process: int
     at: int
 
@@ -71,8 +71,8 @@
     runs: list[Run] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
     requests: list[Request] = field(default_factory=list)
-    granted: dict[Key, int] = field(default_factory=dict)
-    results: defaultdict[Key, set[bytes]] = field(default_factory=lambda: defaultdict(set))
+    granted: dict[KeyDigest, int] = field(default_factory=dict)
+    results: defaultdict[KeyDigest, set[bytes]] = field(default_factory=lambda: defaultdict(set))
     crashed_at: dict[int, int] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
     messages: int = 0
--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -9,10 +9,10 @@
 from itertools import pairwise
 from typing import TYPE_CHECKING
 
-from ..replication.work_record import Key, Owner, WorkState
+from ..replication.work_record import KeyDigest, Owner, WorkState
+from ..time_units import SECOND
 from .cluster_history import AnswerKind, History, Request, Run
 from .simulated_request_engine import KeyState
-from .virtual_time import SECOND
 
 if TYPE_CHECKING:
     from .cluster_process import Process
@@ -35,7 +35,7 @@
 
 def repeated_run(history: History, window_us: int) -> str | None:
     """No key runs twice within its window, counted from when the first request was received."""
-    runs_by_key: dict[Key, list[Run]] = {}
+    runs_by_key: dict[KeyDigest, list[Run]] = {}
     for run in history.runs:
         runs_by_key.setdefault(run.key, []).append(run)
     for key, runs in runs_by_key.items():
@@ -65,7 +65,7 @@
 
     Only the word of processes that had not crashed counts, and only while nobody asks again.
     """
-    requests: defaultdict[Key, list[Request]] = defaultdict(list)
+    requests: defaultdict[KeyDigest, list[Request]] = defaultdict(list)
     for request in history.requests:
         requests[request.key].append(request)
     for run in history.runs:
@@ -104,13 +104,13 @@
     return None
 
 
-def _is_in_progress(sim: Simulation, key: Key) -> bool:
+def _is_in_progress(sim: Simulation, key: KeyDigest) -> bool:
     return any(
         process.engine.states.get(key) in (KeyState.HELD, KeyState.STARTING) for process in sim.processes
     )
 
 
-def _replicas_with_open_work(sim: Simulation, key: Key) -> list[Process]:
+def _replicas_with_open_work(sim: Simulation, key: KeyDigest) -> list[Process]:
     """The live replicas of a key that have a vote on it, and know of work that somebody has to go on with."""
     live = {process.node.me: process for process in sim.processes if process.alive}
     withdrawing = _withdrawing_owners(sim, key)
@@ -121,7 +121,7 @@
     ]
 
 
-def _has_open_work(process: Process, key: Key, withdrawing: set[Owner]) -> bool:
+def _has_open_work(process: Process, key: KeyDigest, withdrawing: set[Owner]) -> bool:
     acceptor = process.node.acceptor
     register = acceptor.registers.get(key)
     if register is None or register.value is None:
@@ -135,7 +135,7 @@
     )
 
 
-def _withdrawing_owners(sim: Simulation, key: Key) -> set[Owner]:
+def _withdrawing_owners(sim: Simulation, key: KeyDigest) -> set[Owner]:
     """Its owners that have given their clients up, and are withdrawing their claims."""
     given_up = {
         answer.process
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -9,10 +9,10 @@
 from ..replication.journal import encode_records
 from ..replication.policy import ReplicationPolicy
 from ..replication.work_events import WorkEvent, WorkInHand
-from ..replication.work_record import Key, WorkRequest
+from ..replication.work_record import KeyDigest, WorkRequest
+from ..time_units import MS
 from .simulated_journal import JournalWriter, draw_write_time_us
 from .simulated_request_engine import SimulatedRequestEngine
-from .virtual_time import MS
 
 if TYPE_CHECKING:
     from .cluster_simulation import Simulation
@@ -130,14 +130,16 @@
         """Something is settled about a key."""
         self.engine.on_event(event)
 
-    def accept_takeover(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> bool:
+    def accept_takeover(
+        self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
+    ) -> bool:
         """Queue another runner's work; False where this process can't."""
         if not self.fit():
             return False
         self.engine.accept_takeover(key, request)
         return True
 
-    def work_in_hand(self, key: Key) -> WorkInHand:
+    def work_in_hand(self, key: KeyDigest) -> WorkInHand:
         """Return what this process knows of a key."""
         return self.engine.in_hand(key)
 
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -16,7 +16,8 @@
 from ..membership.policy import Seat
 from ..replication.journal import JOURNAL_VERSION, JournalHeader
 from ..replication.node import Node
-from ..replication.work_record import Key
+from ..replication.work_record import KeyDigest
+from ..time_units import MS, SECOND
 from .cluster_history import History
 from .cluster_invariants import find_violation
 from .cluster_process import CHECK_INTERVAL_US, Process, ProcessStart
@@ -24,7 +25,7 @@
 from .scenario import Scenario
 from .simulated_journal import SimulatedJournal
 from .simulated_network import SimulatedNetwork
-from .virtual_time import MS, SECOND, VirtualTime
+from .virtual_time import VirtualTime
 
 WINDOW_MARGIN_US = 500 * MS
 FAULTS_END_S = 5  # after the last request, until all partitions and pauses are over
@@ -137,7 +138,7 @@
                 )
                 self._plan_request(key, at_s)
 
-    def _plan_request(self, key: Key, at_s: float) -> None:
+    def _plan_request(self, key: KeyDigest, at_s: float) -> None:
         seat = self.random.randrange(self.scenario.seats)
 
         def send() -> None:
--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -5,10 +5,10 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from ..time_units import MS, SECOND
 from .cluster_process import Process
 from .scenario import FaultKind
 from .simulated_network import Link
-from .virtual_time import MS, SECOND
 
 if TYPE_CHECKING:
     from .cluster_simulation import Simulation
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -23,6 +23,7 @@
 from ..forecasting.policy import ForecastPolicy
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.worker import Worker
+from ..time_units import MS, SECOND
 from .cluster_process import ProcessStart
 from .cluster_simulation import Simulation
 from .leadership_simulation import (
@@ -33,7 +34,6 @@
     replicated_state,
 )
 from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
-from .virtual_time import MS, SECOND
 
 SPEED = 600  # of the time of day
 EPOCH_MS = 500_000 * HOUR_MS - 100_000  # Unix time at the begin of a simulation
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -34,13 +34,13 @@
 from ..replication.acceptor import NO_BALLOT
 from ..replication.journal import JOURNAL_VERSION, JournalHeader, encode_records
 from ..replication.register_space import DUTY_SPACE
+from ..time_units import MS, SECOND
 from .cluster_process import Process, ProcessStart
 from .cluster_simulation import Simulation
 from .leadership_history import DutyHistory
 from .leadership_worker import RandomWorker
 from .scenario import DISK_FAULTS, MEMORY_FAULTS, FaultKind, Scenario
 from .simulated_journal import JournalWriter, SimulatedJournal, draw_fast_write_time_us
-from .virtual_time import MS, SECOND
 
 POLICY = LeadershipPolicy(enabled=True, probation_ms=1_000)
 SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -8,9 +8,9 @@
 from ..leadership.errors import LeadershipError
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution
+from ..time_units import MS
 from .cluster_process import Process
 from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
-from .virtual_time import MS
 
 EFFECT_INTERVAL_MS = (20, 300)  # least and most time
 STATE_UPDATE_SHARE = 0.4  # of effects
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -10,9 +10,9 @@
 
 from ..maintenance.schedule import MaintenanceRequest, SlotStage
 from ..membership.placement import majority
+from ..time_units import SECOND
 from .maintenance_scripts import MaintainedProcess, MaintenanceWorld, Script
 from .scenario import Scenario
-from .virtual_time import SECOND
 
 EPOCH_S = 1e9  # Unix time at the begin of a simulation
 WORK_S = 1.0
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -9,8 +9,9 @@
 
 from ..maintenance.coordinator import MaintenanceCoordinator
 from ..maintenance.waiters import WaitResult, WaitStatus
+from ..time_units import SECOND
 from .cluster_process import Process
-from .virtual_time import SECOND, Schedulable
+from .virtual_time import Schedulable
 
 WAIT_TIMEOUT_S = 2
 RETRY_S = 3
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -14,13 +14,13 @@
 from ..maintenance.local_machine import MachineMode, MachineState
 from ..maintenance.policy import MaintenancePolicy
 from ..replication.acceptor import Acceptor
+from ..time_units import MS, SECOND
 from .cluster_process import Process, ProcessStart
 from .cluster_simulation import Simulation
 from .fault_injection import FaultInjector
 from .maintenance_operators import EPOCH_S, WORK_S, SimulatedOperators
 from .maintenance_scripts import Machine, MaintainedProcess
 from .scenario import FaultKind, Scenario
-from .virtual_time import MS, SECOND
 
 POLICY = MaintenancePolicy(
     enabled=True,
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -25,6 +25,7 @@
 from ..namespaces.policy import Grant, PublishingLimits
 from ..namespaces.revision_history import Submission, decode_history
 from ..namespaces.revision_id import RevisionId
+from ..time_units import MS, SECOND
 from .cluster_process import ProcessStart
 from .cluster_simulation import Simulation
 from .leadership_simulation import (
@@ -36,7 +37,6 @@
 )
 from .publish_history import Confirmation, Failure, PublishHistory, wrong_in_history
 from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
-from .virtual_time import MS, SECOND
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANT = Grant(frozenset({"s"}))
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -16,7 +16,7 @@
 from ..replication.proposer import CarriedPromise, Proposer
 from ..replication.work_record import (
     ClaimWork,
-    Key,
+    KeyDigest,
     Owner,
     ReleaseWork,
     StartWork,
@@ -305,6 +305,6 @@
             self.failure = f"{runner.name} runs what another has run"
 
 
-def _replicas_function(replicas: tuple[str, ...]) -> Callable[[Key], tuple[str, ...]]:
+def _replicas_function(replicas: tuple[str, ...]) -> Callable[[KeyDigest], tuple[str, ...]]:
     """Each acceptor takes itself for a replica, whichever runner asks."""
     return lambda key: replicas
--- a/moorusher/model_checking/simulated_journal.py
+++ b/moorusher/model_checking/simulated_journal.py
@@ -9,7 +9,8 @@
 from random import Random
 
 from ..replication.journal import JournalHeader, JournalImage, encode_records, read_journal
-from .virtual_time import MS, Schedulable, VirtualTime
+from ..time_units import MS
+from .virtual_time import Schedulable, VirtualTime
 
 MIN_WRITE_MS = 0.1
 MAX_WRITE_MS = 8
--- a/moorusher/model_checking/simulated_network.py
+++ b/moorusher/model_checking/simulated_network.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from .virtual_time import MS
+from ..time_units import MS
 
 if TYPE_CHECKING:
     from .cluster_process import Process
--- a/moorusher/model_checking/simulated_request_engine.py
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -19,9 +19,9 @@
     WorkEvent,
     WorkInHand,
 )
-from ..replication.work_record import Key, WorkRequest
+from ..replication.work_record import KeyDigest, WorkRequest
+from ..time_units import MS, SECOND
 from .cluster_history import Answer, AnswerKind, Request, Run
-from .virtual_time import MS, SECOND
 
 if TYPE_CHECKING:
     from .cluster_process import Process
@@ -60,14 +60,14 @@
         self._process = process
         self._sim = process.sim
         self._history = process.sim.history
-        self.states: dict[Key, KeyState] = {}
-        self.results: dict[Key, bytes | None] = {}
-        self.received_at: dict[Key, int] = {}
+        self.states: dict[KeyDigest, KeyState] = {}
+        self.results: dict[KeyDigest, bytes | None] = {}
+        self.received_at: dict[KeyDigest, int] = {}
         self.kernel_is_up = True
 
     # ---- requests ----
 
-    def receive_request(self, key: Key) -> None:
+    def receive_request(self, key: KeyDigest) -> None:
         """A client asks for this key here."""
         if key in self.states or self._process.draining or not self.kernel_is_up:
             return
@@ -78,7 +78,7 @@
         self.states[key] = KeyState.CLAIMING
         self._process.node.claim(key, BODY_DIGEST, request, now + self._sim.longest_window_us)
 
-    def accept_takeover(self, key: Key, request: WorkRequest) -> None:
+    def accept_takeover(self, key: KeyDigest, request: WorkRequest) -> None:
         """Queue another runner's work; a share of it is rejected a little later."""
         self.received_at[key] = round(request.arrived_unix_ms * MS)
         if self._sim.random.random() < self._sim.scenario.rejection:
@@ -87,12 +87,12 @@
         else:
             self._enqueue(key)
 
-    def _reject(self, key: Key) -> None:
+    def _reject(self, key: KeyDigest) -> None:
         if self.states.get(key) is KeyState.HELD:
             del self.states[key]
             self._process.node.release_work(key, rejected=True)
 
-    def in_hand(self, key: Key) -> WorkInHand:
+    def in_hand(self, key: KeyDigest) -> WorkInHand:
         """Return what this process knows of a key."""
         state = self.states.get(key)
         return WorkInHand(state in IN_HAND, state is KeyState.FINISHED, self.results.get(key))
@@ -127,28 +127,28 @@
             case _:
                 pass
 
-    def _give_up(self, key: Key, kind: AnswerKind) -> None:
+    def _give_up(self, key: KeyDigest, kind: AnswerKind) -> None:
         self.states.pop(key, None)
         self._answer(key, None, kind)
 
-    def _answer(self, key: Key, result: bytes | None, kind: AnswerKind) -> None:
+    def _answer(self, key: KeyDigest, result: bytes | None, kind: AnswerKind) -> None:
         self._history.answers.append(Answer(key, self._process.number, self._sim.now, result, kind))
 
     # ---- queue and kernel ----
 
-    def _enqueue(self, key: Key) -> None:
+    def _enqueue(self, key: KeyDigest) -> None:
         self.states[key] = KeyState.HELD
         wait_us = round(self._sim.random.expovariate(1 / MEAN_QUEUE_S) * SECOND)
         self._sim.at(self._sim.now + wait_us, self._process, lambda: self.start(key))
 
-    def start(self, key: Key) -> None:
+    def start(self, key: KeyDigest) -> None:
         """The turn of queued work has come: the node has to confirm that it may be run."""
         if self.states.get(key) is KeyState.HELD and self.kernel_is_up:
             self.states[key] = KeyState.STARTING
             if not self._process.node.start_work(key):
                 self.states[key] = KeyState.HELD
 
-    def run(self, key: Key) -> None:
+    def run(self, key: KeyDigest) -> None:
         """Run work that is being started."""
         if self.states.get(key) is not KeyState.STARTING:
             return
@@ -158,7 +158,7 @@
         duration_us = round(self._sim.random.expovariate(1 / MEAN_RUN_S) * SECOND)
         self._sim.at(now + duration_us, self._process, lambda: self._finish(key))
 
-    def _finish(self, key: Key) -> None:
+    def _finish(self, key: KeyDigest) -> None:
         if self.states.get(key) is not KeyState.RUNNING or not self.kernel_is_up:
             return
         self.states[key] = KeyState.FINISHED
--- a/moorusher/model_checking/virtual_time.py
+++ b/moorusher/model_checking/virtual_time.py
@@ -7,9 +7,6 @@
 from itertools import count
 from typing import NamedTuple, Protocol
 
-MS = 1_000  # us
-SECOND = 1_000_000  # us
-
 
 class Schedulable(Protocol):
     """A simulated process that events belong to.
--- a/moorusher/namespaces/draft_rules.py
+++ b/moorusher/namespaces/draft_rules.py
@@ -9,7 +9,7 @@
 from .errors import Foreign, Malformed
 from .names import require_name
 from .namespace import Route
-from .rules import MATCH_ALL, Matcher, Outcome, Reject, RouteTo, Rule, Split
+from .rules import MATCH_ALL, Matcher, Outcome, RejectRequest, RouteTo, Rule, Split
 from .sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, MAX_NUMBER, MIN_NUMBER, NumberRanges, StringSet
 
 MAX_REASON_LENGTH = 200  # characters
@@ -99,10 +99,10 @@
     return _parse_route(raw, path, routes) if kind == "to" else _parse_split(raw, path, routes)
 
 
-def _parse_reject(raw: Any, path: str) -> Reject:
+def _parse_reject(raw: Any, path: str) -> RejectRequest:
     if not isinstance(raw, str) or not 0 < len(raw) <= MAX_REASON_LENGTH:
         raise Malformed(f"{path}.refuse: expected a reason of 1 to {MAX_REASON_LENGTH} characters")
-    return Reject(raw)
+    return RejectRequest(raw)
 
 
 def _parse_route(raw: Any, path: str, routes: Mapping[str, Route]) -> RouteTo:
--- a/moorusher/namespaces/rule_table.py
+++ b/moorusher/namespaces/rule_table.py
@@ -14,7 +14,7 @@
 from .boxes import Box, set_bits
 from .errors import OverBudget
 from .reachability import ReachabilityCheck
-from .rules import DIMENSIONS, Reject, RequestAttributes, Rule, Split
+from .rules import DIMENSIONS, RejectRequest, RequestAttributes, Rule, Split
 from .sets import ALL_RANKS
 from .weighted_split import split_route
 
@@ -128,7 +128,7 @@
         if rule is None:
             return Decision(None, self.default)
         outcome = rule.outcome
-        if isinstance(outcome, Reject):
+        if isinstance(outcome, RejectRequest):
             return Decision(rule, None, outcome.reason)
         if isinstance(outcome, Split):
             return Decision(rule, split_route(outcome, request.key or request.spread))
--- a/moorusher/namespaces/rules.py
+++ b/moorusher/namespaces/rules.py
@@ -100,13 +100,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reject:
+class RejectRequest:
     """The request is rejected; its client gets the reason."""
 
     reason: str
 
 
-Outcome = RouteTo | Split | Reject
+Outcome = RouteTo | Split | RejectRequest
 
 
 class Precedence(NamedTuple):
--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -16,7 +16,7 @@
 from ..membership.placement import majority
 from .journal import IncarnationsRecord, JournalImage, RecoveredRecord, RegisterRecord
 from .messages import FAST_BALLOT, Ballot, BallotRequest, Incarnations, SyncedRegister, SyncReply, Vote
-from .work_record import Key
+from .work_record import KeyDigest
 
 NO_BALLOT: Ballot = (-1, 0, 0)  # nothing was promised; a request at it only reads
 CLOSED_BALLOT: Ballot = (1, 0, 0)  # below every classic ballot, above FAST_BALLOT: the fast round is over
@@ -68,25 +68,25 @@
 
     seat: str
     incarnation: int
-    replicas: Callable[[Key], tuple[str, ...]]
+    replicas: Callable[[KeyDigest], tuple[str, ...]]
     other_seats: frozenset[str] = frozenset()
     recovered: bool = False
     max_registers: int = 8_000
-    registers: dict[Key, RegisterState] = field(default_factory=dict)
+    registers: dict[KeyDigest, RegisterState] = field(default_factory=dict)
     incarnations: Incarnations = field(default_factory=dict)
     synced_from: set[str] = field(default_factory=set)
     slices_synced_from: dict[str, frozenset[int]] = field(default_factory=dict)
-    slice_of: Callable[[Key], int] = lambda key: 0
+    slice_of: Callable[[KeyDigest], int] = lambda key: 0
     slice_replicas: Callable[[int], tuple[str, ...]] | None = None
     own_slices: list[int] | None = None
     # (when, key); an entry is stale where the register's own `expires_at` says otherwise
-    _expiries: list[tuple[int, Key]] = field(default_factory=list)
-    on_change: Callable[[Key, RegisterState], None] = lambda key, register: None
+    _expiries: list[tuple[int, KeyDigest]] = field(default_factory=list)
+    on_change: Callable[[KeyDigest, RegisterState], None] = lambda key, register: None
     journaled: bool = False
     permanent: bool = False
     journal_failing: bool = False
     # A dict for its order: records are written in the order of the changes, in whichever process.
-    _unsaved_registers: dict[Key, None] = field(default_factory=dict)
+    _unsaved_registers: dict[KeyDigest, None] = field(default_factory=dict)
     _unsaved_incarnations: bool = True
     _unsaved_recovered: bool = True
 
@@ -95,7 +95,7 @@
 
     # ---- whether a vote counts ----
 
-    def can_vote_on(self, key: Key) -> bool:
+    def can_vote_on(self, key: KeyDigest) -> bool:
         """Nothing that this seat's former processes may have promised for the key is unknown here.
 
         Each majority that a former process may have been part of has a member that was heard from since.
@@ -213,7 +213,7 @@
 
     # ---- expiry ----
 
-    def _schedule_expiry(self, key: Key, register: RegisterState, expires_at: int) -> None:
+    def _schedule_expiry(self, key: KeyDigest, register: RegisterState, expires_at: int) -> None:
         if self.journaled:
             self._unsaved_registers[key] = None
         if self.permanent:
@@ -222,7 +222,7 @@
             register.expires_at = expires_at
             heapq.heappush(self._expiries, (expires_at, key))
 
-    def expire(self, now: int) -> list[Key]:
+    def expire(self, now: int) -> list[KeyDigest]:
         """Forgets the keys that no longer count, and returns them.
 
         The window is part of the promise, so time may end a key, and nothing else.
@@ -328,7 +328,7 @@
         self._unsaved_recovered = True
         return self.unsaved_records(now)
 
-    def _record(self, now: int, key: Key) -> RegisterRecord:
+    def _record(self, now: int, key: KeyDigest) -> RegisterRecord:
         register = self.registers[key]
         ttl_ms = max(1, (register.expires_at - now) // US_PER_MS)
         return RegisterRecord(key, register.promised, register.accepted_ballot, register.value, ttl_ms)
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -15,7 +15,7 @@
 from .policy import ReplicationPolicy
 from .proposer import CarriedPromise, ChangeFunction, ChangeResult
 from .work_events import WorkEvent, WorkInHand
-from .work_record import Key, Owner, WorkRecord, WorkRequest
+from .work_record import KeyDigest, Owner, WorkRecord, WorkRequest
 
 
 class RegisterHost(Protocol):
@@ -85,10 +85,12 @@
     def notify(self, event: WorkEvent) -> None:
         """Something is settled about a key."""
 
-    def accept_takeover(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> bool:
+    def accept_takeover(
+        self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
+    ) -> bool:
         """Queues another runner's work, which is this runner's now; False where it can't."""
 
-    def work_in_hand(self, key: Key) -> WorkInHand:
+    def work_in_hand(self, key: KeyDigest) -> WorkInHand:
         """What the runner knows of a key."""
 
     def fit(self) -> bool:
@@ -98,7 +100,7 @@
 class WorkNode(Protocol):
     """A node, as the parts that care for keyed work see it. Times are in us."""
 
-    tenures: dict[Key, Tenure]
+    tenures: dict[KeyDigest, Tenure]
     policy: ReplicationPolicy
     placement: Placement
     detector: FailureDetector
@@ -127,7 +129,7 @@
 
     def change(
         self,
-        key: Key,
+        key: KeyDigest,
         change: ChangeFunction,
         expires_at: int,
         timeout_us: int,
@@ -149,13 +151,13 @@
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
         """Goes by what the register says: held here, another's, or over."""
 
-    def release_work(self, key: Key, rejected: bool = False) -> None:
+    def release_work(self, key: KeyDigest, rejected: bool = False) -> None:
         """An attempt of this runner is over, and never ran."""
 
     def continue_work(self, tenure: Tenure) -> None:
         """Another's work, whose owner is silent or gone."""
 
-    def offer_work(self, key: Key, work: WorkRecord) -> None:
+    def offer_work(self, key: KeyDigest, work: WorkRecord) -> None:
         """Orphaned or released work, to the seat whose turn it is."""
 
     def is_lost(self, owner: Owner) -> bool:
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -16,7 +16,7 @@
 
 from .errors import DamagedJournal, ForeignJournal
 from .messages import Ballot, Incarnations
-from .work_record import Key, WorkRecord
+from .work_record import KeyDigest, WorkRecord
 
 JOURNAL_VERSION = 1
 MAX_RECORD_BYTES = 1 << 20
@@ -46,7 +46,7 @@
 class RegisterRecord(_Record, frozen=True, tag="slot"):
     """A register as the acceptor has it. `ttl_ms`: how long it counts, from whenever the journal is read."""
 
-    key: Key
+    key: KeyDigest
     promised: Ballot
     accepted_ballot: Ballot | None
     value: WorkRecord | bytes | None
@@ -62,7 +62,7 @@
 class ChunkRecord(_Record, frozen=True, tag="piece"):
     """A part of a state that a duty's register names, or is to name by the change at `mark`."""
 
-    key: Key
+    key: KeyDigest
     mark: tuple[int, int, int]
     chunk: bytes
 
@@ -90,7 +90,7 @@
 
     recovered: bool = False
     incarnations: Incarnations = field(default_factory=dict)
-    registers: dict[Key, RegisterRecord] = field(default_factory=dict)
+    registers: dict[KeyDigest, RegisterRecord] = field(default_factory=dict)
     chunks: list[ChunkRecord] = field(default_factory=list)
     valid_bytes: int = 0
 
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from .proposer import CarriedPromise
-from .work_record import Key, Owner, WorkRequest, WorkState
+from .work_record import KeyDigest, Owner, WorkRequest, WorkState
 
 
 class TenureStage(Enum):
@@ -42,7 +42,7 @@
         result: `bytes`, of this runner's run, while it is being written to the register.
     """
 
-    key: Key
+    key: KeyDigest
     body_digest: int
     request: WorkRequest | None
     expires_at: int
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -14,7 +14,7 @@
 
 from ..membership.messages import Ping, PingAck, PingRequest, WireMessage
 from .errors import UnreadableFrame
-from .work_record import Key, Owner, WorkRecord
+from .work_record import KeyDigest, Owner, WorkRecord
 
 PROTOCOL_VERSION = 4  # both sides of a connection must name the same in their greeting
 MAX_FRAME_BYTES = 1 << 20  # of one frame; what is sent to a peer in one turn is cut into as many as it takes
@@ -26,7 +26,7 @@
 FAST_BALLOT: Ballot = (0, 0, 0)
 Incarnations = dict[str, int]  # by seat, the highest that the sender has heard of
 # A register as it is sent to a recovering acceptor: key, promised ballot, accepted ballot, value, ttl in ms.
-SyncedRegister = tuple[Key, Ballot, Ballot | None, WorkRecord | bytes | None, int]
+SyncedRegister = tuple[KeyDigest, Ballot, Ballot | None, WorkRecord | bytes | None, int]
 
 
 class ComponentPayload(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -75,7 +75,7 @@
     """
 
     serial: int
-    key: Key
+    key: KeyDigest
     ballot: Ballot
     value: WorkRecord | bytes | None
     next_ballot: Ballot
@@ -102,7 +102,7 @@
     """
 
     serial: int
-    key: Key
+    key: KeyDigest
     accepted: bool
     promised: Ballot
     accepted_ballot: Ballot | None
@@ -175,14 +175,14 @@
 class OwnershipQuery(WireMessage, frozen=True, tag="has"):
     """To the owner of a key: is its work still in hand?"""
 
-    key: Key
+    key: KeyDigest
     attempt: int
 
 
 class OwnershipReply(WireMessage, frozen=True, tag="had"):
     """The owner's answer: whether the work is in hand; or that it is finished, with its result."""
 
-    key: Key
+    key: KeyDigest
     attempt: int
     in_hand: bool
     finished: bool = False
@@ -192,7 +192,7 @@
 class TakeoverOffer(WireMessage, frozen=True, tag="take"):
     """To the seat whose turn it is: take over this work, which `owner` has left."""
 
-    key: Key
+    key: KeyDigest
     owner: Owner
     attempt: int
 
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -10,9 +10,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..membership.failure_detector import MS, FailureDetector
+from ..membership.failure_detector import FailureDetector
 from ..membership.messages import MemberStatus, Ping, PingAck, PingRequest
 from ..membership.placement import Placement
+from ..time_units import MS
 from .acceptor import Acceptor, RegisterState
 from .host_services import HostServices
 from .interfaces import NodeHost
@@ -35,7 +36,7 @@
 from .register_space import CLUSTER_SPACE, WORK_SPACE, RegisterSpace
 from .watched_work import WatchedWork
 from .work_events import KeyForgotten
-from .work_record import Key, Owner, WorkRecord
+from .work_record import KeyDigest, Owner, WorkRecord
 from .work_takeover import WorkTakeover
 
 
@@ -90,7 +91,7 @@
         self.registers = RegisterSpace(WORK_SPACE, self.acceptor, self, longest_window_us)
         self.spaces = {WORK_SPACE: self.registers}
         self.change = self.registers.change
-        self.tenures: dict[Key, Tenure] = {}
+        self.tenures: dict[KeyDigest, Tenure] = {}
         self.components: dict[str, Callable[[str, bytes], None]] = {}
         self.longest_window_us = longest_window_us
         self.duty_counts = (0, 0)
@@ -263,7 +264,7 @@
         """Goes by what the register says: held here, another's, or over."""
         self.watched_work.adopt(tenure, result)
 
-    def offer_work(self, key: Key, work: WorkRecord) -> None:
+    def offer_work(self, key: KeyDigest, work: WorkRecord) -> None:
         """Orphaned or released work, to the seat whose turn it is."""
         self.takeover.offer(key, work)
 
@@ -277,5 +278,5 @@
             del self.tenures[tenure.key]
             self.host.notify(KeyForgotten(tenure.key))
 
-    def _register_changed(self, key: Key, register: RegisterState) -> None:
+    def _register_changed(self, key: KeyDigest, register: RegisterState) -> None:
         self.takeover.register_changed(key, register)
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .interfaces import WorkNode
 from .key_tenure import Tenure, TenureStage
 from .messages import OwnershipReply
@@ -11,7 +11,7 @@
 from .work_record import (
     ClaimWork,
     FinishWork,
-    Key,
+    KeyDigest,
     ReleaseWork,
     StartWork,
     WithdrawClaim,
@@ -35,7 +35,7 @@
 
     # ---- claim ----
 
-    def claim(self, key: Key, body_digest: int, request: WorkRequest, expires_at: int) -> None:
+    def claim(self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int) -> None:
         """Claims a key that is new here.
 
         `ClaimGranted`, `ClaimJoined`, `ResultKnown`, `BodyDiffers` or `ClaimUncovered` follows, maybe at once.
@@ -132,7 +132,7 @@
 
     # ---- start ----
 
-    def start(self, key: Key) -> bool:
+    def start(self, key: KeyDigest) -> bool:
         """Before a run is commanded. False where the key is not the cluster's business.
 
         Else `StartConfirmed`, `StartLost` or `StartUncovered` follows, maybe at once.
@@ -191,7 +191,7 @@
 
     # ---- the end ----
 
-    def finish(self, key: Key, result: bytes | None) -> None:
+    def finish(self, key: KeyDigest, result: bytes | None) -> None:
         """A run of this runner is over."""
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is TenureStage.OWNED_ELSEWHERE:
@@ -222,7 +222,7 @@
 
         tenure.run_step(write)
 
-    def release(self, key: Key, rejected: bool = False) -> None:
+    def release(self, key: KeyDigest, rejected: bool = False) -> None:
         """An attempt of this runner is over, and never ran.
 
         `rejected`: work that was another's, or that others wait for, goes on to the next seat.
@@ -253,7 +253,7 @@
         self._answer_not_in_hand(tenure)
         tenure.finish_step()
 
-    def hand_over(self, key: Key) -> None:
+    def hand_over(self, key: KeyDigest) -> None:
         """Held work, to whichever runner can run it: `HandedOver` follows once nobody can lose it any more."""
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is not TenureStage.HELD or tenure.request is None:
--- a/moorusher/replication/proposer.py
+++ b/moorusher/replication/proposer.py
@@ -15,7 +15,7 @@
 
 from ..membership.placement import majority
 from .messages import FAST_BALLOT, Ballot, BallotRequest, Incarnations, Vote
-from .work_record import Key
+from .work_record import KeyDigest
 
 # What a change makes of the value that there is: the next one, or None where it is to stay as it is.
 ChangeFunction = Callable[[Any], Any]
@@ -84,7 +84,7 @@
         serial: `int`, of the present round.
     """
 
-    key: Key
+    key: KeyDigest
     replicas: tuple[str, ...]
     incarnation: int
     number: int
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..membership.failure_detector import MS
 from ..membership.placement import SLICES
+from ..time_units import MS
 from .acceptor import Acceptor
 from .interfaces import RegisterHost
 from .messages import Bootstrap, SyncReply, SyncRequest
--- a/moorusher/replication/register_reader.py
+++ b/moorusher/replication/register_reader.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..membership.failure_detector import MS
 from ..membership.placement import majority
+from ..time_units import MS
 from .acceptor import NO_BALLOT, Acceptor
 from .interfaces import RegisterHost
 from .messages import FAST_BALLOT, BallotRequest, Vote
 from .proposer import ChangeResult
-from .work_record import Key
+from .work_record import KeyDigest
 
 READ_TIMEOUT_US = 60 * MS  # replicas that have not agreed by then are asked by a ballot
 READ_RETRY_US = 4 * MS  # until the replicas are asked again, where a change is under way
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRead:
-    key: Key
+    key: KeyDigest
     replicas: tuple[str, ...]
     timeout_us: int
     on_result: Callable[[ChangeResult | None], None]
@@ -43,7 +43,7 @@
         host: RegisterHost,
         next_number: Callable[[], int],
         serials: int,
-        read_by_ballot: Callable[[Key, int, Callable[[ChangeResult | None], None]], None],
+        read_by_ballot: Callable[[KeyDigest, int, Callable[[ChangeResult | None], None]], None],
     ) -> None:
         self._space = space
         self._acceptor = acceptor
@@ -53,7 +53,7 @@
         self._read_by_ballot = read_by_ballot
         self._pending: dict[int, _PendingRead] = {}
 
-    def read(self, key: Key, timeout_us: int, on_result: Callable[[ChangeResult | None], None]) -> None:
+    def read(self, key: KeyDigest, timeout_us: int, on_result: Callable[[ChangeResult | None], None]) -> None:
         """What is chosen. Where the replicas don't agree, or too few answer soon, a ballot decides.
 
         `on_result(None)` where no majority has answered `timeout_us` after that.
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..membership.failure_detector import MS
 from ..membership.placement import majority
+from ..time_units import MS
 from .acceptor import NO_BALLOT, Acceptor
 from .interfaces import RegisterHost
 from .messages import BallotRequest, Bootstrap, SyncReply, SyncRequest, Vote
 from .proposer import CarriedPromise, ChangeFunction, ChangeResult, Proposer
 from .recovery import AcceptorRecovery
 from .register_reader import RegisterReader
-from .work_record import Key
+from .work_record import KeyDigest
 
 FAST_ROUND_TIMEOUT_US = 6 * MS  # a first write that not all replicas have answered goes on with a majority
 RETRY_BACKOFF_US = (
@@ -131,13 +131,13 @@
         return self._number
 
     def _read_by_ballot(
-        self, key: Key, timeout_us: int, on_result: Callable[[ChangeResult | None], None]
+        self, key: KeyDigest, timeout_us: int, on_result: Callable[[ChangeResult | None], None]
     ) -> None:
         self.change(key, lambda old: None, self.host.clock() + FOREVER_US, timeout_us, on_result)
 
     def change(
         self,
-        key: Key,
+        key: KeyDigest,
         change: ChangeFunction,
         expires_at: int,
         timeout_us: int,
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .interfaces import WorkNode
 from .key_tenure import Tenure, TenureStage
 from .messages import OwnershipQuery, OwnershipReply
--- a/moorusher/replication/work_events.py
+++ b/moorusher/replication/work_events.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass
 
-from .work_record import Key
+from .work_record import KeyDigest
 
 
 @dataclass(frozen=True, slots=True)
 class WorkEvent:
     """The base: something is settled about a key."""
 
-    key: Key
+    key: KeyDigest
 
 
 # ---- the end of a claim: exactly one of these, or a `ResultKnown`, follows it ----
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -17,7 +17,7 @@
 import msgspec
 import xxhash
 
-Key = bytes  # digest of a tenant and its idempotency key; see `key_of`
+KeyDigest = bytes  # digest of a tenant and its idempotency key; see `key_of`
 
 
 class WorkState(Enum):
@@ -90,7 +90,7 @@
     rejected_by: tuple[str, ...] = ()
 
 
-def key_of(tenant: str | None, token: str) -> Key:
+def key_of(tenant: str | None, token: str) -> KeyDigest:
     """The key of a tenant's idempotency key: 16 bytes.
 
     Tenants never share a key: whether there is a tenant, and where its name ends, is part of what is hashed.
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-from ..membership.failure_detector import MS
+from ..time_units import MS
 from .acceptor import RegisterState
 from .interfaces import WorkNode
 from .key_tenure import Tenure, TenureStage
 from .messages import TakeoverOffer
 from .proposer import ChangeResult
-from .work_record import EndOrphanedWork, Key, Owner, TakeOverWork, WorkRecord, WorkState
+from .work_record import EndOrphanedWork, KeyDigest, Owner, TakeOverWork, WorkRecord, WorkState
 
 REPLICA_STAGGER_US = 250 * MS  # between the replicas of a key, in their order, until the next one sees to it
 RECHECK_US = 400 * MS  # until orphaned work is looked at again
@@ -31,10 +31,10 @@
     def __init__(self, node: WorkNode) -> None:
         self._node = node
         # Unfinished work in the registers here, both ways round.
-        self._keys_of: dict[Owner, set[Key]] = {}
-        self._owner_of: dict[Key, Owner] = {}
+        self._keys_of: dict[Owner, set[KeyDigest]] = {}
+        self._owner_of: dict[KeyDigest, Owner] = {}
         # Orphaned or released work that is checked for takeover: attempts so far.
-        self._attempts: dict[Key, int] = {}
+        self._attempts: dict[KeyDigest, int] = {}
         # Offers that are to be taken up in the next turns.
         self._offers: list[TakeoverOffer] = []
         self._turn_is_due = False
@@ -83,7 +83,7 @@
         member = self._node.detector.by_seat.get(owner.seat)
         return member is None or member.is_lost(owner.incarnation) or owner in self._silent_owners
 
-    def register_changed(self, key: Key, register: RegisterState | None) -> None:
+    def register_changed(self, key: KeyDigest, register: RegisterState | None) -> None:
         """A register here has another value; None: it was forgotten."""
         self._drop(key)
         work: WorkRecord | None = None if register is None else register.value
@@ -98,7 +98,7 @@
             self._attempts[key] = 0
             self._node.at(self._node.clock() + RECHECK_US, lambda: self._check(key))
 
-    def _drop(self, key: Key) -> None:
+    def _drop(self, key: KeyDigest) -> None:
         owner = self._owner_of.pop(key, None)
         if owner is None:
             return
@@ -110,7 +110,7 @@
 
     # ---- orphaned work in the registers here ----
 
-    def _schedule_check(self, key: Key) -> None:
+    def _schedule_check(self, key: KeyDigest) -> None:
         """The first replica that is up checks it at once, the next ones later, if it is still orphaned then."""
         if key in self._attempts:
             return
@@ -125,7 +125,7 @@
             delay = position * REPLICA_STAGGER_US
             self._node.at(self._node.clock() + delay, lambda: self._check(key))
 
-    def _check(self, key: Key) -> None:
+    def _check(self, key: KeyDigest) -> None:
         """Again and again, until the work is somebody's or over."""
         register = self._node.acceptor.registers.get(key)
         work: WorkRecord | None = None if register is None else register.value
@@ -155,7 +155,7 @@
             return work.request is not None
         return self.is_lost(work.owner)
 
-    def offer(self, key: Key, work: WorkRecord, attempts: int = 0) -> None:
+    def offer(self, key: KeyDigest, work: WorkRecord, attempts: int = 0) -> None:
         """To the seat whose turn it is; with each attempt that was made before, to the next one."""
         able = [seat for seat in self._node.placement.takeover_order(key) if self._is_able(seat, work)]
         if not able:
@@ -201,7 +201,7 @@
         else:
             self._turn_is_due = False
 
-    def _expiry_of(self, key: Key) -> int:
+    def _expiry_of(self, key: KeyDigest) -> int:
         """us; where this seat is no replica of the key, the longest window that there is."""
         expires_at = self._node.clock() + self._node.longest_window_us
         register = self._node.acceptor.registers.get(key)
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -15,7 +15,7 @@
 
 from moorusher.scheduling.draining import SERVE_FRACTION
 
-from ..core.clock import MS
+from ..time_units import MS
 
 if TYPE_CHECKING:
     from .server import Service
--- a/moorusher/server/listen_retry.py
+++ b/moorusher/server/listen_retry.py
@@ -5,8 +5,9 @@
 import logging
 from collections.abc import Callable
 
-from ..core.clock import MS, SECOND, Alarms, Clock
+from ..core.clock import Alarms, Clock
 from ..rate_limited_log import RateLimitedLog
+from ..time_units import MS, SECOND
 from ..transient_errors import is_transient
 
 LISTEN_RETRY_US = 100 * MS
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 
 from ..backends.server_pool import ServerPool
-from ..core.clock import SECOND, Alarm
+from ..core.clock import Alarm
 from ..core.request_engine import RequestEngine
+from ..time_units import SECOND
 from ..warm_start.errors import InvalidSnapshot
 from ..warm_start.learned_state import DonorCondition, LearnedState
 from ..warm_start.merge import merge_priors
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 
 from moorusher.core.answer import Answer, Verdict
 from moorusher.core.call import CallRequest
-from moorusher.core.clock import SECOND, Alarms, Clock
+from moorusher.core.clock import Alarms, Clock
 from moorusher.core.idempotency_keys import MARGIN, IdempotencyKeyTable
 from moorusher.core.outcomes import EndReason
 from moorusher.core.registration import InvalidArrival
@@ -18,6 +18,7 @@
 from moorusher.core.run import NOT_WRITTEN
 from moorusher.scheduling import interface as api
 from moorusher.scheduling.scheduler import Scheduler
+from moorusher.time_units import SECOND
 
 from .helpers import settings
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -12,7 +12,6 @@
 import pytest
 
 from moorusher.core.answer import Verdict
-from moorusher.core.clock import MS
 from moorusher.core.idempotency_keys import MARGIN
 from moorusher.core.key_claims import CLAIM_TIMEOUT
 from moorusher.core.outcomes import EndReason
@@ -27,6 +26,7 @@
     State,
 )
 from moorusher.hot_restart.shared_budget import fits_beside, rendezvous_path
+from moorusher.time_units import MS
 
 from .test_core import World
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -36,7 +36,7 @@
     DutySimulation,
 )
 from moorusher.model_checking.scenario import Scenario
-from moorusher.model_checking.virtual_time import SECOND
+from moorusher.time_units import SECOND
 
 
 def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, LeaseHolder]:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -43,12 +43,12 @@
 )
 from moorusher.maintenance.start_estimate import estimate_starts
 from moorusher.maintenance.transitions import Change
+from moorusher.time_units import SECOND
 
 MAX_HISTORY = 8
 POLICY = MaintenancePolicy(
     enabled=True, max_out=2, max_out_per_zone=1, min_capacity_share=0.5, max_utilization=0.9
 )
-SECOND = 1_000_000
 
 
 def request(id: str = "a", *seats: str, **more: Any) -> MaintenanceRequest:
--- a/tests/test_namespaces.py
+++ b/tests/test_namespaces.py
@@ -31,7 +31,7 @@
 from moorusher.namespaces.names import is_valid_name, require_name
 from moorusher.namespaces.policy import Budget, Grant
 from moorusher.namespaces.rule_table import RuleTable, TableLimits
-from moorusher.namespaces.rules import Matcher, Reject, RequestAttributes, RouteTo, Rule, Split
+from moorusher.namespaces.rules import Matcher, RejectRequest, RequestAttributes, RouteTo, Rule, Split
 from moorusher.namespaces.sets import ALL_NUMBERS, ALL_RANKS, ALL_STRINGS, NumberRanges, StringSet
 from moorusher.namespaces.weighted_split import split_route
 
@@ -219,7 +219,7 @@
 def test_outcomes_and_the_default_route() -> None:
     table = RuleTable(
         [
-            Rule("no", Matcher(class_name=string_set("admin")), Reject("not here")),
+            Rule("no", Matcher(class_name=string_set("admin")), RejectRequest("not here")),
             rule("yes", class_name=string_set("read")),
         ],
         "d",
--- a/tests/test_retries_and_hedging.py
+++ b/tests/test_retries_and_hedging.py
@@ -14,8 +14,8 @@
 from moorusher.load_balancing.retry import MIN_REMAINING_US, NoRetry, RetryAt, decide_retry
 from moorusher.load_balancing.retry_budget import RetryBudget
 from moorusher.scheduling.interface import Effect
+from moorusher.time_units import MS
 
-MS = 1_000
 DEADLINE = 500 * MS
 POLICY = LoadBalancingPolicy(base_backoff_ms=10.0, max_backoff_ms=250.0)
 IDEMPOTENT, WITH_KEY = Effect.IDEMPOTENT, Effect.IDEMPOTENT_WITH_KEY
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,10 +7,11 @@
 import pytest
 
 from moorusher.core.answer import Verdict
-from moorusher.core.clock import MS, SECOND, Clock
+from moorusher.core.clock import Clock
 from moorusher.core.idempotency_keys import MARGIN
 from moorusher.core.outcomes import EndReason
 from moorusher.core.wall_clock import MAX_OFFSETS, WallClock
+from moorusher.time_units import MS, SECOND
 
 from .test_core import World
 
