--- a/moorusher/config/forecast.py
+++ b/moorusher/config/forecast.py
@@ -6,23 +6,23 @@
 from typing import Any
 
 from ..forecasting.policy import Calendar, ForecastPolicy, ScalingPolicy
-from .section import ConfigError, Section, inside
+from .section import ConfigError, Figure, Section, inside
 
-# Bounds of the numbers, by key.
-FORECAST_BOUNDS: dict[str, tuple[float, float]] = {
-    "report_ms": (100, 3_600_000),
-    "save_ms": (100, 3_600_000),
-    "routes": (1, 10_000),
+# By key.
+FORECAST_FIGURES = {
+    "report_ms": Figure("report_interval_ms", 100, 3_600_000),
+    "save_ms": Figure("save_interval_ms", 100, 3_600_000),
+    "routes": Figure("max_routes", 1, 10_000),
 }
-SCALING_BOUNDS: dict[str, tuple[float, float]] = {
-    "cores": (0.1, 1_000),
-    "fill": (0.05, 1),
-    "least": (0, 100_000),
-    "most": (1, 100_000),
-    "cold_min": (0, 1_440),
-    "down_h": (0, 168),
-    "valid_min": (1, 10_080),
-    "worthy": (0, 1e9),
+SCALING_FIGURES = {
+    "cores": Figure("cores_per_runner", 0.1, 1_000),
+    "fill": Figure("target_utilization", 0.05, 1),
+    "least": Figure("min_runners", 0, 100_000),
+    "most": Figure("max_runners", 1, 100_000),
+    "cold_min": Figure("startup_min", 0, 1_440),
+    "down_h": Figure("scale_down_delay_h", 0, 168),
+    "valid_min": Figure("validity_min", 1, 10_080),
+    "worthy": Figure("priority_threshold", 0, 1e9),
 }
 MAX_ROUTE_BYTES = 6_000  # of the duty's state, for eight weeks of one route
 MAX_SPECIAL_DAYS = 1_000  # of one calendar
@@ -35,44 +35,27 @@
     :param state_bytes: that the state of a duty may take.
     :raises ConfigError: a value can't be used; the text names its key.
     """
-    section.unknown({"on", "calendar", "scaling", *FORECAST_BOUNDS})
-    defaults = ForecastPolicy()
-
-    def number(key: str, default: Any) -> Any:
-        return section.between(key, default, *FORECAST_BOUNDS[key])
-
-    report_interval_ms = number("report_ms", defaults.report_interval_ms)
-    save_interval_ms = number("save_ms", defaults.save_interval_ms)
-    max_routes = number("routes", defaults.max_routes)
+    section.unknown({"on", "calendar", "scaling", *FORECAST_FIGURES})
+    figures = section.figures(FORECAST_FIGURES, ForecastPolicy())
     scaling = _read_scaling(section.section("scaling"))
     calendars = _read_calendars(section)
     enabled = section.get("on", False)
     if enabled and not duties:
         raise ConfigError(f"{section.key('on')}: a forecast is a duty of a fleet: set duties.on")
+    max_routes = figures["max_routes"]
     if enabled and max_routes * MAX_ROUTE_BYTES > state_bytes:
         raise ConfigError(
             f"{section.key('routes')}: {max_routes} of them may take "
             f"{max_routes * MAX_ROUTE_BYTES} bytes; duties.state_bytes is {state_bytes}"
         )
-    return ForecastPolicy(enabled, report_interval_ms, save_interval_ms, max_routes, calendars, scaling)
+    return ForecastPolicy(enabled=enabled, calendars=calendars, scaling=scaling, **figures)
 
 
 def _read_scaling(section: Section) -> ScalingPolicy:
-    section.unknown({"to", *SCALING_BOUNDS})
-    defaults = ScalingPolicy()
-
-    def number(key: str, default: Any) -> Any:
-        return section.between(key, default, *SCALING_BOUNDS[key])
-
+    section.unknown({"to", *SCALING_FIGURES})
+    figures = section.figures(SCALING_FIGURES, ScalingPolicy())
     policy = ScalingPolicy(
-        cores_per_runner=number("cores", defaults.cores_per_runner),
-        target_utilization=number("fill", defaults.target_utilization),
-        min_runners=number("least", defaults.min_runners),
-        max_runners=number("most", defaults.max_runners),
-        startup_min=number("cold_min", defaults.startup_min),
-        scale_down_delay_h=number("down_h", defaults.scale_down_delay_h),
-        validity_min=number("valid_min", defaults.validity_min),
-        priority_threshold=number("worthy", defaults.priority_threshold),
+        **figures,
         receiver=inside(section.address("to"), section.key("to")),
     )
     if policy.min_runners > policy.max_runners:
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -8,7 +8,7 @@
 
 from ..core.requests import is_identifier
 from ..load_balancing.policy import MAX_ENDPOINTS, EndpointConfig, EndpointProtocol, LoadBalancingPolicy
-from .section import ConfigError, Section
+from .section import ConfigError, Figure, Section
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,52 +28,28 @@
 MAX_NAME_LENGTH = 64
 WEIGHT_BOUNDS = (0.01, 1000.0)
 
-# Bounds of the figures of `[tier]`, by key.
-TIER_BOUNDS: dict[str, tuple[float, float]] = {
-    "subset": (0, MAX_ENDPOINTS),
-    "spill": (1, 100),
-    "least_limit": (1, 1000),
-    "most_limit": (1, 10_000),
-    "queue": (0, 10_000),
-    "consecutive": (1, 1000),
-    "failure_share": (0.01, 1),
-    "outlier": (1.5, 1000),
-    "eject_s": (0.1, 600),
-    "most_eject_s": (0.1, 3600),
-    "most_ejected": (0, 1),
-    "panic": (0, 1),
-    "retry_share": (0, 1),
-    "retry_floor_per_s": (0, 100),
-    "backoff_ms": (0, 10_000),
-    "most_backoff_ms": (0, 60_000),
-    "slow_start_s": (0, 600),
-    "slow_start_calls": (0, 1_000_000),
-    "slow_start_window_ms": (10, 600_000),
-    "runners": (1, 10_000),
-}
-
-# The field of LoadBalancingPolicy that each of these keys sets.
-POLICY_FIELDS: dict[str, str] = {
-    "subset": "subset_size",
-    "spill": "zone_spill_ratio",
-    "least_limit": "min_concurrency",
-    "most_limit": "max_concurrency",
-    "queue": "max_queued_calls",
-    "consecutive": "consecutive_failures",
-    "failure_share": "max_failure_rate",
-    "outlier": "outlier_latency_ratio",
-    "eject_s": "base_ejection_s",
-    "most_eject_s": "max_ejection_s",
-    "most_ejected": "max_ejected_fraction",
-    "panic": "panic_threshold",
-    "retry_share": "retry_budget_ratio",
-    "retry_floor_per_s": "min_retries_per_s",
-    "backoff_ms": "base_backoff_ms",
-    "most_backoff_ms": "max_backoff_ms",
-    "slow_start_s": "slow_start_s",
-    "slow_start_calls": "slow_start_calls",
-    "slow_start_window_ms": "slow_start_window_ms",
-    "runners": "runners",
+# The figures of `[tier]`, by key.
+TIER_FIGURES = {
+    "subset": Figure("subset_size", 0, MAX_ENDPOINTS),
+    "spill": Figure("zone_spill_ratio", 1, 100),
+    "least_limit": Figure("min_concurrency", 1, 1000),
+    "most_limit": Figure("max_concurrency", 1, 10_000),
+    "queue": Figure("max_queued_calls", 0, 10_000),
+    "consecutive": Figure("consecutive_failures", 1, 1000),
+    "failure_share": Figure("max_failure_rate", 0.01, 1),
+    "outlier": Figure("outlier_latency_ratio", 1.5, 1000),
+    "eject_s": Figure("base_ejection_s", 0.1, 600),
+    "most_eject_s": Figure("max_ejection_s", 0.1, 3600),
+    "most_ejected": Figure("max_ejected_fraction", 0, 1),
+    "panic": Figure("panic_threshold", 0, 1),
+    "retry_share": Figure("retry_budget_ratio", 0, 1),
+    "retry_floor_per_s": Figure("min_retries_per_s", 0, 100),
+    "backoff_ms": Figure("base_backoff_ms", 0, 10_000),
+    "most_backoff_ms": Figure("max_backoff_ms", 0, 60_000),
+    "slow_start_s": Figure("slow_start_s", 0, 600),
+    "slow_start_calls": Figure("slow_start_calls", 0, 1_000_000),
+    "slow_start_window_ms": Figure("slow_start_window_ms", 10, 600_000),
+    "runners": Figure("runners", 1, 10_000),
 }
 
 
@@ -99,7 +75,7 @@
     `folder`: that paths are relative to. `runners`: how many call the servers where the file does not say. Raises
     ConfigError with the faulty key.
     """
-    section.unknown({*TIER_BOUNDS, "zone", "hedge", "server", "knowledge_file"})
+    section.unknown({*TIER_FIGURES, "zone", "hedge", "server", "knowledge_file"})
     endpoints = _read_endpoints(section)
     policy = _read_policy(section, runners)
     file_name = section.get("knowledge_file", "")
@@ -126,10 +102,7 @@
 
 def _read_policy(section: Section, runners: int) -> LoadBalancingPolicy:
     defaults = LoadBalancingPolicy(runners=runners)
-    figures: dict[str, Any] = {
-        POLICY_FIELDS[key]: section.between(key, getattr(defaults, POLICY_FIELDS[key]), *bounds)
-        for key, bounds in TIER_BOUNDS.items()
-    }
+    figures = section.figures(TIER_FIGURES, defaults)
     policy = LoadBalancingPolicy(
         zone=section.get("zone", ""), hedging_enabled=section.get("hedge", True), **figures
     )
--- a/moorusher/config/loader.py
+++ b/moorusher/config/loader.py
@@ -1,4 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Where a runner's configuration is loaded from: the way in to this package for the rest of the runner.
+
+`platform_file.py` reads and checks the platform's file, `operator_file.py` the operator's, with a module for each
+larger section.
 
 GW_CONFIG names the platform's JSON file; GW_NAME and GW_LISTEN stand in where it lacks them or is absent, GW_CONSOLE
 goes before its `console`. The operator's file says what listens besides. Every message names the faulty key.
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -1,4 +1,8 @@
-"""The configuration of a runner as values. Fields are named after the configuration keys that operators write."""
+"""The configuration of a runner as values, section by section.
+
+Most fields have the name of their key or section; for the others, the modules that read the sections map key to field:
+`health.py`, `load_balancing.py`, `fleet.py`, `namespaces.py`, `forecast.py` and `maintenance.py`.
+"""
 
 from __future__ import annotations
 
--- a/moorusher/load_balancing/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -30,7 +30,8 @@
 class LoadBalancingPolicy:
     """Limits and thresholds. Units are in the names; ratios and fractions run from 0 to 1 where nothing else is said.
 
-    `POLICY_FIELDS` in `config/load_balancing.py` maps the keys of `[tier]` to these fields.
+    `config/load_balancing.py` maps the keys of `[tier]` to these fields: the numbers by `TIER_FIGURES`, besides them
+    `zone`, and `hedge` to `hedging_enabled`.
     """
 
     # Choice of an endpoint.
