--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -2,6 +2,9 @@
 
 A machine counts as out of service from its grant until it serves as before; one that is not heard of counts, too,
 whether or not somebody asked for that. What stays must be able to take the load that there is, and its recent peak.
+
+So `MaintenancePolicy.max_out` bounds lost machines and slots together here. The schedule knows its slots alone:
+`slot_changes.py` checks these against the same number again, as `max_slots`.
 """
 
 from __future__ import annotations
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -34,7 +34,7 @@
     boot_id: str, content of the machine's file at the start of the process; empty if it can't be read.
     settings_digest: str.
     is_drained: bool.
-    machines_out: int, this one included.
+    machines_out: int, slots of the schedule, this machine's included; lost machines that have none are not counted.
     draining_us, returned_us: int, since it began to drain, and since it came back.
     is_warm: bool, it serves as before.
     recovered: bool, it has forgotten nothing that it replicates.
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -12,6 +12,10 @@
     """The settings; `config/maintenance.py` has the key of each. Times in seconds, shares from 0 to 1.
 
     No time lets a machine go, nor counts one back in: times decide only when something is tried or reported.
+
+    Two counts are held against `max_out`. Who plans a grant counts lost machines, too, as that member sees them
+    (`disruption_budget.py`); the schedule and the machine itself count slots alone (`max_slots` in `slot_changes.py`),
+    since the schedule has no record of machines that are lost without a slot.
     """
 
     enabled: bool = False
--- a/moorusher/maintenance/slot_changes.py
+++ b/moorusher/maintenance/slot_changes.py
@@ -1,4 +1,8 @@
-"""Changes of the schedule that members make: slots are granted, and each machine goes through its own."""
+"""Changes of the schedule that members make: slots are granted, and each machine goes through its own.
+
+`max_slots` is `MaintenancePolicy.max_out` of the member that makes the change. Slots alone are counted against it here:
+the schedule has no record of lost machines, which `disruption_budget.py` counts against the same number, too.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 
     revision: int, that they were planned on.
     granted: (request id, seat) of each.
-    max_slots: int, at a time.
+    max_slots: int, at a time; lost machines that have none are not counted.
     at_s: float, Unix time.
     is_applied: bool, to the schedule that was found last.
     """
