--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -1,11 +1,15 @@
 """Calls that requests make while they run: budget, timeout, retries with backoff, and when to do without.
 
-The dependency is shared by all runners (`Downstream.SHARED`), each of which has a part of the calls that it
-bears, or it is a further tier (`Downstream.TIER`), whose budget is unlimited and whose calls are bounded in
-number alone.
+`Settings.downstream` (`extra.below` of the platform's settings) decides on the budget. Under `SHARED` the
+dependency is shared by all runners, each of which has a part of the calls that it bears. Under `TIER` it is
+a further tier, whose budget is unlimited and whose calls are bounded in number alone. Under `OFF` no call is
+sent.
 
-Retries here are of a whole call, by the request's own deadline. Under `Downstream.TIER` each call is carried
-out by `load_balancing`, which makes several attempts of one call (`load_balancing/retry.py`) and hedges them.
+Where a call goes does not follow from that setting: `server/composition.py` chooses the backend by what the
+configuration has. Servers of `[tier]` in the operator's file come first, with `load_balancing` over them;
+then a uwsgi peer; then the database. Load balancing may make several attempts of one call, and hedge them.
+
+Retries here are of a whole call, by the request's own deadline; `retry_policy` names the other layers.
 """
 
 from __future__ import annotations
--- a/moorusher/scheduling/retry_policy.py
+++ b/moorusher/scheduling/retry_policy.py
@@ -4,6 +4,16 @@
 attempt, and on nothing else: not on tokens, tenants or addresses. Every sender asks here: the scheduler for
 downstream calls, links for connections that break, load balancing for retries, hedged requests and health
 checks, the core for commands to the kernel.
+
+Layers that send something again, from the outside in; each but the first may repeat inside of the one before:
+
+- a whole downstream call, until the request's deadline: `scheduling/downstream_calls.py`;
+- a call at the next hop of its route path, the fallback: `routing/route_table.py`;
+- an attempt of a call at an endpoint of the hop, or a hedged one: `load_balancing/retry.py`, `hedging.py`;
+- an attempt on a connection that was idle and broke, resent on a new one: `backends/database.py`.
+
+Apart from these, commands and replies that the kernel may have missed are sent on its new connection:
+`core/run.py`.
 """
 
 from __future__ import annotations
