--- a/moorusher/forecast_service/hint_planning.py
+++ b/moorusher/forecast_service/hint_planning.py
@@ -25,6 +25,11 @@
 ) -> ScalingHints:
     """Return the hints for the hours from `first_hour` (since 1970, UTC) on.
 
+    A route without a forecast adds nothing to the hints of its zone, and has the zone skipped only where no other route
+    there has a forecast. It is new, or little of it was counted: if it withheld the hints of the others, each new route
+    would do so for its first 48 known hours (`MIN_KNOWN_HOURS` in `forecasting/weekly_forecast.py`). A route that is
+    forecast and was never measured does withhold them: see `make_hints`.
+
     :param ledger: has the cost and the priority of each route's requests.
     :param now_ms: Unix time.
     :param running: runners that are up, by zone.
--- a/moorusher/forecasting/level_shifts.py
+++ b/moorusher/forecasting/level_shifts.py
@@ -15,11 +15,13 @@
 from .time_units import HOURS_PER_DAY
 
 WINDOW_DAYS = 10  # compared on each side of a shift
-MIN_DAYS_BEFORE = 7  # known days on that side
-MIN_DAYS_AFTER = 2
+MIN_KNOWN_DAYS_IN_WINDOW_BEFORE = 7
+MIN_KNOWN_DAYS_IN_WINDOW_AFTER = 2
+MIN_KNOWN_DAYS_BEFORE = (
+    14  # in the whole history before a shift: within a single week, a weekend looks like one
+)
 MIN_SHIFT = 0.3  # as a logarithm
 MIN_Z_SCORE = 5.0  # difference of the medians over its standard error
-MIN_KNOWN_DAYS = 14  # before a shift: within a single week, a weekend looks like one
 MAX_SHIFTS = 2  # of one route
 MIN_NOISE = 0.03  # standard deviation of a daily log level
 DEFAULT_NOISE = 0.1  # where it is unknown
@@ -59,25 +61,26 @@
 
 def remove_level_shifts(history: Floats, hour_of_week: Ints) -> UnshiftedHistory:
     """Return the history at the level after its last shift. `history`: (routes, hours), NaN where unknown."""
-    unshifted = UnshiftedHistory(history.copy(), np.zeros_like(history))
+    demand = history.copy()
+    log_shift = np.zeros_like(history)
     for _ in range(MAX_SHIFTS):
-        if not _remove_clearest_shift(unshifted, hour_of_week):
+        if not _remove_clearest_shift(demand, log_shift, hour_of_week):
             break
-    return unshifted
+    return UnshiftedHistory(demand, log_shift)
 
 
-def _remove_clearest_shift(history: UnshiftedHistory, hour_of_week: Ints) -> bool:
+def _remove_clearest_shift(demand: Floats, log_shift: Floats, hour_of_week: Ints) -> bool:
     """Scale, in place, what lies before the clearest shift of each route. Return False if no route has one."""
-    levels = daily_levels(history.demand, hour_of_week)
+    levels = daily_levels(demand, hour_of_week)
     days = levels.log_level.shape[1]
-    if days < MIN_DAYS_BEFORE + MIN_DAYS_AFTER:
+    if days < MIN_KNOWN_DAYS_BEFORE + MIN_KNOWN_DAYS_IN_WINDOW_AFTER:
         return False
     best = _clearest_shifts(levels.log_level, levels.requests)
     routes = np.flatnonzero(best.scatter_removed > 0)
     for route in routes:
         until = levels.first_hour + HOURS_PER_DAY * best.day[route]
-        history.demand[route, :until] *= np.exp(best.log_size[route])
-        history.log_shift[route, :until] += best.log_size[route]
+        demand[route, :until] *= np.exp(best.log_size[route])
+        log_shift[route, :until] += best.log_size[route]
     return bool(len(routes))
 
 
@@ -86,7 +89,7 @@
     best = _BestShift(np.zeros(routes), np.zeros(routes), np.zeros(routes, int))
     with np.errstate(all="ignore"):
         noise = _daily_noise(log_level, requests)
-        for day in range(MIN_DAYS_BEFORE, days - MIN_DAYS_AFTER + 1):
+        for day in range(MIN_KNOWN_DAYS_BEFORE, days - MIN_KNOWN_DAYS_IN_WINDOW_AFTER + 1):
             candidate = _split_at(day, log_level, noise)
             better = candidate.valid & (candidate.scatter_removed > best.scatter_removed)
             best.scatter_removed = np.where(better, candidate.scatter_removed, best.scatter_removed)
@@ -115,7 +118,9 @@
     z_score = np.abs(log_size) / (noise * np.sqrt(variance))
     known_days = np.isfinite(log_level[:, :day]).sum(axis=1)
     enough_days = (
-        (days_before >= MIN_DAYS_BEFORE) & (known_days >= MIN_KNOWN_DAYS) & (days_after >= MIN_DAYS_AFTER)
+        (days_before >= MIN_KNOWN_DAYS_IN_WINDOW_BEFORE)
+        & (known_days >= MIN_KNOWN_DAYS_BEFORE)
+        & (days_after >= MIN_KNOWN_DAYS_IN_WINDOW_AFTER)
     )
     unsplit = _scatter(log_level[:, window_start : day + WINDOW_DAYS])
     return _Candidate(
--- a/moorusher/forecasting/scaling_hints.py
+++ b/moorusher/forecasting/scaling_hints.py
@@ -105,6 +105,9 @@
 ) -> ScalingHints:
     """Return the hints for the hours from `first_hour` (since 1970, UTC) on.
 
+    A zone has none if the processor time of one of its forecast routes was never measured: that route would count as
+    costing nothing, and the hints would ask for fewer runners than its demand needs.
+
     :param now_ms: Unix time.
     :param skipped_zones: zones without a forecast, with the reason; those are added of which a route was not measured.
     :param running: runners of each zone now.
