--- a/moorusher/scheduling/admission.py
+++ b/moorusher/scheduling/admission.py
@@ -8,8 +8,8 @@
 from moorusher.scheduling.interface import Request
 from moorusher.scheduling.job import Job
 from moorusher.scheduling.lifecycle import Lifecycle
-from moorusher.scheduling.load_shedding import LoadShedding
 from moorusher.scheduling.priority import outranks
+from moorusher.scheduling.rejection import Rejection
 from moorusher.scheduling.service_time import ClassState
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import NEVER
@@ -23,12 +23,12 @@
 class Admission:
     """Queues a request, or rejects it on arrival."""
 
-    __slots__ = ("_lifecycle", "_shedding", "_state")
+    __slots__ = ("_lifecycle", "_rejection", "_state")
 
-    def __init__(self, state: SchedulerState, lifecycle: Lifecycle, shedding: LoadShedding) -> None:
+    def __init__(self, state: SchedulerState, lifecycle: Lifecycle, rejection: Rejection) -> None:
         self._state = state
         self._lifecycle = lifecycle
-        self._shedding = shedding
+        self._rejection = rejection
 
     def arrive(self, request: Request) -> None:
         """Take in a request and answer it, share a result with it, or queue it.
@@ -38,7 +38,7 @@
         """
         state = self._state
         class_state = self._class_state(request)
-        self._shedding.record_arrival(request)
+        self._rejection.record_arrival(request)
         job = Job(request, self._tenant(request), class_state, state.now)
         set_deadlines(job, state)
         state.jobs[job.id] = job
@@ -46,12 +46,12 @@
         if share_prior_result(job, state, self._lifecycle):
             return
         if state.draining.rejects(job.sent_at, state.settings) or not state.memory.can_admit(job):
-            self._shedding.reject(job)
+            self._rejection.reject(job)
             return
         class_state.arrivals += 1
         job.tenant.arrivals += 1
         if self._is_too_late(job):
-            self._shedding.reject(self._lowest_ranked(job))
+            self._rejection.reject(self._lowest_ranked(job))
         if not job.answered:
             entry = state.keys.enter(job, state.now)
             if entry is not None:
--- a/moorusher/scheduling/deadlines.py
+++ b/moorusher/scheduling/deadlines.py
@@ -5,7 +5,7 @@
 from moorusher.scheduling.downstream_calls import DownstreamCalls
 from moorusher.scheduling.job import Job, JobState
 from moorusher.scheduling.lifecycle import Lifecycle
-from moorusher.scheduling.load_shedding import LoadShedding
+from moorusher.scheduling.rejection import Rejection
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import NEVER, TICK_MS
 
@@ -37,14 +37,14 @@
 class Deadlines:
     """Gives up jobs whose time has passed, whatever they are doing."""
 
-    __slots__ = ("_calls", "_lifecycle", "_shedding", "_state")
+    __slots__ = ("_calls", "_lifecycle", "_rejection", "_state")
 
     def __init__(
-        self, state: SchedulerState, lifecycle: Lifecycle, shedding: LoadShedding, calls: DownstreamCalls
+        self, state: SchedulerState, lifecycle: Lifecycle, rejection: Rejection, calls: DownstreamCalls
     ) -> None:
         self._state = state
         self._lifecycle = lifecycle
-        self._shedding = shedding
+        self._rejection = rejection
         self._calls = calls
 
     def sweep(self) -> None:
@@ -78,12 +78,12 @@
                 continue
             for job in list(tenant.waiting):
                 if now + job.class_state.expected_run_ms() > min(job.objective_at, stop_at):
-                    self._shedding.reject(job)
+                    self._rejection.reject(job)
 
     def _give_up(self, job: Job) -> None:
         """Answer an overdue job. A queued one never ran; any other fails: running work is no excuse."""
         if job.state is JobState.QUEUED:
-            self._shedding.reject(job)
+            self._rejection.reject(job)
         else:
             self._lifecycle.fail(job)
 
--- a/moorusher/scheduling/load_shedding.py
+++ b/moorusher/scheduling/rejection.py
@@ -19,7 +19,7 @@
 PRESSED_REJECTIONS = 1.0  # recent rejections from which the runner counts as pressed
 
 
-class LoadShedding:
+class Rejection:
     """Rejects requests that never ran, and counts them.
 
     Attributes:
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -15,10 +15,10 @@
 from moorusher.scheduling.downstream_calls import DownstreamCalls
 from moorusher.scheduling.job import JobState
 from moorusher.scheduling.lifecycle import Lifecycle
-from moorusher.scheduling.load_shedding import LoadShedding
 from moorusher.scheduling.priority import update_reserve
 from moorusher.scheduling.quotas import update_over_quota
 from moorusher.scheduling.reconfiguration import reconfigure
+from moorusher.scheduling.rejection import Rejection
 from moorusher.scheduling.signals import Allowance, IdleConnections
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import TICK_MS, WINDOW_MS
@@ -30,7 +30,7 @@
     Attributes:
         state: what the rules share.
         lifecycle: the transitions of jobs.
-        shedding: how requests are rejected.
+        rejection: how requests are rejected.
         calls: downstream calls.
         deadlines: what is given up.
         admission: what is queued.
@@ -43,12 +43,12 @@
     def __init__(self, settings: api.Settings) -> None:
         self.state = SchedulerState(settings)
         self.lifecycle = Lifecycle(self.state)
-        self.shedding = LoadShedding(self.state, self.lifecycle)
+        self.rejection = Rejection(self.state, self.lifecycle)
         self.calls = DownstreamCalls(self.state, self.lifecycle)
-        self.deadlines = Deadlines(self.state, self.lifecycle, self.shedding, self.calls)
-        self.admission = Admission(self.state, self.lifecycle, self.shedding)
+        self.deadlines = Deadlines(self.state, self.lifecycle, self.rejection, self.calls)
+        self.admission = Admission(self.state, self.lifecycle, self.rejection)
         self.dispatch = Dispatch(self.state, self.lifecycle)
-        self.allowance = Allowance(self.state, self.shedding)
+        self.allowance = Allowance(self.state, self.rejection)
         self.connections = IdleConnections(settings)
         self.timer_is_set = False
 
@@ -143,7 +143,7 @@
         concurrency.adjust_limit(state.now, window_ms)
         state.keys.expire(state.now)
         state.actions += self.connections.end_window(state.settings, window_ms)
-        self.shedding.end_window()
+        self.rejection.end_window()
         self.allowance.end_window()
         service_time = state.service_time
         update_reserve(service_time.classes, service_time.slot_ms, concurrency.limit, window_ms)
--- a/moorusher/scheduling/signals.py
+++ b/moorusher/scheduling/signals.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from moorusher.scheduling.interface import CloseIdleConnections, Settings, Signal, SignalKind
-from moorusher.scheduling.load_shedding import LoadShedding
+from moorusher.scheduling.rejection import Rejection
 from moorusher.scheduling.state import SchedulerState
 
 # Part of the shortest latency objective that requests may spend in the queue, by the allowance.
@@ -23,11 +23,11 @@
         last_sent: the allowance that was sent last, -1 before the first.
     """
 
-    __slots__ = ("_shedding", "_state", "last_sent")
+    __slots__ = ("_rejection", "_state", "last_sent")
 
-    def __init__(self, state: SchedulerState, shedding: LoadShedding) -> None:
+    def __init__(self, state: SchedulerState, rejection: Rejection) -> None:
         self._state = state
-        self._shedding = shedding
+        self._rejection = rejection
         self.last_sent = -1.0
 
     def end_window(self) -> None:
@@ -52,7 +52,7 @@
         """
         state = self._state
         concurrency = state.concurrency
-        fraction = QUEUE_FRACTION_PRESSED if self._shedding.is_pressed() else QUEUE_FRACTION
+        fraction = QUEUE_FRACTION_PRESSED if self._rejection.is_pressed() else QUEUE_FRACTION
         wait_ms = fraction * min(c.latency_objective_ms for c in state.settings.classes)
         queueable = concurrency.limit * wait_ms / state.expected_slot_ms()
         capacity = max(concurrency.running, concurrency.limit) + queueable
--- a/tests/scheduling/test_signals.py
+++ b/tests/scheduling/test_signals.py
@@ -53,7 +53,7 @@
 
 def test_rejections_make_the_allowance_smaller_for_a_while() -> None:
     scheduler, (roomy,) = busy_since(100.0, {1: 9, 2: 9, 3: 9})
-    scheduler.shedding.recent_rejections = 20.0
+    scheduler.rejection.recent_rejections = 20.0
     (pressed,) = only(scheduler.step(1520.0, [Timer(0, (0.9,))]), Signal)
     assert pressed.value < roomy
 
