--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,7 +21,7 @@
 from moorusher.lab.report import write_report
 from moorusher.lab.runners import ROOT
 
-from .test_health import report
+from .test_health import health_report
 
 MS = 1000
 CLASSES = [
@@ -81,7 +81,9 @@
     def shares(*said: HealthState, weight: int = 50) -> list[float]:
         told = []
         for standing in said:
-            server.read_agent(0, haproxy_agent_state(report(standing, weight if standing.routable else 0)))
+            server.read_agent(
+                0, haproxy_agent_state(health_report(standing, weight if standing.routable else 0))
+            )
             told.append(server.effective_weight(0, 0))
         return told
 
