--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -22,7 +22,7 @@
 from .by_hand import HOST, Client, Loop
 from .stand_ins import status, uwsgi_request
 from .test_core import World
-from .test_fronts import call
+from .test_fronts import request_line
 
 HEARTBEAT = b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}\n'
 ROOM = 3
@@ -70,7 +70,7 @@
     s = Served()
     client = s.connect()
     s.pass_by(FIRST_MESSAGE_TIMEOUT_US - 10_000)
-    client.send(call())
+    client.send(request_line())
     s.pass_by(20_000)  # the time is over, and the request has not been read
     s.loop.turn()
     s.run_over("r1")
@@ -82,7 +82,7 @@
     client = s.resting()
     s.pass_by(round(IDLE_MS * 1000) + 10_000)
     assert [m.get("method") for m in client.messages()][1:] == ["leaving"]
-    client.send(call())
+    client.send(request_line())
     s.pass_by(LEAVE_TIMEOUT_US)
     s.loop.turn()
     s.run_over("r1")
@@ -93,10 +93,10 @@
     s = Served()
     client = s.resting()
     s.pass_by(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
-    client.send(call()[:20])
+    client.send(request_line()[:20])
     s.loop.turn()
     s.pass_by(200_000)
-    client.send(call()[20:])
+    client.send(request_line()[20:])
     s.loop.turn()
     s.run_over("r1")
     assert answered(client)["id"] == 1
@@ -106,7 +106,7 @@
     s = Served()
     client = s.resting()
     s.pass_by(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
-    client.send(call()[:20])
+    client.send(request_line()[:20])
     s.loop.turn()
     s.pass_by(LEAVE_TIMEOUT_US + FIRST_MESSAGE_TIMEOUT_US + 100_000)
     s.loop.turn()
@@ -120,7 +120,7 @@
         clients.append(s.resting())
         s.pass_by(10_000)
     s.pass_by(400_000)
-    clients[0].send(call())  # the one that has rested longest: it would be the first to go
+    clients[0].send(request_line())  # the one that has rested longest: it would be the first to go
     s.connect()
     s.loop.turn()
     s.run_over("r1")
@@ -131,14 +131,14 @@
 def test_a_message_that_has_begun_keeps_its_place_while_another_connection_is_of_no_use() -> None:
     s = Served()
     slow, idle, other = (s.connect() for _ in range(ROOM))
-    slow.send(call()[:20])
+    slow.send(request_line()[:20])
     for client in (idle, other):
         client.send(HEARTBEAT)
         s.loop.turn()  # one by one: which of two is read first in one turn is chance
     s.pass_by(400_000)
     s.connect()
     s.loop.turn()
-    slow.send(call()[20:])
+    slow.send(request_line()[20:])
     s.loop.turn()
     s.run_over("r1")
     assert answered(slow)["id"] == 1 and idle.ended and not other.ended
@@ -148,7 +148,7 @@
     s = Served(cores=8)
     clients = [s.connect() for _ in range(ROOM)]
     for i, client in enumerate(clients):
-        client.send(call(1, rid=f"r{i}"))
+        client.send(request_line(1, rid=f"r{i}"))
     assert s.front.buildProtocol(None) is None
     s.loop.turn()
     for i, client in enumerate(clients):
@@ -165,7 +165,7 @@
         port = AcceptingPort.of(s.loop.reactor, made, s.front, 8, counts.append)
     clients = [socket.create_connection(address) for _ in range(ROOM + 2)]
     for i, client in enumerate(clients):
-        client.send(call(1, rid=f"r{i}"))
+        client.send(request_line(1, rid=f"r{i}"))
     s.loop.turn()
     assert len(s.front.connections) == ROOM and counts
     assert sorted(s.world.core.table.by_rid) == ["r0", "r1", "r2"]
@@ -206,7 +206,7 @@
 def test_a_line_too_long_behind_a_request_does_not_take_its_answer_away() -> None:
     s = Served()
     client = s.connect()
-    client.send(call() + b"x" * (MAX_LINE_BYTES + 1))
+    client.send(request_line() + b"x" * (MAX_LINE_BYTES + 1))
     s.loop.turn()
     assert [m["error"]["code"] for m in client.messages()] == [-32700] and not client.ended
     s.run_over("r1")
@@ -300,12 +300,12 @@
 def test_what_is_unread_held_or_running_as_the_program_ends_has_its_answer() -> None:
     s = Served(cores=1)
     running, held, unread, over_uwsgi = s.connect(), s.connect(), s.connect(), s.connect(s.uwsgi)
-    running.send(call(rid="a"))
+    running.send(request_line(rid="a"))
     s.loop.turn()
-    held.send(call(rid="b"))
+    held.send(request_line(rid="b"))
     s.loop.turn()
     assert s.world.runs() == ["a"] and s.world.core.table.unanswered == 2
-    unread.send(call(rid="c"))
+    unread.send(request_line(rid="c"))
     over_uwsgi.send(uwsgi_request("read", b"body", tenant="", rid="d"))
     s.world.core.drain(4000.0)
     s.loop.reactor.runUntilCurrent()
@@ -325,10 +325,10 @@
 def test_half_a_request_counts_as_reading_until_its_time_is_over() -> None:
     s = Served()
     client = s.connect()
-    client.send(call()[:9])
+    client.send(request_line()[:9])
     s.loop.turn()
     assert client.protocol.reading
-    client.send(call()[9:])
+    client.send(request_line()[9:])
     s.loop.turn()
     assert not client.protocol.reading
     client.send(b"{")
@@ -349,7 +349,7 @@
     if late:  # Twisted closes the socket in a later turn: somebody may come in between
         clients.append(socket.create_connection(address))
     for i, client in enumerate(clients):
-        client.sendall(call(1, rid=f"r{i}"))
+        client.sendall(request_line(1, rid=f"r{i}"))
     s.loop.turn()
     assert len(s.front.connections) == len(clients) and len(s.world.core.table) == len(clients)
     with pytest.raises(ConnectionRefusedError):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -15,7 +15,7 @@
 from moorusher.protocols.uwsgi_packets import HEAD, PING
 
 from .test_core import World
-from .test_fronts import Transport, said
+from .test_fronts import Transport, take_messages
 
 
 class Operated:
@@ -57,7 +57,7 @@
         _, ping = self.connect(HEAD.pack(PING, 0, 0), front=self.uwsgi)
         return {
             self.health() == 200,
-            said(heard)[0]["result"]["fit"],
+            take_messages(heard)[0]["result"]["fit"],
             ping.value() != b"",
             self.reporter.report().routable,
         }
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -31,7 +31,7 @@
 
 from .stand_ins import uwsgi_request
 from .test_core import World
-from .test_fronts import NOW_MS, Transport, call, front
+from .test_fronts import NOW_MS, Transport, connected_frontend, request_line
 from .test_links import REPLY, Pool
 
 Fed = tuple[Any, Callable[[], object]]  # a connection, and what is to be seen once it was fed
@@ -63,7 +63,7 @@
 
 
 def jsonrpc() -> Fed:
-    world, _, connection, transport = front()
+    world, _, connection, transport = connected_frontend()
     return connection, lambda: seen(world, transport)
 
 
@@ -136,16 +136,16 @@
 
 
 def succession() -> Fed:
-    said: list[object] = []
+    take_messages: list[object] = []
     link: Any = SimpleNamespace(
         core=World().core,
         connected=lambda peer: None,
-        lost=said.append,
-        received=lambda peer, frame: said.append((frame.fields, frame.result)),
+        lost=take_messages.append,
+        received=lambda peer, frame: take_messages.append((frame.fields, frame.result)),
     )
     peer = PeerConnection(link, accepted=True)
     peer.transport = transport = Transport()
-    return peer, lambda: (said, transport.aborted)
+    return peer, lambda: (take_messages, transport.aborted)
 
 
 def frame(head: dict[str, object], blob: bytes = b"") -> bytes:
@@ -167,10 +167,14 @@
 HEARTBEAT = b'{"jsonrpc":"2.0","id":9,"method":"heartbeat"}\r\n'
 
 CASES: list[tuple[str, Callable[[], Fed], bytes]] = [
-    ("request, heartbeat", jsonrpc, call(1, t0=NOW_MS) + HEARTBEAT),
-    ("noise, then a request", jsonrpc, b"\xff\x00{}\n[]\n\n" + call(2, "write", token="t")),
-    ("revoked", jsonrpc, call(3) + b'{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}\n' + HEARTBEAT),
-    ("two under one number", jsonrpc, call(4) + call(4, rid="x") + call(5, "none")),
+    ("request, heartbeat", jsonrpc, request_line(1, t0=NOW_MS) + HEARTBEAT),
+    ("noise, then a request", jsonrpc, b"\xff\x00{}\n[]\n\n" + request_line(2, "write", token="t")),
+    (
+        "revoked",
+        jsonrpc,
+        request_line(3) + b'{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}\n' + HEARTBEAT,
+    ),
+    ("two under one number", jsonrpc, request_line(4) + request_line(4, rid="x") + request_line(5, "none")),
     ("uwsgi request", uwsgi, uwsgi_request("read", tenant="", t0=str(NOW_MS), rid="r1")),
     ("uwsgi ping", uwsgi, HEAD.pack(PING, 0, 0)),
     ("uwsgi packet that lies", uwsgi, HEAD.pack(0, 6, 0) + b"\x04\x00ab\x09\x00"),
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -30,7 +30,7 @@
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
 from .stand_ins import SETTINGS
 from .test_core import World
-from .test_fronts import call, front, said
+from .test_fronts import connected_frontend, request_line, take_messages
 
 FAST = replace(SAFE, name="fast", latency_objective_ms=300, deadline_ms=900)
 
@@ -189,27 +189,28 @@
 
 
 def test_many_errors_for_a_dropped_class_end_no_connection_that_owes_an_answer() -> None:
-    world, _, connection, transport = front()
-    connection.dataReceived(call(1, "read", rid="r1"))
+    world, _, connection, transport = connected_frontend()
+    connection.dataReceived(request_line(1, "read", rid="r1"))
     world.turn()
     world.core.reconfigure(plan(world.core.settings, classes(KEYED)))
     for i in range(2, 60):
-        connection.dataReceived(call(i, "read"))
+        connection.dataReceived(request_line(i, "read"))
     assert not transport.disconnecting and not transport.half_closed
     for i in range(
         60, 60 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
     ):  # a new class may be sent before it is known here
-        connection.dataReceived(call(i, "never was"))
+        connection.dataReceived(request_line(i, "never was"))
     assert (
         connection.leaving
-        and sum("error" in m for m in said(transport)) == 58 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
+        and sum("error" in m for m in take_messages(transport))
+        == 58 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
     )
     for i in range(200, 200 + MAX_FAULTS):
-        connection.dataReceived(call(i, "never was"))
+        connection.dataReceived(request_line(i, "never was"))
     assert not transport.half_closed  # too faulty by now, and still owed an answer
-    said(transport)
+    take_messages(transport)
     world.core.execution.run_ended("r1", EndReason.RUN_SUCCEEDED, b"did")
-    assert said(transport)[-1]["id"] == 1 and transport.half_closed
+    assert take_messages(transport)[-1]["id"] == 1 and transport.half_closed
 
 
 # ---- the file ----
