--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -32,7 +32,7 @@
 from .stand_ins import uwsgi_request
 from .test_core import World
 from .test_fronts import NOW_MS, Transport, connected_frontend, request_line
-from .test_links import REPLY, Pool
+from .test_links import REPLY, RecordingPool
 
 Fed = tuple[Any, Callable[[], object]]  # a connection, and what is to be seen once it was fed
 
@@ -101,10 +101,10 @@
 
 
 def database() -> Fed:
-    pool = Pool(World())
+    pool = RecordingPool(World())
     pool.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
-    connection, transport = pool.up()
-    return connection, lambda: (pool.ends, transport.aborted, transport.disconnecting)
+    connection, transport = pool.establish()
+    return connection, lambda: (pool.outcomes, transport.aborted, transport.disconnecting)
 
 
 def uwsgi_below() -> Fed:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links without sockets: what comes more than once, too late, or from an address that is no longer in force."""
+"""Connections to the database, the kernel and replicas, without sockets: duplicates, delays, new addresses."""
 
 from __future__ import annotations
 
@@ -25,107 +25,127 @@
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 
 
-def asked(number: int, effect: Effect = Effect.IDEMPOTENT) -> CallRequest:
+def call_request(number: int, effect: Effect = Effect.IDEMPOTENT) -> CallRequest:
+    """The request for a call with this number."""
     token = f"t.{number}" if effect is Effect.IDEMPOTENT_WITH_KEY else None
     return CallRequest(f"r{number}", "read", None, effect, token, b"q", 500)
 
 
-class Pool(DatabasePool):
-    """Connections come up when the test says so; what became of calls is written down."""
+class RecordingPool(DatabasePool):
+    """A pool whose connections are established by the test, and that records the outcomes of its calls."""
 
     def __init__(self, world: World) -> None:
         super().__init__(self, ("127.0.0.1", 1))
-        self.core, self.dialled, self.ends = world.core, list[Any](), list[tuple[int, EndReason]]()
+        self.core = world.core
+        self.dialled: list[Any] = []
+        self.outcomes: list[tuple[int, EndReason]] = []
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
         self.dialled.append(factory)
 
-    def up(self) -> tuple[Any, Transport]:
-        connection, transport = self.dialled[-1].buildProtocol(None), Transport()
+    def establish(self) -> tuple[Any, Transport]:
+        """Establish the connection that was dialled last."""
+        connection = self.dialled[-1].buildProtocol(None)
+        transport = Transport()
         connection.makeConnection(transport)
         return connection, transport
 
     def call_ended(self, number: int, ending: EndReason, body: bytes) -> None:
-        self.ends.append((number, ending))
+        self.outcomes.append((number, ending))
         super().call_ended(number, ending, body)
 
 
-@pytest.mark.parametrize("more, closed", [(b"", False), (b"z", True), (REPLY, True), (b"\r\n", True)])
-@pytest.mark.parametrize("later", [False, True])
-def test_a_connection_that_got_more_than_its_reply_is_never_used_again(
-    more: bytes, closed: bool, later: bool
+@pytest.mark.parametrize("extra, closed", [(b"", False), (b"z", True), (REPLY, True), (b"\r\n", True)])
+@pytest.mark.parametrize("in_second_segment", [False, True])
+def test_a_connection_that_received_more_than_its_reply_is_not_reused(
+    extra: bytes, closed: bool, in_second_segment: bool
 ) -> None:
-    pool = Pool(world := World())
-    pool.call(1, asked(1))
-    connection, transport = pool.up()
-    for part in (REPLY, more) if later else (REPLY + more,):
+    """The database sends more than one reply to a call, at once or a moment later.
+
+    On a connection that is used again the rest would be taken for the reply to the next call.
+    """
+    pool = RecordingPool(world := World())
+    pool.call(1, call_request(1))
+    connection, transport = pool.establish()
+    for part in (REPLY, extra) if in_second_segment else (REPLY + extra,):
         connection.dataReceived(part)
-    assert pool.ends == [(1, EndReason.CALL_ANSWERED)] and transport.aborted is closed
-    pool.call(2, asked(2))  # at once: whatever else may follow the reply could still be on its way
+    assert pool.outcomes == [(1, EndReason.CALL_ANSWERED)] and transport.aborted is closed
+    pool.call(2, call_request(2))  # at once: more bytes after the reply could still be on their way
     world.wait(SETTLE_US / 1000 + 5)
-    pool.call(3, asked(3))
+    pool.call(3, call_request(3))
     assert len(pool.dialled) == 2 + closed and (b"Request-Ref: r3" in transport.value()) is not closed
 
 
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT_WITH_KEY, Effect.NOT_IDEMPOTENT])
-def test_a_call_on_a_connection_that_was_forgotten_is_made_on_a_fresh_one(effect: Effect) -> None:
-    pool = Pool(world := World())
-    pool.call(1, asked(1))
-    connection, _ = pool.up()
+def test_only_idempotent_calls_reuse_an_idle_connection_and_are_retried_if_it_is_lost(
+    effect: Effect,
+) -> None:
+    """The database has closed an idle connection, and its runner does not know that yet.
+
+    A call sent on it may or may not have run: only an idempotent one is sent there, and then retried.
+    """
+    pool = RecordingPool(world := World())
+    pool.call(1, call_request(1))
+    connection, _ = pool.establish()
     connection.dataReceived(REPLY)
     world.wait(100)
-    pool.call(2, asked(2, effect))  # fresh at once, since a reset would prove nothing
+    # On a new connection at once, since a reset would not prove that the call never ran.
+    pool.call(2, call_request(2, effect))
     assert len(pool.dialled) == 2
-    pool.up()[0].connectionLost()
-    pool.call(3, asked(3))
+    pool.establish()[0].connectionLost()
+    pool.call(3, call_request(3))
     assert len(pool.dialled) == 2
     connection.connectionLost()
     assert len(pool.dialled) == 3
-    pool.up()[0].connectionLost()  # a fresh one that breaks is no such case
+    pool.establish()[0].connectionLost()  # a new connection that breaks is no reason for a retry
     assert (
-        pool.ends[1:] == [(2, EndReason.CALL_CONNECTION_LOST), (3, EndReason.CALL_CONNECTION_LOST)]
+        pool.outcomes[1:] == [(2, EndReason.CALL_CONNECTION_LOST), (3, EndReason.CALL_CONNECTION_LOST)]
         and len(pool.dialled) == 3
     )
 
 
-def test_calls_go_to_the_address_that_is_in_force() -> None:
-    pool = Pool(world := World())
-    pool.call(1, asked(1))
-    connection, transport = pool.up()
+def test_calls_go_to_the_current_address_of_the_database() -> None:
+    """The database moves while one connection to it is idle and another has a call in flight."""
+    pool = RecordingPool(world := World())
+    pool.call(1, call_request(1))
+    connection, transport = pool.establish()
     connection.dataReceived(REPLY)
-    pool.call(2, asked(2))
-    busy, busy_transport = pool.up()
+    pool.call(2, call_request(2))
+    busy, busy_transport = pool.establish()
     pool.move(("127.0.0.1", 2))
     assert transport.disconnecting and not busy_transport.disconnecting
-    busy.dataReceived(REPLY)  # may end at the old one, but nothing new goes there
-    assert pool.ends[-1] == (2, EndReason.CALL_ANSWERED) and busy_transport.disconnecting
+    busy.dataReceived(REPLY)  # a call in flight may finish there, but no new one is sent there
+    assert pool.outcomes[-1] == (2, EndReason.CALL_ANSWERED) and busy_transport.disconnecting
     world.wait(100)
-    pool.call(3, asked(3))
+    pool.call(3, call_request(3))
     assert len(pool.dialled) == 3 and pool.dialled[-1].address == ("127.0.0.1", 2)
 
 
-def test_a_call_beyond_the_descriptors_was_never_made_and_finds_room_later() -> None:
-    pool = Pool(World())
+def test_calls_beyond_the_connection_limit_fail_without_being_sent() -> None:
+    """All file descriptors for calls are in use: a further call fails as never sent, a later one succeeds."""
+    pool = RecordingPool(World())
     pool.max_busy = 2
     for number in (1, 2, 3):
-        pool.call(number, asked(number))
-    assert pool.ends == [(3, EndReason.CALL_NOT_CONNECTED)] and len(pool.dialled) == 2
-    connection, _ = pool.up()
-    pool.call(4, asked(4))
-    assert pool.ends[1:] == [(4, EndReason.CALL_NOT_CONNECTED)], "the call that is out counts as the dial did"
+        pool.call(number, call_request(number))
+    assert pool.outcomes == [(3, EndReason.CALL_NOT_CONNECTED)] and len(pool.dialled) == 2
+    connection, _ = pool.establish()
+    pool.call(4, call_request(4))
+    assert pool.outcomes[1:] == [(4, EndReason.CALL_NOT_CONNECTED)], (
+        "the call that is out counts as the dial did"
+    )
     connection.dataReceived(REPLY)
-    pool.call(5, asked(5))
-    assert len(pool.dialled) == 3 and pool.ends[2:] == [(2, EndReason.CALL_ANSWERED)]
+    pool.call(5, call_request(5))
+    assert len(pool.dialled) == 3 and pool.outcomes[2:] == [(2, EndReason.CALL_ANSWERED)]
 
 
-def test_a_spare_database_connection_is_closed_before_the_other_side_does() -> None:
-    pool = Pool(world := World())
-    pool.call(1, asked(1))
-    connection, transport = pool.up()
+def test_an_idle_database_connection_is_reused_and_closed_after_its_idle_timeout() -> None:
+    pool = RecordingPool(world := World())
+    pool.call(1, call_request(1))
+    connection, transport = pool.establish()
     assert b"Request-Ref: r1\r\nStatement-Timeout-Ms: 500\r\nContent-Length: 1\r\n\r\nq" in transport.value()
     connection.dataReceived(REPLY)
     world.wait(SETTLE_US / 1000 + 5)
-    pool.call(2, asked(2))  # the same connection again
+    pool.call(2, call_request(2))  # the same connection again
     assert len(pool.dialled) == 1 and b"Request-Ref: r2" in transport.value()
     connection.dataReceived(REPLY)
     world.wait(MAX_IDLE_US / 1000 - 10)
@@ -134,8 +154,8 @@
     assert transport.disconnecting
 
 
-class KernelSide(KernelClient):
-    """Dials come up when the test says so."""
+class RecordingKernelClient(KernelClient):
+    """A kernel client whose connections are established by the test."""
 
     def __init__(self, world: World) -> None:
         super().__init__(self, ("127.0.0.1", 1))
@@ -147,22 +167,26 @@
         self.dialled.append((host, port))
         return SimpleNamespace(disconnect=lambda: None)
 
-    def up(self) -> tuple[KernelProtocol, Transport]:
-        connection, transport = self.buildProtocol(None), Transport()
+    def establish(self) -> tuple[KernelProtocol, Transport]:
+        """Establish the connection that was dialled last."""
+        connection = self.buildProtocol(None)
+        transport = Transport()
         connection.makeConnection(transport)  # type: ignore[no-untyped-call]
         return connection, transport
 
 
-def feed(connection: KernelProtocol, data: bytes) -> None:
+def receive(connection: KernelProtocol, data: bytes) -> None:
+    """Let the connection receive these bytes."""
     connection.dataReceived(data)
 
 
-def say(connection: KernelProtocol, *messages: dict[str, Any]) -> None:
-    feed(connection, b"".join(json.dumps(m).encode() + b"\n" for m in messages))
+def receive_messages(connection: KernelProtocol, *messages: dict[str, Any]) -> None:
+    """Let the connection receive these messages of the kernel, a line each."""
+    receive(connection, b"".join(json.dumps(message).encode() + b"\n" for message in messages))
 
 
 BOOTED: dict[str, Any] = {"t": "BOOTED", "status": "LOADED", "time_ms": 9}
-PASS: dict[str, Any] = {"t": "REAP", "rid": "a", "status": "PASS", "time_ms": 1, "b64": "cg=="}
+PASSED: dict[str, Any] = {"t": "REAP", "rid": "a", "status": "PASS", "time_ms": 1, "b64": "cg=="}
 
 
 @pytest.mark.parametrize(
@@ -179,102 +203,112 @@
         b'{"t":"IOREQ","no":1,"b64":""}',
     ],
 )
-def test_a_notice_that_cannot_be_read_is_asked_for_again(line: bytes) -> None:
-    link = KernelSide(world := World())
-    connection, transport = link.up()
-    say(connection, BOOTED)
+def test_an_unreadable_notice_of_the_kernel_is_requested_again_on_a_new_connection(line: bytes) -> None:
+    """A line of the kernel arrives damaged, with a notice that may be the end of a run.
+
+    The connection is made again from the last notice that was read, and a notice received twice counts once.
+    """
+    link = RecordingKernelClient(world := World())
+    connection, transport = link.establish()
+    receive_messages(connection, BOOTED)
     world.take("a", 1)
     world.turn()
-    feed(connection, line + b"\n")
+    receive(connection, line + b"\n")
     assert transport.aborted and link.session.last_notice == 0
     world.wait(50)
     assert len(link.dialled) == 2
-    connection, transport = link.up()
+    connection, transport = link.establish()
     assert transport.value() == b'{"t":"OPEN","no":0}\n'
-    say(connection, BOOTED, PASS | {"no": 1}, PASS | {"no": 1}, {"t": "DMESG", "no": 2, "status": "x"})
+    receive_messages(
+        connection, BOOTED, PASSED | {"no": 1}, PASSED | {"no": 1}, {"t": "DMESG", "no": 2, "status": "x"}
+    )
     assert world.verdicts() == [(1, Verdict.SERVED)] and link.session.last_notice == 2
 
 
-def test_a_line_that_stays_unreadable_is_passed_over_in_the_end() -> None:
-    link = KernelSide(world := World())
+def test_a_line_that_stays_unreadable_is_skipped_after_a_limited_number_of_reconnects() -> None:
+    """The kernel sends the same damaged line on each connection: the runner must not reconnect for ever."""
+    link = RecordingKernelClient(world := World())
     for _ in range(MAX_UNREADABLE + 1):
-        connection, transport = link.up()
-        feed(connection, b"{\n")
+        connection, transport = link.establish()
+        receive(connection, b"{\n")
         world.wait(500)
     assert not transport.aborted
-    say(connection, BOOTED)
+    receive_messages(connection, BOOTED)
     assert len(link.dialled) == MAX_UNREADABLE + 1
 
 
-def test_nothing_is_said_between_the_link_and_the_end_of_its_replay_and_then_once() -> None:
-    link = KernelSide(world := World(downstream=Downstream.TIER))
+def test_nothing_is_sent_on_a_new_connection_before_the_replay_ends_and_a_reply_is_sent_once() -> None:
+    """The connection to the kernel breaks while a run waits for the reply to its call."""
+    link = RecordingKernelClient(world := World(downstream=Downstream.TIER))
     world.core.runs._kernel = link.session
-    connection, _ = link.up()
-    say(connection, BOOTED)
+    connection, _ = link.establish()
+    receive_messages(connection, BOOTED)
     world.take("a", 1)
     world.turn()
     world.core.execution.call_needed("a", 1, b"q")
     world.turn()
     connection.connectionLost()
-    connection, transport = link.up()
-    say(connection, BOOTED)
+    connection, transport = link.establish()
+    receive_messages(connection, BOOTED)
     transport.clear()
     world.core.execution.call_ended(world.core.table.by_rid["a"].number, EndReason.CALL_ANSWERED, b"reply")
     assert transport.value() == b""
-    say(connection, {"t": "INFO", "mark": "replayed", "v": [0.5]})
-    said = [json.loads(m) for m in transport.value().splitlines()]
-    assert [m["t"] for m in said] == ["IODONE", "SYSINFO"]
+    receive_messages(connection, {"t": "INFO", "mark": "replayed", "v": [0.5]})
+    sent = [json.loads(message) for message in transport.value().splitlines()]
+    assert [message["t"] for message in sent] == ["IODONE", "SYSINFO"]
     transport.clear()
-    connection.connectionLost()  # it may have been read: said again it could be taken for that to a second call
-    connection, transport = link.up()
-    say(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
+    connection.connectionLost()  # may have been read: sent twice, it could answer a second call
+    connection, transport = link.establish()
+    receive_messages(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
     assert b"IODONE" not in transport.value()
 
 
-@pytest.mark.parametrize("shown", [False, True])
-def test_what_an_answered_question_shows_to_be_read_is_not_said_again(shown: bool) -> None:
-    link = KernelSide(world := World())
+@pytest.mark.parametrize("is_acknowledged", [False, True])
+def test_commands_acknowledged_by_an_answered_mark_are_not_resent(is_acknowledged: bool) -> None:
+    """The connection breaks after a command: it is resent unless an answered mark shows that it was read."""
+    link = RecordingKernelClient(world := World())
     world.core.runs._kernel = link.session
-    connection, transport = link.up()
-    say(connection, BOOTED)
+    connection, transport = link.establish()
+    receive_messages(connection, BOOTED)
     world.take("a", 1)
     world.turn()
     link.session.ask_gauges()
     question = json.loads(transport.value().splitlines()[-1])
     assert question["t"] == "SYSINFO"
-    if shown:
-        say(connection, {"t": "INFO", "mark": question["mark"], "v": [0.5]})
+    if is_acknowledged:
+        receive_messages(connection, {"t": "INFO", "mark": question["mark"], "v": [0.5]})
     connection.connectionLost()
-    connection, transport = link.up()
-    say(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
-    assert (b"SCHED" in transport.value()) is not shown
+    connection, transport = link.establish()
+    receive_messages(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
+    assert (b"SCHED" in transport.value()) is not is_acknowledged
 
 
 @pytest.mark.parametrize("mark", ["g", "gg", "g-1", "g1.5", "g99999", "None", ""])
-def test_a_mark_that_was_never_asked_shows_nothing_beyond_what_was_written(mark: str) -> None:
-    link = KernelSide(world := World())
+def test_a_mark_that_was_never_sent_acknowledges_nothing(mark: str) -> None:
+    """The kernel answers a mark that it was never sent: no later command may count as read by that."""
+    link = RecordingKernelClient(world := World())
     world.core.runs._kernel = link.session
-    connection, _ = link.up()
-    say(connection, BOOTED, {"t": "INFO", "mark": mark, "v": [0.5]})
+    connection, _ = link.establish()
+    receive_messages(connection, BOOTED, {"t": "INFO", "mark": mark, "v": [0.5]})
     world.take("a", 1)
     world.turn()
     connection.connectionLost()
-    connection, transport = link.up()
-    say(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
+    connection, transport = link.establish()
+    receive_messages(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
     assert b"SCHED" in transport.value()
 
 
-def test_the_link_moves_whether_it_is_up_dialling_or_waits_to_dial() -> None:
-    link = KernelSide(world := World())
-    first, _ = link.up()
-    say(first, BOOTED)
+def test_the_kernel_connection_moves_whether_it_is_up_connecting_or_waiting_to_reconnect() -> None:
+    link = RecordingKernelClient(world := World())
+    first, _ = link.establish()
+    receive_messages(first, BOOTED)
     link.move(("127.0.0.1", 2))
     world.core.runs._kernel = link.session
-    world.take("a", 1)  # the old link serves until the new one is up
+    world.take("a", 1)  # the old connection serves until the new one is up
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
     link.move(("127.0.0.1", 3))  # while it dials
-    second, _ = link.up()
+    second, _ = link.establish()
     assert first.transport.disconnecting and link.dialled[1:] == [("127.0.0.1", 2), ("127.0.0.1", 3)]
     first.connectionLost()
     assert link.connection is second
@@ -284,11 +318,13 @@
     assert link.dialled[3:] == [("127.0.0.1", 4)]
 
 
-class _Link:
-    """As much of a fleet's link as a dial asks for."""
+class ClusterLink:
+    """As much of the cluster's transport as a dialer uses."""
 
     def __init__(self) -> None:
-        self.reactor, self.closed, self.core = MemoryReactorClock(), False, self  # type: ignore[no-untyped-call]
+        self.reactor = MemoryReactorClock()  # type: ignore[no-untyped-call]
+        self.closed = False
+        self.core = self
         self.clock = SimpleNamespace(now=0)
 
     def touch(self) -> None:
@@ -297,66 +333,72 @@
     def unreached(self, seat: str, refused: bool) -> None: ...
 
 
-def test_a_link_between_runners_that_is_hung_up_is_dialled_at_once_and_by_itself_again() -> None:
-    link = _Link()
-    dial = PeerDialer(link, "n1", ("127.0.0.1", 1))  # type: ignore[arg-type]
-    dial.send("first")  # type: ignore[arg-type]
-    made = link.reactor.tcpClients
-    assert len(made) == 1
-    dial._connecting = False  # it was made,
-    dial.disconnected()  # and a later process has the seat
-    assert len(made) == 2
-    dial._connecting = False
+def test_a_closed_connection_between_replicas_is_remade_at_once_and_then_with_a_delay() -> None:
+    """The other side closes the connection again and again: reconnects must not become a busy loop."""
+    link = ClusterLink()
+    dialer = PeerDialer(link, "n1", ("127.0.0.1", 1))  # type: ignore[arg-type]
+    dialer.send("first")  # type: ignore[arg-type]
+    dialled = link.reactor.tcpClients
+    assert len(dialled) == 1
+    dialer._connecting = False  # the connection was established,
+    dialer.disconnected()  # and closed, since a later process is this member
+    assert len(dialled) == 2
+    dialer._connecting = False
     link.touch()
-    dial.disconnected()  # and again: not at once each time
-    assert len(made) == 2
+    dialer.disconnected()  # and again: not at once each time
+    assert len(dialled) == 2
     link.reactor.advance(1.1)
-    assert len(made) == 3
+    assert len(dialled) == 3
+
 
+def test_a_silent_kernel_connection_is_replaced_and_serves_until_then() -> None:
+    """The connection to the kernel is dead or slow: nothing arrives on it, not even answers to what is asked.
 
-def test_a_link_that_goes_quiet_is_replaced_and_serves_until_then() -> None:
-    link = KernelSide(world := World())
+    It is replaced, and what still arrives before the new one is up counts.
+    """
+    link = RecordingKernelClient(world := World())
     world.core.runs._kernel = link.session
-    quiet, transport = link.up()
-    say(quiet, BOOTED)
+    silent, transport = link.establish()
+    receive_messages(silent, BOOTED)
     world.wait(MAX_SILENCE_US / 1000)
-    assert [json.loads(m)["t"] for m in transport.value().splitlines()].count("SYSINFO") >= 2 and len(
-        link.dialled
-    ) == 1
+    assert [json.loads(message)["t"] for message in transport.value().splitlines()].count(
+        "SYSINFO"
+    ) >= 2 and len(link.dialled) == 1
     world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 2 and not transport.disconnecting
     world.take("a", 1)
     world.turn()
     assert b'"SCHED"' in transport.value()
-    say(quiet, {"t": "REAP", "no": 1, "rid": "a", "status": "PASS", "time_ms": 1, "b64": ""})
+    receive_messages(silent, {"t": "REAP", "no": 1, "rid": "a", "status": "PASS", "time_ms": 1, "b64": ""})
     assert world.verdicts() == [(1, Verdict.SERVED)]
-    _, fresh = link.up()
-    assert json.loads(fresh.value())["no"] == 1 and transport.disconnecting
+    _, replacement = link.establish()
+    assert json.loads(replacement.value())["no"] == 1 and transport.disconnecting
 
 
-def test_a_link_whose_words_waited_unread_while_this_process_stood_still_is_kept() -> None:
-    link = KernelSide(world := World())
-    connection, _ = link.up()
-    say(connection, BOOTED)
+def test_a_kernel_connection_with_unread_input_is_kept_after_a_pause_of_this_process() -> None:
+    """This process stood still for long: the kernel only seems silent, its messages wait in the buffer."""
+    link = RecordingKernelClient(world := World())
+    connection, _ = link.establish()
+    receive_messages(connection, BOOTED)
     world.at += 10_000_000_000
     world.core.fire_timers()  # timers come before what is read
     world.turn()
-    say(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
+    receive_messages(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
     world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 1
 
 
-def test_a_kernel_that_is_late_is_waited_for_in_silence() -> None:
-    link = KernelSide(world := World())
-    connection, _ = link.up()
+def test_a_kernel_that_boots_slowly_is_not_taken_for_a_silent_one() -> None:
+    link = RecordingKernelClient(world := World())
+    connection, _ = link.establish()
     world.wait(20_000)
     assert len(link.dialled) == 1
-    say(connection, BOOTED)
+    receive_messages(connection, BOOTED)
     connection.connectionLost()
     world.wait(50)
-    link.up()
+    link.establish()
     world.wait((MAX_SILENCE_US + CONFIRM_AFTER_US) / 1000 + 1_000)
-    assert len(link.dialled) == 3  # it is up by now: a link that says nothing is a dead one
+    assert len(link.dialled) == 3  # the kernel has booted by now: a silent connection is a dead one
 
 
 @pytest.mark.parametrize(
@@ -373,15 +415,16 @@
         b"null",
     ],
 )
-def test_a_message_that_is_none_is_no_fault_of_ours_and_the_next_link_reads_on(
+def test_a_malformed_message_closes_the_connection_without_an_exception_and_the_next_one_reads_on(
     line: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    link = KernelSide(world := World())
-    connection, transport = link.up()
+    """The kernel sends JSON that is no message: no exception is logged, and the runner reconnects."""
+    link = RecordingKernelClient(world := World())
+    connection, transport = link.establish()
     if b"BOOTED" not in line:
-        say(connection, BOOTED)
-    feed(connection, line + b"\n")
+        receive_messages(connection, BOOTED)
+    receive(connection, line + b"\n")
     world.wait(50)
     assert transport.aborted and len(link.dialled) == 2
-    say(link.up()[0], BOOTED)
+    receive_messages(link.establish()[0], BOOTED)
     assert not any(record.exc_info for record in caplog.records)
