--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings in service: the plan, what the module and the core make of it; a damaged file changes nothing."""
+"""Reconfiguration while serving: plan, scheduler and core; an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from moorusher.backends.database import MAX_IDLE_CONNECTIONS, DatabasePool
-from moorusher.config import fleet as settings_of_fleet
+from moorusher.config import fleet as cluster_settings
 from moorusher.config import model, platform_file, section
 from moorusher.core.answer import Verdict
 from moorusher.core.outcomes import EndReason
@@ -35,7 +35,8 @@
 FAST = replace(SAFE, name="fast", latency_objective_ms=300, deadline_ms=900)
 
 
-def classes(*listed: api.RequestClass, **more: Any) -> api.Settings:
+def settings_with_classes(*listed: api.RequestClass, **more: Any) -> api.Settings:
+    """Settings with these request classes; `more` replaces other plain ones."""
     return settings(classes=listed, **more)
 
 
@@ -43,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "new, places, added, dropped, redefined",
+    "new, positions, added, dropped, redefined",
     [
         ((SAFE, KEYED), (0, 1), (), (), ()),
         ((KEYED, SAFE), (1, 0), (), (), ()),
@@ -53,161 +54,184 @@
         ((replace(KEYED, effect=api.Effect.IDEMPOTENT), FAST), (1, NEW), ("fast",), ("read",), ("write",)),
     ],
 )
-def test_a_plan_says_where_each_class_was(
-    new: Any, places: Any, added: Any, dropped: Any, redefined: Any
+def test_a_reconfiguration_maps_each_request_class_to_its_former_position(
+    new: Any, positions: Any, added: Any, dropped: Any, redefined: Any
 ) -> None:
-    p = plan(settings(), classes(*new))
-    assert (p.classes, p.added, p.dropped, p.redefined) == (places, added, dropped, redefined)
-    assert p.settings.classes == new and not p.deferred
+    reconfiguration = plan(settings(), settings_with_classes(*new))
+    assert (
+        reconfiguration.classes,
+        reconfiguration.added,
+        reconfiguration.dropped,
+        reconfiguration.redefined,
+    ) == (positions, added, dropped, redefined)
+    assert reconfiguration.settings.classes == new and not reconfiguration.deferred
 
 
-def test_facts_about_the_machine_wait_and_are_named() -> None:
-    p = plan(settings(), settings(cores=9, memory_kb=5.0, gauges=("x",), warming_up=True, drain_grace_ms=7.0))
-    assert p.deferred == ("cores", "memory_kb", "gauges")
-    assert p.settings == replace(settings(), drain_grace_ms=7.0)
+def test_changes_of_machine_limits_are_deferred_to_the_next_start_and_named() -> None:
+    reconfiguration = plan(
+        settings(), settings(cores=9, memory_kb=5.0, gauges=("x",), warming_up=True, drain_grace_ms=7.0)
+    )
+    assert reconfiguration.deferred == ("cores", "memory_kb", "gauges")
+    assert reconfiguration.settings == replace(settings(), drain_grace_ms=7.0)
 
 
-# ---- the module ----
+# ---- the scheduler ----
 
 
-def retune(scheduler: Scheduler, now: float, new: api.Settings) -> None:
-    p = plan(scheduler.state.settings, new)
-    scheduler.step(now, [api.Reconfiguration(p.settings, p.classes, p.tenants)])
+def reconfigure_scheduler(scheduler: Scheduler, now: float, new: api.Settings) -> None:
+    """Apply the new settings to a scheduler."""
+    reconfiguration = plan(scheduler.state.settings, new)
+    scheduler.step(
+        now, [api.Reconfiguration(reconfiguration.settings, reconfiguration.classes, reconfiguration.tenants)]
+    )
 
 
-def test_what_was_learnt_moves_with_its_class_and_a_name_that_returns_starts_anew() -> None:
+def test_learned_service_times_move_with_their_class_and_are_dropped_with_it() -> None:
     scheduler = opened()
     for i in range(4):
         scheduler.step(i * 100.0, [request(i, class_index=1)])
         scheduler.step(i * 100.0 + 80, done(i))
-    service_time, tenant = scheduler.state.service_time, scheduler.state.queue.tenants[0]
-    learnt = service_time.classes[1]
-    ratio = tenant.max_cost_ratios[learnt]
-    retune(scheduler, 500, classes(FAST, KEYED, SAFE))
-    assert service_time.classes[1] is learnt and tenant.max_cost_ratios == {learnt: ratio}
+    service_time = scheduler.state.service_time
+    tenant = scheduler.state.queue.tenants[0]
+    learned = service_time.classes[1]
+    ratio = tenant.max_cost_ratios[learned]
+    reconfigure_scheduler(scheduler, 500, settings_with_classes(FAST, KEYED, SAFE))
+    assert service_time.classes[1] is learned and tenant.max_cost_ratios == {learned: ratio}
     assert service_time.classes[0].request_class is FAST
-    retune(scheduler, 510, classes(SAFE, FAST))
+    reconfigure_scheduler(scheduler, 510, settings_with_classes(SAFE, FAST))
     assert not scheduler.state.queue.tenants[0].max_cost_ratios
-    retune(scheduler, 520, classes(KEYED, SAFE))
-    assert service_time.classes[0].request_class is KEYED and service_time.classes[0].run_ms != learnt.run_ms
+    reconfigure_scheduler(scheduler, 520, settings_with_classes(KEYED, SAFE))
+    assert service_time.classes[0].request_class is KEYED and service_time.classes[0].run_ms != learned.run_ms
 
 
-def test_an_open_request_keeps_its_deadline_and_its_place() -> None:
+def test_a_queued_request_keeps_its_deadline_and_position_across_a_reconfiguration() -> None:
+    """The deadline of a class is shortened while a request of it is queued: the request keeps the old one."""
     scheduler = opened(cores=1, survivable_runs_per_core=1.0)
     assert started(scheduler.step(0, [request(1), request(2)])) == [1]
-    retune(scheduler, 10, classes(replace(SAFE, latency_objective_ms=50, deadline_ms=60), KEYED))
-    for at in range(20, 400, 25):
-        assert not only(
-            scheduler.step(at, [api.Timer(0, (1.0,))]), api.Reject
-        )  # by the new deadline it were long over
+    reconfigure_scheduler(
+        scheduler, 10, settings_with_classes(replace(SAFE, latency_objective_ms=50, deadline_ms=60), KEYED)
+    )
+    for now_ms in range(20, 400, 25):  # past the new deadline, within the old one
+        assert not only(scheduler.step(now_ms, [api.Timer(0, (1.0,))]), api.Reject)
     assert started(scheduler.step(400, done(1))) == [2]
 
 
-def test_a_dropped_tenants_held_request_runs_and_shares_follow() -> None:
+def test_queued_requests_of_a_removed_tenant_run_and_quotas_are_recomputed() -> None:
+    """A tenant is removed while a request of it is queued."""
     scheduler = opened(
         cores=1, survivable_runs_per_core=1.0, tenants=(api.Tenant(1, "a"), api.Tenant(1, "b"))
     )
     scheduler.step(0, [request(1, tenant=0), request(2, tenant=1)])
-    retune(scheduler, 10, settings(tenants=(api.Tenant(3, "c"), api.Tenant(1, "a"))))
+    reconfigure_scheduler(scheduler, 10, settings(tenants=(api.Tenant(3, "c"), api.Tenant(1, "a"))))
     assert [round(scheduler.state.queue.tenants[i].weight, 2) for i in (0, 1)] == [1.5, 0.5]
     assert started(scheduler.step(20, done(1))) == [2] and started(scheduler.step(30, done(2))) == []
     assert abs(scheduler.state.queue.active_weight) < 1e-9
-    retune(scheduler, 40, settings(tenants=()))
+    reconfigure_scheduler(scheduler, 40, settings(tenants=()))
     assert started(scheduler.step(50, [api.Request(3, 0, 10.0)])) == [3]
 
 
 # ---- the core ----
 
 
-def follow(w: World, new: api.Settings) -> None:
-    w.core.reconfigure(plan(w.core.settings, new))
-    w.turn()
-
-
-def test_open_requests_of_a_dropped_class_are_served_and_new_ones_have_their_error() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    w.take("b", 2, token="u")  # read in the very turn of the change
-    follow(w, classes(SAFE))
-    assert w.runs() == ["a", "b"]
-    w.take("c", 3, klass="read", token=None)
-    assert w.core.submit(Arrival("d", "write", b"x", token="t"), w, 4) is InvalidArrival.UNKNOWN_CLASS
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    assert (1, Verdict.SERVED) in w.verdicts()
-
-
-def test_keys_outlive_their_classs_absence_and_keep_the_longer_window() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    follow(w, classes(SAFE))
-    w.wait(1000)
-    follow(
-        w, classes(FAST, replace(KEYED, idempotency_window_ms=20_000), SAFE)
-    )  # back, elsewhere in the list
-    w.at += 15_000 * 1_000_000
-    w.core.begin_turn()
-    w.turn()
-    w.take("b", 2)
-    w.turn()
-    assert w.runs() == ["a"] and w.verdicts()[-1] == (2, Verdict.SERVED)
-    follow(w, classes(replace(KEYED, idempotency_window_ms=10), SAFE))
-    w.take("c", 3)
-    w.turn()
-    assert w.runs() == ["a"]
-
-
-def test_a_try_under_the_name_of_a_class_that_took_anothers_place_is_a_repeat() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    follow(w, classes(SAFE, KEYED, replace(KEYED, name="write-next")))
-    w.take("b", 2, klass="write-next")
-    w.turn()
-    assert w.runs() == ["a"]
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    assert sorted(tag for tag, verdict in w.verdicts() if verdict is Verdict.SERVED) == [1, 2]
-
-
-def test_a_request_whose_claim_is_under_way_keeps_its_class() -> None:
-    class Silent:
+def reconfigure_core(world: World, new: api.Settings) -> None:
+    """Apply the new settings to the core, and finish the turn of the event loop."""
+    world.core.reconfigure(plan(world.core.settings, new))
+    world.turn()
+
+
+def test_requests_in_flight_of_a_removed_class_are_served_and_new_ones_are_rejected() -> None:
+    """A class is removed while one request of it runs and another has just been read."""
+    world = World()
+    world.take("a", 1)
+    world.turn()
+    world.take("b", 2, token="u")  # read in the same turn of the event loop as the change
+    reconfigure_core(world, settings_with_classes(SAFE))
+    assert world.runs() == ["a", "b"]
+    world.take("c", 3, klass="read", token=None)
+    assert world.core.submit(Arrival("d", "write", b"x", token="t"), world, 4) is InvalidArrival.UNKNOWN_CLASS
+    world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    world.turn()
+    assert (1, Verdict.SERVED) in world.verdicts()
+
+
+def test_idempotency_keys_survive_the_removal_of_their_class_and_keep_the_longer_window() -> None:
+    """A class is removed and returns: a retry with a key that was used before must not run again."""
+    world = World()
+    world.take("a", 1)
+    world.turn()
+    world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    reconfigure_core(world, settings_with_classes(SAFE))
+    world.wait(1000)
+    # The class returns, at another position.
+    reconfigure_core(world, settings_with_classes(FAST, replace(KEYED, idempotency_window_ms=20_000), SAFE))
+    world.at += 15_000 * 1_000_000
+    world.core.begin_turn()
+    world.turn()
+    world.take("b", 2)
+    world.turn()
+    assert world.runs() == ["a"] and world.verdicts()[-1] == (2, Verdict.SERVED)
+    reconfigure_core(world, settings_with_classes(replace(KEYED, idempotency_window_ms=10), SAFE))
+    world.take("c", 3)
+    world.turn()
+    assert world.runs() == ["a"]
+
+
+def test_a_retry_under_a_new_class_with_the_same_idempotency_key_does_not_run_again() -> None:
+    """A rename of a class is rolled out: the first attempt names the old one, its retry the new one."""
+    world = World()
+    world.take("a", 1)
+    world.turn()
+    reconfigure_core(world, settings_with_classes(SAFE, KEYED, replace(KEYED, name="write-next")))
+    world.take("b", 2, klass="write-next")
+    world.turn()
+    assert world.runs() == ["a"]
+    world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    world.turn()
+    assert sorted(tag for tag, verdict in world.verdicts() if verdict is Verdict.SERVED) == [1, 2]
+
+
+def test_a_request_that_waits_for_its_key_claim_keeps_its_class() -> None:
+    """A class is removed while a replica still has to confirm the idempotency key of a request."""
+
+    class SilentPeer:
+        """Does nothing on any call: the claim stays under way."""
+
         def __getattr__(self, kind: str) -> Any:
             return lambda *args: None
 
-    w = World()
-    w.core.key_claims.peer = Silent()
-    w.take("a", 1)
+    world = World()
+    world.core.key_claims.peer = SilentPeer()
+    world.take("a", 1)
     key = ("", "t")
-    follow(w, classes(SAFE))
-    w.core.key_claims.claim_granted(1, key)
-    w.turn()
-    assert w.runs() == ["a"]
+    reconfigure_core(world, settings_with_classes(SAFE))
+    world.core.key_claims.claim_granted(1, key)
+    world.turn()
+    assert world.runs() == ["a"]
 
 
-def test_many_errors_for_a_dropped_class_end_no_connection_that_owes_an_answer() -> None:
+def test_errors_for_a_removed_class_do_not_close_a_connection_with_a_request_in_flight() -> None:
+    """A client goes on with requests of a removed class.
+
+    The errors count only up to a limit, and no close may lose the answer to its request in flight.
+    """
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(request_line(1, "read", rid="r1"))
     world.turn()
-    world.core.reconfigure(plan(world.core.settings, classes(KEYED)))
+    world.core.reconfigure(plan(world.core.settings, settings_with_classes(KEYED)))
     for i in range(2, 60):
         connection.dataReceived(request_line(i, "read"))
     assert not transport.disconnecting and not transport.half_closed
-    for i in range(
-        60, 60 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
-    ):  # a new class may be sent before it is known here
+    # A client may know a new class before this runner does.
+    for i in range(60, 60 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS):
         connection.dataReceived(request_line(i, "never was"))
     assert (
         connection.leaving
-        and sum("error" in m for m in take_messages(transport))
+        and sum("error" in message for message in take_messages(transport))
         == 58 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
     )
     for i in range(200, 200 + MAX_FAULTS):
         connection.dataReceived(request_line(i, "never was"))
-    assert not transport.half_closed  # too faulty by now, and still owed an answer
+    assert not transport.half_closed  # too many errors by now, but with a request in flight
     take_messages(transport)
     world.core.execution.run_ended("r1", EndReason.RUN_SUCCEEDED, b"did")
     assert take_messages(transport)[-1]["id"] == 1 and transport.half_closed
@@ -227,13 +251,16 @@
 }
 
 
-def fleet(*seats: Seat) -> settings_of_fleet.FleetConfig:
-    return settings_of_fleet.FleetConfig(("127.0.0.1", 1), "f", seats)
+def cluster_config(*seats: Seat) -> cluster_settings.FleetConfig:
+    """The section of a cluster with these members."""
+    return cluster_settings.FleetConfig(("127.0.0.1", 1), "f", seats)
+
 
+class ReloadableServer:
+    """A server that reads its configuration from `file`, on a reactor in memory."""
 
-class Running:
-    def __init__(self, fleet: settings_of_fleet.FleetConfig | None = None, **more: Any) -> None:
-        self.fleet = fleet or settings_of_fleet.FleetConfig()
+    def __init__(self, fleet: cluster_settings.FleetConfig | None = None, **more: Any) -> None:
+        self.fleet = fleet or cluster_settings.FleetConfig()
         self.config = CONFIG | more
         self.file = json.dumps(self.config).encode()
         self.service = Service(self.load(), MemoryReactorClock())  # type: ignore[no-untyped-call]
@@ -243,7 +270,7 @@
         return platform_file.parse_platform_file(self.file, {}, off, running)
 
     def reload(self, text: str | bytes) -> bool:
-        """Whether it was taken."""
+        """Reload this file; returns whether it was applied, and checks that it changed nothing if not."""
         before = (
             self.service.config,
             self.service.core.settings,
@@ -263,10 +290,11 @@
         return False
 
 
-def test_time_spent_waiting_for_an_address_is_counted_anew_once_there_was_one() -> None:
-    service = Running().service
-    taken = OSError(errno.EADDRINUSE, "Address already in use")
-    failing: list[OSError] = [taken]
+def test_the_retry_time_for_a_listening_address_restarts_after_a_success() -> None:
+    """An address is in use at the start, and again an hour later: the runner waits as long both times."""
+    service = ReloadableServer().service
+    address_in_use = OSError(errno.EADDRINUSE, "Address already in use")
+    failing: list[OSError] = [address_in_use]
 
     def opened(handed_over: dict[str, int]) -> None:
         if failing:
@@ -278,105 +306,121 @@
     service.accept({})
     assert service._listen_retry.failing_since_us is None and service.serving
     service.clock.now += 3_600_000_000
-    failing.append(taken)
+    failing.append(address_in_use)
     service.accept({})
     assert not service.failed, "an hour later it is as patient as at its start"
 
 
-def test_a_good_file_is_taken_and_what_can_change_has() -> None:
-    r, new = Running(), copy.deepcopy(CONFIG)
+def test_a_valid_file_is_applied_without_a_restart() -> None:
+    server = ReloadableServer()
+    new = copy.deepcopy(CONFIG)
     new["settings"]["classes"].append(new["settings"]["classes"][0] | {"name": "lint", "deadlineMs": 4000})
     new["limits"] = {"cores": 1.0, "memory_mb": 40, "sockets": 128}
-    assert r.reload(json.dumps(new))
-    core = r.service.core
+    assert server.reload(json.dumps(new))
+    core = server.service.core
     assert list(core.registrar.classes) == ["check", "submit", "lint"]
-    assert core.keys.limits.max_result_bytes < 20_000_000 and r.service.jsonrpc.limiter.max_connections < 128
-
-
-def test_connections_below_that_are_kept_without_a_call_follow_the_descriptors() -> None:
-    r = Running(db="127.0.0.1:7700")
-    below = r.service.backend
-    assert isinstance(below, DatabasePool) and below.max_idle == MAX_IDLE_CONNECTIONS
-    assert r.reload(json.dumps(r.config | {"limits": {"cores": 1.0, "memory_mb": 80, "sockets": 60}}))
-    spare, places = 60 // 2, r.service.jsonrpc.limiter.max_connections
-    assert below.max_idle == spare // IDLE_BACKEND_SHARE and below.max_busy >= 1
-    assert places == 30, "front ends may open half of them"
-    assert places + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + below.max_idle + below.max_busy <= 60
+    assert (
+        core.keys.limits.max_result_bytes < 20_000_000
+        and server.service.jsonrpc.limiter.max_connections < 128
+    )
 
 
-def test_a_file_cut_at_any_byte_changes_nothing() -> None:
-    whole = json.dumps(CONFIG | {"stop_ms": 5000, "kernel": "127.0.0.1:1"})
-    r = Running()
-    assert not any(r.reload(whole[:at]) for at in range(len(whole)))
-    assert not r.reload(b"\xff\xfe" + whole.encode()) and not r.reload("[]") and not r.reload("null")
+def test_idle_database_connections_follow_the_limit_of_file_descriptors() -> None:
+    server = ReloadableServer(db="127.0.0.1:7700")
+    pool = server.service.backend
+    assert isinstance(pool, DatabasePool) and pool.max_idle == MAX_IDLE_CONNECTIONS
+    assert server.reload(
+        json.dumps(server.config | {"limits": {"cores": 1.0, "memory_mb": 80, "sockets": 60}})
+    )
+    descriptors_for_backends = 60 // 2
+    max_connections = server.service.jsonrpc.limiter.max_connections
+    assert pool.max_idle == descriptors_for_backends // IDLE_BACKEND_SHARE and pool.max_busy >= 1
+    assert max_connections == 30, "front ends may open half of them"
+    assert max_connections + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + pool.max_idle + pool.max_busy <= 60
+
+
+def test_a_file_truncated_at_any_byte_changes_nothing() -> None:
+    """The file is read while it is being written, or is damaged."""
+    file = json.dumps(CONFIG | {"stop_ms": 5000, "kernel": "127.0.0.1:1"})
+    server = ReloadableServer()
+    assert not any(server.reload(file[:length]) for length in range(len(file)))
+    assert (
+        not server.reload(b"\xff\xfe" + file.encode())
+        and not server.reload("[]")
+        and not server.reload("null")
+    )
 
 
 @pytest.mark.parametrize(
     "deadline", ["8000", None, True, [], {}, 0, -1, -0.0, float("nan"), float("inf"), -float("inf"), 10**400]
 )
-def test_a_deadline_that_is_no_number_above_0_changes_nothing(deadline: Any) -> None:
-    r = Running()
+def test_a_deadline_that_is_not_a_positive_number_changes_nothing(deadline: Any) -> None:
+    server = ReloadableServer()
     for i in (0, 1):
         new = copy.deepcopy(CONFIG) | {"kernel": "127.0.0.1:1"}
         new["settings"]["classes"][i]["deadlineMs"] = deadline
-        assert not r.reload(json.dumps(new))
+        assert not server.reload(json.dumps(new))
 
 
-def paths(value: Any, here: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def required_key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    """The path of each key that a file must not leave out."""
     for key, inner in (
         value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     ):
         if isinstance(key, str) and key not in platform_file.OPTIONAL_KEYS and key != "windowMs":
-            yield (*here, key)
-        yield from paths(inner, (*here, key))
+            yield (*prefix, key)
+        yield from required_key_paths(inner, (*prefix, key))
 
 
-def test_a_file_that_lacks_any_key_of_the_running_one_changes_nothing_and_is_told_which() -> None:
-    r = Running()
-    for path in paths(CONFIG):
+def test_a_file_without_a_key_that_is_in_force_changes_nothing_and_the_error_names_the_key() -> None:
+    server = ReloadableServer()
+    for path in required_key_paths(CONFIG):
         new = copy.deepcopy(CONFIG)
-        at = new
+        parent = new
         for key in path[:-1]:
-            at = at[key]
-        del at[path[-1]]
-        assert not r.reload(json.dumps(new)), path
-        named = ".".join(str(p) for p in path if isinstance(p, str)).removeprefix("settings.classes.")
-        with pytest.raises(section.ConfigError, match=named.split(".")[-1]):
-            r.load(CONFIG)
+            parent = parent[key]
+        del parent[path[-1]]
+        assert not server.reload(json.dumps(new)), path
+        dotted_key = ".".join(str(part) for part in path if isinstance(part, str)).removeprefix(
+            "settings.classes."
+        )
+        with pytest.raises(section.ConfigError, match=dotted_key.split(".")[-1]):
+            server.load(CONFIG)
 
 
 @pytest.mark.parametrize("name", ["", "submit"])
-def test_a_class_needs_a_name_of_its_own(name: str) -> None:
+def test_request_classes_need_unique_names_that_are_not_empty(name: str) -> None:
     new = copy.deepcopy(CONFIG)
     new["settings"]["classes"][0]["name"] = name
-    r = Running()
-    assert not r.reload(json.dumps(new))
+    server = ReloadableServer()
+    assert not server.reload(json.dumps(new))
     with pytest.raises(section.ConfigError, match=r"settings.classes\[\d\].name"):
-        r.load(CONFIG)
+        server.load(CONFIG)
 
 
-def test_the_error_names_the_class_by_its_place() -> None:
+def test_the_error_names_the_request_class_by_its_index() -> None:
     new = copy.deepcopy(CONFIG)
     new["settings"]["classes"][1]["deadlineMs"] = -5
-    r = Running()
-    assert not r.reload(json.dumps(new))
+    server = ReloadableServer()
+    assert not server.reload(json.dumps(new))
     with pytest.raises(section.ConfigError, match=r"classes\[1\].deadline_ms"):
-        r.load(CONFIG)
+        server.load(CONFIG)
 
 
-def test_seats_of_a_fleet_may_be_reached_elsewhere_and_are_otherwise_for_the_next_start(
+def test_addresses_of_cluster_members_change_at_once_and_their_set_at_the_next_start(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    here, there = Seat("n1", ("127.0.0.1", 1)), Seat("n2", ("127.0.0.1", 2))
-    running = Running(fleet(here, there))
-    link = running.service.cluster.replication
-    running.fleet = fleet(here, Seat("n2", ("127.0.0.1", 3)))
+    first = Seat("n1", ("127.0.0.1", 1))
+    second = Seat("n2", ("127.0.0.1", 2))
+    server = ReloadableServer(cluster_config(first, second))
+    link = server.service.cluster.replication
+    server.fleet = cluster_config(first, Seat("n2", ("127.0.0.1", 3)))
     with caplog.at_level("INFO"):
-        assert running.reload(json.dumps(CONFIG))
+        assert server.reload(json.dumps(CONFIG))
     assert link.links.address_of("n2") == ("127.0.0.1", 3) and "for the next start" not in caplog.text
-    running.fleet = fleet(here, Seat("n2", ("127.0.0.1", 4)), Seat("n3", ("127.0.0.1", 5)))
+    server.fleet = cluster_config(first, Seat("n2", ("127.0.0.1", 4)), Seat("n3", ("127.0.0.1", 5)))
     with caplog.at_level("INFO"):
-        running.reload(json.dumps(CONFIG))
+        server.reload(json.dumps(CONFIG))
     assert "fleet: changed, for the next start" in caplog.text and link.links.address_of("n2") == (
         "127.0.0.1",
         3,
