--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program over real sockets: a test for each rule, and for each way in which it was found that one breaks."""
+"""The runner as a process over real sockets: a test for each guarantee and each failure found."""
 
 from __future__ import annotations
 
@@ -40,6 +40,8 @@
 
 
 def sockets(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
+    """Run an asynchronous test in its own event loop, for 60 s at most."""
+
     @wraps(test)
     def run(*fixtures: P.args, **named: P.kwargs) -> None:
         asyncio.run(asyncio.wait_for(test(*fixtures, **named), 60))
@@ -48,126 +50,135 @@
 
 
 def key() -> str:
+    """A new idempotency key."""
     return os.urandom(16).hex()
 
 
-async def has(true: Callable[[], bool]) -> None:
-    async def look() -> bool:
-        return true()
+async def has(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds."""
+
+    async def check() -> bool:
+        return condition()
 
-    await until(look)
+    await until(check)
 
 
 # ---- no request lost ----
 
 
 @sockets
-async def test_every_request_has_one_answer_and_its_body_comes_through_unchanged() -> None:
-    async with running(kernel := Kernel()) as r:
-        f = await FrontEnd.connect(r.port)
-        bodies = [os.urandom(n) for n in (0, 1, 700, 2048)]
-        got = await asyncio.gather(*(f.ask("check", body=b) for b in bodies))
-        assert [content(a) for a in got] == [b"did " + b for b in bodies]
-        assert set(f.answers.values()) == {1}
-        assert sorted(b for _, _, b in kernel.runs) == sorted(bodies)
+async def test_each_request_gets_one_answer_and_its_body_arrives_unchanged() -> None:
+    async with running(kernel := Kernel()) as runner:
+        client = await FrontEnd.connect(runner.port)
+        bodies = [os.urandom(size) for size in (0, 1, 700, 2048)]
+        answers = await asyncio.gather(*(client.ask("check", body=body) for body in bodies))
+        assert [content(answer) for answer in answers] == [b"did " + body for body in bodies]
+        assert set(client.answers.values()) == {1}
+        assert sorted(body for _, _, body in kernel.runs) == sorted(bodies)
 
 
 @sockets
-async def test_a_run_that_never_ends_is_answered_when_it_is_due() -> None:
-    async with running(kernel := Kernel(hang=True)) as r:
-        f = await FrontEnd.connect(r.port)
-        free, keyed = await asyncio.gather(
-            f.ask("check", budget=1500), f.ask("submit", budget=1500, token=key())
+async def test_a_run_that_hangs_is_answered_at_its_deadline() -> None:
+    """The kernel never ends a run: its client gets an error at the deadline."""
+    async with running(kernel := Kernel(hang=True)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        idempotent, keyed = await asyncio.gather(
+            client.ask("check", budget=1500), client.ask("submit", budget=1500, token=key())
         )
-        assert (free["error"]["code"], keyed["error"]["code"]) == (-32000, -32000)
-        await has(
-            lambda: kernel.message_counts["PREEMPT"] == 1
-        )  # the free one is stopped, the keyed one runs on
-        assert set(f.answers.values()) == {1}
+        assert (idempotent["error"]["code"], keyed["error"]["code"]) == (-32000, -32000)
+        # The idempotent run is stopped, the one with a key goes on.
+        await has(lambda: kernel.message_counts["PREEMPT"] == 1)
+        assert set(client.answers.values()) == {1}
 
 
 @sockets
-async def test_a_broken_kernel_link_loses_and_repeats_nothing() -> None:
-    async with running(kernel := Kernel(work=0.3)) as r:
-        f = await FrontEnd.connect(r.port)
-        asked = [f.send("submit", token=key()) for _ in range(4)]
+async def test_a_broken_kernel_connection_loses_and_repeats_nothing() -> None:
+    """The connection to the kernel breaks during runs: each request is answered, and none runs twice."""
+    async with running(kernel := Kernel(work=0.3)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        pending = [client.send("submit", token=key()) for _ in range(4)]
         await has(lambda: len(kernel.runs) >= 2)
-        kernel.cut()  # runs end meanwhile: their notices come with the replay
-        got = await asyncio.wait_for(asyncio.gather(*asked), WAIT)
-        assert all("result" in a for a in got)
+        kernel.cut()  # runs end meanwhile: their notices arrive with the replay
+        answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
+        assert all("result" in answer for answer in answers)
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
         assert kernel.opened[0] == 0 and len(kernel.opened) == 2
-        assert set(f.answers.values()) == {1}
+        assert set(client.answers.values()) == {1}
 
 
 @sockets
-async def test_a_late_kernel_is_waited_for() -> None:
-    async with running(kernel := Kernel(boot_delay_s=3600, state="EMPTY"), wait=False) as r:
+async def test_a_runner_is_not_ready_until_its_kernel_has_booted() -> None:
+    """The kernel boots late: health checks say so, and requests are served as soon as it is up."""
+    async with running(kernel := Kernel(boot_delay_s=3600, state="EMPTY"), wait=False) as runner:
 
         async def listens() -> bool:
             try:
-                return (await exchange(r.agent)).startswith(b"ready down #starting")
+                return (await exchange(runner.agent)).startswith(b"ready down #starting")
             except ConnectionError:
                 return False
 
         await until(listens)
-        f = await FrontEnd.connect(r.port)
-        assert (await f.ask("heartbeat"))["result"]["fit"] is False
+        client = await FrontEnd.connect(runner.port)
+        assert (await client.ask("heartbeat"))["result"]["fit"] is False
         kernel.come_up()
-        await r.ready()
-        assert (await f.ask("heartbeat"))["result"]["fit"] is True
-        assert "result" in await f.ask("check")
+        await runner.ready()
+        assert (await client.ask("heartbeat"))["result"]["fit"] is True
+        assert "result" in await client.ask("check")
 
 
 @sockets
-async def test_a_command_that_the_kernel_refuses_fails_its_request() -> None:
-    async with running(kernel := Kernel()) as r:
+async def test_a_command_that_the_kernel_rejects_fails_its_request() -> None:
+    async with running(kernel := Kernel()) as runner:
         kernel.refuse = {"SCHED"}
-        f = await FrontEnd.connect(r.port)
-        assert (await f.ask("check"))["error"]["code"] == -32000
+        client = await FrontEnd.connect(runner.port)
+        assert (await client.ask("check"))["error"]["code"] == -32000
 
 
 # ---- no effect twice ----
 
 
 @sockets
-async def test_a_key_runs_once_whichever_front_it_comes_over() -> None:
-    async with running(kernel := Kernel(work=0.1)) as r:
-        f, token = await FrontEnd.connect(r.port), key()
-        first, same_turn = f.send("submit", token=token), f.send("submit", token=token)
-        over_uwsgi = await exchange(r.uwsgi, uwsgi_request("submit", token=token))
+async def test_an_idempotency_key_runs_once_over_both_protocols() -> None:
+    async with running(kernel := Kernel(work=0.1)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        token = key()
+        first = client.send("submit", token=token)
+        same_turn = client.send("submit", token=token)
+        over_uwsgi = await exchange(runner.uwsgi, uwsgi_request("submit", token=token))
         assert (status(over_uwsgi), body_of(over_uwsgi)) == (200, b"did x")
         assert content(await first) == content(await same_turn) == b"did x"
-        assert content(await f.ask("submit", token=token)) == b"did x"  # from the kept result
+        assert content(await client.ask("submit", token=token)) == b"did x"  # from the kept result
         assert len(kernel.runs) == 1
-        other = await f.ask("submit", token=token, acct="bolt")  # another tenant's key is another key
+        other = await client.ask("submit", token=token, acct="bolt")  # another tenant's key is another key
         assert "result" in other and len(kernel.runs) == 2
 
 
 @sockets
-async def test_the_result_is_kept_for_a_caller_whose_connection_broke() -> None:
-    async with running(kernel := Kernel(work=0.3)) as r:
-        f, token = await FrontEnd.connect(r.port), key()
-        f.send("submit", token=token)
+async def test_the_result_of_a_keyed_request_is_kept_for_a_client_whose_connection_broke() -> None:
+    """A client's connection breaks while its request runs: a retry gets the result without a second run."""
+    async with running(kernel := Kernel(work=0.3)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        token = key()
+        client.send("submit", token=token)
         await has(lambda: len(kernel.runs) == 1)
-        f.close()
-        g = await FrontEnd.connect(r.port)
-        assert content(await g.ask("submit", token=token)) == b"did x"
+        client.close()
+        second_client = await FrontEnd.connect(runner.port)
+        assert content(await second_client.ask("submit", token=token)) == b"did x"
         assert len(kernel.runs) == 1
-        assert (await r.counters())["gone"] == 1
+        assert (await runner.counters())["gone"] == 1
 
 
 @sockets
-async def test_a_revoked_request_is_stopped() -> None:
-    async with running(kernel := Kernel(hang=True)) as r:
-        f = await FrontEnd.connect(r.port)
-        f.send("check", rid="00000000000000aa")
+async def test_a_revoked_request_is_stopped_in_the_kernel() -> None:
+    async with running(kernel := Kernel(hang=True)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        client.send("check", rid="00000000000000aa")
         await has(lambda: len(kernel.runs) == 1)
-        f.raw(b'{"jsonrpc":"2.0","method":"revoke","params":{"rid":"00000000000000aa"}}')
+        client.raw(b'{"jsonrpc":"2.0","method":"revoke","params":{"rid":"00000000000000aa"}}')
         await has(lambda: kernel.message_counts["PREEMPT"] == 1)
 
 
-# ---- calls below ----
+# ---- downstream calls ----
 
 
 @pytest.mark.parametrize(
@@ -181,17 +192,22 @@
         ((504,), 1, False),
     ],
 )
-def test_a_keyed_call_is_made_again_only_after_a_proof(
+def test_a_keyed_database_call_is_retried_only_if_it_certainly_never_ran(
     script: tuple[int | str, ...], calls: int, served: bool
 ) -> None:
+    """The database fails a call with an idempotency key.
+
+    Only an error that proves that it never ran allows a retry.
+    """
+
     @sockets
     async def run() -> None:
-        db = Database(*script)
-        async with running(kernel := Kernel(calls=True), db) as r:
-            f = await FrontEnd.connect(r.port)
-            got = await f.ask("submit", token=key(), budget=1500)
-            assert ("result" in got) is served
-            assert db.calls == [b"ask x"] * calls
+        database = Database(*script)
+        async with running(kernel := Kernel(calls=True), database) as runner:
+            client = await FrontEnd.connect(runner.port)
+            answer = await client.ask("submit", token=key(), budget=1500)
+            assert ("result" in answer) is served
+            assert database.calls == [b"ask x"] * calls
             assert list(kernel.call_replies.values()) == ([b"reply"] if served else [])
 
     run()
@@ -209,50 +225,62 @@
         (("hang",), 1, False),
     ],
 )
-def test_a_keyed_call_over_uwsgi_is_made_again_only_after_a_proof(
+def test_a_keyed_uwsgi_call_is_retried_only_if_it_certainly_never_ran(
     script: tuple[int | str, ...], calls: int, served: bool
 ) -> None:
+    """A uwsgi backend fails a call with an idempotency key.
+
+    Only an error that proves that it never ran allows a retry, which carries the same key.
+    """
+
     @sockets
     async def run() -> None:
         peer = UwsgiPeer(*script)
         peer.listen()
-        async with running(kernel := Kernel(calls=True), below=peer.port) as r:
-            f, token = await FrontEnd.connect(r.port), key()
-            got = await f.ask("submit", token=token, budget=1500)
-            assert ("result" in got) is served
+        async with running(kernel := Kernel(calls=True), below=peer.port) as runner:
+            client = await FrontEnd.connect(runner.port)
+            token = key()
+            answer = await client.ask("submit", token=token, budget=1500)
+            assert ("result" in answer) is served
             assert peer.calls == [b"ask x"] * calls
-            assert peer.tokens == [f"{token}.1"] * calls  # so that the peer runs it once, whoever calls
+            # The key lets the peer run it once, whichever runner calls.
+            assert peer.tokens == [f"{token}.1"] * calls
             assert list(kernel.call_replies.values()) == ([b"reply"] if served else [])
 
     run()
 
 
 @sockets
-async def test_a_call_that_hangs_is_given_up_by_closing_and_the_pool_is_reused() -> None:
-    db = Database(200, 200, 200, "hang")
-    async with running(Kernel(calls=True), db) as r:
-        f = await FrontEnd.connect(r.port)
+async def test_a_hanging_call_is_cancelled_by_a_close_and_pooled_connections_are_reused() -> None:
+    """The database never replies to a call: its connection is closed at the deadline."""
+    database = Database(200, 200, 200, "hang")
+    async with running(Kernel(calls=True), database) as runner:
+        client = await FrontEnd.connect(runner.port)
         for _ in range(3):
-            assert "result" in await f.ask("check")
-            await asyncio.sleep(0.05)  # a connection is used again once nothing has followed its reply
-        assert db.accepted == 1
-        assert "error" in await f.ask("submit", token=key(), budget=1500)
+            assert "result" in await client.ask("check")
+            await asyncio.sleep(0.05)  # a connection is reused after nothing has followed its reply
+        assert database.accepted == 1
+        assert "error" in await client.ask("submit", token=key(), budget=1500)
 
 
 @sockets
-async def test_a_uwsgi_peer_below_answers_the_calls() -> None:
-    async with running(lower := Kernel()) as b, running(upper := Kernel(calls=True), below=b.uwsgi) as a:
-        f = await FrontEnd.connect(a.port)
-        assert content(await f.ask("submit", token=key(), body=b"essay")) == b"did essay"
-        assert [body for _, _, body in lower.runs] == [b"ask essay"]
-        assert list(upper.call_replies.values()) == [b"did ask essay"]
+async def test_downstream_calls_are_answered_by_another_runner_over_uwsgi() -> None:
+    async with (
+        running(lower_kernel := Kernel()) as lower_runner,
+        running(upper_kernel := Kernel(calls=True), below=lower_runner.uwsgi) as upper_runner,
+    ):
+        client = await FrontEnd.connect(upper_runner.port)
+        assert content(await client.ask("submit", token=key(), body=b"essay")) == b"did essay"
+        assert [body for _, _, body in lower_kernel.runs] == [b"ask essay"]
+        assert list(upper_kernel.call_replies.values()) == [b"did ask essay"]
 
 
 @sockets
-async def test_without_a_peer_below_the_call_is_left_out_where_that_is_worth_something() -> None:
-    async with running(kernel := Kernel(calls=True), below=1) as r:  # nothing listens there
-        f = await FrontEnd.connect(r.port)
-        assert "result" in await f.ask("check")
+async def test_an_optional_downstream_call_is_skipped_if_its_backend_is_down() -> None:
+    """Nothing listens at the backend's address: the run goes on without its call."""
+    async with running(kernel := Kernel(calls=True), below=1) as runner:  # nothing listens there
+        client = await FrontEnd.connect(runner.port)
+        assert "result" in await client.ask("check")
         assert kernel.skipped_calls == [1]
 
 
@@ -260,195 +288,223 @@
 
 
 @sockets
-async def test_a_drain_answers_what_was_read_and_ends() -> None:
-    async with running(Kernel(work=0.9)) as r:
-        f = await FrontEnd.connect(r.port)
-        asked = [f.send("submit", token=key()), f.send("check")]
-        over_uwsgi = asyncio.create_task(exchange(r.uwsgi, uwsgi_request("check")))
+async def test_draining_answers_all_requests_in_flight_and_ends_the_process() -> None:
+    """SIGTERM arrives with requests in flight over both protocols.
+
+    The runner serves on for a while, asks its clients to leave, closes its listening sockets, and ends
+    after all requests are answered.
+    """
+    async with running(Kernel(work=0.9)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        pending = [client.send("submit", token=key()), client.send("check")]
+        over_uwsgi = asyncio.create_task(exchange(runner.uwsgi, uwsgi_request("check")))
         await asyncio.sleep(0.2)
-        r.process.send_signal(signal.SIGTERM)
-        await has(lambda: "leaving within" in r.text())
-        # Front ends hear of it late: for part of its time it serves on, over new connections too.
-        late = await FrontEnd.connect(r.port)
-        assert not f.stray and "result" in await late.ask("check")
-        await has(lambda: any(m.get("method") == "leaving" for m in f.stray))
-        assert (await exchange(r.agent)).startswith(b"drain stopped #draining: leaving")
-        assert status(await exchange(r.health, b"GET /health HTTP/1.0\r\n\r\n")) == 503
+        runner.process.send_signal(signal.SIGTERM)
+        await has(lambda: "leaving within" in runner.text())
+        # Clients learn of it late: for part of its time it serves on, over new connections too.
+        late_client = await FrontEnd.connect(runner.port)
+        assert not client.stray and "result" in await late_client.ask("check")
+        await has(lambda: any(message.get("method") == "leaving" for message in client.stray))
+        assert (await exchange(runner.agent)).startswith(b"drain stopped #draining: leaving")
+        assert status(await exchange(runner.health, b"GET /health HTTP/1.0\r\n\r\n")) == 503
         with pytest.raises(ConnectionError):
-            await FrontEnd.connect(r.port)
-        got = await asyncio.wait_for(asyncio.gather(*asked), WAIT)
-        assert all("result" in a for a in got)
+            await FrontEnd.connect(runner.port)
+        answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
+        assert all("result" in answer for answer in answers)
         assert status(await over_uwsgi) == 200
-        await has(lambda: r.process.poll() is not None)
-        assert r.process.returncode == 0
-        assert "served 4" in r.text()
+        await has(lambda: runner.process.poll() is not None)
+        assert runner.process.returncode == 0
+        assert "served 4" in runner.text()
 
 
 @sockets
-async def test_a_drain_with_runs_that_hang_still_answers_before_the_stop() -> None:
-    async with running(Kernel(hang=True)) as r:
-        f = await FrontEnd.connect(r.port)
-        asked = [f.send("submit", token=key()) for _ in range(8)]
+async def test_draining_with_runs_that_hang_answers_before_the_process_ends() -> None:
+    """SIGTERM arrives while the kernel hangs: each request gets an error before the process ends."""
+    async with running(Kernel(hang=True)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        pending = [client.send("submit", token=key()) for _ in range(8)]
         await asyncio.sleep(0.2)
-        r.process.send_signal(signal.SIGTERM)
-        got = await asyncio.wait_for(asyncio.gather(*asked), WAIT)
-        assert all("error" in a for a in got)
-        await has(lambda: r.process.poll() is not None)
+        runner.process.send_signal(signal.SIGTERM)
+        answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
+        assert all("error" in answer for answer in answers)
+        await has(lambda: runner.process.poll() is not None)
 
 
-# ---- no falling over ----
+# ---- overload ----
 
 
 @sockets
-async def test_a_flood_is_held_or_refused_under_the_crowd_that_is_survived() -> None:
-    async with running(kernel := Kernel(work=0.2)) as r:
-        fronts = [await FrontEnd.connect(r.port) for _ in range(8)]
-        got = await asyncio.gather(*(f.ask("check", mem=30.0) for f in fronts for _ in range(32)))
-        refused = [a["error"] for a in got if "error" in a]
-        assert refused and {e["code"] for e in refused} == {-32014}
-        assert all(e["data"]["backoff"] > 0 for e in refused)
+async def test_under_overload_requests_are_queued_or_rejected_and_the_concurrency_limit_holds() -> None:
+    """256 requests arrive at once: those that don't fit are rejected with a retry-after."""
+    async with running(kernel := Kernel(work=0.2)) as runner:
+        clients = [await FrontEnd.connect(runner.port) for _ in range(8)]
+        answers = await asyncio.gather(
+            *(client.ask("check", mem=30.0) for client in clients for _ in range(32))
+        )
+        rejected = [answer["error"] for answer in answers if "error" in answer]
+        assert rejected and {error["code"] for error in rejected} == {-32014}
+        assert all(error["data"]["backoff"] > 0 for error in rejected)
         assert kernel.max_running <= 5 * 2
-        assert len(kernel.runs) == len(got) - len(refused)
+        assert len(kernel.runs) == len(answers) - len(rejected)
 
 
 @sockets
-async def test_too_many_on_one_connection_and_lines_without_end_are_bounded() -> None:
-    async with running(Kernel(hang=True)) as r:
-        f = await FrontEnd.connect(r.port)
-        token = key()  # the repeats of a run that hangs stay open
-        got = [f.send("submit", token=token) for _ in range(33)]
-        assert (await asyncio.wait_for(got[32], WAIT))["error"]["code"] == -32600
-        f.raw(b"x" * 100_000)
+async def test_requests_in_flight_and_line_length_are_limited_per_connection() -> None:
+    """One client sends too many requests and then a line without an end: other clients are not affected."""
+    async with running(Kernel(hang=True)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        token = key()  # the retries of a run that hangs stay in flight
+        pending = [client.send("submit", token=token) for _ in range(33)]
+        assert (await asyncio.wait_for(pending[32], WAIT))["error"]["code"] == -32600
+        client.raw(b"x" * 100_000)
         with pytest.raises(ConnectionError):
-            await asyncio.wait_for(f.send("check"), WAIT)
-        assert f.stray[-1]["error"]["code"] == -32700
-        await asyncio.gather(*got, return_exceptions=True)
-        assert (await (await FrontEnd.connect(r.port)).ask("heartbeat"))["result"]["fit"]
+            await asyncio.wait_for(client.send("check"), WAIT)
+        assert client.stray[-1]["error"]["code"] == -32700
+        await asyncio.gather(*pending, return_exceptions=True)
+        assert (await (await FrontEnd.connect(runner.port)).ask("heartbeat"))["result"]["fit"]
 
 
 # ---- uwsgi ----
 
 
 @sockets
-async def test_a_packet_may_come_in_any_pieces() -> None:
-    async with running(Kernel()) as r:
+async def test_a_uwsgi_packet_may_arrive_in_any_segments() -> None:
+    async with running(Kernel()) as runner:
         raw = uwsgi_request("check", b"body")
         for cut in (1, 3, 4, 5, len(raw) - 5, len(raw) - 4, len(raw) - 1):
-            assert body_of(await exchange(r.uwsgi, raw[:cut], raw[cut:])) == b"did body"
-        assert await exchange(r.uwsgi, HEAD.pack(PING, 0, 0)) == HEAD.pack(PING, 0, 1)
+            assert body_of(await exchange(runner.uwsgi, raw[:cut], raw[cut:])) == b"did body"
+        assert await exchange(runner.uwsgi, HEAD.pack(PING, 0, 0)) == HEAD.pack(PING, 0, 1)
 
 
 @sockets
-async def test_a_client_that_drops_in_its_body_never_enters_the_core() -> None:
-    async with running(kernel := Kernel(hang=True)) as r:
+async def test_a_uwsgi_client_that_disconnects_in_its_body_submits_no_request() -> None:
+    """A client that disconnects within its packet runs nothing; one that does after it is cancelled."""
+    async with running(kernel := Kernel(hang=True)) as runner:
         raw = uwsgi_request("submit", b"0123456789", token=key())
         for sent in (raw[:2], raw[:-1], raw[:-10]):
-            _, writer = await asyncio.open_connection("127.0.0.1", r.uwsgi)
+            _, writer = await asyncio.open_connection("127.0.0.1", runner.uwsgi)
             writer.write(sent)
             await writer.drain()
             writer.close()
-        _, writer = await asyncio.open_connection("127.0.0.1", r.uwsgi)
-        writer.write(raw)  # this one drops after the body: its caller is gone
+        _, writer = await asyncio.open_connection("127.0.0.1", runner.uwsgi)
+        writer.write(raw)  # this one disconnects after its body: its request is cancelled
         await has(lambda: len(kernel.runs) == 1)
         writer.close()
 
         async def gone() -> bool:
-            return (await r.counters()).get("gone") == 1
+            return (await runner.counters()).get("gone") == 1
 
         await until(gone)
-        counters = await r.counters()
+        counters = await runner.counters()
         assert counters["taken"] == 1 and len(kernel.runs) == 1
 
 
 @sockets
-async def test_uwsgi_statuses() -> None:
-    async with running(Kernel(hang=True)) as r:
-
-        async def got(**more: str) -> int:
-            return status(await exchange(r.uwsgi, uwsgi_request(more.pop("klass", "check"), b"x", **more)))
-
-        assert await got(klass="nothing") == 404
-        assert await got(tenant="nobody") == 403
-        assert await got(klass="submit") == 400  # no token
-        assert await got(budget="-1") == 400
-        assert await got(budget="1500") == 504
-        assert status(await exchange(r.uwsgi, uwsgi_request("check", bytes(2049)))) == 413
-        assert status(await exchange(r.uwsgi, build_packet({}, modifier1=5))) == 400
+async def test_http_statuses_over_uwsgi() -> None:
+    async with running(Kernel(hang=True)) as runner:
+
+        async def status_of(**parameters: str) -> int:
+            return status(
+                await exchange(
+                    runner.uwsgi, uwsgi_request(parameters.pop("klass", "check"), b"x", **parameters)
+                )
+            )
+
+        assert await status_of(klass="nothing") == 404
+        assert await status_of(tenant="nobody") == 403
+        assert await status_of(klass="submit") == 400  # no token
+        assert await status_of(budget="-1") == 400
+        assert await status_of(budget="1500") == 504
+        assert status(await exchange(runner.uwsgi, uwsgi_request("check", bytes(2049)))) == 413
+        assert status(await exchange(runner.uwsgi, build_packet({}, modifier1=5))) == 400
         shed = await asyncio.gather(
-            *(exchange(r.uwsgi, uwsgi_request("check", budget="1500")) for _ in range(200))
+            *(exchange(runner.uwsgi, uwsgi_request("check", budget="1500")) for _ in range(200))
         )
-        refused = [g for g in shed if status(g) == 503]
-        assert refused and all(b"\r\nRetry-After: 1\r\n" in g for g in refused)
-        assert {status(g) for g in shed} <= {503, 504}
+        rejected = [answer for answer in shed if status(answer) == 503]
+        assert rejected and all(b"\r\nRetry-After: 1\r\n" in answer for answer in rejected)
+        assert {status(answer) for answer in shed} <= {503, 504}
 
 
 @sockets
-async def test_a_client_that_stops_in_its_body_is_told_so_and_cut_off() -> None:
-    async with running(kernel := Kernel()) as r:
+async def test_a_uwsgi_client_that_stops_in_its_body_gets_a_timeout() -> None:
+    """A client sends all but the last byte and waits: it gets status 408 and nothing runs."""
+    async with running(kernel := Kernel()) as runner:
         raw = uwsgi_request("check", b"0123456789")
-        assert status(await exchange(r.uwsgi, raw[:-1])) == 408
-        assert kernel.runs == [] and (await r.counters()).get("taken", 0) == 0
+        assert status(await exchange(runner.uwsgi, raw[:-1])) == 408
+        assert kernel.runs == [] and (await runner.counters()).get("taken", 0) == 0
 
 
-# ---- both at once ----
+# ---- both protocols ----
 
 
 @sockets
-async def test_both_protocols_mixed_at_110_percent_lose_and_repeat_nothing() -> None:
-    """Two cores at 25 ms a run do 80 runs a second; 88 a second are asked for in turn over either protocol, with
-    every fourth one a `submit` whose key comes once over each."""
+async def test_both_protocols_at_110_percent_load_lose_and_repeat_nothing() -> None:
+    """Two cores at 25 ms a run serve 80 requests a second, and 88 arrive, over both protocols in turn.
+
+    Every second pair is a `submit` whose idempotency key arrives once over each protocol.
+    """
     kernel = Kernel(work=0.025)
-    async with running(kernel) as r:
-        fronts = [await FrontEnd.connect(r.port) for _ in range(8)]
-        over: dict[str, list[asyncio.Future[Any]]] = {"jsonrpc": [], "uwsgi": []}
+    async with running(kernel) as runner:
+        clients = [await FrontEnd.connect(runner.port) for _ in range(8)]
+        sent_over: dict[str, list[asyncio.Future[Any]]] = {"jsonrpc": [], "uwsgi": []}
         tokens: dict[bytes, str] = {}
         start = asyncio.get_running_loop().time()
         for i in range(260):
-            klass, body = ("submit" if i % 4 < 2 else "check"), f"{i // 2 if i % 4 < 2 else i}".encode()
-            more = {"token": tokens.setdefault(body, key())} if klass == "submit" else {}
+            klass = "submit" if i % 4 < 2 else "check"
+            body = f"{i // 2 if i % 4 < 2 else i}".encode()
+            parameters = {"token": tokens.setdefault(body, key())} if klass == "submit" else {}
             if i % 2:
-                over["uwsgi"].append(
+                sent_over["uwsgi"].append(
                     asyncio.ensure_future(
-                        exchange(r.uwsgi, uwsgi_request(klass, body, budget="4000", **more))
+                        exchange(runner.uwsgi, uwsgi_request(klass, body, budget="4000", **parameters))
                     )
                 )
             else:
-                over["jsonrpc"].append(fronts[i // 2 % 8].send(klass, body=body, budget=4000, **more))
+                sent_over["jsonrpc"].append(
+                    clients[i // 2 % 8].send(klass, body=body, budget=4000, **parameters)
+                )
             await asyncio.sleep(start + (i + 1) / 88 - asyncio.get_running_loop().time())
-        got: dict[str, list[Any]] = {
-            name: await asyncio.wait_for(asyncio.gather(*asked, return_exceptions=True), WAIT)
-            for name, asked in over.items()
+        answers: dict[str, list[Any]] = {
+            name: await asyncio.wait_for(asyncio.gather(*pending, return_exceptions=True), WAIT)
+            for name, pending in sent_over.items()
         }
         lost = {
-            "jsonrpc": sum(not isinstance(a, dict) for a in got["jsonrpc"]),
-            "uwsgi": sum(not isinstance(a, bytes) or not a.startswith(b"HTTP/1.1 ") for a in got["uwsgi"]),
+            "jsonrpc": sum(not isinstance(answer, dict) for answer in answers["jsonrpc"]),
+            "uwsgi": sum(
+                not isinstance(answer, bytes) or not answer.startswith(b"HTTP/1.1 ")
+                for answer in answers["uwsgi"]
+            ),
         }
         assert lost == {"jsonrpc": 0, "uwsgi": 0}
         keyed = [body for _, route, body in kernel.runs if route == "submit"]
         assert len(keyed) == len(set(keyed))  # no key ran twice
-        assert all(set(f.answers.values()) == {1} for f in fronts)
-        served = sum("result" in a for a in got["jsonrpc"]), sum(status(a) == 200 for a in got["uwsgi"])
+        assert all(set(client.answers.values()) == {1} for client in clients)
+        served = (
+            sum("result" in answer for answer in answers["jsonrpc"]),
+            sum(status(answer) == 200 for answer in answers["uwsgi"]),
+        )
         assert min(served) > 0
 
 
-# ---- announce service ----
+# ---- service registration ----
 
 
 @sockets
-async def test_reports_go_out_while_it_serves_and_end_as_it_leaves() -> None:
-    announce = Announce(cut_at=2)  # it goes away in the middle: the next report comes anyway
-    heard = announce.reports
-    async with running(Kernel(hang=True), announce=announce.port) as r:
-        await has(lambda: len(heard) >= 4)
-        assert set(heard) == {b'PUT /announce/n1 {"accepting":"true"}'}
-        f = await FrontEnd.connect(r.port)
-        f.send("submit", token=key())
+async def test_service_registration_is_renewed_while_serving_and_stops_on_draining() -> None:
+    """The registry closes a connection in the middle, and the runner drains with a run that hangs."""
+    announce = Announce(cut_at=2)  # it closes the connection in the middle: the next report arrives anyway
+    reports = announce.reports
+    async with running(Kernel(hang=True), announce=announce.port) as runner:
+        await has(lambda: len(reports) >= 4)
+        assert set(reports) == {b'PUT /announce/n1 {"accepting":"true"}'}
+        client = await FrontEnd.connect(runner.port)
+        client.send("submit", token=key())
         await asyncio.sleep(0.1)
-        r.process.send_signal(signal.SIGTERM)
-        await has(lambda: any(m.get("method") == "leaving" for m in f.stray))
-        count = len(heard)
-        await has(lambda: r.process.poll() is not None)  # some seconds later: the run hangs
-        assert len(heard) == count
+        runner.process.send_signal(signal.SIGTERM)
+        await has(lambda: any(message.get("method") == "leaving" for message in client.stray))
+        count = len(reports)
+        await has(lambda: runner.process.poll() is not None)  # some seconds later, since the run hangs
+        assert len(reports) == count
     announce.close()
 
 
@@ -456,27 +512,34 @@
 
 
 @sockets
-async def test_sighup_moves_all_links_and_loses_nothing() -> None:
-    before, after = Announce(), Announce()
-    kernel, later, token = Kernel(work=0.3, calls=True), Database(), key()
-    async with running(kernel, Database(), announce=before.port) as r:
-        f = await FrontEnd.connect(r.port)
+async def test_sighup_moves_all_connections_and_loses_nothing() -> None:
+    """A reload changes the addresses of kernel, database and registry while requests are in flight."""
+    before = Announce()
+    after = Announce()
+    kernel = Kernel(work=0.3, calls=True)
+    later = Database()
+    token = key()
+    async with running(kernel, Database(), announce=before.port) as runner:
+        client = await FrontEnd.connect(runner.port)
         later.listen()
-        asked = [f.send("submit", token=token), *(f.send("check") for _ in range(3))]
+        pending = [client.send("submit", token=token), *(client.send("check") for _ in range(3))]
         await has(lambda: len(kernel.runs) >= 2)
         kernel.move()
-        r.reload(kernel=f"{HOST}:{kernel.port}", db=f"{HOST}:{later.port}", announce=f"{HOST}:{after.port}")
-        got = await asyncio.wait_for(asyncio.gather(*asked), WAIT)
-        assert all("result" in a for a in got) and set(f.answers.values()) == {1}
-        assert content(await f.ask("submit", token=token)) == content(got[0])  # kept through it
+        runner.reload(
+            kernel=f"{HOST}:{kernel.port}", db=f"{HOST}:{later.port}", announce=f"{HOST}:{after.port}"
+        )
+        answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
+        assert all("result" in answer for answer in answers) and set(client.answers.values()) == {1}
+        # The result is kept across the change.
+        assert content(await client.ask("submit", token=token)) == content(answers[0])
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
         assert len(kernel.opened) == 2 and later.calls
         await has(lambda: bool(after.reports))
         # A file that can't be used changes nothing, and the log names the key.
-        r.reload(kernel="nowhere")
-        await has(lambda: "kernel: expected HOST:PORT" in r.text())
-        assert "result" in await f.ask("check")
-        assert (await r.counters())["configurations read"] == 1
+        runner.reload(kernel="nowhere")
+        await has(lambda: "kernel: expected HOST:PORT" in runner.text())
+        assert "result" in await client.ask("check")
+        assert (await runner.counters())["configurations read"] == 1
     before.close()
     after.close()
 
@@ -485,69 +548,74 @@
 
 
 @sockets
-async def test_the_administration_api() -> None:
-    async with running(Kernel()) as r:
-        f = await FrontEnd.connect(r.port)
-        await f.ask("check", acct="bolt")
-        tenants = await r.counters("tenants")
+async def test_the_administration_api_and_its_authorization() -> None:
+    async with running(Kernel()) as runner:
+        client = await FrontEnd.connect(runner.port)
+        await client.ask("check", acct="bolt")
+        tenants = await runner.counters("tenants")
         assert tenants["bolt"]["counters"]["served"] == 1 and tenants["acme"]["counters"] == {}
-        assert (await r.counters("status"))["state"].startswith("ready")
-        assert status(await exchange(r.admin, b"GET /tenants/nobody HTTP/1.0\r\n\r\n")) == 404
-        assert status(await exchange(r.admin, b"POST /drain HTTP/1.0\r\n\r\n")) == 401
+        assert (await runner.counters("status"))["state"].startswith("ready")
+        assert status(await exchange(runner.admin, b"GET /tenants/nobody HTTP/1.0\r\n\r\n")) == 404
+        assert status(await exchange(runner.admin, b"POST /drain HTTP/1.0\r\n\r\n")) == 401
         wrong = b"POST /drain HTTP/1.0\r\nAuthorization: Bearer t0q\r\n\r\n"
-        assert status(await exchange(r.admin, wrong)) == 401
-        assert r.process.poll() is None
+        assert status(await exchange(runner.admin, wrong)) == 401
+        assert runner.process.poll() is None
         right = b"POST /drain HTTP/1.0\r\nAuthorization: Bearer t0p\r\n\r\n"
-        assert json.loads(body_of(await exchange(r.admin, right))) == {"draining": True}
-        await has(lambda: r.process.poll() is not None)
+        assert json.loads(body_of(await exchange(runner.admin, right))) == {"draining": True}
+        await has(lambda: runner.process.poll() is not None)
 
 
-# ---- a crowd that takes every descriptor ----
+# ---- file descriptors ----
 
 
 @sockets
-async def test_a_crowd_beyond_the_descriptors_shuts_out_neither_operators_nor_the_kernel_nor_calls() -> None:
-    async with running(kernel := Kernel(calls=True), db := Database(), descriptors=100) as r:
-        crowd = [socket.create_connection((HOST, r.port)) for _ in range(300)]
-        for half in crowd[::2]:
-            half.send(b'{"jsonrpc":"2.0","id":1,"met')
-        silent = [socket.create_connection((HOST, r.console)) for _ in range(100)]
-        began = time.monotonic()
-        assert await r.asked("health") == 200 and time.monotonic() - began < 1
+async def test_clients_beyond_the_descriptor_limit_do_not_shut_out_operators_kernel_or_calls() -> None:
+    """300 idle clients and 100 idle operators connect to a runner with 100 file descriptors."""
+    async with running(kernel := Kernel(calls=True), database := Database(), descriptors=100) as runner:
+        connections = [socket.create_connection((HOST, runner.port)) for _ in range(300)]
+        for connection in connections[::2]:
+            connection.send(b'{"jsonrpc":"2.0","id":1,"met')
+        silent = [socket.create_connection((HOST, runner.console)) for _ in range(100)]
+        started_at = time.monotonic()
+        assert await runner.asked("health") == 200 and time.monotonic() - started_at < 1
         kernel.cut()
-        await r.says_yes()
-        f = await FrontEnd.connect(r.port)
-        assert "result" in await f.ask("check") and db.calls
-        assert len(os.listdir(f"/proc/{r.process.pid}/fd")) <= 100
-        assert r.process.poll() is None
-        for one in (*crowd, *silent):
-            one.close()
+        await runner.says_yes()
+        client = await FrontEnd.connect(runner.port)
+        assert "result" in await client.ask("check") and database.calls
+        assert len(os.listdir(f"/proc/{runner.process.pid}/fd")) <= 100
+        assert runner.process.poll() is None
+        for connection in (*connections, *silent):
+            connection.close()
 
 
 @sockets
-async def test_what_comes_while_no_descriptor_is_left_is_turned_away_and_counted() -> None:
-    async with running(Kernel()) as r:
-        assert await r.asked("health") == 200
-        taken = len(os.listdir(f"/proc/{r.process.pid}/fd")) + 3
-        resource.prlimit(r.process.pid, resource.RLIMIT_NOFILE, (taken, taken))  # lower than what it was told
-        crowd = [socket.create_connection((HOST, r.port)) for _ in range(40)]
+async def test_connections_accepted_without_a_free_descriptor_are_closed_and_counted() -> None:
+    """The system's limit of file descriptors is lower than the configured one, and all are in use."""
+    async with running(Kernel()) as runner:
+        assert await runner.asked("health") == 200
+        descriptor_limit = len(os.listdir(f"/proc/{runner.process.pid}/fd")) + 3
+        # Lower than its configuration says.
+        resource.prlimit(runner.process.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
+        connections = [socket.create_connection((HOST, runner.port)) for _ in range(40)]
         await asyncio.sleep(0.2)
-        for one in crowd:
-            one.close()
-        f = await FrontEnd.connect(r.port)
-        assert "result" in await f.ask("check")
-        assert (await r.counters())["accepts without a descriptor"] > 0
+        for connection in connections:
+            connection.close()
+        client = await FrontEnd.connect(runner.port)
+        assert "result" in await client.ask("check")
+        assert (await runner.counters())["accepts without a descriptor"] > 0
 
 
 @sockets
-async def test_a_kernel_link_that_dies_without_a_word_is_replaced_and_what_ran_on_it_is_answered() -> None:
-    async with running(kernel := Kernel(work=0.3)) as r:
-        f = await FrontEnd.connect(r.port)
-        asked = f.send("submit", token=key())
+async def test_a_silently_dead_kernel_connection_is_replaced_and_its_runs_are_answered() -> None:
+    """The connection to the kernel stays open, but nothing arrives on it: the runner opens a new one."""
+    async with running(kernel := Kernel(work=0.3)) as runner:
+        client = await FrontEnd.connect(runner.port)
+        pending = client.send("submit", token=key())
         await has(lambda: len(kernel.runs) == 1)
-        dead, kernel.link = kernel.link, None  # it stays open, and nothing more is said on it
-        assert dead is not None
-        dead.send_message = lambda message: None  # type: ignore[method-assign]
+        dead_connection = kernel.link  # it stays open, and nothing more is sent on it
+        kernel.link = None
+        assert dead_connection is not None
+        dead_connection.send_message = lambda message: None  # type: ignore[method-assign]
         await has(lambda: len(kernel.opened) == 2)
-        assert "result" in await asyncio.wait_for(asked, WAIT)
-        assert "result" in await f.ask("check") and set(f.answers.values()) == {1}
+        assert "result" in await asyncio.wait_for(pending, WAIT)
+        assert "result" in await client.ask("check") and set(client.answers.values()) == {1}
