--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Keepers with a disk that lasts: what was promised outlives the loss of power, of a part of the fleet or all of it."""
+"""Journals of acceptors: promises survive a power loss of one member or of the whole cluster."""
 
 from __future__ import annotations
 
@@ -33,65 +33,82 @@
 )
 from moorusher.replication.messages import FAST_BALLOT, BallotRequest
 from moorusher.replication.work_record import Owner, WorkRecord, WorkState
-from moorusher.storage import journal_files as disk
+from moorusher.storage import journal_files
 from moorusher.storage.journal_files import FileSystem, JournalFolder, open_folder
 
 from .fleets import Fleet, fleet, token
 from .test_sockets import has, sockets
 from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
 
-WHOSE = JournalHeader(JOURNAL_VERSION, "f", "digest", "a")
+HEADER = JournalHeader(JOURNAL_VERSION, "f", "digest", "a")
 OWNER = Owner("b", 1)
 
 
-def line(n: int, left_ms: int = 5000) -> RegisterRecord:
+def register_record(number: int, left_ms: int = 5000) -> RegisterRecord:
+    """A record of the register of this key."""
     return RegisterRecord(
-        b"k%d" % n, (1, 2, 3), FAST_BALLOT, WorkRecord(WorkState.HELD, OWNER, 1, n, None), left_ms
+        b"k%d" % number, (1, 2, 3), FAST_BALLOT, WorkRecord(WorkState.HELD, OWNER, 1, number, None), left_ms
     )
 
 
 # ---- records ----
 
 
-def test_a_file_is_read_up_to_any_torn_end() -> None:
-    records = [WHOSE, IncarnationsRecord({"a": 4, "b": 9}), line(1), RecoveredRecord(), line(2), line(1, 7)]
+def test_a_journal_is_read_up_to_a_torn_record_at_its_end() -> None:
+    """Power was lost during a write, at any byte: all complete records count."""
+    records = [
+        HEADER,
+        IncarnationsRecord({"a": 4, "b": 9}),
+        register_record(1),
+        RecoveredRecord(),
+        register_record(2),
+        register_record(1, 7),
+    ]
     data = encode_records(records)
-    ends = [len(encode_records(records[:n])) for n in range(len(records) + 1)]
-    for cut in range(ends[1], len(data) + 1):
-        whole = max(n for n, end in enumerate(ends) if end <= cut)
-        image = read_journal(data[:cut], WHOSE)
-        assert image.valid_bytes == ends[whole]
-        assert image.registers == {r.key: r for r in records[:whole] if isinstance(r, RegisterRecord)}
-        assert image.recovered == (whole >= 4)
+    record_ends = [len(encode_records(records[:number])) for number in range(len(records) + 1)]
+    for cut in range(record_ends[1], len(data) + 1):
+        complete = max(number for number, end in enumerate(record_ends) if end <= cut)
+        image = read_journal(data[:cut], HEADER)
+        assert image.valid_bytes == record_ends[complete]
+        assert image.registers == {
+            record.key: record for record in records[:complete] if isinstance(record, RegisterRecord)
+        }
+        assert image.recovered == (complete >= 4)
 
 
 @pytest.mark.parametrize("bit", range(8))
-def test_a_bad_record_before_a_good_one_is_damage_and_not_an_end(bit: int) -> None:
-    first, second = len(encode_records([WHOSE])), len(encode_records([WHOSE, line(1)]))
-    whole = encode_records([WHOSE, line(1), line(2)])
-    for at in range(first, second):  # its length, its checksum, its body
-        data = bytearray(whole)
-        data[at] ^= 1 << bit
+def test_a_corrupt_record_before_a_valid_one_is_damage_and_not_a_torn_end(bit: int) -> None:
+    """A bit of a record flips on the disk.
+
+    A torn end is followed by nothing valid. To cut the journal there would drop promises that were sent.
+    """
+    first = len(encode_records([HEADER]))
+    second = len(encode_records([HEADER, register_record(1)]))
+    complete = encode_records([HEADER, register_record(1), register_record(2)])
+    for position in range(first, second):  # its length, its checksum and its body
+        data = bytearray(complete)
+        data[position] ^= 1 << bit
         with pytest.raises(ValueError, match="damaged"):
-            read_journal(bytes(data), WHOSE)
+            read_journal(bytes(data), HEADER)
 
 
-def test_bytes_of_a_record_that_are_missing_in_the_middle_are_damage() -> None:
-    first, second = len(encode_records([WHOSE])), len(encode_records([WHOSE, line(1)]))
-    whole = encode_records([WHOSE, line(1), line(2)])
-    for at in range(first + 1, second):
+def test_missing_bytes_in_the_middle_of_a_journal_are_damage() -> None:
+    first = len(encode_records([HEADER]))
+    second = len(encode_records([HEADER, register_record(1)]))
+    complete = encode_records([HEADER, register_record(1), register_record(2)])
+    for position in range(first + 1, second):
         with pytest.raises(ValueError, match="damaged"):
-            read_journal(whole[:at] + whole[second:], WHOSE)
+            read_journal(complete[:position] + complete[second:], HEADER)
 
 
-def test_a_long_torn_end_is_looked_through_in_time() -> None:
-    whole = encode_records([WHOSE, line(1)])
+def test_a_long_torn_end_is_read_in_bounded_time() -> None:
+    complete = encode_records([HEADER, register_record(1)])
     began = time.monotonic()
-    assert read_journal(whole + random.Random(1).randbytes(1 << 20), WHOSE).valid_bytes == len(whole)
+    assert read_journal(complete + random.Random(1).randbytes(1 << 20), HEADER).valid_bytes == len(complete)
     assert time.monotonic() - began < 10
 
 
-def test_a_file_of_another_seat_fleet_or_version_is_not_read() -> None:
+def test_a_journal_of_another_member_cluster_or_version_is_rejected() -> None:
     for other in (
         JournalHeader(JOURNAL_VERSION, "f", "digest", "b"),
         JournalHeader(JOURNAL_VERSION, "g", "digest", "a"),
@@ -99,107 +116,119 @@
         JournalHeader(JOURNAL_VERSION, "f", "more seats", "a"),
     ):
         with pytest.raises(ValueError, match="another"):
-            read_journal(encode_records([other, line(1)]), WHOSE)
+            read_journal(encode_records([other, register_record(1)]), HEADER)
     with pytest.raises(ValueError, match="no beginning"):
-        read_journal(b"", WHOSE)
+        read_journal(b"", HEADER)
 
 
-# ---- the folder, ended at each step ----
+# ---- the journal's folder, with a power loss at each step ----
 
 
-class Ended(BaseException):
-    """The machine has lost its power."""
+class PowerLost(BaseException):
+    """The machine loses power."""
 
 
 @dataclass
-class Ends(FileSystem):
-    """Power is lost at step `at`. What no fsync has confirmed is there in part, or not at all; so is a rename."""
+class PowerLossAtStep(FileSystem):
+    """Loses power at this step: what no fsync has confirmed, or a rename, is there in part or not at all."""
 
-    at: int
+    failing_step: int
     part: float
     step: int = 0
-    sure: dict[int, int] = field(default_factory=dict)  # bytes of a file that are confirmed, by its inode
+    confirmed_bytes: dict[int, int] = field(default_factory=dict)  # by inode
     renamed: tuple[Path, Path, bytes | None] | None = None
 
-    def _ends(self) -> bool:
+    def _is_last_step(self) -> bool:
         self.step += 1
-        return self.step == self.at
+        return self.step == self.failing_step
 
-    def _lose(self) -> None:
+    def _lose_power(self) -> None:
         if self.renamed is not None and self.part < 0.5:
             old, new, before = self.renamed
             new.replace(old)
             if before is not None:
                 new.write_bytes(before)
-        raise Ended
+        raise PowerLost
 
     def write(self, fd: int, data: bytes) -> int:
-        ends = self._ends()
-        done = super().write(fd, data[: int(len(data) * self.part)] if ends else data)
-        if ends:
-            self._lose()
+        is_last = self._is_last_step()
+        done = super().write(fd, data[: int(len(data) * self.part)] if is_last else data)
+        if is_last:
+            self._lose_power()
         return done
 
     def sync(self, fd: int) -> None:
-        if self._ends():
-            self._lose()
+        if self._is_last_step():
+            self._lose_power()
         self.renamed = None
 
     def rename(self, old: Path, new: Path) -> None:
-        if self._ends():
-            self._lose()
+        if self._is_last_step():
+            self._lose_power()
         self.renamed = old, new, new.read_bytes() if new.exists() else None
         super().rename(old, new)
 
     def remove(self, path: Path) -> None:
-        if self._ends():
-            self._lose()
+        if self._is_last_step():
+            self._lose_power()
         super().remove(path)
 
 
-def a_life(path: Path, files: FileSystem, left: dict[bytes, int], known: bool) -> None:
-    """A keeper's life: what its votes say that left is in `left`, by key the round that it promised."""
-    folder = JournalFolder(path, WHOSE, files)
+def run_acceptor(
+    path: Path, files: FileSystem, sent_promises: dict[bytes, int], has_run_before: bool
+) -> None:
+    """Run an acceptor over this folder. `sent_promises` has the rounds promised in votes sent, by key."""
+    folder = JournalFolder(path, HEADER, files)
     try:
-        inc, image, _ = folder.open(1)
-        keeper = Acceptor(
-            "a", inc, lambda key: ("a", "b", "c"), frozenset("bc"), recovered=not known, journaled=True
+        incarnation, image, _ = folder.open(1)
+        acceptor = Acceptor(
+            "a",
+            incarnation,
+            lambda key: ("a", "b", "c"),
+            frozenset("bc"),
+            recovered=not has_run_before,
+            journaled=True,
         )
         if image is not None:
-            keeper.restore(0, image)
-            assert image.incarnations.get("a", 0) < inc
-        assert keeper.recovered or not left, "its votes left, and it says that it may have forgotten"
-        for key, promised in left.items():
-            assert keeper.registers[key].promised[0] >= promised, "a vote left, and what it said is gone"
-        for n in range(6):
-            key = b"k%d" % (n % 4)
-            asked = keeper.registers[key].promised[0] + 1 if key in keeper.registers else 2
-            vote = keeper.vote(0, BallotRequest(n, key, (asked, 1, n), None, (0, 0, 0), {}, 5000))
+            acceptor.restore(0, image)
+            assert image.incarnations.get("a", 0) < incarnation
+        assert acceptor.recovered or not sent_promises, (
+            "its votes left, and it says that it may have forgotten"
+        )
+        for key, promised in sent_promises.items():
+            assert acceptor.registers[key].promised[0] >= promised, "a vote left, and what it said is gone"
+        for number in range(6):
+            key = b"k%d" % (number % 4)
+            round_number = acceptor.registers[key].promised[0] + 1 if key in acceptor.registers else 2
+            vote = acceptor.vote(
+                0, BallotRequest(number, key, (round_number, 1, number), None, (0, 0, 0), {}, 5000)
+            )
             assert vote.accepted
-            if n == 3:
-                folder.rewrite(encode_records([WHOSE, *keeper.all_records(0)]))
+            if number == 3:
+                folder.rewrite(encode_records([HEADER, *acceptor.all_records(0)]))
             else:
-                folder.append(encode_records(keeper.unsaved_records(0)))
-            left[key] = asked
+                folder.append(encode_records(acceptor.unsaved_records(0)))
+            sent_promises[key] = round_number
     finally:
         folder.close()
 
 
 @pytest.mark.parametrize("part", [0.0, 0.6, 1.0])
-def test_power_lost_at_any_step_loses_no_vote_that_has_left(tmp_path: Path, part: float) -> None:
+def test_power_loss_at_any_step_loses_no_vote_that_was_sent(tmp_path: Path, part: float) -> None:
+    """Power is lost at each file system step in turn, and the acceptor restarts over what is left."""
     steps = 0
-    for at in range(1, 200):
-        left: dict[bytes, int] = {}
-        path = tmp_path / f"{part}.{at}"
-        a_life(path, FileSystem(), left, known=False)
-        files = Ends(at, part)
+    for failing_step in range(1, 200):
+        sent_promises: dict[bytes, int] = {}
+        path = tmp_path / f"{part}.{failing_step}"
+        run_acceptor(path, FileSystem(), sent_promises, has_run_before=False)
+        files = PowerLossAtStep(failing_step, part)
         try:
-            a_life(path, files, left, known=True)
-        except Ended:
+            run_acceptor(path, files, sent_promises, has_run_before=True)
+        except PowerLost:
             steps += 1
-            a_life(path, FileSystem(), left, known=True)
-            a_life(path, FileSystem(), left, known=True)
-            assert len([p for p in path.iterdir() if p.suffix == ".log"]) == 1, (
+            run_acceptor(path, FileSystem(), sent_promises, has_run_before=True)
+            run_acceptor(path, FileSystem(), sent_promises, has_run_before=True)
+            assert len([file for file in path.iterdir() if file.suffix == ".log"]) == 1, (
                 "each life leaves a file behind"
             )
         else:
@@ -207,104 +236,111 @@
     assert steps > 15
 
 
-class Early(JournalFolder):
-    """A seeded mistake: votes leave before the disk has confirmed them."""
+class SendsBeforeSync(JournalFolder):
+    """A seeded mistake: votes are sent before the disk has confirmed them."""
 
     def _write(self, fd: int, data: bytes) -> None:
         self._files.write(fd, data)
 
 
-def test_a_vote_that_does_not_wait_for_the_disk_is_found(
+def test_votes_sent_before_the_disk_has_confirmed_them_are_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    class Forgets(Ends):
-        def _lose(self) -> None:  # all that no fsync has confirmed
-            for p in sorted(p for d in tmp_path.iterdir() for p in d.glob("*.log")):
-                p.write_bytes(p.read_bytes()[: len(encode_records([WHOSE]))])
-            raise Ended
-
-    monkeypatch.setattr("tests.test_journal.JournalFolder", Early)
-    left: dict[bytes, int] = {}
-    a_life(tmp_path / "f", FileSystem(), left, known=False)
-    with pytest.raises(Ended):
-        a_life(tmp_path / "f", Forgets(7, 0.0), left, known=True)
+    class LosesUnsyncedBytes(PowerLossAtStep):
+        """Everything after the header is lost."""
+
+        def _lose_power(self) -> None:
+            for file in sorted(file for folder in tmp_path.iterdir() for file in folder.glob("*.log")):
+                file.write_bytes(file.read_bytes()[: len(encode_records([HEADER]))])
+            raise PowerLost
+
+    monkeypatch.setattr("tests.test_journal.JournalFolder", SendsBeforeSync)
+    sent_promises: dict[bytes, int] = {}
+    run_acceptor(tmp_path / "f", FileSystem(), sent_promises, has_run_before=False)
+    with pytest.raises(PowerLost):
+        run_acceptor(tmp_path / "f", LosesUnsyncedBytes(7, 0.0), sent_promises, has_run_before=True)
     with pytest.raises(AssertionError, match="its votes left"):
-        a_life(tmp_path / "f", FileSystem(), left, known=True)
-
-
-def test_a_folder_that_another_process_writes_to_is_begun_anew_and_left_to_it(tmp_path: Path) -> None:
-    elder, younger = JournalFolder(tmp_path, WHOSE), JournalFolder(tmp_path, WHOSE)
-    first, _, _ = elder.open(10)
-    elder.append(encode_records([line(1), RecoveredRecord()]))
-    second, image, why = younger.open(3)
-    assert second > first == 10 and image is None and "another process" in why
-    elder.rewrite(encode_records([WHOSE, line(2), RecoveredRecord()]))
-    elder.close()
+        run_acceptor(tmp_path / "f", FileSystem(), sent_promises, has_run_before=True)
+
+
+def test_a_journal_that_another_process_writes_is_left_to_it_and_a_new_one_is_begun(tmp_path: Path) -> None:
+    """Two processes of one member run at once, as in a hot restart: the second one has to recover."""
+    older = JournalFolder(tmp_path, HEADER)
+    younger = JournalFolder(tmp_path, HEADER)
+    first, _, _ = older.open(10)
+    older.append(encode_records([register_record(1), RecoveredRecord()]))
+    second, image, reason = younger.open(3)
+    assert second > first == 10 and image is None and "another process" in reason
+    older.rewrite(encode_records([HEADER, register_record(2), RecoveredRecord()]))
+    older.close()
     younger.close()
-    third = JournalFolder(tmp_path, WHOSE)
-    inc, image, why = third.open(1)
-    assert inc > second and image is None and "forgotten" in why, (
+    third = JournalFolder(tmp_path, HEADER)
+    incarnation, image, reason = third.open(1)
+    assert incarnation > second and image is None and "forgotten" in reason, (
         "the younger one has forgotten, and voted since"
     )
     third.close()
 
 
-def test_a_file_that_is_written_anew_while_it_is_opened_is_still_its_writers(
+def test_a_journal_that_is_rewritten_while_it_is_opened_still_belongs_to_its_writer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The lock was taken on the old file, which its writer had just let go."""
-    elder, younger = JournalFolder(tmp_path, WHOSE), JournalFolder(tmp_path, WHOSE)
-    elder.open(10)
-    elder.append(encode_records([line(1), RecoveredRecord()]))
-    lock, turns = fcntl.flock, iter([True])
-
-    def flock(file: Any, how: int) -> None:
-        if how & fcntl.LOCK_SH and next(turns, False):
-            elder.rewrite(encode_records([WHOSE, line(2), RecoveredRecord()]))
-        lock(file, how)
+    """The lock is taken on the old file just as its writer replaces it: the new process must notice."""
+    older = JournalFolder(tmp_path, HEADER)
+    younger = JournalFolder(tmp_path, HEADER)
+    older.open(10)
+    older.append(encode_records([register_record(1), RecoveredRecord()]))
+    lock = fcntl.flock
+    turns = iter([True])
+
+    def flock(file: Any, operation: int) -> None:
+        if operation & fcntl.LOCK_SH and next(turns, False):
+            older.rewrite(encode_records([HEADER, register_record(2), RecoveredRecord()]))
+        lock(file, operation)
 
     monkeypatch.setattr("moorusher.storage.journal_files.fcntl.flock", flock)
-    _, image, why = younger.open(3)
-    assert image is None and "another process" in why
-    elder.close()
+    _, image, reason = younger.open(3)
+    assert image is None and "another process" in reason
+    older.close()
     younger.close()
 
 
-def test_a_clock_that_was_set_back_makes_no_incarnation_of_the_past(tmp_path: Path) -> None:
-    incs = []
-    for at in (1_000, 500, 400):
-        folder = JournalFolder(tmp_path, WHOSE)
-        incs.append(folder.open(at)[0])
+def test_incarnations_grow_although_the_clock_was_set_back(tmp_path: Path) -> None:
+    incarnations = []
+    for clock in (1_000, 500, 400):
+        folder = JournalFolder(tmp_path, HEADER)
+        incarnations.append(folder.open(clock)[0])
         folder.close()
-    assert incs == [1000, 1001, 1002]
+    assert incarnations == [1000, 1001, 1002]
 
 
-def test_a_full_disk_at_the_start_leaves_what_the_last_life_wrote(tmp_path: Path) -> None:
-    left: dict[bytes, int] = {}
-    a_life(tmp_path, FileSystem(), left, known=False)
+def test_a_full_disk_at_the_start_keeps_the_journal_of_the_last_process(tmp_path: Path) -> None:
+    """The disk is full as the acceptor starts: nothing that it promised before may be lost."""
+    sent_promises: dict[bytes, int] = {}
+    run_acceptor(tmp_path, FileSystem(), sent_promises, has_run_before=False)
 
-    class Full(FileSystem):
+    class FullDisk(FileSystem):
         def write(self, fd: int, data: bytes) -> int:
             raise OSError(28, "No space left on device")
 
-    folder = JournalFolder(tmp_path, WHOSE, Full())
+    folder = JournalFolder(tmp_path, HEADER, FullDisk())
     with pytest.raises(OSError, match="No space"):
         folder.open(1)
     assert folder.incarnation and not folder.size, "its incarnation is known, and it may be written later"
-    a_life(tmp_path, FileSystem(), left, known=True)
+    run_acceptor(tmp_path, FileSystem(), sent_promises, has_run_before=True)
 
 
 @dataclass
-class Failing(FileSystem):
-    """Each call of this kind fails, as many times as are left."""
+class FailingFileSystem(FileSystem):
+    """Calls of this kind fail with this error number, as many times as are left."""
 
     kind: str
-    left: int
+    failures_left: int
     number: int = errno.EIO
 
     def _call(self, kind: str) -> None:
-        if kind == self.kind and self.left > 0:
-            self.left -= 1
+        if kind == self.kind and self.failures_left > 0:
+            self.failures_left -= 1
             raise OSError(self.number, os.strerror(self.number))
 
     def read(self, file: BinaryIO) -> bytes:
@@ -328,93 +364,98 @@
         super().remove(path)
 
 
-FOR_EVER = 10_000
+ALWAYS = 10_000
 
 
-def life_that_remembers(path: Path) -> None:
-    folder = JournalFolder(path, WHOSE)
+def write_recovered_journal(path: Path) -> None:
+    """Leave the journal of a process that had recovered, with two registers."""
+    folder = JournalFolder(path, HEADER)
     folder.open(10)
-    folder.append(encode_records([line(1), line(2), RecoveredRecord()]))
+    folder.append(encode_records([register_record(1), register_record(2), RecoveredRecord()]))
     folder.close()
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS])
 @pytest.mark.parametrize("kind", ["write", "sync", "rename"])
-def test_what_the_last_life_promised_is_known_though_nothing_can_be_written_yet(
+def test_promises_of_the_last_process_are_recovered_although_the_disk_can_not_be_written(
     tmp_path: Path, kind: str, number: int
 ) -> None:
-    life_that_remembers(tmp_path)
-    found = open_folder(tmp_path, WHOSE, 1, Failing(kind, FOR_EVER, number))
+    """The disk is full, broken or read-only at the start: it can still be read."""
+    write_recovered_journal(tmp_path)
+    found = open_folder(tmp_path, HEADER, 1, FailingFileSystem(kind, ALWAYS, number))
     assert not found.is_written and os.strerror(number) in found.reason
     assert found.image is not None and found.image.recovered and len(found.image.registers) == 2
     assert found.incarnation == 11
 
 
-def test_a_file_that_can_be_read_a_moment_later_is_read(tmp_path: Path) -> None:
-    life_that_remembers(tmp_path)
-    found = open_folder(tmp_path, WHOSE, 1, Failing("read", 3))
+def test_a_journal_that_is_unreadable_for_a_moment_is_read(tmp_path: Path) -> None:
+    write_recovered_journal(tmp_path)
+    found = open_folder(tmp_path, HEADER, 1, FailingFileSystem("read", 3))
     assert found.is_written and found.image is not None and len(found.image.registers) == 2
     found.folder.close()
 
 
-def test_a_file_that_stays_unreadable_is_kept_and_the_life_begins_as_one_that_forgot(
+def test_a_journal_that_stays_unreadable_is_kept_aside_and_the_acceptor_has_to_recover(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(disk, "OPEN_TIMEOUT_S", 0.1)
-    life_that_remembers(tmp_path)
-    found = open_folder(tmp_path, WHOSE, 1, Failing("read", FOR_EVER))
+    """Each read fails: the file is kept for the operator, and the acceptor starts without its promises."""
+    monkeypatch.setattr(journal_files, "OPEN_TIMEOUT_S", 0.1)
+    write_recovered_journal(tmp_path)
+    found = open_folder(tmp_path, HEADER, 1, FailingFileSystem("read", ALWAYS))
     assert found.is_written and found.image is None and "10.log can't be read and is kept" in found.reason
     assert found.incarnation == 11 and (tmp_path / "10.log.damaged").exists()
     found.folder.close()
 
 
-def test_a_damaged_file_is_kept_beside_the_new_one(tmp_path: Path) -> None:
-    life_that_remembers(tmp_path)
+def test_a_damaged_journal_is_kept_beside_the_new_one(tmp_path: Path) -> None:
+    """One bit of the journal is wrong: the file is neither used nor deleted, also by a later process."""
+    write_recovered_journal(tmp_path)
     data = bytearray((tmp_path / "10.log").read_bytes())
-    data[len(encode_records([WHOSE])) + 15] ^= 1
+    data[len(encode_records([HEADER])) + 15] ^= 1
     (tmp_path / "10.log").write_bytes(data)
-    found = open_folder(tmp_path, WHOSE, 1)
+    found = open_folder(tmp_path, HEADER, 1)
     assert found.image is None and "10.log is not used, and is kept: damaged at byte" in found.reason
     assert (tmp_path / "10.log.damaged").read_bytes() == data
     found.folder.close()
-    again = open_folder(tmp_path, WHOSE, 1)
+    again = open_folder(tmp_path, HEADER, 1)
     assert again.image is None and "forgotten" in again.reason, "a file kept aside counts for nothing"
     again.folder.close()
 
 
-def test_whole_files_that_killed_lives_did_not_finish_are_removed(tmp_path: Path) -> None:
-    life_that_remembers(tmp_path)
+def test_unfinished_rewrites_of_killed_processes_are_removed(tmp_path: Path) -> None:
+    """Processes were killed while they rewrote their journals."""
+    write_recovered_journal(tmp_path)
     for name in ("7.log.new", "10.log.new"):
         (tmp_path / name).write_bytes(b"half")
-    found = open_folder(tmp_path, WHOSE, 1)
-    assert found.image is not None and [p.name for p in tmp_path.iterdir()] == ["11.log"]
+    found = open_folder(tmp_path, HEADER, 1)
+    assert found.image is not None and [file.name for file in tmp_path.iterdir()] == ["11.log"]
     found.folder.close()
 
 
-def test_a_file_that_can_not_be_removed_does_not_matter(tmp_path: Path) -> None:
-    life_that_remembers(tmp_path)
-    found = open_folder(tmp_path, WHOSE, 1, Failing("remove", 1))
+def test_an_old_journal_that_can_not_be_removed_is_harmless(tmp_path: Path) -> None:
+    write_recovered_journal(tmp_path)
+    found = open_folder(tmp_path, HEADER, 1, FailingFileSystem("remove", 1))
     assert found.is_written and found.image is not None
     found.folder.close()
 
 
-def test_a_folder_that_can_not_be_read_is_named_with_its_remedy(
+def test_an_unreadable_journal_folder_is_an_error_with_a_remedy(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(disk, "OPEN_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(journal_files, "OPEN_TIMEOUT_S", 0.1)
     (tmp_path / "file").write_text("no folder")
     with pytest.raises(ConfigError, match="check the disk, or name another folder"):
-        open_folder(tmp_path / "file", WHOSE, 1)
+        open_folder(tmp_path / "file", HEADER, 1)
 
 
-def test_the_folder_is_named_from_the_root(tmp_path: Path) -> None:
-    fronts = tmp_path / "fronts.toml"
-    fronts.write_text('[fleet]\nlisten = "127.0.0.1:1"\nname = "f"\njournal = "here"\n')
+def test_the_journal_folder_has_to_be_an_absolute_path(tmp_path: Path) -> None:
+    operator_file = tmp_path / "fronts.toml"
+    operator_file.write_text('[fleet]\nlisten = "127.0.0.1:1"\nname = "f"\njournal = "here"\n')
     with pytest.raises(ConfigError, match=r"fleet\.journal"):
-        read_operator_file(fronts)
+        read_operator_file(operator_file)
 
 
-# ---- a fleet in virtual time ----
+# ---- a cluster in virtual time ----
 
 DISKS = Scenario(
     journals=True,
@@ -433,7 +474,7 @@
 
 
 def test_no_seed_loses_work_or_runs_it_twice_with_disks_and_power_that_fails() -> None:
-    """The power of all members fails during writes; each restarts with the part of its journal that was written."""
+    """All members lose power during writes; each restarts with what its journal has on the disk."""
     found = find_counterexample(range(30), partial(Simulation, scenario=DISKS))
     assert found is None, f"Simulation({found.seed}, DISKS).play(): {found.violation}" if found else ""
 
@@ -456,77 +497,89 @@
 # ---- real processes ----
 
 
-async def wake_all(f: Fleet) -> None:
-    for i in range(len(f.runners)):
-        f.again(i)
-    for i, r in enumerate(f.runners):
-        await r.ready()
-        await remembers(f, i)
+async def restart_all(cluster: Fleet) -> None:
+    """Restart all members, and wait until each is ready and has recovered."""
+    for i in range(len(cluster.runners)):
+        cluster.again(i)
+    for i, runner in enumerate(cluster.runners):
+        await runner.ready()
+        await remembers(cluster, i)
 
 
 @pytest.mark.processes
 @sockets
-async def test_a_fleet_that_lost_its_power_remembers_and_goes_on() -> None:
-    """Nobody is left who could tell the others, and nobody says that the fleet is new."""
-    async with fleet(3, work=0.4, journals=True, aim_ms=8000) as f:
-        over = token()
-        assert served(over, await (await f.front(1)).ask("submit", token=over, body=over.encode()))
-        asked = await many(f, 10)
-        quiet(asked)
-        began = f.began(0, 1, 2)
+async def test_a_cluster_that_lost_power_recovers_and_goes_on() -> None:
+    """All members are killed at once: only their journals know which keys ran.
+
+    Requests that may have run fail, those that were queued run once, and finished ones keep their results.
+    """
+    async with fleet(3, work=0.4, journals=True, aim_ms=8000) as cluster:
+        finished_key = token()
+        assert served(
+            finished_key,
+            await (await cluster.front(1)).ask("submit", token=finished_key, body=finished_key.encode()),
+        )
+        requests = await many(cluster, 10)
+        quiet(requests)
+        began = cluster.began(0, 1, 2)
         for i in range(3):
-            f.kill(i)
-        await f.gone()
-        held = set(asked) - began
-        assert held
-        await wake_all(f)
-        got = await ask_again(f, 2, [over, *asked])
-        assert served(over, got[over]), "its result was written down"
-        assert all("error" in got[t] and not refused(got[t]) for t in set(asked) & began), "it may have run"
-        assert all(served(t, got[t]) for t in held)
-        once(f, [over, *asked])
+            cluster.kill(i)
+        await cluster.gone()
+        queued = set(requests) - began
+        assert queued
+        await restart_all(cluster)
+        answers = await ask_again(cluster, 2, [finished_key, *requests])
+        assert served(finished_key, answers[finished_key]), "its result was written down"
+        assert all("error" in answers[key] and not refused(answers[key]) for key in set(requests) & began), (
+            "it may have run"
+        )
+        assert all(served(key, answers[key]) for key in queued)
+        once(cluster, [finished_key, *requests])
 
 
 @pytest.mark.processes
 @sockets
-async def test_held_work_is_gone_on_with_though_nobody_asks_and_its_owner_does_not_come_back() -> None:
-    async with fleet(3, work=0.4, journals=True, aim_ms=8000) as f:
-        asked = await many(f, 10)
-        quiet(asked)
-        held = set(asked) - f.began(0)
+async def test_queued_work_is_taken_over_without_a_retry_after_a_power_loss_of_all_members() -> None:
+    """All members are killed and one does not return: the others find its queued work in their journals."""
+    async with fleet(3, work=0.4, journals=True, aim_ms=8000) as cluster:
+        requests = await many(cluster, 10)
+        quiet(requests)
+        queued = set(requests) - cluster.began(0)
         for i in range(3):
-            f.kill(i)
-        await f.gone()
+            cluster.kill(i)
+        await cluster.gone()
         for i in (1, 2):
-            f.again(i)
-            await f.runners[i].ready()
-        await has(lambda: held <= f.began(1, 2))
-        once(f, asked)
+            cluster.again(i)
+            await cluster.runners[i].ready()
+        await has(lambda: queued <= cluster.began(1, 2))
+        once(cluster, requests)
 
 
 @pytest.mark.processes
 @sockets
-async def test_a_keeper_whose_disk_is_full_has_no_vote_until_it_can_write_again() -> None:
-    # A vote that is given counts, however late a busy machine lets it come: only one that is never given must not.
-    async with fleet(3, work=0.02, journals=True, claim_ms=3_000) as f:
-
-        def limit(
-            i: int, most: int
-        ) -> None:  # a file may not grow past it: EFBIG, as a full disk says ENOSPC
-            resource.prlimit(f.runners[i].process.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
+async def test_an_acceptor_with_a_full_disk_does_not_vote_until_it_can_write_again() -> None:
+    """The disks of two of three members are full: no quorum is left, until one of them can write again."""
+    # The claim time is long: on a busy machine a vote may arrive late, and must count.
+    async with fleet(3, work=0.02, journals=True, claim_ms=3_000) as cluster:
+
+        def limit_file_size(i: int, most: int) -> None:
+            """Writes beyond this size fail with EFBIG, as those to a full disk with ENOSPC."""
+            resource.prlimit(
+                cluster.runners[i].process.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY)
+            )
 
         async def ask() -> bool:
-            t = token()
-            return served(t, await (await f.front(0)).ask("submit", token=t, body=t.encode()))
+            key = token()
+            return served(key, await (await cluster.front(0)).ask("submit", token=key, body=key.encode()))
 
         assert await ask()
-        limit(1, 10)
+        limit_file_size(1, 10)
         assert await ask() and await ask(), "two of three are a majority"
-        assert (await f.runners[1].counters())["fleet: the disk failed"] == 1
-        limit(2, 10)
+        assert (await cluster.runners[1].counters())["fleet: the disk failed"] == 1
+        limit_file_size(2, 10)
         assert not await ask()
         assert not await ask()
-        limit(1, resource.RLIM_INFINITY)
+        limit_file_size(1, resource.RLIM_INFINITY)
         await asyncio.sleep(0.1)
         for _ in range(50):
             if await ask():
@@ -538,19 +591,22 @@
 
 @pytest.mark.processes
 @sockets
-async def test_a_keeper_with_a_disk_votes_at_once_after_it_was_killed() -> None:
-    """Without one, two that forget within a window leave its keys without a majority."""
-    async with fleet(3, work=0.02, journals=True, window_ms=60_000) as f:
+async def test_an_acceptor_with_a_journal_votes_at_once_after_it_was_killed() -> None:
+    """Two of three members are killed and restarted.
+
+    Without journals both would have to recover, and the keys of the window would have no quorum.
+    """
+    async with fleet(3, work=0.02, journals=True, window_ms=60_000) as cluster:
         tokens = [token() for _ in range(5)]
-        assert all(served(t, a) for t, a in (await ask_again(f, 0, tokens)).items())
+        assert all(served(key, answer) for key, answer in (await ask_again(cluster, 0, tokens)).items())
         for i in (1, 2):
-            f.runners[i].process.kill()
+            cluster.runners[i].process.kill()
         for i in (1, 2):
-            f.runners[i].process.wait()
+            cluster.runners[i].process.wait()
         for i in (1, 2):
-            f.runners[i].again()
-            await f.runners[i].ready()
-            await remembers(f, i)
-        got = await ask_again(f, 1, tokens)
-        assert all(served(t, a) for t, a in got.items())
-        once(f, tokens)
+            cluster.runners[i].again()
+            await cluster.runners[i].ready()
+            await remembers(cluster, i)
+        answers = await ask_again(cluster, 1, tokens)
+        assert all(served(key, answer) for key, answer in answers.items())
+        once(cluster, tokens)
