--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,5 +1,4 @@
-"""Two processes of one runner, without sockets: the table of their lives, and that no key runs twice whatever comes
-in which order and whoever is killed when."""
+"""Hot restart without sockets: the states of one process, and the idempotency keys of both."""
 
 from __future__ import annotations
 
@@ -30,152 +29,212 @@
 
 from .test_core import World
 
-E, S, P = Event, State, Instruction
-
 # ---- the role of one process ----
 
 
-def after(*events: Event) -> tuple[State, list[Instruction]]:
-    role, steps = ProcessRole(), list[Instruction]()
+def state_after(*events: Event) -> tuple[State, list[Instruction]]:
+    """The state after these events, and all instructions on the way."""
+    role = ProcessRole()
+    steps: list[Instruction] = []
     for event in events:
         steps += role.handle(event)
     return role.state, steps
 
 
-TAKE_OVER = E.WELCOMED, E.KEYS_SYNCED, E.KERNEL_UP, E.LET_ON
+TAKE_OVER = Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.LET_ON
 
 
 @pytest.mark.parametrize(
-    "events, state, does, never",
+    "events, state, required, forbidden",
     [
-        ((E.NO_PEER,), S.SOLE, {P.LISTEN, P.PUBLISH_ADDRESS}, {P.DISTRUST_KEYS_FOR_A_WINDOW}),
-        ((E.PEER_DEAD,), S.SOLE, {P.LISTEN, P.DISTRUST_KEYS_FOR_A_WINDOW}, {P.TRUST_KEYS}),
+        (
+            (Event.NO_PEER,),
+            State.SOLE,
+            {Instruction.LISTEN, Instruction.PUBLISH_ADDRESS},
+            {Instruction.DISTRUST_KEYS_FOR_A_WINDOW},
+        ),
+        (
+            (Event.PEER_DEAD,),
+            State.SOLE,
+            {Instruction.LISTEN, Instruction.DISTRUST_KEYS_FOR_A_WINDOW},
+            {Instruction.TRUST_KEYS},
+        ),
         (
             TAKE_OVER,
-            S.SUCCESSOR,
-            {P.CLAIM_KEYS, P.SEND_READY, P.ADOPT_SOCKETS, P.PUBLISH_ADDRESS, P.TRUST_KEYS},
-            {P.LISTEN, P.DISTRUST_KEYS},
+            State.SUCCESSOR,
+            {
+                Instruction.CLAIM_KEYS,
+                Instruction.SEND_READY,
+                Instruction.ADOPT_SOCKETS,
+                Instruction.PUBLISH_ADDRESS,
+                Instruction.TRUST_KEYS,
+            },
+            {Instruction.LISTEN, Instruction.DISTRUST_KEYS},
+        ),
+        (
+            (Event.KERNEL_UP, Event.WELCOMED, Event.KEYS_SYNCED, Event.PEER_DIED),
+            State.SOLE,
+            {Instruction.TRUST_KEYS, Instruction.ADOPT_SOCKETS, Instruction.CLOSE_PEER_KEYS},
+            {Instruction.DISTRUST_KEYS_FOR_A_WINDOW},
+        ),
+        (
+            (Event.WELCOMED, Event.PEER_DIED),
+            State.SOLE,
+            {Instruction.DISTRUST_KEYS_FOR_A_WINDOW, Instruction.ADOPT_SOCKETS, Instruction.CLOSE_PEER_KEYS},
+            {Instruction.TRUST_KEYS},
+        ),
+        (
+            (Event.PEER_DIED, Event.PEER_DEAD),
+            State.SOLE,
+            {Instruction.DISTRUST_KEYS_FOR_A_WINDOW, Instruction.LISTEN},
+            {Instruction.TRUST_KEYS},
         ),
         (
-            (E.KERNEL_UP, E.WELCOMED, E.KEYS_SYNCED, E.PEER_DIED),
-            S.SOLE,
-            {P.TRUST_KEYS, P.ADOPT_SOCKETS, P.CLOSE_PEER_KEYS},
-            {P.DISTRUST_KEYS_FOR_A_WINDOW},
+            (Event.WELCOMED, Event.PEER_LEFT),
+            State.DISCOVERING,
+            {Instruction.DISCARD_PEER_KEYS, Instruction.DISCOVER},
+            {Instruction.LISTEN, Instruction.CLOSE_PEER_KEYS},
         ),
         (
-            (E.WELCOMED, E.PEER_DIED),
-            S.SOLE,
-            {P.DISTRUST_KEYS_FOR_A_WINDOW, P.ADOPT_SOCKETS, P.CLOSE_PEER_KEYS},
-            {P.TRUST_KEYS},
+            (*TAKE_OVER, Event.PEER_DIED),
+            State.SOLE,
+            {Instruction.CLOSE_PEER_KEYS},
+            {Instruction.LISTEN, Instruction.DISTRUST_KEYS},
         ),
-        ((E.PEER_DIED, E.PEER_DEAD), S.SOLE, {P.DISTRUST_KEYS_FOR_A_WINDOW, P.LISTEN}, {P.TRUST_KEYS}),
         (
-            (E.WELCOMED, E.PEER_LEFT),
-            S.DISCOVERING,
-            {P.DISCARD_PEER_KEYS, P.DISCOVER},
-            {P.LISTEN, P.CLOSE_PEER_KEYS},
+            (Event.TIMEOUT,),
+            State.SERVING_WITHOUT_KEYS,
+            {Instruction.DISTRUST_KEYS, Instruction.LISTEN},
+            {Instruction.PUBLISH_ADDRESS, Instruction.TRUST_KEYS},
         ),
-        ((*TAKE_OVER, E.PEER_DIED), S.SOLE, {P.CLOSE_PEER_KEYS}, {P.LISTEN, P.DISTRUST_KEYS}),
         (
-            (E.TIMEOUT,),
-            S.SERVING_WITHOUT_KEYS,
-            {P.DISTRUST_KEYS, P.LISTEN},
-            {P.PUBLISH_ADDRESS, P.TRUST_KEYS},
+            (Event.TIMEOUT, Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.LET_ON),
+            State.SUCCESSOR,
+            {Instruction.SEND_READY, Instruction.TRUST_KEYS, Instruction.PUBLISH_ADDRESS},
+            {Instruction.ADOPT_SOCKETS},
         ),
         (
-            (E.TIMEOUT, E.WELCOMED, E.KEYS_SYNCED, E.KERNEL_UP, E.LET_ON),
-            S.SUCCESSOR,
-            {P.SEND_READY, P.TRUST_KEYS, P.PUBLISH_ADDRESS},
-            {P.ADOPT_SOCKETS},
+            (Event.TIMEOUT, Event.PEER_DIED, Event.NO_PEER),
+            State.SOLE,
+            {Instruction.DISTRUST_KEYS_FOR_A_WINDOW, Instruction.PUBLISH_ADDRESS},
+            {Instruction.TRUST_KEYS},
         ),
+        ((Event.PEER_BUSY, Event.PEER_BUSY), State.DISCOVERING, {Instruction.DISCOVER}, {Instruction.LISTEN}),
+        ((*TAKE_OVER, Event.NEWCOMER), State.SUCCESSOR, {Instruction.SEND_BUSY}, {Instruction.SEND_WELCOME}),
         (
-            (E.TIMEOUT, E.PEER_DIED, E.NO_PEER),
-            S.SOLE,
-            {P.DISTRUST_KEYS_FOR_A_WINDOW, P.PUBLISH_ADDRESS},
-            {P.TRUST_KEYS},
+            (*TAKE_OVER, Event.PEER_DIED, Event.NEWCOMER),
+            State.HANDING_OVER,
+            {Instruction.SEND_WELCOME},
+            {Instruction.SEND_BUSY},
         ),
-        ((E.PEER_BUSY, E.PEER_BUSY), S.DISCOVERING, {P.DISCOVER}, {P.LISTEN}),
-        ((*TAKE_OVER, E.NEWCOMER), S.SUCCESSOR, {P.SEND_BUSY}, {P.SEND_WELCOME}),
-        ((*TAKE_OVER, E.PEER_DIED, E.NEWCOMER), S.HANDING_OVER, {P.SEND_WELCOME}, {P.SEND_BUSY}),
         (
-            (E.NO_PEER, E.NEWCOMER, E.PEER_DIED),
-            S.SOLE,
-            {P.DISCARD_PEER_KEYS},
-            {P.STOP_ACCEPTING, P.RESUME_ACCEPTING},
+            (Event.NO_PEER, Event.NEWCOMER, Event.PEER_DIED),
+            State.SOLE,
+            {Instruction.DISCARD_PEER_KEYS},
+            {Instruction.STOP_ACCEPTING, Instruction.RESUME_ACCEPTING},
         ),
-        ((E.NO_PEER, E.NEWCOMER, E.TIMEOUT), S.SOLE, {P.DISCONNECT, P.DISCARD_PEER_KEYS}, {P.STOP_ACCEPTING}),
-        ((E.NO_PEER, E.NEWCOMER, E.SIGTERM), S.HANDING_OVER, {P.DRAIN}, {P.FINISH}),
-        ((E.NO_PEER, E.NEWCOMER, E.NEWCOMER_READY), S.REPLACED, {P.STOP_ACCEPTING, P.LET_ON}, {P.DRAIN}),
-        ((E.NO_PEER, E.NEWCOMER, E.NEWCOMER_READY, E.SIGTERM), S.REPLACED, {P.FINISH}, {P.DRAIN}),
         (
-            (E.NO_PEER, E.NEWCOMER, E.NEWCOMER_READY, E.PEER_DIED),
-            S.SOLE,
-            {P.CLOSE_PEER_KEYS, P.RESUME_ACCEPTING, P.PUBLISH_ADDRESS},
-            {P.DRAIN},
+            (Event.NO_PEER, Event.NEWCOMER, Event.TIMEOUT),
+            State.SOLE,
+            {Instruction.DISCONNECT, Instruction.DISCARD_PEER_KEYS},
+            {Instruction.STOP_ACCEPTING},
         ),
-        ((E.NO_PEER, E.SIGTERM), S.SOLE, {P.DRAIN}, {P.FINISH}),
-        # Told to leave, it must not have the other one stop accepting for it.
         (
-            (E.TIMEOUT, E.WELCOMED, E.KEYS_SYNCED, E.SIGTERM, E.KERNEL_UP),
-            S.SERVING_WITHOUT_KEYS,
-            {P.DISCONNECT, P.DRAIN},
-            {P.SEND_READY},
+            (Event.NO_PEER, Event.NEWCOMER, Event.SIGTERM),
+            State.HANDING_OVER,
+            {Instruction.DRAIN},
+            {Instruction.FINISH},
+        ),
+        (
+            (Event.NO_PEER, Event.NEWCOMER, Event.NEWCOMER_READY),
+            State.REPLACED,
+            {Instruction.STOP_ACCEPTING, Instruction.LET_ON},
+            {Instruction.DRAIN},
+        ),
+        (
+            (Event.NO_PEER, Event.NEWCOMER, Event.NEWCOMER_READY, Event.SIGTERM),
+            State.REPLACED,
+            {Instruction.FINISH},
+            {Instruction.DRAIN},
+        ),
+        (
+            (Event.NO_PEER, Event.NEWCOMER, Event.NEWCOMER_READY, Event.PEER_DIED),
+            State.SOLE,
+            {Instruction.CLOSE_PEER_KEYS, Instruction.RESUME_ACCEPTING, Instruction.PUBLISH_ADDRESS},
+            {Instruction.DRAIN},
+        ),
+        ((Event.NO_PEER, Event.SIGTERM), State.SOLE, {Instruction.DRAIN}, {Instruction.FINISH}),
+        # A process that drains must not let its peer stop accepting.
+        (
+            (Event.TIMEOUT, Event.WELCOMED, Event.KEYS_SYNCED, Event.SIGTERM, Event.KERNEL_UP),
+            State.SERVING_WITHOUT_KEYS,
+            {Instruction.DISCONNECT, Instruction.DRAIN},
+            {Instruction.SEND_READY},
         ),
     ],
 )
-def test_each_course_has_its_stated_outcome(
-    events: tuple[Event, ...], state: State, does: set[Instruction], never: set[Instruction]
+def test_each_sequence_of_events_leads_to_its_state_and_instructions(
+    events: tuple[Event, ...], state: State, required: set[Instruction], forbidden: set[Instruction]
 ) -> None:
-    got, steps = after(*events)
-    assert got is state and does <= set(steps) and not never & set(steps)
+    final_state, steps = state_after(*events)
+    assert final_state is state and required <= set(steps) and not forbidden & set(steps)
 
 
-def test_no_wait_is_without_an_end_and_no_end_keeps_the_yes_back_for_six_seconds() -> None:
-    assert all((state, E.TIMEOUT) in TRANSITIONS for state in TIMEOUTS_MS)
+def test_each_wait_has_a_timeout_and_all_together_are_shorter_than_the_startup_time() -> None:
+    """A peer that hangs must not keep a new process from answering its first health check in time."""
+    assert all((state, Event.TIMEOUT) in TRANSITIONS for state in TIMEOUTS_MS)
     assert sum(TIMEOUTS_MS.values()) < 5_000
-    assert all((state, E.SIGTERM) in TRANSITIONS for state in State)
-    linked = set(State) - {S.SOLE}
+    assert all((state, Event.SIGTERM) in TRANSITIONS for state in State)
+    states_with_a_peer = set(State) - {State.SOLE}
     assert all(
-        (state, E.PEER_DIED) in TRANSITIONS and (state, E.PEER_LEFT) in TRANSITIONS for state in linked
+        (state, Event.PEER_DIED) in TRANSITIONS and (state, Event.PEER_LEFT) in TRANSITIONS
+        for state in states_with_a_peer
     )
 
 
-def test_nobody_runs_keys_before_the_other_one_has_let_go() -> None:
-    """Over every course of six events: a new process that serves keyed classes has heard GO, or that the other one is
-    dead or was never there."""
-    frontier: set[tuple[State, bool, bool]] = {(S.DISCOVERING, False, False)}  # state, serves, may be sure
+def test_a_new_process_runs_no_new_keys_before_the_handover() -> None:
+    """In each reachable state: a process that runs new keys has been let on, or has no live peer."""
+    frontier: set[tuple[State, bool, bool]] = {
+        (State.DISCOVERING, False, False)
+    }  # state, is serving, distrusts keys
     seen = set(frontier)
     while frontier:
         reached = set()
-        for state, serves, was in frontier:
+        for state, is_serving, distrusted in frontier:
             for event in Event:
-                role, unsure = ProcessRole(), was
+                role = ProcessRole()
+                distrusts_keys = distrusted
                 role.state = state
                 steps = role.handle(event)
-                now = serves or P.LISTEN in steps or P.ADOPT_SOCKETS in steps
+                serves_now = is_serving or Instruction.LISTEN in steps or Instruction.ADOPT_SOCKETS in steps
                 for step in steps:
-                    if step in (P.DISTRUST_KEYS, P.DISTRUST_KEYS_FOR_A_WINDOW):
-                        unsure = True
-                    elif step is P.TRUST_KEYS:
-                        unsure = False
-                if role.state in (S.DISCOVERING, S.SYNCING_KEYS, S.AWAITING_KERNEL, S.REQUESTING_HANDOVER):
-                    assert not now
-                if role.state is S.SERVING_WITHOUT_KEYS:
-                    assert unsure
-                reached.add((role.state, now, unsure))
+                    if step in (Instruction.DISTRUST_KEYS, Instruction.DISTRUST_KEYS_FOR_A_WINDOW):
+                        distrusts_keys = True
+                    elif step is Instruction.TRUST_KEYS:
+                        distrusts_keys = False
+                if role.state in (
+                    State.DISCOVERING,
+                    State.SYNCING_KEYS,
+                    State.AWAITING_KERNEL,
+                    State.REQUESTING_HANDOVER,
+                ):
+                    assert not serves_now
+                if role.state is State.SERVING_WITHOUT_KEYS:
+                    assert distrusts_keys
+                reached.add((role.state, serves_now, distrusts_keys))
         frontier = reached - seen
         seen |= reached
 
 
-def test_a_process_that_has_no_room_beside_the_other_does_not_begin() -> None:
+def test_a_process_without_enough_memory_beside_its_peer_does_not_start() -> None:
     assert fits_beside(80, 28.0) and fits_beside(32, 0.0)
     assert not fits_beside(32, 22.0) and not fits_beside(40, 22.0)
 
 
-def test_processes_of_one_runner_meet_and_others_do_not() -> None:
-    here = rendezvous_path("/tmp/", "n1", ("127.0.0.1", 1))
-    assert here == rendezvous_path("/tmp", "n1", ("127.0.0.1", 1))
-    assert here not in (
+def test_only_processes_of_the_same_runner_share_a_rendezvous_path() -> None:
+    path = rendezvous_path("/tmp/", "n1", ("127.0.0.1", 1))
+    assert path == rendezvous_path("/tmp", "n1", ("127.0.0.1", 1))
+    assert path not in (
         rendezvous_path("/tmp", "n2", ("127.0.0.1", 1)),
         rendezvous_path("/tmp", "n1", ("127.0.0.1", 2)),
         None,
@@ -186,117 +245,133 @@
 # ---- keys ----
 
 
-class Pair:
-    """Two cores, and what each has said that the other one has not read. The second is the successor."""
+class ProcessPair:
+    """The cores of two processes, and the messages sent by each that its peer has not read.
+
+    The second one is the successor.
+    """
 
     def __init__(self) -> None:
-        self.both = World(), World()
-        self.said: tuple[deque[Any], deque[Any]] = deque(), deque()
+        self.worlds = (World(), World())
+        self.unread: tuple[deque[Any], deque[Any]] = (deque(), deque())
         self.dead: set[int] = set()
-        for i, world in enumerate(self.both):
-            world.core.key_claims.peer, world.core.key_claims.is_successor = Said(self.said[i]), i == 1
+        for i, world in enumerate(self.worlds):
+            world.core.key_claims.peer = SentMessages(self.unread[i])
+            world.core.key_claims.is_successor = i == 1
 
-    def read(self, by: int, most: int = 1_000) -> None:
-        """What the other one has said."""
-        claims: Any = self.both[by].core.key_claims
+    def read(self, reader: int, max_messages: int = 1_000) -> None:
+        """Let this process read what its peer has sent."""
+        claims: Any = self.worlds[reader].core.key_claims
         names = {
             "claim": "peer_claims",
             "key_released": "peer_released_key",
             "key_finished": "peer_finished_key",
         }
-        while self.said[1 - by] and most:
-            kind, args = self.said[1 - by].popleft()
+        while self.unread[1 - reader] and max_messages:
+            kind, args = self.unread[1 - reader].popleft()
             getattr(claims, names.get(kind, kind))(*args)
-            most -= 1
-        self.both[by].turn()
+            max_messages -= 1
+        self.worlds[reader].turn()
 
     def settle(self) -> None:
+        """Let both processes read and act until nothing is left to read."""
         for _ in range(4):
             for i in (0, 1):
                 if i not in self.dead:
-                    self.both[i].turn()
+                    self.worlds[i].turn()
                     self.read(i)
 
     def kill(self, which: int) -> None:
-        """What it said before reaches the other one, as over a socket; nothing more."""
+        """Kill a process: what it sent before still reaches its peer, as over a socket."""
         self.dead.add(which)
         self.read(1 - which)
-        self.both[1 - which].core.key_claims.peer_disconnected(died=True)
-        self.both[1 - which].turn()
+        self.worlds[1 - which].core.key_claims.peer_disconnected(died=True)
+        self.worlds[1 - which].turn()
 
     def runs(self) -> Counter[str]:
-        return Counter(str(rid).partition("-")[0] for world in self.both for rid in world.runs())
+        """How often each key ran, in both processes together."""
+        return Counter(str(rid).partition("-")[0] for world in self.worlds for rid in world.runs())
 
 
-class Said:
-    def __init__(self, said: deque[Any]) -> None:
-        self._said = said
+class SentMessages:
+    """Stands for the peer: each call on it is a message sent."""
+
+    def __init__(self, unread: deque[Any]) -> None:
+        self._unread = unread
 
     def __getattr__(self, kind: str) -> Callable[..., None]:
-        return lambda *args: self._said.append((kind, args))
+        return lambda *args: self._unread.append((kind, args))
 
 
-def test_a_run_waits_for_the_other_process_and_a_repeat_there_gets_its_result() -> None:
-    p = Pair()
-    old, new = p.both
+def test_a_keyed_run_waits_for_the_peers_claim_and_a_retry_there_gets_its_result() -> None:
+    """A keyed request runs in one process while its retry arrives at the other."""
+    pair = ProcessPair()
+    old, new = pair.worlds
     old.take("k-1", 1, token="k")
     old.turn()
     assert not old.runs()
-    p.settle()
+    pair.settle()
     assert old.runs() == ["k-1"]
     new.take("k-2", 2, token="k")
-    p.settle()
+    pair.settle()
     assert not new.runs() and not new.answers
     old.core.execution.run_ended("k-1", EndReason.RUN_SUCCEEDED, b"did")
-    p.settle()
+    pair.settle()
     assert new.verdicts() == [(2, Verdict.SERVED)] and new.answers[0][1].content == b"did"
-    new.take("k-3", 3, token="k")  # over by now, and known here
-    p.settle()
-    assert new.verdicts()[1] == (3, Verdict.SERVED) and p.runs() == {"k": 1}
+    new.take("k-3", 3, token="k")  # it has finished by now, and is known here
+    pair.settle()
+    assert new.verdicts()[1] == (3, Verdict.SERVED) and pair.runs() == {"k": 1}
 
 
-def test_tries_that_reach_both_in_one_moment_run_once_and_both_are_served() -> None:
-    p = Pair()
-    old, new = p.both
+def test_simultaneous_attempts_at_both_processes_run_once_and_both_are_served() -> None:
+    """Two attempts with one key reach both processes at once: one of them runs, both get its result."""
+    pair = ProcessPair()
+    old, new = pair.worlds
     old.take("k-1", 1, token="k")
     new.take("k-2", 2, token="k")
-    p.settle()
-    assert p.runs() == {"k": 1} and new.runs() == ["k-2"]
+    pair.settle()
+    assert pair.runs() == {"k": 1} and new.runs() == ["k-2"]
     new.core.execution.run_ended("k-2", EndReason.RUN_SUCCEEDED, b"did")
-    p.settle()
+    pair.settle()
     assert old.verdicts() == [(1, Verdict.SERVED)] and new.verdicts() == [(2, Verdict.SERVED)]
 
 
-def test_a_key_whose_first_try_never_ran_is_free_again_and_who_waited_has_a_true_ending() -> None:
-    p = Pair()
-    old, new = p.both
+def test_a_key_whose_attempt_was_cancelled_before_it_ran_is_released_in_both_processes() -> None:
+    """A client disconnects before its request ran, while an attempt at the peer waits for it.
+
+    The one that waited fails or runs, and a later attempt runs.
+    """
+    pair = ProcessPair()
+    old, new = pair.worlds
     first = old.take("k-1", 1, token="k")
     second = new.take("k-2", 2, token="k")
     new.core.caller_disconnected(second)
-    p.settle()
-    assert not p.runs() and old.verdicts() == [(1, Verdict.FAILED)]  # it waited for what never ran
+    pair.settle()
+    # It waited for a run that never started.
+    assert not pair.runs() and old.verdicts() == [(1, Verdict.FAILED)]
     old.take("k-3", 3, token="k")
-    p.settle()
+    pair.settle()
     assert old.runs() == ["k-3"]
-    p = Pair()
-    old, new = p.both
+    pair = ProcessPair()
+    old, new = pair.worlds
     first = old.take("k-1", 1, token="k")
     new.take("k-2", 2, token="k")
-    p.read(1)  # the successor goes first: it hears the claim of the other, and keeps its own
-    p.read(0)
+    pair.read(1)  # the successor has precedence: it reads the claim of its peer, and keeps its own
+    pair.read(0)
     old.core.caller_disconnected(first)
-    p.settle()
+    pair.settle()
     assert new.runs() == ["k-2"]
 
 
-def test_what_a_dead_process_left_open_never_runs_in_its_window_and_does_after_it() -> None:
-    p = Pair()
-    old, new = p.both
+def test_open_keys_of_a_dead_process_do_not_run_within_their_window_and_run_after_it() -> None:
+    """A process is killed during a keyed run: nobody knows whether it had an effect."""
+    pair = ProcessPair()
+    old, new = pair.worlds
     old.take("k-1", 1, token="k")
-    p.settle()
+    pair.settle()
     new.take("k-2", 2, token="k")
-    p.settle()
-    p.kill(0)
+    pair.settle()
+    pair.kill(0)
     assert new.verdicts() == [(2, Verdict.FAILED)]
     new.take("k-3", 3, token="k")
     new.turn()
@@ -307,39 +382,42 @@
     assert new.runs() == ["k-4"]
 
 
-def give_up(world: World) -> bool:
+def disconnect_peer(world: World) -> bool:
+    """Give the peer up, as a process does whose peer does not respond before the handover."""
     world.core.key_claims.peer_disconnected(died=False)
     return True
 
 
-def test_a_silent_process_costs_a_refusal_after_go_and_nothing_before() -> None:
-    for before_go in (False, True):
-        p = Pair()
-        old = p.both[0]
-        if before_go:
-            old.core.key_claims.peer_unresponsive = partial(give_up, old)
+def test_a_silent_peer_causes_a_rejection_after_the_handover_and_none_before() -> None:
+    """The peer hangs while a key is being claimed with it."""
+    for before_handover in (False, True):
+        pair = ProcessPair()
+        old = pair.worlds[0]
+        if before_handover:
+            old.core.key_claims.peer_unresponsive = partial(disconnect_peer, old)
         old.take("k-1", 1, token="k")
         old.wait(CLAIM_TIMEOUT / MS + 10)
-        assert old.runs() == (["k-1"] if before_go else [])
-        assert old.verdicts() == ([] if before_go else [(1, Verdict.REJECTED)])
-        p.settle()  # an answer that comes late changes nothing
-        assert len(old.runs()) == before_go
+        assert old.runs() == (["k-1"] if before_handover else [])
+        assert old.verdicts() == ([] if before_handover else [(1, Verdict.REJECTED)])
+        pair.settle()  # a late answer changes nothing
+        assert len(old.runs()) == before_handover
 
 
-def test_another_body_under_a_key_of_the_other_process_is_turned_away() -> None:
-    p = Pair()
-    old, new = p.both
+def test_a_different_body_under_a_key_of_the_peer_is_rejected() -> None:
+    pair = ProcessPair()
+    old, new = pair.worlds
     old.take("k-1", 1, token="k")
     new.core.submit(Arrival("k-2", "write", b"other", token="k", memory_kb=10.0), new, 2)
-    p.settle()  # both in one moment: the successor's goes first
-    assert old.verdicts() == [(1, Verdict.REJECTED)] and p.runs() == {"k": 1}
+    pair.settle()  # both at once: the successor has precedence
+    assert old.verdicts() == [(1, Verdict.REJECTED)] and pair.runs() == {"k": 1}
     assert (
         old.core.submit(Arrival("k-3", "write", b"x", token="k", memory_kb=10.0), old, 3)
         is InvalidArrival.BODY_MISMATCH
     )
 
 
-def test_keys_taken_over_stand_for_what_ran_and_unsure_ones_are_turned_away() -> None:
+def test_keys_of_a_snapshot_do_not_run_again_and_uncertain_ones_are_rejected() -> None:
+    """A new process takes over the keys of the old one, which dies with one of them running."""
     old, new = World(), World()
     for i, rid in enumerate(("k-1", "m-1")):
         old.take(rid, i, token=rid[0])
@@ -367,29 +445,32 @@
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_no_key_runs_twice_whatever_the_order_and_whoever_is_killed(seed: int) -> None:
-    r = random.Random(seed)
-    p, tries = Pair(), 0
+def test_no_key_runs_twice_in_any_order_of_messages_and_kills(seed: int) -> None:
+    """Requests, messages, ends of runs and one kill in an order drawn from a seed."""
+    rng = random.Random(seed)
+    pair = ProcessPair()
+    attempts = 0
     for _ in range(60):
-        i = r.choice([n for n in (0, 1) if n not in p.dead])
-        world = p.both[i]
-        what = r.random()
-        if what < 0.35:
-            tries, key = tries + 1, r.choice("abc")
-            world.take(f"{key}-{tries}", tries, token=key)
-        elif what < 0.7:
-            p.read(i, 0 if p.dead else r.randint(1, 3))
-        elif what < 0.85 and world.runs():
-            rid = str(r.choice(world.runs()))
+        i = rng.choice([process for process in (0, 1) if process not in pair.dead])
+        world = pair.worlds[i]
+        choice = rng.random()
+        if choice < 0.35:
+            attempts += 1
+            key = rng.choice("abc")
+            world.take(f"{key}-{attempts}", attempts, token=key)
+        elif choice < 0.7:
+            pair.read(i, 0 if pair.dead else rng.randint(1, 3))
+        elif choice < 0.85 and world.runs():
+            rid = str(rng.choice(world.runs()))
             world.core.execution.run_ended(
-                rid, r.choice([EndReason.RUN_SUCCEEDED, EndReason.RUN_FAILED]), b"did"
+                rid, rng.choice([EndReason.RUN_SUCCEEDED, EndReason.RUN_FAILED]), b"did"
             )
-        elif what < 0.95:
+        elif choice < 0.95:
             world.turn()
-        elif what > 0.985 and not p.dead:
-            p.kill(i)
-    if not p.dead:
-        p.settle()
-    assert all(count == 1 for count in p.runs().values()), p.runs()
-    for world in p.both:  # one answer at most to each
+        elif choice > 0.985 and not pair.dead:
+            pair.kill(i)
+    if not pair.dead:
+        pair.settle()
+    assert all(count == 1 for count in pair.runs().values()), pair.runs()
+    for world in pair.worlds:  # at most one answer to each request
         assert max(Counter(tag for tag, _ in world.answers).values(), default=1) == 1
