--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -194,9 +194,8 @@
 
 def test_a_new_process_runs_no_new_keys_before_the_handover() -> None:
     """In each reachable state: a process that runs new keys has been let on, or has no live peer."""
-    frontier: set[tuple[State, bool, bool]] = {
-        (State.DISCOVERING, False, False)
-    }  # state, is serving, distrusts keys
+    # State, is serving, distrusts keys.
+    frontier: set[tuple[State, bool, bool]] = {(State.DISCOVERING, False, False)}
     seen = set(frontier)
     while frontier:
         reached = set()
