--- a/moorusher/cli/maintenance.py
+++ b/moorusher/cli/maintenance_mode.py
@@ -1,4 +1,4 @@
-"""Commands on a runner's maintenance mode."""
+"""Commands on a runner's maintenance mode, in which balancers send it nothing new: `moorusher maintenance`."""
 
 from __future__ import annotations
 
--- a/moorusher/cli/outage.py
+++ b/moorusher/cli/planned_maintenance.py
@@ -1,4 +1,4 @@
-"""Commands on planned maintenance of machines."""
+"""Commands on planned maintenance of machines: `moorusher outage`. The balancers' mode is in `maintenance_mode`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 
 from ..server.main import REFUSED
 from .api_client import ApiClient, with_api
-from .maintenance_wait import (
+from .options import json_option
+from .output import CommandError, print_result
+from .planned_maintenance_wait import (
     OUT_OF_TIME,
     STOPPED,
     WITHDRAWN,
@@ -22,8 +24,6 @@
     exit_code_of,
     stop_signals,
 )
-from .options import json_option
-from .output import CommandError, print_result
 from .time_values import Duration, Moment, duration_text
 
 ANSWER_TIMEOUT_S = 6.0
--- a/moorusher/cli/root.py
+++ b/moorusher/cli/root.py
@@ -14,11 +14,11 @@
 from .fleet import fleet
 from .forecast import forecast
 from .laboratory import lab
-from .maintenance import maintenance
+from .maintenance_mode import maintenance
 from .namespace import namespace
 from .options import json_option, operator_file_option
-from .outage import outage
 from .output import print_result
+from .planned_maintenance import outage
 from .runner import drain, standing, stats
 from .servers import knowledge, servers
 
