--- a/moorusher/cli/api_client.py
+++ b/moorusher/cli/api_client.py
@@ -23,6 +23,20 @@
 TIMEOUT_S = 5.0
 
 
+class ApiError(CommandError):
+    """A runner's answer to a request that it refuses.
+
+    Attributes:
+        status: of HTTP.
+        kind: of the error, as in `moorusher.errors`; "" where the answer names none.
+    """
+
+    def __init__(self, text: str, status: int, kind: str) -> None:
+        super().__init__(text, REFUSED)
+        self.status = status
+        self.kind = kind
+
+
 @dataclass(frozen=True, slots=True)
 class ApiClient:
     """A runner's administration API.
@@ -41,7 +55,8 @@
         """Send `body` as JSON, nothing where it is None, and return the answer's JSON.
 
         :param accepted_statuses: those besides 2xx whose JSON is returned, too.
-        :raises CommandError: the runner can't be reached, or refuses.
+        :raises ApiError: the runner refuses.
+        :raises CommandError: the runner can't be reached; `exit_code` is `UNREACHED`.
         """
         content = None if body is None else json.dumps(body).encode()
         return self.send(method, path, content, TIMEOUT_S, accepted_statuses)
@@ -64,20 +79,35 @@
         except HTTPError as exc:
             if exc.code in accepted_statuses:
                 return json.load(exc)
-            text = f"{self.host}:{self.port}: {exc.code}: {_refusal_text(exc)}"
-            raise CommandError(text, REFUSED) from exc
+            raise self._refused(exc) from exc
         except (OSError, ValueError) as exc:
             raise CommandError(f"{self.host}:{self.port}: {exc}", UNREACHED) from exc
 
+    def _refused(self, response: HTTPError) -> ApiError:
+        refusal = _refusal_of(response)
+        kind = refusal.get("kind")
+        return ApiError(
+            f"{self.host}:{self.port}: {response.code}: {_refusal_text(refusal, response.reason)}",
+            response.code,
+            kind if isinstance(kind, str) else "",
+        )
+
 
-def _refusal_text(response: HTTPError) -> str:
-    """Return the error and its remedy, or the reason of the status where the answer has none."""
+def _refusal_of(response: HTTPError) -> dict[str, Any]:
+    """Return the JSON object of an answer; {} where it is none."""
     try:
         refusal = json.load(response)
-        text = refusal["error"]
-        return str(text + (f"\n{refusal['remedy']}" if refusal.get("remedy") else ""))
-    except (ValueError, KeyError, TypeError):
-        return str(response.reason)
+    except ValueError:
+        return {}
+    return refusal if isinstance(refusal, dict) else {}
+
+
+def _refusal_text(refusal: dict[str, Any], default: str) -> str:
+    """Return the error and its remedy; `default` where the answer has no error."""
+    error, remedy = refusal.get("error"), refusal.get("remedy")
+    if not isinstance(error, str):
+        return default
+    return f"{error}\n{remedy}" if remedy else error
 
 
 def path_segment(name: str) -> str:
--- a/moorusher/cli/planned_maintenance.py
+++ b/moorusher/cli/planned_maintenance.py
@@ -194,7 +194,8 @@
             slot_wait.submit(request)
             answer = slot_wait.wait()
     except Stopped:
-        raise SystemExit(slot_wait.withdraw(STOPPED)) from None
+        slot_wait.withdraw().print_warning()
+        raise SystemExit(STOPPED) from None
     note = f": {answer['note']}" if answer["note"] else ""
     print_result(answer, as_json, f"{answer['seat']}: {answer['word']}{note}")
     raise SystemExit(exit_code_of(answer))
--- a/moorusher/cli/planned_maintenance_wait.py
+++ b/moorusher/cli/planned_maintenance_wait.py
@@ -11,17 +11,26 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, auto
 from typing import Any
 
 import click
 
+from ..maintenance.errors import AlreadyClearedError
 from ..server.main import OK, REFUSED, UNREACHED
+from .api_client import ApiError
 from .output import CommandError
 
 WITHDRAWN, OUT_OF_TIME, STOPPED = 5, 6, 130  # exit codes
 MAX_POLL_S, MIN_POLL_S = 20.0, 0.1
 RETRY_PAUSE_S = 0.5
+SERVICE_UNAVAILABLE = 503  # HTTP: the runner, or a majority of the fleet, may be there soon
+# Fallback for an answer without a `kind`. Runners name one; stand-ins that were written against the text, as in
+# tests/compatibility, don't.
+ALREADY_CLEARED_TEXT = "told to go already"
+UNREACHABLE_WARNING = (
+    "the runner is not there to hear that it is withdrawn; where nobody asks again it takes it back by itself"
+)
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)  # the last: the terminal is gone
 
 PostCallback = Callable[..., Any]  # posts keyword arguments as JSON to a path below /outage
@@ -36,6 +45,32 @@
     OUT_OF_TIME = "out of time"
 
 
+class WithdrawStatus(Enum):
+    """What became of a withdrawal."""
+
+    WITHDRAWN = auto()
+    ALREADY_CLEARED = auto()  # the slot was granted before: it can't be revoked
+    UNREACHABLE = auto()  # the runner, which withdraws it by itself where nobody waits for it
+    REJECTED = auto()  # for another reason: there is no such request any more
+
+
+@dataclass(frozen=True, slots=True)
+class WithdrawResult:
+    """The result of a withdrawal.
+
+    status: what became of it.
+    warning: what whoever stops the command should read; "" for nothing.
+    """
+
+    status: WithdrawStatus
+    warning: str = ""
+
+    def print_warning(self) -> None:
+        """Print the warning, if there is one, on standard error."""
+        if self.warning:
+            click.echo(f"moorusher: {self.warning}", err=True)
+
+
 EXIT_CODES = {
     Outcome.GRANTED.value: OK,
     Outcome.WITHDRAWN.value: WITHDRAWN,
@@ -68,6 +103,22 @@
     return EXIT_CODES.get(answer["word"], REFUSED)
 
 
+def _is_transient(error: CommandError) -> bool:
+    """Whether the same request may succeed soon."""
+    if isinstance(error, ApiError):
+        return error.status == SERVICE_UNAVAILABLE
+    return error.exit_code == UNREACHED
+
+
+def _is_already_cleared(error: CommandError) -> bool:
+    """Whether the machine was told that it may go, so that its slot can't be revoked."""
+    if not isinstance(error, ApiError):
+        return False
+    if error.kind:
+        return error.kind == AlreadyClearedError.kind
+    return ALREADY_CLEARED_TEXT in error.message
+
+
 @dataclass(frozen=True, slots=True)
 class MaintenanceWait:
     """One machine's request for maintenance, and the wait for its slot.
@@ -94,8 +145,7 @@
                 self.post("ask", **request)
                 return
             except CommandError as exc:
-                is_transient = exc.exit_code == UNREACHED or " 503: " in exc.message
-                if not is_transient or time.monotonic() >= self.deadline_s:
+                if not _is_transient(exc) or time.monotonic() >= self.deadline_s:
                     raise
                 time.sleep(RETRY_PAUSE_S)
 
@@ -115,24 +165,26 @@
                 continue
             if answer["word"] != STILL_WAITING:
                 return answer
-        outcome = Outcome.GRANTED if self.withdraw(OUT_OF_TIME) == OK else Outcome.OUT_OF_TIME
+        return self._out_of_time()
+
+    def _out_of_time(self) -> dict[str, Any]:
+        """Withdraw the request, and return the answer to the wait: granted where it was granted before that."""
+        result = self.withdraw()
+        outcome = Outcome.OUT_OF_TIME
+        if result.status is WithdrawStatus.ALREADY_CLEARED:
+            outcome = Outcome.GRANTED
+        else:
+            result.print_warning()
         return {"seat": self.seat or "this machine", "word": outcome.value, "note": ""}
 
-    def withdraw(self, exit_code: int) -> int:
-        """Withdraw the request, and return `exit_code`; 0 where it is out of time, and the slot was granted before it
-        could be withdrawn.
-        """
+    def withdraw(self) -> WithdrawResult:
+        """Withdraw the request."""
         try:
             self.post("cancel", id=self.request_id, seats=[], by=self.author)
         except CommandError as exc:
-            if "told to go already" in exc.message:
-                if exit_code == OUT_OF_TIME:
-                    return OK
-                click.echo(f"moorusher: {exc.message}", err=True)
-            elif exc.exit_code == UNREACHED:
-                click.echo(
-                    "moorusher: the runner is not there to hear that it is withdrawn; where nobody asks again "
-                    "it takes it back by itself",
-                    err=True,
-                )
-        return exit_code
+            if _is_already_cleared(exc):
+                return WithdrawResult(WithdrawStatus.ALREADY_CLEARED, exc.message)
+            if exc.exit_code == UNREACHED:
+                return WithdrawResult(WithdrawStatus.UNREACHABLE, UNREACHABLE_WARNING)
+            return WithdrawResult(WithdrawStatus.REJECTED)
+        return WithdrawResult(WithdrawStatus.WITHDRAWN)
--- a/tests/compatibility/test_command_texts.py
+++ b/tests/compatibility/test_command_texts.py
@@ -420,3 +420,37 @@
         "outage ask n1 --wait --timeout 1s", *[refusal(503, "no majority")] * 3
     )
     assert_golden("commands_waiting", told)
+
+
+OUT_OF_TIME_CODE, STOPPED_CODE = 6, 130
+KINDS: dict[str, tuple[int, tuple[Any, ...], list[str]]] = {
+    "TooLate": (0, ({}, WAITS, WAITS), []),
+    "NoSuchAsk": (OUT_OF_TIME_CODE, ({}, WAITS, WAITS), []),
+    "TooLate, as it is stopped": (
+        STOPPED_CODE,
+        ({}, signalled),
+        ["moorusher: 127.0.0.1:1: 409: n1 was told to go already"],
+    ),
+    "NoSuchAsk, as it is stopped": (STOPPED_CODE, ({}, signalled), []),
+}
+
+
+@pytest.mark.parametrize("case", KINDS)
+@pytest.mark.parametrize("text", ["n1 was told to go already", "another text"])
+def test_a_refused_withdrawal_is_judged_by_its_kind_whatever_its_text(
+    play: Callable[..., list[Any]], case: str, text: str
+) -> None:
+    code, answers, printed = KINDS[case]
+    body = json.dumps({"error": text, "kind": case.split(",")[0], "remedy": ""}).encode()
+    line = "outage ask n1 --wait --timeout 30s --id first"
+    got = play(line, *answers, Refusal(409, body))
+    assert got[1] == code
+    assert got[4] == [expected.replace("n1 was told to go already", text) for expected in printed]
+
+
+@pytest.mark.parametrize(("status", "exit_code"), [(503, 0), (409, 3)])
+def test_a_refused_request_is_sent_again_by_its_status_whatever_its_text(
+    play: Callable[..., list[Any]], status: int, exit_code: int
+) -> None:
+    answers = [refusal(status, "wrong: 503: or not")] + ([{}, GRANTED] if status == 503 else [])
+    assert play("outage ask n1 --wait --timeout 30s --id first", *answers)[1] == exit_code
