--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -9,7 +9,7 @@
 
 from twisted.web import resource, server
 
-from ..errors import kind_of
+from ..errors import OperatorError
 
 # Twisted's web classes carry no types; named once here, so that the rest is checked.
 Resource: Any = resource.Resource
@@ -111,8 +111,8 @@
 def later(request: Any, ask: Callable[[Callable[[Any], None]], None]) -> Any:
     """Answer once other runners have answered; the client may have disconnected by then.
 
-    `ask` is called with a callback. It passes a value, JSON as bytes, or an error to it; an error with a `status`
-    may be raised as well. The answer of an error carries its text, the name of its class as `kind`, and its `remedy`.
+    `ask` is called with a callback. It passes a value, JSON as bytes, or an `OperatorError` to it, and may raise one as
+    well. The answer of an error has its `status`, and in its JSON its text, `kind` and `remedy`.
     """
     disconnected: list[object] = []
     request.notifyFinish().addErrback(disconnected.append)
@@ -120,21 +120,18 @@
     def answer(result: Any) -> None:
         if disconnected:
             return
-        if isinstance(result, Exception):
-            status = getattr(result, "status", 500)
-            request.write(reply(request, status, _error_document(result)))
+        if isinstance(result, OperatorError):
+            request.write(reply(request, result.status, _error_document(result)))
         else:
             request.write(reply(request, 200, json.loads(result) if isinstance(result, bytes) else result))
         request.finish()
 
     try:
         ask(answer)
-    except Exception as error:
-        if not hasattr(error, "status"):
-            raise
+    except OperatorError as error:
         answer(error)
     return server.NOT_DONE_YET
 
 
-def _error_document(error: Exception) -> dict[str, str]:
-    return {"error": str(error), "kind": kind_of(type(error)), "remedy": getattr(error, "remedy", "")}
+def _error_document(error: OperatorError) -> dict[str, str]:
+    return {"error": str(error), "kind": error.kind, "remedy": error.remedy}
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -11,7 +11,7 @@
 from ..leadership.errors import LeadershipError
 from ..namespaces.current_revisions import Revision
 from ..namespaces.draft_changes import draft_changes
-from ..namespaces.errors import NoSuchCustomer
+from ..namespaces.errors import UnknownCustomerError
 from ..namespaces.revision_history import RevisionHistory, Submission
 from ..namespaces.revision_id import RevisionId
 from ..namespaces.rules import RequestAttributes
@@ -145,7 +145,7 @@
         self._core.begin_turn()
         if customer in self._service.config.customers:
             return True
-        then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
+        then(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
         return False
 
     def _local_json(self, customer: str) -> dict[str, Any]:
--- a/moorusher/admin/namespaces.py
+++ b/moorusher/admin/namespaces.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..cluster_transport.config_distribution import NamespaceService
-from ..namespaces.errors import Malformed
+from ..namespaces.errors import MalformedInputError
 from ..namespaces.revision_history import MAX_AUTHOR_LENGTH, Submission
 from ..namespaces.rules import RequestAttributes
 from .api import NO_TOKEN, Guarded, later, path_of, reply
@@ -31,22 +31,22 @@
 def _number(request: Any, name: str, default: float, least: float, most: float) -> float:
     """Return a number of the query.
 
-    :raises Malformed: it is none, or out of bounds.
+    :raises MalformedInputError: it is none, or out of bounds.
     """
     text = _query(request, name)
     try:
         number = float(text) if text else default
     except ValueError:
-        raise Malformed(f"{name}: expected a number, got {text!r}") from None
+        raise MalformedInputError(f"{name}: expected a number, got {text!r}") from None
     if not least <= number <= most:
-        raise Malformed(f"{name}: expected {least:g} to {most:g}, got {text!r}")
+        raise MalformedInputError(f"{name}: expected {least:g} to {most:g}, got {text!r}")
     return number
 
 
 def _submission(request: Any, customer: str, draft: bytes = b"", back_to: int = 0) -> Submission:
     submission_id = _query(request, "id") or os.urandom(12).hex()
     if len(submission_id) > MAX_ID_LENGTH:
-        raise Malformed(f"id: expected at most {MAX_ID_LENGTH} characters")
+        raise MalformedInputError(f"id: expected at most {MAX_ID_LENGTH} characters")
     return Submission(
         customer,
         submission_id,
--- a/moorusher/config_distribution/errors.py
+++ b/moorusher/config_distribution/errors.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from ..errors import kind_of
 from ..leadership.errors import ERRORS as LEASE_ERRORS
 from ..leadership.errors import LeadershipError, NoMajorityError
 from ..namespaces.errors import ERRORS as NAMESPACE_ERRORS
@@ -11,17 +10,17 @@
 DistributionError = NamespaceError | LeadershipError
 
 _ERROR_TYPES: tuple[type[DistributionError], ...] = (*NAMESPACE_ERRORS, *LEASE_ERRORS)
-# Their kinds are on the wire. Where both packages have one of the same name (`Conflict`, `OverBudget`), that of
+# Their kinds are on the wire. Where both packages have an error of the same kind (`Conflict`, `OverBudget`), that of
 # `leadership` is raised at the receiver.
-ERRORS_BY_NAME = {kind_of(error_type): error_type for error_type in _ERROR_TYPES}
+ERRORS_BY_KIND = {error_type.kind: error_type for error_type in _ERROR_TYPES}
 
 
-def error_from_wire(name: str, text: str) -> DistributionError:
+def error_from_wire(kind: str, text: str) -> DistributionError:
     """Return the error that another runner raised; `NoMajorityError` where its kind is unknown.
 
     Only its text is carried over: attributes of its own are not set.
     """
-    error_type = ERRORS_BY_NAME.get(name, NoMajorityError)
+    error_type = ERRORS_BY_KIND.get(kind, NoMajorityError)
     error = error_type.__new__(error_type)
     Exception.__init__(error, text)
     return error
--- a/moorusher/config_distribution/local_publishers.py
+++ b/moorusher/config_distribution/local_publishers.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Callable
 
-from ..errors import kind_of
 from ..leadership.errors import LeaderBusyError
 from ..leadership.lease_holder import LeaseHolder
-from ..namespaces.errors import NamespaceError, NoSuchCustomer
+from ..namespaces.errors import NamespaceError, UnknownCustomerError
 from ..namespaces.policy import PublishingLimits
 from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError
@@ -51,7 +50,7 @@
 
         def answer(got: RevisionId | DistributionError) -> None:
             if isinstance(got, Exception):
-                self._member.send(seat, SubmitResult(message.serial, (0, 0), kind_of(type(got)), str(got)))
+                self._member.send(seat, SubmitResult(message.serial, (0, 0), got.kind, str(got)))
             else:
                 self._member.send(seat, SubmitResult(message.serial, got))
 
@@ -68,7 +67,7 @@
         """Check a draft against what is granted to the customer now."""
         grant = self._host.grant_of(customer)
         if grant is None:
-            then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
+            then(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
         else:
             self._host.check(draft, grant, then)
 
--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -8,7 +8,7 @@
 from ..leadership.errors import LeadershipError
 from ..leadership.participant import Participant
 from ..namespaces.current_revisions import Revision
-from ..namespaces.errors import NamespaceError, Retired
+from ..namespaces.errors import NamespaceError, RevisionNotRetainedError
 from ..namespaces.revision_history import RevisionHistory, decode_history
 from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError, error_from_wire
@@ -71,7 +71,7 @@
     ) -> None:
         """Call `then` with exactly that revision, current or not, or with an error.
 
-        For work that another runner has begun under it. `Retired` where it is retained no longer.
+        For work that another runner has begun under it. `RevisionNotRetainedError` where it is retained no longer.
         """
         current = self._revisions.customers.get(customer)
         if current is not None and current.revision_id == revision_id:
@@ -85,7 +85,7 @@
                 return
             entry = got[1].find(number) if got[0] == incarnation else None
             if entry is None:
-                then(Retired(f"revision {number} of {customer!r} is kept no longer"))
+                then(RevisionNotRetainedError(f"revision {number} of {customer!r} is kept no longer"))
                 return
             draft = entry.draft
             self._reader.read(
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ..namespaces.current_revisions import CurrentRevisions, Revision
-from ..namespaces.errors import NamespaceError, Stale
+from ..namespaces.errors import NamespaceError, StaleRevisionError
 from ..namespaces.namespace import Namespace
 from ..namespaces.revision_id import RevisionId
 from ..time_units import MS
@@ -132,7 +132,7 @@
                 return
             try:
                 self.customers.install(Revision(customer, revision_id, got, draft))
-            except Stale:  # a later one has become current while this one was parsed
+            except StaleRevisionError:  # a later one has become current while this one was parsed
                 self._complete(customer, fetch)
                 return
             self._on_changed(customer, draft)
--- a/moorusher/config_distribution/submission_forwarding.py
+++ b/moorusher/config_distribution/submission_forwarding.py
@@ -15,7 +15,7 @@
 )
 from ..leadership.lease_record import LeaseStatus
 from ..leadership.participant import Participant
-from ..namespaces.errors import NoSuchCustomer
+from ..namespaces.errors import UnknownCustomerError
 from ..namespaces.policy import Grant
 from ..namespaces.revision_history import Submission
 from ..time_units import MS
@@ -73,7 +73,7 @@
         """
         customer = submission.customer
         if self._grant_of(customer) is None:
-            then(NoSuchCustomer(f"{customer!r} is no customer in this runner's settings"))
+            then(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
             return
         if len(self._forwarded) >= MAX_SUBMISSIONS:
             then(LeaderBusyError(f"{MAX_SUBMISSIONS} submissions wait at this runner"))
--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ..errors import OperatorError, kind_of
+from ..errors import OperatorError
 
 
 class ForecastError(OperatorError):
@@ -52,7 +52,7 @@
     MissingLibraryError,
     InvalidHistoryError,
 )
-ERRORS_BY_KIND = {kind_of(error_type): error_type for error_type in ERRORS}
+ERRORS_BY_KIND = {error_type.kind: error_type for error_type in ERRORS}
 
 
 def error_from_wire(kind: str, text: str) -> ForecastError:
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from ..errors import kind_of
 from ..forecasting.demand_counter import DemandCounter
 from ..forecasting.policy import ForecastPolicy
 from ..leadership.errors import LeadershipError
@@ -183,5 +182,5 @@
             self.forecaster = None
 
 
-def _error_reply(serial: int, error: Exception) -> LeaderReply:
-    return LeaderReply(serial, b"", kind_of(type(error)), str(error))
+def _error_reply(serial: int, error: ForecastError | LeadershipError) -> LeaderReply:
+    return LeaderReply(serial, b"", error.kind, str(error))
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -15,7 +15,6 @@
 from ..config_distribution.propagation import DELETED_NUMBER
 from ..config_distribution.publisher import duty_of
 from ..config_distribution.replica import Replica
-from ..errors import kind_of
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import LeaseRecord, LeaseStatus
 from ..leadership.worker import Worker
@@ -193,7 +192,7 @@
     ) -> None:
         history = self.publish_history
         if isinstance(result, Exception):
-            history.failures.append(Failure(submission.submission_id, kind_of(type(result))))
+            history.failures.append(Failure(submission.submission_id, result.kind))
             return
         customer = submission.customer
         confirmed_us = self.now
--- a/moorusher/namespaces/current_revisions.py
+++ b/moorusher/namespaces/current_revisions.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from .draft import parse_draft
-from .errors import Stale
+from .errors import StaleRevisionError
 from .namespace import Namespace, Route
 from .policy import Grant
 from .revision_id import NO_REVISION, RevisionId
@@ -59,7 +59,7 @@
     ) -> Revision:
         """Parse a published draft and make it current.
 
-        :raises Stale: a later revision is current.
+        :raises StaleRevisionError: a later revision is current.
         :raises NamespaceError: what is wrong with the draft; the current revision stays.
         """
         self._check_later(customer, revision_id)
@@ -68,7 +68,7 @@
     def install(self, revision: Revision) -> Revision:
         """Make a parsed revision current.
 
-        :raises Stale: a later one is.
+        :raises StaleRevisionError: a later one is.
         """
         self._check_later(revision.customer, revision.revision_id)
         self._current[revision.customer] = revision
@@ -78,7 +78,7 @@
     def delete(self, customer: str, revision_id: RevisionId) -> None:
         """Remember that the namespace is deleted.
 
-        :raises Stale: a later revision is current.
+        :raises StaleRevisionError: a later revision is current.
         """
         self._check_later(customer, revision_id)
         self._current.pop(customer, None)
@@ -89,7 +89,7 @@
 
     def _check_later(self, customer: str, revision_id: RevisionId) -> None:
         if revision_id <= self.latest_id(customer):
-            raise Stale(f"{revision_id} is not later than {self.latest_id(customer)}")
+            raise StaleRevisionError(f"{revision_id} is not later than {self.latest_id(customer)}")
 
     def latest_id(self, customer: str) -> RevisionId:
         """Return the id of the latest revision or deletion known here; `NO_REVISION` for none."""
--- a/moorusher/namespaces/draft.py
+++ b/moorusher/namespaces/draft.py
@@ -21,7 +21,7 @@
 
 from .draft_rules import MAX_WEIGHT, parse_matcher, parse_rules
 from .draft_values import read_by_name, read_integer, read_name, read_object
-from .errors import Foreign, Malformed, OverBudget
+from .errors import BudgetExceededError, MalformedInputError, NotGrantedError
 from .names import require_name
 from .namespace import Namespace, Route, check_fallbacks_end
 from .policy import Budget, Grant
@@ -59,7 +59,7 @@
     try:
         return msgspec.json.decode(draft)
     except (msgspec.MsgspecError, RecursionError) as exc:
-        raise Malformed(f"not JSON: {exc}") from exc
+        raise MalformedInputError(f"not JSON: {exc}") from exc
 
 
 def _parse_routes(raw: Any, grant: Grant | None) -> dict[str, Route]:
@@ -86,7 +86,7 @@
     )
     pool = read_name(values.get("pool", ""), f"{path}.pool")
     if bool(servers) == bool(pool):
-        raise Malformed(f"{path}: expected servers or a pool, one of them")
+        raise MalformedInputError(f"{path}: expected servers or a pool, one of them")
     if grant is not None:
         _check_granted(path, weights, pool, grant)
     fallback = read_name(values.get("fall_back", ""), f"{path}.fall_back")
@@ -98,18 +98,20 @@
 def _check_granted(path: str, servers: Mapping[str, Any], pool: str, grant: Grant) -> None:
     for server in sorted(servers):
         if server not in grant.servers:
-            raise Foreign(f"{path}.servers: no server of yours: {server!r}")
+            raise NotGrantedError(f"{path}.servers: no server of yours: {server!r}")
     if pool and pool not in grant.pools:
-        raise Foreign(f"{path}.pool: not granted to you: {pool!r}")
+        raise NotGrantedError(f"{path}.pool: not granted to you: {pool!r}")
 
 
 def _check_references(routes: Mapping[str, Route], default: str) -> None:
     """Check that the default and all fallbacks are routes of the draft, and that fallbacks come to an end."""
     if default not in routes:
-        raise Foreign(f"default: no such route of yours: {default!r}")
+        raise NotGrantedError(f"default: no such route of yours: {default!r}")
     for route in routes.values():
         if route.fallback and route.fallback not in routes:
-            raise Foreign(f"routes.{route.name}.fall_back: no such route of yours: {route.fallback!r}")
+            raise NotGrantedError(
+                f"routes.{route.name}.fall_back: no such route of yours: {route.fallback!r}"
+            )
     check_fallbacks_end(routes)
 
 
@@ -125,7 +127,7 @@
 
 def _check_size(draft: bytes, budget: Budget) -> None:
     if len(draft) > budget.max_draft_bytes:
-        raise OverBudget(f"{len(draft)} bytes; {budget.max_draft_bytes} are granted")
+        raise BudgetExceededError(f"{len(draft)} bytes; {budget.max_draft_bytes} are granted")
 
 
 def _check_rule_count(rules: Sequence[Rule], budget: Budget) -> None:
@@ -135,4 +137,4 @@
 
 def _check_count(what: str, count: int, granted: int) -> None:
     if count > granted:
-        raise OverBudget(f"{count} {what}; {granted} are granted")
+        raise BudgetExceededError(f"{count} {what}; {granted} are granted")
--- a/moorusher/namespaces/draft_rules.py
+++ b/moorusher/namespaces/draft_rules.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from .draft_values import is_number, read_by_name, read_integer, read_object
-from .errors import Foreign, Malformed
+from .errors import MalformedInputError, NotGrantedError
 from .names import require_name
 from .namespace import Route
 from .rules import MATCH_ALL, Matcher, Outcome, RejectRequest, RouteTo, Rule, Split
@@ -22,8 +22,8 @@
 ) -> list[Rule]:
     """Parse the rules of a customer or of one of its teams, whose requests are those of `scope`.
 
-    :raises Malformed: a key is missing, unknown or of the wrong kind.
-    :raises Foreign: a rule names a route that the draft has not.
+    :raises MalformedInputError: a key is missing, unknown or of the wrong kind.
+    :raises NotGrantedError: a rule names a route that the draft has not.
     """
     rules = []
     for name, raw_rule in read_by_name(raw, path).items():
@@ -39,7 +39,7 @@
 def parse_matcher(raw: Any, path: str) -> Matcher:
     """Parse a predicate on requests.
 
-    :raises Malformed: a key is unknown or of the wrong kind.
+    :raises MalformedInputError: a key is unknown or of the wrong kind.
     """
     values = read_object(raw, path, {"key", "class", "caller", "subject", "rank"})
     return Matcher(
@@ -58,7 +58,7 @@
     if not isinstance(listed, list) or not all(
         isinstance(text, str) and len(text) <= MAX_STRING_LENGTH for text in listed
     ):
-        raise Malformed(
+        raise MalformedInputError(
             f"{path}.{key}: expected a list of strings of at most {MAX_STRING_LENGTH} characters; "
             "a last * is a prefix"
         )
@@ -84,14 +84,14 @@
         isinstance(ends, list) and len(ends) == 2 and all(is_number(end, minimum, maximum) for end in ends)
         for ends in raw
     ):
-        raise Malformed(f"{path}: expected a list of [from, to], from {minimum:g} to {maximum:g}")
+        raise MalformedInputError(f"{path}: expected a list of [from, to], from {minimum:g} to {maximum:g}")
     return NumberRanges.of([(float(low), float(high)) for low, high in raw])
 
 
 def _parse_outcome(values: Mapping[str, Any], path: str, routes: Mapping[str, Route]) -> Outcome:
     kinds = [kind for kind in ("to", "split", "refuse") if kind in values]
     if len(kinds) != 1:
-        raise Malformed(f"{path}: expected one of to, split, refuse")
+        raise MalformedInputError(f"{path}: expected one of to, split, refuse")
     kind = kinds[0]
     raw = values[kind]
     if kind == "refuse":
@@ -101,7 +101,7 @@
 
 def _parse_reject(raw: Any, path: str) -> RejectRequest:
     if not isinstance(raw, str) or not 0 < len(raw) <= MAX_REASON_LENGTH:
-        raise Malformed(f"{path}.refuse: expected a reason of 1 to {MAX_REASON_LENGTH} characters")
+        raise MalformedInputError(f"{path}.refuse: expected a reason of 1 to {MAX_REASON_LENGTH} characters")
     return RejectRequest(raw)
 
 
@@ -110,7 +110,7 @@
     weights = {raw: 1} if isinstance(raw, str) else read_by_name(raw, f"{path}.to")
     _check_weights(weights, "to", path, routes)
     if not isinstance(raw, str):
-        raise Malformed(f"{path}.to: expected the name of a route")
+        raise MalformedInputError(f"{path}.to: expected the name of a route")
     return RouteTo(raw)
 
 
@@ -118,12 +118,12 @@
     weights = read_by_name(raw, f"{path}.split")
     _check_weights(weights, "split", path, routes)
     if not any(weights.values()):
-        raise Malformed(f"{path}.split: expected a weight above 0")
+        raise MalformedInputError(f"{path}.split: expected a weight above 0")
     return Split(tuple(sorted(weights.items())))
 
 
 def _check_weights(weights: Mapping[str, Any], kind: str, path: str, routes: Mapping[str, Route]) -> None:
     for name, weight in weights.items():
         if name not in routes:
-            raise Foreign(f"{path}.{kind}: no such route of yours: {name!r}")
+            raise NotGrantedError(f"{path}.{kind}: no such route of yours: {name!r}")
         read_integer(weight, f"{path}.split.{name}", 0, MAX_WEIGHT)
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -1,6 +1,7 @@
 """Errors of customers' namespaces. Each says what is wrong, and in `remedy` what helps.
 
-The names of the classes, their statuses and remedies are part of the API, and the names are sent between runners.
+`kind`, `status` and `remedy` are part of the API, and runners send the kinds to each other (`config_distribution`). The
+operators' page (`docs/operate/namespaces.md`) lists them.
 """
 
 from __future__ import annotations
@@ -12,20 +13,22 @@
     """A draft, or a call about a namespace, is rejected."""
 
 
-class Malformed(NamespaceError):
-    """A key is missing, unknown or of the wrong kind; the text begins with its path."""
+class MalformedInputError(NamespaceError):
+    """A key of a draft, or of a query, is missing, unknown or of the wrong kind; the text begins with its path."""
 
+    kind = "Malformed"
     status = 400
     remedy = "Mend the key that is named."
 
 
-class Ambiguous(NamespaceError):
+class AmbiguousRulesError(NamespaceError):
     """Two rules match one request, and neither is more specific.
 
     rules: their labels, sorted.
     example: a request that both match, in words.
     """
 
+    kind = "Ambiguous"
     remedy = "Narrow one of the two, or add a third for what both match."
 
     def __init__(self, first: str, second: str, example: str) -> None:
@@ -35,13 +38,14 @@
         self.example = example
 
 
-class Unreachable(NamespaceError):
+class UnreachableRuleError(NamespaceError):
     """A rule that no request can reach.
 
     rule: its label.
     covered_by: labels of the rules that cover it; none where it matches nothing by itself.
     """
 
+    kind = "Unreachable"
     remedy = "Take it out, or narrow what covers it."
 
     def __init__(self, rule: str, covered_by: tuple[str, ...]) -> None:
@@ -51,33 +55,37 @@
         self.covered_by = covered_by
 
 
-class Foreign(NamespaceError):
+class NotGrantedError(NamespaceError):
     """A draft names what is not this customer's, nor granted to it."""
 
+    kind = "Foreign"
     status = 403
     remedy = "Name one of your own routes, servers or pools; the platform grants further ones."
 
 
-class OverBudget(NamespaceError):
+class BudgetExceededError(NamespaceError):
     """More than the customer may cost; the text names the bound."""
 
+    kind = "OverBudget"
     status = 413
     remedy = "Make it smaller, or ask the platform for a larger bound."
 
 
-class Circular(NamespaceError):
+class CircularFallbackError(NamespaceError):
     """A route falls back on itself, directly or by others; the text names all of them."""
 
+    kind = "Circular"
     remedy = "Break the circle of fall-backs that is named."
 
 
-class Conflict(NamespaceError):
+class PublishConflictError(NamespaceError):
     """Another revision came first.
 
     expected, found: numbers of the revision that the change was made on top of, and of the current one.
     changes: what changed in between, a line each.
     """
 
+    kind = "Conflict"
     remedy = (
         "Read what is there now (`moorusher namespace show`), make the change on top of it, and publish that."
     )
@@ -92,35 +100,38 @@
         self.changes = changes
 
 
-class Retired(NamespaceError):
+class RevisionNotRetainedError(NamespaceError):
     """A revision that is not retained any more, or never was there."""
 
+    kind = "Retired"
     status = 404
     remedy = "Publish it anew from a copy of your own: `moorusher namespace show` lists those that are kept."
 
 
-class NoSuchCustomer(NamespaceError):
+class UnknownCustomerError(NamespaceError):
     """No customer of that name has a namespace, or may have one."""
 
+    kind = "NoSuchCustomer"
     status = 404
     remedy = "`moorusher namespace list` has those that there are; the platform adds one with [[namespaces.customer]]."
 
 
-class Stale(NamespaceError):
+class StaleRevisionError(NamespaceError):
     """A revision is not later than the current one. Not sent: it is in this runner's log only."""
 
+    kind = "Stale"
     remedy = "Nothing: this runner has that revision, or a later one."
 
 
-# Those that are sent between runners, by the names of their classes.
+# Those that are sent between runners, by their kinds.
 ERRORS: tuple[type[NamespaceError], ...] = (
-    Malformed,
-    Ambiguous,
-    Unreachable,
-    Foreign,
-    OverBudget,
-    Circular,
-    Conflict,
-    Retired,
-    NoSuchCustomer,
+    MalformedInputError,
+    AmbiguousRulesError,
+    UnreachableRuleError,
+    NotGrantedError,
+    BudgetExceededError,
+    CircularFallbackError,
+    PublishConflictError,
+    RevisionNotRetainedError,
+    UnknownCustomerError,
 )
--- a/moorusher/namespaces/names.py
+++ b/moorusher/namespaces/names.py
@@ -9,7 +9,7 @@
 
 import unicodedata
 
-from .errors import Malformed
+from .errors import MalformedInputError
 
 MAX_LENGTH = 64  # characters
 _REJECTED_CATEGORIES = {
@@ -36,10 +36,10 @@
 def require_name(name: object, path: str) -> str:
     """Return the name.
 
-    :raises Malformed: it is none, or not in normal form; `path` says where it stands.
+    :raises MalformedInputError: it is none, or not in normal form; `path` says where it stands.
     """
     if not isinstance(name, str) or not is_valid_name(name):
-        raise Malformed(
+        raise MalformedInputError(
             f"{path}: expected a name of 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces and "
             f"control characters, got {name!r}"
         )
--- a/moorusher/namespaces/namespace.py
+++ b/moorusher/namespaces/namespace.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .errors import Circular
+from .errors import CircularFallbackError
 from .rule_table import RuleTable
 
 
@@ -53,11 +53,11 @@
 def check_fallbacks_end(routes: Mapping[str, Route]) -> None:
     """Check that no route falls back to itself.
 
-    :raises Circular: one does, directly or by others.
+    :raises CircularFallbackError: one does, directly or by others.
     """
     for name in sorted(routes):
         chain = [name]
         while (fallback := routes[chain[-1]].fallback) and fallback not in chain:
             chain.append(fallback)
         if fallback == name:
-            raise Circular(f"routes: {' falls back to '.join([*chain, name])}")
+            raise CircularFallbackError(f"routes: {' falls back to '.join([*chain, name])}")
--- a/moorusher/namespaces/reachability.py
+++ b/moorusher/namespaces/reachability.py
@@ -6,7 +6,7 @@
 
 from .atoms import Atoms
 from .boxes import Box, intersect, set_bits, subtract
-from .errors import Ambiguous, OverBudget, Unreachable
+from .errors import AmbiguousRulesError, BudgetExceededError, UnreachableRuleError
 from .rules import DIMENSIONS, Rule
 
 ATTRIBUTE_LABELS = {"class_name": "class"}  # in texts, where it differs from the field
@@ -49,13 +49,13 @@
     def run(self) -> None:
         """Check each rule against those that precede it.
 
-        :raises Ambiguous: two rules are equally specific and match one request.
-        :raises Unreachable: no request reaches a rule.
-        :raises OverBudget: it would take more steps than are granted.
+        :raises AmbiguousRulesError: two rules are equally specific and match one request.
+        :raises UnreachableRuleError: no request reaches a rule.
+        :raises BudgetExceededError: it would take more steps than are granted.
         """
         for index, rule in enumerate(self._rules):
             if not all(self._boxes[index]):
-                raise Unreachable(rule.label, ())
+                raise UnreachableRuleError(rule.label, ())
             overlapping = self._preceding_overlaps(index)
             self._check_unambiguous(index, overlapping)
             self._check_reachable(index, overlapping)
@@ -66,7 +66,7 @@
         other = overlapping[-1]
         common = intersect(self._boxes[index], self._boxes[other])
         assert common is not None
-        raise Ambiguous(
+        raise AmbiguousRulesError(
             self._rules[other].label, self._rules[index].label, example_request(common, self._atoms)
         )
 
@@ -80,7 +80,7 @@
             remaining = reduced
             if not remaining:
                 labels = tuple(self._rules[covered_by].label for covered_by in covering)
-                raise Unreachable(self._rules[index].label, labels)
+                raise UnreachableRuleError(self._rules[index].label, labels)
 
     def _preceding_overlaps(self, index: int) -> list[int]:
         """Return the rules of higher precedence that match a request which this one matches too."""
@@ -98,4 +98,6 @@
     def _spend(self, steps: int) -> None:
         self._steps_left -= steps
         if self._steps_left < 0:
-            raise OverBudget("working out which rules can be reached takes more steps than are granted")
+            raise BudgetExceededError(
+                "working out which rules can be reached takes more steps than are granted"
+            )
--- a/moorusher/namespaces/revision_history.py
+++ b/moorusher/namespaces/revision_history.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from .draft_changes import draft_changes
-from .errors import Conflict, OverBudget, Retired
+from .errors import BudgetExceededError, PublishConflictError, RevisionNotRetainedError
 from .policy import STATE_OVERHEAD_BYTES, PublishingLimits
 
 HOUR_MS = 3_600_000
@@ -110,8 +110,8 @@
 def draft_to_publish(history: RevisionHistory, submission: Submission) -> bytes:
     """Return the draft to check and publish.
 
-    :raises Conflict: the submission was made on top of another revision than the current one.
-    :raises Retired: the revision to publish again is not retained.
+    :raises PublishConflictError: the submission was made on top of another revision than the current one.
+    :raises RevisionNotRetainedError: the revision to publish again is not retained.
     """
     expected_number = submission.expected_number
     if expected_number >= 0 and expected_number != history.current_number:
@@ -120,16 +120,18 @@
         return submission.draft
     if (restored := history.find(submission.rollback_number)) is None:
         retained = ", ".join(str(revision.number) for revision in history.revisions)
-        raise Retired(f"revision {submission.rollback_number} is not kept; there are {retained or 'none'}")
+        raise RevisionNotRetainedError(
+            f"revision {submission.rollback_number} is not kept; there are {retained or 'none'}"
+        )
     return restored.draft
 
 
-def _conflict(history: RevisionHistory, expected_number: int) -> Conflict:
+def _conflict(history: RevisionHistory, expected_number: int) -> PublishConflictError:
     expected, current = history.find(expected_number), history.current
     changes = draft_changes(
         b"" if expected is None else expected.draft, b"" if current is None else current.draft
     )
-    return Conflict(expected_number, history.current_number, changes)
+    return PublishConflictError(expected_number, history.current_number, changes)
 
 
 def add_revision(
@@ -137,14 +139,16 @@
 ) -> RevisionHistory:
     """Return the history with that draft as the next revision, published at `now_ms`, Unix.
 
-    :raises OverBudget: too many in an hour, or too large.
+    :raises BudgetExceededError: too many in an hour, or too large.
     """
     recent = _recent(history.published_at_ms, now_ms)
     if len(recent) >= limits.max_per_hour:
-        raise OverBudget(f"{len(recent)} revisions within the hour; {limits.max_per_hour} are granted")
+        raise BudgetExceededError(
+            f"{len(recent)} revisions within the hour; {limits.max_per_hour} are granted"
+        )
     max_draft_bytes = limits.max_state_bytes - STATE_OVERHEAD_BYTES
     if len(draft) > max_draft_bytes:
-        raise OverBudget(f"a draft of {len(draft)} bytes; {max_draft_bytes} can be kept")
+        raise BudgetExceededError(f"a draft of {len(draft)} bytes; {max_draft_bytes} can be kept")
     revision = PublishedRevision(
         history.current_number + 1,
         submission.submission_id,
--- a/moorusher/namespaces/rule_table.py
+++ b/moorusher/namespaces/rule_table.py
@@ -12,7 +12,7 @@
 
 from .atoms import Atoms, NumberAtoms, StringAtoms
 from .boxes import Box, set_bits
-from .errors import OverBudget
+from .errors import BudgetExceededError
 from .reachability import ReachabilityCheck
 from .rules import DIMENSIONS, RejectRequest, RequestAttributes, Rule, Split
 from .sets import ALL_RANKS
@@ -65,9 +65,9 @@
     ) -> None:
         """Build the table; without `limits` the rules have been checked before, and are not checked again.
 
-        :raises Ambiguous: two rules are equally specific and match one request.
-        :raises Unreachable: no request reaches a rule.
-        :raises OverBudget: a limit is exceeded.
+        :raises AmbiguousRulesError: two rules are equally specific and match one request.
+        :raises UnreachableRuleError: no request reaches a rule.
+        :raises BudgetExceededError: a limit is exceeded.
         """
         self.rules = sorted(rules, key=lambda rule: (rule.precedence(), rule.label))
         self.default = default
@@ -89,7 +89,9 @@
         masks = sum(atoms.count for atoms in self._atoms)
         estimate = masks * (len(self.rules) // 8 + MASK_BYTES) + len(self.rules) * RULE_BYTES
         if estimate > max_bytes:
-            raise OverBudget(f"rules and look-ups would take {estimate} bytes; {max_bytes} are granted")
+            raise BudgetExceededError(
+                f"rules and look-ups would take {estimate} bytes; {max_bytes} are granted"
+            )
 
     def _box_of(self, rule: Rule) -> Box:
         return tuple(
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -37,7 +37,7 @@
     "forecast": (forecasting.PART, (forecasting.encode, forecasting.decode)),
     "outages": (outage.PART, (outage.encode, outage.decode)),
 }
-ERRORS_OF_PUBLISHING, ERRORS_OF_FORECASTING = publishing_errors.ERRORS_BY_NAME, forecast_errors.ERRORS_BY_KIND
+ERRORS_OF_PUBLISHING, ERRORS_OF_FORECASTING = publishing_errors.ERRORS_BY_KIND, forecast_errors.ERRORS_BY_KIND
 VERSION, FIRST_BALLOT, MEMBER_STATES = (
     fleet.PROTOCOL_VERSION,
     fleet.FAST_BALLOT,
--- a/tests/compatibility/test_namespace_rules.py
+++ b/tests/compatibility/test_namespace_rules.py
@@ -184,7 +184,7 @@
     try:
         call()
     except errors.NamespaceError as exc:
-        return [type(exc).__name__, exc.status, str(exc), exc.remedy]
+        return [exc.kind, exc.status, str(exc), exc.remedy]
     except ValueError as exc:
         return [type(exc).__name__, str(exc)]
     return "accepted"
@@ -223,7 +223,7 @@
 
 
 def test_errors_have_the_same_names_statuses_and_remedies() -> None:
-    assert_golden("namespace_errors", [[one.__name__, one.status, one.remedy] for one in all_errors])
+    assert_golden("namespace_errors", [[one.kind, one.status, one.remedy] for one in all_errors])
 
 
 # ---- revisions ----
--- a/tests/test_namespaces.py
+++ b/tests/test_namespaces.py
@@ -19,14 +19,14 @@
 from moorusher.namespaces.draft import parse_draft
 from moorusher.namespaces.errors import (
     ERRORS,
-    Ambiguous,
-    Circular,
-    Foreign,
-    Malformed,
+    AmbiguousRulesError,
+    BudgetExceededError,
+    CircularFallbackError,
+    MalformedInputError,
     NamespaceError,
-    OverBudget,
-    Stale,
-    Unreachable,
+    NotGrantedError,
+    StaleRevisionError,
+    UnreachableRuleError,
 )
 from moorusher.namespaces.names import is_valid_name, require_name
 from moorusher.namespaces.policy import Budget, Grant
@@ -53,7 +53,7 @@
     alike = ["acme", "Acme", "acme-eu", "\u0430cme", "acmé"]
     assert len({require_name(n, "customer") for n in alike}) == len(alike)
     for wrong in ("", "a b", "a\u0000", "acme\u0301x\u200d", "acme\u0065\u0301", "x" * 65, 7, None):
-        with pytest.raises(Malformed, match="customer"):
+        with pytest.raises(MalformedInputError, match="customer"):
             require_name(wrong, "customer")
     assert is_valid_name("ü") and not is_valid_name("u\u0308")
 
@@ -108,7 +108,7 @@
 def build_table(rules: list[Rule]) -> tuple[RuleTable | None, Exception | None]:
     try:
         return RuleTable(rules, "default"), None
-    except (Ambiguous, Unreachable) as exc:
+    except (AmbiguousRulesError, UnreachableRuleError) as exc:
         return None, exc
 
 
@@ -149,10 +149,10 @@
         for r in (0.0, 0.5)
         for key in ("", "a", "b", "bb", "abab")
     ]
-    if isinstance(why, Ambiguous):
+    if isinstance(why, AmbiguousRulesError):
         one, two = (next(r for r in rules if r.label == n) for n in why.rules)
         assert one.matcher.specificity() == two.matcher.specificity()
-    elif isinstance(why, Unreachable):
+    elif isinstance(why, UnreachableRuleError):
         dead = next(r for r in rules if r.label == why.rule)
         assert all(reference_decision(rules, a) is not dead for a in sample)
         assert not why.covered_by or all(
@@ -173,7 +173,7 @@
     RuleTable(
         [rule("by key", key=string_set("eu-*")), rule("by class", class_name=string_set("submit"))], "d"
     )
-    with pytest.raises(Ambiguous) as raised:
+    with pytest.raises(AmbiguousRulesError) as raised:
         RuleTable(
             [
                 rule("one", class_name=string_set("submit", "check")),
@@ -188,7 +188,7 @@
 def test_an_unreachable_rule_is_named_with_all_rules_that_cover_it() -> None:
     """A rule that is covered by several together, by none of them alone, would be published and never decide."""
     low, high = NumberRanges.of([(-1.0, 5.0)]), NumberRanges.of([(5.0, float(1 << 53))])
-    with pytest.raises(Unreachable) as raised:
+    with pytest.raises(UnreachableRuleError) as raised:
         RuleTable(
             [
                 rule("low", key=string_set("a*"), caller=low),
@@ -198,7 +198,7 @@
             "d",
         )
     assert raised.value.rule == "both" and set(raised.value.covered_by) == {"low", "high"}
-    with pytest.raises(Unreachable, match="never can never match"):
+    with pytest.raises(UnreachableRuleError, match="never can never match"):
         RuleTable([rule("never", class_name=StringSet())], "d")
 
 
@@ -212,7 +212,7 @@
     )
     decided = table.find(RequestAttributes("check", key="us-1"))
     assert decided is not None and decided.name == "rest"
-    with pytest.raises(Unreachable):  # the team takes all of it
+    with pytest.raises(UnreachableRuleError):  # the team takes all of it
         RuleTable([team, rule("narrow", key=string_set("eu-x*"))], "d")
 
 
@@ -249,7 +249,7 @@
     """A customer whose rules take long to check, or much memory, would take it from all others at the runner."""
     many = [rule(f"r{i}", key=string_set(f"k{i}")) for i in range(500)]
     assert RuleTable(many, "d").find(RequestAttributes("x", key="k77")) == many[77]
-    with pytest.raises(OverBudget, match="steps"):
+    with pytest.raises(BudgetExceededError, match="steps"):
         RuleTable(
             [
                 rule(f"r{i}", key=string_set(f"{i}*"), caller=NumberRanges.of([(0.0, 1.0 + i)]))
@@ -258,7 +258,7 @@
             "d",
             TableLimits(max_check_steps=100),
         )
-    with pytest.raises(OverBudget, match="bytes"):
+    with pytest.raises(BudgetExceededError, match="bytes"):
         RuleTable(many, "d", limits=TableLimits(max_bytes=1000))
 
 
@@ -325,12 +325,16 @@
 @pytest.mark.parametrize(
     "how, error, text",
     [
-        ({"odd": 1}, Malformed, "draft.odd"),
-        ({"default": "none"}, Foreign, "default"),
-        ({"routes": {"main": {"servers": {"s9": 1}}}}, Foreign, "routes.main.servers"),
-        ({"routes": {"main": {"pool": "other"}}}, Foreign, "routes.main.pool"),
-        ({"routes": {"main": {}}}, Malformed, "routes.main"),
-        ({"routes": {"main": {"servers": {"s1": 1}, "fall_back": "x"}}}, Foreign, "routes.main.fall_back"),
+        ({"odd": 1}, MalformedInputError, "draft.odd"),
+        ({"default": "none"}, NotGrantedError, "default"),
+        ({"routes": {"main": {"servers": {"s9": 1}}}}, NotGrantedError, "routes.main.servers"),
+        ({"routes": {"main": {"pool": "other"}}}, NotGrantedError, "routes.main.pool"),
+        ({"routes": {"main": {}}}, MalformedInputError, "routes.main"),
+        (
+            {"routes": {"main": {"servers": {"s1": 1}, "fall_back": "x"}}},
+            NotGrantedError,
+            "routes.main.fall_back",
+        ),
         (
             {
                 "routes": {
@@ -339,30 +343,30 @@
                     "b": {"pool": "shared", "fall_back": "main"},
                 }
             },
-            Circular,
+            CircularFallbackError,
             "b falls back to main",
         ),
-        ({"rules": {"r": {"to": "x"}}}, Foreign, "rules.r.to"),
-        ({"rules": {"r": {"to": "main", "refuse": "x"}}}, Malformed, "rules.r"),
-        ({"rules": {"r": {"split": {"main": 0}}}}, Malformed, "rules.r.split"),
+        ({"rules": {"r": {"to": "x"}}}, NotGrantedError, "rules.r.to"),
+        ({"rules": {"r": {"to": "main", "refuse": "x"}}}, MalformedInputError, "rules.r"),
+        ({"rules": {"r": {"split": {"main": 0}}}}, MalformedInputError, "rules.r.split"),
         (
             {"rules": {"r": {"match": {"caller": [[5, "x"]]}, "to": "main"}}},
-            Malformed,
+            MalformedInputError,
             "rules.r.match.caller",
         ),
         (
             {"rules": {"r": {"match": {"tenant": ["bolt"]}, "to": "main"}}},
-            Malformed,
+            MalformedInputError,
             "rules.r.match.tenant",
         ),
-        ({"rules": {"a b": {"to": "main"}}}, Malformed, "rules"),
+        ({"rules": {"a b": {"to": "main"}}}, MalformedInputError, "rules"),
         (
             {
                 "teams": {
                     "t": {"match": {"key": ["a"]}, "rules": {"r": {"match": {"key": ["b"]}, "to": "main"}}}
                 }
             },
-            Unreachable,
+            UnreachableRuleError,
             "t/r can never match",
         ),
     ],
@@ -385,7 +389,7 @@
     ],
 )
 def test_malformed_drafts_are_rejected(raw: bytes) -> None:
-    with pytest.raises((Malformed, Foreign)):
+    with pytest.raises((MalformedInputError, NotGrantedError)):
         parse_draft(raw, GRANTED)
 
 
@@ -393,7 +397,7 @@
     small = Budget(max_rules=2, max_routes=1, max_route_servers=1, max_set_members=3, max_draft_bytes=100)
     for name in ("max_rules", "max_routes", "max_set_members", "max_draft_bytes"):
         budget = replace(Budget(), **{name: getattr(small, name)})
-        with pytest.raises(OverBudget, match=str(getattr(small, name))):
+        with pytest.raises(BudgetExceededError, match=str(getattr(small, name))):
             parse_draft(draft(), replace(GRANTED, budget=budget))
 
 
@@ -433,7 +437,7 @@
         both.install_draft("acme", (1, 1), mine, GRANTED)
         both.install_draft(other, (1, 1), theirs, Grant(frozenset(["s1"]), {"shared": 1.0}))
         assert decisions(both, "acme") == expected
-        with pytest.raises((Stale, Foreign)):  # refused: what was there stays
+        with pytest.raises((StaleRevisionError, NotGrantedError)):  # refused: what was there stays
             both.install_draft(other, (1, 2), draft(default="nowhere"), GRANTED)
         both.delete(other, (1, 9))
         assert decisions(both, "acme") == expected and both.get(other) is None and both.get(None) is None
@@ -449,13 +453,13 @@
     before = first.decide(request)
     c.install_draft("acme", (5, 2), draft(default="spare"), GRANTED)
     for at in ((5, 2), (5, 1), (4, 9)):
-        with pytest.raises(Stale):
+        with pytest.raises(StaleRevisionError):
             c.install_draft("acme", at, draft(), GRANTED)
     held = c.get("acme")
     assert held is not None and held.decide(request) != before == first.decide(request)
     c.delete("acme", (5, 3))
     assert c.get("acme") is None and first.decide(request) == before
-    with pytest.raises(Stale):
+    with pytest.raises(StaleRevisionError):
         c.install_draft("acme", (5, 3), draft(), GRANTED)  # what comes late does not bring it back
     anew = c.install_draft("acme", (6, 1), draft(rules={}), GRANTED)
     assert anew.decide(RequestAttributes("admin"))[0].rule is None and c.latest_ids() == {"acme": (6, 1)}
@@ -469,6 +473,6 @@
 def test_each_error_has_a_remedy_and_is_on_the_page_for_on_call_staff() -> None:
     page = (Path(__file__).parent.parent / "docs" / "operate" / "namespaces.md").read_text()
     for kind in NamespaceError.__subclasses__():
-        assert f"| `{kind.__name__}` |" in page
+        assert f"| `{kind.kind}` |" in page
         assert kind.remedy and kind.status in (400, 403, 404, 409, 413)
-    assert {*ERRORS, Stale} == set(NamespaceError.__subclasses__())
+    assert {*ERRORS, StaleRevisionError} == set(NamespaceError.__subclasses__())
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -33,7 +33,12 @@
 from moorusher.model_checking.publish_interleavings import PublishModel
 from moorusher.model_checking.publish_simulation import DISK_SCENARIO, PublishSimulation, draft_of
 from moorusher.namespaces.current_revisions import CurrentRevisions, Revision
-from moorusher.namespaces.errors import Conflict, NamespaceError, OverBudget, Retired
+from moorusher.namespaces.errors import (
+    BudgetExceededError,
+    NamespaceError,
+    PublishConflictError,
+    RevisionNotRetainedError,
+)
 from moorusher.namespaces.policy import PublishingLimits
 from moorusher.namespaces.revision_history import (
     RevisionHistory,
@@ -66,7 +71,7 @@
         history.revisions[0].draft == draft_of("r0")
         and decode_history(encode_history(history), "acme") == history
     )
-    with pytest.raises(Retired, match=r"revision 1 is not kept; there are 4, 3, 2"):
+    with pytest.raises(RevisionNotRetainedError, match=r"revision 1 is not kept; there are 4, 3, 2"):
         draft_to_publish(history, submission("x", back_to=1))
 
 
@@ -75,7 +80,7 @@
     for i, name in enumerate(("main", "main", "other")):
         s = submission(f"s{i}", i, draft_of(name))
         history = add_revision(history, s, s.draft, 0, BOUNDS)
-    with pytest.raises(Conflict) as told:
+    with pytest.raises(PublishConflictError) as told:
         draft_to_publish(history, submission("late", expects=1))
     assert (told.value.expected, told.value.found) == (1, 3)
     assert told.value.changes == ("~ default", "- routes.main", "+ routes.other")
@@ -88,10 +93,10 @@
         history = add_revision(history, submission(f"s{i}"), b"x" * 15_000, now + i, BOUNDS)
     assert [e.number for e in history.revisions] == [4, 3], "three would be more bytes than are kept"
     for when in (now + 3_599_999, now - 3_599_000):
-        with pytest.raises(OverBudget, match="4 revisions within the hour; 4 are granted"):
+        with pytest.raises(BudgetExceededError, match="4 revisions within the hour; 4 are granted"):
             add_revision(history, submission("more"), b"", when, BOUNDS)
     assert add_revision(history, submission("later"), b"", now + 3_600_004, BOUNDS).current_number == 5
-    with pytest.raises(OverBudget, match="35904 can be kept"):
+    with pytest.raises(BudgetExceededError, match="35904 can be kept"):
         add_revision(RevisionHistory("acme"), submission("big"), b"x" * 40_000, now, BOUNDS)
 
 
