--- a/moorusher/admin/namespaces.py
+++ b/moorusher/admin/namespaces.py
@@ -17,7 +17,9 @@
 from .api import NO_TOKEN, Guarded, later, path_of, reply
 from .namespace_operations import NamespaceOperations
 
-MAX_DRAFT_BYTES = 768 << 10
+MAX_DRAFT_BYTES = (
+    768 << 10
+)  # of the body of a PUT: the first of the bounds of a draft's size, see `render_PUT`
 MAX_ID_LENGTH = 64
 MAX_NUMBER_DIGITS = 15  # of a revision's number in a path
 MAX_NUMBER = 1e15
@@ -91,7 +93,16 @@
         return reply(request, 404, {"error": "no such page"})
 
     def render_PUT(self, request: Any) -> Any:
-        """Publish the draft in the body."""
+        """Publish the draft in the body.
+
+        Three bounds limit its size, in this order:
+
+        - `MAX_DRAFT_BYTES` of the body, the same for all customers and without a setting;
+        - `bytes` of [namespaces] or of the customer (`Budget.max_draft_bytes`), when the draft is parsed;
+        - `state_bytes` of [duties] less `policy.STATE_OVERHEAD_BYTES`, when the revision is added to the retained ones.
+
+        Settings that grant more `bytes` than the third bound are rejected when they are read.
+        """
         if not self.allowed(request):
             return reply(request, 401, NO_TOKEN)
         path = path_of(request)
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -22,6 +22,7 @@
 from ..forecasting.hourly_series import HourlySeries
 from ..forecasting.policy import ForecastPolicy
 from ..leadership.lease_holder import LeaseHolder
+from ..namespaces.revision_id import NO_REVISION
 from .draft_parsing import SWITCH_INTERVAL_S, DaemonThreadPool
 from .leadership import DutyLink
 
@@ -60,7 +61,7 @@
 
 def _route_key(request: Request, zone: str) -> RouteKey:
     ruling = request.ruling
-    incarnation = 0 if ruling is None else ruling.at[0]
+    incarnation, _ = NO_REVISION if ruling is None else ruling.revision_id
     path = None if ruling is None else ruling.path
     route = "" if path is None else path.hops[0].route
     return RouteKey(request.tenant or "", incarnation, route, zone)
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -107,7 +107,7 @@
             arrival.memory_kb,
             arrival.rank,
             arrival.subject,
-            None if request.ruling is None else request.ruling.at,
+            None if request.ruling is None else request.ruling.revision_id,
         )
 
     def announce_start(self, request: Request) -> bool:
--- a/moorusher/core/routes.py
+++ b/moorusher/core/routes.py
@@ -14,7 +14,7 @@
     """What customers' rules say of one request."""
 
     @property
-    def at(self) -> tuple[int, int]:
+    def revision_id(self) -> tuple[int, int]:
         """The revision of the rules: incarnation and number."""
 
     @property
--- a/moorusher/namespaces/policy.py
+++ b/moorusher/namespaces/policy.py
@@ -15,7 +15,7 @@
 class Budget:
     """What one customer's draft and its rules may cost.
 
-    max_draft_bytes: of the draft as it is sent.
+    max_draft_bytes: of the draft as it is sent. Two further bounds apply: see `admin.namespaces.MAX_DRAFT_BYTES`.
     max_rules: in the customer's own part and all teams together.
     max_routes: by name.
     max_route_servers: in all routes together.
--- a/moorusher/routing/route.py
+++ b/moorusher/routing/route.py
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDecision:
-    """A customer's decision on one request; at, refusal and path are those of `core.routes.Ruling`.
+    """A customer's decision on one request; revision_id, refusal and path are those of `core.routes.Ruling`.
 
-    at: the revision of the rules, as incarnation and number.
+    revision_id: the revision of the rules, as incarnation and number.
     rule: the label of the rule that decided, "" for the customer's default.
     refusal: the reason where the request is rejected, else "".
     path: where its calls go; None where it is rejected.
     """
 
-    at: tuple[int, int]
+    revision_id: tuple[int, int]
     rule: str
     refusal: str
     path: RoutePath | None
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -235,4 +235,9 @@
         hop("main", "a1", max_attempts=3), hop("spare", pool="shared", max_in_flight=7), incarnation=4
     )
     refused = decide_route(found, RequestAttributes("admin"))
-    assert (refused.refusal, refused.path, refused.rule, refused.at) == ("not here", None, "no", (4, 2))
+    assert (refused.refusal, refused.path, refused.rule, refused.revision_id) == (
+        "not here",
+        None,
+        "no",
+        (4, 2),
+    )
