--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -9,7 +9,7 @@
 import random
 import resource
 import time
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from typing import Any, BinaryIO
@@ -135,7 +135,6 @@
     failing_step: int
     part: float
     step: int = 0
-    confirmed_bytes: dict[int, int] = field(default_factory=dict)  # by inode
     renamed: tuple[Path, Path, bytes | None] | None = None
 
     def _is_last_step(self) -> bool:
