--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 from moorusher import __version__, cli
 
 from .stand_ins import HOST, SETTINGS, Kernel, free_port, running
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 
 def test_version(capsys: pytest.CaptureFixture[str]) -> None:
@@ -49,19 +49,19 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_runner_whose_port_is_taken_ends_with_an_error() -> None:
     """Another process listens where the runner should: it ends with exit code 1 and says that it could not start."""
     with socket.socket() as other:
         other.bind((HOST, 0))
         other.listen()
         async with running(Kernel(), wait=False, listen=other.getsockname()[1]) as runner:
-            await has(lambda: runner.process.poll() is not None)
+            await wait_until(lambda: runner.process.poll() is not None)
             assert runner.process.returncode == 1 and "could not start" in runner.text()
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_commands_on_a_runner_over_its_api() -> None:
     async with running(Kernel()) as runner:
 
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -12,7 +12,7 @@
 
 from .helpers import settings as base_settings
 from .stand_ins import HOST, SETTINGS, WAIT, FrontEnd, Kernel, Runner, content, running
-from .test_sockets import has, key, sockets
+from .test_sockets import asynchronous_test, new_key, wait_until
 
 CHECK, SUBMIT = SETTINGS["classes"]
 FREE, KEYED, ONCE = "free", "guarded", "single_shot"
@@ -26,7 +26,7 @@
     """Until the runner says that it has taken the new settings."""
     before = runner.text().count("configuration read again")
     runner.reload(**changes)
-    await has(lambda: runner.text().count("configuration read again") > before)
+    await wait_until(lambda: runner.text().count("configuration read again") > before)
 
 
 async def ask(runner: Runner, token: str, body: bytes = b"one", klass: str = "submit") -> dict[str, Any]:
@@ -43,11 +43,11 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize("more", [(), ({"effect": KEYED},), ({"effect": FREE}, {"effect": ONCE})])
-@sockets
+@asynchronous_test
 async def test_a_key_counts_for_its_window_though_its_class_has_none_any_more(
     more: tuple[dict[str, Any], ...],
 ) -> None:
-    kernel, token = Kernel(work=0.05), key()
+    kernel, token = Kernel(work=0.05), new_key()
     async with running(kernel) as runner:
         assert content(await ask(runner, token)) == b"did one"
         for changes in ({"effect": ONCE}, *more):
@@ -57,12 +57,12 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_repeat_of_a_run_that_goes_on_waits_for_it_though_its_class_has_no_keys_any_more() -> None:
-    kernel, token = Kernel(work=0.6), key()
+    kernel, token = Kernel(work=0.6), new_key()
     async with running(kernel) as runner:
         first = asyncio.create_task(ask(runner, token))
-        await has(lambda: len(kernel.runs) == 1)
+        await wait_until(lambda: len(kernel.runs) == 1)
         await reload(runner, settings(effect=ONCE))
         second = await ask(runner, token)
         assert content(second) == content(await first) == b"did one"
@@ -70,9 +70,9 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_repeat_under_the_class_that_took_the_place_of_a_keyed_one_runs_nothing() -> None:
-    kernel, token = Kernel(work=0.05), key()
+    kernel, token = Kernel(work=0.05), new_key()
     other = SUBMIT | {"name": "submit-b", "effect": ONCE}
     async with running(kernel) as runner:
         assert content(await ask(runner, token)) == b"did one"
@@ -82,9 +82,9 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_class_beside_a_keyed_one_takes_no_result_of_it() -> None:
-    kernel, token = Kernel(work=0.05), key()
+    kernel, token = Kernel(work=0.05), new_key()
     other = SUBMIT | {"name": "once", "effect": ONCE}
     extra = SETTINGS["extra"] | {"classCalls": [True] * 3, "worthWithout": [0.5, 0, 0]}
     async with running(kernel, classes=[CHECK, SUBMIT, other], extra=extra) as runner:
@@ -115,7 +115,7 @@
         heartbeat = self.send("heartbeat")
         tries = {}
         for t in tokens:
-            rid = key()[:16]
+            rid = new_key()[:16]
             tries[t] = Try(rid, self.send("submit", rid=rid, token=t, body=t.encode()))
         together, self._lines = b"\n".join(self._lines), None
         self.raw(together)
@@ -128,7 +128,7 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize("case", ["held ones run", "held ones are refused", "all are answered before"])
-@sockets
+@asynchronous_test
 async def test_held_requests_keep_the_effect_that_they_were_taken_with(case: str) -> None:
     """Keyed requests come at once; two run, some are held, and what would be held for too long is refused at once.
     New settings take the keys off their class, and then each request is sent once more.
@@ -144,11 +144,11 @@
     later = case == "held ones are refused"
     kernel = Kernel(work=3.0 if later else 0.3)
     count = 5 if case == "held ones run" else 12  # of 12 some are refused, however they are read
-    tokens = [key() for _ in range(count)]
+    tokens = [new_key() for _ in range(count)]
     async with running(kernel) as runner:
         front = OneWrite(*await asyncio.open_connection(HOST, runner.port))
         first, _ = front.submit(tokens)
-        await has(lambda: len(kernel.runs) == 2)
+        await wait_until(lambda: len(kernel.runs) == 2)
         if case == "all are answered before":
             await asyncio.wait_for(asyncio.gather(*(first[t].answer for t in tokens)), WAIT)
         await reload(runner, settings(effect=ONCE))
@@ -157,7 +157,7 @@
         for answer in (*(first[t].answer for t in tokens), heartbeat):
             answer.add_done_callback(came.append)  # what is there already comes first
         await asyncio.gather(*(tries[t].answer for tries in (first, again) for t in tokens))
-        await ask(runner, key(), body=b"work 10")  # had anything else been begun, the kernel knows by now
+        await ask(runner, new_key(), body=b"work 10")  # had anything else been begun, the kernel knows by now
         assert "result" in heartbeat.result()
         before = came[: came.index(heartbeat)]
         served = refused_later = ran_after_refusal = 0
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -13,7 +13,7 @@
 from .faults.day import INJECT
 from .fleets import Fleet, fleet, token
 from .stand_ins import until
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 from .test_takeover import ask_again, once, refused, served
 
 pytestmark = pytest.mark.processes
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-@sockets
+@asynchronous_test
 async def test_one_failing_disk_of_three_costs_no_result(kind: str, tmp_path: Path) -> None:
     start = tmp_path / "start"
     async with fleet(
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-@sockets
+@asynchronous_test
 async def test_a_fleet_whose_disks_all_fail_goes_on_by_itself_when_they_recover(
     kind: str, tmp_path: Path
 ) -> None:
@@ -145,7 +145,7 @@
         once(f, known)
 
 
-@sockets
+@asynchronous_test
 async def test_a_process_killed_with_half_a_record_written_comes_back_with_what_it_promised(
     tmp_path: Path,
 ) -> None:
@@ -174,4 +174,4 @@
         got = await results(f, 1, everything)
         assert all(served(t, a) for t, a in got.items()), "two of three have it on their disks"
         once(f, everything)
-        await has(lambda: "keys recalled" in f.runners[1].text())
+        await wait_until(lambda: "keys recalled" in f.runners[1].text())
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -16,7 +16,7 @@
 from .faults.day import INJECT, Day, Faults
 from .faults.kinds import KINDS
 from .stand_ins import FrontEnd, Kernel, running
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 pytestmark = pytest.mark.processes
 
@@ -48,7 +48,7 @@
 def test_accepts_that_fail_for_seconds_are_waited_out_without_a_busy_loop(
     error: str, line: str, counter: str
 ) -> None:
-    @sockets
+    @asynchronous_test
     async def run() -> None:
         began, plan = time.monotonic(), [("accept", error, 4.0, 6.0, 1.0)]
         environment = {"PYTHONPATH": str(INJECT), "FAULT_PLAN": json.dumps(plan)}
@@ -72,13 +72,13 @@
     [("socket", "ENFILE"), ("socket", "ENOBUFS"), ("connect", "ENETUNREACH"), ("accept", "ENFILE")],
 )
 def test_a_system_without_room_at_the_start_is_waited_out(call: str, error: str) -> None:
-    @sockets
+    @asynchronous_test
     async def run() -> None:
         environment = {"PYTHONPATH": str(INJECT), "FAULT_PLAN": json.dumps([(call, error, 0, 1.5, 1.0)])}
         async with running(Kernel(), environment=environment) as r:
             assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
             r.environment = {}
-            await has(lambda: any(path.is_socket() for path in r.spool.iterdir()))
+            await wait_until(lambda: any(path.is_socket() for path in r.spool.iterdir()))
             (further := Kernel()).listen()
             r.start(further.port)  # the next process finds this one
             await r.says_yes()
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -23,7 +23,7 @@
 
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, exchange, reactor, until
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 pytestmark = pytest.mark.processes
 
@@ -148,7 +148,7 @@
             receiver.close()
 
 
-@sockets
+@asynchronous_test
 async def test_requests_at_all_runners_are_counted_once_whoever_leads_the_forecast() -> None:
     """The leader is killed after it has replicated its counts. The next one has these, and gets them again from all
     runners whose reports were not acknowledged: neither doubles them. Duplicates of a request are no demand."""
@@ -177,7 +177,7 @@
         assert await f.counted_requests(next_leader) == 8, "of sixteen"
 
 
-@sockets
+@asynchronous_test
 async def test_an_imported_history_is_forecast_from_and_the_next_leader_has_the_same_figures() -> None:
     """The leader is killed; the next one works the forecast out again, from the replicated counts."""
     async with forecasting_fleet() as f:
@@ -185,41 +185,41 @@
         first = await f.forecast(2)
         assert first["routes"][0]["day"][0] > 24 * 2_500
         assert first["hints"]["hints"]
-        await has(lambda: len(f.receiver.accepted) > 0)
+        await wait_until(lambda: len(f.receiver.accepted) > 0)
         hint = f.receiver.accepted[-1].body["hints"][0]
         assert hint["zone"] == "z0"
         assert "cores" in hint["why"]
         leader = await f.leader(0)
         f.fleet.kill(leader)
-        await has(lambda: f.receiver.accepted[-1].token.term > first["term"])
+        await wait_until(lambda: f.receiver.accepted[-1].token.term > first["term"])
         again = await f.forecast(f.live_runner(leader))
         assert again["term"] > first["term"]
         if again["first_hour"] == first["first_hour"]:  # else an hour has ended meanwhile
             assert again["routes"] == first["routes"]
 
 
-@sockets
+@asynchronous_test
 async def test_a_hint_of_a_former_leader_that_arrives_late_changes_nothing() -> None:
     """The leader's hint is held up on the way, the leader is stopped, and the next one's hint arrives first. Then the
     first one arrives: without its fencing token it would replace the newer one."""
     async with forecasting_fleet() as f:
         await f.import_history(0)
-        await has(lambda: len(f.receiver.accepted) > 0)
+        await wait_until(lambda: len(f.receiver.accepted) > 0)
         leader = await f.leader(0)
         others = [i for i in range(4) if i != leader]
         f.relays[leader].silence()
         taken = len(f.receiver.accepted)
         await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
-        await has(lambda: f.relays[leader].holding > 0)
+        await wait_until(lambda: f.relays[leader].holding > 0)
         assert len(f.receiver.accepted) == taken
         f.fleet.stop(leader)
-        await has(lambda: len(f.receiver.accepted) > taken)
+        await wait_until(lambda: len(f.receiver.accepted) > taken)
         term = f.receiver.accepted[-1].token.term
         f.relays[leader].silence(False)
-        await has(lambda: any(fence.term < term for fence in f.receiver.rejected))
+        await wait_until(lambda: any(fence.term < term for fence in f.receiver.rejected))
 
 
-@sockets
+@asynchronous_test
 async def test_histories_that_can_not_be_imported_are_rejected_with_a_remedy() -> None:
     async with forecasting_fleet(3) as f:
         await f.import_history(0)
--- a/tests/test_hangups.py
+++ b/tests/test_hangups.py
@@ -10,7 +10,7 @@
 
 from .faults.day import INJECT
 from .stand_ins import HOST, FrontEnd, Kernel, running
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 pytestmark = pytest.mark.processes
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "EIO"])
-@sockets
+@asynchronous_test
 async def test_a_configuration_that_can_not_be_opened_for_a_moment_is_taken_when_it_can(
     tmp_path: Path, error: str
 ) -> None:
@@ -33,14 +33,14 @@
         r.reload(kernel=f"{HOST}:{moved.port}")
         await asyncio.sleep(0.5)
         assert not moved.opened
-        await has(lambda: bool(moved.opened))
+        await wait_until(lambda: bool(moved.opened))
         assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
         assert moved.runs and 1 <= r.text().count("can't be read for the moment") <= 3
         assert "configuration not changed" not in r.text()
     moved.close()
 
 
-@sockets
+@asynchronous_test
 async def test_the_newest_of_several_configurations_is_taken_and_a_bad_one_is_turned_down(
     tmp_path: Path,
 ) -> None:
@@ -51,14 +51,14 @@
         r.reload(kernel="nowhere")
         await asyncio.sleep(0.2)
         r.reload(kernel=f"{HOST}:{moved.port}")
-        await has(lambda: bool(moved.opened))
+        await wait_until(lambda: bool(moved.opened))
         assert r.text().count("configuration read again") == 1
         r.reload(kernel="nowhere")
-        await has(lambda: "configuration not changed" in r.text())
+        await wait_until(lambda: "configuration not changed" in r.text())
     moved.close()
 
 
-@sockets
+@asynchronous_test
 async def test_a_start_waits_until_its_configuration_can_be_opened() -> None:
     async with running(Kernel(), environment=environment("ENFILE", None, 1.5)) as r:
         assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
@@ -68,7 +68,7 @@
     "module",
     ["moorusher.server.main", "moorusher.config.loader", "twisted.internet", "moorusher.server.server"],
 )
-@sockets
+@asynchronous_test
 async def test_a_hangup_as_a_process_begins_does_not_end_it(module: str) -> None:
     hangup = {"PYTHONPATH": str(INJECT), "FAULT_HANGUP": module}
     async with running(Kernel(), environment=hangup) as r:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -37,7 +37,7 @@
 from moorusher.storage.journal_files import FileSystem, JournalFolder, open_folder
 
 from .fleets import Fleet, fleet, token
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
 
 HEADER = JournalHeader(JOURNAL_VERSION, "f", "digest", "a")
@@ -506,7 +506,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_cluster_that_lost_power_recovers_and_goes_on() -> None:
     """All members are killed at once: only their journals know which keys ran.
 
@@ -537,7 +537,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_queued_work_is_taken_over_without_a_retry_after_a_power_loss_of_all_members() -> None:
     """All members are killed and one does not return: the others find its queued work in their journals."""
     async with fleet(3, work=0.4, journals=True, aim_ms=8000) as cluster:
@@ -550,12 +550,12 @@
         for i in (1, 2):
             cluster.again(i)
             await cluster.runners[i].ready()
-        await has(lambda: queued <= cluster.began(1, 2))
+        await wait_until(lambda: queued <= cluster.began(1, 2))
         once(cluster, requests)
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_an_acceptor_with_a_full_disk_does_not_vote_until_it_can_write_again() -> None:
     """The disks of two of three members are full: no quorum is left, until one of them can write again."""
     # The claim time is long: on a busy machine a vote may arrive late, and must count.
@@ -589,7 +589,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_an_acceptor_with_a_journal_votes_at_once_after_it_was_killed() -> None:
     """Two of three members are killed and restarted.
 
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -24,7 +24,7 @@
 
 from .fleets import Fleet, fleet
 from .stand_ins import HOST, Kernel, reactor, until
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 pytestmark = pytest.mark.processes
 
@@ -49,12 +49,12 @@
     async def next_leader(self, *gone: int) -> int:
         """Somebody else reports, in a later term."""
         term = self.term
-        await has(lambda: self.term > term and self.leader not in gone)
+        await wait_until(lambda: self.term > term and self.leader not in gone)
         return self.leader
 
     async def goes_on(self) -> None:
         seen = len(self.receiver.accepted)
-        await has(lambda: len(self.receiver.accepted) > seen + 3)
+        await wait_until(lambda: len(self.receiver.accepted) > seen + 3)
 
     async def ask(
         self, i: int, path: str = "duties/alive", method: str = "GET"
@@ -91,7 +91,7 @@
 
         try:
             async with fleet(n, more=toml, **how) as f:
-                await has(lambda: len(receiver.accepted) > 3)
+                await wait_until(lambda: len(receiver.accepted) > 3)
                 w = Watched(f, receiver, ways)
                 yield w
                 w.in_order()
@@ -101,11 +101,11 @@
             receiver.close()
 
 
-@sockets
+@asynchronous_test
 async def test_the_duty_of_a_killed_leader_goes_on_from_its_replicated_state() -> None:
     """The leader is killed after a dozen reports. The next one goes on counting from the state that a majority has."""
     async with watched() as w:
-        await has(lambda: w.receiver.accepted[-1].body["reports"] > 12)
+        await wait_until(lambda: w.receiver.accepted[-1].body["reports"] > 12)
         before, first = w.receiver.accepted[-1].body["reports"], w.leader
         w.fleet.kill(first)
         then = await w.next_leader(first)
@@ -115,7 +115,7 @@
         assert (status, told["owner"], told["life"], told["lost"]) == (200, f"n{then}", "held", 1)
 
 
-@sockets
+@asynchronous_test
 async def test_a_leader_stopped_and_woken_learns_that_its_term_is_over() -> None:
     """The leader is stopped, another member takes the lease, and the former leader wakes with its work."""
     async with watched() as w:
@@ -129,7 +129,7 @@
         assert w.leader != first
 
 
-@sockets
+@asynchronous_test
 async def test_a_leader_that_wakes_after_two_further_terms_changes_nothing() -> None:
     """The leader is stopped; the next one is killed; a third leads when the first wakes."""
     async with watched(5, copies=5) as w:
@@ -146,7 +146,7 @@
         assert w.term == term
 
 
-@sockets
+@asynchronous_test
 async def test_a_leader_cut_off_with_its_operator_does_nothing_new_and_says_so() -> None:
     """The leader is cut off from all others, and an operator asks it."""
     async with watched() as w:
@@ -163,24 +163,24 @@
         await w.goes_on()
 
 
-@sockets
+@asynchronous_test
 async def test_a_late_request_of_a_former_leader_is_rejected() -> None:
     """A request is held on its way until another member leads, then arrives. Its token is stale."""
     async with watched() as w:
         first = w.leader
         w.ways[first].silence()  # what it says from here on is held on its way
-        await has(lambda: w.ways[first].holding > 0)
+        await wait_until(lambda: w.ways[first].holding > 0)
         w.fleet.stop(first)
         await w.next_leader(first)
         await w.goes_on()
         w.ways[first].resume()
-        await has(lambda: bool(w.receiver.rejected))
+        await wait_until(lambda: bool(w.receiver.rejected))
         assert all(f < w.receiver.accepted[-1].token for f in w.receiver.rejected)
         w.fleet.go_on(first)
         await w.superseded(first)
 
 
-@sockets
+@asynchronous_test
 async def test_a_request_whose_answers_are_lost_is_repeated_and_counts_once() -> None:
     """The receiver does what it is asked, and its answers are lost."""
     async with watched() as w:
@@ -190,7 +190,7 @@
         await w.goes_on()
 
 
-@sockets
+@asynchronous_test
 async def test_a_draining_runner_hands_its_duty_over_in_order() -> None:
     async with watched() as w:
         first = w.leader
@@ -200,19 +200,19 @@
         assert told["lost"] == 0, "nobody was lost"
         mine = [t.body["reports"] for t in w.receiver.accepted]
         assert mine == sorted(mine) and len(set(mine)) == len(mine), "its last state was handed on"
-        await has(lambda: w.fleet.runners[first].process.poll() == 0)
+        await wait_until(lambda: w.fleet.runners[first].process.poll() == 0)
 
 
-@sockets
+@asynchronous_test
 async def test_a_report_under_way_as_its_leader_drains_counts_in_the_state_that_is_handed_over() -> None:
     """SIGTERM comes while a report has no answer yet. The state that is handed over must count it."""
     async with watched() as w:
         first = w.leader
         w.ways[first].silence()
-        await has(lambda: w.ways[first].holding > 0)
+        await wait_until(lambda: w.ways[first].holding > 0)
         leaving = w.fleet.runners[first]
         leaving.process.send_signal(signal.SIGTERM)
-        await has(
+        await wait_until(
             lambda: "goes to others" in leaving.text()
         )  # the duty is given up, and the report has no answer yet
         w.ways[first].resume()
@@ -222,7 +222,7 @@
         assert told["lost"] == 0 and len(set(mine)) == len(mine)
 
 
-@sockets
+@asynchronous_test
 async def test_a_replaced_process_never_leads_together_with_its_successor() -> None:
     """A new process takes over the seat of the leader while the old one drains."""
     async with watched() as w:
@@ -233,12 +233,12 @@
         await r.says_yes()
         await w.goes_on()
         r.processes[0].send_signal(signal.SIGTERM)
-        await has(lambda: r.processes[0].poll() == 0)
+        await wait_until(lambda: r.processes[0].poll() == 0)
         await w.goes_on()
         kernel.close()
 
 
-@sockets
+@asynchronous_test
 async def test_leaders_killed_one_after_another_suspend_the_duty_until_it_is_resumed() -> None:
     """Three leaders are killed soon after they took the lease."""
     async with watched(5, steady_ms=60_000, journals=True) as w:
@@ -268,18 +268,18 @@
         await w.goes_on()
 
 
-@sockets
+@asynchronous_test
 async def test_a_fleet_that_lost_its_power_goes_on_from_its_disks_in_a_later_term() -> None:
     """All runners are killed at one time and restart with their journals."""
     async with watched(journals=True) as w:
-        await has(lambda: w.receiver.accepted[-1].body["reports"] > 12)
+        await wait_until(lambda: w.receiver.accepted[-1].body["reports"] > 12)
         before, term = w.receiver.accepted[-1].body["reports"], w.term
         for i in range(4):
             w.fleet.kill(i)
         await w.fleet.gone()
         for i in range(4):
             w.fleet.again(i)
-        await has(lambda: w.term > term)
+        await wait_until(lambda: w.term > term)
         first = next(t for t in w.receiver.accepted if t.token.term > term)
         assert (
             first.token.generation == w.receiver.accepted[0].token.generation
@@ -287,7 +287,7 @@
         )
 
 
-@sockets
+@asynchronous_test
 async def test_a_fleet_that_lost_its_memory_does_nothing_until_an_operator_says_so() -> None:
     """All runners are killed at one time and have no journals: nobody knows what was promised."""
     async with watched(3) as w:
@@ -307,7 +307,7 @@
         assert w.receiver.accepted[-1].token > FencingToken(born, 1 << 30, 1 << 30)
 
 
-@sockets
+@asynchronous_test
 async def test_a_full_disk_costs_a_replica_its_vote_until_there_is_room() -> None:
     """The leader's disk is full, so that it can promise nothing as a replica."""
     async with watched(journals=True) as w:
@@ -333,7 +333,7 @@
         await w.goes_on()
 
 
-@sockets
+@asynchronous_test
 async def test_sighup_to_all_leaves_the_duty_with_its_leader() -> None:
     async with watched() as w:
         term = w.term
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -23,7 +23,7 @@
 
 from .fleets import TOKEN, Fleet, fleet, token
 from .stand_ins import HOST, Kernel, exchange, until
-from .test_sockets import sockets
+from .test_sockets import asynchronous_test
 
 pytestmark = pytest.mark.processes
 
@@ -159,7 +159,7 @@
             yield Machines(f, folder)
 
 
-@sockets
+@asynchronous_test
 async def test_all_are_maintained_one_at_a_time_under_load_and_no_keyed_request_runs_twice() -> None:
     """Every machine of the fleet reboots under load, with scripts that wait on each."""
     async with machines(4) as m:
@@ -188,7 +188,7 @@
         assert len(runs) == len(set(runs)) and served > 0.95 * asked > 20
 
 
-@sockets
+@asynchronous_test
 async def test_a_machine_killed_while_it_drains_is_queued_again() -> None:
     """The process of a machine is killed while it drains for its slot. Its next process gives that slot back, and is
     granted a later one.
@@ -218,7 +218,7 @@
         await m.over()
 
 
-@sockets
+@asynchronous_test
 async def test_the_replica_that_writes_the_next_step_may_be_killed_at_any_of_them() -> None:
     """The replica that grants slots is killed at each of five steps."""
     async with machines(4, journals=True) as m:
@@ -234,7 +234,7 @@
         await m.over()
 
 
-@sockets
+@asynchronous_test
 async def test_a_machine_stopped_while_its_grant_is_revoked_does_not_go_when_it_wakes() -> None:
     """A machine is stopped while it drains, its grant is revoked, and it wakes."""
     async with machines(3, work=1.0) as m:
@@ -255,7 +255,7 @@
         assert await first == 5 and await second == 0 and m.went == [2] and m.most == 1
 
 
-@sockets
+@asynchronous_test
 async def test_a_cleared_machine_counts_as_out_until_an_operator_says_otherwise() -> None:
     """A machine was cleared, and its request is withdrawn: it may be worked on all the same."""
     async with machines(3) as m:
@@ -279,7 +279,7 @@
         assert await waits == 0 and m.went == [2]
 
 
-@sockets
+@asynchronous_test
 async def test_without_a_majority_no_machine_goes_and_one_that_is_out_comes_back_and_serves() -> None:
     """A majority of the replicas is cut off while a machine is out."""
     async with machines(4, most=2) as m:
@@ -302,7 +302,7 @@
         await m.over()
 
 
-@sockets
+@asynchronous_test
 async def test_in_two_halves_no_machine_goes_on_either_side() -> None:
     """The network splits the fleet into two halves."""
     async with machines(4) as m:
@@ -323,7 +323,7 @@
         assert await asyncio.gather(*scripts) == [0, 0] and m.most == 1
 
 
-@sockets
+@asynchronous_test
 async def test_two_operators_who_request_everything_at_once_get_it_one_at_a_time() -> None:
     async with machines(3) as m:
         asked = [
@@ -362,7 +362,7 @@
         assert sorted(m.went) == [0, 0, 1, 1, 2, 2] and m.most == 1
 
 
-@sockets
+@asynchronous_test
 async def test_a_lost_machine_counts_as_out() -> None:
     """A machine is lost that nobody asked to go."""
     async with machines(4) as m:
@@ -381,7 +381,7 @@
         assert await waits == 0
 
 
-@sockets
+@asynchronous_test
 async def test_a_lower_bound_in_its_own_file_holds_for_a_machine_granted_under_a_higher() -> None:
     async with machines(5, most=2, work=2.0, journals=True) as m:
         process = await m.ask(0, "--together")
@@ -403,7 +403,7 @@
         assert await second == 0 and m.most == 1
 
 
-@sockets
+@asynchronous_test
 async def test_a_process_that_replaces_another_goes_on_with_the_slot() -> None:
     async with machines(3) as m:
         process = await m.ask(1)
@@ -426,7 +426,7 @@
             more.close()
 
 
-@sockets
+@asynchronous_test
 async def test_a_request_whose_caller_is_gone_is_withdrawn_and_the_machine_serves_on() -> None:
     """The script that waits for the machine is killed."""
     async with machines(3, work=1.5) as m:
@@ -443,7 +443,7 @@
         assert "result" in await (await m.fleet.front(1)).ask("check")
 
 
-@sockets
+@asynchronous_test
 async def test_with_journals_the_schedule_outlives_the_whole_fleet() -> None:
     """All runners lose power at one time and restart with their journals."""
     async with machines(3, journals=True) as m:
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -18,7 +18,7 @@
 
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, Database, Kernel, content, exchange, until
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 from .test_takeover import ask_again, many, once, served
 
 pytestmark = pytest.mark.processes
@@ -120,7 +120,7 @@
             s.close()
 
 
-@sockets
+@asynchronous_test
 async def test_a_customers_rules_route_its_calls_at_every_runner_and_no_others() -> None:
     async with routed_cluster() as cluster:
         assert await cluster.route_of(2) == "free" and await cluster.route_of(2, acct="bolt") == "free"
@@ -137,7 +137,7 @@
         ) == "b1"
 
 
-@sockets
+@asynchronous_test
 async def test_each_submission_becomes_one_revision_though_the_leader_is_killed() -> None:
     """Eight submissions wait at the leader of the customer's duty as it is killed. Each is retried, under its id, at
     the next leader: none may be lost, none published twice, and an answer that came before stays true.
@@ -173,7 +173,7 @@
         await cluster.wait_for_revision(9, leader)
 
 
-@sockets
+@asynchronous_test
 async def test_a_cut_off_leader_publishes_nothing_and_conflicts_once_it_is_back() -> None:
     """The leader is on the smaller side of a partition. There a submission is refused for want of a majority, and
     requests go on by the last revision; the other side publishes. Once the cut heals the first submission conflicts.
@@ -201,7 +201,7 @@
         assert status == 409 and again["kind"] == "Conflict" and "~ routes.main" in again["error"]
 
 
-@sockets
+@asynchronous_test
 async def test_a_taken_over_request_keeps_its_revision() -> None:
     """Requests wait under revision 1 at a runner that is cut off and killed. All others have gone on to revision 2 when
     one takes them over: they are decided by revision 1.
@@ -228,7 +228,7 @@
             front.cancel()
 
 
-@sockets
+@asynchronous_test
 async def test_work_whose_revision_is_gone_is_not_taken_over() -> None:
     """Requests wait at a runner that is cut off and killed; meanwhile the namespace is deleted, and another one
     published under its name. Nobody has the rules that they were read with: no runner may run them by other rules.
@@ -255,7 +255,7 @@
             front.cancel()
 
 
-@sockets
+@asynchronous_test
 async def test_a_deletion_is_complete_only_when_every_seat_has_it() -> None:
     """One runner is down as a namespace is deleted. It might serve on by the deleted rules on the other side of a
     partition, so that the deletion is incomplete; started again, it learns of it before it serves.
@@ -277,7 +277,7 @@
         assert anew["born"] > first["born"] and anew["revision"] == 1
 
 
-@sockets
+@asynchronous_test
 async def test_a_runner_that_starts_alone_uses_the_revisions_on_its_disk() -> None:
     """The whole cluster is killed, and one runner starts: it hears of nobody, and goes by what it has stored.
 
@@ -285,7 +285,7 @@
     """
     async with routed_cluster(4, journals=True) as cluster:
         await cluster.publish(0)
-        await has(lambda: stored_count(cluster.fleet.journal(2) / "namespaces.db") == 1)
+        await wait_until(lambda: stored_count(cluster.fleet.journal(2) / "namespaces.db") == 1)
         for i in range(4):
             cluster.fleet.kill(i)
         await cluster.fleet.gone()
@@ -295,7 +295,7 @@
         assert "no other runner was heard of" in cluster.fleet.runners[2].text()
 
 
-@sockets
+@asynchronous_test
 async def test_a_rejection_by_rules_has_its_reason_and_a_retry_of_what_ran_is_answered() -> None:
     async with routed_cluster() as cluster:
         t = token()
@@ -314,7 +314,7 @@
         assert await cluster.route_of(2) == "a1"
 
 
-@sockets
+@asynchronous_test
 async def test_routes_fall_back_and_withdrawn_grants_are_skipped() -> None:
     """The server of a route goes away: calls take its fallback. Then the grants of all that the draft names are
     withdrawn: requests run without their call, and go to nobody else's servers.
@@ -346,7 +346,7 @@
         assert await cluster.route_of(1, acct="bolt") == "free"
 
 
-@sockets
+@asynchronous_test
 async def test_publishing_goes_on_while_the_leader_is_replaced() -> None:
     """A new process of the leader's runner starts, and the old one shuts down while four drafts are published."""
     async with routed_cluster(journals=True) as cluster:
@@ -361,7 +361,7 @@
         for n in range(2, 6):
             answer = await cluster.publish(others[n % 3], how=f"wait=1&id=n{n}", to=("a1", "a2")[n % 2])
             assert answer["revision"] == n
-        await has(lambda: runner.processes[0].poll() == 0)
+        await wait_until(lambda: runner.processes[0].poll() == 0)
         assert await cluster.route_of(leader) == "a2"
         kernel.close()
 
@@ -373,7 +373,7 @@
     return 0
 
 
-@sockets
+@asynchronous_test
 async def test_a_damaged_store_is_set_aside_and_fetched_from_others() -> None:
     """A killed runner's store is overwritten with what is no database. It starts, keeps the file under another name,
     and has the revision from the other runners before it serves.
@@ -382,7 +382,7 @@
         await cluster.publish(0)
         folder = cluster.fleet.journal(2)
         # Killed in the midst of that write, it would leave SQLite's own journal, which heals what is damaged here.
-        await has(lambda: stored_count(folder / "namespaces.db") == 1)
+        await wait_until(lambda: stored_count(folder / "namespaces.db") == 1)
         cluster.fleet.kill(2)
         await cluster.fleet.gone(2)
         (folder / "namespaces.db").write_bytes(b"no database at all" * 100)
@@ -393,7 +393,7 @@
         assert (await cluster.publish(1, to="a2"))["complete"]
 
 
-@sockets
+@asynchronous_test
 async def test_faulty_api_calls_are_answered_with_kind_and_remedy() -> None:
     async with routed_cluster(3) as cluster:
         for method, path, body, status, kind in (
--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -12,7 +12,7 @@
 
 from .fleets import Fleet, fleet, token
 from .stand_ins import Kernel, until
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
 
 pytestmark = pytest.mark.processes
@@ -31,7 +31,7 @@
     return set(asked), set(asked) - f.began(0)
 
 
-@sockets
+@asynchronous_test
 async def test_an_owner_killed_at_each_step_leaves_one_ending_for_each_key_and_no_second_run() -> None:
     """Between its question for the key and the grant, its question to begin and the grant, the grant and the command,
     in the run, after the end and before the others know of it."""
@@ -67,7 +67,7 @@
         assert ended_without_a_run <= 24, "what had no run was given up too often"
 
 
-@sockets
+@asynchronous_test
 async def test_new_settings_in_the_midst_of_a_takeover_lose_none_of_it() -> None:
     async with fleet(4, work=0.5) as f:
         asked, held = await in_hand(f, 10)
@@ -80,13 +80,13 @@
                 (Path(r.dir.name) / "config.json").write_text(json.dumps(r.config | {"settings": settings}))
                 r.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.12)
-        await has(lambda: held <= f.began(1, 2, 3))
+        await wait_until(lambda: held <= f.began(1, 2, 3))
         got = await ask_again(f, 2, asked)
         assert all(served(t, got[t]) for t in held)
         once(f, asked)
 
 
-@sockets
+@asynchronous_test
 async def test_a_process_replaced_in_the_midst_of_a_takeover_loses_none_of_it() -> None:
     async with fleet(4, work=0.5) as f:
         asked, held = await in_hand(f, 16)
@@ -102,7 +102,7 @@
 
         # A new process has forgotten what the old one kept: with n0 gone, too, such a key has one keeper left of three.
         sure = {t for t in held if not {"n0", "n1"} <= set(f.keepers(t))}
-        await has(lambda: sure <= f.began(1, 2, 3) | by_the_new_one())
+        await wait_until(lambda: sure <= f.began(1, 2, 3) | by_the_new_one())
         got = await ask_again(f, 2, asked)
         assert all(served(t, got[t]) for t in sure)
         once(f, asked)
@@ -115,7 +115,7 @@
         kernel.close()
 
 
-@sockets
+@asynchronous_test
 async def test_a_fleet_with_journals_loses_one_runner_after_the_other_and_no_key() -> None:
     """Each of them in turn, and never waiting until the last one has been told by the others.
 
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -20,7 +20,7 @@
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
 from .test_core import World
 from .test_fronts import Transport
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 
 class Probes:
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_over_sockets_a_kernel_that_is_cut_off_and_an_operator_are_heard() -> None:
     async with running(kernel := Kernel(work=0.05)) as r:
 
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_reload_changes_what_probes_are_told() -> None:
     async with running(Kernel()) as r:
         fronts = r.fronts
@@ -267,10 +267,10 @@
             + "[standing]\nprobe_ms = 700\n"
         )
         r.reload()
-        await has(lambda: "configuration read again" in r.text())
+        await wait_until(lambda: "configuration read again" in r.text())
         inputs = json.loads(body_of(await exchange(r.admin, b"GET /standing HTTP/1.0\r\n\r\n")))
         assert inputs["crowd"]["horizon_ms"] >= 1200
         assert b"endpoint-load-metrics: TEXT " in await exchange(r.health, b"GET /health HTTP/1.0\r\n\r\n")
         fronts.write_text(fronts.read_text().replace("probe_ms = 700", "probe_ms = 1"))
         r.reload()
-        await has(lambda: "configuration not changed: standing.probe_ms" in r.text())
+        await wait_until(lambda: "configuration not changed: standing.probe_ms" in r.text())
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -17,7 +17,7 @@
 
 from .faults.day import INJECT
 from .stand_ins import HOST, FrontEnd, Kernel, Runner, content, running, until
-from .test_sockets import has, key, sockets
+from .test_sockets import asynchronous_test, new_key, wait_until
 
 pytestmark = pytest.mark.processes
 
@@ -55,15 +55,15 @@
                 k.close()
 
 
-@sockets
+@asynchronous_test
 async def test_a_process_whose_name_could_not_be_made_is_found_once_it_can() -> None:
     async with running(Kernel(), wait=False) as r:
         in_the_way = Path(rendezvous_path(str(r.spool), "n1", (HOST, r.port)) or "")
         in_the_way.mkdir()
         await r.ready()
-        await has(lambda: "no further process can find this one yet" in r.text())
+        await wait_until(lambda: "no further process can find this one yet" in r.text())
         in_the_way.rmdir()
-        await has(in_the_way.is_socket)
+        await wait_until(in_the_way.is_socket)
         (further := Kernel()).listen()
         r.start(further.port)
         await r.says_yes()
@@ -71,7 +71,7 @@
         further.close()
 
 
-@sockets
+@asynchronous_test
 async def test_sockets_that_can_not_be_taken_over_for_a_moment_lose_nobody_who_waits_on_them(
     tmp_path: Path,
 ) -> None:
@@ -83,7 +83,7 @@
         runner.environment = {"PYTHONPATH": str(INJECT), "FAULT_PLAN": plan, "FAULT_START": str(start)}
         former = runner.process
         await both.begin(late=1.5)
-        await has(lambda: "a further process of this runner has come" in runner.text())
+        await wait_until(lambda: "a further process of this runner has come" in runner.text())
         start.touch()
         answers = []
         while "can't listen yet" not in runner.text() or not runner.text().count("finishes, and the other"):
@@ -99,7 +99,7 @@
         await asyncio.to_thread(former.wait)
 
 
-@sockets
+@asynchronous_test
 async def test_under_load_nothing_is_lost_at_the_door_and_the_old_process_ends_in_order() -> None:
     async with pair(work=0.05) as both:
         answers: list[dict[str, object]] = []
@@ -114,26 +114,26 @@
                 await asyncio.sleep(0.01)
 
         clients = [asyncio.create_task(client()) for _ in range(8)]
-        await has(lambda: len(answers) > 20)
+        await wait_until(lambda: len(answers) > 20)
         await both.replace()
         old = both.runner.processes[0]
         old.send_signal(signal.SIGTERM)
-        await has(lambda: old.poll() is not None)
+        await wait_until(lambda: old.poll() is not None)
         seen = len(answers)
-        await has(lambda: len(answers) > seen + 20)
+        await wait_until(lambda: len(answers) > seen + 20)
         stop = True
         await asyncio.gather(*clients)  # a connection that was cut would raise here
         assert old.returncode == 0
         assert all("result" in a or a["error"]["code"] == -32014 for a in answers)  # type: ignore[index]
 
 
-@sockets
+@asynchronous_test
 async def test_a_repeat_at_the_new_process_gets_the_result_of_the_run_at_the_old_one() -> None:
     async with pair(work=1.0) as both:
-        token = key()
+        token = new_key()
         first = await FrontEnd.connect(both.runner.port)
         asked = first.send("submit", token=token, body=b"once")
-        await has(lambda: both.ran() == [b"once"])
+        await wait_until(lambda: both.ran() == [b"once"])
         await both.replace()
         second = await FrontEnd.connect(both.runner.port)
         repeat = second.send("submit", token=token, body=b"once")
@@ -149,13 +149,13 @@
         assert both.ran() == [b"once"]
 
 
-@sockets
+@asynchronous_test
 async def test_the_old_process_killed_with_a_run_open_leaves_a_key_that_never_runs_again() -> None:
     async with pair(work=30.0) as both:
-        token = key()
+        token = new_key()
         first = await FrontEnd.connect(both.runner.port)
         first.send("submit", token=token, body=b"once")
-        await has(lambda: both.ran() == [b"once"])
+        await wait_until(lambda: both.ran() == [b"once"])
         await both.replace()
         second = await FrontEnd.connect(both.runner.port)
         repeat = second.send("submit", token=token, body=b"once")
@@ -163,30 +163,30 @@
         both.runner.processes[0].kill()
         assert "error" in await asyncio.wait_for(repeat, 10)
         assert "error" in await second.ask("submit", token=token, body=b"once")
-        assert "result" in await second.ask("submit", token=key(), body=b"other")
+        assert "result" in await second.ask("submit", token=new_key(), body=b"other")
         assert both.ran() == [b"once", b"other"]
 
 
-@sockets
+@asynchronous_test
 async def test_a_new_process_that_dies_leaves_the_old_one_as_it_was() -> None:
     async with pair() as both:
         r, first = both.runner, both.runner.console
         await both.begin(late=3600)  # it waits for its kernel: not ready
-        await has(lambda: "hands its keys over" in r.text())
+        await wait_until(lambda: "hands its keys over" in r.text())
         assert await r.asked("health") == 503
         r.processes[1].kill()
         f = await FrontEnd.connect(r.port)
-        token = key()
+        token = new_key()
         assert "result" in await f.ask("submit", token=token)
         await both.replace()  # ready, and let on
         r.processes[2].kill()
-        await has(lambda: r.text().count("is alone (the other one has died)") >= 2)
+        await wait_until(lambda: r.text().count("is alone (the other one has died)") >= 2)
         f = await FrontEnd.connect(r.port)
         assert "result" in await f.ask("submit", token=token) and len(both.ran()) == 1
         assert await r.asked("health", first) == 200
 
 
-@sockets
+@asynchronous_test
 async def test_a_hung_process_is_not_waited_for_and_no_key_runs_until_it_is_gone() -> None:
     async with pair() as both:
         r = both.runner
@@ -200,18 +200,18 @@
         ):  # the hung one has a queue of its own at the address: the kernel shares out between both
             f = await FrontEnd.connect(r.port)
             try:
-                refused = await asyncio.wait_for(f.send("submit", token=key()), 0.5)
+                refused = await asyncio.wait_for(f.send("submit", token=new_key()), 0.5)
                 break
             except TimeoutError:
                 f.close()
         assert refused["error"]["code"] == -32014 and "result" in await f.ask("check")
         old.send_signal(signal.SIGCONT)  # it speaks again: its keys are read, and it is let go
-        await has(lambda: "serves, and the other one finishes" in r.text())
+        await wait_until(lambda: "serves, and the other one finishes" in r.text())
         f = await FrontEnd.connect(r.port)
-        assert "result" in await f.ask("submit", token=key())
+        assert "result" in await f.ask("submit", token=new_key())
 
 
-@sockets
+@asynchronous_test
 async def test_what_lies_about_in_tmpdir_stops_no_start() -> None:
     async with pair() as both:
         r = both.runner
@@ -220,7 +220,7 @@
         r.processes[0].wait()
         await both.replace()  # the file of a dead process: what it ran nobody knows
         f = await FrontEnd.connect(r.port)
-        assert (await f.ask("submit", token=key()))["error"]["code"] == -32014
+        assert (await f.ask("submit", token=new_key()))["error"]["code"] == -32014
         assert "result" in await f.ask("check")
         r.processes[1].kill()
         r.processes[1].wait()
@@ -228,20 +228,20 @@
         place.write_bytes(b'{"t":"WELC')  # no socket at all
         await both.replace()
         f = await FrontEnd.connect(r.port)
-        assert "result" in await f.ask("submit", token=key())
+        assert "result" in await f.ask("submit", token=new_key())
         with socket.socket(socket.AF_UNIX) as s:  # somebody who speaks nonsense to the one in service
             s.connect(str(place))
             s.sendall(b"\x00\x00\x00\x05nonse\xff\xff\xff\xff")
         assert "result" in await f.ask("check")
 
 
-@sockets
+@asynchronous_test
 async def test_a_drained_runner_stays_drained_over_a_replacement_and_either_console_ends_it() -> None:
     async with pair() as both:
         r, first = both.runner, both.runner.console
         assert await r.asked("quiesce") == 200 and await r.asked("health") == 503
         await both.begin()
-        await has(lambda: "serves, and the other one finishes" in r.text())
+        await wait_until(lambda: "serves, and the other one finishes" in r.text())
         assert await r.asked("health") == 503
         assert await r.asked("resume", first) == 200
         await r.says_yes()
@@ -253,7 +253,7 @@
         await until(told)
 
 
-@sockets
+@asynchronous_test
 async def test_a_second_replacement_waits_for_the_first_and_sigterm_without_one_is_the_notice_to_leave() -> (
     None
 ):
@@ -261,42 +261,42 @@
         r = both.runner
         await both.replace()
         await both.begin()
-        await has(lambda: r.text().count("has come:") >= 2)
+        await wait_until(lambda: r.text().count("has come:") >= 2)
         assert await r.asked("health") == 503
         r.processes[0].send_signal(signal.SIGTERM)
         await r.says_yes()
         r.processes[1].send_signal(signal.SIGTERM)
-        await has(lambda: r.processes[1].poll() == 0)
+        await wait_until(lambda: r.processes[1].poll() == 0)
         f = await FrontEnd.connect(r.port)
         r.processes[2].send_signal(signal.SIGTERM)
-        await has(lambda: r.text().count("leaving within") == 1)
+        await wait_until(lambda: r.text().count("leaving within") == 1)
         assert (await f.ask("heartbeat"))["result"]["fit"] is False
 
 
-@sockets
+@asynchronous_test
 async def test_a_new_process_told_to_leave_before_its_kernel_is_up_leaves_the_old_one_in_service() -> None:
     async with pair() as both:
         r, first = both.runner, both.runner.console
         await both.begin(late=3600)
-        await has(lambda: "has its keys, and waits for the kernel" in r.text())
+        await wait_until(lambda: "has its keys, and waits for the kernel" in r.text())
         r.processes[1].send_signal(signal.SIGTERM)
-        await has(lambda: r.processes[1].poll() is not None)
+        await wait_until(lambda: r.processes[1].poll() is not None)
         both.kernels[1].come_up()
         assert r.processes[1].returncode == 0 and "and the other one serves" not in r.text()
         assert await r.asked("health", first) == 200
-        assert "result" in await (await FrontEnd.connect(r.port)).ask("submit", token=key())
+        assert "result" in await (await FrontEnd.connect(r.port)).ask("submit", token=new_key())
 
 
-@sockets
+@asynchronous_test
 async def test_a_new_process_told_to_leave_as_its_kernel_comes_up_is_never_let_on() -> None:
     async with pair() as both:
         r, first = both.runner, both.runner.console
         await both.begin(late=3600)
-        await has(lambda: "has its keys, and waits for the kernel" in r.text())
+        await wait_until(lambda: "has its keys, and waits for the kernel" in r.text())
         r.processes[1].send_signal(signal.SIGSTOP)  # the kernel's word and the signal wait for it together
         both.kernels[1].come_up()
         r.processes[1].send_signal(signal.SIGTERM)
         r.processes[1].send_signal(signal.SIGCONT)
-        await has(lambda: r.processes[1].poll() is not None)
+        await wait_until(lambda: r.processes[1].poll() is not None)
         assert await r.asked("health", first) == 200
-        assert "result" in await (await FrontEnd.connect(r.port)).ask("submit", token=key())
+        assert "result" in await (await FrontEnd.connect(r.port)).ask("submit", token=new_key())
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -18,7 +18,7 @@
 
 from .stand_ins import SETTINGS, Database, FrontEnd, Kernel, running
 from .test_server_pool import listed
-from .test_sockets import has, key, sockets
+from .test_sockets import asynchronous_test, new_key, wait_until
 
 EFFECTS = ("free", "guarded", "single_shot")
 
@@ -35,7 +35,7 @@
 
 
 async def ask(front_end: FrontEnd, effect: str, **more: Any) -> dict[str, Any]:
-    token = {"token": key()} if effect == "guarded" else {}
+    token = {"token": new_key()} if effect == "guarded" else {}
     return await front_end.ask(effect, **token, **more)
 
 
@@ -68,13 +68,13 @@
 def test_a_call_cut_off_on_a_connection_that_was_used_before(effect: str, repeated: bool) -> None:
     """The other side has read the call when the connection breaks: that proves nothing."""
 
-    @sockets
+    @asynchronous_test
     async def run() -> None:
         db = Database(200, "reset", 200)
         async with running(Kernel(calls=True), db, **settings_of_each_effect()) as r:
             f = await FrontEnd.connect(r.port)
             assert "result" in await ask(f, "free", body=b"first")
-            await has(lambda: not f._waiting)
+            await wait_until(lambda: not f._waiting)
             got = await ask(f, effect, body=b"second", budget=2000)
             assert db.calls.count(b"ask second") == (2 if repeated else 1)
             assert ("result" in got) is repeated
@@ -85,7 +85,7 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("effect, repeated", [("free", True), ("guarded", False), ("single_shot", False)])
 def test_an_attempt_of_the_tier_that_may_have_run(effect: str, repeated: bool) -> None:
-    @sockets
+    @asynchronous_test
     async def run() -> None:
         servers = [Database("reset"), Database("reset")]
         more = listed(*servers, policy="hedge = false\nretry_share = 1.0")
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -17,7 +17,7 @@
 from moorusher.storage.revisions import Store, connect
 
 from .stand_ins import reactor
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 
 class FailingDisk:
@@ -85,11 +85,11 @@
     async with store(path) as (revisions_store, _):
         revisions_store.open()
         revisions_store.put("acme", (1, 1), b"one")
-        await has(lambda: bool(stored_rows(path)))
+        await wait_until(lambda: bool(stored_rows(path)))
 
 
 @pytest.mark.parametrize("error", [FULL, BROKEN])
-@sockets
+@asynchronous_test
 async def test_failed_writes_are_retried_until_the_disk_takes_them(
     tmp_path: Path, error: tuple[str, int]
 ) -> None:
@@ -101,15 +101,15 @@
         assert revisions_store.open() == []
         disk.fail(*error, times=3)
         revisions_store.put("acme", (1, 1), b"one")
-        await has(lambda: bool(revisions_store.failing))
+        await wait_until(lambda: bool(revisions_store.failing))
         revisions_store.put("bolt", (1, 1), b"other")
         revisions_store.put("acme", (1, 2), b"two")
-        await has(lambda: not revisions_store.failing)
+        await wait_until(lambda: not revisions_store.failing)
         assert stored_rows(path) == {"acme": (1, 2, b"two"), "bolt": (1, 1, b"other")}
         assert counts["namespaces: store not written"] == 3
 
 
-@sockets
+@asynchronous_test
 async def test_another_customers_write_does_not_hide_a_failed_one(tmp_path: Path) -> None:
     """One write fails, the next one of another customer succeeds: the first one is still retried."""
     path, disk = tmp_path / "n.db", FailingDisk()
@@ -118,11 +118,11 @@
         disk.fail(*FULL)
         revisions_store.put("acme", (1, 1), b"one")
         revisions_store.put("bolt", (1, 1), b"other")
-        await has(lambda: len(stored_rows(path)) == 2 and not revisions_store.failing)
+        await wait_until(lambda: len(stored_rows(path)) == 2 and not revisions_store.failing)
 
 
 @pytest.mark.parametrize("error", [FULL, BROKEN, ("database is locked", sqlite3.SQLITE_BUSY)])
-@sockets
+@asynchronous_test
 async def test_a_short_disk_failure_at_startup_loses_nothing(tmp_path: Path, error: tuple[str, int]) -> None:
     """Two reads fail as the process starts: the file is read again, and not taken for a damaged one."""
     path, disk = tmp_path / "n.db", FailingDisk()
@@ -133,7 +133,7 @@
     assert not path.with_suffix(".damaged").exists()
 
 
-@sockets
+@asynchronous_test
 async def test_a_locked_file_stays_in_place_and_is_written_later(tmp_path: Path) -> None:
     """Another process has the file locked for longer than the store waits. The runner serves without it; once it is
     free the later revisions are written, and none that the file has is overwritten by an older one.
@@ -148,12 +148,12 @@
         revisions_store.put("bolt", (1, 1), b"other")
         revisions_store.put("acme", (1, 0), b"older")
         other.execute("rollback")
-        await has(lambda: not revisions_store.failing)
+        await wait_until(lambda: not revisions_store.failing)
         assert stored_rows(path) == {"acme": (1, 1, b"one"), "bolt": (1, 1, b"other")}
     other.close()
 
 
-@sockets
+@asynchronous_test
 async def test_a_damaged_file_is_set_aside_and_the_store_starts_empty(tmp_path: Path) -> None:
     """The file is no database: it is kept under another name for whoever looks into it, and the store works."""
     path = tmp_path / "n.db"
@@ -162,10 +162,10 @@
         assert revisions_store.open() == [] and counts["namespaces: a damaged store"] == 1
         assert path.with_suffix(".damaged").exists()
         revisions_store.put("acme", (1, 1), b"one")
-        await has(lambda: bool(stored_rows(path)))
+        await wait_until(lambda: bool(stored_rows(path)))
 
 
-@sockets
+@asynchronous_test
 async def test_pending_writes_are_tried_once_more_at_shutdown(tmp_path: Path) -> None:
     """A write has failed, and the process ends before its retry: it is written as the store is closed."""
     path, disk = tmp_path / "n.db", FailingDisk()
@@ -173,5 +173,5 @@
         revisions_store.open()
         disk.fail(*FULL)
         revisions_store.put("acme", (1, 1), b"one")
-        await has(lambda: bool(revisions_store.failing))
+        await wait_until(lambda: bool(revisions_store.failing))
     assert stored_rows(path) == {"acme": (1, 1, b"one")}
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -16,7 +16,7 @@
 from moorusher.scheduling.retry_policy import EVIDENCE_OF_OUTCOME
 
 from .stand_ins import HOST, WAIT, Database, FrontEnd, Kernel, UwsgiPeer, body_of, exchange, running, status
-from .test_sockets import has, key, sockets
+from .test_sockets import asynchronous_test, new_key, wait_until
 
 
 def listed(*servers: Any, policy: str = "hedge = false") -> str:
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_calls_are_spread_and_every_reply_comes_through_over_both_protocols() -> None:
     servers = [Database(), Database(), UwsgiPeer()]
     async with running(kernel := Kernel(calls=True), more=listed(*servers)) as r:
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_failing_and_a_missing_server_cost_no_call_that_may_run_twice() -> None:
     failing, gone, well = Database(500), Database(), Database()
     more = listed(
@@ -94,12 +94,12 @@
 def test_a_call_with_a_key_is_made_again_only_after_a_proof(
     script: tuple[int | str, ...], calls: int
 ) -> None:
-    @sockets
+    @asynchronous_test
     async def play() -> None:
         servers = [Database(*script)]
         async with running(Kernel(calls=True), more=listed(*servers)) as r:
             f = await FrontEnd.connect(r.port)
-            answer = await f.ask("submit", token=key())
+            answer = await f.ask("submit", token=new_key())
             assert ("result" in answer) is (calls == 2) and len(servers[0].calls) == calls
         close(servers)
 
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_server_that_hangs_is_bypassed_by_hedged_requests() -> None:
     servers = [Database("hang"), Database()]
     async with running(kernel := Kernel(calls=True), more=listed(*servers, policy="retry_share = 1.0")) as r:
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_servers_change_under_load_by_api_and_by_sighup() -> None:
     servers = [Database(), Database(), Database()]
     text = listed(*servers[:2])
@@ -154,13 +154,13 @@
         # The file's word again, with s0 at another address: names stay.
         r.fronts.write_text(r.fronts.read_text().replace(f":{servers[0].port}", f":{servers[2].port}"))
         r.reload()
-        await has(lambda: "configuration read again" in r.text())
+        await wait_until(lambda: "configuration read again" in r.text())
         at = len(servers[0].calls)
         await some(f, 20)
         assert len(servers[0].calls) == at and len(servers[1].calls) > before[1]
         r.fronts.write_text(r.fronts.read_text().split("[tier]")[0])
         r.reload()
-        await has(lambda: "tier.server: can't be set or taken away" in r.text())
+        await wait_until(lambda: "tier.server: can't be set or taken away" in r.text())
     close(servers)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -39,7 +39,7 @@
 P = ParamSpec("P")
 
 
-def sockets(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
+def asynchronous_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
     """Run an asynchronous test in its own event loop, for 60 s at most."""
 
     @wraps(test)
@@ -49,12 +49,12 @@
     return run
 
 
-def key() -> str:
+def new_key() -> str:
     """A new idempotency key."""
     return os.urandom(16).hex()
 
 
-async def has(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until the condition holds."""
 
     async def check() -> bool:
@@ -66,7 +66,7 @@
 # ---- no request lost ----
 
 
-@sockets
+@asynchronous_test
 async def test_each_request_gets_one_answer_and_its_body_arrives_unchanged() -> None:
     async with running(kernel := Kernel()) as runner:
         client = await FrontEnd.connect(runner.port)
@@ -77,27 +77,27 @@
         assert sorted(body for _, _, body in kernel.runs) == sorted(bodies)
 
 
-@sockets
+@asynchronous_test
 async def test_a_run_that_hangs_is_answered_at_its_deadline() -> None:
     """The kernel never ends a run: its client gets an error at the deadline."""
     async with running(kernel := Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
         idempotent, keyed = await asyncio.gather(
-            client.ask("check", budget=1500), client.ask("submit", budget=1500, token=key())
+            client.ask("check", budget=1500), client.ask("submit", budget=1500, token=new_key())
         )
         assert (idempotent["error"]["code"], keyed["error"]["code"]) == (-32000, -32000)
         # The idempotent run is stopped, the one with a key goes on.
-        await has(lambda: kernel.message_counts["PREEMPT"] == 1)
+        await wait_until(lambda: kernel.message_counts["PREEMPT"] == 1)
         assert set(client.answers.values()) == {1}
 
 
-@sockets
+@asynchronous_test
 async def test_a_broken_kernel_connection_loses_and_repeats_nothing() -> None:
     """The connection to the kernel breaks during runs: each request is answered, and none runs twice."""
     async with running(kernel := Kernel(work=0.3)) as runner:
         client = await FrontEnd.connect(runner.port)
-        pending = [client.send("submit", token=key()) for _ in range(4)]
-        await has(lambda: len(kernel.runs) >= 2)
+        pending = [client.send("submit", token=new_key()) for _ in range(4)]
+        await wait_until(lambda: len(kernel.runs) >= 2)
         kernel.cut()  # runs end meanwhile: their notices arrive with the replay
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("result" in answer for answer in answers)
@@ -106,7 +106,7 @@
         assert set(client.answers.values()) == {1}
 
 
-@sockets
+@asynchronous_test
 async def test_a_runner_is_not_ready_until_its_kernel_has_booted() -> None:
     """The kernel boots late: health checks say so, and requests are served as soon as it is up."""
     async with running(kernel := Kernel(boot_delay_s=3600, state="EMPTY"), wait=False) as runner:
@@ -126,7 +126,7 @@
         assert "result" in await client.ask("check")
 
 
-@sockets
+@asynchronous_test
 async def test_a_command_that_the_kernel_rejects_fails_its_request() -> None:
     async with running(kernel := Kernel()) as runner:
         kernel.refuse = {"SCHED"}
@@ -137,11 +137,11 @@
 # ---- no effect twice ----
 
 
-@sockets
+@asynchronous_test
 async def test_an_idempotency_key_runs_once_over_both_protocols() -> None:
     async with running(kernel := Kernel(work=0.1)) as runner:
         client = await FrontEnd.connect(runner.port)
-        token = key()
+        token = new_key()
         first = client.send("submit", token=token)
         same_turn = client.send("submit", token=token)
         over_uwsgi = await exchange(runner.uwsgi, uwsgi_request("submit", token=token))
@@ -153,14 +153,14 @@
         assert "result" in other and len(kernel.runs) == 2
 
 
-@sockets
+@asynchronous_test
 async def test_the_result_of_a_keyed_request_is_kept_for_a_client_whose_connection_broke() -> None:
     """A client's connection breaks while its request runs: a retry gets the result without a second run."""
     async with running(kernel := Kernel(work=0.3)) as runner:
         client = await FrontEnd.connect(runner.port)
-        token = key()
+        token = new_key()
         client.send("submit", token=token)
-        await has(lambda: len(kernel.runs) == 1)
+        await wait_until(lambda: len(kernel.runs) == 1)
         client.close()
         second_client = await FrontEnd.connect(runner.port)
         assert content(await second_client.ask("submit", token=token)) == b"did x"
@@ -168,14 +168,14 @@
         assert (await runner.counters())["gone"] == 1
 
 
-@sockets
+@asynchronous_test
 async def test_a_revoked_request_is_stopped_in_the_kernel() -> None:
     async with running(kernel := Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
         client.send("check", rid="00000000000000aa")
-        await has(lambda: len(kernel.runs) == 1)
+        await wait_until(lambda: len(kernel.runs) == 1)
         client.raw(b'{"jsonrpc":"2.0","method":"revoke","params":{"rid":"00000000000000aa"}}')
-        await has(lambda: kernel.message_counts["PREEMPT"] == 1)
+        await wait_until(lambda: kernel.message_counts["PREEMPT"] == 1)
 
 
 # ---- downstream calls ----
@@ -200,12 +200,12 @@
     Only an error that proves that it never ran allows a retry.
     """
 
-    @sockets
+    @asynchronous_test
     async def run() -> None:
         database = Database(*script)
         async with running(kernel := Kernel(calls=True), database) as runner:
             client = await FrontEnd.connect(runner.port)
-            answer = await client.ask("submit", token=key(), budget=1500)
+            answer = await client.ask("submit", token=new_key(), budget=1500)
             assert ("result" in answer) is served
             assert database.calls == [b"ask x"] * calls
             assert list(kernel.call_replies.values()) == ([b"reply"] if served else [])
@@ -233,13 +233,13 @@
     Only an error that proves that it never ran allows a retry, which carries the same key.
     """
 
-    @sockets
+    @asynchronous_test
     async def run() -> None:
         peer = UwsgiPeer(*script)
         peer.listen()
         async with running(kernel := Kernel(calls=True), below=peer.port) as runner:
             client = await FrontEnd.connect(runner.port)
-            token = key()
+            token = new_key()
             answer = await client.ask("submit", token=token, budget=1500)
             assert ("result" in answer) is served
             assert peer.calls == [b"ask x"] * calls
@@ -250,7 +250,7 @@
     run()
 
 
-@sockets
+@asynchronous_test
 async def test_a_hanging_call_is_cancelled_by_a_close_and_pooled_connections_are_reused() -> None:
     """The database never replies to a call: its connection is closed at the deadline."""
     database = Database(200, 200, 200, "hang")
@@ -260,22 +260,22 @@
             assert "result" in await client.ask("check")
             await asyncio.sleep(0.05)  # a connection is reused after nothing has followed its reply
         assert database.accepted == 1
-        assert "error" in await client.ask("submit", token=key(), budget=1500)
+        assert "error" in await client.ask("submit", token=new_key(), budget=1500)
 
 
-@sockets
+@asynchronous_test
 async def test_downstream_calls_are_answered_by_another_runner_over_uwsgi() -> None:
     async with (
         running(lower_kernel := Kernel()) as lower_runner,
         running(upper_kernel := Kernel(calls=True), below=lower_runner.uwsgi) as upper_runner,
     ):
         client = await FrontEnd.connect(upper_runner.port)
-        assert content(await client.ask("submit", token=key(), body=b"essay")) == b"did essay"
+        assert content(await client.ask("submit", token=new_key(), body=b"essay")) == b"did essay"
         assert [body for _, _, body in lower_kernel.runs] == [b"ask essay"]
         assert list(upper_kernel.call_replies.values()) == [b"did ask essay"]
 
 
-@sockets
+@asynchronous_test
 async def test_an_optional_downstream_call_is_skipped_if_its_backend_is_down() -> None:
     """Nothing listens at the backend's address: the run goes on without its call."""
     async with running(kernel := Kernel(calls=True), below=1) as runner:  # nothing listens there
@@ -287,7 +287,7 @@
 # ---- drain ----
 
 
-@sockets
+@asynchronous_test
 async def test_draining_answers_all_requests_in_flight_and_ends_the_process() -> None:
     """SIGTERM arrives with requests in flight over both protocols.
 
@@ -296,15 +296,15 @@
     """
     async with running(Kernel(work=0.9)) as runner:
         client = await FrontEnd.connect(runner.port)
-        pending = [client.send("submit", token=key()), client.send("check")]
+        pending = [client.send("submit", token=new_key()), client.send("check")]
         over_uwsgi = asyncio.create_task(exchange(runner.uwsgi, uwsgi_request("check")))
         await asyncio.sleep(0.2)
         runner.process.send_signal(signal.SIGTERM)
-        await has(lambda: "leaving within" in runner.text())
+        await wait_until(lambda: "leaving within" in runner.text())
         # Clients learn of it late: for part of its time it serves on, over new connections too.
         late_client = await FrontEnd.connect(runner.port)
         assert not client.stray and "result" in await late_client.ask("check")
-        await has(lambda: any(message.get("method") == "leaving" for message in client.stray))
+        await wait_until(lambda: any(message.get("method") == "leaving" for message in client.stray))
         assert (await exchange(runner.agent)).startswith(b"drain stopped #draining: leaving")
         assert status(await exchange(runner.health, b"GET /health HTTP/1.0\r\n\r\n")) == 503
         with pytest.raises(ConnectionError):
@@ -312,28 +312,28 @@
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("result" in answer for answer in answers)
         assert status(await over_uwsgi) == 200
-        await has(lambda: runner.process.poll() is not None)
+        await wait_until(lambda: runner.process.poll() is not None)
         assert runner.process.returncode == 0
         assert "served 4" in runner.text()
 
 
-@sockets
+@asynchronous_test
 async def test_draining_with_runs_that_hang_answers_before_the_process_ends() -> None:
     """SIGTERM arrives while the kernel hangs: each request gets an error before the process ends."""
     async with running(Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
-        pending = [client.send("submit", token=key()) for _ in range(8)]
+        pending = [client.send("submit", token=new_key()) for _ in range(8)]
         await asyncio.sleep(0.2)
         runner.process.send_signal(signal.SIGTERM)
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("error" in answer for answer in answers)
-        await has(lambda: runner.process.poll() is not None)
+        await wait_until(lambda: runner.process.poll() is not None)
 
 
 # ---- overload ----
 
 
-@sockets
+@asynchronous_test
 async def test_under_overload_requests_are_queued_or_rejected_and_the_concurrency_limit_holds() -> None:
     """256 requests arrive at once: those that don't fit are rejected with a retry-after."""
     async with running(kernel := Kernel(work=0.2)) as runner:
@@ -348,12 +348,12 @@
         assert len(kernel.runs) == len(answers) - len(rejected)
 
 
-@sockets
+@asynchronous_test
 async def test_requests_in_flight_and_line_length_are_limited_per_connection() -> None:
     """One client sends too many requests and then a line without an end: other clients are not affected."""
     async with running(Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
-        token = key()  # the retries of a run that hangs stay in flight
+        token = new_key()  # the retries of a run that hangs stay in flight
         pending = [client.send("submit", token=token) for _ in range(33)]
         assert (await asyncio.wait_for(pending[32], WAIT))["error"]["code"] == -32600
         client.raw(b"x" * 100_000)
@@ -367,7 +367,7 @@
 # ---- uwsgi ----
 
 
-@sockets
+@asynchronous_test
 async def test_a_uwsgi_packet_may_arrive_in_any_segments() -> None:
     async with running(Kernel()) as runner:
         raw = uwsgi_request("check", b"body")
@@ -376,11 +376,11 @@
         assert await exchange(runner.uwsgi, HEAD.pack(PING, 0, 0)) == HEAD.pack(PING, 0, 1)
 
 
-@sockets
+@asynchronous_test
 async def test_a_uwsgi_client_that_disconnects_in_its_body_submits_no_request() -> None:
     """A client that disconnects within its packet runs nothing; one that does after it is cancelled."""
     async with running(kernel := Kernel(hang=True)) as runner:
-        raw = uwsgi_request("submit", b"0123456789", token=key())
+        raw = uwsgi_request("submit", b"0123456789", token=new_key())
         for sent in (raw[:2], raw[:-1], raw[:-10]):
             _, writer = await asyncio.open_connection("127.0.0.1", runner.uwsgi)
             writer.write(sent)
@@ -388,7 +388,7 @@
             writer.close()
         _, writer = await asyncio.open_connection("127.0.0.1", runner.uwsgi)
         writer.write(raw)  # this one disconnects after its body: its request is cancelled
-        await has(lambda: len(kernel.runs) == 1)
+        await wait_until(lambda: len(kernel.runs) == 1)
         writer.close()
 
         async def gone() -> bool:
@@ -399,7 +399,7 @@
         assert counters["taken"] == 1 and len(kernel.runs) == 1
 
 
-@sockets
+@asynchronous_test
 async def test_http_statuses_over_uwsgi() -> None:
     async with running(Kernel(hang=True)) as runner:
 
@@ -425,7 +425,7 @@
         assert {status(answer) for answer in shed} <= {503, 504}
 
 
-@sockets
+@asynchronous_test
 async def test_a_uwsgi_client_that_stops_in_its_body_gets_a_timeout() -> None:
     """A client sends all but the last byte and waits: it gets status 408 and nothing runs."""
     async with running(kernel := Kernel()) as runner:
@@ -437,7 +437,7 @@
 # ---- both protocols ----
 
 
-@sockets
+@asynchronous_test
 async def test_both_protocols_at_110_percent_load_lose_and_repeat_nothing() -> None:
     """Two cores at 25 ms a run serve 80 requests a second, and 88 arrive, over both protocols in turn.
 
@@ -452,7 +452,7 @@
         for i in range(260):
             klass = "submit" if i % 4 < 2 else "check"
             body = f"{i // 2 if i % 4 < 2 else i}".encode()
-            parameters = {"token": tokens.setdefault(body, key())} if klass == "submit" else {}
+            parameters = {"token": tokens.setdefault(body, new_key())} if klass == "submit" else {}
             if i % 2:
                 sent_over["uwsgi"].append(
                     asyncio.ensure_future(
@@ -489,21 +489,21 @@
 # ---- service registration ----
 
 
-@sockets
+@asynchronous_test
 async def test_service_registration_is_renewed_while_serving_and_stops_on_draining() -> None:
     """The registry closes a connection in the middle, and the runner drains with a run that hangs."""
     announce = Announce(cut_at=2)  # it closes the connection in the middle: the next report arrives anyway
     reports = announce.reports
     async with running(Kernel(hang=True), announce=announce.port) as runner:
-        await has(lambda: len(reports) >= 4)
+        await wait_until(lambda: len(reports) >= 4)
         assert set(reports) == {b'PUT /announce/n1 {"accepting":"true"}'}
         client = await FrontEnd.connect(runner.port)
-        client.send("submit", token=key())
+        client.send("submit", token=new_key())
         await asyncio.sleep(0.1)
         runner.process.send_signal(signal.SIGTERM)
-        await has(lambda: any(message.get("method") == "leaving" for message in client.stray))
+        await wait_until(lambda: any(message.get("method") == "leaving" for message in client.stray))
         count = len(reports)
-        await has(lambda: runner.process.poll() is not None)  # some seconds later, since the run hangs
+        await wait_until(lambda: runner.process.poll() is not None)  # some seconds later, since the run hangs
         assert len(reports) == count
     announce.close()
 
@@ -511,19 +511,19 @@
 # ---- a new configuration ----
 
 
-@sockets
+@asynchronous_test
 async def test_sighup_moves_all_connections_and_loses_nothing() -> None:
     """A reload changes the addresses of kernel, database and registry while requests are in flight."""
     before = Announce()
     after = Announce()
     kernel = Kernel(work=0.3, calls=True)
     later = Database()
-    token = key()
+    token = new_key()
     async with running(kernel, Database(), announce=before.port) as runner:
         client = await FrontEnd.connect(runner.port)
         later.listen()
         pending = [client.send("submit", token=token), *(client.send("check") for _ in range(3))]
-        await has(lambda: len(kernel.runs) >= 2)
+        await wait_until(lambda: len(kernel.runs) >= 2)
         kernel.move()
         runner.reload(
             kernel=f"{HOST}:{kernel.port}", db=f"{HOST}:{later.port}", announce=f"{HOST}:{after.port}"
@@ -534,10 +534,10 @@
         assert content(await client.ask("submit", token=token)) == content(answers[0])
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
         assert len(kernel.opened) == 2 and later.calls
-        await has(lambda: bool(after.reports))
+        await wait_until(lambda: bool(after.reports))
         # A file that can't be used changes nothing, and the log names the key.
         runner.reload(kernel="nowhere")
-        await has(lambda: "kernel: expected HOST:PORT" in runner.text())
+        await wait_until(lambda: "kernel: expected HOST:PORT" in runner.text())
         assert "result" in await client.ask("check")
         assert (await runner.counters())["configurations read"] == 1
     before.close()
@@ -547,7 +547,7 @@
 # ---- administration ----
 
 
-@sockets
+@asynchronous_test
 async def test_the_administration_api_and_its_authorization() -> None:
     async with running(Kernel()) as runner:
         client = await FrontEnd.connect(runner.port)
@@ -562,13 +562,13 @@
         assert runner.process.poll() is None
         right = b"POST /drain HTTP/1.0\r\nAuthorization: Bearer t0p\r\n\r\n"
         assert json.loads(body_of(await exchange(runner.admin, right))) == {"draining": True}
-        await has(lambda: runner.process.poll() is not None)
+        await wait_until(lambda: runner.process.poll() is not None)
 
 
 # ---- file descriptors ----
 
 
-@sockets
+@asynchronous_test
 async def test_clients_beyond_the_descriptor_limit_do_not_shut_out_operators_kernel_or_calls() -> None:
     """300 idle clients and 100 idle operators connect to a runner with 100 file descriptors."""
     async with running(kernel := Kernel(calls=True), database := Database(), descriptors=100) as runner:
@@ -588,7 +588,7 @@
             connection.close()
 
 
-@sockets
+@asynchronous_test
 async def test_connections_accepted_without_a_free_descriptor_are_closed_and_counted() -> None:
     """The system's limit of file descriptors is lower than the configured one, and all are in use."""
     async with running(Kernel()) as runner:
@@ -605,17 +605,17 @@
         assert (await runner.counters())["accepts without a descriptor"] > 0
 
 
-@sockets
+@asynchronous_test
 async def test_a_silently_dead_kernel_connection_is_replaced_and_its_runs_are_answered() -> None:
     """The connection to the kernel stays open, but nothing arrives on it: the runner opens a new one."""
     async with running(kernel := Kernel(work=0.3)) as runner:
         client = await FrontEnd.connect(runner.port)
-        pending = client.send("submit", token=key())
-        await has(lambda: len(kernel.runs) == 1)
+        pending = client.send("submit", token=new_key())
+        await wait_until(lambda: len(kernel.runs) == 1)
         dead_connection = kernel.link  # it stays open, and nothing more is sent on it
         kernel.link = None
         assert dead_connection is not None
         dead_connection.send_message = lambda message: None  # type: ignore[method-assign]
-        await has(lambda: len(kernel.opened) == 2)
+        await wait_until(lambda: len(kernel.opened) == 2)
         assert "result" in await asyncio.wait_for(pending, WAIT)
         assert "result" in await client.ask("check") and set(client.answers.values()) == {1}
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -18,18 +18,18 @@
 
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, SETTINGS, Kernel, body_of, content, exchange, status, until, uwsgi_request
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 pytestmark = pytest.mark.processes
 
 
-@sockets
+@asynchronous_test
 async def test_a_repeat_at_another_runner_gets_the_one_result() -> None:
     async with fleet(work=0.3) as f:
         a, b = await f.front(0), await f.front(1)
         t = token()
         first = a.send("submit", token=t, body=b"one")
-        await has(lambda: len(f.ran()) == 1)
+        await wait_until(lambda: len(f.ran()) == 1)
         again, third = (
             b.send("submit", token=t, body=b"one"),
             (await f.front(2)).send("submit", token=t, body=b"one"),
@@ -49,7 +49,7 @@
     front = await f.front(at)
     tokens = [token() for _ in range(n)]
     asked = {t: front.send("submit", token=t, body=t.encode()) for t in tokens}
-    await has(lambda: len(f.kernels[at].runs) >= 2)
+    await wait_until(lambda: len(f.kernels[at].runs) >= 2)
 
     async def all_said() -> bool:
         told = await f.runners[at].counters()
@@ -97,7 +97,7 @@
         a.add_done_callback(lambda done: done.cancelled() or done.exception())
 
 
-@sockets
+@asynchronous_test
 async def test_what_a_killed_runner_held_is_run_elsewhere_without_being_asked_for_and_what_ran_is_not() -> (
     None
 ):
@@ -107,7 +107,7 @@
         began = f.began(0)
         f.kill(0)
         held = set(asked) - began
-        await has(lambda: held <= f.began(1, 2, 3))
+        await wait_until(lambda: held <= f.began(1, 2, 3))
         got = await ask_again(f, 2, asked)
         assert all(served(t, got[t]) for t in held)
         assert all("error" in got[t] and not refused(got[t]) for t in began), (
@@ -116,13 +116,13 @@
         once(f, asked)
 
 
-@sockets
+@asynchronous_test
 async def test_a_stopped_owner_that_wakes_after_its_work_was_taken_over_runs_none_of_it() -> None:
     async with fleet(work=0.5) as f:
         asked = await many(f, 10)
         f.stop(0)
         held = set(asked) - f.began(0)
-        await has(lambda: held <= f.began(1, 2, 3))
+        await wait_until(lambda: held <= f.began(1, 2, 3))
         f.go_on(0)
         for t, a in asked.items():
             assert served(t, await a), "its own callers hear, too"
@@ -133,7 +133,7 @@
         )
 
 
-@sockets
+@asynchronous_test
 async def test_a_pause_of_half_a_second_takes_nothing_over() -> None:
     async with fleet(work=0.4) as f:
         asked = await many(f, 8)
@@ -146,7 +146,7 @@
         assert not f.began(1, 2, 3)
 
 
-@sockets
+@asynchronous_test
 async def test_both_sides_of_a_cut_that_both_have_the_key_run_it_once() -> None:
     async with fleet(work=0.5) as f:
         asked = await many(f, 10)
@@ -165,7 +165,7 @@
         once(f, asked)
 
 
-@sockets
+@asynchronous_test
 async def test_repeats_at_many_runners_in_one_moment_run_once() -> None:
     async with fleet(work=0.02) as f:
         fronts = [await f.front(i) for i in range(4)]
@@ -177,23 +177,23 @@
         assert all(served(t, a) for t, a in got.items())
 
 
-@sockets
+@asynchronous_test
 async def test_a_repeat_over_uwsgi_gets_the_result_of_a_try_over_json() -> None:
     async with fleet(work=0.3) as f:
         t = token()
         first = (await f.front(0)).send("submit", token=t, body=b"one")
-        await has(lambda: len(f.ran()) == 1)
+        await wait_until(lambda: len(f.ran()) == 1)
         got = await exchange(f.runners[1].uwsgi, uwsgi_request("submit", b"one", token=t))
         assert status(got) == 200 and body_of(got) == b"did one" == content(await first)
         assert f.ran() == [b"one"]
 
 
-@sockets
+@asynchronous_test
 async def test_another_body_under_the_same_token_is_turned_away_and_runs_nothing() -> None:
     async with fleet(work=0.3) as f:
         t = token()
         first = (await f.front(0)).send("submit", token=t, body=b"one")
-        await has(lambda: len(f.ran()) == 1)
+        await wait_until(lambda: len(f.ran()) == 1)
         assert "error" in await (await f.front(1)).ask("submit", token=t, body=b"two")
         assert content(await first) == b"did one" and f.ran() == [b"one"]
 
@@ -242,7 +242,7 @@
         assert not served(t, await front.ask("submit", token=t, body=t.encode())) or t in f.began(*living)
 
 
-@sockets
+@asynchronous_test
 async def test_the_taker_is_killed_too_and_a_third_goes_on() -> None:
     """Killed while nothing lies between a register and a kernel: a key has no result only where the lost ran it.
 
@@ -271,7 +271,7 @@
         once(f, asked)
 
 
-@sockets
+@asynchronous_test
 async def test_the_taker_is_killed_while_it_begins_work_and_a_third_goes_on_with_the_rest() -> None:
     """Killed at any moment: what it had recorded as begun, and its kernel has not read, may have run for all others
     know. Such a key ends as one that ran, and runs nowhere else; all others are served."""
@@ -279,7 +279,7 @@
         asked = await many(f, 24)
         quiet(asked)
         f.kill(0)
-        await has(lambda: bool(f.began(1, 2, 3, 4, 5)))
+        await wait_until(lambda: bool(f.began(1, 2, 3, 4, 5)))
         second = taker_to_lose(f, asked)
         f.kill(second)
         living = {1, 2, 3, 4, 5} - {second}
@@ -297,7 +297,7 @@
         once(f, asked)
 
 
-@sockets
+@asynchronous_test
 async def test_a_runner_that_leaves_hands_over_what_it_holds_and_its_own_callers_get_the_results() -> None:
     async with fleet(work=0.5) as f:
         asked = await many(f, 14)
@@ -306,10 +306,10 @@
         assert all([served(t, await a) for t, a in asked.items()])
         once(f, asked)
         assert held <= f.began(1, 2, 3)
-        await has(lambda: f.runners[0].process.poll() == 0)
+        await wait_until(lambda: f.runners[0].process.poll() == 0)
 
 
-@sockets
+@asynchronous_test
 async def test_a_runner_whose_kernel_is_gone_hands_over_what_it_holds() -> None:
     async with fleet(work=0.5) as f:
         asked = await many(f, 10)
@@ -319,7 +319,7 @@
         once(f, asked)
 
 
-@sockets
+@asynchronous_test
 async def test_without_a_majority_keyed_work_fails_at_once_and_the_rest_is_served() -> None:
     async with fleet(3, work=0.02) as f:
         f.kill(1)
@@ -333,7 +333,7 @@
         assert f.ran() == [b"x"]
 
 
-@sockets
+@asynchronous_test
 async def test_uncovered_work_is_served_alone_where_the_operator_says_so() -> None:
     async with fleet(3, work=0.02, uncovered="alone") as f:
         f.kill(1)
@@ -341,7 +341,7 @@
         assert content(await (await f.front(0)).ask("submit", token=token(), body=b"x")) == b"did x"
 
 
-@sockets
+@asynchronous_test
 async def test_a_keeper_that_has_forgotten_is_told_again_and_nothing_runs_twice() -> None:
     async with fleet(work=0.02) as f:
         tokens = [token() for _ in range(10)]
@@ -356,7 +356,7 @@
         once(f, tokens)
 
 
-@sockets
+@asynchronous_test
 async def test_a_whole_fleet_that_has_forgotten_waits_until_it_no_longer_matters() -> None:
     async with fleet(3, work=0.02, window_ms=1000) as f:
         tokens = [token() for _ in range(5)]
@@ -376,7 +376,7 @@
         assert "result" in await front.ask("submit", token=token())
 
 
-@sockets
+@asynchronous_test
 async def test_rubbish_endless_frames_and_halves_of_one_do_no_harm() -> None:
     async with fleet(3, work=0.02) as f:
         for sent in (
@@ -395,7 +395,7 @@
         assert "result" in await (await f.front(0)).ask("submit", token=token())
 
 
-@sockets
+@asynchronous_test
 async def test_a_runner_of_another_fleet_or_with_other_seats_is_refused_with_the_reason() -> None:
     async with fleet(3, work=0.02) as f:
         for hello, why in (
@@ -412,7 +412,7 @@
             assert isinstance(answer, HandshakeRejected) and why in answer.reason
 
 
-@sockets
+@asynchronous_test
 async def test_links_that_break_in_the_midst_of_frames_and_are_slow_lose_nothing() -> None:
     async with fleet(work=0.02, claim_ms=3_000) as f:  # links this bad, on a busy machine, take their time
         for relay in f.relays.values():
@@ -425,7 +425,7 @@
         assert all(served(t, a) for t, a in got.items()), [a for t, a in got.items() if not served(t, a)]
 
 
-@sockets
+@asynchronous_test
 async def test_a_replaced_process_is_the_same_member_and_what_it_holds_stays_its_own() -> None:
     async with fleet(work=0.5) as f:
         asked = await many(f, 10)
@@ -438,7 +438,7 @@
         assert served(t, (await ask_again(f, 2, [t]))[t]), "a repeat elsewhere finds the old process's work"
         r.processes[0].send_signal(signal.SIGTERM)
         assert all([served(t, await a) for t, a in asked.items()])
-        await has(lambda: r.processes[0].poll() == 0)
+        await wait_until(lambda: r.processes[0].poll() == 0)
         assert not f.began(1, 2, 3) and not kernel.runs, "nothing was taken from a process that lived"
         await remembers(f, 0)
         more = token()
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -51,7 +51,7 @@
 
 from .stand_ins import Database, FrontEnd, Kernel, running
 from .test_server_pool import listed
-from .test_sockets import has, sockets
+from .test_sockets import asynchronous_test, wait_until
 
 S, MS = 1_000_000, 1_000
 
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.processes
-@sockets
+@asynchronous_test
 async def test_a_runner_saves_what_it_learnt_and_the_next_one_learns_from_it() -> None:
     servers = [Database(500), Database(), Database(), Database()]
     text = listed(*servers, policy='knowledge_file = "known"')
@@ -228,7 +228,7 @@
             if (await r.counters("servers"))["counts"]["ejections"]:
                 break
         r.process.send_signal(signal.SIGTERM)
-        await has(lambda: r.process.poll() is not None)
+        await wait_until(lambda: r.process.poll() is not None)
         known = (r.fronts.parent / "known").read_bytes()
     told = {s.name: s for s in decode_snapshot(known).endpoints}
     assert set(told) == {"s0", "s1", "s2", "s3"} and told["s0"].ejected
