--- a/moorusher/lab/runner_fleet.py
+++ b/moorusher/lab/runner_fleet.py
@@ -14,6 +14,8 @@
 from .stand_ins.kernel import Kernel
 
 ZONES = 2
+_POLL_S = 0.1
+_BOOTSTRAP_RETRY_S = 0.2
 
 
 class RunnerFleet:
@@ -68,12 +70,29 @@
         return request_admin(self.runners[index].admin, path, method, body)
 
     async def begin(self) -> None:
-        """Wait until every runner has its kernel, and form the fleet."""
+        """Wait until every runner has its kernel, form the fleet, and wait until every runner has heard of it."""
         for index in range(len(self.runners)):
             while b'"kernel_up": true' not in (await self.request_admin(index, "status")).body:
-                await self.pause(0.1)
-        while b"begun" not in (await self.request_admin(0, "fleet/begin", "POST")).body:
-            await self.pause(0.2)
+                await self.pause(_POLL_S)
+        while not await self._bootstrap():
+            await self.pause(_BOOTSTRAP_RETRY_S)
+        for index in range(len(self.runners)):
+            while not await self._has_recovered(index):
+                await self.pause(_POLL_S)
+
+    async def _bootstrap(self) -> bool:
+        """Tell the first runner that the fleet is new.
+
+        :returns: False where it has to be told again: it refuses until it has heard from all others in all register
+            spaces. One that has recovered refuses too, and need not be told again.
+        """
+        reply = await self.request_admin(0, "fleet/begin", "POST")
+        return reply.succeeded or await self._has_recovered(0)
+
+    async def _has_recovered(self, index: int) -> bool:
+        """Whether a runner's acceptors vote, in all register spaces."""
+        status = (await self.request_admin(index, "fleet")).decode()
+        return bool(status.get("remembers"))
 
     def close(self) -> None:
         """Kill all runners, close all kernels."""
