--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class MachineSpec:
     """A machine's cores, and how many runs they bear.
 
     Attributes:
@@ -55,7 +55,7 @@
     :ivar busy_us: time of cores that were in use.
     """
 
-    def __init__(self, machine: Machine, now: int, cold: bool = False) -> None:
+    def __init__(self, machine: MachineSpec, now: int, cold: bool = False) -> None:
         self.machine = machine
         self.started_at = now
         self.cold = cold
--- a/moorusher/lab/demo_fleet.py
+++ b/moorusher/lab/demo_fleet.py
@@ -22,7 +22,7 @@
 
 from .admin_client import ADMIN_TOKEN, AdminReply, request_admin
 from .arrivals import Arrival, RequestClass, draw_arrivals
-from .cores import Machine
+from .cores import MachineSpec
 from .demo_fleet_files import SHARED_POOL, TENANTS, backends_toml, fleet_toml
 from .experiment import Log
 from .fenced_receiver import FencedReceiver, TokenStore
@@ -90,7 +90,9 @@
         self._temporary = TemporaryDirectory(prefix="moorusher-lab-")
         self._folder = Path(self._temporary.name)
         self._ports = {f"n{index + 1}": free_port() for index in range(count)}
-        self._kernels = {name: Kernel(reactor, machine=Machine(CORES), gauges=GAUGES) for name in self._ports}
+        self._kernels = {
+            name: Kernel(reactor, machine=MachineSpec(CORES), gauges=GAUGES) for name in self._ports
+        }
         for kernel in self._kernels.values():
             kernel.listen()
         self._receiver = FencedReceiver(reactor, TokenStore(self._folder / "book"))
@@ -202,7 +204,7 @@
         if self._leaving:
             return
         port = self._kernels[name].port
-        machine = Machine(CORES, cold_speed=0.5, warm_up_us=WARM_UP_US)
+        machine = MachineSpec(CORES, cold_speed=0.5, warm_up_us=WARM_UP_US)
         kernel = Kernel(self.reactor, machine=machine, gauges=GAUGES, state="EMPTY", age_ms=0)
         kernel.listen(port)
         self._kernels[name] = kernel
--- a/moorusher/lab/demo_runner.py
+++ b/moorusher/lab/demo_runner.py
@@ -10,7 +10,7 @@
 from .arrivals import Arrival, RequestClass, draw_arrivals
 from .balancer import Server, ServerPicker
 from .clock import now_us
-from .cores import Machine
+from .cores import MachineSpec
 from .experiment import Log
 from .health_prober import HealthProber, ProbeKind
 from .load_generator import LoadGenerator, Route
@@ -51,7 +51,7 @@
         self._database.listen()
         self._kernel = Kernel(
             reactor,
-            machine=Machine(CORES, cold_speed=COLD_SPEED, warm_up_us=WARM_UP_S * 1_000_000),
+            machine=MachineSpec(CORES, cold_speed=COLD_SPEED, warm_up_us=WARM_UP_S * 1_000_000),
             gauges=GAUGES,
             state="EMPTY",
             age_ms=0,
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -16,7 +16,7 @@
 
 from .arrivals import Arrival, RequestClass, draw_arrivals
 from .balancer import Server
-from .cores import Machine
+from .cores import MachineSpec
 from .experiment import Experiment, Log, Plot, Points, Result
 from .load_generator import LoadGenerator, Route
 from .namespace_rules import count_wrong_decisions, draft_of_size, measure_look_ups
@@ -61,7 +61,7 @@
             RUNNERS,
             runner_settings([REQUEST_CLASS], TENANTS, CORES) | {"overShareWorth": 0.1},
             lambda index: toml,
-            machine=Machine(CORES),
+            machine=MachineSpec(CORES),
             gauges=GAUGES,
         )
 
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -13,7 +13,7 @@
 
 from .admin_client import request_admin
 from .arrivals import RequestClass
-from .cores import Machine
+from .cores import MachineSpec
 from .ports import HOST, free_port
 from .relays import Relay
 from .runners import GAUGES, Runner, runner_settings
@@ -68,7 +68,7 @@
     def _create_kernel(self, cold: bool) -> Kernel:
         kernel = Kernel(
             self.reactor,
-            machine=Machine(CORES, cold_speed=COLD_SPEED, warm_up_us=round(WARM_UP_S * 1e6)),
+            machine=MachineSpec(CORES, cold_speed=COLD_SPEED, warm_up_us=round(WARM_UP_S * 1e6)),
             gauges=GAUGES,
             state="EMPTY" if cold else "LOADED",
             age_ms=0 if cold else 5000,
--- a/moorusher/lab/shed_arm.py
+++ b/moorusher/lab/shed_arm.py
@@ -9,7 +9,7 @@
 from .arrivals import Arrival, RequestClass
 from .balancer import BalancingMode, Server, ServerPicker
 from .clock import now_us
-from .cores import Machine
+from .cores import MachineSpec
 from .experiment import Points
 from .health_prober import HealthProber, ProbeKind
 from .load_generator import LoadGenerator, Route
@@ -116,7 +116,7 @@
     def _start_runner(self, index: int) -> Runner:
         options = self.options
         is_cold = options.with_cold_runner and index == options.runners - 1
-        machine = Machine(
+        machine = MachineSpec(
             CORES,
             collapse_runs_per_core=COLLAPSE_MULTIPLE,
             cold_speed=COLD_SPEED if is_cold else 1.0,
--- a/moorusher/lab/stand_ins/kernel.py
+++ b/moorusher/lab/stand_ins/kernel.py
@@ -13,7 +13,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from ..clock import now_us
-from ..cores import NEVER, Cores, Machine
+from ..cores import NEVER, Cores, MachineSpec
 from .base import StandInServer, TrackedConnection
 
 _POLL_US = 50_000
@@ -110,7 +110,7 @@
         calls: bool = False,
         boot_delay_s: float = 0.0,
         state: str = "LOADED",
-        machine: Machine | None = None,
+        machine: MachineSpec | None = None,
         gauges: tuple[str, ...] = ("cpu_busy",),
         age_ms: int = 5000,
     ) -> None:
@@ -311,6 +311,6 @@
             self._poll_timer = self.reactor.callLater(min(due - now, _POLL_US) / 1e6, self._poll)
 
 
-def _unbounded_machine(cores: int) -> Machine:
+def _unbounded_machine(cores: int) -> MachineSpec:
     """Cores that bear any number of runs."""
-    return Machine(cores, degradation_threshold=_UNBOUNDED, collapse_runs_per_core=_UNBOUNDED)
+    return MachineSpec(cores, degradation_threshold=_UNBOUNDED, collapse_runs_per_core=_UNBOUNDED)
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -13,7 +13,7 @@
 from .admin_client import AdminReply, request_admin
 from .arrivals import Arrival, RequestClass, draw_arrivals
 from .clock import now_us
-from .cores import Machine
+from .cores import MachineSpec
 from .ports import HOST, free_port
 from .relays import Relay
 from .runner_client import RunnerClient
@@ -72,7 +72,7 @@
         self.in_fleet = in_fleet
         self.loss = loss
         self._rng = random.Random(seed)
-        self._kernels = [Kernel(reactor, machine=Machine(CORES), gauges=GAUGES) for _ in range(RUNNERS)]
+        self._kernels = [Kernel(reactor, machine=MachineSpec(CORES), gauges=GAUGES) for _ in range(RUNNERS)]
         for kernel in self._kernels:
             kernel.listen()
         self._fleet_ports = [free_port() for _ in range(RUNNERS)]
--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -16,12 +16,12 @@
 
 if TYPE_CHECKING:
     from .cluster_process import Process
-    from .cluster_simulation import Simulation
+    from .cluster_simulation import ClusterSimulation
 
 MAJORITY = 2  # of the three replicas of a key
 
 
-def find_violation(sim: Simulation) -> str | None:
+def find_violation(sim: ClusterSimulation) -> str | None:
     """Check all invariants at the end of a simulation."""
     history = sim.history
     return (
@@ -91,7 +91,7 @@
     )
 
 
-def abandoned_work(sim: Simulation) -> str | None:
+def abandoned_work(sim: ClusterSimulation) -> str | None:
     """Work that a majority of its live replicas knows is run, finished or released in the end."""
     ran = {run.key for run in sim.history.runs}
     for key in sim.history.granted:
@@ -104,13 +104,13 @@
     return None
 
 
-def _is_in_progress(sim: Simulation, key: KeyDigest) -> bool:
+def _is_in_progress(sim: ClusterSimulation, key: KeyDigest) -> bool:
     return any(
         process.engine.states.get(key) in (KeyState.HELD, KeyState.STARTING) for process in sim.processes
     )
 
 
-def _replicas_with_open_work(sim: Simulation, key: KeyDigest) -> list[Process]:
+def _replicas_with_open_work(sim: ClusterSimulation, key: KeyDigest) -> list[Process]:
     """The live replicas of a key that have a vote on it, and know of work that somebody has to go on with."""
     live = {process.node.me: process for process in sim.processes if process.alive}
     withdrawing = _withdrawing_owners(sim, key)
@@ -135,7 +135,7 @@
     )
 
 
-def _withdrawing_owners(sim: Simulation, key: KeyDigest) -> set[Owner]:
+def _withdrawing_owners(sim: ClusterSimulation, key: KeyDigest) -> set[Owner]:
     """Its owners that have given their clients up, and are withdrawing their claims."""
     given_up = {
         answer.process
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -15,7 +15,7 @@
 from .simulated_request_engine import SimulatedRequestEngine
 
 if TYPE_CHECKING:
-    from .cluster_simulation import Simulation
+    from .cluster_simulation import ClusterSimulation
 
 CHECK_INTERVAL_US = 100 * MS
 CORES = 1
@@ -43,7 +43,7 @@
 
     Attributes:
         engine_class: the real one, or one with a seeded mistake.
-        sim: `Simulation`.
+        sim: `ClusterSimulation`.
         seat: `int`, the member that it is a process of.
         number: `int`, its number among all processes.
         alive: `bool`, it has not crashed.
@@ -56,7 +56,7 @@
 
     engine_class: ClassVar[type[SimulatedRequestEngine]] = SimulatedRequestEngine
 
-    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+    def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         self.sim = sim
         self.seat = start.seat
         self.number = start.number
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -1,6 +1,9 @@
 """A cluster in virtual time: the real pure parts on a simulated network and simulated disks, with injected faults.
 
-One seed is one simulation; the invariants are checked on its whole history.
+One seed is one simulation; the invariants are checked on its whole history. The same class, options and seed give the
+same simulation: `ClusterSimulation(SEED).play()` replays a seed that was found with the default scenario,
+`ClusterSimulation(SEED, SCENARIO).play()` one that was found with another, and `Counterexample.replay` whatever
+`find_counterexample` has returned.
 """
 
 from __future__ import annotations
@@ -34,9 +37,12 @@
 MAX_REPEAT_S = 3
 
 
-class Simulation(VirtualTime):
+class ClusterSimulation(VirtualTime):
     """One simulation: members, network, disks and faults in virtual time, all drawn from one seed.
 
+    By itself it checks keyed requests, which every simulated process accepts. `DutySimulation` and
+    `MaintenanceSimulation` build on it for leases and for planned maintenance; their scenarios have no keyed requests.
+
     Attributes:
         fault_injector_class: who injects the faults.
         seed: `int`.
@@ -173,14 +179,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Counterexample:
-    """A seed whose simulation violates an invariant, and which one, in words."""
+    """A seed whose simulation violates an invariant.
+
+    Attributes:
+        seed: `int`.
+        violation: the violated invariant, in words.
+        simulation: makes the simulation of a seed; the form of a `functools.partial` names its class and options.
+    """
 
     seed: int
     violation: str
+    simulation: Callable[[int], ClusterSimulation]
+
+    def replay(self) -> ClusterSimulation:
+        """Play the simulation again.
+
+        :returns: the simulation at its end, with its `history` and the log of its `faults`.
+        """
+        simulation = self.simulation(self.seed)
+        simulation.play()
+        return simulation
 
 
 def find_counterexample(
-    seeds: Iterable[int], simulation: Callable[[int], Simulation]
+    seeds: Iterable[int], simulation: Callable[[int], ClusterSimulation]
 ) -> Counterexample | None:
     """Play one simulation after the other.
 
@@ -190,5 +212,5 @@
     for seed in seeds:
         violation = simulation(seed).play()
         if violation is not None:
-            return Counterexample(seed, violation)
+            return Counterexample(seed, violation, simulation)
     return None
--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -11,7 +11,7 @@
 from .simulated_network import Link
 
 if TYPE_CHECKING:
-    from .cluster_simulation import Simulation
+    from .cluster_simulation import ClusterSimulation
 
 MAX_SHORT_S = 0.6
 MIN_LONG_S = 0.5
@@ -29,7 +29,7 @@
         log: one line for each fault.
     """
 
-    def __init__(self, sim: Simulation) -> None:
+    def __init__(self, sim: ClusterSimulation) -> None:
         self.log: list[str] = []
         self._sim = sim
 
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -25,7 +25,7 @@
 from ..leadership.worker import Worker
 from ..time_units import MS, SECOND
 from .cluster_process import ProcessStart
-from .cluster_simulation import Simulation
+from .cluster_simulation import ClusterSimulation
 from .leadership_simulation import (
     MIN_REPLICAS,
     DutyProcess,
@@ -33,7 +33,7 @@
     latest_record,
     replicated_state,
 )
-from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
+from .scenario import FAULTS_WITH_JOURNAL, FAULTS_WITHOUT_JOURNAL, Scenario
 
 SPEED = 600  # of the time of day
 EPOCH_MS = 500_000 * HOUR_MS - 100_000  # Unix time at the begin of a simulation
@@ -44,8 +44,8 @@
 MEAN_REQUEST_INTERVAL_S = 0.02
 REQUESTS_AFTER_US = 3 * SECOND  # after the end of a scenario requests go on for so long
 NO_FORECAST_AFTER_US = 10 * MS
-SCENARIO = Scenario(seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=MEMORY_FAULTS)
-DISK_SCENARIO = Scenario(seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=DISK_FAULTS)
+SCENARIO = Scenario(seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=FAULTS_WITHOUT_JOURNAL)
+DISK_SCENARIO = Scenario(seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=FAULTS_WITH_JOURNAL)
 
 
 class HourOfDemand(NamedTuple):
@@ -64,7 +64,7 @@
         member: the real one, or one with a seeded mistake.
     """
 
-    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+    def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, ForecastSimulation)
         self.counting = sim
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -21,7 +21,7 @@
 from ..replication.work_record import Owner
 from . import register_moves as names
 from .register_interleavings import RegisterModel
-from .register_state import KEY, SEATS, Limits, Runner, Step
+from .register_state import KEY, SEATS, RegisterModelLimits, Runner, Step
 
 JOB = b"job"
 RECEIVER = "out"
@@ -91,7 +91,7 @@
     acknowledged: tuple[Acknowledgement, ...] = ()
 
     @classmethod
-    def with_lease(cls, limits: Limits, **options: Any) -> Self:
+    def with_lease(cls, limits: RegisterModelLimits, **options: Any) -> Self:
         """Return the state that begins with the lease held by P; `options`: further attributes."""
         made = cls.initial(limits, **options)
         leader = made.runners["P"]
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -36,15 +36,17 @@
 from ..replication.register_space import DUTY_SPACE
 from ..time_units import MS, SECOND
 from .cluster_process import Process, ProcessStart
-from .cluster_simulation import Simulation
+from .cluster_simulation import ClusterSimulation
 from .leadership_history import DutyHistory
 from .leadership_worker import RandomWorker
-from .scenario import DISK_FAULTS, MEMORY_FAULTS, FaultKind, Scenario
+from .scenario import FAULTS_WITH_JOURNAL, FAULTS_WITHOUT_JOURNAL, FaultKind, Scenario
 from .simulated_journal import JournalWriter, SimulatedJournal, draw_fast_write_time_us
 
 POLICY = LeadershipPolicy(enabled=True, probation_ms=1_000)
-SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
-DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=(*DISK_FAULTS, FaultKind.QUICK_RESTART))
+SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=FAULTS_WITHOUT_JOURNAL)
+DISK_SCENARIO = Scenario(
+    seats=4, keys=0, faults=6, fault_kinds=(*FAULTS_WITH_JOURNAL, FaultKind.QUICK_RESTART)
+)
 RESPONSE_TIMEOUT_US = 300 * MS
 REQUEST_LOSS = 0.02
 RESPONSE_LOSS = 0.03
@@ -64,7 +66,7 @@
         duty_journal_writer: writes what the duties' acceptor must not forget.
     """
 
-    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+    def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, DutySimulation)
         self.world = sim
@@ -142,7 +144,7 @@
         self.sim.at(self.sim.now + RESPONSE_TIMEOUT_US, self, lambda: answer(NO_RESPONSE))
 
 
-class DutySimulation(Simulation):
+class DutySimulation(ClusterSimulation):
     """One simulation of a cluster with duties.
 
     Attributes:
@@ -172,7 +174,7 @@
         """Prepare a simulation.
 
         :param duties: how many there are.
-        :param amnesia: see `Simulation`.
+        :param amnesia: see `ClusterSimulation`.
         """
         scenario = scenario or SCENARIO
         self.names = [f"duty-{number}" for number in range(duties)]
@@ -204,7 +206,7 @@
         return b"job %d" % self._jobs
 
     def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> DutyProcess:
-        """Start a process of a member, see `Simulation`."""
+        """Start a process of a member, see `ClusterSimulation`."""
         process = super().start_process(seat, recovered, incarnation)
         assert isinstance(process, DutyProcess)
         if self.has_disks and self.now:
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -21,7 +21,7 @@
 from ..maintenance.schedule import MaintenanceRequest, Schedule, Slot, SlotStage, decode_schedule
 from ..maintenance.slot_changes import ClearMachine, GrantSlots
 from ..maintenance.transitions import Change
-from .maintenance_machines import Machine, SentChange
+from .maintenance_machines import ModelMachine, SentChange
 from .shallow_copy import shallow_copy
 
 SEATS = ("a", "b", "c")
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MaintenanceModelLimits:
     """How large the case is that is walked.
 
     seats: machines that are requested, one request each.
@@ -86,7 +86,7 @@
     """A state of three machines and the schedule, see `explorer.Model`.
 
     Attributes:
-        limits: `Limits`.
+        limits: `MaintenanceModelLimits`.
         grant_change, clear_change, withdraw_change, budget_class: the real ones, or those with a seeded mistake.
         machine_policy: settings of the machines.
         clears_early: `bool`, a seeded mistake: the operator is told as the change goes out.
@@ -100,7 +100,7 @@
         failure: what is violated, in words, or None.
     """
 
-    limits: Limits
+    limits: MaintenanceModelLimits
     grant_change: type[GrantSlots] = GrantSlots
     clear_change: type[ClearMachine] = ClearMachine
     withdraw_change: type[WithdrawRequest] = WithdrawRequest
@@ -109,7 +109,7 @@
     clears_early: bool = False
     any_process: bool = False
     register: bytes = b""
-    machines: dict[str, Machine] = field(default_factory=dict)
+    machines: dict[str, ModelMachine] = field(default_factory=dict)
     sent: tuple[SentChange, ...] = ()
     crashes: int = 0
     abandoned: int = 0
@@ -118,7 +118,7 @@
     failure: str | None = None
 
     @classmethod
-    def initial(cls, limits: Limits, **options: Any) -> MaintenanceModel:
+    def initial(cls, limits: MaintenanceModelLimits, **options: Any) -> MaintenanceModel:
         """Return the state in which every request was submitted; `options`: further attributes."""
         model = cls(limits, **options)
         register: bytes | None = None
@@ -127,7 +127,7 @@
             register = SubmitRequest(request, MAX_REQUESTS)(register) or register
         assert register is not None
         model.register = register
-        model.machines = {seat: Machine() for seat in SEATS}
+        model.machines = {seat: ModelMachine() for seat in SEATS}
         return model
 
     def copy(self) -> MaintenanceModel:
@@ -163,7 +163,7 @@
             names.append(f"{OPERATOR} withdraws")
         return names
 
-    def _machine_moves(self, seat: str, machine: Machine) -> list[str]:
+    def _machine_moves(self, seat: str, machine: ModelMachine) -> list[str]:
         names: list[str] = []
         if machine.known != self.register:
             names.append(f"{seat} reads")
@@ -186,7 +186,7 @@
             names += [f"{seat} fails", f"{seat} loses power"]
         return names
 
-    def _writes(self, seat: str, machine: Machine) -> list[str]:
+    def _writes(self, seat: str, machine: ModelMachine) -> list[str]:
         is_writing = any((sent.sender, sent.incarnation) == (seat, machine.incarnation) for sent in self.sent)
         if is_writing or machine.known is None:
             return []
@@ -295,12 +295,12 @@
             self.crashes += 1
             machine.crash(is_power_lost=what == "loses power")
 
-    def _plan(self, seat: str, machine: Machine, other: str) -> None:
+    def _plan(self, seat: str, machine: ModelMachine, other: str) -> None:
         assert machine.known is not None
         granted = [one for one in grantable(machine.known, self.budget_class) if one[1] == other]
         self._send(seat, self.grant_change(read(machine.known).revision, granted, POLICY.max_out, 0.0))
 
-    def _clear(self, seat: str, machine: Machine) -> None:
+    def _clear(self, seat: str, machine: ModelMachine) -> None:
         machine.is_cleared = True
         if self.is_withdrawn and seat == self.limits.seats[0]:
             self.failure = f"{seat} was told to go, though its operator had heard that it is withdrawn"
--- a/moorusher/model_checking/maintenance_machines.py
+++ b/moorusher/model_checking/maintenance_machines.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Machine:
+class ModelMachine:
     """A machine and its process.
 
     incarnation, boot: int.
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Machine:
+class SimulatedMachine:
     """A machine, as nobody in the cluster sees it.
 
     boots: int, what its own file would say.
@@ -57,7 +57,7 @@
 
     now: int
     random: Random
-    machines: list[Machine]
+    machines: list[SimulatedMachine]
     stuck: set[int]
 
     def at(self, when: int, process: Schedulable | None, action: Callable[[], None]) -> None:
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -16,10 +16,10 @@
 from ..replication.acceptor import Acceptor
 from ..time_units import MS, SECOND
 from .cluster_process import Process, ProcessStart
-from .cluster_simulation import Simulation
+from .cluster_simulation import ClusterSimulation
 from .fault_injection import FaultInjector
 from .maintenance_operators import EPOCH_S, WORK_S, SimulatedOperators
-from .maintenance_scripts import Machine, MaintainedProcess
+from .maintenance_scripts import MaintainedProcess, SimulatedMachine
 from .scenario import FaultKind, Scenario
 
 POLICY = MaintenancePolicy(
@@ -67,7 +67,7 @@
 class MaintenanceProcess(MaintainedProcess):
     """One process of a simulated cluster, with the real coordinator."""
 
-    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+    def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, MaintenanceSimulation)
         self.world = sim
@@ -133,7 +133,7 @@
 class MaintenanceFaultInjector(FaultInjector):
     """Injects faults of machines as well."""
 
-    def __init__(self, sim: Simulation) -> None:
+    def __init__(self, sim: ClusterSimulation) -> None:
         super().__init__(sim)
         assert isinstance(sim, MaintenanceSimulation)
         self._world = sim
@@ -172,7 +172,7 @@
             self._world.at(self._world.now + round(duration_s * SECOND), process, restore)
 
 
-class MaintenanceSimulation(Simulation):
+class MaintenanceSimulation(ClusterSimulation):
     """One simulation of a cluster whose machines are maintained.
 
     coordinator_class, acceptor_class: the real ones, or those with a seeded mistake.
@@ -196,7 +196,7 @@
         process_class: type[MaintenanceProcess] = MaintenanceProcess,
     ) -> None:
         """`load`: of each member, in cores."""
-        self.machines = [Machine() for _ in range(scenario.seats)]
+        self.machines = [SimulatedMachine() for _ in range(scenario.seats)]
         self.clock_skews_us = [0] * scenario.seats
         self.policy = policy
         self.load = round(load * HUNDREDTHS)
@@ -213,7 +213,7 @@
             )
 
     def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> Process:
-        """Start a process of a member, see `Simulation`."""
+        """Start a process of a member, see `ClusterSimulation`."""
         made = super().start_process(seat, recovered, incarnation)
         assert isinstance(made, MaintenanceProcess)
         self.at(self.now, made, made.coordinator.start)
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -27,7 +27,7 @@
 from ..namespaces.revision_id import RevisionId
 from ..time_units import MS, SECOND
 from .cluster_process import ProcessStart
-from .cluster_simulation import Simulation
+from .cluster_simulation import ClusterSimulation
 from .leadership_simulation import (
     MIN_REPLICAS,
     DutyProcess,
@@ -36,13 +36,13 @@
     replicated_state,
 )
 from .publish_history import Confirmation, Failure, PublishHistory, wrong_in_history
-from .scenario import DISK_FAULTS, MEMORY_FAULTS, Scenario
+from .scenario import FAULTS_WITH_JOURNAL, FAULTS_WITHOUT_JOURNAL, Scenario
 
 CUSTOMERS = ("acme", "bolt", "Acme")
 GRANT = Grant(frozenset({"s"}))
 PUBLISHING_LIMITS = PublishingLimits(max_revisions=64)
-SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=MEMORY_FAULTS)
-DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=DISK_FAULTS)
+SCENARIO = Scenario(seats=5, keys=0, faults=6, fault_kinds=FAULTS_WITHOUT_JOURNAL)
+DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=FAULTS_WITH_JOURNAL)
 MAX_CUSTOMERS = 100
 READY_TIMEOUT_US = 2_000 * MS
 PARSE_MS = (0.2, 40)  # least and most time that a draft is read in
@@ -68,7 +68,7 @@
         replica: the real one, or one with a seeded mistake.
     """
 
-    def __init__(self, sim: Simulation, start: ProcessStart) -> None:
+    def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, PublishSimulation)
         self.publishing = sim
@@ -164,7 +164,7 @@
             )
 
     def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> DutyProcess:
-        """Start a process of a member, see `Simulation`."""
+        """Start a process of a member, see `ClusterSimulation`."""
         process = super().start_process(seat, recovered, incarnation)
         assert isinstance(process, PublishProcess)
         self.at(self.now, process, process.start_replica)
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -32,7 +32,7 @@
     RESTARTING,
     SEATS,
     InTransit,
-    Limits,
+    RegisterModelLimits,
     Runner,
     Step,
     copy_acceptor,
@@ -57,7 +57,7 @@
     """A state of the case, see `explorer.Model`. Two of the same `fingerprint` can't be told apart.
 
     Attributes:
-        limits: `Limits`.
+        limits: `RegisterModelLimits`.
         acceptor_class, proposer_class: the real ones, or those with a seeded mistake.
         runs_early: `bool`, a seeded mistake: the work is run when the request to start goes out.
         forgets: `bool`; False is a seeded mistake: an acceptor that has lost its memory votes as one that has not.
@@ -71,7 +71,7 @@
         failure: what is violated, in words, or None.
     """
 
-    limits: Limits
+    limits: RegisterModelLimits
     acceptor_class: type[Acceptor] = Acceptor
     proposer_class: type[Proposer] = Proposer
     runs_early: bool = False
@@ -89,7 +89,7 @@
 
     @classmethod
     def initial(
-        cls, limits: Limits, replicas: dict[str, tuple[str, ...]] | None = None, **options: Any
+        cls, limits: RegisterModelLimits, replicas: dict[str, tuple[str, ...]] | None = None, **options: Any
     ) -> Self:
         """Return the state in which nothing has happened.
 
--- a/moorusher/model_checking/register_moves.py
+++ b/moorusher/model_checking/register_moves.py
@@ -6,7 +6,7 @@
 
 from ..replication.messages import BallotRequest, Vote
 from ..replication.work_record import WorkRecord
-from .register_state import InTransit, Limits, Runner, Step
+from .register_state import InTransit, RegisterModelLimits, Runner, Step
 
 # Of a message in transit.
 DELIVER = "deliver"
@@ -25,7 +25,7 @@
 MAJORITY = 2
 
 
-def message_moves(in_transit: Sequence[InTransit], limits: Limits, duplicates: int) -> list[str]:
+def message_moves(in_transit: Sequence[InTransit], limits: RegisterModelLimits, duplicates: int) -> list[str]:
     """Return the moves of all messages; `duplicates`: how many were duplicated so far."""
     named = [(position, sent, _name_of(sent)) for position, sent in enumerate(in_transit)]
     requests = [(position, name) for position, sent, name in named if isinstance(sent.message, BallotRequest)]
@@ -49,7 +49,7 @@
     return f"{kind} from {sent.sender} to {sent.to}"
 
 
-def runner_moves(runner: Runner, limits: Limits) -> list[str]:
+def runner_moves(runner: Runner, limits: RegisterModelLimits) -> list[str]:
     """Return the moves of a runner."""
     proposer = runner.proposer
     if proposer is None:
@@ -63,7 +63,7 @@
     return moves
 
 
-def _first_move(runner: Runner, limits: Limits) -> str:
+def _first_move(runner: Runner, limits: RegisterModelLimits) -> str:
     if not limits.starts_held:
         return CLAIM
     return START if runner.name == "P" else TAKE_OVER
--- a/moorusher/model_checking/register_state.py
+++ b/moorusher/model_checking/register_state.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class RegisterModelLimits:
     """How large the case is that is explored.
 
     Attributes:
--- a/moorusher/model_checking/scenario.py
+++ b/moorusher/model_checking/scenario.py
@@ -7,7 +7,11 @@
 
 
 class FaultKind(StrEnum):
-    """What is injected; the values stand in the log of faults."""
+    """What is injected; the values stand in the log of faults.
+
+    Every simulated cluster has the first nine. Only `MaintenanceSimulation` has MACHINE_POWER_LOSS and LOWERED_LIMIT:
+    with them in the scenario of another one, `FaultInjector.inject` raises `ValueError`.
+    """
 
     CRASH = "kill"  # one process, restarted once the fault is over
     QUICK_RESTART = "forget"  # one process, at once
@@ -22,7 +26,7 @@
     LOWERED_LIMIT = "limit"  # one member's settings allow less maintenance for a while
 
 
-MEMORY_FAULTS = (
+FAULTS_WITHOUT_JOURNAL = (
     FaultKind.CRASH,
     FaultKind.QUICK_RESTART,
     FaultKind.PAUSE,
@@ -30,7 +34,7 @@
     FaultKind.ONE_WAY_PARTITION,
     FaultKind.DRAIN,
 )
-DISK_FAULTS = (
+FAULTS_WITH_JOURNAL = (
     FaultKind.CRASH,
     FaultKind.PAUSE,
     FaultKind.PARTITION,
--- a/moorusher/model_checking/simulated_network.py
+++ b/moorusher/model_checking/simulated_network.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from .cluster_process import Process
-    from .cluster_simulation import Simulation
+    from .cluster_simulation import ClusterSimulation
 
 MIN_DELAY_MS = 0.1
 MAX_DELAY_MS = 2.0
@@ -26,7 +26,7 @@
         sender: the process whose message is being handled, or None.
     """
 
-    def __init__(self, sim: Simulation) -> None:
+    def __init__(self, sim: ClusterSimulation) -> None:
         self._sim = sim
         self.cut_links: set[Link] = set()
         self.sender: Process | None = None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,10 +16,10 @@
 from moorusher.membership.placement import Placement
 from moorusher.membership.policy import Seat
 from moorusher.model_checking.cluster_process import Process
-from moorusher.model_checking.cluster_simulation import Simulation, find_counterexample
+from moorusher.model_checking.cluster_simulation import ClusterSimulation, find_counterexample
 from moorusher.model_checking.explorer import explore, replay
 from moorusher.model_checking.register_interleavings import RegisterModel
-from moorusher.model_checking.register_state import Limits
+from moorusher.model_checking.register_state import RegisterModelLimits
 from moorusher.model_checking.scenario import Scenario
 from moorusher.model_checking.simulated_request_engine import KeyState, SimulatedRequestEngine
 from moorusher.replication import node as node_module
@@ -205,7 +205,7 @@
 
 
 def test_one_seat_lost_for_good_keeps_nobody_who_begins_anew_from_voting_and_telling_the_next() -> None:
-    sim = Simulation(3, Scenario(seats=5, keys=0, faults=0))
+    sim = ClusterSimulation(3, Scenario(seats=5, keys=0, faults=0))
     sim.run(1_000_000)
     sim.crash(sim.processes[4])
     for seat in range(4):  # one after the other, as in a round of restarts
@@ -262,7 +262,7 @@
 
 
 def test_the_word_that_a_fleet_is_new_counts_for_no_later_process() -> None:
-    sim = Simulation(1, Scenario(seats=3, keys=0, faults=0))
+    sim = ClusterSimulation(1, Scenario(seats=3, keys=0, faults=0))
     for other in sim.processes:
         sim.crash(other)
     process = sim.processes[0] = sim.start_process(0, recovered=False, incarnation=7)
@@ -275,7 +275,7 @@
 
 
 def test_those_who_hear_of_others_that_began_before_the_word_itself_take_it_all_the_same() -> None:
-    sim = Simulation(1, Scenario(seats=4, keys=0, faults=0, loss=0, duplication=0))
+    sim = ClusterSimulation(1, Scenario(seats=4, keys=0, faults=0, loss=0, duplication=0))
     for seat in range(4):
         sim.crash(sim.processes[seat])
         sim.processes[seat] = sim.start_process(seat, recovered=False, incarnation=100 + seat)
@@ -303,7 +303,7 @@
 def test_the_word_that_a_fleet_is_new_is_refused_until_it_holds_for_all_spaces() -> None:
     """A seat has answered for keyed work alone when the operator's word comes. Told that all has begun, nobody says it
     again, and the other space never votes."""
-    sim = Simulation(1, Scenario(seats=3, keys=0, faults=0, loss=0, duplication=0))
+    sim = ClusterSimulation(1, Scenario(seats=3, keys=0, faults=0, loss=0, duplication=0))
     for seat in range(3):
         sim.crash(sim.processes[seat])
         sim.processes[seat] = process = sim.start_process(seat, recovered=False, incarnation=100 + seat)
@@ -337,22 +337,24 @@
 
 def test_no_interleaving_of_a_start_and_a_takeover_runs_a_key_twice() -> None:
     """P holds the key and starts it while Q, which takes P for lost, takes the work over."""
-    found = explore(RegisterModel.initial(Limits(starts_held=True, retries=(0, 1), patient=True)), 60_000)
+    found = explore(
+        RegisterModel.initial(RegisterModelLimits(starts_held=True, retries=(0, 1), patient=True)), 60_000
+    )
     assert found.complete and found.states > 10_000 and found.violation is None, str(found)
 
 
 @pytest.mark.parametrize(
     "limits, how",
     [
-        (Limits(starts_held=True, retries=(0, 0)), {"runs_early": True}),
+        (RegisterModelLimits(starts_held=True, retries=(0, 0)), {"runs_early": True}),
         (
-            Limits(retries=(0, 1), patient=True),
+            RegisterModelLimits(retries=(0, 1), patient=True),
             {"replicas": {"P": ("a", "b", "c"), "Q": ("c", "d", "e")}, "interchangeable": ("a", "b")},
         ),
     ],
     ids=["commanded before it is begun", "other seats in one step"],
 )
-def test_the_exploration_finds_each_seeded_mistake(limits: Limits, how: dict[str, Any]) -> None:
+def test_the_exploration_finds_each_seeded_mistake(limits: RegisterModelLimits, how: dict[str, Any]) -> None:
     model = RegisterModel.initial(limits, **how)
     found = explore(model, 60_000, depth_first=True)
     assert found.violation is not None, str(found)
@@ -364,9 +366,9 @@
 
 def test_no_seed_runs_a_key_twice_abandons_work_or_answers_an_unknown_result() -> None:
     """Processes crash, pause and drain, clocks are set back, links are cut, while clients ask for the same keys."""
-    found = find_counterexample(range(40), Simulation)
+    found = find_counterexample(range(40), ClusterSimulation)
     assert found is None, (
-        f"Simulation({found.seed}).play() plays it again: {found.violation}" if found else ""
+        f"ClusterSimulation({found.seed}).play() plays it again: {found.violation}" if found else ""
     )
 
 
@@ -417,12 +419,13 @@
         for module in (node_module, takeover_module, watched_module):
             monkeypatch.setattr(module, name, what, raising=False)
     assert (
-        find_counterexample(range(60), partial(Simulation, scenario=Scenario(faults=10), **how)) is not None
+        find_counterexample(range(60), partial(ClusterSimulation, scenario=Scenario(faults=10), **how))
+        is not None
     )
 
 
 def test_a_seed_replays_the_same_simulation() -> None:
-    first, second = Simulation(3), Simulation(3)
+    first, second = ClusterSimulation(3), ClusterSimulation(3)
     first.play()
     second.play()
     assert first.history == second.history and first.faults.log == second.faults.log
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -19,7 +19,7 @@
 from moorusher.config.operator_file import read_operator_file
 from moorusher.config.section import ConfigError
 from moorusher.model_checking.cluster_process import Process
-from moorusher.model_checking.cluster_simulation import Simulation, find_counterexample
+from moorusher.model_checking.cluster_simulation import ClusterSimulation, find_counterexample
 from moorusher.model_checking.scenario import FaultKind, Scenario
 from moorusher.replication.acceptor import Acceptor
 from moorusher.replication.journal import (
@@ -434,8 +434,8 @@
 
 def test_no_seed_loses_work_or_runs_it_twice_with_disks_and_power_that_fails() -> None:
     """The power of all members fails during writes; each restarts with the part of its journal that was written."""
-    found = find_counterexample(range(30), partial(Simulation, scenario=DISKS))
-    assert found is None, f"Simulation({found.seed}, DISKS).play(): {found.violation}" if found else ""
+    found = find_counterexample(range(30), partial(ClusterSimulation, scenario=DISKS))
+    assert found is None, f"ClusterSimulation({found.seed}, DISKS).play(): {found.violation}" if found else ""
 
 
 class VotesBeforeWrite(Process):
@@ -448,7 +448,9 @@
 
 def test_some_seed_finds_a_vote_that_counts_before_it_is_written() -> None:
     assert (
-        find_counterexample(range(150), partial(Simulation, scenario=DISKS, process_class=VotesBeforeWrite))
+        find_counterexample(
+            range(150), partial(ClusterSimulation, scenario=DISKS, process_class=VotesBeforeWrite)
+        )
         is not None
     )
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from moorusher.health.states import HealthState
 from moorusher.lab.arrivals import RequestClass, draw_arrivals
 from moorusher.lab.balancer import BalancingMode, Server, ServerPicker
-from moorusher.lab.cores import NEVER, Cores, Machine
+from moorusher.lab.cores import NEVER, Cores, MachineSpec
 from moorusher.lab.experiment import Experiment, Plot, Result
 from moorusher.lab.fleet_simulation import FleetScenario, simulate_fleet
 from moorusher.lab.forecast import measure_cost
@@ -44,7 +44,7 @@
 
 
 def test_cores_are_shared_by_all_that_runs() -> None:
-    cores = Cores(Machine(cores=2), 0)
+    cores = Cores(MachineSpec(cores=2), 0)
     for name in "abcd":
         cores.start(0, name, 100 * MS)
     cores.start(0, "long", 200 * MS)
@@ -53,11 +53,11 @@
 
 
 def test_a_crowd_gets_less_done_a_cold_machine_too_and_a_pause_nothing() -> None:
-    crowd = Cores(Machine(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
+    crowd = Cores(MachineSpec(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
     for name in "abcd":
         crowd.start(0, name, 10 * MS)
     assert ends(crowd, 10**9)[-1][0] == 80  # four of 10 ms, half as fast
-    cold = Cores(Machine(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, cold=True)
+    cold = Cores(MachineSpec(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, cold=True)
     cold.start(0, "a", 10 * MS)
     assert ends(cold, 10**9)[0][0] in (19, 20)
     cold.factor = 0.0
@@ -66,7 +66,7 @@
 
 
 def test_a_stopped_run_ends_no_more_and_too_many_for_too_long_is_a_fall() -> None:
-    cores = Cores(Machine(cores=1, collapse_runs_per_core=5), 0)
+    cores = Cores(MachineSpec(cores=1, collapse_runs_per_core=5), 0)
     for i in range(6):
         cores.start(0, str(i), 10**9)
     assert not cores.has_collapsed(2_400 * MS) and cores.has_collapsed(2_600 * MS)
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -27,7 +27,7 @@
     SCENARIO,
     DutySimulation,
 )
-from moorusher.model_checking.register_state import Limits
+from moorusher.model_checking.register_state import RegisterModelLimits
 from moorusher.model_checking.scenario import FaultKind, Scenario
 from moorusher.replication.register_reader import RegisterReader
 
@@ -37,7 +37,8 @@
 @pytest.mark.parametrize("kind", list(EffectKind))
 def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: EffectKind) -> None:
     found = explore(
-        LeadershipModel.with_lease(Limits(retries=(0, 0), patient=True), kind=kind), max_states=5_000
+        LeadershipModel.with_lease(RegisterModelLimits(retries=(0, 0), patient=True), kind=kind),
+        max_states=5_000,
     )
     assert found.violation is None, str(found)
 
@@ -77,7 +78,7 @@
 def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
     retries = (1, 0) if "token_change" in how else (0, 0)
     found = explore(
-        LeadershipModel.with_lease(Limits(retries=retries, patient=True), **how),
+        LeadershipModel.with_lease(RegisterModelLimits(retries=retries, patient=True), **how),
         max_states=60_000,
         depth_first=True,
     )
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -25,19 +25,22 @@
 from moorusher.maintenance.waiters import Waiters, WaitResult, WaitStatus
 from moorusher.model_checking.cluster_simulation import find_counterexample
 from moorusher.model_checking.explorer import explore, replay
-from moorusher.model_checking.maintenance_interleavings import Limits, MaintenanceModel
+from moorusher.model_checking.maintenance_interleavings import MaintenanceModel, MaintenanceModelLimits
 from moorusher.model_checking.maintenance_simulation import SCENARIO, MaintenanceSimulation
 
 # ---- every interleaving ----
 
 
 def test_every_interleaving_of_two_requests_and_a_withdrawal_keeps_the_limit() -> None:
-    found = explore(MaintenanceModel.initial(Limits(crashes=0, abandoned=0)), 60_000)
+    found = explore(MaintenanceModel.initial(MaintenanceModelLimits(crashes=0, abandoned=0)), 60_000)
     assert found.complete and found.violation is None, found
 
 
 def test_interleavings_with_a_crash_or_a_late_change_keep_the_limit() -> None:
-    for limits in (Limits(crashes=1, abandoned=0), Limits(crashes=0, abandoned=1)):
+    for limits in (
+        MaintenanceModelLimits(crashes=1, abandoned=0),
+        MaintenanceModelLimits(crashes=0, abandoned=1),
+    ):
         found = explore(MaintenanceModel.initial(limits), 25_000, depth_first=True)
         assert found.violation is None, found
 
@@ -71,27 +74,31 @@
 @pytest.mark.parametrize(
     "limits, how",
     [
-        (Limits(crashes=0), {"clears_early": True}),
+        (MaintenanceModelLimits(crashes=0), {"clears_early": True}),
         (
-            Limits(crashes=0, abandoned=0, is_withdrawn=False),
+            MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
             {"grant_change": Unlimited, "machine_policy": MaintenancePolicy(max_out=9)},
         ),
         (
-            Limits(crashes=0, abandoned=0, is_withdrawn=False),
+            MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
             {
                 "budget_class": OverdueForgotten,
                 "grant_change": Unlimited,
                 "machine_policy": MaintenancePolicy(max_out=9),
             },
         ),
-        (Limits(crashes=0, abandoned=0), {"withdraw_change": WithdrawsClearedSlots}),
+        (MaintenanceModelLimits(crashes=0, abandoned=0), {"withdraw_change": WithdrawsClearedSlots}),
         (
-            Limits(crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)),
+            MaintenanceModelLimits(
+                crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)
+            ),
             {"any_process": True},
         ),
     ],
 )
-def test_the_interleavings_find_each_seeded_mistake(limits: Limits, how: dict[str, Any]) -> None:
+def test_the_interleavings_find_each_seeded_mistake(
+    limits: MaintenanceModelLimits, how: dict[str, Any]
+) -> None:
     found = explore(MaintenanceModel.initial(limits, **how), 200_000)
     assert found.violation is not None, found
     assert replay(MaintenanceModel.initial(limits, **how), found.path) == found.violation
--- a/tests/test_seed_replay.py
+++ b/tests/test_seed_replay.py
@@ -5,21 +5,22 @@
 import os
 import subprocess
 import sys
+from functools import partial
 from pathlib import Path
 
-from moorusher.model_checking.cluster_simulation import Simulation
+from moorusher.model_checking.cluster_simulation import ClusterSimulation, find_counterexample
 from moorusher.model_checking.leadership_simulation import DISK_SCENARIO, DutySimulation
-from moorusher.model_checking.scenario import DISK_FAULTS, Scenario
+from moorusher.model_checking.scenario import FAULTS_WITH_JOURNAL, Scenario
 
 ROOT = Path(__file__).parent.parent
-CLUSTER_DISKS = Scenario(seats=4, keys=25, faults=6, journals=True, fault_kinds=DISK_FAULTS)
+CLUSTER_DISKS = Scenario(seats=4, keys=25, faults=6, journals=True, fault_kinds=FAULTS_WITH_JOURNAL)
 
 
 def traces() -> list[str]:
     """Everything that three simulations did, and where their random numbers ended."""
-    simulations: list[Simulation] = [
-        Simulation(0),
-        Simulation(3, CLUSTER_DISKS),
+    simulations: list[ClusterSimulation] = [
+        ClusterSimulation(0),
+        ClusterSimulation(3, CLUSTER_DISKS),
         DutySimulation(0, DISK_SCENARIO, has_disks=True),
     ]
     found = [simulation.play() for simulation in simulations]
@@ -49,3 +50,20 @@
     first, second = traces_with_hash_seed("1"), traces_with_hash_seed("2")
     assert first.splitlines() == second.splitlines()
     assert len(first) > 10_000
+
+
+class ViolatedFromSeedTwo(ClusterSimulation):
+    """What it calls a violation tells one trace from another."""
+
+    def violation(self) -> str | None:
+        trace = f"{self.history.messages} messages, {self.faults.log}, {self.scenario}"
+        return trace if self.seed >= 2 else None
+
+
+def test_a_counterexample_has_all_that_replays_it() -> None:
+    """A counterexample had its seed alone: with the default scenario in place of its own the seed was another trace."""
+    found = find_counterexample(range(4), partial(ViolatedFromSeedTwo, scenario=CLUSTER_DISKS))
+    assert found is not None and found.seed == 2
+    assert found.replay().violation() == found.violation
+    assert ViolatedFromSeedTwo(found.seed).play() != found.violation
+    assert "ViolatedFromSeedTwo" in repr(found) and repr(CLUSTER_DISKS) in repr(found)
