--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -1,6 +1,6 @@
 """The experiment "forecast": drawn weeks of demand against plain and seasonal references.
 
-Levels are held against what came, hints against two plain rules of scaling; and the time and memory of many routes.
+Quantiles are held against what came, hints against two plain rules of scaling; and the time and memory of many routes.
 """
 
 from __future__ import annotations
@@ -40,29 +40,29 @@
 _MEASUREMENT_TIMEOUT_S = 600
 
 
-class WeekForecast(NamedTuple):
-    """A forecast of a drawn week.
+class DrawnWeekForecast(NamedTuple):
+    """A forecast of the last week of a drawn series, and what came; `forecasting.weekly_forecast` has that of runners.
 
     Attributes:
-        levels: 50, 90 and 99 of 100, each of 168 hours.
+        quantiles: 0.5, 0.9 and 0.99, each of 168 hours.
         last_week: the same hours of last week, as they were counted.
         actual: what came.
     """
 
-    levels: Floats
+    quantiles: Floats
     last_week: Floats
     actual: Floats
 
 
-def forecast_week(series: DemandSeries) -> WeekForecast:
+def backtest_last_week(series: DemandSeries) -> DrawnWeekForecast:
     """The forecast of a series' last week by the weeks before it."""
     hour_of_week = hours_of_week(series.first_hour, HISTORY_H + HOURS_PER_WEEK, series.calendar.time_zone)
     history = series.requests[None, :HISTORY_H]
     counted = series.counted[None, :HISTORY_H]
     known = training_history(history, counted, hour_of_week[:HISTORY_H])
-    levels = forecast_quantiles(forecast_ensemble(known, hour_of_week))[:, 0]
+    quantiles = forecast_quantiles(forecast_ensemble(known, hour_of_week))[:, 0]
     plain = seasonal_naive(TrainingWindow(history, hour_of_week))[0]
-    return WeekForecast(levels, plain, series.requests[HISTORY_H:])
+    return DrawnWeekForecast(quantiles, plain, series.requests[HISTORY_H:])
 
 
 def smoothed_week(series: DemandSeries) -> Floats | None:
@@ -102,8 +102,8 @@
     Attributes:
         error_ratios: over the error of the same hour of last week, by kind.
         smoothing_ratios: over the error of exponential smoothing.
-        under_90: share of the hours under the level of 90 of 100, by kind.
-        under_99: the same of 99.
+        under_90: share of the hours under the quantile 0.9, by kind.
+        under_99: the same of 0.99.
         lost_shares: of requests, by plan.
         runner_hours: by plan.
     """
@@ -117,18 +117,18 @@
 
     def add(self, series: DemandSeries, with_reference: bool) -> None:
         """Forecast one series, and count what came of it."""
-        forecast = forecast_week(series)
-        levels = forecast.levels
+        forecast = backtest_last_week(series)
+        quantiles = forecast.quantiles
         actual = forecast.actual
-        error = _mean_error(levels[0], actual)
+        error = _mean_error(quantiles[0], actual)
         ratio = error / _mean_error(forecast.last_week, actual)
         self.error_ratios.setdefault(series.kind, []).append(ratio)
-        self.under_90.setdefault(series.kind, []).append(float((actual <= levels[1]).mean()))
-        self.under_99.append(float((actual <= levels[2]).mean()))
+        self.under_90.setdefault(series.kind, []).append(float((actual <= quantiles[1]).mean()))
+        self.under_99.append(float((actual <= quantiles[2]).mean()))
         if with_reference and (smoothed := smoothed_week(series)) is not None:
             self.smoothing_ratios.append(error / _mean_error(smoothed, actual))
         core_s = PEAK_CORES * 3600 / max(1.0, float(series.requests[:HISTORY_H].max()))
-        for plan, outcome in compare_plans(series, levels, _SCALING, core_s).items():
+        for plan, outcome in compare_plans(series, quantiles, _SCALING, core_s).items():
             self.lost_shares.setdefault(plan, []).append(outcome.lost_share)
             self.runner_hours.setdefault(plan, []).append(outcome.runner_hours)
 
@@ -232,7 +232,7 @@
     seeds = range(first_seed, first_seed + (4 if quick else 20))
     accuracy = await deferToThread(measure_accuracy, seeds, True, log)
     _judge_errors(result, accuracy)
-    _judge_levels(result, accuracy)
+    _judge_quantiles(result, accuracy)
     _judge_hints(result, accuracy, log)
     cost = await deferToThread(measure_cost, seed)
     result.add_criterion("1,000 routes", f"{cost.seconds:.1f} s of one core", "under 20 s", cost.seconds < 20)
@@ -275,7 +275,7 @@
         )
 
 
-def _judge_levels(result: Result, accuracy: Accuracy) -> None:
+def _judge_quantiles(result: Result, accuracy: Accuracy) -> None:
     under_90 = accuracy.under_90
     percent = 100 * statistics.fmean(share for shares in under_90.values() for share in shares)
     result.add_criterion(
@@ -307,11 +307,11 @@
 
 
 def _plot_after_jump(seed: int) -> Plot:
-    forecast = forecast_week(draw_series(seed, "jump"))
+    forecast = backtest_last_week(draw_series(seed, "jump"))
     lines = {
         "came": forecast.actual,
-        "50": forecast.levels[0],
-        "90": forecast.levels[1],
+        "50": forecast.quantiles[0],
+        "90": forecast.quantiles[1],
         "last week": forecast.last_week,
     }
     points = {
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -84,17 +84,17 @@
 
 
 def compare_plans(
-    series: DemandSeries, levels: Floats, scaling: ScalingPolicy, core_s: float
+    series: DemandSeries, quantiles: Floats, scaling: ScalingPolicy, core_s: float
 ) -> dict[str, ScalingOutcome]:
     """Hints against two plain rules: what the last hour needed, and the same hour of last week.
 
     Each rule has as much to spare as makes its runner-hours those of the hints.
 
-    :param levels: the forecast; hints follow its second level.
+    :param quantiles: of the forecast; hints follow the second one, 0.9.
     """
     requests = series.requests
     week = requests[HISTORY_H:]
-    plan = required_runners([float(level) * core_s / _SECONDS_PER_HOUR for level in levels[1]], scaling)
+    plan = required_runners([float(count) * core_s / _SECONDS_PER_HOUR for count in quantiles[1]], scaling)
     by_hints = simulate_scaling(week, core_s, plan, scaling)
     rules = {
         "last hour": requests[HISTORY_H - 1 : HISTORY_H + HOURS_PER_WEEK - 1],
