--- a/moorusher/lab/shed_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -1,4 +1,4 @@
-"""One arm of the experiment "shed": runners, their kernels and database, two balancers, one load."""
+"""One arm of the experiment on health reports: runners, their kernels and database, two balancers, one load."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     rng: random.Random
 
 
-class ShedArm:
+class HealthReportArm:
     """One arm: all arms of a round play side by side."""
 
     def __init__(
--- a/moorusher/lab/shed_criteria.py
+++ b/moorusher/lab/health_report_criteria.py
@@ -1,4 +1,4 @@
-"""The criteria and plots of the experiment "shed", on the arms of all its rounds."""
+"""The criteria and plots of the experiment on health reports, on the arms of all its rounds."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from .balancer import AgentReport, BalancingMode
 from .experiment import Plot, Points, Result
-from .probe_flood import FLOOD_S, PROBES_PER_S, FloodResult
-from .shed_arm import (
+from .health_report_arm import (
     COLLAPSE_MULTIPLE,
     PROBE_INTERVALS_S,
     SLOW_AT_S,
     SLOW_FOR_S,
     WARM_UP_S,
-    ShedArm,
+    HealthReportArm,
 )
+from .probe_flood import FLOOD_S, PROBES_PER_S, FloodResult
 
 REACTION_S = 0.5
 """Of a balancer, after it has read a report."""
@@ -35,13 +35,13 @@
 
     mode: BalancingMode
     seed: int
-    arms: dict[str, ShedArm]
-    calm: ShedArm
-    flooded: ShedArm
+    arms: dict[str, HealthReportArm]
+    calm: HealthReportArm
+    flooded: HealthReportArm
     flood: FloodResult
 
     @property
-    def all_arms(self) -> dict[str, ShedArm]:
+    def all_arms(self) -> dict[str, HealthReportArm]:
         """By name."""
         return self.arms | {"calm": self.calm, "flooded": self.flooded}
 
@@ -80,7 +80,7 @@
     return sum(listed) / len(listed)
 
 
-def _mean_of(rounds: list[Round], name: str, figure: Callable[[ShedArm], float]) -> float:
+def _mean_of(rounds: list[Round], name: str, figure: Callable[[HealthReportArm], float]) -> float:
     return _mean(figure(each.arms[name]) for each in rounds)
 
 
@@ -106,8 +106,8 @@
         abs(each.arms["none"].served_value_share() - each.arms["again"].served_value_share())
         for each in rounds
     )
-    served = _mean_of(rounds, "report", ShedArm.served_value_share)
-    served_without = _mean_of(rounds, "none", ShedArm.served_value_share)
+    served = _mean_of(rounds, "report", HealthReportArm.served_value_share)
+    served_without = _mean_of(rounds, "none", HealthReportArm.served_value_share)
     served_slow = _mean_of(rounds, "report", lambda arm: arm.served_share_since(SLOW_AT_S))
     served_slow_without = _mean_of(rounds, "none", lambda arm: arm.served_share_since(SLOW_AT_S))
     result.add_criterion(
@@ -122,7 +122,7 @@
 def _judge_without_guard(result: Result, rounds: list[Round]) -> None:
     worst = _worst_runs(rounds, "loose-report")
     collapses = _collapses(rounds, "loose-report")
-    served = _mean_of(rounds, "loose-report", ShedArm.served_value_share)
+    served = _mean_of(rounds, "loose-report", HealthReportArm.served_value_share)
     result.add_criterion(
         "its guard out of the way: worst crowd with the report",
         f"{worst:.2f}; {collapses} fell; served worth {served:.3f}",
@@ -131,7 +131,7 @@
     )
     worst = _worst_runs(rounds, "loose-none")
     collapses = _collapses(rounds, "loose-none")
-    served = _mean_of(rounds, "loose-none", ShedArm.served_value_share)
+    served = _mean_of(rounds, "loose-none", HealthReportArm.served_value_share)
     result.add_criterion(
         "the same without the report",
         f"{worst:.2f}; {collapses} fell; served worth {served:.3f}",
@@ -159,7 +159,7 @@
     )
 
 
-def _seconds_until_shifted(arm: ShedArm) -> float:
+def _seconds_until_shifted(arm: HealthReportArm) -> float:
     lowered_s = arm.weight_lowered_at()
     shifted_s = arm.traffic_shifted_at()
     return shifted_s - min(lowered_s) if lowered_s and shifted_s is not None else NEVER_S
@@ -184,7 +184,7 @@
     )
 
 
-def _traffic_of_cold_runner(arm: ShedArm, since_s: float, until_s: float) -> float:
+def _traffic_of_cold_runner(arm: HealthReportArm, since_s: float, until_s: float) -> float:
     return arm.traffic_share(arm.runners[-1].name, since_s, until_s)
 
 
@@ -211,7 +211,7 @@
 # ---- plots ----
 
 
-def _add_plots(result: Result, arms: dict[str, ShedArm]) -> None:
+def _add_plots(result: Result, arms: dict[str, HealthReportArm]) -> None:
     runs_label = "runs a core, mean of 3 s"
     slowed = {name: arm.runs_per_core[arm.runners[0].name] for name, arm in arms.items() if name != "again"}
     result.plots.append(Plot("the slow runner's crowd", "s", runs_label, slowed, COLLAPSE_MULTIPLE))
@@ -224,7 +224,7 @@
     result.plots.append(Plot("share of the traffic with the report", "s", "share", shares))
 
 
-def _weights_read(arm: ShedArm) -> dict[str, Points]:
+def _weights_read(arm: HealthReportArm) -> dict[str, Points]:
     def point(report: AgentReport) -> tuple[float, float]:
         return arm.seconds_of(report.at_us), float(report.weight)
 
@@ -234,7 +234,7 @@
     }
 
 
-def _traffic_shares(arm: ShedArm) -> dict[str, Points]:
+def _traffic_shares(arm: HealthReportArm) -> dict[str, Points]:
     times_s = [step / 2 for step in range(round((SLOW_AT_S + SLOW_FOR_S - 1) * 2))]
     labels = ("slows", "steady", "cold at the start")
     return {
--- a/moorusher/lab/shed.py
+++ b/moorusher/lab/health_report_experiment.py
@@ -1,7 +1,7 @@
-"""The experiment "shed": three runners behind a stand-in balancer at 85% of capacity, then one slows four times.
+"""Health reports to balancers, the experiment "shed" on the command line.
 
-And what else health reports promise: a notice to leave within one probe interval, a cold runner's share, a flood of
-probes, a large fleet.
+Three runners behind a stand-in balancer at 85% of capacity, then one slows four times. And what else health reports
+promise: a notice to leave within one probe interval, a cold runner's share, a flood of probes, a large fleet.
 """
 
 from __future__ import annotations
@@ -19,9 +19,7 @@
 from .experiment import Experiment, Log, Plot, Result
 from .fleet_simulation import FleetResult
 from .health_prober import exchange_bytes
-from .probe_flood import FLOOD_S, FloodResult
-from .runners import Runner, runner_settings
-from .shed_arm import (
+from .health_report_arm import (
     CLASSES,
     COLLAPSE_MULTIPLE,
     CORES,
@@ -30,9 +28,11 @@
     SLOW_FOR_S,
     TENANTS,
     ArmOptions,
-    ShedArm,
+    HealthReportArm,
 )
-from .shed_criteria import Round, judge_rounds
+from .health_report_criteria import Round, judge_rounds
+from .probe_flood import FLOOD_S, FloodResult
+from .runners import Runner, runner_settings
 
 LOAD = 0.85
 """Of the capacity of three runners."""
@@ -93,9 +93,11 @@
     capacity = CORES / (SERVICE_TIME_MS / 1000)
     arrivals = draw_arrivals(seed, CLASSES, TENANTS, LOAD * 3 * capacity, seconds)
     calm_arrivals = draw_arrivals(seed, CLASSES, TENANTS, CALM_LOAD * capacity, FLOOD_S + 4)
-    arms = {name: ShedArm(reactor, name, arrivals, options, mode, seed) for name, options in ARMS.items()}
-    calm = ShedArm(reactor, "calm", calm_arrivals, CALM_ARM, mode, seed)
-    flooded = ShedArm(reactor, "flooded", calm_arrivals, CALM_ARM, mode, seed)
+    arms = {
+        name: HealthReportArm(reactor, name, arrivals, options, mode, seed) for name, options in ARMS.items()
+    }
+    calm = HealthReportArm(reactor, "calm", calm_arrivals, CALM_ARM, mode, seed)
+    flooded = HealthReportArm(reactor, "flooded", calm_arrivals, CALM_ARM, mode, seed)
     every = [*arms.values(), calm, flooded]
     try:
         await _start_arms(reactor, every)
@@ -112,7 +114,7 @@
     return Round(mode, seed, arms, calm, flooded, flood_result)
 
 
-async def _start_arms(reactor: Any, arms: list[ShedArm]) -> None:
+async def _start_arms(reactor: Any, arms: list[HealthReportArm]) -> None:
     """Wait for every process, then probe."""
     for arm in arms:
         for runner in arm.runners:
@@ -131,7 +133,7 @@
         await deferLater(reactor, 0.05, lambda: None)
 
 
-async def _watch_arms(reactor: Any, arms: dict[str, ShedArm], seconds: float) -> None:
+async def _watch_arms(reactor: Any, arms: dict[str, HealthReportArm], seconds: float) -> None:
     """Note the runs of all runners, and slow the first of each arm when it is time."""
     clock = arms["none"].load
     while clock.now_s < seconds + _SETTLING_S:
@@ -226,6 +228,6 @@
     result.plots.append(Plot("1,000 runners: mean weight of the slowed", "s", "weight", {"report": weights}))
 
 
-SHED = Experiment(
+HEALTH_REPORTS = Experiment(
     "shed", "Three runners behind two balancers at 85% of capacity, then one slows four times.", _play
 )
--- a/moorusher/lab/registry.py
+++ b/moorusher/lab/registry.py
@@ -9,17 +9,17 @@
 from .duties import DUTIES
 from .experiment import Experiment, Log, Result
 from .forecast import FORECAST
+from .health_report_experiment import HEALTH_REPORTS
 from .namespaces import NAMESPACES
 from .outage import OUTAGE
 from .report import write_report
-from .shed import SHED
 from .takeover import TAKEOVER
 from .tier import TIER
 from .warm_start import WARM_START
 
 EXPERIMENTS: dict[str, Experiment] = {
     experiment.name: experiment
-    for experiment in (DUTIES, FORECAST, NAMESPACES, OUTAGE, SHED, TAKEOVER, TIER, WARM_START)
+    for experiment in (DUTIES, FORECAST, NAMESPACES, OUTAGE, HEALTH_REPORTS, TAKEOVER, TIER, WARM_START)
 }
 
 
