--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,12 +14,14 @@
 from moorusher.health.states import HealthState
 from moorusher.lab.arrivals import RequestClass, draw_arrivals
 from moorusher.lab.balancer import BalancingMode, Server, ServerPicker
-from moorusher.lab.cores import NEVER, Cores, Machine
+from moorusher.lab.cores import NEVER, Cores, MachineSpec
 from moorusher.lab.experiment import Experiment, Plot, Result
 from moorusher.lab.fleet_simulation import FleetScenario, simulate_fleet
 from moorusher.lab.forecast import measure_cost
 from moorusher.lab.report import write_report
 from moorusher.lab.runners import ROOT
+from moorusher.lab.takeover import judge_fleet
+from moorusher.lab.takeover_result import TakeoverResult
 
 from .test_health import health_report
 
@@ -42,7 +44,7 @@
 
 
 def test_cores_are_shared_by_all_that_runs() -> None:
-    cores = Cores(Machine(cores=2), 0)
+    cores = Cores(MachineSpec(cores=2), 0)
     for name in "abcd":
         cores.start(0, name, 100 * MS)
     cores.start(0, "long", 200 * MS)
@@ -51,11 +53,11 @@
 
 
 def test_a_crowd_gets_less_done_a_cold_machine_too_and_a_pause_nothing() -> None:
-    crowd = Cores(Machine(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
+    crowd = Cores(MachineSpec(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
     for name in "abcd":
         crowd.start(0, name, 10 * MS)
     assert ends(crowd, 10**9)[-1][0] == 80  # four of 10 ms, half as fast
-    cold = Cores(Machine(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, cold=True)
+    cold = Cores(MachineSpec(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, cold=True)
     cold.start(0, "a", 10 * MS)
     assert ends(cold, 10**9)[0][0] in (19, 20)
     cold.factor = 0.0
@@ -64,7 +66,7 @@
 
 
 def test_a_stopped_run_ends_no_more_and_too_many_for_too_long_is_a_fall() -> None:
-    cores = Cores(Machine(cores=1, collapse_runs_per_core=5), 0)
+    cores = Cores(MachineSpec(cores=1, collapse_runs_per_core=5), 0)
     for i in range(6):
         cores.start(0, str(i), 10**9)
     assert not cores.has_collapsed(2_400 * MS) and cores.has_collapsed(2_600 * MS)
@@ -195,6 +197,48 @@
 # ---- the command line ----
 
 
+# ---- verdicts ----
+
+
+def takeover_result(takeover_s: float) -> TakeoverResult:
+    """A play in which everything but the takeover went as it should."""
+    return TakeoverResult(
+        tokens=10,
+        executed_twice=0,
+        open_at_loss=4,
+        held_at_loss=2,
+        held_served=1.0,
+        without_outcome=0,
+        executions_per_served=1.0,
+        served=1.0,
+        others_served=1.0,
+        takeover_s=takeover_s,
+    )
+
+
+@pytest.mark.parametrize(
+    ("takeovers_s", "measured", "holds"),
+    [
+        ((-1.0,), "inf s", False),
+        ((-1.0, -1.0, 0.4), "inf s", False),
+        ((-1.0, 0.4), "inf s", False),
+        ((-1.0, 0.4, 0.5), "0.50 s", True),
+        ((0.4, 0.5, 1.2), "0.50 s", True),
+        ((1.2,), "1.20 s", False),
+    ],
+)
+def test_a_takeover_that_never_came_counts_against_its_criterion(
+    takeovers_s: tuple[float, ...], measured: str, holds: bool
+) -> None:
+    """Plays without a takeover were left out of the median, and a case without any takeover had no such criterion:
+    a fleet that never takes over passed."""
+    result = Result()
+    judge_fleet(result, "one at 90%", [takeover_result(each) for each in takeovers_s], None)
+    verdicts = {each.name: (each.measured, each.holds) for each in result.criteria}
+    assert verdicts["one at 90%: time to the first takeover"] == (measured, holds)
+    assert result.holds == holds
+
+
 @pytest.mark.processes
 def test_lab_verbs_name_what_is_wrong_and_up_serves_and_leaves_in_order() -> None:
     def moorusher(*args: str) -> subprocess.CompletedProcess[str]:
