--- a/moorusher/admin/namespaces.py
+++ b/moorusher/admin/namespaces.py
@@ -11,13 +11,15 @@
 from typing import Any
 
 from ..cluster_transport.config_distribution import NamespaceService
-from ..namespaces.errors import Malformed
+from ..namespaces.errors import MalformedInputError
 from ..namespaces.revision_history import MAX_AUTHOR_LENGTH, Submission
 from ..namespaces.rules import RequestAttributes
 from .api import NO_TOKEN, Guarded, later, path_of, reply
 from .namespace_operations import NamespaceOperations
 
-MAX_DRAFT_BYTES = 768 << 10
+MAX_DRAFT_BYTES = (
+    768 << 10
+)  # of the body of a PUT: the first of the bounds of a draft's size, see `render_PUT`
 MAX_ID_LENGTH = 64
 MAX_NUMBER_DIGITS = 15  # of a revision's number in a path
 MAX_NUMBER = 1e15
@@ -31,22 +33,22 @@
 def _number(request: Any, name: str, default: float, least: float, most: float) -> float:
     """Return a number of the query.
 
-    :raises Malformed: it is none, or out of bounds.
+    :raises MalformedInputError: it is none, or out of bounds.
     """
     text = _query(request, name)
     try:
         number = float(text) if text else default
     except ValueError:
-        raise Malformed(f"{name}: expected a number, got {text!r}") from None
+        raise MalformedInputError(f"{name}: expected a number, got {text!r}") from None
     if not least <= number <= most:
-        raise Malformed(f"{name}: expected {least:g} to {most:g}, got {text!r}")
+        raise MalformedInputError(f"{name}: expected {least:g} to {most:g}, got {text!r}")
     return number
 
 
 def _submission(request: Any, customer: str, draft: bytes = b"", back_to: int = 0) -> Submission:
     submission_id = _query(request, "id") or os.urandom(12).hex()
     if len(submission_id) > MAX_ID_LENGTH:
-        raise Malformed(f"id: expected at most {MAX_ID_LENGTH} characters")
+        raise MalformedInputError(f"id: expected at most {MAX_ID_LENGTH} characters")
     return Submission(
         customer,
         submission_id,
@@ -91,7 +93,16 @@
         return reply(request, 404, {"error": "no such page"})
 
     def render_PUT(self, request: Any) -> Any:
-        """Publish the draft in the body."""
+        """Publish the draft in the body.
+
+        Three bounds limit its size, in this order:
+
+        - `MAX_DRAFT_BYTES` of the body, the same for all customers and without a setting;
+        - `bytes` of [namespaces] or of the customer (`Budget.max_draft_bytes`), when the draft is parsed;
+        - `state_bytes` of [duties] less `policy.STATE_OVERHEAD_BYTES`, when the revision is added to the retained ones.
+
+        Settings that grant more `bytes` than the third bound are rejected when they are read.
+        """
         if not self.allowed(request):
             return reply(request, 401, NO_TOKEN)
         path = path_of(request)
--- a/moorusher/lab/shed_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -1,4 +1,4 @@
-"""One arm of the experiment "shed": runners, their kernels and database, two balancers, one load."""
+"""One arm of the experiment on health reports: runners, their kernels and database, two balancers, one load."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .arrivals import Arrival, RequestClass
 from .balancer import BalancingMode, Server, ServerPicker
 from .clock import now_us
-from .cores import Machine
+from .cores import MachineSpec
 from .experiment import Points
 from .health_prober import HealthProber, ProbeKind
 from .load_generator import LoadGenerator, Route
@@ -83,7 +83,7 @@
     rng: random.Random
 
 
-class ShedArm:
+class HealthReportArm:
     """One arm: all arms of a round play side by side."""
 
     def __init__(
@@ -116,7 +116,7 @@
     def _start_runner(self, index: int) -> Runner:
         options = self.options
         is_cold = options.with_cold_runner and index == options.runners - 1
-        machine = Machine(
+        machine = MachineSpec(
             CORES,
             collapse_runs_per_core=COLLAPSE_MULTIPLE,
             cold_speed=COLD_SPEED if is_cold else 1.0,
