--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -19,7 +19,7 @@
 NO_TOKEN = {"error": "a bearer token is needed"}
 
 
-class BadBody(ValueError):
+class InvalidBodyError(ValueError):
     """The body is no such change; the text names the key."""
 
 
@@ -71,19 +71,19 @@
     def body(self, request: Any) -> dict[str, Any]:
         """Return the JSON object of the body, {} where it is empty.
 
-        :raises BadBody: it is too long or no JSON object.
+        :raises InvalidBodyError: it is too long or no JSON object.
         """
         raw = request.content.read(MAX_BODY_BYTES + 1)
         if len(raw) > MAX_BODY_BYTES:
-            raise BadBody(f"more than {MAX_BODY_BYTES} bytes")
+            raise InvalidBodyError(f"more than {MAX_BODY_BYTES} bytes")
         if not raw.strip():
             return {}
         try:
             parsed = json.loads(raw)
         except (ValueError, RecursionError):
-            raise BadBody("expected a JSON object") from None
+            raise InvalidBodyError("expected a JSON object") from None
         if not isinstance(parsed, dict):
-            raise BadBody("expected a JSON object")
+            raise InvalidBodyError("expected a JSON object")
         return parsed
 
 
--- a/moorusher/admin/maintenance.py
+++ b/moorusher/admin/maintenance.py
@@ -26,7 +26,7 @@
 from ..maintenance.errors import MaintenanceError
 from ..maintenance.schedule import CompletionProof
 from ..maintenance.waiters import WaitResult
-from .api import BadBody, Guarded, later, reply
+from .api import Guarded, InvalidBodyError, later, reply
 from .maintenance_documents import status_document
 
 MAX_ID_CHARS = 64
@@ -56,12 +56,12 @@
 
 
 class _Body:
-    """The JSON object of a request. Its errors, BadBody, name the key."""
+    """The JSON object of a request. Its errors, InvalidBodyError, name the key."""
 
     def __init__(self, sent: dict[str, Any], known_keys: set[str]) -> None:
         unknown = sorted(set(sent) - known_keys)
         if unknown:
-            raise BadBody(f"{unknown[0]}: no such key; known are {', '.join(sorted(known_keys))}")
+            raise InvalidBodyError(f"{unknown[0]}: no such key; known are {', '.join(sorted(known_keys))}")
         self._sent = sent
 
     def text(self, key: str, default: str | None = None, max_chars: int = MAX_TEXT_CHARS) -> str:
@@ -69,28 +69,28 @@
         value = self._sent.get(key, default)
         min_chars = 1 if default is None else 0
         if not isinstance(value, str) or not min_chars <= len(value) <= max_chars:
-            raise BadBody(f"{key}: expected a string of {min_chars} to {max_chars} characters")
+            raise InvalidBodyError(f"{key}: expected a string of {min_chars} to {max_chars} characters")
         return value
 
     def number(self, key: str, default: float, least: float, most: float) -> float:
         """Return a number within the bounds."""
         value = self._sent.get(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
-            raise BadBody(f"{key}: expected a number from {least:g} to {most:g}")
+            raise InvalidBodyError(f"{key}: expected a number from {least:g} to {most:g}")
         return float(value)
 
     def flag(self, key: str) -> bool:
         """Return true or false; false by default."""
         value = self._sent.get(key, False)
         if not isinstance(value, bool):
-            raise BadBody(f"{key}: expected true or false")
+            raise InvalidBodyError(f"{key}: expected true or false")
         return value
 
     def names(self, key: str) -> list[str]:
         """Return a list of names; empty by default."""
         value = self._sent.get(key, [])
         if not isinstance(value, list) or not all(_is_name(name) for name in value):
-            raise BadBody(f"{key}: expected a list of names")
+            raise InvalidBodyError(f"{key}: expected a list of names")
         return value
 
 
@@ -99,11 +99,11 @@
 
 
 def read_request_form(sent: dict[str, Any]) -> RequestForm:
-    """Read the body of POST /outage/ask. Raises BadBody."""
+    """Read the body of POST /outage/ask. Raises InvalidBodyError."""
     body = _Body(sent, REQUEST_KEYS)
     ends = body.text("ends", CompletionProof.REBOOT.api_name)
     if ends not in (proof.api_name for proof in CompletionProof):
-        raise BadBody(f"ends: expected one of boot, done, got {ends!r}")
+        raise InvalidBodyError(f"ends: expected one of boot, done, got {ends!r}")
     return RequestForm(
         id=body.text("id", os.urandom(REQUEST_ID_BYTES).hex(), MAX_ID_CHARS),
         reason=body.text("reason", "maintenance"),
@@ -155,7 +155,7 @@
             return reply(request, 404, {"error": f"expected one of {', '.join(sorted(self._handlers))}"})
         try:
             return handler(self.body(request), request)
-        except BadBody as exc:
+        except InvalidBodyError as exc:
             return reply(request, 400, {"error": str(exc)})
 
     def _submit(self, sent: dict[str, Any], request: Any) -> Any:
--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -7,7 +7,7 @@
 from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
 from ..health_reporting.document import health_document
 from ..health_reporting.reporter import Reporter
-from .api import NO_TOKEN, BadBody, Guarded, reply
+from .api import NO_TOKEN, Guarded, InvalidBodyError, reply
 
 DEFAULT_REASON = "maintenance"
 
@@ -15,17 +15,17 @@
 def read_maintenance(document: dict[str, Any]) -> tuple[str, float | None]:
     """Return the reason, and the seconds after which maintenance ends by itself, None where it does not.
 
-    :raises BadBody: a key is unknown, or its value is out of bounds.
+    :raises InvalidBodyError: a key is unknown, or its value is out of bounds.
     """
     unknown = sorted(set(document) - {"reason", "for_s"})
     if unknown:
-        raise BadBody(f"{unknown[0]}: no such key; known are for_s, reason")
+        raise InvalidBodyError(f"{unknown[0]}: no such key; known are for_s, reason")
     reason = document.get("reason", DEFAULT_REASON)
     if not isinstance(reason, str) or not 0 < len(reason) <= MAX_REASON_LENGTH:
-        raise BadBody(f"reason: expected a string of 1 to {MAX_REASON_LENGTH} characters")
+        raise InvalidBodyError(f"reason: expected a string of 1 to {MAX_REASON_LENGTH} characters")
     duration_s = document.get("for_s")
     if duration_s is not None and not _is_duration(duration_s):
-        raise BadBody(f"for_s: expected seconds above 0 and up to {MAX_MAINTENANCE_S:g}")
+        raise InvalidBodyError(f"for_s: expected seconds above 0 and up to {MAX_MAINTENANCE_S:g}")
     return reason, duration_s
 
 
@@ -51,7 +51,7 @@
             return reply(request, 401, NO_TOKEN)
         try:
             reason, duration_s = read_maintenance(self.body(request))
-        except BadBody as error:
+        except InvalidBodyError as error:
             return reply(request, 400, {"error": str(error)})
         if not self._reporter.set_maintenance(reason, duration_s):
             return reply(request, 409, {"error": "the runner is leaving, and does not come back"})
--- a/moorusher/admin/servers.py
+++ b/moorusher/admin/servers.py
@@ -8,7 +8,7 @@
 from ..config.load_balancing import endpoint_of
 from ..config.section import ConfigError, Section
 from ..core.request_engine import RequestEngine
-from .api import NO_TOKEN, BadBody, Guarded, path_of, reply
+from .api import NO_TOKEN, Guarded, InvalidBodyError, path_of, reply
 
 NO_SUCH_SERVER = {"error": "no such server"}
 
@@ -53,7 +53,7 @@
             return reply(request, 401, NO_TOKEN)
         try:
             endpoint = endpoint_of(Section({"name": path[0]} | self.body(request), ""))
-        except (BadBody, ConfigError) as error:
+        except (InvalidBodyError, ConfigError) as error:
             return reply(request, 400, {"error": str(error)})
         self._core.begin_turn()
         try:
--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -9,7 +9,7 @@
 from typing import Any, Union
 
 from ..core.outcomes import EndReason
-from .errors import UnreadableMessage
+from .errors import UnreadableMessageError
 
 RUN_END_REASONS = {
     "PASS": EndReason.RUN_SUCCEEDED,
@@ -90,11 +90,11 @@
 
 
 def decode_message(line: bytes) -> KernelMessage:
-    """Decode a line. Raises UnreadableMessage, and nothing else."""
+    """Decode a line. Raises UnreadableMessageError, and nothing else."""
     try:
         return _decode(json.loads(line))
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as exc:
-        raise UnreadableMessage(str(exc)) from exc
+        raise UnreadableMessageError(str(exc)) from exc
 
 
 def _decode(message: Any) -> KernelMessage:
--- a/moorusher/backends/kernel_protocol.py
+++ b/moorusher/backends/kernel_protocol.py
@@ -9,7 +9,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
-from .errors import UnreadableMessage
+from .errors import UnreadableMessageError
 from .kernel_messages import Command, KernelMessage, decode_message, encode_command
 
 log = logging.getLogger("moorusher")
@@ -74,7 +74,7 @@
             return  # a newer connection has taken over
         try:
             message = decode_message(line)
-        except UnreadableMessage:
+        except UnreadableMessageError:
             self._listener.line_unreadable(self, line)
             return
         try:
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -211,7 +211,7 @@
     def put(self, server: EndpointConfig) -> None:
         """Add a server, or change the address, weight, zone or protocol of the one with its name.
 
-        Raises TooManyEndpoints.
+        Raises TooManyEndpointsError.
         """
         self.routes.balancers.put(self.core.clock.now, server)
         self._backends.update(server)
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -17,7 +17,7 @@
 from ..core.clock import Alarm
 from ..core.outcomes import EndReason
 from ..core.request_engine import RequestEngine
-from ..replication.errors import UnreadableFrame
+from ..replication.errors import UnreadableFrameError
 from ..replication.messages import (
     MAX_FRAME_BYTES,
     ComponentMessage,
@@ -176,7 +176,7 @@
         self.owner.core.begin_turn()
         try:
             messages = decode(string)
-        except UnreadableFrame as exc:
+        except UnreadableFrameError as exc:
             log.warning("fleet: a peer sent an unreadable frame: seat=%s reason=%s", self.seat, exc)
             self.owner.count("fleet links: " + EndReason.FRAMING_LOST.value)
             self.transport.abortConnection()
--- a/moorusher/config/loader.py
+++ b/moorusher/config/loader.py
@@ -27,7 +27,7 @@
 
     :param operator_file: `deploy/fronts.toml` of the distribution where None.
     :param running: the parsed platform file that is in service, whose keys the new one must have.
-    :raises ConfigUnreadable: a file can't be read at this moment.
+    :raises ConfigUnreadableError: a file can't be read at this moment.
     :raises ConfigError: the configuration can't be used; the text names the key.
     """
     path = environment.get("GW_CONFIG")
--- a/moorusher/config/operator_file.py
+++ b/moorusher/config/operator_file.py
@@ -33,7 +33,7 @@
 def read_operator_file(path: Path) -> OperatorConfig:
     """Read and check the file; everything is off where it is missing.
 
-    :raises ConfigUnreadable: it can't be read at this moment.
+    :raises ConfigUnreadableError: it can't be read at this moment.
     :raises ConfigError: it is not valid TOML, or a key is unknown or its value can't be used.
     """
     try:
--- a/moorusher/config/section.py
+++ b/moorusher/config/section.py
@@ -20,7 +20,7 @@
     """The configuration can't be used; the text names the key."""
 
 
-class ConfigUnreadable(ConfigError):
+class ConfigUnreadableError(ConfigError):
     """A file of the configuration could not be read at that moment; a moment later it may be."""
 
 
@@ -30,7 +30,7 @@
 
 def unreadable(key: str, error: OSError) -> ConfigError:
     """Return the error for a file that could not be read; `key` names the file or who refers to it."""
-    kind = ConfigUnreadable if error.errno in READ_LATER else ConfigError
+    kind = ConfigUnreadableError if error.errno in READ_LATER else ConfigError
     return kind(f"{key}: {error}")
 
 
--- a/moorusher/frontends/jsonrpc_messages.py
+++ b/moorusher/frontends/jsonrpc_messages.py
@@ -41,7 +41,7 @@
 }
 
 
-class InvalidMessage(ValueError):
+class InvalidMessageError(ValueError):
     """A line that is no message of the protocol: `code` and `tag` are for the error that it gets."""
 
     def __init__(self, code: int, text: str, tag: int | None = None) -> None:
@@ -62,24 +62,24 @@
 def read_message(line: bytes) -> Message:
     """Parse one line.
 
-    :raises InvalidMessage: it is not JSON, or has not the form of JSON-RPC 2.0.
+    :raises InvalidMessageError: it is not JSON, or has not the form of JSON-RPC 2.0.
     """
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
-        raise InvalidMessage(PARSE, "not valid JSON") from None
+        raise InvalidMessageError(PARSE, "not valid JSON") from None
     if not isinstance(message, dict) or message.get("jsonrpc") != "2.0":
-        raise InvalidMessage(INVALID, "expected one JSON-RPC 2.0 message")
+        raise InvalidMessageError(INVALID, "expected one JSON-RPC 2.0 message")
     method = message.get("method")
     tag = message.get("id")
     if isinstance(tag, bool) or not isinstance(tag, int | None):
-        raise InvalidMessage(INVALID, "id: expected a whole number")
+        raise InvalidMessageError(INVALID, "id: expected a whole number")
     if not isinstance(method, str):
-        raise InvalidMessage(INVALID, "method: expected a string", tag)
+        raise InvalidMessageError(INVALID, "method: expected a string", tag)
     return Message(method, tag, message.get("params"))
 
 
-class InvalidParams(ValueError):
+class InvalidParamsError(ValueError):
     """The params of a request break the protocol; the text names the key and what is expected there."""
 
 
@@ -89,14 +89,14 @@
         return None
     # Not by isinstance alone: True is an int, and JSON as Python reads it has NaN and Infinity, in no range.
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not allowed.contains(value):
-        raise InvalidParams(f"{key}: expected a number {allowed}")
+        raise InvalidParamsError(f"{key}: expected a number {allowed}")
     return value
 
 
 def _needed(params: dict[str, Any], key: str, allowed: ValueRange) -> float:
     value = _number(params, key, allowed)
     if value is None:
-        raise InvalidParams(f"{key}: required")
+        raise InvalidParamsError(f"{key}: required")
     return value
 
 
@@ -105,7 +105,7 @@
     if value is None:
         return None
     if not isinstance(value, str) or not 0 < len(value) <= max_length:
-        raise InvalidParams(f"{key}: expected a string of 1 to {max_length} characters")
+        raise InvalidParamsError(f"{key}: expected a string of 1 to {max_length} characters")
     return value
 
 
@@ -115,23 +115,23 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise InvalidParams(f"{key}: expected hex digits") from None
+        raise InvalidParamsError(f"{key}: expected hex digits") from None
 
 
 def read_arrival(method: str, params: Any, began_us: int | None = None) -> Arrival:
     """Map the params of one request to the core's names, checked in form.
 
     :param began_us: when its first byte was read, if that was in an earlier turn.
-    :raises InvalidParams: a param is missing or can't be used; the text names it.
+    :raises InvalidParamsError: a param is missing or can't be used; the text names it.
     """
     if not isinstance(params, dict):
-        raise InvalidParams("params: expected an object")
+        raise InvalidParamsError("params: expected an object")
     rid = _request_id(params)
     token = _token(params)
     body = _body(params)
     caller = _needed(params, "peer", PEER)
     if caller != int(caller):
-        raise InvalidParams("peer: expected a whole number")
+        raise InvalidParamsError("peer: expected a whole number")
     return Arrival(
         rid=rid,
         class_name=method,
@@ -153,27 +153,27 @@
 def _request_id(params: dict[str, Any]) -> str:
     rid = _text(params, "rid", MAX_REQUEST_ID_LENGTH)
     if rid is None or not is_identifier(rid, MAX_REQUEST_ID_LENGTH):
-        raise InvalidParams("rid: required, of letters, digits and -_.:")
+        raise InvalidParamsError("rid: required, of letters, digits and -_.:")
     return rid
 
 
 def _token(params: dict[str, Any]) -> str | None:
     token = _text(params, "token", MAX_TOKEN_LENGTH)
     if token is not None and not is_identifier(token, MAX_TOKEN_LENGTH):
-        raise InvalidParams("token: expected letters, digits and -_.:")
+        raise InvalidParamsError("token: expected letters, digits and -_.:")
     return token
 
 
 def _body(params: dict[str, Any]) -> bytes:
     content = params.get("content", "")
     if not isinstance(content, str):
-        raise InvalidParams("content: expected base64")
+        raise InvalidParamsError("content: expected base64")
     try:
         body = binascii.a2b_base64(content, strict_mode=True)
     except (binascii.Error, ValueError):
-        raise InvalidParams("content: expected base64") from None
+        raise InvalidParamsError("content: expected base64") from None
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidParams(f"content: more than {MAX_BODY_BYTES} bytes")
+        raise InvalidParamsError(f"content: more than {MAX_BODY_BYTES} bytes")
     return body
 
 
--- a/moorusher/frontends/jsonrpc_session.py
+++ b/moorusher/frontends/jsonrpc_session.py
@@ -17,8 +17,8 @@
     INVALID_PARAMS,
     NO_METHOD,
     REFUSED,
-    InvalidMessage,
-    InvalidParams,
+    InvalidMessageError,
+    InvalidParamsError,
     answer_line,
     error_line,
     read_arrival,
@@ -78,7 +78,7 @@
         """
         try:
             message = read_message(line)
-        except InvalidMessage as error:
+        except InvalidMessageError as error:
             self._fault(error.tag, error.code, str(error))
             return
         if message.method == "revoke":
@@ -121,7 +121,7 @@
             return
         try:
             arrival = read_arrival(method, params, began_us)
-        except InvalidParams as error:
+        except InvalidParamsError as error:
             self._fault(tag, INVALID_PARAMS, str(error))
             return
         submitted = self._core.submit(arrival, self, tag)
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -22,7 +22,7 @@
     PING,
     PONG,
     WSGI,
-    InvalidPacket,
+    InvalidPacketError,
     content_length,
     parse_vars,
     read_arrival,
@@ -127,7 +127,7 @@
                 self._read_packet()
             if self.state is State.READING_BODY and len(self._data) >= self._body_bytes:
                 self._submit(bytes(self._data[: self._body_bytes]))
-        except InvalidPacket as error:
+        except InvalidPacketError as error:
             self._core.counters.add("faulty")
             self._data.clear()
             self._finish(response(error.status, str(error).encode()))
@@ -141,7 +141,9 @@
             self._finish(HEAD.pack(PING, 0, PONG) if self._factory.is_fit() else b"")
             return
         if modifier1 != WSGI or modifier2 != 0:
-            raise InvalidPacket(400, f"modifiers {modifier1}, {modifier2}: only 0, 0 and pings are served")
+            raise InvalidPacketError(
+                400, f"modifiers {modifier1}, {modifier2}: only 0, 0 and pings are served"
+            )
         if len(self._data) < HEAD.size + size:
             return
         self._variables = parse_vars(bytes(self._data[HEAD.size : HEAD.size + size]))
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -7,7 +7,7 @@
 
 from .ejection import EjectionControl
 from .endpoint import Endpoint, EndpointState
-from .errors import TooManyEndpoints
+from .errors import TooManyEndpointsError
 from .latency import median
 from .messages import AttemptOutcome
 from .picker import Picker, subset_order
@@ -66,7 +66,7 @@
     def add(self, now: int, config: EndpointConfig, established: bool = False) -> None:
         """Add an endpoint in slow start, or change the address, weight or zone of the one with that name.
 
-        `established`: without slow start. Raises TooManyEndpoints.
+        `established`: without slow start. Raises TooManyEndpointsError.
         """
         known = self.by_name.get(config.name)
         if known is not None:
@@ -75,7 +75,7 @@
                 known.state = EndpointState.ACTIVE
                 known.retiring = False
         elif len(self.by_name) >= MAX_ENDPOINTS:
-            raise TooManyEndpoints(MAX_ENDPOINTS)
+            raise TooManyEndpointsError(MAX_ENDPOINTS)
         else:
             self.by_name[config.name] = Endpoint(config, self._policy, now, established, self._runner)
         self._ordered = subset_order(self._runner, list(self.by_name.values()))
--- a/moorusher/load_balancing/errors.py
+++ b/moorusher/load_balancing/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class TooManyEndpoints(ValueError):
+class TooManyEndpointsError(ValueError):
     """There are as many endpoints as one set may have; remove one, or split the tier."""
 
     def __init__(self, limit: int) -> None:
--- a/moorusher/protocols/uwsgi_packets.py
+++ b/moorusher/protocols/uwsgi_packets.py
@@ -83,7 +83,7 @@
 }
 
 
-class InvalidPacket(ValueError):
+class InvalidPacketError(ValueError):
     """What was read is no uwsgi request; `status` is that of the HTTP response."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -94,7 +94,7 @@
 def parse_vars(block: bytes) -> dict[str, str]:
     """Parse pairs of key and value, each with its length before it. A later pair of one key wins, as in uWSGI.
 
-    :raises InvalidPacket: a length runs past the block, a name is empty, or there are too many variables.
+    :raises InvalidPacketError: a length runs past the block, a name is empty, or there are too many variables.
     """
     found: dict[str, str] = {}
     at = 0
@@ -103,18 +103,18 @@
         pair = []
         for _ in range(2):
             if at + 2 > end:
-                raise InvalidPacket(400, "a length runs past the variables")
+                raise InvalidPacketError(400, "a length runs past the variables")
             (size,) = LENGTH.unpack_from(block, at)
             at += 2
             if at + size > end:
-                raise InvalidPacket(400, "a variable runs past its packet")
+                raise InvalidPacketError(400, "a variable runs past its packet")
             pair.append(block[at : at + size].decode("latin-1"))
             at += size
         if not pair[0]:
-            raise InvalidPacket(400, "a variable without a name")
+            raise InvalidPacketError(400, "a variable without a name")
         found[pair[0]] = pair[1]
         if len(found) > MAX_VARIABLES:
-            raise InvalidPacket(400, f"more than {MAX_VARIABLES} variables")
+            raise InvalidPacketError(400, f"more than {MAX_VARIABLES} variables")
     return found
 
 
@@ -132,16 +132,16 @@
 def content_length(variables: dict[str, str], max_bytes: int) -> int:
     """Return the length of the body, 0 where none is given.
 
-    :raises InvalidPacket: it is no whole number, or more than `max_bytes`.
+    :raises InvalidPacketError: it is no whole number, or more than `max_bytes`.
     """
     text = variables.get("CONTENT_LENGTH", "")
     if not text:
         return 0
     # isdigit alone lets other scripts' digits pass; int alone lets '+5', ' 5' and '1_0' pass.
     if not (text.isascii() and text.isdigit()):
-        raise InvalidPacket(400, "CONTENT_LENGTH: expected a whole number")
+        raise InvalidPacketError(400, "CONTENT_LENGTH: expected a whole number")
     if len(text) > MAX_LENGTH_DIGITS or int(text) > max_bytes:
-        raise InvalidPacket(413, f"CONTENT_LENGTH: more than {max_bytes}")
+        raise InvalidPacketError(413, f"CONTENT_LENGTH: more than {max_bytes}")
     return int(text)
 
 
@@ -154,7 +154,7 @@
     except ValueError:
         value = math.nan
     if not allowed.contains(value):
-        raise InvalidPacket(400, f"{VARS[name]}: expected a number {allowed}")
+        raise InvalidPacketError(400, f"{VARS[name]}: expected a number {allowed}")
     return value
 
 
@@ -162,22 +162,22 @@
     """Map the variables of one request to the core's names, checked in form.
 
     :param began_us: when its first byte was read.
-    :raises InvalidPacket: a variable is missing or can't be used; the text names it.
+    :raises InvalidPacketError: a variable is missing or can't be used; the text names it.
     """
     class_name = variables.get(VARS["class"], "")
     if not class_name:
-        raise InvalidPacket(400, f"{VARS['class']}: required")
+        raise InvalidPacketError(400, f"{VARS['class']}: required")
     rid = variables.get(VARS["rid"], "") or secrets.token_hex(8)
     token = variables.get(VARS["token"], "") or None
     if not is_identifier(rid, MAX_REQUEST_ID_LENGTH) or (
         token is not None and not is_identifier(token, MAX_TOKEN_LENGTH)
     ):
-        raise InvalidPacket(400, f"{VARS['rid']}, {VARS['token']}: expected letters, digits and -_.:")
+        raise InvalidPacketError(400, f"{VARS['rid']}, {VARS['token']}: expected letters, digits and -_.:")
     subject = variables.get(VARS["obj"], "")
     try:
         obj = int(subject, 16) if subject else None
     except ValueError:
-        raise InvalidPacket(400, f"{VARS['obj']}: expected hex digits") from None
+        raise InvalidPacketError(400, f"{VARS['obj']}: expected hex digits") from None
     return Arrival(
         rid,
         class_name,
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from .errors import DamagedJournal, ForeignJournal
+from .errors import DamagedJournalError, ForeignJournalError
 from .messages import Ballot, Incarnations
 from .work_record import KeyDigest, WorkRecord
 
@@ -135,19 +135,19 @@
 def read_journal(data: bytes, header: JournalHeader) -> JournalImage:
     """What the file of this seat says.
 
-    Raises ForeignJournal or DamagedJournal, with the reason.
+    Raises ForeignJournalError or DamagedJournalError, with the reason.
     """
     image = JournalImage()
     while (found := _record_at(data, image.valid_bytes)) is not None:
         record, end = found
         if image.valid_bytes == 0 and record != header:
-            raise ForeignJournal(f"of another fleet, seat or version: {record}")
+            raise ForeignJournalError(f"of another fleet, seat or version: {record}")
         image.apply(record)
         image.valid_bytes = end
     if image.valid_bytes == 0:
-        raise DamagedJournal("it has no beginning")
+        raise DamagedJournalError("it has no beginning")
     if _has_record_after(data, image.valid_bytes + 1):
-        raise DamagedJournal(f"damaged at byte {image.valid_bytes}")
+        raise DamagedJournalError(f"damaged at byte {image.valid_bytes}")
     return image
 
 
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..membership.messages import Ping, PingAck, PingRequest, WireMessage
-from .errors import UnreadableFrame
+from .errors import UnreadableFrameError
 from .work_record import KeyDigest, Owner, WorkRecord
 
 PROTOCOL_VERSION = 4  # both sides of a connection must name the same in their greeting
@@ -233,8 +233,8 @@
 
 
 def decode(frame: bytes) -> list[Any]:
-    """The messages of a frame. Raises UnreadableFrame where it is none of this protocol."""
+    """The messages of a frame. Raises UnreadableFrameError where it is none of this protocol."""
     try:
         return _decoder.decode(frame)
     except (msgspec.MsgspecError, RecursionError) as exc:
-        raise UnreadableFrame(str(exc)) from exc
+        raise UnreadableFrameError(str(exc)) from exc
--- a/moorusher/routing/route_balancers.py
+++ b/moorusher/routing/route_balancers.py
@@ -114,7 +114,7 @@
     # ---- membership ----
 
     def put(self, now: int, server: EndpointConfig) -> None:
-        """Add a server or change the one with its name. Raises TooManyEndpoints."""
+        """Add a server or change the one with its name. Raises TooManyEndpointsError."""
         self.servers[server.name] = server
         if server.name not in self.grants.reserved_servers():
             self.default.endpoints.add(now, server)
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from ..config.loader import load
-from ..config.section import ConfigError, ConfigUnreadable
+from ..config.section import ConfigError, ConfigUnreadableError
 from ..hot_restart.shared_budget import fits_beside, rendezvous_path
 from ..transient_errors import retry_transient
 
@@ -49,7 +49,7 @@
 
 
 def _can_be_read_later(error: Exception) -> bool:
-    return isinstance(error, ConfigUnreadable)
+    return isinstance(error, ConfigUnreadableError)
 
 
 def serve(operator_file: Path | None = None) -> int:
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -10,7 +10,7 @@
 from ..backends.database import DatabasePool
 from ..backends.uwsgi import UwsgiCalls
 from ..config.model import Config
-from ..config.section import Address, ConfigError, ConfigUnreadable
+from ..config.section import Address, ConfigError, ConfigUnreadableError
 from ..core.reconfiguration import Plan, plan
 from ..rate_limited_log import RateLimitedLog
 from ..transient_errors import RETRY_INTERVAL_S
@@ -60,7 +60,7 @@
         service = self._service
         try:
             apply(service, load(running=service.config.raw))
-        except ConfigUnreadable as error:
+        except ConfigUnreadableError as error:
             self._limited.write(
                 logging.WARNING,
                 "unreadable",
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -12,7 +12,7 @@
 from ..core.clock import Alarm
 from ..core.request_engine import RequestEngine
 from ..time_units import SECOND
-from ..warm_start.errors import InvalidSnapshot
+from ..warm_start.errors import InvalidSnapshotError
 from ..warm_start.learned_state import DonorCondition, LearnedState
 from ..warm_start.merge import merge_priors
 from ..warm_start.snapshot import MAX_SNAPSHOT_BYTES, decode_snapshot, encode_snapshot
@@ -61,7 +61,7 @@
         return decode_snapshot(raw).aged(age_s)
     except FileNotFoundError:
         return None
-    except (OSError, InvalidSnapshot) as exc:
+    except (OSError, InvalidSnapshotError) as exc:
         log.warning("warm start without snapshot: file=%s reason=%s", path.name, exc)
         return None
 
@@ -109,7 +109,7 @@
         try:
             save_snapshot(self._path, encode_snapshot(state))
             self._core.counters.add("knowledge kept")
-        except (OSError, InvalidSnapshot) as exc:
+        except (OSError, InvalidSnapshotError) as exc:
             self._core.counters.add("knowledge not kept")
             log.warning("snapshot for the warm start not written: file=%s reason=%s", self._path.name, exc)
 
--- a/moorusher/warm_start/errors.py
+++ b/moorusher/warm_start/errors.py
@@ -16,7 +16,7 @@
     INVALID_VALUE = "a value is impossible"
 
 
-class InvalidSnapshot(ValueError):
+class InvalidSnapshotError(ValueError):
     """A snapshot can't be used. The runner starts without it; delete the file if that is logged again and again.
 
     fault: which kind (SnapshotFault).
--- a/moorusher/warm_start/snapshot.py
+++ b/moorusher/warm_start/snapshot.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from .errors import InvalidSnapshot, SnapshotFault
+from .errors import InvalidSnapshotError, SnapshotFault
 from .learned_state import MAX_ENDPOINTS, MAX_NAME_LENGTH, LearnedState
 
 MAGIC = b"MRKN"
@@ -23,21 +23,21 @@
 
 
 def encode_snapshot(state: LearnedState) -> bytes:
-    """Return the bytes of a state. Raises InvalidSnapshot where they would be too many."""
+    """Return the bytes of a state. Raises InvalidSnapshotError where they would be too many."""
     body = msgspec.msgpack.encode(state)
     if HEADER.size + len(body) > MAX_SNAPSHOT_BYTES:
-        raise InvalidSnapshot(SnapshotFault.OVERSIZED, f"{len(body)} bytes")
+        raise InvalidSnapshotError(SnapshotFault.OVERSIZED, f"{len(body)} bytes")
     checksum = xxhash.xxh3_64_intdigest(body)
     return HEADER.pack(MAGIC, MAJOR_VERSION, MINOR_VERSION, len(body), checksum) + body
 
 
 def decode_snapshot(raw: bytes) -> LearnedState:
-    """Return the state that the bytes hold. Raises InvalidSnapshot, and nothing else, whatever the bytes are."""
+    """Return the state that the bytes hold. Raises InvalidSnapshotError, and nothing else, whatever the bytes are."""
     body = _checked_body(raw)
     try:
         state = msgspec.msgpack.decode(body, type=LearnedState)
     except (msgspec.MsgspecError, RecursionError, ValueError) as exc:
-        raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, str(exc)[:100]) from None
+        raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, str(exc)[:100]) from None
     _check_values(state)
     return state
 
@@ -45,37 +45,37 @@
 def _checked_body(raw: bytes) -> bytes:
     """Return the body of a snapshot whose header and checksum are right."""
     if len(raw) > MAX_SNAPSHOT_BYTES:
-        raise InvalidSnapshot(SnapshotFault.OVERSIZED, f"{len(raw)} bytes")
+        raise InvalidSnapshotError(SnapshotFault.OVERSIZED, f"{len(raw)} bytes")
     if raw[: len(MAGIC)] != MAGIC[: len(raw)]:
-        raise InvalidSnapshot(SnapshotFault.FOREIGN)
+        raise InvalidSnapshotError(SnapshotFault.FOREIGN)
     if len(raw) < HEADER.size:
-        raise InvalidSnapshot(SnapshotFault.TRUNCATED)
+        raise InvalidSnapshotError(SnapshotFault.TRUNCATED)
     _, major, minor, length, checksum = HEADER.unpack_from(raw)
     if major > MAJOR_VERSION:
         supported = f"{MAJOR_VERSION}.{MINOR_VERSION}"
-        raise InvalidSnapshot(SnapshotFault.NEWER_VERSION, f"{major}.{minor}, this is {supported}")
+        raise InvalidSnapshotError(SnapshotFault.NEWER_VERSION, f"{major}.{minor}, this is {supported}")
     body = raw[HEADER.size :]
     if len(body) < length:
-        raise InvalidSnapshot(SnapshotFault.TRUNCATED, f"{len(body)} of {length} bytes")
+        raise InvalidSnapshotError(SnapshotFault.TRUNCATED, f"{len(body)} of {length} bytes")
     if len(body) > length or xxhash.xxh3_64_intdigest(body) != checksum:
-        raise InvalidSnapshot(SnapshotFault.CORRUPT)
+        raise InvalidSnapshotError(SnapshotFault.CORRUPT)
     return body
 
 
 def _check_values(state: LearnedState) -> None:
     """Check what the types can't say: a checksum proves that nothing was changed, not that it was right."""
     if len(state.endpoints) > MAX_ENDPOINTS:
-        raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, f"{len(state.endpoints)} servers")
+        raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, f"{len(state.endpoints)} servers")
     if not state.donor or len(state.donor) > MAX_NAME_LENGTH:
-        raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, "donor")
+        raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, "donor")
     for record in (state, *state.endpoints):
         for name, value in msgspec.structs.asdict(record).items():
             if isinstance(value, (int, float)) and not (math.isfinite(value) and 0 <= value < MAX_NUMBER):
-                raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, name)
+                raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, name)
     names: set[str] = set()
     for stats in state.endpoints:
         name_is_valid = 0 < len(stats.name) <= MAX_NAME_LENGTH and stats.name not in names
         if not name_is_valid or stats.success_rate > 1:
             detail = f"server {stats.name[:MAX_NAME_LENGTH]!r}"
-            raise InvalidSnapshot(SnapshotFault.INVALID_VALUE, detail)
+            raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, detail)
         names.add(stats.name)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from .known_red import FILE, InvalidKnownRedList, KnownRed, missing_tests, parse
+from .known_red import FILE, InvalidKnownRedListError, KnownRed, missing_tests, parse
 
 MISSING_TESTS = pytest.StashKey[list[str]]()
 USAGE_ERROR = pytest.ExitCode.USAGE_ERROR
@@ -16,7 +16,7 @@
 def known_red_entries() -> list[KnownRed]:
     try:
         return parse(FILE.read_text()) if FILE.exists() else []
-    except InvalidKnownRedList as error:
+    except InvalidKnownRedListError as error:
         raise pytest.UsageError(f"{FILE.name}: {error}") from error
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -19,7 +19,7 @@
 _COUNT = re.compile(r"(\d+) of (\d+): ")
 
 
-class InvalidKnownRedList(ValueError):
+class InvalidKnownRedListError(ValueError):
     """The list can't be used; the text says which line is at fault."""
 
 
@@ -48,10 +48,10 @@
     for line in filter(str.strip, text.splitlines()):
         parts = [part.strip() for part in line.split(";")]
         if len(parts) != _PARTS or not all(parts):
-            raise InvalidKnownRedList(f"expected TEST; COMMAND; SEEN; ISSUE, got {line!r}")
+            raise InvalidKnownRedListError(f"expected TEST; COMMAND; SEEN; ISSUE, got {line!r}")
         entries.append(KnownRed(*parts))
     if len(entries) > MAX_ENTRIES:
-        raise InvalidKnownRedList(f"{len(entries)} lines, and {MAX_ENTRIES} at most are allowed")
+        raise InvalidKnownRedListError(f"{len(entries)} lines, and {MAX_ENTRIES} at most are allowed")
     return entries
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from .known_red import InvalidKnownRedList, KnownRed, missing_tests, parse
+from .known_red import InvalidKnownRedListError, KnownRed, missing_tests, parse
 
 RED = "def test_red() -> None:\n    assert False\n"
 GREEN = "def test_green() -> None:\n    pass\n"
@@ -23,9 +23,9 @@
         KnownRed("a.py::test_b", "pytest a.py", "it is late", "30")
     ]
     for bad in ("a.py::test_b", "a; b", "a; b; c", "a; ; c; 30", "a; b; 1; 2; 3"):
-        with pytest.raises(InvalidKnownRedList):
+        with pytest.raises(InvalidKnownRedListError):
             parse(bad)
-    with pytest.raises(InvalidKnownRedList, match="4 lines"):
+    with pytest.raises(InvalidKnownRedListError, match="4 lines"):
         parse("a; b; c; 1\n" * 4)
     assert missing_tests([KnownRed("x", "", "", ""), KnownRed("y", "", "", "")], ["y", "z"]) == ["x"]
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -91,7 +91,7 @@
     ],
 )
 def test_bad_params_are_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(jsonrpc_messages.InvalidParams, match=named):
+    with pytest.raises(jsonrpc_messages.InvalidParamsError, match=named):
         jsonrpc_messages.read_arrival("check", GOOD | change)
 
 
@@ -110,7 +110,7 @@
     ],
 )
 def test_bad_variables(block: bytes) -> None:
-    with pytest.raises(uwsgi_packets.InvalidPacket) as caught:
+    with pytest.raises(uwsgi_packets.InvalidPacketError) as caught:
         uwsgi_packets.parse_vars(block)
     assert caught.value.status == 400
 
@@ -136,7 +136,7 @@
     ],
 )
 def test_bad_content_lengths(text: str, status: int) -> None:
-    with pytest.raises(uwsgi_packets.InvalidPacket) as caught:
+    with pytest.raises(uwsgi_packets.InvalidPacketError) as caught:
         uwsgi_packets.content_length({"CONTENT_LENGTH": text}, 2048)
     assert caught.value.status == status
 
@@ -164,7 +164,7 @@
     ],
 )
 def test_bad_uwsgi_values(name: str, text: str) -> None:
-    with pytest.raises(uwsgi_packets.InvalidPacket, match=uwsgi_packets.VARS[name]):
+    with pytest.raises(uwsgi_packets.InvalidPacketError, match=uwsgi_packets.VARS[name]):
         uwsgi_packets.read_arrival(VARS | {uwsgi_packets.VARS[name]: text}, b"")
 
 
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -31,7 +31,7 @@
 from moorusher.scheduling.interface import Effect
 from moorusher.storage.warm_start import load_snapshot, save_snapshot
 from moorusher.warm_start import snapshot
-from moorusher.warm_start.errors import InvalidSnapshot, SnapshotFault
+from moorusher.warm_start.errors import InvalidSnapshotError, SnapshotFault
 from moorusher.warm_start.learned_state import (
     DonorCondition,
     EndpointStats,
@@ -117,7 +117,7 @@
     ],
 )
 def test_an_invalid_snapshot_is_refused_with_its_fault(raw: bytes, why: SnapshotFault) -> None:
-    with pytest.raises(InvalidSnapshot) as caught:
+    with pytest.raises(InvalidSnapshotError) as caught:
         decode_snapshot(raw)
     assert caught.value.fault is why
 
@@ -132,12 +132,12 @@
     changed = bytearray(GOOD)
     changed[at] = byte
     for raw in (noise, MAGIC + noise, sealed(noise), bytes(changed), GOOD[:at]):
-        with suppress(InvalidSnapshot):
+        with suppress(InvalidSnapshotError):
             assert isinstance(decode_snapshot(raw), LearnedState)
 
 
 def test_an_oversized_snapshot_is_not_written() -> None:
-    with pytest.raises(InvalidSnapshot) as caught:
+    with pytest.raises(InvalidSnapshotError) as caught:
         encode_snapshot(
             knowledge(
                 *(
