--- a/moorusher/scheduling/__init__.py
+++ b/moorusher/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Scheduling decisions of one runner: fair queueing (2DFQ^E) and the rules that protect it in overload."""
+"""Scheduling decisions of one runner: fair queueing (2DFQ^E) and overload protection."""
 
 from moorusher.scheduling.scheduler import Scheduler
 
--- a/moorusher/scheduling/actions.py
+++ b/moorusher/scheduling/actions.py
@@ -1,7 +1,4 @@
-"""What a runner is to do: the actions that `Scheduler.step` returns, in the order of their execution.
-
-Times are milliseconds.
-"""
+"""Actions that `Scheduler.step` returns and the runner executes in order. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -11,23 +8,26 @@
 
 @dataclass(slots=True)
 class Start:
-    """Run a queued request, or go on with a suspended one."""
+    """Run a queued request, or resume a suspended one."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Stop:
-    """Stop running work (never sent where preemption is off)."""
+    """Stop a running request. Never sent if preemption is off."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, with the assurance that it did not run.
+    """Reject a request as its final answer, with the guarantee that it did not run.
 
-    `retry_after_ms`: the pause that is asked for. `final`: no other runner is to be tried.
+    Attributes:
+        id: Number of the request.
+        retry_after_ms: Pause that the caller is asked to make before a retry.
+        final: Whether the caller must not try another runner.
     """
 
     id: int
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: an error without any assurance."""
+    """Fail a request as its final answer. It may or may not have run."""
 
     id: int
 
 
 @dataclass(slots=True)
 class StartCall:
-    """Make the downstream call that a request waits for; it is given up after `timeout_ms`."""
+    """Send the downstream call that a request waits for, with a timeout of `timeout_ms`."""
 
     id: int
     timeout_ms: float = 0.0
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Go on without the downstream call."""
+    """Resume a request without its downstream call."""
 
     id: int
 
 
 @dataclass(slots=True)
 class StoreKey:
-    """Enter a request in the table of idempotency keys for `ttl_ms`, so that its repeats are recognised."""
+    """Store a request in the table of idempotency keys for `ttl_ms`, so that its repeats are recognized."""
 
     id: int
     ttl_ms: float
@@ -67,21 +67,26 @@
 
 @dataclass(slots=True)
 class DropKey:
-    """Drop a request's entry from the table of idempotency keys."""
+    """Remove a request's entry from the table of idempotency keys."""
 
     id: int
 
 
 @dataclass(slots=True)
 class ShareResult:
-    """Answer a request with the result of the one that it repeats."""
+    """Answer a request with the result of the request that it repeats."""
 
     id: int
 
 
 @dataclass(slots=True)
 class SetHealth:
-    """What health checks are answered; `stored`: from this setting alone, without real work."""
+    """Set the answer to health checks.
+
+    Attributes:
+        healthy: Whether health checks succeed.
+        stored: Whether they are answered from this value alone, without real work.
+    """
 
     healthy: bool
     stored: bool = False
@@ -89,14 +94,14 @@
 
 @dataclass(slots=True)
 class Signal:
-    """The value that accompanies every answer; its meaning is `Settings.signal`."""
+    """Set the value that is sent along with every answer. `Settings.signal` defines its meaning."""
 
     value: float
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close connections that have been idle for `idle_ms`, now and from now on."""
+    """Close connections that are idle for `idle_ms`, from now on and until the next action of this kind."""
 
     idle_ms: float
 
@@ -111,7 +116,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/moorusher/scheduling/admission.py
+++ b/moorusher/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Whether an arriving request is queued: by expected wait, time to spare, memory and its class's credit."""
+"""Admission control: decides by expected wait, deadline, memory and class credit if a request is queued."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import NEVER
 
-# A late rejection is of no use elsewhere: a request is rejected at once if it would wait longer than this.
-MAX_WAIT_FRACTION = 0.55  # of the time that is left beside its expected run
+# Longest expected wait, as a share of the time until the objective minus the expected run. A request that
+# would wait longer is rejected at once: after a late rejection its caller has no time left to try another
+# runner.
+MAX_WAIT_FRACTION = 0.55
 
-PARTIAL_SLOT = 0.5  # of a slot time: what is left in the mean of the run that ends next
+RESIDUAL_SLOT_FRACTION = 0.5  # mean remaining time of the run that ends next, as a share of the slot time
 
 
 class Admission:
-    """Queues a request, or rejects it on arrival."""
+    """Queues requests or rejects them on arrival."""
 
     __slots__ = ("_lifecycle", "_rejection", "_state")
 
@@ -31,10 +33,9 @@
         self._rejection = rejection
 
     def arrive(self, request: Request) -> None:
-        """Take in a request and answer it, share a result with it, or queue it.
+        """Queue a new request, reject it, or answer it with the result of the request that it repeats.
 
-        Raises:
-            ValueError: the request's class is not among those of the settings.
+        :raises ValueError: If the settings don't have the request's class.
         """
         state = self._state
         class_state = self._class_state(request)
@@ -53,33 +54,38 @@
         if self._is_too_late(job):
             self._rejection.reject(self._lowest_ranked(job))
         if not job.answered:
-            entry = state.keys.enter(job, state.now)
+            entry = state.keys.add(job, state.now)
             if entry is not None:
                 state.actions.append(entry)
             state.queue.enqueue(job)
 
     def _is_too_late(self, job: Job) -> bool:
-        """Whether the job would wait too long. An idle runner takes everything: no estimate may shut it."""
+        """Return whether the job would wait too long.
+
+        An idle runner admits every job, so that a wrong estimate cannot block admission for good.
+        """
         state = self._state
         wait_ms = self.expected_wait_ms(job)
-        # A class that has used up its reserve does not wait. A slot that is free now is kept for nobody.
+        # A class that has used up its credit is not queued, but may start at once if a slot is free: free
+        # slots are not reserved for other classes.
         if wait_ms > 0.0 and job.class_state.credit_ms < 0:
             wait_ms = NEVER
         return wait_ms > self.max_wait_ms(job) and state.concurrency.running + state.queue.waiting > 0
 
     def _lowest_ranked(self, job: Job) -> Job:
-        """Who makes way: the last job of the same tenant that `job` outranks, else `job` itself."""
+        """Return the job to reject: the last queued one of the same tenant that `job` outranks, or `job`."""
         for queued in reversed(job.tenant.waiting):
             if outranks(job.request_class, queued.request_class):
                 return queued
         return job
 
     def max_wait_ms(self, job: Job) -> float:
-        """How long the job may be queued.
+        """Return the longest time for which the job may be queued, in ms.
 
-        A marked retry is older than it looks and may not wait at all (retry storm), except beside a tenant
-        that is over its quota. A job of such a tenant may wait as long as one of its most urgent class:
-        else the more patient classes would fill the queue and shut that one out.
+        A marked retry is older than its own times show. To limit retry storms, it may not wait at all, unless
+        other tenants are over their quota and its own is not. All classes of a tenant over its quota get the
+        limit of the most urgent class. Otherwise classes with longer objectives would fill the queue and
+        starve that class.
         """
         state = self._state
         over_quota = job.tenant.over_quota
@@ -96,9 +102,10 @@
         return MAX_WAIT_FRACTION * slack_ms
 
     def expected_wait_ms(self, job: Job) -> float:
-        """How long the job would be queued: behind its tenant's queue at the tenant's weight.
+        """Return how long the job is expected to be queued, in ms.
 
-        That holds while the others stay backlogged. It waits at most for all that is queued.
+        The estimate is the time in which the tenant's queue is served at the tenant's weight, as if the other
+        backlogged tenants remained backlogged. Its upper bound is the time for all queued jobs.
         """
         state = self._state
         concurrency = state.concurrency
@@ -109,10 +116,10 @@
         weights = sum(other.weight for other in backlogged)
         ahead_of_all = sum(other.count_ahead(job) for other in backlogged)
         ahead = min(tenant.count_ahead(job) * weights / tenant.weight, ahead_of_all)
-        return (ahead + PARTIAL_SLOT) * state.expected_slot_ms() / concurrency.limit
+        return (ahead + RESIDUAL_SLOT_FRACTION) * state.expected_slot_ms() / concurrency.limit
 
     def _class_state(self, request: Request) -> ClassState:
-        """What is known of the request's class. One that left the settings starts anew for this request."""
+        """Return the state of the request's class, or a new one if the settings no longer have the class."""
         classes = self._state.service_time.classes
         if request.class_index >= len(classes) or (request.class_index < 0 and request.request_class is None):
             raise ValueError(
@@ -123,7 +130,7 @@
         return classes[request.class_index]
 
     def _tenant(self, request: Request) -> TenantQueue:
-        """The queue of the request's tenant. Where requests name none, its caller stands for one."""
+        """Return the queue of the request's tenant, or of its caller if requests don't name tenants."""
         tenants = self._state.queue.tenants
         number = -1 - request.caller
         if self._state.settings.tenants and request.tenant is not None:
--- a/moorusher/scheduling/deadlines.py
+++ b/moorusher/scheduling/deadlines.py
@@ -1,4 +1,4 @@
-"""When a request is due, and which ones are given up: overdue, or of no use any more when they would end."""
+"""Deadlines and latency objectives, and the rules that end jobs which are overdue or can't be in time."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import NEVER, TICK_MS
 
-DEADLINE_MARGIN_MS = TICK_MS / 2  # a deadline that passes before the next tick is met at this one
+# A job is answered this much before its deadline, because the next check is only at the next tick.
+DEADLINE_MARGIN_MS = TICK_MS / 2
 
 
 def set_deadlines(job: Job, state: SchedulerState) -> None:
-    """Work out a new job's deadline and latency objective, both from when its caller sent it.
+    """Set a new job's deadline and latency objective, both counted from when its caller sent it.
 
-    A wait that the caller states replaces the deadline of the class. Where callers pass their deadline on,
-    a stated wait of 0 means that nobody waits any more; else it means that none was stated. A wait that is
-    no number counts as not stated. A wait that is shorter than usual shows that the client has waited
-    already (an unmarked retry), and moves the objective forward.
+    A wait stated by the caller (`Request.ttl_ms`) replaces the deadline of the class. A stated wait of 0
+    means that nobody waits any more if callers propagate deadlines, and otherwise that no wait was stated.
+    NaN and infinity count as not stated. A wait that is shorter than usual shows that the client has already
+    waited (an unmarked retry) and makes the objective earlier.
     """
     request = job.request
     request_class = job.request_class
@@ -35,7 +36,7 @@
 
 
 class Deadlines:
-    """Gives up jobs whose time has passed, whatever they are doing."""
+    """Answers jobs in any state that are overdue or can't be answered in time."""
 
     __slots__ = ("_calls", "_lifecycle", "_rejection", "_state")
 
@@ -48,10 +49,10 @@
         self._calls = calls
 
     def sweep(self) -> None:
-        """Charge running jobs for their use, and answer every job that is overdue or has become futile.
+        """Charge running jobs for their core time, and answer each job that is overdue or has lost its value.
 
-        A step comes late when the process was paused: what is overdue is answered before anything new is
-        admitted.
+        The scheduler calls this before it admits new requests, because a step is late if the process was
+        paused.
         """
         state = self._state
         charge_use = state.queue.charge_use
@@ -62,15 +63,15 @@
                 charge_use(job, service_ms)
             if job.answered:
                 continue
-            if job.state is JobState.CALLING and self._calls.is_too_long(job):
+            if job.state is JobState.CALLING and self._calls.should_abandon(job):
                 self._calls.abandon(job)
             elif state.now >= min(job.deadline_at, stop_at) - DEADLINE_MARGIN_MS:
-                self._give_up(job)
-            elif self._is_futile(job) and self._lifecycle.may_stop(job):
+                self._answer_overdue(job)
+            elif self._has_lost_value(job) and self._lifecycle.may_stop(job):
                 self._lifecycle.fail(job)
 
-    def reject_hopeless(self) -> None:
-        """Reject every queued job whose run could not end by its objective, wherever it is in its queue."""
+    def reject_expected_late(self) -> None:
+        """Reject every queued job, at any position, whose run is not expected to end by its objective."""
         now = self._state.now
         stop_at = self._state.draining.stop_at
         for tenant in self._state.queue.tenants.values():
@@ -80,17 +81,18 @@
                 if now + job.class_state.expected_run_ms() > min(job.objective_at, stop_at):
                     self._rejection.reject(job)
 
-    def _give_up(self, job: Job) -> None:
-        """Answer an overdue job. A queued one never ran; any other fails: running work is no excuse."""
+    def _answer_overdue(self, job: Job) -> None:
+        """Reject an overdue job if it is queued, and so never ran; fail it in any other state."""
         if job.state is JobState.QUEUED:
             self._rejection.reject(job)
         else:
             self._lifecycle.fail(job)
 
-    def _is_futile(self, job: Job) -> bool:
-        """Whether a job is past its objective, worth nothing when late, and keeps others from the cores.
+    def _has_lost_value(self, job: Job) -> bool:
+        """Return whether the job is past its objective, has no value when late, and should be ended.
 
-        One that stands at a downstream call is given up even if nobody else waits: no work is lost.
+        A job on the cores is ended only if requests are queued. A job at a downstream call is ended even
+        without a queue, since no work on the cores is lost.
         """
         if job.state is JobState.SHARING_RESULT:
             return False
--- a/moorusher/scheduling/dispatch.py
+++ b/moorusher/scheduling/dispatch.py
@@ -8,7 +8,7 @@
 
 
 class Dispatch:
-    """Starts queued requests as long as slots, the bound on runs and the memory allow."""
+    """Starts queued requests within the limits on slots, runs and memory."""
 
     __slots__ = ("_lifecycle", "_state")
 
@@ -17,7 +17,7 @@
         self._lifecycle = lifecycle
 
     def fill_slots(self) -> None:
-        """Start eligible requests from the highest slot down, then any from the lowest slot up."""
+        """Start eligible requests from the highest slot down, then others from the lowest slot up."""
         state = self._state
         if not state.queue.waiting:
             return
@@ -39,7 +39,10 @@
                     return
 
     def _start_first(self, tenant: TenantQueue, slot: int) -> bool:
-        """Start a tenant's first job, unless the memory is full: then nothing starts until something ends."""
+        """Start a tenant's first job and return whether its run fits into the memory.
+
+        If it does not fit, no other job is started in its place until a run ends.
+        """
         job = tenant.waiting[0]
         if not self._state.memory.can_start(job):
             return False
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -1,15 +1,15 @@
-"""Calls that requests make while they run: budget, timeout, retries with backoff, and when to do without.
+"""Downstream calls of running requests: budget, timeout, retries with backoff, and skipped calls.
 
-`Settings.downstream` (`extra.below` of the platform's settings) decides on the budget. Under `SHARED` the
-dependency is shared by all runners, each of which has a part of the calls that it bears. Under `TIER` it is
-a further tier, whose budget is unlimited and whose calls are bounded in number alone. Under `OFF` no call is
-sent.
+`Settings.downstream` (`extra.below` of the platform's settings) selects the budget. With `SHARED`, all
+runners share the dependency, and each has a quota of the calls that the dependency can serve. With `TIER`,
+calls go to another tier of runners: their time is unlimited, and only their number is bounded. With `OFF`, no
+call is sent.
 
-Where a call goes does not follow from that setting: `server/composition.py` chooses the backend by what the
-configuration has. Servers of `[tier]` in the operator's file come first, with `load_balancing` over them;
-then a uwsgi peer; then the database. Load balancing may make several attempts of one call, and hedge them.
+This setting does not select the target of a call: `server/composition.py` chooses the backend from the
+configuration, in this order: the servers of `[tier]` in the operator's file, with `load_balancing`; a uwsgi
+peer; the database. Load balancing may make several attempts of one call, and hedge them.
 
-Retries here are of a whole call, by the request's own deadline; `retry_policy` names the other layers.
+Retries here repeat a whole call until the request's own deadline. `retry_policy` lists the other layers.
 """
 
 from __future__ import annotations
@@ -21,41 +21,44 @@
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import NEVER
 
-BUDGET_BURST_FRACTION = 0.5  # of a window's call time that may be spent at once; the rest flows back evenly
-TIER_CALLS_PER_CORE = 4.0  # calls to a further tier at once
-CALL_TIME_LEARNING_RATE = 0.1  # weight of a new sample in the mean length of a call
+# Share of a window's call time that may be spent at once. The rest of the quota is refilled evenly over time.
+BUDGET_BURST_FRACTION = 0.5
+TIER_CALLS_PER_CORE = 4.0  # concurrent calls to another tier, for each core
+CALL_TIME_LEARNING_RATE = 0.1  # weight of a new sample in the mean duration of a call
 MIN_TIMEOUT_MS = 1.0
 
-# The number of calls at once to a shared dependency: additive increase, multiplicative decrease. A crowded
-# dependency ends nothing in time: fewer calls have more time each.
-CALLS_INCREASE = 0.1  # calls, for as many successes as may be out at once
-CALLS_DECREASE_FRACTION = 0.2  # of the limit, for each failure
+# Additive increase, multiplicative decrease of the number of concurrent calls to a shared dependency. An
+# overloaded dependency completes no call in time; with fewer calls, each one gets more time.
+CALLS_INCREASE = 0.1  # calls added to the limit for every `max_in_flight` successes
+CALLS_DECREASE_FRACTION = 0.2  # share of the limit removed for each failure
 
-RETRY_BACKOFF_MS = 50.0  # times the failed attempts so far: the pause before the next attempt
+RETRY_BACKOFF_MS = 50.0  # pause before the next attempt, multiplied by the number of failed attempts
 
-# A call whose timeout is shorter could only time out, and takes from those that could end.
-TIMEOUT_PER_CALL_TIME = 2.0  # times its usual length that a call must be given
-TIMEOUT_OF_IDLE_BUDGET = 0.5  # of the timeout under an idle budget: at most so much is asked
+# Shortest timeout with which a call is sent. A call with a shorter one would only time out, and would use
+# budget that other calls need to complete.
+TIMEOUT_PER_CALL_TIME = 2.0  # multiple of the mean duration of a call
+IDLE_BUDGET_TIMEOUT_FRACTION = 0.5  # upper bound: share of the timeout that an unused budget gives
 
-# An optional call: its request goes on without it.
-SKIP_WAIT_SLOT_TIMES = 0.7  # times the usual slot time for which a request waits for a call to go out
-ABANDON_SLOT_TIMES = 1.5  # times the usual slot time that a request needs after its call, to be in time
+# Limits for an optional call, without which its request can be answered. Both are multiples of the mean slot
+# time.
+SKIP_WAIT_SLOT_TIMES = 0.7  # longest time for which a request waits until its call is sent
+ABANDON_SLOT_TIMES = 1.5  # time that a request needs after its call to be answered in time
 
 
 class DownstreamCalls:
-    """The downstream calls of this runner, and the budget for them.
+    """The downstream calls of this runner and their budget.
 
-    Like a start, a call is charged the most that it may take, and the rest is refunded at its end: by what
-    the call took, not by when a slow runner hears of it. So over every window the runner spends its part in
-    the mean, however many calls hang.
+    A call is charged the longest time that it may take when it is sent. At its end, the unused part is
+    refunded, by the duration of the call and not by the time at which a slow runner learns of its end.
+    Therefore the runner's mean use stays within its quota over every window, even if calls hang.
 
     Attributes:
-        waiting: jobs in state `AWAITING_CALL`.
-        in_flight: jobs in state `CALLING`.
-        max_in_flight: calls that may be out at once.
-        call_ms: mean length of a call; one that timed out counts if it was longer.
-        spent_ms: call time that is charged and has not flowed back yet.
-        budget_ms: the most that may be charged at a time.
+        waiting: Jobs in state `AWAITING_CALL`.
+        in_flight: Number of jobs in state `CALLING`.
+        max_in_flight: Maximum number of concurrent calls.
+        call_ms: Mean duration of a call. One that timed out counts only if it took longer than the mean.
+        spent_ms: Call time that is charged and not yet refilled.
+        budget_ms: Budget of call time. No call is sent while `spent_ms` has reached it.
     """
 
     __slots__ = (
@@ -81,23 +84,23 @@
         self.budget_ms = _budget_ms(settings)
 
     def advance(self, elapsed_ms: float) -> None:
-        """Let the part of the budget that is not for bursts flow back."""
-        flown_back_ms = elapsed_ms * (1 - BUDGET_BURST_FRACTION) * self._state.settings.call_quota
-        self.spent_ms = max(0.0, self.spent_ms - flown_back_ms)
+        """Refill the part of the budget that is not for bursts."""
+        refilled_ms = elapsed_ms * (1 - BUDGET_BURST_FRACTION) * self._state.settings.call_quota
+        self.spent_ms = max(0.0, self.spent_ms - refilled_ms)
 
     def request_call(self, job: Job) -> None:
-        """A running job cannot go on without a downstream call."""
+        """Suspend a running job until its downstream call has ended."""
         if job.state is not JobState.RUNNING:
             return
         now = self._state.now
         self._lifecycle.suspend(job)
         job.call_attempts = 0
-        job.call_wanted_at = now
+        job.call_requested_at = now
         job.next_call_at = now
         self.waiting.append(job)
 
     def send(self) -> None:
-        """Send the calls that may go out, first those that their requests need most; skip hopeless ones."""
+        """Skip or send waiting calls, those that their requests depend on most first."""
         if not self.waiting:
             return
         for job in sorted(self.waiting, key=_value_without_call):
@@ -112,7 +115,7 @@
         ]
 
     def ended(self, job: Job, event: CallEnded) -> None:
-        """A call is over: settle its charge, learn from it, and resume its job or retry after a backoff."""
+        """Settle the charge of an ended call, update the estimates, and resume its job or plan a retry."""
         if job.state is not JobState.CALLING:
             return
         state = self._state
@@ -132,12 +135,13 @@
         job.next_call_at = state.now + RETRY_BACKOFF_MS * job.call_attempts
         self.waiting.append(job)
         if not job.answered and not may_retry(job.request_class.effect, EVIDENCE_OF_OUTCOME[event.outcome]):
-            self._lifecycle.fail(job)  # the call may have taken effect
+            self._lifecycle.fail(job)  # the call may have had its effect
 
-    def is_too_long(self, job: Job) -> bool:
-        """Whether a job must go on without its call now, which is out, so that the rest of it can be in time.
+    def should_abandon(self, job: Job) -> bool:
+        """Return whether a job must abandon its call in flight now to be answered in time.
 
-        Only where the request is worth something without the call, and had such time to begin with.
+        Applies only if an answer without the call has value and the objective left enough time for the rest
+        of the request when its run started.
         """
         if job.request_class.value_fraction_without_call <= 0:
             return False
@@ -146,30 +150,30 @@
         return had_time and job.objective_at - self._state.now < needed_ms
 
     def abandon(self, job: Job) -> None:
-        """A job goes on without its call, which is out: the charge is settled by the time taken so far."""
+        """Resume a job without its call in flight, and settle the charge by the time taken so far."""
         state = self._state
         self.in_flight -= 1
-        took_ms = max(0.0, state.now - job.call_sent_at)
-        self.spent_ms += took_ms + state.settings.abandoned_call_ms - job.call_charge_ms
+        elapsed_ms = max(0.0, state.now - job.call_sent_at)
+        self.spent_ms += elapsed_ms + state.settings.abandoned_call_ms - job.call_charge_ms
         self._lifecycle.resume_without_call(job)
 
     def _should_skip(self, job: Job) -> bool:
-        """Whether an optional call could not end in time, or is so scarce that its request blocks others."""
+        """Return whether an optional call would end late, or has waited so long that it delays others."""
         if job.request_class.value_fraction_without_call <= 0:
             return False
         state = self._state
         slot_ms = state.service_time.slot_ms
         is_late = job.objective_at - state.now < self.call_ms + slot_ms
-        return is_late or state.now - job.call_wanted_at > SKIP_WAIT_SLOT_TIMES * slot_ms
+        return is_late or state.now - job.call_requested_at > SKIP_WAIT_SLOT_TIMES * slot_ms
 
     def _may_send(self, job: Job) -> bool:
-        """Whether a call fits under the budget and the limit, with a timeout that it could end in."""
+        """Return whether budget and limit allow a call with a timeout that is long enough to complete."""
         needed_ms = TIMEOUT_PER_CALL_TIME * (
             (1 + job.request_class.value_fraction_without_call) * self.call_ms
         )
         idle_timeout_ms = self._timeout_ms(0.0)
-        enough_ms = min(needed_ms, TIMEOUT_OF_IDLE_BUDGET * idle_timeout_ms, idle_timeout_ms)
-        if self._timeout_ms(self.spent_ms) < enough_ms:
+        required_ms = min(needed_ms, IDLE_BUDGET_TIMEOUT_FRACTION * idle_timeout_ms, idle_timeout_ms)
+        if self._timeout_ms(self.spent_ms) < required_ms:
             return False
         return self.spent_ms < self.budget_ms and self.in_flight + 1 <= self.max_in_flight
 
@@ -178,14 +182,14 @@
         job.state = JobState.CALLING
         job.call_sent_at = state.now
         self.in_flight += 1
-        until_due_ms = min(job.deadline_at, state.draining.stop_at) - state.now
-        timeout_ms = max(MIN_TIMEOUT_MS, min(until_due_ms, self._timeout_ms(self.spent_ms)))
+        remaining_ms = min(job.deadline_at, state.draining.stop_at) - state.now
+        timeout_ms = max(MIN_TIMEOUT_MS, min(remaining_ms, self._timeout_ms(self.spent_ms)))
         job.call_charge_ms = timeout_ms + state.settings.abandoned_call_ms
         self.spent_ms += job.call_charge_ms
         state.actions.append(StartCall(job.id, timeout_ms))
 
     def _timeout_ms(self, spent_ms: float) -> float:
-        """How long a call may take if all that may be out at once are to stay within the budget."""
+        """Return the timeout, in ms, at which the maximum of concurrent calls stays within the budget."""
         share_ms = (self.budget_ms - spent_ms) / self.max_in_flight
         return share_ms - self._state.settings.abandoned_call_ms
 
--- a/moorusher/scheduling/draining.py
+++ b/moorusher/scheduling/draining.py
@@ -1,24 +1,25 @@
-"""Graceful shutdown: until when requests are still admitted, and by when all are answered."""
+"""Graceful shutdown: the times until which requests are admitted and by which all are answered."""
 
 from __future__ import annotations
 
 from moorusher.scheduling.interface import Action, DrainNotice, SetHealth, Settings, Signal, SignalKind
 from moorusher.scheduling.timing import NEVER, TICK_MS
 
-# Callers learn late that the runner drains, and whoever takes over is warming up. Until then it serves.
-SERVE_FRACTION = 0.4  # of the time between the drain notice and the stop
+# Share of the time from the drain notice to the stop in which the runner still serves: callers learn of the
+# drain with a delay, and the runners that take over its load have to warm up.
+SERVE_FRACTION = 0.4
 
-STOP_MARGIN_MS = 4 * TICK_MS  # all is answered so long before the stop
+STOP_MARGIN_MS = 4 * TICK_MS  # time before the stop by which all requests are answered
 
 
 class Draining:
-    """The shutdown of this runner. All times are in ms of its clock, `NEVER` while it does not drain.
+    """State of the shutdown. All times are in ms of the runner's clock, and `NEVER` if it does not drain.
 
     Attributes:
-        drain_at: when the first drain notice came.
-        stop_at: when every request must have been answered.
-        serve_until: until when callers are still allowed to send.
-        callers_stopped: whether callers were told to send nothing more.
+        drain_at: Time of the first drain notice.
+        stop_at: Time by which every request must be answered.
+        serve_until: Time until which callers may send requests.
+        callers_stopped: Whether callers were notified to send no more requests.
     """
 
     __slots__ = ("callers_stopped", "drain_at", "serve_until", "stop_at")
@@ -30,7 +31,10 @@
         self.callers_stopped = False
 
     def start(self, notice: DrainNotice, now: float, settings: Settings) -> list[Action]:
-        """A drain notice came. Replaced by another process of the runner, it needs no caller to stay away."""
+        """Start to drain after a drain notice, and return the resulting actions.
+
+        If another process of the runner replaces this one, callers go on sending to the runner as before.
+        """
         self.stop_at = now + notice.remaining_ms - STOP_MARGIN_MS
         if notice.replaced:
             return []
@@ -39,7 +43,7 @@
         return [SetHealth(False, True)]
 
     def stop_callers(self, signal: SignalKind) -> list[Action]:
-        """From now on callers are to send nothing: the signal is the one that says so under its meaning."""
+        """Notify callers to send no more requests, by the signal value that has this meaning."""
         self.serve_until = NEVER
         self.callers_stopped = True
         if signal is SignalKind.OFF:
@@ -47,5 +51,5 @@
         return [Signal(1.0 if signal is SignalKind.FLOOR else 0.0)]
 
     def rejects(self, sent_at: float, settings: Settings) -> bool:
-        """Whether a request was sent so long after the drain notice that its caller knew of it."""
+        """Return whether a request was sent after the grace period in which callers learn of the drain."""
         return sent_at > self.drain_at + settings.drain_grace_ms
--- a/moorusher/scheduling/events.py
+++ b/moorusher/scheduling/events.py
@@ -1,4 +1,4 @@
-"""What has happened to a runner: the events of `Scheduler.step`. Times are milliseconds, memory is in KiB."""
+"""Events that a runner passes to `Scheduler.step`. Times are milliseconds, memory is in KiB."""
 
 from __future__ import annotations
 
@@ -14,38 +14,39 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # rejected before it started
+    FULL = "full"  # rejected before the start
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection broke
     CANCELLED = "cancelled"
-    NOT_AWAITED = "moot"  # never started, since nobody waits for it
+    NOT_AWAITED = "moot"  # never started, because nobody waits for the result
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that no work was started."""
+        """Whether the outcome proves that no work was started."""
         return self in (ExecutionOutcome.FULL, ExecutionOutcome.CONNECT_FAILED, ExecutionOutcome.NOT_AWAITED)
 
 
 @dataclass(slots=True)
 class Request:
-    """A request has been read; it is owed one final answer.
+    """A new request, which must get exactly one final answer.
 
     Attributes:
-        id: number of the request, unique among outstanding ones.
-        class_index: its class in the settings, or -1 with `request_class` where it is not there any more.
-        memory_kb: what it takes while it is outstanding; a run takes more (`Settings.run_memory_factor`).
-        waited_ms: time since its caller sent it.
-        ttl_ms: time from now for which its caller waits, if stated.
-        caller: number of the caller.
-        tenant: number of the tenant in the settings, if named.
-        is_retry: marked as a retry.
-        is_write: marked as a write.
-        repeat_of: the request that was read with the same idempotency key and body before.
-        rank: by which callers select what they send (`SignalKind.FLOOR`).
-        subject: what it is about.
-        cost_hint_ms: core time that its caller expects.
-        request_class: its class as it was read, where the settings say otherwise by now.
+        id: Number of the request, unique among outstanding requests.
+        class_index: Index of its class in the settings. -1 if they no longer have the class; then
+            `request_class` is set.
+        memory_kb: Memory of the outstanding request. A run takes more (`Settings.run_memory_factor`).
+        waited_ms: Time since its caller sent it.
+        ttl_ms: Time from now for which its caller waits, or None if not stated.
+        caller: Number of the caller.
+        tenant: Number of the tenant in the settings, or None if not named.
+        is_retry: Whether it is marked as a retry.
+        is_write: Whether it is marked as a write.
+        repeat_of: Number of an earlier request with the same idempotency key and body, or None.
+        rank: Rank by which callers select the requests that they send (`SignalKind.FLOOR`).
+        subject: Number of the object that the request is about, or None.
+        cost_hint_ms: Core time that its caller expects, or None.
+        request_class: Its class when it was read, if the settings have changed since then.
     """
 
     id: int
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run is over, or a request that waited for another's result."""
+    """A run has ended, or a request that shares another request's result has been answered."""
 
     id: int
     outcome: ExecutionOutcome
@@ -75,14 +76,14 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A running request cannot go on without a downstream call; it waits off the cores."""
+    """A running request needs a downstream call and waits for it off the cores."""
 
     id: int
 
 
 @dataclass(slots=True)
 class CallEnded:
-    """A downstream call has ended; the request is back at its call unless the outcome is ok."""
+    """A downstream call has ended. Unless the outcome is OK, its request still waits for a call."""
 
     id: int
     outcome: ExecutionOutcome
@@ -91,16 +92,19 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """Nobody waits for this request any longer and no answer is owed."""
+    """The caller no longer waits for this request, and no answer is needed."""
 
     id: int
 
 
 @dataclass(slots=True)
 class DrainNotice:
-    """The runner is to drain, and is stopped after `remaining_ms`.
+    """The runner must drain and is stopped later.
 
-    `replaced`: another process of it goes on and takes what is new, so that nobody has to keep away.
+    Attributes:
+        remaining_ms: Time until the stop.
+        replaced: Whether another process of this runner receives new requests, so that callers may go on
+            sending.
     """
 
     remaining_ms: float
@@ -109,9 +113,12 @@
 
 @dataclass(slots=True)
 class Reconfiguration:
-    """New settings hold from here on. Requests that were given before keep their class as it was.
+    """New settings apply from now on. Earlier requests keep the class settings with which they arrived.
 
-    `former_classes`, `former_tenants`: for each one of the new settings, its index in the former, or -1.
+    Attributes:
+        settings: The new settings.
+        former_classes: For each class of the new settings, its index in the former settings, or -1.
+        former_tenants: For each tenant of the new settings, its index in the former settings, or -1.
     """
 
     settings: Settings
@@ -121,9 +128,12 @@
 
 @dataclass(slots=True)
 class PredecessorLoad:
-    """What another process of this runner, which this one replaces, still takes.
+    """Resources that are still used by the process that this one replaces.
 
-    `on_cores`: its runs on the cores. `running`: all its runs, those at a downstream call included.
+    Attributes:
+        on_cores: Number of its runs on the cores.
+        running: Number of all its runs, including those at a downstream call.
+        memory_kb: Memory that it has reserved.
     """
 
     on_cores: int = 0
@@ -133,7 +143,7 @@
 
 @dataclass(slots=True)
 class Timer:
-    """A timer is due; `gauges` come in the order of `Settings.gauges`."""
+    """A timer has fired. `gauges` has the values of `Settings.gauges`, in their order."""
 
     token: int
     gauges: tuple[float, ...] = ()
--- a/moorusher/scheduling/fair_queue.py
+++ b/moorusher/scheduling/fair_queue.py
@@ -1,9 +1,9 @@
-"""Which tenant's request runs next: 2DFQ^E, two-dimensional fair queueing with estimated costs.
+"""2DFQ^E, two-dimensional fair queueing with estimated costs: selects the tenant whose request runs next.
 
 The rules are those of the 2DFQ paper: section 4 (eligibility staggered by thread), section 5 (pessimistic
-cost estimation, refresh charging) and Figure 7 (the algorithm). A slot here is a thread there. Start tags,
-virtual time and L_max over the weight share one unit, milliseconds of core time, because weights are scaled
-to a mean of 1.
+cost estimation, refresh charging) and Figure 7 (the algorithm). The paper's threads are called slots here.
+Start tags, virtual time and L_max divided by the weight are all milliseconds of core time, because weights
+are scaled to a mean of 1.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from moorusher.scheduling.service_time import ClassState, ServiceTime
 from moorusher.scheduling.timing import NEVER
 
-MAX_COST_DECAY = 0.99  # alpha of section 5: what the largest known cost keeps at each completion
-MIN_WEIGHT = 0.01  # of the mean weight; a tenant whose share is 0 is still served
-DEFAULT_WEIGHT = 1.0  # of a caller that stands for a tenant
+MAX_COST_DECAY = 0.99  # alpha of section 5: factor by which the largest known cost decays at each completion
+MIN_WEIGHT = 0.01  # share of the mean weight; keeps tenants whose share is 0 from starvation
+DEFAULT_WEIGHT = 1.0  # weight of a caller whose requests name no tenant
 SERVICE_RATE_LEARNING_RATE = 0.5  # weight of the newest window in the rate of the virtual clock
-NO_ACTIVE_WEIGHT = 1e-9  # rounding errors of the sum of active weights stay below it
+ACTIVE_WEIGHT_EPSILON = 1e-9  # a sum of active weights up to this is a rounding error and counts as 0
 
 
 class TenantQueue:
-    """One tenant, or one caller where requests name no tenant. Compared by identity.
+    """Queue of one tenant, or of one caller if requests name no tenant. Compared by identity.
 
     Attributes:
-        weight: phi of the paper.
-        start_tag: S_f of the paper, in ms: virtual time at which the next request of the tenant would start.
-        active: whether `weight` counts in the rate of the virtual clock.
-        waiting: queued jobs, those of outranking classes first, each class oldest first.
-        max_cost_ratios: L_max for each class, as a multiple of the mean cost of all runs. Relative, because
-            a slow machine lifts the mean and leaves the ratios as they are.
-        arrivals: requests of this window that were considered for admission.
-        arrivals_per_window: running mean of `arrivals`. See `quotas`.
-        over_quota: whether the tenant asks for clearly more than its quota.
+        weight: phi in the paper.
+        start_tag: S_f in the paper: virtual start time of the tenant's next request, in ms.
+        active: Whether `weight` is part of `FairQueue.active_weight`.
+        waiting: Queued jobs, ordered by class priority and then by age.
+        max_cost_ratios: L_max for each class, as a multiple of the mean cost of all runs. It is relative,
+            because a slow machine increases the mean but not the ratios.
+        arrivals: Number of requests considered for admission in this window.
+        arrivals_per_window: Running mean of `arrivals`. See `quotas`.
+        over_quota: Whether the tenant's demand clearly exceeds its quota.
     """
 
     __slots__ = (
@@ -61,13 +61,13 @@
         self.over_quota = False
 
     def count_ahead(self, job: Job) -> int:
-        """How many queued jobs would start before `job`: all but those that it outranks."""
+        """Return the number of queued jobs that would start before `job`: those that it does not outrank."""
         request_class = job.request_class
         return sum(not outranks(request_class, other.request_class) for other in self.waiting)
 
 
 def scaled_weights(tenants: Sequence[Tenant]) -> list[float]:
-    """The tenants' weights, scaled to a mean of 1."""
+    """Return the tenants' weights, scaled to a mean of 1."""
     total = sum(tenant.quota_share for tenant in tenants) or 1.0
     return [max(tenant.quota_share * len(tenants) / total, MIN_WEIGHT) for tenant in tenants]
 
@@ -76,14 +76,14 @@
     """The queued requests of all tenants, and the virtual clock that orders them.
 
     Attributes:
-        tenants: queues by number; negative numbers stand for callers and for tenants that are gone.
-        waiting: jobs in all queues.
-        virtual_time: v(t) of the paper, in ms; never steps back.
-        eligibility_lead: in ms, what the virtual clock lagged behind when nobody was eligible. It is added
-            to the clock for eligibility alone, and never shrinks.
-        active_weight: sum of the weights of active tenants.
-        service_rate: cores' worth of work that is done at present, a running mean over windows.
-        work_ms: core time of the runs that ended in this window.
+        tenants: Queues by tenant number. Negative numbers are callers and removed tenants.
+        waiting: Number of jobs in all queues.
+        virtual_time: v(t) in the paper, in ms. Monotonic.
+        eligibility_lead: Largest lag of the virtual clock observed when no tenant was eligible, in ms. It is
+            added to the clock in the eligibility check only.
+        active_weight: Sum of the weights of active tenants.
+        service_rate: Core time used per unit of time, a running mean over windows.
+        work_ms: Core time of the runs that ended in this window.
     """
 
     __slots__ = (
@@ -108,24 +108,24 @@
         self.work_ms = 0.0
 
     def advance(self, elapsed_ms: float) -> None:
-        """Move the virtual clock on, but never past every start tag.
+        """Advance the virtual clock, at most to the largest start tag.
 
-        The rate is an estimate: a clock that ran ahead of all tags would make everyone eligible everywhere,
-        and end the stagger by which small requests keep the high slots.
+        The clock's rate is an estimate. If the clock passed all start tags, every tenant would be eligible on
+        every slot, and the stagger that keeps the high slots for small requests would be lost.
         """
-        if self.active_weight <= NO_ACTIVE_WEIGHT:
+        if self.active_weight <= ACTIVE_WEIGHT_EPSILON:
             return
         virtual_time = self.virtual_time
-        tags = [tenant.start_tag for tenant in self.tenants.values() if tenant.active]
-        front = max(tags) if tags else virtual_time
+        start_tags = [tenant.start_tag for tenant in self.tenants.values() if tenant.active]
+        max_start_tag = max(start_tags) if start_tags else virtual_time
         next_time = virtual_time + elapsed_ms * self.service_rate / self.active_weight
-        self.virtual_time = max(virtual_time, min(front - self.eligibility_lead, next_time))
+        self.virtual_time = max(virtual_time, min(max_start_tag - self.eligibility_lead, next_time))
 
     def max_cost_ms(self, job: Job) -> float:
-        """L_max: the pessimistic cost of section 5, for the job's tenant and class.
+        """Return L_max, the pessimistic cost of section 5, for the job's tenant and class, in ms.
 
-        Where the pair has not run yet: the caller's hint, else the largest cost known of any pair, else the
-        mean.
+        If the pair has no completed run, this is the caller's hint, or without one the largest known cost of
+        any pair, or the mean cost.
         """
         ratio = job.tenant.max_cost_ratios.get(job.class_state)
         if ratio is None:
@@ -136,7 +136,7 @@
         return ratio * self._service_time.mean_cost_ms
 
     def enqueue(self, job: Job) -> None:
-        """Queue a job. A tenant that was idle starts at the virtual time: it gains no credit by idling."""
+        """Queue a job. An idle tenant starts at the virtual time, so that it gains no credit while idle."""
         tenant = job.tenant
         if not tenant.active:
             tenant.active = True
@@ -146,7 +146,7 @@
         self.waiting += 1
 
     def remove(self, job: Job) -> bool:
-        """Take a job out of its queue without a run; whether it was queued."""
+        """Remove a job from its queue without a run, and return whether it was queued."""
         if job not in job.tenant.waiting:
             return False
         job.tenant.waiting.remove(job)
@@ -154,27 +154,27 @@
         return True
 
     def pick(self, slot: int, slot_count: int) -> TenantQueue | None:
-        """The tenant with the smallest finish tag among those that are eligible on a slot (section 4).
+        """Return the tenant with the smallest finish tag among those eligible on a slot (section 4), if any.
 
-        Slot i of n forgives i/n of a request's cost, so that small requests are eligible on the high slots
-        first and large ones gather on the low slots.
+        On slot i of n, a request is eligible earlier by i/n of its cost. The low slots thus take the large
+        requests, and the high slots remain for small ones.
         """
         best: TenantQueue | None = None
         best_tag = NEVER
-        clock = self.virtual_time + self.eligibility_lead
+        eligibility_time = self.virtual_time + self.eligibility_lead
         for tenant in self.tenants.values():
             if tenant.waiting:
                 cost = self.max_cost_ms(tenant.waiting[0]) / tenant.weight
                 finish_tag = tenant.start_tag + cost
-                if finish_tag < best_tag and tenant.start_tag - slot / slot_count * cost < clock:
+                if finish_tag < best_tag and tenant.start_tag - slot / slot_count * cost < eligibility_time:
                     best = tenant
                     best_tag = finish_tag
         return best
 
     def pick_ineligible(self) -> TenantQueue | None:
-        """The tenant with the lowest start tag, for a slot that would stay free otherwise.
+        """Return the tenant with the smallest start tag, for a slot that would otherwise remain free.
 
-        That nobody is eligible means that the clock lags. The lag is kept in `eligibility_lead`.
+        If no tenant is eligible, the virtual clock lags behind. The lag is recorded in `eligibility_lead`.
         """
         best: TenantQueue | None = None
         best_tag = NEVER
@@ -187,7 +187,7 @@
         return best
 
     def charge_start(self, job: Job) -> None:
-        """Take a started job out of its queue and charge its tenant L_max (Figure 7)."""
+        """Remove a started job from its queue and charge its tenant L_max (Figure 7)."""
         tenant = job.tenant
         tenant.waiting.popleft()
         self.waiting -= 1
@@ -195,7 +195,10 @@
         tenant.start_tag += job.prepaid_ms / tenant.weight
 
     def charge_use(self, job: Job, service_ms: float) -> None:
-        """Refresh charging (section 5): new use spends what is prepaid first, then moves the start tag."""
+        """Charge core time used since the last charge, first against the prepaid time (section 5).
+
+        The rest increases the start tag (refresh charging).
+        """
         use_ms = service_ms - job.charged_until_ms
         job.charged_until_ms = service_ms
         job.tenant.start_tag += max(0.0, use_ms - job.prepaid_ms) / job.tenant.weight
@@ -203,30 +206,33 @@
         job.prepaid_ms = max(0.0, job.prepaid_ms - use_ms)
 
     def refund(self, job: Job) -> None:
-        """At the end of a run, refund what was prepaid and not used."""
+        """Refund the unused prepaid core time at the end of a run."""
         job.tenant.start_tag -= job.prepaid_ms / job.tenant.weight
         self.work_ms += job.used_ms
 
     def record_cost(self, job: Job) -> None:
-        """Learn L_max from a completed run: the larger of its cost and the decayed maximum (section 5)."""
+        """Set L_max to the larger of a completed run's cost and the decayed former maximum (section 5)."""
         ratios = job.tenant.max_cost_ratios
         decayed = MAX_COST_DECAY * ratios.get(job.class_state, 0.0)
         ratios[job.class_state] = max(decayed, job.used_ms / self._service_time.mean_cost_ms)
 
     def deactivate_if_empty(self, tenant: TenantQueue) -> None:
-        """A tenant leaves the active set if its queue is empty when one of its requests ends."""
+        """Remove a tenant from the active set if its queue is empty. Called when one of its requests ends."""
         if tenant.active and not tenant.waiting:
             tenant.active = False
             self.active_weight = max(0.0, self.active_weight - tenant.weight)
 
     def update_service_rate(self, window_ms: float) -> None:
-        """At the end of a window, learn the rate of the virtual clock from the work done."""
+        """Update the rate of the virtual clock from the work done in a window that has ended."""
         if self.work_ms:
             self.service_rate += SERVICE_RATE_LEARNING_RATE * (self.work_ms / window_ms - self.service_rate)
         self.work_ms = 0.0
 
-    def forget_idle(self, tenant_count: int) -> None:
-        """Drop idle callers' queues that owe nothing: there may be thousands, and a new one is the same."""
+    def remove_idle(self, tenant_count: int) -> None:
+        """Remove the queues of idle callers and removed tenants whose start tag has passed.
+
+        There may be thousands of callers, and a new queue is equivalent to such a queue.
+        """
         self.tenants = {
             number: tenant
             for number, tenant in self.tenants.items()
--- a/moorusher/scheduling/idempotency.py
+++ b/moorusher/scheduling/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: which requests have an entry in the table of keys, and what a repeat of one is given."""
+"""Idempotency keys: entries in the table of keys, and the answers to repeated requests."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     from moorusher.scheduling.lifecycle import Lifecycle
     from moorusher.scheduling.state import SchedulerState
 
-KEY_MARGIN_MS = 2 * TICK_MS  # an entry is kept so much longer than the window in which repeats come
+KEY_MARGIN_MS = 2 * TICK_MS  # time for which an entry is kept after the idempotency window
 
 
 class StoredKeys:
-    """The entries that the runner keeps for this scheduler.
+    """Entries in the runner's table of idempotency keys.
 
     Attributes:
-        entries: until when each request's entry is kept, in ms of the runner's clock.
+        entries: Expiry time of each request's entry, in ms of the runner's clock, by request number.
     """
 
     __slots__ = ("_memory", "entries")
@@ -29,8 +29,11 @@
         self._memory = memory
         self.entries: dict[int, float] = {}
 
-    def enter(self, job: Job, now: float) -> StoreKey | None:
-        """Enter a job that is about to be queued, if its class has keys: a repeat may come while it waits."""
+    def add(self, job: Job, now: float) -> StoreKey | None:
+        """Add an entry for a job if its class uses idempotency keys, and return the action that stores it.
+
+        Called before the job is queued, because a repeat may arrive while it waits in the queue.
+        """
         request_class = job.request_class
         if request_class.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return None
@@ -42,26 +45,25 @@
         return StoreKey(job.id, ttl_ms)
 
     def drop(self, job: Job) -> bool:
-        """Drop the entry of a job that never ran; whether it had one."""
+        """Remove the entry of a job that never ran, and return whether it had one."""
         had_entry = self.entries.pop(job.id, None) is not None
         self._memory.key_entries = len(self.entries)
         return had_entry
 
     def expire(self, now: float) -> None:
-        """Drop the entries whose time is over."""
+        """Remove the expired entries."""
         self.entries = {job_id: until for job_id, until in self.entries.items() if until > now}
         self._memory.key_entries = len(self.entries)
 
 
 def share_prior_result(job: Job, state: SchedulerState, lifecycle: Lifecycle) -> bool:
-    """Answer a repeat with the result of the request that it repeats, which is queued or has run.
+    """Answer a repeated request with the result of the prior request, which is queued or was started.
 
-    A repeat is never run itself, unless its class has no effect and the prior request has not started.
-    Without memory or time for its result it fails: it is not rejected, since some attempt of it may have
-    run.
+    A repeat is not run itself, unless its class is idempotent without a key and the prior request is still
+    queued. If there is no memory or no time for the result, the repeat fails. It is not rejected, because a
+    rejection guarantees that no attempt ran.
 
-    Returns:
-        Whether `job` is such a repeat and has been dealt with.
+    :returns: Whether `job` is such a repeat and has been handled.
     """
     prior_id = job.request.repeat_of
     if prior_id is None:
--- a/moorusher/scheduling/interface.py
+++ b/moorusher/scheduling/interface.py
@@ -1,8 +1,7 @@
-"""The types of the scheduler: settings, events and actions, under one name.
+"""The types of the scheduler's interface: settings, events and actions.
 
-All times are milliseconds. `Scheduler.step(now, events)` takes a clock that never steps back and returns the
-actions in the order in which they are to be carried out. Events about requests that are over, or were never
-given, are ignored.
+All times are milliseconds. `Scheduler.step(now, events)` requires a monotonic clock and returns the actions
+in the order in which they must be executed. Events about unknown or finished requests are ignored.
 """
 
 from __future__ import annotations
--- a/moorusher/scheduling/job.py
+++ b/moorusher/scheduling/job.py
@@ -1,4 +1,4 @@
-"""A request inside the scheduler, from its arrival to the end of its run."""
+"""State of a request in the scheduler, from its arrival to the end of its run."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 
 
 class JobState(Enum):
-    """Where a job stands. A job that has started never returns to `QUEUED`."""
+    """State of a job. A job that has started never returns to `QUEUED`."""
 
     QUEUED = auto()
     RUNNING = auto()  # on the cores
-    AWAITING_CALL = auto()  # off the cores, its downstream call is not out
-    CALLING = auto()  # off the cores, its downstream call is out
-    SHARING_RESULT = auto()  # a repeat that waits for the result of the request that it repeats
+    AWAITING_CALL = auto()  # off the cores, before its downstream call is sent
+    CALLING = auto()  # off the cores, during its downstream call
+    SHARING_RESULT = auto()  # waiting for the result of the request that it repeats
 
 
 class Job:
-    """A request that is owed an answer, or whose work still takes capacity.
+    """A request without a final answer, or one whose run still uses resources.
 
     Names that end in `_at` or `_since` are times in milliseconds of the runner's clock.
 
     Attributes:
-        request: the event that brought it.
-        tenant: the queue of its tenant.
-        class_state: what is learnt of its class.
-        request_class: its class as it was when the request was read; a reconfiguration does not change it.
-        id: number of the request.
-        memory_kb: memory that it takes while it is outstanding.
-        sent_at: when its caller sent it.
-        deadline_at: when it must have been answered.
-        objective_at: when its latency objective passes; at most `deadline_at`.
-        cost_hint_ms: core time that its caller expects, 0 if none was given.
-        state: see `JobState`.
-        slot: number of the slot that it runs in, `NO_SLOT` without one.
-        started_at: when its run began.
-        on_core_since: when it took a core last.
-        charged_until_ms: the service clock (`Concurrency.service_ms`) up to which it is charged.
-        prepaid_ms: core time that is charged to the tenant but not used yet.
-        used_ms: core time used.
-        call_attempts: failed attempts of its present downstream call.
-        call_wanted_at: when it came to need its downstream call.
-        next_call_at: when the next attempt may go out.
-        call_sent_at: when the present attempt went out.
-        call_charge_ms: what the present attempt was charged against the call budget.
-        has_run: whether a run was started.
-        answered: whether no answer is owed any more.
+        request: The event with which it arrived.
+        tenant: Queue of its tenant.
+        class_state: Estimates for its class.
+        request_class: Settings of its class on arrival. A reconfiguration does not change them.
+        id: Number of the request.
+        memory_kb: Memory of the outstanding request.
+        sent_at: Time when its caller sent it.
+        deadline_at: Time by which it must be answered.
+        objective_at: Time by which an answer has its full value, at most `deadline_at`.
+        cost_hint_ms: Core time that its caller expects, 0 if not given.
+        state: State of the job.
+        slot: Number of its slot, or `NO_SLOT`.
+        started_at: Time when its run started.
+        on_core_since: Time when it last started or resumed on the cores.
+        charged_until_ms: Value of the service clock (`Concurrency.service_ms`) up to which it is charged.
+        prepaid_ms: Core time that is charged to the tenant but not used yet.
+        used_ms: Core time used.
+        call_attempts: Number of failed attempts of its current downstream call.
+        call_requested_at: Time when it requested its downstream call.
+        next_call_at: Earliest time of the next attempt.
+        call_sent_at: Time when the current attempt was sent.
+        call_charge_ms: Call time charged to the budget for the current attempt.
+        has_run: Whether a run was started.
+        answered: Whether it needs no further answer.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         "call_attempts",
         "call_charge_ms",
         "call_sent_at",
-        "call_wanted_at",
+        "call_requested_at",
         "charged_until_ms",
         "class_state",
         "cost_hint_ms",
@@ -95,7 +95,7 @@
         self.deadline_at = max(now, self.sent_at + self.request_class.deadline_ms)
         self.objective_at = self.deadline_at
         hint_ms = request.cost_hint_ms
-        # A hint that is no number, or a hint of nothing, counts as not given.
+        # NaN, infinity, and values of 0 or less count as not given.
         self.cost_hint_ms = hint_ms if hint_ms and 0 < hint_ms < NEVER else 0.0
         self.state = JobState.QUEUED
         self.slot = NO_SLOT
@@ -105,7 +105,7 @@
         self.prepaid_ms = 0.0
         self.used_ms = 0.0
         self.call_attempts = 0
-        self.call_wanted_at = 0.0
+        self.call_requested_at = 0.0
         self.next_call_at = 0.0
         self.call_sent_at = 0.0
         self.call_charge_ms = 0.0
--- a/moorusher/scheduling/lifecycle.py
+++ b/moorusher/scheduling/lifecycle.py
@@ -1,7 +1,7 @@
-"""The transitions of a job: started, off the cores and back for a call, ended, answered without a result.
+"""State transitions of a job: start, suspension and resumption around a call, end, answer without a result.
 
-Nothing is decided here. Each method changes all of the state that a transition concerns, and adds the
-action that the runner is to carry out.
+No decisions are made here. Each method updates all state that the transition affects, and adds the action
+that the runner must execute.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Lifecycle:
-    """Moves jobs from one state to the next."""
+    """Executes the state transitions of jobs."""
 
     __slots__ = ("_state",)
 
@@ -20,7 +20,7 @@
         self._state = state
 
     def start(self, job: Job, slot: int) -> None:
-        """The first of its tenant's queue runs in a free slot."""
+        """Start the first job of a tenant's queue in a free slot."""
         state = self._state
         state.concurrency.running += 1
         state.memory.jobs_kb += state.memory.run_extra_kb(job)
@@ -32,37 +32,41 @@
         state.actions.append(Start(job.id))
 
     def suspend(self, job: Job) -> None:
-        """A running job needs a downstream call and waits for it off the cores."""
+        """Remove a running job from the cores until its downstream call has ended."""
         self._charge_and_release_core(job)
         job.state = JobState.AWAITING_CALL
 
     def resume(self, job: Job) -> None:
-        """A job returns to the cores, in the lowest free slot or in none."""
+        """Return a job to the cores, in the lowest free slot or without a slot."""
         concurrency = self._state.concurrency
         concurrency.acquire_core(job, concurrency.lowest_free_slot(), self._state.now)
 
     def resume_without_call(self, job: Job) -> None:
-        """A job goes on without its downstream call."""
+        """Resume a job without its downstream call."""
         self._state.actions.append(SkipCall(job.id))
         self.resume(job)
 
     def end(self, job: Job, completed: bool) -> None:
-        """A job's run, or its wait for another's result, is over. `completed`: the run ended by itself."""
+        """End a job whose run, or whose wait for another request's result, has ended.
+
+        :param completed: Whether the run ended successfully, so that its cost and duration are
+            representative.
+        """
         if job.state is not JobState.SHARING_RESULT:
             self._end_run(job, completed)
         self._discard(job)
 
     def fail(self, job: Job) -> None:
-        """Answer with an error that gives no assurance."""
+        """Answer a job with an error, which does not tell whether it ran."""
         self._state.actions.append(Fail(job.id))
         self.close(job)
 
     def close(self, job: Job) -> None:
-        """No answer is owed any more. A queued job is gone; running work is stopped where that is allowed."""
+        """Mark a job as answered. Remove it if it has not started, or stop its run if that is allowed."""
         state = self._state
         job.answered = True
         if job.state is JobState.QUEUED:
-            if state.queue.remove(job) and not state.concurrency.runs_of(job.tenant):
+            if state.queue.remove(job) and not state.concurrency.tenant_has_slot(job.tenant):
                 state.queue.deactivate_if_empty(job.tenant)
             if state.keys.drop(job):
                 state.actions.append(DropKey(job.id))
@@ -73,7 +77,7 @@
             state.actions.append(Stop(job.id))
 
     def may_stop(self, job: Job) -> bool:
-        """Whether running work may be stopped. If it may have had an effect already, it runs on."""
+        """Return whether a run of the job may be stopped. One that may already have had an effect may not."""
         return (
             self._state.settings.preemption is not Preemption.OFF
             and job.request_class.effect is Effect.IDEMPOTENT
--- a/moorusher/scheduling/priority.py
+++ b/moorusher/scheduling/priority.py
@@ -1,4 +1,4 @@
-"""Which class goes before another, and the capacity that is reserved for classes that outrank others."""
+"""Priority between request classes, and the capacity reserved for classes of higher priority."""
 
 from __future__ import annotations
 
@@ -8,46 +8,54 @@
 from moorusher.scheduling.service_time import ClassState
 from moorusher.scheduling.timing import NEVER
 
-OUTRANKING_RATIO = 1.5  # times the priority weight of another class from which a class goes before it
+OUTRANKING_RATIO = 1.5  # ratio of two priority weights above which one class outranks the other
 DEMAND_LEARNING_RATE = 0.2  # weight of the newest window in the demand of a class
-MIN_CLASS_CAPACITY = 0.1  # part of all slots that a class may use, however much the outranking ones ask for
 
+# Minimum share of all slots for classes of equal priority, regardless of the demand of outranking classes.
+MIN_CLASS_CAPACITY = 0.1
 
-def outranks(one: RequestClass, other: RequestClass) -> bool:
-    """Whether the priority weight of `one` is clearly larger than that of `other`."""
-    return one.priority_weight > OUTRANKING_RATIO * other.priority_weight
 
+def outranks(request_class: RequestClass, other: RequestClass) -> bool:
+    """Return whether the priority weight of `request_class` is clearly larger than that of `other`."""
+    return request_class.priority_weight > OUTRANKING_RATIO * other.priority_weight
 
-def update_reserve(classes: Sequence[ClassState], slot_ms: float, slot_count: int, window_ms: float) -> None:
-    """At the end of a window, grant each class credit for the slot time that outranking classes leave to it.
 
-    Admission of a class without credit stops while there is a queue. It binds only in overload: with the
-    oldest first alone, all classes would lose alike.
+def update_credits(classes: Sequence[ClassState], slot_ms: float, slot_count: int, window_ms: float) -> None:
+    """Grant each class credit for the slot time that outranking classes leave, at the end of a window.
 
-    Args:
-        classes: all classes of the settings; their `demand`, `credit_ms`, `arrivals` and `windows` change.
-        slot_ms: mean time for which a run keeps a slot.
-        slot_count: number of slots.
-        window_ms: length of the window that has ended.
+    A class without credit is not admitted while there is a queue. This has an effect only in overload, in
+    which an order by age alone would reject requests of all classes alike.
+
+    :param classes: All classes of the settings. Their `demand`, `credit_ms`, `arrivals` and `windows` are
+        updated.
+    :param slot_ms: Mean time for which a run holds a slot.
+    :param window_ms: Length of the window that has ended.
     """
     capacity_ms = slot_count * window_ms
     for state in classes:
         state.windows += 1
-        # A class that was added later is learnt faster: else it would seem small beside the others for
+        # The demand of a recently added class is learned faster. Otherwise it would be underestimated for
         # seconds.
         weight = max(DEMAND_LEARNING_RATE, 1 / state.windows)
         state.demand += weight * (state.arrivals * slot_ms / capacity_ms - state.demand)
         state.arrivals = 0
     for state in classes:
-        own = state.request_class
-        outranking = sum(other.demand for other in classes if outranks(other.request_class, own))
-        if not outranking:
+        request_class = state.request_class
+        outranking_demand = sum(
+            other.demand for other in classes if outranks(other.request_class, request_class)
+        )
+        if not outranking_demand:
             state.credit_ms = NEVER
             continue
-        equal = sum(
+        equal_demand = sum(
             other.demand
             for other in classes
-            if not outranks(other.request_class, own) and not outranks(own, other.request_class)
+            if not outranks(other.request_class, request_class)
+            and not outranks(request_class, other.request_class)
+        )
+        share = (
+            max(MIN_CLASS_CAPACITY, 1.0 - outranking_demand) * state.demand / equal_demand
+            if equal_demand
+            else 1.0
         )
-        part = max(MIN_CLASS_CAPACITY, 1.0 - outranking) * state.demand / equal if equal else 1.0
-        state.credit_ms = min(state.credit_ms + part * slot_count * window_ms, capacity_ms)
+        state.credit_ms = min(state.credit_ms + share * slot_count * window_ms, capacity_ms)
--- a/moorusher/scheduling/quotas.py
+++ b/moorusher/scheduling/quotas.py
@@ -1,4 +1,4 @@
-"""Which tenants are past their quota."""
+"""Detection of tenants that are over their quota."""
 
 from __future__ import annotations
 
@@ -6,18 +6,17 @@
 
 from moorusher.scheduling.fair_queue import TenantQueue
 
-ARRIVALS_LEARNING_RATE = 0.2  # weight of the newest window in a tenant's arrivals
-OVER_QUOTA_RATIO = 1.25  # times its part of all arrivals from which a tenant is past its quota
-MIN_ARRIVALS_PER_WINDOW = 0.05  # a tenant with fewer does not count as active
+ARRIVALS_LEARNING_RATE = 0.2  # weight of the newest window in a tenant's mean number of arrivals
+OVER_QUOTA_RATIO = 1.25  # multiple of its share of all arrivals above which a tenant is over its quota
+MIN_ARRIVALS_PER_WINDOW = 0.05  # mean number of arrivals; a tenant up to this does not count as active
 
 
 def update_over_quota(tenants: Iterable[TenantQueue], over_quota_weight: float) -> None:
-    """At the end of a window, mark the tenants that ask for clearly more than their part of what all ask for.
+    """Mark the tenants whose demand clearly exceeds their share of the total demand, at the end of a window.
 
-    Args:
-        tenants: all queues; their `arrivals`, `arrivals_per_window` and `over_quota` change.
-        over_quota_weight: what requests past the quota are worth, relative to those within. At 1 nobody is
-            marked.
+    :param tenants: All queues. Their `arrivals`, `arrivals_per_window` and `over_quota` are updated.
+    :param over_quota_weight: Value of requests over the quota, relative to those within it. At 1, no tenant
+        is marked.
     """
     tenants = list(tenants)
     for tenant in tenants:
--- a/moorusher/scheduling/reconfiguration.py
+++ b/moorusher/scheduling/reconfiguration.py
@@ -1,4 +1,4 @@
-"""New settings while requests are queued and run: what is kept of classes and tenants, and how."""
+"""Reconfiguration at run time: transfers the state of classes and tenants to new settings."""
 
 from __future__ import annotations
 
@@ -7,13 +7,12 @@
 from moorusher.scheduling.service_time import ClassState, ServiceTime
 from moorusher.scheduling.state import SchedulerState
 
-# Tenants that are gone have numbers below it. Callers that stand for tenants have -1 and below, and never
-# so many.
-FIRST_REMOVED_NUMBER = -(1 << 40)
+# Removed tenants get numbers below this one. Queues of callers have numbers from -1 down, but far fewer.
+REMOVED_TENANT_NUMBER_BASE = -(1 << 40)
 
 
 def reconfigure(state: SchedulerState, change: Reconfiguration) -> None:
-    """Take new settings. A class or tenant that stays keeps what was learnt of it; jobs keep their class."""
+    """Apply new settings. Classes and tenants that remain keep their estimates; jobs keep their class."""
     state.use_settings(change.settings)
     _reconfigure_classes(state.service_time, change)
     _reconfigure_tenants(state.queue, change)
@@ -41,7 +40,7 @@
         queue.tenants[number] = tenant
         queue.active_weight += (weight - tenant.weight) * tenant.active
         tenant.weight = weight
-    # Tenants that are gone stay until they are empty, under numbers of no caller.
-    lowest = min([FIRST_REMOVED_NUMBER, *former])
+    # Removed tenants remain until their queues are empty, under numbers that no caller has.
+    lowest = min([REMOVED_TENANT_NUMBER_BASE, *former])
     for number, tenant in former.items():
         queue.tenants[number if number < 0 else lowest - 1 - number] = tenant
--- a/moorusher/scheduling/rejection.py
+++ b/moorusher/scheduling/rejection.py
@@ -1,6 +1,6 @@
-"""How a request is rejected: whether its caller may try another runner, and when it may come back.
+"""Rejection of requests: whether the caller may try another runner, and the Retry-After.
 
-Whether it is rejected at all is decided in `admission` (on arrival) and `deadlines` (in the queue).
+The decision to reject is made in `admission` (on arrival) and `deadlines` (in the queue).
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 from moorusher.scheduling.lifecycle import Lifecycle
 from moorusher.scheduling.state import SchedulerState
 
-# Part of all arrivals that are retries. Above it most runners are full, and every further attempt costs one
-# of them a read: a retry storm.
+# Share of retries in all arrivals above which there is a retry storm: most runners are full, and each
+# additional attempt costs one of them the work of reading a request.
 RETRY_STORM_FRACTION = 0.2
 RETRY_FRACTION_LEARNING_RATE = 0.05  # weight of a new arrival in the retry fraction
 
-REJECTIONS_DECAY = 0.9  # what a window leaves of the count of recent rejections
-PRESSED_REJECTIONS = 1.0  # recent rejections from which the runner counts as pressed
+REJECTIONS_DECAY = 0.9  # factor by which the count of recent rejections decays in each window
+REJECTIONS_UNDER_PRESSURE = 1.0  # number of recent rejections from which the runner counts as under pressure
 
 
 class Rejection:
-    """Rejects requests that never ran, and counts them.
+    """Rejects requests that never ran, and counts the rejections.
 
     Attributes:
-        retry_fraction: part of the arrivals that were marked as retries, a running mean.
-        recent_rejections: rejections, older windows counting less.
+        retry_fraction: Share of the arrivals that are marked as retries, a running mean.
+        recent_rejections: Number of rejections, with a weight that decays by window.
     """
 
     __slots__ = ("_lifecycle", "_state", "recent_rejections", "retry_fraction")
@@ -36,15 +36,15 @@
         self.recent_rejections = 0.0
 
     def record_arrival(self, request: Request) -> None:
-        """Learn how many of the arrivals are retries."""
+        """Update the share of retries with a new arrival."""
         self.retry_fraction += RETRY_FRACTION_LEARNING_RATE * (request.is_retry - self.retry_fraction)
 
     def reject(self, job: Job) -> None:
         """Reject a job that never ran.
 
-        Final means that the caller must not try another runner. A first attempt may, as long as retries are
-        marked and few. The Retry-After is the time for which a run keeps a slot. A tenant over its quota
-        causes none: a caller stays away with all its tenants.
+        After a final rejection, the caller must not try another runner. The rejection of a first attempt is
+        not final if retries are marked and few. The Retry-After is the expected slot time. A tenant over its
+        quota gets no Retry-After, because the caller would pause the requests of all its tenants.
         """
         state = self._state
         self.recent_rejections += 1.0
@@ -54,12 +54,12 @@
         state.actions.append(Reject(job.id, min(state.settings.max_retry_after_ms, retry_after_ms), is_final))
         self._lifecycle.close(job)
 
-    def is_pressed(self) -> bool:
-        """Whether the runner has rejected requests lately."""
-        return self.recent_rejections >= PRESSED_REJECTIONS
+    def is_under_pressure(self) -> bool:
+        """Return whether the runner has rejected requests recently."""
+        return self.recent_rejections >= REJECTIONS_UNDER_PRESSURE
 
     def end_window(self) -> None:
-        """Let older rejections count less."""
+        """Reduce the weight of earlier rejections. Called at the end of each window."""
         self.recent_rejections *= REJECTIONS_DECAY
 
     def _is_final(self, job: Job) -> bool:
--- a/moorusher/scheduling/retry_policy.py
+++ b/moorusher/scheduling/retry_policy.py
@@ -1,18 +1,19 @@
-"""The one rule on retries: may something that was sent be sent again?
+"""Retry policy: decides whether a message may be sent again.
 
-The answer depends on the effect of the request's class and on the evidence of what became of the first
-attempt, and on nothing else: not on tokens, tenants or addresses. Every sender asks here: the scheduler for
-downstream calls, links for connections that break, load balancing for retries, hedged requests and health
-checks, the core for commands to the kernel.
+The decision depends only on the effect of the request's class and on the evidence about the first attempt,
+and not on tokens, tenants or addresses. All senders use this module: the scheduler for downstream calls,
+links for broken connections, load balancing for retries, hedged requests and health checks, and the core for
+commands to the kernel.
 
-Layers that send something again, from the outside in; each but the first may repeat inside of the one before:
+Retries are nested. The layers that retry, from the outermost to the innermost:
 
 - a whole downstream call, until the request's deadline: `scheduling/downstream_calls.py`;
-- a call at the next hop of its route path, the fallback: `routing/route_table.py`;
-- an attempt of a call at an endpoint of the hop, or a hedged one: `load_balancing/retry.py`, `hedging.py`;
-- an attempt on a connection that was idle and broke, resent on a new one: `backends/database.py`.
+- a call at the next hop of its route path (fallback): `routing/route_table.py`;
+- another attempt of a call, or a hedged one, at an endpoint of the hop: `load_balancing/retry.py`,
+  `hedging.py`;
+- an attempt whose idle connection broke, on a new connection: `backends/database.py`.
 
-Apart from these, commands and replies that the kernel may have missed are sent on its new connection:
+In addition, commands and replies that the kernel may have missed are sent again on its new connection:
 `core/run.py`.
 """
 
@@ -24,27 +25,27 @@
 
 
 class Evidence(Enum):
-    """What is known of the first attempt when the question of a second one comes up."""
-
-    # Proofs that nothing was started.
-    NOT_SENT = "no byte of it was written"
-    NOT_CONNECTED = "no connection was made"
-    REJECTED = "the receiver states that it was never started"
-    NOT_AWAITED = "the receiver states that no run waits for it"
-    # The receiver takes each id once: a duplicate changes nothing.
+    """Evidence about the first attempt, on which the decision about a second one is based."""
+
+    # Proof that nothing was started.
+    NOT_SENT = "no byte of the message was written"
+    NOT_CONNECTED = "no connection was established"
+    REJECTED = "the receiver reports that it was never started"
+    NOT_AWAITED = "the receiver reports that no run waits for it"
+    # The receiver accepts each id once, so a duplicate has no effect.
     DUPLICATES_IGNORED = "the receiver ignores a duplicate of what it has started"
-    # No proof: it may have had its effect.
-    IN_DOUBT = "it may be under way"
+    # No proof: the attempt may have had its effect.
+    IN_DOUBT = "it may be in progress"
     CONNECTION_RESET = "the connection broke after the first byte"
     FAILED = "the receiver reports a failure"
     TIMED_OUT = "it timed out"
-    ABANDONED = "it was given up"
+    ABANDONED = "the sender abandoned it"
     UNREADABLE = "its reply could not be read"
-    SUCCEEDED = "it was carried out"
+    SUCCEEDED = "it was executed"
 
     @property
     def proves_never_ran(self) -> bool:
-        """Whether nothing was started, so that any class of request may be retried."""
+        """Whether the evidence proves that nothing was started. Then any class of request may be retried."""
         return self in _PROOFS
 
 
@@ -52,15 +53,15 @@
 
 
 class RetryDecision(Enum):
-    """Whether a request may be sent again."""
+    """Decision whether a request may be sent again."""
 
     ALLOWED = "may be sent again"
     FORBIDDEN = "must not be sent again"
-    CHECK_KEY_OWNER = "only after whoever keeps its key says that none ran"
+    CHECK_KEY_OWNER = "only after the owner of its key reports that no attempt ran"
 
 
 def retry_decision(effect: Effect, evidence: Evidence) -> RetryDecision:
-    """Whether a request of that effect may be sent again, by what is known of its first attempt."""
+    """Decide whether a request of this effect may be sent again, given the evidence of its first attempt."""
     if evidence.proves_never_ran or evidence is Evidence.DUPLICATES_IGNORED:
         return RetryDecision.ALLOWED
     if effect is Effect.IDEMPOTENT:
@@ -71,15 +72,15 @@
 
 
 def may_retry(effect: Effect, evidence: Evidence) -> bool:
-    """Whether a sender that has nobody to ask may send the request again."""
+    """Return whether a sender that cannot query the owner of the key may send the request again."""
     return retry_decision(effect, evidence) is RetryDecision.ALLOWED
 
 
 def tolerates_duplicates(effect: Effect) -> bool:
-    """Whether two attempts at a time do no harm.
+    """Return whether two concurrent attempts of a request are harmless.
 
-    Hedged requests, health checks by real requests, and reused connections, which may break unseen, are for
-    these alone.
+    Only such requests may be hedged, used as health checks, or sent on reused connections, which may have
+    broken unnoticed.
     """
     return may_retry(effect, Evidence.IN_DOUBT)
 
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -1,7 +1,8 @@
-"""The scheduler of one runner: events in, actions out; the types of both stand in `scheduling/interface.py`.
+"""Scheduler of one runner. Maps events to actions; `scheduling/interface.py` defines their types.
 
-It is pure: no I/O, no clock of its own, no randomness. Equal events at equal times give equal actions. Each
-rule has a module of its own in this package; the scheduler calls them in their order.
+The scheduler is deterministic: it does no I/O, reads no clock and uses no randomness. Equal events at equal
+times give equal actions. Each rule is a module of this package; the scheduler calls the rules in a fixed
+order.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from moorusher.scheduling.downstream_calls import DownstreamCalls
 from moorusher.scheduling.job import JobState
 from moorusher.scheduling.lifecycle import Lifecycle
-from moorusher.scheduling.priority import update_reserve
+from moorusher.scheduling.priority import update_credits
 from moorusher.scheduling.quotas import update_over_quota
 from moorusher.scheduling.reconfiguration import reconfigure
 from moorusher.scheduling.rejection import Rejection
@@ -25,19 +26,19 @@
 
 
 class Scheduler:
-    """One runner's decisions. Call `open` once, then `step` for every batch of events.
+    """Scheduler of one runner. Call `open` once, then `step` for every batch of events.
 
     Attributes:
-        state: what the rules share.
-        lifecycle: the transitions of jobs.
-        rejection: how requests are rejected.
-        calls: downstream calls.
-        deadlines: what is given up.
-        admission: what is queued.
-        dispatch: what is started.
-        allowance: how many requests callers may have outstanding.
-        connections: how long idle connections stay open.
-        timer_is_set: whether a timer is outstanding; there is one as long as there are jobs.
+        state: State that the rules share.
+        lifecycle: State transitions of jobs.
+        rejection: Rejection of requests.
+        calls: Downstream calls.
+        deadlines: Answers to overdue jobs.
+        admission: Admission to the queue.
+        dispatch: Start of queued requests.
+        allowance: Number of requests that callers may have outstanding.
+        connections: Idle timeout of connections.
+        timer_is_set: Whether a timer is outstanding. There is one while there are jobs.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -53,15 +54,17 @@
         self.timer_is_set = False
 
     def open(self, now: float) -> list[api.Action]:
-        """The runner opens at `now`, in ms. Health checks do no work: it would take cores from requests."""
+        """Open the runner at `now`, in ms, and return the first actions.
+
+        Health checks do no real work, which would use core time that requests need.
+        """
         self.state.open(now)
         return [api.SetHealth(True, True)]
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """What to do about these events, which all happen at `now`, in ms.
+        """Process events that all occur at `now`, in ms, and return the actions to execute, in order.
 
-        Raises:
-            ValueError: the clock steps back, or a request's class is not among those of the settings.
+        :raises ValueError: If the clock goes backwards, or the settings don't have a request's class.
         """
         state = self.state
         if now < state.now:
@@ -70,13 +73,15 @@
         self.calls.advance(now - state.now)
         state.advance(now)
         self._handle_ends(events)
-        self.deadlines.sweep()  # before anything new is admitted: the process may have been paused
+        # Overdue requests are answered before new ones are admitted, because the process may have been
+        # paused.
+        self.deadlines.sweep()
         for event in events:
             self._handle(event)
         if now >= state.draining.serve_until:
             state.actions += state.draining.stop_callers(state.settings.signal)
         self.calls.send()
-        self.deadlines.reject_hopeless()
+        self.deadlines.reject_expected_late()
         self.dispatch.fill_slots()
         if state.jobs and not self.timer_is_set:
             self.timer_is_set = True
@@ -84,7 +89,11 @@
         return state.actions
 
     def _handle_ends(self, events: Sequence[api.Event]) -> None:
-        """Ends come first, in order: a run that ends right after its call did not end during the call."""
+        """Process ended runs and calls in order, before all other events.
+
+        If a call and its run end in one batch, the call must be settled first. Otherwise it would seem that
+        the run had ended during the call.
+        """
         jobs = self.state.jobs
         for event in events:
             if isinstance(event, api.RunEnded):
@@ -109,7 +118,7 @@
         elif isinstance(event, api.Reconfiguration):
             reconfigure(state, event)
         elif isinstance(event, api.PredecessorLoad):
-            state.use_predecessor(event)
+            state.set_predecessor_load(event)
 
     def _request_arrived(self, request: api.Request) -> None:
         if request.id in self.state.jobs:
@@ -123,7 +132,7 @@
             return
         if job.state is JobState.CALLING:
             self.calls.in_flight -= 1
-        # A run that failed early shows nothing of cost.
+        # A run that failed early says nothing about the cost of runs.
         self.lifecycle.end(job, completed=event.outcome is api.ExecutionOutcome.OK)
 
     def _timer_fired(self, event: api.Timer) -> None:
@@ -135,7 +144,7 @@
             self._end_window()
 
     def _end_window(self) -> None:
-        """Work out anew what is learnt and decided once a window."""
+        """Update the estimates and limits that change once per window."""
         state = self.state
         concurrency = state.concurrency
         window_ms = state.now - state.window_started_at
@@ -146,7 +155,7 @@
         self.rejection.end_window()
         self.allowance.end_window()
         service_time = state.service_time
-        update_reserve(service_time.classes, service_time.slot_ms, concurrency.limit, window_ms)
+        update_credits(service_time.classes, service_time.slot_ms, concurrency.limit, window_ms)
         update_over_quota(state.queue.tenants.values(), state.settings.over_quota_weight)
-        state.queue.forget_idle(len(state.settings.tenants))
+        state.queue.remove_idle(len(state.settings.tenants))
         state.window_started_at = state.now
--- a/moorusher/scheduling/settings.py
+++ b/moorusher/scheduling/settings.py
@@ -1,6 +1,6 @@
-"""What a runner's scheduler is configured with. Times are milliseconds, memory is in KiB.
+"""Settings of a runner's scheduler. Times are milliseconds, memory is in KiB.
 
-The names of the settings on the wire and in the platform's file are mapped in `config/scheduler_settings.py`.
+`config/scheduler_settings.py` maps their names on the wire and in the platform's file.
 """
 
 from __future__ import annotations
@@ -11,58 +11,63 @@
 
 
 class Effect(Enum):
-    """Whether a request may run again. The values are printed by `check-config`."""
+    """Whether a request may run more than once. `check-config` prints the values."""
 
-    IDEMPOTENT = "safe"  # always
-    IDEMPOTENT_WITH_KEY = "keyed"  # its idempotency key lets it run once within a window
-    NOT_IDEMPOTENT = "unsafe"  # only after a proof that it never ran
+    IDEMPOTENT = "safe"  # may always run again
+    IDEMPOTENT_WITH_KEY = "keyed"  # runs once within a window, ensured by its idempotency key
+    NOT_IDEMPOTENT = "unsafe"  # may run again only after proof that it never ran
 
 
 class Preemption(Enum):
-    """What stopping running work does."""
+    """Effect of stopping a run."""
 
-    OFF = "off"  # nothing: work cannot be stopped
-    DISCARD = "discard"  # its progress is lost
-    FREEZE = "freeze"  # it is suspended
+    OFF = "off"  # runs cannot be stopped
+    DISCARD = "discard"  # the run ends and its progress is lost
+    FREEZE = "freeze"  # the run is suspended
 
 
 class SignalKind(Enum):
-    """What callers make of the value that accompanies every answer (`Signal`)."""
+    """Meaning for callers of the value that is sent along with every answer (`Signal`)."""
 
     OFF = "off"
-    FLOOR = "floor"  # the least rank of requests that they send
-    ALLOWANCE = "allowance"  # the most requests that each may have outstanding
-    WEIGHT = "weight"  # the probability of sending a request here
+    FLOOR = "floor"  # lowest rank of the requests that callers send
+    ALLOWANCE = "allowance"  # maximum number of outstanding requests of each caller
+    WEIGHT = "weight"  # probability with which callers send a request to this runner
 
 
 class Downstream(Enum):
-    """What requests may call while they run."""
+    """Target of the downstream calls of running requests."""
 
     OFF = "off"
     SHARED = "shared"  # one dependency that all runners share
-    TIER = "tier"  # a further tier of runners
+    TIER = "tier"  # another tier of runners
 
 
-def _require(ok: bool, name: str, expected: str, got: object) -> None:
-    if not ok:
+def _require(is_valid: bool, name: str, expected: str, got: object) -> None:
+    if not is_valid:
         raise ValueError(f"setting {name}: expected {expected}, got {got!r}")
 
 
 def _check_types(owner: object, prefix: str) -> None:
-    """Every number of a settings object is finite and not negative, and every enum is the enum."""
-    for one in fields(owner):  # type: ignore[arg-type]
-        value = getattr(owner, one.name)
-        name = f"{prefix}{one.name}"
-        if one.type in ("float", "int"):
-            number = isinstance(value, (int, float)) and not isinstance(value, bool)
-            _require(number and math.isfinite(value) and value >= 0, name, "a number of at least 0", value)
-            _require(one.type != "int" or isinstance(value, int), name, "a whole number", value)
-        elif one.type == "bool":
+    """Check the type of every field, and that numbers are finite and not negative.
+
+    :param owner: A settings object, which is a dataclass.
+    :param prefix: Text before the name of the field in an error message.
+    :raises ValueError: If a field has a wrong type or value.
+    """
+    for setting in fields(owner):  # type: ignore[arg-type]
+        value = getattr(owner, setting.name)
+        name = f"{prefix}{setting.name}"
+        if setting.type in ("float", "int"):
+            is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+            _require(is_number and math.isfinite(value) and value >= 0, name, "a number of at least 0", value)
+            _require(setting.type != "int" or isinstance(value, int), name, "a whole number", value)
+        elif setting.type == "bool":
             _require(isinstance(value, bool), name, "true or false", value)
-        elif one.type == "str":
+        elif setting.type == "str":
             _require(isinstance(value, str), name, "a text", value)
-        elif one.type in _ENUMS:
-            _require(isinstance(value, _ENUMS[one.type]), name, f"a member of {one.type}", value)
+        elif setting.type in _ENUMS:
+            _require(isinstance(value, _ENUMS[setting.type]), name, f"a member of {setting.type}", value)
 
 
 _ENUMS: dict[str, type[Enum]] = {
@@ -78,20 +83,19 @@
     """One class of requests.
 
     Attributes:
-        latency_objective_ms: time from sending within which an answer has its full value.
-        deadline_ms: time from sending within which an answer must be given; at least the objective.
-        name: of the class.
-        priority_weight: value of an answer in time, relative to other classes.
-        late_value_fraction: of that value, what an answer after the objective still has.
-        objective_ms_per_cost_ms: what the objective grows by for each millisecond of core time.
-        effect: whether a request of the class may run again.
-        idempotency_window_ms: time from sending within which repeats of a key share one run.
-        may_call: whether it may make a downstream call.
-        value_fraction_without_call: of the value, what an answer without the downstream call has; 0 where
+        latency_objective_ms: Time from sending within which an answer has its full value.
+        deadline_ms: Time from sending within which an answer must be given, at least the objective.
+        name: Name of the class.
+        priority_weight: Value of an answer in time, relative to other classes.
+        late_value_fraction: Share of that value that an answer after the objective has.
+        objective_ms_per_cost_ms: Addition to the objective for each millisecond of core time.
+        effect: Whether a request of the class may run again.
+        idempotency_window_ms: Time from sending within which requests with equal keys share one run.
+        may_call: Whether requests of the class may make downstream calls.
+        value_fraction_without_call: Share of the value that an answer without the downstream call has. 0 if
             the call is required.
 
-    Raises:
-        ValueError: a value of another type or outside its bounds.
+    :raises ValueError: If a value has a wrong type or is out of range.
     """
 
     latency_objective_ms: float
@@ -122,12 +126,11 @@
     """One tenant.
 
     Attributes:
-        quota_share: its part of the service, relative to other tenants.
-        name: of the tenant.
-        quota_per_s: requests a second, over all runners, that are within its quota.
+        quota_share: Its share of the service, relative to other tenants.
+        name: Name of the tenant.
+        quota_per_s: Its quota in requests per second, over all runners.
 
-    Raises:
-        ValueError: a value of another type or negative.
+    :raises ValueError: If a value has a wrong type or is negative.
     """
 
     quota_share: float
@@ -140,45 +143,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a runner knows when it starts. Only cores, memory and classes are required.
+    """Settings of a runner. Only cores, memory and classes are required.
 
     Attributes:
-        cores: of the machine.
-        memory_kb: memory for requests and keys.
-        classes: of requests; `Request.class_index` counts in them.
-        seed: of the process; the scheduler is deterministic and does not use it.
-        tenants: empty where callers stand for tenants.
-        run_memory_factor: memory of a run, as a multiple of the queued request's.
-        key_entry_kb: memory of an entry in the table of idempotency keys.
-        answer_slack_ms: time after a deadline within which an answer still counts as given by it.
-        drain_grace_ms: time after a drain notice within which callers may still send.
-        survivable_runs_per_core: runs for each core that the machine survives when it is warm.
-        overload_window_ms: time for which it survives more.
-        warming_up: whether the machine has just started.
-        warm_up_initial_speed: speed of a machine that has just started, as a part of its later speed.
-        warm_up_ms: time until it has its full speed.
-        preemption: what stopping running work does.
-        signal: what callers make of `Signal`.
-        signal_ttl_ms: time for which callers heed a signal.
-        callers: number of callers.
-        peers: number of runners.
-        downstream: what requests may call.
-        call_quota: downstream calls at once, in the mean, that are this runner's part.
-        call_quota_window_ms: time over which that mean is taken.
-        abandoned_call_ms: time for which a call that was given up still takes the dependency's capacity.
-        answer_cache_ms: time for which an answer may be given to equal requests.
-        deep_checks: whether health checks may do real work.
-        discovery_follows_health: whether service discovery drops a runner whose health checks fail.
-        propagates_deadline: whether callers pass their deadline on: a `ttl_ms` of 0 is then no absent one.
-        reports_disconnects: whether the runner hears of callers that go away.
-        retries_marked: whether callers mark retries.
-        max_idle_connection_ms: time for which idle connections stay open at most.
-        max_retry_after_ms: longest pause that a rejection may ask for.
-        over_quota_weight: value of requests over a tenant's quota, relative to those within it.
-        gauges: names of the gauges that come with each `Timer`, in their order.
-
-    Raises:
-        ValueError: a value of another type or outside its bounds.
+        cores: Number of cores of the machine.
+        memory_kb: Memory for requests and keys.
+        classes: Request classes. `Request.class_index` is an index of them.
+        seed: Random seed of the process. The scheduler is deterministic and does not use it.
+        tenants: Tenants. If empty, each caller is treated as a tenant.
+        run_memory_factor: Memory of a run, as a multiple of the memory of the queued request.
+        key_entry_kb: Memory of an entry in the table of idempotency keys.
+        answer_slack_ms: Time after a deadline within which an answer still counts as in time.
+        drain_grace_ms: Time after a drain notice within which callers may still send requests.
+        survivable_runs_per_core: Number of runs per core that the machine survives after the warm-up.
+        overload_window_ms: Time for which the machine survives more runs.
+        warming_up: Whether the machine has just started.
+        warm_up_initial_speed: Speed of a machine that has just started, as a share of its full speed.
+        warm_up_ms: Time until the machine has its full speed.
+        preemption: Effect of stopping a run.
+        signal: Meaning of `Signal` for callers.
+        signal_ttl_ms: Time for which callers apply a signal.
+        callers: Number of callers.
+        peers: Number of runners.
+        downstream: Target of downstream calls.
+        call_quota: Mean number of concurrent downstream calls that this runner may make.
+        call_quota_window_ms: Time over which that mean is computed.
+        abandoned_call_ms: Time for which the dependency still works on an abandoned call.
+        answer_cache_ms: Time for which an answer may be reused for equal requests.
+        deep_checks: Whether health checks may do real work.
+        discovery_follows_health: Whether service discovery removes a runner whose health checks fail.
+        propagates_deadline: Whether callers propagate their deadline. If so, a `ttl_ms` of 0 is a stated
+            wait.
+        reports_disconnects: Whether the runner is notified when callers disconnect.
+        retries_marked: Whether callers mark retries.
+        max_idle_connection_ms: Longest time for which idle connections remain open.
+        max_retry_after_ms: Longest Retry-After of a rejection.
+        over_quota_weight: Value of requests over a tenant's quota, relative to requests within it.
+        gauges: Names of the gauges in each `Timer`, in their order.
+
+    :raises ValueError: If a value has a wrong type or is out of range.
     """
 
     cores: int
--- a/moorusher/scheduling/signals.py
+++ b/moorusher/scheduling/signals.py
@@ -1,4 +1,4 @@
-"""Signals to callers: how many requests each may have outstanding, and when idle connections close."""
+"""Signals to callers: the number of requests that each may have outstanding, and the idle timeout."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from moorusher.scheduling.rejection import Rejection
 from moorusher.scheduling.state import SchedulerState
 
-# Part of the shortest latency objective that requests may spend in the queue, by the allowance.
+# Share of the shortest latency objective for which requests within the allowance are queued at most.
 QUEUE_FRACTION = 0.5
-QUEUE_FRACTION_PRESSED = 0.25  # after rejections
+QUEUE_FRACTION_UNDER_PRESSURE = 0.25  # the same after recent rejections
 
-MIN_ALLOWANCE_CHANGE = 0.05  # of the allowance sent last: a smaller change is not sent
+MIN_ALLOWANCE_CHANGE = 0.05  # share of the allowance sent last; a smaller change is not sent
 
-CALLERS_PER_CORE = 16  # callers whose idle connections a runner can afford
-SURPLUS_IDLE_MS = 100.0  # idle time of connections where there are more callers than that
+CALLERS_PER_CORE = 16  # callers whose idle connections the runner can keep open without a shortage of cores
+SURPLUS_IDLE_MS = 100.0  # idle timeout of connections if there are more callers
 
 
 class Allowance:
-    """The number of requests that each caller may have outstanding here.
+    """The number of requests that each caller may have outstanding at this runner.
 
     Attributes:
-        last_sent: the allowance that was sent last, -1 before the first.
+        last_sent: The allowance that was sent last, -1 before the first.
     """
 
     __slots__ = ("_rejection", "_state", "last_sent")
@@ -31,31 +31,32 @@
         self.last_sent = -1.0
 
     def end_window(self) -> None:
-        """Work out the allowance and send it if it has changed.
+        """Compute the allowance at the end of a window, and send it if it has changed.
 
-        What is not sent here costs no read, and goes where there is capacity.
+        This runner does not have to read requests that callers hold back or send to runners with capacity.
         """
         state = self._state
         if state.settings.signal is not SignalKind.ALLOWANCE or state.draining.callers_stopped:
             return
         if not state.service_time.cost_known:
             return
-        allowance = self._work_out()
+        allowance = self._compute()
         if abs(allowance - self.last_sent) > MIN_ALLOWANCE_CHANGE * self.last_sent:
             self.last_sent = allowance
             state.actions.append(Signal(allowance))
 
-    def _work_out(self) -> float:
-        """What runs and may be queued, shared so that those who send most give way.
+    def _compute(self) -> float:
+        """Return the capacity for runs and queued requests, divided among callers by max-min fairness.
 
-        Those who have less than an even share outstanding leave the rest to the others.
+        Callers with fewer outstanding requests than an even share leave the rest of their share to the
+        others.
         """
         state = self._state
         concurrency = state.concurrency
-        fraction = QUEUE_FRACTION_PRESSED if self._rejection.is_pressed() else QUEUE_FRACTION
+        fraction = QUEUE_FRACTION_UNDER_PRESSURE if self._rejection.is_under_pressure() else QUEUE_FRACTION
         wait_ms = fraction * min(c.latency_objective_ms for c in state.settings.classes)
-        queueable = concurrency.limit * wait_ms / state.expected_slot_ms()
-        capacity = max(concurrency.running, concurrency.limit) + queueable
+        queue_capacity = concurrency.limit * wait_ms / state.expected_slot_ms()
+        capacity = max(concurrency.running, concurrency.limit) + queue_capacity
         callers = max(1, state.settings.callers)
         for count in sorted(self._outstanding_by_caller().values()):
             if count * callers >= capacity or callers == 1:
@@ -74,11 +75,11 @@
 
 
 class IdleConnections:
-    """How long idle connections stay open. They take cores and places in the table of connections.
+    """The idle timeout of connections. Idle connections use core time and entries in the connection table.
 
     Attributes:
-        arrivals: requests read in this window.
-        idle_ms: the idle time that holds at present.
+        arrivals: Number of requests read in this window.
+        idle_ms: Current idle timeout.
     """
 
     __slots__ = ("arrivals", "idle_ms")
@@ -88,11 +89,17 @@
         self.idle_ms = settings.max_idle_connection_ms
 
     def end_window(self, settings: Settings, window_ms: float) -> list[CloseIdleConnections]:
-        """Close idle connections early where callers are many and none would be back in time to use one."""
-        longest_ms = settings.max_idle_connection_ms
-        return_ms = settings.callers * window_ms / max(1, self.arrivals)
-        has_surplus = settings.callers > CALLERS_PER_CORE * settings.cores and return_ms > longest_ms
-        idle_ms = min(longest_ms, SURPLUS_IDLE_MS) if has_surplus else longest_ms
+        """Set the idle timeout at the end of a window, and return the resulting actions.
+
+        Idle connections are closed early if there are many callers and the mean caller would not send its
+        next request before the normal timeout.
+        """
+        max_idle_ms = settings.max_idle_connection_ms
+        request_interval_ms = settings.callers * window_ms / max(1, self.arrivals)
+        has_surplus = (
+            settings.callers > CALLERS_PER_CORE * settings.cores and request_interval_ms > max_idle_ms
+        )
+        idle_ms = min(max_idle_ms, SURPLUS_IDLE_MS) if has_surplus else max_idle_ms
         self.arrivals = 0
         if idle_ms == self.idle_ms:
             return []
--- a/moorusher/scheduling/state.py
+++ b/moorusher/scheduling/state.py
@@ -1,4 +1,4 @@
-"""What the rules of one runner share: the time, the jobs, the resources and the actions of this step."""
+"""State that the scheduling rules share: the time, the jobs, the resources and the actions of this step."""
 
 from __future__ import annotations
 
@@ -16,18 +16,17 @@
     """The state of one runner's scheduler.
 
     Attributes:
-        settings: the present settings.
-        now: time of this step, in ms of the runner's clock; never steps back.
-        window_started_at: when the present window began.
-        actions: what is to be done about this step's events, in order. Each step begins a new list.
-        jobs: all jobs by their request's number, from the arrival until no answer is owed and no work is
-            left.
-        service_time: estimates of run length and cost.
-        queue: queued jobs and the virtual clock.
-        concurrency: slots and runs.
-        memory: reserved memory.
-        keys: entries in the table of idempotency keys.
-        draining: when the runner drains and stops.
+        settings: Current settings.
+        now: Time of this step, in ms of the runner's clock. Monotonic.
+        window_started_at: Time when the current window started.
+        actions: Actions of this step, in order. Each step starts a new list.
+        jobs: Jobs by request number, from arrival until the request is answered and its run has ended.
+        service_time: Estimates of the duration and cost of runs.
+        queue: Queued jobs and the virtual clock.
+        concurrency: Slots and runs.
+        memory: Memory budget.
+        keys: Entries in the table of idempotency keys.
+        draining: State of the shutdown.
     """
 
     __slots__ = (
@@ -58,30 +57,30 @@
         self.draining = Draining()
 
     def open(self, now: float) -> None:
-        """The runner opens: windows and warming up count from now."""
+        """Open the runner: windows and the warm-up start now."""
         self.now = now
         self.window_started_at = now
         self.concurrency.started_at = now
 
     def use_settings(self, settings: Settings) -> None:
-        """Let all parts read new settings. Learnt state is adapted in `reconfiguration`."""
+        """Replace the settings of all parts. `reconfiguration` adapts the estimates and queues."""
         self.settings = settings
         self.concurrency.settings = settings
         self.memory.settings = settings
 
-    def use_predecessor(self, predecessor: PredecessorLoad) -> None:
-        """Another process of this runner, which this one replaces, takes so much at present."""
+    def set_predecessor_load(self, predecessor: PredecessorLoad) -> None:
+        """Set the current load of the process that this one replaces."""
         self.concurrency.predecessor = predecessor
         self.memory.predecessor = predecessor
 
     def advance(self, now: float) -> None:
-        """Move the clocks on to `now`, by the state that held since the last step."""
+        """Advance all clocks to `now`, based on the state since the last step."""
         elapsed_ms = now - self.now
         self.now = now
         self.concurrency.advance(elapsed_ms, self.queue.waiting > 0)
         self.queue.advance(elapsed_ms)
 
     def expected_slot_ms(self) -> float:
-        """Time for which a run is expected to keep a slot."""
+        """Return the time for which a run is expected to hold a slot, in ms."""
         concurrency = self.concurrency
         return self.service_time.expected_slot_ms(self.now, concurrency.slots, concurrency.on_cores)
--- a/moorusher/simulator/__init__.py
+++ b/moorusher/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: many instances of the scheduler behind the simulator's wire format."""
+"""Adapter for the simulator: serves many scheduler instances over the simulator's wire format."""
--- a/moorusher/simulator/host.py
+++ b/moorusher/simulator/host.py
@@ -1,4 +1,4 @@
-"""`python -m moorusher.simulator.host`: many instances of the scheduler behind the simulator's wire."""
+"""`python -m moorusher.simulator.host`: serves many scheduler instances over the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from moorusher.simulator import wire
 
 _LENGTH_BYTES = 4
-_SEQUENCE = slice(16, 20)  # where a frame holds the number of its batch
+_SEQUENCE_BYTES = slice(16, 20)  # position of the batch's sequence number in a frame
 
 
 class Host:
-    """The instances of one process. They share nothing.
+    """The scheduler instances of one process. They share no state.
 
     Attributes:
-        instances: the scheduler of each runner by the simulator's number, from its start to its death.
+        instances: Scheduler of each started runner, by the simulator's number.
     """
 
     def __init__(self) -> None:
         self.instances: dict[int, Scheduler] = {}
 
     def handle(self, batch: wire.Batch) -> list[tuple[int, list[Action]]]:
-        """The actions of each instance of the batch, in the batch's order.
+        """Return the actions of each instance of the batch, in the batch's order.
 
-        Raises:
-            WireError: events of an instance that has not started.
+        :raises WireError: If there are events of an instance that has not started.
         """
         return [
             (instance, self._handle_events(instance, batch.now, events)) for instance, events in batch.groups
         ]
 
     def _handle_events(self, instance: int, now: float, events: list[wire.HostEvent]) -> list[Action]:
-        """What came before a start or a death is void, with the actions that it led to."""
+        """Pass the events to the instance and return its actions."""
+        # Events before the last start or end of the instance are discarded, together with their actions.
         actions: list[Action] = []
         pending: list[Event] = []
         for event in events:
@@ -56,17 +56,17 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer frames until the input ends; the exit code.
+    """Answer frames until the input ends, and return the exit code.
 
-    Whatever fails is reported once on each output, as the text of a fatal reply and as a line of the log.
+    An error ends the loop and is reported in a fatal reply and on stderr.
     """
     host = Host()
     sequence = 0
     try:
-        while head := source.read(_LENGTH_BYTES):
-            frame = head + _read_body(source, head)
-            if len(frame) >= _SEQUENCE.stop:
-                sequence = int.from_bytes(frame[_SEQUENCE], "little")
+        while length_prefix := source.read(_LENGTH_BYTES):
+            frame = length_prefix + _read_body(source, length_prefix)
+            if len(frame) >= _SEQUENCE_BYTES.stop:
+                sequence = int.from_bytes(frame[_SEQUENCE_BYTES], "little")
             batch = wire.decode_batch(frame)
             sink.write(wire.encode_reply(batch.sequence, host.handle(batch)))
             sink.flush()
@@ -81,10 +81,10 @@
     return 0
 
 
-def _read_body(source: BinaryIO, head: bytes) -> bytes:
-    if len(head) < _LENGTH_BYTES:
+def _read_body(source: BinaryIO, length_prefix: bytes) -> bytes:
+    if len(length_prefix) < _LENGTH_BYTES:
         raise wire.WireError("input ends inside a frame's length")
-    size = wire.frame_length(head) - _LENGTH_BYTES
+    size = wire.frame_length(length_prefix) - _LENGTH_BYTES
     body = source.read(size)
     if len(body) < size:
         raise wire.WireError("input ends inside a frame")
@@ -92,7 +92,7 @@
 
 
 def main() -> int:
-    """Serve the simulator until its input ends; the exit code."""
+    """Serve the simulator until its input ends, and return the exit code."""
     return serve(sys.stdin.buffer, sys.stdout.buffer)
 
 
--- a/moorusher/simulator/wire.py
+++ b/moorusher/simulator/wire.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's wire <-> the types of `moorusher.scheduling.interface`. Nothing is decided here.
+"""Codec between the simulator's wire format and the types of `moorusher.scheduling.interface`.
 
-All numbers are little-endian. A batch names an instance, then its events; a reply names an instance, then its
-actions.
+All numbers are little-endian. In a batch, the number of each instance precedes its events. In a reply, it
+precedes its actions.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 
 class WireError(ValueError):
-    """The input is not what the wire allows."""
+    """The input violates the wire format."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """A runner has started: a new instance with these settings."""
+    """A runner has started and needs a new scheduler instance with these settings."""
 
     settings: api.Settings
 
 
 @dataclass(slots=True)
 class InstanceDied:
-    """A runner is gone, with all that its instance knew."""
+    """A runner has exited, and the state of its scheduler instance is lost."""
 
 
 HostEvent = Union[api.Event, InstanceStarted, InstanceDied]
@@ -37,7 +37,13 @@
 
 @dataclass(slots=True)
 class Batch:
-    """One batch of the simulator. `groups`: the number of an instance, and its events at `now`, in ms."""
+    """One batch of events from the simulator.
+
+    Attributes:
+        now: Time of the events, in ms.
+        sequence: Sequence number of the batch.
+        groups: Pairs of the number of an instance and its events.
+    """
 
     now: float
     sequence: int
@@ -45,7 +51,7 @@
 
 
 class EventCode(IntEnum):
-    """Codes of the records of a batch."""
+    """Record codes in a batch."""
 
     INSTANCE_STARTED = 256
     REQUEST = 257
@@ -56,16 +62,16 @@
     REQUEST_ABANDONED = 262
     TIMER = 263
     INSTANCE_DIED = 264
-    INSTANCE = 265  # the records that follow are of this instance
+    INSTANCE = 265  # the following records belong to this instance
 
 
 class ActionCode(IntEnum):
-    """Codes of the records of a reply."""
+    """Record codes in a reply."""
 
     SHARE_RESULT = 256
     LOG = 257
     SET_HEALTH = 258
-    FATAL = 259  # the simulation ends with this text
+    FATAL = 259  # the simulation aborts with this error text
     TRIM_CONNECTIONS = 260
     STOP = 261
     FORGET = 262
@@ -75,7 +81,7 @@
     SIGNAL = 266
     CALL = 267
     START = 268
-    INSTANCE = 269  # the records that follow are of this instance
+    INSTANCE = 269  # the following records belong to this instance
     REJECT = 270
     SKIP_CALL = 271
 
@@ -94,7 +100,7 @@
 MAX_FRAME_BYTES = 1 << 30
 MAX_TEXT_BYTES = 65535
 
-# Flags of a request's record.
+# Bit flags in a request record.
 HAS_COST_HINT = 1
 IS_RETRY = 2
 IS_WRITE = 4
@@ -125,11 +131,10 @@
 
 
 def decode_batch(frame: bytes) -> Batch:
-    """One complete frame, header included.
+    """Decode one complete frame, including its header.
 
-    Raises:
-        WireError: the frame is not what the wire allows.
-        ValueError: the settings of an instance cannot be used.
+    :raises WireError: If the frame violates the wire format.
+    :raises ValueError: If the settings of an instance are invalid.
     """
     if len(frame) < _BATCH_HEADER.size:
         raise WireError("frame shorter than its header")
@@ -145,20 +150,19 @@
     return Batch(now, sequence, groups)
 
 
-def frame_length(head: bytes) -> int:
-    """The length in bytes that the first four bytes of a frame state.
+def frame_length(length_prefix: bytes) -> int:
+    """Decode the frame length in bytes from the first four bytes of a frame.
 
-    Raises:
-        WireError: no frame has such a length.
+    :raises WireError: If the length is out of range.
     """
-    length = int(_U32.unpack(head)[0])
+    length = int(_U32.unpack(length_prefix)[0])
     if not _BATCH_HEADER.size <= length <= MAX_FRAME_BYTES:
         raise WireError(f"frame length {length} is out of range")
     return length
 
 
 def _decode_records(frame: bytes, offset: int, count: int) -> tuple[list[tuple[int, list[HostEvent]]], int]:
-    """The events by instance, and the offset behind the last record."""
+    """Return the events by instance, and the offset after the last record."""
     groups: list[tuple[int, list[HostEvent]]] = []
     events: list[HostEvent] | None = None
     for _ in range(count):
@@ -196,7 +200,7 @@
         waited_ms,
         flags,
         class_index,
-        repeats,
+        repeat_of,
         rank,
         subject,
         cost_hint_ms,
@@ -212,7 +216,7 @@
         tenant,
         bool(flags & IS_RETRY),
         bool(flags & IS_WRITE),
-        repeats or None,
+        repeat_of or None,
         rank,
         subject or None,
         cost_hint_ms if flags & HAS_COST_HINT else None,
@@ -279,7 +283,11 @@
 def encode_reply(
     sequence: int, groups: Iterable[tuple[int, list[api.Action]]], fatal: str | None = None
 ) -> bytes:
-    """The reply to the batch of that number; `fatal` ends the simulation with that text."""
+    """Encode the reply to the batch with this sequence number.
+
+    :param groups: Pairs of the number of an instance and its actions.
+    :param fatal: Error text with which the simulation aborts.
+    """
     records: list[bytes] = []
     for instance, actions in groups:
         if actions:
@@ -292,7 +300,7 @@
 
 
 def encode_action(action: api.Action) -> bytes:
-    """One action as a record of the reply."""
+    """Encode one action as a record of the reply."""
     return _ENCODERS[type(action)](action)
 
 
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -1,4 +1,4 @@
-"""How many requests run at once, and how they share the cores."""
+"""Number of concurrent runs, and how they share the cores."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ..helpers import done, opened, request
 
 
-def test_cost_is_shared_when_more_run_than_there_are_cores() -> None:
+def test_core_time_is_divided_evenly_among_more_runs_than_cores() -> None:
     scheduler = opened(cores=2)
     scheduler.state.concurrency.limit, scheduler.state.concurrency.slots = 4, [None] * 4
     scheduler.step(0.0, [request(i) for i in range(1, 5)])
@@ -18,7 +18,7 @@
     assert abs(scheduler.state.concurrency.service_ms - 10.0) < 1e-6
 
 
-def test_the_slot_count_rises_at_idle_cores_and_falls_back_to_them() -> None:
+def test_the_slot_count_rises_with_idle_cores_and_falls_to_the_number_of_cores() -> None:
     scheduler = opened(cores=2)
     scheduler.step(0.0, [request(i) for i in range(1, 5)])
     scheduler.step(600.0, [Timer(0, (0.3,))])
@@ -31,8 +31,8 @@
     assert scheduler.state.concurrency.limit == 2
 
 
-def test_a_short_queue_at_idle_cores_does_not_raise_the_slot_count() -> None:
-    """The slot count rose on a moment's queue, and more runs than cores only made every run longer."""
+def test_a_short_queue_with_idle_cores_does_not_raise_the_slot_count() -> None:
+    """The slot count rose after a short queue, and more runs than cores made every run longer."""
     scheduler = opened(cores=2)
     scheduler.step(0.0, [request(i) for i in range(1, 5)])
     scheduler.step(50.0, done(1, 2))
--- a/tests/scheduling/test_deadlines.py
+++ b/tests/scheduling/test_deadlines.py
@@ -1,4 +1,4 @@
-"""When a request is due, and what is given up."""
+"""Deadlines, latency objectives, and the requests that are ended because of them."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
     assert answers == [api.Fail(1)]
 
 
-def test_a_stated_wait_of_zero_is_due_at_once_where_deadlines_are_passed_on() -> None:
-    """A stated wait of 0 was read as none, so that the request seemed to be due a whole deadline later."""
+def test_a_request_with_a_stated_wait_of_zero_is_due_at_once_if_deadlines_are_propagated() -> None:
+    """A stated wait of 0 was treated as not stated, so that the full deadline of the class applied."""
     scheduler = opened(propagates_deadline=True, cores=1, tenants=(Tenant(1.0),))
     scheduler.step(0.0, [request(1, ttl_ms=5000.0)])
     actions = scheduler.step(1.0, [request(2, ttl_ms=0.0), request(3, ttl_ms=-4.0)])
     assert {action.id for action in only(actions, api.Reject)} == {2, 3}
-    assert started(opened().step(0.0, [request(1, ttl_ms=0.0)])) == [1]  # not told
+    # Without deadline propagation, 0 means that no wait is stated.
+    assert started(opened().step(0.0, [request(1, ttl_ms=0.0)])) == [1]
 
 
-def test_what_a_stated_wait_lacks_of_the_usual_one_is_age() -> None:
-    """Retries that were not marked looked like first attempts, and ran although their objective had passed."""
+def test_a_stated_wait_shorter_than_usual_counts_as_age() -> None:
+    """Unmarked retries were treated as first attempts, and ran although their objective had passed."""
     scheduler = opened(propagates_deadline=True)
     for i in range(1, 9):
         scheduler.step(200.0 * i, [request(i, ttl_ms=2700.0)])
@@ -43,8 +44,9 @@
     assert started(actions) == [21]
 
 
-def test_a_futile_request_is_answered_at_once_wherever_it_waits() -> None:
-    """Behind the head of a queue, or at a call, a futile request was answered only at its deadline."""
+def test_a_request_without_remaining_value_is_answered_at_once_in_any_position() -> None:
+    """A late request without value was answered only at its deadline if it waited behind the head of a queue, or for
+    a downstream call."""
     scheduler = opened(
         cores=1,
         tenants=(Tenant(1.0),),
@@ -54,7 +56,7 @@
         preemption=api.Preemption.DISCARD,
     )
     scheduler.step(0.0, [request(1), request(2)])
-    actions = scheduler.step(5.0, [api.CallNeeded(1)])  # no call is free: it stands
+    actions = scheduler.step(5.0, [api.CallNeeded(1)])  # the call quota is 0, so the request waits
     assert started(actions) == [2]
     scheduler.step(10.0, [request(3), request(4, waited_ms=200.0)])
     answers: dict[int, float] = {}
--- a/tests/scheduling/test_downstream_calls.py
+++ b/tests/scheduling/test_downstream_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a dependency: budget, limit, order, and going on without."""
+"""Downstream calls: budget, concurrency limit, order and skipped calls."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 }
 
 
-def test_a_call_and_its_run_that_end_together_leave_no_call_in_flight() -> None:
-    """A slow runner hears of both in one batch. Taken in the wrong order, the call seemed abandoned, and its
-    charge lingered."""
+def test_a_call_and_its_run_that_end_in_one_batch_leave_no_call_in_flight() -> None:
+    """A slow runner gets both ends in one batch. If the end of the run was processed first, the call seemed to be
+    abandoned and its charge was not refunded."""
     scheduler = opened(**SHARED_DEPENDENCY)
     scheduler.step(0.0, [request(1), request(2)])
     assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.StartCall)
@@ -36,10 +36,10 @@
     assert only(scheduler.step(305.0, [api.CallNeeded(2)]), api.StartCall) != []
 
 
-def test_downstream_calls_keep_to_the_quota_over_a_window_even_when_they_hang() -> None:
-    """300 runners have a quota of 0.3 calls each: what one spends over a window stays under 0.3 of it."""
+def test_downstream_calls_stay_within_the_quota_over_a_window_even_if_they_hang() -> None:
+    """300 runners have a quota of 0.3 calls each, so the calls of one runner may take at most 0.3 of a window."""
     scheduler = opened(**SHARED_DEPENDENCY)
-    spent, ends, at = 0.0, [], {}  # type: float, list[api.Event], dict[int, float]
+    spent_ms, ends, timeouts_at = 0.0, [], {}  # type: float, list[api.Event], dict[int, float]
     for i in range(1000):
         now = 5.0 * i
         batch: list[api.Event] = [*ends, api.Timer(0, (1.0,))]
@@ -48,16 +48,16 @@
         actions = scheduler.step(now, batch)
         ends = [api.CallNeeded(other) for other in started(actions)]
         for call in only(actions, api.StartCall):
-            at[call.id] = now + call.timeout_ms
-            spent += call.timeout_ms + 200.0
-        for request_id in [other for other, due in at.items() if due <= now]:
-            del at[request_id]
+            timeouts_at[call.id] = now + call.timeout_ms
+            spent_ms += call.timeout_ms + 200.0
+        for request_id in [other for other, timeout_at in timeouts_at.items() if timeout_at <= now]:
+            del timeouts_at[request_id]
             ends.append(api.CallEnded(request_id, api.ExecutionOutcome.TIMEOUT, 750.0))
-    assert 0.0 < spent <= 0.3 * 5000.0
+    assert 0.0 < spent_ms <= 0.3 * 5000.0
 
 
-def test_scarce_calls_go_to_requests_that_are_worth_nothing_without() -> None:
-    """Before an overloaded dependency, reads that could do without it took the calls that writes needed."""
+def test_scarce_calls_go_to_requests_that_have_no_value_without_them() -> None:
+    """With an overloaded dependency, reads with an optional call used the calls that writes required."""
     scheduler = opened(
         downstream=api.Downstream.SHARED,
         classes=(CALLING, replace(KEYED, may_call=True)),
@@ -72,29 +72,34 @@
     assert only(scheduler.step(400.0, [api.Timer(0, (0.5,))]), api.SkipCall) == [api.SkipCall(2)]
 
 
-@pytest.mark.parametrize(("without", "left_out"), [(0.5, True), (0.0, False)])
-def test_a_call_that_takes_too_long_is_skipped_while_the_rest_can_still_be_in_time(
-    without: float, left_out: bool
+@pytest.mark.parametrize(("value_fraction_without_call", "is_skipped"), [(0.5, True), (0.0, False)])
+def test_a_long_optional_call_is_skipped_early_enough_to_answer_in_time(
+    value_fraction_without_call: float, is_skipped: bool
 ) -> None:
-    """A request waited for a reply that never came until it was late as a whole, and worth nothing."""
+    """A request waited for a missing reply until it was late and its answer had no value."""
     scheduler = opened(
-        downstream=api.Downstream.TIER, classes=(replace(CALLING, value_fraction_without_call=without),)
+        downstream=api.Downstream.TIER,
+        classes=(replace(CALLING, value_fraction_without_call=value_fraction_without_call),),
     )
     scheduler.step(0.0, [request(1)])
     assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.StartCall)
-    now, skips = 10.0, list[float]()
-    while now < 1_000.0:  # its aim
+    now, skip_times = 10.0, list[float]()
+    while now < 1_000.0:  # the latency objective
         now += 25.0
-        skips += [now for _ in only(scheduler.step(now, [api.Timer(0, (0.5,))]), api.SkipCall)]
-    assert [ABANDON_SLOT_TIMES * scheduler.state.service_time.slot_ms <= 1_050.0 - at for at in skips] == [
-        True
-    ] * left_out
-    assert scheduler.calls.in_flight == (not left_out)
+        skip_times += [now for _ in only(scheduler.step(now, [api.Timer(0, (0.5,))]), api.SkipCall)]
+    assert [
+        ABANDON_SLOT_TIMES * scheduler.state.service_time.slot_ms <= 1_050.0 - skipped_at
+        for skipped_at in skip_times
+    ] == [True] * is_skipped
+    assert scheduler.calls.in_flight == (not is_skipped)
 
 
-def calls_to_a_slow_dependency(takes: float) -> dict[str, list[float]]:
-    """Keyed work that must call a shared dependency, which takes 30 ms, and `takes` from second 5 to 13. The
-    timeouts given, and how many calls ended or were given up, in the slow time."""
+def call_slow_dependency(slow_call_ms: float) -> dict[str, list[float]]:
+    """Run requests with idempotency keys that require a call to a shared dependency.
+
+    A call takes 30 ms, and `slow_call_ms` from second 5 to 13. Return the timeouts of the calls in the slow period, and
+    the durations of those that ended and of those that timed out.
+    """
     scheduler = opened(
         cores=6,
         downstream=api.Downstream.SHARED,
@@ -104,59 +109,66 @@
         classes=(replace(KEYED, may_call=True, latency_objective_ms=3000.0, deadline_ms=6000.0),),
     )
     ends: list[tuple[float, int, float, bool]] = []
-    seen: dict[str, list[float]] = {"timeouts": [], "ended": [], "given up": []}
-    later: list[api.Event] = []
-    for turn in range(1300):
-        now, events = 10.0 * turn, [*later]  # type: float, list[api.Event]
-        later, due = [], [event for event in ends if event[0] <= now]
+    results: dict[str, list[float]] = {"timeouts": [], "ended": [], "timed out": []}
+    next_events: list[api.Event] = []
+    for step in range(1300):
+        now, events = 10.0 * step, [*next_events]  # type: float, list[api.Event]
+        next_events, due = [], [event for event in ends if event[0] <= now]
         ends = [event for event in ends if event[0] > now]
-        slow = now >= 6500.0  # the first calls of the slow time teach how long calls have become
-        for _, request_id, took, ok in due:
+        is_slow = now >= 6500.0  # the scheduler learns the new call duration from the first slow calls
+        for _, request_id, duration_ms, succeeded in due:
             events.append(
-                api.CallEnded(request_id, ExecutionOutcome.OK if ok else ExecutionOutcome.TIMEOUT, took)
+                api.CallEnded(
+                    request_id, ExecutionOutcome.OK if succeeded else ExecutionOutcome.TIMEOUT, duration_ms
+                )
             )
-            later += [api.RunEnded(request_id, ExecutionOutcome.OK if ok else ExecutionOutcome.CANCELLED)]
-            if slow:
-                seen["ended" if ok else "given up"].append(took)
-        if turn % 15 == 0:
-            events.append(request(turn + 1))
+            next_events += [
+                api.RunEnded(request_id, ExecutionOutcome.OK if succeeded else ExecutionOutcome.CANCELLED)
+            ]
+            if is_slow:
+                results["ended" if succeeded else "timed out"].append(duration_ms)
+        if step % 15 == 0:
+            events.append(request(step + 1))
         for action in scheduler.step(now, [*events, api.Timer(0, (0.5,))]):
             if isinstance(action, api.Start):
-                later.append(api.CallNeeded(action.id))
+                next_events.append(api.CallNeeded(action.id))
             elif isinstance(action, api.StartCall):
-                needs = takes if now >= 5000.0 else 30.0
+                call_ms = slow_call_ms if now >= 5000.0 else 30.0
                 ends.append(
                     (
-                        now + min(needs, action.timeout_ms),
+                        now + min(call_ms, action.timeout_ms),
                         action.id,
-                        min(needs, action.timeout_ms),
-                        needs <= action.timeout_ms,
+                        min(call_ms, action.timeout_ms),
+                        call_ms <= action.timeout_ms,
                     )
                 )
-                seen["timeouts"] += [action.timeout_ms] if slow else []
-    return seen
+                results["timeouts"] += [action.timeout_ms] if is_slow else []
+    return results
 
 
-def test_no_call_is_sent_to_a_slow_dependency_that_could_only_time_out() -> None:
-    """A dependency was ten times slower. The budget went into calls with timeouts of some milliseconds, which all
-    timed out, and requests with idempotency keys failed with them."""
-    seen = calls_to_a_slow_dependency(takes=600.0)
-    assert min(seen["timeouts"]) >= 300.0
-    assert len(seen["ended"]) > 8 > 4 * len(seen["given up"])
+def test_a_call_to_a_slow_dependency_is_not_sent_if_it_would_time_out() -> None:
+    """A dependency became ten times slower. The budget was used for calls with timeouts of a few milliseconds, which
+    all timed out, and the requests with idempotency keys failed."""
+    results = call_slow_dependency(slow_call_ms=600.0)
+    assert min(results["timeouts"]) >= 300.0
+    assert len(results["ended"]) > 8 > 4 * len(results["timed out"])
 
 
-def test_a_dependency_slower_than_any_timeout_is_still_called_now_and_then() -> None:
-    """Calls that time out lengthen what a call is expected to need. That must never end all calls: none would
-    show that the dependency has recovered."""
-    assert len(calls_to_a_slow_dependency(takes=5000.0)["timeouts"]) >= 3
+def test_a_dependency_slower_than_any_timeout_is_still_called_occasionally() -> None:
+    """Calls that time out increase the expected duration of a call. This must not stop all calls, because then
+    no call would show that the dependency has recovered."""
+    assert len(call_slow_dependency(slow_call_ms=5000.0)["timeouts"]) >= 3
 
 
-def share_of_calls_ended_by_an_overloaded_dependency(servers: int = 4) -> float:
-    """Some servers, each a module of its own, before one dependency of 4 slots: a call is 40 ms of work, from second
-    3 on 320 ms; those in its hands beyond the slots share them, and slow each other down. The share of the calls that
-    ended from second 5 on. All that is asked is far over what the dependency can do then."""
+def success_share_at_overloaded_dependency(runner_count: int = 4) -> float:
+    """Run several runners, each with its own scheduler, with one dependency that has 4 slots.
+
+    A call is 40 ms of work, and 320 ms from second 3 on. Concurrent calls beyond the slots share them and slow each
+    other down. From then on, the load is far above the capacity of the dependency. Return the share of calls that
+    succeeded from second 5 on.
+    """
     classes = (replace(KEYED, may_call=True, latency_objective_ms=3000.0, deadline_ms=5000.0),)
-    fleet = [
+    schedulers = [
         opened(
             cores=6,
             downstream=api.Downstream.SHARED,
@@ -165,40 +177,46 @@
             classes=classes,
             abandoned_call_ms=200.0,
         )
-        for _ in range(servers)
+        for _ in range(runner_count)
     ]
-    later: list[list[api.Event]] = [[] for _ in fleet]
-    hands: dict[tuple[int, int], list[float]] = {}  # server and id: work left, since, until
-    ended = given_up = 0
-    for turn in range(1200):
-        now = 10.0 * turn
-        crowd = max(1.0, len(hands) / 4)
-        for (i, request_id), call in list(hands.items()):
-            call[0] -= 10.0 / crowd / (1 + 0.4 * (crowd - 1))
-            whole = call[0] <= 0
-            if whole or call[2] <= now:
-                del hands[i, request_id]
-                later[i].append(
+    next_events: list[list[api.Event]] = [[] for _ in schedulers]
+    # For each runner and request id: remaining work in ms, time of the start, time of the timeout.
+    calls: dict[tuple[int, int], list[float]] = {}
+    succeeded = timed_out = 0
+    for step in range(1200):
+        now = 10.0 * step
+        load = max(1.0, len(calls) / 4)
+        for (i, request_id), call in list(calls.items()):
+            call[0] -= 10.0 / load / (1 + 0.4 * (load - 1))
+            is_complete = call[0] <= 0
+            if is_complete or call[2] <= now:
+                del calls[i, request_id]
+                next_events[i].append(
                     api.CallEnded(
-                        request_id, ExecutionOutcome.OK if whole else ExecutionOutcome.TIMEOUT, now - call[1]
+                        request_id,
+                        ExecutionOutcome.OK if is_complete else ExecutionOutcome.TIMEOUT,
+                        now - call[1],
                     )
                 )
-                later[i] += [api.RunEnded(request_id, ExecutionOutcome.OK)] if whole else []
-                ended, given_up = ended + (whole and now > 5000.0), given_up + (not whole and now > 5000.0)
-        for i, scheduler in enumerate(fleet):
-            events, later[i] = later[i], []
-            if turn % 10 == 0:
-                events = [*events, request(turn + 1)]
+                next_events[i] += [api.RunEnded(request_id, ExecutionOutcome.OK)] if is_complete else []
+                succeeded, timed_out = (
+                    succeeded + (is_complete and now > 5000.0),
+                    timed_out + (not is_complete and now > 5000.0),
+                )
+        for i, scheduler in enumerate(schedulers):
+            events, next_events[i] = next_events[i], []
+            if step % 10 == 0:
+                events = [*events, request(step + 1)]
             for action in scheduler.step(now, [*events, api.Timer(0, (0.5,))]):
                 if isinstance(action, api.Start):
-                    later[i].append(api.CallNeeded(action.id))
+                    next_events[i].append(api.CallNeeded(action.id))
                 elif isinstance(action, api.StartCall):
-                    hands[i, action.id] = [320.0 if now > 3000.0 else 40.0, now, now + action.timeout_ms]
+                    calls[i, action.id] = [320.0 if now > 3000.0 else 40.0, now, now + action.timeout_ms]
                 elif isinstance(action, api.Fail):
-                    later[i].append(api.RunEnded(action.id, ExecutionOutcome.CANCELLED))
-    return ended / max(1, ended + given_up)
+                    next_events[i].append(api.RunEnded(action.id, ExecutionOutcome.CANCELLED))
+    return succeeded / max(1, succeeded + timed_out)
 
 
-def test_fewer_calls_at_once_go_to_an_overloaded_dependency() -> None:
-    """All runners kept as many calls in flight as their quota allows: none of them ended before its timeout."""
-    assert share_of_calls_ended_by_an_overloaded_dependency() >= 0.45
+def test_an_overloaded_dependency_gets_fewer_concurrent_calls() -> None:
+    """All runners kept as many calls in flight as their quota allowed, and none ended before its timeout."""
+    assert success_share_at_overloaded_dependency() >= 0.45
--- a/tests/scheduling/test_idempotency.py
+++ b/tests/scheduling/test_idempotency.py
@@ -1,4 +1,4 @@
-"""What a repeat of a request with an idempotency key is given."""
+"""Answers to repeated requests with an idempotency key."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ..helpers import done, only, opened, request, started
 
 
-def test_a_repeat_shares_the_result_of_the_attempt_that_ran() -> None:
+def test_a_repeat_gets_the_result_of_the_attempt_that_ran() -> None:
     scheduler = opened()
     actions = scheduler.step(0.0, [request(1, class_index=1)])
     assert only(actions, api.StoreKey)
--- a/tests/scheduling/test_invariants.py
+++ b/tests/scheduling/test_invariants.py
@@ -1,4 +1,4 @@
-"""What holds over all event sequences: generated ones with fixed seeds, bad input, bare settings."""
+"""Invariants over all event sequences: generated ones with fixed seeds, invalid input, and minimal settings."""
 
 from __future__ import annotations
 
@@ -56,25 +56,25 @@
 ]
 
 
-def play_each_variant(seed: int) -> list[list[tuple[float, api.Action]]]:
-    return [GeneratedDay(seed, changes).play() for changes in VARIANTS]
+def run_each_variant(seed: int) -> list[list[tuple[float, api.Action]]]:
+    return [GeneratedDay(seed, changes).run() for changes in VARIANTS]
 
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(6))
 def test_the_invariants_hold_over_generated_events(seed: int, variant: int) -> None:
-    assert len(GeneratedDay(seed, VARIANTS[variant]).play()) > 100
+    assert len(GeneratedDay(seed, VARIANTS[variant]).run()) > 100
 
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 def test_equal_events_give_equal_actions(variant: int) -> None:
-    assert GeneratedDay(3, VARIANTS[variant]).play() == GeneratedDay(3, VARIANTS[variant]).play()
+    assert GeneratedDay(3, VARIANTS[variant]).run() == GeneratedDay(3, VARIANTS[variant]).run()
 
 
-def test_equal_events_give_equal_actions_in_processes_with_other_hash_seeds() -> None:
-    """Each runner is a process with a hash seed of its own: the order of a set must not reach the actions."""
-    code = "from tests.scheduling import test_invariants; print(test_invariants.play_each_variant(3))"
-    seen = {
+def test_equal_events_give_equal_actions_in_processes_with_different_hash_seeds() -> None:
+    """Each runner is a process with its own hash seed, so the order of a set must not affect the actions."""
+    code = "from tests.scheduling import test_invariants; print(test_invariants.run_each_variant(3))"
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             env={**os.environ, "PYTHONHASHSEED": seed},
@@ -85,11 +85,11 @@
         ).stdout
         for seed in ("1", "2")
     }
-    assert len(seen) == 1
-    assert len(seen.pop()) > 10_000
+    assert len(outputs) == 1
+    assert len(outputs.pop()) > 10_000
 
 
-def test_events_about_unknown_requests_are_ignored_and_the_clock_does_not_step_back() -> None:
+def test_events_about_unknown_requests_are_ignored_and_the_clock_must_not_go_backwards() -> None:
     scheduler = opened()
     unknown: list[api.Event] = [
         api.RunEnded(9, api.ExecutionOutcome.OK),
@@ -119,10 +119,10 @@
         {"callers": 5000, "max_idle_connection_ms": 0.0},
     ],
 )
-def test_bare_settings_and_unknown_callers_leave_nothing_unanswered(changes: dict[str, Any]) -> None:
-    """Gauges are absent, tenants or callers unknown and thousands: every request gets its one answer."""
+def test_every_request_is_answered_with_minimal_settings_and_unknown_callers(changes: dict[str, Any]) -> None:
+    """Every request gets exactly one answer without gauges, and with unknown tenants or thousands of callers."""
     scheduler = opened(**changes)
-    owed: dict[int, float] = {}
+    deadlines: dict[int, float] = {}
     ends: list[api.Event] = []
     request_id = 0
     for step in range(1400):
@@ -134,29 +134,31 @@
             events.append(
                 api.Request(request_id, request_id % 2, 10.0, caller=request_id * 31, tenant=tenant)
             )
-            owed[request_id] = now + scheduler.state.settings.classes[request_id % 2].deadline_ms
+            deadlines[request_id] = now + scheduler.state.settings.classes[request_id % 2].deadline_ms
         ends = []
         for action in scheduler.step(now, events):
             if isinstance(action, (api.Reject, api.Fail)):
-                del owed[action.id]
+                del deadlines[action.id]
             elif isinstance(action, api.Start):
-                calls = scheduler.state.settings.downstream is not api.Downstream.OFF
+                needs_call = scheduler.state.settings.downstream is not api.Downstream.OFF
                 ends.append(
-                    api.CallNeeded(action.id) if calls else api.RunEnded(action.id, api.ExecutionOutcome.OK)
+                    api.CallNeeded(action.id)
+                    if needs_call
+                    else api.RunEnded(action.id, api.ExecutionOutcome.OK)
                 )
             elif isinstance(action, api.SkipCall):
                 ends.append(api.RunEnded(action.id, api.ExecutionOutcome.OK))
             assert not isinstance(action, api.StartCall)
         for event in ends:
             if isinstance(event, api.RunEnded):
-                del owed[event.id]
-        assert all(due >= now - 60.0 for due in owed.values())
+                del deadlines[event.id]
+        assert all(deadline >= now - 60.0 for deadline in deadlines.values())
     assert request_id > 400
-    assert owed == {}
+    assert deadlines == {}
     assert len(scheduler.state.queue.tenants) <= len(scheduler.state.settings.tenants) + 50
 
 
-def test_a_class_outside_the_settings_is_an_error_that_names_it() -> None:
+def test_a_class_index_outside_the_settings_raises_an_error_that_names_it() -> None:
     with pytest.raises(ValueError, match="class_index 9"):
         opened().step(0.0, [request(1, class_index=9)])
 
@@ -164,19 +166,21 @@
 NAN, INF = float("nan"), float("inf")
 
 
-@pytest.mark.parametrize("hint", [0.0, -5.0, NAN, INF, 1e9])
-@pytest.mark.parametrize("ttl", [None, 0.0, -1.0, NAN, 900.0])
-@pytest.mark.parametrize("passes", [False, True])
-def test_bad_hints_and_waits_leave_nothing_unanswered(hint: float, ttl: float | None, passes: bool) -> None:
-    """A cost hint that was no number went into the start tags, and a stated wait that was none made every
-    comparison false: requests were never answered."""
-    scheduler = opened(propagates_deadline=passes, max_retry_after_ms=1000.0)
-    owed = set(range(1, 41))
+@pytest.mark.parametrize("cost_hint_ms", [0.0, -5.0, NAN, INF, 1e9])
+@pytest.mark.parametrize("ttl_ms", [None, 0.0, -1.0, NAN, 900.0])
+@pytest.mark.parametrize("propagates_deadline", [False, True])
+def test_every_request_is_answered_with_invalid_hints_and_waits(
+    cost_hint_ms: float, ttl_ms: float | None, propagates_deadline: bool
+) -> None:
+    """Requests were never answered: a cost hint of NaN was added to the start tags, and a stated wait of NaN made
+    every comparison false."""
+    scheduler = opened(propagates_deadline=propagates_deadline, max_retry_after_ms=1000.0)
+    unanswered = set(range(1, 41))
     ends: list[api.Event] = []
     for i in range(1, 400):
         batch: list[api.Event] = [*ends, api.Timer(0, (0.5,))]
-        if i in owed:
-            batch.append(request(i, i % 2, cost_hint_ms=hint, ttl_ms=ttl))
+        if i in unanswered:
+            batch.append(request(i, i % 2, cost_hint_ms=cost_hint_ms, ttl_ms=ttl_ms))
         actions = scheduler.step(20.0 * i, batch)
         ends = [
             api.RunEnded(
@@ -184,11 +188,11 @@
             )
             for started_id in started(actions)
         ]
-        owed -= {action.id for action in actions if isinstance(action, (api.Reject, api.Fail))} | set(
+        unanswered -= {action.id for action in actions if isinstance(action, (api.Reject, api.Fail))} | set(
             started(actions)
         )
         assert all(0.0 <= action.retry_after_ms <= 1000.0 for action in only(actions, api.Reject))
-    assert owed == set()
+    assert unanswered == set()
     assert all(
         0.0 < estimate < INF
         for estimate in (
--- a/tests/scheduling/test_module_shape.py
+++ b/tests/scheduling/test_module_shape.py
@@ -1,4 +1,4 @@
-"""The modules of the scheduler stay small and pure; the README's example runs."""
+"""Structure of the scheduler's modules: small, and without I/O or clock. Also runs the README's example."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
 
 
-def test_every_module_of_the_scheduler_is_listed_as_policy_or_holds_types_alone() -> None:
+def test_every_module_of_the_scheduler_is_listed_as_policy_or_has_only_types() -> None:
     assert sorted(ROOT / path for path in POLICY) == [path for path in MODULES if path not in INTERFACE]
     assert len(POLICY) == len(set(POLICY))
 
 
 @pytest.mark.parametrize("path", INTERFACE, ids=lambda path: path.name)
-def test_the_types_decide_nothing(path: Path) -> None:
+def test_the_interface_modules_have_no_other_functions_than_validation(path: Path) -> None:
     functions = [
         node.name for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.FunctionDef)
     ]
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_a_module_of_the_scheduler_is_short_and_narrow(path: Path) -> None:
+def test_a_module_of_the_scheduler_has_few_and_short_lines(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert len(lines) < MAX_MODULE_LINES
     assert max(map(len, lines)) <= MAX_LINE_LENGTH
@@ -46,21 +46,21 @@
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             assert ast.get_docstring(node), node.name
-            assert sum(isinstance(part, ast.FunctionDef) for part in node.body) <= MAX_CLASS_METHODS
+            assert sum(isinstance(member, ast.FunctionDef) for member in node.body) <= MAX_CLASS_METHODS
 
 
-def test_the_docstring_names_the_interface_first() -> None:
-    doc = ast.get_docstring(ast.parse((SCHEDULING / "scheduler.py").read_text())) or ""
-    assert "scheduling/interface.py" in doc.splitlines()[0]
+def test_the_scheduler_docstring_names_the_interface_module_in_its_first_line() -> None:
+    docstring = ast.get_docstring(ast.parse((SCHEDULING / "scheduler.py").read_text())) or ""
+    assert "scheduling/interface.py" in docstring.splitlines()[0]
 
 
 @pytest.mark.parametrize("path", [*MODULES, SCHEDULING / "__init__.py"], ids=lambda path: path.name)
 def test_a_module_of_the_scheduler_does_no_io_and_reads_no_clock(path: Path) -> None:
     nodes = list(ast.walk(ast.parse(path.read_text())))
-    names = {n.name for node in nodes if isinstance(node, ast.Import) for n in node.names}
-    froms = {node.module or "" for node in nodes if isinstance(node, ast.ImportFrom)}
+    imports = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
+    from_imports = {node.module or "" for node in nodes if isinstance(node, ast.ImportFrom)}
     siblings = {f"moorusher.scheduling.{module.stem}" for module in MODULES}
-    assert (names | froms) <= siblings | {
+    assert (imports | from_imports) <= siblings | {
         "__future__",
         "collections",
         "collections.abc",
--- a/tests/scheduling/test_service_time.py
+++ b/tests/scheduling/test_service_time.py
@@ -1,4 +1,4 @@
-"""What is learnt of the length and cost of runs."""
+"""Estimates of the duration and cost of runs."""
 
 from __future__ import annotations
 
@@ -10,33 +10,37 @@
 from ..helpers import done, opened, request, started
 
 
-def test_an_early_error_changes_no_estimate_of_cost() -> None:
-    """A runner whose runs failed at once took itself for faster than before, and admitted more."""
+def test_early_errors_do_not_change_the_estimates() -> None:
+    """A runner whose runs failed at once lowered its estimates of cost and duration, and admitted more requests."""
     scheduler = opened()
     scheduler.step(0.0, [request(1)])
     scheduler.step(300.0, done(1))
-    cost, wall = scheduler.state.service_time.mean_cost_ms, scheduler.state.service_time.classes[0].run_ms
+    cost_ms, run_ms = (
+        scheduler.state.service_time.mean_cost_ms,
+        scheduler.state.service_time.classes[0].run_ms,
+    )
     for i in range(2, 20):
         scheduler.step(300.0 + i, [request(i)])
         scheduler.step(300.5 + i, [api.RunEnded(i, ExecutionOutcome.ERROR, 0.5)])
     assert (scheduler.state.service_time.mean_cost_ms, scheduler.state.service_time.classes[0].run_ms) == (
-        cost,
-        wall,
+        cost_ms,
+        run_ms,
     )
 
 
 def test_long_runs_in_an_outage_do_not_stop_admission_for_good() -> None:
-    """Runs that waited at calls for seconds lifted the expected run over every objective. Nothing was started any
-    more, so that nothing showed that the outage was over (incident i194c80: 9% served to the end of it)."""
+    """Runs that waited for calls for seconds raised the expected duration of a run above every objective. Then no
+    request was started, so no run showed that the outage was over (incident i194c80: only 9% of the requests were
+    served until its end)."""
     scheduler = opened()
     now = 0.0
     for i in range(1, 40):
         scheduler.step(now, [request(i)])
         now += 3500.0
         scheduler.step(now, done(i))
-    taken = [
+    started_ids = [
         i
         for i in range(100, 110)
         if started(scheduler.step(now + 10.0 * i, [request(i), *done(i - 1)])) == [i]
     ]
-    assert len(taken) == 10
+    assert len(started_ids) == 10
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""What may be sent a second time, by the effect of its class and by what proves that the first never ran."""
+"""Retry policy: which messages may be sent again, by the effect of the class and the evidence of the first attempt."""
 
 from __future__ import annotations
 
@@ -24,9 +24,12 @@
 
 
 def classes_of_each_effect() -> list[dict[str, Any]]:
-    """One class of each effect, named by it; no call may be left out."""
+    """Return one class of each effect, with the name of the effect. Downstream calls are required."""
     base = {"aimMs": 3000, "deadlineMs": 8000, "worth": 1, "windowMs": 0}
-    return [base | {"name": e, "effect": e, "windowMs": 20000 if e == "guarded" else 0} for e in EFFECTS]
+    return [
+        base | {"name": effect, "effect": effect, "windowMs": 20000 if effect == "guarded" else 0}
+        for effect in EFFECTS
+    ]
 
 
 def settings_of_each_effect() -> dict[str, Any]:
@@ -34,9 +37,9 @@
     return {"classes": classes_of_each_effect(), "extra": extra}
 
 
-async def ask(front_end: FrontEnd, effect: str, **more: Any) -> dict[str, Any]:
+async def send_request(front_end: FrontEnd, effect: str, **parameters: Any) -> dict[str, Any]:
     token = {"token": new_key()} if effect == "guarded" else {}
-    return await front_end.ask(effect, **token, **more)
+    return await front_end.ask(effect, **token, **parameters)
 
 
 PROOFS = {Evidence.NOT_SENT, Evidence.NOT_CONNECTED, Evidence.REJECTED, Evidence.NOT_AWAITED}
@@ -49,52 +52,58 @@
 
 @pytest.mark.parametrize("effect", Effect)
 @pytest.mark.parametrize("evidence", Evidence)
-def test_the_rule_for_each_pair(effect: Effect, evidence: Evidence) -> None:
-    proven = evidence in PROOFS
-    harmless = proven or evidence is Evidence.DUPLICATES_IGNORED
-    assert evidence.proves_never_ran is proven
-    assert retry_decision(effect, evidence) is (RetryDecision.ALLOWED if harmless else WITHOUT_PROOF[effect])
-    assert may_retry(effect, evidence) is (harmless or effect is Effect.IDEMPOTENT)
+def test_the_decision_for_each_pair_of_effect_and_evidence(effect: Effect, evidence: Evidence) -> None:
+    is_proof = evidence in PROOFS
+    is_harmless = is_proof or evidence is Evidence.DUPLICATES_IGNORED
+    assert evidence.proves_never_ran is is_proof
+    assert retry_decision(effect, evidence) is (
+        RetryDecision.ALLOWED if is_harmless else WITHOUT_PROOF[effect]
+    )
+    assert may_retry(effect, evidence) is (is_harmless or effect is Effect.IDEMPOTENT)
     assert tolerates_duplicates(effect) is (effect is Effect.IDEMPOTENT)
 
 
 @pytest.mark.parametrize("outcome", ExecutionOutcome)
-def test_outcomes_prove_what_their_evidence_does(outcome: ExecutionOutcome) -> None:
+def test_an_outcome_and_its_evidence_agree_on_whether_nothing_ran(outcome: ExecutionOutcome) -> None:
     assert EVIDENCE_OF_OUTCOME[outcome].proves_never_ran is outcome.never_ran
 
 
 @pytest.mark.processes
-@pytest.mark.parametrize("effect, repeated", [("free", True), ("guarded", False), ("single_shot", False)])
-def test_a_call_cut_off_on_a_connection_that_was_used_before(effect: str, repeated: bool) -> None:
-    """The other side has read the call when the connection breaks: that proves nothing."""
+@pytest.mark.parametrize("effect, is_retried", [("free", True), ("guarded", False), ("single_shot", False)])
+def test_a_call_is_retried_after_a_reset_of_a_reused_connection_only_if_it_is_idempotent(
+    effect: str, is_retried: bool
+) -> None:
+    """The database has read the call when the connection breaks, so the call may have run."""
 
     @asynchronous_test
     async def run() -> None:
-        db = Database(200, "reset", 200)
-        async with running(Kernel(calls=True), db, **settings_of_each_effect()) as r:
-            f = await FrontEnd.connect(r.port)
-            assert "result" in await ask(f, "free", body=b"first")
-            await wait_until(lambda: not f._waiting)
-            got = await ask(f, effect, body=b"second", budget=2000)
-            assert db.calls.count(b"ask second") == (2 if repeated else 1)
-            assert ("result" in got) is repeated
+        database = Database(200, "reset", 200)
+        async with running(Kernel(calls=True), database, **settings_of_each_effect()) as runner:
+            front_end = await FrontEnd.connect(runner.port)
+            assert "result" in await send_request(front_end, "free", body=b"first")
+            await wait_until(lambda: not front_end._waiting)
+            answer = await send_request(front_end, effect, body=b"second", budget=2000)
+            assert database.calls.count(b"ask second") == (2 if is_retried else 1)
+            assert ("result" in answer) is is_retried
 
     run()
 
 
 @pytest.mark.processes
-@pytest.mark.parametrize("effect, repeated", [("free", True), ("guarded", False), ("single_shot", False)])
-def test_an_attempt_of_the_tier_that_may_have_run(effect: str, repeated: bool) -> None:
+@pytest.mark.parametrize("effect, is_retried", [("free", True), ("guarded", False), ("single_shot", False)])
+def test_a_tier_call_that_may_have_run_is_retried_only_if_it_is_idempotent(
+    effect: str, is_retried: bool
+) -> None:
     @asynchronous_test
     async def run() -> None:
         servers = [Database("reset"), Database("reset")]
-        more = listed(*servers, policy="hedge = false\nretry_share = 1.0")
-        async with running(Kernel(calls=True), more=more, **settings_of_each_effect()) as r:
-            f = await FrontEnd.connect(r.port)
-            got = await ask(f, effect, budget=700)
+        tier_settings = listed(*servers, policy="hedge = false\nretry_share = 1.0")
+        async with running(Kernel(calls=True), more=tier_settings, **settings_of_each_effect()) as runner:
+            front_end = await FrontEnd.connect(runner.port)
+            answer = await send_request(front_end, effect, budget=700)
             calls = sum(len(server.calls) for server in servers)
-            assert "result" not in got
-            assert calls > 1 if repeated else calls == 1
+            assert "result" not in answer
+            assert calls > 1 if is_retried else calls == 1
         for server in servers:
             server.close()
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames: the documented bytes, and what is refused."""
+"""Frames of the simulator's wire format: the documented examples, and invalid input."""
 
 from __future__ import annotations
 
@@ -29,38 +29,43 @@
 }
 
 
-def frame(records: bytes, count: int, now: float = 5.0, seq: int = 1) -> bytes:
-    return struct.pack("<IdII", 20 + len(records), now, count, seq) + records
+def frame(records: bytes, count: int, now: float = 5.0, sequence: int = 1) -> bytes:
+    return struct.pack("<IdII", 20 + len(records), now, count, sequence) + records
 
 
 def start_record(setup: object = SETUP) -> bytes:
-    raw = json.dumps(setup).encode()
-    return struct.pack("<HI", 265, 0) + struct.pack("<HQI", 256, 7, len(raw)) + raw
+    encoded = json.dumps(setup).encode()
+    return struct.pack("<HI", 265, 0) + struct.pack("<HQI", 256, 7, len(encoded)) + encoded
 
 
-def test_the_documented_batch_is_read() -> None:
+def test_the_documented_batch_is_decoded() -> None:
     batch = wire.decode_batch(EXAMPLE)
     assert batch.now == 8412.25
     assert batch.sequence == 12
-    (first, events), (second, gone) = batch.groups
+    (first, events), (second, abandoned) = batch.groups
     assert (first, second) == (3, 5)
-    req = events[0]
-    assert isinstance(req, api.Request)
-    assert (req.id, req.ttl_ms, req.cost_hint_ms, req.repeat_of) == (0x5D3A91C4, 240.0, 12.0, 0x0E6F2B19)
+    request = events[0]
+    assert isinstance(request, api.Request)
+    assert (request.id, request.ttl_ms, request.cost_hint_ms, request.repeat_of) == (
+        0x5D3A91C4,
+        240.0,
+        12.0,
+        0x0E6F2B19,
+    )
     assert isinstance(events[1], api.Timer)
     assert events[1].token == 77 and len(events[1].gauges) == 4
-    assert gone == [api.RequestAbandoned(0x0E6F2B19)]
+    assert abandoned == [api.RequestAbandoned(0x0E6F2B19)]
 
 
-def test_the_documented_reply_is_written() -> None:
-    want = bytes.fromhex(
+def test_the_documented_reply_is_encoded() -> None:
+    expected = bytes.fromhex(
         "41000000 05000000 0c000000 0d01 03000000 0c01 c4913a5d 0901 0000000000407f40 4d000000"
         "0d01 05000000 0101 1100 74776f2073657276657273206b6e6f776e"
     )
-    got = wire.encode_reply(
+    reply = wire.encode_reply(
         12, [(3, [api.Start(0x5D3A91C4), api.SetTimer(500.0, 77)]), (5, [api.Log("two servers known")])]
     )
-    assert got == want
+    assert reply == expected
 
 
 @pytest.mark.parametrize(
@@ -79,12 +84,12 @@
         (api.CloseIdleConnections(100.0), 10),
     ],
 )
-def test_every_action_has_its_size(action: api.Action, size: int) -> None:
+def test_an_encoded_action_has_the_specified_size(action: api.Action, size: int) -> None:
     assert len(wire.encode_action(action)) == size
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         EXAMPLE[:-1],
         frame(b"", 1),
@@ -97,19 +102,26 @@
         frame(struct.pack("<HI", 265, 1) + struct.pack("<HIdB", 258, 1, 1.0, 17), 2),
     ],
 )
-def test_malformed_frames_are_refused(bad: bytes) -> None:
+def test_malformed_frames_are_rejected(malformed: bytes) -> None:
     with pytest.raises(ValueError):
-        wire.decode_batch(bad)
+        wire.decode_batch(malformed)
 
 
-def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    s = parse_settings(json.dumps(SETUP).encode(), 7)
-    assert s.classes[0].effect is api.Effect.IDEMPOTENT_WITH_KEY and s.preemption is api.Preemption.DISCARD
-    assert s.signal is api.SignalKind.FLOOR and s.downstream is api.Downstream.OFF and s.tenants == ()
+def test_settings_are_parsed_and_unknown_keys_are_ignored() -> None:
+    settings = parse_settings(json.dumps(SETUP).encode(), 7)
+    assert (
+        settings.classes[0].effect is api.Effect.IDEMPOTENT_WITH_KEY
+        and settings.preemption is api.Preemption.DISCARD
+    )
+    assert (
+        settings.signal is api.SignalKind.FLOOR
+        and settings.downstream is api.Downstream.OFF
+        and settings.tenants == ()
+    )
 
 
 @pytest.mark.parametrize(
-    "key, value, said",
+    "key, value, expected_name",
     [
         ("cpus", None, "cpus"),
         ("cpus", "six", "cpus"),
@@ -118,21 +130,21 @@
         ("memoryKb", True, "memoryKb"),
     ],
 )
-def test_a_bad_setting_is_named(key: str, value: object, said: str) -> None:
+def test_an_error_names_the_invalid_setting(key: str, value: object, expected_name: str) -> None:
     setup = {**SETUP, "extra": {**SETUP["extra"], key: value}}  # type: ignore[dict-item]
-    with pytest.raises(ValueError, match=said):
+    with pytest.raises(ValueError, match=expected_name):
         parse_settings(json.dumps(setup).encode())
 
 
-def test_an_error_names_the_key_of_the_file_and_not_the_field_behind_it() -> None:
-    of_class = {**SETUP["classes"][0], "aimMs": -1}  # type: ignore[index]
+def test_an_error_names_the_key_in_the_file_instead_of_the_internal_field() -> None:
+    invalid_class = {**SETUP["classes"][0], "aimMs": -1}  # type: ignore[index]
     with pytest.raises(SettingsError, match=re.escape("setting classes[0].aimMs: expected a number")):
-        parse_settings(json.dumps(SETUP | {"classes": [of_class]}).encode())
+        parse_settings(json.dumps(SETUP | {"classes": [invalid_class]}).encode())
     with pytest.raises(SettingsError, match=re.escape("setting tipMultiple: expected at least 1, got 0.5")):
         parse_settings(json.dumps(SETUP | {"invariants": {"tipMultiple": 0.5}}).encode())
 
 
-def test_embedders_get_a_value_error_that_names_the_field() -> None:
+def test_invalid_settings_objects_raise_a_value_error_that_names_the_field() -> None:
     with pytest.raises(ValueError, match="deadline_ms"):
         api.RequestClass(latency_objective_ms=10, deadline_ms=5)
     with pytest.raises(ValueError, match="classes"):
@@ -141,39 +153,41 @@
         api.Settings(cores=True, memory_kb=1, classes=(api.RequestClass(1, 1),))
 
 
-def talk(data: bytes) -> tuple[int, bytes]:
+def run_host(data: bytes) -> tuple[int, bytes]:
     sink = io.BytesIO()
     return simhost.serve(io.BytesIO(data), sink), sink.getvalue()
 
 
-def test_the_host_answers_and_ends_with_its_input() -> None:
-    code, out = talk(frame(start_record(), 2) + frame(b"", 0, seq=2))
-    assert code == 0
-    assert out.endswith(wire.encode_reply(2, []))
+def test_the_host_answers_until_its_input_ends() -> None:
+    exit_code, output = run_host(frame(start_record(), 2) + frame(b"", 0, sequence=2))
+    assert exit_code == 0
+    assert output.endswith(wire.encode_reply(2, []))
 
 
-@pytest.mark.parametrize("bad", [b"\x01", struct.pack("<I", 3), frame(b"", 1), frame(b"", 0)[:-2]])
-def test_bad_input_ends_the_host_with_a_fatal(bad: bytes, capsys: pytest.CaptureFixture[str]) -> None:
-    code, out = talk(bad)
-    assert code != 0
-    assert struct.unpack_from("<H", out, 12)[0] == 259
+@pytest.mark.parametrize("malformed", [b"\x01", struct.pack("<I", 3), frame(b"", 1), frame(b"", 0)[:-2]])
+def test_malformed_input_ends_the_host_with_a_fatal_reply(
+    malformed: bytes, capsys: pytest.CaptureFixture[str]
+) -> None:
+    exit_code, output = run_host(malformed)
+    assert exit_code != 0
+    assert struct.unpack_from("<H", output, 12)[0] == 259
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_an_exception_in_the_module_is_said_as_fatal() -> None:
-    wrong_class = (
+def test_an_exception_in_the_scheduler_is_reported_in_a_fatal_reply() -> None:
+    request_with_unknown_class = (
         struct.pack("<HI", 265, 0)
         + b"\x01\x01"
         + struct.pack("<IdHIdHBIfQdf", 1, 0, 1, 0, 0, 0, 9, 0, 0, 0, 0, 8)
     )
-    code, out = talk(frame(start_record(), 2) + frame(wrong_class, 2, seq=2))
-    assert code != 0
-    assert b"class_index 9" in out
+    exit_code, output = run_host(frame(start_record(), 2) + frame(request_with_unknown_class, 2, sequence=2))
+    assert exit_code != 0
+    assert b"class_index 9" in output
 
 
-def test_instances_act_alike_together_and_apart() -> None:
+def test_instances_act_alike_in_one_host_and_in_separate_hosts() -> None:
     def run(hosts: dict[int, simhost.Host]) -> list[tuple[int, list[api.Action]]]:
-        out: list[tuple[int, list[api.Action]]] = []
+        replies: list[tuple[int, list[api.Action]]] = []
         for step in range(60):
             for server in (0, 1):
                 events: list[wire.HostEvent] = []
@@ -181,17 +195,17 @@
                     events.append(wire.InstanceStarted(parse_settings(json.dumps(SETUP).encode(), 7)))
                 events += [api.Request(step * 10 + server * 3 + i, 0, 10.0, caller=i) for i in range(3)]
                 events.append(api.Timer(0, (0.9,)))
-                out += hosts[server].handle(wire.Batch(step * 25.0, step, [(server, events)]))
-        return out
+                replies += hosts[server].handle(wire.Batch(step * 25.0, step, [(server, events)]))
+        return replies
 
-    both = simhost.Host()
-    together = run({0: both, 1: both})
-    assert together == run({0: simhost.Host(), 1: simhost.Host()})
-    assert sum(len(actions) for _, actions in together) > 200
+    shared_host = simhost.Host()
+    replies = run({0: shared_host, 1: shared_host})
+    assert replies == run({0: simhost.Host(), 1: simhost.Host()})
+    assert sum(len(actions) for _, actions in replies) > 200
 
 
-def test_stated_waits_reach_the_module_where_they_are_passed_on() -> None:
-    """A wait of 0 was read as "not told", and such a request was held to be due a deadline later."""
+def test_stated_waits_reach_the_scheduler_if_deadlines_are_propagated() -> None:
+    """A stated wait of 0 was treated as not stated, so that the full deadline of the class applied."""
     setup = {**SETUP, "extra": {**SETUP["extra"], "passesDeadline": True}}  # type: ignore[dict-item]
     assert parse_settings(json.dumps(setup).encode()).propagates_deadline
     record = struct.pack("<HIdHIdHBIfQdf", 257, 9, 0.0, 1, 0, 40.0, 0, 0, 0, 0.5, 0, 0.0, 20.0)
@@ -201,7 +215,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, listed, item",
+    "key, values, item",
     [
         ("classCalls", [True, "yes"], "classCalls.1"),
         ("worthWithout", ["half"], "worthWithout.0"),
@@ -209,7 +223,7 @@
         ("classCalls", [1], "classCalls.0"),
     ],
 )
-def test_lists_of_settings_are_checked_item_by_item(key: str, listed: list[object], item: str) -> None:
-    setup = {**SETUP, "extra": {**SETUP["extra"], key: listed}}  # type: ignore[dict-item]
+def test_each_item_of_a_list_setting_is_validated(key: str, values: list[object], item: str) -> None:
+    setup = {**SETUP, "extra": {**SETUP["extra"], key: values}}  # type: ignore[dict-item]
     with pytest.raises(SettingsError, match=f"extra.{item}: expected"):
         parse_settings(json.dumps(setup).encode())
