--- a/moorusher/scheduling/admission.py
+++ b/moorusher/scheduling/admission.py
@@ -109,7 +109,7 @@
         """
         state = self._state
         concurrency = state.concurrency
-        if concurrency.on_cores + state.queue.waiting < concurrency.own_limit():
+        if concurrency.on_cores + state.queue.waiting < concurrency.usable_slots():
             return 0.0
         tenant = job.tenant
         backlogged = [other for other in state.queue.tenants.values() if other.waiting or other is tenant]
--- a/moorusher/scheduling/concurrency.py
+++ b/moorusher/scheduling/concurrency.py
@@ -64,12 +64,12 @@
         """Return the maximum number of runs, below what the machine survives at its current warm-up speed."""
         settings = self.settings
         age_ms = now - self.started_at
-        warmed = min(1.0, age_ms / max(1.0, settings.warm_up_ms)) if settings.warming_up else 1.0
-        speed = settings.warm_up_initial_speed + (1 - settings.warm_up_initial_speed) * warmed
+        warm_up_progress = min(1.0, age_ms / max(1.0, settings.warm_up_ms)) if settings.warming_up else 1.0
+        speed = settings.warm_up_initial_speed + (1 - settings.warm_up_initial_speed) * warm_up_progress
         per_core = 1 + (settings.survivable_runs_per_core - 1) * speed
         return max(1.0, MAX_RUNNING_FRACTION * settings.cores * per_core - self.predecessor.running)
 
-    def own_limit(self) -> int:
+    def usable_slots(self) -> int:
         """Return the number of slots that the predecessor process does not occupy, at least 1."""
         return max(1, self.limit - self.predecessor.on_cores)
 
@@ -105,8 +105,8 @@
 
         A slot is added if requests were queued while cores were idle, and removed if the cores were busy.
         """
-        saturated = self.saturated_ms > SATURATED_FRACTION * window_ms
-        if saturated and self.cpu_busy < BUSY_FRACTION and self.limit + 1 < self.max_running(now):
+        is_saturated = self.saturated_ms > SATURATED_FRACTION * window_ms
+        if is_saturated and self.cpu_busy < BUSY_FRACTION and self.limit + 1 < self.max_running(now):
             self.limit += 1
             self.slots.append(None)
         elif self.cpu_busy > BUSY_FRACTION and self.limit > self.settings.cores and self.slots[-1] is None:
--- a/moorusher/scheduling/dispatch.py
+++ b/moorusher/scheduling/dispatch.py
@@ -23,22 +23,22 @@
             return
         concurrency = state.concurrency
         slots = concurrency.slots
-        own_limit = concurrency.own_limit()
+        usable_slots = concurrency.usable_slots()
         max_running = concurrency.max_running(state.now)
         slot_count = len(slots)
         for by_eligibility in (True, False):
             for slot in range(slot_count - 1, -1, -1) if by_eligibility else range(slot_count):
-                if concurrency.on_cores >= own_limit or concurrency.running >= max_running:
+                if concurrency.on_cores >= usable_slots or concurrency.running >= max_running:
                     return
                 if slots[slot] is not None:
                     continue
                 tenant = (
                     state.queue.pick(slot, slot_count) if by_eligibility else state.queue.pick_ineligible()
                 )
-                if tenant is not None and not self._start_first(tenant, slot):
+                if tenant is not None and not self._start_next(tenant, slot):
                     return
 
-    def _start_first(self, tenant: TenantQueue, slot: int) -> bool:
+    def _start_next(self, tenant: TenantQueue, slot: int) -> bool:
         """Start a tenant's first job and return whether its run fits into the memory.
 
         If it does not fit, no other job is started in its place until a run ends.
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -114,7 +114,7 @@
             job for job in self.waiting if job.state is JobState.AWAITING_CALL and not job.answered
         ]
 
-    def ended(self, job: Job, event: CallEnded) -> None:
+    def call_ended(self, job: Job, event: CallEnded) -> None:
         """Settle the charge of an ended call, update the estimates, and resume its job or plan a retry."""
         if job.state is not JobState.CALLING:
             return
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -99,7 +99,7 @@
             if isinstance(event, api.RunEnded):
                 self._run_ended(event)
             elif isinstance(event, api.CallEnded) and event.id in jobs:
-                self.calls.ended(jobs[event.id], event)
+                self.calls.call_ended(jobs[event.id], event)
 
     def _handle(self, event: api.Event) -> None:
         state = self.state
