--- a/moorusher/leadership/candidates.py
+++ b/moorusher/leadership/candidates.py
@@ -1,8 +1,8 @@
-"""Which members should lead a duty: rendezvous hashing with bounded loads.
+"""Selects the members that should lead a duty by rendezvous hashing with bounded loads.
 
-Rendezvous hashing (Thaler and Ravishankar 1998) gives each duty an order of all seats of its own; the first one that is
-not full leads it (bounded loads: Mirrokni, Thorup and Zadimoghaddam 2018). Assignment is sticky: a leader keeps its
-duties unless it has far more than its share.
+Rendezvous hashing (Thaler and Ravishankar 1998) gives each duty its own order of all seats. The first member below its
+capacity is preferred (bounded loads: Mirrokni, Thorup and Zadimoghaddam 2018). Assignment is sticky: a leader keeps
+its duties unless it is overloaded.
 """
 
 from __future__ import annotations
@@ -16,20 +16,23 @@
 from ..membership.placement import rendezvous_score
 from ..replication.work_record import KeyDigest
 
-CAPACITY_FACTOR = 1.25  # times the fair share: a member with as many is offered duties last
-OVERLOAD_FACTOR = 1.5  # times the fair share, plus one: above it a member declines offers and gives duties up
+# Capacity of a member as a multiple of the fair share. Members at capacity are offered further duties late.
+CAPACITY_FACTOR = 1.25
+# The overload threshold is this multiple of the fair share, plus one.
+OVERLOAD_FACTOR = 1.5
 MAX_BACKOFF_DOUBLINGS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A member, by its own statement.
-
-    seat: str.
-    is_fit: bool, ready to lead.
-    led_duties: int, that it leads.
-    stored_duties: int, whose register it replicates.
-    is_stable: bool, it did not come and go lately.
+    """A member with the fitness and the load that it reports.
+
+    Attributes:
+        seat: Seat of the member.
+        is_fit: Whether it is ready to lead.
+        led_duties: Number of duties that it leads.
+        stored_duties: Number of duties whose register it replicates.
+        is_stable: Whether its backoff after the latest loss has elapsed.
     """
 
     seat: str
@@ -40,7 +43,7 @@
 
 
 def fair_share(candidates: Iterable[Candidate], replicas: int) -> float:
-    """Return the mean number of duties for a fit member. Each duty's register has so many replicas."""
+    """Return the mean number of duties per fit member. `replicas` is the number of replicas per register."""
     members = list(candidates)
     fit_members = sum(member.is_fit for member in members)
     stored_copies = sum(member.stored_duties for member in members)
@@ -48,17 +51,18 @@
 
 
 def capacity(share: float) -> int:
-    """Return the number of duties from which on a member is offered further ones last."""
+    """Return the number of duties with which a member is at capacity."""
     return max(1, ceil(CAPACITY_FACTOR * share))
 
 
 def overload_threshold(share: float) -> int:
-    """Return the number of duties above which a member gives some up; one above a fair share is not worth a move."""
+    """Return the number of duties at which a member declines offers, and above which it hands duties over."""
+    # A surplus of one duty does not justify a handover.
     return max(2, ceil(OVERLOAD_FACTOR * share) + 1)
 
 
 def preference_order(key: KeyDigest, candidates: Iterable[Candidate], share: float) -> list[str]:
-    """Return the seats of fit members, the preferred one first; full ones come late, unstable ones last."""
+    """Return the seats of fit members by preference: members at capacity come late, unstable members last."""
     digest = xxhash.xxh64_digest(key)
     limit = capacity(share)
 
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LossHistory:
-    """How often a member was lost, and when last, in us."""
+    """Number of recent losses of a member, and the time of the latest."""
 
     count: int
     last_us: int
@@ -78,10 +82,12 @@
 
 @dataclass(slots=True)
 class StabilityTracker:
-    """Backs off members that come and go: after each loss one is passed over for longer.
+    """Tracks losses of members; each loss doubles the time during which a member counts as unstable.
 
-    first_backoff_us, max_backoff_us: int; the backoff doubles from one to the other.
-    losses: by seat.
+    Attributes:
+        first_backoff_us: Backoff after the first loss.
+        max_backoff_us: Limit of the backoff.
+        losses: Loss history by seat.
     """
 
     first_backoff_us: int
@@ -89,16 +95,16 @@
     losses: dict[str, LossHistory] = field(default_factory=dict)
 
     def record_loss(self, now_us: int, seat: str) -> None:
-        """Count a loss; those before `max_backoff_us` without one are forgotten."""
+        """Record a loss; earlier losses no longer count if none occurred for `max_backoff_us`."""
         history = self.losses.get(seat, LossHistory(0, now_us))
         count = 0 if now_us - history.last_us > self.max_backoff_us else history.count
         self.losses[seat] = LossHistory(count + 1, now_us)
 
     def is_stable(self, now_us: int, seat: str) -> bool:
-        """Whether the backoff of the seat is over."""
+        """Return whether the backoff of the seat has elapsed."""
         history = self.losses.get(seat)
         return history is None or now_us - history.last_us >= self.backoff_us(history.count)
 
     def backoff_us(self, losses: int) -> int:
-        """Return the backoff after so many losses."""
+        """Return the backoff after the given number of losses."""
         return min(self.max_backoff_us, self.first_backoff_us << min(losses - 1, MAX_BACKOFF_DOUBLINGS))
--- a/moorusher/leadership/chunks.py
+++ b/moorusher/leadership/chunks.py
@@ -1,7 +1,8 @@
-"""A state in content-addressed chunks, and the store in which a replica keeps them.
+"""Splits states into content-addressed chunks, and stores chunks at a replica.
 
-A chunk is stored before the register names it, marked with the change that is to name it. It is deleted once a change
-is known to be chosen that is as late as the mark and does not name it: from then on no change can. No clock decides.
+A chunk is stored before the record in the register references it. Its mark is the position of the change that will
+reference it. It is deleted once a chosen record at or after that position does not reference it, since from then on no
+change can reference it. Deletion does not depend on clocks.
 """
 
 from __future__ import annotations
@@ -15,13 +16,14 @@
 
 CHUNK_BYTES = 32 << 10
 DIGEST_BYTES = 16
-Mark = tuple[int, int, int]  # generation, term and revision of a change; an array on the wire and on disk
+# Generation, term and revision of a change; an array on the wire and on disk.
+Mark = tuple[int, int, int]
 NO_MARK: Mark = (0, 0, 0)
 BEFORE_ALL_MARKS: Mark = (0, 0, -1)
 
 
 def digest(chunk: bytes) -> bytes:
-    """Return the name of a chunk."""
+    """Return the name of a chunk, which is its digest."""
     return blake2b(chunk, digest_size=DIGEST_BYTES).digest()
 
 
@@ -30,7 +32,7 @@
 
 
 def split(state: bytes) -> dict[bytes, bytes]:
-    """Return the chunks of a state by name, in order; equal chunks are one."""
+    """Return the chunks of a state by name, in order; equal chunks are stored once."""
     return {digest(chunk): chunk for chunk in _split(state)}
 
 
@@ -40,7 +42,7 @@
 
 
 def join(version: StateVersion, find: Callable[[bytes], bytes | None]) -> bytes | None:
-    """Return the state of a version; None if a chunk is missing or the size is wrong."""
+    """Return the state of a version, or None if a chunk is missing or the size is wrong."""
     chunks = [find(name) for name in version.chunks]
     if any(chunk is None for chunk in chunks):
         return None
@@ -48,7 +50,7 @@
     return state if len(state) == version.size else None
 
 
-def named_chunks(record: LeaseRecord) -> set[bytes]:
+def referenced_chunks(record: LeaseRecord) -> set[bytes]:
     """Return the names of all chunks of a record's versions."""
     return {name for version in record.versions for name in version.chunks}
 
@@ -57,11 +59,13 @@
 class ChunkStore:
     """The chunks that one replica stores.
 
-    max_bytes: int, of one duty; what exceeds it is refused.
-    chunks: by register and name.
-    marks: the latest change that is to name a chunk, by register and name.
-    chosen: the latest change that is known to be chosen, by register.
-    has_disk: bool, new chunks are noted in `unsaved` until they are written.
+    Attributes:
+        max_bytes: Limit per duty; chunks beyond it are refused.
+        chunks: Chunks by register and name.
+        marks: Position of the latest change that will reference a chunk, by register and name.
+        chosen: Position of the latest record that is known to be chosen, by register.
+        has_disk: Whether new chunks are listed in `unsaved` until they are written.
+        unsaved: Registers and names of chunks to be written.
     """
 
     max_bytes: int
@@ -72,7 +76,7 @@
     unsaved: list[tuple[KeyDigest, bytes]] = field(default_factory=list)
 
     def add(self, key: KeyDigest, mark: Mark, chunk: bytes) -> bool:
-        """Store a chunk. False if there is no room for it, or no change can name it any more."""
+        """Store a chunk. Return False if it exceeds the limit or no change can reference it any more."""
         stored = self.chunks.setdefault(key, {})
         name = digest(chunk)
         if name not in stored:
@@ -88,7 +92,7 @@
         return True
 
     def find(self, key: KeyDigest, name: bytes) -> bytes | None:
-        """Return a chunk; None if it is not stored. A damaged one is deleted."""
+        """Return a chunk, or None if it is not stored. A chunk that does not match its digest is deleted."""
         chunk = self.chunks.get(key, {}).get(name)
         if chunk is not None and digest(chunk) != name:
             del self.chunks[key][name]
@@ -96,24 +100,24 @@
         return chunk
 
     def missing(self, key: KeyDigest, record: LeaseRecord) -> list[bytes]:
-        """Return the names of chunks that the record names and that are not stored."""
-        return sorted(name for name in named_chunks(record) if self.find(key, name) is None)
+        """Return the names of chunks that the record references and that are not stored."""
+        return sorted(name for name in referenced_chunks(record) if self.find(key, name) is None)
 
-    def delete_unnamed(self, key: KeyDigest, record: LeaseRecord) -> None:
-        """Delete what this record, known to be chosen, does not name and no later change will."""
+    def delete_unreferenced(self, key: KeyDigest, record: LeaseRecord) -> None:
+        """Delete chunks that neither this chosen record nor a later change references."""
         if record.position <= self.chosen.get(key, BEFORE_ALL_MARKS):
             return
         self.chosen[key] = record.position
         stored = self.chunks.get(key, {})
         marks = self.marks.get(key, {})
-        named = named_chunks(record)
+        referenced = referenced_chunks(record)
         for name in list(stored):
-            if name not in named and marks.get(name, NO_MARK) <= record.position:
+            if name not in referenced and marks.get(name, NO_MARK) <= record.position:
                 del stored[name]
                 marks.pop(name, None)
 
     def restore(self, key: KeyDigest, chunks: Sequence[bytes], mark: Mark | None = None) -> None:
-        """Take chunks from a disk or another replica, that the register names or is to name at `mark`."""
+        """Store chunks from a disk or another replica. `mark` is None if the record already references them."""
         for chunk in chunks:
             name = digest(chunk)
             self.chunks.setdefault(key, {})[name] = chunk
@@ -121,5 +125,5 @@
                 self.marks.setdefault(key, {})[name] = mark
 
     def total_bytes(self) -> int:
-        """Return the size of all chunks."""
+        """Return the total size of all chunks."""
         return sum(len(chunk) for stored in self.chunks.values() for chunk in stored.values())
--- a/moorusher/leadership/directory.py
+++ b/moorusher/leadership/directory.py
@@ -1,4 +1,4 @@
-"""The duties of the fleet, from any member: creates, reads and removes them, and takes an operator's statements."""
+"""Operations on the duties of the fleet from any member: create, read, remove, resume, and resolve intents."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 from .services import MemberServices
 from .state_fetching import StateFetching
 
-FETCH_TIMEOUT_US = 2_000 * MS  # for a state that is read
+# Timeout for fetching the state in a read.
+FETCH_TIMEOUT_US = 2_000 * MS
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A duty as it was read. `state` is None if only the record was asked for."""
+    """Result of reading a duty. `state` is None if only the record was requested."""
 
     record: LeaseRecord
     state: bytes | None
@@ -42,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredDuty:
-    """A duty that the settings name: it is created if it never was."""
+    """A duty of the settings, which is created if it never existed."""
 
     name: str
     kind: str
 
 
 class DutyDirectory:
-    """Operations on any duty, at any member. Callbacks get a LeadershipError if the operation failed."""
+    """Operations on any duty, at any member. Callbacks receive a LeadershipError if the operation failed."""
 
     def __init__(
         self,
@@ -69,16 +70,16 @@
     # ---- duties of the settings ----
 
     def declare(self, name: str, kind: str) -> None:
-        """The settings name this duty: the first replica of its register that is up creates it."""
+        """Declare a duty of the settings. The first replica of its register that is up creates it."""
         self._declared.append(DeclaredDuty(name, kind))
 
     def create_declared(self) -> None:
-        """Create declared duties that never were. Called periodically."""
+        """Create declared duties that never existed. Called periodically."""
         for duty in self._declared:
             key = register_key(duty.name)
             if key not in self._election.records and self._is_first_replica(key):
                 change = Create(duty.name, duty.kind, self._services.incarnation, recreate=False)
-                self._services.change_register(key, change, None, lambda done: None)
+                self._services.change_register(key, change, None, lambda result: None)
 
     def _is_first_replica(self, key: KeyDigest) -> bool:
         me = self._services.me
@@ -88,7 +89,7 @@
     # ---- operations ----
 
     def create(self, name: str, kind: str, callback: RecordCallback) -> None:
-        """Create a duty. Errors: LimitExceededError for the name, NoMajorityError, LeaderBusyError."""
+        """Create a duty. Errors: LimitExceededError if the name is too long, NoMajorityError, LeaderBusyError."""
         size = len(name.encode())
         if not 0 < size <= MAX_NAME_BYTES:
             return callback(LimitExceededError(f"a name of {size} bytes: 1 to {MAX_NAME_BYTES} are taken"))
@@ -96,7 +97,7 @@
         return self._change(name, change, _exists, callback)
 
     def remove(self, name: str, callback: RecordCallback) -> None:
-        """Remove a duty, and supersede its leader. Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError."""
+        """Remove a duty and supersede its leader. Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError."""
 
         def read(found: LeaseRecord | LeadershipError) -> None:
             if isinstance(found, LeadershipError):
@@ -108,14 +109,14 @@
 
             return self._change(name, Remove(generation), is_removed, callback)
 
-        self._change(name, Read(), _always, read)
+        self._change(name, Read(), _accept_any, read)
 
     def resume(self, name: str, callback: RecordCallback) -> None:
-        """Let a suspended duty go on. Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError."""
+        """Resume a suspended duty. Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError."""
         self._change(name, Resume(), _is_not_suspended, callback)
 
     def resolve_intent(self, name: str, intent_revision: int, callback: RecordCallback) -> None:
-        """Close an open intent, on an operator's statement.
+        """Close an open intent whose outcome an operator has determined.
 
         Errors: UnknownLeaseError, NoMajorityError, LeaderBusyError.
         """
@@ -128,11 +129,11 @@
     def read(
         self, name: str, callback: ReadingCallback, state: bool = True, after_abandoned_changes: bool = False
     ) -> None:
-        """Read a duty as a majority has it. Errors: UnknownLeaseError, NoMajorityError, StateDamagedError.
+        """Read a duty from a majority. Errors: UnknownLeaseError, NoMajorityError, StateDamagedError.
 
-        state: bool, read the state as well.
-        after_abandoned_changes: bool, no change that was abandoned before can come about later, unless it is seen now.
-            Such a read hinders changes that are made at the same time.
+        :param state: Whether to read the state as well.
+        :param after_abandoned_changes: Whether to ensure that a change which was abandoned earlier is either visible
+            in the result or never applied. Such a read conflicts with concurrent changes.
         """
 
         def found(record: LeaseRecord | LeadershipError) -> None:
@@ -145,10 +146,10 @@
             return self._read_state(name, record, callback)
 
         if after_abandoned_changes:
-            self._change(name, Read(), _always, found)
+            self._change(name, Read(), _accept_any, found)
         else:
             self._services.read_register(
-                register_key(name), lambda done: found(_checked(name, done, _always))
+                register_key(name), lambda result: found(_check_result(name, result, _accept_any))
             )
 
     def _read_state(self, name: str, record: LeaseRecord, callback: ReadingCallback) -> None:
@@ -164,7 +165,7 @@
         self._fetching.fetch(register_key(name), version, deadline_us, fetched)
 
     def last_known(self, name: str) -> Reading | LeadershipError:
-        """Return what this member knows without asking others; it may be out of date."""
+        """Return the duty as this member knows it, without network requests; it may be stale."""
         key = register_key(name)
         lease = self._leases.by_key.get(key)
         if lease is not None:
@@ -180,22 +181,22 @@
         self, name: str, change: Change, is_done: Callable[[LeaseRecord], bool], callback: RecordCallback
     ) -> None:
         self._services.change_register(
-            register_key(name), change, None, lambda done: callback(_checked(name, done, is_done))
+            register_key(name), change, None, lambda result: callback(_check_result(name, result, is_done))
         )
 
 
-def _checked(
-    name: str, done: ChangeResult | None, is_done: Callable[[LeaseRecord], bool]
+def _check_result(
+    name: str, result: ChangeResult | None, is_done: Callable[[LeaseRecord], bool]
 ) -> LeaseRecord | LeadershipError:
-    if done is None:
+    if result is None:
         return NoMajorityError(name)
-    record = decode_record(done.value)
+    record = decode_record(result.value)
     if record is None:
         return UnknownLeaseError(name)
     return record if is_done(record) else LeaderBusyError(f"{name}: not as it should be by now")
 
 
-def _always(record: LeaseRecord) -> bool:
+def _accept_any(record: LeaseRecord) -> bool:
     return True
 
 
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -1,9 +1,9 @@
-"""How a leader carries out its effects: first a change of the register by a majority, then what is outside."""
+"""Executes the effects of a leader: first a change of the register by a majority, then the external request."""
 
 from __future__ import annotations
 
 from ..time_units import MS
-from .chunks import chunk_names, named_chunks
+from .chunks import chunk_names, referenced_chunks
 from .effects import (
     Completed,
     DeferredStateUpdate,
@@ -26,20 +26,23 @@
 from .lease_interface import HeldLease
 from .lease_record import LeaseRecord
 
-MAX_ATTEMPTS = 5  # at a receiver that does not answer, and of a state update that others' changes overtake
-RETRY_US = 200 * MS  # of a receiver that does not answer
-REPLICATION_TIMEOUT_US = 1_500 * MS  # until a majority has stored the chunks of a state
+# Attempts of a request to a receiver that does not answer, and retries of a state update after concurrent changes.
+MAX_ATTEMPTS = 5
+# Delay before a request is sent again to a receiver that does not answer.
+RETRY_US = 200 * MS
+# Timeout for storing the chunks of a state at a majority.
+REPLICATION_TIMEOUT_US = 1_500 * MS
 
 
 class EffectExecutor:
-    """Carries out one effect at a time; each ends with `LeaseHolder.finish`."""
+    """Executes the effects of `lease` one at a time; each ends with a call of `LeaseHolder.finish`."""
 
     def __init__(self, lease: HeldLease, intents: IntentResolver) -> None:
         self.lease = lease
         self._intents = intents
 
     def execute(self, effect: Effect) -> None:
-        """Start an effect."""
+        """Start the execution of an effect."""
         match effect:
             case StateUpdate():
                 self._update_state(effect.state)
@@ -73,7 +76,8 @@
 
         def changed(outcome: Outcome) -> None:
             if isinstance(outcome, LeaderBusyError) and attempt < MAX_ATTEMPTS:
-                return self._update_state(state, attempt + 1)  # for the revision that there is now
+                # Retry on top of the current revision.
+                return self._update_state(state, attempt + 1)
             if isinstance(outcome, Completed):
                 lease.state = state
                 lease.context.replication.announce_chosen(lease.key, lease.record)
@@ -83,7 +87,7 @@
             key=lease.key,
             mark=(record.generation, record.term, record.revision + 1),
             state=state,
-            known=named_chunks(record),
+            known=referenced_chunks(record),
             deadline_us=lease.context.services.now() + REPLICATION_TIMEOUT_US,
             callback=replicated,
         )
@@ -91,7 +95,7 @@
     # ---- receivers that compare fencing tokens ----
 
     def issue_token(self, request: FencedRequest) -> None:
-        """Have a majority choose the token of a request, then send it."""
+        """Obtain a fencing token from a majority, then send the request with it."""
 
         def issued(outcome: Outcome) -> None:
             if not isinstance(outcome, Completed):
@@ -101,7 +105,7 @@
         self.lease.register.change(issued, IssueToken)
 
     def send_fenced(self, request: FencedRequest, token: FencingToken, attempt: int) -> None:
-        """Send a request, and again with the same token if there is no answer: the receiver counts it once."""
+        """Send a request; without an answer, retry with the same token, so that the receiver executes it only once."""
         lease = self.lease
 
         def responded(response: ReceiverResponse) -> None:
@@ -119,7 +123,7 @@
         lease.context.receivers.send_fenced(request.receiver, lease.name, token, request.body, responded)
 
     def _rejected(self, receiver: str, highest: FencingToken) -> None:
-        """The receiver knows a later token: another leads, or the registers were lost and began anew."""
+        """Handle a rejection: another leader has taken over, or the registers were lost and created again."""
         lease = self.lease
 
         def verified(found: LeaseRecord | None) -> None:
--- a/moorusher/leadership/effects.py
+++ b/moorusher/leadership/effects.py
@@ -1,7 +1,7 @@
-"""The kinds of effect that a leader may have, and what becomes of them.
+"""The kinds of effects that a leader can have, and their outcomes.
 
-A leader acts only by handing one of these to its `LeaseHolder`. Each kind states how a former leader is fenced from
-doing harm with it; there is no unfenced kind.
+A leader acts only by submitting one of these effects to its `LeaseHolder`. Every kind of effect is fenced against
+former leaders; its class states how.
 """
 
 from __future__ import annotations
@@ -16,21 +16,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """Replaces the duty's state. Fenced by the register: a majority rejects it once the term is over."""
+    """Replaces the duty's state. Fenced by the register: a majority rejects the update once the term has ended."""
 
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class DeferredStateUpdate:
-    """A state update whose state is read when its turn comes, after the effects that were submitted before it."""
+    """A state update that reads the new state when it is executed, after all effects submitted before it."""
 
     read: Callable[[], bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class FencedRequest:
-    """A request to a receiver that compares fencing tokens. `receiver`: host:port."""
+    """A request to a receiver that compares fencing tokens.
+
+    Attributes:
+        receiver: Address of the receiver as host:port.
+        body: Body of the request.
+    """
 
     receiver: str
     body: bytes
@@ -38,10 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentRequest:
-    """A request to a receiver that can't compare tokens: the intent is recorded by a majority first.
+    """A request to a receiver that can't compare tokens; a majority records the intent before it is sent.
 
-    payload: bytes, at most `lease_record.MAX_INTENT_BYTES`.
-    resolution: how a later leader finds the outcome, if this one does not report it.
+    Attributes:
+        receiver: Address of the receiver.
+        payload: Request of at most `lease_record.MAX_INTENT_BYTES`.
+        resolution: How the outcome is determined if the receiver does not answer or this leader is lost.
     """
 
     receiver: str
@@ -54,7 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """An effect that was carried out. `done` is False for an intent that the receiver will never do."""
+    """Outcome of an effect that was executed.
+
+    Attributes:
+        token: Fencing token of the effect.
+        answer: Body of the receiver's answer.
+        done: False for an intent that the receiver has not executed and never will.
+    """
 
     token: FencingToken
     answer: bytes = b""
@@ -67,12 +80,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiverResponse:
-    """What a receiver answered.
+    """Response of a receiver.
 
-    answered: bool; without an answer it may have done the request or not.
-    done: bool, the request was done.
-    body: bytes, of the answer.
-    highest_token: it rejected the request, as it knows this later token.
+    Attributes:
+        answered: Whether an answer arrived. Without one it is unknown whether the request was executed.
+        done: Whether the request was executed.
+        body: Body of the answer.
+        highest_token: Later token because of which the receiver rejected the request, if it did.
     """
 
     answered: bool
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -1,7 +1,7 @@
-"""Election of leaders, at the replicas of a duty's register: a duty that needs a leader is offered to a candidate.
+"""Election of leaders: the replicas of a duty's register offer a duty that needs a leader to a candidate.
 
-Who offers, to whom and when decides only how fast it goes. Safety is the register's: of two members that accept at
-once, one acquires the lease.
+The order and the timing of offers affect only the speed of an election. Safety comes from the register: if two members
+accept an offer concurrently, only one of them acquires the lease.
 """
 
 from __future__ import annotations
@@ -17,48 +17,52 @@
 from .messages import LeaseOffer, OfferDeclined
 from .services import MemberServices
 
-REPLICA_RANK_DELAY_US = (
-    250 * MS
-)  # between the replicas of a register, in their order, until the next one steps in
-RETRY_BACKOFF_US = 400 * MS  # times the number of the attempt
+# Delay per rank before a replica makes its first offer, so that the first replica alone offers if it is up.
+REPLICA_RANK_DELAY_US = 250 * MS
+# Backoff between attempts, multiplied by the number of the attempt.
+RETRY_BACKOFF_US = 400 * MS
 MAX_RETRY_BACKOFF_US = 2_000 * MS
-BATCH_SIZE = 16  # offers at a time: the duties of a lost leader are offered as a stream, not as a burst
+# Offers per batch. Batches spread the offers for the duties of a lost leader over time.
+BATCH_SIZE = 16
 BATCH_INTERVAL_US = 10 * MS
-PRESSING_ATTEMPTS = 3  # after so many, an offer must be accepted by any member that is fit
-MAX_DECLINED = 8  # answers "declined" that are followed by an offer to the next candidate at once
+# Number of offers that overloaded members may decline; they must accept later offers.
+MAX_DECLINABLE_OFFERS = 3
+# Limit of declined offers per attempt that are followed by an immediate offer to the next candidate.
+MAX_DECLINED_OFFERS = 8
 
 
 @dataclass(slots=True)
 class Election:
-    """The replicas' part: sees to it that each duty whose register this member replicates has a leader.
-
-    services: of the member.
-    is_fit: whether this member may lead.
-    led_duties: how many duties this member leads.
-    stability: members that come and go are passed over for a while.
-    unfit_patience_us: int, after which a leader that is not fit and releases nothing is passed over.
-    records: by register; what this replica has accepted, which need not be chosen.
+    """Elects leaders for the duties whose registers this member replicates.
+
+    Attributes:
+        services: Services of the member.
+        is_fit: Returns whether this member may lead.
+        led_duties: Returns the number of duties that this member leads.
+        stability: Tracks members that were lost recently.
+        unfit_timeout_us: Time after which a leader that is unfit and has not released its lease is replaced.
+        records: Records that this replica has accepted, by register; they need not be chosen.
     """
 
     services: MemberServices
     is_fit: Callable[[], bool]
     led_duties: Callable[[], int]
     stability: StabilityTracker
-    unfit_patience_us: int
+    unfit_timeout_us: int
     records: dict[KeyDigest, LeaseRecord] = field(default_factory=dict)
-    _declined: dict[KeyDigest, int] = field(default_factory=dict)  # answers to the latest offer
+    # Declined offers of the current attempt.
+    _declined: dict[KeyDigest, int] = field(default_factory=dict)
     _keys_by_holder: dict[Owner, set[KeyDigest]] = field(default_factory=dict)
-    _attempts: dict[KeyDigest, int] = field(
-        default_factory=dict
-    )  # of duties for which an election is under way
-    _due: deque[KeyDigest] = field(default_factory=deque)
+    # Number of attempts of each election in progress.
+    _attempts: dict[KeyDigest, int] = field(default_factory=dict)
+    _pending_offers: deque[KeyDigest] = field(default_factory=deque)
     _is_batch_scheduled: bool = False
     _unfit_since_us: dict[Owner, int] = field(default_factory=dict)
 
-    # ---- what is known ----
+    # ---- accepted records and lost members ----
 
     def on_record(self, key: KeyDigest, record: LeaseRecord | None) -> None:
-        """This replica has accepted a value of the register."""
+        """Called when this replica has accepted a value of the register."""
         previous = self.records.get(key)
         if previous is not None and previous.holder is not None:
             self._forget_holder(key, previous.holder)
@@ -71,9 +75,9 @@
         if record.holder is not None:
             self._keys_by_holder.setdefault(record.holder, set()).add(key)
             if self.is_lost(record.holder):
-                self._start(key)
+                self._start_election(key)
         elif record.needs_leader:
-            self._start(key)
+            self._start_election(key)
 
     def _forget_holder(self, key: KeyDigest, holder: Owner) -> None:
         keys = self._keys_by_holder.get(holder, set())
@@ -82,40 +86,41 @@
             self._keys_by_holder.pop(holder, None)
 
     def is_lost(self, holder: Owner) -> bool:
-        """Whether that process is lost, as far as is known here."""
-        own = self.services.owner
-        if holder.seat == own.seat:
+        """Return whether this member regards the process as lost."""
+        own_process = self.services.owner
+        if holder.seat == own_process.seat:
             predecessor = self.services.members.own.status.predecessor
-            return holder.incarnation < own.incarnation and holder.incarnation != predecessor
+            return holder.incarnation < own_process.incarnation and holder.incarnation != predecessor
         member = self.services.members.by_seat.get(holder.seat)
         return member is None or member.is_lost(holder.incarnation)
 
     def held_by(self, holder: Owner) -> list[KeyDigest]:
-        """Return the registers that name this process as the leader."""
+        """Return the registers whose accepted records name this process as the holder."""
         return sorted(self._keys_by_holder.get(holder, ()))
 
-    def on_member_lost(self, seat: str, inc: int) -> None:
-        """The failure detector has declared a process dead. `inc`: its incarnation."""
+    def on_member_lost(self, seat: str, incarnation: int) -> None:
+        """Called when the failure detector has declared a process dead."""
         self.stability.record_loss(self.services.now(), seat)
-        for key in sorted(self._keys_by_holder.get(Owner(seat, inc), ())):
-            self._start(key)
+        for key in sorted(self._keys_by_holder.get(Owner(seat, incarnation), ())):
+            self._start_election(key)
 
     def check_holders(self) -> None:
-        """Pass over leaders that are lost, or have been unfit for long and released nothing. Called periodically."""
+        """Start elections to replace leaders that are lost, or unfit beyond the timeout. Called periodically."""
         now = self.services.now()
         for holder in list(self._keys_by_holder):
             if self._is_unfit(holder):
-                if now - self._unfit_since_us.setdefault(holder, now) >= self.unfit_patience_us:
-                    self._start_all(holder)
+                if now - self._unfit_since_us.setdefault(holder, now) >= self.unfit_timeout_us:
+                    self._start_elections(holder)
                 continue
             self._unfit_since_us.pop(holder, None)
             if holder != self.services.owner and self.is_lost(holder):
-                self._start_all(holder)
+                self._start_elections(holder)
         for holder in self._unfit_since_us.keys() - self._keys_by_holder.keys():
             del self._unfit_since_us[holder]
 
     def _is_unfit(self, holder: Owner) -> bool:
-        """It is there and says that it is not fit. A member that was never heard of has not said so."""
+        """Return whether the holder is alive and reports that it is unfit."""
+        # A member that was never heard of has reported nothing, so it does not count as unfit.
         member = self.services.members.by_seat.get(holder.seat)
         if (
             holder == self.services.owner
@@ -126,9 +131,9 @@
             return False
         return not self.is_lost(holder)
 
-    def _start_all(self, holder: Owner) -> None:
+    def _start_elections(self, holder: Owner) -> None:
         for key in self.held_by(holder):
-            self._start(key)
+            self._start_election(key)
 
     def _needs_leader(self, record: LeaseRecord) -> bool:
         if record.needs_leader:
@@ -138,11 +143,11 @@
         if self.is_lost(record.holder):
             return True
         unfit_since_us = self._unfit_since_us.get(record.holder)
-        return unfit_since_us is not None and self.services.now() - unfit_since_us >= self.unfit_patience_us
+        return unfit_since_us is not None and self.services.now() - unfit_since_us >= self.unfit_timeout_us
 
     # ---- offers ----
 
-    def _start(self, key: KeyDigest) -> None:
+    def _start_election(self, key: KeyDigest) -> None:
         if key in self._attempts:
             return
         self._attempts[key] = 0
@@ -160,21 +165,21 @@
         self.services.after(delay_us, lambda: self._enqueue(key))
 
     def _enqueue(self, key: KeyDigest) -> None:
-        self._due.append(key)
+        self._pending_offers.append(key)
         if not self._is_batch_scheduled:
             self._is_batch_scheduled = True
             self._run_batch()
 
     def _run_batch(self) -> None:
-        for _ in range(min(BATCH_SIZE, len(self._due))):
-            self._attempt(self._due.popleft())
-        if self._due:
+        for _ in range(min(BATCH_SIZE, len(self._pending_offers))):
+            self._attempt(self._pending_offers.popleft())
+        if self._pending_offers:
             self.services.after(BATCH_INTERVAL_US, self._run_batch)
         else:
             self._is_batch_scheduled = False
 
     def _attempt(self, key: KeyDigest) -> None:
-        """Offer the duty to a candidate, and again to the next one until it has a leader."""
+        """Offer the duty to a candidate, and schedule the next attempt in case it stays without a leader."""
         if key not in self._attempts:
             return
         record = self.records.get(key)
@@ -196,12 +201,12 @@
             self.services.count("duties: nobody is fit to have one")
             return
         leader_lost = record.holder is not None and self.is_lost(record.holder)
-        must_accept = attempt >= PRESSING_ATTEMPTS
+        must_accept = attempt >= MAX_DECLINABLE_OFFERS
         offer = LeaseOffer(key, record.generation, record.term, leader_lost, must_accept)
         self.services.send(seats[attempt % len(seats)], offer)
 
     def on_offer_declined(self, seat: str, message: OfferDeclined) -> None:
-        """The candidate has enough duties: offer it to the next one at once, a bounded number of times."""
+        """Handle a declined offer: offer the duty to the next candidate immediately, up to a limit."""
         key = message.key
         record = self.records.get(key)
         attempt = self._attempts.get(key)
@@ -211,22 +216,22 @@
             return
         declined = self._declined.get(key, 0) + 1
         self._declined[key] = declined
-        if declined < MAX_DECLINED:
+        if declined < MAX_DECLINED_OFFERS:
             self._offer(key, record, attempt - 1 + declined)
 
     # ---- candidates ----
 
     def candidates_for(self, key: KeyDigest) -> list[str]:
-        """Return the seats that may lead a duty, the preferred one first."""
+        """Return the seats of members that may lead a duty, the preferred seat first."""
         candidates = self.candidates()
         return preference_order(key, candidates, self.fair_share(candidates))
 
     def fair_share(self, candidates: list[Candidate]) -> float:
-        """Return the number of duties that a fit member should lead."""
+        """Return the mean number of duties per fit member."""
         return fair_share(candidates, self.services.replica_count)
 
     def candidates(self) -> list[Candidate]:
-        """Return all members, by their own statements."""
+        """Return all members with the fitness and the load that they report."""
         now = self.services.now()
         own_seat = self.services.me
         found = []
--- a/moorusher/leadership/errors.py
+++ b/moorusher/leadership/errors.py
@@ -1,7 +1,7 @@
-"""Errors of duties. Each says what happened, and in `remedy` what an operator can do.
+"""Errors of operations on duties. The message describes the failure; `remedy` tells operators what they can do.
 
-`kind` is part of the API: runners send them to each other (`config_distribution`), and the
-operators' page (`docs/operate/duties.md`) lists them.
+`kind` is part of the API: runners send it to each other (`config_distribution`), and the operators' page
+(`docs/operate/duties.md`) lists the kinds.
 """
 
 from __future__ import annotations
@@ -11,15 +11,17 @@
 
 
 class LeadershipError(OperatorError):
-    """Why something was not done for a duty, with the HTTP status and the remedy for operators."""
+    """Base class of the reasons why an operation on a duty failed, with the HTTP status and the remedy."""
 
 
 class LeaseSupersededError(LeadershipError):
-    """The lease is held by another leader, or in a later term.
+    """The lease is held by another leader or in a later term.
 
-    duty: str, its name.
-    term: int, that is over.
-    by, by_term: the leader that is known now, and its term.
+    Attributes:
+        duty: Name of the duty.
+        term: Term that has ended.
+        by: Current leader, or None if unknown.
+        by_term: Term of the current leader.
     """
 
     kind = "Superseded"
@@ -35,7 +37,7 @@
 
 
 class NoMajorityError(LeadershipError):
-    """Too few replicas answer: whether the change comes about is not known."""
+    """Too few replicas answered, so it is unknown whether the change will be applied."""
 
     kind = "NoMajority"
     status = 503
@@ -60,7 +62,7 @@
 
 
 class LeaseSuspendedError(LeadershipError):
-    """The duty is suspended: it waits for an operator."""
+    """The duty is suspended until an operator resumes it."""
 
     kind = "SetAside"
     remedy = (
@@ -72,7 +74,12 @@
 
 
 class RevisionConflictError(LeadershipError):
-    """It was changed by another meanwhile. `expected`, `found`: revisions."""
+    """The value was changed concurrently.
+
+    Attributes:
+        expected: Revision that the caller expected.
+        found: Revision that was found.
+    """
 
     kind = "Conflict"
     remedy = "Read what is there now, and make the change anew on top of it."
@@ -84,7 +91,7 @@
 
 
 class LimitExceededError(LeadershipError):
-    """A size or a count exceeds the settings."""
+    """A size or a count exceeds a limit of the settings."""
 
     kind = "OverBudget"
     status = 413
@@ -94,7 +101,7 @@
 
 
 class StateDamagedError(LeadershipError):
-    """No complete copy of its state can be found."""
+    """No replica that answers has a complete copy of the duty's state."""
 
     kind = "Damaged"
     status = 503
@@ -105,7 +112,7 @@
 
 
 class RegistersLostError(LeadershipError):
-    """The registers were lost and began anew: a receiver knows of later terms than they do."""
+    """A receiver knows a later token than the registers, which were lost and created again."""
 
     kind = "Forgotten"
     remedy = (
@@ -115,7 +122,7 @@
 
 
 class IntentUncertainError(LeadershipError):
-    """The receiver has not answered whether an intent was done."""
+    """The receiver has not answered, so it is unknown whether an intent was executed."""
 
     kind = "Uncertain"
     remedy = (
@@ -133,7 +140,7 @@
 
 
 class LeaderBusyError(LeadershipError):
-    """It can't be done now; nothing was changed. Retry later."""
+    """The operation is not possible now. It has changed nothing and can be retried later."""
 
     kind = "Busy"
     status = 503
--- a/moorusher/leadership/fencing_token.py
+++ b/moorusher/leadership/fencing_token.py
@@ -1,7 +1,7 @@
-"""The fencing token that goes with every effect of a duty, and the rule of a receiver that compares it.
+"""The fencing token of an effect, and the rule by which a receiver compares tokens.
 
-A receiver keeps the highest token of each duty on a disk, in the transaction of the effect itself: a lower token comes
-from a former leader, an equal one from a repeated request.
+A receiver persists the highest token of each duty in the same transaction as the effect. A lower token comes from a
+former leader; an equal token comes from a repeated request.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 
 
 class FencingToken(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Identifies one change that a majority has chosen. Compared, and sent as an array, in the order of its fields.
+    """Identifies a change that a majority has chosen. Compared and encoded in the order of its fields.
 
-    generation: int, of the duty.
-    term: int, of the leader.
-    revision: int, of the lease record.
+    Attributes:
+        generation: Generation of the duty.
+        term: Term of the leader.
+        revision: Revision of the lease record.
     """
 
     generation: int
@@ -25,15 +26,18 @@
 
 
 class TokenVerdict(Enum):
-    """What a receiver makes of a token. The values go over the wire."""
+    """A receiver's decision on a token. The values are sent over the wire."""
 
-    CURRENT = "new"  # the effect is to be made
-    DUPLICATE = "again"  # it was made: the first answer is repeated
-    STALE = "behind"  # rejected, with the highest token
+    # The effect is executed.
+    CURRENT = "new"
+    # The effect was executed before; the first answer is repeated.
+    DUPLICATE = "again"
+    # The request is rejected, with the highest known token.
+    STALE = "behind"
 
 
 def check_token(highest: FencingToken | None, token: FencingToken) -> TokenVerdict:
-    """Compare a token with the highest that a receiver has accepted for the duty."""
+    """Compare a token with the highest token that a receiver has accepted for the duty."""
     if highest is None or token > highest:
         return TokenVerdict.CURRENT
     if token == highest:
--- a/moorusher/leadership/heartbeat.py
+++ b/moorusher/leadership/heartbeat.py
@@ -1,7 +1,7 @@
-"""The duty that reports to a dead man's switch that the fleet is there, again and again.
+"""The duty that sends periodic heartbeat reports of the fleet to a dead man's switch.
 
-One report at a time for the whole fleet, from whichever member leads the duty; fenced, so that a former leader's does
-not count.
+Only the leader of the duty sends reports, one at a time. Reports are fenced, so the receiver rejects those of a former
+leader.
 """
 
 from __future__ import annotations
@@ -23,7 +23,11 @@
 
 
 class HeartbeatState(msgspec.Struct, frozen=True):
-    """The duty's state, stored as JSON. `reports`: int, sent since the duty was created, by any leader."""
+    """The duty's state, stored as JSON.
+
+    Attributes:
+        reports: Number of reports sent by all leaders since the duty was created.
+    """
 
     reports: int = 0
 
@@ -34,23 +38,25 @@
 class HeartbeatWorker:
     """Sends reports to a receiver, one at a time.
 
-    state: HeartbeatState, with the reports that the receiver has acknowledged.
+    Attributes:
+        state: The duty's state, with the number of reports that the receiver has acknowledged.
     """
 
     def __init__(
         self,
         lease: LeaseHolder,
-        report: HeartbeatDuty,
+        duty: HeartbeatDuty,
         after: Callable[[int, Callable[[], None]], None],
         fleet_summary: Callable[[], dict[str, Any]],
     ) -> None:
-        """`after`: calls an action after a delay in us. `fleet_summary`: what a report says."""
         self.state = HeartbeatState()
         if lease.state:
             self.state = msgspec.json.decode(lease.state, type=HeartbeatState)
         self._lease = lease
-        self._report = report
+        self._duty = duty
+        # Calls an action after a delay in us.
         self._after = after
+        # Returns the contents of a report.
         self._fleet_summary = fleet_summary
         self._is_stopped = False
         self._is_report_pending = False
@@ -60,23 +66,23 @@
         self._tick()
 
     def before_release(self) -> None:
-        """Hand the count on. A report may be pending: it counts in that state, as the state is read after it."""
+        """Store the count for the next leader. The deferred update includes a report that is still pending."""
         self._lease.submit(DeferredStateUpdate(lambda: _json.encode(self.state)), ignore_outcome)
 
     def stop(self, reason: LeadershipError | None) -> None:
-        """Send nothing any more."""
+        """Stop sending reports."""
         self._is_stopped = True
 
     def _tick(self) -> None:
         if self._is_stopped:
             return
-        self._after(round(self._report.interval_ms * MS), self._tick)
+        self._after(round(self._duty.interval_ms * MS), self._tick)
         if not self._is_report_pending:
             self._send_report()
 
     def _send_report(self) -> None:
         self._is_report_pending = True
-        host, port = self._report.to
+        host, port = self._duty.to
         body = _json.encode(self._fleet_summary() | {"reports": self.state.reports + 1})
         self._lease.submit(FencedRequest(f"{host}:{port}", body), self._on_outcome)
 
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -1,4 +1,4 @@
-"""The leases of one member: takes those that it is offered, starts and stops their workers, and gives leases up."""
+"""The leases of one member: acquires offered leases, starts and stops their workers, and releases leases."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 from .worker import EffectReceivers, Worker
 
 ACQUIRE_RETRY_US = 400 * MS
-CHECK_BATCH_SIZE = 16  # leases that are checked at a time after a pause
+# Number of leases per batch that are verified after a pause.
+CHECK_BATCH_SIZE = 16
 CHECK_BATCH_INTERVAL_US = 10 * MS
 MINUTE_US = 60_000 * MS
 
@@ -30,8 +31,9 @@
 class HeldLeases:
     """The leases of one member.
 
-    by_key: dict of the lease holders, by register.
-    workers: dict of their workers; a duty that this member's settings don't know has none.
+    Attributes:
+        by_key: Lease holders by register.
+        workers: Workers by register. A duty that is missing in this member's settings has no worker.
     """
 
     def __init__(
@@ -54,16 +56,16 @@
         self._lease_holder_class = lease_holder_class
         self._context = LeaderContext(services, replication, fetching, receivers, policy)
         self._acquiring: set[KeyDigest] = set()
-        self._last_move_us = 0
+        self._last_handover_us = 0
 
     def __len__(self) -> int:
-        """Leases that are held or being acquired."""
+        """Return the number of leases that are held or being acquired."""
         return len(self.by_key) + len(self._acquiring)
 
     # ---- acquiring ----
 
     def on_offer(self, seat: str, offer: LeaseOffer) -> None:
-        """A replica offers a duty that needs a leader: acquire its lease, or decline."""
+        """Handle an offer from a replica: acquire the lease or decline."""
         held = self.by_key.get(offer.key)
         if offer.key in self._acquiring or (held is not None and held.record.term > offer.term):
             return
@@ -83,26 +85,25 @@
         share = self._election.fair_share(self._election.candidates())
         return len(self) >= overload_threshold(share)
 
-    def adopt_unknown(self) -> None:
-        """Take up leases that the registers say are held here, though no answer has said so. Called periodically."""
+    def adopt_unacknowledged(self) -> None:
+        """Adopt leases whose acquisition succeeded without an answer to this process. Called periodically."""
         for key in self._election.held_by(self._services.owner):
             if key not in self.by_key and key not in self._acquiring:
                 self._acquiring.add(key)
                 self._acquire(key, Read())
 
     def _acquire(self, key: KeyDigest, change: Change) -> None:
-        def answered(done: ChangeResult | None) -> None:
-            if (
-                done is None
-            ):  # it may be held all the same: the replicas see this member alive, and wait for it
+        def on_result(result: ChangeResult | None) -> None:
+            if result is None:
+                # Retry: the acquisition may have succeeded, and replicas don't replace a holder that is alive.
                 return self._services.after(ACQUIRE_RETRY_US, lambda: self._acquire(key, change))
             self._acquiring.discard(key)
-            return self._on_register(key, change, done)
+            return self._on_register(key, change, result)
 
-        self._services.change_register(key, change, None, answered)
+        self._services.change_register(key, change, None, on_result)
 
-    def _on_register(self, key: KeyDigest, change: Change, done: ChangeResult) -> None:
-        record = decode_record(done.value)
+    def _on_register(self, key: KeyDigest, change: Change, result: ChangeResult) -> None:
+        record = decode_record(result.value)
         if record is None or record.holder != self._services.owner or not record.is_led:
             if record is not None and record.status == LeaseStatus.SUSPENDED:
                 self._services.count("duties: put aside")
@@ -115,7 +116,7 @@
         self._services.count("duties: accepted")
         if isinstance(change, AcquireLease):
             self._notify_former_holder(key, change, record)
-        self.by_key[key] = self._lease_holder_class(self._context, self, key, record, done.promise)
+        self.by_key[key] = self._lease_holder_class(self._context, self, key, record, result.promise)
 
     def _notify_former_holder(self, key: KeyDigest, change: AcquireLease, record: LeaseRecord) -> None:
         former = change.former_holder
@@ -124,7 +125,7 @@
             self._services.send(former.seat, taken)
 
     def on_lease_taken(self, seat: str, message: LeaseTaken) -> None:
-        """Another member says that it has the lease: ask the register."""
+        """Handle the notification that another member has acquired the lease: verify it with the register."""
         held = self.by_key.get(message.key)
         if held is None:
             return
@@ -134,36 +135,36 @@
     # ---- workers ----
 
     def started(self, lease: LeaseHolder) -> None:
-        """A lease has its state: start the worker."""
+        """Start the worker of a lease whose state is available."""
         worker = self._create_worker(lease)
         if worker is not None:
             self.workers[lease.key] = worker
             worker.start()
 
     def ended(self, lease: LeaseHolder, reason: LeadershipError | None) -> None:
-        """A term is over: stop the worker."""
+        """Stop the worker of a lease whose term has ended."""
         if self.by_key.get(lease.key) is lease:
             del self.by_key[lease.key]
         worker = self.workers.pop(lease.key, None)
         if worker is not None:
             worker.stop(reason)
 
-    # ---- giving up ----
+    # ---- verifying and releasing ----
 
     def check_all(self) -> None:
-        """Find out which leases are still held, after this process was paused; a batch at a time."""
+        """Verify in batches which leases are still held after this process was paused."""
         self._services.count("duties: looked after a pause")
         for index, lease in enumerate(list(self.by_key.values())):
             batch = index // CHECK_BATCH_SIZE
             self._services.after(batch * CHECK_BATCH_INTERVAL_US, lease.check)
 
     def release_all(self) -> None:
-        """Give every lease up: this member leaves, or is not fit."""
+        """Release all leases, since this member leaves or is unfit."""
         for key in list(self.by_key):
             self.release(key)
 
     def release(self, key: KeyDigest, offered_to: str = "") -> None:
-        """Give one lease up. `offered_to`: the seat that is offered it first, by default the preferred candidate."""
+        """Release one lease, and offer it to `offered_to` first, by default the preferred candidate."""
         lease = self.by_key.get(key)
         if lease is None or not lease.is_active:
             return
@@ -176,14 +177,14 @@
         lease.release(offered_to)
 
     def rebalance(self) -> None:
-        """Give one lease up if this member has far more than its share, a few a minute. Called periodically."""
+        """Hand over one lease if this member is overloaded; the rate is limited. Called periodically."""
         held = len(self.by_key)
         if held <= overload_threshold(0.0):
             return
         candidates = self._election.candidates()
         share = self._election.fair_share(candidates)
         now = self._services.now()
-        if held <= overload_threshold(share) or now - self._last_move_us < self._move_interval_us():
+        if held <= overload_threshold(share) or now - self._last_handover_us < self._handover_interval_us():
             return
         receivers = {
             member.seat
@@ -197,9 +198,9 @@
             preferred = self._election.candidates_for(key)
             offered_to = next((seat for seat in preferred if seat in receivers), None)
             if offered_to is not None and lease.is_active:
-                self._last_move_us = now
+                self._last_handover_us = now
                 self._services.count("duties: moved to one that has fewer")
                 return self.release(key, offered_to)
 
-    def _move_interval_us(self) -> float:
+    def _handover_interval_us(self) -> float:
         return MINUTE_US / self._policy.max_handovers_per_minute
--- a/moorusher/leadership/holder_changes.py
+++ b/moorusher/leadership/holder_changes.py
@@ -1,4 +1,4 @@
-"""Changes of a lease record that only its leader makes. Each makes nothing once the lease is held in another term."""
+"""Changes of a lease record that only its leader makes. They have no effect once the record has another term."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 
 class HolderChange(Change):
-    """A change by the leader in its term: the `sequence`th that it makes.
-
-    owner: the process that holds the lease.
-    generation, term: int, that the lease is held for.
-    allowed_while_releasing: bool, of the kind of change.
+    """A change by the leader in its term.
+
+    Attributes:
+        owner: The process that holds the lease.
+        generation: Generation in which the lease is held.
+        term: Term in which the lease is held.
+        sequence: Number of the change among the leader's changes in this term.
+        allowed_while_releasing: Whether the change is possible while the lease is being released.
     """
 
     allowed_while_releasing = False
@@ -24,14 +27,14 @@
         self.sequence = sequence
 
     def is_applied_in(self, record: LeaseRecord | None) -> bool:
-        """Whether that record holds this change, or a later one of the same term."""
+        """Return whether the record includes this change or a later change of the same term."""
         return record is not None and self._is_holder(record) and record.holder_sequence >= self.sequence
 
     def _is_holder(self, record: LeaseRecord) -> bool:
         return (record.generation, record.term, record.holder) == (self.generation, self.term, self.owner)
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the changed record, or None if the lease is not held any more or the change was made already."""
+        """Return the changed record, or None if the lease is no longer held or the change was already applied."""
         if record is None or not self._is_holder(record) or record.holder_sequence >= self.sequence:
             return None
         is_releasing = record.status == LeaseStatus.RELEASING
@@ -45,11 +48,14 @@
 
 
 class IssueToken(HolderChange):
-    """Makes a new revision: the fencing token of one request to a receiver."""
+    """Creates a revision that serves as the fencing token of one request to a receiver."""
 
 
 class ClearLostLeaders(HolderChange):
-    """The leader has held the duty for long enough: earlier losses are not the duty's fault."""
+    """Resets the count of lost leaders.
+
+    Made after a leader has held the lease long enough, so that the duty is not the cause of the losses.
+    """
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
         """Reset the count of lost leaders."""
@@ -57,12 +63,13 @@
 
 
 class UpdateState(HolderChange):
-    """Names a new version of the state, whose chunks a majority has stored.
+    """Adds a new version of the state, whose chunks a majority has stored.
 
-    base_revision: int, the record must have it: the chunks are marked for the revision that follows, and no other.
-    size: int, bytes.
-    chunks: digests, in order.
-    max_versions: int, that are kept.
+    Attributes:
+        base_revision: Revision that the record must have, since the chunks are marked for exactly the next revision.
+        size: Size in bytes.
+        chunks: Digests of the chunks, in order.
+        max_versions: Number of versions to retain.
     """
 
     allowed_while_releasing = True
@@ -85,20 +92,20 @@
         self.max_versions = max_versions
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the changed record, or None if another revision came between."""
+        """Return the changed record, or None if the record was changed concurrently."""
         if record is None or record.revision != self.base_revision:
             return None
         return super().apply(record)
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Put the new version first, and drop the oldest beyond `max_versions`."""
+        """Insert the new version first, and drop the oldest versions beyond `max_versions`."""
         version = StateVersion(record.revision + 1, self.size, self.chunks)
         versions = (version, *record.versions)[: self.max_versions]
         return next_revision(record, holder_sequence=self.sequence, versions=versions)
 
 
 class AddIntent(HolderChange):
-    """Chooses an effect before it is made, at a receiver that can't compare fencing tokens."""
+    """Records an effect before it is sent to a receiver that can't compare fencing tokens."""
 
     def __init__(
         self,
@@ -122,7 +129,7 @@
 
 
 class CloseIntent(HolderChange):
-    """The outcome of an intent is known: it was done, or never will be."""
+    """Closes an intent whose outcome is known: it was executed or never will be."""
 
     allowed_while_releasing = True
 
@@ -138,15 +145,19 @@
 
 
 class StartRelease(HolderChange):
-    """The leader starts nothing new: it is about to release the lease."""
+    """Announces that the leader accepts no new effects and will release the lease."""
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Set the status."""
+        """Set the status to RELEASING."""
         return next_revision(record, holder_sequence=self.sequence, status=LeaseStatus.RELEASING)
 
 
 class ReleaseLease(HolderChange):
-    """Gives the lease up. `offered_to`: the seat that is offered it first; empty for any candidate."""
+    """Releases the lease.
+
+    Attributes:
+        offered_to: Seat that receives the first offer; empty for any candidate.
+    """
 
     allowed_while_releasing = True
 
@@ -155,7 +166,7 @@
         self.offered_to = offered_to
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Free the lease; a release in order is no loss."""
+        """Make the lease available, and reset the count of lost leaders."""
         return next_revision(
             record,
             holder_sequence=self.sequence,
@@ -166,17 +177,18 @@
         )
 
     def is_applied_in(self, record: LeaseRecord | None) -> bool:
-        """Whether the lease is free or was taken by another since."""
+        """Return whether the lease is available or has been acquired by another member since."""
         if record is None or record.generation != self.generation:
             return False
         return record.term > self.term or (record.term == self.term and record.needs_leader)
 
 
 class Suspend(HolderChange):
-    """The duty waits for an operator.
+    """Suspends the duty until an operator resumes it.
 
-    reason: str, for the operator.
-    resume_generation: int, the least generation that it gets when it is resumed.
+    Attributes:
+        reason: Reason of the suspension, for the operator.
+        resume_generation: Minimum generation of the duty after it is resumed.
     """
 
     allowed_while_releasing = True
@@ -189,7 +201,7 @@
         self.resume_generation = resume_generation
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Free the lease and note the reason."""
+        """Remove the holder and set the reason."""
         return next_revision(
             record,
             holder_sequence=self.sequence,
@@ -200,7 +212,7 @@
         )
 
     def is_applied_in(self, record: LeaseRecord | None) -> bool:
-        """Whether the duty is suspended in this term."""
+        """Return whether the duty is suspended in this term."""
         return (
             record is not None
             and record.generation == self.generation
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -1,4 +1,4 @@
-"""Intents of one lease: recorded before the effect, sent, and resolved if no outcome was reported."""
+"""Intents of one lease: records them before they are sent, and resolves those without a known outcome."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 
 
 class IntentResolver:
-    """The intents of one lease: those of this term, and those that an earlier leader has left open.
+    """Handles the intents of this term and the intents that an earlier leader left open.
 
-    on_resolved: called with an intent that was left open and whether it was done.
+    Attributes:
+        on_resolved: Called with an open intent that was resolved, and whether it was executed.
     """
 
     def __init__(self, lease: HeldLease) -> None:
         self.on_resolved: Callable[[Intent, bool], None] = lambda intent, done: None
         self._lease = lease
-        self._in_progress: set[int] = set()  # revisions of intents whose outcome is being found out
-        self._sent: set[int] = set()  # revisions of intents that this term has sent
+        # Revisions of intents that are being sent or resolved.
+        self._in_progress: set[int] = set()
+        # Revisions of intents that were sent in this term.
+        self._sent: set[int] = set()
 
-    # ---- this term's ----
+    # ---- intents of this term ----
 
     def record(self, request: IntentRequest) -> None:
-        """Have a majority record the intent, then send it."""
+        """Record the intent at a majority, then send it."""
         lease = self._lease
         open_intents = len(lease.record.intents)
         if open_intents >= lease.context.policy.max_open_intents:
@@ -50,10 +53,10 @@
         )
 
     def _find_unsent(self, request: IntentRequest) -> Intent | None:
-        wanted = (self._lease.record.term, request.receiver, request.payload)
+        expected = (self._lease.record.term, request.receiver, request.payload)
         for intent in reversed(self._lease.record.intents):
-            is_wanted = (intent.term, intent.receiver, intent.payload) == wanted
-            if is_wanted and intent.revision not in self._sent:
+            is_match = (intent.term, intent.receiver, intent.payload) == expected
+            if is_match and intent.revision not in self._sent:
                 return intent
         return None
 
@@ -81,16 +84,16 @@
         def closed(outcome: Outcome) -> None:
             if isinstance(outcome, Completed):
                 self._sent.discard(intent.revision)
-            # The receiver has answered, whatever became of the note that the intent is closed.
+            # The receiver has answered, so the effect is complete even if closing the intent failed.
             lease.finish(Completed(token, response.body, response.done))
             self.resolve_open()
 
         return lease.register.change(closed, CloseIntent, intent.revision)
 
-    # ---- those that were left open, by an earlier leader or by a receiver that did not answer ----
+    # ---- open intents of an earlier leader, or of a receiver that did not answer ----
 
     def resolve_open(self) -> None:
-        """Find out the outcome of every open intent whose kind allows it."""
+        """Resolve all open intents that don't require an operator."""
         for intent in self._lease.record.intents:
             if intent.revision in self._in_progress:
                 continue
@@ -101,7 +104,8 @@
             self._resolve(intent, was_never_sent)
 
     def _was_never_sent(self, intent: Intent) -> bool:
-        """It was chosen after its caller had been told that no majority answers: it was not sent, nor will it be."""
+        """Return whether the intent of this term was never sent and never will be."""
+        # This happens if the intent is chosen after its caller has received NoMajorityError.
         return intent.term == self._lease.record.term and intent.revision not in self._sent
 
     def _resolve(self, intent: Intent, was_never_sent: bool) -> None:
--- a/moorusher/leadership/journal.py
+++ b/moorusher/leadership/journal.py
@@ -1,4 +1,4 @@
-"""What a replica of duties writes to its journal: its registers, as any acceptor, and the chunks that they name."""
+"""The journal of a replica of duties: its registers, as for any acceptor, and the chunks that they reference."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 @dataclass(slots=True)
 class DutyAcceptor(Acceptor):
-    """An acceptor of duty registers. After a loss of memory it votes on a register only once it has the chunks again.
+    """An acceptor of duty registers. After a loss of memory it votes on a register only once it has its chunks again.
 
-    Else a state that a majority has acknowledged could be lost with one further replica, unnoticed.
+    Otherwise a state that a majority has acknowledged could be lost unnoticed if one more replica fails.
 
-    store: of its chunks.
-    is_complete: bool, it has every chunk that its registers name.
+    Attributes:
+        store: Store of the chunks.
+        is_complete: Whether all chunks that the registers reference are stored.
     """
 
     store: ChunkStore = field(default_factory=lambda: ChunkStore(0))
@@ -30,26 +31,26 @@
         self.is_complete = self.recovered
 
     def can_vote_on(self, key: KeyDigest) -> bool:
-        """Whether it may vote on a register."""
+        """Return whether this replica may vote on a register."""
         return Acceptor.can_vote_on(self, key) and (self.is_complete or not self.missing_chunks(key))
 
     def missing_chunks(self, key: KeyDigest) -> list[bytes]:
-        """Return the names of chunks that a register names and that are not stored here."""
-        slot = self.registers.get(key)
-        record = None if slot is None else decode_record(slot.value)
+        """Return the names of chunks that a register references and that are not stored here."""
+        register = self.registers.get(key)
+        record = None if register is None else decode_record(register.value)
         return [] if record is None else self.store.missing(key, record)
 
     def check_recovered(self) -> None:
-        """Called by the register space when another replica has told what it knows."""
+        """Called by the register space when another replica has sent its registers."""
         self.chunks_repaired()
 
     def chunks_repaired(self) -> None:
-        """Something came that was missing."""
+        """Called when missing data has arrived: check whether this replica is complete."""
         if not self.is_complete and self.covers_all_votes():
             self.is_complete = self.recovered = not any(self.missing_chunks(key) for key in self.registers)
 
     def unsaved_records(self, now: int) -> list[Any]:
-        """Return the records to be written: new chunks, then changed registers."""
+        """Return the records to write: new chunks, then changed registers."""
         records: list[Any] = []
         for key, name in self.store.unsaved:
             chunk = self.store.find(key, name)
@@ -60,13 +61,14 @@
         return [*records, *Acceptor.unsaved_records(self, now)]
 
     def all_records(self, now: int) -> list[Any]:
-        """Return everything, for a new journal file."""
+        """Return all records, for a new journal file."""
         self.store.unsaved[:] = [(key, name) for key, stored in self.store.chunks.items() for name in stored]
         return Acceptor.all_records(self, now)
 
     def restore(self, now: int, image: JournalImage) -> None:
-        """Restore what an earlier process of this seat has written."""
-        for piece in image.chunks:
-            self.store.restore(piece.key, [piece.chunk], piece.mark)
+        """Restore the records that an earlier process of this seat has written."""
+        for record in image.chunks:
+            self.store.restore(record.key, [record.chunk], record.mark)
         Acceptor.restore(self, now, image)
-        self.is_complete = self.recovered  # a chunk that is damaged on the disk is repaired from others
+        # Chunks that are damaged on the disk are repaired from other replicas.
+        self.is_complete = self.recovered
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -1,7 +1,7 @@
-"""One duty at its leader, for one term: its state, the effects that are under way, and how the term ends.
+"""A duty at its leader for one term: the duty's state, the queued effects and the end of the term.
 
-Every effect begins with a change of the duty's register that a majority takes. So a leader without a majority does
-nothing new, and a former leader is told by the register itself that its term is over.
+Every effect starts with a change of the duty's register, which a majority must accept. So a leader without a majority
+can't start an effect, and a former leader learns from the register that its term has ended.
 """
 
 from __future__ import annotations
@@ -30,39 +30,45 @@
 from .serial_queue import SerialQueue, ignore_outcome
 
 MAX_QUEUED_EFFECTS = 64
-FETCH_TIMEOUT_US = 3_000 * MS  # for the state that the former leader has left
-RETRY_US = 1_000 * MS  # of a register that no majority answered for, and of a fetch that found no state
+# Timeout for fetching the state of the previous leader at the start of a term.
+FETCH_TIMEOUT_US = 3_000 * MS
+# Delay before a register request without a majority, or a fetch without a result, is retried.
+RETRY_US = 1_000 * MS
 
 
 class LeaseStage(Enum):
-    """How far a term has come, at its leader. The values appear in the API and in messages to operators."""
+    """Stage of a term at its leader. The values appear in the API and in messages to operators."""
 
-    STARTING = "starting"  # the state is being fetched
+    # The state is being fetched.
+    STARTING = "starting"
     ACTIVE = "held"
-    RELEASING = "yielding"  # finishes what is under way, starts nothing new
+    # The leader finishes queued effects and accepts no new ones.
+    RELEASING = "yielding"
     ENDED = "over"
 
 
 class LeaseObserver(Protocol):
-    """Is told of the begin and the end of a term."""
+    """Is notified of the start and the end of a term."""
 
     def started(self, lease: LeaseHolder) -> None:
-        """The state is there: the work may begin."""
+        """Called when the state is available and the work can start."""
 
     def ended(self, lease: LeaseHolder, reason: LeadershipError | None) -> None:
-        """The term is over; `reason` is None after a release in order."""
+        """Called when the term has ended. `reason` is None after an orderly release."""
 
 
 class LeaseHolder:
-    """One duty at its leader, for one term.
-
-    key: of the duty's register.
-    register: of the lease; changes it.
-    stage: Stage.
-    state: bytes, the duty's state as last acknowledged by a majority.
-    since_us: int, when the lease was acquired.
-    last_error: why the last effect was not made, if so.
-    intents: open intents.
+    """A duty at its leader, for one term.
+
+    Attributes:
+        context: Objects that all leases of the member share.
+        key: Key of the duty's register.
+        register: Register of the lease.
+        stage: Stage of the term.
+        state: The duty's state as last acknowledged by a majority.
+        since_us: Time at which the lease was acquired.
+        last_error: Error of the latest effect or state fetch; None if it succeeded.
+        intents: Resolver of the duty's intents.
     """
 
     effect_executor_class: type[EffectExecutor] = EffectExecutor
@@ -73,13 +79,13 @@
         observer: LeaseObserver,
         key: KeyDigest,
         record: LeaseRecord,
-        hold: CarriedPromise | None,
+        carried_promise: CarriedPromise | None,
     ) -> None:
-        """`observer`: told of the begin and the end. `hold`: the promise of the acquisition; spares a round."""
         self.context = context
         self._observer = observer
         self.key = key
-        self.register = LeaseRegister(context.services, key, record, hold, self.superseded)
+        # The promise obtained with the acquisition saves the first change one round trip.
+        self.register = LeaseRegister(context.services, key, record, carried_promise, self.superseded)
         self.stage = LeaseStage.STARTING
         self.state = b""
         self.since_us = context.services.now()
@@ -87,7 +93,8 @@
         self.intents = IntentResolver(self)
         self._executor = self.effect_executor_class(self, self.intents)
         self._queue = SerialQueue(self._release_when_idle)
-        self._release_to: str | None = None  # the first candidate, from `release` until the queue is empty
+        # Seat to which the lease is offered first; set from `release` until the queue is empty.
+        self._offered_to: str | None = None
         if record.versions:
             self._fetch_state()
         else:
@@ -95,22 +102,22 @@
 
     @property
     def name(self) -> str:
-        """The duty's name."""
+        """Name of the duty."""
         return self.record.name
 
     @property
     def record(self) -> LeaseRecord:
-        """The lease record, as last read."""
+        """The lease record as last read."""
         return self.register.record
 
     @property
     def is_ended(self) -> bool:
-        """The term is over."""
+        """Whether the term has ended."""
         return self.stage is LeaseStage.ENDED
 
     @property
     def is_active(self) -> bool:
-        """The lease is held, and not about to be released."""
+        """Whether the lease is held and not being released."""
         return self.stage is LeaseStage.ACTIVE and self.record.status == LeaseStatus.HELD
 
     # ---- start ----
@@ -123,7 +130,7 @@
         if self.stage is not LeaseStage.STARTING:
             return
         if state is None:
-            # The replicas that have it may be back soon, and then any later leader finds it, too.
+            # Keep the lease and retry: the state becomes available once replicas that store it rejoin.
             self.last_error = StateDamagedError(f"{self.name}: no whole copy of its state")
             self.context.services.count("duties: state not found")
             self.context.services.after(RETRY_US, self._fetch_state)
@@ -145,16 +152,14 @@
         if self.stage is LeaseStage.ACTIVE and self.record.lost_leaders:
             self.enqueue(lambda: self.register.change(self.finish, ClearLostLeaders), ignore_outcome)
 
-    # ---- effects, one after the other ----
+    # ---- effects, executed one at a time ----
 
     def submit(self, effect: Effect, callback: OutcomeCallback) -> None:
-        """Carry out an effect after those submitted before it.
+        """Queue an effect for execution.
 
-        `callback` is called once, with what was done or why nothing was, as far as that is known: after
-        NoMajorityError a state update may come about yet.
-
-        Errors: LeaderBusyError, LimitExceededError, NoMajorityError, LeaseSupersededError, ReceiverUnreachableError,
-        IntentUncertainError, RegistersLostError.
+        :param callback: Called once with the outcome: Completed, or one of LeaderBusyError, LimitExceededError,
+            NoMajorityError, LeaseSupersededError, ReceiverUnreachableError, IntentUncertainError and
+            RegistersLostError. After NoMajorityError a state update may still be applied later.
         """
         if self.is_ended:
             return callback(_ended_error(self.record))
@@ -168,11 +173,11 @@
         return self.enqueue(lambda: self._executor.execute(effect), callback)
 
     def enqueue(self, run: Callable[[], None], callback: OutcomeCallback) -> None:
-        """Run a step after those that wait; it ends with `finish`."""
+        """Queue a step; it must end with a call of `finish`."""
         self._queue.add(run, callback)
 
     def finish(self, outcome: Outcome) -> None:
-        """End the running step, and start the next one."""
+        """End the running step with its outcome and start the next step."""
         if self.is_ended:
             return
         step = self._queue.complete()
@@ -181,18 +186,18 @@
         self._queue.start_next()
 
     def after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Call `action` after the delay, unless the term is over by then."""
+        """Call `action` after the delay unless the term has ended by then."""
 
-        def due() -> None:
+        def run_action() -> None:
             if not self.is_ended:
                 action()
 
-        self.context.services.after(delay_us, due)
+        self.context.services.after(delay_us, run_action)
 
-    # ---- whether the lease is held ----
+    # ---- verification of the lease ----
 
     def check(self) -> None:
-        """Find out whether the lease is still held, until a majority answers. For a leader that was paused."""
+        """Verify that the lease is still held; retry until a majority answers. Used after a pause of the process."""
 
         def verified(found: LeaseRecord | None) -> None:
             if found is None:
@@ -201,22 +206,22 @@
         if not self.is_ended:
             self.register.verify(verified)
 
-    # ---- end ----
+    # ---- end of the term ----
 
     def release(self, offered_to: str = "") -> None:
-        """Finish what is under way, start nothing new, then give the lease up. `offered_to`: the first candidate."""
+        """Release the lease after the queued effects, and offer it to `offered_to` first; accept no new effects."""
         if self.stage is LeaseStage.STARTING:
             self.stage = LeaseStage.ACTIVE
         if self.stage is not LeaseStage.ACTIVE:
             return
         self.stage = LeaseStage.RELEASING
-        self._release_to = offered_to
+        self._offered_to = offered_to
         self.enqueue(lambda: self.register.change(self.finish, StartRelease), ignore_outcome)
 
     def _release_when_idle(self) -> None:
-        if self._release_to is not None and self.stage is LeaseStage.RELEASING:
-            offered_to = self._release_to
-            self._release_to = None
+        if self._offered_to is not None and self.stage is LeaseStage.RELEASING:
+            offered_to = self._offered_to
+            self._offered_to = None
             self._send_release(offered_to)
 
     def _send_release(self, offered_to: str) -> None:
@@ -228,13 +233,13 @@
                 self.context.replication.announce_chosen(self.key, self.record)
                 self.context.services.count("duties: given up")
                 return self.end(None)
-            # The lease is held until a majority says otherwise.
+            # Without confirmation by a majority the lease is still held.
             return self.after(RETRY_US, lambda: self._send_release(offered_to))
 
         self.register.change(released, ReleaseLease, offered_to)
 
     def superseded(self, found: LeaseRecord | None) -> None:
-        """Another has the lease: drop the state and everything that is under way."""
+        """Called when the lease is no longer held: end the term and drop the state."""
         self.context.services.count("duties: superseded")
         if found is None:
             self.end(_ended_error(self.record))
@@ -242,7 +247,7 @@
             self.end(LeaseSupersededError(self.name, self.record.term, found.holder, found.term))
 
     def end(self, reason: LeadershipError | None) -> None:
-        """End the term. Effects that had not ended get `reason` as their outcome."""
+        """End the term; unfinished effects get `reason` as outcome. It is None after an orderly release."""
         if self.is_ended:
             return
         unfinished = self._queue.close()
@@ -255,5 +260,5 @@
 
 
 def _ended_error(record: LeaseRecord) -> LeaseSupersededError:
-    """The term is over, and nothing is known of a later leader."""
+    """Return the error for a term that has ended if no later leader is known."""
     return LeaseSupersededError(record.name, record.term, None, record.term)
--- a/moorusher/leadership/lease_interface.py
+++ b/moorusher/leadership/lease_interface.py
@@ -1,4 +1,4 @@
-"""What the effects of a lease use of it, and what all leases of one member share."""
+"""The interface of a lease for its effects, and the objects that all leases of one member share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderContext:
-    """What all leases of one member share."""
+    """Objects that all leases of one member share."""
 
     services: MemberServices
     replication: StateReplication
@@ -30,13 +30,14 @@
 
 
 class HeldLease(Protocol):
-    """A lease, as its effects see it; `lease_holder.LeaseHolder` implements it.
-
-    context: LeaderContext.
-    key: of the duty's register.
-    register: of the lease; changes it.
-    state: bytes, the duty's state as last acknowledged by a majority.
-    since_us: int, when the lease was acquired.
+    """Interface of a lease for its effects; implemented by `lease_holder.LeaseHolder`.
+
+    Attributes:
+        context: Objects that all leases of the member share.
+        key: Key of the duty's register.
+        register: Register of the lease.
+        state: The duty's state as last acknowledged by a majority.
+        since_us: Time at which the lease was acquired.
     """
 
     context: LeaderContext
@@ -47,24 +48,24 @@
 
     @property
     def name(self) -> str:
-        """The duty's name."""
+        """Name of the duty."""
 
     @property
     def record(self) -> LeaseRecord:
-        """The lease record, as last read."""
+        """The lease record as last read."""
 
     @property
     def is_ended(self) -> bool:
-        """The term is over."""
+        """Whether the term has ended."""
 
     def enqueue(self, run: Callable[[], None], callback: OutcomeCallback) -> None:
-        """Run a step after those that wait; it ends with `finish`."""
+        """Queue a step; it must end with a call of `finish`."""
 
     def finish(self, outcome: Outcome) -> None:
-        """End the running step."""
+        """End the running step with its outcome."""
 
     def after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Call `action` after the delay, unless the term is over by then."""
+        """Call `action` after the delay unless the term has ended by then."""
 
     def end(self, reason: LeadershipError | None) -> None:
         """End the term."""
--- a/moorusher/leadership/lease_record.py
+++ b/moorusher/leadership/lease_record.py
@@ -1,9 +1,9 @@
-"""The value of a duty's register: who holds the lease, in which term, with which state and which open intents.
+"""The value of a duty's register: the holder of the lease, the term, the state versions and the open intents.
 
-VACANT -> HELD -> RELEASING -> OFFERED -> HELD by the next leader
-   ^        \\-> HELD by another member, when its leader is lost
-   |-- SUSPENDED until an operator resumes it
-REMOVED: the name was deleted; created again it is another duty of a later generation
+VACANT or OFFERED -> HELD -> RELEASING -> VACANT or OFFERED
+HELD or RELEASING -> HELD by another member in the next term, if the leader is lost or stays unfit
+HELD or RELEASING -> SUSPENDED -> VACANT, once an operator resumes the duty
+any status -> REMOVED; a new duty of the same name gets a later generation
 """
 
 from __future__ import annotations
@@ -19,18 +19,21 @@
 
 
 class LeaseStatus(IntEnum):
-    """Where a duty stands between two leaders. The values are stored."""
+    """Status of a lease. The values are stored."""
 
     VACANT = 0
-    OFFERED = 1  # to the member in `offered_to`
+    # The member in `offered_to` receives the first offer.
+    OFFERED = 1
     HELD = 2
-    RELEASING = 3  # its leader finishes what is under way and starts nothing new
-    SUSPENDED = 4  # until an operator resumes it, for the reason in `suspension_reason`
+    # The leader finishes queued effects and accepts no new ones.
+    RELEASING = 3
+    # An operator has to resume the duty; the reason is in `suspension_reason`.
+    SUSPENDED = 4
     REMOVED = 5
 
     @property
     def api_name(self) -> str:
-        """The name in the administration API, the command line and messages to operators."""
+        """Name of the status in the administration API, the command line and messages to operators."""
         return _STATUS_API_NAMES[self]
 
 
@@ -45,17 +48,18 @@
 
 
 class IntentResolution(IntEnum):
-    """How the outcome of an intent is found when nobody reported it. The values are stored."""
+    """How an intent without a known outcome is resolved. The values are stored."""
 
-    QUERY_RECEIVER = (
-        0  # the receiver knows; once it answered "not done" it never does it, so that answer is final
-    )
-    REPEAT = 1  # idempotent: it is sent again
-    OPERATOR_DECIDES = 2  # it stays open until an operator settles it
+    # Query the receiver. Its answer "not done" is final: it must never execute the intent afterwards.
+    QUERY_RECEIVER = 0
+    # Send the request again; it must be idempotent.
+    REPEAT = 1
+    # Keep the intent open until an operator settles it.
+    OPERATOR_DECIDES = 2
 
     @property
     def api_name(self) -> str:
-        """The name in the administration API and the command line."""
+        """Name of the resolution in the administration API and the command line."""
         return _RESOLUTION_API_NAMES[self]
 
 
@@ -69,9 +73,10 @@
 class StateVersion(msgspec.Struct, frozen=True, array_like=True):
     """A version of a duty's state, stored as chunks.
 
-    revision: int, of the change that named it.
-    size: int, bytes.
-    chunks: digests of its chunks, in order.
+    Attributes:
+        revision: Revision of the change that added this version.
+        size: Size in bytes.
+        chunks: Digests of the chunks, in order.
     """
 
     revision: int
@@ -80,13 +85,14 @@
 
 
 class Intent(msgspec.Struct, frozen=True, array_like=True):
-    """An effect that was chosen before it is made, at a receiver that can't compare fencing tokens.
-
-    revision: int, of the change that chose it; names the intent.
-    term: int, of the leader that chose it.
-    receiver: str, address.
-    payload: bytes, at most MAX_INTENT_BYTES.
-    resolution: int, one of IntentResolution: how its outcome is found by a later leader.
+    """An effect that is recorded before it is sent to a receiver that can't compare fencing tokens.
+
+    Attributes:
+        revision: Revision of the change that recorded the intent; identifies it.
+        term: Term of the leader that recorded it.
+        receiver: Address of the receiver.
+        payload: Request of at most MAX_INTENT_BYTES.
+        resolution: One of IntentResolution: how a later leader resolves the intent.
     """
 
     revision: int
@@ -99,20 +105,22 @@
 class LeaseRecord(msgspec.Struct, frozen=True, array_like=True):
     """The value of a duty's register. Stored and sent as an array: the order of the fields is part of the format.
 
-    name: str, of the duty.
-    kind: str, which worker does it.
-    generation: int, tells the duty from an earlier one of its name.
-    term: int, grows with each change of leader.
-    revision: int, grows with each change.
-    status: int, one of LeaseStatus; stored as an int, so that a value which a later version adds can be read.
-    holder: the process that leads, if any.
-    holder_sequence: int, changes that the holder made in this term, so that a repeated round makes none twice.
-    offered_to: str, the seat that is offered it first.
-    lost_leaders: int, leaders lost one after another.
-    versions: of the state, the latest first.
-    intents: whose outcome is not known yet.
-    suspension_reason: str, for operators.
-    resume_generation: int, at least this generation after a resume; a receiver knew of a later one. 0: any.
+    Attributes:
+        name: Name of the duty.
+        kind: Selects the worker of the duty.
+        generation: Distinguishes the duty from earlier duties of the same name.
+        term: Increases with each change of leader.
+        revision: Increases with each change.
+        status: One of LeaseStatus. An int, so that values of later versions can be read.
+        holder: Process that leads, if any.
+        holder_sequence: Number of the holder's latest change in this term; prevents a retried change from being
+            applied twice.
+        offered_to: Seat that receives the first offer.
+        lost_leaders: Number of consecutive lost leaders.
+        versions: Versions of the state, the latest first.
+        intents: Intents without a known outcome.
+        suspension_reason: Reason of the suspension, for operators.
+        resume_generation: Minimum generation after a resume, if a receiver knows a later generation; else 0.
     """
 
     name: str
@@ -132,21 +140,21 @@
 
     @property
     def position(self) -> tuple[int, int, int]:
-        """Generation, term and revision: compares two values of one register."""
+        """Generation, term and revision, by which two values of one register are ordered."""
         return self.generation, self.term, self.revision
 
     @property
     def is_led(self) -> bool:
-        """A member holds the lease."""
+        """Whether a member holds the lease."""
         return self.status in (LeaseStatus.HELD, LeaseStatus.RELEASING)
 
     @property
     def needs_leader(self) -> bool:
-        """The lease is free to be taken."""
+        """Whether the lease can be acquired without superseding a holder."""
         return self.status in (LeaseStatus.VACANT, LeaseStatus.OFFERED)
 
-    def is_same_tenure(self, other: LeaseRecord | None) -> bool:
-        """Whether `other` has the same generation, term and holder."""
+    def is_same_term(self, other: LeaseRecord | None) -> bool:
+        """Return whether `other` has the same generation, term and holder."""
         return other is not None and (self.generation, self.term, self.holder) == (
             other.generation,
             other.term,
@@ -164,7 +172,10 @@
 
 
 def decode_record(value: bytes | None) -> LeaseRecord | None:
-    """Decode the value of a register; None if nothing was written yet. Raises msgspec.MsgspecError."""
+    """Decode the value of a register; None if it was never written.
+
+    :raises msgspec.MsgspecError: if the value is malformed.
+    """
     return None if value is None else _decoder.decode(value)
 
 
--- a/moorusher/leadership/lease_register.py
+++ b/moorusher/leadership/lease_register.py
@@ -1,4 +1,4 @@
-"""The register of a held lease, as its holder reads and changes it: one change at a time, fenced by the term."""
+"""Access of a lease holder to the register of its lease: one change at a time, fenced by the term."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 class LeaseRegister:
     """The register of one lease, for one term.
 
-    key: of the register.
-    record: the lease record, as last read.
-    owner: the process that holds the lease.
-    is_closed: bool, the term is over: no callback is called any more.
+    Attributes:
+        key: Key of the register.
+        record: The lease record as last read.
+        owner: The process that holds the lease.
+        is_closed: Whether the term has ended; no callback is called afterwards.
     """
 
     def __init__(
@@ -30,68 +31,69 @@
         services: MemberServices,
         key: KeyDigest,
         record: LeaseRecord,
-        hold: CarriedPromise | None,
+        carried_promise: CarriedPromise | None,
         superseded: Callable[[LeaseRecord | None], None],
     ) -> None:
-        """`hold`: the promise that came with the acquisition; spares a round for the first change. `superseded`: called
-        with the record that was found, once the lease is not held any more."""
         self.key = key
         self.record = record
         self.owner = services.owner
         self.is_closed = False
         self._services = services
-        self._hold = hold
+        # Promise that came with the previous change, initially the acquisition; saves the next change a round trip.
+        self._carried_promise = carried_promise
+        # Called with the record that was found if the lease is no longer held.
         self._superseded = superseded
         self._sequence = record.holder_sequence
 
     def change(self, callback: OutcomeCallback, change_type: type[HolderChange], *arguments: Any) -> None:
-        """Make a change, with the arguments of its kind beside those of every leader's change.
+        """Apply a change to the register.
 
-        `callback` gets Completed with the token of the change, NoMajorityError, or LeaderBusyError if an operator's
-        change came between. It is not called if the lease is not held any more.
+        :param callback: Receives Completed with the fencing token of the change, NoMajorityError, or LeaderBusyError
+            after a concurrent change, such as an operator's. Not called if the lease is no longer held.
+        :param arguments: Arguments of `change_type` beyond those of HolderChange.
         """
         self._sequence += 1
         change = change_type(self.owner, self.record.generation, self.record.term, self._sequence, *arguments)
-        hold = self._hold
-        self._hold = None
+        carried_promise = self._carried_promise
+        self._carried_promise = None
 
-        def answered(done: ChangeResult | None) -> None:
+        def on_result(result: ChangeResult | None) -> None:
             if self.is_closed:
                 return
-            if done is None:
+            if result is None:
                 self._services.count("duties: no majority")
                 return callback(NoMajorityError(self.record.name))
-            found = decode_record(done.value)
-            if found is None or not (change.is_applied_in(found) or self.record.is_same_tenure(found)):
+            found = decode_record(result.value)
+            if found is None or not (change.is_applied_in(found) or self.record.is_same_term(found)):
                 return self._superseded(found)
             self.record = found
-            self._hold = done.promise
+            self._carried_promise = result.promise
             if change.is_applied_in(found):
                 return callback(Completed(FencingToken(*found.position)))
             return callback(LeaderBusyError(f"{found.name}: it was changed meanwhile"))
 
-        self._services.change_register(self.key, change, hold, answered)
+        self._services.change_register(self.key, change, carried_promise, on_result)
 
     def verify(self, callback: Callable[[LeaseRecord | None], None]) -> None:
-        """Read the record by a majority, after which no abandoned change can come about.
+        """Read the record from a majority. A change that was abandoned earlier can't be applied after it.
 
-        `callback` gets the record if the lease is still held, None if no majority answered. It is not called if the
-        lease is not held any more.
+        :param callback: Receives the record if the lease is still held, or None if no majority answered. Not called
+            if the lease is no longer held.
         """
 
-        def answered(done: ChangeResult | None) -> None:
+        def on_result(result: ChangeResult | None) -> None:
             if self.is_closed:
                 return
-            if done is None:
+            if result is None:
                 return callback(None)
-            found = decode_record(done.value)
-            if found is None or not self.record.is_same_tenure(found):
+            found = decode_record(result.value)
+            if found is None or not self.record.is_same_term(found):
                 return self._superseded(found)
             return callback(found)
 
-        self._services.change_register(self.key, Read(), None, answered)
+        self._services.change_register(self.key, Read(), None, on_result)
 
     def close(self) -> None:
-        """The term is over."""
+        """Stop calling callbacks, since the term has ended."""
         self.is_closed = True
-        self._hold = None
+        self._carried_promise = None
--- a/moorusher/leadership/lease_transitions.py
+++ b/moorusher/leadership/lease_transitions.py
@@ -1,8 +1,8 @@
 """Changes of a lease record, as functions of the value that is found in its register.
 
-The check of the term and the write are one step: a change by a leader makes nothing if the record has another term. So
-the majority that the value was read from rejects a former leader, not a look before the write. The changes that only a
-leader makes are in `holder_changes`.
+Checking the term and writing are one atomic step: a leader's change has no effect if the record has another term.
+So the majority that holds the register rejects a former leader; a check before the write would not suffice. The
+changes that only a leader makes are in `holder_changes`.
 """
 
 from __future__ import annotations
@@ -20,44 +20,47 @@
 
 
 class Change:
-    """A change of a register's bytes, by `apply` on the record that they hold."""
+    """A change of a register's encoded value; subclasses implement `apply` on the decoded record."""
 
     def __call__(self, value: bytes | None) -> bytes | None:
-        """Return the new value of the register, or None if it stays as it is."""
+        """Return the new value of the register, or None to leave it unchanged."""
         changed = self.apply(decode_record(value))
         return None if changed is None else encode_record(changed)
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the record after the change, or None if nothing is to be changed."""
+        """Return the record after the change, or None to leave it unchanged."""
         raise NotImplementedError
 
 
 def next_revision(record: LeaseRecord, **fields: object) -> LeaseRecord:
-    """Return the record of the next revision, with these fields changed."""
+    """Return a copy of the record with the given fields replaced and the revision incremented."""
     return msgspec.structs.replace(record, revision=record.revision + 1, **fields)
 
 
 def intents_without(record: LeaseRecord, revision: int) -> tuple[Intent, ...]:
-    """Return the open intents of a record but the one of that revision."""
+    """Return the open intents of a record except the one with the given revision."""
     return tuple(intent for intent in record.intents if intent.revision != revision)
 
 
 class Read(Change):
-    """Changes nothing: reads the register by a majority, after which no abandoned change can come about."""
+    """Reads the register from a majority. A change that was abandoned earlier can't be applied after it."""
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
         """Return None."""
         return None
 
 
-# ---- by members that don't hold the lease ----
+# ---- changes by members that don't hold the lease ----
 
 
 class Create(Change):
-    """Creates a duty, if there is none of its name.
+    """Creates a duty unless one of the same name exists.
 
-    generation: int, later than all that this member knows; the one of a removed duty is exceeded in any case.
-    recreate: bool, also if the name was removed before.
+    Attributes:
+        name: Name of the duty.
+        kind: Kind of the duty.
+        generation: Generation of the new duty, unless a removed duty of that name requires a later one.
+        recreate: Whether to create the duty even if one of the same name was removed.
     """
 
     def __init__(self, name: str, kind: str, generation: int, recreate: bool = True) -> None:
@@ -79,13 +82,14 @@
 
 
 class AcquireLease(Change):
-    """Takes the lease in the next term, by the member that was offered it.
-
-    owner: the process that takes it.
-    expected: (generation, term) that the offer was made for.
-    leader_lost: bool, the former leader was lost, which counts against the duty.
-    max_lost_leaders: int, losses one after another after which the duty is suspended instead.
-    former_holder: who held it, as last read.
+    """Acquires the lease in the next term, for a member that received an offer.
+
+    Attributes:
+        owner: The process that acquires the lease.
+        expected: Generation and term that the offer was made for.
+        leader_lost: Whether the former leader was lost, which increments the duty's count of lost leaders.
+        max_lost_leaders: Number of consecutive lost leaders at which the duty is suspended instead.
+        former_holder: The holder that was superseded; set by `apply`.
     """
 
     def __init__(
@@ -98,7 +102,7 @@
         self.former_holder: Owner | None = None
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the record of the next term, or None if the offer is out of date."""
+        """Return the record of the next term, or None if the offer is stale."""
         if record is None or (record.generation, record.term) != self.expected:
             return None
         if record.needs_leader:
@@ -135,11 +139,11 @@
         )
 
 
-# ---- by an operator ----
+# ---- changes by an operator ----
 
 
 class Resume(Change):
-    """Lets a suspended duty go on, above every generation that its receiver was seen to know."""
+    """Resumes a suspended duty, in a generation later than any that a receiver is known to have accepted."""
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
         """Return the vacant record, or None if the duty is not suspended."""
@@ -156,7 +160,7 @@
 
 
 class ResolveIntent(Change):
-    """An operator's statement that an open intent is settled."""
+    """Closes an open intent after an operator has determined its outcome."""
 
     def __init__(self, intent_revision: int) -> None:
         self.intent_revision = intent_revision
@@ -169,13 +173,16 @@
 
 
 class Remove(Change):
-    """Removes a duty and supersedes its leader. The generation stays: a duty of this name made later is another."""
+    """Removes a duty and supersedes its leader.
+
+    The record of the removed duty keeps its generation, so that a new duty of the same name gets a later one.
+    """
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
 
     def apply(self, record: LeaseRecord | None) -> LeaseRecord | None:
-        """Return the removed record, or None if it is removed or of another generation."""
+        """Return the removed record, or None if it is already removed or has another generation."""
         if record is None or record.status == LeaseStatus.REMOVED or record.generation != self.generation:
             return None
         return LeaseRecord(
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members about duties, besides those of the registers. Arrays on the wire, with a tag first."""
+"""Messages between members about duties, except those of the registers. Encoded as arrays that start with a tag."""
 
 from __future__ import annotations
 
@@ -6,15 +6,19 @@
 from ..replication.work_record import KeyDigest, Owner
 from .chunks import Mark
 
-PART = "duties"  # names these messages among all that members exchange
+# Component name under which members exchange these messages.
+PART = "duties"
 
 
 class LeaseOffer(ComponentPayload, frozen=True, tag="offer"):
-    """From a replica of its register: this duty needs a leader.
-
-    generation, term: int, of the record that the offer is made for.
-    leader_lost: bool, its leader is lost.
-    must_accept: bool, others have declined: only a member that is not fit may decline.
+    """Offer by a replica: the duty needs a leader.
+
+    Attributes:
+        key: Key of the register.
+        generation: Generation of the record that the offer is made for.
+        term: Term of that record.
+        leader_lost: Whether the leader is lost.
+        must_accept: Whether only unfit members may decline, as earlier offers failed.
     """
 
     key: KeyDigest
@@ -25,14 +29,17 @@
 
 
 class OfferDeclined(ComponentPayload, frozen=True, tag="declined"):
-    """A member does not take the lease that it was offered."""
+    """Answer of a member that declines an offer."""
 
     key: KeyDigest
     term: int
 
 
 class LeaseTaken(ComponentPayload, frozen=True, tag="passed"):
-    """To the former leader: another has the lease. A hint; the former leader's next change would tell it, too."""
+    """Notifies the former leader that another member holds the lease.
+
+    Only a hint: the register rejects the former leader's next change in any case.
+    """
 
     key: KeyDigest
     generation: int
@@ -41,9 +48,14 @@
 
 
 class StoreChunk(ComponentPayload, frozen=True, tag="keep"):
-    """To a replica: a chunk of the version that the change at `mark` is to name.
-
-    chunk: bytes; empty if the replica should have it already.
+    """Request to a replica to store a chunk.
+
+    Attributes:
+        serial: Number of the request, which the answer repeats.
+        key: Key of the register.
+        mark: Position of the change that will reference the chunk.
+        name: Digest of the chunk.
+        chunk: Content; empty if the replica should already store it.
     """
 
     serial: int
@@ -54,36 +66,39 @@
 
 
 class ChunkStored(ComponentPayload, frozen=True, tag="kept"):
-    """Answer of a replica.
-
-    ok: bool, it has stored the chunk.
-    missing: bool, the chunk has to be sent.
-    inc: int, incarnation of the replica; what an earlier one had stored does not count.
+    """Answer of a replica to StoreChunk.
+
+    Attributes:
+        serial: Number of the request.
+        name: Digest of the chunk.
+        ok: Whether the chunk is stored.
+        missing: Whether the replica needs the content.
+        incarnation: Incarnation of the replica; chunks stored by an earlier one don't count.
     """
 
     serial: int
     name: bytes
     ok: bool
     missing: bool
-    inc: int
+    incarnation: int
 
 
 class RecordChosen(ComponentPayload, frozen=True, tag="named"):
-    """This value of the register is chosen: chunks that no later change can name may be deleted."""
+    """Notifies a replica of a chosen value, so that it can delete chunks that no later change can reference."""
 
     key: KeyDigest
     value: bytes
 
 
 class FetchChunks(ComponentPayload, frozen=True, tag="fetch"):
-    """Asks a replica for chunks."""
+    """Requests chunks from a replica."""
 
     key: KeyDigest
     names: list[bytes]
 
 
 class ChunkFetched(ComponentPayload, frozen=True, tag="fetched"):
-    """One chunk; empty if the replica does not have it."""
+    """Answer with one chunk, which is empty if the replica does not store it."""
 
     key: KeyDigest
     name: bytes
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -1,7 +1,7 @@
-"""One member's part in the duties of the fleet: composes its registers, election, leases and directory.
+"""Participation of one member in the duties of the fleet: composes its registers, election, leases and directory.
 
-The registers of duties are a space of their own beside those of keyed work. A replica that has lost its memory learns
-them again from the others or from its disk; no time limit heals it, as duties last.
+Duties have a register space of their own, separate from that of keyed work. A replica that has lost its memory has
+to restore their registers from the other replicas or its disk: duties do not expire, so waiting does not suffice.
 """
 
 from __future__ import annotations
@@ -32,32 +32,34 @@
 from .worker import EffectReceivers, Worker
 
 HEARTBEAT_US = 500 * MS
-PAUSE_THRESHOLD_US = 300 * MS  # a heartbeat that comes so late: this process was stopped
-ANNOUNCE_INTERVAL_US = (
-    2_000 * MS
-)  # how many duties this member has, told with the failure detector's messages
-MAX_STABILITY_BACKOFF = 16  # times `steady_ms`
+# A heartbeat timer that fires this late indicates that the process was stopped.
+PAUSE_THRESHOLD_US = 300 * MS
+# Interval at which the failure detector's messages get new counts of this member's duties.
+ANNOUNCE_INTERVAL_US = 2_000 * MS
+# Multiple of the setting `steady_ms`.
+MAX_STABILITY_BACKOFF = 16
 
 
 class ParticipantHost(EffectReceivers, Protocol):
-    """The process of a participant: sends effects, and knows whose work it can do."""
+    """The process of a participant: sends effects and provides workers."""
 
     def fit(self) -> bool:
-        """Whether this member may lead."""
+        """Return whether this member may lead."""
 
     def work(self, lease: LeaseHolder) -> Worker | None:
-        """Return the worker for a duty; None if this process does not know what it is for."""
+        """Return a worker for a duty, or None if the settings of this process don't include the duty."""
 
 
 class Participant:
-    """One member's part in all duties of the fleet.
-
-    node: of the member, whose membership and messages are used.
-    policy: settings.
-    acceptor: of the duties' registers.
-    store: chunks of the duties' states.
-    services: the member, as the parts below use it.
-    replication, fetching, election, leases, directory: the parts.
+    """Participation of one member in all duties of the fleet.
+
+    Attributes:
+        node: Node that provides membership and messages.
+        policy: Settings.
+        acceptor: Acceptor of the duties' registers.
+        store: Chunks of the duties' states.
+        services: Interface of the member for the components below.
+        replication, fetching, election, leases, directory: Components.
     """
 
     lease_holder_class: type[LeaseHolder] = LeaseHolder
@@ -67,15 +69,15 @@
         node: Node,
         host: ParticipantHost,
         policy: LeadershipPolicy,
-        remembers: bool = False,
+        recovered: bool = False,
         acceptor_class: type[DutyAcceptor] = DutyAcceptor,
     ) -> None:
-        """`remembers`: nothing that this seat has ever promised is forgotten."""
         self.node = node
         self.policy = policy
         self._host = host
         self.store = ChunkStore(policy.max_state_bytes * (policy.max_versions + 1))
-        self.acceptor = self._create_acceptor(acceptor_class, remembers)
+        # `recovered` states whether every promise that this seat has ever made is known.
+        self.acceptor = self._create_acceptor(acceptor_class, recovered)
         registers = RegisterSpace(DUTY_SPACE, self.acceptor, node, None)
         node.add_space(registers)
         self.services = MemberServices(node, registers, self._dispatch)
@@ -103,16 +105,16 @@
         self._unfit_since_us: int | None = None
         self._announced_at_us = 0
 
-    def _create_acceptor(self, acceptor_class: type[DutyAcceptor], remembers: bool) -> DutyAcceptor:
+    def _create_acceptor(self, acceptor_class: type[DutyAcceptor], recovered: bool) -> DutyAcceptor:
         seats = self.node.placement
         acceptor = acceptor_class(
             self.node.me,
             self.node.owner.incarnation,
             seats.replicas,
             frozenset(seats.names) - {self.node.me},
-            remembers,
+            recovered,
             self.policy.max_duties,
-            on_change=self._on_slot,
+            on_change=self._on_accepted,
             permanent=True,
             slice_of=seats.slice_of,
             slice_replicas=seats.slice_replicas,
@@ -127,7 +129,7 @@
             is_fit=self._host.fit,
             led_duties=lambda: len(self.leases),
             stability=StabilityTracker(backoff_us, backoff_us * MAX_STABILITY_BACKOFF),
-            unfit_patience_us=round(2 * self.policy.unfit_timeout_ms * MS),
+            unfit_timeout_us=round(2 * self.policy.unfit_timeout_ms * MS),
         )
 
     def _create_handlers(self) -> dict[type, Callable[[str, Any], None]]:
@@ -142,20 +144,20 @@
             messages.ChunkFetched: self.fetching.on_chunk_fetched,
         }
 
-    # ---- start, heartbeat, end ----
+    # ---- start, periodic tasks, leaving ----
 
     def start(self) -> None:
-        """Begin the heartbeat."""
+        """Start the heartbeat timer."""
         self._schedule_heartbeat(self.services.now())
 
     def repair_restored(self) -> None:
-        """After a start from a disk: fetch chunks that it lacks."""
+        """Fetch chunks that are missing after the restore from a disk."""
         for key, record in self.election.records.items():
             if self.store.missing(key, record):
                 self.fetching.repair(key, at_once=True)
 
     def leave(self) -> None:
-        """Give every lease up."""
+        """Release all leases."""
         self.leases.release_all()
 
     def _schedule_heartbeat(self, now_us: int) -> None:
@@ -169,7 +171,7 @@
         self._schedule_heartbeat(now)
         self.election.check_holders()
         self._check_fitness(now)
-        self.leases.adopt_unknown()
+        self.leases.adopt_unacknowledged()
         self.directory.create_declared()
         self._announce(now)
 
@@ -202,14 +204,14 @@
     def _dispatch(self, seat: str, message: messages.Message) -> None:
         self._handlers[type(message)](seat, message)
 
-    def _on_slot(self, key: KeyDigest, slot: RegisterState) -> None:
-        """The acceptor has accepted a value."""
-        record = decode_record(slot.value)
+    def _on_accepted(self, key: KeyDigest, register: RegisterState) -> None:
+        """Called when the acceptor has accepted a value."""
+        record = decode_record(register.value)
         self.election.on_record(key, record)
         if record is not None and self.store.missing(key, record):
             self.fetching.repair(key, at_once=not self.acceptor.is_complete)
 
     def _replicated_record(self, key: KeyDigest) -> LeaseRecord | None:
-        """Return the record of a register that this member replicates."""
+        """Return the record of a register, or None if this member does not replicate it."""
         is_replica = self.services.me in self.services.replicas(key)
         return self.election.records.get(key) if is_replica else None
--- a/moorusher/leadership/policy.py
+++ b/moorusher/leadership/policy.py
@@ -1,4 +1,7 @@
-"""Settings of `[duties]` in the operator's file. Imports nothing, as it is read also if there are no duties."""
+"""Settings of `[duties]` in the operator's file.
+
+The module imports nothing from the package, since it is loaded even if duties are disabled.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,10 @@
 class HeartbeatDuty:
     """A heartbeat duty: `[[duties.report]]`.
 
-    name: str, of the duty.
-    to: host and port of the receiver.
-    interval_ms: float, between two heartbeats.
+    Attributes:
+        name: Name of the duty.
+        to: Host and port of the receiver.
+        interval_ms: Interval between two heartbeats.
     """
 
     name: str
@@ -21,16 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipPolicy:
-    """The settings; `config/fleet.py` has the key and the bounds of each."""
+    """All settings of `[duties]`. The key and the bounds of each setting are in `config/fleet.py`."""
 
     enabled: bool = False
     heartbeats: tuple[HeartbeatDuty, ...] = ()
-    max_duties: int = 4_000  # duties of the fleet, removed ones included: a name is never quite forgotten
-    max_state_bytes: int = 256 << 10  # of one version of one duty's state
-    max_versions: int = 3  # that are kept
-    max_open_intents: int = 16  # open at a time, of one duty
-    max_lost_leaders: int = 3  # leaders lost one after another, before a duty is suspended
-    probation_ms: float = 10_000.0  # a member that came back gets no duty for so long; doubled each time
-    max_handovers_per_minute: float = 6.0  # duties that one member gives up so that others have as many
-    # Unfit for so long, a member gives its duties up; for twice as long, others take them.
+    # Limit of duties in the fleet. Removed duties count, as the record of a removed name is kept.
+    max_duties: int = 4_000
+    # Limit of one version of a duty's state.
+    max_state_bytes: int = 256 << 10
+    # Number of state versions that a record retains.
+    max_versions: int = 3
+    # Limit of open intents per duty.
+    max_open_intents: int = 16
+    # Number of consecutive lost leaders after which a duty is suspended.
+    max_lost_leaders: int = 3
+    # First backoff during which a member that was lost is not preferred as a leader; doubled with each loss.
+    # A leader that held a duty for this time also resets the duty's count of lost leaders.
+    probation_ms: float = 10_000.0
+    # Rate limit for duties that an overloaded member hands over to less loaded members.
+    max_handovers_per_minute: float = 6.0
+    # A member that is unfit for this time releases its duties. After twice this time other members take them over.
     unfit_timeout_ms: float = 1_000.0
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -1,4 +1,4 @@
-"""What the parts of a participant use of their member: identity, timers, messages, registers, disk."""
+"""The interface of a member for the components of a participant: identity, timers, messages, registers, disk."""
 
 from __future__ import annotations
 
@@ -15,11 +15,17 @@
 from .lease_transitions import Change
 
 NEVER_EXPIRES_US = 1 << 60
-RegisterCallback = Callable[[ChangeResult | None], None]  # None: no majority answered in time
+# Receives None if no majority answered in time.
+RegisterCallback = Callable[[ChangeResult | None], None]
 
 
 class MemberServices:
-    """One member, as the parts of its participant see it. Times are those of the member's clock, in us."""
+    """Interface of one member for the components of its participant. Times are those of the member's clock in us.
+
+    Attributes:
+        node: Node of the member.
+        registers: Register space of the duties.
+    """
 
     def __init__(
         self,
@@ -27,46 +33,46 @@
         registers: RegisterSpace,
         deliver_locally: Callable[[str, messages.Message], None],
     ) -> None:
-        """`deliver_locally`: takes messages that this member sends to itself."""
         self.node = node
         self.registers = registers
+        # Handles messages that this member sends to itself.
         self._deliver_locally = deliver_locally
 
     @property
     def owner(self) -> Owner:
-        """The process: its seat and its incarnation."""
+        """Seat and incarnation of this process."""
         return self.node.owner
 
     @property
     def me(self) -> str:
-        """This member's seat."""
+        """Seat of this member."""
         return self.node.me
 
     @property
     def incarnation(self) -> int:
-        """Of this process."""
+        """Incarnation of this process."""
         return self.node.owner.incarnation
 
     @property
     def members(self) -> FailureDetector:
-        """All members, as the failure detector sees them."""
+        """All members according to the failure detector."""
         return self.node.detector
 
     @property
     def replica_count(self) -> int:
-        """Replicas of each register."""
+        """Number of replicas of each register."""
         return self.node.placement.copies
 
     def now(self) -> int:
-        """Return the time in us."""
+        """Return the current time in us."""
         return self.node.clock()
 
     def at(self, when_us: int, action: Callable[[], None]) -> None:
-        """Call `action` at that time."""
+        """Call `action` at the given time."""
         self.node.at(when_us, action)
 
     def after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Call `action` once the delay is over."""
+        """Call `action` after the delay."""
         self.node.at(self.node.clock() + delay_us, action)
 
     def count(self, counter: str) -> None:
@@ -78,29 +84,35 @@
         return self.node.placement.replicas(key)
 
     def latest_incarnation(self, seat: str) -> int:
-        """Return the highest incarnation of a seat that was heard of; 0 if none."""
+        """Return the highest known incarnation of a seat, or 0 if none is known."""
         return self.registers.acceptor.incarnations.get(seat, 0)
 
     def send(self, seat: str, message: messages.Message) -> None:
-        """Send a message; one to this member itself is delivered by a timer of its own."""
+        """Send a message. A message to this member itself is delivered by a timer."""
         if seat == self.me:
             self.at(self.now(), lambda: self._deliver_locally(seat, message))
         else:
             self.node.send(seat, ComponentMessage(messages.PART, messages.encode(message)))
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Call back once everything stored so far is on the disk; at once if there is none."""
+        """Call `callback` once all stored data is on the disk; immediately if there is no disk."""
         self.node.durable(callback, DUTY_SPACE)
 
     def read_register(self, key: KeyDigest, callback: RegisterCallback) -> None:
-        """Read a register without hindering changes of it."""
+        """Read a register without conflicting with its changes."""
         self.registers.read(key, self._register_timeout_us(), callback)
 
     def change_register(
-        self, key: KeyDigest, change: Change, hold: CarriedPromise | None, callback: RegisterCallback
+        self,
+        key: KeyDigest,
+        change: Change,
+        carried_promise: CarriedPromise | None,
+        callback: RegisterCallback,
     ) -> None:
-        """Change a register by a majority. `hold`: the promise from this proposer's last change, if it has one."""
-        self.registers.change(key, change, NEVER_EXPIRES_US, self._register_timeout_us(), callback, hold)
+        """Change a register at a majority. `carried_promise` comes from this proposer's previous change, if any."""
+        self.registers.change(
+            key, change, NEVER_EXPIRES_US, self._register_timeout_us(), callback, carried_promise
+        )
 
     def _register_timeout_us(self) -> int:
         return round(self.node.policy.claim_timeout_ms * MS)
--- a/moorusher/leadership/state_fetching.py
+++ b/moorusher/leadership/state_fetching.py
@@ -1,4 +1,4 @@
-"""States of duties from their replicas: fetched for a leader or a reader, repaired at a replica that lacks them."""
+"""Fetches states of duties from their replicas for a leader or a reader, and repairs replicas that lack chunks."""
 
 from __future__ import annotations
 
@@ -7,30 +7,37 @@
 
 from ..replication.work_record import KeyDigest
 from ..time_units import MS
-from .chunks import ChunkStore, digest, join, named_chunks
+from .chunks import ChunkStore, digest, join, referenced_chunks
 from .lease_record import LeaseRecord, StateVersion
 from .messages import ChunkFetched, FetchChunks
 from .services import MemberServices
 
 RETRY_US = 150 * MS
-REPAIR_DELAY_US = 1_000 * MS  # the chunks may be on their way
-MAX_REPAIR_BACKOFF = 20  # times RETRY_US
+# Delay of a repair, since the missing chunks may still be in transit.
+REPAIR_DELAY_US = 1_000 * MS
+# Multiple of RETRY_US.
+MAX_REPAIR_BACKOFF = 20
 CHUNKS_PER_FETCH = 8
 
 
 @dataclass(slots=True, eq=False)
 class _Fetch:
-    """A state that is being fetched. `attempt`: requests so far; picks the replica that is asked next."""
+    """A state that is being fetched."""
 
     key: KeyDigest
     version: StateVersion
     deadline_us: int
     callback: Callable[[bytes | None], None]
+    # Number of requests so far; selects the replica for the next request.
     attempt: int = 0
 
 
 class StateFetching:
-    """Fetches states, and repairs what a replica lacks."""
+    """Fetches states, and repairs chunks that are missing at this replica.
+
+    Attributes:
+        store: Store of the fetched chunks.
+    """
 
     def __init__(
         self,
@@ -39,11 +46,11 @@
         replicated_record: Callable[[KeyDigest], LeaseRecord | None],
         chunks_repaired: Callable[[], None],
     ) -> None:
-        """`replicated_record`: of a register that this member replicates, else None. `chunks_repaired`: called when
-        chunks came that were missing."""
         self.store = store
         self._services = services
+        # Returns the record of a register, or None if this member does not replicate it.
         self._replicated_record = replicated_record
+        # Called when missing chunks have arrived.
         self._chunks_repaired = chunks_repaired
         self._fetches: dict[KeyDigest, list[_Fetch]] = {}
         self._repair_attempts: dict[KeyDigest, int] = {}
@@ -57,7 +64,7 @@
         deadline_us: int,
         callback: Callable[[bytes | None], None],
     ) -> None:
-        """Fetch a state. `callback(None)` if no complete copy was found by the deadline."""
+        """Fetch a state. `callback` receives None if no complete copy was found by the deadline."""
         pending = _Fetch(key, version, deadline_us, callback)
         self._fetches.setdefault(key, []).append(pending)
         self._continue_fetch(pending)
@@ -82,15 +89,16 @@
         return self._services.after(RETRY_US, retry)
 
     def _finish_fetch(self, pending: _Fetch, state: bytes | None) -> None:
-        waiting = self._fetches.get(pending.key, [])
-        if pending not in waiting:
+        fetches = self._fetches.get(pending.key, [])
+        if pending not in fetches:
             return
-        waiting.remove(pending)
-        if not waiting:
+        fetches.remove(pending)
+        if not fetches:
             del self._fetches[pending.key]
         pending.callback(state)
         if pending.key not in self._fetches and self._replicated_record(pending.key) is None:
-            self.store.chunks.pop(pending.key, None)  # this member is no replica of it
+            # This member does not replicate the register, so it does not need the chunks any more.
+            self.store.chunks.pop(pending.key, None)
 
     def _missing_chunks(self, pending: _Fetch) -> list[bytes]:
         names = dict.fromkeys(pending.version.chunks)
@@ -100,13 +108,13 @@
         return [seat for seat in self._services.replicas(key) if seat != self._services.me]
 
     def on_fetch_chunks(self, seat: str, message: FetchChunks) -> None:
-        """At a replica: send what is asked for."""
+        """Handle a request at a replica: send the requested chunks."""
         for name in message.names[:CHUNKS_PER_FETCH]:
             chunk = self.store.find(message.key, name) or b""
             self._services.send(seat, ChunkFetched(message.key, name, chunk))
 
     def on_chunk_fetched(self, seat: str, message: ChunkFetched) -> None:
-        """Store a chunk that was asked for, and go on with the fetches that wait for it."""
+        """Store a requested chunk, and continue the fetches that wait for it."""
         if digest(message.chunk) != message.name:
             if message.chunk:
                 self._services.count("duties: a damaged piece from another")
@@ -117,7 +125,7 @@
             if message.name in pending.version.chunks
         ]
         record = self._replicated_record(message.key)
-        is_replica = record is not None and message.name in named_chunks(record)
+        is_replica = record is not None and message.name in referenced_chunks(record)
         if not fetches and not is_replica:
             return
         if self.store.find(message.key, message.name) is None:
@@ -137,13 +145,14 @@
         if not missing:
             self._continue_fetch(pending)
         elif missing % CHUNKS_PER_FETCH == 0:
-            pending.attempt -= 1  # the same replica again: it had all that it was asked for
+            # Continue with the same replica, as it has sent all chunks of the last request.
+            pending.attempt -= 1
             self._continue_fetch(pending)
 
     # ---- repair ----
 
     def repair(self, key: KeyDigest, at_once: bool) -> None:
-        """Fetch what this replica lacks of a register's state, from the others, until it has it."""
+        """Fetch a register's missing chunks with retries; start after REPAIR_DELAY_US unless `at_once`."""
         if key not in self._repair_attempts:
             self._repair_attempts[key] = 0
             self._services.after(0 if at_once else REPAIR_DELAY_US, lambda: self._repair(key))
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership without sockets, case by case, in virtual time."""
+"""Single cases of leadership without sockets, in virtual time."""
 
 from __future__ import annotations
 
@@ -39,47 +39,51 @@
 from moorusher.time_units import SECOND
 
 
-def settled(seats: int = 3, duties: int = 1, **how: Any) -> tuple[DutySimulation, DutyProcess, LeaseHolder]:
-    """A fleet in which the first duty has an owner, and nothing else happens."""
-    sim = DutySimulation(1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0), duties, **how)
+def simulate_leader(
+    seats: int = 3, duties: int = 1, **options: Any
+) -> tuple[DutySimulation, DutyProcess, LeaseHolder]:
+    """Return a simulation without faults in which the first duty has a leader, that leader and its lease."""
+    sim = DutySimulation(1, Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0), duties, **options)
     sim.run(2 * SECOND)
     for p in sim.processes:
         assert isinstance(p, DutyProcess)
         if (lease := p.participant.leases.by_key.get(register_key("duty-0"))) is not None:
             return sim, p, lease
-    raise AssertionError("nobody has it")
+    raise AssertionError("no process leads duty-0")
 
 
-def watch_ended(leases: HeldLeases, ended: list[Any]) -> None:
-    """Notes the reason of each term that ends."""
+def record_ended_terms(leases: HeldLeases, ended: list[Any]) -> None:
+    """Record the reason of each term that ends."""
 
-    def watched(lease: LeaseHolder, reason: LeadershipError | None) -> None:
+    def record_and_end(lease: LeaseHolder, reason: LeadershipError | None) -> None:
         ended.append(reason)
         HeldLeases.ended(leases, lease, reason)
 
-    leases.ended = watched  # type: ignore[method-assign]
+    leases.ended = record_and_end  # type: ignore[method-assign]
 
 
-def answers(sim: DutySimulation, lease: LeaseHolder, effect: Effect, s: float = 3.0) -> Any:
+def submit_and_wait(sim: DutySimulation, lease: LeaseHolder, effect: Effect, wait_s: float = 3.0) -> Any:
     got: list[Any] = []
     lease.submit(effect, got.append)
-    sim.run(sim.now + round(s * SECOND))
+    sim.run(sim.now + round(wait_s * SECOND))
     assert len(got) == 1
     return got[0]
 
 
-@pytest.mark.parametrize("closed", [False, True])
-def test_any_number_of_reads_hinder_no_change(closed: bool) -> None:
-    """Each of five members looks every 5 ms, while the owner changes it again and again. Where each look asks for a
-    promise, they beat each other, and the owner too."""
-    sim, _, lease = settled(seats=5)
-    got: dict[str, list[Any]] = {"looks": [], "changes": []}
+@pytest.mark.parametrize("after_abandoned_changes", [False, True])
+def test_reads_do_not_prevent_changes(after_abandoned_changes: bool) -> None:
+    """Five members read a duty every 5 ms while its leader changes it continuously.
 
-    def look(p: DutyProcess) -> None:
+    Reads that request a promise preempt each other and the changes of the leader; plain reads must not.
+    """
+    sim, _, lease = simulate_leader(seats=5)
+    got: dict[str, list[Any]] = {"reads": [], "changes": []}
+
+    def read(p: DutyProcess) -> None:
         p.participant.directory.read(
-            "duty-0", got["looks"].append, state=False, after_abandoned_changes=closed
+            "duty-0", got["reads"].append, state=False, after_abandoned_changes=after_abandoned_changes
         )
-        sim.at(sim.now + 5_000, p, lambda: look(p))
+        sim.at(sim.now + 5_000, p, lambda: read(p))
 
     def change() -> None:
         lease.submit(StateUpdate(b"s"), changed)
@@ -90,54 +94,55 @@
 
     for p in sim.processes:
         assert isinstance(p, DutyProcess)
-        sim.at(sim.now, p, lambda p=p: look(p))  # type: ignore[misc]
+        sim.at(sim.now, p, lambda p=p: read(p))  # type: ignore[misc]
     change()
     sim.run(sim.now + 2 * SECOND)
-    done = {name: sum(not isinstance(g, LeadershipError) for g in found) for name, found in got.items()}
-    if closed:
-        assert done["changes"] < 20 and done["looks"] < 0.5 * len(got["looks"])
+    succeeded = {name: sum(not isinstance(g, LeadershipError) for g in found) for name, found in got.items()}
+    if after_abandoned_changes:
+        assert succeeded["changes"] < 20 and succeeded["reads"] < 0.5 * len(got["reads"])
     else:
         assert (
-            done["changes"] == len(got["changes"]) > 150 and done["looks"] >= 0.99 * len(got["looks"]) > 1_500
+            succeeded["changes"] == len(got["changes"]) > 150
+            and succeeded["reads"] >= 0.99 * len(got["reads"]) > 1_500
         )
 
 
-def test_without_a_majority_nothing_new_is_done_and_the_last_known_is_told() -> None:
-    """All members but the leader are stopped. It can make no change, and can still tell what it last knew."""
-    sim, owner, lease = settled()
+def test_without_a_majority_changes_fail_and_the_last_known_state_is_returned() -> None:
+    """All members except the leader are stopped. It can't change the duty, but still returns its last known state."""
+    sim, leader, lease = simulate_leader()
     state = lease.state
     for p in sim.processes:
-        if p is not owner:
+        if p is not leader:
             p.stopped_until = sim.now + 4 * SECOND
-    assert isinstance(answers(sim, lease, StateUpdate(b"new"), 2.5), NoMajorityError)
-    known = owner.participant.directory.last_known("duty-0")
+    assert isinstance(submit_and_wait(sim, lease, StateUpdate(b"new"), 2.5), NoMajorityError)
+    known = leader.participant.directory.last_known("duty-0")
     assert isinstance(known, Reading) and known.state is not None and known.state.startswith(state)
     got: list[Any] = []
-    owner.participant.directory.read("duty-0", got.append)
+    leader.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
-    assert isinstance(got[0], NoMajorityError), "a read that must be current"
+    assert isinstance(got[0], NoMajorityError), "a current read needs a majority"
 
 
-def test_a_leader_that_wakes_hears_that_it_is_superseded_and_drops_its_state() -> None:
-    """The leader is stopped for three seconds with an update under way; another member takes the lease meanwhile."""
-    sim, owner, lease = settled()
+def test_a_leader_that_resumes_learns_that_it_is_superseded_and_drops_its_state() -> None:
+    """The leader is stopped for three seconds with an update pending; another member acquires the lease meanwhile."""
+    sim, leader, lease = simulate_leader()
     ended: list[Any] = []
-    watch_ended(owner.participant.leases, ended)
-    owner.stopped_until = sim.now + 3 * SECOND
+    record_ended_terms(leader.participant.leases, ended)
+    leader.stopped_until = sim.now + 3 * SECOND
     pending: list[Any] = []
-    lease.submit(StateUpdate(b"what was under way"), pending.append)
+    lease.submit(StateUpdate(b"pending"), pending.append)
     sim.run(sim.now + 5 * SECOND)
-    (why,) = ended
-    assert isinstance(why, LeaseSupersededError) and why.term < why.by_term and lease.state == b""
-    assert len(pending) == 1 and not owner.participant.leases.workers.get(lease.key)
-    assert isinstance(answers(sim, lease, StateUpdate(b"late")), LeaseSupersededError)
+    (reason,) = ended
+    assert isinstance(reason, LeaseSupersededError) and reason.term < reason.by_term and lease.state == b""
+    assert len(pending) == 1 and not leader.participant.leases.workers.get(lease.key)
+    assert isinstance(submit_and_wait(sim, lease, StateUpdate(b"late")), LeaseSupersededError)
 
 
 def test_a_duty_whose_leaders_are_lost_one_after_another_is_suspended_until_resumed() -> None:
-    """Each leader is lost soon after it took the lease: the duty itself may kill them. It waits for an operator."""
-    sim, owner, _ = settled(seats=5, policy=LeadershipPolicy(enabled=True, probation_ms=60_000))
+    """Each leader is lost soon after it acquired the lease, so the duty itself may be the cause and is suspended."""
+    sim, leader, _ = simulate_leader(seats=5, policy=LeadershipPolicy(enabled=True, probation_ms=60_000))
     for _ in range(POLICY.max_lost_leaders):
-        owner.alive = False
+        leader.alive = False
         sim.run(sim.now + round(2.5 * SECOND))
         found = [
             p
@@ -146,10 +151,10 @@
             and p.alive
             and register_key("duty-0") in p.participant.leases.by_key
         ]
-        sim.processes[owner.seat] = sim.start_process(owner.seat, recovered=True)
+        sim.processes[leader.seat] = sim.start_process(leader.seat, recovered=True)
         if not found:
             break
-        owner = found[0]
+        leader = found[0]
     live = next(p for p in sim.processes if p.alive and isinstance(p, DutyProcess))
     got: list[Any] = []
     live.participant.directory.read("duty-0", got.append)
@@ -167,83 +172,83 @@
     )
 
 
-def test_a_receiver_that_knows_a_later_token_suspends_the_duty_and_resumed_it_goes_above() -> None:
-    """The registers were lost and began anew, so a receiver knows a later generation than they do."""
-    sim, owner, lease = settled()
+def test_a_later_token_at_a_receiver_suspends_the_duty_and_a_resume_exceeds_it() -> None:
+    """The registers were lost and created again, so a receiver knows a later generation than they do."""
+    sim, leader, lease = simulate_leader()
     sim.histories["duty-0"].highest = FencingToken(lease.record.generation + 10, 1, 1)
     ended: list[Any] = []
-    watch_ended(owner.participant.leases, ended)
+    record_ended_terms(leader.participant.leases, ended)
     sim.run(sim.now + 3 * SECOND)
     assert isinstance(ended[0], RegistersLostError)
     before = len(sim.histories["duty-0"].accepted)
-    owner.participant.directory.resume("duty-0", lambda got: None)
+    leader.participant.directory.resume("duty-0", lambda got: None)
     sim.run(sim.now + 5 * SECOND)
     assert len(sim.histories["duty-0"].accepted) > before
 
 
-def test_states_intents_and_names_over_their_bounds_are_refused_with_the_bound() -> None:
-    sim, owner, lease = settled()
-    too_large = answers(sim, lease, StateUpdate(b"x" * (POLICY.max_state_bytes + 1)))
+def test_states_intents_and_names_beyond_their_limits_are_rejected_with_the_limit() -> None:
+    sim, leader, lease = simulate_leader()
+    too_large = submit_and_wait(sim, lease, StateUpdate(b"x" * (POLICY.max_state_bytes + 1)))
     assert isinstance(too_large, LimitExceededError) and str(POLICY.max_state_bytes) in str(too_large)
     assert isinstance(
-        answers(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.OPERATOR_DECIDES)),
+        submit_and_wait(sim, lease, IntentRequest("s", b"x" * 513, IntentResolution.OPERATOR_DECIDES)),
         LimitExceededError,
     )
     got: list[Any] = []
-    owner.participant.directory.create("x" * 200, "test", got.append)
-    owner.participant.directory.read("nobody-made-it", got.append)
+    leader.participant.directory.create("x" * 200, "test", got.append)
+    leader.participant.directory.read("nobody-made-it", got.append)
     sim.run(sim.now + SECOND)
     assert isinstance(got[0], LimitExceededError) and isinstance(got[1], UnknownLeaseError)
 
 
 def test_a_large_state_is_replicated_in_chunks_and_a_damaged_chunk_is_repaired() -> None:
-    """A chunk is damaged at a replica, a peer sends a wrong one for it, and then the leader is lost."""
-    sim, owner, lease = settled(seats=3)
+    """A chunk is damaged at a replica, a peer sends wrong content for it, and then the leader is lost."""
+    sim, leader, lease = simulate_leader(seats=3)
     large = bytes(range(256)) * (6 * CHUNK_BYTES // 256)
-    owner.participant.leases.workers[lease.key].stop(None)
-    answers(sim, lease, StateUpdate(large))
-    keeper = next(p for p in sim.processes if p is not owner and isinstance(p, DutyProcess))
+    leader.participant.leases.workers[lease.key].stop(None)
+    submit_and_wait(sim, lease, StateUpdate(large))
+    replica = next(p for p in sim.processes if p is not leader and isinstance(p, DutyProcess))
     name = chunk_names(large)[0]
-    keeper.participant.store.chunks[lease.key][name] = b"damaged"
-    assert keeper.participant.store.find(lease.key, name) is None
-    keeper.participant.repair_restored()
+    replica.participant.store.chunks[lease.key][name] = b"damaged"
+    assert replica.participant.store.find(lease.key, name) is None
+    replica.participant.repair_restored()
     sim.run(sim.now + SECOND)
-    assert keeper.participant.store.find(lease.key, name) is not None
-    keeper.participant.fetching.on_chunk_fetched("n0", ChunkFetched(lease.key, name, b"not it"))
+    assert replica.participant.store.find(lease.key, name) is not None
+    replica.participant.fetching.on_chunk_fetched("n0", ChunkFetched(lease.key, name, b"not it"))
     assert sim.history.counts["duties: a damaged piece from another"] == 1
-    owner.alive = False
+    leader.alive = False
     sim.run(sim.now + 3 * SECOND)
-    (then,) = [
+    (new_lease,) = [
         p.participant.leases.by_key[lease.key]
         for p in sim.processes
         if p.alive and isinstance(p, DutyProcess) and lease.key in p.participant.leases.by_key
     ]
-    assert then.state[: len(large)] == large
+    assert new_lease.state[: len(large)] == large
 
 
-def test_a_leader_that_is_not_fit_releases_its_duties_in_order() -> None:
-    """The leader loses what it needs to work, and stays alive. It hands its last state on."""
-    sim, owner, _ = settled(seats=4, duties=4)
-    owner.draining = True
+def test_an_unfit_leader_releases_its_duties_and_hands_over_the_state() -> None:
+    """The leader becomes unfit but stays alive. It hands over its last state."""
+    sim, leader, _ = simulate_leader(seats=4, duties=4)
+    leader.draining = True
     sim.run(sim.now + 4 * SECOND)
-    assert not owner.participant.leases.by_key and sim.history.counts["duties: given up"] >= 1
+    assert not leader.participant.leases.by_key and sim.history.counts["duties: given up"] >= 1
     history = sim.histories["duty-0"]
-    assert sim.violation() is None and history.acknowledged, "a last state was handed on"
-    owner.draining = False
+    assert sim.violation() is None and history.acknowledged, "the last state was handed over"
+    leader.draining = False
     sim.run(sim.now + 2 * SECOND)
     assert sim.violation() is None
 
 
-def test_a_removed_duty_has_no_leader_and_created_again_is_another() -> None:
-    """A duty is removed while a member leads it, then created again."""
-    sim, owner, lease = settled()
+def test_a_removed_duty_has_no_leader_and_is_created_again_in_a_later_generation() -> None:
+    """A duty is removed while a member leads it, and then created again under the same name."""
+    sim, leader, lease = simulate_leader()
     got: list[Any] = []
-    owner.participant.directory.remove("duty-0", got.append)
+    leader.participant.directory.remove("duty-0", got.append)
     sim.run(sim.now + 2 * SECOND)
     assert got[0].status == LeaseStatus.REMOVED and lease.stage is lease_holder.LeaseStage.ENDED
-    owner.participant.directory.read("duty-0", got.append)
+    leader.participant.directory.read("duty-0", got.append)
     sim.run(sim.now + SECOND)
-    owner.participant.directory.create("duty-0", "test", got.append)
+    leader.participant.directory.create("duty-0", "test", got.append)
     sim.run(sim.now + 3 * SECOND)
     assert isinstance(got[1], UnknownLeaseError) and got[2].generation > got[0].generation
     assert any(
@@ -253,39 +258,39 @@
     )
 
 
-def test_an_idle_leader_that_is_passed_over_hears_of_it() -> None:
-    """Another member takes the lease of a leader that makes no change, so the register has no occasion to tell it."""
+def test_an_idle_leader_is_notified_that_another_member_has_its_lease() -> None:
+    """Another member acquires the lease of an idle leader, which makes no change that the register could reject."""
 
     class Idle(DutyProcess):
         def work(self, lease: LeaseHolder) -> None:
             return None
 
-    sim, owner, lease = settled(seats=5, process_class=Idle)
-    taker = next(
+    sim, leader, lease = simulate_leader(seats=5, process_class=Idle)
+    other = next(
         p
         for p in sim.processes
         if isinstance(p, DutyProcess)
-        and p is not owner
+        and p is not leader
         and p.node.me not in sim.placement.replicas(lease.key)
     )
-    taker.participant.leases.on_offer(
+    other.participant.leases.on_offer(
         "n0", LeaseOffer(lease.key, lease.record.generation, lease.record.term, False, True)
     )
     sim.run(sim.now + SECOND)
-    assert lease.key in taker.participant.leases.by_key and lease.key not in owner.participant.leases.by_key
+    assert lease.key in other.participant.leases.by_key and lease.key not in leader.participant.leases.by_key
 
 
-def test_a_leader_that_was_never_heard_of_is_not_taken_for_unfit() -> None:
-    """A replica has just started and has heard nothing of the leader yet. That is no statement that it is unfit."""
-    sim, owner, lease = settled(seats=5)
-    keeper = next(
+def test_a_leader_without_a_known_status_is_not_regarded_as_unfit() -> None:
+    """A replica has just started and has received no status of the leader. It must not regard the leader as unfit."""
+    sim, leader, lease = simulate_leader(seats=5)
+    replica = next(
         p
         for p in sim.processes
-        if isinstance(p, DutyProcess) and p is not owner and p.node.me in sim.placement.replicas(lease.key)
+        if isinstance(p, DutyProcess) and p is not leader and p.node.me in sim.placement.replicas(lease.key)
     )
-    member = keeper.node.detector.by_seat[owner.node.me]
+    member = replica.node.detector.by_seat[leader.node.me]
     member.state, member.status = MemberState.UNKNOWN, MemberStatus()
     for _ in range(2):
-        keeper.participant.election.check_holders()
+        replica.participant.election.check_holders()
         sim.now += 10 * SECOND
-    assert not keeper.participant.election._unfit_since_us
+    assert not replica.participant.election._unfit_since_us
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -1,4 +1,7 @@
-"""Leadership in every interleaving and on seeds in virtual time; each search must also find seeded mistakes."""
+"""Model checking of leadership: all interleavings, and random seeds in virtual time.
+
+Each search must also find deliberate faults.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
 
 
 class IgnoresTerm(IssueToken):
-    """A seeded mistake: the term was read before the write, and is not part of it."""
+    """A deliberate fault: the write does not check the term, as if it had only been read before."""
 
     def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
         return None if old is None or old.holder_sequence >= self.sequence else self.changed(old)
@@ -54,7 +57,7 @@
 
 
 class SameTerm(AcquireLease):
-    """A seeded mistake: the next leader goes on in the term of the last one, and counts anew."""
+    """A deliberate fault: the next leader keeps the term of the previous leader and restarts the revisions."""
 
     def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
         new = super().apply(old)
@@ -66,19 +69,24 @@
 
 
 @pytest.mark.parametrize(
-    "how",
+    "options",
     [
         {"token_change": IgnoresTerm},
         {"acquire_change": SameTerm},
         {"compares": False},
         {"kind": EffectKind.ONCE, "sends_early": True},
     ],
-    ids=["term looked at before", "same term twice", "receiver does not compare", "effect before intent"],
+    ids=[
+        "term read before the write",
+        "same term twice",
+        "receiver does not compare",
+        "effect before intent",
+    ],
 )
-def test_the_interleavings_find_each_seeded_mistake(how: dict[str, Any]) -> None:
-    retries = (1, 0) if "token_change" in how else (0, 0)
+def test_the_interleavings_find_each_deliberate_fault(options: dict[str, Any]) -> None:
+    retries = (1, 0) if "token_change" in options else (0, 0)
     found = explore(
-        LeadershipModel.with_lease(RegisterModelLimits(retries=retries, patient=True), **how),
+        LeadershipModel.with_lease(RegisterModelLimits(retries=retries, patient=True), **options),
         max_states=60_000,
         depth_first=True,
     )
@@ -89,16 +97,18 @@
 
 
 @pytest.mark.parametrize(
-    "scenario, how", [(SCENARIO, {}), (DISK_SCENARIO, {"has_disks": True})], ids=["memory", "disks"]
+    "scenario, options", [(SCENARIO, {}), (DISK_SCENARIO, {"has_disks": True})], ids=["memory", "disks"]
 )
-def test_no_seed_violates_an_invariant_of_leadership(scenario: Scenario, how: dict[str, Any]) -> None:
-    found = find_counterexample(range(7), partial(DutySimulation, scenario=scenario, **how))
+def test_no_seed_violates_an_invariant_of_leadership(scenario: Scenario, options: dict[str, Any]) -> None:
+    found = find_counterexample(range(7), partial(DutySimulation, scenario=scenario, **options))
     assert found is None, (
-        f"DutySimulation({found.seed}, {scenario}, **{how}).play(): {found.violation}" if found else ""
+        f"DutySimulation({found.seed}, {scenario}, **{options}).play(): {found.violation}" if found else ""
     )
 
 
-def test_seeds_find_a_state_that_is_named_before_it_is_replicated(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeds_find_a_state_that_is_referenced_before_it_is_replicated(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def replicate(
         self: StateReplication,
         key: Any,
@@ -108,8 +118,8 @@
         deadline_us: int,
         callback: Any,
     ) -> None:
-        for piece in split(state).values():
-            self.store.add(key, mark, piece)  # here; the others will be told some day
+        for chunk in split(state).values():
+            self.store.add(key, mark, chunk)  # stored only at the leader
         callback(True)
 
     scenario = Scenario(seats=5, keys=0, faults=8, fault_kinds=(FaultKind.CRASH, FaultKind.QUICK_RESTART))
@@ -122,7 +132,7 @@
     assert found is not None and "took" in found.violation
 
 
-def test_seeds_find_replicas_that_vote_after_a_loss_of_memory() -> None:
+def test_seeds_find_replicas_that_vote_after_losing_their_memory() -> None:
     scenario = Scenario(
         seats=3, keys=0, faults=12, fault_kinds=(FaultKind.QUICK_RESTART, FaultKind.PARTITION)
     )
@@ -141,7 +151,7 @@
     assert find_counterexample(range(20), partial(DutySimulation, scenario=scenario)) is not None
 
 
-def test_seeds_find_a_read_that_takes_one_replica_for_a_majority(
+def test_seeds_find_a_read_that_accepts_one_replica_as_a_majority(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(RegisterReader, "votes_needed", staticmethod(lambda looking, vote: 1))
--- a/tests/test_leadership_parts.py
+++ b/tests/test_leadership_parts.py
@@ -1,4 +1,4 @@
-"""The parts of leadership that need no fleet: chunks of a state, candidates, settings, errors."""
+"""Parts of leadership that need no fleet: chunks of a state, candidates, settings, errors."""
 
 from __future__ import annotations
 
@@ -45,25 +45,28 @@
 # ---- states in chunks ----
 
 
-def test_chunks_are_kept_while_a_change_may_name_them_and_deleted_once_none_can() -> None:
-    """A replica must not delete a chunk that a change under way will name, nor keep for ever one that nobody names."""
+def test_chunks_are_retained_while_a_change_can_reference_them_and_deleted_afterwards() -> None:
+    """A replica must not delete a chunk that a pending change will reference, nor keep unreferenced chunks forever."""
     store, state = ChunkStore(1 << 20), b"x" * CHUNK_BYTES + b"y"
-    for piece in split(state).values():
-        assert store.add(KEY, (1, 3, 8), piece)
+    for chunk in split(state).values():
+        assert store.add(KEY, (1, 3, 8), chunk)
     version = StateVersion(8, len(state), chunk_names(state))
     assert join(version, lambda d: store.find(KEY, d)) == state
-    store.delete_unnamed(KEY, record())  # change 7: the one that is to name them may still come
+    # At revision 7 the change to revision 8, which references the chunks, can still follow.
+    store.delete_unreferenced(KEY, record())
     assert join(version, lambda d: store.find(KEY, d)) == state
     named = record(versions=(version,))
-    store.delete_unnamed(KEY, LeaseRecord("d", "test", 1, 3, 8, LeaseStatus.HELD, A, versions=(version,)))
+    store.delete_unreferenced(
+        KEY, LeaseRecord("d", "test", 1, 3, 8, LeaseStatus.HELD, A, versions=(version,))
+    )
     assert not store.missing(KEY, named)
-    store.delete_unnamed(KEY, LeaseRecord("d", "test", 1, 3, 9, LeaseStatus.HELD, A))
+    store.delete_unreferenced(KEY, LeaseRecord("d", "test", 1, 3, 9, LeaseStatus.HELD, A))
     assert store.missing(KEY, named) and store.total_bytes() == 0
-    assert not store.add(KEY, (1, 3, 8), b"late"), "nobody can name it any more"
+    assert not store.add(KEY, (1, 3, 8), b"late"), "no later change can reference the chunk"
 
 
 def test_a_chunk_store_is_bounded_and_deletes_damaged_chunks() -> None:
-    """A chunk has rotted: it no longer matches its name. It must not be handed out."""
+    """A stored chunk no longer matches its digest. It must not be returned."""
     store = ChunkStore(10)
     assert store.add(KEY, (1, 1, 1), b"12345678") and not store.add(KEY, (1, 1, 1), b"abc")
     name = digest(b"12345678")
@@ -74,52 +77,55 @@
 # ---- candidates ----
 
 
-def members(n: int, has: Callable[[int], int] = lambda i: 0, keeps: int = 6) -> list[Candidate]:
-    return [Candidate(f"n{i}", True, has(i), keeps) for i in range(n)]
+def create_candidates(
+    n: int, led_duties: Callable[[int], int] = lambda i: 0, stored_duties: int = 6
+) -> list[Candidate]:
+    return [Candidate(f"n{i}", True, led_duties(i), stored_duties) for i in range(n)]
 
 
-def test_no_member_is_given_more_than_twice_the_mean_of_duties() -> None:
-    has: Counter[str] = Counter()
+def test_no_member_is_preferred_for_more_than_twice_the_mean_number_of_duties() -> None:
+    led_duties: Counter[str] = Counter()
     for i in range(300):
-        seen = [Candidate(f"n{j}", True, has[f"n{j}"], 6) for j in range(150)]
-        has[preference_order(b"%d" % i, seen, fair_share(seen, 3))[0]] += 1
-    assert max(has.values()) <= 2 * 300 / 150
+        candidates = [Candidate(f"n{j}", True, led_duties[f"n{j}"], 6) for j in range(150)]
+        led_duties[preference_order(b"%d" % i, candidates, fair_share(candidates, 3))[0]] += 1
+    assert max(led_duties.values()) <= 2 * 300 / 150
 
 
 def test_only_the_duties_of_a_lost_member_move() -> None:
-    """One of nine members is lost. The duties of the others stay where they are."""
-    seen = members(9)
-    before = {i: preference_order(b"%d" % i, seen, 100.0)[0] for i in range(200)}
+    """One of nine members is lost. The preferred leaders of the other members' duties don't change."""
+    candidates = create_candidates(9)
+    before = {i: preference_order(b"%d" % i, candidates, 100.0)[0] for i in range(200)}
     after = {
-        i: preference_order(b"%d" % i, [m for m in seen if m.seat != "n4"], 100.0)[0] for i in range(200)
+        i: preference_order(b"%d" % i, [m for m in candidates if m.seat != "n4"], 100.0)[0]
+        for i in range(200)
     }
     assert all(before[i] == after[i] or before[i] == "n4" for i in before)
 
 
-def test_full_and_unstable_members_come_last_and_unfit_ones_not_at_all() -> None:
-    seen = [
+def test_members_at_capacity_and_unstable_members_come_last_and_unfit_members_are_excluded() -> None:
+    candidates = [
         Candidate("a", True, 0, 6),
         Candidate("b", True, 9, 6),
         Candidate("c", False, 0, 6),
         Candidate("d", True, 0, 6, is_stable=False),
     ]
-    assert preference_order(KEY, seen, 2.0) == ["a", "b", "d"]
+    assert preference_order(KEY, candidates, 2.0) == ["a", "b", "d"]
     assert capacity(0.0) == 1 and overload_threshold(0.0) == 2 and overload_threshold(2.0) > capacity(2.0)
 
 
-def test_a_member_that_comes_and_goes_is_passed_over_for_longer_each_time() -> None:
-    """A member restarts again and again. Each of its losses costs a change of leader, so it gets duties ever later."""
-    steady = StabilityTracker(1_000, 16_000)
-    now, waits = 0, []
+def test_the_backoff_of_a_member_doubles_with_each_loss() -> None:
+    """A member restarts repeatedly. Each loss costs a change of leader, so its backoff doubles."""
+    tracker = StabilityTracker(1_000, 16_000)
+    now, backoffs = 0, []
     for _ in range(6):
-        steady.record_loss(now, "a")
+        tracker.record_loss(now, "a")
         start = now
-        while not steady.is_stable(now, "a"):
+        while not tracker.is_stable(now, "a"):
             now += 100
-        waits.append(now - start)
-    assert waits == [1_000, 2_000, 4_000, 8_000, 16_000, 16_000] and steady.is_stable(0, "b")
-    steady.record_loss(now + 50_000, "a")
-    assert steady.backoff_us(steady.losses["a"].count) == 1_000, "long ago counts no more"
+        backoffs.append(now - start)
+    assert backoffs == [1_000, 2_000, 4_000, 8_000, 16_000, 16_000] and tracker.is_stable(0, "b")
+    tracker.record_loss(now + 50_000, "a")
+    assert tracker.backoff_us(tracker.losses["a"].count) == 1_000, "losses long ago don't count"
 
 
 # ---- settings, errors ----
@@ -143,7 +149,7 @@
             read(wrong)
 
 
-def test_each_error_says_what_an_operator_can_do_and_the_page_has_it() -> None:
+def test_each_error_has_a_remedy_and_is_documented() -> None:
     page = (Path(__file__).parent.parent / "docs" / "operate" / "duties.md").read_text()
     for kind in ERRORS:
         assert kind.remedy and kind.status in (404, 409, 413, 503)
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -1,6 +1,6 @@
-"""Real runners that share a duty, with faults between them: reports count once, in the order of terms, and go on.
+"""Real runners with a shared duty under faults: each report counts once, in the order of terms, and reports continue.
 
-Each runner reaches the receiver over a relay of its own, so that what a leader has sent can be held back until later.
+Each runner reaches the receiver through a relay of its own, so that a test can delay the requests of one leader.
 """
 
 from __future__ import annotations
@@ -28,295 +28,306 @@
 
 pytestmark = pytest.mark.processes
 
-EVERY_MS = 30
+REPORT_INTERVAL_MS = 30
 
 
-class Watched:
-    """A fleet with one duty, and what its receiver has accepted."""
+class WatchedDuty:
+    """A fleet with one duty, and the receiver of its reports."""
 
-    def __init__(self, f: Fleet, receiver: FencedReceiver, ways: list[Relay]) -> None:
-        self.fleet, self.receiver, self.ways = f, receiver, ways
+    def __init__(self, runners: Fleet, receiver: FencedReceiver, relays: list[Relay]) -> None:
+        self.fleet, self.receiver, self.relays = runners, receiver, relays
 
     @property
     def leader(self) -> int:
-        """Of the last report that counted."""
+        """Number of the runner that sent the last accepted report."""
         return int(self.receiver.accepted[-1].body["by"][1:])
 
     @property
     def term(self) -> int:
         return self.receiver.accepted[-1].token.term
 
-    async def next_leader(self, *gone: int) -> int:
-        """Somebody else reports, in a later term."""
+    async def next_leader(self, *excluded: int) -> int:
+        """Wait until another runner reports in a later term, and return its number."""
         term = self.term
-        await wait_until(lambda: self.term > term and self.leader not in gone)
+        await wait_until(lambda: self.term > term and self.leader not in excluded)
         return self.leader
 
-    async def goes_on(self) -> None:
-        seen = len(self.receiver.accepted)
-        await wait_until(lambda: len(self.receiver.accepted) > seen + 3)
+    async def wait_for_reports(self) -> None:
+        accepted_before = len(self.receiver.accepted)
+        await wait_until(lambda: len(self.receiver.accepted) > accepted_before + 3)
 
-    async def ask(
+    async def request(
         self, i: int, path: str = "duties/alive", method: str = "GET"
     ) -> tuple[int, dict[str, Any]]:
         head, _, body = (await self.fleet.admin(i, method, path)).partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)
 
-    async def superseded(self, i: int) -> None:
-        async def told() -> bool:
+    async def wait_until_superseded(self, i: int) -> None:
+        async def is_superseded() -> bool:
             return bool((await self.fleet.runners[i].counters()).get("duties: superseded"))
 
-        await until(told)
+        await until(is_superseded)
 
-    def in_order(self) -> None:
-        """No report of an earlier term after one of a later, none twice, one leader a term."""
-        fences = [t.token for t in self.receiver.accepted]
-        assert all(a < b for a, b in pairwise(fences))
+    def check_order(self) -> None:
+        """Check that tokens increase strictly and that each term has one leader."""
+        tokens = [request.token for request in self.receiver.accepted]
+        assert all(a < b for a, b in pairwise(tokens))
         leaders: dict[int, str] = {}
-        for took in self.receiver.accepted:
-            assert leaders.setdefault(took.token.term, took.body["by"]) == took.body["by"]
+        for request in self.receiver.accepted:
+            assert leaders.setdefault(request.token.term, request.body["by"]) == request.body["by"]
 
 
 @asynccontextmanager
-async def watched(n: int = 4, steady_ms: int = 300, **how: Any) -> AsyncIterator[Watched]:
+async def watch_duty(n: int = 4, steady_ms: int = 300, **fleet_options: Any) -> AsyncIterator[WatchedDuty]:
     with TemporaryDirectory() as folder:
         receiver = FencedReceiver(reactor(), TokenStore(Path(folder) / "book"))
-        ways = [Relay(reactor(), receiver.port) for _ in range(n)]
+        relays = [Relay(reactor(), receiver.port) for _ in range(n)]
 
         def toml(i: int) -> str:
             return (
                 f'[duties]\non = true\nsteady_ms = {steady_ms}\n[[duties.report]]\nname = "alive"\n'
-                f'to = "{HOST}:{ways[i].port}"\nevery_ms = {EVERY_MS}\n'
+                f'to = "{HOST}:{relays[i].port}"\nevery_ms = {REPORT_INTERVAL_MS}\n'
             )
 
         try:
-            async with fleet(n, more=toml, **how) as f:
+            async with fleet(n, more=toml, **fleet_options) as f:
                 await wait_until(lambda: len(receiver.accepted) > 3)
-                w = Watched(f, receiver, ways)
-                yield w
-                w.in_order()
+                duty = WatchedDuty(f, receiver, relays)
+                yield duty
+                duty.check_order()
         finally:
-            for way in ways:
-                way.close()
+            for relay in relays:
+                relay.close()
             receiver.close()
 
 
 @asynchronous_test
-async def test_the_duty_of_a_killed_leader_goes_on_from_its_replicated_state() -> None:
-    """The leader is killed after a dozen reports. The next one goes on counting from the state that a majority has."""
-    async with watched() as w:
-        await wait_until(lambda: w.receiver.accepted[-1].body["reports"] > 12)
-        before, first = w.receiver.accepted[-1].body["reports"], w.leader
-        w.fleet.kill(first)
-        then = await w.next_leader(first)
-        mine = [t.body["reports"] for t in w.receiver.accepted if t.token.term == w.term]
-        assert before - 6 <= mine[0] <= before + 2, "what it said last may not have been kept"
-        status, told = await w.ask(then)
-        assert (status, told["owner"], told["life"], told["lost"]) == (200, f"n{then}", "held", 1)
+async def test_the_duty_of_a_killed_leader_continues_from_its_replicated_state() -> None:
+    """The leader is killed after a dozen reports. The next leader continues the count from the state of a majority."""
+    async with watch_duty() as duty:
+        await wait_until(lambda: duty.receiver.accepted[-1].body["reports"] > 12)
+        before, first_leader = duty.receiver.accepted[-1].body["reports"], duty.leader
+        duty.fleet.kill(first_leader)
+        successor = await duty.next_leader(first_leader)
+        report_counts = [
+            request.body["reports"] for request in duty.receiver.accepted if request.token.term == duty.term
+        ]
+        assert before - 6 <= report_counts[0] <= before + 2, (
+            "the last reports may be missing in the replicated state"
+        )
+        status, document = await duty.request(successor)
+        assert (status, document["owner"], document["life"], document["lost"]) == (
+            200,
+            f"n{successor}",
+            "held",
+            1,
+        )
 
 
 @asynchronous_test
-async def test_a_leader_stopped_and_woken_learns_that_its_term_is_over() -> None:
-    """The leader is stopped, another member takes the lease, and the former leader wakes with its work."""
-    async with watched() as w:
-        first = w.leader
-        w.fleet.stop(first)
-        await w.next_leader(first)
-        await w.goes_on()
-        w.fleet.go_on(first)
-        await w.superseded(first)
-        await w.goes_on()
-        assert w.leader != first
+async def test_a_leader_that_was_stopped_learns_that_its_term_has_ended() -> None:
+    """The leader is stopped, another runner acquires the lease, and the former leader resumes with unfinished work."""
+    async with watch_duty() as duty:
+        first_leader = duty.leader
+        duty.fleet.stop(first_leader)
+        await duty.next_leader(first_leader)
+        await duty.wait_for_reports()
+        duty.fleet.go_on(first_leader)
+        await duty.wait_until_superseded(first_leader)
+        await duty.wait_for_reports()
+        assert duty.leader != first_leader
 
 
 @asynchronous_test
-async def test_a_leader_that_wakes_after_two_further_terms_changes_nothing() -> None:
-    """The leader is stopped; the next one is killed; a third leads when the first wakes."""
-    async with watched(5, copies=5) as w:
-        first = w.leader
-        w.fleet.stop(first)
-        second = await w.next_leader(first)
-        w.fleet.kill(second)
-        await w.next_leader(first, second)
-        await w.goes_on()
-        term = w.term
-        w.fleet.go_on(first)
-        await w.superseded(first)
-        await w.goes_on()
-        assert w.term == term
+async def test_a_leader_that_resumes_two_terms_later_changes_nothing() -> None:
+    """The leader is stopped, the second leader is killed, and a third runner leads when the first one resumes."""
+    async with watch_duty(5, copies=5) as duty:
+        first_leader = duty.leader
+        duty.fleet.stop(first_leader)
+        second = await duty.next_leader(first_leader)
+        duty.fleet.kill(second)
+        await duty.next_leader(first_leader, second)
+        await duty.wait_for_reports()
+        term = duty.term
+        duty.fleet.go_on(first_leader)
+        await duty.wait_until_superseded(first_leader)
+        await duty.wait_for_reports()
+        assert duty.term == term
 
 
 @asynchronous_test
-async def test_a_leader_cut_off_with_its_operator_does_nothing_new_and_says_so() -> None:
-    """The leader is cut off from all others, and an operator asks it."""
-    async with watched() as w:
-        first = w.leader
-        w.fleet.cut_off(first)
-        await w.next_leader(first)
-        await w.goes_on()
-        status, told = await w.ask(first)
-        assert status == 503 and "no majority" in told["error"] and "fleet show" in told["remedy"]
-        status, listed = await w.ask(first, "duties")
-        assert status == 200 and listed["duties"][0]["name"] == "alive", "what was known is still told"
-        w.fleet.cut_off(first, silent=False)
-        await w.superseded(first)
-        await w.goes_on()
+async def test_a_partitioned_leader_reports_to_its_operator_that_it_has_no_majority() -> None:
+    """The leader is partitioned from all other runners, and an operator queries it."""
+    async with watch_duty() as duty:
+        first_leader = duty.leader
+        duty.fleet.cut_off(first_leader)
+        await duty.next_leader(first_leader)
+        await duty.wait_for_reports()
+        status, document = await duty.request(first_leader)
+        assert status == 503 and "no majority" in document["error"] and "fleet show" in document["remedy"]
+        status, listed = await duty.request(first_leader, "duties")
+        assert status == 200 and listed["duties"][0]["name"] == "alive", "the last known list is still served"
+        duty.fleet.cut_off(first_leader, silent=False)
+        await duty.wait_until_superseded(first_leader)
+        await duty.wait_for_reports()
 
 
 @asynchronous_test
 async def test_a_late_request_of_a_former_leader_is_rejected() -> None:
-    """A request is held on its way until another member leads, then arrives. Its token is stale."""
-    async with watched() as w:
-        first = w.leader
-        w.ways[first].silence()  # what it says from here on is held on its way
-        await wait_until(lambda: w.ways[first].holding > 0)
-        w.fleet.stop(first)
-        await w.next_leader(first)
-        await w.goes_on()
-        w.ways[first].resume()
-        await wait_until(lambda: bool(w.receiver.rejected))
-        assert all(f < w.receiver.accepted[-1].token for f in w.receiver.rejected)
-        w.fleet.go_on(first)
-        await w.superseded(first)
+    """A request is delayed until another runner leads. When it arrives, its token is stale."""
+    async with watch_duty() as duty:
+        first_leader = duty.leader
+        duty.relays[first_leader].silence()  # delays all further requests of the leader
+        await wait_until(lambda: duty.relays[first_leader].holding > 0)
+        duty.fleet.stop(first_leader)
+        await duty.next_leader(first_leader)
+        await duty.wait_for_reports()
+        duty.relays[first_leader].resume()
+        await wait_until(lambda: bool(duty.receiver.rejected))
+        assert all(token < duty.receiver.accepted[-1].token for token in duty.receiver.rejected)
+        duty.fleet.go_on(first_leader)
+        await duty.wait_until_superseded(first_leader)
 
 
 @asynchronous_test
 async def test_a_request_whose_answers_are_lost_is_repeated_and_counts_once() -> None:
-    """The receiver does what it is asked, and its answers are lost."""
-    async with watched() as w:
-        w.receiver.drops_replies = True
+    """The receiver executes requests, but its answers are lost, so the leader sends them again."""
+    async with watch_duty() as duty:
+        duty.receiver.drops_replies = True
         await asyncio.sleep(0.5)
-        w.receiver.drops_replies = False
-        await w.goes_on()
+        duty.receiver.drops_replies = False
+        await duty.wait_for_reports()
 
 
 @asynchronous_test
-async def test_a_draining_runner_hands_its_duty_over_in_order() -> None:
-    async with watched() as w:
-        first = w.leader
-        w.fleet.runners[first].process.send_signal(signal.SIGTERM)
-        then = await w.next_leader(first)
-        _, told = await w.ask(then)
-        assert told["lost"] == 0, "nobody was lost"
-        mine = [t.body["reports"] for t in w.receiver.accepted]
-        assert mine == sorted(mine) and len(set(mine)) == len(mine), "its last state was handed on"
-        await wait_until(lambda: w.fleet.runners[first].process.poll() == 0)
+async def test_a_draining_runner_hands_its_duty_and_state_over() -> None:
+    async with watch_duty() as duty:
+        first_leader = duty.leader
+        duty.fleet.runners[first_leader].process.send_signal(signal.SIGTERM)
+        successor = await duty.next_leader(first_leader)
+        _, document = await duty.request(successor)
+        assert document["lost"] == 0, "no leader was lost"
+        report_counts = [request.body["reports"] for request in duty.receiver.accepted]
+        assert report_counts == sorted(report_counts) and len(set(report_counts)) == len(report_counts), (
+            "the last state was handed over"
+        )
+        await wait_until(lambda: duty.fleet.runners[first_leader].process.poll() == 0)
 
 
 @asynchronous_test
-async def test_a_report_under_way_as_its_leader_drains_counts_in_the_state_that_is_handed_over() -> None:
-    """SIGTERM comes while a report has no answer yet. The state that is handed over must count it."""
-    async with watched() as w:
-        first = w.leader
-        w.ways[first].silence()
-        await wait_until(lambda: w.ways[first].holding > 0)
-        leaving = w.fleet.runners[first]
+async def test_a_report_pending_while_its_leader_drains_counts_in_the_state_that_is_handed_over() -> None:
+    """SIGTERM arrives while a report is unanswered. The state that is handed over must include the report."""
+    async with watch_duty() as duty:
+        first_leader = duty.leader
+        duty.relays[first_leader].silence()
+        await wait_until(lambda: duty.relays[first_leader].holding > 0)
+        leaving = duty.fleet.runners[first_leader]
         leaving.process.send_signal(signal.SIGTERM)
-        await wait_until(
-            lambda: "goes to others" in leaving.text()
-        )  # the duty is given up, and the report has no answer yet
-        w.ways[first].resume()
-        then = await w.next_leader(first)
-        _, told = await w.ask(then)
-        mine = [t.body["reports"] for t in w.receiver.accepted]
-        assert told["lost"] == 0 and len(set(mine)) == len(mine)
+        # The release has started, and the report is still unanswered.
+        await wait_until(lambda: "goes to others" in leaving.text())
+        duty.relays[first_leader].resume()
+        successor = await duty.next_leader(first_leader)
+        _, document = await duty.request(successor)
+        report_counts = [request.body["reports"] for request in duty.receiver.accepted]
+        assert document["lost"] == 0 and len(set(report_counts)) == len(report_counts)
 
 
 @asynchronous_test
 async def test_a_replaced_process_never_leads_together_with_its_successor() -> None:
-    """A new process takes over the seat of the leader while the old one drains."""
-    async with watched() as w:
-        first, kernel = w.leader, Kernel()
+    """A new process takes over the seat of the leader while the old process drains."""
+    async with watch_duty() as duty:
+        first_leader, kernel = duty.leader, Kernel()
         kernel.listen()
-        r = w.fleet.runners[first]
-        r.start(kernel.port)
-        await r.says_yes()
-        await w.goes_on()
-        r.processes[0].send_signal(signal.SIGTERM)
-        await wait_until(lambda: r.processes[0].poll() == 0)
-        await w.goes_on()
+        runner = duty.fleet.runners[first_leader]
+        runner.start(kernel.port)
+        await runner.says_yes()
+        await duty.wait_for_reports()
+        runner.processes[0].send_signal(signal.SIGTERM)
+        await wait_until(lambda: runner.processes[0].poll() == 0)
+        await duty.wait_for_reports()
         kernel.close()
 
 
 @asynchronous_test
 async def test_leaders_killed_one_after_another_suspend_the_duty_until_it_is_resumed() -> None:
-    """Three leaders are killed soon after they took the lease."""
-    async with watched(5, steady_ms=60_000, journals=True) as w:
-        gone: list[int] = []
+    """Three leaders in a row are killed soon after they acquired the lease."""
+    async with watch_duty(5, steady_ms=60_000, journals=True) as duty:
+        killed: list[int] = []
         for _ in range(3):
-            gone.append(w.leader)
-            w.fleet.kill(gone[-1])
-            if len(gone) < 3:
-                await w.next_leader(*gone)
-            await w.fleet.gone(gone[-1])
-            w.fleet.again(gone[-1])
-        live = next(i for i in range(5) if i not in gone)
-
-        told: dict[str, Any] = {}
-
-        async def aside() -> bool:  # a later answer may be that no majority was heard in time
-            told.update((await w.ask(live))[1])
-            return bool(told.get("life") == "aside")
-
-        await until(aside)
-        assert "one after the other" in told["why"]
-        seen = len(w.receiver.accepted)
+            killed.append(duty.leader)
+            duty.fleet.kill(killed[-1])
+            if len(killed) < 3:
+                await duty.next_leader(*killed)
+            await duty.fleet.gone(killed[-1])
+            duty.fleet.again(killed[-1])
+        live = next(i for i in range(5) if i not in killed)
+
+        document: dict[str, Any] = {}
+
+        # Single answers can be NoMajority errors instead of the duty's document.
+        async def is_suspended() -> bool:
+            document.update((await duty.request(live))[1])
+            return bool(document.get("life") == "aside")
+
+        await until(is_suspended)
+        assert "one after the other" in document["why"]
+        accepted_before = len(duty.receiver.accepted)
         await asyncio.sleep(0.5)
-        assert len(w.receiver.accepted) == seen
-        status, _ = await w.ask(live, "duties/alive/resume", "POST")
+        assert len(duty.receiver.accepted) == accepted_before
+        status, _ = await duty.request(live, "duties/alive/resume", "POST")
         assert status == 200
-        await w.goes_on()
+        await duty.wait_for_reports()
 
 
 @asynchronous_test
-async def test_a_fleet_that_lost_its_power_goes_on_from_its_disks_in_a_later_term() -> None:
-    """All runners are killed at one time and restart with their journals."""
-    async with watched(journals=True) as w:
-        await wait_until(lambda: w.receiver.accepted[-1].body["reports"] > 12)
-        before, term = w.receiver.accepted[-1].body["reports"], w.term
+async def test_a_fleet_that_lost_power_resumes_from_its_disks_in_a_later_term() -> None:
+    """All runners are killed at the same time and restart with their journals."""
+    async with watch_duty(journals=True) as duty:
+        await wait_until(lambda: duty.receiver.accepted[-1].body["reports"] > 12)
+        before, term = duty.receiver.accepted[-1].body["reports"], duty.term
         for i in range(4):
-            w.fleet.kill(i)
-        await w.fleet.gone()
+            duty.fleet.kill(i)
+        await duty.fleet.gone()
         for i in range(4):
-            w.fleet.again(i)
-        await wait_until(lambda: w.term > term)
-        first = next(t for t in w.receiver.accepted if t.token.term > term)
+            duty.fleet.again(i)
+        await wait_until(lambda: duty.term > term)
+        first_report = next(request for request in duty.receiver.accepted if request.token.term > term)
         assert (
-            first.token.generation == w.receiver.accepted[0].token.generation
-            and first.body["reports"] >= before - 6
+            first_report.token.generation == duty.receiver.accepted[0].token.generation
+            and first_report.body["reports"] >= before - 6
         )
 
 
 @asynchronous_test
-async def test_a_fleet_that_lost_its_memory_does_nothing_until_an_operator_says_so() -> None:
-    """All runners are killed at one time and have no journals: nobody knows what was promised."""
-    async with watched(3) as w:
-        born = w.receiver.accepted[-1].token.generation
+async def test_a_fleet_that_lost_its_memory_does_nothing_until_an_operator_begins_it_again() -> None:
+    """All runners without journals are killed at the same time, so all promises of the registers are lost."""
+    async with watch_duty(3) as duty:
+        first_generation = duty.receiver.accepted[-1].token.generation
         for i in range(3):
-            w.fleet.kill(i)
-        await w.fleet.gone()
-        seen = len(w.receiver.accepted)
+            duty.fleet.kill(i)
+        await duty.fleet.gone()
+        accepted_before = len(duty.receiver.accepted)
         for i in range(3):
-            w.fleet.again(i)
-        for r in w.fleet.runners:
-            await r.ready()
+            duty.fleet.again(i)
+        for runner in duty.fleet.runners:
+            await runner.ready()
         await asyncio.sleep(0.5)
-        assert len(w.receiver.accepted) == seen and (await w.ask(0))[0] == 503
-        await w.fleet.begin()
-        await w.goes_on()
-        assert w.receiver.accepted[-1].token > FencingToken(born, 1 << 30, 1 << 30)
+        assert len(duty.receiver.accepted) == accepted_before and (await duty.request(0))[0] == 503
+        await duty.fleet.begin()
+        await duty.wait_for_reports()
+        assert duty.receiver.accepted[-1].token > FencingToken(first_generation, 1 << 30, 1 << 30)
 
 
 @asynchronous_test
-async def test_a_full_disk_costs_a_replica_its_vote_until_there_is_room() -> None:
-    """The leader's disk is full, so that it can promise nothing as a replica."""
-    async with watched(journals=True) as w:
-        r = w.fleet.runners[w.leader]
+async def test_a_replica_with_a_full_disk_does_not_vote_until_there_is_room() -> None:
+    """The leader's disk is full, so it can't make durable promises as a replica."""
+    async with watch_duty(journals=True) as duty:
+        runner = duty.fleet.runners[duty.leader]
 
         async def journal() -> str:
-            return str((await r.counters("fleet"))["journal"])
+            return str((await runner.counters("fleet"))["journal"])
 
-        resource.prlimit(r.process.pid, resource.RLIMIT_FSIZE, (1, resource.RLIM_INFINITY))
+        resource.prlimit(runner.process.pid, resource.RLIMIT_FSIZE, (1, resource.RLIM_INFINITY))
 
         async def fails() -> bool:
             return await journal() != "written"
@@ -325,25 +336,27 @@
             return await journal() == "written"
 
         await until(fails)
-        await w.goes_on()
+        await duty.wait_for_reports()
         resource.prlimit(
-            r.process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
+            runner.process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
         )
         await until(written)
-        await w.goes_on()
+        await duty.wait_for_reports()
 
 
 @asynchronous_test
-async def test_sighup_to_all_leaves_the_duty_with_its_leader() -> None:
-    async with watched() as w:
-        term = w.term
-        for r in w.fleet.runners:
-            r.process.send_signal(signal.SIGHUP)
-        await w.goes_on()
+async def test_sighup_to_all_runners_does_not_move_the_duty() -> None:
+    async with watch_duty() as duty:
+        term = duty.term
+        for runner in duty.fleet.runners:
+            runner.process.send_signal(signal.SIGHUP)
+        await duty.wait_for_reports()
 
         async def read() -> bool:
-            return all([(await r.counters()).get("configurations read") == 1 for r in w.fleet.runners])
+            return all(
+                [(await runner.counters()).get("configurations read") == 1 for runner in duty.fleet.runners]
+            )
 
         await until(read)
-        await w.goes_on()
-        assert w.term == term
+        await duty.wait_for_reports()
+        assert duty.term == term
--- a/tests/test_lease_record.py
+++ b/tests/test_lease_record.py
@@ -1,4 +1,4 @@
-"""The lease record of a duty: every change of it, and the fencing tokens that it gives."""
+"""The lease record of a duty: all its changes, and the fencing tokens derived from it."""
 
 from __future__ import annotations
 
@@ -76,34 +76,37 @@
         assert old is None or new.revision > old.revision or new.generation > old.generation
 
 
-def test_a_change_that_a_second_round_finds_applied_is_not_applied_twice() -> None:
-    """A round of a change is cut short, and the next round finds that the first was chosen after all."""
+def test_a_change_that_a_retry_finds_applied_is_not_applied_twice() -> None:
+    """A round of a change is interrupted, and the retry finds that the change was chosen in the first round."""
     change = AddIntent(A, 1, 3, 1, "s", b"job", IntentResolution.OPERATOR_DECIDES)
-    once = change(encode_record(record()))
+    changed = change(encode_record(record()))
     assert (
-        change(once) is None
-        and change.is_applied_in(decode_record(once))
+        change(changed) is None
+        and change.is_applied_in(decode_record(changed))
         and not change.is_applied_in(record(owner=B))
     )
-    found = decode_record(once)
+    found = decode_record(changed)
     assert (
         found is not None
         and [i.payload for i in found.intents] == [b"job"]
         and found.intents[0].revision == 8
     )
-    settled = decode_record(ResolveIntent(8)(once))
-    assert settled is not None and not settled.intents and ResolveIntent(8)(encode_record(settled)) is None
+    without_intent = decode_record(ResolveIntent(8)(changed))
+    assert (
+        without_intent is not None
+        and not without_intent.intents
+        and ResolveIntent(8)(encode_record(without_intent)) is None
+    )
 
 
 def test_a_duty_created_again_has_a_later_generation_than_every_earlier_token() -> None:
-    """A receiver still knows tokens of a duty that was removed. Created again under its name, the duty must not be
-    taken for its own past."""
-    gone = decode_record(Remove(1)(encode_record(record())))
-    assert gone is not None
-    anew = decode_record(Create("d", "test", 0)(encode_record(gone)))
-    assert anew is not None and FencingToken(*anew.position) > FencingToken(1, 99, 99)
-    aside = decode_record(Suspend(A, 1, 3, 1, "forgotten", 50)(encode_record(record())))
-    resumed = None if aside is None else decode_record(Resume()(encode_record(aside)))
+    """A receiver remembers tokens of a removed duty. A new duty of the same name must get higher tokens."""
+    removed = decode_record(Remove(1)(encode_record(record())))
+    assert removed is not None
+    recreated = decode_record(Create("d", "test", 0)(encode_record(removed)))
+    assert recreated is not None and FencingToken(*recreated.position) > FencingToken(1, 99, 99)
+    suspended = decode_record(Suspend(A, 1, 3, 1, "forgotten", 50)(encode_record(record())))
+    resumed = None if suspended is None else decode_record(Resume()(encode_record(suspended)))
     assert resumed is not None and resumed.generation == 50
 
 
