--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -1,4 +1,4 @@
-"""A runner that is lost at each step of a keyed request, and faults that come while its work is being taken over."""
+"""Loss of a runner at each step of a keyed request, and further faults while its requests are taken over."""
 
 from __future__ import annotations
 
@@ -18,59 +18,60 @@
 pytestmark = pytest.mark.processes
 
 
-def slowly(f: Fleet, s: float) -> None:
-    """Each word between two runners takes so long, so that a moment between two steps can be met."""
+def delay_messages(f: Fleet, delay_s: float) -> None:
+    """Delay each message between runners, so that a fault can be injected between two steps."""
     for relay in f.relays.values():
-        relay.delay = s
+        relay.delay = delay_s
 
 
-async def in_hand(f: Fleet, n: int) -> tuple[set[str], set[str]]:
-    """The tokens that the first runner has in hand, and those of them that it only holds."""
-    asked = await many(f, n)
+async def submit_requests(f: Fleet, count: int) -> tuple[set[str], set[str]]:
+    """Submit requests to the first runner, and return all tokens and the tokens whose runs have not started."""
+    asked = await many(f, count)
     quiet(asked)
     return set(asked), set(asked) - f.began(0)
 
 
 @asynchronous_test
-async def test_an_owner_killed_at_each_step_leaves_one_ending_for_each_key_and_no_second_run() -> None:
-    """Between its question for the key and the grant, its question to begin and the grant, the grant and the command,
-    in the run, after the end and before the others know of it."""
+async def test_an_owner_killed_at_each_step_leaves_one_result_for_each_key_and_no_second_run() -> None:
+    """The owner is killed at different times after the requests were submitted: before its claim of the key is granted,
+    before the start of the run is granted, before the command reaches the kernel, during the run, and after the end of
+    the run but before the other runners know the result."""
     async with fleet(4, work=0.06) as f:
         ended_without_a_run = 0
-        for moment in (0.0, 0.03, 0.05, 0.07, 0.09, 0.11, 0.14, 0.2):
-            slowly(f, 0.02)
+        for delay_s in (0.0, 0.03, 0.05, 0.07, 0.09, 0.11, 0.14, 0.2):
+            delay_messages(f, 0.02)
             front = await f.front(0)
             tokens = [token() for _ in range(6)]
             quiet({t: front.send("submit", token=t, body=t.encode()) for t in tokens})
-            await asyncio.sleep(moment)
+            await asyncio.sleep(delay_s)
             f.kill(0)
-            slowly(f, 0.0)
-            there = f.began(0)
+            delay_messages(f, 0.0)
+            started_at_owner = f.began(0)
             got = await ask_again(f, 2, tokens)
             for t, answer in got.items():
                 ran = f.ran().count(t.encode())
                 if served(t, answer):
                     assert ran == 1
                 else:
-                    assert "error" in answer and not refused(answer), "it may have run"
-                    assert ran == (t in there)
-                    ended_without_a_run += t not in there
+                    assert "error" in answer and not refused(answer), "the request may have run"
+                    assert ran == (t in started_at_owner)
+                    ended_without_a_run += t not in started_at_owner
             once(f, tokens)
             again = await ask_again(f, 3, tokens)
             assert {t: served(t, a) for t, a in again.items()} == {t: served(t, a) for t, a in got.items()}, (
-                "another runner says otherwise"
+                "another runner gives a different answer"
             )
             await f.gone(0)
             f.again(0)
             await f.runners[0].ready()
             await remembers(f, 0)
-        assert ended_without_a_run <= 24, "what had no run was given up too often"
+        assert ended_without_a_run <= 24, "too many requests ended without a run"
 
 
 @asynchronous_test
-async def test_new_settings_in_the_midst_of_a_takeover_lose_none_of_it() -> None:
+async def test_new_settings_during_a_takeover_lose_no_request() -> None:
     async with fleet(4, work=0.5) as f:
-        asked, held = await in_hand(f, 10)
+        asked, not_started = await submit_requests(f, 10)
         f.kill(0)
         for turn in range(6):
             for r in f.runners[1:]:
@@ -80,16 +81,16 @@
                 (Path(r.dir.name) / "config.json").write_text(json.dumps(r.config | {"settings": settings}))
                 r.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.12)
-        await wait_until(lambda: held <= f.began(1, 2, 3))
+        await wait_until(lambda: not_started <= f.began(1, 2, 3))
         got = await ask_again(f, 2, asked)
-        assert all(served(t, got[t]) for t in held)
+        assert all(served(t, got[t]) for t in not_started)
         once(f, asked)
 
 
 @asynchronous_test
-async def test_a_process_replaced_in_the_midst_of_a_takeover_loses_none_of_it() -> None:
+async def test_a_process_replaced_during_a_takeover_loses_no_request() -> None:
     async with fleet(4, work=0.5) as f:
-        asked, held = await in_hand(f, 16)
+        asked, not_started = await submit_requests(f, 16)
         r, kernel = f.runners[1], Kernel(work=0.05)
         kernel.listen()
         f.kill(0)
@@ -97,16 +98,17 @@
         await r.says_yes()
         r.processes[0].send_signal(signal.SIGTERM)
 
-        def by_the_new_one() -> set[str]:
+        def run_by_the_new_process() -> set[str]:
             return {body.decode() for _, _, body in kernel.runs}
 
-        # A new process has forgotten what the old one kept: with n0 gone, too, such a key has one keeper left of three.
-        sure = {t for t in held if not {"n0", "n1"} <= set(f.keepers(t))}
-        await wait_until(lambda: sure <= f.began(1, 2, 3) | by_the_new_one())
+        # The new process of n1 lacks the records of the old one. With n0 lost as well, a key that both replicated has
+        # only one replica left of three.
+        recoverable = {t for t in not_started if not {"n0", "n1"} <= set(f.keepers(t))}
+        await wait_until(lambda: recoverable <= f.began(1, 2, 3) | run_by_the_new_process())
         got = await ask_again(f, 2, asked)
-        assert all(served(t, got[t]) for t in sure)
+        assert all(served(t, got[t]) for t in recoverable)
         once(f, asked)
-        assert not by_the_new_one() & f.began(0, 1, 2, 3)
+        assert not run_by_the_new_process() & f.began(0, 1, 2, 3)
 
         async def ended() -> bool:
             return r.processes[0].poll() == 0
@@ -116,11 +118,11 @@
 
 
 @asynchronous_test
-async def test_a_fleet_with_journals_loses_one_runner_after_the_other_and_no_key() -> None:
-    """Each of them in turn, and never waiting until the last one has been told by the others.
+async def test_a_fleet_with_journals_loses_its_runners_in_turn_but_no_key() -> None:
+    """All runners are killed in turn, each one before the previous one has caught up with the others.
 
-    A claim has time to reach a majority on a busy machine: one that has not is answered with an error, since others may
-    go on with the key, though none is lost.
+    `claim_ms` is long enough for a claim to reach a majority on a busy machine. A claim that does not is answered with
+    an error, although the key is not lost, since other runners may continue with it.
     """
     async with fleet(3, work=0.03, journals=True, window_ms=60_000, claim_ms=3_000) as f:
         tokens: list[str] = []
@@ -133,7 +135,7 @@
             async def settled(i: int = turn % 3) -> bool:
                 return not (await f.runners[i].counters("fleet"))["in_hand"]
 
-            await until(settled)  # an answer goes out before its end has reached the keepers
+            await until(settled)  # an answer is sent before the replicas know the result
             f.runners[turn % 3].process.kill()
             await f.gone(turn % 3)
             f.runners[turn % 3].again()
