--- a/moorusher/health/__init__.py
+++ b/moorusher/health/__init__.py
@@ -1,11 +1,12 @@
-"""The health of this runner, as load balancers are told it: observations in, a state and a weight out.
+"""Health of this runner for load balancers: turns observations into a state and a load balancing weight.
 
-No I/O, no clock and no randomness of its own (tests/test_core_shape.py): times are whole microseconds, passed in.
+Performs no I/O and reads no clock or random source (tests/test_core_shape.py): the caller passes times as whole
+microseconds.
 
-- `observation`: what is seen of the runner at one moment. `staleness`: how far old observations can be believed.
-- `congestion`: how many runs are on the cores, and the forecast of it. `throughput`: how fast runs end.
-- `states`: the states and their transitions. `weight`: the share of traffic that balancers are asked to send.
-- `tracker`: composes these to a report. `formatting`: the report in the protocols of balancers.
+- `observation`: measurements of the runner at one moment. `staleness`: trust in old measurements.
+- `congestion`: forecast of the runs on the cores. `throughput`: rate at which runs end.
+- `states`: health states and their transitions. `weight`: share of traffic that load balancers should send.
+- `tracker`: composes these into a report. `formatting`: the report in the protocols of load balancers.
 
-docs/design/standing.md has the designs that were weighed.
+docs/design/standing.md describes the designs that were considered.
 """
--- a/moorusher/health/congestion.py
+++ b/moorusher/health/congestion.py
@@ -1,6 +1,6 @@
-"""The forecast of runs on the cores, and how many a runner survives.
+"""Forecast of the runs on the cores, and the number of runs that a runner survives.
 
-The rule is on a mean: more than a number for each core in the mean of a window (3 s), and the runner falls over.
+A runner collapses if the mean number of runs per core over a window (3 s) exceeds a limit.
 """
 
 from __future__ import annotations
@@ -9,49 +9,51 @@
 
 from .history import LevelHistory
 
-POINTS_AHEAD = 6  # of the time ahead, at which the mean is worked out
+FORECAST_POINTS = 6  # future times at which the mean is calculated
 
 
 @dataclass(frozen=True, slots=True)
 class _Projection:
-    """What is expected of the runs on the cores: a straight line to the turn, when balancers have acted, then another.
+    """Projected number of runs on the cores: linear until load balancers have reacted, then linear at another slope.
 
     Attributes:
-        level: now.
-        turn_level: at the turn.
-        turn_us: the turn, from now.
-        falls_per_s: from the turn on; negative where the count rises.
-        max_level: that the runner itself lets onto its cores.
+        level: Runs now.
+        reaction_level: Runs when load balancers have reacted.
+        reaction_us: Time from now until load balancers have reacted.
+        decline_per_s: Decrease after the reaction; negative if the number rises.
+        max_level: Maximum number of runs that the runner puts on its cores.
     """
 
     level: float
-    turn_level: float
-    turn_us: int
-    falls_per_s: float
+    reaction_level: float
+    reaction_us: int
+    decline_per_s: float
     max_level: float
 
     def integral(self, begin_us: float, end_us: float) -> float:
-        """Count times us between two times from now."""
+        """Return the number of runs integrated over time in us, between two times relative to now."""
         total = 0.0
-        turn_us = float(self.turn_us)
-        if begin_us < turn_us:
-            until = min(end_us, turn_us)
-            slope = (self.turn_level - self.level) / turn_us
+        reaction_us = float(self.reaction_us)
+        if begin_us < reaction_us:
+            until = min(end_us, reaction_us)
+            slope = (self.reaction_level - self.level) / reaction_us
             total += (until - begin_us) * (self.level + slope * (begin_us + until) / 2)
-        if end_us > turn_us:
-            total += self._integral_after_turn(max(begin_us, turn_us) - turn_us, end_us - turn_us)
+        if end_us > reaction_us:
+            total += self._integral_after_reaction(
+                max(begin_us, reaction_us) - reaction_us, end_us - reaction_us
+            )
         return total
 
-    def _integral_after_turn(self, begin_us: float, end_us: float) -> float:
-        """The same between two times from the turn: the line ends where nothing is left, or nothing more is let in."""
-        last_level = 0.0 if self.falls_per_s > 0 else max(self.turn_level, self.max_level)
+    def _integral_after_reaction(self, begin_us: float, end_us: float) -> float:
+        """Return the integral between two times relative to the reaction; the level is bounded by 0 and max_level."""
+        last_level = 0.0 if self.decline_per_s > 0 else max(self.reaction_level, self.max_level)
         line_end_us = end_us
-        if self.falls_per_s:
-            line_end_us = (self.turn_level - last_level) / self.falls_per_s * 1e6
+        if self.decline_per_s:
+            line_end_us = (self.reaction_level - last_level) / self.decline_per_s * 1e6
         total = 0.0
         line_until = min(end_us, line_end_us)
         if line_until > begin_us:
-            mean = self.turn_level - self.falls_per_s * (begin_us + line_until) / 2e6
+            mean = self.reaction_level - self.decline_per_s * (begin_us + line_until) / 2e6
             total += (line_until - begin_us) * mean
         if end_us > line_end_us:
             total += (end_us - max(begin_us, line_end_us)) * last_level
@@ -68,33 +70,29 @@
     ends_per_s: float = 0.0,
     max_level: float = float("inf"),
 ) -> float:
-    """The highest mean of the window that ends at any time from now on, if balancers act on what they are told now
-    within `horizon_us`.
-
-    Until then the count goes on by its trend and never falls: that runs will end is not certain. From then on nothing
-    new is sent; the count falls as runs were seen to end, and what is queued or at calls comes onto the cores within a
-    window: a runner with a full queue goes on filling by itself. The mean goes on rising for a while after that turn,
-    as the window's older and emptier part leaves it: a forecast that ended at the turn would come too late.
-
-    Args:
-        min_level: that runs now, whatever the own count says.
-        waiting: what may come onto the cores: queued, or at calls. Growth that neither it nor arrivals can feed is not
-            believed.
-        max_level: that the runner itself lets onto its cores.
+    """Return the highest window mean from now on, if load balancers react to the current report within `horizon_us`.
+
+    :param min_level: Lower bound of the current number of runs, if other evidence exceeds the runner's own count.
+    :param waiting: Queued requests and runs at calls. Growth is limited to these and the arrivals.
+    :param max_level: Maximum number of runs that the runner puts on its cores.
     """
+    # Until the reaction the number of runs follows its trend and never falls, since it is not certain that runs end.
+    # After the reaction no new requests arrive: runs end at the measured rate, and queued requests and runs at calls
+    # come onto the cores within one window, so a runner with a full queue continues to fill. The forecast extends one
+    # window beyond the reaction, because the mean continues to rise while older, lower values leave the window.
     level = max(float(history.value), min_level)
     highest = history.mean(now)
     if not level and not highest:
-        return 0.0  # nothing runs and nothing did: the usual case of an idle runner
+        return 0.0  # idle runner
     window_us = history.window_us
     horizon_s = horizon_us / 1e6
     growth = min(history.trend(now) * horizon_s, waiting + arrivals_per_s * horizon_s)
-    turn_level = max(level, min(level + growth, max_level))
-    falls_per_s = ends_per_s - waiting / (window_us / 1e6)
-    projection = _Projection(level, turn_level, max(1, horizon_us), falls_per_s, max_level)
+    reaction_level = max(level, min(level + growth, max_level))
+    decline_per_s = ends_per_s - waiting / (window_us / 1e6)
+    projection = _Projection(level, reaction_level, max(1, horizon_us), decline_per_s, max_level)
     last_us = horizon_us + window_us
-    for point in range(1, POINTS_AHEAD + 1):
-        at_us = last_us * point // POINTS_AHEAD
+    for point in range(1, FORECAST_POINTS + 1):
+        at_us = last_us * point // FORECAST_POINTS
         future = projection.integral(max(0, at_us - window_us), at_us)
         past = history.integral(now + at_us - window_us) if at_us < window_us else 0.0
         highest = max(highest, (past + future) / window_us)
@@ -102,6 +100,9 @@
 
 
 def survivable_runs(cores: int, runs_per_core: float, speed: float) -> float:
-    """Runs on the cores, in the mean of the window, up to which a runner survives. `runs_per_core` holds for a warm
-    one; at a `speed` below 1, the share of full speed, it survives fewer."""
+    """Return the highest window mean of runs on the cores that a runner survives.
+
+    :param runs_per_core: The limit of a warm runner.
+    :param speed: Fraction of full speed; below 1 the runner survives fewer runs.
+    """
     return cores * (1.0 + (runs_per_core - 1.0) * min(1.0, max(0.0, speed)))
--- a/moorusher/health/formatting.py
+++ b/moorusher/health/formatting.py
@@ -1,7 +1,7 @@
-"""A health report in the words of the protocols that balancers speak; framing is the frontends'.
+"""A health report in the protocols of load balancers, without the framing, which `frontends` adds.
 
-HAProxy: the documentation of `agent-check`. Envoy: that of HTTP health checking and of degraded endpoints. ORCA: the
-text form of the `endpoint-load-metrics` header.
+The formats follow HAProxy's documentation of `agent-check`, Envoy's documentation of HTTP health checking and degraded
+endpoints, and the text form of ORCA's `endpoint-load-metrics` header.
 """
 
 from __future__ import annotations
@@ -12,21 +12,24 @@
 from .report import HealthReport
 from .states import HealthState
 
-MAX_REASON_LENGTH = 120  # HAProxy keeps the first line, and logs it
+MAX_REASON_LENGTH = 120  # characters; HAProxy logs the first line
 DEGRADED_BELOW_WEIGHT = 50
-MIN_ERROR_STATUS = 300
+MIN_ERROR_STATUS = 300  # lowest HTTP status that load balancers treat as a failed health check
 
 
 @dataclass(frozen=True, slots=True)
 class StatusCodes:
-    """HTTP statuses of `/health`. Balancers differ: some know 200 and the rest, some keep 429 apart.
+    """HTTP statuses of `/health`; the names are keys of `[health]`.
 
     Attributes:
-        crowded: overloaded; 200 with a mark, as a balancer that reads only the status goes on sending.
-        full: overloaded, and about to fall over.
+        crowded: Status while overloaded.
+        full: Status while overloaded and close to collapse.
     """
 
-    crowded: int = 200  # the four names are keys of `[health]`
+    # The statuses are configurable, since some load balancers treat 429 differently from other errors and some only
+    # distinguish 200 from everything else. The default of `crowded` is 200, so that load balancers that read only the
+    # status continue to send; others read the `x-envoy-degraded` header.
+    crowded: int = 200
     full: int = 503
     draining: int = 503
     maintenance: int = 503
@@ -34,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeResponse:
-    """What an HTTP probe is told, before it is framed.
+    """Answer to an HTTP health check, without its framing.
 
     Attributes:
-        degraded: `x-envoy-degraded`: requests are sent to where the others don't suffice.
-        fail_now: `x-envoy-immediate-health-check-fail`: without waiting for further failures.
+        degraded: Whether to send `x-envoy-degraded`: the runner gets requests only if other endpoints don't suffice.
+        fail_now: Whether to send `x-envoy-immediate-health-check-fail`: the runner is unhealthy from the first failure.
     """
 
     status: int
@@ -48,18 +51,21 @@
 
 
 def one_line(text: str) -> str:
-    """A reason that may come from an operator: without line ends and control characters, and not too long."""
+    """Return the text shortened to MAX_REASON_LENGTH, with `?` for line ends, control and non-ASCII characters."""
     return "".join(c if " " <= c <= "~" else "?" for c in text)[:MAX_REASON_LENGTH]
 
 
 def haproxy_agent_state(
     report: HealthReport, listeners_closed: bool = False, with_maxconn: bool = False
 ) -> str:
-    """One line of `agent-check`, without its end. `ready` lifts a `drain` or `maint` said before; `up` a `down`,
-    `fail`, `stopped`."""
+    """Return a line of `agent-check` without line end.
+
+    `ready` cancels an earlier `drain` or `maint`; `up` cancels an earlier `down`, `fail` or `stopped`.
+    """
     reason = f" #{report.state.value}: {one_line(report.reason)}"
     match report.state:
-        case HealthState.DRAINING:  # nothing new; once nothing listens, HAProxy need not find out by trying
+        case HealthState.DRAINING:
+            # `stopped` spares HAProxy connection attempts after the listeners are closed.
             return ("drain stopped" if listeners_closed else "drain") + reason
         case HealthState.MAINTENANCE:
             return "maint" + reason
@@ -67,13 +73,13 @@
             return "ready down" + reason
         case HealthState.FAILED:
             return "ready fail" + reason
-    # 0% takes all new traffic away and leaves the server up: its checks and open requests go on.
+    # A weight of 0% stops new traffic but leaves the server up: its checks and open requests continue.
     maxconn = f" maxconn:{max(1, report.max_connections)}" if with_maxconn else ""
     return f"ready up {report.weight}%{maxconn}{reason}"
 
 
 def health_response(report: HealthReport, codes: StatusCodes) -> ProbeResponse:
-    """Whether new requests may be sent here."""
+    """Return the answer of `/health`: whether load balancers may send new requests."""
     match report.state:
         case HealthState.DRAINING:
             return ProbeResponse(codes.draining, fail_now=codes.draining >= MIN_ERROR_STATUS)
@@ -91,15 +97,15 @@
 
 
 def readiness_response(report: HealthReport) -> ProbeResponse:
-    """Whether it could serve at all. Overload is no reason to take it out of an endpoint list: the others would be
-    overloaded by it."""
+    """Return the answer of `/ready`: whether the runner can serve at all."""
+    # An overloaded runner is ready: its removal from an endpoint list would overload the other runners.
     if report.state.routable:
         return ProbeResponse(200)
     return ProbeResponse(503, retry_after_s=None if report.state is HealthState.DRAINING else 1)
 
 
 def startup_response(kernel_up: bool) -> ProbeResponse:
-    """Whether it has come up once, which is not taken back."""
+    """Return the answer of `/startup`: whether the kernel has been up since the start; never changes back."""
     return ProbeResponse(200) if kernel_up else ProbeResponse(503, retry_after_s=1)
 
 
@@ -110,7 +116,7 @@
     requests_per_s: float,
     errors_per_s: float,
 ) -> str:
-    """The value of the `endpoint-load-metrics` header. What is unknown is left out: a 0 would draw traffic."""
+    """Return the value of the `endpoint-load-metrics` header. Unknown values are omitted: a 0 would attract traffic."""
     metrics: list[tuple[str, float | None]] = [
         ("application_utilization", report.pressure),
         ("cpu_utilization", cpu),
--- a/moorusher/health/history.py
+++ b/moorusher/health/history.py
@@ -1,52 +1,53 @@
-"""Levels and counts of the last seconds, in buckets of time.
+"""Levels and event counts of the last seconds, in time buckets."""
 
-The runner falls over at a mean of runs on the cores over a window. So the level is kept as an integral over short
-buckets: its mean is exact, but for where within the oldest bucket the window begins.
-"""
+# The overload limit applies to the mean number of runs on the cores over a window. Therefore the level is stored as
+# its integral over short buckets: the mean is exact, except for the position of the window's beginning in the oldest
+# bucket.
 
 from __future__ import annotations
 
 from itertools import pairwise
 
-BUCKET_US = 50_000  # the window's edge is uncertain by this much
-BLOCK_BUCKETS = 5  # over which the level is averaged for its trend
-SHORT_TREND_BLOCKS = 6  # a second and a half: in less a few runs are no trend
-TREND_DEVIATIONS = 1.0  # by which a trend must exceed what chance would show, before it is believed
+BUCKET_US = 50_000  # duration of a bucket, and uncertainty of the window's beginning
+BLOCK_BUCKETS = 5  # buckets averaged into one block for the trend
+SHORT_TREND_BLOCKS = 6  # 1.5 s; over a shorter time a few runs would look like a trend
+TREND_DEVIATIONS = 1.0  # standard deviations of a random walk that are subtracted from a trend
 
 
 class LevelHistory:
-    """A level over time, such as the count of runs on the cores, as its integral over each bucket of time. The ring of
-    buckets is bounded, however often the level changes.
+    """A level over time, such as the number of runs on the cores, stored as its integral over each time bucket.
+
+    The number of buckets does not depend on how often the level changes.
 
     Attributes:
-        window_us: of `mean`.
-        value: the level now.
+        window_us: Window of `mean`.
+        value: Current level.
     """
 
     def __init__(self, window_us: int, now: int) -> None:
+        """Create a history of level 0."""
         self.window_us = window_us
         self._size = max(-(-window_us // BUCKET_US) + 1, SHORT_TREND_BLOCKS * BLOCK_BUCKETS + 1)
-        self._ring = [0] * self._size  # level times us, by bucket
-        self._bucket = now // BUCKET_US  # the newest one
+        self._ring = [0] * self._size  # integral of the level over each bucket
+        self._bucket = now // BUCKET_US  # number of the latest bucket
         self._advanced_to_us = now
         self.value = 0
-        if now % BUCKET_US:  # the first bucket is whole too: before the start the level was 0
+        if now % BUCKET_US:  # count the first bucket from its beginning; the level was 0 before the start
             self._advanced_to_us = self._bucket * BUCKET_US
             self.advance(now)
 
     def set(self, now: int, value: int) -> None:
-        """The level changes."""
+        """Change the level."""
         self.advance(now)
         self.value = value
 
     def advance(self, now: int) -> None:
-        """The level has stayed until now. Never back: several events of one turn share a time, and an older time
-        changes nothing."""
+        """Integrate the current level until `now`. A time that is not later than the last one has no effect."""
+        # Events that are processed in the same turn of the event loop can have equal or earlier times.
         if now <= self._advanced_to_us:
             return
-        if (
-            now - self._advanced_to_us > (self._size + 1) * BUCKET_US
-        ):  # all of the ring is older than what stands now
+        if now - self._advanced_to_us > (self._size + 1) * BUCKET_US:
+            # Every bucket of the ring has expired, so the current level fills the whole ring.
             self._ring = [self.value * BUCKET_US] * self._size
             self._bucket = now // BUCKET_US
             self._ring[self._bucket % self._size] = self.value * (now % BUCKET_US)
@@ -61,36 +62,37 @@
                 self._ring[self._bucket % self._size] = 0
 
     def integral(self, since: int) -> float:
-        """Level times us from `since` until the last advance; nothing counts from before the ring's reach."""
+        """Return the integral of the level over time in us, from `since` to the last advance, within the ring."""
         total = 0.0
         bucket = self._bucket
-        whole = -(-since // BUCKET_US)  # the first bucket that begins at `since` or later
-        if bucket - whole + 1 >= self._size:
+        first_whole = -(-since // BUCKET_US)  # first bucket that begins at `since` or later
+        if bucket - first_whole + 1 >= self._size:
             return float(sum(self._ring))
-        for index in range(whole, bucket + 1):
+        for index in range(first_whole, bucket + 1):
             total += self._ring[index % self._size]
-        if since < whole * BUCKET_US:  # a part of the bucket before: as if the level had been even in it
-            before = whole - 1
-            end = min(self._advanced_to_us, whole * BUCKET_US)
-            if bucket - before < self._size and end > since:
-                total += self._ring[before % self._size] * (end - since) / (end - before * BUCKET_US)
+        if since < first_whole * BUCKET_US:
+            # Add a part of the previous bucket, assuming a constant level in it.
+            previous = first_whole - 1
+            end = min(self._advanced_to_us, first_whole * BUCKET_US)
+            if bucket - previous < self._size and end > since:
+                total += self._ring[previous % self._size] * (end - since) / (end - previous * BUCKET_US)
         return total
 
     def mean(self, now: int) -> float:
-        """Over the window that ends now."""
+        """Return the mean level over the window that ends now."""
         self.advance(now)
         return self.integral(now - self.window_us) / self.window_us
 
     def trend(self, now: int) -> float:
-        """Growth a second that is more than chance, at least 0: the larger of those over the last second and a half and
-        over the whole window.
-
-        A count that runs come to and leave at random is a random walk. A least-squares slope over a time T of a walk of
-        rate R (the variance that it gains a second) has a variance of 6/5 R / T; `TREND_DEVIATIONS` of that are taken
-        off. Without it a healthy runner's slope would forecast an overload now and then, its load would fall upon its
-        neighbours, and they would do so too. R is measured, not derived from arrivals: a runner whose count is bounded
-        by its own slots walks less.
+        """Return the statistically significant growth per second, at least 0.
+
+        This is the larger of the growth over the last 1.5 s and over the whole history, each reduced by
+        `TREND_DEVIATIONS` standard deviations of a random walk.
         """
+        # Random arrivals and ends make the level a random walk. If its variance grows by R per second, a least-squares
+        # slope over a time T has a variance of 6/5 R / T. Without the reduction a healthy runner would sometimes
+        # forecast an overload, its load would move to other runners, and they would do the same. R is measured, not
+        # derived from arrivals, because a level that is limited by the runner's own slots varies less.
         self.advance(now)
         blocks = self._block_means()
         seconds = BLOCK_BUCKETS * BUCKET_US / 1e6
@@ -103,7 +105,7 @@
         return best
 
     def _block_means(self) -> list[float]:
-        """The mean level of each whole block in the ring, the oldest first."""
+        """Return the mean level of each whole block in the ring, oldest first."""
         ring = self._ring
         size = self._size
         last = self._bucket
@@ -116,8 +118,9 @@
 
 
 def _walk_rate(blocks: list[float], block_s: float) -> float:
-    """The variance that a random walk gains a second, from its means over blocks of length B: they differ from one to
-    the next by 2/3 R B."""
+    """Return the variance that a random walk gains per second, estimated from its means over blocks of `block_s`."""
+    # For a walk that gains the variance R per second, the difference of two consecutive means over blocks of length B
+    # has a variance of 2/3 R B.
     count = len(blocks)
     gains = [later - earlier for earlier, later in pairwise(blocks)]
     drift = (blocks[-1] - blocks[0]) / (count - 1)
@@ -125,16 +128,17 @@
 
 
 def _least_squares_slope(values: list[float]) -> float:
-    """Growth from one value to the next."""
+    """Return the least-squares growth from one value to the next."""
     middle = (len(values) - 1) / 2
     spread = sum((x - middle) ** 2 for x in range(len(values)))
     return sum((x - middle) * value for x, value in enumerate(values)) / spread
 
 
 class WindowedCount:
-    """Events of the last window, counted by buckets."""
+    """Number of events in a sliding window, counted by time bucket."""
 
     def __init__(self, window_us: int, now: int) -> None:
+        """Create a count without events."""
         self.window_us = window_us
         self._size = -(-window_us // BUCKET_US)
         self._ring = [0] * self._size
@@ -147,15 +151,15 @@
         self._bucket = max(self._bucket, bucket)
 
     def add(self, now: int, by: int = 1) -> None:
-        """So many events have happened."""
+        """Add `by` events."""
         self._advance(now)
         self._ring[self._bucket % self._size] += by
 
     def count(self, now: int) -> int:
-        """How many events there were in the window that ends now."""
+        """Return the number of events in the window that ends now."""
         self._advance(now)
         return sum(self._ring)
 
     def per_second(self, now: int) -> float:
-        """The rate of events in the window that ends now."""
+        """Return the rate of events in the window that ends now."""
         return self.count(now) / (self.window_us / 1e6)
--- a/moorusher/health/observation.py
+++ b/moorusher/health/observation.py
@@ -1,4 +1,4 @@
-"""What is seen of a runner at one moment. Whoever owns the runner fills it in; nothing here asks for anything."""
+"""Measurements of a runner at one moment; the owner of the runner fills them in."""
 
 from __future__ import annotations
 
@@ -7,10 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Maintenance:
-    """Set by an operator.
+    """Maintenance mode set by an operator.
 
     Attributes:
-        expires_us: when it ends by itself; None where it does not.
+
+        reason: Text given by the operator.
+        since_us: Time when it was set.
+        expires_us: Time when it ends automatically; None if it does not.
     """
 
     reason: str
@@ -18,19 +21,19 @@
     expires_us: int | None = None
 
     def has_expired(self, now: int) -> bool:
-        """It has ended by itself."""
+        """Return whether the maintenance has ended automatically."""
         return self.expires_us is not None and now >= self.expires_us
 
 
 @dataclass(frozen=True, slots=True)
 class KernelGauges:
-    """What the kernel tells of its machine; None where it does not tell.
+    """Measurements of the machine reported by the kernel; a value is None if the kernel does not report it.
 
     Attributes:
-        read_at_us: when it told.
-        busy: the busy share of the cores, 0 to 1.
-        runnable: how many threads want a core.
-        memory: the used share of the memory.
+        read_at_us: Time when the kernel reported them.
+        busy: Busy fraction of the cores, 0 to 1.
+        runnable: Number of threads that run or wait for a core.
+        memory: Used fraction of the memory, 0 to 1.
     """
 
     read_at_us: int
@@ -41,19 +44,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A runner at the time `now`.
+    """State of a runner at the time `now`.
 
     Attributes:
-        kernel_up: the kernel has been heard since the start, whatever its connection does now.
-        speed: share of full speed, 0 to 1; 1 once it is warm.
-        speed_known: False where `speed` is the least that the settings promise.
-        on_cores: runs that compete for the cores, by the runner's own count.
-        at_calls: runs that wait for a call.
-        oldest_queued_us: age of the request that is queued longest; 0 where none is.
-        unanswered: requests that are owed an answer.
-        healthy: the scheduler's own word.
-        listeners_closed: it is draining, and nothing new is listened for.
-        shutdown_remaining_us: until the process has to end.
+        kernel_up: Whether the kernel has answered since the start, regardless of its connection now.
+        speed: Fraction of full speed, 0 to 1; 1 when warm.
+        speed_known: Whether `speed` is measured; otherwise it is the minimum from the settings.
+        on_cores: Runs that compete for the cores, by the runner's own count.
+        at_calls: Runs that wait for a call.
+        queued: Requests in the queue.
+        oldest_queued_us: Age of the oldest queued request; 0 if the queue is empty.
+        unanswered: Requests that have not been answered.
+        healthy: Whether the scheduler reports itself as healthy.
+        draining: Whether the runner is shutting down.
+        listeners_closed: Whether it is draining and accepts no new connections.
+        shutdown_remaining_us: Time until the process has to exit.
+        gauges: Latest measurements of the kernel; None if there are none.
     """
 
     now: int
--- a/moorusher/health/policy.py
+++ b/moorusher/health/policy.py
@@ -1,32 +1,33 @@
-"""What the operator sets of the health state. `config/health.py` reads it from `[standing]`."""
+"""Operator settings of the health state; `config/health.py` reads them from `[standing]`."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_MAINTENANCE_S = 7 * 86_400.0  # a maintenance that is to last longer is a removal
+MAX_MAINTENANCE_S = 7 * 86_400.0  # for a longer absence, remove the runner
 MAX_REASON_LENGTH = 200  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class HealthPolicy:
-    """Defaults hold where nothing is set. Pressure is 1 where the runner would fall over before balancers can act.
+    """Thresholds and durations. Pressure is 1 if the runner would collapse before load balancers can react.
 
     Attributes:
-        max_probe_interval_ms: the longest time between two probes of one balancer; observed probes may lengthen it.
-        balancer_reaction_ms: from a balancer's reading of a report to the end of the traffic that it sent before.
-        survivable_runs_per_core: that a warm runner survives in the mean of the window; 0 for what the settings say.
-        overloaded_above: the pressure from which a runner is overloaded,
-        no_traffic_above: from which it asks for no new requests: the rest is for what can't be foreseen,
-        recovered_below: and under which it is overloaded no longer.
-        min_overloaded_weight: at the end of the steps down, while no crossing is forecast.
-        max_queue_wait_fraction: of the shortest latency objective: a longer wait in the queue is pressure 1.
-        max_rejected_fraction: of the requests of the last window: more rejections are pressure 1.
-        ramp_s: of the recovery ramp, from nothing to full weight.
-        gauges_fresh_ms: gauges count in full until they are so old,
-        gauges_expired_ms: and not at all from then on.
-        link_down_grace_ms: without the connection to the kernel, before its state counts as unknown.
-        link_settle_ms: a connection that is back must stay for so long; doubled with each further loss.
+        max_probe_interval_ms: Assumed maximum interval of a load balancer's health checks; a longer observed interval
+            replaces it.
+        balancer_reaction_ms: Time from a load balancer's reading of a report until its earlier traffic has ended.
+        survivable_runs_per_core: Window mean that a warm runner survives; 0 to use the runner's settings.
+        overloaded_above: Pressure at or above which a runner is overloaded.
+        no_traffic_above: Pressure at or above which its weight is 0; the margin up to 1 is for unforeseen load.
+        recovered_below: Pressure below which an overloaded runner has recovered.
+        min_overloaded_weight: Lowest weight of an overloaded runner with a pressure below `no_traffic_above`.
+        max_queue_wait_fraction: Queue wait with pressure 1, as a fraction of the shortest latency objective.
+        max_rejected_fraction: Fraction of requests rejected in the last window with pressure 1.
+        ramp_s: Duration of the recovery ramp from weight 0 to full weight.
+        gauges_fresh_ms: Age up to which gauges are fully trusted.
+        gauges_expired_ms: Age from which gauges are ignored.
+        link_down_grace_ms: Time without a connection to the kernel after which the kernel's state is unknown.
+        link_settle_ms: Time that a restored connection must stay up; doubled with each additional loss.
     """
 
     max_probe_interval_ms: float = 2000.0
--- a/moorusher/health/probe_intervals.py
+++ b/moorusher/health/probe_intervals.py
@@ -1,38 +1,47 @@
-"""Which balancers probe this runner, and how often: a report must hold until the slowest of them has probed again."""
+"""Observed health check intervals of load balancers.
+
+A report must remain valid until the load balancer with the longest interval sends its next health check.
+"""
 
 from __future__ import annotations
 
-MAX_SOURCES = 256  # that are kept apart; the one heard longest ago makes room
-INTERVALS_UNTIL_GONE = 3  # without a probe, after which a balancer counts no more
-MAX_INTERVAL_US = 10_000_000  # a forecast further ahead is a guess
-MIN_INTERVAL_US = 10_000  # several probes of one round (one from each of its threads) count as one
-SHORTENING = 8  # an interval shortens by one in so many parts of the difference, a probe
+MAX_SOURCES = 256  # the least recently active load balancer is discarded above this number
+MAX_MISSED_INTERVALS = 3  # intervals without a health check after which a load balancer is inactive
+MAX_INTERVAL_US = 10_000_000  # limits the forecast horizon; a longer forecast would be unreliable
+# Health checks closer together count as one, for example one from each thread of a load balancer.
+MIN_INTERVAL_US = 10_000
+# A health check that comes earlier than the interval shortens it by the difference divided by this.
+SHORTENING_DIVISOR = 8
 
 
 class _Source:
+    """A load balancer that sends health checks."""
+
     __slots__ = ("interval_us", "probed_at_us")
 
     def __init__(self, now: int) -> None:
         self.probed_at_us = now
-        self.interval_us = 0  # it has probed once so far
+        self.interval_us = 0  # unknown until the second health check
 
     def is_active(self, now: int) -> bool:
-        """One that has probed once counts for as long as one with the longest interval."""
+        """Return whether it still sends health checks; an unknown interval counts as MAX_INTERVAL_US."""
         interval_us = self.interval_us or MAX_INTERVAL_US
-        return now - self.probed_at_us <= INTERVALS_UNTIL_GONE * interval_us
+        return now - self.probed_at_us <= MAX_MISSED_INTERVALS * interval_us
 
 
 class ProbeIntervals:
-    """The probing balancers, by a name of their own."""
+    """Health check intervals of the load balancers, by load balancer name."""
 
     def __init__(self) -> None:
+        """Create an empty registry."""
         self._sources: dict[str, _Source] = {}
 
     def __len__(self) -> int:
+        """Return the number of known load balancers."""
         return len(self._sources)
 
     def probed(self, now: int, name: str) -> None:
-        """A balancer has probed this runner."""
+        """Record that a load balancer has sent a health check."""
         source = self._sources.pop(name, None)
         if source is None:
             if len(self._sources) >= MAX_SOURCES:
@@ -40,20 +49,20 @@
             source = _Source(now)
         elif now - source.probed_at_us >= MIN_INTERVAL_US:
             gap_us = min(now - source.probed_at_us, MAX_INTERVAL_US)
-            # Longer at once, shorter slowly: a probe that came early says nothing of the next.
+            # The interval lengthens at once and shortens slowly: the next health check may be late again.
             if gap_us > source.interval_us:
                 source.interval_us = gap_us
             else:
-                source.interval_us += (gap_us - source.interval_us) // SHORTENING
+                source.interval_us += (gap_us - source.interval_us) // SHORTENING_DIVISOR
             source.probed_at_us = now
         self._sources[name] = source
 
     def active(self, now: int) -> int:
-        """How many balancers still probe."""
+        """Return the number of load balancers that still send health checks."""
         return sum(source.is_active(now) for source in self._sources.values())
 
     def longest_us(self, now: int) -> int:
-        """The longest interval of those that still probe; 0 where none has probed twice."""
+        """Return the longest interval of the active load balancers; 0 if none has sent two health checks."""
         return max(
             (source.interval_us for source in self._sources.values() if source.is_active(now)), default=0
         )
--- a/moorusher/health/report.py
+++ b/moorusher/health/report.py
@@ -1,4 +1,4 @@
-"""The health report of a runner, before it is worded in a balancer's protocol."""
+"""Health report of a runner, independent of the protocols of load balancers."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """What balancers are told.
+    """Health of a runner, as reported to load balancers.
 
     Attributes:
-        weight: the share of traffic that is asked for, 0 to 100.
-        reason: of the state, in words.
-        routable: whether new requests may be sent here.
-        changed: why the state is no longer that of the report before; "" where it is.
-        pressure: 1 and more where the runner would fall over before balancers can act.
-        mean_per_core: runs on the cores in the mean of the window, a core.
-        forecast_per_core: the highest such mean until balancers have acted.
-        survivable_per_core: the mean that the runner survives.
-        horizon_us: how far ahead the forecast looks.
-        max_connections: requests that each balancer may have open here at a time, so that the runner survives whatever
-            they do.
-        unknown: what is too old to be counted, or contradicts itself.
-        pressure_parts: pressure by what it comes from.
+        state: Health state.
+        weight: Requested share of traffic, 0 to 100.
+        reason: Text that explains the state.
+        routable: Whether load balancers may send new requests.
+        changed: Reason of the state transition since the previous report; "" if the state is the same.
+        pressure: At least 1 if the runner would collapse before load balancers can react.
+        mean_per_core: Window mean of runs on the cores, per core.
+        forecast_per_core: Highest forecast mean until load balancers have reacted, per core.
+        survivable_per_core: Highest mean that the runner survives, per core.
+        horizon_us: Time until load balancers have reacted.
+        max_connections: Requests that each load balancer may have open at a time without endangering the runner.
+        unknown: Descriptions of measurements that are too old or contradictory, and therefore ignored.
+        pressure_parts: Pressure by cause.
     """
 
     state: HealthState
--- a/moorusher/health/staleness.py
+++ b/moorusher/health/staleness.py
@@ -1,18 +1,18 @@
-"""How far something heard some time ago can be believed: the kernel's gauges, and the connection to the kernel."""
+"""Trust in old measurements of the kernel, and in the connection to the kernel."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
 
-FLAP_WINDOW_US = 30_000_000  # losses of the connection within it are counted together
-MAX_FLAPS = 6  # counted; the settling time doubles with each and stays bounded
-SHORT_LOSS_US = 500_000  # without a connection, which means nothing: a reconnect takes up to 0.4 s
-FLAPPING_TRUST = 0.5  # in a connection that is up, and was lost several times
+FLAP_WINDOW_US = 30_000_000  # losses of the connection are counted over this window
+MAX_FLAPS = 6  # limits the counted losses, and so the settling time that doubles with each
+SHORT_LOSS_US = 500_000  # a loss up to this long is ignored, since a reconnect takes up to 0.4 s
+FLAPPING_TRUST = 0.5  # trust in a connection that is up but was lost several times
 
 
 def freshness(age_us: int, fresh_us: int, expired_us: int) -> float:
-    """1 while fresh, 0 once expired, evenly less between."""
+    """Return the trust in a measurement: 1 up to `fresh_us`, 0 from `expired_us` on, and linear in between."""
     if age_us <= fresh_us:
         return 1.0
     if age_us >= expired_us:
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkState:
-    """How far the connection to the kernel is to be trusted.
+    """Trust in the connection to the kernel.
 
     Attributes:
-        trust: 0 to 1.
-        failed: the kernel's state counts as unknown.
-        reason: in words; "" where there is nothing to say.
+        trust: From 0 to 1.
+        failed: Whether the kernel's state is unknown.
+        reason: Text that explains reduced trust; may be "".
     """
 
     trust: float
@@ -39,35 +39,43 @@
 
 
 class LinkMonitor:
-    """The connection to the kernel. Down for a moment it means little, down for long the kernel's state is unknown. One
-    that flaps is not there again with its first return: it has to stay, for longer with each loss."""
+    """Monitors the connection to the kernel.
+
+    A short loss is tolerated; after a long one the kernel's state is unknown. A restored connection must stay up for a
+    settling time before it is trusted; the settling time doubles with each recent loss.
+    """
 
     def __init__(self) -> None:
-        self._losses: deque[int] = deque(maxlen=MAX_FLAPS)  # their times, in us
+        """Create a monitor of a connection that is up."""
+        self._losses: deque[int] = deque(maxlen=MAX_FLAPS)  # times in us
         self._down_since_us: int | None = None
         self._up_since_us = 0
-        self._distrusted = False  # until it has settled
+        self._distrusted = False  # True from a long loss until the connection has settled
 
     def lost(self, now: int) -> None:
-        """The connection is lost."""
+        """Record that the connection was lost."""
         if self._down_since_us is None:
             self._down_since_us = now
             self._losses.append(now)
 
     def up(self, now: int) -> None:
-        """The kernel has answered."""
+        """Record that the kernel has answered on a connection."""
         if self._down_since_us is not None:
             self._down_since_us = None
             self._up_since_us = now
 
     def flaps(self, now: int) -> int:
-        """How often the connection was lost lately."""
+        """Return the number of losses within FLAP_WINDOW_US."""
         while self._losses and now - self._losses[0] > FLAP_WINDOW_US:
             self._losses.popleft()
         return len(self._losses)
 
     def state(self, now: int, grace_us: int, settle_us: int) -> LinkState:
-        """The connection now, where a loss is forgiven for `grace_us` and a return has to last `settle_us`."""
+        """Return the current trust in the connection.
+
+        :param grace_us: Time without a connection after which the kernel's state is unknown.
+        :param settle_us: Time that a connection must stay up after its first loss.
+        """
         flaps = self.flaps(now)
         if self._down_since_us is not None:
             return self._state_while_down(now - self._down_since_us, flaps, grace_us)
--- a/moorusher/health/states.py
+++ b/moorusher/health/states.py
@@ -1,4 +1,4 @@
-"""The health states of a runner, and every transition between them."""
+"""Health states of a runner, and the allowed transitions between them."""
 
 from __future__ import annotations
 
@@ -6,76 +6,80 @@
 
 
 class HealthState(Enum):
-    """What a runner is, for load balancers. The values are read in protocols, logs and names of counters."""
+    """State of a runner for load balancers. The values appear in protocols, logs and counter names."""
 
-    STARTING = "starting"  # no kernel yet: nothing can be run
-    WARMING_UP = "warming"  # it serves, at a part of its full speed
+    STARTING = "starting"  # the kernel is not connected yet, so nothing can run
+    WARMING_UP = "warming"  # serves requests below full speed
     SERVING = "serving"
-    OVERLOADED = "crowded"  # alive, and has too many runs to be sent as much as now
-    MAINTENANCE = "maintenance"  # an operator has taken it out; what comes all the same is served
-    DRAINING = "draining"  # had the notice to shut down; for good
-    FAILED = "failed"  # the kernel can't be trusted to be there, or the scheduler says it is unfit
+    OVERLOADED = "crowded"  # serves requests, but needs less traffic
+    MAINTENANCE = "maintenance"  # set by an operator; requests that still arrive are served
+    DRAINING = "draining"  # shutting down; final
+    FAILED = "failed"  # the connection to the kernel is not trusted, or the scheduler is unhealthy
 
     @property
     def routable(self) -> bool:
-        """Whether a balancer may send new requests here."""
+        """Whether load balancers may send new requests in this state."""
         return self in (HealthState.WARMING_UP, HealthState.SERVING, HealthState.OVERLOADED)
 
 
 class ImpossibleTransitionError(ValueError):
-    """A transition that the table does not have: what was observed contradicts itself. It is a fault of this program;
-    the runner reports itself as failed until the next report makes sense."""
+    """Raised if a transition is not in the table: observations contradict each other, which is a fault of this program.
+
+    The runner reports itself as failed until a report is consistent again.
+    """
 
 
 _TO_UNROUTABLE = {
-    HealthState.MAINTENANCE: "an operator took it out",
-    HealthState.DRAINING: "the notice to leave came",
-    HealthState.FAILED: "the kernel is gone, or the decision module says unfit",
+    HealthState.MAINTENANCE: "an operator set maintenance",
+    HealthState.DRAINING: "shutdown was requested",
+    HealthState.FAILED: "the kernel connection failed, or the scheduler reports unhealthy",
 }
 
-# For each state, those that may follow, and why. The state is worked out when a balancer probes: between two probes
-# more than one thing may happen, so a transition may pass over a state that nobody saw. What no sequence of events
-# leads to is missing here.
+# States that may follow each state, with the reason of the transition. The state is determined at each health check.
+# Several events may happen between two health checks, so a transition may skip an intermediate state. Transitions that
+# no sequence of events causes are not in the table.
 TRANSITIONS: dict[HealthState, dict[HealthState, str]] = {
     HealthState.STARTING: _TO_UNROUTABLE
     | {
-        HealthState.WARMING_UP: "the kernel came up cold",
-        HealthState.SERVING: "the kernel came up warm",
-        HealthState.OVERLOADED: "the kernel came up, and work with it",
+        HealthState.WARMING_UP: "the kernel is up and warming up",
+        HealthState.SERVING: "the kernel is up and warm",
+        HealthState.OVERLOADED: "the kernel is up and overloaded",
     },
     HealthState.WARMING_UP: _TO_UNROUTABLE
-    | {HealthState.SERVING: "warm", HealthState.OVERLOADED: "a crossing is forecast"},
-    # Never back to WARMING_UP: a kernel that starts anew starts the runner anew.
-    HealthState.SERVING: _TO_UNROUTABLE | {HealthState.OVERLOADED: "a crossing is forecast"},
+    | {
+        HealthState.SERVING: "warm-up is complete",
+        HealthState.OVERLOADED: "the overload threshold is reached",
+    },
+    # No transition back to WARMING_UP: a restart of the kernel comes with a restart of the runner.
+    HealthState.SERVING: _TO_UNROUTABLE | {HealthState.OVERLOADED: "the overload threshold is reached"},
     HealthState.OVERLOADED: _TO_UNROUTABLE
     | {
-        HealthState.WARMING_UP: "the crowd is gone, still cold",
-        HealthState.SERVING: "the crowd is gone",
+        HealthState.WARMING_UP: "overload has ended during warm-up",
+        HealthState.SERVING: "overload has ended",
     },
     HealthState.MAINTENANCE: {
         HealthState.DRAINING: _TO_UNROUTABLE[HealthState.DRAINING],
-        HealthState.FAILED: "put back, and the kernel is gone",
-        HealthState.STARTING: "put back before the kernel came up",
-        HealthState.WARMING_UP: "put back, still cold",
-        HealthState.SERVING: "put back",
-        HealthState.OVERLOADED: "put back into a crowd",
+        HealthState.FAILED: "maintenance has ended, but the kernel or the scheduler is unhealthy",
+        HealthState.STARTING: "maintenance has ended before the kernel is up",
+        HealthState.WARMING_UP: "maintenance has ended during warm-up",
+        HealthState.SERVING: "maintenance has ended",
+        HealthState.OVERLOADED: "maintenance has ended during overload",
     },
-    HealthState.DRAINING: {},  # a notice to shut down is not taken back
+    HealthState.DRAINING: {},  # a shutdown can't be cancelled
     HealthState.FAILED: {
         HealthState.MAINTENANCE: _TO_UNROUTABLE[HealthState.MAINTENANCE],
         HealthState.DRAINING: _TO_UNROUTABLE[HealthState.DRAINING],
-        HealthState.WARMING_UP: "the kernel is back, still cold",
-        HealthState.SERVING: "the kernel is back",
-        HealthState.OVERLOADED: "the kernel is back, and runs are many",
+        HealthState.WARMING_UP: "recovered, still warming up",
+        HealthState.SERVING: "recovered",
+        HealthState.OVERLOADED: "recovered, but overloaded",
     },
 }
 
 
 def transition_reason(before: HealthState, after: HealthState) -> str:
-    """Why `after` may follow `before`; "" where nothing changes.
+    """Return the reason of the transition from `before` to `after`; "" if they are the same.
 
-    Raises:
-        ImpossibleTransitionError: it may not.
+    :raises ImpossibleTransitionError: The transition is not in the table.
     """
     if before is after:
         return ""
--- a/moorusher/health/tracker.py
+++ b/moorusher/health/tracker.py
@@ -1,4 +1,4 @@
-"""From observations to what balancers are told: the health state, its weight and its reason."""
+"""Turns observations of a runner into a health report: state, weight and reason."""
 
 from __future__ import annotations
 
@@ -16,24 +16,29 @@
 from .throughput import Throughput
 from .weight import FULL_WEIGHT, PressureZone, WeightController, step_down
 
-MIN_ARRIVALS = 8  # in a window, under which the fraction of rejections says nothing
-MAX_INDIRECT_PRESSURE = 0.8  # under every `no_traffic_above`: only a forecast crossing takes all traffic away
-ENDS_WINDOW_US = 1_500_000  # over which ends of runs are counted: a slowdown must show soon
-SLOW_RATIO = 0.7  # of the best throughput, under which the reason says so
-# Gauges that say idle while so many runs are on a core contradict what is known.
+MIN_ARRIVALS = 8  # minimum requests in a window for a fraction of rejections
+# Upper bound of pressure from queueing and rejections. It is below the minimum of `no_traffic_above`, so that only a
+# forecast of too many runs on the cores stops all traffic.
+MAX_INDIRECT_PRESSURE = 0.8
+ENDS_WINDOW_US = 1_500_000  # window of the rate at which runs end; short, so that a slowdown shows soon
+SLOW_RATIO = 0.7  # fraction of the best throughput below which the reason mentions slowness
+# Gauges are contradictory, and ignored, if they report a busy fraction below IDLE_BUSY_SHARE while more than
+# CONTRADICTING_RUNS_PER_CORE runs per core are on the cores.
 IDLE_BUSY_SHARE = 0.2
 CONTRADICTING_RUNS_PER_CORE = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerFacts:
-    """What the settings say of the runner.
+    """Properties of the runner from its settings.
 
     Attributes:
-        survivable_runs_per_core: that a warm runner survives in the mean of the window.
-        shortest_objective_us: the shortest latency objective of a class.
-        max_running_fraction: of what the settings say is survived: up to there the scheduler starts runs.
-        jitter: 0 to 1, by the runner's name: apart from the neighbours'.
+        cores: Number of cores.
+        survivable_runs_per_core: Window mean that a warm runner survives.
+        window_us: Window of the means.
+        shortest_objective_us: Shortest latency objective of all request classes.
+        max_running_fraction: Fraction of the survivable runs up to which the scheduler starts runs.
+        jitter: Value from 0 to 1, derived from the runner's name so that runners differ.
     """
 
     cores: int
@@ -45,14 +50,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Outlook:
-    """What is expected until balancers have acted on a report.
+class _Assessment:
+    """Forecast and pressure until load balancers have reacted to a report.
 
     Attributes:
-        forecast: the highest mean of runs on the cores.
-        survivable: the mean that the runner survives.
-        pressure: the largest of `pressure_parts`.
-        unknown: what could not be counted.
+        horizon_us: Time until load balancers have reacted.
+        forecast: Highest forecast mean of runs on the cores.
+        survivable: Highest mean that the runner survives.
+        pressure_parts: Pressure by cause.
+        pressure: Maximum of `pressure_parts`.
+        unknown: Descriptions of measurements that were ignored.
     """
 
     horizon_us: int
@@ -64,19 +71,22 @@
 
 
 class HealthTracker:
-    """The health of one runner. Notified of what happens as it happens; `report` is called by probes.
+    """Tracks the health of one runner. Its methods are called for events, and `report` for each health check.
 
     Attributes:
-        state: as of the last report.
-        since_us: when the runner came to it.
-        link: the connection to the kernel.
-        probes: who probes, and how often.
-        maintenance: set by an operator.
-        on_cores: the count of runs on the cores.
-        throughput: how fast runs end.
+        facts: Properties of the runner from its settings.
+        policy: Operator settings of the health state.
+        state: Health state as of the last report.
+        since_us: Time of the last change of state.
+        link: Monitor of the connection to the kernel.
+        probes: Health check intervals of load balancers.
+        maintenance: Maintenance set by an operator; None if there is none.
+        on_cores: History of the number of runs on the cores.
+        throughput: Throughput compared with the recent best.
     """
 
     def __init__(self, facts: RunnerFacts, policy: HealthPolicy, now: int) -> None:
+        """Create a tracker in state STARTING."""
         self.facts = facts
         self.policy = policy
         self.state = HealthState.STARTING
@@ -86,94 +96,94 @@
         self.maintenance: Maintenance | None = None
         self.on_cores = LevelHistory(facts.window_us, now)
         self.throughput = Throughput(facts.cores, facts.window_us, now)
-        self._ends = WindowedCount(ENDS_WINDOW_US, now)  # runs that are over; one at a call comes back
+        self._ends = WindowedCount(ENDS_WINDOW_US, now)  # a run that waits for a call has not ended
         self._arrivals = WindowedCount(facts.window_us, now)
         self._rejections = WindowedCount(facts.window_us, now)
         self._weight = WeightController(round(policy.ramp_s * 1e6), facts.jitter)
 
     def set_policy(self, policy: HealthPolicy) -> None:
-        """A new configuration: what was measured stays."""
+        """Apply a new policy; measurements are retained."""
         self.policy = policy
         self._weight.set_ramp(round(policy.ramp_s * 1e6))
 
-    # ---- what happens ----
+    # ---- events ----
 
     def runs_on_cores(self, now: int, on_cores: int) -> None:
-        """The count of runs on the cores changes."""
+        """Called when the number of runs on the cores changes."""
         self.throughput.runs_on_cores(now, self.on_cores.value, on_cores)
         self.on_cores.set(now, on_cores)
 
     def request_arrived(self, now: int) -> None:
-        """A request has been read."""
+        """Called when a request has been read."""
         self._arrivals.add(now)
 
     def run_ended(self, now: int, by: int = 1) -> None:
-        """So many runs are over."""
+        """Called when `by` runs have ended."""
         self._ends.add(now, by)
 
     def request_rejected(self, now: int) -> None:
-        """The scheduler has rejected a request."""
+        """Called when the scheduler has rejected a request."""
         self._rejections.add(now)
 
     def set_maintenance(self, maintenance: Maintenance | None) -> bool:
-        """An operator takes the runner out, or puts it back. False where it is too late: it is draining."""
+        """Set maintenance, or end it with None. Return False if the runner is draining, which overrides it."""
         if self.state is HealthState.DRAINING:
             return False
         self.maintenance = maintenance
         return True
 
-    # ---- what probes are told ----
+    # ---- reports ----
 
     def horizon_us(self, now: int) -> int:
-        """How long a report must hold: until the slowest balancer has probed again, and acted."""
+        """Return how long a report must remain valid: until the slowest load balancer has read the next and reacted."""
         probe_us = max(round(self.policy.max_probe_interval_ms * 1000), self.probes.longest_us(now))
         return probe_us + round(self.policy.balancer_reaction_ms * 1000)
 
     def report(self, observation: Observation, balancer: str = "") -> HealthReport:
-        """The report for an observation, and for the balancer that probes.
+        """Return the report for an observation, and change to its state.
 
-        Raises:
-            ImpossibleTransitionError: what is observed can't follow what was.
+        :param balancer: Name of the load balancer that sent the health check; "" for other callers.
+        :raises ImpossibleTransitionError: The observation contradicts the previous state.
         """
         now = observation.now
         if balancer:
             self.probes.probed(now, balancer)
         grace_us = round(self.policy.link_down_grace_ms * 1000)
         link = self.link.state(now, grace_us, round(self.policy.link_settle_ms * 1000))
-        outlook = self._look_ahead(observation)
-        state, reason = self._next_state(observation, link, outlook.pressure)
-        changed = self._enter(state, now)
-        weight = self._next_weight(observation, link, outlook)
+        assessment = self._assess(observation)
+        state, reason = self._next_state(observation, link, assessment.pressure)
+        changed = self._transition_to(state, now)
+        weight = self._next_weight(observation, link, assessment)
         cores = self.facts.cores
         return HealthReport(
             state=state,
             weight=weight,
-            reason=reason or self._describe(observation, link, outlook),
+            reason=reason or self._describe(observation, link, assessment),
             routable=state.routable and weight > 0,
             changed=changed,
-            pressure=outlook.pressure,
+            pressure=assessment.pressure,
             mean_per_core=self.on_cores.mean(now) / cores,
-            forecast_per_core=outlook.forecast / cores,
-            survivable_per_core=outlook.survivable / cores,
-            horizon_us=outlook.horizon_us,
-            max_connections=self._max_connections(observation, outlook.survivable),
-            unknown=outlook.unknown,
-            pressure_parts=outlook.pressure_parts,
+            forecast_per_core=assessment.forecast / cores,
+            survivable_per_core=assessment.survivable / cores,
+            horizon_us=assessment.horizon_us,
+            max_connections=self._max_connections(observation, assessment.survivable),
+            unknown=assessment.unknown,
+            pressure_parts=assessment.pressure_parts,
         )
 
-    def _look_ahead(self, observation: Observation) -> _Outlook:
-        runnable, unknown = self._believed_runnable(observation)
+    def _assess(self, observation: Observation) -> _Assessment:
+        runnable, unknown = self._trusted_runnable(observation)
         horizon_us = self.horizon_us(observation.now)
         per_core = self.policy.survivable_runs_per_core or self.facts.survivable_runs_per_core
         survivable = survivable_runs(self.facts.cores, per_core, observation.speed)
         forecast = self._forecast(observation, runnable, horizon_us)
         parts = self._pressure_parts(observation, forecast / survivable)
-        return _Outlook(horizon_us, forecast, survivable, parts, max(parts.values()), unknown)
+        return _Assessment(horizon_us, forecast, survivable, parts, max(parts.values()), unknown)
 
     # ---- pressure ----
 
     def _forecast(self, observation: Observation, runnable: float, horizon_us: int) -> float:
-        """The highest mean of runs on the cores until balancers have acted."""
+        """Return the highest mean of runs on the cores until load balancers have reacted."""
         facts = self.facts
         now = observation.now
         survivable = survivable_runs(facts.cores, facts.survivable_runs_per_core, observation.speed)
@@ -188,30 +198,30 @@
             max_level=facts.max_running_fraction * survivable,
         )
 
-    def _believed_runnable(self, observation: Observation) -> tuple[float, tuple[str, ...]]:
-        """What wants a core by the kernel's gauges, as far as they can be believed, and why they can't be. They can
-        only add to the own count: gauges that are stuck at idle must not hide the forty runs that were started."""
+    def _trusted_runnable(self, observation: Observation) -> tuple[float, tuple[str, ...]]:
+        """Return the runnable threads by the kernel's gauges, scaled by trust, and why the gauges were ignored."""
+        # The gauges can only increase the forecast: gauges that are stuck at idle must not hide runs that were started.
         gauges = observation.gauges
         if gauges is None:
             return 0.0, ("gauges: never told",) if observation.kernel_up and observation.on_cores else ()
         age_us = observation.now - gauges.read_at_us
-        believed = freshness(
+        trust = freshness(
             age_us, round(self.policy.gauges_fresh_ms * 1000), round(self.policy.gauges_expired_ms * 1000)
         )
-        if believed == 0.0 and observation.on_cores:
+        if trust == 0.0 and observation.on_cores:
             return 0.0, (f"gauges: {age_us / 1e6:.1f} s old",)
-        many = observation.on_cores > CONTRADICTING_RUNS_PER_CORE * self.facts.cores
-        if gauges.busy is not None and gauges.busy < IDLE_BUSY_SHARE and many:
+        has_many_runs = observation.on_cores > CONTRADICTING_RUNS_PER_CORE * self.facts.cores
+        if gauges.busy is not None and gauges.busy < IDLE_BUSY_SHARE and has_many_runs:
             return 0.0, (f"gauges: say {gauges.busy:.0%} busy while {observation.on_cores} run",)
         if gauges.runnable is None:
             return 0.0, ()
-        # Reading and new connections want cores too: what goes beyond the own count is not all runs.
-        return believed * min(
+        # Reading requests and accepting connections use cores, too, so threads beyond the open runs are not counted.
+        return trust * min(
             gauges.runnable, observation.on_cores + observation.at_calls + observation.queued
         ), ()
 
-    def _pressure_parts(self, observation: Observation, crossing: float) -> dict[str, float]:
-        """Each part is 1 where it alone would mean too much. The names are read in `GET /standing`."""
+    def _pressure_parts(self, observation: Observation, core_pressure: float) -> dict[str, float]:
+        """Return the pressure by cause; 1 is too much load by that cause alone. The keys appear in `GET /standing`."""
         policy = self.policy
         max_wait_us = policy.max_queue_wait_fraction * self.facts.shortest_objective_us
         queue_wait = observation.oldest_queued_us / max(1.0, max_wait_us)
@@ -221,7 +231,7 @@
         if arrivals >= MIN_ARRIVALS:
             rejected = rejections / arrivals / policy.max_rejected_fraction
         return {
-            "crowd": crossing,
+            "crowd": core_pressure,
             "held": min(MAX_INDIRECT_PRESSURE, queue_wait),
             "refused": min(MAX_INDIRECT_PRESSURE, rejected),
         }
@@ -231,7 +241,7 @@
     def _next_state(
         self, observation: Observation, link: LinkState, pressure: float
     ) -> tuple[HealthState, str]:
-        """The state, and its reason where that is no matter of pressure."""
+        """Return the state, and its reason; "" if the state depends on pressure."""
         now = observation.now
         if self.maintenance is not None and self.maintenance.has_expired(now):
             self.maintenance = None
@@ -247,53 +257,59 @@
         if not observation.healthy:
             return HealthState.FAILED, "the decision module says unfit"
         is_overloaded = self.state is HealthState.OVERLOADED
-        edge = self.policy.recovered_below if is_overloaded else self.policy.overloaded_above
-        if pressure >= edge:
+        threshold = self.policy.recovered_below if is_overloaded else self.policy.overloaded_above
+        if pressure >= threshold:
             return HealthState.OVERLOADED, ""
         return (HealthState.WARMING_UP if observation.speed < 1.0 else HealthState.SERVING), ""
 
-    def _enter(self, state: HealthState, now: int) -> str:
-        """Change to a state. Returns why; "" where nothing changes."""
+    def _transition_to(self, state: HealthState, now: int) -> str:
+        """Change to a state, and return the reason; "" if the state is the same."""
         changed = transition_reason(self.state, state)
         if self.state is HealthState.STARTING and state is HealthState.SERVING:
-            self._weight.start_full(now)  # a warm machine with a new program: nothing to start slowly for
+            self._weight.start_full(now)  # no slow start for a new process on a warm machine
         if state is not self.state:
             self.state = state
             self.since_us = now
         return changed
 
-    # ---- what follows for balancers ----
+    # ---- weight, connection limit and reason ----
 
-    def _next_weight(self, observation: Observation, link: LinkState, outlook: _Outlook) -> int:
-        """The weight, once the state is entered."""
+    def _next_weight(self, observation: Observation, link: LinkState, assessment: _Assessment) -> int:
+        """Return the weight for the state that was just entered."""
         cap = 0
         if self.state.routable:
             cap = step_down(FULL_WEIGHT * link.trust * min(1.0, observation.speed))
-        floor = self._floor(cap, observation.now)
+        floor = self._min_weight(cap, observation.now)
         return self._weight.update(
-            observation.now, cap, _pressure_zone(self.policy, outlook.pressure), floor, outlook.horizon_us
+            observation.now,
+            cap,
+            _pressure_zone(self.policy, assessment.pressure),
+            floor,
+            assessment.horizon_us,
         )
 
-    def _floor(self, cap: int, now: int) -> int:
-        """An overload that all runners have is shed down to what this one is still worth, not further."""
-        worth = FULL_WEIGHT * self.throughput.relative_to_best(now)
-        return step_down(min(cap, max(self.policy.min_overloaded_weight, worth)))
+    def _min_weight(self, cap: int, now: int) -> int:
+        """Return the weight below which an overload does not reduce it: the runner's relative throughput."""
+        # If all runners are overloaded, each has to continue to take the share that it can serve.
+        throughput_weight = FULL_WEIGHT * self.throughput.relative_to_best(now)
+        return step_down(min(cap, max(self.policy.min_overloaded_weight, throughput_weight)))
 
-    def _max_connections(self, observation: Observation, survives: float) -> int:
-        """Each balancer counts only what it sent itself, and all that is open here may come onto the cores at one time.
-        Runs whose answer was given still take the cores, and are in nobody's count."""
+    def _max_connections(self, observation: Observation, survivable: float) -> int:
+        """Return the number of requests that each load balancer may have open."""
+        # A load balancer counts only its own requests, and all open requests may come onto the cores at the same time.
+        # Runs that continue after their answer use the cores, too, but no load balancer counts them.
         answered = max(
             0, observation.on_cores + observation.at_calls + observation.queued - observation.unanswered
         )
-        available = survives * self.policy.no_traffic_above - answered
+        available = survivable * self.policy.no_traffic_above - answered
         return max(1, int(available / max(1, self.probes.active(observation.now))))
 
-    def _describe(self, observation: Observation, link: LinkState, outlook: _Outlook) -> str:
-        """The reason of a state that is a matter of pressure."""
+    def _describe(self, observation: Observation, link: LinkState, assessment: _Assessment) -> str:
+        """Return the reason of a state that depends on pressure."""
         cores = self.facts.cores
-        phrases = [f"{outlook.forecast / cores:.1f} of {outlook.survivable / cores:.1f} a core ahead"]
+        phrases = [f"{assessment.forecast / cores:.1f} of {assessment.survivable / cores:.1f} a core ahead"]
         if self.state is HealthState.OVERLOADED:
-            parts = outlook.pressure_parts
+            parts = assessment.pressure_parts
             largest = max(parts, key=lambda name: parts[name])
             if largest == "held":
                 phrases.insert(
@@ -315,7 +331,7 @@
 
 
 def _cautious_rate(count: int, window_s: float) -> float:
-    """Events a second, less a deviation: chance must not promise a quick end of an overload."""
+    """Return the events per second less one standard deviation, so that chance does not suggest a quick recovery."""
     return (count - math.sqrt(count)) / window_s
 
 
@@ -334,6 +350,6 @@
 
 
 def gauges_of(names: tuple[str, ...], values: tuple[float, ...], read_at_us: int) -> KernelGauges:
-    """The gauges by the names of the settings, as far as the kernel tells them."""
+    """Return the gauges that the kernel reports, found by their names in the settings."""
     by_name = dict(zip(names, values, strict=False))
     return KernelGauges(read_at_us, by_name.get("cpu_busy"), by_name.get("runnable"), by_name.get("mem_used"))
--- a/moorusher/health_reporting/__init__.py
+++ b/moorusher/health_reporting/__init__.py
@@ -1,1 +1,1 @@
-"""Joins the request engine to the health state, for everything that reports it: health checks, pages, peers."""
+"""Connects the request engine to the health state, for health checks, the administration API and peers."""
--- a/moorusher/health_reporting/document.py
+++ b/moorusher/health_reporting/document.py
@@ -1,4 +1,4 @@
-"""The document of GET /standing: all that the health state is made of, with ages in ms."""
+"""JSON document of `GET /standing`: the health state and the measurements behind it, with ages in ms."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def health_document(reporter: Reporter) -> dict[str, object]:
-    """Return the document; its keys are the API's, as operators' pages name them."""
+    """Return the document; its keys are part of the administration API."""
     report = reporter.report()
     observation = reporter.observe()
     tracker = reporter.tracker
--- a/moorusher/health_reporting/reporter.py
+++ b/moorusher/health_reporting/reporter.py
@@ -1,4 +1,4 @@
-"""Joins the request engine to the health state: observes a runner when a health check asks for its report."""
+"""Connects the request engine to the health state: observes the runner when a health check requests a report."""
 
 from __future__ import annotations
 
@@ -21,25 +21,28 @@
 
 log = logging.getLogger("moorusher")
 
-# A report is worked out anew after this time, or at once where something changed: each report walks through what is
-# queued, and a flood of health checks must not cost that much each.
+# A cached report is used for this time unless something changed: each new report iterates over the queue, which would
+# be too expensive during a flood of health checks.
 REPORT_CACHE_US = 10 * MS
 
 
 class Reporter(EngineObserver):
-    """One runner's health state, worked out when it is asked for, and its maintenance mode.
+    """Health state of one runner, calculated on request, and its maintenance mode.
 
-    `core`: the request engine, which notifies this observer. `tracker`: the health state. `stopped_accepting`: clients
-    are not accepted any more. `on_maintenance_changed`: called after an operator has set or ended maintenance.
+    Attributes:
+        core: Request engine, which notifies this observer.
+        tracker: Tracker of the health state.
+        stopped_accepting: Whether new client connections are no longer accepted.
+        on_maintenance_changed: Called after an operator has set or ended maintenance.
     """
 
     def __init__(self, core: RequestEngine, policy: HealthPolicy, name: str) -> None:
+        """Create the reporter of runner `name`."""
         self.core = core
         self.stopped_accepting = False
         self.on_maintenance_changed: Callable[[], None] = lambda: None
-        jitter = (
-            zlib.crc32(name.encode()) / 2**32
-        )  # runners with other names change their weights at other moments
+        # Derived from the name, so that runners change their weights at different times.
+        jitter = zlib.crc32(name.encode()) / 2**32
         self.tracker = HealthTracker(self._facts(core.settings, jitter), policy, core.clock.now)
         self._cached: HealthReport | None = None
         self._cached_at_us = 0
@@ -58,58 +61,59 @@
         )
 
     def reconfigure(self, settings: Settings) -> None:
-        """Apply new settings; what was observed stays."""
+        """Apply new settings; measurements are retained."""
         self.tracker.facts = self._facts(settings, self.tracker.facts.jitter)
         self._cached = None
 
     def set_policy(self, policy: HealthPolicy) -> None:
-        """Apply a new policy of `[standing]`."""
+        """Apply a new policy from `[standing]`."""
         self.tracker.set_policy(policy)
         self._cached = None
 
     def stop_accepting(self) -> None:
-        """Clients are not accepted any more."""
+        """Record that new client connections are no longer accepted."""
         self.stopped_accepting = True
         self._cached = None
 
-    # ---- what the engine notifies; `now` in us ----
+    # ---- notifications of the engine; `now` in us ----
 
     def runs_on_cores(self, now: int, on_cores: int) -> None:
-        """So many runs use the cores."""
+        """Called when the number of runs on the cores changes."""
         self.tracker.runs_on_cores(now, on_cores)
 
     def request_arrived(self, now: int) -> None:
-        """A request was read."""
+        """Called when a request has been read."""
         self.tracker.request_arrived(now)
 
     def run_ended(self, now: int) -> None:
-        """A run has ended."""
+        """Called when a run has ended."""
         self.tracker.run_ended(now)
 
     def request_rejected(self, now: int) -> None:
-        """A request was rejected."""
+        """Called when a request has been rejected."""
         self.tracker.request_rejected(now)
 
     def link_up(self, now: int) -> None:
-        """The kernel is connected."""
+        """Called when the kernel is connected."""
         self.tracker.link.up(now)
         self._cached = None
 
     def link_lost(self, now: int) -> None:
-        """The kernel's connection was lost."""
+        """Called when the connection to the kernel was lost."""
         self.tracker.link.lost(now)
         self._cached = None
 
     def state_changed(self) -> None:
-        """Something else has changed that a report tells."""
+        """Called when anything else has changed that is part of a report."""
         self._cached = None
 
     # ---- maintenance ----
 
     def set_maintenance(self, reason: str, duration_s: float | None = None) -> bool:
-        """Take the runner out of its load balancers; what still comes is served. None: until it is ended.
+        """Set maintenance, so that load balancers send no new requests; requests that still arrive are served.
 
-        Returns False, and changes nothing, where the runner drains already.
+        :param duration_s: None for maintenance without an end time.
+        :returns: False, without any change, if the runner is draining.
         """
         self.core.begin_turn()
         now = self.core.clock.now
@@ -118,47 +122,45 @@
             return False
         expires_us = None if duration_s is None else now + round(duration_s * SECOND)
         is_set = self.tracker.set_maintenance(Maintenance(reason, now, expires_us))
-        log.info("taken out: %s", reason)
+        log.info("maintenance set: reason=%s", reason)
         self.on_maintenance_changed()
         return is_set
 
     def end_maintenance(self) -> bool:
-        """Put the runner back. Returns False where no maintenance was set, or where the runner drains."""
+        """End maintenance. Return False if none was set, or if the runner is draining."""
         self.core.begin_turn()
         had_maintenance = self.tracker.maintenance is not None
         self._cached = None
         if self.core.drain_state.draining or not self.tracker.set_maintenance(None) or not had_maintenance:
             return False
-        log.info("put back")
+        log.info("maintenance ended")
         self.on_maintenance_changed()
         return True
 
     def copy_maintenance(self, maintenance: Maintenance | None) -> None:
-        """Take over what an operator has set at another process of this runner."""
+        """Apply the maintenance that an operator has set at another process of this runner; None for no maintenance."""
         self.core.begin_turn()
         self._cached = None
         self.tracker.set_maintenance(maintenance)
 
     @property
     def is_in_rotation(self) -> bool:
-        """Whether no maintenance is set."""
+        """Whether no maintenance is in effect."""
         maintenance = self.tracker.maintenance
         return maintenance is None or maintenance.has_expired(self.core.clock.now)
 
     @property
     def is_fit(self) -> bool:
-        """The answer of health checks that know only yes and no.
-
-        It leaves overload and a short loss of the kernel out: lists that learn of the return seconds late would keep
-        the runner off for longer than either lasts (docs/design/standing.md).
-        """
+        """Whether the runner is healthy, for health checks with only two results."""
+        # Ignores overload and a short loss of the kernel: a load balancer that notices the recovery seconds late would
+        # exclude the runner for longer than either lasts (docs/design/standing.md).
         core = self.core
         return core.ready and core.state.healthy and not core.drain_state.draining and self.is_in_rotation
 
     # ---- reports ----
 
     def observe(self) -> Observation:
-        """Return what is to be seen of the runner now."""
+        """Return the current measurements of the runner."""
         core = self.core
         queued, oldest_queued_us = core.table.queued(core.clock.now)
         gauges = core.kernel_status.gauges
@@ -182,7 +184,7 @@
     def report(self, source: str = "") -> HealthReport:
         """Return the health report, at most `REPORT_CACHE_US` old.
 
-        :param source: the load balancer that asks, "" for anybody else; its interval bounds how fast weights change.
+        :param source: Load balancer that sent the health check; "" for other callers.
         """
         self.core.begin_turn()
         now = self.core.clock.now
@@ -192,19 +194,18 @@
             return self._cached
         report = self._make_report(source)
         self._record_change(report)
-        # `changed` is told once: those who share this report must not take it for a further change.
+        # Only the first caller gets `changed`, so that callers of the cached report do not see the same change again.
         self._cached = replace(report, changed="")
         self._cached_at_us = now
         return report
 
     def _make_report(self, source: str) -> HealthReport:
-        """A report that contradicts itself can't be trusted to take traffic, and no health check goes unanswered."""
+        """Return the tracker's report, or a report of state FAILED if the observations contradict each other."""
+        # With contradictory observations the runner can't be trusted with traffic, but a health check must be answered.
         try:
             return self.tracker.report(self.observe(), source)
         except ImpossibleTransitionError as error:
-            log.error(
-                "observations of this runner contradict each other, it reports failed: reason=%s", error
-            )
+            log.error("contradictory observations, reporting state failed: reason=%s", error)
             reason = f"standing unknown: {error}"
             return HealthReport(HealthState.FAILED, 0, reason, False, "", 0.0, 0.0, 0.0, 0.0, 0, 0)
 
--- a/moorusher/load_balancing/__init__.py
+++ b/moorusher/load_balancing/__init__.py
@@ -1,19 +1,19 @@
-"""Client-side load balancing: which endpoint gets a call, which is ejected, and what is retried or hedged.
+"""Client-side load balancing: endpoint selection, outlier ejection, retries and hedged requests.
 
-Pure: no I/O, no clock and no randomness of its own; times are passed in as whole microseconds, random numbers as a
-function. One decision a module:
+Performs no I/O and reads no clock or random source: the caller passes times as whole microseconds and random numbers as
+a function. Each module makes one decision:
 
 | question | module |
 | --- | --- |
 | which endpoint gets a call? | `picker`, over the lists of `endpoint_set` |
 | how many calls may be in flight at an endpoint? | `concurrency_limit` |
-| how much may a new or returning endpoint get? | `slow_start` |
-| when is an endpoint an outlier, and for how long? | `outlier_detection` |
-| may it be ejected now, and when does it return? | `ejection` |
-| is a failed attempt retried, and when? | `retry`, from the `retry_budget` |
-| is a second copy of a call sent? | `hedging`, from the same budget |
-| in which order do calls wait? | `call_queue` |
+| what share of calls may a new or reinstated endpoint get? | `slow_start` |
+| is an endpoint an outlier, and for how long is it ejected? | `outlier_detection` |
+| may it be ejected now, and when is it reinstated? | `ejection` |
+| is a failed attempt retried, and when? | `retry`, paid from the `retry_budget` |
+| is a second copy of a call sent? | `hedging`, paid from the same budget |
+| in which order are queued calls served? | `call_queue` |
 
-`load_balancer` composes them as a state machine: the events of `messages` in, its instructions out.
-docs/design/tier.md has the alternatives that were weighed.
+`load_balancer` composes them as a state machine that takes events and returns instructions (both in `messages`).
+docs/design/tier.md describes the alternatives that were considered.
 """
--- a/moorusher/load_balancing/calls.py
+++ b/moorusher/load_balancing/calls.py
@@ -1,4 +1,4 @@
-"""The state of one call as the load balancer keeps it."""
+"""State of one call in the load balancer."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 
 
 class CallState(Enum):
-    """Where a call stands."""
+    """State of a call."""
 
-    STARTING = "starting"  # no endpoint was looked for yet
+    STARTING = "starting"  # no endpoint has been selected yet
     QUEUED = "queued"  # no endpoint has capacity
-    IN_FLIGHT = "in flight"  # at least one attempt is
+    IN_FLIGHT = "in flight"  # at least one attempt is in flight
     BACKING_OFF = "backing off"  # a timer will start the next attempt
-    EXPIRED = "expired"  # its deadline is too near for an attempt; its owner cancels it by its own clock
+    # The deadline is too near for an attempt; the caller cancels the call at the deadline.
+    EXPIRED = "expired"
 
 
 @dataclass(slots=True)
 class OpenCall:
-    """One call.
+    """A call that has not ended.
 
-    call_id: the request's number.
-    effect: the request's class of effect; it decides what may run twice.
-    deadline: in microseconds.
-    max_attempts: hedged ones included.
+    Attributes:
+        call_id: Number of the request that makes the call.
+        effect: Effect class of the request; determines whether the call may run twice.
+        deadline: In microseconds.
+        max_attempts: Includes hedged attempts.
     """
 
     call_id: int
@@ -36,16 +38,16 @@
     deadline: int
     max_attempts: int
     state: CallState = CallState.STARTING
-    # Attempts in flight, by id; not empty in IN_FLIGHT and empty in every other state.
+    # Endpoints of the attempts in flight, by attempt id; empty in every state except IN_FLIGHT.
     attempts: dict[int, Endpoint] = field(default_factory=dict)
     attempts_made: int = 0
-    # The endpoint of the newest attempt; a retry avoids it.
+    # Endpoint of the latest attempt; a retry avoids it.
     last_endpoint: Endpoint | None = None
     hedged: bool = False
-    # The end of the backoff, in microseconds; of use in BACKING_OFF only.
+    # End of the backoff in microseconds; valid only in BACKING_OFF.
     retry_at: int = 0
 
     @property
     def tolerates_duplicates(self) -> bool:
-        """Whether copies do no harm: only such calls are hedged, or serve as a health check."""
+        """Whether the call may run twice; only such calls are hedged or used as health checks."""
         return tolerates_duplicates(self.effect)
--- a/moorusher/load_balancing/ejection.py
+++ b/moorusher/load_balancing/ejection.py
@@ -1,9 +1,8 @@
-"""Which outliers are ejected, when they return, and when ejections are ignored (panic).
+"""Ejection and reinstatement of outliers, and panic mode, in which ejections are ignored.
 
-Inputs: each endpoint's outlier detection, the outcome of health checks, how many are out, the weight in service.
-An ejected endpoint returns by a health check: when its ejection is over, one call that may run twice is sent to it. An
-answer that is not slow reinstates it; a failure or a slow answer ejects it again, for longer. An end that says nothing
-of the endpoint, such as a cancelled call, repeats the check.
+An ejected endpoint is reinstated by a health check: when its ejection expires, one call that may run twice is sent to
+it. An answer that is not slow reinstates the endpoint; a failure or a slow answer ejects it again, for longer. An
+inconclusive end, such as a cancelled call, repeats the health check.
 """
 
 from __future__ import annotations
@@ -14,40 +13,40 @@
 from .outlier_detection import EjectionReason
 from .policy import LoadBalancingPolicy
 
-MIN_COMPARABLE_ENDPOINTS = (
-    2  # others with a latency, from which the set's median says something of one endpoint
-)
+# Number of other endpoints with a measured latency that are needed before the set's median is used for a comparison.
+MIN_COMPARABLE_ENDPOINTS = 2
 
 
 class EjectionControl:
-    """Ejects and reinstates the endpoints of one set.
+    """Ejects and reinstates the endpoints of one set. `typical_us` is the set's typical latency.
 
-    ejections: in all (int).
-    panics: how often ejections were ignored since too much was ejected (int).
+    Attributes:
+        ejections: Number of ejections since the start.
+        panics: Number of times that panic mode was applied since the start.
     """
 
     def __init__(self, policy: LoadBalancingPolicy, endpoints: Mapping[str, Endpoint]) -> None:
-        """`endpoints`: those of the set by name, always as they are."""
+        """Create the control for `endpoints`, the live mapping of the set's endpoints by name."""
         self._policy = policy
         self._endpoints = endpoints
         self.ejections = 0
         self.panics = 0
 
     def unavailable(self) -> int:
-        """Return how many endpoints are ejected or wait for their health check."""
+        """Return the number of endpoints that are ejected or await their health check."""
         return sum(endpoint.is_unavailable for endpoint in self._endpoints.values())
 
-    def allows(self, unavailable: int) -> bool:
-        """Whether so many endpoints may be unavailable at a time: the others have to bear their calls."""
+    def allows_unavailable(self, unavailable: int) -> bool:
+        """Return whether this many endpoints may be unavailable at a time; the others have to take their calls."""
         return unavailable <= self._policy.max_ejected_fraction * len(self._endpoints)
 
     def comparable_median(self, endpoint: Endpoint, typical_us: float) -> float:
-        """Return the set's median latency (us); 0 where too few others were measured to compare `endpoint` with."""
+        """Return the set's median latency (us); 0 if too few other endpoints were measured for a comparison."""
         measured = sum(e.latency.samples > 0 for e in self._endpoints.values() if e is not endpoint)
         return typical_us if measured >= MIN_COMPARABLE_ENDPOINTS else 0.0
 
     def health_check_ended(self, now: int, endpoint: Endpoint, answered: bool, typical_us: float) -> None:
-        """Reinstate the endpoint or eject it again."""
+        """Reinstate the endpoint or eject it again, depending on the health check's outcome."""
         if answered and not endpoint.outliers.is_slow(endpoint.latency, typical_us):
             endpoint.reinstate(now)
         else:
@@ -56,13 +55,13 @@
     def attempt_ended(self, now: int, endpoint: Endpoint, unresponsive: bool, typical_us: float) -> bool:
         """Eject an active endpoint that has become an outlier, and return whether it was ejected.
 
-        `unresponsive`: the attempt was given up after hanging (`outlier_detection.is_unresponsive`).
+        :param unresponsive: Whether the attempt was cancelled after hanging (`outlier_detection.is_unresponsive`).
         """
         if endpoint.state is not EndpointState.ACTIVE:
             return False
         median_us = self.comparable_median(endpoint, typical_us)
         reason = endpoint.outliers.find_reason(endpoint.latency, median_us)
-        if reason is None or not self.allows(self.unavailable() + 1):
+        if reason is None or not self.allows_unavailable(self.unavailable() + 1):
             return False
         if unresponsive and reason is EjectionReason.CONSECUTIVE_FAILURES:
             reason = EjectionReason.UNRESPONSIVE
@@ -74,21 +73,21 @@
         self.ejections += 1
 
     def begin_health_checks(self, now: int, endpoints: Sequence[Endpoint]) -> None:
-        """Let those whose ejection is over wait for their health check."""
+        """Move endpoints whose ejection has expired to AWAITING_HEALTH_CHECK."""
         for endpoint in endpoints:
             if endpoint.state is EndpointState.EJECTED and now >= endpoint.outliers.ejected_until:
                 endpoint.state = EndpointState.AWAITING_HEALTH_CHECK
 
     def next_health_check(self, endpoints: Sequence[Endpoint]) -> int | None:
-        """Return when the next ejection is over (us); None while nobody is ejected."""
+        """Return when the next ejection expires (us); None if no endpoint is ejected."""
         ends = [e.outliers.ejected_until for e in endpoints if e.state is EndpointState.EJECTED]
         return min(ends, default=None)
 
-    def or_all_in_panic(self, subset: Sequence[Endpoint], active: list[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints that calls go to: the active ones, or in panic the whole subset.
+    def apply_panic_mode(self, subset: Sequence[Endpoint], active: list[Endpoint]) -> list[Endpoint]:
+        """Return the endpoints to send calls to: the active ones, or in panic mode the whole subset.
 
-        Panic: so much weight is out that the rest could not bear the calls. What looks like many faults is then most
-        likely one that all share, and not the endpoints'.
+        Panic mode applies when so much weight is unavailable that the active endpoints could not take all calls. The
+        apparent faults then most likely have one common cause outside of the endpoints.
         """
         total_weight = sum(endpoint.config.weight for endpoint in subset)
         active_weight = sum(endpoint.config.weight for endpoint in active)
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints of one load balancer: membership, who is in service now, and the selection for a call."""
+"""The endpoints of one load balancer: membership, endpoints in service, and selection of an endpoint for a call."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 from .policy import MAX_ENDPOINTS, EndpointConfig, LoadBalancingPolicy
 from .prior import MIN_WEIGHT_TO_EJECT, Prior, PriorVerifier
 
-TYPICAL_LATENCY_PERIOD_US = 250_000  # between two calculations of the median latency
+TYPICAL_LATENCY_PERIOD_US = 250_000  # interval between calculations of the median latency
 
 
 class Selection(NamedTuple):
-    """The endpoint for a call, and whether the call is its health check."""
+    """The endpoint selected for a call, and whether the call is its health check."""
 
     endpoint: Endpoint
     is_health_check: bool = False
 
 
 class EndpointSet:
-    """A set of endpoints as one load balancer sees them.
+    """The endpoints of one load balancer.
 
-    by_name: all endpoints, draining ones included (dict of Endpoint).
-    ejection: who is ejected and returns (EjectionControl).
+    Attributes:
+        by_name: All endpoints, including draining ones.
+        ejection: Ejects and reinstates endpoints.
     """
 
     def __init__(
@@ -39,7 +40,11 @@
         draw: Callable[[], float],
         now: int,
     ) -> None:
-        """`runner`: this instance's name, for its subset. `draw` returns random numbers from 0 to under 1."""
+        """Create a set of established endpoints.
+
+        :param runner: Name of this runner; determines its subset.
+        :param draw: Returns a random number in [0, 1).
+        """
         self._policy = policy
         self._runner = runner
         self.by_name: dict[str, Endpoint] = {}
@@ -48,13 +53,13 @@
         self._verifier: PriorVerifier | None = None
         # All endpoints in the runner's order.
         self._ordered: list[Endpoint] = []
-        # What `_rebuild` derives: endpoints that calls go to, those of them in and out of this runner's zone (both
-        # empty where the runner has no zone), and those that wait for their health check.
+        # The next four lists are derived by `_rebuild`: endpoints that get calls, those inside and those outside of
+        # this runner's zone (both empty if the runner has no zone), and endpoints that await their health check.
         self._in_service: list[Endpoint] = []
         self._local: list[Endpoint] = []
         self._remote: list[Endpoint] = []
         self._awaiting_health_check: list[Endpoint] = []
-        # When to rebuild, in microseconds; None: not by time alone.
+        # Time of the next rebuild in microseconds; None if none is scheduled.
         self._rebuild_at: int | None = 0
         self._typical_latency_us = 0.0
         self._typical_latency_at = -TYPICAL_LATENCY_PERIOD_US
@@ -64,9 +69,10 @@
     # ---- membership ----
 
     def add(self, now: int, config: EndpointConfig, established: bool = False) -> None:
-        """Add an endpoint in slow start, or change the address, weight or zone of the one with that name.
+        """Add an endpoint in slow start, or replace the configuration of the endpoint with that name.
 
-        `established`: without slow start. Raises TooManyEndpointsError.
+        :param established: Whether to skip slow start.
+        :raises TooManyEndpointsError: The set already has MAX_ENDPOINTS endpoints.
         """
         known = self.by_name.get(config.name)
         if known is not None:
@@ -82,7 +88,7 @@
         self._request_rebuild()
 
     def drain(self, name: str) -> bool:
-        """Send no new calls to an endpoint; those in flight end as they do. False where there is none of the name."""
+        """Send no new calls to an endpoint; calls in flight continue. Return False if no endpoint has that name."""
         endpoint = self.by_name.get(name)
         if endpoint is None:
             return False
@@ -91,42 +97,42 @@
         return True
 
     def retire(self, name: str) -> None:
-        """Drain an endpoint, and forget it once its calls in flight have ended."""
+        """Drain an endpoint, and remove it when its calls in flight have ended."""
         if self.drain(name):
             endpoint = self.by_name[name]
             endpoint.retiring = True
-            self._forget_if_retired(endpoint)
+            self._remove_if_retired(endpoint)
 
     def remove(self, name: str) -> Endpoint | None:
-        """Forget an endpoint at once and return it; its attempts in flight are the caller's to end."""
+        """Remove an endpoint at once and return it; the caller has to end its attempts in flight."""
         endpoint = self.by_name.get(name)
         if endpoint is not None:
             endpoint.state = EndpointState.DRAINING
-            self._forget(endpoint)
+            self._discard(endpoint)
         return endpoint
 
-    def _forget_if_retired(self, endpoint: Endpoint) -> None:
+    def _remove_if_retired(self, endpoint: Endpoint) -> None:
         if endpoint.retiring and endpoint.state is EndpointState.DRAINING and not endpoint.in_flight:
-            self._forget(endpoint)
+            self._discard(endpoint)
 
-    def _forget(self, endpoint: Endpoint) -> None:
+    def _discard(self, endpoint: Endpoint) -> None:
         self.by_name.pop(endpoint.config.name, None)
         self._ordered = [other for other in self._ordered if other is not endpoint]
         self._request_rebuild()
 
-    # ---- who is in service ----
+    # ---- endpoints in service ----
 
     def _request_rebuild(self) -> None:
         self._rebuild_at = 0
 
     def _rebuild(self, now: int) -> None:
-        """Derive who is in service: the first active ones of the runner's order, as many as its subset has."""
+        """Derive the endpoints in service: the first active ones in the runner's order, up to the subset size."""
         size = self._policy.subset_size or len(self._ordered)
         members = [endpoint for endpoint in self._ordered if endpoint.state is not EndpointState.DRAINING]
         self.ejection.begin_health_checks(now, members)
         self._awaiting_health_check = [endpoint for endpoint in members if endpoint.awaits_health_check]
         active = [endpoint for endpoint in members if endpoint.state is EndpointState.ACTIVE][:size]
-        self._in_service = self.ejection.or_all_in_panic(members[:size], active)
+        self._in_service = self.ejection.apply_panic_mode(members[:size], active)
         self._local = []
         self._remote = []
         if zone := self._policy.zone:
@@ -139,11 +145,11 @@
         return list(self._ordered)
 
     def is_in_service(self, endpoint: Endpoint) -> bool:
-        """Whether calls went to the endpoint as the lists were last derived."""
+        """Return whether the endpoint was in service at the last rebuild."""
         return endpoint in self._in_service
 
     def typical_latency(self, now: int) -> float:
-        """Return the median of the endpoints' short-term latencies in microseconds; 0 while none is known."""
+        """Return the median of the endpoints' short-term latencies in microseconds; 0 if none is known."""
         if now - self._typical_latency_at >= TYPICAL_LATENCY_PERIOD_US:
             self._typical_latency_at = now
             measured = [e.latency.short for e in self.by_name.values() if e.latency.samples]
@@ -153,9 +159,10 @@
     # ---- selection ----
 
     def select(self, now: int, tolerates_duplicates: bool, avoid: Endpoint | None = None) -> Selection | None:
-        """Select an endpoint with capacity for a call; None where there is none.
+        """Select an endpoint with capacity for a call; None if there is none.
 
-        `tolerates_duplicates`: the call may serve as a health check. `avoid`: not this one.
+        :param tolerates_duplicates: Whether the call may be used as a health check.
+        :param avoid: Endpoint to exclude.
         """
         if self._rebuild_at is not None and now >= self._rebuild_at:
             self._rebuild(now)
@@ -172,7 +179,7 @@
         return None if picked is None else Selection(picked)
 
     def _find_unchecked(self, now: int, avoid: Endpoint | None) -> Endpoint | None:
-        """Find an endpoint that waits for its health check and has no call in flight."""
+        """Return an endpoint that awaits its health check and has no call in flight."""
         for endpoint in self._awaiting_health_check:
             if not endpoint.awaits_health_check or endpoint.in_flight or endpoint is avoid:
                 continue
@@ -181,7 +188,7 @@
         return None
 
     def next_slot(self, now: int) -> int | None:
-        """Return when slow start allows a call to an endpoint in service (us); None where none has to be waited for."""
+        """Return when slow start next allows a call to an endpoint in service (us); None if it limits none."""
         slots = [slot for e in self._in_service if (slot := e.next_slot(now)) is not None]
         return min(slots, default=None)
 
@@ -195,14 +202,17 @@
         outcome: AttemptOutcome,
         unresponsive: bool = False,
     ) -> None:
-        """Take what an attempt's end says of its endpoint. `unresponsive`: it was cancelled after hanging."""
+        """Update the endpoint from the end of an attempt.
+
+        :param unresponsive: Whether the attempt was cancelled after hanging.
+        """
         answered = outcome is AttemptOutcome.ANSWERED
         if unresponsive or outcome is AttemptOutcome.REJECTED:
-            endpoint.limit.overloaded()
+            endpoint.limit.record_overload()
         is_conclusive = unresponsive or outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_AWAITED)
         was_health_check = endpoint.attempt_ended(now, attempt_id, answered, is_conclusive)
         if endpoint.state is EndpointState.DRAINING:
-            self._forget_if_retired(endpoint)
+            self._remove_if_retired(endpoint)
             return
         typical_us = self.typical_latency(now)
         if answered:
@@ -216,25 +226,25 @@
     # ---- priors ----
 
     def learn(self, priors: Mapping[str, Prior], verifier: PriorVerifier) -> None:
-        """Take priors for endpoints that were not called yet.
+        """Apply priors to endpoints that have no samples of their own.
 
-        One that was ejected elsewhere has to pass a health check first, as far as the fraction that may be out allows.
+        An endpoint that other runners had ejected has to pass a health check first, unless too many are unavailable.
         """
         self._verifier = verifier
         unavailable = self.ejection.unavailable()
         for name, prior in priors.items():
             endpoint = self.by_name.get(name)
             if endpoint is None or endpoint.latency.samples or endpoint.failures:
-                continue  # own samples count for more
+                continue  # own samples are more reliable than a prior
             endpoint.prior = prior
-            believed = prior.ejected and prior.weight >= MIN_WEIGHT_TO_EJECT
-            if believed and self.ejection.allows(unavailable + 1):
+            needs_health_check = prior.ejected and prior.weight >= MIN_WEIGHT_TO_EJECT
+            if needs_health_check and self.ejection.allows_unavailable(unavailable + 1):
                 endpoint.state = EndpointState.AWAITING_HEALTH_CHECK
                 unavailable += 1
         self._request_rebuild()
 
     def unlearn(self, name: str) -> None:
-        """Drop the prior of an endpoint, and what followed from it."""
+        """Discard the prior of an endpoint and the health check that it required."""
         endpoint = self.by_name.get(name)
         if endpoint is None:
             return
--- a/moorusher/load_balancing/errors.py
+++ b/moorusher/load_balancing/errors.py
@@ -4,9 +4,9 @@
 
 
 class TooManyEndpointsError(ValueError):
-    """There are as many endpoints as one set may have; remove one, or split the tier."""
+    """Raised when a set would exceed its maximum number of endpoints; remove one, or split the tier."""
 
     def __init__(self, limit: int) -> None:
-        """`limit`: endpoints that a set may have."""
+        """Describe the error; `limit` is the maximum number of endpoints in a set."""
         super().__init__(f"more than {limit} servers")
         self.limit = limit
--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -1,7 +1,7 @@
-"""Whether, when and where a call that takes long is hedged: a second copy is sent, and the first answer counts.
+"""Hedging: when a call takes long, a second copy is sent and the first answer is used.
 
-Inputs: the call's effect and deadline, the endpoint's 95th latency percentile and the set's typical latency (us), the
-retry budget. Only a call that may run twice is hedged, once, and only at another endpoint; a health check never is.
+Only a call that may run twice is hedged, at most once, and only at another endpoint. A health check is never hedged. A
+hedged attempt takes a token from the retry budget.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from .policy import LoadBalancingPolicy
 from .retry import has_time_remaining
 
-HEDGE_QUANTILE = 0.95  # of the endpoint's latency, after which its silence is unusual
-MIN_TYPICAL_LATENCIES = 2.0  # so many typical latencies are waited for at least
+HEDGE_QUANTILE = 0.95  # latency quantile of the endpoint after which a call is hedged
+MIN_TYPICAL_LATENCIES = 2.0  # minimum wait before hedging, as a multiple of the set's typical latency
 
 
 def may_hedge(call: OpenCall, policy: LoadBalancingPolicy, is_health_check: bool) -> bool:
-    """Whether an attempt of the call that is sent now may be hedged later."""
+    """Return whether an attempt that is sent now may be hedged later."""
     return (
         policy.hedging_enabled
         and call.tolerates_duplicates
@@ -27,9 +27,9 @@
 
 
 def hedge_at(now: int, call: OpenCall, endpoint: Endpoint, typical_latency_us: float) -> int | None:
-    """Return the time (us) to hedge an attempt sent now; None where nothing is known or the deadline comes first."""
+    """Return when to hedge an attempt sent now (us); None if no latency is known or the deadline is too near."""
     percentile_us = endpoint.latency.quantile(HEDGE_QUANTILE) or 0.0
-    # An endpoint that has answered little yet, or hangs from the start, has no percentile: the set's figure stands in.
+    # An endpoint with few answers, or one that hangs from the start, has no percentile: the set's latency is used.
     wait_us = max(percentile_us, MIN_TYPICAL_LATENCIES * typical_latency_us)
     if not wait_us or not has_time_remaining(now + wait_us, call.deadline):
         return None
@@ -37,5 +37,5 @@
 
 
 def hedge_still_useful(now: int, call: OpenCall) -> bool:
-    """Whether, at the time to hedge, the call still waits for its one attempt and has time left."""
+    """Return whether the call still has exactly one attempt in flight, was not hedged, and has time remaining."""
     return not call.hedged and len(call.attempts) == 1 and has_time_remaining(now, call.deadline)
--- a/moorusher/load_balancing/load_balancer.py
+++ b/moorusher/load_balancing/load_balancer.py
@@ -1,8 +1,8 @@
-"""The state machine of calls and their attempts: events in, instructions out.
+"""State machine of calls and their attempts: takes events and returns instructions.
 
-A call is sent to an endpoint, waits in the queue where none has capacity, or is rejected where the queue is full. A
-failed attempt may be retried, one that takes long may be hedged. Whoever owns the load balancer carries out what
-`handle` returns, in order, and sends TimerFired at the time that `next_timer` names.
+A call is sent to an endpoint, queued if none has capacity, or rejected if the queue is full. A failed attempt may be
+retried, and a slow one hedged. The owner of the load balancer executes the instructions that `handle` returns, in
+order, and sends TimerFired at the time that `next_timer` returns.
 """
 
 from __future__ import annotations
@@ -39,23 +39,24 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What a load balancer has done; `status` gives the counts their names in the JSON of /servers."""
+    """Totals of a load balancer since its start; `status` maps them to the JSON of /servers."""
 
     calls: int = 0
     attempts: int = 0
     retries: int = 0
     hedges: int = 0
-    hedges_won: int = 0  # the second copy was answered first
+    hedges_won: int = 0  # hedged calls of which the second copy was answered first
     queued: int = 0
-    queue_full: int = 0  # calls that were rejected for it
-    denied_by_budget: int = 0  # retries and hedges that the budget had no token for
+    queue_full: int = 0  # calls rejected because the queue was full
+    denied_by_budget: int = 0  # retries and hedges for which the budget had no token
 
 
 class LoadBalancer:
     """The load balancer of one set of endpoints.
 
-    endpoints: its endpoints (EndpointSet); they are added, drained and retired there.
-    counts: see Counts.
+    Attributes:
+        endpoints: The endpoints; add, drain and retire endpoints there.
+        counts: Totals since the start.
     """
 
     def __init__(
@@ -67,9 +68,12 @@
         now: int,
         attempt_ids: Iterator[int] | None = None,
     ) -> None:
-        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1; `now` in microseconds.
+        """Create a load balancer without calls.
 
-        `attempt_ids`: where several load balancers share them.
+        :param runner: Name of this runner.
+        :param draw: Returns a random number in [0, 1).
+        :param now: In microseconds.
+        :param attempt_ids: Source of attempt ids, if several load balancers share one.
         """
         self._policy = policy
         self._draw = draw
@@ -78,24 +82,24 @@
         self._budget = RetryBudget(policy.retry_budget_ratio, policy.min_retries_per_s, now)
         self._queue = CallQueue(policy.max_queued_calls)
         self._timers = Timers()
-        self._slot_timer_at = 0  # the time of the newest SLOT timer, in microseconds
+        self._slot_timer_at = 0  # time of the latest SLOT timer in microseconds
         self._attempt_ids = count(1) if attempt_ids is None else attempt_ids
         # Calls that have not ended, by id.
         self._calls: dict[int, OpenCall] = {}
-        # By attempt in flight: `_call_of[a]` is a call of `_calls`, and `a` is one of its `attempts`.
+        # Call of each attempt in flight, by attempt id. Each value is also in `_calls`, and each key in its `attempts`.
         self._call_of: dict[int, OpenCall] = {}
 
     @property
     def open_calls(self) -> int:
-        """Return the number of calls that have not ended."""
+        """Number of calls that have not ended."""
         return len(self._calls)
 
     def next_timer(self) -> int | None:
-        """Return when TimerFired is due next (us); None where nothing waits for a time."""
+        """Return when TimerFired is due next (us); None if no timer is set."""
         return self._timers.next_time()
 
     def handle(self, event: Event) -> list[Instruction]:
-        """Take one event, and return what is to be done, in order."""
+        """Process one event, and return the instructions to execute, in order."""
         match event:
             case CallStarted():
                 return self._on_call_started(event)
@@ -136,7 +140,7 @@
                 self.counts.hedges_won += 1
             return self._complete(now, call, attempt_id, outcome)
         if call.attempts:
-            return self._serve_queue(now)  # its other copy may still be answered
+            return self._serve_queue(now)  # the other copy may still be answered
         decision = decide_retry(now, call, outcome, self._policy, self._budget, self._draw)
         if isinstance(decision, RetryAt):
             return self._transition_in_flight_backing_off(now, call, decision.at)
@@ -169,7 +173,7 @@
     # ---- transitions of a call ----
 
     def _start_attempt(self, now: int, call: OpenCall, avoid: Endpoint | None = None) -> list[Instruction]:
-        """From STARTING or BACKING_OFF: send an attempt, wait in the queue, or reject the call."""
+        """Send an attempt, queue the call, or reject it. The call is in STARTING or BACKING_OFF."""
         selection = self.endpoints.select(now, call.tolerates_duplicates, avoid)
         if selection is None and avoid is not None:
             selection = self.endpoints.select(now, call.tolerates_duplicates)
@@ -214,13 +218,13 @@
     def _complete(
         self, now: int, call: OpenCall, attempt_id: int, outcome: AttemptOutcome
     ) -> list[Instruction]:
-        """From IN_FLIGHT: the call ends as one of its attempts did, and other copies are cancelled."""
+        """End a call in IN_FLIGHT with the outcome of one of its attempts, and cancel its other copies."""
         del self._calls[call.call_id]
         completed: list[Instruction] = [CompleteCall(call.call_id, attempt_id, outcome)]
         return completed + self._cancel_attempts(now, call) + self._serve_queue(now)
 
     def _cancel_attempts(self, now: int, call: OpenCall) -> list[Instruction]:
-        """Cancel what is in flight; an unresponsive attempt counts against its endpoint all the same."""
+        """Cancel the call's attempts in flight; an unresponsive one still counts as a failure of its endpoint."""
         instructions: list[Instruction] = []
         for attempt_id, endpoint in call.attempts.items():
             age_us = now - endpoint.in_flight[attempt_id].sent_at
@@ -232,7 +236,7 @@
         return instructions
 
     def _hedge(self, now: int, call: OpenCall) -> list[Instruction]:
-        """Send a second copy where another endpoint has capacity and the budget allows it."""
+        """Send a second copy if another endpoint has capacity and the budget has a token."""
         first = next(iter(call.attempts.values()))
         selection = self.endpoints.select(now, call.tolerates_duplicates, avoid=first)
         if selection is None:
@@ -247,7 +251,7 @@
     # ---- the queue ----
 
     def _serve_queue(self, now: int) -> list[Instruction]:
-        """Capacity may have become free: send what waits, the earliest deadline first."""
+        """Send queued calls while an endpoint has capacity, earliest deadline first."""
         instructions: list[Instruction] = []
         while (call := self._queue.first()) is not None:
             selection = self.endpoints.select(now, call.tolerates_duplicates)
@@ -262,7 +266,7 @@
         return instructions
 
     def _set_slot_timer(self, now: int) -> None:
-        """Wake for the next slot of an endpoint in slow start: nothing else might, while calls wait for it."""
+        """Set a timer for the next slot of an endpoint in slow start, since no other event may serve the queue then."""
         slot = self.endpoints.next_slot(now)
         if slot is not None and not now < self._slot_timer_at <= slot:
             self._slot_timer_at = slot
--- a/moorusher/load_balancing/messages.py
+++ b/moorusher/load_balancing/messages.py
@@ -1,6 +1,6 @@
-"""What goes into and comes out of the state machine of `load_balancer`: events in, instructions out.
+"""Events that the state machine of `load_balancer` takes, and instructions that it returns.
 
-Times are whole microseconds of one monotonic clock; `now` is when the event happened.
+Times are whole microseconds of one monotonic clock; `now` is the time of the event.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from moorusher.scheduling.interface import Effect
 from moorusher.scheduling.retry_policy import Evidence
 
-UNLIMITED_ATTEMPTS = 1 << 30  # only the retry budget and the deadline bound a call's attempts
-NO_ATTEMPT = 0  # in place of an attempt's id; ids begin at 1
+UNLIMITED_ATTEMPTS = 1 << 30  # leaves only the retry budget and the deadline as limits
+NO_ATTEMPT = 0  # attempt id of a call that was rejected without an attempt; real ids begin at 1
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended. `backends/server_pool.py` maps the endings on the wire to it."""
+    """How an attempt ended. `backends/server_pool.py` maps the ends of connections and responses to it."""
 
     ANSWERED = "answered"
-    REJECTED = "rejected"  # it never ran: the endpoint said so
-    NOT_CONNECTED = "not connected"  # it never ran: there was no connection
-    FAILED = "failed"  # it may have run
-    NOT_AWAITED = "not awaited"  # the run below that it belonged to is over; the endpoint is not to blame
-    CANCELLED = "cancelled"  # by us
+    REJECTED = "rejected"  # did not run: the endpoint rejected it
+    NOT_CONNECTED = "not connected"  # did not run: no connection was made
+    FAILED = "failed"  # may have run
+    NOT_AWAITED = "not awaited"  # the kernel's run that made the call has ended; not a fault of the endpoint
+    CANCELLED = "cancelled"  # cancelled by this runner
 
     @property
     def evidence(self) -> Evidence:
-        """What the outcome proves of whether the attempt ran."""
+        """Evidence that the outcome gives on whether the attempt ran."""
         return _EVIDENCE[self]
 
 
@@ -47,18 +47,18 @@
 
 @dataclass(slots=True, frozen=True)
 class CallStarted:
-    """A request makes a call. One that the same request still has is cancelled first."""
+    """A request makes a call. An open call of the same request is cancelled first."""
 
     now: int
-    call_id: int  # the request's number
+    call_id: int  # number of the request
     effect: Effect
     deadline: int
-    max_attempts: int = UNLIMITED_ATTEMPTS  # hedged ones included
+    max_attempts: int = UNLIMITED_ATTEMPTS  # includes hedged attempts
 
 
 @dataclass(slots=True, frozen=True)
 class CallCancelled:
-    """Nobody needs the call's answer any more."""
+    """The call's answer is no longer needed."""
 
     now: int
     call_id: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt that was sent has ended; one that was cancelled before is ignored."""
+    """An attempt has ended; ignored if it was cancelled before."""
 
     now: int
     attempt_id: int
@@ -75,14 +75,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time that `next_timer` named has come."""
+    """The time that `next_timer` returned has been reached."""
 
     now: int
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointRemoved:
-    """An operator removes an endpoint at once: its attempts are cancelled, and retried where they may be."""
+    """An operator removes an endpoint at once: its attempts are cancelled, and retried if a retry is allowed."""
 
     now: int
     name: str
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send attempt `attempt_id` of call `call_id` to the endpoint, with `timeout_us` until its deadline."""
+    """Send an attempt of a call to the named endpoint; `timeout_us` is the time until the call's deadline."""
 
     call_id: int
     attempt_id: int
@@ -106,14 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel an attempt; its end need not be reported."""
+    """Cancel an attempt; no AttemptEnded is expected for it."""
 
     attempt_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CompleteCall:
-    """The call has ended as attempt `attempt_id` did; NO_ATTEMPT where it was rejected without one."""
+    """The call has ended with the outcome of attempt `attempt_id`; NO_ATTEMPT if it was rejected without one."""
 
     call_id: int
     attempt_id: int
--- a/moorusher/load_balancing/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -1,4 +1,4 @@
-"""The operator's settings of load balancing; `config/load_balancing.py` reads and bounds them from `[tier]`."""
+"""Operator settings of load balancing; `config/load_balancing.py` reads them from `[tier]` and checks their bounds."""
 
 from __future__ import annotations
 
@@ -9,57 +9,58 @@
 
 
 class EndpointProtocol(Enum):
-    """The protocol an endpoint speaks. The values are those of the key `protocol` in settings and API."""
+    """Protocol of an endpoint. The values are those of the key `protocol` in settings and API."""
 
-    HTTP = "http"  # calls as the platform sends them
+    HTTP = "http"  # calls in the HTTP form that the platform uses
     UWSGI = "uwsgi"
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointConfig:
-    """One server as the operator lists it. The name is its identity; everything else may change in service."""
+    """A server in the operator's settings. The name identifies it; all other fields may change at run time."""
 
     name: str
     address: tuple[str, int]  # host and port
-    weight: float = 1.0  # its share of the calls, relative to the others' weights
+    weight: float = 1.0  # relative share of calls
     zone: str = ""
     protocol: EndpointProtocol = EndpointProtocol.HTTP
 
 
 @dataclass(frozen=True, slots=True)
 class LoadBalancingPolicy:
-    """Limits and thresholds. Units are in the names; ratios and fractions run from 0 to 1 where nothing else is said.
+    """Limits and thresholds. Units are in the names; fractions are from 0 to 1.
 
-    `config/load_balancing.py` maps the keys of `[tier]` to these fields: the numbers by `TIER_FIGURES`, besides them
-    `zone`, and `hedge` to `hedging_enabled`.
+    `config/load_balancing.py` maps the keys of `[tier]` to these fields: numbers by `TIER_FIGURES`, `zone` to `zone`,
+    and `hedge` to `hedging_enabled`.
     """
 
-    # Choice of an endpoint.
-    zone: str = ""  # this runner's own; endpoints in it are preferred
-    subset_size: int = 0  # endpoints that this runner keeps to; 0: all
-    zone_spill_ratio: float = (
-        2.0  # expected wait in the own zone over that elsewhere from which a call leaves the zone
-    )
+    # Selection of an endpoint.
+    zone: str = ""  # zone of this runner, whose endpoints are preferred; "" for no preference
+    subset_size: int = 0  # number of endpoints that this runner uses; 0 for all
+    # A call leaves the zone if the expected wait there is more than this multiple of the wait in other zones.
+    zone_spill_ratio: float = 2.0
     # Limits.
-    min_concurrency: int = 2  # calls in flight at an endpoint, however slow it is
-    max_concurrency: int = 256  # calls in flight at an endpoint, however fast it is
+    min_concurrency: int = 2  # lower bound of an endpoint's limit on calls in flight
+    max_concurrency: int = 256  # upper bound of an endpoint's limit on calls in flight
     max_queued_calls: int = 64  # calls that may wait for an endpoint
     # Outlier detection and ejection.
-    consecutive_failures: int = 5  # that eject an endpoint
-    max_failure_rate: float = 0.5  # of its last calls; more ejects it
-    outlier_latency_ratio: float = 4.0  # its mean latency over the set's median; more ejects it
-    base_ejection_s: float = 5.0  # the first ejection; each further one lasts twice as long
+    consecutive_failures: int = 5  # number of consecutive failures that ejects an endpoint
+    max_failure_rate: float = 0.5  # an endpoint with a higher rate among its last calls is ejected
+    # An endpoint with a higher ratio of its mean latency to the set's median is ejected.
+    outlier_latency_ratio: float = 4.0
+    base_ejection_s: float = 5.0  # duration of the first ejection; doubled for each consecutive one
     max_ejection_s: float = 120.0
-    max_ejected_fraction: float = 0.34  # of the endpoints
-    panic_threshold: float = 0.5  # fraction of the weight in service under which ejections are ignored
+    max_ejected_fraction: float = 0.34  # maximum fraction of the endpoints that may be ejected
+    panic_threshold: float = 0.5  # fraction of the total weight in service below which ejections are ignored
     # Retries and hedged requests.
-    retry_budget_ratio: float = 0.08  # retries and hedged requests a call
-    min_retries_per_s: float = 0.5  # retries that are allowed however few calls there are
-    base_backoff_ms: float = 10.0  # bound of the first backoff; doubled with each attempt
+    retry_budget_ratio: float = 0.08  # retries and hedged requests allowed per call
+    min_retries_per_s: float = 0.5  # retries allowed regardless of the number of calls
+    base_backoff_ms: float = 10.0  # upper bound of the first backoff; doubled with each attempt
     max_backoff_ms: float = 250.0
     hedging_enabled: bool = True
     # Slow start.
-    slow_start_s: float = 10.0  # until a new or returning endpoint gets its full share
-    slow_start_calls: int = 0  # calls a window from all runners together as slow start ends; 0: no bound
+    slow_start_s: float = 10.0  # time until a new or reinstated endpoint gets its full share
+    # Calls per window from all runners together at the end of slow start; 0 for no limit.
+    slow_start_calls: int = 0
     slow_start_window_ms: float = 1_000.0
-    runners: int = 1  # that call these endpoints
+    runners: int = 1  # number of runners that call these endpoints
--- a/moorusher/load_balancing/prior.py
+++ b/moorusher/load_balancing/prior.py
@@ -1,25 +1,25 @@
-"""What is expected of an endpoint before it was called: learnt by others (warm start), and verified by own calls."""
+"""Prior estimates of endpoints: learned by other runners (warm start), and verified by this runner's own calls."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Protocol
 
-MAX_OWN_SAMPLES = 8  # own samples after which a prior has no influence
-MIN_WEIGHT_TO_EJECT = (
-    0.2  # weight of a prior from which an endpoint it calls ejected has to pass a health check
-)
+MAX_OWN_SAMPLES = 8  # number of own samples from which a prior has no influence
+# Minimum weight of a prior with `ejected` set that makes its endpoint pass a health check first.
+MIN_WEIGHT_TO_EJECT = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Prior:
-    """The merged estimate of one endpoint.
-
-    latency_ratio: its latency over the median of all endpoints.
-    success_rate: the fraction of its calls that were answered.
-    weight: how far the prior counts, from 0 to 1.
-    ejected: most donors had ejected it.
-    donors: the runners that it comes from.
+    """Estimate of one endpoint, merged from several runners.
+
+    Attributes:
+        latency_ratio: Its latency divided by the median of all endpoints.
+        success_rate: Fraction of its calls that were answered.
+        weight: Confidence in the prior, from 0 to 1.
+        ejected: Whether most donors had ejected it.
+        donors: Names of the runners whose estimates were merged.
     """
 
     latency_ratio: float
@@ -29,15 +29,15 @@
     donors: tuple[str, ...]
 
     def influence(self, own_samples: int) -> float:
-        """How far the prior still counts beside so many own samples, from 0 to 1."""
+        """Return the prior's weight after `own_samples` own samples, from 0 to 1."""
         return self.weight * max(0.0, 1 - own_samples / MAX_OWN_SAMPLES)
 
 
 class PriorVerifier(Protocol):
-    """Compares priors with what is measured; `warm_start/verification.py` implements it."""
+    """Compares priors with measurements; implemented in `warm_start/verification.py`."""
 
     def latency_measured(self, name: str, latency_ratio: float, samples: int) -> None:
-        """Take an endpoint's own latency over the set's median, from so many samples."""
+        """Called with an endpoint's measured latency divided by the set's median, and the number of samples."""
 
     def health_check_passed(self, name: str) -> None:
-        """Take note that an endpoint answered its health check."""
+        """Called when an endpoint has answered its health check."""
--- a/moorusher/load_balancing/retry.py
+++ b/moorusher/load_balancing/retry.py
@@ -1,9 +1,8 @@
-"""Whether a failed attempt is retried, and after which backoff.
+"""Decides whether a failed attempt is retried, and after which backoff.
 
-Inputs: the call's effect, the outcome, attempts made and allowed, the time left until its deadline, the retry budget.
-A retry needs all of: an effect or a proof that allows it (`scheduling.retry_policy`), an attempt left, time left after
-the backoff, and a token of the budget. A call that fails here may be made anew by the request that needs it
-(`scheduling/downstream_calls.py`).
+A retry requires all of: an effect or evidence that permits it (`scheduling.retry_policy`), a remaining attempt, time
+remaining after the backoff, and a token of the retry budget. If a call fails, the request that made it may make it
+again (`scheduling/downstream_calls.py`).
 """
 
 from __future__ import annotations
@@ -18,33 +17,34 @@
 from .policy import LoadBalancingPolicy
 from .retry_budget import RetryBudget
 
-MIN_REMAINING_US = 5_000  # until the deadline; with less a further attempt can't be answered in time
+MIN_REMAINING_US = 5_000  # minimum time until the deadline in which an attempt can still be answered
 MAX_BACKOFF_DOUBLINGS = 20
 
 
 @dataclass(slots=True, frozen=True)
 class RetryAt:
-    """Make another attempt at the time `at` (us)."""
+    """Decision to make another attempt at the time `at` (us)."""
 
     at: int
 
 
 @dataclass(slots=True, frozen=True)
 class NoRetry:
-    """The outcome is final. `budget_spent`: only the retry budget stood against another attempt."""
+    """Decision that the outcome is final; `budget_spent` if only the retry budget prevented a retry."""
 
     budget_spent: bool = False
 
 
 def has_time_remaining(now: float, deadline: int) -> bool:
-    """Whether an attempt made at `now` (us) can still be answered before `deadline` (us)."""
+    """Return whether an attempt made at `now` (us) can still be answered before `deadline` (us)."""
     return now + MIN_REMAINING_US < deadline
 
 
 def backoff_us(attempts: int, base_ms: float, max_ms: float, draw: float) -> int:
     """Return an exponential backoff with full jitter, in microseconds.
 
-    `attempts` made so far, from 1 on; `draw` is random, from 0 to under 1.
+    :param attempts: Number of attempts made, at least 1.
+    :param draw: Random number in [0, 1).
     """
     bound_ms = min(max_ms, base_ms * (1 << min(attempts - 1, MAX_BACKOFF_DOUBLINGS)))
     return round(draw * bound_ms * 1000)
@@ -58,7 +58,7 @@
     budget: RetryBudget,
     draw: Callable[[], float],
 ) -> RetryAt | NoRetry:
-    """Decide on `call`, of which the last attempt in flight ended as `outcome`; a retry is paid from the budget."""
+    """Decide whether to retry a call whose last attempt in flight has ended; a retry takes a token from the budget."""
     if call.attempts_made >= call.max_attempts or not may_retry(call.effect, outcome.evidence):
         return NoRetry()
     if not has_time_remaining(now, call.deadline):
--- a/moorusher/load_balancing/retry_budget.py
+++ b/moorusher/load_balancing/retry_budget.py
@@ -1,6 +1,6 @@
-"""The budget that retries and hedged requests share: a fraction of the calls, and a trickle by time.
+"""Budget of retries and hedged requests: a fraction of the number of calls, plus a small constant rate.
 
-It bounds retry storms: an outage of all endpoints must not be answered with many more attempts than there are calls.
+The budget prevents retry storms: during an outage of all endpoints, attempts must not greatly outnumber calls.
 """
 
 from __future__ import annotations
@@ -10,21 +10,26 @@
 
 
 class RetryBudget:
-    """A token bucket; one token pays for one further attempt."""
+    """A token bucket; a retry or hedged request takes one token."""
 
     def __init__(self, attempts_per_call: float, min_attempts_per_s: float, now: int) -> None:
-        """`attempts_per_call`: earned by each call; `min_attempts_per_s`: earned by time; `now` in microseconds."""
+        """Create a bucket with INITIAL_ATTEMPTS tokens.
+
+        :param attempts_per_call: Tokens added with each call.
+        :param min_attempts_per_s: Tokens added per second.
+        :param now: In microseconds.
+        """
         self._attempts_per_call = attempts_per_call
         self._min_attempts_per_s = min_attempts_per_s
         self._tokens = INITIAL_ATTEMPTS
         self._refilled_at = now
 
     def call_started(self) -> None:
-        """Earn what one call is worth."""
+        """Add the tokens of one call."""
         self._tokens = min(MAX_SAVED_ATTEMPTS, self._tokens + self._attempts_per_call)
 
     def try_take(self, now: int) -> bool:
-        """Pay for one further attempt; False where the budget is spent."""
+        """Take a token; return False if there is none."""
         earned = self._min_attempts_per_s * (now - self._refilled_at) / 1e6
         self._tokens = min(MAX_SAVED_ATTEMPTS, self._tokens + earned)
         self._refilled_at = now
--- a/moorusher/load_balancing/status.py
+++ b/moorusher/load_balancing/status.py
@@ -1,4 +1,4 @@
-"""A load balancer as JSON: what `GET /servers` shows. The keys are part of the API; they are mapped here alone."""
+"""JSON form of a load balancer for `GET /servers`. The keys are part of the API and are defined only here."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def servers_json(balancer: LoadBalancer, now: int) -> list[dict[str, object]]:
-    """Return each endpoint in this runner's order; `now` in microseconds, times in the result in milliseconds."""
+    """Return the endpoints in this runner's order; `now` is in microseconds, times in the result in milliseconds."""
     endpoints = balancer.endpoints
     return [
         _endpoint_json(endpoint, now, endpoints.is_in_service(endpoint)) for endpoint in endpoints.in_order()
@@ -40,7 +40,7 @@
 
 
 def counts_json(balancer: LoadBalancer) -> dict[str, int]:
-    """Return what the load balancer has done since its start."""
+    """Return the load balancer's totals since its start."""
     counts = balancer.counts
     ejection = balancer.endpoints.ejection
     return {
--- a/moorusher/routing/__init__.py
+++ b/moorusher/routing/__init__.py
@@ -1,5 +1,5 @@
-"""Where a request's calls go by its customer's rules: the hops of a route path, each balanced by itself. Pure.
+"""Routing of a request's calls by its customer's rules, along the hops of a route path. Performs no I/O.
 
-`route` turns the rules' decision into a path, `route_table` takes calls along it, `route_balancers` keeps a load
-balancer for each route, `route_limits` bounds calls in flight, and `grants` says which servers are whose.
+`route` turns a decision of the rules into a path, `route_table` sends calls along it, `route_balancers` has a load
+balancer for each route, `route_limits` limits calls in flight, and `grants` assigns servers to customers.
 """
--- a/moorusher/routing/grants.py
+++ b/moorusher/routing/grants.py
@@ -1,4 +1,7 @@
-"""Which servers the platform's settings grant to which customer. Imports nothing: it is read without customers, too."""
+"""Servers that the platform's settings grant to customers.
+
+Imports no other module of this package, since it is also loaded by runners without customers.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Servers of the platform for several customers.
+    """Servers of the platform that several customers share.
 
-    name: the pool's.
-    servers: by name.
-    limit: calls in flight from this runner, all customers together; each has its quota of that and no more, whatever
-        the others use.
+    Attributes:
+        name: Name of the pool.
+        servers: Names of the servers.
+        limit: Maximum calls in flight from this runner, for all customers together. Each customer has a fixed quota of
+            it, and cannot use what other customers leave unused.
     """
 
     name: str
@@ -23,11 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Grants:
-    """What customers may use.
+    """Servers and pools that customers may use.
 
-    dedicated: the servers of each customer, by its name.
-    pool_shares: of each customer's name, the fraction of each pool's limit, by the pool's name.
-    pools: by name.
+    Attributes:
+        dedicated: Names of each customer's own servers, by customer name.
+        pool_shares: Fraction of a pool's limit, by customer name and pool name.
+        pools: Pools by name.
     """
 
     dedicated: Mapping[str, frozenset[str]] = field(default_factory=dict)
@@ -35,13 +40,13 @@
     pools: Mapping[str, Pool] = field(default_factory=dict)
 
     def reserved_servers(self) -> set[str]:
-        """Return the servers that requests without rules do not go to."""
+        """Return the names of granted servers, which requests without rules must not use."""
         dedicated = {name for servers in self.dedicated.values() for name in servers}
         pooled = {name for pool in self.pools.values() for name in pool.servers}
         return dedicated | pooled
 
     def pool_quota(self, customer: str, pool_name: str) -> int:
-        """Return the calls a customer may have in flight in a pool; at least one where it has any share of it."""
+        """Return the number of calls a customer may have in flight in a pool; at least 1 if it has a share, else 0."""
         share = self.pool_shares.get(customer, {}).get(pool_name, 0.0)
         pool = self.pools.get(pool_name)
         if not share or pool is None:
--- a/moorusher/routing/route.py
+++ b/moorusher/routing/route.py
@@ -1,4 +1,7 @@
-"""What a customer's rules decide of one request. It is decided when the request is read, and holds until its answer."""
+"""Routing decision of a customer's rules for one request.
+
+The decision is made when the request is read and does not change until the request is answered.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 
 
 class RouteKey(NamedTuple):
-    """Tells one route of one customer apart.
+    """Identifies a route of a customer; `incarnation` is the one of the customer's namespace."""
 
-    `incarnation` is the namespace's: what calls on an earlier one's routes have met is not this one's.
-    """
+    # The incarnation is a part of the key, so that a namespace that is deleted and created again starts without the
+    # load balancing state of the earlier one.
 
     customer: str
     incarnation: int
@@ -22,13 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hop:
-    """One route as the customer wrote it. The grants at the time of a call decide which of its servers count.
-
-    route: its name.
-    servers: names with weights; none where it is a pool.
-    pool: the pool's name, "" where it is servers.
-    max_in_flight: calls at a time from this runner; 0 for no limit.
-    max_attempts: of one call on this hop.
+    """One route as the customer defined it. The grants at the time of a call determine which servers are used.
+
+    Attributes:
+        route: Name of the route.
+        servers: Server names with weights; empty if the route uses a pool.
+        pool: Name of the pool; "" if the route uses servers.
+        max_in_flight: Maximum calls in flight from this runner; 0 for no limit.
+        max_attempts: Maximum attempts of one call on this hop.
     """
 
     route: str
@@ -40,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutePath:
-    """The hops that the calls of one request may take, in order; each after the first is the fallback of the last."""
+    """The hops that the calls of one request may take, in order. Each hop is the fallback of the previous one."""
 
     customer: str
     incarnation: int
@@ -53,12 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDecision:
-    """A customer's decision on one request; revision_id, refusal and path are those of `core.routes.Ruling`.
+    """A customer's decision on one request; has the attributes of `core.routes.Ruling`.
 
-    revision_id: the revision of the rules, as incarnation and number.
-    rule: the label of the rule that decided, "" for the customer's default.
-    refusal: the reason where the request is rejected, else "".
-    path: where its calls go; None where it is rejected.
+    Attributes:
+        revision_id: Revision of the rules, as incarnation and number.
+        rule: Label of the rule that matched; "" for the customer's default.
+        refusal: Reason if the request is rejected, else "".
+        path: Path of the request's calls; None if the request is rejected.
     """
 
     revision_id: tuple[int, int]
--- a/moorusher/routing/route_balancers.py
+++ b/moorusher/routing/route_balancers.py
@@ -1,6 +1,6 @@
-"""A load balancer for each route of each customer, and one for requests without rules.
+"""A load balancer for each route of each customer, and a default one for requests without rules.
 
-Each has its own estimates, ejections and retry budget: what one customer's calls have met decides nothing for others.
+Each has its own estimates, ejections and retry budget, so that one customer's calls do not affect other customers.
 """
 
 from __future__ import annotations
@@ -15,15 +15,17 @@
 from .grants import Grants
 from .route import Hop, RouteKey, RoutePath
 
-MAX_BALANCERS = 2_000  # of routes; the least recently used without open calls are forgotten beyond
+# Number of routes' balancers; above it, the least recently used balancers without open calls are discarded.
+MAX_BALANCERS = 2_000
 
 
 class RouteBalancers:
-    """The load balancers over the tier's servers.
+    """The load balancers of the tier's servers.
 
-    servers: those that are listed, by name (dict of EndpointConfig).
-    grants: what customers may use now (Grants).
-    default: for requests that no customer's rules are for; it has the servers that are granted to nobody.
+    Attributes:
+        servers: Listed servers by name.
+        grants: Current grants of servers to customers.
+        default: Load balancer of requests without rules; has the servers that are granted to no customer.
     """
 
     def __init__(
@@ -35,18 +37,23 @@
         now: int,
         grants: Grants,
     ) -> None:
-        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1; `now` in microseconds."""
+        """Create the default load balancer.
+
+        :param runner: Name of this runner.
+        :param draw: Returns a random number in [0, 1).
+        :param now: In microseconds.
+        """
         self._policy = policy
         self._runner = runner
         self._draw = draw
-        self._attempt_ids = count(1)  # shared, so that an attempt is known by its id alone
+        self._attempt_ids = count(1)  # shared by all balancers, so that attempt ids are unique
         self.servers = {server.name: server for server in servers}
         self.grants = grants
         reserved = grants.reserved_servers()
         self.default = self._make([s for s in self.servers.values() if s.name not in reserved], now)
         # Least recently used first.
         self._by_route: OrderedDict[RouteKey, LoadBalancer] = OrderedDict()
-        # The hop that each balancer's endpoints were last taken from; without an entry they are taken anew.
+        # Hop from which each balancer's endpoints were last updated; without an entry the next call updates them.
         self._hops: dict[RouteKey, Hop] = {}
 
     def _make(self, servers: list[EndpointConfig], now: int) -> LoadBalancer:
@@ -57,18 +64,18 @@
         return [self.default, *self._by_route.values()]
 
     def get(self, key: RouteKey) -> LoadBalancer | None:
-        """Return the load balancer of a route that was used lately."""
+        """Return the load balancer of a route; None if the route was not used recently."""
         return self._by_route.get(key)
 
     def for_hop(self, now: int, path: RoutePath, hop: Hop) -> LoadBalancer | None:
-        """Return the load balancer of a hop; None where none of its servers is listed and granted at this time."""
+        """Return the load balancer of a hop; None if none of its servers is currently listed and granted."""
         servers = self._granted_servers(path.customer, hop)
         if not servers:
             return None
         key = path.key_of(hop)
         balancer = self._by_route.get(key)
         if balancer is None:
-            self._forget_unused()
+            self._discard_unused()
             balancer = self._by_route[key] = self._make(servers, now)
         else:
             self._by_route.move_to_end(key)
@@ -102,8 +109,8 @@
             if known is None or known.config != server:
                 endpoints.add(now, server, established=known is not None)
 
-    def _forget_unused(self) -> None:
-        """Make space: forget a tenth of the balancers, those that were not used for longest."""
+    def _discard_unused(self) -> None:
+        """Discard up to a tenth of the balancers, the least recently used ones, if there are too many."""
         if len(self._by_route) < MAX_BALANCERS:
             return
         unused = [key for key, balancer in self._by_route.items() if not balancer.open_calls]
@@ -114,31 +121,34 @@
     # ---- membership ----
 
     def put(self, now: int, server: EndpointConfig) -> None:
-        """Add a server or change the one with its name. Raises TooManyEndpointsError."""
+        """Add a server, or replace the server with that name.
+
+        :raises TooManyEndpointsError: The default load balancer already has the maximum number of endpoints.
+        """
         self.servers[server.name] = server
         if server.name not in self.grants.reserved_servers():
             self.default.endpoints.add(now, server)
-        self._hops.clear()  # routes take it up with their next calls
+        self._hops.clear()  # routes update their endpoints at their next calls
 
     def drain(self, name: str) -> bool:
-        """Send no new calls to a server. False where no balancer knows it."""
+        """Send no new calls to a server. Return False if no load balancer has it."""
         drained = [balancer.endpoints.drain(name) for balancer in self.all()]
         return any(drained)
 
     def retire(self, name: str) -> None:
-        """Drain a server that is no longer listed, and forget it with its last call."""
+        """Drain a server that is no longer listed, and remove it when its last call has ended."""
         self.servers.pop(name, None)
         for balancer in self.all():
             balancer.endpoints.retire(name)
         self._hops.clear()
 
-    def forget(self, name: str) -> None:
-        """Take a server off the list; its removal from each balancer is the caller's."""
+    def unlist(self, name: str) -> None:
+        """Remove a server from the list; the caller has to remove it from each load balancer."""
         self.servers.pop(name, None)
         self._hops.clear()
 
     def set_grants(self, now: int, grants: Grants) -> None:
-        """Take new grants: a server that is granted to a customer leaves the default balancer, and the reverse."""
+        """Apply new grants: the default load balancer retires servers that are granted now, and adds those released."""
         self.grants = grants
         reserved = grants.reserved_servers()
         for name, server in self.servers.items():
@@ -149,7 +159,7 @@
         self._hops.clear()
 
     def find_server(self, name: str) -> EndpointConfig | None:
-        """Return a server by name, also one that is draining with calls in flight."""
+        """Return a server by name, including one that is no longer listed but still draining; None if unknown."""
         if (listed := self.servers.get(name)) is not None:
             return listed
         for balancer in self.all():
--- a/moorusher/routing/route_limits.py
+++ b/moorusher/routing/route_limits.py
@@ -1,4 +1,4 @@
-"""How many calls may be in flight on a route and in a pool: the route's own limit, and the customer's pool quota."""
+"""Limits on calls in flight: the limit of a route, and a customer's quota of a pool."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 
 class RouteLimits:
-    """Counts calls in flight, each on one hop at a time.
+    """Counts calls in flight; a call is on one hop at a time.
 
-    in_flight: by route (Counter).
-    in_flight_in_pool: by customer and pool (Counter).
+    Attributes:
+        in_flight: Number of calls by route.
+        in_flight_in_pool: Number of calls by customer and pool.
     """
 
     def __init__(self) -> None:
-        """Start without calls."""
+        """Create counters without calls."""
         self.in_flight: Counter[RouteKey] = Counter()
         self.in_flight_in_pool: Counter[tuple[str, str]] = Counter()
 
     def try_enter(self, key: RouteKey, hop: Hop, pool_quota: int) -> bool:
-        """Count a call on a hop; False where the route or the customer's quota of its pool is full."""
+        """Count a call on a hop; return False if the route's limit or the customer's pool quota is reached."""
         if hop.max_in_flight and self.in_flight[key] >= hop.max_in_flight:
             return False
         if hop.pool:
@@ -34,7 +35,7 @@
         return True
 
     def leave(self, key: RouteKey, hop: Hop) -> None:
-        """A call has left the hop that it had entered."""
+        """Stop counting a call on a hop that it had entered."""
         _decrement(self.in_flight, key)
         if hop.pool:
             _decrement(self.in_flight_in_pool, (key.customer, hop.pool))
--- a/moorusher/routing/route_table.py
+++ b/moorusher/routing/route_table.py
@@ -1,8 +1,8 @@
-"""Calls along route paths: events in, instructions out, over the load balancers of all routes.
+"""Calls along route paths: passes events to the load balancers of all routes, and returns their instructions.
 
-A call tries the hops of its path in order. It goes on to the next hop where the one before has no granted server or no
-capacity, or ended so that a retry is allowed (`scheduling.retry_policy`): with a proof that nothing ran, or, where the
-request may run twice, also after a failure.
+A call tries the hops of its path in order. It proceeds to the next hop if the current one has no granted server or no
+capacity, or if its outcome permits a retry (`scheduling.retry_policy`): after evidence that nothing ran, or after any
+failure if the request may run twice.
 """
 
 from __future__ import annotations
@@ -41,11 +41,12 @@
 
 @dataclass(slots=True, eq=False)
 class RoutedCall:
-    """A call on a path.
+    """A call on a route path.
 
-    deadline: in microseconds.
-    next_hop: index into the path's hops.
-    hop: the one that it is on, None between hops.
+    Attributes:
+        deadline: In microseconds.
+        next_hop: Index of the next hop in the path.
+        hop: Current hop; None between two hops.
     """
 
     path: RoutePath
@@ -56,9 +57,10 @@
 
 
 class RouteTable:
-    """Takes the events of `load_balancing.messages` for all routes; attempt ids are unique among them.
+    """Handles the events of `load_balancing.messages` for all routes; attempt ids are unique across routes.
 
-    balancers: the load balancers, and the membership of servers (RouteBalancers).
+    Attributes:
+        balancers: The load balancers and their servers.
     """
 
     def __init__(
@@ -70,37 +72,37 @@
         now: int,
         grants: Grants,
     ) -> None:
-        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1; `now` in microseconds."""
+        """Create a table; the parameters are those of `RouteBalancers`."""
         self.balancers = RouteBalancers(servers, policy, runner, draw, now, grants)
         self._limits = RouteLimits()
         self._timers = BalancerTimers()
-        # Open calls on a path, by call id; calls without one are known to the default balancer alone.
+        # Open calls on a path, by call id; calls without a path are only in the default balancer.
         self._calls: dict[int, RoutedCall] = {}
-        # The balancer of each attempt in flight.
+        # Load balancer of each attempt in flight, by attempt id.
         self._balancer_of: dict[int, LoadBalancer] = {}
 
     @property
     def open_calls(self) -> int:
-        """Return the number of calls that have not ended."""
+        """Number of calls that have not ended."""
         return sum(balancer.open_calls for balancer in self.balancers.all())
 
     def next_timer(self) -> int | None:
-        """Return when TimerFired is due next (us); None where nothing waits for a time."""
+        """Return when TimerFired is due next (us); None if no timer is set."""
         return self._timers.next_time()
 
     # ---- events ----
 
     def handle(self, event: Event, path: RoutePath | None = None) -> list[Instruction]:
-        """Take one event, and return what is to be done, in order.
+        """Process one event, and return the instructions to execute, in order.
 
-        `path`: of a call that starts; None where no customer's rules are for it.
+        :param path: Route path of a call that starts; None if no customer's rules apply to it.
         """
         match event:
             case CallStarted():
                 return self._on_call_started(event, path)
             case AttemptEnded():
                 balancer = self._balancer_of.pop(event.attempt_id, None)
-                return [] if balancer is None else self._pass_on(balancer, event)
+                return [] if balancer is None else self._dispatch(balancer, event)
             case CallCancelled():
                 return self._on_call_cancelled(event)
             case TimerFired():
@@ -111,7 +113,7 @@
     def _on_call_started(self, event: CallStarted, path: RoutePath | None) -> list[Instruction]:
         instructions = self._on_call_cancelled(CallCancelled(event.now, event.call_id))
         if path is None:
-            return instructions + self._pass_on(self.balancers.default, event)
+            return instructions + self._dispatch(self.balancers.default, event)
         call = RoutedCall(path, event.effect, event.deadline)
         self._calls[event.call_id] = call
         rejected = CompleteCall(event.call_id, NO_ATTEMPT, AttemptOutcome.REJECTED)
@@ -120,28 +122,28 @@
     def _on_call_cancelled(self, event: CallCancelled) -> list[Instruction]:
         call = self._calls.pop(event.call_id, None)
         if call is None:
-            return self._pass_on(self.balancers.default, event)
+            return self._dispatch(self.balancers.default, event)
         if call.hop is None:
             return []
         balancer = self.balancers.get(call.path.key_of(call.hop))
         self._leave_hop(call)
-        return [] if balancer is None else self._pass_on(balancer, event)
+        return [] if balancer is None else self._dispatch(balancer, event)
 
     def _on_timer_fired(self, now: int) -> list[Instruction]:
         instructions: list[Instruction] = []
         while (balancer := self._timers.pop_due(now)) is not None:
-            instructions += self._pass_on(balancer, TimerFired(now))
+            instructions += self._dispatch(balancer, TimerFired(now))
         return instructions
 
     def _on_endpoint_removed(self, event: EndpointRemoved) -> list[Instruction]:
-        self.balancers.forget(event.name)
+        self.balancers.unlist(event.name)
         instructions: list[Instruction] = []
         for balancer in self.balancers.all():
-            instructions += self._pass_on(balancer, event)
+            instructions += self._dispatch(balancer, event)
         return instructions
 
-    def _pass_on(self, balancer: LoadBalancer, event: Event) -> list[Instruction]:
-        """Let a balancer handle an event; a call that ends on one hop may start on the next."""
+    def _dispatch(self, balancer: LoadBalancer, event: Event) -> list[Instruction]:
+        """Pass an event to a load balancer; a call that ends on one hop may start on the next."""
         from_balancer = balancer.handle(event)
         self._timers.update(balancer)
         instructions: list[Instruction] = []
@@ -174,13 +176,13 @@
         return may_retry(call.effect, outcome.evidence)
 
     def _enter_next_hop(self, now: int, call: RoutedCall, otherwise: CompleteCall) -> list[Instruction]:
-        """Start the call on the next hop that has a granted server and capacity; without one it ends as `otherwise`."""
+        """Start the call on the next hop with a granted server and capacity; complete it as `otherwise` without one."""
         while call.next_hop < len(call.path.hops):
             hop = call.path.hops[call.next_hop]
             call.next_hop += 1
             balancer = self.balancers.for_hop(now, call.path, hop)
             if balancer is not None and self._try_enter(call, hop):
-                return self._pass_on(
+                return self._dispatch(
                     balancer,
                     CallStarted(now, otherwise.call_id, call.effect, call.deadline, hop.max_attempts),
                 )
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Health state, forecast of overload, load balancing weight and health check answers, without I/O."""
+"""Health state, overload forecast, load balancing weight and health check answers, without I/O."""
 
 from __future__ import annotations
 
@@ -64,20 +64,20 @@
 @pytest.mark.parametrize(
     "before, change",
     [
-        ({"draining": True}, {"draining": False}),  # a notice is not taken back
-        ({}, {"kernel_up": False}),  # a kernel that was heard was heard
-        ({}, {"speed": 0.5}),  # warm, then cold: a new kernel comes with a new runner
+        ({"draining": True}, {"draining": False}),  # a shutdown can't be cancelled
+        ({}, {"kernel_up": False}),  # a kernel that has been up can't become one that has never been up
+        ({}, {"speed": 0.5}),  # a warm kernel can't become cold, as a kernel restart restarts the runner
     ],
 )
 def test_contradictory_observations_raise(before: dict[str, Any], change: dict[str, Any]) -> None:
-    """An observation that takes back an earlier one is an error of the caller: it raises."""
+    """An observation that contradicts an earlier one is an error of the caller."""
     tracker = new_tracker()
     tracker.report(replace(QUIET, **before))
     with pytest.raises(ImpossibleTransitionError):
         tracker.report(replace(QUIET, now=START_US + SECOND_US, **change))
 
 
-def test_draining_overrides_maintenance_and_can_not_be_left() -> None:
+def test_draining_overrides_maintenance_and_is_final() -> None:
     tracker = new_tracker()
     tracker.report(QUIET)
     assert tracker.set_maintenance(Maintenance("disk", START_US))
@@ -92,7 +92,7 @@
 
 
 def test_maintenance_expires_and_is_followed_by_a_slow_start() -> None:
-    """Maintenance with an end time is over by itself; the runner is not sent its full share at once."""
+    """Maintenance with an end time ends automatically, and the weight must not return to 100 at once."""
     tracker = new_tracker()
     now_us = serve_until_full_weight(tracker)
     tracker.set_maintenance(Maintenance("disk", now_us, now_us + 2 * SECOND_US))
@@ -119,7 +119,7 @@
         value * max(0, min(until, end) - max(since, end - 3 * SECOND_US))
         for (since, value), (until, _) in zip(values, [*values[1:], (end, 0)], strict=True)
     )
-    # The oldest bucket lies on the edge of the window: its whole content can be missing or too much.
+    # The window begins within the oldest bucket: the whole content of that bucket can be missing or too much.
     assert abs(history.mean(end) * 3 * SECOND_US - exact) <= 60 * BUCKET_US
 
 
@@ -136,50 +136,51 @@
 )
 def test_overload_is_forecast_from_the_trend(growth_per_s: int, horizon_s: float, crosses: bool) -> None:
     history = LevelHistory(3 * SECOND_US, START_US)
-    for tenth in range(20):  # two seconds from 3 on, `growth_per_s` more a second
+    for tenth in range(20):  # for two seconds, from 3 runs on, `growth_per_s` more runs per second
         history.set(START_US + tenth * SECOND_US // 10, 3 + growth_per_s * tenth // 10)
     now = START_US + 2 * SECOND_US
     assert history.mean(now) < 10
     forecast = forecast_peak_mean(history, now, round(horizon_s * SECOND_US), arrivals_per_s=10, ends_per_s=2)
     assert (forecast >= 10) is crosses
-    # Queued requests go on starting after the load balancers have stopped, up to the runner's own limit.
+    # Queued requests continue to start after the load balancers have stopped sending, up to the runner's own limit.
     filling = forecast_peak_mean(history, now, SECOND_US, waiting=30, ends_per_s=2)
     assert (
         filling
         > forecast_peak_mean(history, now, SECOND_US, waiting=30, ends_per_s=2, max_level=8)
         >= history.mean(now)
     )
-    # Without arrivals and with an empty queue the count can't go on growing.
+    # Without arrivals and with an empty queue the number of runs can't continue to grow.
     assert (
         forecast_peak_mean(history, now, round(horizon_s * SECOND_US), ends_per_s=2) <= 3 + 2 * growth_per_s
     )
 
 
 def test_a_random_walk_is_not_taken_for_a_trend() -> None:
-    """Eight arrivals and eight ends a second let the count wander: no overload may be forecast from it."""
+    """With eight arrivals and eight ends per second the number of runs varies randomly; this is not an overload."""
     rng = random.Random(5)
     history = LevelHistory(3 * SECOND_US, START_US)
     value = 8
     over = 0
-    for step_of in range(2000):
+    for step in range(2000):
         value = min(14, max(0, value + rng.choice((-1, 1))))
-        now = START_US + step_of * SECOND_US // 16
+        now = START_US + step * SECOND_US // 16
         history.set(now, value)
         over += forecast_peak_mean(history, now, 2 * SECOND_US, arrivals_per_s=8, ends_per_s=8) > 18
-    assert over < 20  # of 2,000; the slope alone would forecast it 200 times
+    # Without the random walk correction, the forecast exceeds the limit in about 200 of the 2,000 steps.
+    assert over < 20
 
 
 @given(st.integers(0, 40), st.integers(0, 40), st.integers(0, 5_000_000))
-def test_the_forecast_is_never_below_the_measured_mean_or_its_floor(
-    count: int, floor: int, horizon: int
+def test_the_forecast_is_never_below_the_measured_mean_or_its_minimum(
+    count: int, min_level: int, horizon: int
 ) -> None:
     history = LevelHistory(3 * SECOND_US, START_US)
     history.set(START_US + SECOND_US, count)
     now = START_US + 5 * SECOND_US
-    forecast = forecast_peak_mean(history, now, horizon, floor)
+    forecast = forecast_peak_mean(history, now, horizon, min_level)
     assert forecast >= history.mean(now) - 1e-9
     if horizon >= 3 * SECOND_US:
-        assert forecast >= max(count, floor) - 1e-9
+        assert forecast >= max(count, min_level) - 1e-9
 
 
 def test_windowed_count_drops_events_older_than_its_window() -> None:
@@ -190,7 +191,7 @@
 
 
 @pytest.mark.parametrize("speed, survives", [(1.0, 10.0), (0.22, 2 * 1.88), (0.0, 2.0), (7.0, 10.0)])
-def test_a_runner_that_warms_up_survives_fewer_concurrent_runs(speed: float, survives: float) -> None:
+def test_a_runner_survives_fewer_concurrent_runs_during_warm_up(speed: float, survives: float) -> None:
     assert survivable_runs(2, 5.0, speed) == pytest.approx(survives)
 
 
@@ -203,11 +204,11 @@
     return now_us + round(seconds * SECOND_US)
 
 
-def test_overload_is_reported_before_it_happens_and_left_with_hysteresis() -> None:
+def test_overload_is_reported_before_it_happens_and_ends_with_hysteresis() -> None:
     """One more run starts every 100 ms until the runner is overloaded.
 
-    Load balancers need a second to react, so the weight has to reach 0 before that.
-    Once runs end, the state stays until the load is clearly below the limit.
+    Load balancers need a second to react, so the weight has to reach 0 at least a second before the overload.
+    When runs end, the state remains OVERLOADED until the load is clearly below the limit.
     """
     tracker = new_tracker()
     now_us = serve_until_full_weight(tracker)
@@ -220,10 +221,10 @@
         weights.append(reported.weight)
     first = next(i for i, w in enumerate(weights) if w <= 10)
     none = next(i for i, w in enumerate(weights) if w == 0)
-    # Early enough: the horizon is a second, and the overload comes later than that after the first 0.
+    # The horizon is a second (10 reports), and the overload occurs more than a second after the first weight of 0.
     assert first <= none and len(weights) - none > 10
-    assert sorted(weights, reverse=True) == weights  # no step back up on the way
-    # Runs end: it stays overloaded until clearly below the limit, and then its weight rises slowly.
+    assert sorted(weights, reverse=True) == weights  # the weight never rises during the increase of load
+    # Runs end: the state remains until the load is clearly below the limit, and then the weight rises slowly.
     now_us = keep_running(tracker, now_us, 6, 4.0)
     assert tracker.report(replace(QUIET, now=now_us, on_cores=6)).state is HealthState.OVERLOADED
     now_us = keep_running(tracker, now_us, 3, 4.0)
@@ -231,7 +232,7 @@
     assert after.state is HealthState.SERVING and after.weight < 100
 
 
-def test_a_runner_that_warms_up_is_overloaded_by_fewer_runs() -> None:
+def test_a_runner_is_overloaded_by_fewer_runs_during_warm_up() -> None:
     reports = {}
     for speed in (1.0, 0.22):
         tracker = new_tracker()
@@ -246,7 +247,7 @@
 @pytest.mark.parametrize(
     "gauge, running, unknown",
     [
-        # Stuck at idle: the runner's own count holds.
+        # The gauges are stuck at idle, so the runner's own count is used.
         (KernelGauges(START_US, 0.02, 0.0), 40, "say 2% busy while 40 run"),
         (KernelGauges(START_US - 9 * SECOND_US, 0.9, 30.0), 40, "9.0 s old"),
         (None, 40, "never told"),
@@ -268,7 +269,7 @@
     assert unknown in " ".join(reported.unknown) and bool(reported.unknown) is bool(unknown)
 
 
-def test_kernel_gauges_count_less_as_they_get_stale() -> None:
+def test_kernel_gauges_have_less_influence_with_increasing_age() -> None:
     forecasts = []
     for age in (0.0, 1.0, 3.0, 4.0, 6.0):
         tracker = new_tracker()
@@ -317,7 +318,7 @@
         if i % 10 == 0:
             tracker.probes.probed(now_us, "slow")
     assert tracker.horizon_us(now_us) == 5_100_000
-    for _ in range(60):  # the slow one has left; its interval counts for three more, then no longer
+    for _ in range(60):  # the slow one has stopped; it counts for three more intervals
         now_us += SECOND_US // 2
         tracker.probes.probed(now_us, "quick")
     assert tracker.horizon_us(now_us) == 600_000
@@ -329,7 +330,7 @@
         intervals.probed(START_US + i, f"10.0.{i}")
     assert len(intervals) == MAX_SOURCES
     intervals.probed(START_US + SECOND_US, "x")
-    intervals.probed(START_US + SECOND_US + 1000, "x")  # a second thread of the same balancer
+    intervals.probed(START_US + SECOND_US + 1000, "x")  # another thread of the same load balancer
     intervals.probed(START_US + 2 * SECOND_US, "x")
     assert intervals.longest_us(START_US + 2 * SECOND_US) == SECOND_US
 
@@ -343,20 +344,21 @@
     """Trust in a lost connection to the kernel falls over 2 s, and returns only once it has stayed up."""
     link = LinkMonitor()
     link.lost(START_US)
-    link.lost(START_US + 1)  # reported twice, lost once
+    link.lost(START_US + 1)  # the same loss is reported again
     assert link.flaps(START_US + 1) == 1
     assert link.state(START_US + 400_000, 2 * SECOND_US, SECOND_US // 2).trust == 1.0
     assert 0 < link.state(START_US + SECOND_US, 2 * SECOND_US, SECOND_US // 2).trust < 1
     assert link.state(START_US + 3 * SECOND_US, 2 * SECOND_US, SECOND_US // 2).failed
     link.up(START_US + 3 * SECOND_US)
-    assert link.state(START_US + 3 * SECOND_US + 1, 2 * SECOND_US, SECOND_US // 2).failed  # it has to stay
+    # The connection has to stay up for the settling time.
+    assert link.state(START_US + 3 * SECOND_US + 1, 2 * SECOND_US, SECOND_US // 2).failed
     assert not link.state(START_US + 4 * SECOND_US, 2 * SECOND_US, SECOND_US // 2).failed
 
 
 def test_a_flapping_kernel_connection_keeps_the_weight_low() -> None:
-    """The connection to the kernel is lost and made again every second.
+    """The connection to the kernel is lost and restored every second.
 
-    A runner that reported its full weight after each return would be sent requests that the next loss delays.
+    A runner that reported its full weight after each reconnect would get requests that the next loss delays.
     """
     tracker = new_tracker()
     now_us = serve_until_full_weight(tracker)
@@ -390,19 +392,19 @@
     ),
 )
 def test_weights_fall_one_step_per_horizon_or_to_zero_and_rise_no_faster_than_the_ramp(
-    phase: float, asked: list[tuple[int, int, weight.PressureZone]]
+    phase: float, updates: list[tuple[int, int, weight.PressureZone]]
 ) -> None:
     controller = weight.WeightController(8 * SECOND_US, phase)
     now_us = START_US
     before = 0
     lowered = 0
-    for gap, cap, zone in asked:
+    for gap, cap, zone in updates:
         now_us += gap
         current = controller.update(now_us, cap, zone, 10, 2 * SECOND_US)
         assert current in weight.STEPS and current <= cap and (current == 0) == (zone is CROSSING or not cap)
         steps = weight.STEPS.index(current) - weight.STEPS.index(before)
         if steps > 0 and before:
-            assert (steps - 1) * 0.85 * SECOND_US <= gap  # time at a cap is no credit
+            assert (steps - 1) * 0.85 * SECOND_US <= gap  # time at the cap allows no additional steps
         elif steps < 0 and current < cap and current:
             assert steps == -1 and now_us - lowered >= 2 * SECOND_US
             lowered = now_us
@@ -424,9 +426,9 @@
 
 
 def test_slow_starts_are_spread_among_runners_and_get_slower_after_relapses() -> None:
-    """Runners that recover from the same failure must not all take their full share at the same moment.
+    """Runners that recover from the same failure must not all reach full weight at the same time.
 
-    Each phase gives a different ramp, and a runner that is overloaded again and again ramps up more slowly.
+    The jitter makes their ramps differ, and a runner that is overloaded repeatedly ramps up more slowly.
     """
 
     def seconds(controller: weight.WeightController, now_us: int) -> float:
@@ -435,10 +437,10 @@
             now_us += SECOND_US // 10
         return (now_us - start) / SECOND_US
 
-    took = {
+    ramp_s = {
         phase: seconds(weight.WeightController(8 * SECOND_US, phase), START_US) for phase in (0.0, 0.5, 1.0)
     }
-    assert took[0.0] < took[0.5] < took[1.0] < 2 * took[0.0]
+    assert ramp_s[0.0] < ramp_s[0.5] < ramp_s[1.0] < 2 * ramp_s[0.0]
     controller = weight.WeightController(8 * SECOND_US, 0.5)
     now_us = START_US
     times = []
@@ -449,43 +451,46 @@
     assert times[2] > 1.5 * times[1] and times[-1] <= 8 * times[0]
 
 
-def run_on_both_cores(tracker: HealthTracker, now_us: int, until: int, stretch_us: int) -> int:
-    """Keep both cores busy from `now_us` to `until` with runs of `stretch_us`; return the time after them."""
+def run_on_both_cores(tracker: HealthTracker, now_us: int, until: int, duration_us: int) -> int:
+    """Keep both cores busy from `now_us` to `until` with runs of `duration_us`; return the time after them."""
     while now_us < until:
         tracker.runs_on_cores(now_us, 2)
-        now_us += stretch_us // 2
+        now_us += duration_us // 2
         tracker.runs_on_cores(now_us, 1)
     return now_us
 
 
 def test_weight_is_reduced_for_slow_runs_and_not_for_overload_alone() -> None:
-    """Runs that take four times as long show a slow runner; a queue alone only shows that all are busy."""
+    """Runs that take four times as long indicate a slow runner, and the weight falls.
+
+    A long queue alone indicates that all runners are overloaded, and the weight stays high.
+    """
     weights = {}
-    for stretch in (200_000, 800_000):
+    for duration_us in (200_000, 800_000):
         tracker = new_tracker()
         now_us = run_on_both_cores(
             tracker, serve_until_full_weight(tracker), START_US + 60 * SECOND_US, 200_000
         )
         tracker.report(replace(QUIET, now=now_us, on_cores=2))
         for _ in range(20):
-            now_us = run_on_both_cores(tracker, now_us, now_us + SECOND_US, stretch)
+            now_us = run_on_both_cores(tracker, now_us, now_us + SECOND_US, duration_us)
             reported = tracker.report(
                 replace(QUIET, now=now_us, on_cores=2, queued=20, oldest_queued_us=2 * SECOND_US)
             )
         assert reported.state is HealthState.OVERLOADED
-        weights[stretch] = reported.weight
-        assert ("times as long" in reported.reason) is (stretch == 800_000)
+        weights[duration_us] = reported.weight
+        assert ("times as long" in reported.reason) is (duration_us == 800_000)
     assert weights == {200_000: 75, 800_000: 20} or weights == {200_000: 100, 800_000: 20}
 
 
 # ---- health check answers ----
 
 
-def health_report(standing: HealthState, weight: int = 0, **more: Any) -> HealthReport:
-    """A health report of this state, with plain values for all that a test does not set."""
+def health_report(state: HealthState, weight: int = 0, **more: Any) -> HealthReport:
+    """Return a health report of this state, with default values for all other fields that are not given."""
     base: dict[str, Any] = {
         "reason": "why",
-        "routable": standing.routable,
+        "routable": state.routable,
         "changed": "",
         "pressure": 0.4,
         "mean_per_core": 1.5,
@@ -494,7 +499,7 @@
         "horizon_us": 2_500_000,
         "max_connections": 8,
     }
-    return HealthReport(standing, weight, **(base | more))
+    return HealthReport(state, weight, **(base | more))
 
 
 @pytest.mark.parametrize(
