--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -153,7 +153,7 @@
 
     def prepare(balancer: LoadBalancer) -> None:
         priors = merge_priors(states, balancer.endpoints.by_name)
-        balancer.endpoints.learn(priors, PriorVerification(priors, balancer.endpoints.unlearn))
+        balancer.endpoints.apply_priors(priors, PriorVerification(priors, balancer.endpoints.discard_prior))
 
     return PoolSimulation(
         _servers(FAULTS),
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -225,7 +225,7 @@
 
     # ---- priors ----
 
-    def learn(self, priors: Mapping[str, Prior], verifier: PriorVerifier) -> None:
+    def apply_priors(self, priors: Mapping[str, Prior], verifier: PriorVerifier) -> None:
         """Apply priors to endpoints that have no samples of their own.
 
         An endpoint that other runners had ejected has to pass a health check first, unless too many are unavailable.
@@ -243,7 +243,7 @@
                 unavailable += 1
         self._request_rebuild()
 
-    def unlearn(self, name: str) -> None:
+    def discard_prior(self, name: str) -> None:
         """Discard the prior of an endpoint and the health check that it required."""
         endpoint = self.by_name.get(name)
         if endpoint is None:
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -89,8 +89,8 @@
         if state is not None:
             endpoints = self._pool.balancer.endpoints
             priors = merge_priors([state], endpoints.by_name)
-            self.verification = PriorVerification(priors, endpoints.unlearn)
-            endpoints.learn(priors, self.verification)
+            self.verification = PriorVerification(priors, endpoints.discard_prior)
+            endpoints.apply_priors(priors, self.verification)
             self._core.counters.add("servers known from before", by=len(priors))
         self._schedule()
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -17,7 +17,7 @@
 )
 
 from .stand_ins import SETTINGS, Database, FrontEnd, Kernel, running
-from .test_server_pool import listed
+from .test_server_pool import tier_settings
 from .test_sockets import asynchronous_test, new_key, wait_until
 
 EFFECTS = ("free", "guarded", "single_shot")
@@ -88,7 +88,7 @@
     @asynchronous_test
     async def run() -> None:
         servers = [Database("reset"), Database("reset")]
-        more = listed(*servers, policy="hedge = false\nretry_share = 1.0")
+        more = tier_settings(*servers, policy="hedge = false\nretry_share = 1.0")
         async with running(Kernel(calls=True), more=more, **settings_of_each_effect()) as r:
             f = await FrontEnd.connect(r.port)
             got = await ask(f, effect, budget=700)
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -19,7 +19,7 @@
 from .test_sockets import asynchronous_test, new_key, wait_until
 
 
-def listed(*servers: Any, policy: str = "hedge = false") -> str:
+def tier_settings(*servers: Any, policy: str = "hedge = false") -> str:
     """Let the stand-ins listen, and return the settings of [tier] that list them."""
     text = f"[tier]\n{policy}\n"
     for i, server in enumerate(servers):
@@ -55,7 +55,7 @@
 @asynchronous_test
 async def test_calls_are_distributed_and_all_replies_are_passed_on_with_both_protocols() -> None:
     servers = [Database(), Database(), UwsgiPeer()]
-    async with running(kernel := Kernel(calls=True), more=listed(*servers)) as runner:
+    async with running(kernel := Kernel(calls=True), more=tier_settings(*servers)) as runner:
         front_end = await FrontEnd.connect(runner.port)
         answers = await send_requests(front_end, 40)
         assert (
@@ -77,7 +77,7 @@
 @asynchronous_test
 async def test_calls_that_may_run_twice_succeed_despite_a_failing_and_an_unreachable_server() -> None:
     failing, unreachable, healthy = Database(500), Database(), Database()
-    more = listed(
+    more = tier_settings(
         failing,
         unreachable,
         healthy,
@@ -104,7 +104,7 @@
     @asynchronous_test
     async def run_script() -> None:
         servers = [Database(*script)]
-        async with running(Kernel(calls=True), more=listed(*servers)) as runner:
+        async with running(Kernel(calls=True), more=tier_settings(*servers)) as runner:
             front_end = await FrontEnd.connect(runner.port)
             answer = await front_end.ask("submit", token=new_key())
             assert ("result" in answer) is (calls == 2) and len(servers[0].calls) == calls
@@ -118,7 +118,7 @@
 async def test_hedged_requests_are_answered_despite_a_hanging_server() -> None:
     servers = [Database("hang"), Database()]
     async with running(
-        kernel := Kernel(calls=True), more=listed(*servers, policy="retry_share = 1.0")
+        kernel := Kernel(calls=True), more=tier_settings(*servers, policy="retry_share = 1.0")
     ) as runner:
         front_end = await FrontEnd.connect(runner.port)
         answers = [await asyncio.wait_for(front_end.send("check"), WAIT) for _ in range(30)]
@@ -132,7 +132,7 @@
 @asynchronous_test
 async def test_servers_are_changed_under_load_by_the_api_and_by_sighup() -> None:
     servers = [Database(), Database(), Database()]
-    text = listed(*servers[:2])
+    text = tier_settings(*servers[:2])
     async with running(Kernel(calls=True), more=text) as runner:
 
         async def api(method: bytes, path: bytes, body: bytes = b"") -> int:
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -50,7 +50,7 @@
 from moorusher.warm_start.verification import PriorVerification
 
 from .stand_ins import Database, FrontEnd, Kernel, running
-from .test_server_pool import listed
+from .test_server_pool import tier_settings
 from .test_sockets import asynchronous_test, wait_until
 
 S, MS = 1_000_000, 1_000
@@ -217,7 +217,7 @@
 @asynchronous_test
 async def test_a_runner_saves_what_it_learnt_and_the_next_one_learns_from_it() -> None:
     servers = [Database(500), Database(), Database(), Database()]
-    text = listed(*servers, policy='knowledge_file = "known"')
+    text = tier_settings(*servers, policy='knowledge_file = "known"')
     async with running(Kernel(calls=True), more=text) as r:
         f = await FrontEnd.connect(r.port)
         for _ in range(
@@ -342,7 +342,7 @@
     servers = [EndpointConfig(f"s{i}", ("127.0.0.1", 1)) for i in range(4)]
     r = LoadBalancer(servers, LoadBalancingPolicy(hedging_enabled=False), "r", random.Random(1).random, 0)
     priors = {"s0": Prior(1.0, 0.1, 0.9, True, ("d",)), "s9": Prior(1.0, 1.0, 1.0, True, ("d",))}
-    r.endpoints.learn(priors, PriorVerification(priors, r.endpoints.unlearn))
+    r.endpoints.apply_priors(priors, PriorVerification(priors, r.endpoints.discard_prior))
     assert r.endpoints.by_name["s0"].state is EndpointState.AWAITING_HEALTH_CHECK
     (first,) = (e for e in r.handle(CallStarted(0, 1, Effect.IDEMPOTENT, S)) if isinstance(e, SendAttempt))
     assert first.endpoint == "s0"
@@ -369,7 +369,7 @@
         0,
     )
     priors = {f"s{i}": Prior(1.0, 0.0, 1.0, True, ("liar",)) for i in range(6)}
-    r.endpoints.learn(priors, PriorVerification(priors, r.endpoints.unlearn))
+    r.endpoints.apply_priors(priors, PriorVerification(priors, r.endpoints.discard_prior))
     assert sum(m.state is EndpointState.AWAITING_HEALTH_CHECK for m in r.endpoints.by_name.values()) == 2
 
 
@@ -391,7 +391,7 @@
 
     def prepare(router: LoadBalancer) -> None:
         priors = merge_priors([told], router.endpoints.by_name)
-        router.endpoints.learn(priors, PriorVerification(priors, router.endpoints.unlearn))
+        router.endpoints.apply_priors(priors, PriorVerification(priors, router.endpoints.discard_prior))
 
     lost = {
         name: sum(
