--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -17,7 +17,7 @@
 )
 
 from .stand_ins import SETTINGS, Database, FrontEnd, Kernel, running
-from .test_server_pool import listed
+from .test_server_pool import tier_settings
 from .test_sockets import asynchronous_test, new_key, wait_until
 
 EFFECTS = ("free", "guarded", "single_shot")
@@ -97,8 +97,8 @@
     @asynchronous_test
     async def run() -> None:
         servers = [Database("reset"), Database("reset")]
-        tier_settings = listed(*servers, policy="hedge = false\nretry_share = 1.0")
-        async with running(Kernel(calls=True), more=tier_settings, **settings_of_each_effect()) as runner:
+        more = tier_settings(*servers, policy="hedge = false\nretry_share = 1.0")
+        async with running(Kernel(calls=True), more=more, **settings_of_each_effect()) as runner:
             front_end = await FrontEnd.connect(runner.port)
             answer = await send_request(front_end, effect, budget=700)
             calls = sum(len(server.calls) for server in servers)
