--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what the scheduler decides: one method for each action of `moorusher.scheduling.interface`."""
+"""Executor of the scheduler's actions, with one method for each action of `moorusher.scheduling.interface`."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 log = logging.getLogger("moorusher")
 
-GAUGE_LEAD = 25 * MS  # gauges are asked for so long before a timer is due, to be fresh when it is
+# Gauges are requested this long before a scheduler timer is due, so that they are fresh when it fires.
+GAUGE_LEAD_US = 25 * MS
 
 
 class ActionExecutor:
-    """Carries out actions on the engine's tables, the kernel and the calls."""
+    """Applies actions to the engine's tables, the kernel and the downstream calls."""
 
     def __init__(
         self, state: EngineState, completion: Completion, execution: Execution, kernel_status: KernelStatus
@@ -40,20 +41,20 @@
             api.Stop: self._stop,
             api.Reject: self._reject,
             api.Fail: self._fail,
-            api.StartCall: self._call,
+            api.StartCall: self._start_call,
             api.SkipCall: self._skip_call,
-            api.StoreKey: self._remember,
-            api.DropKey: self._forget,
+            api.StoreKey: self._store_key,
+            api.DropKey: self._drop_key,
             api.ShareResult: self._share_result,
             api.SetHealth: self._set_health,
-            api.Signal: self._signal,
-            api.CloseIdleConnections: self._trim_connections,
+            api.Signal: self._set_load_signal,
+            api.CloseIdleConnections: self._close_idle_connections,
             api.SetTimer: self._set_timer,
             api.Log: self._log,
         }
 
     def carry_out(self, action: api.Action) -> None:
-        """Carry out one action, at once."""
+        """Carry out one action immediately."""
         self._methods[type(action)](action)
 
     def _start(self, action: api.Start) -> None:
@@ -78,7 +79,7 @@
         if request is None:
             return
         if request.stage is not RequestStage.QUEUED:
-            # It has run, or waits for an attempt that may have: a rejection would promise that it never ran.
+            # A rejection promises that the request never ran. This one has run, or waits for an attempt that may have.
             log.error("the scheduler rejected a request that had started: request=%s", request.rid)
             self._fail(api.Fail(action.id))
             return
@@ -96,7 +97,7 @@
         if request.stage not in STARTED_STAGES:
             self._completion.drop_unstarted(action.id)
 
-    def _call(self, action: api.StartCall) -> None:
+    def _start_call(self, action: api.StartCall) -> None:
         run = self._state.runs.get(action.id)
         if run is None or not run.notice:
             return
@@ -122,14 +123,14 @@
         self._state.calls.drop(action.id)
         self._state.runs.resume(action.id, None)
 
-    def _remember(self, action: api.StoreKey) -> None:
+    def _store_key(self, action: api.StoreKey) -> None:
         self._state.keys.extend(action.id, self._state.clock.now + round(action.ttl_ms * MS))
 
-    def _forget(self, action: api.DropKey) -> None:
+    def _drop_key(self, action: api.DropKey) -> None:
         self._completion.drop_unstarted(action.id)
 
     def _share_result(self, action: api.ShareResult) -> None:
-        """From the result of the attempt that has the key, or once that has one."""
+        # The result is that of the attempt that has the key. If that attempt is open, the request waits for its result.
         request = self._table.by_number.get(action.id)
         if request is None:
             return
@@ -143,19 +144,19 @@
     def _set_health(self, action: api.SetHealth) -> None:
         self._state.healthy = action.healthy
 
-    def _signal(self, action: api.Signal) -> None:
+    def _set_load_signal(self, action: api.Signal) -> None:
         self._state.load_signal = action.value
 
-    def _trim_connections(self, action: api.CloseIdleConnections) -> None:
+    def _close_idle_connections(self, action: api.CloseIdleConnections) -> None:
         self._state.hooks.trim_connections(round(action.idle_ms * MS))
 
     def _set_timer(self, action: api.SetTimer) -> None:
         state = self._state
         due = state.clock.now + max(0, round(action.delay_ms * MS))
-        if due - state.clock.now <= GAUGE_LEAD:
+        if due - state.clock.now <= GAUGE_LEAD_US:
             state.kernel.ask_gauges()
         else:
-            state.alarms.at(due - GAUGE_LEAD, state.kernel.ask_gauges)
+            state.alarms.at(due - GAUGE_LEAD_US, state.kernel.ask_gauges)
         state.alarms.at(due, lambda: self._timer_due(action.token))
 
     def _timer_due(self, token: int) -> None:
--- a/moorusher/core/answer.py
+++ b/moorusher/core/answer.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, and the connection that it is given to."""
+"""The final answer of a request, and the interface of the connection that receives it."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Verdict(Enum):
-    """The three kinds of final answer. Their values are names of counters."""
+    """Kind of a final answer. The values are counter names."""
 
     SERVED = "served"
-    REJECTED = "refused"  # with the promise that this attempt never ran
-    FAILED = "failed"  # without any promise
+    REJECTED = "refused"  # promises that this attempt never ran
+    FAILED = "failed"  # promises nothing: the attempt may have run
 
 
 class Cause(Enum):
-    """Why a request was not served. The values are read in error messages and in the names of counters."""
+    """Reason why a request was not served. The values appear in error messages and counter names."""
 
     NONE = "none"
     REJECTED = "turned away"
@@ -33,12 +33,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """One final answer, before a frontend words it in its protocol.
+    """Final answer of a request, before a frontend encodes it in its protocol.
 
     Attributes:
-        content: the result; of a rejection by a customer's rules, their reason.
-        retry_after_ms: of a rejection: when another attempt makes sense.
-        final: of a rejection: no other runner would serve the request either.
+        verdict: Kind of the answer.
+        content: Result; for a rejection by a customer's rules, their reason.
+        cause: Reason why the request was not served.
+        retry_after_ms: For a rejection: delay before the next attempt.
+        final: For a rejection: whether other runners would reject the request, too.
     """
 
     verdict: Verdict
@@ -49,13 +51,15 @@
 
     @property
     def rejection_message(self) -> str:
-        """The text that the caller reads of a rejection."""
+        """Text of a rejection for the caller."""
         return f"{self.cause.value}: {self.content.decode()}" if self.content else self.cause.value
 
 
 class Reply(Protocol):
-    """The connection that a request came on."""
+    """Connection on which a request arrived."""
 
     def answer(self, tag: int, answer: Answer, load_signal: float | None) -> None:
-        """Write the answer of the request that this connection knows by `tag`. Called at most once a request: never
-        where its caller has gone."""
+        """Send the answer of the request with this tag.
+
+        Called at most once per request, and never after its caller has disconnected.
+        """
--- a/moorusher/core/call.py
+++ b/moorusher/core/call.py
@@ -1,4 +1,4 @@
-"""Downstream calls: at most one for each run, timed out when its time is over."""
+"""Downstream calls, at most one at a time for each run, and their timeouts."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 
 @dataclass(slots=True, frozen=True)
 class CallRequest:
-    """A call as a transport needs it.
+    """Parameters of a call for the transport.
 
     Attributes:
-        rid: the id of the request that makes it.
-        class_name: the class of that request.
-        effect: of that class: it alone says whether the call may be repeated.
-        token: the same for all attempts of one request with an idempotency key, None for others. It is no sign that the
-            call may be repeated.
-        route: by the rules of the request's customer, for a transport that knows them.
+        rid: Id of the request that makes the call.
+        class_name: Class of the request.
+        tenant: Tenant of the request.
+        effect: Effect of the class. It alone determines whether the call may be retried.
+        token: The same for all attempts of a request with an idempotency key, else None. A token alone doesn't permit
+            a retry of the call.
+        body: Body of the call.
+        timeout_ms: Time after which the call is abandoned.
+        route: Route by the rules of the request's customer, for a transport that supports them.
     """
 
     rid: str
@@ -37,24 +40,24 @@
 
 
 class CallTransport(Protocol):
-    """A connection to what lies downstream. It reports each call's end once, through `Execution.call_ended`."""
+    """Connection to the downstream service. Reports the end of each call once, through `Execution.call_ended`."""
 
     def call(self, number: int, request: CallRequest) -> None:
         """Make the call of the request with this number."""
 
     def give_up(self, number: int) -> None:
-        """Nobody waits for that call any more: its end is not reported."""
+        """Abandon a call, without a report of its end."""
 
 
 class NoCallTransport:
-    """For a runner without anything downstream."""
+    """Transport of a runner without a downstream service."""
 
     def call(self, number: int, request: CallRequest) -> None:
-        """Raises ValueError: no class may call here."""
-        raise ValueError("a call was to be made, and no address for calls is configured")
+        """Raise ValueError: no class may make calls."""
+        raise ValueError("a run requested a downstream call, but no downstream address is configured")
 
     def give_up(self, number: int) -> None:
-        """There is no call."""
+        """Do nothing, as there are no calls."""
         return None
 
 
@@ -65,7 +68,7 @@
 
 
 class OpenCalls:
-    """The calls that are in flight, by the number of their request."""
+    """Calls in flight, by the number of their request."""
 
     def __init__(self, transport: CallTransport, clock: Clock, alarms: Alarms) -> None:
         self._transport = transport
@@ -77,14 +80,14 @@
         return len(self._open)
 
     def make(self, number: int, request: CallRequest, timed_out: Callable[[], None]) -> None:
-        """Make a call; `timed_out` is called if it is still open after its time. Ends an earlier one of the request."""
+        """Make a call, and abandon an open one of the same request. Calls `timed_out` at its timeout."""
         self.drop(number)
         alarm = self._alarms.at(self._clock.now + request.timeout_ms * MS, timed_out)
         self._open[number] = _OpenCall(self._clock.now, alarm)
         self._transport.call(number, request)
 
     def end(self, number: int, reason: EndReason) -> float | None:
-        """The call has ended. Returns how long it took in ms, None where it was over already."""
+        """Remove a call that has ended. Returns its duration in ms, or None if it was removed before."""
         call = self._open.pop(number, None)
         if call is None:
             return None
@@ -94,5 +97,5 @@
         return (self._clock.now - call.since_us) / MS
 
     def drop(self, number: int) -> None:
-        """Nobody needs the call any more."""
+        """Abandon a call, if it is open."""
         self.end(number, EndReason.CALL_TIMED_OUT)
--- a/moorusher/core/clock.py
+++ b/moorusher/core/clock.py
@@ -1,6 +1,6 @@
-"""Time: whole microseconds of the monotonic clock, read once a turn of the event loop.
+"""The engine's clock and timers. Times are whole microseconds of the monotonic clock, read once per event loop turn.
 
-Unix time (`t0`) and the scheduler's milliseconds are converted here and nowhere else.
+Conversions from and to Unix time (`t0`) and the scheduler's milliseconds belong here only.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 log = logging.getLogger("moorusher")
 
-SAME_MOMENT = 2 * MS  # two clocks that are read within it count as read at once
-MAX_READINGS = 4  # of both clocks, until they are read at one moment
+MAX_READ_GAP_US = 2 * MS  # two clocks read within this time count as read at the same time
+MAX_READ_RETRIES = 4  # repeated reads of both clocks, if they are not read at the same time
 
 
 class Clock:
     """The engine's clock.
 
     Attributes:
-        now: in us; it stands still within a turn, so that all of its events happen at one time.
-        wall: Unix time on the monotonic clock.
+        now: Current time in us, constant within a turn.
+        wall: Converts Unix time to and from monotonic time.
     """
 
     def __init__(
@@ -37,41 +37,43 @@
         self.now = 0
         self.wall = WallClock()
         self.read()
-        self._scheduler_zero = self.now  # the scheduler's clock starts near 0, where floats are finest
-        self._turn_gap = 0  # us since the turn before: what is read now has not waited for longer
+        self._scheduler_zero = self.now  # the scheduler's clock starts near 0, where floats are most precise
+        self._since_last_turn_us = 0  # longest time that data read in this turn may have waited unread
 
     def read(self) -> int:
-        """Read both clocks, at the beginning of a turn. Returns `now`."""
+        """Read both clocks at the beginning of a turn. Returns `now`."""
         before = self.now
         self.now = self._monotonic_ns() // 1_000
-        self._turn_gap = self.now - before
-        unix = self._unix_ns() // 1_000
-        # A process that is paused between the two readings would see a step of the Unix clock that there was not.
-        for _ in range(MAX_READINGS):
+        self._since_last_turn_us = self.now - before
+        unix_us = self._unix_ns() // 1_000
+        # A pause of the process between the two reads would look like a step of the Unix clock.
+        for _ in range(MAX_READ_RETRIES):
             after = self._monotonic_ns() // 1_000
-            if after - self.now < SAME_MOMENT:
+            if after - self.now < MAX_READ_GAP_US:
                 break
             self.now = after
-            unix = self._unix_ns() // 1_000
-        self.wall.follow(self.now, unix)
+            unix_us = self._unix_ns() // 1_000
+        self.wall.update(self.now, unix_us)
         return self.now
 
     def from_unix_ms(self, unix_ms: float, waited_us: int = 0) -> int:
-        """When a message was made, by the Unix time that its sender states. `waited_us`: how long ago its first byte
-        was read."""
-        return self.wall.from_unix(round(unix_ms * MS), self.now, self._turn_gap + waited_us)
+        """Convert a sender's Unix timestamp to a time of this clock.
+
+        :param waited_us: time since the first byte of the message was read.
+        """
+        return self.wall.from_unix(round(unix_ms * MS), self.now, self._since_last_turn_us + waited_us)
 
     def to_unix_ms(self, at_us: int) -> float:
-        """A time of this clock, for another machine."""
+        """Convert a time of this clock to Unix time, for another machine."""
         return self.wall.to_unix(at_us) / MS
 
     def scheduler_ms(self, at_us: int | None = None) -> float:
-        """A time of this clock as the scheduler counts it; None: now."""
+        """Convert a time of this clock to the scheduler's clock; None: the current time."""
         return ((self.now if at_us is None else at_us) - self._scheduler_zero) / MS
 
 
 class Alarm:
-    """A function to be called at a time. Cancelled alarms stay in the heap, and are skipped."""
+    """Handle of a scheduled function call. A cancelled alarm remains in the heap and is skipped."""
 
     __slots__ = ("action",)
 
@@ -79,23 +81,26 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """The function is not called any more."""
+        """Cancel the call."""
         self.action = None
 
 
 class Alarms:
-    """All waits of the program in one heap, with one timer of the event loop for the earliest of them."""
+    """All scheduled calls of the program, in one heap. One timer of the event loop is set to the earliest of them."""
 
     def __init__(self, clock: Clock, arm: Callable[[int], None]) -> None:
-        """`arm` sets the event loop's timer, which then has `ring` called, to a time of the clock."""
+        """Create an empty heap.
+
+        :param arm: sets the event loop's timer, which must call `run_due`, to a time of the clock in us.
+        """
         self._clock = clock
         self._arm = arm
         self._heap: list[tuple[int, int, Alarm]] = []  # (time in us, serial number, alarm)
         self._order = count()
-        self._armed: int | None = None  # the time that the timer is set to
+        self._armed: int | None = None  # time that the event loop's timer is set to
 
     def at(self, when: int, action: Callable[[], None]) -> Alarm:
-        """Have a function called at a time of the clock, in us."""
+        """Schedule a function to be called at a time of the clock in us."""
         alarm = Alarm(action)
         heapq.heappush(self._heap, (when, next(self._order), alarm))
         self._rearm()
@@ -108,14 +113,14 @@
             self._armed = self._heap[0][0]
             self._arm(self._armed)
 
-    def ring(self) -> None:
-        """Call what is due by the clock of this turn."""
+    def run_due(self) -> None:
+        """Call all functions that are due at the time of this turn."""
         self._armed = None
         while self._heap and self._heap[0][0] <= self._clock.now:
             alarm = heapq.heappop(self._heap)[2]
             if alarm.action is not None:
                 try:
                     alarm.action()
-                except Exception:  # one alarm's fault must not keep all later ones from ringing
-                    log.exception("an alarm failed")
+                except Exception:  # an error in one alarm must not prevent the later ones
+                    log.exception("alarm callback failed")
         self._rearm()
--- a/moorusher/core/completion.py
+++ b/moorusher/core/completion.py
@@ -1,4 +1,4 @@
-"""The last stage of a request: the one place where it is answered, and where it leaves the tables."""
+"""Completion, the last stage of a request: the only place where it is answered and removed from the tables."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Completion:
-    """Answers requests and ends them."""
+    """Answers requests and removes those that have ended."""
 
     def __init__(self, state: EngineState) -> None:
         self._state = state
@@ -22,8 +22,7 @@
         self._counters = state.counters
 
     def answer(self, request: Request, answer: Answer) -> None:
-        """Give the request its answer. A second one, or one after its caller has gone, goes nowhere: the reply is taken
-        off the request with the first."""
+        """Send the answer of a request, unless it was answered before or its caller has disconnected."""
         reply = request.reply
         request.reply = None
         if reply is None:
@@ -36,31 +35,31 @@
         reply.answer(request.tag, answer, self._state.load_signal)
 
     def end(self, request: Request, reason: EndReason) -> None:
-        """The run of a request is over, or its wait for another attempt's result: the scheduler is told."""
+        """End a request after its run or its wait for another attempt's result, and notify the scheduler."""
         took_ms = (self._state.clock.now - request.arrived_us) / MS
         self._turn.events.append(api.RunEnded(request.number, SCHEDULER_OUTCOMES[reason], took_ms))
         self._turn.begin()
         self._table.remove(request)
 
     def drop_unstarted(self, number: int) -> None:
-        """A request is over without a run of its own, and its key is free again.
+        """Remove a request that ends without a run of its own, and free its key.
 
-        Nothing happens to one that has started, or that is still owed an answer: the scheduler drops a key before it
-        ends the request, and the table keeps the request until then.
+        Has no effect on a started or unanswered request.
         """
         request = self._table.by_number.get(number)
+        # The scheduler drops a key before it ends the request, which remains in the table until then.
         if request is None or request.stage in STARTED_STAGES or request.reply is not None:
             return
         self._table.remove(request)
         self.fail_waiters(self._keys.release(number))
 
     def fail_waiters(self, waiters: list[int]) -> None:
-        """The attempt that these requests waited for gives no result."""
+        """Fail requests whose awaited attempt has ended without a result."""
         for waiter in waiters:
             self.share_result(waiter, None)
 
     def share_result(self, number: int, result: bytes | None) -> None:
-        """Answer a request that waited for another attempt's result; None: there is none."""
+        """Answer a request that waited for another attempt's result; fail it if `result` is None."""
         request = self._table.by_number.get(number)
         if request is None:
             return
--- a/moorusher/core/coordination.py
+++ b/moorusher/core/coordination.py
@@ -1,8 +1,8 @@
-"""The seam between the engine and the other runners of a cluster, where they have a say in idempotency keys.
+"""Interface between the engine and the other runners of a cluster, for the coordination of idempotency keys.
 
-The engine asks before the scheduler hears of a request, and before a run is commanded. What became of an attempt is
-notified by the key table (`idempotency_keys.KeyObserver`). The cluster's answers come back through
-`remote_claims.RemoteClaims`.
+The engine calls it before a request is reported to the scheduler, and again before its run is commanded. The cluster's
+answers arrive through `remote_claims.RemoteClaims`. The end of an attempt is reported by the key table
+(`idempotency_keys.KeyObserver`).
 """
 
 from __future__ import annotations
@@ -13,24 +13,28 @@
 
 
 class KeyCoordinator(Protocol):
-    """What the engine asks of the cluster about requests with an idempotency key."""
+    """Acquires idempotency keys from the cluster and announces runs to it."""
 
     def acquire_key(self, request: Request) -> bool:
-        """True where the cluster is asked for the key first: `RemoteClaims.granted`, `joined` or `unavailable`
-        follows."""
+        """Acquire the request's key, if the cluster has to grant it.
+
+        :returns: whether to wait for `RemoteClaims.granted`, `joined` or `unavailable`.
+        """
 
     def announce_start(self, request: Request) -> bool:
-        """True where a majority must know of the run first: `RemoteClaims.start_confirmed`, `moved_away` or
-        `start_unconfirmed` follows."""
+        """Announce a run, which a majority may have to acknowledge.
+
+        :returns: whether to wait for `RemoteClaims.start_confirmed`, `moved_away` or `start_unconfirmed`.
+        """
 
 
 class NoCoordinator:
-    """One runner by itself: nothing waits."""
+    """Coordinator of a runner that is in no cluster: no request has to wait."""
 
     def acquire_key(self, request: Request) -> bool:
-        """The key is this runner's."""
+        """Return False: this runner has the key."""
         return False
 
     def announce_start(self, request: Request) -> bool:
-        """The run may start."""
+        """Return False: the run may start."""
         return False
--- a/moorusher/core/counters.py
+++ b/moorusher/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of the runner, in total and by tenant."""
+"""Counters of the runner, in total and per tenant."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Counters:
-    """Counts by name.
+    """Named counters.
 
     Attributes:
-        total: over all tenants.
-        tenants: by the tenant's name; only what was counted for a tenant.
+        total: Counters of the whole runner.
+        tenants: Counters per tenant, by the tenant's name.
     """
 
     def __init__(self) -> None:
@@ -18,11 +18,11 @@
         self.tenants: dict[str, Counter[str]] = {}
 
     def add(self, name: str, tenant: str | None = None, by: int = 1) -> None:
-        """Increase a counter, and the tenant's own one where a tenant is given."""
+        """Increase a counter of the runner, and also that of the tenant if one is given."""
         self.total[name] += by
         if tenant is not None:
             self.tenants.setdefault(tenant, Counter())[name] += by
 
     def lines(self) -> list[str]:
-        """The totals as lines of name and value, sorted by name."""
+        """Return the totals as lines of name and value, sorted by name."""
         return [f"{name} {value}" for name, value in sorted(self.total.items())]
--- a/moorusher/core/demand.py
+++ b/moorusher/core/demand.py
@@ -1,4 +1,4 @@
-"""The seam between the engine and whoever counts demand, such as the forecast."""
+"""Interface between the engine and components that count demand, such as the forecast."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class DemandObserver:
-    """Is notified of demand as the engine learns of it. This one, the default, ignores it."""
+    """Receives the engine's notifications about demand. This default implementation ignores them."""
 
     def requested(self, request: Request) -> None:
-        """A first attempt, whatever becomes of it. Called once it is known that no earlier attempt has its key."""
+        """Called for each first attempt, once it is known that no earlier attempt has its key."""
 
     def rejected(self, request: Request) -> None:
-        """A request got the answer `REJECTED`."""
+        """Called when a request is answered with `REJECTED`."""
 
     def run_ended(self, request: Request, core_us: int) -> None:
-        """A run is over; `core_us` estimates the processor time that it took."""
+        """Called when a run has ended; `core_us` estimates its processor time."""
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -1,5 +1,4 @@
-"""One turn: the events that it has gathered are given to the scheduler once, and its actions are carried out in their
-order."""
+"""Dispatch: passes the events of a turn to the scheduler in one call, and carries out its actions in order."""
 
 from __future__ import annotations
 
@@ -22,11 +21,11 @@
 
 
 class Dispatcher:
-    """The scheduler, and the turns in which it is asked.
+    """Owns the scheduler and calls it at the end of each turn.
 
     Attributes:
-        scheduler: None until the kernel is up.
-        coexisting: what another process of this runner takes, as the scheduler was told last.
+        scheduler: The scheduler; None until the kernel is up.
+        coexisting: Load of another process of this runner, as last reported to the scheduler.
     """
 
     def __init__(
@@ -46,18 +45,16 @@
         self._turn.on_end = self.end_turn
         self.scheduler: Scheduler | None = None
         self.coexisting = api.PredecessorLoad()
-        self._opened_warming_up = False  # what the scheduler was told of the kernel
+        self._opened_warming_up = False  # whether the scheduler was created for a kernel that is warming up
 
     def open(self) -> None:
-        """Make a scheduler and let it begin, now, whatever the kernel's age where that is warm: the scheduler's first
-        window reaches back to its opening.
-
-        The kernel tells whether it is cold: the settings say only how things were when they were written.
-        """
+        """Create and open a scheduler."""
         state = self._state
+        # Taken from the kernel, since the settings only describe it at the time they were written.
         self._opened_warming_up = self._kernel_status.is_warming_up()
         scheduler = self._make_scheduler(replace(state.settings, warming_up=self._opened_warming_up))
         self.scheduler = scheduler
+        # With a warm kernel the scheduler opens now, whatever the kernel's age: its first window begins at its opening.
         opened_at_us = self._kernel_status.started_at_us if self._opened_warming_up else state.clock.now
         for action in scheduler.open(state.clock.scheduler_ms(opened_at_us)):
             self._executor.carry_out(action)
@@ -67,31 +64,29 @@
             self._turn.events.append(api.DrainNotice(drain_state.remaining_us / MS, drain_state.replaced))
 
     def end_turn(self) -> None:
-        """Ask the scheduler what follows from the turn's events, and carry it out."""
+        """Pass the turn's events to the scheduler and carry out the resulting actions."""
         events = self._turn.close()
         scheduler = self.scheduler
         if scheduler is not None and events:
             try:
                 actions = scheduler.step(self._state.clock.scheduler_ms(), events)
             except Exception:
-                log.exception("the scheduler failed and is replaced: events=%s", events)
+                log.exception("scheduler step failed, replacing the scheduler: events=%s", events)
                 self._replace_scheduler()
                 actions = []
             for action in actions:
                 try:
                     self._executor.carry_out(action)
                 except Exception:
-                    log.exception("an action of the scheduler failed: action=%s", action)
+                    log.exception("could not carry out an action of the scheduler: action=%s", action)
                     self._fail_request(getattr(action, "id", 0))
         if self._state.drain_state.stop_at_us is not None:
             self._state.hooks.turn_ended_while_draining()
 
     def _replace_scheduler(self) -> None:
-        """After an exception in a step the scheduler's state can't be trusted: every request that is owed an answer
-        fails, and a new scheduler goes on.
-
-        The key table stays, so that nothing runs twice; runs go on, and their ends are ignored by the new one.
-        """
+        # After an exception in a step, the scheduler's state can't be trusted, so all unanswered requests fail and a
+        # new scheduler is created. The key table remains, so that nothing runs twice. Runs continue, and the new
+        # scheduler ignores their ends.
         self._state.counters.add("faults")
         for number in list(self._state.table.by_number):
             self._fail_request(number)
@@ -108,7 +103,7 @@
             self._state.runs.stop(number)
 
     def coexist(self, coexisting: api.PredecessorLoad) -> None:
-        """Another process of this runner takes so much of the cores and the memory."""
+        """Report the load of another process of this runner to the scheduler."""
         self._turn.begin()
         self.coexisting = coexisting
         self._turn.events.append(coexisting)
@@ -116,7 +111,7 @@
     def settings_changed(
         self, settings: api.Settings, classes: tuple[int, ...], tenants: tuple[int, ...]
     ) -> None:
-        """Tell the scheduler of new settings, and which of the former classes and tenants theirs were."""
+        """Pass new settings to the scheduler, with the former index of each class and tenant."""
         if self.scheduler is not None:
             settings = replace(settings, warming_up=self._opened_warming_up)
             self._turn.events.append(api.Reconfiguration(settings, classes, tenants))
--- a/moorusher/core/drain_state.py
+++ b/moorusher/core/drain_state.py
@@ -1,4 +1,4 @@
-"""The notice to shut down, for the runner or for this process of it."""
+"""State of a shutdown, of the whole runner or of this process only."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class DrainState:
-    """Nothing takes the notice back.
+    """State of the shutdown, which can't be cancelled once it has begun.
 
     Attributes:
-        stop_at_us: when the process has to end; None before the notice.
-        replaced: the notice is for this process alone, and another one of this runner serves on.
+        stop_at_us: Time at which the process must exit; None before the shutdown.
+        replaced: Whether another process of this runner continues to serve.
     """
 
     __slots__ = ("_clock", "replaced", "stop_at_us")
@@ -23,21 +23,21 @@
         self.replaced = False
 
     def begin(self, stop_ms: float, replaced: bool) -> None:
-        """The notice: this process ends after `stop_ms`."""
+        """Begin the shutdown: the process must exit after `stop_ms`."""
         self.stop_at_us = self._clock.now + round(stop_ms * MS)
         self.replaced = replaced
 
     @property
     def shutting_down(self) -> bool:
-        """Had the notice, whoever serves on."""
+        """Whether this process shuts down."""
         return self.stop_at_us is not None
 
     @property
     def draining(self) -> bool:
-        """The whole runner shuts down: front ends have to keep away."""
+        """Whether the whole runner shuts down, so that front ends must send it no more requests."""
         return self.stop_at_us is not None and not self.replaced
 
     @property
     def remaining_us(self) -> int:
-        """Until the process has to end; 0 before the notice."""
+        """Time until the process must exit; 0 before the shutdown."""
         return 0 if self.stop_at_us is None else max(0, self.stop_at_us - self._clock.now)
--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -1,4 +1,4 @@
-"""What all stages of a request share."""
+"""State shared by all stages of a request."""
 
 from __future__ import annotations
 
@@ -16,13 +16,12 @@
 
 
 class EngineState:
-    """The tables and clocks of one engine. The stages are handed this object whole, and change it by its methods.
+    """Settings, clocks, tables and transports of one engine.
 
     Attributes:
-        settings: in force; replaced by `RequestEngine.reconfigure`.
-        healthy: what the scheduler wants health checks to be told.
-        load_signal: the value that accompanies every answer (`Settings.signal` says what it means); None before the
-            scheduler has set one.
+        settings: Settings currently in force; replaced by `RequestEngine.reconfigure`.
+        healthy: Result of health checks, set by the scheduler.
+        load_signal: Value sent with every answer (see `Settings.signal`); None until the scheduler sets one.
     """
 
     def __init__(
@@ -51,7 +50,7 @@
         self.load_signal: float | None = None
 
     def longest_key_window_ms(self) -> float:
-        """The longest time for which an idempotency key counts; 0 where no class has keys."""
+        """Return the longest idempotency window of all classes, or 0 if no class has keys."""
         windows = (
             cls.idempotency_window_ms
             for cls in self.settings.classes
@@ -60,6 +59,8 @@
         return max(windows, default=0.0)
 
     def forget_keys_for_a_window(self) -> None:
-        """A process is gone whose keys nobody knows: until the longest window is over, a key that is new here may have
-        run there."""
+        """Treat new keys as keys that may have run, until the longest window has passed.
+
+        Called when a process has exited whose keys are unknown.
+        """
         self.keys.unknown_until = window_end(self.clock.now, self.longest_key_window_ms())
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -1,6 +1,6 @@
-"""The middle stage of a request: its run in the kernel, from the command to the end, calls included.
+"""Execution: the stage of a request from the run command to the end of the run, including its downstream calls.
 
-The kernel's connection and the call transports report here.
+The kernel connection and the call transports report their events here.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 log = logging.getLogger("moorusher")
 
-MAX_IDS_LOGGED = 8  # requests named in one line of the log
+MAX_IDS_LOGGED = 8  # request ids in one log line
 
 
 class Execution:
-    """Starts runs, and takes in what the kernel and the call transports report of them."""
+    """Starts runs and processes the reports of the kernel and the call transports."""
 
     def __init__(self, state: EngineState, completion: Completion) -> None:
         self._state = state
@@ -34,11 +34,8 @@
         self._counters = state.counters
 
     def start(self, request: Request) -> None:
-        """Command the kernel to run a request, unless another attempt has its key.
-
-        That guard holds whatever the scheduler decides: a key is marked as started in the same step as its run is
-        commanded, so a scheduler at fault can't have it run twice.
-        """
+        """Command the kernel to run a request, unless another attempt has its key."""
+        # The key is marked as started together with the command, so that a faulty scheduler can't make it run twice.
         if request.key is not None and not self._keys.start(
             request.number, self._state.clock.now, request.request_class.idempotency_window_ms
         ):
@@ -56,7 +53,7 @@
     # ---- reports of the kernel ----
 
     def run_ended(self, rid: str, reason: EndReason, body: bytes) -> None:
-        """A run is over; `body` is its result. A second report of the same run is ignored."""
+        """Record that a run has ended, with its result. Ignores a second report of the same run."""
         self._turn.begin()
         request = self._table.by_rid.get(rid)
         run = None if request is None else self._runs.end(request.number)
@@ -66,8 +63,10 @@
             log.error("the kernel reports a run as unknown that it had acknowledged: request=%s", rid)
         self._calls.drop(request.number)
         state = self._state
-        sharing = self._runs.on_cores + 1
-        state.hooks.demand.run_ended(request, run.core_us(state.clock.now, state.settings.cores, sharing))
+        runs_on_cores = self._runs.on_cores + 1
+        state.hooks.demand.run_ended(
+            request, run.core_us(state.clock.now, state.settings.cores, runs_on_cores)
+        )
         succeeded = reason is EndReason.RUN_SUCCEEDED
         self._counters.add("runs " + ("passed" if succeeded else "not passed"), request.tenant)
         self._completion.answer(request, _answer_of_run(reason, body))
@@ -77,8 +76,9 @@
             self._completion.share_result(waiter, result)
 
     def command_rejected(self, command: str, rid: str) -> None:
-        """The kernel answered a command with EINVAL. Only a run that it never took up ends by it; other commands came
-        too late."""
+        """Called when the kernel answers a command with EINVAL."""
+        # A rejected run command ends the run, unless the kernel has acknowledged the run. Other commands are rejected
+        # because they arrive after the end of their run, so nothing has to be done.
         self._counters.add("commands refused")
         request = self._table.by_rid.get(rid)
         run = self._runs.get(request.number) if request else None
@@ -87,17 +87,23 @@
             self.run_ended(rid, EndReason.RUN_UNKNOWN_TO_KERNEL, b"")
 
     def call_needed(self, rid: str, notice: int, body: bytes) -> None:
-        """A run asks for a call with this body, by a notice of this number."""
+        """Called when a run requests a downstream call.
+
+        :param notice: number of the kernel's notice that requests the call.
+        """
         self._turn.begin()
         request = self._table.by_rid.get(rid)
         if request is not None and self._runs.call_needed(request.number, notice, body):
             self._calls.drop(request.number)
             self._turn.events.append(api.CallNeeded(request.number))
 
-    def reconnected(self, read: int) -> None:
-        """A new connection has read the kernel's replay. `read`: how many commands the kernel is known to have read."""
+    def reconnected(self, commands_read: int) -> None:
+        """Send lost commands again. Called once a new connection has read the kernel's replay.
+
+        :param commands_read: number of commands that the kernel is known to have read.
+        """
         self._turn.begin()
-        resent = self._runs.resend(read, self._is_awaited)
+        resent = self._runs.resend(commands_read, self._is_awaited)
         self._counters.add("kernel commands said again", by=len(resent.runs) + len(resent.replies))
         self._counters.add("kernel replies that may be lost", by=len(resent.uncertain))
         for number in resent.uncertain:
@@ -108,14 +114,14 @@
                 self.run_ended(run.request.rid, EndReason.RUN_NEVER_STARTED, b"")
         if resent.runs or resent.replies or resent.uncertain:
             log.info(
-                "commands sent again on a new connection to the kernel: runs=%d replies=%d uncertain=%s",
+                "resent commands on a new connection to the kernel: runs=%d replies=%d uncertain=%s",
                 len(resent.runs),
                 len(resent.replies),
                 self._request_ids(resent.uncertain) or "none",
             )
 
     def _is_awaited(self, request: Request) -> bool:
-        """Whether its caller waits, or that of a retry of it."""
+        """Return whether the caller of the request or of a retry of it waits."""
         if request.reply is not None:
             return True
         entry = self._keys.of_attempt(request.number)
@@ -126,7 +132,7 @@
         return " ".join(by_number[number].rid for number in numbers[:MAX_IDS_LOGGED] if number in by_number)
 
     def _stop_at_deadline(self, number: int) -> None:
-        """A run whose reply may be lost is stopped once nobody waits for it."""
+        """Schedule the stop of a run whose reply may be lost."""
         request = self._table.by_number.get(number)
         if request is not None:
             due = max(request.deadline_us, self._state.clock.now)
@@ -135,7 +141,7 @@
     # ---- reports of the call transports ----
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
-        """The call of a request has ended; `body` is the reply. A call that was given up before is ignored."""
+        """Record that a request's call has ended, with its reply. Ignores a call that was abandoned before."""
         self._turn.begin()
         took_ms = self._calls.end(number, reason)
         if took_ms is None:
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -1,7 +1,8 @@
-"""Classes whose requests had idempotency keys under earlier settings: a key counts for its whole window.
+"""Request classes that had idempotency keys under earlier settings.
 
-Retries of a request may come after new settings have given its class another effect, or put another class in its place.
-Until the last key of that class has expired, a request with a token is taken as one of a class with keys.
+A key is valid for the whole window of its class, and retries may arrive after new settings have changed the effect of
+the class or replaced it by another class. Until the last key of the class has expired, a request with a token is
+therefore handled like one of a class with keys.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from .idempotency_keys import window_end
 
-MAX_CLASSES = 256  # former classes that are remembered
+MAX_FORMER_CLASSES = 256
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,21 +27,21 @@
 
 
 def _former_class(cls: api.RequestClass, now: int) -> _FormerClass:
-    """A request that is queued now may start as late as its deadline, and its key counts from then."""
+    # A request that is queued now may start as late as its deadline, and the window of its key begins at the start.
     return _FormerClass(
         window_end(now, cls.deadline_ms + cls.idempotency_window_ms), cls.idempotency_window_ms
     )
 
 
 class FormerKeyClasses:
-    """By the name of a class: until when a token names a key, and the class as it is taken until then."""
+    """Former classes with keys, by name: the expiry of the last key, and the class definition used until then."""
 
     def __init__(self) -> None:
         self._former: dict[str, _FormerClass] = {}
         self._effective: dict[str, api.RequestClass] = {}
 
     def settings_changed(self, now: int, before: api.Settings, after: api.Settings) -> None:
-        """New settings hold from now (us) on."""
+        """Record which classes lose their keys by new settings at the time `now` (us)."""
         keyed_before = _keyed_classes(before)
         keyed_after = _keyed_classes(after)
         ended = {
@@ -48,8 +49,8 @@
         }
         current = {name: former for name, former in self._former.items() if former.expires_us > now}
         current |= ended
-        self._former = dict(list(current.items())[-MAX_CLASSES:])
-        self._adopt_successors(before, after, ended)
+        self._former = dict(list(current.items())[-MAX_FORMER_CLASSES:])
+        self._add_successors(before, after, ended)
         self._effective = {
             cls.name: replace(
                 cls,
@@ -60,10 +61,10 @@
             if cls.name in self._former and cls.name not in keyed_after
         }
 
-    def _adopt_successors(
+    def _add_successors(
         self, before: api.Settings, after: api.Settings, ended: dict[str, _FormerClass]
     ) -> None:
-        """Where classes with keys are dropped, retries may come under any class that is new."""
+        # Retries of requests of a dropped class may arrive under any class that is new in the settings.
         names_after = {cls.name for cls in after.classes}
         dropped = [former for name, former in ended.items() if name not in names_after]
         if not dropped:
@@ -75,7 +76,7 @@
                 self._former.setdefault(cls.name, longest)
 
     def effective_class(self, cls: api.RequestClass, now: int) -> api.RequestClass:
-        """The class that a request with a token is taken under."""
+        """Return the class that applies to a request with a token."""
         former = self._effective.get(cls.name)
         if former is None or now >= self._former[cls.name].expires_us:
             return cls
--- a/moorusher/core/hooks.py
+++ b/moorusher/core/hooks.py
@@ -1,4 +1,4 @@
-"""What the rest of the runner attaches to the engine; each hook has a default that does nothing."""
+"""Hooks of the engine, set by other parts of the runner. The default of each hook does nothing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .routes import NoRoutes, Routes
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
 
 
@@ -19,16 +19,16 @@
 
 
 class EngineHooks:
-    """Read anew at each use, so that an owner may attach its part at any time.
+    """Hooks of the engine. They are looked up at each use, so they may be set at any time.
 
     Attributes:
-        coordinator: asked whether other runners have a say in a request's idempotency key.
-        routes: asked for the rules of the request's customer.
-        demand: notified of demand.
-        observer: notified of what health is judged by.
-        kernel_up: called once, with the first word of the kernel.
-        trim_connections: called with a time in ms; closes client connections that are idle for longer.
-        turn_ended_while_draining: called after each turn from the notice to shut down on.
+        coordinator: Coordinates idempotency keys with the other runners.
+        routes: Applies the customers' rules to requests.
+        demand: Receives notifications about demand.
+        observer: Receives the events that the runner's health is derived from.
+        kernel_up: Called once, on the kernel's first message.
+        trim_connections: Called with a time in ms; closes client connections that have been idle for longer.
+        turn_ended_while_draining: Called after each turn once a shutdown has begun.
     """
 
     __slots__ = (
@@ -46,6 +46,6 @@
         self.routes: Routes = NoRoutes()
         self.demand = DemandObserver()
         self.observer = EngineObserver()
-        self.kernel_up: Callable[[], None] = _nothing
+        self.kernel_up: Callable[[], None] = _no_op
         self.trim_connections: Callable[[int], None] = _no_connections
-        self.turn_ended_while_draining: Callable[[], None] = _nothing
+        self.turn_ended_while_draining: Callable[[], None] = _no_op
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -1,6 +1,6 @@
-"""The table of idempotency keys: the attempt that has each key, how long the key counts, the cached result.
+"""The table of idempotency keys, with the attempt that has each key, the key's expiry and the cached result.
 
-A key counts for the whole window of its class, so that no two attempts of one request run within it.
+A key is valid for the whole window of its class, so that no two attempts of one request run within the window.
 """
 
 from __future__ import annotations
@@ -15,30 +15,31 @@
 
 from .key_table_limits import ENTRY_BYTES, KeyTableLimits
 
-# Tenant, by name, and token: tenants never share results. Not the class: where new settings put one class in another's
-# place, front ends send retries of an open request under the new name.
+# Name of the tenant, and token. Contains the tenant because tenants never share results. Doesn't contain the class: if
+# new settings replace a class by another, front ends send retries of open requests under the name of the new class.
 IdempotencyKey = tuple[str | None, str]
 
-# The window counts from t0 of the attempt that ran to the writing of a retry, with 50 ms on top; a retry may also lie
-# unread for a while. Serving a cached result late is allowed, a second run is not.
+# Added to the window. Front ends count the window from t0 of the attempt that ran to the time they write a retry, plus
+# 50 ms, and the retry may wait unread for a while. A cached result may be served late, but a key must not run twice.
 MARGIN = 2 * SECOND
-RECHECK = SECOND  # how long an attempt that is still open keeps a key whose window has passed, at a time
+RECHECK_INTERVAL_US = SECOND  # extension of an expired key while its attempt is still open
 
 
 @dataclass(slots=True, eq=False)
 class KeyEntry:
-    """A key, the attempt that has it, and what became of that attempt.
+    """A key, the attempt that has it, and the state of that attempt.
 
     Attributes:
-        number: the attempt that has the key.
-        body_digest: of the body that all attempts share; see `digest`.
-        expires_us: the key is not free before then, nor while its attempt is open.
-        started: the attempt runs or has run, or may have.
-        finished: its outcome is known.
-        result: cached where the run succeeded.
-        waiters: numbers of the requests that wait for the result.
-        remote: another process or runner has the key; it counts as started, since it may have been.
-        former_numbers: numbers of the attempts that had the key before.
+        key: Tenant and token.
+        number: Number of the attempt that has the key.
+        body_digest: `digest` of the body, the same for all attempts.
+        expires_us: Time before which the key is not freed; an open attempt delays it further.
+        started: Whether the attempt runs or has run, or may have.
+        finished: Whether the outcome of the attempt is known.
+        result: Cached result of a successful run.
+        waiters: Numbers of the requests that wait for the result.
+        remote: Whether the attempt belongs to another process or runner; it counts as started then.
+        former_numbers: Numbers of the attempts that had the key before.
     """
 
     key: IdempotencyKey
@@ -52,8 +53,8 @@
     remote: bool = False
     former_numbers: list[int] = field(default_factory=list)
 
-    def pass_to(self, number: int, remote: bool) -> None:
-        """Another attempt has the key from now on."""
+    def transfer_to(self, number: int, remote: bool) -> None:
+        """Transfer the key to another attempt."""
         self.former_numbers.append(self.number)
         self.number = number
         self.remote = remote
@@ -61,40 +62,40 @@
 
 
 class KeyObserver(Protocol):
-    """Is notified of the end of this process's own attempts."""
+    """Receives notifications about the end of this process's own attempts."""
 
     def key_released(self, entry: KeyEntry) -> None:
-        """The attempt is over and never ran: its key is free again."""
+        """Called when an attempt has ended without a run, which frees its key."""
 
     def key_finished(self, entry: KeyEntry) -> None:
-        """The run is over; `entry.result` is its result, None where it failed."""
+        """Called when a run has ended; `entry.result` is None if it failed."""
 
 
 def digest(body: bytes) -> int:
-    """A hash that is the same in each process, as Python's own is not."""
+    """Return a hash of a body that is the same in all processes, unlike Python's `hash`."""
     return xxhash.xxh64_intdigest(body)
 
 
 def window_end(arrived_us: int, window_ms: float) -> int:
-    """Until when the key of a request counts that arrived then, in us."""
+    """Return the time in us until which the key of a request with this time of arrival is valid."""
     return arrived_us + round(window_ms * MS) + MARGIN
 
 
 class IdempotencyKeyTable:
-    """All keys that count. Entries that have expired are removed as new ones come: there is no timer.
+    """All valid keys. Expired entries are removed on look-up, without a timer.
 
     Attributes:
-        limits: how much it may hold.
-        result_bytes: of results cached now.
-        observers: notified of the end of own attempts.
-        unknown_until: before this time (us) a key that is new here may have run in a process that is gone.
+        limits: Limits on the size of the table.
+        result_bytes: Total size of the cached results.
+        observers: Notified of the end of this process's own attempts.
+        unknown_until: Time (us) before which a new key may have run in a process that has exited.
     """
 
     def __init__(self, memory_mb: float = 192.0) -> None:
         self.limits = KeyTableLimits(memory_mb)
         self._by_key: dict[IdempotencyKey, KeyEntry] = {}
         self._by_number: dict[int, KeyEntry] = {}
-        # (expires_us, number of the attempt); stale where the entry's own time is later
+        # (expires_us, number of the attempt). An item is stale if the entry's own `expires_us` is later.
         self._expiry_heap: list[tuple[int, int]] = []
         self.result_bytes = 0
         self.observers: list[KeyObserver] = []
@@ -105,35 +106,35 @@
 
     @property
     def size_bytes(self) -> int:
-        """About what the whole table takes."""
+        """Estimated size of the whole table."""
         return self.result_bytes + len(self._by_key) * ENTRY_BYTES
 
     def is_full(self) -> bool:
-        """No further key may be entered. Cached results stay where the limit was lowered."""
+        """Return whether the table accepts no more keys. Lowering the limit does not remove cached results."""
         return self.limits.reached(len(self._by_key), self.result_bytes)
 
     # ---- look-ups ----
 
     def find(self, key: IdempotencyKey, now: int) -> KeyEntry | None:
-        """The entry of a key that counts at this time."""
+        """Return the entry of a key that is valid at this time, or None."""
         self._remove_expired(now)
         return self._by_key.get(key)
 
     def entries(self) -> list[KeyEntry]:
-        """All entries, as they are now."""
+        """Return a list of all current entries."""
         return list(self._by_key.values())
 
     def of_attempt(self, number: int) -> KeyEntry | None:
-        """The entry whose key this attempt has, or had before another attempt got it."""
+        """Return the entry whose key this attempt has, or had before a transfer."""
         return self._by_number.get(number)
 
-    # ---- who has a key ----
+    # ---- ownership of keys ----
 
     def reserve(
         self, key: IdempotencyKey, number: int, body_digest: int = 0, expires_us: int = 0
     ) -> KeyEntry:
-        """An attempt of this process has the key from the moment that it is read, so that a retry in the same turn is
-        known as one."""
+        """Add a key for an attempt of this process."""
+        # Called as soon as the request is read, so that a retry in the same turn is recognized.
         entry = KeyEntry(key, number, body_digest)
         self._by_key[key] = entry
         self._by_number[number] = entry
@@ -141,61 +142,59 @@
         return entry
 
     def reserve_remote(self, key: IdempotencyKey, number: int, body_digest: int, expires_us: int) -> KeyEntry:
-        """Another process has the key from now on."""
+        """Add a key for an attempt of another process or runner."""
         entry = self.reserve(key, number, body_digest, expires_us)
         entry.remote = True
         entry.started = True
         return entry
 
     def cede(self, entry: KeyEntry, number: int, body_digest: int, expires_us: int) -> None:
-        """An attempt of this process gives the key up to a remote one, `number`, and goes on as its retry."""
+        """Transfer the key from an attempt of this process to the remote attempt `number`."""
         entry.body_digest = body_digest
-        entry.pass_to(number, remote=True)
+        entry.transfer_to(number, remote=True)
         self._by_number[number] = entry
         self.extend(number, expires_us)
 
     def take_over(self, entry: KeyEntry, number: int, expires_us: int) -> None:
-        """A remote attempt's key passes to this process's attempt `number`. Waiters for the result go on waiting."""
-        entry.pass_to(number, remote=False)
+        """Transfer the key from a remote attempt to this process's attempt `number`. Its waiters remain."""
+        entry.transfer_to(number, remote=False)
         self._by_number[number] = entry
         self.extend(number, expires_us)
 
     def release_remote(self, entry: KeyEntry) -> list[int]:
-        """The remote attempt never ran: its key is free again. Returns who waited for its result."""
+        """Free the key of a remote attempt that never ran. Returns the numbers of its waiters."""
         self._remove(entry)
         return entry.waiters
 
-    # ---- how long a key counts ----
+    # ---- expiry of keys ----
 
     def extend(self, number: int, expires_us: int) -> None:
-        """The key of this attempt counts until then at least."""
+        """Extend the key of an attempt to `expires_us`, unless it expires later anyway."""
         entry = self._by_number.get(number)
         if entry is not None and expires_us > entry.expires_us:
             entry.expires_us = expires_us
             heapq.heappush(self._expiry_heap, (expires_us, number))
 
     def extend_all(self, by_us: int) -> None:
-        """The window of some class is longer from now on. All keys are extended, as an entry doesn't name its class:
-        that one is kept for too long costs an entry, and nothing runs twice."""
+        """Extend all keys, because new settings have lengthened the window of a class."""
+        # Keys of other classes are extended, too, since an entry doesn't contain its class. This only costs memory.
         for entry in list(self._by_key.values()):
             self.extend(entry.number, entry.expires_us + by_us)
 
-    # ---- what becomes of an attempt ----
+    # ---- progress of an attempt ----
 
     def start(self, number: int, now: int, window_ms: float) -> bool:
-        """The attempt is about to run; False where it must not: another attempt has its key, or it has run already.
-
-        The window counts from here at the earliest, whatever time its sender has stated.
-        """
+        """Mark the attempt as started. Returns False if another attempt has its key or it has run already."""
         entry = self._by_number.get(number)
         if entry is None or entry.started or entry.number != number:
             return False
         entry.started = True
+        # The window is counted from now at the earliest, even if the sender has stated an earlier time of arrival.
         self.extend(number, window_end(now, window_ms))
         return True
 
     def finish(self, number: int, result: bytes | None) -> list[int]:
-        """The run is over. Returns who waits for its result, each once."""
+        """Record the end of a run and cache its result. Returns the numbers of its waiters, and clears them."""
         entry = self._by_number.get(number)
         if entry is None or entry.number != number:
             return []
@@ -212,7 +211,7 @@
         return waiters
 
     def release(self, number: int) -> list[int]:
-        """The attempt is over and never ran: its key is free again. Returns who waited for its result."""
+        """Free the key of an attempt that has ended without a run. Returns the numbers of its waiters."""
         entry = self._by_number.get(number)
         if entry is None or entry.started:
             return []
@@ -229,8 +228,8 @@
             if entry.finished:
                 self._remove(entry)
             else:
-                # However long an attempt stays open, it keeps its key: else a retry would run beside it.
-                entry.expires_us = now + RECHECK
+                # An open attempt retains its key for any length of time. Otherwise a retry could run at the same time.
+                entry.expires_us = now + RECHECK_INTERVAL_US
                 heapq.heappush(self._expiry_heap, (entry.expires_us, entry.number))
 
     def _remove(self, entry: KeyEntry) -> None:
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -1,7 +1,8 @@
-"""The first stages of a request, up to the scheduler: it is registered, its idempotency key is claimed with the other
-process of this runner and with the other runners, its customer's rules are applied, then the scheduler is told.
+"""Intake: the stages of a request before the scheduler.
 
-Each step may hold the request back until an answer comes; the next one goes on from there.
+The request is registered, its idempotency key is claimed with the other process of this runner and with the other
+runners, its customer's rules are applied, and it is reported to the scheduler. The claims are asynchronous: their
+answer triggers the next step.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 
 class Intake:
-    """Brings requests to the scheduler.
+    """Accepts requests and passes them to the scheduler.
 
     Attributes:
-        registrar: checks arrivals.
-        key_claims: claims keys with another process of this runner.
+        registrar: Checks and registers arrivals.
+        key_claims: Claims keys with another process of this runner.
     """
 
     def __init__(self, state: EngineState, completion: Completion) -> None:
@@ -45,7 +46,7 @@
         )
 
     def submit(self, arrival: Arrival, reply: Reply, tag: int) -> Request | InvalidArrival:
-        """A frontend has read a request. What is invalid is answered by the frontend, in its protocol's words."""
+        """Accept a request from a frontend. Invalid requests are answered by the frontend."""
         self._turn.begin()
         state = self._state
         if not state.hooks.routes.ready:
@@ -62,15 +63,17 @@
         return request
 
     def invalid(self, reason: InvalidArrival) -> InvalidArrival:
-        """Count an arrival that is no request."""
+        """Count an invalid arrival and return the reason."""
         self._state.counters.add("faulty")
         return reason
 
     def resubmit(
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None
     ) -> Request | InvalidArrival:
-        """Work of another runner that this one goes on with. Its key is this runner's already, and its rules are those
-        that it was read under there."""
+        """Continue a request of another runner, whose key this runner has acquired.
+
+        :param ruling: decision by the rules under which the other runner read the request.
+        """
         self._turn.begin()
         state = self._state
         request = self.registrar.register(arrival, reply, tag, takes_over=True)
@@ -82,22 +85,25 @@
         return request
 
     def key_claimed(self, request: Request) -> None:
-        """No other process of this runner has its key: the other runners are asked next."""
+        """Claim the key with the other runners. Called when no other process of this runner has it."""
         if not self._state.hooks.coordinator.acquire_key(request):
             self.schedule(request)
 
     def schedule(self, request: Request) -> None:
-        """Its key is this runner's, or it retries an attempt that is known here: the scheduler is told, unless the
-        customer's rules reject it. Only now is it certain that such a rejection comes after no run."""
+        """Pass the request to the scheduler, unless its customer's rules reject it.
+
+        Called once this runner has the request's key or knows the attempt that it retries.
+        """
         self._turn.begin()
         self._count_demand(request)
+        # Rules are not applied earlier: a rejection promises that no attempt has run, which is unknown before.
         if request.ruling is not None and request.ruling.refusal and request.retry_of is None:
             self._reject_by_rules(request)
             return
         self._turn.events.append(self.registrar.scheduler_event(request))
 
     def _reject_by_rules(self, request: Request) -> None:
-        """Final: no other runner would serve it."""
+        # The answer is final, as the other runners would reject the request, too.
         self._state.counters.add("ruled out", request.tenant)
         reason = request.ruling.refusal.encode()
         answer = Answer(Verdict.REJECTED, reason, Cause.FORBIDDEN_BY_RULES, RETRY_AFTER_MS, final=True)
@@ -105,8 +111,10 @@
         self._completion.drop_unstarted(request.number)
 
     def reject_before_scheduling(self, request: Request, why: str, never_ran: bool = True) -> None:
-        """Its key can't be had. `never_ran`: it is certain that no attempt of it runs; else it fails, without that
-        promise."""
+        """Answer a request whose key could not be acquired.
+
+        :param never_ran: whether no attempt of the request can have run. It is rejected in this case, else it fails.
+        """
         self._turn.begin()
         self._count_demand(request)
         log.warning(
@@ -123,13 +131,13 @@
         self._completion.drop_unstarted(request.number)
 
     def _count_demand(self, request: Request) -> None:
-        """Once, and only where no earlier attempt is known, here or at other runners."""
+        # Counts a request once, and only if no earlier attempt is known here or at other runners.
         if request.uncounted and request.retry_of is None:
             self._state.hooks.demand.requested(request)
         request.uncounted = False
 
     def caller_disconnected(self, request: Request) -> None:
-        """Its caller has cancelled it, or the connection is lost: no answer is owed."""
+        """Record that the caller has cancelled the request or lost its connection."""
         if request.reply is None:
             return
         self._turn.begin()
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -1,8 +1,9 @@
-"""Who may run which idempotency key while two processes are one runner (a hot restart).
+"""Claims of idempotency keys between the two processes of one runner during a hot restart.
 
-A key that is new here is claimed with the other process before the scheduler hears of its request. A grant means that
-the other one has noted the key as one that may have run: whichever process survives knows. Of two claims that cross,
-the successor's counts. How the other process is reached is not known here.
+A new key is claimed with the other process before its request is reported to the scheduler. Before the other process
+grants the claim, it stores the key as one that may have run, so that each process knows the key if the other one exits.
+If both processes claim a key at the same time, the successor gets it. The transport between the processes is
+implemented elsewhere.
 """
 
 from __future__ import annotations
@@ -18,41 +19,41 @@
 from .idempotency_keys import IdempotencyKey, IdempotencyKeyTable, KeyEntry
 from .requests import Request, RequestTable
 
-CLAIM_TIMEOUT = 250 * MS  # an answer takes the other process a turn of its loop, unless it hangs
+CLAIM_TIMEOUT = 250 * MS  # the other process answers within one turn of its event loop, unless it hangs
 
 
 class ClaimPeer(Protocol):
-    """The other process. It receives these messages in their order; after a lost one, none."""
+    """Sends messages to the other process. They arrive in order, and after a lost message none arrives."""
 
     def claim(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
-        """This process wants to run the key; `serial` is repeated in the answer."""
+        """Claim a key. The answer repeats `serial`."""
 
     def claim_granted(self, serial: int, key: IdempotencyKey) -> None:
-        """The claimed key is yours."""
+        """Grant a claim: the other process gets the key."""
 
     def key_in_use(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
-        """The claimed key belongs to an attempt here."""
+        """Answer a claim: an attempt of this process has the key."""
 
     def key_table_full(self, serial: int, key: IdempotencyKey) -> None:
-        """The claimed key can't be noted here."""
+        """Answer a claim: this process can't store the key."""
 
     def key_released(self, key: IdempotencyKey) -> None:
-        """The attempt here that had the key is over and never ran."""
+        """Report that this process's attempt under the key has ended without a run."""
 
     def key_finished(
         self, key: IdempotencyKey, body_digest: int, expires_us: int, result: bytes | None
     ) -> None:
-        """The run here that had the key is over."""
+        """Report that this process's run under the key has ended."""
 
 
 class ClaimListener(Protocol):
-    """Goes on with requests whose claim has been decided."""
+    """Continues the processing of requests whose claim has been answered."""
 
     def key_claimed(self, request: Request) -> None:
-        """No other process of this runner has the key, or the request waits for its attempt there."""
+        """Called when this process has the key, or the request is a retry of the other one's attempt."""
 
     def reject_before_scheduling(self, request: Request, why: str, never_ran: bool = True) -> None:
-        """The key can't be had."""
+        """Called when the key could not be claimed."""
 
 
 @dataclass(slots=True)
@@ -66,10 +67,10 @@
     """Claims keys with the other process, and answers its claims.
 
     Attributes:
-        peer: the other process, while there is one to claim keys with.
-        is_successor: of two claims that cross, this process's counts.
-        peer_unresponsive: called when a claim gets no answer; True where the other process is given up, and every key
-            is this one's.
+        peer: The other process, if there is one to claim keys with.
+        is_successor: Whether this process gets a key that both claim at the same time.
+        peer_unresponsive: Called when a claim is not answered in time. Returns whether it has abandoned the other
+            process, so that this process has all keys.
     """
 
     def __init__(
@@ -82,7 +83,10 @@
         listener: ClaimListener,
         share_result: Callable[[int, bytes | None], None],
     ) -> None:
-        """`share_result` answers a request that waited for another attempt's result."""
+        """Register as an observer of the key table.
+
+        :param share_result: answers a request that waited for another attempt's result.
+        """
         self._keys = keys
         self._table = table
         self._clock = clock
@@ -100,12 +104,12 @@
     # ---- this process's claims ----
 
     def claim(self, request: Request) -> bool:
-        """True where the other process is asked first: the listener is called with its answer."""
+        """Claim the request's key, if necessary. Returns whether to wait until the listener is called."""
         if self.peer is None:
             return False
         entry = None if request.key is None else self._keys.of_attempt(request.number)
         if entry is None:
-            return False  # without a key, or a retry of what is known here
+            return False  # the request has no key, or retries an attempt in this process's table
         self._serial += 1
         timeout = self._alarms.at(self._clock.now + CLAIM_TIMEOUT, lambda: self._timed_out(entry.key))
         self._pending[entry.key] = _PendingClaim(request, self._serial, timeout)
@@ -122,11 +126,11 @@
         pending = self._pending.pop(key)
         if pending.request.number in self._table.by_number:
             self._listener.reject_before_scheduling(
-                pending.request, "the other process does not answer for this key"
+                pending.request, "the other process did not answer the claim of this key"
             )
 
     def key_released(self, entry: KeyEntry) -> None:
-        """From the key table: an attempt of this process is over and never ran."""
+        """Called by the key table when an attempt of this process has ended without a run."""
         pending = self._pending.pop(entry.key, None)
         if pending is not None:
             pending.timeout.cancel()
@@ -134,14 +138,17 @@
             self.peer.key_released(entry.key)
 
     def key_finished(self, entry: KeyEntry) -> None:
-        """From the key table: a run of this process is over."""
+        """Called by the key table when a run of this process has ended."""
         if self.peer is not None:
             self.peer.key_finished(entry.key, entry.body_digest, entry.expires_us, entry.result)
 
     # ---- the other process's answers ----
 
-    def _take_pending(self, serial: int, key: IdempotencyKey) -> Request | None:
-        """The request whose claim is answered; None where it is over, or the answer is to an older claim."""
+    def _pop_pending(self, serial: int, key: IdempotencyKey) -> Request | None:
+        """Remove the pending claim and return its request.
+
+        :returns: None if the request has ended or the answer belongs to an older claim.
+        """
         pending = self._pending.get(key)
         if pending is None or pending.serial != serial:
             return None
@@ -150,40 +157,42 @@
         return pending.request if pending.request.number in self._table.by_number else None
 
     def claim_granted(self, serial: int, key: IdempotencyKey) -> None:
-        """The key is this process's."""
-        request = self._take_pending(serial, key)
+        """Called when the other process has granted a claim."""
+        request = self._pop_pending(serial, key)
         if request is not None:
             self._listener.key_claimed(request)
 
     def key_in_use(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
-        """An attempt of the other process has the key: the request here waits for its result."""
-        request = self._take_pending(serial, key)
+        """Called when an attempt of the other process has the claimed key."""
+        request = self._pop_pending(serial, key)
         if request is not None:
             self._cede(request, key, body_digest, expires_us)
 
     def key_table_full(self, serial: int, key: IdempotencyKey) -> None:
-        """The other process can't note a further key."""
-        request = self._take_pending(serial, key)
+        """Called when the other process can't store the claimed key."""
+        request = self._pop_pending(serial, key)
         if request is not None:
-            self._listener.reject_before_scheduling(request, "no room for a further key")
+            self._listener.reject_before_scheduling(request, "the key table of the other process is full")
 
     def _cede(self, request: Request, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
             return
         same_body = entry.body_digest == body_digest
-        self._keys.cede(entry, self._table.take_number(), body_digest, expires_us)
+        self._keys.cede(entry, self._table.allocate_number(), body_digest, expires_us)
         request.retry_of = entry.number
         self._counters.add("keys held by the other process")
         if same_body:
             self._listener.key_claimed(request)
         else:
-            self._listener.reject_before_scheduling(request, "this token came before with another body")
+            self._listener.reject_before_scheduling(
+                request, "an earlier request with this token had another body"
+            )
 
     # ---- the other process's attempts ----
 
     def peer_claims(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
-        """The other process wants to run the key."""
+        """Answer a claim of the other process."""
         peer = self.peer
         if peer is None:
             return
@@ -192,14 +201,14 @@
             if self._keys.is_full():
                 peer.key_table_full(serial, key)
                 return
-            self._keys.reserve_remote(key, self._table.take_number(), body_digest, expires_us)
+            self._keys.reserve_remote(key, self._table.allocate_number(), body_digest, expires_us)
             peer.claim_granted(serial, key)
             return
         if entry.remote and not entry.finished:
             peer.claim_granted(serial, key)
             return
         pending = self._pending.get(key)
-        if pending is not None and not self.is_successor:  # two claims cross, and the successor's counts
+        if pending is not None and not self.is_successor:  # both claim the key, and the successor gets it
             del self._pending[key]
             pending.timeout.cancel()
             peer.claim_granted(serial, key)
@@ -211,7 +220,7 @@
             peer.key_finished(key, entry.body_digest, entry.expires_us, entry.result)
 
     def peer_released_key(self, key: IdempotencyKey) -> None:
-        """The attempt there never ran; who waits for it here gets no result."""
+        """Free the key of the other process's attempt, which never ran, and fail the requests that wait for it."""
         entry = self._keys.find(key, self._clock.now)
         if entry is not None and entry.remote and not entry.finished:
             for waiter in self._keys.release_remote(entry):
@@ -220,15 +229,15 @@
     def peer_finished_key(
         self, key: IdempotencyKey, body_digest: int, expires_us: int, result: bytes | None
     ) -> None:
-        """The run there is over."""
-        entry = self._find_or_note(key, body_digest, expires_us)
-        if entry.remote:  # else it is this process's, which knows better
+        """Record the end of a run of the other process."""
+        entry = self._find_or_reserve(key, body_digest, expires_us)
+        if entry.remote:  # otherwise this process has the key, and its own state is authoritative
             self._finish_remote(entry, result)
 
-    def _find_or_note(self, key: IdempotencyKey, body_digest: int, expires_us: int) -> KeyEntry:
+    def _find_or_reserve(self, key: IdempotencyKey, body_digest: int, expires_us: int) -> KeyEntry:
         entry = self._keys.find(key, self._clock.now)
         if entry is None:
-            entry = self._keys.reserve_remote(key, self._table.take_number(), body_digest, expires_us)
+            entry = self._keys.reserve_remote(key, self._table.allocate_number(), body_digest, expires_us)
         return entry
 
     def _finish_remote(self, entry: KeyEntry, result: bytes | None) -> None:
@@ -238,8 +247,8 @@
     # ---- the whole table ----
 
     def snapshot(self) -> Iterator[KeyEntry]:
-        """The keys of this process, each as it stands when it is handed out: what changes later follows in a message
-        of its own."""
+        """Iterate over the entries of this process's keys."""
+        # Each entry is current at the time it is yielded. Later changes are sent as messages of their own.
         for entry in self._keys.entries():
             if not entry.remote:
                 yield entry
@@ -247,18 +256,19 @@
     def snapshot_entry(
         self, key: IdempotencyKey, body_digest: int, expires_us: int, finished: bool, result: bytes | None
     ) -> None:
-        """One entry of the other process's snapshot."""
-        entry = self._find_or_note(key, body_digest, expires_us)
+        """Store an entry of the other process's snapshot."""
+        entry = self._find_or_reserve(key, body_digest, expires_us)
         if finished and entry.remote:
             self._finish_remote(entry, result)
 
     def peer_disconnected(self, died: bool) -> None:
-        """There is no other process any more.
+        """Continue without the other process.
 
-        Where it died, what it left open may have run: those keys are finished without a result, and don't run again in
-        their window. Where it only rejected requests, none of its keys counts.
+        :param died: whether the other process died; else it has rejected its open requests.
         """
         self.peer = None
+        # Open attempts of a dead process may have run, so their keys are finished without a result and can't run again
+        # in their window. The keys of rejected requests are freed.
         for entry in list(self._keys.entries()):
             if not entry.remote or entry.finished:
                 continue
@@ -266,7 +276,8 @@
                 self._share_result(waiter, None)
         pending = list(self._pending.values())
         self._pending = {}
-        for claim in pending:  # the other one could run none of these: it had no grant
+        # The other process can't have run the keys of these claims, as this process has not granted them to it.
+        for claim in pending:
             claim.timeout.cancel()
             if claim.request.number in self._table.by_number:
                 self._listener.key_claimed(claim.request)
--- a/moorusher/core/observer.py
+++ b/moorusher/core/observer.py
@@ -1,31 +1,31 @@
-"""The seam between the engine and whoever judges its health."""
+"""Interface between the engine and the components that derive its health."""
 
 from __future__ import annotations
 
 
 class EngineObserver:
-    """Is notified of what happens in the engine. This one, the default, ignores it.
+    """Receives the engine's events. This default implementation ignores them.
 
-    `now` is the time of the engine's clock, in microseconds.
+    `now` is the time of the engine's clock in us.
     """
 
     def runs_on_cores(self, now: int, on_cores: int) -> None:
-        """How many runs compete for the cores from now on: those in the kernel that wait for no call."""
+        """Called with the number of runs that compete for the cores, which are those that wait for no call."""
 
     def request_arrived(self, now: int) -> None:
-        """A request has been read."""
+        """Called when a request has been read."""
 
     def run_ended(self, now: int) -> None:
-        """A run is over."""
+        """Called when a run has ended."""
 
     def request_rejected(self, now: int) -> None:
-        """The scheduler has rejected a request."""
+        """Called when the scheduler has rejected a request."""
 
     def link_up(self, now: int) -> None:
-        """The kernel has answered on its connection."""
+        """Called when the kernel has answered on its connection."""
 
     def link_lost(self, now: int) -> None:
-        """The connection to the kernel is lost."""
+        """Called when the connection to the kernel is lost."""
 
     def state_changed(self) -> None:
-        """Something that must not wait for a cached load report to expire: the notice to shut down, say."""
+        """Called on a change, such as the beginning of a shutdown, that invalidates a cached load report."""
--- a/moorusher/core/outcomes.py
+++ b/moorusher/core/outcomes.py
@@ -1,4 +1,4 @@
-"""Every way in which a run, a call or a connection can end, and what the scheduler is told of it."""
+"""Reasons for the end of a run, a call or a connection, and the outcomes that are reported to the scheduler."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class EndReason(Enum):
-    """Why a run, a call or a connection ended. The values are parts of counter names."""
+    """Reason why a run, a call or a connection ended. The values are parts of counter names."""
 
-    # A run, as the kernel reports it.
+    # Runs, as reported by the kernel.
     RUN_SUCCEEDED = "run passed"
     RUN_FAILED = "run failed"
     RUN_KILLED = "run killed"
     RUN_NEVER_STARTED = "run never began"
     RUN_UNKNOWN_TO_KERNEL = "run not accepted by the kernel"
-    # A downstream call.
+    # Downstream calls.
     CALL_ANSWERED = "call answered"
     CALL_FAILED = "call failed"
     CALL_REJECTED = "call turned away"
@@ -27,7 +27,7 @@
     CALL_NOT_CONNECTED = "no connection for the call"
     CALL_CONNECTION_LOST = "connection lost during the call"
     CALL_REPLY_UNREADABLE = "reply to the call could not be read"
-    # A connection.
+    # Connections.
     CLOSED_BY_PEER = "closed by the other side"
     CLOSED_LOCALLY = "closed by us"
     CONNECTION_LOST = "lost"
@@ -42,7 +42,7 @@
     TOO_MANY_ERRORS = "too many faults"
 
 
-# What the scheduler is told. The reasons that are missing here are those of connections: it never hears of them.
+# Outcome that is reported to the scheduler. Reasons of connections are missing, as they are not reported.
 SCHEDULER_OUTCOMES: dict[EndReason, ExecutionOutcome] = {
     EndReason.RUN_SUCCEEDED: ExecutionOutcome.OK,
     EndReason.RUN_FAILED: ExecutionOutcome.ERROR,
@@ -56,11 +56,11 @@
     EndReason.CALL_DEADLINE_EXCEEDED: ExecutionOutcome.TIMEOUT,
     EndReason.CALL_TIMED_OUT: ExecutionOutcome.TIMEOUT,
     EndReason.CALL_NOT_CONNECTED: ExecutionOutcome.CONNECT_FAILED,
-    EndReason.CALL_CONNECTION_LOST: ExecutionOutcome.RESET,  # proves nothing: the call may have run
+    EndReason.CALL_CONNECTION_LOST: ExecutionOutcome.RESET,  # the call may have run or not
     EndReason.CALL_REPLY_UNREADABLE: ExecutionOutcome.ERROR,
 }
 
-# What the end of a call proves about whether it ran. A reason that is missing here proves nothing.
+# Evidence that the end of a call gives on whether it ran. A reason that is missing here gives none.
 EVIDENCE_OF_CALL: dict[EndReason, Evidence] = {
     EndReason.CALL_ANSWERED: Evidence.SUCCEEDED,
     EndReason.CALL_FAILED: Evidence.FAILED,
--- a/moorusher/core/reconfiguration.py
+++ b/moorusher/core/reconfiguration.py
@@ -1,6 +1,7 @@
-"""Compares the settings in force with new ones: what holds from now on, and where each class and tenant was before.
+"""Comparison of the current settings with new ones.
 
-The plan is carried out by `RequestEngine.reconfigure`, between two turns.
+The resulting plan contains the settings to apply, and the former index of each class and tenant. It is carried out by
+`RequestEngine.reconfigure` between two turns.
 """
 
 from __future__ import annotations
@@ -9,7 +10,8 @@
 
 from moorusher.scheduling import interface as api
 
-# Facts about the machine and its kernel, or what the scheduler has sized itself by: they hold until the next start.
+# Settings that describe the machine and its kernel, or that determine sizes in the scheduler. They change at a restart
+# only.
 FIXED_UNTIL_RESTART = (
     "seed",
     "cores",
@@ -27,19 +29,19 @@
     "call_quota_window_ms",
     "gauges",
 )
-NEW = -1  # in place of a former index: there was no such class or tenant
+NEW = -1  # former index of a new class or tenant
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What new settings change, and what of them has to wait.
+    """Changes made by new settings.
 
     Attributes:
-        settings: hold from now on.
-        classes: for each of their classes, the index that it had before, or `NEW`.
-        tenants: the same of tenants.
-        added, dropped, redefined: names of classes.
-        deferred: settings that differ, and wait for the next start.
+        settings: Settings to apply.
+        classes: Former index of each class, or `NEW`.
+        tenants: Former index of each tenant, or `NEW`.
+        added, dropped, redefined: Names of classes.
+        deferred: Names of settings that differ but only change at a restart.
     """
 
     settings: api.Settings
@@ -52,7 +54,7 @@
 
     @property
     def has_changes(self) -> bool:
-        """Something holds from now on that did not before."""
+        """Whether any class has changed, or the order of classes or tenants."""
         return (
             bool(self.added or self.dropped or self.redefined)
             or _is_reordered(self.classes)
@@ -60,7 +62,7 @@
         )
 
     def summary(self) -> str:
-        """The changes of classes, for the log; "" where there are none."""
+        """Return the changes of classes for the log; "" if there are none."""
         parts = [
             f"{change} {', '.join(names)}"
             for change, names in (
@@ -78,8 +80,8 @@
 
 
 def plan(old: api.Settings, new: api.Settings) -> Plan:
-    """Compare the settings in force with new ones."""
-    old_classes = {cls.name: cls for cls in reversed(old.classes)}  # of one name twice, the first counts
+    """Compare the current settings with new ones."""
+    old_classes = {cls.name: cls for cls in reversed(old.classes)}  # the first of several classes of one name
     new_names = {cls.name for cls in new.classes}
     return Plan(
         settings=replace(new, **{name: getattr(old, name) for name in FIXED_UNTIL_RESTART}),
@@ -98,13 +100,13 @@
 
 
 def _is_deferred(name: str, old: api.Settings, new: api.Settings) -> bool:
-    """The seed and the kernel's state at the start mean nothing to a runner that has started."""
+    # The seed and the kernel's state at the start have no meaning for a runner that has started.
     if name not in FIXED_UNTIL_RESTART or name in ("seed", "warming_up"):
         return False
     return bool(getattr(old, name) != getattr(new, name))
 
 
 def _former_indexes(old: list[str], new: list[str]) -> tuple[int, ...]:
-    """For each new name its index among the old ones, or `NEW`. Each old one is given once."""
+    """Return the old index of each new name, or `NEW`. Each old index is returned at most once."""
     index_of = {name: index for index, name in reversed(list(enumerate(old)))}
     return tuple(index_of.pop(name, NEW) for name in new)
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -1,5 +1,4 @@
-"""The first stage of a request: what was read is checked against the settings and entered in the tables of requests and
-idempotency keys."""
+"""Registration of requests: checks an arrival against the settings and adds it to the request and key tables."""
 
 from __future__ import annotations
 
@@ -14,18 +13,19 @@
 from .idempotency_keys import IdempotencyKeyTable, digest, window_end
 from .requests import Arrival, Request, RequestTable
 
-# An open request takes its body, 2 KiB, and small change; the scheduler rejects long before, by its own memory.
+# An open request takes its body, 2 KiB, and some overhead. The scheduler's own memory limit rejects requests long
+# before this number is reached.
 MAX_REQUESTS = 10_000
-MAX_FORMER_CLASSES = 256  # names of dropped classes that are remembered
-# A machine may pause, and a clock be stepped: what arrived an hour ago, or will, is a mistake.
-MAX_SKEW = 3_600 * SECOND
-RETRY_AFTER_MS = 1_000.0  # said with rejections that come before the scheduler
+MAX_FORMER_CLASSES = 256  # number of dropped classes whose windows are stored
+# Leaves room for a paused machine or a stepped clock. An arrival time further off is the sender's mistake.
+MAX_SKEW_US = 3_600 * SECOND
+RETRY_AFTER_MS = 1_000.0  # retry delay sent with rejections that don't come from the scheduler
 
 
 class InvalidArrival(Enum):
-    """Why something that was read is no request. The values are read in error messages.
+    """Reasons why an arrival is not accepted as a request. The values appear in error messages.
 
-    It is the sender's mistake, except for the last five: those are the runner's state.
+    The last five are caused by the state of the runner, all others by the sender.
     """
 
     UNKNOWN_CLASS = "no such class"
@@ -41,7 +41,8 @@
     RULES_UNKNOWN = "customers' rules are not known here yet"
 
 
-# Neither this attempt nor, as far as is known here, an earlier one has run: the request may go elsewhere.
+# Reasons after which the caller may send the request to another runner: neither this attempt nor, as far as this runner
+# knows, an earlier one has run.
 NEVER_RAN = {
     InvalidArrival.KEY_STATE_UNKNOWN,
     InvalidArrival.KEY_TABLE_FULL,
@@ -51,13 +52,13 @@
 
 
 class Registrar:
-    """Makes requests of arrivals.
+    """Creates requests from arrivals.
 
     Attributes:
-        settings: those that arrivals are checked against.
-        classes: index of each class in the settings, by name.
-        tenants: index of each tenant in the settings, by name.
-        former_classes: windows in ms of classes that were dropped, by name; the latest last.
+        settings: Settings that arrivals are checked against.
+        classes: Index of each class in the settings, by name.
+        tenants: Index of each tenant in the settings, by name.
+        former_classes: Idempotency windows in ms of dropped classes, by name, the most recently dropped last.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def settings_changed(self, settings: api.Settings) -> None:
-        """New settings hold for what is read from here on."""
+        """Apply new settings to all requests read from now on."""
         self._former_key_classes.settings_changed(self._clock.now, self.settings, settings)
         windows = self.former_classes | {cls.name: cls.idempotency_window_ms for cls in self.settings.classes}
         self._set_settings(settings)
@@ -91,7 +92,10 @@
     def register(
         self, arrival: Arrival, reply: Reply, tag: int, takes_over: bool = False
     ) -> Request | InvalidArrival:
-        """The request, entered in the tables. `takes_over`: it goes on with another runner's attempt under its key."""
+        """Create the request and add it to the tables.
+
+        :param takes_over: whether it continues another runner's attempt under its key.
+        """
         now = self._clock.now
         index = self.classes.get(arrival.class_name)
         if index is None:
@@ -112,28 +116,29 @@
         arrived_us = self._arrival_time(arrival, now)
         if arrived_us is None:
             return InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE
-        number = self._table.take_number()
+        number = self._table.allocate_number()
         request = Request(number, arrival.rid, cls, tenant, arrival.body, arrived_us, reply, tag, arrival)
         if keyed and arrival.token:
-            invalid = self._enter_key(request, (tenant, arrival.token), takes_over)
+            invalid = self._reserve_key(request, (tenant, arrival.token), takes_over)
             if invalid is not None:
                 return invalid
         self._table.add(request)
         return request
 
     def _arrival_time(self, arrival: Arrival, now: int) -> int | None:
-        """By the engine's clock; None where the sender's stamp can't be right."""
+        """Return the arrival time by the engine's clock; None if the sender's timestamp is implausible."""
         read_us = now if arrival.arrived_us is None else arrival.arrived_us
         if arrival.t0_unix_ms is None:
             return read_us
         stamped = self._clock.from_unix_ms(arrival.t0_unix_ms, now - read_us)
-        if abs(now - stamped) > MAX_SKEW:
+        if abs(now - stamped) > MAX_SKEW_US:
             return None
         return min(now, stamped)
 
-    def _enter_key(
+    def _reserve_key(
         self, request: Request, key: tuple[str | None, str], takes_over: bool
     ) -> InvalidArrival | None:
+        # Reserves the key, or makes the request a retry of the attempt that has it. Returns why the request is invalid.
         now = self._clock.now
         request.key = key
         entry = self._keys.find(key, now)
@@ -141,9 +146,8 @@
         expires_us = window_end(request.arrived_us, request.request_class.idempotency_window_ms)
         if entry is not None:
             if entry.body_digest != body_digest:
-                return (
-                    InvalidArrival.BODY_MISMATCH
-                )  # another request under this key: its result would be wrong
+                # This is a different request under the same key, which must not share the result.
+                return InvalidArrival.BODY_MISMATCH
             if takes_over and entry.remote and not entry.finished:
                 self._keys.take_over(entry, request.number, expires_us)
             else:
@@ -151,13 +155,13 @@
         elif now < self._keys.unknown_until and not takes_over:
             return InvalidArrival.KEY_STATE_UNKNOWN
         elif self._keys.is_full():
-            return InvalidArrival.KEY_TABLE_FULL  # without its key remembered it could run twice
+            return InvalidArrival.KEY_TABLE_FULL  # without a stored key, the request could run twice
         else:
             self._keys.reserve(key, request.number, body_digest, expires_us)
         return None
 
     def scheduler_event(self, request: Request) -> api.Request:
-        """What the scheduler is told of a request now: `waited_ms` and `ttl_ms` count from this moment."""
+        """Return the scheduler's event for a request, with `waited_ms` and `ttl_ms` as of now."""
         arrival = request.arrival
         waited_ms = (self._clock.now - request.arrived_us) / MS
         ttl_ms = None if arrival.budget_ms is None else max(0.0, arrival.budget_ms - waited_ms)
@@ -165,7 +169,7 @@
         index = self.classes.get(cls.name, -1)
         tenant = None
         if request.tenant is not None:
-            tenant = self.tenants.get(request.tenant)  # one that was dropped meanwhile counts as none
+            tenant = self.tenants.get(request.tenant)  # None if new settings have dropped the tenant
         unchanged = index >= 0 and self.settings.classes[index] is cls
         return api.Request(
             request.number,
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -1,7 +1,7 @@
-"""What becomes of requests whose idempotency keys the other runners of the cluster have a say in.
+"""Application of the cluster's decisions about idempotency keys.
 
-Carries out in the engine what the cluster has decided of a key: granted to this runner, had by another runner's
-attempt, moved away, taken over. Nothing is decided here; the questions are asked through `coordination.KeyCoordinator`.
+A key may be granted to this runner, belong to an attempt of another runner, move to another runner or be taken over
+from one. The engine requests these decisions through `coordination.KeyCoordinator`.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RemoteClaims:
-    """The cluster's answers, by request or by key."""
+    """Receives the cluster's decisions, by request or by key."""
 
     def __init__(
         self, state: EngineState, completion: Completion, intake: Intake, execution: Execution
@@ -42,25 +42,28 @@
     # ---- answers to `acquire_key` ----
 
     def granted(self, request: Request) -> None:
-        """Its key is this runner's."""
+        """Pass the request to the scheduler. Called when this runner has its key."""
         if request.number in self._table.by_number:
             self._intake.schedule(request)
 
     def joined(self, request: Request) -> None:
-        """Another runner's attempt has its key: the request waits for that result, as a retry of it."""
+        """Have the request wait for the result of another runner's attempt, which has its key."""
         self._cede_key(request)
         if request.number in self._table.by_number:
             self._intake.schedule(request)
 
     def unavailable(self, request: Request, why: str, never_ran: bool = True) -> None:
-        """No majority has answered for its key. `never_ran`: nobody else knows of it, so it can't run anywhere."""
+        """Answer a request whose key could not be acquired.
+
+        :param never_ran: whether no other runner knows of the request, so that it can't have run.
+        """
         if request.number in self._table.by_number:
             self._intake.reject_before_scheduling(request, why, never_ran)
 
     # ---- answers to `announce_start` ----
 
     def start_confirmed(self, request: Request) -> None:
-        """A majority knows that it may run."""
+        """Start the run. Called when a majority has acknowledged it."""
         if not self._is_starting(request):
             return
         self._turn.begin()
@@ -70,8 +73,8 @@
             self._execution.start(request)
 
     def start_unconfirmed(self, request: Request, why: str) -> None:
-        """No majority acknowledged the start: the run is not commanded here, and never will be. The others may take
-        this runner for dead and run it, so that its caller gets no promise."""
+        """Fail the request without a run. Called when no majority has acknowledged the start."""
+        # The request is not rejected, since the other runners may consider this one dead and run the request.
         if not self._is_starting(request):
             return
         self._turn.begin()
@@ -85,18 +88,18 @@
         return self._table.by_number.get(request.number) is request and request.stage is RequestStage.STARTING
 
     def _end_unstarted(self, request: Request) -> None:
-        """The scheduler has started it, and it was not commanded."""
+        """End a request that the scheduler has started but whose run was not commanded."""
         if request.reply is not None:
             self._completion.answer(request, Answer(Verdict.FAILED, cause=Cause.ABANDONED))
         self._turn.events.append(api.RunEnded(request.number, api.ExecutionOutcome.NOT_AWAITED))
         self._table.remove(request)
         self._completion.fail_waiters(self._keys.release(request.number))
 
-    # ---- keys that move ----
+    # ---- keys that move to another runner ----
 
     def moved_away(self, request: Request) -> None:
-        """Another runner has what was queued or starting here: the request waits for the result beside the scheduler,
-        until its deadline."""
+        """Have a queued or starting request wait for the result of another runner, which has taken it over."""
+        # The request is removed from the scheduler and waits until its deadline.
         entry = self._keys.of_attempt(request.number)
         if request.number not in self._table.by_number or entry is None:
             return
@@ -119,19 +122,22 @@
     def _cede_key(self, request: Request) -> None:
         entry = self._keys.of_attempt(request.number)
         if entry is not None and not entry.remote:
-            self._keys.cede(entry, self._table.take_number(), entry.body_digest, entry.expires_us)
+            self._keys.cede(entry, self._table.allocate_number(), entry.body_digest, entry.expires_us)
             request.retry_of = entry.number
 
     def take_over(
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None = None
     ) -> Request | InvalidArrival:
-        """Go on with work of another runner whose key this runner has acquired."""
+        """Continue a request of another runner, whose key this runner has acquired."""
         return self._intake.resubmit(arrival, reply, tag, ruling)
 
     # ---- the end of other runners' attempts ----
 
     def result_received(self, key: IdempotencyKey, result: bytes | None) -> None:
-        """Another runner's attempt under this key is over; None: without a result."""
+        """Share the result of another runner's attempt with the requests that wait for it.
+
+        :param result: the result; None if the attempt has ended without one.
+        """
         self._turn.begin()
         entry = self._open_remote_entry(key)
         if entry is not None:
@@ -139,7 +145,7 @@
                 self._completion.share_result(waiter, result)
 
     def never_ran(self, key: IdempotencyKey) -> None:
-        """Another runner's attempt under this key never ran, and nobody goes on with it: who waits here may retry."""
+        """Reject the requests that wait for another runner's attempt, which has never run and is not continued."""
         self._turn.begin()
         entry = self._open_remote_entry(key)
         if entry is None:
--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -1,13 +1,13 @@
-"""The engine: all stages of a request, put together, without any wire.
+"""The request engine: connects all stages of a request, independent of protocols.
 
-The way of a request:
+A request passes these stages:
 
-1. `intake`: a frontend submits what it has read. It is registered (`registration`), its idempotency key is claimed with
-   the other process of this runner (`key_claims`) and with the other runners (`coordination`, `remote_claims`), and its
+1. `intake`: a frontend submits the request. It is registered (`registration`), its idempotency key is claimed with the
+   other process of this runner (`key_claims`) and with the other runners (`coordination`, `remote_claims`), and its
    customer's rules are applied (`routes`).
-2. `dispatch`: at the end of the turn the scheduler is asked once, and `action_executor` carries out what it decides.
+2. `dispatch`: at the end of the turn the scheduler is called once, and `action_executor` carries out its actions.
 3. `execution`: the run in the kernel (`run`) and its downstream calls (`call`).
-4. `completion`: the one place where a request is answered.
+4. `completion`: the only place where a request is answered.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 
 
 class RequestEngine:
-    """Frontends submit requests; the kernel's connection and the call transports report what becomes of them.
+    """Processes the requests of the frontends, and the reports of the kernel connection and the call transports.
 
     Attributes:
-        state: what the stages share; its parts are attributes of the engine as well.
-        hooks: where the rest of the runner attaches itself.
-        intake, dispatcher, execution, completion: the stages.
-        remote_claims: the cluster's answers about idempotency keys.
-        key_claims: the same with another process of this runner.
-        kernel_status: what the kernel has told of itself.
-        begin_turn: to be called by whoever brings an event, before it reads the clock or changes anything.
+        state: State that the stages share; its parts are also attributes of the engine.
+        hooks: Interfaces set by other parts of the runner.
+        intake, dispatcher, execution, completion: The stages.
+        remote_claims: Receives the cluster's decisions about idempotency keys.
+        key_claims: Claims idempotency keys with another process of this runner.
+        kernel_status: Age, gauges and connection state of the kernel.
+        begin_turn: Must be called on each event before the clock is read or any state is changed.
     """
 
     def __init__(
@@ -60,9 +60,10 @@
         make_scheduler: Callable[[api.Settings], Scheduler] = Scheduler,
         memory_mb: float = 192.0,
     ) -> None:
-        """`call_soon` has the event loop call a function once, after what else is ready now has been read.
+        """Create the engine and its stages.
 
-        `memory_mb` is the limit of the process.
+        :param call_soon: has the event loop call a function once, after all input that is ready has been read.
+        :param memory_mb: memory limit of the process.
         """
         turn = Turn(clock, call_soon)
         state = EngineState(settings, clock, alarms, turn, kernel, calls, memory_mb)
@@ -89,42 +90,49 @@
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force."""
+        """Settings currently in force."""
         return self.state.settings
 
     @property
     def scheduler_open(self) -> bool:
-        """The kernel is up, and the scheduler with it."""
+        """Whether the kernel is up and the scheduler has been created."""
         return self.dispatcher.scheduler is not None
 
     @property
     def ready(self) -> bool:
-        """Requests can be taken."""
+        """Whether the engine accepts requests."""
         return self.scheduler_open and self.hooks.routes.ready
 
     def fire_timers(self) -> None:
-        """The event loop's timer is due."""
+        """Run the alarms that are due. Called when the event loop's timer expires."""
         self.begin_turn()
-        self.alarms.ring()
+        self.alarms.run_due()
 
     # ---- frontends ----
 
     def submit(self, arrival: Arrival, reply: Reply, tag: int) -> Request | InvalidArrival:
-        """Take a request that was read whole; `reply` gets its answer, with `tag`. What is invalid is answered by the
-        frontend, in its protocol's words."""
+        """Submit a request that was read completely.
+
+        :param reply: receives the answer, with `tag`.
+        :returns: the request, or why it is invalid. Invalid requests are answered by the frontend.
+        """
         if self.dispatcher.scheduler is None:
             self.begin_turn()
             return self.intake.invalid(InvalidArrival.NOT_READY)
         return self.intake.submit(arrival, reply, tag)
 
     def caller_disconnected(self, request: Request) -> None:
-        """The caller has cancelled the request, or its connection is lost."""
+        """Record that the caller has cancelled the request or lost its connection."""
         self.intake.caller_disconnected(request)
 
     # ---- the kernel ----
 
     def kernel_up(self, cold: bool, age_ms: float) -> None:
-        """The first word of the kernel, which may have started long before or after this process."""
+        """Create the scheduler. Called on the kernel's first message.
+
+        :param cold: whether the kernel's caches were cold when it started.
+        :param age_ms: time since the start of the kernel, which may be long before or after that of this process.
+        """
         self.begin_turn()
         if self.dispatcher.scheduler is None:
             self.kernel_status.started(cold, age_ms)
@@ -132,11 +140,14 @@
             self.state.kernel.ask_gauges()
             self.hooks.kernel_up()
 
-    # ---- the life of the process ----
+    # ---- shutdown and reconfiguration ----
 
     def drain(self, stop_ms: float, replaced: bool = False) -> None:
-        """The notice to shut down within `stop_ms`; `replaced`: this process alone, another one serves on. A second
-        notice changes nothing."""
+        """Begin to drain. A second call has no effect.
+
+        :param stop_ms: time until the process must exit.
+        :param replaced: whether another process of this runner continues to serve.
+        """
         if not self.drain_state.shutting_down:
             self.begin_turn()
             self.drain_state.begin(stop_ms, replaced)
@@ -144,27 +155,27 @@
             self.hooks.observer.state_changed()
 
     def coexist(self, on_cores: int, running: int, memory_kb: float) -> None:
-        """What the process that this one replaces still takes."""
+        """Report the load of the process that this one replaces to the scheduler."""
         self.dispatcher.coexist(api.PredecessorLoad(on_cores, running, memory_kb))
 
     def answer_all(self) -> None:
-        """The process ends: the scheduler has its last say on what came until now, and what is still owed an answer
-        then gets one without it."""
+        """Answer all requests before the process exits."""
+        # The scheduler handles the pending events first. Requests that it leaves unanswered are answered without it.
         self.begin_turn()
         self.dispatcher.end_turn()
         for request in [r for r in self.table.by_number.values() if r.reply is not None]:
-            self.completion.answer(request, self._last_answer(request))
+            self.completion.answer(request, self._shutdown_answer(request))
 
-    def _last_answer(self, request: Request) -> Answer:
-        """A rejection promises that the request never runs: not where other runners may go on with it."""
+    def _shutdown_answer(self, request: Request) -> Answer:
+        """Return a rejection if the request can't run anywhere, else a failure."""
+        # A rejection promises that the request never runs. Another runner may still run a request that has a key.
         no_other_runner = request.key is None or isinstance(self.hooks.coordinator, NoCoordinator)
         if request.stage is RequestStage.QUEUED and request.retry_of is None and no_other_runner:
             return Answer(Verdict.REJECTED, cause=Cause.SHUTTING_DOWN, retry_after_ms=RETRY_AFTER_MS)
         return Answer(Verdict.FAILED, cause=Cause.SHUTTING_DOWN)
 
     def reconfigure(self, plan: Plan) -> None:
-        """New settings hold from now on. What was read before is decided first, by the settings that it was read
-        under."""
+        """Apply new settings, after the pending events are processed under the current ones."""
         self.begin_turn()
         if self.state.turn.events:
             self.dispatcher.end_turn()
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -1,4 +1,4 @@
-"""A request from its arrival until it is over, and the table of those that are open."""
+"""Requests, their stages, and the table of open requests."""
 
 from __future__ import annotations
 
@@ -11,34 +11,38 @@
 
 from .answer import Reply
 
-MAX_REQUEST_NUMBER = 0xFFFF_FFFF  # then the numbering starts again at 1
+MAX_REQUEST_NUMBER = 0xFFFF_FFFF  # numbering restarts at 1 after it
 MAX_REQUEST_ID_LENGTH = 64
 MAX_TOKEN_LENGTH = 128
 
 
 class RequestStage(Enum):
-    """How far a request has come."""
+    """Stage of an open request."""
 
-    QUEUED = "queued"  # the scheduler, or who has a say in its key, has not decided yet
-    STARTING = "starting"  # the scheduler has started it; a majority must know before the kernel is commanded
-    RUNNING = "running"  # from the command to the kernel until its end is known, calls included
-    AWAITING_SHARED_RESULT = "awaiting shared result"  # waits for the result of an earlier attempt
+    # Waits for the claim of its key or for the scheduler's decision.
+    QUEUED = "queued"
+    # Started by the scheduler; waits until a majority of the cluster acknowledges the start.
+    STARTING = "starting"
+    # The kernel has been commanded to run the request, and the run has not ended.
+    RUNNING = "running"
+    # Waits for the result of an earlier attempt.
+    AWAITING_SHARED_RESULT = "awaiting shared result"
 
 
-STARTED_STAGES = (RequestStage.STARTING, RequestStage.RUNNING)  # for the scheduler, it runs
+STARTED_STAGES = (RequestStage.STARTING, RequestStage.RUNNING)  # stages that the scheduler counts as running
 
 
 def is_identifier(text: str, max_length: int) -> bool:
-    """Whether a text has only the characters allowed in request ids and idempotency tokens, and at most so many.
+    """Return whether a text is valid as a request id or idempotency token of at most `max_length` characters.
 
-    They are passed on in lines and headers of other protocols: with a line end in one, a client could inject headers.
+    Both are copied into lines and headers of other protocols. A line end in one would let a client inject headers.
     """
     return 0 < len(text) <= max_length and text.isascii() and all(c.isalnum() or c in "-_.:" for c in text)
 
 
 @dataclass(slots=True, frozen=True)
 class ValueRange:
-    """The values that a number in a request may have, whichever frontend reads it. NaN is in no range."""
+    """Range of valid values for a number in a request, shared by all frontends. NaN is in no range."""
 
     minimum: float
     maximum: float
@@ -46,7 +50,7 @@
     excludes_maximum: bool = False
 
     def contains(self, value: float) -> bool:
-        """Whether the value is in the range."""
+        """Return whether the value is in the range."""
         above = self.minimum < value if self.excludes_minimum else self.minimum <= value
         return above and (value < self.maximum if self.excludes_maximum else value <= self.maximum)
 
@@ -60,25 +64,28 @@
 RANK = ValueRange(0, 1, excludes_maximum=True)
 PEER = ValueRange(0, 2**32, excludes_maximum=True)
 UNIX_MS = ValueRange(0, 1e15)
-BUDGET_MS = ValueRange(0, 86_400_000)  # nobody waits longer than a day
+BUDGET_MS = ValueRange(0, 86_400_000)  # at most one day
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """What a frontend has read: checked in form, not yet against the settings.
+    """A request as read by a frontend: syntactically valid, not yet checked against the settings.
 
     Attributes:
-        rid: the id of the request, unique among those that are open.
-        class_name: the class of requests that the caller names.
-        t0_unix_ms: when it came to the machine, by the sender's clock.
-        arrived_us: the same by the engine's clock; None for now.
-        budget_ms: how long its caller waits, from its arrival.
-        caller: the number of the front end that sent it.
-        memory_kb: what it takes while it is open.
-        token: the idempotency key's part that the caller chooses.
-        subject: the user or session that the request is for.
-        is_retry: the sender says that there was an earlier attempt.
-        cost_hint_ms: the sender's estimate of its service time.
+        rid: Request id, unique among the open requests.
+        class_name: Name of the request class.
+        body: Input of the run.
+        t0_unix_ms: Time of arrival at the machine, by the sender's clock.
+        arrived_us: Time of arrival by the engine's clock; None: now.
+        budget_ms: Time that the caller waits, from the arrival.
+        tenant: Name of the tenant.
+        caller: Number of the front end that sent the request.
+        memory_kb: Memory that the request takes while it is open.
+        rank: Rank by which front ends select requests, see `SignalKind.FLOOR`.
+        token: Caller's part of the idempotency key.
+        subject: User or session that the request is for.
+        is_retry: Whether the sender reports an earlier attempt.
+        cost_hint_ms: Sender's estimate of the service time.
     """
 
     rid: str
@@ -99,20 +106,24 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that was registered, until it is over.
+    """A registered, open request.
 
     Attributes:
-        number: its id for the scheduler, the key table and the calls.
-        rid: its id for the kernel and in the log.
-        request_class: as it was when the request was read: new settings change nothing for what is open.
-        arrived_us: when it came to the machine, by the engine's clock.
-        reply: where the answer is owed; None once it is answered or its caller has gone.
-        tag: what `reply` knows the request by.
-        key: tenant and token, where its class is idempotent by key.
-        retry_of: the number of the attempt that holds its key.
-        uncounted: a first attempt, as far as is known yet, that has not been counted as demand.
-        stop_requested: the scheduler has stopped it while it was `STARTING`.
-        ruling: a `routes.Ruling`, by the rules under which it was read.
+        number: Id of the request for the scheduler, the key table and the calls.
+        rid: Id of the request for the kernel and in the log.
+        request_class: Class as of the time of arrival; new settings don't affect open requests.
+        tenant: Name of the tenant; None if the settings define no tenants.
+        body: Input of the run.
+        arrived_us: Time of arrival at the machine, by the engine's clock.
+        reply: Receives the answer; None once it is sent or the caller has disconnected.
+        tag: Identifies the request to `reply`.
+        arrival: The request as read by the frontend.
+        key: Tenant and token, if the class has idempotency keys.
+        stage: Current stage.
+        retry_of: Number of the attempt that has the key; None for a first attempt.
+        uncounted: Whether the request seems to be a first attempt and has not been counted as demand.
+        stop_requested: Whether the scheduler has stopped the request while it was `STARTING`.
+        ruling: The `routes.Ruling` by the rules under which the request was read.
     """
 
     number: int
@@ -133,7 +144,7 @@
 
     @property
     def deadline_us(self) -> int:
-        """When its caller stops waiting, by the engine's clock."""
+        """Time at which the caller stops waiting, by the engine's clock."""
         wait_ms = self.request_class.deadline_ms
         budget_ms = self.arrival.budget_ms
         if budget_ms is not None:
@@ -142,7 +153,7 @@
 
 
 class RequestTable:
-    """The requests that are owed an answer or whose run is not over, by number and by request id."""
+    """Requests that are unanswered or still running, by number and by request id."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, Request] = {}
@@ -152,35 +163,35 @@
     def __len__(self) -> int:
         return len(self.by_number)
 
-    def take_number(self) -> int:
-        """A number that no open request has."""
+    def allocate_number(self) -> int:
+        """Return a number that no open request has."""
         number = self._next_number
         self._next_number = number % MAX_REQUEST_NUMBER + 1
         return number
 
     def add(self, request: Request) -> None:
-        """Enter a request."""
+        """Add a request."""
         self.by_number[request.number] = request
         self.by_rid[request.rid] = request
 
     def remove(self, request: Request) -> None:
-        """The request is over."""
+        """Remove a request that has ended."""
         self.by_number.pop(request.number, None)
         if self.by_rid.get(request.rid) is request:
             del self.by_rid[request.rid]
 
     @property
     def unanswered(self) -> int:
-        """How many requests are owed an answer."""
+        """Number of unanswered requests."""
         return sum(request.reply is not None for request in self.by_number.values())
 
     def queued(self, now: int) -> tuple[int, int]:
-        """How many requests are queued, and the age of the oldest of them in us."""
+        """Return the number of queued requests, and the age of the oldest of them in us."""
         arrivals = [r.arrived_us for r in self.by_number.values() if r.stage is RequestStage.QUEUED]
         return len(arrivals), max(0, now - min(arrivals)) if arrivals else 0
 
     def memory_kb(self, run_memory_factor: float) -> float:
-        """About what the open requests take in the kernel; one that runs takes `run_memory_factor` times as much."""
+        """Estimate the memory of the open requests, of which a running one takes `run_memory_factor` times as much."""
         return sum(
             request.arrival.memory_kb * (run_memory_factor if request.stage is RequestStage.RUNNING else 1.0)
             for request in self.by_number.values()
--- a/moorusher/core/routes.py
+++ b/moorusher/core/routes.py
@@ -1,6 +1,6 @@
-"""The seam between the engine and the customers' own rules.
+"""Interface between the engine and the customers' rules.
 
-The engine asks once, when a request is read, and the request keeps the ruling until its final answer.
+The engine applies the rules once, when a request is read. The decision remains in force until the final answer.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 
 class Ruling(Protocol):
-    """What customers' rules say of one request."""
+    """Decision of a customer's rules on one request."""
 
     @property
     def revision_id(self) -> tuple[int, int]:
-        """The revision of the rules: incarnation and number."""
+        """Revision of the rules: incarnation and number."""
 
     @property
     def refusal(self) -> str:
-        """Why the request is rejected; "" where it is not."""
+        """Reason for rejecting the request; "" if it is not rejected."""
 
     @property
     def path(self) -> object:
-        """The route of its calls, in the form that the call transport knows."""
+        """Route of the request's calls, in the form that the call transport expects."""
 
 
 class Routes(Protocol):
@@ -31,17 +31,17 @@
 
     @property
     def ready(self) -> bool:
-        """The newest revision in the cluster is known here, or can't be had."""
+        """Whether requests may be accepted: the cluster's newest revision is known here, or can't be obtained."""
 
     def rule(self, arrival: Arrival, tenant: str | None) -> Ruling | None:
-        """By the current revision; None where no customer's rules apply."""
+        """Return the decision of the current revision, or None if no customer's rules apply."""
 
 
 class NoRoutes:
-    """No customer has rules."""
+    """Default for a runner without customers' rules."""
 
     ready = True
 
     def rule(self, arrival: Arrival, tenant: str | None) -> Ruling | None:
-        """No rules apply."""
+        """Return None: no rules apply."""
         return None
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -1,7 +1,7 @@
-"""Runs in the kernel: what was commanded, what the kernel is known to have read, what to send again.
+"""Runs in the kernel, and the commands for them.
 
-Commands are numbered in the order in which they are written. After a lost connection the kernel tells how many it has
-read, and what it may have missed is sent again, as far as `retry_policy.may_retry` allows.
+Commands are numbered in the order in which they are written. After a lost connection the kernel reports how many it has
+read. Commands that it may have missed are sent again, if `retry_policy.may_retry` allows it.
 """
 
 from __future__ import annotations
@@ -17,54 +17,56 @@
 from .hooks import EngineHooks
 from .requests import Request
 
-NOT_WRITTEN = 0  # the number of a command that was dropped, as there was no connection
-NO_CALL = 0  # in place of a notice's number: the run waits for no call
-# The kernel takes a reply for whichever call the run waits for: a copy could be given to a later call.
+NOT_WRITTEN = 0  # command number of a command that was dropped because there was no connection
+NO_CALL = 0  # notice number of a run that waits for no call
+# The kernel matches a reply with the call that the run waits for when the reply arrives. A second copy of a reply could
+# therefore be matched with a later call.
 EFFECT_OF_REPLY = Effect.NOT_IDEMPOTENT
 
 
 class KernelTransport(Protocol):
-    """The connection to the kernel. Commands return their number, or `NOT_WRITTEN` while there is no connection:
-    `Runs.resend` makes up for those."""
+    """Connection to the kernel. Commands return their number, or `NOT_WRITTEN` while there is no connection."""
 
     def run(self, rid: str, route: str, body: bytes) -> int:
-        """Run the request."""
+        """Command the kernel to run a request."""
 
     def stop(self, rid: str) -> int:
-        """Stop the run."""
+        """Command the kernel to stop a run."""
 
     def call_done(self, rid: str, body: bytes) -> int:
-        """The reply to the call that the run waits for."""
+        """Send the reply to the call that the run waits for."""
 
     def call_skipped(self, rid: str, notice: int) -> int:
-        """The run goes on without the call that it has asked for by this notice."""
+        """Have the run continue without the call requested by this notice."""
 
     def ask_gauges(self) -> None:
-        """Have the kernel tell its gauges."""
+        """Request the kernel's gauges."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallReply:
-    """What the kernel was sent about a run's call.
+    """Command that ended a run's wait for a call.
 
     Attributes:
-        notice: the number of the notice by which the run asked for the call.
-        content: the reply; None to go on without the call.
-        written: the number of the command.
+        notice: Number of the notice that requested the call.
+        content: Reply to the call; None: continue without the call.
+        command_number: Number of the command, or `NOT_WRITTEN`.
     """
 
     notice: int
     content: bytes | None
-    written: int
+    command_number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Resent:
-    """What a new connection was sent again, by request number.
+    """Result of `Runs.resend`, as lists of request numbers.
 
     Attributes:
-        uncertain: a reply may be lost; nothing proves it, so it must not be sent again.
-        unwanted: never written, and nobody waits any more: these runs are not started.
+        runs: The run command was sent again.
+        replies: The reply was sent again.
+        uncertain: The reply may be lost, but is not sent again because the kernel may have read it.
+        unwanted: The run command was never written, and is not sent because no caller waits.
     """
 
     runs: list[int] = field(default_factory=list)
@@ -75,19 +77,22 @@
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """A request that the kernel was commanded to run.
+    """A run that the kernel was commanded to start.
 
     Attributes:
-        acknowledged: the kernel has told something of the run, so it has read the command.
-        notice: the number of the notice of the call that it waits for, or `NO_CALL`.
-        calls: how many calls it has asked for, this one included.
-        call_body: of the call that it waits for.
-        command_number: of the command to run it.
-        last_reply: what the kernel was sent about its last call.
-        reply_uncertain: nothing tells whether the kernel has read that.
-        started_us: when it was commanded.
-        at_calls_us: how long it has been at calls, up to the last one that has ended.
-        call_since_us: when it went to the call that it waits for.
+        request: Request of the run.
+        route: Name of the request class.
+        acknowledged: Whether a notice of the run shows that the kernel has read the run command.
+        stopped: Whether the kernel was commanded to stop the run.
+        notice: Notice number of the call that the run waits for, or `NO_CALL`.
+        calls: Number of calls that the run has requested.
+        call_body: Body of the call that the run waits for.
+        command_number: Number of the run command, or `NOT_WRITTEN`.
+        last_reply: Command that ended the wait for the last call.
+        reply_uncertain: Whether the kernel may not have read `last_reply`.
+        started_us: Time of the run command.
+        call_time_us: Total duration of the ended calls.
+        call_started_us: Start of the call that the run waits for.
     """
 
     request: Request
@@ -101,23 +106,26 @@
     last_reply: CallReply | None = None
     reply_uncertain: bool = False
     started_us: int = 0
-    at_calls_us: int = 0
-    call_since_us: int = 0
+    call_time_us: int = 0
+    call_started_us: int = 0
+
+    def core_us(self, now: int, cores: int, runs_on_cores: int) -> int:
+        """Estimate the processor time of the run in us.
 
-    def core_us(self, now: int, cores: int, sharing: int) -> int:
-        """An estimate of its processor time, where `sharing` runs share the cores at its end."""
-        at_calls = self.at_calls_us
+        :param runs_on_cores: number of runs that compete for the cores, this one included.
+        """
+        call_time_us = self.call_time_us
         if self.notice:
-            at_calls += now - self.call_since_us
-        elapsed = now - self.started_us - at_calls
-        return max(0, round(elapsed * min(1.0, cores / max(1, sharing))))
+            call_time_us += now - self.call_started_us
+        elapsed_us = now - self.started_us - call_time_us
+        return max(0, round(elapsed_us * min(1.0, cores / max(1, runs_on_cores))))
 
 
 class Runs:
-    """All runs that are not over, by request number, and the commands to the kernel for them.
+    """All open runs by request number, and the commands for them.
 
     Attributes:
-        at_calls: how many of them wait for a call.
+        at_calls: Number of runs that wait for a call.
     """
 
     def __init__(self, kernel: KernelTransport, clock: Clock, hooks: EngineHooks) -> None:
@@ -132,11 +140,11 @@
 
     @property
     def on_cores(self) -> int:
-        """How many runs compete for the cores."""
+        """Number of runs that compete for the cores: those that wait for no call."""
         return len(self._runs) - self.at_calls
 
     def get(self, number: int) -> Run | None:
-        """The run of a request."""
+        """Return the open run of a request, or None."""
         return self._runs.get(number)
 
     def start(self, request: Request) -> None:
@@ -147,21 +155,21 @@
         self._notify_on_cores()
 
     def stop(self, number: int) -> None:
-        """Command the kernel to stop a run, once."""
+        """Command the kernel to stop a run, at most once."""
         run = self._runs.get(number)
         if run is not None and not run.stopped:
             run.stopped = True
             self._kernel.stop(run.request.rid)
 
     def stop_uncertain(self, number: int) -> None:
-        """Stop a run that may wait for a lost reply. Nobody waits for it any more, and it would keep its memory for
-        good."""
+        """Stop a run that may wait for a lost reply. Called at the request's deadline."""
+        # Without the stop, the run would never release its memory.
         run = self._runs.get(number)
         if run is not None and run.reply_uncertain:
             self.stop(number)
 
     def call_needed(self, number: int, notice: int, body: bytes) -> bool:
-        """A run asks for a call. False where this notice was read before, or the run is over."""
+        """Record that a run has requested a call. Returns False if the notice was read before or the run has ended."""
         run = self._runs.get(number)
         if run is None or notice <= run.notice:
             return False
@@ -169,7 +177,7 @@
             return False
         if not run.notice:
             self.at_calls += 1
-            run.call_since_us = self._clock.now
+            run.call_started_us = self._clock.now
         run.acknowledged = True
         run.notice = notice
         run.call_body = body
@@ -180,20 +188,20 @@
         return True
 
     def resume(self, number: int, reply: bytes | None) -> None:
-        """Have a run go on with the reply to its call, or without the call where `reply` is None."""
+        """Have a run continue with the reply to its call, or without the call if `reply` is None."""
         run = self._runs.get(number)
         if run is None or not run.notice:
-            return  # the kernel takes a reply to a run that waits for no call for an error
+            return  # the kernel treats a reply to a run that waits for no call as an error
         notice = run.notice
         run.notice = NO_CALL
         run.call_body = b""
-        run.at_calls_us += self._clock.now - run.call_since_us
+        run.call_time_us += self._clock.now - run.call_started_us
         self.at_calls -= 1
         self._notify_on_cores()
         self._send_reply(run, notice, reply)
 
     def end(self, number: int) -> Run | None:
-        """A run is over; None where it was before."""
+        """Remove a run that has ended. Returns None if it was removed before."""
         run = self._runs.pop(number, None)
         if run is not None:
             self.at_calls -= run.notice != NO_CALL
@@ -206,19 +214,20 @@
 
     def _send_reply(self, run: Run, notice: int, reply: bytes | None) -> None:
         if reply is None:
-            written = self._kernel.call_skipped(run.request.rid, notice)
+            command_number = self._kernel.call_skipped(run.request.rid, notice)
         else:
-            written = self._kernel.call_done(run.request.rid, reply)
-        run.last_reply = CallReply(notice, reply, written)
+            command_number = self._kernel.call_done(run.request.rid, reply)
+        run.last_reply = CallReply(notice, reply, command_number)
 
     # ---- after a lost connection ----
 
-    def resend(self, read: int, is_awaited: Callable[[Request], bool] = lambda request: True) -> Resent:
-        """Send again what the kernel may have missed, once its own replay has been read.
+    def resend(
+        self, commands_read: int, is_awaited: Callable[[Request], bool] = lambda request: True
+    ) -> Resent:
+        """Send commands that the kernel may have missed again, after its replay has been read.
 
-        Args:
-            read: how many commands the kernel is known to have read.
-            is_awaited: whether somebody still waits for a request.
+        :param commands_read: number of commands that the kernel is known to have read.
+        :param is_awaited: returns whether a caller still waits for a request.
         """
         resent = Resent()
         for number, run in list(self._runs.items()):
@@ -226,26 +235,32 @@
             if never_written and not is_awaited(run.request):
                 resent.unwanted.append(number)
                 continue
-            if not run.acknowledged and _evidence(run.command_number, read) is not Evidence.SUCCEEDED:
+            if (
+                not run.acknowledged
+                and _evidence(run.command_number, commands_read) is not Evidence.SUCCEEDED
+            ):
                 self._resend_command(number, run, resent)
             if run.last_reply is not None:
-                self._resend_reply(number, run, run.last_reply, read, resent)
+                self._resend_reply(number, run, run.last_reply, commands_read, resent)
             if run.stopped:
                 self._kernel.stop(run.request.rid)
         return resent
 
     def _resend_command(self, number: int, run: Run, resent: Resent) -> None:
-        # The kernel ignores a command to run what it runs already.
+        # The kernel ignores the run command of a request that it already runs.
         if not may_retry(run.request.request_class.effect, Evidence.DUPLICATES_IGNORED):
             return
         run.command_number = self._kernel.run(run.request.rid, run.route, run.request.body)
         resent.runs.append(number)
 
-    def _resend_reply(self, number: int, run: Run, reply: CallReply, read: int, resent: Resent) -> None:
-        evidence = _evidence(reply.written, read)
+    def _resend_reply(
+        self, number: int, run: Run, reply: CallReply, commands_read: int, resent: Resent
+    ) -> None:
+        evidence = _evidence(reply.command_number, commands_read)
         if evidence is Evidence.SUCCEEDED:
             return
-        if reply.content is None:  # it names its notice, so it can be taken for no other call
+        # A skip command contains its notice number, so a second copy can't be matched with a later call.
+        if reply.content is None:
             self._send_reply(run, reply.notice, None)
             return
         if run.reply_uncertain:
@@ -257,11 +272,11 @@
         run.reply_uncertain = True
         resent.uncertain.append(number)
         if run.request.request_class.value_fraction_without_call > 0:
-            self._send_reply(run, reply.notice, None)  # if it still waits, it goes on without
+            self._send_reply(run, reply.notice, None)  # if the run still waits, it continues without the call
 
 
-def _evidence(written: int, read: int) -> Evidence:
-    """What is known of a command by its number, where the kernel has read so many."""
-    if written == NOT_WRITTEN:
+def _evidence(command_number: int, commands_read: int) -> Evidence:
+    """Return what is known about a command when the kernel is known to have read `commands_read` commands."""
+    if command_number == NOT_WRITTEN:
         return Evidence.NOT_SENT
-    return Evidence.SUCCEEDED if written <= read else Evidence.IN_DOUBT
+    return Evidence.SUCCEEDED if command_number <= commands_read else Evidence.IN_DOUBT
--- a/moorusher/core/turn.py
+++ b/moorusher/core/turn.py
@@ -1,4 +1,4 @@
-"""One turn of the event loop: all of its events happen at one time, and the scheduler is asked once at its end."""
+"""Turns of the event loop. All events of a turn have the same time, and the scheduler is called once at its end."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 
 
 class Turn:
-    """The turn that is open, and the events that it has gathered for the scheduler.
+    """The current turn, and the events that it has collected for the scheduler.
 
     Attributes:
-        events: in the order in which they happened.
-        on_end: called at the end of the turn.
+        events: Events in the order in which they occurred.
+        on_end: Called at the end of the turn.
     """
 
     __slots__ = ("_clock", "_open", "_call_soon", "events", "on_end")
 
     def __init__(self, clock: Clock, call_soon: Callable[[Callable[[], None]], None]) -> None:
-        """`call_soon` has the event loop call a function once, after what else is ready now has been read."""
+        """Create a turn that has not begun.
+
+        :param call_soon: has the event loop call a function once, after all input that is ready has been read.
+        """
         self._clock = clock
         self._call_soon = call_soon
         self._open = False
@@ -28,14 +31,14 @@
         self.on_end: Callable[[], None] = lambda: None
 
     def begin(self) -> None:
-        """Something happens. Its first caller in a turn reads the clock and sees to the turn's end."""
+        """Begin the turn, unless it has begun. Called on each event; reads the clock and schedules the turn's end."""
         if not self._open:
             self._open = True
             self._clock.read()
             self._call_soon(self.on_end)
 
     def close(self) -> list[api.Event]:
-        """The turn ends. Returns its events, each once."""
+        """End the turn and return its events."""
         self._open = False
         events = self.events
         self.events = []
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,7 @@
-"""Connections that close with a request or an answer under way: worst order forced, over real sockets."""
+"""Connections that close while a request or an answer is in transit.
+
+The tests use real sockets and force the order of events in which the request or the answer could be lost.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 class FrontendHarness:
-    """Frontends on an event loop that a test turns, with a kernel that only records its commands."""
+    """Frontends on an event loop that the test runs turn by turn, with a kernel that only records its commands."""
 
     def __init__(self, **changes: Any) -> None:
         self.world = World(max_idle_connection_ms=IDLE_MS, **changes)
@@ -50,7 +53,7 @@
         return client
 
     def advance(self, microseconds: int) -> None:
-        """Let time pass and fire the timers that are due; the event loop reads nothing meanwhile."""
+        """Advance the time and fire the timers that are due, without reading any sockets."""
         self.world.wait(microseconds / 1000)
 
     def finish_run(self, rid: str) -> None:
@@ -59,7 +62,7 @@
 
 
 def answer_of(client: Client) -> dict[str, Any]:
-    """The answer to the client's request, whatever else was sent on the connection."""
+    """Return the answer to the client's request, and ignore other messages on the connection."""
     return next(
         message for message in client.messages() if "result" in message and "content" in message["result"]
     )
@@ -69,9 +72,9 @@
 
 
 def test_a_request_that_arrives_as_the_read_timeout_expires_is_answered() -> None:
-    """The request is in the socket's buffer when the timeout of a silent connection fires.
+    """The request is in the socket's buffer when the read timeout of its connection fires.
 
-    A close without reading would lose it.
+    A close without a read would lose the request.
     """
     harness = FrontendHarness()
     client = harness.connect()
@@ -84,7 +87,7 @@
 
 
 def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered() -> None:
-    """An idle connection was asked to close, and a request is in its buffer when it is closed."""
+    """The client of an idle connection was asked to close it, and a request is in the buffer when it is closed."""
     harness = FrontendHarness()
     client = harness.connect_idle()
     harness.advance(round(IDLE_MS * 1000) + 10_000)
@@ -97,7 +100,7 @@
 
 
 def test_a_request_half_received_when_its_idle_connection_is_closed_may_be_completed() -> None:
-    """The client began a request before it read that it should close: the rest may still come."""
+    """The client began a request before it read that it should close the connection, and sends the rest later."""
     harness = FrontendHarness()
     client = harness.connect_idle()
     harness.advance(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
@@ -111,7 +114,7 @@
 
 
 def test_half_a_request_does_not_keep_an_idle_connection_open_for_ever() -> None:
-    """A client sends half a request on an idle connection and stops: the read timeout closes it."""
+    """The client sends half a request on an idle connection and stops. The read timeout closes the connection."""
     harness = FrontendHarness()
     client = harness.connect_idle()
     harness.advance(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
@@ -123,14 +126,14 @@
 
 
 def test_a_connection_with_an_unread_request_is_not_evicted_and_another_is() -> None:
-    """All connections are in use and a new one comes, while the idlest has a request in its buffer."""
+    """A new connection arrives at the connection limit, and the longest idle one has a request in its buffer."""
     harness = FrontendHarness(cores=8)
     clients = []
     for _ in range(MAX_CONNECTIONS):
         clients.append(harness.connect_idle())
         harness.advance(10_000)
     harness.advance(400_000)
-    clients[0].send(request_line())  # idle for longest: it would be evicted first
+    clients[0].send(request_line())  # idle for longest, so it would be evicted first
     harness.connect()
     harness.loop.turn()
     harness.finish_run("r1")
@@ -139,13 +142,13 @@
 
 
 def test_a_connection_with_half_a_message_is_evicted_after_idle_ones() -> None:
-    """All connections are in use and a new one comes, while a slow client has sent half a request."""
+    """A new connection arrives at the connection limit, and a slow client has sent half a request."""
     harness = FrontendHarness()
     slow, idle, other = (harness.connect() for _ in range(MAX_CONNECTIONS))
     slow.send(request_line()[:20])
     for client in (idle, other):
         client.send(HEARTBEAT)
-        harness.loop.turn()  # one by one: which of two is read first in one turn is not defined
+        harness.loop.turn()  # one turn for each, as the order of reads within a turn is undefined
     harness.advance(400_000)
     harness.connect()
     harness.loop.turn()
@@ -156,7 +159,10 @@
 
 
 def test_no_connection_is_evicted_while_each_has_an_unread_request() -> None:
-    """All connections have a request in their buffers as a new one comes: the new one is not accepted."""
+    """A new connection arrives at the connection limit, and all others have a request in their buffers.
+
+    The new connection is not accepted.
+    """
     harness = FrontendHarness(cores=8)
     clients = [harness.connect() for _ in range(MAX_CONNECTIONS)]
     for i, client in enumerate(clients):
@@ -171,7 +177,7 @@
 def test_a_new_connection_waits_unaccepted_while_all_others_have_a_request_in_flight() -> None:
     """More clients connect than the limit allows, each with a request.
 
-    Those beyond it wait in the backlog, and are accepted one by one as others are answered.
+    The excess connections wait in the backlog and are accepted one by one as others are answered.
     """
     harness = FrontendHarness(cores=8)
     listening = open_listening_socket((HOST, 0))
@@ -185,11 +191,11 @@
     harness.loop.turn()
     assert len(harness.jsonrpc.connections) == MAX_CONNECTIONS and counts
     assert sorted(harness.world.core.table.by_rid) == ["r0", "r1", "r2"]
-    harness.finish_run("r0")  # its connection is idle from here on, and is evicted
+    harness.finish_run("r0")  # its connection is now idle and is evicted
     time.sleep(2 * ACCEPT_RETRY_S)
     harness.loop.turn()
     assert sorted(harness.world.core.table.by_rid) == ["r1", "r2", "r3"]
-    assert b'"id":1' in clients[0].recv(1000), "who makes way has had its answer"
+    assert b'"id":1' in clients[0].recv(1000), "the evicted connection has received its answer"
     for rid in ("r1", "r2", "r3"):
         harness.finish_run(rid)
         time.sleep(2 * ACCEPT_RETRY_S)
@@ -201,7 +207,7 @@
 
 
 def test_an_exception_while_accepting_a_connection_does_not_close_the_listening_socket() -> None:
-    """The protocol of one connection can't be built: only that connection is closed."""
+    """Building the protocol of one connection raises an exception. Only that connection is closed."""
     harness = FrontendHarness()
     listening = open_listening_socket((HOST, 0))
     address = listening.getsockname()
@@ -222,7 +228,7 @@
 
 
 def test_a_line_that_is_too_long_after_a_request_does_not_lose_its_answer() -> None:
-    """The error is sent at once; the connection closes after the request in flight is answered."""
+    """The error is sent immediately, and the connection closes after the request in flight is answered."""
     harness = FrontendHarness()
     client = harness.connect()
     client.send(request_line() + b"x" * (MAX_LINE_BYTES + 1))
@@ -234,7 +240,7 @@
 
 
 def test_a_connection_closed_with_unsent_bytes_ends_after_the_client_has_read_them() -> None:
-    """The client reads slowly: all unsent bytes reach it before the connection is closed."""
+    """The client reads slowly. All unsent bytes must reach it before the connection is closed."""
     harness = FrontendHarness()
     client = harness.connect()
     client.transport.write(bytes(8_000_000))  # more than the socket buffers hold
@@ -248,7 +254,7 @@
 
 
 def test_a_closing_connection_whose_client_never_reads_is_aborted_after_the_close_timeout() -> None:
-    """The client never reads: its connection must not count against the limit for ever."""
+    """The client never reads. Its connection must not count towards the connection limit for ever."""
     harness = FrontendHarness()
     client = harness.connect()
     client.transport.write(bytes(8_000_000))
@@ -265,7 +271,7 @@
 
 
 def test_a_uwsgi_request_completed_as_the_read_timeout_expires_is_served() -> None:
-    """The last byte of the request is in the buffer when the timeout fires."""
+    """The last byte of the request is in the socket's buffer when the read timeout fires."""
     harness = FrontendHarness()
     client = harness.connect(harness.uwsgi)
     raw = uwsgi_request("read", b"body", tenant="", rid="u1")
@@ -278,14 +284,14 @@
     assert status(client.read()) == 200
 
 
-def test_a_uwsgi_answer_arrives_whole_although_the_client_sent_more_than_its_request() -> None:
+def test_a_uwsgi_answer_arrives_completely_although_the_client_sent_more_than_its_request() -> None:
     """A close with input unread would reset the connection and lose the answer."""
     harness = FrontendHarness()
     client = harness.connect(harness.uwsgi)
     client.send(uwsgi_request("read", b"body", tenant="", rid="u1"))
     harness.loop.turn()
     harness.world.core.execution.run_ended("u1", EndReason.RUN_SUCCEEDED, b"done")
-    # As the answer goes out: a close with this unread would reset the connection.
+    # Arrives while the answer is being sent. A close with this input unread would reset the connection.
     client.send(b"more than was announced")
     harness.loop.turn()
     client.send(b"and more")
@@ -300,17 +306,17 @@
 
 
 def shut_down(harness: FrontendHarness) -> None:
-    """Shut the runner down as the program does, with no other parts than the frontends and the core."""
-    no_part = SimpleNamespace(close=lambda *labels: None, stop_accepting=lambda: None)
+    """Shut the runner down as the program does, with only the frontends and the engine as real components."""
+    stub = SimpleNamespace(close=lambda *labels: None, stop_accepting=lambda: None)
     service: Any = SimpleNamespace(
         core=harness.world.core,
         clock=harness.world.core.clock,
         reactor=harness.loop.reactor,
         jsonrpc=harness.jsonrpc,
         uwsgi=harness.uwsgi,
-        listeners=no_part,
-        reporter=no_part,
-        kernel=no_part,
+        listeners=stub,
+        reporter=stub,
+        kernel=stub,
         warm_start_store=None,
         hot_restart=None,
         cluster=ClusterParts(),
@@ -321,7 +327,7 @@
 
 
 def test_requests_unread_queued_or_running_at_shutdown_are_answered() -> None:
-    """The drain time is over with requests left: those that never ran are rejected, the running one fails."""
+    """The drain time ends with open requests. Those that never ran are rejected, and the running one fails."""
     harness = FrontendHarness(cores=1)
     running = harness.connect()
     queued = harness.connect()
@@ -353,7 +359,7 @@
 
 
 def test_half_a_request_counts_as_being_read_until_the_read_timeout() -> None:
-    """A drain waits for a half received request, but not for ever."""
+    """A drain waits for the rest of a partly received request, but only until the read timeout."""
     harness = FrontendHarness()
     client = harness.connect()
     client.send(request_line()[:9])
@@ -372,7 +378,7 @@
 def test_connections_waiting_in_the_backlog_of_a_closing_socket_are_accepted(
     connects_during_close: bool,
 ) -> None:
-    """Clients connect just before the listening socket closes: none of them may be reset."""
+    """Clients connect just before the listening socket closes. None of their connections may be reset."""
     harness = FrontendHarness()
     listening = open_listening_socket((HOST, 0))
     address = listening.getsockname()
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""The core's seam to a fleet, without one: what waits for others' word, and what becomes of it."""
+"""The engine's interface to the cluster, without a cluster: requests that wait for its decisions on their keys."""
 
 from __future__ import annotations
 
@@ -11,133 +11,145 @@
 from .test_core import World
 
 
-class KeyCoordinator:
-    """Others that say nothing until the test does."""
+class RecordingCoordinator:
+    """Has each first attempt wait for its key and for its start; the test calls `RemoteClaims` with the decisions."""
 
     def __init__(self) -> None:
-        self.held: list[Request] = []
-        self.beginning: list[Request] = []
+        self.acquiring: list[Request] = []
+        self.starting: list[Request] = []
 
     def acquire_key(self, request: Request) -> bool:
         if request.key is None or request.retry_of is not None:
             return False
-        self.held.append(request)
+        self.acquiring.append(request)
         return True
 
     def announce_start(self, request: Request) -> bool:
-        self.beginning.append(request)
+        self.starting.append(request)
         return True
 
 
-def world() -> tuple[World, KeyCoordinator]:
-    w, coordinator = World(), KeyCoordinator()
-    w.core.hooks.coordinator = coordinator
-    return w, coordinator
+def coordinated_engine() -> tuple[World, RecordingCoordinator]:
+    harness, coordinator = World(), RecordingCoordinator()
+    harness.core.hooks.coordinator = coordinator
+    return harness, coordinator
 
 
-def started(w: World, coordinator: KeyCoordinator, rid: str = "a", tag: int = 1) -> Request:
-    request = w.take(rid, tag)
-    w.core.remote_claims.granted(request)
-    w.turn()
-    assert coordinator.beginning == [request] and w.runs() == []
+def submit_until_starting(
+    harness: World, coordinator: RecordingCoordinator, rid: str = "a", tag: int = 1
+) -> Request:
+    """Submit a request that has its key and waits for the acknowledgement of its start."""
+    request = harness.take(rid, tag)
+    harness.core.remote_claims.granted(request)
+    harness.turn()
+    assert coordinator.starting == [request] and harness.runs() == []
     return request
 
 
-def test_nothing_is_commanded_before_others_know_that_it_may_run() -> None:
-    w, coordinator = world()
-    request = w.take("a", 1)
-    w.turn()
-    assert coordinator.held == [request] and coordinator.beginning == [] and w.runs() == []
-    w.core.remote_claims.granted(request)
-    w.turn()
-    assert w.runs() == []
-    w.core.remote_claims.start_confirmed(request)
-    w.core.remote_claims.start_confirmed(request)
-    w.turn()
-    assert w.runs() == ["a"]
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    assert w.verdicts() == [(1, Verdict.SERVED)]
-
-
-def test_a_request_without_a_key_waits_for_nobody() -> None:
-    w, coordinator = world()
-    w.take("a", 1, "read", None)
-    w.turn()
-    assert w.runs() == ["a"] and coordinator.held == [] == coordinator.beginning
-
-
-def test_what_nobody_waits_for_any_more_is_not_commanded_and_its_key_is_free() -> None:
-    w, coordinator = world()
-    request = started(w, coordinator)
-    w.core.caller_disconnected(request)
-    w.turn()
-    w.core.remote_claims.start_confirmed(request)
-    w.turn()
-    assert w.runs() == [] and len(w.core.keys) == 0 and len(w.core.table) == 0
-
-
-def test_what_could_not_be_told_to_others_never_runs_here_and_is_no_promise_for_them() -> None:
-    w, coordinator = world()
-    request = started(w, coordinator)
-    w.core.remote_claims.start_unconfirmed(request, "nobody answers")
-    w.core.remote_claims.start_confirmed(request)
-    w.turn()
-    assert w.verdicts() == [(1, Verdict.FAILED)] and w.runs() == [] and len(w.core.table) == 0
-
-
-@pytest.mark.parametrize("begins", [True, False], ids=["about to begin", "held"])
-def test_work_that_others_took_ends_with_their_result_and_none_of_it_runs_here(begins: bool) -> None:
-    w, _ = world()
-    request = w.take("a", 1)
-    if begins:
-        w.core.remote_claims.granted(request)
-        w.turn()
-    w.core.remote_claims.moved_away(request)
-    w.turn()
-    w.core.remote_claims.start_confirmed(request)
-    w.turn()
-    assert w.runs() == [] and w.verdicts() == []
+def test_a_run_is_not_commanded_before_its_start_is_confirmed() -> None:
+    harness, coordinator = coordinated_engine()
+    request = harness.take("a", 1)
+    harness.turn()
+    assert coordinator.acquiring == [request] and coordinator.starting == [] and harness.runs() == []
+    harness.core.remote_claims.granted(request)
+    harness.turn()
+    assert harness.runs() == []
+    harness.core.remote_claims.start_confirmed(request)
+    harness.core.remote_claims.start_confirmed(request)
+    harness.turn()
+    assert harness.runs() == ["a"]
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    assert harness.verdicts() == [(1, Verdict.SERVED)]
+
+
+def test_a_request_without_a_key_runs_without_coordination() -> None:
+    harness, coordinator = coordinated_engine()
+    harness.take("a", 1, "read", None)
+    harness.turn()
+    assert harness.runs() == ["a"] and coordinator.acquiring == [] == coordinator.starting
+
+
+def test_a_starting_request_whose_caller_disconnects_does_not_run_and_frees_its_key() -> None:
+    harness, coordinator = coordinated_engine()
+    request = submit_until_starting(harness, coordinator)
+    harness.core.caller_disconnected(request)
+    harness.turn()
+    harness.core.remote_claims.start_confirmed(request)
+    harness.turn()
+    assert harness.runs() == [] and len(harness.core.keys) == 0 and len(harness.core.table) == 0
+
+
+def test_a_request_whose_start_is_unconfirmed_fails_and_never_runs() -> None:
+    """Other runners may run the request, so it must not be rejected: a rejection promises that it never runs."""
+    harness, coordinator = coordinated_engine()
+    request = submit_until_starting(harness, coordinator)
+    harness.core.remote_claims.start_unconfirmed(request, "no majority")
+    harness.core.remote_claims.start_confirmed(request)
+    harness.turn()
+    assert (
+        harness.verdicts() == [(1, Verdict.FAILED)] and harness.runs() == [] and len(harness.core.table) == 0
+    )
+
+
+@pytest.mark.parametrize("is_starting", [True, False], ids=["starting", "queued"])
+def test_a_request_that_moved_away_is_answered_with_the_remote_result_and_does_not_run(
+    is_starting: bool,
+) -> None:
+    harness, _ = coordinated_engine()
+    request = harness.take("a", 1)
+    if is_starting:
+        harness.core.remote_claims.granted(request)
+        harness.turn()
+    harness.core.remote_claims.moved_away(request)
+    harness.turn()
+    harness.core.remote_claims.start_confirmed(request)
+    harness.turn()
+    assert harness.runs() == [] and harness.verdicts() == []
     assert request.key is not None
-    w.core.remote_claims.result_received(request.key, b"theirs")
-    w.core.remote_claims.result_received(request.key, b"other")
-    w.turn()
-    assert [(t, a.verdict, a.content) for t, a in w.answers] == [(1, Verdict.SERVED, b"theirs")]
-
-
-def test_work_that_others_took_and_never_end_is_answered_once_when_it_is_due() -> None:
-    w, coordinator = world()
-    w.core.remote_claims.moved_away(started(w, coordinator))
-    w.turn()
-    w.wait(2_900)
-    assert w.verdicts() == []
-    w.wait(100)
-    assert w.verdicts() == [(1, Verdict.FAILED)] and len(w.core.table) == 0
-
-
-def test_work_that_nobody_goes_on_with_is_refused_as_it_never_ran() -> None:
-    w, coordinator = world()
-    request = started(w, coordinator)
-    w.core.remote_claims.moved_away(request)
+    harness.core.remote_claims.result_received(request.key, b"remote")
+    harness.core.remote_claims.result_received(request.key, b"other")
+    harness.turn()
+    assert [(tag, answer.verdict, answer.content) for tag, answer in harness.answers] == [
+        (1, Verdict.SERVED, b"remote")
+    ]
+
+
+def test_a_request_that_moved_away_and_gets_no_result_fails_at_its_deadline() -> None:
+    harness, coordinator = coordinated_engine()
+    harness.core.remote_claims.moved_away(submit_until_starting(harness, coordinator))
+    harness.turn()
+    harness.wait(2_900)
+    assert harness.verdicts() == []
+    harness.wait(100)
+    assert harness.verdicts() == [(1, Verdict.FAILED)] and len(harness.core.table) == 0
+
+
+def test_a_request_that_moved_away_and_never_ran_is_rejected() -> None:
+    harness, coordinator = coordinated_engine()
+    request = submit_until_starting(harness, coordinator)
+    harness.core.remote_claims.moved_away(request)
     assert request.key is not None
-    w.core.remote_claims.never_ran(request.key)
-    w.turn()
-    assert w.verdicts() == [(1, Verdict.REJECTED)] and len(w.core.keys) == 0
-
-
-def test_work_taken_up_runs_here_and_its_result_goes_to_those_who_wait_for_it() -> None:
-    w, coordinator = world()
-    repeat = w.take("b", 2)
-    w.core.remote_claims.joined(repeat)
-    w.turn()
-    assert repeat.retry_of is not None and w.runs() == []
-    taken = w.core.remote_claims.take_over(Arrival("a", "write", b"x", token="t", memory_kb=10.0), w, 1)
-    w.turn()
-    assert isinstance(taken, Request) and coordinator.beginning == [taken]
-    w.core.remote_claims.start_confirmed(taken)
-    w.turn()
-    assert w.runs() == ["a"]
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    assert sorted(w.verdicts(), key=str) == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
-    assert [a.content for _, a in w.answers] == [b"r", b"r"]
+    harness.core.remote_claims.never_ran(request.key)
+    harness.turn()
+    assert harness.verdicts() == [(1, Verdict.REJECTED)] and len(harness.core.keys) == 0
+
+
+def test_a_request_that_is_taken_over_runs_here_and_its_result_is_shared_with_its_retries() -> None:
+    harness, coordinator = coordinated_engine()
+    retry = harness.take("b", 2)
+    harness.core.remote_claims.joined(retry)
+    harness.turn()
+    assert retry.retry_of is not None and harness.runs() == []
+    request = harness.core.remote_claims.take_over(
+        Arrival("a", "write", b"x", token="t", memory_kb=10.0), harness, 1
+    )
+    harness.turn()
+    assert isinstance(request, Request) and coordinator.starting == [request]
+    harness.core.remote_claims.start_confirmed(request)
+    harness.turn()
+    assert harness.runs() == ["a"]
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    assert sorted(harness.verdicts(), key=str) == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
+    assert [a.content for _, a in harness.answers] == [b"r", b"r"]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core by itself: no socket, a clock in hand, and a kernel and calls that only write down."""
+"""The request engine without sockets: a clock set by the test, and transports that only record their commands."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
 from .helpers import settings
 
 
-class Kernel:
-    """`up`: what is said is written on a link, whether or not the kernel reads it."""
+class RecordingKernel:
+    """Kernel transport that records its commands.
+
+    While `up` is true, commands are written to the connection, and the kernel may or may not read them.
+    """
 
     def __init__(self) -> None:
         self.said: list[tuple[object, ...]] = []
         self.up, self.written = True, 0
 
-    def _say(self, *command: object) -> int:
+    def _write(self, *command: object) -> int:
         if not self.up:
             return NOT_WRITTEN
         self.said.append(command)
@@ -38,40 +41,50 @@
         return self.written
 
     def run(self, rid: str, route: str, body: bytes) -> int:
-        return self._say("run", rid)
+        return self._write("run", rid)
 
     def stop(self, rid: str) -> int:
-        return self._say("stop", rid)
+        return self._write("stop", rid)
 
     def call_done(self, rid: str, body: bytes) -> int:
-        return self._say("done", rid, body)
+        return self._write("done", rid, body)
 
     def call_skipped(self, rid: str, notice: int) -> int:
-        return self._say("left out", rid, notice)
+        return self._write("skipped", rid, notice)
 
     def ask_gauges(self) -> None:
         pass
 
 
-class Calls:
+class RecordingCalls:
+    """Call transport that records the calls made and abandoned."""
+
     def __init__(self) -> None:
         self.made: list[CallRequest] = []
-        self.given_up: list[int] = []
+        self.abandoned: list[int] = []
 
-    def call(self, number: int, asked: CallRequest) -> None:
-        self.made.append(asked)
+    def call(self, number: int, request: CallRequest) -> None:
+        self.made.append(request)
 
     def give_up(self, number: int) -> None:
-        self.given_up.append(number)
+        self.abandoned.append(number)
 
 
 class World:
+    """A request engine with recording transports, whose clock and turns the test controls.
+
+    `at` is the monotonic time in ns.
+    """
+
     def __init__(
-        self, make: Callable[[api.Settings], Scheduler] = Scheduler, kernel: bool = True, **changes: Any
+        self,
+        make_scheduler: Callable[[api.Settings], Scheduler] = Scheduler,
+        kernel: bool = True,
+        **changes: Any,
     ) -> None:
         self.at, self.turns = 1_000_000_000_000, list[Callable[[], None]]()
         clock = Clock(lambda: self.at, lambda: self.at + 10**18)
-        self.kernel, self.calls = Kernel(), Calls()
+        self.kernel, self.calls = RecordingKernel(), RecordingCalls()
         self.answers: list[tuple[int, Answer]] = []
         self.core = RequestEngine(
             settings(**changes),
@@ -80,7 +93,7 @@
             self.kernel,
             self.calls,
             self.turns.append,
-            make,
+            make_scheduler,
         )
         if kernel:
             self.core.kernel_up(False, 0)
@@ -91,263 +104,271 @@
             self.turns.pop(0)()
 
     def wait(self, ms: float) -> None:
-        """In steps, as the loop's timer would ring."""
+        """Advance the clock in steps, and fire the timers after each step as the event loop would."""
         for _ in range(max(1, round(ms / 5))):
             self.at += 5_000_000
             self.core.fire_timers()
             self.turn()
 
-    def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
+    def answer(self, tag: int, answer: Answer, load_signal: float | None) -> None:
         self.answers.append((tag, answer))
 
     def take(
         self, rid: str, tag: int = 0, klass: str = "write", token: str | None = "t", **more: Any
     ) -> Request:
-        taken = self.core.submit(Arrival(rid, klass, b"x", token=token, memory_kb=10.0, **more), self, tag)
-        assert isinstance(taken, Request)
-        return taken
+        request = self.core.submit(Arrival(rid, klass, b"x", token=token, memory_kb=10.0, **more), self, tag)
+        assert isinstance(request, Request)
+        return request
 
     def runs(self) -> list[object]:
-        return [s[1] for s in self.kernel.said if s[0] == "run"]
+        return [command[1] for command in self.kernel.said if command[0] == "run"]
 
     def verdicts(self) -> list[tuple[int, Verdict]]:
-        return [(tag, a.verdict) for tag, a in self.answers]
-
-
-def test_two_tries_in_one_turn_run_once_and_both_are_served() -> None:
-    w = World()
-    w.take("a", 1)
-    w.take("b", 2)
-    w.turn()
-    assert w.runs() == ["a"]
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    assert sorted(w.verdicts(), key=str) == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
-    assert [a.content for _, a in w.answers] == [b"r", b"r"]
-
-
-def test_a_run_that_is_told_over_twice_is_answered_once() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
-    w.turn()
-    assert w.verdicts() == [(1, Verdict.SERVED)]
-
-
-def test_no_try_runs_within_the_window_of_the_one_that_ran_and_one_after_it_does() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    w.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
-    w.wait(7_990)
-    w.take("b", 2)
-    w.wait(60)
-    assert w.runs() == ["a"] and w.verdicts() == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
-    w.wait(3_000)
-    w.take("c", 3)
-    w.turn()
-    assert w.runs() == ["a", "c"]
-
-
-def test_a_refused_try_frees_its_key_and_says_when_to_come_back() -> None:
-    w = World(memory_kb=300.0, max_retry_after_ms=500.0)
+        return [(tag, answer.verdict) for tag, answer in self.answers]
+
+
+def test_two_attempts_in_one_turn_run_once_and_both_are_served() -> None:
+    harness = World()
+    harness.take("a", 1)
+    harness.take("b", 2)
+    harness.turn()
+    assert harness.runs() == ["a"]
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    assert sorted(harness.verdicts(), key=str) == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
+    assert [a.content for _, a in harness.answers] == [b"r", b"r"]
+
+
+def test_a_run_whose_end_is_reported_twice_is_answered_once() -> None:
+    harness = World()
+    harness.take("a", 1)
+    harness.turn()
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
+    harness.turn()
+    assert harness.verdicts() == [(1, Verdict.SERVED)]
+
+
+def test_a_retry_runs_only_after_the_window_of_the_attempt_that_ran() -> None:
+    harness = World()
+    harness.take("a", 1)
+    harness.turn()
+    harness.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
+    harness.wait(7_990)
+    harness.take("b", 2)
+    harness.wait(60)
+    assert harness.runs() == ["a"] and harness.verdicts() == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
+    harness.wait(3_000)
+    harness.take("c", 3)
+    harness.turn()
+    assert harness.runs() == ["a", "c"]
+
+
+def test_a_rejected_attempt_frees_its_key_and_states_a_retry_delay() -> None:
+    harness = World(memory_kb=300.0, max_retry_after_ms=500.0)
     for i in range(12):
-        w.take(f"r{i}", i, token=f"t{i}")
-    w.turn()
-    refused = [tag for tag, a in w.answers if a.verdict is Verdict.REJECTED and 0 < a.retry_after_ms <= 500]
-    assert refused and len(w.core.keys) == 12 - len(refused)
-    assert w.take("again", 99, token=f"t{refused[0]}").retry_of is None
-    assert w.take("same", 98, token="t0").retry_of == 1
-
-
-def test_a_caller_that_leaves_while_its_try_is_held_frees_the_key() -> None:
-    w = World()
-    w.core.caller_disconnected(w.take("a", 1))
-    w.take("b", 2)
-    w.turn()
-    assert w.runs() == ["b"] and len(w.core.table) == 1
-
-
-def test_the_result_of_a_run_whose_caller_left_is_kept() -> None:
-    w = World()
-    first = w.take("a", 1)
-    w.turn()
-    w.core.caller_disconnected(first)
-    w.core.caller_disconnected(first)
-    w.turn()
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    w.take("b", 2)
-    w.turn()
-    assert w.verdicts() == [(2, Verdict.SERVED)] and w.runs() == ["a"]
-
-
-def calling(w: World, *rids: str) -> None:
-    """These run, and wait for their first calls, which are out."""
+        harness.take(f"r{i}", i, token=f"t{i}")
+    harness.turn()
+    rejected = [
+        tag for tag, a in harness.answers if a.verdict is Verdict.REJECTED and 0 < a.retry_after_ms <= 500
+    ]
+    assert rejected and len(harness.core.keys) == 12 - len(rejected)
+    assert harness.take("again", 99, token=f"t{rejected[0]}").retry_of is None
+    assert harness.take("same", 98, token="t0").retry_of == 1
+
+
+def test_a_caller_that_disconnects_while_its_request_is_queued_frees_the_key() -> None:
+    harness = World()
+    harness.core.caller_disconnected(harness.take("a", 1))
+    harness.take("b", 2)
+    harness.turn()
+    assert harness.runs() == ["b"] and len(harness.core.table) == 1
+
+
+def test_the_result_of_a_run_whose_caller_has_disconnected_is_cached() -> None:
+    harness = World()
+    first = harness.take("a", 1)
+    harness.turn()
+    harness.core.caller_disconnected(first)
+    harness.core.caller_disconnected(first)
+    harness.turn()
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    harness.take("b", 2)
+    harness.turn()
+    assert harness.verdicts() == [(2, Verdict.SERVED)] and harness.runs() == ["a"]
+
+
+def start_calls(harness: World, *rids: str) -> None:
+    """Start runs with these request ids, each of which makes its first call and waits for it."""
     for i, rid in enumerate(rids):
-        w.take(rid, i, token=rid)
-    w.turn()
+        harness.take(rid, i, token=rid)
+    harness.turn()
     for i, rid in enumerate(rids):
-        w.core.execution.call_needed(rid, i + 1, b"ask")
-    w.turn()
+        harness.core.execution.call_needed(rid, i + 1, b"call")
+    harness.turn()
 
 
-def again(w: World, read: int) -> list[tuple[object, ...]]:
-    """What is said on a new link, where the kernel has shown that it read so many commands."""
-    w.kernel.said.clear()
-    w.kernel.up = True
-    w.core.execution.reconnected(read)
-    return w.kernel.said
+def reconnect(harness: World, commands_read: int) -> list[tuple[object, ...]]:
+    """Return the commands sent on a new connection, when the kernel is known to have read this many before."""
+    harness.kernel.said.clear()
+    harness.kernel.up = True
+    harness.core.execution.reconnected(commands_read)
+    return harness.kernel.said
 
 
-def test_a_command_to_run_is_said_again_until_the_kernel_has_shown_that_it_read_it() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    assert again(w, read=0) == [("run", "a")], "the kernel ignores it where it runs already"
-    assert again(w, read=2) == []
-    w.kernel.up = False
-    w.take("b", 2, token="b")
-    w.turn()
-    assert again(w, read=2) == [("run", "b")]
+def test_a_run_command_is_resent_until_the_kernel_is_known_to_have_read_it() -> None:
+    harness = World()
+    harness.take("a", 1)
+    harness.turn()
+    assert reconnect(harness, commands_read=0) == [("run", "a")], "the kernel ignores it if the run exists"
+    assert reconnect(harness, commands_read=2) == []
+    harness.kernel.up = False
+    harness.take("b", 2, token="b")
+    harness.turn()
+    assert reconnect(harness, commands_read=2) == [("run", "b")]
 
 
-def test_what_was_never_commanded_and_nobody_waits_for_is_not_begun_on_the_next_link() -> None:
-    w = World()
-    w.kernel.up = False
+def test_a_run_that_was_never_commanded_and_has_no_waiting_caller_is_not_started_on_reconnect() -> None:
+    harness = World()
+    harness.kernel.up = False
     for i, rid in enumerate("ab"):
-        w.take(rid, i, token=rid)
-    w.turn()
-    w.wait(2_000)
-    w.take("c", 2, token="a")  # a repeat waits for the result of the first
-    w.turn()
-    w.wait(1_100)
-    assert w.verdicts() == [(0, Verdict.FAILED), (1, Verdict.FAILED)]
-    assert again(w, read=0) == [("run", "a")]
-    assert len(w.core.runs) == 1
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    assert w.verdicts()[2:] == [(2, Verdict.SERVED)]
-    w.take("d", 3, token="b")
-    w.turn()
-    assert w.verdicts()[3:] == [(3, Verdict.FAILED)], "its key counts as used: the first try had no promise"
+        harness.take(rid, i, token=rid)
+    harness.turn()
+    harness.wait(2_000)
+    harness.take("c", 2, token="a")  # a retry waits for the result of the first attempt
+    harness.turn()
+    harness.wait(1_100)
+    assert harness.verdicts() == [(0, Verdict.FAILED), (1, Verdict.FAILED)]
+    assert reconnect(harness, commands_read=0) == [("run", "a")]
+    assert len(harness.core.runs) == 1
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    assert harness.verdicts()[2:] == [(2, Verdict.SERVED)]
+    harness.take("d", 3, token="b")
+    harness.turn()
+    assert harness.verdicts()[3:] == [(3, Verdict.FAILED)], (
+        "the key is used, as the first attempt was not rejected"
+    )
 
 
 def test_a_replayed_notice_makes_no_second_call() -> None:
-    w = World(downstream=api.Downstream.TIER)
-    calling(w, "a")
-    w.core.execution.call_needed("a", 1, b"ask")
-    w.turn()
-    assert [c.token for c in w.calls.made] == ["a.1"]
-
-
-def test_a_reply_that_was_dropped_is_said_on_the_next_link_and_one_that_was_read_is_not() -> None:
-    w = World(downstream=api.Downstream.TIER)
-    calling(w, "a", "b")
-    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
-    read = w.kernel.written
-    w.kernel.up = False
-    w.core.execution.call_ended(2, EndReason.CALL_ANSWERED, b"reply")
-    assert again(w, read) == [("done", "b", b"reply")]
-    w.core.execution.call_needed("b", 3, b"ask")  # it was read
-    assert again(w, read) == []
-
-
-def test_a_reply_that_may_have_been_read_is_never_said_again_and_its_run_does_not_stay_for_good() -> None:
-    w = World(downstream=api.Downstream.TIER, preemption=api.Preemption.DISCARD)
-    calling(w, "a")
-    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
-    w.turn()
-    assert again(w, w.kernel.written - 1) == []
-    assert again(w, w.kernel.written - 1) == []
-    assert w.core.counters.total["kernel replies that may be lost"] == 1
-    w.wait(3_100)
-    assert w.verdicts() == [(0, Verdict.FAILED)] and w.kernel.said == [("stop", "a")]
-
-
-def test_a_run_that_shows_that_it_got_its_uncertain_reply_goes_on_to_its_end() -> None:
-    w = World(downstream=api.Downstream.TIER)
-    calling(w, "a")
-    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
-    w.turn()
-    assert again(w, w.kernel.written - 1) == []
-    w.core.execution.call_needed("a", 2, b"ask")
-    w.turn()
-    assert [c.token for c in w.calls.made] == ["a.1", "a.2"]
-    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"second")
-    w.turn()
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    w.wait(3_100)
-    assert w.verdicts() == [(0, Verdict.SERVED)] and ("stop", "a") not in w.kernel.said
-
-
-def test_a_run_that_may_go_on_without_its_call_is_told_so_where_its_reply_may_be_lost() -> None:
-    reading = api.RequestClass(
+    harness = World(downstream=api.Downstream.TIER)
+    start_calls(harness, "a")
+    harness.core.execution.call_needed("a", 1, b"call")
+    harness.turn()
+    assert [c.token for c in harness.calls.made] == ["a.1"]
+
+
+def test_a_dropped_reply_is_sent_on_the_next_connection_and_a_reply_that_was_read_is_not() -> None:
+    harness = World(downstream=api.Downstream.TIER)
+    start_calls(harness, "a", "b")
+    harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
+    commands_read = harness.kernel.written
+    harness.kernel.up = False
+    harness.core.execution.call_ended(2, EndReason.CALL_ANSWERED, b"reply")
+    assert reconnect(harness, commands_read) == [("done", "b", b"reply")]
+    harness.core.execution.call_needed("b", 3, b"call")  # shows that the reply was read
+    assert reconnect(harness, commands_read) == []
+
+
+def test_a_reply_that_may_have_been_read_is_never_resent_and_its_run_is_stopped_at_the_deadline() -> None:
+    harness = World(downstream=api.Downstream.TIER, preemption=api.Preemption.DISCARD)
+    start_calls(harness, "a")
+    harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
+    harness.turn()
+    assert reconnect(harness, harness.kernel.written - 1) == []
+    assert reconnect(harness, harness.kernel.written - 1) == []
+    assert harness.core.counters.total["kernel replies that may be lost"] == 1
+    harness.wait(3_100)
+    assert harness.verdicts() == [(0, Verdict.FAILED)] and harness.kernel.said == [("stop", "a")]
+
+
+def test_a_run_that_makes_another_call_after_an_uncertain_reply_is_not_stopped() -> None:
+    harness = World(downstream=api.Downstream.TIER)
+    start_calls(harness, "a")
+    harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
+    harness.turn()
+    assert reconnect(harness, harness.kernel.written - 1) == []
+    harness.core.execution.call_needed("a", 2, b"call")
+    harness.turn()
+    assert [c.token for c in harness.calls.made] == ["a.1", "a.2"]
+    harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"second")
+    harness.turn()
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    harness.wait(3_100)
+    assert harness.verdicts() == [(0, Verdict.SERVED)] and ("stop", "a") not in harness.kernel.said
+
+
+def test_a_run_that_may_skip_its_call_skips_it_if_its_reply_may_be_lost() -> None:
+    skipping = api.RequestClass(
         name="read", latency_objective_ms=1000, deadline_ms=4000, value_fraction_without_call=0.5
     )
-    w = World(downstream=api.Downstream.TIER, classes=(reading,))
-    w.take("a", 1, klass="read", token=None)
-    w.turn()
-    w.core.execution.call_needed("a", 7, b"ask")
-    w.turn()
-    w.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
-    w.turn()
-    assert again(w, w.kernel.written - 1) == [("left out", "a", 7)], "which names the call that it is about"
-
-
-def test_a_call_is_given_up_at_its_time_and_when_its_run_ends() -> None:
-    w = World(downstream=api.Downstream.TIER, propagates_deadline=True)
-    a = w.take("a", 1, token="a", budget_ms=2000.0)
-    b = w.take("b", 2, token="b", budget_ms=2000.0)
-    w.turn()
-    w.core.execution.call_needed("a", 1, b"")
-    w.core.execution.call_needed("b", 2, b"")
-    w.turn()
-    w.core.execution.run_ended("b", EndReason.RUN_KILLED, b"")
-    w.turn()
-    assert w.calls.given_up == [b.number]
-    w.wait(2_100)
-    assert w.calls.given_up == [b.number, a.number]
-    assert sorted(w.verdicts(), key=str) == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
-
-
-def test_a_command_refused_late_changes_nothing() -> None:
-    w = World()
-    w.take("a", 1)
-    w.turn()
-    w.core.execution.call_needed("a", 1, b"")
-    w.core.execution.command_rejected("SCHED", "a")
-    w.core.execution.command_rejected("IODONE", "a")
-    w.core.execution.command_rejected("SCHED", "unknown")
-    w.turn()
-    assert w.answers == []
-
-
-class Faulty(Scheduler):
+    harness = World(downstream=api.Downstream.TIER, classes=(skipping,))
+    harness.take("a", 1, klass="read", token=None)
+    harness.turn()
+    harness.core.execution.call_needed("a", 7, b"call")
+    harness.turn()
+    harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
+    harness.turn()
+    assert reconnect(harness, harness.kernel.written - 1) == [("skipped", "a", 7)], (
+        "the command contains the notice number of its call"
+    )
+
+
+def test_a_call_is_abandoned_at_its_timeout_and_when_its_run_ends() -> None:
+    harness = World(downstream=api.Downstream.TIER, propagates_deadline=True)
+    a = harness.take("a", 1, token="a", budget_ms=2000.0)
+    b = harness.take("b", 2, token="b", budget_ms=2000.0)
+    harness.turn()
+    harness.core.execution.call_needed("a", 1, b"")
+    harness.core.execution.call_needed("b", 2, b"")
+    harness.turn()
+    harness.core.execution.run_ended("b", EndReason.RUN_KILLED, b"")
+    harness.turn()
+    assert harness.calls.abandoned == [b.number]
+    harness.wait(2_100)
+    assert harness.calls.abandoned == [b.number, a.number]
+    assert sorted(harness.verdicts(), key=str) == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
+
+
+def test_a_command_that_is_rejected_late_has_no_effect() -> None:
+    harness = World()
+    harness.take("a", 1)
+    harness.turn()
+    harness.core.execution.call_needed("a", 1, b"")
+    harness.core.execution.command_rejected("SCHED", "a")
+    harness.core.execution.command_rejected("IODONE", "a")
+    harness.core.execution.command_rejected("SCHED", "unknown")
+    harness.turn()
+    assert harness.answers == []
+
+
+class FailingScheduler(Scheduler):
+    """Raises an exception on a request of a high rank."""
+
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         if any(isinstance(e, api.Request) and e.rank > 0.9 for e in events):
-            raise RuntimeError("a fault in the module")
+            raise RuntimeError("scheduler step failed")
         return super().step(now, events)
 
 
-def test_a_fault_in_a_step_fails_what_is_held_and_the_runner_goes_on() -> None:
-    w = World(Faulty)
-    w.take("a", 1)
-    w.turn()
-    w.take("bad", 2, token="u", rank=0.95)
-    w.turn()
-    assert sorted(w.verdicts(), key=str) == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.take("c", 3)  # the key outlived the module's fault: its result is served and nothing runs twice
-    w.turn()
-    assert w.runs() == ["a"] and w.verdicts()[-1] == (3, Verdict.SERVED)
+def test_an_exception_in_a_scheduler_step_fails_open_requests_and_the_engine_continues() -> None:
+    harness = World(FailingScheduler)
+    harness.take("a", 1)
+    harness.turn()
+    harness.take("bad", 2, token="u", rank=0.95)
+    harness.turn()
+    assert sorted(harness.verdicts(), key=str) == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.take("c", 3)  # the key table remains: the cached result is served and nothing runs twice
+    harness.turn()
+    assert harness.runs() == ["a"] and harness.verdicts()[-1] == (3, Verdict.SERVED)
 
 
 @pytest.mark.parametrize(
-    "cold, age_ms, is_cold, since",
+    "cold, age_ms, warming_up, opened_ms_ago",
     [
         (False, 3_600_000.0, False, 0.0),
         (True, 0.0, True, 0.0),
@@ -355,41 +376,43 @@
         (True, 60_000.0, False, 0.0),
     ],
 )
-def test_warming_counts_from_the_kernel_and_windows_from_the_opening(
-    cold: bool, age_ms: float, is_cold: bool, since: float
+def test_the_warm_up_begins_with_the_kernel_and_the_windows_of_a_warm_scheduler_with_its_opening(
+    cold: bool, age_ms: float, warming_up: bool, opened_ms_ago: float
 ) -> None:
     made: list[Scheduler] = []
 
-    def make(s: api.Settings) -> Scheduler:
-        made.append(Scheduler(s))
+    def make_scheduler(settings: api.Settings) -> Scheduler:
+        made.append(Scheduler(settings))
         return made[-1]
 
-    w = World(make, warm_up_ms=17_000.0)
-    w.core.dispatcher.scheduler = None
-    w.core.kernel_up(cold, age_ms)
-    assert made[-1].state.settings.warming_up is is_cold
-    assert w.core.clock.scheduler_ms() - made[-1].state.concurrency.started_at == pytest.approx(since)
+    harness = World(make_scheduler, warm_up_ms=17_000.0)
+    harness.core.dispatcher.scheduler = None
+    harness.core.kernel_up(cold, age_ms)
+    assert made[-1].state.settings.warming_up is warming_up
+    assert harness.core.clock.scheduler_ms() - made[-1].state.concurrency.started_at == pytest.approx(
+        opened_ms_ago
+    )
 
 
-class Eager(Scheduler):
-    """Starts whatever comes, and refuses what it has started."""
+class RejectAfterStartScheduler(Scheduler):
+    """Starts each request and then rejects it."""
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         ids = [e.id for e in events if isinstance(e, api.Request)]
         return [*map(api.Start, ids), *map(api.Reject, ids)]
 
 
-def test_a_module_at_fault_can_neither_run_a_key_twice_nor_refuse_what_ran() -> None:
-    w = World(Eager)
-    w.take("a", 1)
-    w.take("b", 2)
-    w.turn()
-    assert w.runs() == ["a"]
-    assert w.verdicts() == [(2, Verdict.FAILED), (1, Verdict.FAILED)]
+def test_a_faulty_scheduler_can_neither_run_a_key_twice_nor_reject_a_started_request() -> None:
+    harness = World(RejectAfterStartScheduler)
+    harness.take("a", 1)
+    harness.take("b", 2)
+    harness.turn()
+    assert harness.runs() == ["a"]
+    assert harness.verdicts() == [(2, Verdict.FAILED), (1, Verdict.FAILED)]
 
 
 @pytest.mark.parametrize(
-    "arrival, fault",
+    "arrival, reason",
     [
         (Arrival("r", "nothing", b""), InvalidArrival.UNKNOWN_CLASS),
         (Arrival("r", "write", b""), InvalidArrival.IDEMPOTENCY_KEY_MISSING),
@@ -397,14 +420,14 @@
         (Arrival("r", "write", b"y", token="t"), InvalidArrival.BODY_MISMATCH),
     ],
 )
-def test_faults_of_intake(arrival: Arrival, fault: InvalidArrival) -> None:
-    w = World()
-    w.take("a", 1)
-    assert w.core.submit(arrival, w, 2) is fault
-    assert len(w.core.table) == 1
+def test_invalid_arrivals_are_not_registered(arrival: Arrival, reason: InvalidArrival) -> None:
+    harness = World()
+    harness.take("a", 1)
+    assert harness.core.submit(arrival, harness, 2) is reason
+    assert len(harness.core.table) == 1
 
 
-def test_keys_are_bounded_and_go_when_their_time_is_over() -> None:
+def test_a_finished_key_is_removed_when_it_expires_and_an_open_one_is_not() -> None:
     keys = IdempotencyKeyTable()
     for i in range(3):
         keys.reserve(("acme", str(i)), i)
@@ -414,12 +437,12 @@
     end = SECOND + MARGIN
     assert keys.find(("acme", "0"), end - 1) is not None and keys.find(("acme", "0"), end) is None
     assert keys.result_bytes == 0 and len(keys) == 2
-    keys.start(1, 0, 1000.0)  # a run that does not end keeps its key
+    keys.start(1, 0, 1000.0)  # an open run retains its key
     assert keys.find(("acme", "1"), end * 5) is not None
 
 
 @pytest.mark.parametrize("memory_mb, entries", [(8, 666), (32, 1_000), (80, 8_000), (192, 8_000)])
-def test_the_bounds_of_keys_follow_the_limit_on_memory(memory_mb: float, entries: int) -> None:
+def test_the_limits_of_the_key_table_depend_on_the_memory_limit(memory_mb: float, entries: int) -> None:
     keys = IdempotencyKeyTable(memory_mb)
     assert keys.limits.max_entries == entries and keys.limits.max_result_bytes <= max(
         2e6, memory_mb * 1e6 - 26e6
@@ -430,15 +453,15 @@
     assert keys.is_full()
 
 
-def test_alarms_ring_in_order_and_only_when_due() -> None:
+def test_alarms_are_called_only_when_due_despite_a_cancelled_and_a_failing_one() -> None:
     clock = Clock(lambda: 0, lambda: 0)
     armed: list[int] = []
-    alarms, rung = Alarms(clock, armed.append), list[str]()
-    alarms.at(20, lambda: rung.append("late"))
-    alarms.at(12, lambda: rung.remove("nothing"))  # its fault is logged, and the others ring
-    first = alarms.at(10, lambda: rung.append("never"))
-    alarms.at(15, lambda: rung.append("early"))
+    alarms, called = Alarms(clock, armed.append), list[str]()
+    alarms.at(20, lambda: called.append("late"))
+    alarms.at(12, lambda: called.remove("nothing"))  # raises ValueError, which must not affect the others
+    first = alarms.at(10, lambda: called.append("never"))
+    alarms.at(15, lambda: called.append("early"))
     first.cancel()
     clock.now = 17
-    alarms.ring()
-    assert rung == ["early"] and armed == [20, 12, 10, 20]
+    alarms.run_due()
+    assert called == ["early"] and armed == [20, 12, 10, 20]
--- a/tests/test_core_shape.py
+++ b/tests/test_core_shape.py
@@ -1,4 +1,5 @@
-"""The core knows no wire; what decides has no I/O, no clock and no randomness of its own."""
+"""Import rules: the core is independent of protocols, and the packages that decide do no I/O, read no clock and use no
+random numbers of their own."""
 
 from __future__ import annotations
 
@@ -8,8 +9,8 @@
 import pytest
 
 CORE = sorted((Path(__file__).resolve().parent.parent / "moorusher" / "core").glob("*.py"))
-WIRES = {"twisted", "json", "base64", "binascii", "socket", "struct", "asyncio", "threading"}
-ALLOWED_PARENTS = {
+PROTOCOL_MODULES = {"twisted", "json", "base64", "binascii", "socket", "struct", "asyncio", "threading"}
+CORE_MODULES = {
     None,
     "action_executor",
     "answer",
@@ -45,18 +46,18 @@
 
 
 @pytest.mark.parametrize("path", CORE, ids=lambda p: p.stem)
-def test_the_core_imports_no_wire(path: Path) -> None:
+def test_the_core_imports_no_protocol_module(path: Path) -> None:
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            assert not {n.name.split(".")[0] for n in node.names} & WIRES
+            assert not {n.name.split(".")[0] for n in node.names} & PROTOCOL_MODULES
         elif isinstance(node, ast.ImportFrom):
-            assert (node.module or "").split(".")[0] not in WIRES
-            assert node.level < 2, "the core reaches out of itself"
+            assert (node.module or "").split(".")[0] not in PROTOCOL_MODULES
+            assert node.level < 2, "a relative import leaves the core"
             if node.level:
-                assert node.module in ALLOWED_PARENTS
+                assert node.module in CORE_MODULES
 
 
-def test_there_is_a_core() -> None:
+def test_the_core_modules_are_found() -> None:
     assert {
         "clock",
         "requests",
@@ -75,10 +76,12 @@
     } <= {p.stem for p in CORE}
 
 
-PURE = ("health", "hot_restart", "load_balancing", "warm_start", "replication", "membership")
+PURE_PACKAGES = ("health", "hot_restart", "load_balancing", "warm_start", "replication", "membership")
 PACKAGE = CORE[0].parent.parent
-DECIDES = [p for name in PURE for p in sorted((PACKAGE / name).glob("*.py"))] + [PACKAGE / "time_units.py"]
-CALCULATES = {
+PURE_MODULES = [p for name in PURE_PACKAGES for p in sorted((PACKAGE / name).glob("*.py"))] + [
+    PACKAGE / "time_units.py"
+]
+PURE_LIBRARIES = {
     "__future__",
     "collections",
     "dataclasses",
@@ -91,19 +94,20 @@
     "msgspec",
     "xxhash",
 }
-RULES = {
+# Modules that are checked for the same rules, here (time_units) or in scheduling/test_module_shape.py.
+CHECKED_MODULES = {
     "moorusher.scheduling.interface",
     "moorusher.scheduling.retry_policy",
-    "moorusher.time_units",  # held to the same here
-}  # what scheduling/test_module_shape.py holds to the same
+    "moorusher.time_units",
+}
 
 
-@pytest.mark.parametrize("path", DECIDES, ids=lambda p: f"{p.parent.name}-{p.stem}")
-def test_what_decides_only_calculates(path: Path) -> None:
+@pytest.mark.parametrize("path", PURE_MODULES, ids=lambda p: f"{p.parent.name}-{p.stem}")
+def test_pure_packages_import_only_pure_modules(path: Path) -> None:
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            assert {n.name.split(".")[0] for n in node.names} <= CALCULATES
+            assert {n.name.split(".")[0] for n in node.names} <= PURE_LIBRARIES
         elif isinstance(node, ast.ImportFrom) and node.level == 0:
-            assert (node.module or "").split(".")[0] in CALCULATES or node.module in RULES
+            assert (node.module or "").split(".")[0] in PURE_LIBRARIES or node.module in CHECKED_MODULES
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 1 or (node.module or "").split(".")[0] in PURE
+            assert node.level == 1 or (node.module or "").split(".")[0] in PURE_PACKAGES
