--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -1,4 +1,4 @@
-"""New settings give a class another effect while its requests are held, running or over."""
+"""New settings change the effect of a class whose requests are queued, running or finished."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from moorusher.core.former_key_classes import MAX_CLASSES, FormerKeyClasses
+from moorusher.core.former_key_classes import MAX_FORMER_CLASSES, FormerKeyClasses
 from moorusher.scheduling import interface as api
 
 from .helpers import settings as base_settings
@@ -15,91 +15,101 @@
 from .test_sockets import asynchronous_test, new_key, wait_until
 
 CHECK, SUBMIT = SETTINGS["classes"]
-FREE, KEYED, ONCE = "free", "guarded", "single_shot"
+IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT = "free", "guarded", "single_shot"
 
 
-def settings(**submit: Any) -> dict[str, Any]:
-    return {"settings": SETTINGS | {"classes": [CHECK, SUBMIT | submit]}}
+def settings(**submit_changes: Any) -> dict[str, Any]:
+    return {"settings": SETTINGS | {"classes": [CHECK, SUBMIT | submit_changes]}}
 
 
 async def reload(runner: Runner, changes: dict[str, Any]) -> None:
-    """Until the runner says that it has taken the new settings."""
+    """Reload the configuration and wait until the runner has logged that it applies the new settings."""
     before = runner.text().count("configuration read again")
     runner.reload(**changes)
     await wait_until(lambda: runner.text().count("configuration read again") > before)
 
 
-async def ask(runner: Runner, token: str, body: bytes = b"one", klass: str = "submit") -> dict[str, Any]:
-    front = await FrontEnd.connect(runner.port)
+async def send_request(
+    runner: Runner, token: str, body: bytes = b"one", klass: str = "submit"
+) -> dict[str, Any]:
+    front_end = await FrontEnd.connect(runner.port)
     try:
-        return await front.ask(klass, token=token, body=body)
+        return await front_end.ask(klass, token=token, body=body)
     finally:
-        front.close()
+        front_end.close()
 
 
-def ran(kernel: Kernel) -> list[bytes]:
+def run_bodies(kernel: Kernel) -> list[bytes]:
     return [body for _, _, body in kernel.runs]
 
 
 @pytest.mark.processes
-@pytest.mark.parametrize("more", [(), ({"effect": KEYED},), ({"effect": FREE}, {"effect": ONCE})])
+@pytest.mark.parametrize(
+    "later_changes",
+    [(), ({"effect": IDEMPOTENT_WITH_KEY},), ({"effect": IDEMPOTENT}, {"effect": NOT_IDEMPOTENT})],
+)
 @asynchronous_test
-async def test_a_key_counts_for_its_window_though_its_class_has_none_any_more(
-    more: tuple[dict[str, Any], ...],
+async def test_a_key_is_valid_for_its_window_after_its_class_has_lost_its_keys(
+    later_changes: tuple[dict[str, Any], ...],
 ) -> None:
     kernel, token = Kernel(work=0.05), new_key()
     async with running(kernel) as runner:
-        assert content(await ask(runner, token)) == b"did one"
-        for changes in ({"effect": ONCE}, *more):
+        assert content(await send_request(runner, token)) == b"did one"
+        for changes in ({"effect": NOT_IDEMPOTENT}, *later_changes):
             await reload(runner, settings(**changes))
-        assert content(await ask(runner, token)) == b"did one"
-        assert ran(kernel) == [b"one"]
+        assert content(await send_request(runner, token)) == b"did one"
+        assert run_bodies(kernel) == [b"one"]
 
 
 @pytest.mark.processes
 @asynchronous_test
-async def test_a_repeat_of_a_run_that_goes_on_waits_for_it_though_its_class_has_no_keys_any_more() -> None:
+async def test_a_retry_waits_for_an_open_run_after_its_class_has_lost_its_keys() -> None:
     kernel, token = Kernel(work=0.6), new_key()
     async with running(kernel) as runner:
-        first = asyncio.create_task(ask(runner, token))
+        first = asyncio.create_task(send_request(runner, token))
         await wait_until(lambda: len(kernel.runs) == 1)
-        await reload(runner, settings(effect=ONCE))
-        second = await ask(runner, token)
+        await reload(runner, settings(effect=NOT_IDEMPOTENT))
+        second = await send_request(runner, token)
         assert content(second) == content(await first) == b"did one"
-        assert ran(kernel) == [b"one"]
+        assert run_bodies(kernel) == [b"one"]
 
 
 @pytest.mark.processes
 @asynchronous_test
-async def test_a_repeat_under_the_class_that_took_the_place_of_a_keyed_one_runs_nothing() -> None:
+async def test_a_retry_under_the_class_that_replaced_a_class_with_keys_does_not_run() -> None:
     kernel, token = Kernel(work=0.05), new_key()
-    other = SUBMIT | {"name": "submit-b", "effect": ONCE}
+    other = SUBMIT | {"name": "submit-b", "effect": NOT_IDEMPOTENT}
     async with running(kernel) as runner:
-        assert content(await ask(runner, token)) == b"did one"
+        assert content(await send_request(runner, token)) == b"did one"
         await reload(runner, {"settings": SETTINGS | {"classes": [CHECK, other]}})
-        assert content(await ask(runner, token, klass="submit-b")) == b"did one"
-        assert ran(kernel) == [b"one"]
+        assert content(await send_request(runner, token, klass="submit-b")) == b"did one"
+        assert run_bodies(kernel) == [b"one"]
 
 
 @pytest.mark.processes
 @asynchronous_test
-async def test_a_class_beside_a_keyed_one_takes_no_result_of_it() -> None:
+async def test_a_class_without_keys_shares_no_result_with_a_class_with_keys() -> None:
     kernel, token = Kernel(work=0.05), new_key()
-    other = SUBMIT | {"name": "once", "effect": ONCE}
+    other = SUBMIT | {"name": "once", "effect": NOT_IDEMPOTENT}
     extra = SETTINGS["extra"] | {"classCalls": [True] * 3, "worthWithout": [0.5, 0, 0]}
     async with running(kernel, classes=[CHECK, SUBMIT, other], extra=extra) as runner:
-        await ask(runner, token)
-        await ask(runner, token, klass="once")
-        assert ran(kernel) == [b"one", b"one"], "the two are different requests"
+        await send_request(runner, token)
+        await send_request(runner, token, klass="once")
+        assert run_bodies(kernel) == [b"one", b"one"], "the two are different requests"
 
 
-class Try(NamedTuple):
+class Attempt(NamedTuple):
+    """A request id and its future answer."""
+
     rid: str
     answer: asyncio.Future[dict[str, Any]]
 
 
-class OneWrite(FrontEnd):
-    """Its lines go out in one write. Answers come on a connection in the order in which the runner writes them."""
+class BatchingFrontEnd(FrontEnd):
+    """A front end that sends several lines in one write.
+
+    The answers on a connection arrive in the order in which the runner writes them.
+    """
 
     _lines: list[bytes] | None = None
 
@@ -109,83 +119,91 @@
         else:
             self._lines.append(line)
 
-    def submit(self, tokens: list[str]) -> tuple[dict[str, Try], asyncio.Future[dict[str, Any]]]:
-        """A try for each token, and a heartbeat just before them, which the runner answers as it reads it."""
+    def submit(self, tokens: list[str]) -> tuple[dict[str, Attempt], asyncio.Future[dict[str, Any]]]:
+        """Send one attempt for each token, preceded by a heartbeat, which the runner answers when it reads it."""
         self._lines = []
         heartbeat = self.send("heartbeat")
-        tries = {}
-        for t in tokens:
+        attempts = {}
+        for token in tokens:
             rid = new_key()[:16]
-            tries[t] = Try(rid, self.send("submit", rid=rid, token=t, body=t.encode()))
-        together, self._lines = b"\n".join(self._lines), None
-        self.raw(together)
-        return tries, heartbeat
+            attempts[token] = Attempt(rid, self.send("submit", rid=rid, token=token, body=token.encode()))
+        batch, self._lines = b"\n".join(self._lines), None
+        self.raw(batch)
+        return attempts, heartbeat
 
 
-def is_refused(answer: dict[str, Any]) -> bool:
+def is_rejected(answer: dict[str, Any]) -> bool:
     return "error" in answer and bool(answer["error"]["code"] == -32014)
 
 
 @pytest.mark.processes
-@pytest.mark.parametrize("case", ["held ones run", "held ones are refused", "all are answered before"])
+@pytest.mark.parametrize("case", ["queued ones run", "queued ones are rejected", "all are answered before"])
 @asynchronous_test
-async def test_held_requests_keep_the_effect_that_they_were_taken_with(case: str) -> None:
-    """Keyed requests come at once; two run, some are held, and what would be held for too long is refused at once.
-    New settings take the keys off their class, and then each request is sent once more.
+async def test_queued_requests_retain_the_effect_under_which_they_were_read(case: str) -> None:
+    """Guards against a key that runs twice, or a rejected attempt that runs, when a class loses its keys.
 
-    No key runs twice, and what is served is the result of a run of its key. A refusal promises that its try never ran,
-    and the caller may go elsewhere with it. So one token may have both a refusal and a run in one way only: its first
-    try was refused before the runner read the second, which therefore repeats nothing, and that second try is the one
-    that ran. A refusal that is written later, while the second waits for the first, is one of a key that never runs.
+    Several requests with keys arrive at once: two run, some are queued, and those that would wait too long are rejected
+    immediately. New settings remove the keys of the class, and each request is retried once.
 
-    A heartbeat goes out in one write with the second tries, before them. A refusal that comes before its answer was
-    written before any of them was read; one that comes after it counts as written later.
+    A rejection promises that the attempt never ran, so that the caller may use another runner. A token may therefore
+    have both a rejection and a run in one case only: its first attempt was rejected before the runner read the second,
+    and the second attempt ran. If the first attempt is rejected later, its key must never run.
+
+    The second attempts are sent in one write, preceded by a heartbeat. A rejection received before the heartbeat's
+    answer was written before any second attempt was read; a rejection received after it counts as later.
     """
-    later = case == "held ones are refused"
-    kernel = Kernel(work=3.0 if later else 0.3)
-    count = 5 if case == "held ones run" else 12  # of 12 some are refused, however they are read
+    expects_later_rejection = case == "queued ones are rejected"
+    kernel = Kernel(work=3.0 if expects_later_rejection else 0.3)
+    # Of 12 requests some are rejected, in whatever order they are read.
+    count = 5 if case == "queued ones run" else 12
     tokens = [new_key() for _ in range(count)]
     async with running(kernel) as runner:
-        front = OneWrite(*await asyncio.open_connection(HOST, runner.port))
-        first, _ = front.submit(tokens)
+        front_end = BatchingFrontEnd(*await asyncio.open_connection(HOST, runner.port))
+        first, _ = front_end.submit(tokens)
         await wait_until(lambda: len(kernel.runs) == 2)
         if case == "all are answered before":
-            await asyncio.wait_for(asyncio.gather(*(first[t].answer for t in tokens)), WAIT)
-        await reload(runner, settings(effect=ONCE))
-        again, heartbeat = front.submit(tokens)
-        came: list[asyncio.Future[dict[str, Any]]] = []
-        for answer in (*(first[t].answer for t in tokens), heartbeat):
-            answer.add_done_callback(came.append)  # what is there already comes first
-        await asyncio.gather(*(tries[t].answer for tries in (first, again) for t in tokens))
-        await ask(runner, new_key(), body=b"work 10")  # had anything else been begun, the kernel knows by now
+            await asyncio.wait_for(asyncio.gather(*(first[token].answer for token in tokens)), WAIT)
+        await reload(runner, settings(effect=NOT_IDEMPOTENT))
+        second, heartbeat = front_end.submit(tokens)
+        received: list[asyncio.Future[dict[str, Any]]] = []
+        for answer in (*(first[token].answer for token in tokens), heartbeat):
+            answer.add_done_callback(received.append)  # answers that are already there come first
+        await asyncio.gather(*(attempts[token].answer for attempts in (first, second) for token in tokens))
+        # The kernel receives this run after any other run that was started.
+        await send_request(runner, new_key(), body=b"work 10")
         assert "result" in heartbeat.result()
-        before = came[: came.index(heartbeat)]
-        served = refused_later = ran_after_refusal = 0
-        for t in tokens:
-            runs = [rid for rid, _, body in kernel.runs if body == t.encode()]
-            one, two = first[t].answer.result(), again[t].answer.result()
+        before_heartbeat = received[: received.index(heartbeat)]
+        served = rejected_later = ran_after_rejection = 0
+        for token in tokens:
+            runs = [rid for rid, _, body in kernel.runs if body == token.encode()]
+            first_answer, second_answer = first[token].answer.result(), second[token].answer.result()
             assert len(runs) <= 1, "a key ran twice"
-            for said in (one, two):
-                if "result" in said:
-                    assert runs and content(said) == b"did " + t.encode()
+            for final_answer in (first_answer, second_answer):
+                if "result" in final_answer:
+                    assert runs and content(final_answer) == b"did " + token.encode()
                     served += 1
-            in_time = first[t].answer in before
-            if is_refused(one) and runs:
-                assert in_time, "refused after its repeat was read, and it ran"
-                assert runs == [again[t].rid], "refused, and that very try ran"
-                ran_after_refusal += 1
-            assert not (is_refused(two) and runs), "its repeat was refused, and it ran"
-            refused_later += is_refused(one) and not in_time
+            is_early = first[token].answer in before_heartbeat
+            if is_rejected(first_answer) and runs:
+                assert is_early, (
+                    "the key ran although its first attempt was rejected after the second was read"
+                )
+                assert runs == [second[token].rid], "a rejected attempt ran"
+                ran_after_rejection += 1
+            assert not (is_rejected(second_answer) and runs), "the key ran although its retry was rejected"
+            rejected_later += is_rejected(first_answer) and not is_early
         assert served
-        assert refused_later or not later, "no order was forced"
-        assert ran_after_refusal or case != "all are answered before", "no order was forced"
+        assert rejected_later or not expects_later_rejection, "the intended order of events did not occur"
+        assert ran_after_rejection or case != "all are answered before", (
+            "the intended order of events did not occur"
+        )
 
 
-S = 1_000_000  # us
+SECOND = 1_000_000  # us
 WINDOW_S, DEADLINE_S, MARGIN_S = 20, 8, 2
 
 
-def of(**effects: api.Effect) -> api.Settings:
+def settings_of(**effects: api.Effect) -> api.Settings:
+    """Return settings with one class for each name and effect."""
     classes = tuple(
         api.RequestClass(
             3_000, DEADLINE_S * 1_000, name, effect=effect, idempotency_window_ms=WINDOW_S * 1_000
@@ -195,52 +213,56 @@
     return base_settings(classes=classes)
 
 
-def test_a_class_counts_as_keyed_until_the_last_of_its_keys_is_over() -> None:
+def test_a_former_class_has_keys_until_the_last_of_them_expires() -> None:
     former, before, after = (
         FormerKeyClasses(),
-        of(a=api.Effect.IDEMPOTENT_WITH_KEY),
-        of(a=api.Effect.NOT_IDEMPOTENT),
+        settings_of(a=api.Effect.IDEMPOTENT_WITH_KEY),
+        settings_of(a=api.Effect.NOT_IDEMPOTENT),
     )
     former.settings_changed(0, before, after)
     cls = after.classes[0]
-    last = (WINDOW_S + DEADLINE_S + MARGIN_S) * S
+    last = (WINDOW_S + DEADLINE_S + MARGIN_S) * SECOND
     assert former.effective_class(cls, last - 1).effect is api.Effect.IDEMPOTENT_WITH_KEY
     assert former.effective_class(cls, last) is cls
 
 
-def test_settings_in_a_row_do_not_shorten_that_and_one_that_is_keyed_again_is_itself() -> None:
+def test_further_changes_do_not_shorten_the_expiry_and_a_class_that_regains_keys_is_used_unchanged() -> None:
     former, keyed, safe, unsafe = (
         FormerKeyClasses(),
         *(
-            of(a=e)
-            for e in (api.Effect.IDEMPOTENT_WITH_KEY, api.Effect.IDEMPOTENT, api.Effect.NOT_IDEMPOTENT)
+            settings_of(a=effect)
+            for effect in (
+                api.Effect.IDEMPOTENT_WITH_KEY,
+                api.Effect.IDEMPOTENT,
+                api.Effect.NOT_IDEMPOTENT,
+            )
         ),
     )
     former.settings_changed(0, keyed, safe)
-    former.settings_changed(1 * S, safe, unsafe)
-    former.settings_changed(2 * S, unsafe, of(b=api.Effect.IDEMPOTENT))
-    former.settings_changed(3 * S, of(b=api.Effect.IDEMPOTENT), unsafe)
-    assert former.effective_class(unsafe.classes[0], 10 * S).effect is api.Effect.IDEMPOTENT_WITH_KEY
-    former.settings_changed(11 * S, unsafe, keyed)
-    assert former.effective_class(keyed.classes[0], 12 * S) is keyed.classes[0]
+    former.settings_changed(1 * SECOND, safe, unsafe)
+    former.settings_changed(2 * SECOND, unsafe, settings_of(b=api.Effect.IDEMPOTENT))
+    former.settings_changed(3 * SECOND, settings_of(b=api.Effect.IDEMPOTENT), unsafe)
+    assert former.effective_class(unsafe.classes[0], 10 * SECOND).effect is api.Effect.IDEMPOTENT_WITH_KEY
+    former.settings_changed(11 * SECOND, unsafe, keyed)
+    assert former.effective_class(keyed.classes[0], 12 * SECOND) is keyed.classes[0]
 
 
-def test_only_classes_that_are_new_as_a_keyed_one_goes_may_stand_for_it() -> None:
+def test_only_classes_added_when_a_class_with_keys_is_dropped_have_keys_as_well() -> None:
     former = FormerKeyClasses()
-    before = of(a=api.Effect.IDEMPOTENT_WITH_KEY, b=api.Effect.NOT_IDEMPOTENT)
-    after = of(b=api.Effect.NOT_IDEMPOTENT, c=api.Effect.NOT_IDEMPOTENT)
+    before = settings_of(a=api.Effect.IDEMPOTENT_WITH_KEY, b=api.Effect.NOT_IDEMPOTENT)
+    after = settings_of(b=api.Effect.NOT_IDEMPOTENT, c=api.Effect.NOT_IDEMPOTENT)
     former.settings_changed(0, before, after)
     b, c = after.classes
-    assert former.effective_class(b, S) is b
-    assert former.effective_class(c, S).effect is api.Effect.IDEMPOTENT_WITH_KEY
+    assert former.effective_class(b, SECOND) is b
+    assert former.effective_class(c, SECOND).effect is api.Effect.IDEMPOTENT_WITH_KEY
 
 
-def test_what_is_remembered_of_former_classes_is_bounded() -> None:
+def test_the_number_of_stored_former_classes_is_bounded() -> None:
     former = FormerKeyClasses()
     for number in range(1_000):
         former.settings_changed(
             0,
-            of(**{f"c{number}": api.Effect.IDEMPOTENT_WITH_KEY}),
-            of(**{f"c{number + 1}": api.Effect.IDEMPOTENT_WITH_KEY}),
+            settings_of(**{f"c{number}": api.Effect.IDEMPOTENT_WITH_KEY}),
+            settings_of(**{f"c{number + 1}": api.Effect.IDEMPOTENT_WITH_KEY}),
         )
-    assert len(former._former) <= MAX_CLASSES + 1
+    assert len(former._former) <= MAX_FORMER_CLASSES + 1
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the Unix clock: deadlines and windows are spans of real time, whatever it shows."""
+"""Steps of the Unix clock must not affect deadlines and windows, which are durations of real time."""
 
 from __future__ import annotations
 
@@ -20,94 +20,100 @@
 
 
 class Clocks:
-    """Real time, and what the Unix clocks of this process and of the senders show."""
+    """Monotonic time, with the offsets of this process's and the senders' Unix clocks from it, all in us."""
 
     def __init__(self) -> None:
-        self.real, self.ours, self.theirs = 10**9, 10**15, 10**15
-        self.clock = Clock(lambda: self.real * 1_000, lambda: (self.real + self.ours) * 1_000)
+        self.monotonic_us, self.local_offset_us, self.sender_offset_us = 10**9, 10**15, 10**15
+        self.clock = Clock(
+            lambda: self.monotonic_us * 1_000, lambda: (self.monotonic_us + self.local_offset_us) * 1_000
+        )
 
-    def stamp(self) -> float:
-        return (self.real + self.theirs) / MS
+    def unix_ms(self) -> float:
+        return (self.monotonic_us + self.sender_offset_us) / MS
 
-    def go_on(self, us: int) -> None:
-        """The loop has a turn each 100 ms."""
+    def advance(self, us: int) -> None:
+        """Advance the time with one turn of the event loop every 100 ms."""
         for _ in range(max(1, us // (100 * MS))):
-            self.real += min(us, 100 * MS)
+            self.monotonic_us += min(us, 100 * MS)
             self.clock.read()
 
 
-@pytest.mark.parametrize("by", STEPS)
-@pytest.mark.parametrize("whose", ["ours", "the machine's"])
+@pytest.mark.parametrize("step_us", STEPS)
+@pytest.mark.parametrize("stepped", ["this process", "this process and the sender"])
 @pytest.mark.parametrize("stamped", ["before", "after"])
-def test_a_time_stamped_around_a_step_is_read_as_what_it_was(by: int, whose: str, stamped: str) -> None:
-    c = Clocks()
-    c.go_on(3 * SECOND)
-    stamp, at = c.stamp(), c.real
-    c.ours += by
-    c.theirs += by if whose == "the machine's" else 0
+def test_a_timestamp_from_before_or_after_a_step_is_converted_correctly(
+    step_us: int, stepped: str, stamped: str
+) -> None:
+    clocks = Clocks()
+    clocks.advance(3 * SECOND)
+    unix_ms, sent_at_us = clocks.unix_ms(), clocks.monotonic_us
+    clocks.local_offset_us += step_us
+    clocks.sender_offset_us += step_us if stepped == "this process and the sender" else 0
     if stamped == "after":
-        c.go_on(SECOND)
-        stamp, at = c.stamp(), c.real
-    c.go_on(30 * MS)
-    assert c.clock.from_unix_ms(stamp) == pytest.approx(at, abs=MS)
-
-
-@pytest.mark.parametrize("by", STEPS)
-def test_a_step_that_is_taken_back_leaves_no_trace(by: int) -> None:
-    c = Clocks()
-    for offset in (by, -by) * (MAX_OFFSETS + 1):
-        c.ours += offset
-        c.theirs += offset
-        c.go_on(SECOND)
-        assert c.clock.from_unix_ms(c.stamp()) == pytest.approx(c.real, abs=MS)
-    assert len(c.clock.wall._offsets) == 2
-
-
-def test_a_process_that_stood_still_takes_an_old_request_for_what_it_is() -> None:
-    c = Clocks()
-    c.ours += 5 * SECOND
-    c.theirs += 5 * SECOND
-    c.go_on(SECOND)
-    stamp, at = c.stamp(), c.real
-    c.real += 6 * SECOND  # no turn meanwhile
-    c.clock.read()
-    assert c.clock.from_unix_ms(stamp) == pytest.approx(at, abs=MS)
-
-
-def test_a_message_whose_first_byte_came_long_ago_is_as_old() -> None:
-    c = Clocks()
-    c.ours += 2 * SECOND
-    c.theirs += 2 * SECOND
-    c.go_on(SECOND)
-    stamp, at = c.stamp(), c.real
-    c.go_on(2_200 * MS)
-    assert c.clock.from_unix_ms(stamp, waited_us=2_200 * MS) == pytest.approx(at, abs=MS)
-
-
-def test_without_a_step_a_sender_is_believed() -> None:
-    c = Clocks()
-    c.go_on(SECOND)
+        clocks.advance(SECOND)
+        unix_ms, sent_at_us = clocks.unix_ms(), clocks.monotonic_us
+    clocks.advance(30 * MS)
+    assert clocks.clock.from_unix_ms(unix_ms) == pytest.approx(sent_at_us, abs=MS)
+
+
+@pytest.mark.parametrize("step_us", STEPS)
+def test_a_step_that_is_reversed_stores_no_additional_offset(step_us: int) -> None:
+    clocks = Clocks()
+    for offset in (step_us, -step_us) * (MAX_OFFSETS + 1):
+        clocks.local_offset_us += offset
+        clocks.sender_offset_us += offset
+        clocks.advance(SECOND)
+        assert clocks.clock.from_unix_ms(clocks.unix_ms()) == pytest.approx(clocks.monotonic_us, abs=MS)
+    assert len(clocks.clock.wall._offsets) == 2
+
+
+def test_a_timestamp_is_converted_correctly_after_a_pause_of_the_process() -> None:
+    clocks = Clocks()
+    clocks.local_offset_us += 5 * SECOND
+    clocks.sender_offset_us += 5 * SECOND
+    clocks.advance(SECOND)
+    unix_ms, sent_at_us = clocks.unix_ms(), clocks.monotonic_us
+    clocks.monotonic_us += 6 * SECOND  # without a turn of the event loop
+    clocks.clock.read()
+    assert clocks.clock.from_unix_ms(unix_ms) == pytest.approx(sent_at_us, abs=MS)
+
+
+def test_the_time_since_the_first_byte_of_a_message_counts_towards_its_plausible_age() -> None:
+    clocks = Clocks()
+    clocks.local_offset_us += 2 * SECOND
+    clocks.sender_offset_us += 2 * SECOND
+    clocks.advance(SECOND)
+    unix_ms, sent_at_us = clocks.unix_ms(), clocks.monotonic_us
+    clocks.advance(2_200 * MS)
+    assert clocks.clock.from_unix_ms(unix_ms, waited_us=2_200 * MS) == pytest.approx(sent_at_us, abs=MS)
+
+
+def test_without_a_step_any_timestamp_is_converted_by_the_current_offset() -> None:
+    clocks = Clocks()
+    clocks.advance(SECOND)
     for age in (0, 3 * SECOND, 50 * SECOND, 2 * HOUR, -2 * HOUR):
-        assert c.clock.from_unix_ms(c.stamp() - age / MS) == pytest.approx(c.real - age, abs=MS)
+        assert clocks.clock.from_unix_ms(clocks.unix_ms() - age / MS) == pytest.approx(
+            clocks.monotonic_us - age, abs=MS
+        )
 
 
-@pytest.mark.parametrize("by", [-MS * 300, MS * 300, -2 * SECOND, 2 * SECOND])
-def test_a_fresh_stamp_that_seems_to_be_ahead_is_fresh(by: int) -> None:
-    c = Clocks()
-    c.ours += by
-    c.theirs += by
-    c.go_on(SECOND)
-    assert c.clock.from_unix_ms(c.stamp() + 1) == pytest.approx(c.real, abs=2 * MS)
+@pytest.mark.parametrize("step_us", [-MS * 300, MS * 300, -2 * SECOND, 2 * SECOND])
+def test_a_timestamp_slightly_in_the_future_is_converted_by_the_current_offset(step_us: int) -> None:
+    clocks = Clocks()
+    clocks.local_offset_us += step_us
+    clocks.sender_offset_us += step_us
+    clocks.advance(SECOND)
+    assert clocks.clock.from_unix_ms(clocks.unix_ms() + 1) == pytest.approx(clocks.monotonic_us, abs=2 * MS)
 
 
-def test_drift_is_no_step() -> None:
+def test_drift_does_not_count_as_a_step() -> None:
     wall = WallClock()
     for i in range(1_000):
-        wall.follow(i * SECOND, 10**15 + i * (SECOND + 500))
+        wall.update(i * SECOND, 10**15 + i * (SECOND + 500))
     assert wall.steps == 0 and wall.to_unix(0) == 10**15 + 999 * 500
 
 
-def test_a_reading_that_was_held_up_between_both_clocks_is_no_step() -> None:
+def test_a_pause_between_the_reads_of_both_clocks_does_not_count_as_a_step() -> None:
     readings = iter([0, 0, 10, 10 + SECOND // 1, 10 + SECOND, 10 + SECOND])
     unix = iter([0, SECOND, SECOND + 10])
     clock = Clock(lambda: next(readings) * 1_000, lambda: next(unix) * 1_000)
@@ -116,69 +122,69 @@
 
 
 class SteppedWorld(World):
-    """The core with a Unix clock that can be stepped."""
+    """Test engine with a Unix clock that can be stepped."""
 
     def __init__(self, **changes: Any) -> None:
         super().__init__(**changes)
-        self.by = 0
-        self.core.clock._unix_ns = lambda: self.at + 10**18 + self.by * 1_000
-
-    def stamp(self) -> float:
-        return (self.at + 10**18 + self.by * 1_000) / 10**6
-
-
-@pytest.mark.parametrize("by", STEPS)
-def test_a_request_stamped_before_a_step_runs_and_is_due_when_it_was(by: int) -> None:
-    w = SteppedWorld()
-    w.wait(500)
-    stamp = w.stamp()
-    w.by += by
-    w.wait(20)
-    w.take("a", 1, t0_unix_ms=stamp, budget_ms=3_000.0)
-    w.turn()
-    assert w.runs() == ["a"]
-    w.wait(2_800)
-    assert w.verdicts() == []
-    w.wait(300)
-    assert w.verdicts() == [(1, Verdict.FAILED)]
-
-
-@pytest.mark.parametrize("by", STEPS)
+        self.offset_us = 0
+        self.core.clock._unix_ns = lambda: self.at + 10**18 + self.offset_us * 1_000
+
+    def unix_ms(self) -> float:
+        return (self.at + 10**18 + self.offset_us * 1_000) / 10**6
+
+
+@pytest.mark.parametrize("step_us", STEPS)
+def test_a_step_does_not_change_the_deadline_of_a_request_stamped_before_it(step_us: int) -> None:
+    harness = SteppedWorld()
+    harness.wait(500)
+    unix_ms = harness.unix_ms()
+    harness.offset_us += step_us
+    harness.wait(20)
+    harness.take("a", 1, t0_unix_ms=unix_ms, budget_ms=3_000.0)
+    harness.turn()
+    assert harness.runs() == ["a"]
+    harness.wait(2_800)
+    assert harness.verdicts() == []
+    harness.wait(300)
+    assert harness.verdicts() == [(1, Verdict.FAILED)]
+
+
+@pytest.mark.parametrize("step_us", STEPS)
 @pytest.mark.parametrize(
     "when", ["before it is stamped", "before it is read", "while it runs", "after its run"]
 )
-def test_a_key_is_kept_for_its_whole_window(by: int, when: str) -> None:
-    w = SteppedWorld()
-    w.wait(500)
-    w.by += by if when == "before it is stamped" else 0
-    w.wait(100)
-    stamp = w.stamp()
-    w.by += by if when == "before it is read" else 0
-    w.wait(20)
-    w.take("a", 1, t0_unix_ms=stamp)
-    w.turn()
-    w.by += by if when == "while it runs" else 0
-    w.wait(100)
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    w.by += by if when == "after its run" else 0
-    w.wait(7_900)  # the window is 8 s
-    w.take("b", 2, t0_unix_ms=w.stamp())
-    w.turn()
-    assert w.runs() == ["a"] and w.verdicts() == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
-    w.wait(8_000 + MARGIN / MS)
-    w.take("c", 3, t0_unix_ms=w.stamp())
-    w.turn()
-    assert w.runs() == ["a", "c"]
-
-
-def test_a_sender_that_states_an_early_time_shortens_no_window() -> None:
-    w = SteppedWorld()
-    w.take("a", 1, klass="write", t0_unix_ms=w.stamp() - 300)
-    w.turn()
-    w.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    w.turn()
-    w.wait(8_000 + MARGIN / MS - 100)
-    w.take("b", 2)
-    w.turn()
-    assert w.runs() == ["a"]
+def test_a_step_does_not_shorten_or_lengthen_the_window_of_a_key(step_us: int, when: str) -> None:
+    harness = SteppedWorld()
+    harness.wait(500)
+    harness.offset_us += step_us if when == "before it is stamped" else 0
+    harness.wait(100)
+    unix_ms = harness.unix_ms()
+    harness.offset_us += step_us if when == "before it is read" else 0
+    harness.wait(20)
+    harness.take("a", 1, t0_unix_ms=unix_ms)
+    harness.turn()
+    harness.offset_us += step_us if when == "while it runs" else 0
+    harness.wait(100)
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    harness.offset_us += step_us if when == "after its run" else 0
+    harness.wait(7_900)  # the window is 8 s
+    harness.take("b", 2, t0_unix_ms=harness.unix_ms())
+    harness.turn()
+    assert harness.runs() == ["a"] and harness.verdicts() == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
+    harness.wait(8_000 + MARGIN / MS)
+    harness.take("c", 3, t0_unix_ms=harness.unix_ms())
+    harness.turn()
+    assert harness.runs() == ["a", "c"]
+
+
+def test_an_early_timestamp_of_a_sender_does_not_shorten_the_window() -> None:
+    harness = SteppedWorld()
+    harness.take("a", 1, klass="write", t0_unix_ms=harness.unix_ms() - 300)
+    harness.turn()
+    harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
+    harness.turn()
+    harness.wait(8_000 + MARGIN / MS - 100)
+    harness.take("b", 2)
+    harness.turn()
+    assert harness.runs() == ["a"]
