--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -41,7 +41,7 @@
             Instruction.DISCONNECT: self._disconnect,
             Instruction.CLAIM_KEYS: lambda: self._claim_keys(is_successor=True),
             Instruction.DISTRUST_KEYS: lambda: self._trust_keys_from(FOREVER_US),
-            Instruction.DISTRUST_KEYS_FOR_A_WINDOW: core.state.forget_keys_for_a_window,
+            Instruction.DISTRUST_KEYS_FOR_A_WINDOW: core.state.distrust_new_keys,
             Instruction.TRUST_KEYS: lambda: self._trust_keys_from(handover.peer_unknown_until_us),
             Instruction.DISCARD_PEER_KEYS: self._discard_peer_keys,
             Instruction.CLOSE_PEER_KEYS: lambda: self._peer_gone(died=True),
--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -58,7 +58,7 @@
         )
         return max(windows, default=0.0)
 
-    def forget_keys_for_a_window(self) -> None:
+    def distrust_new_keys(self) -> None:
         """Treat new keys as keys that may have run, until the longest window has passed.
 
         Called when a process has exited whose keys are unknown.
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -21,7 +21,7 @@
 
 # Added to the window. Front ends count the window from t0 of the attempt that ran to the time they write a retry, plus
 # 50 ms, and the retry may wait unread for a while. A cached result may be served late, but a key must not run twice.
-MARGIN = 2 * SECOND
+WINDOW_MARGIN_US = 2 * SECOND
 RECHECK_INTERVAL_US = SECOND  # extension of an expired key while its attempt is still open
 
 
@@ -78,7 +78,7 @@
 
 def window_end(arrived_us: int, window_ms: float) -> int:
     """Return the time in us until which the key of a request with this time of arrival is valid."""
-    return arrived_us + round(window_ms * MS) + MARGIN
+    return arrived_us + round(window_ms * MS) + WINDOW_MARGIN_US
 
 
 class IdempotencyKeyTable:
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -19,7 +19,7 @@
 from .idempotency_keys import IdempotencyKey, IdempotencyKeyTable, KeyEntry
 from .requests import Request, RequestTable
 
-CLAIM_TIMEOUT = 250 * MS  # the other process answers within one turn of its event loop, unless it hangs
+CLAIM_TIMEOUT_US = 250 * MS  # the other process answers within one turn of its event loop, unless it hangs
 
 
 class ClaimPeer(Protocol):
@@ -111,7 +111,7 @@
         if entry is None:
             return False  # the request has no key, or retries an attempt in this process's table
         self._serial += 1
-        timeout = self._alarms.at(self._clock.now + CLAIM_TIMEOUT, lambda: self._timed_out(entry.key))
+        timeout = self._alarms.at(self._clock.now + CLAIM_TIMEOUT_US, lambda: self._timed_out(entry.key))
         self._pending[entry.key] = _PendingClaim(request, self._serial, timeout)
         self._counters.add("keys claimed")
         self.peer.claim(self._serial, entry.key, entry.body_digest, entry.expires_us)
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -60,11 +60,11 @@
         return f"{lower} {self.minimum:g} {upper} {self.maximum:g}"
 
 
-MEMORY_KB = ValueRange(0, 2_000, excludes_minimum=True, excludes_maximum=True)
-RANK = ValueRange(0, 1, excludes_maximum=True)
-PEER = ValueRange(0, 2**32, excludes_maximum=True)
-UNIX_MS = ValueRange(0, 1e15)
-BUDGET_MS = ValueRange(0, 86_400_000)  # at most one day
+MEMORY_KB_RANGE = ValueRange(0, 2_000, excludes_minimum=True, excludes_maximum=True)
+RANK_RANGE = ValueRange(0, 1, excludes_maximum=True)
+PEER_RANGE = ValueRange(0, 2**32, excludes_maximum=True)
+UNIX_MS_RANGE = ValueRange(0, 1e15)
+BUDGET_MS_RANGE = ValueRange(0, 86_400_000)  # at most one day
 
 
 @dataclass(slots=True, frozen=True)
--- a/moorusher/frontends/jsonrpc_messages.py
+++ b/moorusher/frontends/jsonrpc_messages.py
@@ -10,13 +10,13 @@
 from ..core.answer import Answer, Verdict
 from ..core.registration import InvalidArrival
 from ..core.requests import (
-    BUDGET_MS,
+    BUDGET_MS_RANGE,
     MAX_REQUEST_ID_LENGTH,
     MAX_TOKEN_LENGTH,
-    MEMORY_KB,
-    PEER,
-    RANK,
-    UNIX_MS,
+    MEMORY_KB_RANGE,
+    PEER_RANGE,
+    RANK_RANGE,
+    UNIX_MS_RANGE,
     Arrival,
     ValueRange,
     is_identifier,
@@ -129,24 +129,24 @@
     rid = _request_id(params)
     token = _token(params)
     body = _body(params)
-    caller = _needed(params, "peer", PEER)
+    caller = _needed(params, "peer", PEER_RANGE)
     if caller != int(caller):
         raise InvalidParamsError("peer: expected a whole number")
     return Arrival(
         rid=rid,
         class_name=method,
         body=body,
-        t0_unix_ms=_needed(params, "t0", UNIX_MS),
+        t0_unix_ms=_needed(params, "t0", UNIX_MS_RANGE),
         arrived_us=began_us,
-        budget_ms=_number(params, "budget", BUDGET_MS),
+        budget_ms=_number(params, "budget", BUDGET_MS_RANGE),
         tenant=_text(params, "acct", 256),
         caller=int(caller),
-        memory_kb=_needed(params, "mem", MEMORY_KB),
-        rank=_needed(params, "prio", RANK),
+        memory_kb=_needed(params, "mem", MEMORY_KB_RANGE),
+        rank=_needed(params, "prio", RANK_RANGE),
         token=token,
         subject=_hex(_text(params, "obj", 32), "obj"),
         is_retry=bool(params.get("again")),
-        cost_hint_ms=_number(params, "est", BUDGET_MS),
+        cost_hint_ms=_number(params, "est", BUDGET_MS_RANGE),
     )
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 from moorusher.core.answer import Answer, Verdict
 from moorusher.core.call import CallRequest
 from moorusher.core.clock import Alarms, Clock
-from moorusher.core.idempotency_keys import MARGIN, IdempotencyKeyTable
+from moorusher.core.idempotency_keys import WINDOW_MARGIN_US, IdempotencyKeyTable
 from moorusher.core.outcomes import EndReason
 from moorusher.core.registration import InvalidArrival
 from moorusher.core.request_engine import RequestEngine
@@ -434,7 +434,7 @@
     assert keys.start(0, 0, 1000.0) and not keys.start(0, 0, 1000.0)
     keys.finish(0, b"12345")
     assert keys.result_bytes == 5
-    end = SECOND + MARGIN
+    end = SECOND + WINDOW_MARGIN_US
     assert keys.find(("acme", "0"), end - 1) is not None and keys.find(("acme", "0"), end) is None
     assert keys.result_bytes == 0 and len(keys) == 2
     keys.start(1, 0, 1000.0)  # an open run retains its key
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -11,8 +11,8 @@
 import pytest
 
 from moorusher.core.answer import Verdict
-from moorusher.core.idempotency_keys import MARGIN
-from moorusher.core.key_claims import CLAIM_TIMEOUT
+from moorusher.core.idempotency_keys import WINDOW_MARGIN_US
+from moorusher.core.key_claims import CLAIM_TIMEOUT_US
 from moorusher.core.outcomes import EndReason
 from moorusher.core.registration import InvalidArrival
 from moorusher.core.requests import Arrival
@@ -375,7 +375,7 @@
     new.take("k-3", 3, token="k")
     new.turn()
     assert new.verdicts()[1] == (3, Verdict.FAILED) and not new.runs()
-    new.at += 8_000 * 1_000_000 + MARGIN * 1_000
+    new.at += 8_000 * 1_000_000 + WINDOW_MARGIN_US * 1_000
     new.take("k-4", 4, token="k")
     new.turn()
     assert new.runs() == ["k-4"]
@@ -395,7 +395,7 @@
         if before_handover:
             old.core.key_claims.peer_unresponsive = partial(disconnect_peer, old)
         old.take("k-1", 1, token="k")
-        old.wait(CLAIM_TIMEOUT / MS + 10)
+        old.wait(CLAIM_TIMEOUT_US / MS + 10)
         assert old.runs() == (["k-1"] if before_handover else [])
         assert old.verdicts() == ([] if before_handover else [(1, Verdict.REJECTED)])
         pair.settle()  # a late answer changes nothing
@@ -433,11 +433,11 @@
     new.core.key_claims.peer_disconnected(died=True)
     new.turn()
     assert new.verdicts()[1] == (2, Verdict.FAILED)
-    new.core.state.forget_keys_for_a_window()
+    new.core.state.distrust_new_keys()
     arrival = Arrival("n-1", "write", b"x", token="n", memory_kb=10.0)
     assert new.core.submit(arrival, new, 3) is InvalidArrival.KEY_STATE_UNKNOWN
     new.turn()
-    new.at += 8_000 * 1_000_000 + MARGIN * 1_000
+    new.at += 8_000 * 1_000_000 + WINDOW_MARGIN_US * 1_000
     new.take("n-2", 4, token="n")
     new.turn()
     assert new.runs() == ["n-2"]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,7 +8,7 @@
 
 from moorusher.core.answer import Verdict
 from moorusher.core.clock import Clock
-from moorusher.core.idempotency_keys import MARGIN
+from moorusher.core.idempotency_keys import WINDOW_MARGIN_US
 from moorusher.core.outcomes import EndReason
 from moorusher.core.wall_clock import MAX_OFFSETS, WallClock
 from moorusher.time_units import MS, SECOND
@@ -172,7 +172,7 @@
     harness.take("b", 2, t0_unix_ms=harness.unix_ms())
     harness.turn()
     assert harness.runs() == ["a"] and harness.verdicts() == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
-    harness.wait(8_000 + MARGIN / MS)
+    harness.wait(8_000 + WINDOW_MARGIN_US / MS)
     harness.take("c", 3, t0_unix_ms=harness.unix_ms())
     harness.turn()
     assert harness.runs() == ["a", "c"]
@@ -184,7 +184,7 @@
     harness.turn()
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     harness.turn()
-    harness.wait(8_000 + MARGIN / MS - 100)
+    harness.wait(8_000 + WINDOW_MARGIN_US / MS - 100)
     harness.take("b", 2)
     harness.turn()
     assert harness.runs() == ["a"]
