--- a/tests/by_hand.py
+++ b/tests/by_hand.py
@@ -10,7 +10,7 @@
 from twisted.internet import tcp
 from twisted.internet.selectreactor import SelectReactor
 
-from .test_core import World
+from .test_core import EngineHarness
 
 HOST = "127.0.0.1"
 PATIENCE_S = 5.0
@@ -19,7 +19,7 @@
 class Loop:
     """Twisted's loop, never installed and never run: `turn` does one round of it."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: EngineHarness) -> None:
         self.world = world
         self.reactor: Any = SelectReactor()
 
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -18,7 +18,7 @@
 from moorusher.leadership.fencing_token import FencingToken
 from moorusher.leadership.lease_record import Intent, IntentResolution
 
-from ..test_core import World
+from ..test_core import EngineHarness
 from .golden import assert_golden
 from .test_pages import begun
 from .whole_runner import Connection, Runner, runner
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self._reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        self._receivers = HttpEffectReceivers(self._reactor, World().core)
+        self._receivers = HttpEffectReceivers(self._reactor, EngineHarness().core)
         self.heard: list[Any] = []
 
     def made(self, how: str) -> Connection:
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -24,7 +24,7 @@
 from moorusher.hot_restart.shared_budget import ProcessLoad
 from moorusher.server.server import Service
 
-from ..test_core import World
+from ..test_core import EngineHarness
 from .golden import assert_golden
 
 PID = 4711
@@ -60,7 +60,7 @@
 class Runner(Service):
     """The service as far as its other process hears of it, with what it takes and listens on given."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: EngineHarness) -> None:
         self.core, self.reporter = world.core, Reporter(world.core, HealthPolicy(), "n1")
         self.heard: list[object] = []
 
@@ -97,7 +97,7 @@
     """One process of the runner, without sockets of its own."""
 
     def __init__(self) -> None:
-        self.world = World()
+        self.world = EngineHarness()
         self.owner = Runner(self.world)
         self.link = HotRestart(self, self.world.core, self.owner, "/nowhere/socket", "n1")
         self.owner.reporter.on_maintenance_changed = self.link.maintenance_changed
@@ -119,7 +119,7 @@
         self.world.turn()
 
     def takes(self, rid: str, token: str) -> None:
-        self.world.take(rid, token=token)
+        self.world.submit(rid, token=token)
         self.world.turn()
 
     def ends_run(self, rid: str, result: bytes) -> None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -24,7 +24,7 @@
 
 from .by_hand import HOST, Client, Loop
 from .stand_ins import status, uwsgi_request
-from .test_core import World
+from .test_core import EngineHarness
 from .test_fronts import request_line
 
 HEARTBEAT = b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}\n'
@@ -37,10 +37,10 @@
     """Frontends on an event loop that the test runs turn by turn, with a kernel that only records its commands."""
 
     def __init__(self, **changes: Any) -> None:
-        self.world = World(max_idle_connection_ms=IDLE_MS, **changes)
-        self.loop = Loop(self.world)
-        self.jsonrpc = JsonRpcFactory(self.world.core, MAX_CONNECTIONS, lambda: True)
-        self.uwsgi = UwsgiFactory(self.world.core, MAX_CONNECTIONS, 2048, UWSGI_IDLE_S, lambda: True)
+        self.engine = EngineHarness(max_idle_connection_ms=IDLE_MS, **changes)
+        self.loop = Loop(self.engine)
+        self.jsonrpc = JsonRpcFactory(self.engine.core, MAX_CONNECTIONS, lambda: True)
+        self.uwsgi = UwsgiFactory(self.engine.core, MAX_CONNECTIONS, 2048, UWSGI_IDLE_S, lambda: True)
 
     def connect(self, factory: Any = None) -> Client:
         return self.loop.connect(self.jsonrpc if factory is None else factory)
@@ -54,10 +54,10 @@
 
     def advance(self, microseconds: int) -> None:
         """Advance the time and fire the timers that are due, without reading any sockets."""
-        self.world.wait(microseconds / 1000)
+        self.engine.wait(microseconds / 1000)
 
     def finish_run(self, rid: str) -> None:
-        self.world.core.execution.run_ended(rid, EndReason.RUN_SUCCEEDED, b"done")
+        self.engine.core.execution.run_ended(rid, EndReason.RUN_SUCCEEDED, b"done")
         self.loop.turn()
 
 
@@ -190,17 +190,17 @@
         client.send(request_line(1, rid=f"r{i}"))
     harness.loop.turn()
     assert len(harness.jsonrpc.connections) == MAX_CONNECTIONS and counts
-    assert sorted(harness.world.core.table.by_rid) == ["r0", "r1", "r2"]
+    assert sorted(harness.engine.core.table.by_rid) == ["r0", "r1", "r2"]
     harness.finish_run("r0")  # its connection is now idle and is evicted
     time.sleep(2 * ACCEPT_RETRY_S)
     harness.loop.turn()
-    assert sorted(harness.world.core.table.by_rid) == ["r1", "r2", "r3"]
+    assert sorted(harness.engine.core.table.by_rid) == ["r1", "r2", "r3"]
     assert b'"id":1' in clients[0].recv(1000), "the evicted connection has received its answer"
     for rid in ("r1", "r2", "r3"):
         harness.finish_run(rid)
         time.sleep(2 * ACCEPT_RETRY_S)
         harness.loop.turn()
-    assert sorted(harness.world.core.table.by_rid) == ["r4"]
+    assert sorted(harness.engine.core.table.by_rid) == ["r4"]
     for client in clients:
         client.close()
     port.stopListening()
@@ -290,7 +290,7 @@
     client = harness.connect(harness.uwsgi)
     client.send(uwsgi_request("read", b"body", tenant="", rid="u1"))
     harness.loop.turn()
-    harness.world.core.execution.run_ended("u1", EndReason.RUN_SUCCEEDED, b"done")
+    harness.engine.core.execution.run_ended("u1", EndReason.RUN_SUCCEEDED, b"done")
     # Arrives while the answer is being sent. A close with this input unread would reset the connection.
     client.send(b"more than was announced")
     harness.loop.turn()
@@ -309,8 +309,8 @@
     """Shut the runner down as the program does, with only the frontends and the engine as real components."""
     stub = SimpleNamespace(close=lambda *labels: None, stop_accepting=lambda: None)
     service: Any = SimpleNamespace(
-        core=harness.world.core,
-        clock=harness.world.core.clock,
+        core=harness.engine.core,
+        clock=harness.engine.core.clock,
         reactor=harness.loop.reactor,
         jsonrpc=harness.jsonrpc,
         uwsgi=harness.uwsgi,
@@ -337,10 +337,10 @@
     harness.loop.turn()
     queued.send(request_line(rid="b"))
     harness.loop.turn()
-    assert harness.world.runs() == ["a"] and harness.world.core.table.unanswered == 2
+    assert harness.engine.runs() == ["a"] and harness.engine.core.table.unanswered == 2
     unread.send(request_line(rid="c"))
     over_uwsgi.send(uwsgi_request("read", b"body", tenant="", rid="d"))
-    harness.world.core.drain(4000.0)
+    harness.engine.core.drain(4000.0)
     harness.loop.reactor.runUntilCurrent()
     shut_down(harness)
     answers = [
@@ -351,8 +351,8 @@
     assert codes == [-32000, -32014, -32014]
     assert status(over_uwsgi.read()) == 503 and b"X-Moorusher-Never-Ran: 1" in over_uwsgi.read()
     assert (
-        harness.world.runs() == ["a"]
-        and harness.world.core.table.unanswered == 0
+        harness.engine.runs() == ["a"]
+        and harness.engine.core.table.unanswered == 0
         and running.ended
         and over_uwsgi.ended
     )
@@ -384,7 +384,7 @@
     address = listening.getsockname()
     with listening:
         port = AcceptingPort.of(
-            harness.loop.reactor, listening, harness.jsonrpc, 1, harness.world.core.counters.add
+            harness.loop.reactor, listening, harness.jsonrpc, 1, harness.engine.core.counters.add
         )
     clients = [socket.create_connection(address) for _ in range(2)]
     port.accept_last()
@@ -393,7 +393,7 @@
     for i, client in enumerate(clients):
         client.sendall(request_line(1, rid=f"r{i}"))
     harness.loop.turn()
-    assert len(harness.jsonrpc.connections) == len(clients) and len(harness.world.core.table) == len(clients)
+    assert len(harness.jsonrpc.connections) == len(clients) and len(harness.engine.core.table) == len(clients)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
     for client in clients:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -14,7 +14,7 @@
 from moorusher.health_reporting.reporter import Reporter
 from moorusher.protocols.uwsgi_packets import HEAD, PING
 
-from .test_core import World
+from .test_core import EngineHarness
 from .test_fronts import Transport, take_messages
 
 
@@ -22,7 +22,7 @@
     """A core with its console and both fronts, and connections made by hand."""
 
     def __init__(self, kernel: bool = True, most: int = 8) -> None:
-        self.world = World(kernel=kernel)
+        self.world = EngineHarness(kernel=kernel)
         self.core = self.world.core
         self.reporter = Reporter(self.core, HealthPolicy(), "n1")
         self.serving, self.transports = True, list[Transport]()
@@ -69,7 +69,7 @@
     assert o.call("POST", "/admin/quiesce") == 200
     assert o.call("POST", "/admin/quiesce", "Content-Length: 2", body=b"{}") == 200
     assert o.told() == {False}
-    o.world.take("a", 1)  # what still comes is served as always
+    o.world.submit("a", 1)  # what still comes is served as always
     o.world.turn()
     assert o.world.runs() == ["a"]
     o.world.wait(5000)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -8,7 +8,7 @@
 from moorusher.core.outcomes import EndReason
 from moorusher.core.requests import Arrival, Request
 
-from .test_core import World
+from .test_core import EngineHarness
 
 
 class RecordingCoordinator:
@@ -29,17 +29,17 @@
         return True
 
 
-def coordinated_engine() -> tuple[World, RecordingCoordinator]:
-    harness, coordinator = World(), RecordingCoordinator()
+def coordinated_engine() -> tuple[EngineHarness, RecordingCoordinator]:
+    harness, coordinator = EngineHarness(), RecordingCoordinator()
     harness.core.hooks.coordinator = coordinator
     return harness, coordinator
 
 
 def submit_until_starting(
-    harness: World, coordinator: RecordingCoordinator, rid: str = "a", tag: int = 1
+    harness: EngineHarness, coordinator: RecordingCoordinator, rid: str = "a", tag: int = 1
 ) -> Request:
     """Submit a request that has its key and waits for the acknowledgement of its start."""
-    request = harness.take(rid, tag)
+    request = harness.submit(rid, tag)
     harness.core.remote_claims.granted(request)
     harness.turn()
     assert coordinator.starting == [request] and harness.runs() == []
@@ -48,7 +48,7 @@
 
 def test_a_run_is_not_commanded_before_its_start_is_confirmed() -> None:
     harness, coordinator = coordinated_engine()
-    request = harness.take("a", 1)
+    request = harness.submit("a", 1)
     harness.turn()
     assert coordinator.acquiring == [request] and coordinator.starting == [] and harness.runs() == []
     harness.core.remote_claims.granted(request)
@@ -65,7 +65,7 @@
 
 def test_a_request_without_a_key_runs_without_coordination() -> None:
     harness, coordinator = coordinated_engine()
-    harness.take("a", 1, "read", None)
+    harness.submit("a", 1, "read", None)
     harness.turn()
     assert harness.runs() == ["a"] and coordinator.acquiring == [] == coordinator.starting
 
@@ -97,7 +97,7 @@
     is_starting: bool,
 ) -> None:
     harness, _ = coordinated_engine()
-    request = harness.take("a", 1)
+    request = harness.submit("a", 1)
     if is_starting:
         harness.core.remote_claims.granted(request)
         harness.turn()
@@ -137,7 +137,7 @@
 
 def test_a_request_that_is_taken_over_runs_here_and_its_result_is_shared_with_its_retries() -> None:
     harness, coordinator = coordinated_engine()
-    retry = harness.take("b", 2)
+    retry = harness.submit("b", 2)
     harness.core.remote_claims.joined(retry)
     harness.turn()
     assert retry.retry_of is not None and harness.runs() == []
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -30,13 +30,13 @@
     """
 
     def __init__(self) -> None:
-        self.said: list[tuple[object, ...]] = []
+        self.commands: list[tuple[object, ...]] = []
         self.up, self.written = True, 0
 
     def _write(self, *command: object) -> int:
         if not self.up:
             return NOT_WRITTEN
-        self.said.append(command)
+        self.commands.append(command)
         self.written += 1
         return self.written
 
@@ -70,10 +70,10 @@
         self.abandoned.append(number)
 
 
-class World:
+class EngineHarness:
     """A request engine with recording transports, whose clock and turns the test controls.
 
-    `at` is the monotonic time in ns.
+    `now_ns` is the monotonic time.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
         kernel: bool = True,
         **changes: Any,
     ) -> None:
-        self.at, self.turns = 1_000_000_000_000, list[Callable[[], None]]()
-        clock = Clock(lambda: self.at, lambda: self.at + 10**18)
+        self.now_ns, self.turns = 1_000_000_000_000, list[Callable[[], None]]()
+        clock = Clock(lambda: self.now_ns, lambda: self.now_ns + 10**18)
         self.kernel, self.calls = RecordingKernel(), RecordingCalls()
         self.answers: list[tuple[int, Answer]] = []
         self.core = RequestEngine(
@@ -106,14 +106,14 @@
     def wait(self, ms: float) -> None:
         """Advance the clock in steps, and fire the timers after each step as the event loop would."""
         for _ in range(max(1, round(ms / 5))):
-            self.at += 5_000_000
+            self.now_ns += 5_000_000
             self.core.fire_timers()
             self.turn()
 
     def answer(self, tag: int, answer: Answer, load_signal: float | None) -> None:
         self.answers.append((tag, answer))
 
-    def take(
+    def submit(
         self, rid: str, tag: int = 0, klass: str = "write", token: str | None = "t", **more: Any
     ) -> Request:
         request = self.core.submit(Arrival(rid, klass, b"x", token=token, memory_kb=10.0, **more), self, tag)
@@ -121,16 +121,16 @@
         return request
 
     def runs(self) -> list[object]:
-        return [command[1] for command in self.kernel.said if command[0] == "run"]
+        return [command[1] for command in self.kernel.commands if command[0] == "run"]
 
     def verdicts(self) -> list[tuple[int, Verdict]]:
         return [(tag, answer.verdict) for tag, answer in self.answers]
 
 
 def test_two_attempts_in_one_turn_run_once_and_both_are_served() -> None:
-    harness = World()
-    harness.take("a", 1)
-    harness.take("b", 2)
+    harness = EngineHarness()
+    harness.submit("a", 1)
+    harness.submit("b", 2)
     harness.turn()
     assert harness.runs() == ["a"]
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
@@ -140,8 +140,8 @@
 
 
 def test_a_run_whose_end_is_reported_twice_is_answered_once() -> None:
-    harness = World()
-    harness.take("a", 1)
+    harness = EngineHarness()
+    harness.submit("a", 1)
     harness.turn()
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     harness.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
@@ -150,93 +150,93 @@
 
 
 def test_a_retry_runs_only_after_the_window_of_the_attempt_that_ran() -> None:
-    harness = World()
-    harness.take("a", 1)
+    harness = EngineHarness()
+    harness.submit("a", 1)
     harness.turn()
     harness.core.execution.run_ended("a", EndReason.RUN_FAILED, b"")
     harness.wait(7_990)
-    harness.take("b", 2)
+    harness.submit("b", 2)
     harness.wait(60)
     assert harness.runs() == ["a"] and harness.verdicts() == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
     harness.wait(3_000)
-    harness.take("c", 3)
+    harness.submit("c", 3)
     harness.turn()
     assert harness.runs() == ["a", "c"]
 
 
 def test_a_rejected_attempt_frees_its_key_and_states_a_retry_delay() -> None:
-    harness = World(memory_kb=300.0, max_retry_after_ms=500.0)
+    harness = EngineHarness(memory_kb=300.0, max_retry_after_ms=500.0)
     for i in range(12):
-        harness.take(f"r{i}", i, token=f"t{i}")
+        harness.submit(f"r{i}", i, token=f"t{i}")
     harness.turn()
     rejected = [
         tag for tag, a in harness.answers if a.verdict is Verdict.REJECTED and 0 < a.retry_after_ms <= 500
     ]
     assert rejected and len(harness.core.keys) == 12 - len(rejected)
-    assert harness.take("again", 99, token=f"t{rejected[0]}").retry_of is None
-    assert harness.take("same", 98, token="t0").retry_of == 1
+    assert harness.submit("again", 99, token=f"t{rejected[0]}").retry_of is None
+    assert harness.submit("same", 98, token="t0").retry_of == 1
 
 
 def test_a_caller_that_disconnects_while_its_request_is_queued_frees_the_key() -> None:
-    harness = World()
-    harness.core.caller_disconnected(harness.take("a", 1))
-    harness.take("b", 2)
+    harness = EngineHarness()
+    harness.core.caller_disconnected(harness.submit("a", 1))
+    harness.submit("b", 2)
     harness.turn()
     assert harness.runs() == ["b"] and len(harness.core.table) == 1
 
 
 def test_the_result_of_a_run_whose_caller_has_disconnected_is_cached() -> None:
-    harness = World()
-    first = harness.take("a", 1)
+    harness = EngineHarness()
+    first = harness.submit("a", 1)
     harness.turn()
     harness.core.caller_disconnected(first)
     harness.core.caller_disconnected(first)
     harness.turn()
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     harness.turn()
-    harness.take("b", 2)
+    harness.submit("b", 2)
     harness.turn()
     assert harness.verdicts() == [(2, Verdict.SERVED)] and harness.runs() == ["a"]
 
 
-def start_calls(harness: World, *rids: str) -> None:
+def start_calls(harness: EngineHarness, *rids: str) -> None:
     """Start runs with these request ids, each of which makes its first call and waits for it."""
     for i, rid in enumerate(rids):
-        harness.take(rid, i, token=rid)
+        harness.submit(rid, i, token=rid)
     harness.turn()
     for i, rid in enumerate(rids):
         harness.core.execution.call_needed(rid, i + 1, b"call")
     harness.turn()
 
 
-def reconnect(harness: World, commands_read: int) -> list[tuple[object, ...]]:
+def reconnect(harness: EngineHarness, commands_read: int) -> list[tuple[object, ...]]:
     """Return the commands sent on a new connection, when the kernel is known to have read this many before."""
-    harness.kernel.said.clear()
+    harness.kernel.commands.clear()
     harness.kernel.up = True
     harness.core.execution.reconnected(commands_read)
-    return harness.kernel.said
+    return harness.kernel.commands
 
 
 def test_a_run_command_is_resent_until_the_kernel_is_known_to_have_read_it() -> None:
-    harness = World()
-    harness.take("a", 1)
+    harness = EngineHarness()
+    harness.submit("a", 1)
     harness.turn()
     assert reconnect(harness, commands_read=0) == [("run", "a")], "the kernel ignores it if the run exists"
     assert reconnect(harness, commands_read=2) == []
     harness.kernel.up = False
-    harness.take("b", 2, token="b")
+    harness.submit("b", 2, token="b")
     harness.turn()
     assert reconnect(harness, commands_read=2) == [("run", "b")]
 
 
 def test_a_run_that_was_never_commanded_and_has_no_waiting_caller_is_not_started_on_reconnect() -> None:
-    harness = World()
+    harness = EngineHarness()
     harness.kernel.up = False
     for i, rid in enumerate("ab"):
-        harness.take(rid, i, token=rid)
+        harness.submit(rid, i, token=rid)
     harness.turn()
     harness.wait(2_000)
-    harness.take("c", 2, token="a")  # a retry waits for the result of the first attempt
+    harness.submit("c", 2, token="a")  # a retry waits for the result of the first attempt
     harness.turn()
     harness.wait(1_100)
     assert harness.verdicts() == [(0, Verdict.FAILED), (1, Verdict.FAILED)]
@@ -245,7 +245,7 @@
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     harness.turn()
     assert harness.verdicts()[2:] == [(2, Verdict.SERVED)]
-    harness.take("d", 3, token="b")
+    harness.submit("d", 3, token="b")
     harness.turn()
     assert harness.verdicts()[3:] == [(3, Verdict.FAILED)], (
         "the key is used, as the first attempt was not rejected"
@@ -253,7 +253,7 @@
 
 
 def test_a_replayed_notice_makes_no_second_call() -> None:
-    harness = World(downstream=api.Downstream.TIER)
+    harness = EngineHarness(downstream=api.Downstream.TIER)
     start_calls(harness, "a")
     harness.core.execution.call_needed("a", 1, b"call")
     harness.turn()
@@ -261,7 +261,7 @@
 
 
 def test_a_dropped_reply_is_sent_on_the_next_connection_and_a_reply_that_was_read_is_not() -> None:
-    harness = World(downstream=api.Downstream.TIER)
+    harness = EngineHarness(downstream=api.Downstream.TIER)
     start_calls(harness, "a", "b")
     harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     commands_read = harness.kernel.written
@@ -273,7 +273,7 @@
 
 
 def test_a_reply_that_may_have_been_read_is_never_resent_and_its_run_is_stopped_at_the_deadline() -> None:
-    harness = World(downstream=api.Downstream.TIER, preemption=api.Preemption.DISCARD)
+    harness = EngineHarness(downstream=api.Downstream.TIER, preemption=api.Preemption.DISCARD)
     start_calls(harness, "a")
     harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     harness.turn()
@@ -281,11 +281,11 @@
     assert reconnect(harness, harness.kernel.written - 1) == []
     assert harness.core.counters.total["kernel replies that may be lost"] == 1
     harness.wait(3_100)
-    assert harness.verdicts() == [(0, Verdict.FAILED)] and harness.kernel.said == [("stop", "a")]
+    assert harness.verdicts() == [(0, Verdict.FAILED)] and harness.kernel.commands == [("stop", "a")]
 
 
 def test_a_run_that_makes_another_call_after_an_uncertain_reply_is_not_stopped() -> None:
-    harness = World(downstream=api.Downstream.TIER)
+    harness = EngineHarness(downstream=api.Downstream.TIER)
     start_calls(harness, "a")
     harness.core.execution.call_ended(1, EndReason.CALL_ANSWERED, b"reply")
     harness.turn()
@@ -298,15 +298,15 @@
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     harness.turn()
     harness.wait(3_100)
-    assert harness.verdicts() == [(0, Verdict.SERVED)] and ("stop", "a") not in harness.kernel.said
+    assert harness.verdicts() == [(0, Verdict.SERVED)] and ("stop", "a") not in harness.kernel.commands
 
 
 def test_a_run_that_may_skip_its_call_skips_it_if_its_reply_may_be_lost() -> None:
     skipping = api.RequestClass(
         name="read", latency_objective_ms=1000, deadline_ms=4000, value_fraction_without_call=0.5
     )
-    harness = World(downstream=api.Downstream.TIER, classes=(skipping,))
-    harness.take("a", 1, klass="read", token=None)
+    harness = EngineHarness(downstream=api.Downstream.TIER, classes=(skipping,))
+    harness.submit("a", 1, klass="read", token=None)
     harness.turn()
     harness.core.execution.call_needed("a", 7, b"call")
     harness.turn()
@@ -318,9 +318,9 @@
 
 
 def test_a_call_is_abandoned_at_its_timeout_and_when_its_run_ends() -> None:
-    harness = World(downstream=api.Downstream.TIER, propagates_deadline=True)
-    a = harness.take("a", 1, token="a", budget_ms=2000.0)
-    b = harness.take("b", 2, token="b", budget_ms=2000.0)
+    harness = EngineHarness(downstream=api.Downstream.TIER, propagates_deadline=True)
+    a = harness.submit("a", 1, token="a", budget_ms=2000.0)
+    b = harness.submit("b", 2, token="b", budget_ms=2000.0)
     harness.turn()
     harness.core.execution.call_needed("a", 1, b"")
     harness.core.execution.call_needed("b", 2, b"")
@@ -334,8 +334,8 @@
 
 
 def test_a_command_that_is_rejected_late_has_no_effect() -> None:
-    harness = World()
-    harness.take("a", 1)
+    harness = EngineHarness()
+    harness.submit("a", 1)
     harness.turn()
     harness.core.execution.call_needed("a", 1, b"")
     harness.core.execution.command_rejected("SCHED", "a")
@@ -355,14 +355,14 @@
 
 
 def test_an_exception_in_a_scheduler_step_fails_open_requests_and_the_engine_continues() -> None:
-    harness = World(FailingScheduler)
-    harness.take("a", 1)
+    harness = EngineHarness(FailingScheduler)
+    harness.submit("a", 1)
     harness.turn()
-    harness.take("bad", 2, token="u", rank=0.95)
+    harness.submit("bad", 2, token="u", rank=0.95)
     harness.turn()
     assert sorted(harness.verdicts(), key=str) == [(1, Verdict.FAILED), (2, Verdict.FAILED)]
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
-    harness.take("c", 3)  # the key table remains: the cached result is served and nothing runs twice
+    harness.submit("c", 3)  # the key table remains: the cached result is served and nothing runs twice
     harness.turn()
     assert harness.runs() == ["a"] and harness.verdicts()[-1] == (3, Verdict.SERVED)
 
@@ -385,7 +385,7 @@
         made.append(Scheduler(settings))
         return made[-1]
 
-    harness = World(make_scheduler, warm_up_ms=17_000.0)
+    harness = EngineHarness(make_scheduler, warm_up_ms=17_000.0)
     harness.core.dispatcher.scheduler = None
     harness.core.kernel_up(cold, age_ms)
     assert made[-1].state.settings.warming_up is warming_up
@@ -403,9 +403,9 @@
 
 
 def test_a_faulty_scheduler_can_neither_run_a_key_twice_nor_reject_a_started_request() -> None:
-    harness = World(RejectAfterStartScheduler)
-    harness.take("a", 1)
-    harness.take("b", 2)
+    harness = EngineHarness(RejectAfterStartScheduler)
+    harness.submit("a", 1)
+    harness.submit("b", 2)
     harness.turn()
     assert harness.runs() == ["a"]
     assert harness.verdicts() == [(2, Verdict.FAILED), (1, Verdict.FAILED)]
@@ -421,8 +421,8 @@
     ],
 )
 def test_invalid_arrivals_are_not_registered(arrival: Arrival, reason: InvalidArrival) -> None:
-    harness = World()
-    harness.take("a", 1)
+    harness = EngineHarness()
+    harness.submit("a", 1)
     assert harness.core.submit(arrival, harness, 2) is reason
     assert len(harness.core.table) == 1
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -30,7 +30,7 @@
 from moorusher.scheduling.interface import Effect
 
 from .stand_ins import uwsgi_request
-from .test_core import World
+from .test_core import EngineHarness
 from .test_fronts import NOW_MS, Transport, connected_frontend, request_line
 from .test_links import REPLY, RecordingPool
 
@@ -40,7 +40,7 @@
 class Heard:
     """Stands for the core behind a link: writes down what it is told."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: EngineHarness) -> None:
         self.said: list[Any] = []
         self.clock, self.alarms, self.counters = world.core.clock, world.core.alarms, world.core.counters
         self.ready = True
@@ -50,14 +50,14 @@
         return lambda *args, **named: self.said.append((name, args, named)) if name != "begin_turn" else None
 
 
-def seen(world: World, transport: Transport) -> object:
+def seen(world: EngineHarness, transport: Transport) -> object:
     world.turn()
     return (
         transport.value(),
         transport.disconnecting,
         transport.half_closed,
         transport.aborted,
-        [(s[0], s[1]) for s in world.kernel.said if s[0] == "run"],
+        [(s[0], s[1]) for s in world.kernel.commands if s[0] == "run"],
         sorted((n, v) for n, v in world.core.counters.total.items()),
     )
 
@@ -68,7 +68,7 @@
 
 
 def uwsgi() -> Fed:
-    world = World()
+    world = EngineHarness()
     connection, transport = (
         UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None),
         Transport(),
@@ -79,7 +79,7 @@
 
 
 def probes(kind: str) -> Fed:
-    world = World()
+    world = EngineHarness()
     reporter = Reporter(world.core, HealthPolicy(), "n1")
     factory = (
         AgentCheckFactory(world.core, reporter)
@@ -92,7 +92,7 @@
 
 
 def kernel() -> Fed:
-    world = World()
+    world = EngineHarness()
     link = KernelClient(SimpleNamespace(), ("127.0.0.1", 1))
     link.core = heard = Heard(world)  # type: ignore[assignment]
     connection, transport = KernelProtocol(link), Transport()
@@ -101,14 +101,14 @@
 
 
 def database() -> Fed:
-    pool = RecordingPool(World())
+    pool = RecordingPool(EngineHarness())
     pool.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
     connection, transport = pool.establish()
     return connection, lambda: (pool.outcomes, transport.aborted, transport.disconnecting)
 
 
 def uwsgi_below() -> Fed:
-    world, dialled = World(), []
+    world, dialled = EngineHarness(), []
     link = UwsgiCalls(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
     link.core = heard = Heard(world)
     link.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
@@ -118,7 +118,7 @@
 
 
 def announce() -> Fed:
-    world, dialled = World(), []
+    world, dialled = EngineHarness(), []
     announcer = Announcer(
         SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1), "n1"
     )
@@ -138,7 +138,7 @@
 def succession() -> Fed:
     take_messages: list[object] = []
     link: Any = SimpleNamespace(
-        core=World().core,
+        core=EngineHarness().core,
         connected=lambda peer: None,
         lost=take_messages.append,
         received=lambda peer, frame: take_messages.append((frame.fields, frame.result)),
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -18,7 +18,7 @@
 from moorusher.scheduling.interface import SignalKind
 
 from .stand_ins import uwsgi_request
-from .test_core import World
+from .test_core import EngineHarness
 
 _StringTransport: Any = StringTransport  # Twisted has no types for it
 
@@ -39,9 +39,9 @@
         self.aborted = True
 
 
-def connected_frontend(**changes: Any) -> tuple[World, JsonRpcFactory, JsonRpcProtocol, Transport]:
+def connected_frontend(**changes: Any) -> tuple[EngineHarness, JsonRpcFactory, JsonRpcProtocol, Transport]:
     """A JSON-RPC frontend with room for ten connections, and its first connection."""
-    world = World(**changes)
+    world = EngineHarness(**changes)
     factory = JsonRpcFactory(world.core, 10, lambda: world.core.state.healthy)
     connection = factory.buildProtocol(None)
     transport = Transport()
@@ -57,7 +57,7 @@
     return received
 
 
-NOW_MS = 1_000_001_600_000  # some minutes after the start of a `World`, never too old for a test
+NOW_MS = 1_000_001_600_000  # some minutes after the start of an `EngineHarness`, never too old for a test
 
 
 def request_line(tag: Any = 1, method: Any = "read", **params: Any) -> bytes:
@@ -297,7 +297,7 @@
 )
 def test_an_incomplete_uwsgi_request_at_shutdown_is_marked_as_never_run(sent: bytes, received: bytes) -> None:
     """The runner shuts down with a uwsgi request half received: it may be retried elsewhere."""
-    world = World()
+    world = EngineHarness()
     connection = UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None)
     transport = Transport()
     assert connection is not None
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -27,7 +27,7 @@
 from moorusher.hot_restart.shared_budget import fits_beside, rendezvous_path
 from moorusher.time_units import MS
 
-from .test_core import World
+from .test_core import EngineHarness
 
 # ---- the role of one process ----
 
@@ -251,7 +251,7 @@
     """
 
     def __init__(self) -> None:
-        self.worlds = (World(), World())
+        self.worlds = (EngineHarness(), EngineHarness())
         self.unread: tuple[deque[Any], deque[Any]] = (deque(), deque())
         self.dead: set[int] = set()
         for i, world in enumerate(self.worlds):
@@ -306,18 +306,18 @@
     """A keyed request runs in one process while its retry arrives at the other."""
     pair = ProcessPair()
     old, new = pair.worlds
-    old.take("k-1", 1, token="k")
+    old.submit("k-1", 1, token="k")
     old.turn()
     assert not old.runs()
     pair.settle()
     assert old.runs() == ["k-1"]
-    new.take("k-2", 2, token="k")
+    new.submit("k-2", 2, token="k")
     pair.settle()
     assert not new.runs() and not new.answers
     old.core.execution.run_ended("k-1", EndReason.RUN_SUCCEEDED, b"did")
     pair.settle()
     assert new.verdicts() == [(2, Verdict.SERVED)] and new.answers[0][1].content == b"did"
-    new.take("k-3", 3, token="k")  # it has finished by now, and is known here
+    new.submit("k-3", 3, token="k")  # it has finished by now, and is known here
     pair.settle()
     assert new.verdicts()[1] == (3, Verdict.SERVED) and pair.runs() == {"k": 1}
 
@@ -326,8 +326,8 @@
     """Two attempts with one key reach both processes at once: one of them runs, both get its result."""
     pair = ProcessPair()
     old, new = pair.worlds
-    old.take("k-1", 1, token="k")
-    new.take("k-2", 2, token="k")
+    old.submit("k-1", 1, token="k")
+    new.submit("k-2", 2, token="k")
     pair.settle()
     assert pair.runs() == {"k": 1} and new.runs() == ["k-2"]
     new.core.execution.run_ended("k-2", EndReason.RUN_SUCCEEDED, b"did")
@@ -342,19 +342,19 @@
     """
     pair = ProcessPair()
     old, new = pair.worlds
-    first = old.take("k-1", 1, token="k")
-    second = new.take("k-2", 2, token="k")
+    first = old.submit("k-1", 1, token="k")
+    second = new.submit("k-2", 2, token="k")
     new.core.caller_disconnected(second)
     pair.settle()
     # It waited for a run that never started.
     assert not pair.runs() and old.verdicts() == [(1, Verdict.FAILED)]
-    old.take("k-3", 3, token="k")
+    old.submit("k-3", 3, token="k")
     pair.settle()
     assert old.runs() == ["k-3"]
     pair = ProcessPair()
     old, new = pair.worlds
-    first = old.take("k-1", 1, token="k")
-    new.take("k-2", 2, token="k")
+    first = old.submit("k-1", 1, token="k")
+    new.submit("k-2", 2, token="k")
     pair.read(1)  # the successor has precedence: it reads the claim of its peer, and keeps its own
     pair.read(0)
     old.core.caller_disconnected(first)
@@ -366,22 +366,22 @@
     """A process is killed during a keyed run: nobody knows whether it had an effect."""
     pair = ProcessPair()
     old, new = pair.worlds
-    old.take("k-1", 1, token="k")
+    old.submit("k-1", 1, token="k")
     pair.settle()
-    new.take("k-2", 2, token="k")
+    new.submit("k-2", 2, token="k")
     pair.settle()
     pair.kill(0)
     assert new.verdicts() == [(2, Verdict.FAILED)]
-    new.take("k-3", 3, token="k")
+    new.submit("k-3", 3, token="k")
     new.turn()
     assert new.verdicts()[1] == (3, Verdict.FAILED) and not new.runs()
-    new.at += 8_000 * 1_000_000 + WINDOW_MARGIN_US * 1_000
-    new.take("k-4", 4, token="k")
+    new.now_ns += 8_000 * 1_000_000 + WINDOW_MARGIN_US * 1_000
+    new.submit("k-4", 4, token="k")
     new.turn()
     assert new.runs() == ["k-4"]
 
 
-def disconnect_peer(world: World) -> bool:
+def disconnect_peer(world: EngineHarness) -> bool:
     """Give the peer up, as a process does whose peer does not respond before the handover."""
     world.core.key_claims.peer_disconnected(died=False)
     return True
@@ -394,7 +394,7 @@
         old = pair.worlds[0]
         if before_handover:
             old.core.key_claims.peer_unresponsive = partial(disconnect_peer, old)
-        old.take("k-1", 1, token="k")
+        old.submit("k-1", 1, token="k")
         old.wait(CLAIM_TIMEOUT_US / MS + 10)
         assert old.runs() == (["k-1"] if before_handover else [])
         assert old.verdicts() == ([] if before_handover else [(1, Verdict.REJECTED)])
@@ -405,7 +405,7 @@
 def test_a_different_body_under_a_key_of_the_peer_is_rejected() -> None:
     pair = ProcessPair()
     old, new = pair.worlds
-    old.take("k-1", 1, token="k")
+    old.submit("k-1", 1, token="k")
     new.core.submit(Arrival("k-2", "write", b"other", token="k", memory_kb=10.0), new, 2)
     pair.settle()  # both at once: the successor has precedence
     assert old.verdicts() == [(1, Verdict.REJECTED)] and pair.runs() == {"k": 1}
@@ -417,17 +417,17 @@
 
 def test_keys_of_a_snapshot_do_not_run_again_and_uncertain_ones_are_rejected() -> None:
     """A new process takes over the keys of the old one, which dies with one of them running."""
-    old, new = World(), World()
+    old, new = EngineHarness(), EngineHarness()
     for i, rid in enumerate(("k-1", "m-1")):
-        old.take(rid, i, token=rid[0])
+        old.submit(rid, i, token=rid[0])
     old.turn()
     old.core.execution.run_ended("k-1", EndReason.RUN_SUCCEEDED, b"did")
     for entry in old.core.key_claims.snapshot():
         new.core.key_claims.snapshot_entry(
             entry.key, entry.body_digest, entry.expires_us, entry.finished, entry.result
         )
-    new.take("k-2", 1, token="k")
-    new.take("m-2", 2, token="m")
+    new.submit("k-2", 1, token="k")
+    new.submit("m-2", 2, token="m")
     new.turn()
     assert new.verdicts() == [(1, Verdict.SERVED)] and not new.runs()
     new.core.key_claims.peer_disconnected(died=True)
@@ -437,8 +437,8 @@
     arrival = Arrival("n-1", "write", b"x", token="n", memory_kb=10.0)
     assert new.core.submit(arrival, new, 3) is InvalidArrival.KEY_STATE_UNKNOWN
     new.turn()
-    new.at += 8_000 * 1_000_000 + WINDOW_MARGIN_US * 1_000
-    new.take("n-2", 4, token="n")
+    new.now_ns += 8_000 * 1_000_000 + WINDOW_MARGIN_US * 1_000
+    new.submit("n-2", 4, token="n")
     new.turn()
     assert new.runs() == ["n-2"]
 
@@ -456,7 +456,7 @@
         if choice < 0.35:
             attempts += 1
             key = rng.choice("abc")
-            world.take(f"{key}-{attempts}", attempts, token=key)
+            world.submit(f"{key}-{attempts}", attempts, token=key)
         elif choice < 0.7:
             pair.read(i, 0 if pair.dead else rng.randint(1, 3))
         elif choice < 0.85 and world.runs():
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -19,7 +19,7 @@
 from moorusher.core.outcomes import EndReason
 from moorusher.scheduling.interface import Downstream, Effect
 
-from .test_core import World
+from .test_core import EngineHarness
 from .test_fronts import Transport
 
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
@@ -34,7 +34,7 @@
 class RecordingPool(DatabasePool):
     """A pool whose connections are established by the test, and that records the outcomes of its calls."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: EngineHarness) -> None:
         super().__init__(self, ("127.0.0.1", 1))
         self.core = world.core
         self.dialled: list[Any] = []
@@ -64,7 +64,7 @@
 
     On a connection that is used again the rest would be taken for the reply to the next call.
     """
-    pool = RecordingPool(world := World())
+    pool = RecordingPool(world := EngineHarness())
     pool.call(1, call_request(1))
     connection, transport = pool.establish()
     for part in (REPLY, extra) if in_second_segment else (REPLY + extra,):
@@ -84,7 +84,7 @@
 
     A call sent on it may or may not have run: only an idempotent one is sent there, and then retried.
     """
-    pool = RecordingPool(world := World())
+    pool = RecordingPool(world := EngineHarness())
     pool.call(1, call_request(1))
     connection, _ = pool.establish()
     connection.dataReceived(REPLY)
@@ -106,7 +106,7 @@
 
 def test_calls_go_to_the_current_address_of_the_database() -> None:
     """The database moves while one connection to it is idle and another has a call in flight."""
-    pool = RecordingPool(world := World())
+    pool = RecordingPool(world := EngineHarness())
     pool.call(1, call_request(1))
     connection, transport = pool.establish()
     connection.dataReceived(REPLY)
@@ -123,7 +123,7 @@
 
 def test_calls_beyond_the_connection_limit_fail_without_being_sent() -> None:
     """All file descriptors for calls are in use: a further call fails as never sent, a later one succeeds."""
-    pool = RecordingPool(World())
+    pool = RecordingPool(EngineHarness())
     pool.max_busy = 2
     for number in (1, 2, 3):
         pool.call(number, call_request(number))
@@ -139,7 +139,7 @@
 
 
 def test_an_idle_database_connection_is_reused_and_closed_after_its_idle_timeout() -> None:
-    pool = RecordingPool(world := World())
+    pool = RecordingPool(world := EngineHarness())
     pool.call(1, call_request(1))
     connection, transport = pool.establish()
     assert b"Request-Ref: r1\r\nStatement-Timeout-Ms: 500\r\nContent-Length: 1\r\n\r\nq" in transport.value()
@@ -157,7 +157,7 @@
 class RecordingKernelClient(KernelClient):
     """A kernel client whose connections are established by the test."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: EngineHarness) -> None:
         super().__init__(self, ("127.0.0.1", 1))
         self.core = world.core
         self.dialled: list[tuple[str, int]] = []
@@ -208,10 +208,10 @@
 
     The connection is made again from the last notice that was read, and a notice received twice counts once.
     """
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     connection, transport = link.establish()
     receive_messages(connection, BOOTED)
-    world.take("a", 1)
+    world.submit("a", 1)
     world.turn()
     receive(connection, line + b"\n")
     assert transport.aborted and link.session.last_notice == 0
@@ -227,7 +227,7 @@
 
 def test_a_line_that_stays_unreadable_is_skipped_after_a_limited_number_of_reconnects() -> None:
     """The kernel sends the same damaged line on each connection: the runner must not reconnect for ever."""
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     for _ in range(MAX_UNREADABLE + 1):
         connection, transport = link.establish()
         receive(connection, b"{\n")
@@ -239,11 +239,11 @@
 
 def test_nothing_is_sent_on_a_new_connection_before_the_replay_ends_and_a_reply_is_sent_once() -> None:
     """The connection to the kernel breaks while a run waits for the reply to its call."""
-    link = RecordingKernelClient(world := World(downstream=Downstream.TIER))
+    link = RecordingKernelClient(world := EngineHarness(downstream=Downstream.TIER))
     world.core.runs._kernel = link.session
     connection, _ = link.establish()
     receive_messages(connection, BOOTED)
-    world.take("a", 1)
+    world.submit("a", 1)
     world.turn()
     world.core.execution.call_needed("a", 1, b"q")
     world.turn()
@@ -266,11 +266,11 @@
 @pytest.mark.parametrize("is_acknowledged", [False, True])
 def test_commands_acknowledged_by_an_answered_mark_are_not_resent(is_acknowledged: bool) -> None:
     """The connection breaks after a command: it is resent unless an answered mark shows that it was read."""
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     world.core.runs._kernel = link.session
     connection, transport = link.establish()
     receive_messages(connection, BOOTED)
-    world.take("a", 1)
+    world.submit("a", 1)
     world.turn()
     link.session.ask_gauges()
     question = json.loads(transport.value().splitlines()[-1])
@@ -286,11 +286,11 @@
 @pytest.mark.parametrize("mark", ["g", "gg", "g-1", "g1.5", "g99999", "None", ""])
 def test_a_mark_that_was_never_sent_acknowledges_nothing(mark: str) -> None:
     """The kernel answers a mark that it was never sent: no later command may count as read by that."""
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     world.core.runs._kernel = link.session
     connection, _ = link.establish()
     receive_messages(connection, BOOTED, {"t": "INFO", "mark": mark, "v": [0.5]})
-    world.take("a", 1)
+    world.submit("a", 1)
     world.turn()
     connection.connectionLost()
     connection, transport = link.establish()
@@ -299,12 +299,12 @@
 
 
 def test_the_kernel_connection_moves_whether_it_is_up_connecting_or_waiting_to_reconnect() -> None:
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     first, _ = link.establish()
     receive_messages(first, BOOTED)
     link.move(("127.0.0.1", 2))
     world.core.runs._kernel = link.session
-    world.take("a", 1)  # the old connection serves until the new one is up
+    world.submit("a", 1)  # the old connection serves until the new one is up
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
     link.move(("127.0.0.1", 3))  # while it dials
@@ -356,7 +356,7 @@
 
     It is replaced, and what still arrives before the new one is up counts.
     """
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     world.core.runs._kernel = link.session
     silent, transport = link.establish()
     receive_messages(silent, BOOTED)
@@ -366,7 +366,7 @@
     ) >= 2 and len(link.dialled) == 1
     world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 2 and not transport.disconnecting
-    world.take("a", 1)
+    world.submit("a", 1)
     world.turn()
     assert b'"SCHED"' in transport.value()
     receive_messages(silent, {"t": "REAP", "no": 1, "rid": "a", "status": "PASS", "time_ms": 1, "b64": ""})
@@ -377,10 +377,10 @@
 
 def test_a_kernel_connection_with_unread_input_is_kept_after_a_pause_of_this_process() -> None:
     """This process stood still for long: the kernel only seems silent, its messages wait in the buffer."""
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     connection, _ = link.establish()
     receive_messages(connection, BOOTED)
-    world.at += 10_000_000_000
+    world.now_ns += 10_000_000_000
     world.core.fire_timers()  # timers come before what is read
     world.turn()
     receive_messages(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
@@ -389,7 +389,7 @@
 
 
 def test_a_kernel_that_boots_slowly_is_not_taken_for_a_silent_one() -> None:
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     connection, _ = link.establish()
     world.wait(20_000)
     assert len(link.dialled) == 1
@@ -419,7 +419,7 @@
     line: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The kernel sends JSON that is no message: no exception is logged, and the runner reconnects."""
-    link = RecordingKernelClient(world := World())
+    link = RecordingKernelClient(world := EngineHarness())
     connection, transport = link.establish()
     if b"BOOTED" not in line:
         receive_messages(connection, BOOTED)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -18,7 +18,7 @@
 from moorusher.health_reporting.reporter import Reporter
 
 from .stand_ins import FrontEnd, Kernel, body_of, exchange, running, status, until
-from .test_core import World
+from .test_core import EngineHarness
 from .test_fronts import Transport
 from .test_sockets import asynchronous_test, wait_until
 
@@ -27,7 +27,7 @@
     """A core with both listeners' factories, and connections made by hand."""
 
     def __init__(self, kernel: bool = True, **policy: Any) -> None:
-        self.world = World()
+        self.world = EngineHarness()
         self.reporter = Reporter(self.world.core, HealthPolicy(**policy), "n1")
         self.agent = AgentCheckFactory(self.world.core, self.reporter)
         self.health = HealthCheckFactory(
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -29,7 +29,7 @@
 
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
 from .stand_ins import SETTINGS
-from .test_core import World
+from .test_core import EngineHarness
 from .test_fronts import connected_frontend, request_line, take_messages
 
 FAST = replace(SAFE, name="fast", latency_objective_ms=300, deadline_ms=900)
@@ -133,7 +133,7 @@
 # ---- the core ----
 
 
-def reconfigure_core(world: World, new: api.Settings) -> None:
+def reconfigure_core(world: EngineHarness, new: api.Settings) -> None:
     """Apply the new settings to the core, and finish the turn of the event loop."""
     world.core.reconfigure(plan(world.core.settings, new))
     world.turn()
@@ -141,13 +141,13 @@
 
 def test_requests_in_flight_of_a_removed_class_are_served_and_new_ones_are_rejected() -> None:
     """A class is removed while one request of it runs and another has just been read."""
-    world = World()
-    world.take("a", 1)
+    world = EngineHarness()
+    world.submit("a", 1)
     world.turn()
-    world.take("b", 2, token="u")  # read in the same turn of the event loop as the change
+    world.submit("b", 2, token="u")  # read in the same turn of the event loop as the change
     reconfigure_core(world, settings_with_classes(SAFE))
     assert world.runs() == ["a", "b"]
-    world.take("c", 3, klass="read", token=None)
+    world.submit("c", 3, klass="read", token=None)
     assert world.core.submit(Arrival("d", "write", b"x", token="t"), world, 4) is InvalidArrival.UNKNOWN_CLASS
     world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     world.turn()
@@ -156,33 +156,33 @@
 
 def test_idempotency_keys_survive_the_removal_of_their_class_and_keep_the_longer_window() -> None:
     """A class is removed and returns: a retry with a key that was used before must not run again."""
-    world = World()
-    world.take("a", 1)
+    world = EngineHarness()
+    world.submit("a", 1)
     world.turn()
     world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     reconfigure_core(world, settings_with_classes(SAFE))
     world.wait(1000)
     # The class returns, at another position.
     reconfigure_core(world, settings_with_classes(FAST, replace(KEYED, idempotency_window_ms=20_000), SAFE))
-    world.at += 15_000 * 1_000_000
+    world.now_ns += 15_000 * 1_000_000
     world.core.begin_turn()
     world.turn()
-    world.take("b", 2)
+    world.submit("b", 2)
     world.turn()
     assert world.runs() == ["a"] and world.verdicts()[-1] == (2, Verdict.SERVED)
     reconfigure_core(world, settings_with_classes(replace(KEYED, idempotency_window_ms=10), SAFE))
-    world.take("c", 3)
+    world.submit("c", 3)
     world.turn()
     assert world.runs() == ["a"]
 
 
 def test_a_retry_under_a_new_class_with_the_same_idempotency_key_does_not_run_again() -> None:
     """A rename of a class is rolled out: the first attempt names the old one, its retry the new one."""
-    world = World()
-    world.take("a", 1)
+    world = EngineHarness()
+    world.submit("a", 1)
     world.turn()
     reconfigure_core(world, settings_with_classes(SAFE, KEYED, replace(KEYED, name="write-next")))
-    world.take("b", 2, klass="write-next")
+    world.submit("b", 2, klass="write-next")
     world.turn()
     assert world.runs() == ["a"]
     world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
@@ -199,9 +199,9 @@
         def __getattr__(self, kind: str) -> Any:
             return lambda *args: None
 
-    world = World()
+    world = EngineHarness()
     world.core.key_claims.peer = SilentPeer()
-    world.take("a", 1)
+    world.submit("a", 1)
     key = ("", "t")
     reconfigure_core(world, settings_with_classes(SAFE))
     world.core.key_claims.claim_granted(1, key)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 from moorusher.core.wall_clock import MAX_OFFSETS, WallClock
 from moorusher.time_units import MS, SECOND
 
-from .test_core import World
+from .test_core import EngineHarness
 
 HOUR = 3_600 * SECOND
 STEPS = [s * sign for s in (2 * SECOND, 10 * SECOND, HOUR) for sign in (1, -1)]
@@ -121,26 +121,26 @@
     assert clock.wall.steps == 0
 
 
-class SteppedWorld(World):
+class SteppedEngineHarness(EngineHarness):
     """Test engine with a Unix clock that can be stepped."""
 
     def __init__(self, **changes: Any) -> None:
         super().__init__(**changes)
         self.offset_us = 0
-        self.core.clock._unix_ns = lambda: self.at + 10**18 + self.offset_us * 1_000
+        self.core.clock._unix_ns = lambda: self.now_ns + 10**18 + self.offset_us * 1_000
 
     def unix_ms(self) -> float:
-        return (self.at + 10**18 + self.offset_us * 1_000) / 10**6
+        return (self.now_ns + 10**18 + self.offset_us * 1_000) / 10**6
 
 
 @pytest.mark.parametrize("step_us", STEPS)
 def test_a_step_does_not_change_the_deadline_of_a_request_stamped_before_it(step_us: int) -> None:
-    harness = SteppedWorld()
+    harness = SteppedEngineHarness()
     harness.wait(500)
     unix_ms = harness.unix_ms()
     harness.offset_us += step_us
     harness.wait(20)
-    harness.take("a", 1, t0_unix_ms=unix_ms, budget_ms=3_000.0)
+    harness.submit("a", 1, t0_unix_ms=unix_ms, budget_ms=3_000.0)
     harness.turn()
     assert harness.runs() == ["a"]
     harness.wait(2_800)
@@ -154,14 +154,14 @@
     "when", ["before it is stamped", "before it is read", "while it runs", "after its run"]
 )
 def test_a_step_does_not_shorten_or_lengthen_the_window_of_a_key(step_us: int, when: str) -> None:
-    harness = SteppedWorld()
+    harness = SteppedEngineHarness()
     harness.wait(500)
     harness.offset_us += step_us if when == "before it is stamped" else 0
     harness.wait(100)
     unix_ms = harness.unix_ms()
     harness.offset_us += step_us if when == "before it is read" else 0
     harness.wait(20)
-    harness.take("a", 1, t0_unix_ms=unix_ms)
+    harness.submit("a", 1, t0_unix_ms=unix_ms)
     harness.turn()
     harness.offset_us += step_us if when == "while it runs" else 0
     harness.wait(100)
@@ -169,22 +169,22 @@
     harness.turn()
     harness.offset_us += step_us if when == "after its run" else 0
     harness.wait(7_900)  # the window is 8 s
-    harness.take("b", 2, t0_unix_ms=harness.unix_ms())
+    harness.submit("b", 2, t0_unix_ms=harness.unix_ms())
     harness.turn()
     assert harness.runs() == ["a"] and harness.verdicts() == [(1, Verdict.SERVED), (2, Verdict.SERVED)]
     harness.wait(8_000 + WINDOW_MARGIN_US / MS)
-    harness.take("c", 3, t0_unix_ms=harness.unix_ms())
+    harness.submit("c", 3, t0_unix_ms=harness.unix_ms())
     harness.turn()
     assert harness.runs() == ["a", "c"]
 
 
 def test_an_early_timestamp_of_a_sender_does_not_shorten_the_window() -> None:
-    harness = SteppedWorld()
-    harness.take("a", 1, klass="write", t0_unix_ms=harness.unix_ms() - 300)
+    harness = SteppedEngineHarness()
+    harness.submit("a", 1, klass="write", t0_unix_ms=harness.unix_ms() - 300)
     harness.turn()
     harness.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     harness.turn()
     harness.wait(8_000 + WINDOW_MARGIN_US / MS - 100)
-    harness.take("b", 2)
+    harness.submit("b", 2)
     harness.turn()
     assert harness.runs() == ["a"]
