--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -59,7 +59,7 @@
         return max(windows, default=0.0)
 
     def distrust_new_keys(self) -> None:
-        """Treat new keys as keys that may have run, until the longest window has passed.
+        """Treat keys that are not in the table as keys that may have run, until the longest window has passed.
 
         Called when a process has exited whose keys are unknown.
         """
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -33,7 +33,7 @@
         key: Tenant and token.
         number: Number of the attempt that has the key.
         body_digest: `digest` of the body, the same for all attempts.
-        expires_us: Time before which the key is not freed; an open attempt delays it further.
+        expires_us: Time at which the key is freed, if its attempt has ended by then.
         started: Whether the attempt runs or has run, or may have.
         finished: Whether the outcome of the attempt is known.
         result: Cached result of a successful run.
@@ -88,7 +88,7 @@
         limits: Limits on the size of the table.
         result_bytes: Total size of the cached results.
         observers: Notified of the end of this process's own attempts.
-        unknown_until: Time (us) before which a new key may have run in a process that has exited.
+        unknown_until: Time (us) before which keys that are not in the table may have run in a process that has exited.
     """
 
     def __init__(self, memory_mb: float = 192.0) -> None:
--- a/moorusher/core/key_table_limits.py
+++ b/moorusher/core/key_table_limits.py
@@ -19,7 +19,8 @@
 
     def __init__(self, memory_mb: float) -> None:
         self.set_memory_limit(memory_mb)
-        # Size of the cached results up to which results of the other process are cached. None if there is none.
+        # Total size of cached results above which results of the other process are not cached. None: there is no other
+        # process.
         self._max_remote_bytes: int | None = None
 
     def set_memory_limit(self, memory_mb: float) -> None:
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -138,7 +138,7 @@
     def _reserve_key(
         self, request: Request, key: tuple[str | None, str], takes_over: bool
     ) -> InvalidArrival | None:
-        # Reserves the key, or makes the request a retry of the attempt that has it. Returns why the request is invalid.
+        # Reserves the key, or makes the request a retry of the attempt that has it. Returns the reason if this fails.
         now = self._clock.now
         request.key = key
         entry = self._keys.find(key, now)
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -63,7 +63,7 @@
     # ---- answers to `announce_start` ----
 
     def start_confirmed(self, request: Request) -> None:
-        """Start the run. Called when a majority has acknowledged it."""
+        """Start the run, unless it was stopped meanwhile. Called when a majority has acknowledged the start."""
         if not self._is_starting(request):
             return
         self._turn.begin()
--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -114,7 +114,7 @@
         """Submit a request that was read completely.
 
         :param reply: receives the answer, with `tag`.
-        :returns: the request, or why it is invalid. Invalid requests are answered by the frontend.
+        :returns: the request, or the reason why it is invalid. Invalid requests are answered by the frontend.
         """
         if self.dispatcher.scheduler is None:
             self.begin_turn()
