--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -22,6 +22,7 @@
     assert parse("a.py::test_b; pytest a.py; it is late; 30\n\n") == [
         KnownRed("a.py::test_b", "pytest a.py", "it is late", "30")
     ]
+    assert parse("a.py::test_b[x; y]; pytest a.py; it is late; 30")[0].test == "a.py::test_b[x; y]"
     for bad in ("a.py::test_b", "a; b", "a; b; c", "a; ; c; 30", "a; b; 1; 2; 3"):
         with pytest.raises(InvalidKnownRedListError):
             parse(bad)
