--- a/moorusher/hot_restart/__init__.py
+++ b/moorusher/hot_restart/__init__.py
@@ -1,5 +1,5 @@
-"""Hot restart: one process of a runner takes over from another while both serve.
+"""Hot restart: a new process of a runner takes over from the running one without an interruption of service.
 
-Here is decided what each process does when. It is carried out in `cluster_transport/hot_restart/` and `server/`;
-docs/design/daily.md says why it is so.
+This package decides what each process does; `cluster_transport/hot_restart/` and `server/` carry it out. See
+docs/design/daily.md.
 """
--- a/moorusher/hot_restart/shared_budget.py
+++ b/moorusher/hot_restart/shared_budget.py
@@ -1,4 +1,4 @@
-"""What two processes of one runner share: an address, and the limits of the runner."""
+"""What two processes of one runner share: the socket by which they find each other, and the runner's limits."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import xxhash
 
-MAX_PATH_BYTES = 107  # of a Unix socket's address
-PID_SUFFIX_BYTES = 11  # that a new socket has behind its name at first
-MIN_PROCESS_MB = 21.0  # what a process in service takes at least
+MAX_PATH_BYTES = 107  # maximum length of a Unix socket's path
+PID_SUFFIX_BYTES = 11  # length of the suffix with the process id that a new socket has before it is renamed
+MIN_PROCESS_MB = 21.0  # least memory that a process in service uses
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLoad:
-    """What one process takes of the runner's limits.
+    """One process's use of the runner's limits.
 
     Attributes:
-        on_cores: runs that compete for the cores.
-        running: all runs, those at calls included.
-        memory_kb: of the kernel, by its requests.
-        connections: of clients.
+        on_cores: Number of runs that compete for the cores.
+        running: Number of all runs, including those that wait for a call.
+        memory_kb: Kernel memory that its requests use.
+        connections: Number of client connections.
     """
 
     on_cores: int = 0
@@ -29,15 +29,18 @@
 
 
 def rendezvous_path(folder: str, name: str, address: tuple[str, int]) -> str | None:
-    """The Unix socket by which the processes of one runner find each other; many runners may share a folder. None where
-    the path is too long for a socket."""
+    """Return the path of the Unix socket by which the processes of one runner find each other.
+
+    :returns: None if the path is too long for a socket.
+    """
+    # Several runners may share a folder, so the path contains a hash of the runner's name and address.
     runner_id = xxhash.xxh64_hexdigest(f"{name} {address[0]}:{address[1]}".encode())
     path = f"{folder.rstrip('/')}/moorusher-{runner_id}"
     length = len(path.encode("utf-8", "surrogateescape")) + PID_SUFFIX_BYTES
     return path if length <= MAX_PATH_BYTES else None
 
 
-def fits_beside(limit_mb: float, taken_mb: float) -> bool:
-    """Whether a second process fits into the runner's memory. Where not, both would be killed: the one that has not
-    begun gives way."""
-    return taken_mb + MIN_PROCESS_MB <= limit_mb
+def fits_beside(limit_mb: float, used_mb: float) -> bool:
+    """Return whether the runner's memory is large enough for a second process."""
+    # If it is not, the new process must not start, since both processes would be killed.
+    return used_mb + MIN_PROCESS_MB <= limit_mb
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -1,4 +1,4 @@
-"""One member's part in maintenance: composes its copy of the schedule, its planner, its machine and its callers."""
+"""Connects one member's copy of the schedule, its planner, its machine controller and its waiting callers."""
 
 from __future__ import annotations
 
@@ -18,23 +18,28 @@
 from .waiters import WaitCallback, Waiter, Waiters, WaitResult, WaitStatus
 
 TICK_US = 200 * MS
-FIRST_READ_INTERVAL_US = 500 * MS  # until the schedule was read once
-ACTIVE_READ_INTERVAL_US = 1_000 * MS  # with a slot of its own, or a caller that waits here
-REPLICA_READ_INTERVAL_US = 3_000 * MS  # of a replica, while requests are open
-QUEUED_READ_INTERVAL_US = 5_000 * MS  # of a machine that is queued: it is told of its grant
-IDLE_READ_INTERVAL_US = 30_000 * MS  # of any other member
-MIN_READ_INTERVAL_PER_SEAT_US = 100 * MS  # the replicas are read as seldom in a large fleet as in a small one
+FIRST_READ_INTERVAL_US = 500 * MS  # before the first successful read
+ACTIVE_READ_INTERVAL_US = 1_000 * MS  # for a member with a slot or a waiting caller
+REPLICA_READ_INTERVAL_US = 3_000 * MS  # for a replica while requests are open
+QUEUED_READ_INTERVAL_US = 5_000 * MS  # for a queued machine; it is also notified of its grant
+IDLE_READ_INTERVAL_US = 30_000 * MS  # for any other member
+# Minimum read interval of queued and idle members, per seat of the fleet. It bounds the rate at which the replicas are
+# read, whatever the size of the fleet.
+MIN_READ_INTERVAL_PER_SEAT_US = 100 * MS
 MAX_WAITERS = 256
-OPERATOR_TIMEOUT_US = 2_500 * MS  # for a majority, before an operator is told that there is none
+OPERATOR_TIMEOUT_US = (
+    2_500 * MS
+)  # wait for a majority before an operator's change is answered with NoMajorityError
 
 
 class MaintenanceCoordinator:
-    """One member's part in maintenance. Callbacks of operations get an MaintenanceError if the operation failed.
+    """One member's part in maintenance. Callbacks of operations get a MaintenanceError if the operation failed.
 
-    policy: settings.
-    replica: this member's copy of the schedule.
-    machine: what this member's machine does.
-    waiters: callers that wait here.
+    Attributes:
+        policy: The settings.
+        replica: This member's copy of the schedule.
+        machine: Controller of this member's machine.
+        waiters: Callers that wait at this member.
     """
 
     waiters_class: type[Waiters] = Waiters
@@ -47,7 +52,7 @@
         remembers: bool = False,
         acceptor_class: type[Acceptor] = Acceptor,
     ) -> None:
-        """`remembers`: nothing that this seat has ever promised is forgotten."""
+        """:param remembers: Whether this seat still has every promise that it has made as an acceptor."""
         self.policy = policy
         self._node = node
         self._host = host
@@ -68,18 +73,18 @@
 
     @property
     def schedule(self) -> Schedule:
-        """The schedule, as last read."""
+        """The schedule as last read."""
         return self.replica.schedule
 
     def reconfigure(self, policy: MaintenancePolicy) -> None:
-        """Follow other settings."""
+        """Apply changed settings."""
         self.policy = policy
         self._planner.reconfigure(policy)
 
     # ---- ticks ----
 
     def start(self) -> None:
-        """Begin the ticks."""
+        """Start the periodic ticks."""
         self._node.at(self._node.clock() + TICK_US, self._tick)
 
     def _tick(self) -> None:
@@ -131,7 +136,7 @@
     def withdraw(
         self, request_id: str, seats: list[str], requested_by: str, callback: ScheduleCallback
     ) -> None:
-        """Withdraw seats of a request; all if none is named.
+        """Withdraw the named seats of a request, or all if `seats` is empty.
 
         Errors: UnknownRequestError, AlreadyClearedError, NoMajorityError.
         """
@@ -141,7 +146,7 @@
         self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def pause(self, reason: str, callback: ScheduleCallback) -> None:
-        """Grant no slots until resumed. Errors: NoMajorityError."""
+        """Stop granting slots until resumed. Errors: NoMajorityError."""
         self.replica.write(PauseAll(reason), OPERATOR_TIMEOUT_US, callback)
 
     def resume(self, seat: str, callback: ScheduleCallback) -> None:
@@ -149,7 +154,7 @@
         self.replica.write(Resume(seat), OPERATOR_TIMEOUT_US, callback)
 
     def finish(self, seat: str, stated_by: str, callback: ScheduleCallback) -> None:
-        """State that the work on a machine is over.
+        """Finish the slot of a machine by an operator's statement.
 
         Errors: UnknownSeatError, MachineInServiceError, NoMajorityError.
         """
@@ -159,7 +164,11 @@
         return self.replica.write(change, OPERATOR_TIMEOUT_US, callback)
 
     def read(self, callback: Callable[[Schedule, bool], None]) -> None:
-        """Read the schedule. The bool is False if no majority answers, and the schedule the last known one."""
+        """Read the schedule.
+
+        :param callback: Called with the schedule and whether it is current. It is the last known schedule if no
+            majority answered.
+        """
         self.replica.read(lambda is_current: callback(self.schedule, is_current))
 
     def explain(self) -> NextStep:
@@ -167,21 +176,24 @@
         return self._planner.explain(self.schedule, self._node.clock(), self._host.unix_s())
 
     def waiting_reason(self, request_id: str, seat: str) -> str:
-        """Return why a queued machine waits; empty if it is not queued."""
+        """Return why a queued machine waits; an empty string if it is not queued."""
         return self.explain().reasons.get((request_id, seat), "")
 
     def wait(self, request_id: str, seat: str, timeout_us: int, callback: WaitCallback) -> Callable[[], None]:
-        """Call back once: as soon as the machine may be worked on or will not be, or after the timeout.
+        """Wait until the machine may be worked on, its request has ended, or the timeout expires.
 
-        Returns a function that takes the caller off the list. Raises NotLocalError for another machine, if the next
-        boot of it ends the slot: a caller that is told late would work on a machine that nobody counts as out.
+        :param callback: Called once with the result.
+        :returns: A function that cancels the wait.
+        :raises NotLocalError: If a reboot of another machine ends the slot.
         """
+        # A delayed answer could let the caller work on another machine after its reboot, when it no longer counts as
+        # out of service.
         request = self.schedule.request(request_id)
         if seat != self.me and (request is None or request.completion == CompletionProof.REBOOT):
             raise NotLocalError(f"{seat}: this is {self.me}")
         if len(self.waiters) >= MAX_WAITERS:
             callback(WaitResult(WaitStatus.QUEUED, "too many wait at this runner; ask another one"))
             return lambda: None
-        self.replica.read_soon()
+        self.replica.read_on_next_tick()
         deadline_us = self._node.clock() + timeout_us
         return self.waiters.add(Waiter(request_id, seat, deadline_us, callback))
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -1,11 +1,10 @@
-"""Whether the fleet can do without a machine now, from what its members report of themselves.
+"""Decides whether the fleet can spare a machine now, from the status that its members report."""
 
-A machine counts as out of service from its grant until it serves as before; one that is not heard of counts, too,
-whether or not somebody asked for that. What stays must be able to take the load that there is, and its recent peak.
-
-So `MaintenancePolicy.max_out` bounds lost machines and slots together here. The schedule knows its slots alone:
-`slot_changes.py` checks these against the same number again, as `max_slots`.
-"""
+# A machine counts as out of service from its grant until its slot is finished, and while it is lost, whether or not its
+# maintenance was requested. The remaining machines must be able to carry the present load and its recent peak.
+#
+# `MaintenancePolicy.max_out` limits lost machines and slots together here. The schedule has a record of slots only, so
+# `slot_changes.py` checks the number of slots alone against the same limit, as `max_slots`.
 
 from __future__ import annotations
 
@@ -17,22 +16,23 @@
 from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule
 
-UNHEALTHY_WEIGHT = 50  # percent, under which a machine goes before healthy ones
+UNHEALTHY_WEIGHT = 50  # percent; a machine with a lower weight goes before healthy ones
 FULL_WEIGHT = 100  # percent
-MAX_NAMED_SEATS = 3  # in a reason
+MAX_NAMED_SEATS = 3  # seats that one reason lists by name
 
 
 @dataclass(frozen=True, slots=True)
 class SeatView:
-    """A machine, as one member knows it.
-
-    seat, zone, group: str.
-    is_up: bool.
-    cores: float.
-    weight: int, percent of its capacity that it offers.
-    load, peak_load: float, cores.
-    recovered: bool, as a replica of the schedule it has forgotten nothing.
-    durable: bool, its next process will have forgotten nothing, either.
+    """One member's view of a machine.
+
+    Attributes:
+        seat, zone, group: The machine, and the zone and the group that it belongs to.
+        is_up: Whether the failure detector considers it alive.
+        cores: Its cores.
+        weight: Share of its capacity that it offers, in percent.
+        load, peak_load: Busy cores, now and at the recent peak.
+        recovered: Whether it has all of its replicated state.
+        durable: Whether its replicated state survives a restart of its process.
     """
 
     seat: str
@@ -48,26 +48,30 @@
 
     @property
     def capacity(self) -> float:
-        """Cores that it offers now."""
+        """Number of cores that it offers now."""
         return self.cores * self.weight / FULL_WEIGHT if self.is_up else 0.0
 
     @property
     def is_unhealthy(self) -> bool:
-        """It is up, and offers little of its capacity."""
+        """Whether it is up but offers less than half of its capacity."""
         return self.is_up and self.weight < UNHEALTHY_WEIGHT
 
 
 class DisruptionBudget:
-    """The budget that one schedule leaves.
-
-    views: by seat.
-    lost: seats that are not heard of and have no slot.
-    out: seats that are out of service: lost, or with a slot.
-    capacity, cores: float, of those that stay.
-    total_cores: float, of all.
-    needed_cores: float, load or recent peak, whichever is higher.
-    zones, groups: how many are out, by zone and group.
-    replicas: seats that replicate the schedule.
+    """The machines that may still be taken out of service, given one schedule and one member's view of the fleet.
+
+    Attributes:
+        views: View of each machine, by seat.
+        policy: The settings.
+        schedule: The schedule.
+        lost: Seats that are not up and have no slot.
+        out: Seats that are out of service: lost, or with a slot.
+        capacity: Number of cores that the machines not in `out` offer.
+        cores: Number of cores that the machines not in `out` have.
+        total_cores: Number of cores of all machines.
+        needed_cores: Load of the fleet or its recent peak, whichever is higher.
+        zones, groups: Number of machines that are out, by zone and by group.
+        replicas: Seats that replicate the schedule.
     """
 
     def __init__(
@@ -89,21 +93,21 @@
         self._count_replicas(granted)
 
     def _count_capacity(self) -> None:
-        every = list(self.views.values())
-        staying = [view for view in every if view.seat not in self.out]
-        serving = [view for view in every if view.is_up]
-        self.total_cores = sum(view.cores for view in every)
-        self.capacity = sum(view.capacity for view in staying)
-        self.cores = sum(view.cores for view in staying)
-        load = sum(view.load for view in serving)
-        peak_load = sum(view.peak_load for view in serving)
+        all_views = list(self.views.values())
+        remaining_views = [view for view in all_views if view.seat not in self.out]
+        live_views = [view for view in all_views if view.is_up]
+        self.total_cores = sum(view.cores for view in all_views)
+        self.capacity = sum(view.capacity for view in remaining_views)
+        self.cores = sum(view.cores for view in remaining_views)
+        load = sum(view.load for view in live_views)
+        peak_load = sum(view.peak_load for view in live_views)
         self.needed_cores = max(load, peak_load)
 
     def _count_zones(self) -> None:
         out = [self.views[seat] for seat in self.out if seat in self.views]
         self.zones = Counter(view.zone for view in out)
         self.groups = Counter(view.group for view in out if view.group)
-        # Zones in which a machine is out that does not share its zone, or is lost.
+        # Zones from which no second machine may go: one is lost, or its request does not allow sharing the zone.
         self._exclusive_zones = {self.views[seat].zone for seat in self.lost}
         for slot in self.schedule.slots:
             if slot.seat in self.views and not self._shares_zone(slot.request_id):
@@ -114,8 +118,9 @@
         return request is not None and request.shares_zone
 
     def _count_replicas(self, granted: set[str]) -> None:
-        # One more replica that is lost unasked, and forgets, must not lose the schedule.
-        self._forgetful_out = sum(
+        # A replica without a journal forgets the schedule when it restarts. Their number is limited, so that the
+        # unexpected loss of one more replica does not lose the schedule.
+        self._non_durable_out = sum(
             seat in self.views and not self.views[seat].durable for seat in self.replicas & granted
         )
         self._voting = {
@@ -127,7 +132,7 @@
     # ---- the rules ----
 
     def blocking_reason(self, request: MaintenanceRequest, seat: str) -> str | None:
-        """Return why the machine stays for now, in words for operators; None if it may go."""
+        """Return why the machine may not go now, as a text for operators; None if it may go."""
         view = self.views.get(seat)
         if view is None:
             return "no such seat in this runner's file"
@@ -162,11 +167,11 @@
         remaining = len(self._voting - {view.seat})
         if remaining < needed:
             return f"it keeps the order itself, and without it {remaining} of {len(self.replicas)} could"
-        max_forgetful = max(1, len(self.replicas) - needed - 1)
-        if not view.durable and self._forgetful_out + 1 > max_forgetful:
+        max_non_durable_out = max(1, len(self.replicas) - needed - 1)
+        if not view.durable and self._non_durable_out + 1 > max_non_durable_out:
             return (
                 "it keeps the order itself, without a journal, and so do "
-                f"{self._forgetful_out} of those that are out"
+                f"{self._non_durable_out} of those that are out"
             )
         return None
 
@@ -189,11 +194,11 @@
         return f"{names} is" if len(seats) == 1 else f"{names} are"
 
     def reserve(self, request: MaintenanceRequest, seat: str) -> None:
-        """Count a machine as out, for those that are considered after it."""
+        """Count a machine as out when the machines after it in the queue are considered."""
         view = self.views[seat]
         self.out.add(seat)
         self._voting.discard(seat)
-        self._forgetful_out += seat in self.replicas and not view.durable
+        self._non_durable_out += seat in self.replicas and not view.durable
         self.capacity -= view.capacity
         self.cores -= view.cores
         self.zones[view.zone] += 1
--- a/moorusher/maintenance/errors.py
+++ b/moorusher/maintenance/errors.py
@@ -1,7 +1,6 @@
-"""Errors of maintenance. Each says what happened, and in `remedy` what an operator can do.
+"""Errors of maintenance. Each has a message for the cause, and a `remedy` that tells an operator what to do.
 
-`kind` is part of the API: the administration API answers with them as `kind`, and the operators'
-page (`docs/operate/outage.md`) lists them.
+`kind` and `remedy` are part of the administration API; `docs/operate/outage.md` lists the kinds.
 """
 
 from __future__ import annotations
@@ -10,11 +9,11 @@
 
 
 class MaintenanceError(OperatorError):
-    """Why an operation was rejected, with the HTTP status and the remedy for operators."""
+    """Base of the errors that reject an operation, with an HTTP status and a remedy for operators."""
 
 
 class NoMajorityError(MaintenanceError):
-    """Too few replicas answer: whether the change comes about is not known."""
+    """No majority of the replicas answered: it is unknown whether the change takes effect."""
 
     kind = "NoMajority"
     status = 503
@@ -26,7 +25,7 @@
 
 
 class UnknownSeatError(MaintenanceError):
-    """The fleet has no seat of that name."""
+    """The fleet has no seat with that name."""
 
     kind = "NoSuchSeat"
     status = 404
@@ -34,7 +33,7 @@
 
 
 class UnknownRequestError(MaintenanceError):
-    """No request of that id is open."""
+    """No request with that id is open."""
 
     kind = "NoSuchAsk"
     status = 404
@@ -49,7 +48,7 @@
 
 
 class TooManyRequestsError(MaintenanceError):
-    """As many requests are open as the settings allow."""
+    """The maximum number of open requests is reached."""
 
     kind = "TooMany"
     status = 413
@@ -57,7 +56,7 @@
 
 
 class AlreadyClearedError(MaintenanceError):
-    """The machine has been cleared: its slot can't be revoked."""
+    """The machine has been cleared for the work, so its slot can't be revoked."""
 
     kind = "TooLate"
     remedy = (
@@ -67,7 +66,7 @@
 
 
 class NotLocalError(MaintenanceError):
-    """The operation has to be made at the machine itself."""
+    """The operation must be requested at the runner of the machine itself."""
 
     kind = "NotHere"
     remedy = (
--- a/moorusher/maintenance/load_report.py
+++ b/moorusher/maintenance/load_report.py
@@ -1,21 +1,24 @@
-"""The load that a member reports: coarsely and seldom, as each report goes to all the others."""
+"""The load that a member reports. It is rounded and changes rarely, since each change is sent to all other members."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-STEPS = 16  # of its cores, to which the load is rounded
-CHANGE_THRESHOLD = 0.75  # of a step: below it the report stays, so that it does not flap between two steps
-MEAN_US = 4_000_000  # time constant of the mean
-HUNDREDTHS = 100
+LOAD_STEPS = 16  # the load is rounded to multiples of cores / LOAD_STEPS
+# Change of the mean load, in steps, that updates the report. More than half a step, so that the report does not flap
+# between two steps.
+CHANGE_THRESHOLD_STEPS = 0.75
+MEAN_TIME_CONSTANT_US = 4_000_000
+HUNDREDTHS_PER_CORE = 100
 
 
 @dataclass(slots=True)
 class LoadGauge:
-    """Busy cores of one member. Times in us.
+    """Measures the busy cores of one member.
 
-    cores: float.
-    peak_us: int, how long a peak is remembered.
+    Attributes:
+        cores: Cores of the member.
+        peak_us: Time for which a peak is reported, in microseconds.
     """
 
     cores: float
@@ -23,30 +26,30 @@
     _mean: float = 0.0
     _sampled_at_us: int = -1
     _reported: float = 0.0
-    _peak: float = 0.0  # of the present half of `peak_us`
-    _former_peak: float = 0.0  # of the half before
-    _half: int = 0
+    _peak: float = 0.0  # in the current half of the peak window
+    _previous_peak: float = 0.0  # in the previous half
+    _half_window: int = 0  # number of the current half, counted since time 0 of the clock
 
     def sample(self, now_us: int, busy_cores: float) -> tuple[int, int]:
-        """Return the load and its recent peak, in hundredths of a core."""
+        """Take a sample, and return the load to report and its recent peak, in hundredths of a core."""
         self._update_mean(now_us, busy_cores)
-        step = self.cores / STEPS
-        if abs(self._mean - self._reported) > CHANGE_THRESHOLD * step:
+        step = self.cores / LOAD_STEPS
+        if abs(self._mean - self._reported) > CHANGE_THRESHOLD_STEPS * step:
             self._reported = round(self._mean / step) * step
         self._update_peak(now_us)
-        peak = max(self._peak, self._former_peak)
-        return round(HUNDREDTHS * self._reported), round(HUNDREDTHS * peak)
+        peak = max(self._peak, self._previous_peak)
+        return round(HUNDREDTHS_PER_CORE * self._reported), round(HUNDREDTHS_PER_CORE * peak)
 
     def _update_mean(self, now_us: int, busy_cores: float) -> None:
         is_first = self._sampled_at_us < 0
-        share = 1.0 if is_first else min(1.0, (now_us - self._sampled_at_us) / MEAN_US)
+        share = 1.0 if is_first else min(1.0, (now_us - self._sampled_at_us) / MEAN_TIME_CONSTANT_US)
         self._sampled_at_us = now_us
         self._mean += share * (min(busy_cores, self.cores) - self._mean)
 
     def _update_peak(self, now_us: int) -> None:
-        half = now_us // max(1, self.peak_us // 2)
-        if half != self._half:
-            self._former_peak = self._peak if half == self._half + 1 else self._reported
+        half_window = now_us // max(1, self.peak_us // 2)
+        if half_window != self._half_window:
+            self._previous_peak = self._peak if half_window == self._half_window + 1 else self._reported
             self._peak = self._reported
-            self._half = half
+            self._half_window = half_window
         self._peak = max(self._peak, self._reported)
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -1,6 +1,6 @@
-"""What a machine does about its own slot, from the schedule and from its own state.
+"""Decides how a machine handles its own slot, from the schedule and from its own state.
 
-No step is taken before the schedule says so; what the machine writes is rejected if the schedule went on meanwhile.
+The machine acts only on the schedule that it has read. A change is rejected if the slot has changed since that read.
 """
 
 from __future__ import annotations
@@ -16,28 +16,30 @@
 
 
 class MachineMode(Enum):
-    """What the machine does. The values appear in counters and log lines."""
+    """The mode of the machine. The values appear in counters and log lines."""
 
     SERVING = "serves"
-    DRAINING = "drains"  # takes nothing new, hands over what has not begun
-    CLEARED = "may go"  # drained, and its operator is told
-    RETURNING = "returns"  # serves, and is not yet what it was
+    DRAINING = "drains"  # accepts no requests, and hands over those that have not begun
+    CLEARED = "may go"  # has drained, and may be worked on
+    RETURNING = "returns"  # serves, but still warms up or recovers its replicated state
 
 
 @dataclass(frozen=True, slots=True)
 class MachineState:
-    """This process and its machine.
-
-    seat: str.
-    incarnation: int, of the process.
-    is_first_process: bool, it does not replace a running one.
-    boot_id: str, content of the machine's file at the start of the process; empty if it can't be read.
-    settings_digest: str.
-    is_drained: bool.
-    machines_out: int, slots of the schedule, this machine's included; lost machines that have none are not counted.
-    draining_us, returned_us: int, since it began to drain, and since it came back.
-    is_warm: bool, it serves as before.
-    recovered: bool, it has forgotten nothing that it replicates.
+    """The state of this process and its machine.
+
+    Attributes:
+        seat: The machine.
+        incarnation: Incarnation of the process.
+        is_first_process: Whether the process did not replace a running one.
+        boot_id: Id of the machine's boot, read when the process started; empty if it can't be read.
+        settings_digest: Digest of the settings.
+        is_drained: Whether the machine has drained.
+        machines_out: Number of slots in the schedule, including this machine's; lost machines without one don't count.
+        draining_us: Time since it began to drain.
+        returned_us: Time since it returned.
+        is_warm: Whether it has warmed up and serves at full capacity.
+        recovered: Whether it has all of its replicated state.
     """
 
     seat: str
@@ -55,7 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineAction:
-    """What the machine has to do now. `alert`: to be reported to operators once; empty for none."""
+    """What the machine must do now.
+
+    Attributes:
+        mode: The mode to switch to.
+        change: The change of the schedule to write, if any.
+        alert: Condition to report to operators; empty for none.
+    """
 
     mode: MachineMode
     change: Change | None = None
@@ -63,7 +71,7 @@
 
 
 def proves_work_over(slot: Slot, machine: MachineState) -> bool:
-    """Whether this process can only be there because the work is over: it runs on a later boot."""
+    """Return whether the work on the machine must be finished, since this process runs on a later boot."""
     is_reboot = slot.completion == CompletionProof.REBOOT
     return is_reboot and bool(machine.boot_id) and machine.boot_id != slot.boot_id
 
@@ -71,7 +79,11 @@
 def decide(
     slot: Slot | None, machine: MachineState, policy: MaintenancePolicy, now_s: float
 ) -> MachineAction:
-    """Return what to do. `slot`: of this machine, as last known; `now_s`: Unix time, written down and no more."""
+    """Return what the machine must do.
+
+    :param slot: This machine's slot in the schedule as last read.
+    :param now_s: Unix time; it is recorded in changes, and used in the text and the timing of an alert.
+    """
     if slot is None:
         return MachineAction(MachineMode.SERVING)
     match slot.stage:
@@ -90,9 +102,9 @@
 ) -> MachineAction:
     incarnation = machine.incarnation
     if machine.machines_out > policy.max_out:
-        # Whoever granted it has a file with a higher bound; that is no fault of this machine.
+        # The granting member has a higher limit in its settings. This is not a failure of this machine.
         note = f"{machine.machines_out} are out, and {policy.max_out} may be by its own file"
-        return MachineAction(MachineMode.SERVING, ReturnSlot(slot, incarnation, note, counts=False))
+        return MachineAction(MachineMode.SERVING, ReturnSlot(slot, incarnation, note, is_failure=False))
     if slot.incarnation != incarnation:
         if slot.incarnation and machine.is_first_process:
             note = "its process ended while it drained"
@@ -119,8 +131,8 @@
     alert = ""
     if cleared_s > policy.departure_timeout_s:
         alert = (
-            f"told to go {cleared_s:.0f} s ago, and up, on the same start: it counts as out until "
-            "it has gone and is back, or `moorusher outage done` is said of it"
+            f"cleared {cleared_s:.0f} s ago and still up on the same boot: it counts as out of service until it has "
+            "been rebooted, or until an operator runs `moorusher outage done`"
         )
     return MachineAction(MachineMode.CLEARED, None, alert)
 
@@ -141,5 +153,5 @@
         )
     alert = ""
     if is_overdue:
-        alert = f"back for {machine.returned_us / SECOND:.0f} s, and still cold"
+        alert = f"returned {machine.returned_us / SECOND:.0f} s ago and is still cold"
     return MachineAction(MachineMode.RETURNING, None, alert)
--- a/moorusher/maintenance/machine_controller.py
+++ b/moorusher/maintenance/machine_controller.py
@@ -1,4 +1,4 @@
-"""Carries out what this machine has to do about its own slot, and withdraws requests whose callers are gone."""
+"""Moves this machine through the stages of its slot, and withdraws requests whose callers have disconnected."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .schedule_replica import ScheduleReplica
 from .slot_changes import ClearMachine
 
-CALLER_GRACE_US = 4_000 * MS  # a caller may come back within that; then its request is withdrawn
+CALLER_GRACE_US = 4_000 * MS  # time for a caller to reconnect before its request is withdrawn
 
 
 class MachineHost(Protocol):
@@ -25,21 +25,22 @@
         """Return the Unix time."""
 
     def machine_state(self) -> MachineState:
-        """Return its state, without what the controller knows itself."""
+        """Return the state of the machine, without the fields that the controller fills in."""
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
-        """Act by the mode. Called again and again, also if nothing has changed."""
+        """Switch to a mode. Called repeatedly, also if the mode is unchanged."""
 
     def alert(self, text: str) -> None:
-        """Report something that an operator must look at."""
+        """Report a condition that needs an operator."""
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonedRequests:
-    """Requests that end with a caller who waits on this machine, and has nobody who does.
+    """Ids of the requests that need a caller who waits at this machine, and have none.
 
-    abandoned: ids of those without a caller; a new one may still come.
-    expired: ids of those that are to be withdrawn.
+    Attributes:
+        abandoned: Requests without a caller; the caller may still reconnect.
+        expired: Requests among them that must be withdrawn.
     """
 
     abandoned: list[str]
@@ -47,9 +48,10 @@
 
 
 class MachineController:
-    """Acts for the machine of this member.
+    """Controls the machine of this member according to its slot.
 
-    mode: MachineMode.
+    Attributes:
+        mode: Current mode of the machine.
     """
 
     def __init__(
@@ -58,17 +60,17 @@
         host: MachineHost,
         replica: ScheduleReplica,
         policy: Callable[[], MaintenancePolicy],
-        waited_requests: Callable[[], set[str]],
+        awaited_requests: Callable[[], set[str]],
     ) -> None:
-        """`policy`: the settings as they are now. `waited_requests`: ids of requests that somebody waits for here."""
+        """:param awaited_requests: Returns the ids of the requests that a caller waits for at this member."""
         self.mode = MachineMode.SERVING
         self._node = node
         self._host = host
         self._replica = replica
         self._policy = policy
-        self._waited_requests = waited_requests
+        self._awaited_requests = awaited_requests
         self._mode_since_us: dict[MachineMode, int] = {}
-        self._alerted = ""  # first word of the last alert
+        self._last_alert_kind = ""  # first word of the last alert
         self._abandoned_since_us: dict[str, int] = {}
 
     def state(self) -> MachineState:
@@ -84,7 +86,7 @@
         )
 
     def step(self) -> None:
-        """Do what the schedule asks for now. Nothing before it was read: the machine may be out of service."""
+        """Act on the schedule. Does nothing before it has been read, since the machine may be out of service."""
         if not self._replica.is_known:
             return
         slot = self._replica.schedule.slot(self._node.me)
@@ -106,9 +108,9 @@
             self._mode_since_us = {action.mode: self._node.clock()}
         self._host.set_mode(action.mode, self._reason(slot))
         alert_kind = action.alert.split(" ", 1)[0]
-        if action.alert and alert_kind != self._alerted:
+        if action.alert and alert_kind != self._last_alert_kind:
             self._host.alert(f"outage: {self._node.me}: {action.alert}")
-        self._alerted = alert_kind
+        self._last_alert_kind = alert_kind
 
     def _reason(self, slot: Slot | None) -> str:
         if slot is None:
@@ -116,21 +118,22 @@
         request = self._replica.schedule.request(slot.request_id)
         return slot.request_id if request is None else request.reason
 
-    # ---- callers that are gone ----
+    # ---- requests without a caller ----
 
     def _find_abandoned(self, boot_id: str) -> AbandonedRequests:
-        """A caller of an earlier boot is gone with it. One of this boot may come back within the grace, as when the
-        runner is replaced."""
+        """Return the requests whose callers have disconnected."""
+        # A request expires at once if its caller waited on an earlier boot, and otherwise after CALLER_GRACE_US: a
+        # caller reconnects when the runner's process is replaced.
         now = self._node.clock()
         me = self._node.me
         slot = self._replica.schedule.slot(me)
         draining_id = slot.request_id if slot is not None and slot.stage is SlotStage.DRAINING else ""
-        waited = self._waited_requests()
+        awaited = self._awaited_requests()
         abandoned = {
             request.id: request.boot_id
             for request in self._replica.schedule.requests
             if request.boot_id
-            and request.id not in waited
+            and request.id not in awaited
             and (me in request.queued or request.id == draining_id)
         }
         self._abandoned_since_us = {id: self._abandoned_since_us.get(id, now) for id in abandoned}
@@ -158,6 +161,6 @@
     def _is_clearance_without_caller(
         action: MachineAction, slot: Slot | None, requests: AbandonedRequests
     ) -> bool:
-        """Nobody would begin the work: the clearance waits for a caller."""
+        """Return whether the action clears the machine while no caller is connected to begin the work."""
         is_clearance = isinstance(action.change, ClearMachine)
         return is_clearance and slot is not None and slot.request_id in requests.abandoned
--- a/moorusher/maintenance/messages.py
+++ b/moorusher/maintenance/messages.py
@@ -1,14 +1,14 @@
-"""Messages between members about maintenance, besides those of the register."""
+"""Messages between members about maintenance, in addition to those of the replicated register."""
 
 from __future__ import annotations
 
 from ..replication.messages import ComponentPayload, component_codec
 
-PART = "outages"  # names these messages among all that members exchange
+PART = "outages"  # the component's name in `replication.messages.ComponentMessage`
 
 
 class ScheduleChanged(ComponentPayload, frozen=True, tag="changed"):
-    """The schedule has a later revision that concerns the receiver: a hint to read it."""
+    """Notifies the receiver of a new revision of the schedule that affects it, so that it reads the schedule."""
 
     revision: int
 
--- a/moorusher/maintenance/next_step.py
+++ b/moorusher/maintenance/next_step.py
@@ -1,4 +1,4 @@
-"""The slots to grant next. Every member plans alike from the schedule and from what it knows of the others."""
+"""Planning of the slots to grant next, from the schedule and from one member's view of the fleet."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from .queue_order import ordered_queue
 from .schedule import MaintenanceRequest, Schedule
 
-SHRUNK_SHARE = 0.98  # of its former capacity: below it, the staying part of the fleet has shrunk
+STABLE_CAPACITY_SHARE = 0.98  # remaining capacity below this share of its previous value has shrunk
 
 
 @dataclass(slots=True)
 class NextStep:
-    """The slots to grant next, and why there are no more.
+    """The slots to grant next, and the reason of each machine that has to wait.
 
-    grants: (request id, seat) of each slot.
-    reasons: by request id and seat, why each queued machine waits.
-    order: the queue, as far as it was considered.
+    Attributes:
+        grants: (request id, seat) of each slot.
+        reasons: Why each queued machine waits, by request id and seat.
+        order: Part of the queue that was considered.
     """
 
     grants: list[tuple[str, str]] = field(default_factory=list)
@@ -29,10 +30,11 @@
 
 @dataclass(slots=True)
 class CapacitySettling:
-    """Whether the staying capacity has settled: it has not shrunk for a while, and nobody went or came back.
+    """Tracks whether the remaining capacity is stable: it has not shrunk, and no machine left or returned.
 
-    settling_time_s: float, that while.
-    unsettled_at_s: float, when it was last unsettled.
+    Attributes:
+        settling_time_s: Time without such a change after which the capacity is stable.
+        unsettled_at_s: Time of the last such change, of the caller's monotonic clock.
     """
 
     settling_time_s: float
@@ -41,11 +43,14 @@
     _out: frozenset[str] = frozenset()
 
     def remaining_s(self, budget: DisruptionBudget, now_s: float) -> float:
-        """Return the seconds until it has settled. `now_s`: of a monotonic clock."""
+        """Return the seconds until the capacity is stable.
+
+        :param now_s: Time of a monotonic clock.
+        """
         out = frozenset(budget.out)
         is_first = self._capacity < 0
-        # After a return the load comes back to that machine from the others: that settles, too.
-        if out != self._out or is_first or budget.capacity < SHRUNK_SHARE * self._capacity:
+        # A return counts as a change, too: load moves back to the returned machine from the others.
+        if out != self._out or is_first or budget.capacity < STABLE_CAPACITY_SHARE * self._capacity:
             self.unsettled_at_s = now_s
             self._capacity = budget.capacity
         self._out = out
@@ -64,10 +69,9 @@
 ) -> NextStep:
     """Return the next step.
 
-    replicas: seats that replicate the schedule.
-    now_s: Unix time.
-    settles_in_s: until the capacity has settled; nothing is granted before.
-    explain: go through the whole queue, with the reason of each machine that waits.
+    :param now_s: Unix time.
+    :param settles_in_s: Seconds until the capacity is stable; nothing is granted before.
+    :param explain: Whether to go through the whole queue and fill in the reasons.
     """
     step = NextStep()
     if not schedule.requests:
--- a/moorusher/maintenance/operator_changes.py
+++ b/moorusher/maintenance/operator_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the schedule that an operator asks for."""
+"""Changes of the schedule that operators request."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
     without_slot,
 )
 
-MAX_WITHDRAWN_ENTRIES = 8  # of one withdrawal, that the history names
+MAX_WITHDRAWN_ENTRIES = 8  # history entries of one withdrawal
 
 
 class SubmitRequest(Change):
-    """Adds a request. Idempotent by its id. Errors: RequestIdConflictError, TooManyRequestsError."""
+    """Adds a request; idempotent by its id. Errors: RequestIdConflictError, TooManyRequestsError."""
 
     def __init__(self, request: MaintenanceRequest, max_requests: int) -> None:
         self.request = request
         self.max_requests = max_requests
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the request, or None if it is known already."""
+        """Return the schedule with the request, or None if it is there already or rejected."""
         known = schedule.request(self.request.id)
         if known is not None:
             if not known.is_same_request(self.request):
@@ -49,11 +49,13 @@
 
 
 class WithdrawRequest(Change):
-    """Withdraws what is queued or drains.
+    """Withdraws the queued, suspended and draining seats of a request.
 
-    Errors: UnknownRequestError; AlreadyClearedError, though the rest is withdrawn.
-    seats: to be withdrawn; all if empty.
-    too_late: seats that have been cleared, as last found.
+    Errors: UnknownRequestError; AlreadyClearedError if seats were cleared already, though the others are withdrawn.
+
+    Attributes:
+        seats: Seats to withdraw; all if empty.
+        too_late: Seats that the last call found cleared.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         self._revoked: list[str] = []
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule without these seats, or None if nothing is to be withdrawn."""
+        """Return the schedule without these seats, or None if there is nothing to withdraw."""
         request = schedule.request(self.request_id)
         self.too_late = []
         self._revoked = []
@@ -76,7 +78,7 @@
             if not schedule.is_finished(self.request_id):
                 self.error = UnknownRequestError(f"{self.request_id}: no such ask is open")
             return None
-        revoked = self._revoke_slots(schedule)
+        revoked = self._revocable_seats(schedule)
         queued = [seat for seat in request.queued if self._includes(seat)]
         suspended = [seat for seat, _ in request.suspended if self._includes(seat)]
         withdrawn = [*queued, *suspended, *revoked]
@@ -88,8 +90,8 @@
     def _includes(self, seat: str) -> bool:
         return not self.seats or seat in self.seats
 
-    def _revoke_slots(self, schedule: Schedule) -> list[str]:
-        """Return the seats that drain; notes those that it is too late for."""
+    def _revocable_seats(self, schedule: Schedule) -> list[str]:
+        """Return the seats that drain. Sets `too_late`, and `error` if there are such seats."""
         slots = [
             slot
             for slot in schedule.slots
@@ -106,7 +108,7 @@
         remaining = updated(
             request,
             queued=tuple(seat for seat in request.queued if not self._includes(seat)),
-            suspended=tuple(held for held in request.suspended if not self._includes(held[0])),
+            suspended=tuple(entry for entry in request.suspended if not self._includes(entry[0])),
         )
         slots = tuple(slot for slot in schedule.slots if slot.seat not in self._revoked)
         changed = updated(with_request(schedule, remaining), slots=slots)
@@ -119,38 +121,38 @@
         return finish_requests(changed, self.max_history, *entries)
 
     def affected_seats(self) -> Sequence[str]:
-        """Return the seats that drained."""
+        """Return the seats whose slots were revoked."""
         return self._revoked
 
 
 class PauseAll(Change):
-    """No slot is granted until it is resumed. What drains is queued again; what was cleared stays so."""
+    """Stops granting slots until resumed. Draining machines are queued again; cleared ones stay cleared."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
         self._revoked: list[str] = []
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the paused schedule, or None if it is paused for that reason already."""
+        """Return the paused schedule, or None if it is already paused for that reason."""
         draining = [slot for slot in schedule.slots if slot.stage is SlotStage.DRAINING]
         self._revoked = [slot.seat for slot in draining]
         if schedule.pause_reason == self.reason and not draining:
             return None
         changed = schedule
         for slot in draining:
-            changed = return_to_queue(changed, slot, "", counts=False)
+            changed = return_to_queue(changed, slot, "", is_failure=False)
         return updated(changed, pause_reason=self.reason)
 
     def affected_seats(self) -> Sequence[str]:
-        """Return the seats that drained."""
+        """Return the seats whose slots were revoked."""
         return self._revoked
 
 
 class Resume(Change):
-    """Ends the pause, or queues one suspended seat again.
+    """Ends the pause, or queues one suspended seat again. Errors: MachineInServiceError.
 
-    seat: empty for the pause.
-    Errors: MachineInServiceError.
+    Attributes:
+        seat: The suspended seat; empty to end the pause.
     """
 
     def __init__(self, seat: str = "") -> None:
@@ -165,7 +167,7 @@
         for request in schedule.requests:
             if any(seat == self.seat for seat, _ in request.suspended):
                 is_found = True
-                changed = with_request(changed, self._queued_again(request))
+                changed = with_request(changed, self._requeue(request))
         if is_found:
             return changed
         slot = schedule.slot(self.seat)
@@ -173,16 +175,16 @@
         self.error = MachineInServiceError(f"{self.seat}: not held back{state}")
         return None
 
-    def _queued_again(self, request: MaintenanceRequest) -> MaintenanceRequest:
+    def _requeue(self, request: MaintenanceRequest) -> MaintenanceRequest:
         return updated(
             request,
             queued=(*request.queued, self.seat),
-            suspended=tuple(held for held in request.suspended if held[0] != self.seat),
+            suspended=tuple(entry for entry in request.suspended if entry[0] != self.seat),
         )
 
 
 class FinishSlot(Change):
-    """An operator's statement: the machine is back, or is not going after all, or never comes back.
+    """Finishes a slot by an operator's statement: the machine has returned, won't be worked on, or will never return.
 
     Errors: MachineInServiceError.
     """
@@ -204,14 +206,14 @@
         return finish_slot(schedule, slot, outcome, self.at_s, f"said by {self.stated_by}", self.max_history)
 
     def affected_seats(self) -> Sequence[str]:
-        """Return the machine."""
+        """Return the machine whose slot is finished."""
         return (self.seat,)
 
 
 def finish_slot(
     schedule: Schedule, slot: Slot, outcome: SlotOutcome, at_s: float, note: str, max_history: int
 ) -> Schedule:
-    """Return the schedule after the slot is finished, and counted to its request."""
+    """Return the schedule with the slot finished and counted as completed in its request."""
     changed = without_slot(schedule, slot)
     request = schedule.request(slot.request_id)
     if request is not None:
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -1,7 +1,7 @@
-"""Which member writes the next step: the replicas of the schedule, the first at once, the next ones if nothing happens.
+"""Decides which member writes the next step: the first live replica at once, the others after a delay for each rank."""
 
-No single replica is needed, and two that write at one time do no harm: the later grant is of an outdated revision.
-"""
+# No single replica is required. Two that write at the same time are safe, since the second grant is for an outdated
+# revision of the schedule and is rejected.
 
 from __future__ import annotations
 
@@ -16,13 +16,15 @@
 from .schedule import Schedule, SlotStage
 from .slot_changes import GrantSlots
 
-REPLICA_RANK_DELAY_US = 1_500 * MS  # nothing has happened for so long: the next replica tries
-RENOTIFY_US = 1_000 * MS  # a grant that its machine has not accepted is announced again
-HUNDREDTHS = 100  # members report loads in hundredths of a core
+REPLICA_RANK_DELAY_US = 1_500 * MS  # time without a change of the schedule after which the next replica tries
+RENOTIFY_INTERVAL_US = (
+    1_000 * MS
+)  # interval of the notifications of a grant that the machine has not accepted
+HUNDREDTHS_PER_CORE = 100  # members report loads in hundredths of a core
 
 
 def seat_views(placement: Placement, detector: FailureDetector) -> list[SeatView]:
-    """Return the machines, as this member knows them."""
+    """Return this member's view of every machine."""
     views = []
     for name in placement.names:
         seat = placement.by_name[name]
@@ -36,8 +38,8 @@
                 is_up=member.is_alive,
                 cores=status.cores,
                 weight=status.weight,
-                load=status.load / HUNDREDTHS,
-                peak_load=status.peak_load / HUNDREDTHS,
+                load=status.load / HUNDREDTHS_PER_CORE,
+                peak_load=status.peak_load / HUNDREDTHS_PER_CORE,
                 recovered=status.recovered,
                 durable=status.durable,
             )
@@ -46,10 +48,11 @@
 
 
 class MaintenancePlanner:
-    """Plans the next step from one member's view.
+    """Plans the next step from one member's view of the fleet.
 
-    replicas: seats that replicate the schedule.
-    settling: CapacitySettling.
+    Attributes:
+        replicas: Seats that replicate the schedule.
+        settling: Tracks whether the remaining capacity is stable.
     """
 
     def __init__(
@@ -71,25 +74,29 @@
         self._notified_at_us = 0
 
     def reconfigure(self, policy: MaintenancePolicy) -> None:
-        """Follow other settings."""
+        """Apply changed settings."""
         self._policy = policy
         self.settling.settling_time_s = policy.capacity_stable_s
 
     def _rank(self, schedule: Schedule) -> int:
-        """Return how many replicas come before this one."""
+        """Return the number of live replicas that come before this one."""
         out = {slot.seat for slot in schedule.slots}
         members = self._detector.by_seat
-        able = [
+        eligible = [
             seat for seat in self.replicas if seat == self._me or (members[seat].is_alive and seat not in out)
         ]
-        return able.index(self._me)
+        return eligible.index(self._me)
 
     def _settles_in_s(self, views: list[SeatView], schedule: Schedule, now_us: int) -> float:
         budget = DisruptionBudget(views, schedule, self.replicas, self._policy)
         return self.settling.remaining_s(budget, now_us / SECOND)
 
     def next_grants(self, schedule: Schedule, now_us: int, unix_s: float) -> GrantSlots | None:
-        """Return what this replica should write now, if anything. `now_us`: of a monotonic clock."""
+        """Return the grants that this replica should write now, or None.
+
+        :param now_us: Time of a monotonic clock.
+        :param unix_s: Unix time.
+        """
         if schedule.revision != self._revision:
             self._revision = schedule.revision
             self._unchanged_since_us = now_us
@@ -108,14 +115,14 @@
         return GrantSlots(schedule.revision, step.grants, self._policy.max_out, unix_s)
 
     def explain(self, schedule: Schedule, now_us: int, unix_s: float) -> NextStep:
-        """Return the next step with the reason of each machine that waits."""
+        """Return the next step, with the reason of each machine that waits."""
         views = seat_views(self._placement, self._detector)
         settles_in_s = self._settles_in_s(views, schedule, now_us)
         return plan(schedule, views, self.replicas, self._policy, unix_s, settles_in_s, explain=True)
 
     def seats_to_notify(self, schedule: Schedule, now_us: int) -> list[str]:
-        """Return machines that seem not to have heard of their grant; none unless this is the first replica."""
-        if now_us - self._notified_at_us < RENOTIFY_US or not schedule.slots or self._rank(schedule):
+        """Return the machines that have not accepted their grant; none unless this is the first live replica."""
+        if now_us - self._notified_at_us < RENOTIFY_INTERVAL_US or not schedule.slots or self._rank(schedule):
             return []
         self._notified_at_us = now_us
         return [
--- a/moorusher/maintenance/queue_order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -1,4 +1,4 @@
-"""Who goes first among the machines that are queued. No starvation: waiting outweighs priority in the end."""
+"""Order of the queued machines. Requests age, so that a long wait outweighs priority and no request starves."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule
 
-URGENT_DURATIONS = 2.0  # times the expected duration before its due time, a request goes before all others
+# Multiple of the expected duration. A request is urgent if less time than that is left until it is due.
+URGENT_DURATIONS = 2.0
 
 SortKey = tuple[bool, float, bool, float, int, float, str]
 
@@ -14,16 +15,18 @@
 def sort_key(
     request: MaintenanceRequest, seat: str, budget: DisruptionBudget, policy: MaintenancePolicy, now_s: float
 ) -> SortKey:
-    """Return the sort key of a queued machine; the lowest goes first. `now_s`: Unix time.
+    """Return the sort key of a queued machine; the lowest key goes first.
 
-    In this order: urgent requests; priority and age; unhealthy machines, whose loss costs least; requests with a due
-    time; the zone with the fewest out; the earliest request; the name.
+    Machines are sorted by: urgency; priority plus age; poor health, since losing an unhealthy machine costs least; due
+    time; the number of machines that are out in the zone; time of the request; name.
+
+    :param now_s: Unix time.
     """
     view = budget.views.get(seat)
     urgent_s = URGENT_DURATIONS * request.duration_s
     is_urgent = bool(request.due_at_s) and now_s >= request.due_at_s - urgent_s
     age = max(0.0, now_s - request.requested_at_s) / policy.aging_step_s
-    # Rounded down, or no two requests would ever be alike and the rest of the key would never decide.
+    # Rounded down: otherwise no two requests would have equal weights, and the rest of the key would have no effect.
     weight = float(int(request.priority + age))
     return (
         not is_urgent,
@@ -39,5 +42,8 @@
 def ordered_queue(
     schedule: Schedule, budget: DisruptionBudget, policy: MaintenancePolicy, now_s: float
 ) -> list[tuple[MaintenanceRequest, str]]:
-    """Return every request and seat that is queued, the first one first. `now_s`: Unix time."""
+    """Return the request and the seat of each queued machine, in the order in which they go.
+
+    :param now_s: Unix time.
+    """
     return sorted(schedule.queue(), key=lambda queued: sort_key(queued[0], queued[1], budget, policy, now_s))
--- a/moorusher/maintenance/schedule.py
+++ b/moorusher/maintenance/schedule.py
@@ -1,12 +1,14 @@
-r"""The schedule: requests for maintenance, slots that were granted to machines, and what is finished.
-
-    queued -> DRAINING -> CLEARED -> RETURNED -> (finished)
-       ^          |                      \-> SUSPENDED, if it came back and failed again
-       \----------/ it could not be drained, its process ended, or an operator paused everything
-
-A machine counts as out of service from the grant until its slot is finished. DRAINING can be revoked by anybody,
-CLEARED by nobody: the operator has been told that the machine may be worked on, and may begin at any later time.
-"""
+"""The schedule: requests for maintenance, slots that are granted to machines, and a history."""
+
+# Stages of a machine:
+#
+#     queued -> DRAINING -> CLEARED -> RETURNED -> (finished)
+#        ^          |                      \-> SUSPENDED, if its process ended again after the return
+#        \----------/ it could not be drained, its process ended, or an operator paused everything
+#
+# A machine counts as out of service from the grant until its slot is finished. A slot in DRAINING can be revoked. A
+# slot in CLEARED can't: the operator has been notified that the machine may be worked on, and may begin at any later
+# time.
 
 from __future__ import annotations
 
@@ -17,16 +19,16 @@
 
 from ..membership.placement import CLUSTER_KEY_PREFIX
 
-KEY = CLUSTER_KEY_PREFIX + b"outages"  # of the register
+KEY = CLUSTER_KEY_PREFIX + b"outages"  # key of the register that holds the schedule
 
 
 class SlotStage(IntEnum):
-    """How far the slot of a machine has come. The values are stored."""
+    """The stage of a machine's slot. The values are stored."""
 
-    DRAINING = 0  # granted: hands over what has not begun, finishes what has
-    CLEARED = 1  # its operator is told that it may be worked on
-    RETURNED = 2  # a later process is there; warming up, or without its memory
-    SUSPENDED = 3  # an operator must look; it counts as out of service
+    DRAINING = 0  # granted: the machine hands over requests that have not begun, and finishes the others
+    CLEARED = 1  # the operator is notified that the machine may be worked on
+    RETURNED = 2  # a new process has started; it warms up, or recovers its replicated state
+    SUSPENDED = 3  # an operator must resolve it; the machine counts as out of service
 
     @property
     def api_name(self) -> str:
@@ -43,10 +45,12 @@
 
 
 class CompletionProof(IntEnum):
-    """What proves that the work on a machine is over. The values are stored."""
+    """What proves that the work on a machine is finished. The values are stored."""
 
-    REBOOT = 0  # a process on a later boot: whoever was told on that machine is gone with the earlier one
-    OPERATOR = 1  # an operator's statement alone: who was told elsewhere may not have begun yet
+    # A process on a later boot: the caller waited on the machine itself, and a reboot ends that caller.
+    REBOOT = 0
+    # Only an operator's statement: the caller waits on another machine, and may begin the work after a reboot.
+    OPERATOR = 1
 
     @property
     def api_name(self) -> str:
@@ -55,7 +59,7 @@
 
     @classmethod
     def of_api_name(cls, name: str) -> CompletionProof:
-        """Return the member of that name. Raises KeyError."""
+        """Return the member with that name. Raises KeyError."""
         return {api_name: proof for proof, api_name in _PROOF_API_NAMES.items()}[name]
 
 
@@ -63,11 +67,11 @@
 
 
 class SlotOutcome(IntEnum):
-    """How a slot, or a request without open slots, came to an end. The values are stored."""
+    """How a slot or a request ended. The values are stored."""
 
     COMPLETED = 0
     WITHDRAWN = 1
-    ABANDONED = 2  # by an operator's statement, before the machine was back
+    ABANDONED = 2  # an operator finished the slot before the machine had returned
 
     @property
     def api_name(self) -> str:
@@ -85,21 +89,23 @@
 class MaintenanceRequest(msgspec.Struct, frozen=True, array_like=True):
     """A request for maintenance of machines. Stored as an array: the order of the fields is part of the format.
 
-    Times are seconds of the Unix clock of whoever wrote them: they set the order, and no safety rests on them.
-
-    id: str, chosen by the caller; makes the request idempotent.
-    reason, requested_by: str, for operators.
-    duration_s: float, that the work on one machine is expected to take.
-    requested_at_s: float.
-    not_before_s: float; 0 for none.
-    due_at_s: float; 0 for none.
-    priority: int, higher goes first.
-    shares_zone: bool, may run together with others of its zone, as far as the bounds allow.
-    completion: int, one of CompletionProof.
-    queued: seats that wait, the first one first.
-    suspended: seats that an operator must look at, each with the reason.
-    completed: int, machines that are done.
-    boot_id: str, if the request ends with the caller who waits on the machine: the boot on which that one waits.
+    Times are Unix times of the member that wrote them. They only affect the order: safety does not depend on clocks.
+
+    Attributes:
+        id: Chosen by the caller; makes the request idempotent.
+        reason, requested_by: Texts for operators.
+        duration_s: Expected duration of the work on one machine.
+        requested_at_s: Time of the request.
+        not_before_s: Earliest start; 0 for none.
+        due_at_s: Due time; 0 for none.
+        priority: Higher values go first.
+        shares_zone: Whether machines of one zone may be out together, within the limits.
+        completion: Value of a CompletionProof.
+        queued: Seats that wait, in order.
+        suspended: Seats that wait for an operator to resume them, each with the reason.
+        completed: Number of machines whose slots are finished.
+        boot_id: Boot of the machine on which the caller waits; the request ends with that caller. Empty if the request
+            does not depend on a caller.
     """
 
     id: str
@@ -118,7 +124,7 @@
     boot_id: str = ""
 
     def is_same_request(self, other: MaintenanceRequest) -> bool:
-        """Whether both ask for the same, whatever has become of them."""
+        """Return whether both requests have the same terms, regardless of their progress."""
         return self._terms() == other._terms()
 
     def _terms(self) -> tuple[object, ...]:
@@ -136,19 +142,20 @@
 class Slot(msgspec.Struct, frozen=True, array_like=True):
     """A slot that was granted to a machine. Stored as an array: the order of the fields is part of the format.
 
-    seat: str, the machine.
-    request_id: str.
-    granted_revision: int, of the change that granted it; names the slot.
-    stage_code: int, see `stage`.
-    incarnation: int, of the process that drains, was cleared, or came back; 0 if none has accepted the slot.
-    since_s: float, when the stage began, in seconds of the Unix clock.
-    boot_id: str, the machine's boot when it was cleared.
-    settings_digest: str, of its settings then.
-    duration_s: float, that the work is expected to take.
-    completion: int, one of CompletionProof.
-    failed_grants: int, earlier grants that came to nothing.
-    failed_returns: int, times that it came back and ended again.
-    note: str, for operators.
+    Attributes:
+        seat: The machine.
+        request_id: The request that the slot belongs to.
+        granted_revision: Revision of the schedule that granted the slot; identifies the slot.
+        stage_code: Stored value of `stage`.
+        incarnation: Incarnation of the process that drains, was cleared, or returned; 0 if none has accepted the slot.
+        since_s: Unix time at which the stage began.
+        boot_id: Boot of the machine when it was cleared.
+        settings_digest: Digest of its settings when it was cleared.
+        duration_s: Expected duration of the work.
+        completion: Value of a CompletionProof.
+        failed_grants: Number of earlier grants that failed.
+        failed_returns: How often a process ended after the machine had returned.
+        note: Text for operators.
     """
 
     seat: str
@@ -167,18 +174,19 @@
 
     @property
     def stage(self) -> SlotStage:
-        """The stage. Raises ValueError for a value of a later version."""
+        """The stage. Raises ValueError for a value that a later version has written."""
         return SlotStage(self.stage_code)
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A slot or a request that is finished. Stored as an array.
-
-    request_id: str.
-    seat: str; empty for the request as a whole.
-    outcome: int, one of Outcome.
-    at_s: float, Unix time.
-    note: str, for operators.
+    """A finished slot or request. Stored as an array: the order of the fields is part of the format.
+
+    Attributes:
+        request_id: The request.
+        seat: The machine; empty for the request as a whole.
+        outcome: Value of a SlotOutcome.
+        at_s: Unix time of the end.
+        note: Text for operators.
     """
 
     request_id: str
@@ -189,14 +197,15 @@
 
 
 class Schedule(msgspec.Struct, frozen=True, array_like=True):
-    """Everything about maintenance in the fleet. Stored as an array: the order of the fields is part of the format.
-
-    revision: int, grows with each change.
-    pause_reason: str, why no slot is granted; empty if not paused.
-    requests: that are open.
-    slots: that are granted.
-    history: what finished last.
-    failed_grants: (request id, seat, grants that came to nothing) of seats that are queued.
+    """The state of maintenance in the fleet. Stored as an array: the order of the fields is part of the format.
+
+    Attributes:
+        revision: Number that increases with each change.
+        pause_reason: Why no slots are granted; empty if not paused.
+        requests: Open requests.
+        slots: Granted slots.
+        history: Finished slots and requests, the latest last.
+        failed_grants: (request id, seat, number of failed grants) of queued seats.
     """
 
     revision: int = 0
@@ -207,32 +216,32 @@
     failed_grants: tuple[tuple[str, str, int], ...] = ()
 
     def request(self, request_id: str) -> MaintenanceRequest | None:
-        """Return an open request."""
+        """Return the open request with that id, or None."""
         return next((request for request in self.requests if request.id == request_id), None)
 
     def slot(self, seat: str) -> Slot | None:
-        """Return the slot of a machine."""
+        """Return the slot of a machine, or None."""
         return next((slot for slot in self.slots if slot.seat == seat), None)
 
     def queue(self) -> Iterator[tuple[MaintenanceRequest, str]]:
-        """Yield every request and seat that waits for a slot."""
+        """Yield the request and the seat of each machine that waits for a slot."""
         for request in self.requests:
             for seat in request.queued:
                 yield request, seat
 
     def is_finished(self, request_id: str) -> bool:
-        """Whether a request is remembered as finished."""
+        """Return whether the history has the request as finished."""
         return any(entry.request_id == request_id and not entry.seat for entry in self.history)
 
     def last_entry(self, request_id: str, seat: str) -> HistoryEntry | None:
-        """Return how the seat's part of a request ended, if that is still remembered."""
+        """Return the latest history entry of the seat's part of a request, or None if there is none."""
         for entry in reversed(self.history):
             if entry.request_id == request_id and entry.seat in (seat, ""):
                 return entry
         return None
 
     def failed_grants_of(self, request_id: str, seat: str) -> int:
-        """Return the grants of a queued seat that came to nothing."""
+        """Return the number of failed grants of a queued seat."""
         for failed_id, failed_seat, count in self.failed_grants:
             if (failed_id, failed_seat) == (request_id, seat):
                 return count
@@ -250,5 +259,5 @@
 
 
 def decode_schedule(value: bytes | None) -> Schedule:
-    """Decode the value of the register; EMPTY if nothing was written yet. Raises msgspec.MsgspecError."""
+    """Decode the value of the register; EMPTY if the register has no value yet. Raises msgspec.MsgspecError."""
     return EMPTY if value is None else _decoder.decode(value)
--- a/moorusher/maintenance/schedule_replica.py
+++ b/moorusher/maintenance/schedule_replica.py
@@ -1,4 +1,4 @@
-"""One member's copy of the schedule: reads it through its register, changes it, and announces changes."""
+"""One member's copy of the schedule: reads and changes it through its register, and notifies others of changes."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 from .schedule import EMPTY, KEY, Schedule, decode_schedule
 from .transitions import Change
 
-MAX_REGISTERS = 4  # that the acceptor takes; there is one
+MAX_REGISTERS = 4  # limit of the acceptor; one register is in use
 NEVER_READ = -1
-READ_JITTER_MIN = 0.75  # times the interval
+# A read interval is multiplied by a random factor from READ_JITTER_MIN to READ_JITTER_MIN + READ_JITTER_RANGE.
+READ_JITTER_MIN = 0.75
 READ_JITTER_RANGE = 0.5
 
 ScheduleCallback = Callable[[Schedule | MaintenanceError], None]
@@ -30,13 +31,14 @@
 class ScheduleReplica:
     """One member's copy of the schedule.
 
-    replicas: seats that replicate the register.
-    acceptor: of the register, at this member.
-    registers: the space of the register.
-    schedule: as last read.
-    read_at_us: int, when; NEVER_READ before.
-    is_writing: bool, a change of this member's own is under way.
-    next_read_us: int, when to read again.
+    Attributes:
+        replicas: Seats that replicate the register.
+        acceptor: This member's acceptor of the register.
+        registers: The space of the register.
+        schedule: The schedule as last read.
+        read_at_us: Time of the last read; NEVER_READ if there was none.
+        is_writing: Whether a change that this member made without a callback is in progress.
+        next_read_us: Time of the next read.
     """
 
     def __init__(
@@ -47,8 +49,9 @@
         read_interval_us: Callable[[], int],
         on_read: Callable[[bool], None],
     ) -> None:
-        """`remembers`: nothing that this seat has ever promised is forgotten. `on_read`: called after each read that is
-        not outdated, with whether it brought something new."""
+        """:param remembers: Whether this seat has every promise that it ever made as an acceptor.
+        :param on_read: Called after each read that is not outdated, with whether the revision is new.
+        """
         self._node = node
         self._read_interval_us = read_interval_us
         self._on_read = on_read
@@ -82,7 +85,7 @@
 
     @property
     def is_known(self) -> bool:
-        """The schedule has been read."""
+        """Whether the schedule has been read."""
         return self.read_at_us != NEVER_READ
 
     def _register_timeout_us(self) -> int:
@@ -90,12 +93,15 @@
 
     # ---- reading ----
 
-    def read_soon(self) -> None:
-        """Read with the next tick."""
+    def read_on_next_tick(self) -> None:
+        """Have the schedule read on the next tick."""
         self.next_read_us = 0
 
     def read(self, callback: Callable[[bool], None] = lambda is_current: None) -> None:
-        """Read what is chosen. `callback(False)` if no majority answers."""
+        """Read the schedule from a majority.
+
+        :param callback: Called with whether a majority answered.
+        """
         jitter = READ_JITTER_MIN + READ_JITTER_RANGE * self._node.random()
         self.next_read_us = self._node.clock() + round(self._read_interval_us() * jitter)
 
@@ -111,7 +117,7 @@
         is_first = not self.is_known
         self.read_at_us = self._node.clock()
         if schedule.revision < self.schedule.revision:
-            return  # an answer that came late
+            return  # a delayed answer with an older revision
         is_new = is_first or schedule.revision > self.schedule.revision
         self.schedule = schedule
         if is_new:
@@ -119,14 +125,16 @@
         self._on_read(is_new)
 
     def _on_register_changed(self, key: KeyDigest, register: RegisterState) -> None:
-        self.read_soon()
+        self.read_on_next_tick()
 
     # ---- changing ----
 
     def write(self, change: Change, timeout_us: int = 0, callback: ScheduleCallback | None = None) -> None:
-        """Make a change. Without a callback it is of this member's own, and `is_writing` until it is answered.
+        """Make a change.
 
-        `callback` gets the schedule, or why the change was not made: NoMajorityError, or the error of the change.
+        :param timeout_us: 0 for the default.
+        :param callback: Called with the schedule, NoMajorityError, or the error of the change. If None, `is_writing` is
+            True while the change is in progress.
         """
         if callback is None:
             self.is_writing = True
@@ -135,7 +143,7 @@
             if callback is None:
                 self.is_writing = False
             if result is None:
-                self.read_soon()  # it may have come about
+                self.read_on_next_tick()  # the change may have taken effect all the same
                 if callback is not None:
                     callback(NoMajorityError("no majority of the seats that keep the order answers"))
                 return
@@ -155,9 +163,9 @@
             self.notify(seat)
 
     def notify(self, seat: str) -> None:
-        """Tell a member that the schedule has changed for it."""
+        """Notify a member of a change of the schedule that affects it."""
         if seat == self._node.me:
-            self.read_soon()
+            self.read_on_next_tick()
         elif seat in self._node.detector.by_seat:
             body = messages.encode(ScheduleChanged(self.schedule.revision))
             self._node.send(seat, ComponentMessage(messages.PART, body))
--- a/moorusher/maintenance/slot_changes.py
+++ b/moorusher/maintenance/slot_changes.py
@@ -1,8 +1,7 @@
-"""Changes of the schedule that members make: slots are granted, and each machine goes through its own.
+"""Changes of the schedule that members make: replicas grant slots, and each machine updates its own slot."""
 
-`max_slots` is `MaintenancePolicy.max_out` of the member that makes the change. Slots alone are counted against it here:
-the schedule has no record of lost machines, which `disruption_budget.py` counts against the same number, too.
-"""
+# `max_slots` is `MaintenancePolicy.max_out` of the member that makes the change. Only slots are counted against it
+# here, since the schedule has no record of lost machines; `disruption_budget.py` counts slots and lost machines.
 
 from __future__ import annotations
 
@@ -12,17 +11,18 @@
 from .schedule import Schedule, Slot, SlotOutcome, SlotStage
 from .transitions import Change, return_to_queue, updated, with_request, with_slot
 
-MAX_FAILED_RETURNS = 2  # after which an operator must look
+MAX_FAILED_RETURNS = 2  # the slot is then suspended until an operator finishes it
 
 
 class GrantSlots(Change):
-    """Grants slots that were planned on one revision of the schedule, and on no other.
-
-    revision: int, that they were planned on.
-    granted: (request id, seat) of each.
-    max_slots: int, at a time; lost machines that have none are not counted.
-    at_s: float, Unix time.
-    is_applied: bool, to the schedule that was found last.
+    """Grants slots. Applies only to the revision of the schedule on which they were planned.
+
+    Attributes:
+        revision: The revision on which the slots were planned.
+        granted: (request id, seat) of each slot.
+        max_slots: Maximum number of slots at a time; lost machines without a slot are not counted.
+        at_s: Unix time of the grant.
+        is_applied: Whether the last call changed the schedule.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.is_applied = False
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the slots, or None if it went on since or all that may be out are."""
+        """Return the schedule with the slots, or None if it has another revision, is paused, or has too many slots."""
         self.is_applied = False
         if schedule.revision != self.revision or schedule.pause_reason:
             return None
@@ -68,16 +68,17 @@
         return updated(changed, slots=(*changed.slots, slot))
 
     def affected_seats(self) -> Sequence[str]:
-        """Return the machines that got a slot."""
+        """Return the machines that were granted a slot."""
         return [seat for _, seat in self.granted] if self.is_applied else ()
 
 
 class SlotChange(Change):
-    """A change by the machine itself, of the slot that it was granted.
+    """Base of the changes that a machine makes to its own slot.
 
-    slot: as last known.
-    incarnation: int, of the process.
-    stages: in which it may be made.
+    Attributes:
+        seat, granted_revision: Identify the slot.
+        incarnation: Incarnation of the process that makes the change.
+        stages: Stages of the slot in which the change is allowed.
     """
 
     stages: tuple[SlotStage, ...] = ()
@@ -88,7 +89,7 @@
         self.incarnation = incarnation
 
     def current_slot(self, schedule: Schedule) -> Slot | None:
-        """Return the slot, if it is the same grant and in one of the stages."""
+        """Return the slot, or None if it is another grant or in another stage."""
         slot = schedule.slot(self.seat)
         if slot is None or slot.granted_revision != self.granted_revision:
             return None
@@ -96,12 +97,12 @@
 
 
 class AcceptSlot(SlotChange):
-    """This process drains; or it replaces the one that did, was cleared, or came back."""
+    """Records this process in the slot: it starts to drain, or it replaces the process that had accepted the slot."""
 
     stages = (SlotStage.DRAINING, SlotStage.CLEARED, SlotStage.RETURNED)
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with this process in the slot, or None if it is there or the slot is gone."""
+        """Return the schedule with this process in the slot, or None if that is recorded or the slot has ended."""
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation == self.incarnation:
             return None
@@ -109,12 +110,13 @@
 
 
 class ClearMachine(SlotChange):
-    """The machine is drained: from here on its operator may be told.
+    """Records that the machine has drained and may be worked on.
 
-    max_slots: int, the machine's own bound; if it is lower than the one that the slot was granted under, the machine is
-        not cleared.
-    at_s: float, Unix time.
-    boot_id, settings_digest: str, of the machine now.
+    Attributes:
+        max_slots: The machine's own limit. The machine is not cleared if more slots than that are granted, as when the
+            granting member has a higher limit.
+        at_s: Unix time of the change.
+        boot_id, settings_digest: Boot and settings of the machine at that time.
     """
 
     stages = (SlotStage.DRAINING,)
@@ -135,7 +137,7 @@
         self.settings_digest = settings_digest
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the machine cleared, or None if it may not be."""
+        """Return the schedule with the machine cleared, or None if that is not allowed."""
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation != self.incarnation:
             return None
@@ -152,27 +154,28 @@
 
 
 class ReturnSlot(SlotChange):
-    """The machine does not go now, and is queued again.
+    """Gives up the slot before the machine was cleared. The machine is queued again.
 
-    note: str, the reason.
-    counts: bool, as a grant that came to nothing.
+    Attributes:
+        note: The reason.
+        is_failure: Whether this counts as a failed grant.
     """
 
     stages = (SlotStage.DRAINING,)
 
-    def __init__(self, slot: Slot, incarnation: int, note: str, counts: bool = True) -> None:
+    def __init__(self, slot: Slot, incarnation: int, note: str, is_failure: bool = True) -> None:
         super().__init__(slot, incarnation)
         self.note = note
-        self.counts = counts
+        self.is_failure = is_failure
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the machine queued or suspended, or None if the slot is gone."""
+        """Return the schedule with the machine queued or suspended, or None if the slot has ended."""
         slot = self.current_slot(schedule)
-        return None if slot is None else return_to_queue(schedule, slot, self.note, self.counts)
+        return None if slot is None else return_to_queue(schedule, slot, self.note, self.is_failure)
 
 
 class MarkReturned(SlotChange):
-    """A process proves that the work is over; or a further one is there, after the one that came back has ended."""
+    """Records that the machine has returned from the work, or that another process has replaced the returned one."""
 
     stages = (SlotStage.CLEARED, SlotStage.RETURNED)
 
@@ -182,7 +185,7 @@
         self.settings_digest = settings_digest
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the machine returned or suspended, or None if that is known."""
+        """Return the schedule with the machine returned or suspended, or None if that is recorded already."""
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation == self.incarnation:
             return None
@@ -206,7 +209,7 @@
 
 
 class CompleteSlot(SlotChange):
-    """The machine serves as before: its slot is finished."""
+    """Finishes the slot of a returned machine that is fully in service again."""
 
     stages = (SlotStage.RETURNED,)
 
@@ -216,7 +219,7 @@
         self.max_history = max_history
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule without the slot, or None if another process has come back."""
+        """Return the schedule without the slot, or None if another process has returned."""
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation != self.incarnation:
             return None
--- a/moorusher/maintenance/start_estimate.py
+++ b/moorusher/maintenance/start_estimate.py
@@ -1,4 +1,4 @@
-"""When each queued machine is likely to go, for operators. Nothing is decided by it."""
+"""Estimates of when each queued machine gets its slot. They are shown to operators; no decision depends on them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule, SlotStage
 
-OVERHEAD_S = 10.0  # assumed for draining and warming up, beside the work itself
+OVERHEAD_S = 10.0  # assumed time for draining and warming up, in addition to the work itself
 
 
 def estimate_starts(
@@ -19,11 +19,13 @@
     policy: MaintenancePolicy,
     now_s: float,
 ) -> dict[tuple[str, str], float]:
-    """Return the seconds until each queued machine goes, by request id and seat, if all work takes as long as stated.
+    """Return the seconds until each queued machine gets its slot, by request id and seat.
 
-    order: the queue.
-    zones: by seat.
-    now_s: Unix time.
+    All work is assumed to take as long as its request states.
+
+    :param order: The queue.
+    :param zones: Zones by seat.
+    :param now_s: Unix time.
     """
     ends = _expected_ends(schedule, zones, now_s)
     out_by_zone = Counter(zone for _, zone in ends)
@@ -50,11 +52,11 @@
 
 
 def _expected_ends(schedule: Schedule, zones: Mapping[str, str], now_s: float) -> list[tuple[float, str]]:
-    """Return a heap of (seconds from now, zone) of the slots that are granted."""
+    """Return a heap of (seconds until the expected end, zone) of the granted slots."""
     ends = []
     for slot in schedule.slots:
         worked_s = now_s - slot.since_s if slot.stage is SlotStage.CLEARED else 0.0
-        left_s = slot.duration_s + OVERHEAD_S - worked_s
-        ends.append((max(0.0, left_s), zones.get(slot.seat, "")))
+        remaining_s = slot.duration_s + OVERHEAD_S - worked_s
+        ends.append((max(0.0, remaining_s), zones.get(slot.seat, "")))
     heapq.heapify(ends)
     return ends
--- a/moorusher/maintenance/waiters.py
+++ b/moorusher/maintenance/waiters.py
@@ -1,4 +1,4 @@
-"""Callers that wait until a machine may be worked on, or it is known that it will not be."""
+"""Callers that wait until a machine may be worked on, or until its request has ended."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class WaitStatus(Enum):
-    """How it stands with a caller. The values are part of the API."""
+    """The status that a caller gets as the answer. The values are part of the API."""
 
     GRANTED = "granted"  # the machine may be worked on
     QUEUED = "waits"
-    SUSPENDED = "held back"  # an operator must look first
+    SUSPENDED = "held back"  # until an operator resumes it
     WITHDRAWN = "withdrawn"
     FINISHED = "over"
 
 
 @dataclass(frozen=True, slots=True)
 class WaitResult:
-    """The answer to a caller. `note`: for operators."""
+    """The answer to a caller, with a note for operators."""
 
     status: WaitStatus
     note: str = ""
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A caller that waits for one machine of a request."""
+    """A caller that waits for one machine of a request, until the deadline at most."""
 
     request_id: str
     seat: str
@@ -45,21 +45,21 @@
     """The callers that wait at one member."""
 
     def __init__(self, machine_state: Callable[[], MachineState]) -> None:
-        """`machine_state`: of this member's machine."""
+        """:param machine_state: Returns the state of this member's machine."""
         self._machine_state = machine_state
         self._waiters: list[Waiter] = []
 
     def __len__(self) -> int:
-        """Callers that wait."""
+        """Return the number of waiting callers."""
         return len(self._waiters)
 
     @property
     def request_ids(self) -> set[str]:
-        """The requests that somebody waits for here."""
+        """Ids of the requests that a caller waits for at this member."""
         return {waiter.request_id for waiter in self._waiters}
 
     def add(self, waiter: Waiter) -> Callable[[], None]:
-        """Let a caller wait. Returns a function that takes it off the list."""
+        """Register a caller. Returns a function that removes it without an answer."""
         self._waiters.append(waiter)
         return lambda: self._remove(waiter)
 
@@ -68,7 +68,10 @@
             self._waiters.remove(waiter)
 
     def answer_ready(self, schedule: Schedule, is_known: bool) -> None:
-        """Answer the callers for whom the schedule has an answer. `is_known`: it has been read."""
+        """Answer the callers whose result follows from the schedule.
+
+        :param is_known: Whether the schedule has been read yet.
+        """
         for waiter in list(self._waiters):
             result = self.result_for(waiter, schedule, is_known)
             if result is not None:
@@ -77,7 +80,10 @@
     def answer_expired(
         self, schedule: Schedule, is_known: bool, now_us: int, waiting_reason: Callable[[str, str], str]
     ) -> None:
-        """Answer the callers whose time is over. `waiting_reason`: by request id and seat."""
+        """Answer the callers whose deadline has passed.
+
+        :param waiting_reason: Returns why a machine waits, given the request id and the seat.
+        """
         for waiter in [waiter for waiter in self._waiters if now_us >= waiter.deadline_us]:
             result = self.result_for(waiter, schedule, is_known)
             if result is None:
@@ -91,7 +97,7 @@
             waiter.callback(result)
 
     def result_for(self, waiter: Waiter, schedule: Schedule, is_known: bool) -> WaitResult | None:
-        """Return the answer for a caller; None while it has to wait."""
+        """Return the answer to a caller, or None if it has to wait."""
         slot = schedule.slot(waiter.seat)
         if slot is not None and slot.request_id == waiter.request_id:
             return self._result_of_slot(slot)
@@ -115,5 +121,5 @@
         if slot.stage is not SlotStage.CLEARED:
             return WaitResult(WaitStatus.FINISHED, slot.note)
         if proves_work_over(slot, self._machine_state()):
-            return None  # the clearance was for a caller on an earlier boot, who is gone with it
+            return None  # the clearance was for a caller on an earlier boot; the reboot has ended that caller
         return WaitResult(WaitStatus.GRANTED, slot.note)
--- a/moorusher/warm_start/__init__.py
+++ b/moorusher/warm_start/__init__.py
@@ -1,6 +1,6 @@
-"""Warm start: what a runner has learnt of its endpoints is kept, and spares the next one to learn it anew. Pure.
+"""Warm start: a runner starts with what earlier ones have learnt about its endpoints. Pure logic without I/O.
 
-`learned_state` is the value, `snapshot` its bytes, `merge` turns what several donors have learnt into priors, and
-`verification` drops priors that own calls contradict. `storage/warm_start.py` keeps the snapshot on disk.
-docs/design/warm-start.md has the alternatives that were weighed.
+`learned_state` captures the state, `snapshot` encodes it, `merge` turns the states of several donors into priors, and
+`verification` drops the priors that own calls contradict. `storage/warm_start.py` stores the snapshot on disk.
+docs/design/warm-start.md discusses the alternatives.
 """
--- a/moorusher/warm_start/learned_state.py
+++ b/moorusher/warm_start/learned_state.py
@@ -1,8 +1,7 @@
-"""What one runner has learnt of its endpoints, as a value.
+"""What one runner has learnt about its endpoints, as a value."""
 
-Nothing of tenants, bodies or tokens is in it. It has ages in place of times, since clocks differ. The names on disk and
-in `GET /knowledge` are older than those of the fields; they are mapped in the `rename` of each struct alone.
-"""
+# The state contains no data of tenants, bodies or tokens. It has ages instead of times, since clocks differ. On disk
+# and in `GET /knowledge` the fields have other names, which the `rename` of each struct maps.
 
 from __future__ import annotations
 
@@ -14,11 +13,11 @@
 from ..load_balancing.endpoint import Endpoint, EndpointState
 
 MAX_ENDPOINTS = 1000
-MAX_NAME_LENGTH = 64
+MAX_NAME_LENGTH = 64  # characters
 
 
 class DonorCondition(Enum):
-    """How the donor itself was when its state was captured: it decides how far its figures are trusted.
+    """The condition of the donor when its state was captured. It affects the weight of the donor's measurements.
 
     The values are on disk and in `GET /knowledge`.
     """
@@ -41,16 +40,17 @@
 
 
 class EndpointStats(msgspec.Struct, frozen=True, omit_defaults=True, rename=_STATS_NAMES):
-    """One endpoint as one runner knows it.
-
-    name: the endpoint's.
-    short_latency_us, long_latency_us, latency_spread_us: means and mean deviation, in microseconds.
-    samples: answered calls that the latencies come from.
-    success_rate: the fraction of the last calls that were answered.
-    concurrency_limit: calls.
-    ejected: ejected, or waiting for its health check.
-    ejections: in all.
-    first_seen_s, last_seen_s: ages when the state was captured, in seconds.
+    """One runner's statistics of one endpoint.
+
+    Attributes:
+        name: Name of the endpoint.
+        short_latency_us, long_latency_us, latency_spread_us: Short-term and long-term mean, and mean deviation.
+        samples: Number of answered calls in the latencies.
+        success_rate: Fraction of the last calls that were answered.
+        concurrency_limit: Limit of concurrent calls.
+        ejected: Whether it was ejected or waited for its health check.
+        ejections: Total number of ejections.
+        first_seen_s, last_seen_s: Seconds since it was first and last seen.
     """
 
     name: str
@@ -70,13 +70,14 @@
 
 
 class LearnedState(msgspec.Struct, frozen=True, omit_defaults=True, rename=_STATE_NAMES):
-    """What one runner knew at one moment.
-
-    donor: the runner's name.
-    condition: how it was then.
-    uptime_s: how long it had served, in seconds; a young donor knows little.
-    age_s: seconds since the state was captured.
-    endpoints: those that anything is known of.
+    """What one runner had learnt when its state was captured.
+
+    Attributes:
+        donor: Name of the runner.
+        condition: Its condition.
+        uptime_s: How long it had served; a runner that started recently has learnt little.
+        age_s: Time since the state was captured.
+        endpoints: Endpoints with statistics.
     """
 
     donor: str
@@ -85,9 +86,9 @@
     age_s: float = 0.0
     endpoints: tuple[EndpointStats, ...] = ()
 
-    def aged(self, by_s: float) -> LearnedState:
-        """Return the state as it is so many seconds later."""
-        return msgspec.structs.replace(self, age_s=self.age_s + max(0.0, by_s))
+    def aged(self, elapsed_s: float) -> LearnedState:
+        """Return the state with its age increased; a negative `elapsed_s` counts as 0."""
+        return msgspec.structs.replace(self, age_s=self.age_s + max(0.0, elapsed_s))
 
 
 def capture_learned_state(
@@ -97,9 +98,12 @@
     uptime_us: int,
     condition: DonorCondition = DonorCondition.HEALTHY,
 ) -> LearnedState:
-    """Capture what is known of endpoints at `now` (us); those that nothing is known of are left out."""
+    """Capture the statistics of endpoints, without the active ones that were never called.
+
+    :param now: Time of the endpoints' clock, in microseconds.
+    """
     stats = [_stats_of(endpoint, now) for endpoint in endpoints if _is_known(endpoint)]
-    stats.sort(key=lambda one: one.last_seen_s)
+    stats.sort(key=lambda entry: entry.last_seen_s)
     return LearnedState(donor, condition, uptime_us / 1e6, 0.0, tuple(stats[:MAX_ENDPOINTS]))
 
 
--- a/moorusher/warm_start/merge.py
+++ b/moorusher/warm_start/merge.py
@@ -1,7 +1,7 @@
-"""What several donors have learnt, merged into a prior for each endpoint.
+"""Merges what several donors have learnt into a prior for each endpoint.
 
-Each donor's figures are weighted by samples, age, uptime and condition. Latencies are compared within one donor and
-never across donors, since a slow donor measures everything as slow; of several donors the weighted median counts.
+Each donor's measurements are weighted by samples, age, uptime and condition. Latencies are compared only within one
+donor, since a slow donor measures all endpoints as slow. A prior is the weighted median over the donors.
 """
 
 from __future__ import annotations
@@ -14,29 +14,31 @@
 from .learned_state import DonorCondition, EndpointStats, LearnedState
 
 LATENCY_HALF_LIFE_S = 60.0
-FAULT_HALF_LIFE_S = 20.0  # an endpoint's faults pass sooner than its speed changes
-MAX_AGE_S = 600.0  # beyond it figures count for nothing
-FULL_WEIGHT_SAMPLES = 30  # of an endpoint, from which its donor's figures have full weight
-SAMPLES_OF_EJECTION = 5  # so many samples an ejection counts for: an ejected endpoint has few
-FULL_WEIGHT_UPTIME_S = 10.0  # of a donor, from which its figures have full weight
-MIN_WEIGHT = 0.05  # with less a donor's figures are ignored
-TRUST = {
+FAULT_HALF_LIFE_S = (
+    20.0  # shorter than for latencies: faults pass sooner than the speed of an endpoint changes
+)
+MAX_AGE_S = 600.0  # older measurements are ignored
+FULL_WEIGHT_SAMPLES = 30  # samples of an endpoint from which its measurements have full weight
+SAMPLES_PER_EJECTION = 5  # samples that an ejection counts as, since an ejected endpoint has few calls
+FULL_WEIGHT_UPTIME_S = 10.0  # uptime of a donor from which its measurements have full weight
+MIN_WEIGHT = 0.05  # measurements with a lower weight are ignored
+CONDITION_WEIGHTS = {
     DonorCondition.HEALTHY: 1.0,
     DonorCondition.SLOW: 0.6,
     DonorCondition.OVERLOADED: 0.6,
     DonorCondition.WARMING_UP: 0.5,
     DonorCondition.PAUSED: 0.25,
 }
-MAX_RATIO_SPREAD = (
-    3.0  # largest over smallest latency ratio; donors that differ by more contradict each other
-)
-CONTRADICTION_FACTOR = 0.5  # applied to the weight then: one of them is wrong, and it is not known which
-LATENCY_RATIO_BOUNDS = (0.1, 10.0)
+# Largest over smallest latency ratio of an endpoint. Donors that differ by more contradict each other.
+MAX_RATIO_SPREAD = 3.0
+# Factor of a prior's weight if its donors contradict each other: one is wrong, and it is unknown which one.
+CONTRADICTION_FACTOR = 0.5
+LATENCY_RATIO_BOUNDS = (0.1, 10.0)  # minimum, maximum
 
 
 @dataclass(slots=True, frozen=True)
-class Weighted:
-    """One donor's figure, and how far it counts."""
+class WeightedValue:
+    """One donor's measurement and its weight."""
 
     value: float
     weight: float
@@ -44,33 +46,37 @@
 
 @dataclass(slots=True)
 class EndpointEvidence:
-    """What all donors together have learnt of one endpoint."""
-
-    latency_ratios: list[Weighted] = field(default_factory=list)
-    success_rates: list[Weighted] = field(default_factory=list)
-    ejections: list[Weighted] = field(default_factory=list)  # 1 where the donor had it ejected, else 0
+    """The weighted measurements of one endpoint from all donors."""
+
+    latency_ratios: list[WeightedValue] = field(
+        default_factory=list
+    )  # latency over the donor's median latency
+    success_rates: list[WeightedValue] = field(default_factory=list)
+    ejections: list[WeightedValue] = field(
+        default_factory=list
+    )  # 1 if the donor had ejected the endpoint, else 0
     donors: list[str] = field(default_factory=list)
 
-    def add(self, state: LearnedState, typical_us: float, stats: EndpointStats) -> None:
-        """Take one donor's figures. `typical_us`: the donor's own median latency, 0 where it has none."""
-        latency_weight = weight_of(state, stats, LATENCY_HALF_LIFE_S)
-        fault_weight = weight_of(state, stats, FAULT_HALF_LIFE_S)
-        has_latency = stats.samples > 0 and typical_us > 0 and latency_weight >= MIN_WEIGHT
+    def add(self, state: LearnedState, donor_median_us: float, stats: EndpointStats) -> None:
+        """Add one donor's measurements of the endpoint. `donor_median_us` is 0 if the donor has no latencies."""
+        latency_weight = evidence_weight(state, stats, LATENCY_HALF_LIFE_S)
+        fault_weight = evidence_weight(state, stats, FAULT_HALF_LIFE_S)
+        has_latency = stats.samples > 0 and donor_median_us > 0 and latency_weight >= MIN_WEIGHT
         has_faults = fault_weight >= MIN_WEIGHT
         if has_latency:
             smallest, largest = LATENCY_RATIO_BOUNDS
-            ratio = max(smallest, min(largest, stats.short_latency_us / typical_us))
-            self.latency_ratios.append(Weighted(ratio, latency_weight))
+            ratio = max(smallest, min(largest, stats.short_latency_us / donor_median_us))
+            self.latency_ratios.append(WeightedValue(ratio, latency_weight))
         if has_faults:
-            self.success_rates.append(Weighted(stats.success_rate, fault_weight))
-            self.ejections.append(Weighted(1.0 if stats.ejected else 0.0, fault_weight))
+            self.success_rates.append(WeightedValue(stats.success_rate, fault_weight))
+            self.ejections.append(WeightedValue(1.0 if stats.ejected else 0.0, fault_weight))
         if has_latency or has_faults:
             self.donors.append(state.donor)
 
     def to_prior(self) -> Prior:
         """Return the prior; there must be at least one donor."""
-        figures = (*self.latency_ratios, *self.success_rates)
-        weight = max((figure.weight for figure in figures), default=0.0)
+        values = (*self.latency_ratios, *self.success_rates)
+        weight = max((value.weight for value in values), default=0.0)
         if self._donors_contradict():
             weight *= CONTRADICTION_FACTOR
         return Prior(
@@ -84,36 +90,36 @@
     def _donors_contradict(self) -> bool:
         if len(self.latency_ratios) < 2:
             return False
-        ratios = [figure.value for figure in self.latency_ratios]
+        ratios = [ratio.value for ratio in self.latency_ratios]
         return max(ratios) > MAX_RATIO_SPREAD * min(ratios)
 
 
-def weighted_median(figures: Sequence[Weighted]) -> float:
-    """Return the weighted median of at least one figure."""
-    ordered = sorted(figures, key=lambda figure: (figure.value, figure.weight))
-    half = sum(figure.weight for figure in ordered) / 2
-    passed = 0.0
-    for figure in ordered:
-        passed += figure.weight
-        if passed >= half:
-            return figure.value
+def weighted_median(values: Sequence[WeightedValue]) -> float:
+    """Return the weighted median of at least one value."""
+    ordered = sorted(values, key=lambda entry: (entry.value, entry.weight))
+    half_weight = sum(entry.weight for entry in ordered) / 2
+    cumulative_weight = 0.0
+    for entry in ordered:
+        cumulative_weight += entry.weight
+        if cumulative_weight >= half_weight:
+            return entry.value
     return ordered[-1].value
 
 
-def weight_of(state: LearnedState, stats: EndpointStats, half_life_s: float) -> float:
-    """Return how far one donor's figures on one endpoint count, from 0 to 1; half as far after each half-life."""
+def evidence_weight(state: LearnedState, stats: EndpointStats, half_life_s: float) -> float:
+    """Return the weight, from 0 to 1, of one donor's measurements of one endpoint. It halves with each half-life."""
     age_s = state.age_s + stats.last_seen_s
     if age_s > MAX_AGE_S:
         return 0.0
-    samples = stats.samples + SAMPLES_OF_EJECTION * stats.ejected
+    samples = stats.samples + SAMPLES_PER_EJECTION * stats.ejected
     sample_weight = min(1.0, samples / FULL_WEIGHT_SAMPLES)
     uptime_weight = min(1.0, state.uptime_s / FULL_WEIGHT_UPTIME_S)
     decay = float(0.5 ** (age_s / half_life_s))
-    return sample_weight * uptime_weight * TRUST[state.condition] * decay
+    return sample_weight * uptime_weight * CONDITION_WEIGHTS[state.condition] * decay
 
 
-def typical_latency(state: LearnedState) -> float:
-    """Return a donor's median latency over the endpoints it had in service (us); 0 where it has none."""
+def median_latency_us(state: LearnedState) -> float:
+    """Return the median latency of the endpoints that the donor had not ejected; 0 if it has measured none."""
     return median(
         [
             stats.short_latency_us
@@ -124,16 +130,17 @@
 
 
 def merge_priors(states: Iterable[LearnedState], names: Iterable[str]) -> dict[str, Prior]:
-    """Return a prior for each endpoint of `names` that some donor's figures count for."""
+    """Return a prior for each named endpoint that a donor has usable measurements of."""
     donors = [
-        (state, typical_latency(state), {stats.name: stats for stats in state.endpoints}) for state in states
+        (state, median_latency_us(state), {stats.name: stats for stats in state.endpoints})
+        for state in states
     ]
     priors: dict[str, Prior] = {}
     for name in names:
         evidence = EndpointEvidence()
-        for state, typical_us, stats_by_name in donors:
+        for state, donor_median_us, stats_by_name in donors:
             if name in stats_by_name:
-                evidence.add(state, typical_us, stats_by_name[name])
+                evidence.add(state, donor_median_us, stats_by_name[name])
         if evidence.donors:
             priors[name] = evidence.to_prior()
     return priors
--- a/moorusher/warm_start/snapshot.py
+++ b/moorusher/warm_start/snapshot.py
@@ -1,6 +1,6 @@
-"""A learned state as bytes: a header with magic, version, length and checksum, and a body in MessagePack.
+"""Encodes a learned state as a snapshot: a header with magic, version, length and checksum, and a MessagePack body.
 
-A snapshot is used as a whole or not at all.
+A snapshot is used completely or not at all.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from .learned_state import MAX_ENDPOINTS, MAX_NAME_LENGTH, LearnedState
 
 MAGIC = b"MRKN"
-MAJOR_VERSION = 1  # a snapshot of a newer one is invalid
-MINOR_VERSION = 0  # a newer one may add fields, which are ignored
+MAJOR_VERSION = 1  # a snapshot with a newer major version is rejected
+MINOR_VERSION = 0  # a newer minor version may add fields, which are ignored
 HEADER = struct.Struct("<4sBBxxIQ")  # magic, major, minor, length of the body in bytes, its xxh3 checksum
 MAX_SNAPSHOT_BYTES = 256 * 1024
-MAX_NUMBER = 1e15  # no figure comes near it
+MAX_FIELD_VALUE = 1e15  # far above every valid number
 
 
 def encode_snapshot(state: LearnedState) -> bytes:
-    """Return the bytes of a state. Raises InvalidSnapshotError where they would be too many."""
+    """Encode a state. Raises InvalidSnapshotError if the snapshot would exceed the maximum size."""
     body = msgspec.msgpack.encode(state)
     if HEADER.size + len(body) > MAX_SNAPSHOT_BYTES:
         raise InvalidSnapshotError(SnapshotFault.OVERSIZED, f"{len(body)} bytes")
@@ -32,7 +32,7 @@
 
 
 def decode_snapshot(raw: bytes) -> LearnedState:
-    """Return the state that the bytes hold. Raises InvalidSnapshotError, and nothing else, whatever the bytes are."""
+    """Decode a snapshot from an untrusted source. Raises only InvalidSnapshotError."""
     body = _checked_body(raw)
     try:
         state = msgspec.msgpack.decode(body, type=LearnedState)
@@ -43,7 +43,7 @@
 
 
 def _checked_body(raw: bytes) -> bytes:
-    """Return the body of a snapshot whose header and checksum are right."""
+    """Check the header and the checksum, and return the body."""
     if len(raw) > MAX_SNAPSHOT_BYTES:
         raise InvalidSnapshotError(SnapshotFault.OVERSIZED, f"{len(raw)} bytes")
     if raw[: len(MAGIC)] != MAGIC[: len(raw)]:
@@ -63,14 +63,16 @@
 
 
 def _check_values(state: LearnedState) -> None:
-    """Check what the types can't say: a checksum proves that nothing was changed, not that it was right."""
+    """Check limits that the types don't express. A checksum shows that the body is unchanged, not that it is valid."""
     if len(state.endpoints) > MAX_ENDPOINTS:
         raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, f"{len(state.endpoints)} servers")
     if not state.donor or len(state.donor) > MAX_NAME_LENGTH:
         raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, "donor")
     for record in (state, *state.endpoints):
         for name, value in msgspec.structs.asdict(record).items():
-            if isinstance(value, (int, float)) and not (math.isfinite(value) and 0 <= value < MAX_NUMBER):
+            if isinstance(value, (int, float)) and not (
+                math.isfinite(value) and 0 <= value < MAX_FIELD_VALUE
+            ):
                 raise InvalidSnapshotError(SnapshotFault.INVALID_VALUE, name)
     names: set[str] = set()
     for stats in state.endpoints:
--- a/moorusher/warm_start/verification.py
+++ b/moorusher/warm_start/verification.py
@@ -1,4 +1,4 @@
-"""Priors are verified by own calls: what they contradict is dropped, and a donor that is mostly wrong altogether."""
+"""Verifies priors by own calls. Contradicted priors are dropped, and all priors of a donor that is mostly wrong."""
 
 from __future__ import annotations
 
@@ -7,32 +7,36 @@
 
 from ..load_balancing.prior import Prior
 
-MIN_SAMPLES = 4  # own samples of an endpoint that its prior is compared with
-MAX_DEVIATION = 2.5  # times as fast or slow as the prior says
-MAX_WRONG_FRACTION = 0.5  # of a donor's verified priors
-MIN_VERIFIED = 4  # priors of a donor, from which that fraction counts
+MIN_SAMPLES = 4  # own samples of an endpoint before its prior is verified
+MAX_DEVIATION = 2.5  # factor between the measured and the expected latency ratio, either way
+MAX_WRONG_FRACTION = 0.5  # of a donor's verified priors; with more the donor is rejected
+MIN_VERIFIED = 4  # verified priors of a donor before it can be rejected
 
 
 class PriorVerification:
     """Implements `load_balancing.prior.PriorVerifier`.
 
-    rejected_donors: whose priors are all dropped (set of names).
+    Attributes:
+        rejected_donors: Names of the donors whose priors are all dropped.
     """
 
     def __init__(self, priors: dict[str, Prior], drop: Callable[[str], None]) -> None:
-        """`drop` is called with the name of each endpoint whose prior counts no more."""
+        """:param drop: Called with the name of each endpoint whose prior is dropped."""
         self._unverified = dict(priors)
         self._drop = drop
-        self._verified_of: Counter[str] = Counter()  # by donor
-        self._wrong_of: Counter[str] = Counter()  # by donor
+        self._verified_by_donor: Counter[str] = Counter()
+        self._wrong_by_donor: Counter[str] = Counter()
         self.rejected_donors: set[str] = set()
 
     def __len__(self) -> int:
-        """Return how many priors are not verified yet."""
+        """Return the number of priors that are not verified yet."""
         return len(self._unverified)
 
     def latency_measured(self, name: str, latency_ratio: float, samples: int) -> None:
-        """Compare an endpoint's prior with its own latency over the set's median, from so many samples."""
+        """Compare an endpoint's prior with its measured latency over the median of all endpoints.
+
+        :param samples: Number of own calls in that latency.
+        """
         prior = self._unverified.get(name)
         if prior is None or samples < MIN_SAMPLES or latency_ratio <= 0:
             return
@@ -41,24 +45,24 @@
         if is_wrong:
             self._drop(name)
         for donor in prior.donors:
-            self._verified_of[donor] += 1
-            self._wrong_of[donor] += is_wrong
+            self._verified_by_donor[donor] += 1
+            self._wrong_by_donor[donor] += is_wrong
             if self._is_mostly_wrong(donor):
                 self._reject(donor)
 
     def health_check_passed(self, name: str) -> None:
-        """Drop a prior that had the endpoint ejected: it is wrong, or out of date."""
+        """Drop the prior of an endpoint that donors had ejected, since the prior is wrong or outdated."""
         prior = self._unverified.get(name)
         if prior is not None and prior.ejected:
             del self._unverified[name]
             self._drop(name)
 
     def _is_mostly_wrong(self, donor: str) -> bool:
-        verified = self._verified_of[donor]
-        return verified >= MIN_VERIFIED and self._wrong_of[donor] > MAX_WRONG_FRACTION * verified
+        verified = self._verified_by_donor[donor]
+        return verified >= MIN_VERIFIED and self._wrong_by_donor[donor] > MAX_WRONG_FRACTION * verified
 
     def _reject(self, donor: str) -> None:
-        """Drop the priors that come from rejected donors alone."""
+        """Reject a donor, and drop the priors that come only from rejected donors."""
         if donor in self.rejected_donors:
             return
         self.rejected_donors.add(donor)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -33,12 +33,12 @@
 
 
 def state_after(*events: Event) -> tuple[State, list[Instruction]]:
-    """The state after these events, and all instructions on the way."""
+    """Return the state after these events, and all instructions on the way."""
     role = ProcessRole()
-    steps: list[Instruction] = []
+    instructions: list[Instruction] = []
     for event in events:
-        steps += role.handle(event)
-    return role.state, steps
+        instructions += role.handle(event)
+    return role.state, instructions
 
 
 TAKE_OVER = Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.LET_ON
@@ -176,12 +176,12 @@
 def test_each_sequence_of_events_leads_to_its_state_and_instructions(
     events: tuple[Event, ...], state: State, required: set[Instruction], forbidden: set[Instruction]
 ) -> None:
-    final_state, steps = state_after(*events)
-    assert final_state is state and required <= set(steps) and not forbidden & set(steps)
+    final_state, instructions = state_after(*events)
+    assert final_state is state and required <= set(instructions) and not forbidden & set(instructions)
 
 
 def test_each_wait_has_a_timeout_and_all_together_are_shorter_than_the_startup_time() -> None:
-    """A peer that hangs must not keep a new process from answering its first health check in time."""
+    """A peer that hangs must not prevent a new process from answering its first health check in time."""
     assert all((state, Event.TIMEOUT) in TRANSITIONS for state in TIMEOUTS_MS)
     assert sum(TIMEOUTS_MS.values()) < 5_000
     assert all((state, Event.SIGTERM) in TRANSITIONS for state in State)
@@ -193,8 +193,8 @@
 
 
 def test_a_new_process_runs_no_new_keys_before_the_handover() -> None:
-    """In each reachable state: a process that runs new keys has been let on, or has no live peer."""
-    # State, is serving, distrusts keys.
+    """In each reachable state, a process that runs new keys is permitted to accept, or has no live peer."""
+    # Each entry: state, whether it serves, whether it distrusts keys.
     frontier: set[tuple[State, bool, bool]] = {(State.DISCOVERING, False, False)}
     seen = set(frontier)
     while frontier:
@@ -204,12 +204,16 @@
                 role = ProcessRole()
                 distrusts_keys = distrusted
                 role.state = state
-                steps = role.handle(event)
-                serves_now = is_serving or Instruction.LISTEN in steps or Instruction.ADOPT_SOCKETS in steps
-                for step in steps:
-                    if step in (Instruction.DISTRUST_KEYS, Instruction.DISTRUST_KEYS_FOR_A_WINDOW):
+                instructions = role.handle(event)
+                serves_now = (
+                    is_serving
+                    or Instruction.LISTEN in instructions
+                    or Instruction.ADOPT_SOCKETS in instructions
+                )
+                for instruction in instructions:
+                    if instruction in (Instruction.DISTRUST_KEYS, Instruction.DISTRUST_KEYS_FOR_A_WINDOW):
                         distrusts_keys = True
-                    elif step is Instruction.TRUST_KEYS:
+                    elif instruction is Instruction.TRUST_KEYS:
                         distrusts_keys = False
                 if role.state in (
                     State.DISCOVERING,
@@ -245,7 +249,7 @@
 
 
 class ProcessPair:
-    """The cores of two processes, and the messages sent by each that its peer has not read.
+    """The request engines of two processes, and the messages of each that its peer has not read.
 
     The second one is the successor.
     """
@@ -288,12 +292,12 @@
         self.worlds[1 - which].turn()
 
     def runs(self) -> Counter[str]:
-        """How often each key ran, in both processes together."""
+        """Return how often each key ran, in both processes together."""
         return Counter(str(rid).partition("-")[0] for world in self.worlds for rid in world.runs())
 
 
 class SentMessages:
-    """Stands for the peer: each call on it is a message sent."""
+    """A fake peer that records each call as a sent message."""
 
     def __init__(self, unread: deque[Any]) -> None:
         self._unread = unread
@@ -317,13 +321,13 @@
     old.core.execution.run_ended("k-1", EndReason.RUN_SUCCEEDED, b"did")
     pair.settle()
     assert new.verdicts() == [(2, Verdict.SERVED)] and new.answers[0][1].content == b"did"
-    new.take("k-3", 3, token="k")  # it has finished by now, and is known here
+    new.take("k-3", 3, token="k")  # the run has finished, and its result is known here
     pair.settle()
     assert new.verdicts()[1] == (3, Verdict.SERVED) and pair.runs() == {"k": 1}
 
 
 def test_simultaneous_attempts_at_both_processes_run_once_and_both_are_served() -> None:
-    """Two attempts with one key reach both processes at once: one of them runs, both get its result."""
+    """Two attempts with one key reach both processes at once: one of them runs, and both get its result."""
     pair = ProcessPair()
     old, new = pair.worlds
     old.take("k-1", 1, token="k")
@@ -338,7 +342,7 @@
 def test_a_key_whose_attempt_was_cancelled_before_it_ran_is_released_in_both_processes() -> None:
     """A client disconnects before its request ran, while an attempt at the peer waits for it.
 
-    The one that waited fails or runs, and a later attempt runs.
+    The waiting attempt fails or runs, and a later attempt runs.
     """
     pair = ProcessPair()
     old, new = pair.worlds
@@ -346,7 +350,7 @@
     second = new.take("k-2", 2, token="k")
     new.core.caller_disconnected(second)
     pair.settle()
-    # It waited for a run that never started.
+    # The attempt waited for a run that never started.
     assert not pair.runs() and old.verdicts() == [(1, Verdict.FAILED)]
     old.take("k-3", 3, token="k")
     pair.settle()
@@ -363,7 +367,7 @@
 
 
 def test_open_keys_of_a_dead_process_do_not_run_within_their_window_and_run_after_it() -> None:
-    """A process is killed during a keyed run: nobody knows whether it had an effect."""
+    """A process is killed during a keyed run, and it is unknown whether the run had an effect."""
     pair = ProcessPair()
     old, new = pair.worlds
     old.take("k-1", 1, token="k")
@@ -382,7 +386,7 @@
 
 
 def disconnect_peer(world: World) -> bool:
-    """Give the peer up, as a process does whose peer does not respond before the handover."""
+    """Disconnect the peer, as a process does if the peer does not respond before the handover."""
     world.core.key_claims.peer_disconnected(died=False)
     return True
 
@@ -407,7 +411,7 @@
     old, new = pair.worlds
     old.take("k-1", 1, token="k")
     new.core.submit(Arrival("k-2", "write", b"other", token="k", memory_kb=10.0), new, 2)
-    pair.settle()  # both at once: the successor has precedence
+    pair.settle()  # the claims are simultaneous, and the successor has precedence
     assert old.verdicts() == [(1, Verdict.REJECTED)] and pair.runs() == {"k": 1}
     assert (
         old.core.submit(Arrival("k-3", "write", b"x", token="k", memory_kb=10.0), old, 3)
@@ -416,7 +420,7 @@
 
 
 def test_keys_of_a_snapshot_do_not_run_again_and_uncertain_ones_are_rejected() -> None:
-    """A new process takes over the keys of the old one, which dies with one of them running."""
+    """A new process takes over the keys of the old one, which dies while one of them runs."""
     old, new = World(), World()
     for i, rid in enumerate(("k-1", "m-1")):
         old.take(rid, i, token=rid[0])
@@ -445,7 +449,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_no_key_runs_twice_in_any_order_of_messages_and_kills(seed: int) -> None:
-    """Requests, messages, ends of runs and one kill in an order drawn from a seed."""
+    """Requests, messages, ends of runs and a kill happen in a random order that a seed determines."""
     rng = random.Random(seed)
     pair = ProcessPair()
     attempts = 0
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -1,4 +1,7 @@
-"""Maintenance in every interleaving and on seeds in virtual time; each search must also find seeded mistakes."""
+"""Model checks of planned maintenance: all interleavings, and seeded simulations in virtual time.
+
+Each search must also find faults that are seeded on purpose.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +48,8 @@
         assert found.violation is None, found
 
 
-class Unlimited(GrantSlots):
-    """A seeded mistake: the limit is checked as a grant is sent, and not as it is chosen."""
+class IgnoresRevision(GrantSlots):
+    """Seeded fault: the limit is checked when a grant is sent, and not when it is applied."""
 
     def apply(self, schedule: Schedule) -> Schedule | None:
         self.revision = schedule.revision
@@ -54,16 +57,16 @@
         return super().apply(schedule)
 
 
-class OverdueForgotten(DisruptionBudget):
-    """A seeded mistake: a machine that is out is not counted."""
+class IgnoresClearedMachines(DisruptionBudget):
+    """Seeded fault: cleared machines are not counted as out."""
 
-    def __init__(self, seen: Any, schedule: Schedule, keepers: Any, policy: MaintenancePolicy) -> None:
-        kept = tuple(t for t in schedule.slots if t.stage is not SlotStage.CLEARED)
-        super().__init__(seen, structs.replace(schedule, slots=kept), keepers, policy)
+    def __init__(self, views: Any, schedule: Schedule, replicas: Any, policy: MaintenancePolicy) -> None:
+        slots = tuple(t for t in schedule.slots if t.stage is not SlotStage.CLEARED)
+        super().__init__(views, structs.replace(schedule, slots=slots), replicas, policy)
 
 
 class WithdrawsClearedSlots(WithdrawRequest):
-    """A seeded mistake: a withdrawal succeeds though the operator was told that the machine may be worked on."""
+    """Seeded fault: a withdrawal succeeds although the operator was notified that the machine may be worked on."""
 
     def apply(self, schedule: Schedule) -> Schedule | None:
         model = super().apply(schedule) or schedule
@@ -72,18 +75,18 @@
 
 
 @pytest.mark.parametrize(
-    "limits, how",
+    "limits, faults",
     [
         (MaintenanceModelLimits(crashes=0), {"clears_early": True}),
         (
             MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
-            {"grant_change": Unlimited, "machine_policy": MaintenancePolicy(max_out=9)},
+            {"grant_change": IgnoresRevision, "machine_policy": MaintenancePolicy(max_out=9)},
         ),
         (
             MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
             {
-                "budget_class": OverdueForgotten,
-                "grant_change": Unlimited,
+                "budget_class": IgnoresClearedMachines,
+                "grant_change": IgnoresRevision,
                 "machine_policy": MaintenancePolicy(max_out=9),
             },
         ),
@@ -96,18 +99,18 @@
         ),
     ],
 )
-def test_the_interleavings_find_each_seeded_mistake(
-    limits: MaintenanceModelLimits, how: dict[str, Any]
+def test_the_interleavings_find_each_seeded_fault(
+    limits: MaintenanceModelLimits, faults: dict[str, Any]
 ) -> None:
-    found = explore(MaintenanceModel.initial(limits, **how), 200_000)
+    found = explore(MaintenanceModel.initial(limits, **faults), 200_000)
     assert found.violation is not None, found
-    assert replay(MaintenanceModel.initial(limits, **how), found.path) == found.violation
+    assert replay(MaintenanceModel.initial(limits, **faults), found.path) == found.violation
 
 
 # ---- seeds in virtual time ----
 
 
-def test_no_seed_has_too_many_machines_out_or_forgets_a_request() -> None:
+def test_no_seed_has_too_many_machines_out_or_loses_a_request() -> None:
     found = find_counterexample(range(40), MaintenanceSimulation)
     assert found is None, f"MaintenanceSimulation({found.seed}).play(): {found.violation}" if found else ""
 
@@ -118,29 +121,31 @@
     assert first.history.messages == second.history.messages
 
 
-class EagerWaiters(Waiters):
-    """A seeded mistake: one that waits on a later boot of the machine is told what an earlier one was granted."""
+class IgnoresLaterBoot(Waiters):
+    """Seeded fault: a caller on a later boot of the machine gets the clearance for a caller on an earlier boot."""
 
     def result_for(self, waiter: Any, schedule: Schedule, is_known: bool) -> WaitResult | None:
-        held = schedule.slot(waiter.seat)
-        if held is not None and held.request_id == waiter.request_id and held.stage is SlotStage.CLEARED:
+        slot = schedule.slot(waiter.seat)
+        if slot is not None and slot.request_id == waiter.request_id and slot.stage is SlotStage.CLEARED:
             return WaitResult(WaitStatus.GRANTED)
         return super().result_for(waiter, schedule, is_known)
 
 
-class EagerCoordinator(MaintenanceCoordinator):
-    """A coordinator with those waiters."""
+class CoordinatorIgnoringLaterBoot(MaintenanceCoordinator):
+    """A coordinator with the faulty waiters."""
 
-    waiters_class = EagerWaiters
+    waiters_class = IgnoresLaterBoot
 
 
-def test_seeds_find_a_clearance_that_is_told_on_a_later_boot() -> None:
+def test_seeds_find_a_clearance_that_is_reported_on_a_later_boot() -> None:
     assert (
-        find_counterexample(range(120), partial(MaintenanceSimulation, coordinator_class=EagerCoordinator))
+        find_counterexample(
+            range(120), partial(MaintenanceSimulation, coordinator_class=CoordinatorIgnoringLaterBoot)
+        )
         is not None
     )
 
 
-def test_without_faults_every_request_is_finished_soon() -> None:
+def test_without_faults_every_request_is_finished() -> None:
     sim = MaintenanceSimulation(1, replace(SCENARIO, faults=0))
     assert sim.play() is None and sim.max_cleared >= 1 and not sim.operators.majority_losses
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -1,4 +1,4 @@
-"""Warm start: snapshots whose bytes are untrusted, priors that are weighted, and priors that are verified."""
+"""Warm start: snapshots from untrusted bytes, and the weights and the verification of priors."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 S, MS = 1_000_000, 1_000
 
 
-def facts(name: str, ms: float = 40.0, **more: Any) -> EndpointStats:
+def endpoint_stats(name: str, ms: float = 40.0, **more: Any) -> EndpointStats:
     base: dict[str, Any] = {
         "short_latency_us": ms * MS,
         "long_latency_us": ms * MS,
@@ -66,7 +66,7 @@
     return EndpointStats(name, **(base | more))
 
 
-def knowledge(*servers: EndpointStats, **more: Any) -> LearnedState:
+def learned_state(*servers: EndpointStats, **more: Any) -> LearnedState:
     base: dict[str, Any] = {"donor": "d", "uptime_s": 100.0, "endpoints": servers}
     return LearnedState(**(base | more))
 
@@ -75,63 +75,77 @@
 
 
 def test_a_snapshot_of_a_thousand_servers_fits_and_is_read_as_written() -> None:
-    told = knowledge(*(facts(f"server-{i:04}.zone-{i % 7}", 1.234567 * i) for i in range(1000)))
-    raw = encode_snapshot(told)
-    assert len(raw) <= MAX_SNAPSHOT_BYTES and decode_snapshot(raw) == told
+    state = learned_state(*(endpoint_stats(f"server-{i:04}.zone-{i % 7}", 1.234567 * i) for i in range(1000)))
+    raw = encode_snapshot(state)
+    assert len(raw) <= MAX_SNAPSHOT_BYTES and decode_snapshot(raw) == state
 
 
-def sealed(body: bytes, magic: bytes = MAGIC, major: int = MAJOR_VERSION, minor: int = 0) -> bytes:
+def with_header(body: bytes, magic: bytes = MAGIC, major: int = MAJOR_VERSION, minor: int = 0) -> bytes:
     import xxhash
 
     return HEADER.pack(magic, major, minor, len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
-GOOD = encode_snapshot(knowledge(facts("a")))
+VALID_SNAPSHOT = encode_snapshot(learned_state(endpoint_stats("a")))
 
 
 @pytest.mark.parametrize(
-    "raw, why",
+    "raw, fault",
     [
         (b"", SnapshotFault.TRUNCATED),
-        (GOOD[:3], SnapshotFault.TRUNCATED),
-        (GOOD[:-1], SnapshotFault.TRUNCATED),
+        (VALID_SNAPSHOT[:3], SnapshotFault.TRUNCATED),
+        (VALID_SNAPSHOT[:-1], SnapshotFault.TRUNCATED),
         (b"HTTP/1.1 200 OK", SnapshotFault.FOREIGN),
-        (GOOD + b"x", SnapshotFault.CORRUPT),
-        (GOOD[:-2] + b"zz", SnapshotFault.CORRUPT),
+        (VALID_SNAPSHOT + b"x", SnapshotFault.CORRUPT),
+        (VALID_SNAPSHOT[:-2] + b"zz", SnapshotFault.CORRUPT),
         (b"x" * (MAX_SNAPSHOT_BYTES + 1), SnapshotFault.OVERSIZED),
-        (sealed(b"\x80", major=MAJOR_VERSION + 1), SnapshotFault.NEWER_VERSION),
-        (sealed(b""), SnapshotFault.INVALID_VALUE),
-        (sealed(b"\xc1"), SnapshotFault.INVALID_VALUE),
-        (sealed(msgspec.msgpack.encode({"donor": 5})), SnapshotFault.INVALID_VALUE),
-        (sealed(msgspec.msgpack.encode({})), SnapshotFault.INVALID_VALUE),
-        (sealed(msgspec.msgpack.encode({"donor": "d", "condition": "odd"})), SnapshotFault.INVALID_VALUE),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a"), facts("a")))), SnapshotFault.INVALID_VALUE),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a", float("inf"))))), SnapshotFault.INVALID_VALUE),
-        (sealed(msgspec.msgpack.encode(knowledge(facts("a", -1)))), SnapshotFault.INVALID_VALUE),
+        (with_header(b"\x80", major=MAJOR_VERSION + 1), SnapshotFault.NEWER_VERSION),
+        (with_header(b""), SnapshotFault.INVALID_VALUE),
+        (with_header(b"\xc1"), SnapshotFault.INVALID_VALUE),
+        (with_header(msgspec.msgpack.encode({"donor": 5})), SnapshotFault.INVALID_VALUE),
+        (with_header(msgspec.msgpack.encode({})), SnapshotFault.INVALID_VALUE),
         (
-            sealed(msgspec.msgpack.encode(knowledge(facts("a", success_rate=1.5)))),
+            with_header(msgspec.msgpack.encode({"donor": "d", "condition": "odd"})),
             SnapshotFault.INVALID_VALUE,
         ),
-        (sealed(msgspec.msgpack.encode(knowledge(donor=""))), SnapshotFault.INVALID_VALUE),
-        (sealed(b"\x91" * 100_000), SnapshotFault.INVALID_VALUE),
+        (
+            with_header(msgspec.msgpack.encode(learned_state(endpoint_stats("a"), endpoint_stats("a")))),
+            SnapshotFault.INVALID_VALUE,
+        ),
+        (
+            with_header(msgspec.msgpack.encode(learned_state(endpoint_stats("a", float("inf"))))),
+            SnapshotFault.INVALID_VALUE,
+        ),
+        (
+            with_header(msgspec.msgpack.encode(learned_state(endpoint_stats("a", -1)))),
+            SnapshotFault.INVALID_VALUE,
+        ),
+        (
+            with_header(msgspec.msgpack.encode(learned_state(endpoint_stats("a", success_rate=1.5)))),
+            SnapshotFault.INVALID_VALUE,
+        ),
+        (with_header(msgspec.msgpack.encode(learned_state(donor=""))), SnapshotFault.INVALID_VALUE),
+        (with_header(b"\x91" * 100_000), SnapshotFault.INVALID_VALUE),
     ],
 )
-def test_an_invalid_snapshot_is_refused_with_its_fault(raw: bytes, why: SnapshotFault) -> None:
+def test_an_invalid_snapshot_is_rejected_with_its_fault(raw: bytes, fault: SnapshotFault) -> None:
     with pytest.raises(InvalidSnapshotError) as caught:
         decode_snapshot(raw)
-    assert caught.value.fault is why
+    assert caught.value.fault is fault
 
 
 def test_a_newer_minor_version_is_read_and_its_new_fields_ignored() -> None:
-    body = msgspec.to_builtins(knowledge(facts("a"))) | {"colour": "red"}
-    assert decode_snapshot(sealed(msgspec.msgpack.encode(body), minor=9)) == knowledge(facts("a"))
+    body = msgspec.to_builtins(learned_state(endpoint_stats("a"))) | {"colour": "red"}
+    assert decode_snapshot(with_header(msgspec.msgpack.encode(body), minor=9)) == learned_state(
+        endpoint_stats("a")
+    )
 
 
-@given(st.binary(max_size=300), st.integers(0, len(GOOD) - 1), st.integers(0, 255))
-def test_no_bytes_raise_anything_but_an_invalid_snapshot(noise: bytes, at: int, byte: int) -> None:
-    changed = bytearray(GOOD)
+@given(st.binary(max_size=300), st.integers(0, len(VALID_SNAPSHOT) - 1), st.integers(0, 255))
+def test_arbitrary_bytes_raise_only_invalid_snapshot_errors(noise: bytes, at: int, byte: int) -> None:
+    changed = bytearray(VALID_SNAPSHOT)
     changed[at] = byte
-    for raw in (noise, MAGIC + noise, sealed(noise), bytes(changed), GOOD[:at]):
+    for raw in (noise, MAGIC + noise, with_header(noise), bytes(changed), VALID_SNAPSHOT[:at]):
         with suppress(InvalidSnapshotError):
             assert isinstance(decode_snapshot(raw), LearnedState)
 
@@ -139,9 +153,11 @@
 def test_an_oversized_snapshot_is_not_written() -> None:
     with pytest.raises(InvalidSnapshotError) as caught:
         encode_snapshot(
-            knowledge(
+            learned_state(
                 *(
-                    facts("x" * 60 + str(i), 1.5, first_seen_s=1.5, last_seen_s=2.5, latency_spread_us=1.1)
+                    endpoint_stats(
+                        "x" * 60 + str(i), 1.5, first_seen_s=1.5, last_seen_s=2.5, latency_spread_us=1.1
+                    )
                     for i in range(5000)
                 )
             )
@@ -159,22 +175,22 @@
 ) -> None:
     path, old, new = (
         tmp_path / "known",
-        encode_snapshot(knowledge(facts("old"))),
-        encode_snapshot(knowledge(facts("new"))),
+        encode_snapshot(learned_state(endpoint_stats("old"))),
+        encode_snapshot(learned_state(endpoint_stats("new"))),
     )
     save_snapshot(path, old)
     real_open, real_fsync, synced = open, os.fsync, [0]
 
-    class Dies(BaseException):
-        """As a kill does: nothing that follows is done, no handler either."""
+    class SimulatedCrash(BaseException):
+        """Ends the write like a killed process: no code runs after it, and no handler of `Exception`."""
 
-    def die(*_: object, **__: object) -> None:
-        raise Dies
+    def crash(*_: object, **__: object) -> None:
+        raise SimulatedCrash
 
     def fsync(number: int) -> None:
         synced[0] += 1
         if step == "os.fsync" or synced[0] == 2:
-            die()
+            crash()
         real_fsync(number)
 
     def opens(name: Any, mode: str) -> Any:
@@ -182,14 +198,14 @@
         if step == "write":
             file.write(new[:10])
             file.flush()
-            die()
+            crash()
         return file
 
-    monkeypatch.setattr("builtins.open", die if step == "open" else opens)
+    monkeypatch.setattr("builtins.open", crash if step == "open" else opens)
     monkeypatch.setattr(os, "fsync", fsync)
     if step == "os.replace":
-        monkeypatch.setattr(os, "replace", die)
-    with pytest.raises(Dies):
+        monkeypatch.setattr(os, "replace", crash)
+    with pytest.raises(SimulatedCrash):
         save_snapshot(path, new)
     monkeypatch.undo()
     assert path.read_bytes() == (new if step == "folder" else old)
@@ -197,17 +213,17 @@
     assert found is not None and found.endpoints[0].name == ("new" if step == "folder" else "old")
 
 
-def test_a_snapshot_is_as_old_as_its_file_and_an_unusable_one_means_a_start_without(
+def test_a_snapshot_has_the_age_of_its_file_and_an_unusable_one_is_ignored(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "known"
     assert load_snapshot(path) is None
-    save_snapshot(path, GOOD)
+    save_snapshot(path, VALID_SNAPSHOT)
     at = path.stat().st_mtime
     found = load_snapshot(path, at + 90)
     assert found is not None and found.age_s == pytest.approx(90)
-    assert load_snapshot(path, at - 5) is None  # from the future: of no known age
-    for raw in (b"", GOOD[:-1], b"x" * 2 * MAX_SNAPSHOT_BYTES):
+    assert load_snapshot(path, at - 5) is None  # the age of a file with a future time is unknown
+    for raw in (b"", VALID_SNAPSHOT[:-1], b"x" * 2 * MAX_SNAPSHOT_BYTES):
         path.write_bytes(raw)
         assert load_snapshot(path) is None
     assert load_snapshot(tmp_path) is None  # a folder
@@ -220,9 +236,8 @@
     text = listed(*servers, policy='knowledge_file = "known"')
     async with running(Kernel(calls=True), more=text) as r:
         f = await FrontEnd.connect(r.port)
-        for _ in range(
-            100
-        ):  # once its first failure is known it is asked seldom: the fifth takes as long as it takes
+        # After its first failure the endpoint gets few calls, so the failures up to its ejection take a while.
+        for _ in range(100):
             for _ in range(40):
                 await f.ask("check")
             if (await r.counters("servers"))["counts"]["ejections"]:
@@ -230,10 +245,10 @@
         r.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: r.process.poll() is not None)
         known = (r.fronts.parent / "known").read_bytes()
-    told = {s.name: s for s in decode_snapshot(known).endpoints}
-    assert set(told) == {"s0", "s1", "s2", "s3"} and told["s0"].ejected
+    stats_by_name = {s.name: s for s in decode_snapshot(known).endpoints}
+    assert set(stats_by_name) == {"s0", "s1", "s2", "s3"} and stats_by_name["s0"].ejected
     async with running(Kernel(calls=True), more=text, beside={"known": known}) as r:
-        # That donor had served for a second or two: what it says of the three that answered counts, and not for much.
+        # The donor had served for a second or two, so its measurements have little weight but are used.
         assert (await r.counters())["servers known from before"] >= 3
         f = await FrontEnd.connect(r.port)
         assert "result" in await f.ask("check")
@@ -241,7 +256,7 @@
         server.close()
 
 
-# ---- weighed ----
+# ---- weights ----
 
 
 @pytest.mark.parametrize(
@@ -257,17 +272,24 @@
     ],
 )
 def test_a_prior_is_weighted_by_its_age_and_its_donor(more: dict[str, Any], weight: float | None) -> None:
-    prior = merge_priors([knowledge(facts("a"), facts("b", 120), **more)], ["a", "b", "c"])
+    prior = merge_priors(
+        [learned_state(endpoint_stats("a"), endpoint_stats("b", 120), **more)], ["a", "b", "c"]
+    )
     if weight is None:
         assert not prior
     else:
         assert prior["a"].weight == pytest.approx(weight, rel=0.01) and set(prior) == {"a", "b"}
 
 
-def test_latencies_are_compared_within_a_donor_so_a_slow_one_yields_the_same() -> None:
+def test_a_slow_donor_yields_the_same_latency_ratios_as_a_fast_one() -> None:
     names = ["a", "b", "c"]
-    well = knowledge(facts("a", 40), facts("b", 40), facts("c", 200))
-    slow = knowledge(facts("a", 400), facts("b", 400), facts("c", 2000), condition=DonorCondition.SLOW)
+    well = learned_state(endpoint_stats("a", 40), endpoint_stats("b", 40), endpoint_stats("c", 200))
+    slow = learned_state(
+        endpoint_stats("a", 400),
+        endpoint_stats("b", 400),
+        endpoint_stats("c", 2000),
+        condition=DonorCondition.SLOW,
+    )
     assert (
         [p.latency_ratio for p in merge_priors([well], names).values()]
         == [p.latency_ratio for p in merge_priors([slow], names).values()]
@@ -275,15 +297,19 @@
     )
 
 
-def test_of_several_donors_the_median_counts_and_two_that_contradict_count_half() -> None:
-    one, two, liar = (
-        knowledge(facts("a", 40), facts("b", 40), facts("c", ms), donor=f"d{ms}") for ms in (200, 220, 10)
+def test_a_prior_is_the_median_of_its_donors_and_contradicting_donors_halve_its_weight() -> None:
+    one, two, wrong_donor = (
+        learned_state(
+            endpoint_stats("a", 40), endpoint_stats("b", 40), endpoint_stats("c", ms), donor=f"d{ms}"
+        )
+        for ms in (200, 220, 10)
     )
-    both = merge_priors([one, liar], ["c"])["c"]
+    both = merge_priors([one, wrong_donor], ["c"])["c"]
     assert both.weight == pytest.approx(0.5) and set(both.donors) == {"d200", "d10"}
-    assert merge_priors([one, two, liar], ["c"])["c"].latency_ratio == pytest.approx(5.0)
+    assert merge_priors([one, two, wrong_donor], ["c"])["c"].latency_ratio == pytest.approx(5.0)
     out = [
-        knowledge(facts("a"), facts("c", ejected=o), donor=str(i)) for i, o in enumerate((True, True, False))
+        learned_state(endpoint_stats("a"), endpoint_stats("c", ejected=o), donor=str(i))
+        for i, o in enumerate((True, True, False))
     ]
     assert merge_priors(out, ["c"])["c"].ejected and not merge_priors(out[1:], ["a"])["a"].ejected
 
@@ -291,9 +317,9 @@
 @given(
     st.lists(
         st.builds(
-            knowledge,
+            learned_state,
             st.builds(
-                facts,
+                endpoint_stats,
                 st.just("a"),
                 st.floats(0, 1e6),
                 samples=st.integers(0, 1000),
@@ -308,8 +334,8 @@
         max_size=5,
     )
 )
-def test_whatever_donors_say_a_prior_stays_in_its_bounds(told: list[LearnedState]) -> None:
-    for prior in merge_priors(told, ["a"]).values():
+def test_a_prior_is_within_its_bounds_for_any_states_of_the_donors(states: list[LearnedState]) -> None:
+    for prior in merge_priors(states, ["a"]).values():
         assert (
             0.1 <= prior.latency_ratio <= 10
             and 0 <= prior.success_rate <= 1
@@ -318,24 +344,24 @@
         assert prior.donors
 
 
-# ---- on trial ----
+# ---- verification ----
 
 
-def test_a_prior_that_own_answers_contradict_is_dropped_and_then_the_donor() -> None:
+def test_priors_that_own_calls_contradict_are_dropped_and_then_their_donor_is_rejected() -> None:
     dropped: list[str] = []
     priors = {
-        f"s{i}": Prior(1.0, 1.0, 1.0, False, ("liar",) if i < 8 else ("honest", "liar")) for i in range(10)
+        f"s{i}": Prior(1.0, 1.0, 1.0, False, ("wrong",) if i < 8 else ("honest", "wrong")) for i in range(10)
     }
-    trial = PriorVerification(priors, dropped.append)
-    trial.latency_measured("s0", 5.0, 3)  # too few samples to say
+    verification = PriorVerification(priors, dropped.append)
+    verification.latency_measured("s0", 5.0, 3)  # too few samples to say
     assert not dropped
-    trial.latency_measured("s0", 5.0, 4)
-    trial.latency_measured("s1", 1.2, 4)
-    assert dropped == ["s0"] and not trial.rejected_donors
-    trial.latency_measured("s2", 0.2, 9)
-    trial.latency_measured("s3", 4.0, 9)
-    assert trial.rejected_donors == {"liar"} and set(dropped) == {f"s{i}" for i in range(8)} - {"s1"}
-    assert len(trial) == 2  # what an honest donor told, too, stays
+    verification.latency_measured("s0", 5.0, 4)
+    verification.latency_measured("s1", 1.2, 4)
+    assert dropped == ["s0"] and not verification.rejected_donors
+    verification.latency_measured("s2", 0.2, 9)
+    verification.latency_measured("s3", 4.0, 9)
+    assert verification.rejected_donors == {"wrong"} and set(dropped) == {f"s{i}" for i in range(8)} - {"s1"}
+    assert len(verification) == 2  # priors that also come from an honest donor are retained
 
 
 def test_a_server_that_donors_had_ejected_returns_by_one_health_check() -> None:
@@ -368,29 +394,29 @@
         random.Random(1).random,
         0,
     )
-    priors = {f"s{i}": Prior(1.0, 0.0, 1.0, True, ("liar",)) for i in range(6)}
+    priors = {f"s{i}": Prior(1.0, 0.0, 1.0, True, ("wrong",)) for i in range(6)}
     r.endpoints.learn(priors, PriorVerification(priors, r.endpoints.unlearn))
     assert sum(m.state is EndpointState.AWAITING_HEALTH_CHECK for m in r.endpoints.by_name.values()) == 2
 
 
-def test_what_one_runner_learnt_spares_another_the_faulty_servers() -> None:
+def test_a_runner_with_priors_loses_fewer_calls_to_faulty_servers() -> None:
     def servers() -> list[SimulatedServer]:
         faults = {1: ServerFault(FaultKind.HANG), 2: ServerFault(FaultKind.SLOW, factor=15)}
         return [SimulatedServer(f"s{i}", 16, fault=faults.get(i)) for i in range(6)]
 
     donor = PoolSimulation(servers(), RoutingMethod.LOAD_BALANCER, 1, CallLoad(seconds=20))
     donor.run()
-    told = decode_snapshot(
+    state = decode_snapshot(
         encode_snapshot(
             capture_learned_state(
                 "donor", donor.load_balancer.endpoints.by_name.values(), donor.now, donor.now
             )
         )
     )
-    assert {f.name for f in told.endpoints} == {f"s{i}" for i in range(6)}
+    assert {f.name for f in state.endpoints} == {f"s{i}" for i in range(6)}
 
     def prepare(router: LoadBalancer) -> None:
-        priors = merge_priors([told], router.endpoints.by_name)
+        priors = merge_priors([state], router.endpoints.by_name)
         router.endpoints.learn(priors, PriorVerification(priors, router.endpoints.unlearn))
 
     lost = {
