--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -36,7 +36,7 @@
             Instruction.SEND_BUSY: lambda: None,  # to the further process, by whoever has its connection
             Instruction.SEND_READY: lambda: self._send(frames.Ready(list(handover.sockets))),
             Instruction.STOP_ACCEPTING: lambda: process.pause(handover.shared_labels),
-            Instruction.LET_ON: lambda: self._send(frames.AcceptPermitted()),
+            Instruction.PERMIT_ACCEPT: lambda: self._send(frames.AcceptPermitted()),
             Instruction.RESUME_ACCEPTING: process.resume,
             Instruction.DISCONNECT: self._disconnect,
             Instruction.CLAIM_KEYS: lambda: self._claim_keys(is_successor=True),
--- a/moorusher/cluster_transport/hot_restart/message_receiver.py
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -44,9 +44,9 @@
             frames.MaintenanceChanged: self._maintenance_changed,
             frames.Ready: self._ready,
             frames.KeysSynced: lambda _: self._handle(Event.KEYS_SYNCED),
-            frames.AcceptPermitted: lambda _: self._handle(Event.LET_ON),
+            frames.AcceptPermitted: lambda _: self._handle(Event.ACCEPT_PERMITTED),
             frames.Busy: lambda _: self._peer_goes(Event.PEER_BUSY),
-            frames.Bye: lambda _: self._peer_goes(Event.PEER_LEFT),
+            frames.Bye: lambda _: self._peer_goes(Event.PEER_DISCONNECTED),
         }
 
     def receive(self, peer: PeerConnection, message: frames.Message) -> None:
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -122,7 +122,7 @@
     def _not_connected(self, error_number: int | None) -> None:
         self._owner.core.begin_turn()
         if error_number == errno.ECONNREFUSED:
-            self._owner.handle(Event.PEER_DEAD)
+            self._owner.handle(Event.DEAD_PEER_FOUND)
         elif error_number == errno.ENOENT:
             self._owner.handle(Event.NO_PEER)
         else:  # its queue is full: it hangs, or many come at once
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -35,14 +35,14 @@
     """An event that may change the role. The values appear in the log."""
 
     NO_PEER = "there is no other process"
-    PEER_DEAD = "found the socket of a process that has died"
+    DEAD_PEER_FOUND = "found the socket of a process that has died"
     WELCOMED = "the other process has sent its sockets"
     PEER_BUSY = "the other process is handing over to another one"
     KEYS_SYNCED = "all keys of the other process have been read"
     KERNEL_UP = "the kernel has answered"
-    LET_ON = "the other process has stopped accepting"
-    PEER_LEFT = "the other process has closed the connection"
-    PEER_DIED = "the other one has died"
+    ACCEPT_PERMITTED = "the other process has stopped accepting"
+    PEER_DISCONNECTED = "the other process has closed the connection"
+    PEER_DIED = "the other process has died"
     TIMEOUT = "timeout in this state"
     NEWCOMER = "a new process has connected"
     NEWCOMER_READY = "the new process is ready to serve"
@@ -60,7 +60,7 @@
     SEND_BUSY = "tell the new process to try again later"
     SEND_READY = "tell the other process that this one is ready to serve"
     STOP_ACCEPTING = "stop accepting, and ask the clients to disconnect"
-    LET_ON = "permit the new process to accept"
+    PERMIT_ACCEPT = "permit the new process to accept"
     RESUME_ACCEPTING = "accept again"
     DISCONNECT = "announce the end of the connection, and close it"
     CLAIM_KEYS = "claim keys with the other process"
@@ -93,29 +93,29 @@
 _NEW_PROCESS: dict[tuple[State, Event], Transition] = {
     (State.DISCOVERING, Event.NO_PEER): (State.SOLE, (Do.LISTEN, Do.PUBLISH_ADDRESS)),
     # An earlier process of this runner died, and it is unknown which keys it ran.
-    (State.DISCOVERING, Event.PEER_DEAD): (
+    (State.DISCOVERING, Event.DEAD_PEER_FOUND): (
         State.SOLE,
         (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.LISTEN, Do.PUBLISH_ADDRESS),
     ),
     (State.DISCOVERING, Event.PEER_BUSY): (State.DISCOVERING, (Do.DISCOVER,)),
     (State.DISCOVERING, Event.WELCOMED): (State.SYNCING_KEYS, (Do.CLAIM_KEYS,)),
     (State.DISCOVERING, Event.PEER_DIED): (State.DISCOVERING, _RESTART_DISCOVERY),
-    (State.DISCOVERING, Event.PEER_LEFT): (State.DISCOVERING, _RESTART_DISCOVERY),
+    (State.DISCOVERING, Event.PEER_DISCONNECTED): (State.DISCOVERING, _RESTART_DISCOVERY),
     (State.DISCOVERING, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
     (State.SYNCING_KEYS, Event.KEYS_SYNCED): (State.AWAITING_KERNEL, ()),
     (State.SYNCING_KEYS, Event.PEER_DIED): (State.SOLE, (Do.DISTRUST_KEYS_FOR_A_WINDOW, *_REPLACE_DEAD_PEER)),
-    (State.SYNCING_KEYS, Event.PEER_LEFT): (State.DISCOVERING, _RESTART_DISCOVERY),
+    (State.SYNCING_KEYS, Event.PEER_DISCONNECTED): (State.DISCOVERING, _RESTART_DISCOVERY),
     (State.SYNCING_KEYS, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
     (State.AWAITING_KERNEL, Event.KERNEL_UP): (State.REQUESTING_HANDOVER, (Do.SEND_READY,)),
     # All keys are known: since they were synced the peer has run only keys that it claimed with this process.
     (State.AWAITING_KERNEL, Event.PEER_DIED): (State.SOLE, (Do.TRUST_KEYS, *_REPLACE_DEAD_PEER)),
-    (State.AWAITING_KERNEL, Event.PEER_LEFT): (State.DISCOVERING, _RESTART_DISCOVERY),
-    (State.REQUESTING_HANDOVER, Event.LET_ON): (
+    (State.AWAITING_KERNEL, Event.PEER_DISCONNECTED): (State.DISCOVERING, _RESTART_DISCOVERY),
+    (State.REQUESTING_HANDOVER, Event.ACCEPT_PERMITTED): (
         State.SUCCESSOR,
         (Do.TRUST_KEYS, Do.ADOPT_SOCKETS, Do.PUBLISH_ADDRESS),
     ),
     (State.REQUESTING_HANDOVER, Event.PEER_DIED): (State.SOLE, (Do.TRUST_KEYS, *_REPLACE_DEAD_PEER)),
-    (State.REQUESTING_HANDOVER, Event.PEER_LEFT): (State.DISCOVERING, _RESTART_DISCOVERY),
+    (State.REQUESTING_HANDOVER, Event.PEER_DISCONNECTED): (State.DISCOVERING, _RESTART_DISCOVERY),
     (State.REQUESTING_HANDOVER, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
 }
 
@@ -127,13 +127,16 @@
         State.SOLE,
         (Do.TRUST_KEYS, Do.CLOSE_PEER_KEYS, Do.PUBLISH_ADDRESS),
     ),
-    (State.KEYS_SYNCED_LATE, Event.PEER_LEFT): (
+    (State.KEYS_SYNCED_LATE, Event.PEER_DISCONNECTED): (
         State.SERVING_WITHOUT_KEYS,
         (Do.DISCARD_PEER_KEYS, Do.DISCOVER),
     ),
-    (State.SERVING_WITHOUT_KEYS, Event.LET_ON): (State.SUCCESSOR, (Do.TRUST_KEYS, Do.PUBLISH_ADDRESS)),
+    (State.SERVING_WITHOUT_KEYS, Event.ACCEPT_PERMITTED): (
+        State.SUCCESSOR,
+        (Do.TRUST_KEYS, Do.PUBLISH_ADDRESS),
+    ),
     (State.SERVING_WITHOUT_KEYS, Event.PEER_BUSY): (State.SERVING_WITHOUT_KEYS, (Do.DISCOVER,)),
-    (State.SERVING_WITHOUT_KEYS, Event.PEER_LEFT): (
+    (State.SERVING_WITHOUT_KEYS, Event.PEER_DISCONNECTED): (
         State.SERVING_WITHOUT_KEYS,
         (Do.DISCARD_PEER_KEYS, Do.DISCOVER),
     ),
@@ -145,7 +148,7 @@
         State.SOLE,
         (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.PUBLISH_ADDRESS),
     ),
-    (State.SERVING_WITHOUT_KEYS, Event.PEER_DEAD): (
+    (State.SERVING_WITHOUT_KEYS, Event.DEAD_PEER_FOUND): (
         State.SOLE,
         (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.PUBLISH_ADDRESS),
     ),
@@ -153,17 +156,20 @@
 
 _SERVING: dict[tuple[State, Event], Transition] = {
     (State.SUCCESSOR, Event.PEER_DIED): (State.SOLE, (Do.CLOSE_PEER_KEYS,)),
-    (State.SUCCESSOR, Event.PEER_LEFT): (State.SOLE, (Do.CLOSE_PEER_KEYS,)),  # after its graceful shutdown
+    (State.SUCCESSOR, Event.PEER_DISCONNECTED): (
+        State.SOLE,
+        (Do.CLOSE_PEER_KEYS,),
+    ),  # after its graceful shutdown
     (State.SUCCESSOR, Event.NEWCOMER): (State.SUCCESSOR, (Do.SEND_BUSY,)),
     (State.SOLE, Event.NEWCOMER): (State.HANDING_OVER, (Do.SEND_WELCOME,)),
     # Until it is permitted to accept, the new process has run nothing, so this process may continue alone.
     (State.HANDING_OVER, Event.TIMEOUT): (State.SOLE, (Do.DISCONNECT, Do.DISCARD_PEER_KEYS)),
     (State.HANDING_OVER, Event.PEER_DIED): (State.SOLE, (Do.DISCARD_PEER_KEYS,)),
-    (State.HANDING_OVER, Event.PEER_LEFT): (State.SOLE, (Do.DISCARD_PEER_KEYS,)),
+    (State.HANDING_OVER, Event.PEER_DISCONNECTED): (State.SOLE, (Do.DISCARD_PEER_KEYS,)),
     (State.HANDING_OVER, Event.NEWCOMER): (State.HANDING_OVER, (Do.SEND_BUSY,)),
-    (State.HANDING_OVER, Event.NEWCOMER_READY): (State.REPLACED, (Do.STOP_ACCEPTING, Do.LET_ON)),
+    (State.HANDING_OVER, Event.NEWCOMER_READY): (State.REPLACED, (Do.STOP_ACCEPTING, Do.PERMIT_ACCEPT)),
     (State.REPLACED, Event.PEER_DIED): _RESUME_SERVING,
-    (State.REPLACED, Event.PEER_LEFT): _RESUME_SERVING,
+    (State.REPLACED, Event.PEER_DISCONNECTED): _RESUME_SERVING,
     (State.REPLACED, Event.NEWCOMER): (State.REPLACED, (Do.SEND_BUSY,)),
 }
 
--- a/moorusher/hot_restart/shared_budget.py
+++ b/moorusher/hot_restart/shared_budget.py
@@ -40,7 +40,7 @@
     return path if length <= MAX_PATH_BYTES else None
 
 
-def fits_beside(limit_mb: float, used_mb: float) -> bool:
+def fits_second_process(limit_mb: float, used_mb: float) -> bool:
     """Return whether the runner's memory is large enough for a second process."""
     # If it is not, the new process must not start, since both processes would be killed.
     return used_mb + MIN_PROCESS_MB <= limit_mb
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -13,7 +13,7 @@
 
 from ..config.loader import load
 from ..config.section import ConfigError, ConfigUnreadableError
-from ..hot_restart.shared_budget import fits_beside, rendezvous_path
+from ..hot_restart.shared_budget import fits_second_process, rendezvous_path
 from ..transient_errors import retry_transient
 
 log = logging.getLogger("moorusher")
@@ -72,7 +72,7 @@
     taken_mb = _memory_of_other_process_mb(
         rendezvous_path(os.environ.get("TMPDIR", ""), config.name, config.listen)
     )
-    if not fits_beside(config.limits.memory_mb, taken_mb):
+    if not fits_second_process(config.limits.memory_mb, taken_mb):
         log.error(
             "limits.memory_mb: %g is too little for a second process: the one in service takes %.0f MB",
             config.limits.memory_mb,
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -24,7 +24,7 @@
     ProcessRole,
     State,
 )
-from moorusher.hot_restart.shared_budget import fits_beside, rendezvous_path
+from moorusher.hot_restart.shared_budget import fits_second_process, rendezvous_path
 from moorusher.time_units import MS
 
 from .test_core import World
@@ -41,7 +41,7 @@
     return role.state, instructions
 
 
-TAKE_OVER = Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.LET_ON
+TAKE_OVER = Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.ACCEPT_PERMITTED
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
             {Instruction.DISTRUST_KEYS_FOR_A_WINDOW},
         ),
         (
-            (Event.PEER_DEAD,),
+            (Event.DEAD_PEER_FOUND,),
             State.SOLE,
             {Instruction.LISTEN, Instruction.DISTRUST_KEYS_FOR_A_WINDOW},
             {Instruction.TRUST_KEYS},
@@ -84,13 +84,13 @@
             {Instruction.TRUST_KEYS},
         ),
         (
-            (Event.PEER_DIED, Event.PEER_DEAD),
+            (Event.PEER_DIED, Event.DEAD_PEER_FOUND),
             State.SOLE,
             {Instruction.DISTRUST_KEYS_FOR_A_WINDOW, Instruction.LISTEN},
             {Instruction.TRUST_KEYS},
         ),
         (
-            (Event.WELCOMED, Event.PEER_LEFT),
+            (Event.WELCOMED, Event.PEER_DISCONNECTED),
             State.DISCOVERING,
             {Instruction.DISCARD_PEER_KEYS, Instruction.DISCOVER},
             {Instruction.LISTEN, Instruction.CLOSE_PEER_KEYS},
@@ -108,7 +108,7 @@
             {Instruction.PUBLISH_ADDRESS, Instruction.TRUST_KEYS},
         ),
         (
-            (Event.TIMEOUT, Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.LET_ON),
+            (Event.TIMEOUT, Event.WELCOMED, Event.KEYS_SYNCED, Event.KERNEL_UP, Event.ACCEPT_PERMITTED),
             State.SUCCESSOR,
             {Instruction.SEND_READY, Instruction.TRUST_KEYS, Instruction.PUBLISH_ADDRESS},
             {Instruction.ADOPT_SOCKETS},
@@ -148,7 +148,7 @@
         (
             (Event.NO_PEER, Event.NEWCOMER, Event.NEWCOMER_READY),
             State.REPLACED,
-            {Instruction.STOP_ACCEPTING, Instruction.LET_ON},
+            {Instruction.STOP_ACCEPTING, Instruction.PERMIT_ACCEPT},
             {Instruction.DRAIN},
         ),
         (
@@ -187,7 +187,7 @@
     assert all((state, Event.SIGTERM) in TRANSITIONS for state in State)
     states_with_a_peer = set(State) - {State.SOLE}
     assert all(
-        (state, Event.PEER_DIED) in TRANSITIONS and (state, Event.PEER_LEFT) in TRANSITIONS
+        (state, Event.PEER_DIED) in TRANSITIONS and (state, Event.PEER_DISCONNECTED) in TRANSITIONS
         for state in states_with_a_peer
     )
 
@@ -229,9 +229,9 @@
         seen |= reached
 
 
-def test_a_process_without_enough_memory_beside_its_peer_does_not_start() -> None:
-    assert fits_beside(80, 28.0) and fits_beside(32, 0.0)
-    assert not fits_beside(32, 22.0) and not fits_beside(40, 22.0)
+def test_a_second_process_needs_enough_memory_in_addition_to_the_first() -> None:
+    assert fits_second_process(80, 28.0) and fits_second_process(32, 0.0)
+    assert not fits_second_process(32, 22.0) and not fits_second_process(40, 22.0)
 
 
 def test_only_processes_of_the_same_runner_share_a_rendezvous_path() -> None:
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -294,7 +294,7 @@
 
 @asynchronous_test
 async def test_without_a_majority_no_machine_is_cleared_and_one_that_is_out_returns_and_serves() -> None:
-    """A majority of the replicas is cut off while a machine is out."""
+    """No majority of the replicas is connected while a machine is out."""
     async with machines(4, most=2) as m:
         process = await m.ask(1)
         assert await process.wait() == 0
