--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -42,7 +42,7 @@
     KERNEL_UP = "the kernel has answered"
     ACCEPT_PERMITTED = "the other process has stopped accepting"
     PEER_DISCONNECTED = "the other process has closed the connection"
-    PEER_DIED = "the other process has died"
+    PEER_DIED = "the other one has died"  # operators find this text in docs/operate/daily.md
     TIMEOUT = "timeout in this state"
     NEWCOMER = "a new process has connected"
     NEWCOMER_READY = "the new process is ready to serve"
@@ -156,10 +156,8 @@
 
 _SERVING: dict[tuple[State, Event], Transition] = {
     (State.SUCCESSOR, Event.PEER_DIED): (State.SOLE, (Do.CLOSE_PEER_KEYS,)),
-    (State.SUCCESSOR, Event.PEER_DISCONNECTED): (
-        State.SOLE,
-        (Do.CLOSE_PEER_KEYS,),
-    ),  # after its graceful shutdown
+    # The peer has completed its graceful shutdown.
+    (State.SUCCESSOR, Event.PEER_DISCONNECTED): (State.SOLE, (Do.CLOSE_PEER_KEYS,)),
     (State.SUCCESSOR, Event.NEWCOMER): (State.SUCCESSOR, (Do.SEND_BUSY,)),
     (State.SOLE, Event.NEWCOMER): (State.HANDING_OVER, (Do.SEND_WELCOME,)),
     # Until it is permitted to accept, the new process has run nothing, so this process may continue alone.
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -27,9 +27,8 @@
 # read, whatever the size of the fleet.
 MIN_READ_INTERVAL_PER_SEAT_US = 100 * MS
 MAX_WAITERS = 256
-OPERATOR_TIMEOUT_US = (
-    2_500 * MS
-)  # wait for a majority before an operator's change is answered with NoMajorityError
+# Wait for a majority before an operator's change is answered with NoMajorityError.
+OPERATOR_TIMEOUT_US = 2_500 * MS
 
 
 class MaintenanceCoordinator:
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -118,8 +118,8 @@
         return request is not None and request.shares_zone
 
     def _count_replicas(self, granted: set[str]) -> None:
-        # A replica without a journal forgets the schedule when it restarts. Their number is limited, so that the
-        # unexpected loss of one more replica does not lose the schedule.
+        # A replica without a journal forgets the schedule when it restarts. The number of such replicas that are out
+        # is limited, so that the unexpected loss of one more replica does not lose the schedule.
         self._non_durable_out = sum(
             seat in self.views and not self.views[seat].durable for seat in self.replicas & granted
         )
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -17,9 +17,7 @@
 from .slot_changes import GrantSlots
 
 REPLICA_RANK_DELAY_US = 1_500 * MS  # time without a change of the schedule after which the next replica tries
-RENOTIFY_INTERVAL_US = (
-    1_000 * MS
-)  # interval of the notifications of a grant that the machine has not accepted
+RENOTIFY_INTERVAL_US = 1_000 * MS  # between notifications of a grant that the machine has not accepted
 HUNDREDTHS_PER_CORE = 100  # members report loads in hundredths of a core
 
 
--- a/moorusher/warm_start/merge.py
+++ b/moorusher/warm_start/merge.py
@@ -14,9 +14,7 @@
 from .learned_state import DonorCondition, EndpointStats, LearnedState
 
 LATENCY_HALF_LIFE_S = 60.0
-FAULT_HALF_LIFE_S = (
-    20.0  # shorter than for latencies: faults pass sooner than the speed of an endpoint changes
-)
+FAULT_HALF_LIFE_S = 20.0  # shorter, since faults of an endpoint pass sooner than its speed changes
 MAX_AGE_S = 600.0  # older measurements are ignored
 FULL_WEIGHT_SAMPLES = 30  # samples of an endpoint from which its measurements have full weight
 SAMPLES_PER_EJECTION = 5  # samples that an ejection counts as, since an ejected endpoint has few calls
@@ -48,13 +46,11 @@
 class EndpointEvidence:
     """The weighted measurements of one endpoint from all donors."""
 
-    latency_ratios: list[WeightedValue] = field(
-        default_factory=list
-    )  # latency over the donor's median latency
+    # Latency over the donor's median latency.
+    latency_ratios: list[WeightedValue] = field(default_factory=list)
     success_rates: list[WeightedValue] = field(default_factory=list)
-    ejections: list[WeightedValue] = field(
-        default_factory=list
-    )  # 1 if the donor had ejected the endpoint, else 0
+    # 1 if the donor had ejected the endpoint, else 0.
+    ejections: list[WeightedValue] = field(default_factory=list)
     donors: list[str] = field(default_factory=list)
 
     def add(self, state: LearnedState, donor_median_us: float, stats: EndpointStats) -> None:
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -180,7 +180,7 @@
         assert "result" in await f.ask("submit", token=token)
         await both.replace()  # ready, and let on
         r.processes[2].kill()
-        await wait_until(lambda: r.text().count("is alone (the other process has died)") >= 2)
+        await wait_until(lambda: r.text().count("is alone (the other one has died)") >= 2)
         f = await FrontEnd.connect(r.port)
         assert "result" in await f.ask("submit", token=token) and len(both.ran()) == 1
         assert await r.asked("health", first) == 200
