--- a/moorusher/backends/__init__.py
+++ b/moorusher/backends/__init__.py
@@ -1,1 +1,1 @@
-"""What a runner talks to while it works: the kernel, what lies below, the announce service."""
+"""Clients of the services that a runner uses: the kernel, downstream backends and the announce service."""
--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -1,4 +1,4 @@
-"""Reports to the announce service that this runner serves: at a steady pace, over one connection."""
+"""Periodic reports to the announce service that this runner accepts requests, over one connection."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
 
 log = logging.getLogger("moorusher")
 
-REPORT_PERIOD_US = 900 * MS  # an entry lapses after 3 s: two reports in a row may be lost
+# An entry expires after 3 s, so two consecutive reports may be lost.
+REPORT_PERIOD_US = 900 * MS
 CONNECT_TIMEOUT_S = 1
 
 
 class AnnounceProtocol(HttpClientProtocol):
-    """One connection to the announce service.
+    """A connection to the announce service.
 
-    awaits_reply: a report was sent and not answered yet (bool).
+    Attributes:
+        awaits_reply: Whether a report was sent and not answered yet.
     """
 
     def __init__(self, announcer: Announcer) -> None:
-        """`announcer` is the factory that this connection belongs to."""
         super().__init__()
         self._announcer = announcer
         self.awaits_reply = False
 
     def connectionMade(self) -> None:
-        """Report at once."""
+        """Notify the announcer, which sends a report."""
         self.transport.setTcpNoDelay(True)
         self._announcer.connection_made(self)
 
     def send_report(self, name: str, accepting: bool) -> None:
-        """Send a report on the runner of this name."""
+        """Report whether the runner `name` accepts requests."""
         body = b'{"accepting":"%s"}' % (b"true" if accepting else b"false")
         self.awaits_reply = True
         self.request_sent()
@@ -48,54 +49,55 @@
         )
 
     def response_received(self, response: HttpResponse) -> None:
-        """Count the report."""
+        """Record whether the service accepted the report."""
         self.awaits_reply = False
         self._announcer.report_answered(response.status == NO_CONTENT)
         if not response.keep_alive:
             self.transport.loseConnection()
 
     def response_malformed(self, reason: str) -> None:
-        """Drop the connection."""
+        """Abort the connection."""
         log.warning("announce service sent a malformed response: reason=%s", reason)
         self.transport.abortConnection()
 
     def unexpected_data(self) -> None:
-        """Drop the connection."""
+        """Abort the connection."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Have another connection made with the next report."""
+        """Notify the announcer, which reconnects for the next report."""
         self._announcer.connection_lost(self)
 
 
 class Announcer(ClientFactory):
-    """Sends reports, and makes another connection where one is lost or silent.
+    """Sends reports, and reconnects if the connection is lost or the service does not answer.
 
-    core: the request engine; set by the owner.
-    is_fit: whether the runner accepts requests, as it is reported; set by the owner.
+    Attributes:
+        core: The request engine; set by the owner.
+        is_fit: Returns whether the runner accepts requests; set by the owner.
     """
 
     noisy = False
 
     def __init__(self, reactor: Any, address: Address, name: str) -> None:
-        """`name`: the runner's."""
+        """:param name: Name of this runner."""
         self.core: RequestEngine
         self.is_fit: Callable[[], bool] = lambda: True
         self._reactor = reactor
         self._address = address
         self._name = name
         self._connection: AnnounceProtocol | None = None
-        self._connector: Any = None  # of the connection being made
+        self._connector: Any = None  # of the connection attempt in progress
         self._is_stopped = False
 
-    # ---- for the owner ----
+    # ---- called by the owner ----
 
     def start(self) -> None:
-        """Report now and from now on."""
+        """Send the first report and schedule further ones."""
         self._report_periodically()
 
     def move(self, address: Address) -> None:
-        """Report to a new address at once: the entry would lapse before the next report is due."""
+        """Report to a new address at once: waiting for the next report could let the entry expire."""
         if address == self._address or self._is_stopped:
             return
         self._address = address
@@ -111,7 +113,7 @@
             self._connect()
 
     def stop(self) -> None:
-        """Report no more: the runner shuts down, the entry lapses, and front ends go elsewhere the sooner for it."""
+        """Stop reporting because the runner shuts down: once its entry expires, front ends use other runners."""
         self._is_stopped = True
         if self._connection is not None:
             self._connection.transport.loseConnection()
@@ -125,7 +127,7 @@
         if not self.core.ready:
             return
         if self._connection is not None and self._connection.awaits_reply:
-            # No answer for a whole period: the service may be gone without a word.
+            # No answer for a whole period: the service may have failed without closing the connection.
             self._connection.transport.abortConnection()
             self._connection = None
         if self._connection is not None:
@@ -134,7 +136,7 @@
             self._connect()
 
     def report_answered(self, accepted: bool) -> None:
-        """Count a report by whether the service has accepted it."""
+        """Count a report as accepted or not accepted."""
         self.core.counters.add("reports heard" if accepted else "reports not heard")
 
     # ---- connections ----
@@ -143,11 +145,11 @@
         self._connector = self._reactor.connectTCP(*self._address, self, timeout=CONNECT_TIMEOUT_S)
 
     def buildProtocol(self, addr: object) -> AnnounceProtocol:
-        """Make the protocol of a connection."""
+        """Return the protocol of a new connection."""
         return AnnounceProtocol(self)
 
     def connection_made(self, connection: AnnounceProtocol) -> None:
-        """Report over a new connection."""
+        """Use a new connection, and send a report on it."""
         self._connector = None
         self._connection = connection
         if self._is_stopped:
@@ -156,12 +158,12 @@
             connection.send_report(self._name, self.is_fit())
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Count the report as lost; the next one dials again."""
+        """Count the report as not accepted. The next report reconnects."""
         if connector is self._connector:
             self._connector = None
             self.report_answered(False)
 
     def connection_lost(self, connection: AnnounceProtocol) -> None:
-        """Forget a connection."""
+        """Discard a closed connection."""
         if self._connection is connection:
             self._connection = None
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -1,4 +1,4 @@
-"""Downstream calls to the database over HTTP/1.1: a pool of connections, with one call at a time on each."""
+"""Downstream calls to the database over HTTP/1.1: a connection pool with one call at a time on each connection."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 from .http_client import HttpClientProtocol, HttpResponse
 from .owner import BackendOwner
 
-CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
-SETTLE_US = 20 * MS  # after a response, for data that should not follow it
-MAX_IDLE_US = 7 * SECOND  # the other side closes after 10 s: a call must not cross that close
+CONNECT_TIMEOUT_S = 30  # The time limit of a call is usually shorter.
+# Time between a response and the reuse of its connection, in which unexpected further data is detected.
+SETTLE_US = 20 * MS
+# The database closes idle connections after 10 s. No call must be sent while it does so.
+MAX_IDLE_US = 7 * SECOND
 MAX_IDLE_CONNECTIONS = 32
 MAX_BUSY_CONNECTIONS = 1024
 NEVER_STARTED_HEADER = b"never-started"
 
 
 def end_reason_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
-    """Tell by the response how a call ended; without a proof that it never ran, it may have."""
+    """Return how a call ended. Unless the response proves that the call never ran, it may have run."""
     never_started = headers.get(NEVER_STARTED_HEADER) == b"1"
     if status == 200:
         return EndReason.CALL_ANSWERED
@@ -41,15 +43,16 @@
 
 
 class DatabaseProtocol(HttpClientProtocol):
-    """One connection to the database.
+    """A connection to the database.
 
-    number: of the call that is on it, None while it is idle.
-    idle_since: when its last call ended, in microseconds.
-    was_idle: the present call was sent on a connection that had been idle.
+    Attributes:
+        number: Number of the call in progress, None if the connection is idle.
+        idle_since: When the last call ended, in microseconds.
+        was_idle: Whether the connection was idle before the current call.
     """
 
     def __init__(self, pool: DatabasePool, number: int, call: CallRequest) -> None:
-        """The call is sent as the connection is made."""
+        """Create a connection that sends `call` once it is established."""
         super().__init__()
         self._pool = pool
         self._address = pool.address
@@ -65,7 +68,7 @@
         self.send(self._first_number, self._call)
 
     def send(self, number: int, call: CallRequest) -> None:
-        """Send a call."""
+        """Send a call as an HTTP request."""
         self.number = number
         self._call = call
         self.request_sent()
@@ -75,7 +78,7 @@
         )
 
     def response_received(self, response: HttpResponse) -> None:
-        """End the call, and keep the connection where it may be used again."""
+        """End the call, and return the connection to the pool if it can be reused."""
         self._pool.core.begin_turn()
         number = self.number
         self.number = None
@@ -87,12 +90,12 @@
             self._pool.call_ended(number, end_reason_of(response.status, response.headers), response.body)
 
     def unexpected_data(self) -> None:
-        """Drop the connection: what else comes could be taken for the next response."""
+        """Abort the connection: further data could be mistaken for the next response."""
         self._pool.connection_lost(self)
         self.transport.abortConnection()
 
     def response_malformed(self, reason: str) -> None:
-        """End the call without a response, and drop the connection."""
+        """End the call without a response, and abort the connection."""
         number = self.number
         self.number = None
         self.transport.abortConnection()
@@ -100,10 +103,10 @@
             self._pool.call_ended(number, EndReason.CALL_REPLY_UNREADABLE, b"")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Retry the call where that is allowed, else end it.
+        """Retry the call if that is allowed, otherwise end it.
 
-        A connection that was idle was most likely closed by the other side before the call reached it. That proves
-        nothing, so only calls that may run twice are sent on such connections, and retried.
+        If the connection was idle before, the database most likely closed it before the call arrived. This is not
+        certain, so only calls that may run twice are sent on such connections and retried.
         """
         self._pool.connection_lost(self)
         number = self.number
@@ -118,15 +121,15 @@
 
 
 class DatabaseConnectionFactory(ClientFactory):
-    """A connection being made for one call.
+    """A connection attempt for one call.
 
-    address: that is dialled (Address).
+    Attributes:
+        address: Address of the attempt.
     """
 
     noisy = False
 
     def __init__(self, pool: DatabasePool, number: int, call: CallRequest) -> None:
-        """`number`: the call's."""
         self._pool = pool
         self._number = number
         self._call = call
@@ -135,22 +138,22 @@
         self.address = pool.address
 
     def connect(self, address: Address) -> None:
-        """Dial."""
+        """Start connecting to an address."""
         self.address = address
         self._connector = self._pool.reactor.connectTCP(*address, self, timeout=CONNECT_TIMEOUT_S)
 
     def cancel(self) -> None:
-        """Nobody needs the connection any more."""
+        """Cancel the attempt, since the call was cancelled."""
         self._is_cancelled = True
         if self._connector is not None:
             self._connector.disconnect()
 
-    def interrupt(self) -> None:
-        """Fail the attempt to connect, which then goes to the pool's present address."""
+    def restart(self) -> None:
+        """Abort the attempt. `clientConnectionFailed` then retries with the current address of the pool."""
         self._connector.disconnect()
 
     def buildProtocol(self, addr: object) -> DatabaseProtocol | None:
-        """Make the protocol, which sends the call."""
+        """Return the protocol, which sends the call, or None if the attempt was cancelled."""
         if self._is_cancelled:
             return None
         connection = DatabaseProtocol(self._pool, self._number, self._call)
@@ -158,7 +161,7 @@
         return connection
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Dial the present address where that has changed, else end the call: it was never sent."""
+        """Retry with the pool's current address if it has changed, otherwise end the call, which was never sent."""
         if self._is_cancelled:
             return
         if self.address != self._pool.address:
@@ -168,33 +171,33 @@
 
 
 class DatabasePool:
-    """All connections to one database, and the calls on them.
-
-    reactor: Twisted's.
-    address: of the database (Address).
-    core: the request engine or the server pool, which calls come from (BackendOwner); set by it.
-    max_idle: connections kept without a call (int).
-    max_busy: connections that carry or are made for a call (int).
+    """The connections to one database, and the calls on them.
+
+    Attributes:
+        reactor: Twisted's reactor.
+        address: Address of the database.
+        core: The request engine or server pool that makes the calls; set by it.
+        max_idle: Maximum number of idle connections.
+        max_busy: Maximum number of connections that carry a call or are being opened for one.
     """
 
     def __init__(self, reactor: Any, address: Address, max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
-        """`max_idle` may be changed by `set_max_idle`."""
         self.core: BackendOwner
         self.reactor = reactor
         self.address = address
         self.max_idle = max_idle
         self.max_busy = MAX_BUSY_CONNECTIONS
-        self._idle: deque[DatabaseProtocol] = deque()  # oldest first; the newest is used first
-        self._connecting: dict[int, DatabaseConnectionFactory] = {}  # by the call's number
-        self._busy: dict[int, DatabaseProtocol] = {}  # by the call's number
+        self._idle: deque[DatabaseProtocol] = deque()  # longest idle first; the last one is reused first
+        self._connecting: dict[int, DatabaseConnectionFactory] = {}  # by call number
+        self._busy: dict[int, DatabaseProtocol] = {}  # by call number
         self._idle_alarm: Alarm | None = None  # for the connection that has been idle longest
 
     # ---- calls ----
 
     def call(self, number: int, request: CallRequest) -> None:
-        """Make a call; its end is reported to the core."""
-        self._close_aged()
-        connection = self._find_settled() if tolerates_duplicates(request.effect) else None
+        """Make a call, and report its end to `core.execution`."""
+        self._close_expired()
+        connection = self._find_reusable() if tolerates_duplicates(request.effect) else None
         if connection is None:
             self.connect(number, request)
             return
@@ -203,17 +206,20 @@
         connection.was_idle = True
         connection.send(number, request)
 
-    def _find_settled(self) -> DatabaseProtocol | None:
-        """Find the connection that became idle last, but not just now.
+    def _find_reusable(self) -> DatabaseProtocol | None:
+        """Return the most recently idle connection that has been idle for `SETTLE_US`, or None.
 
-        Late data or a second copy of its response would be taken for the next response. A call that must not run twice
-        gets a new connection: a reset on one that was idle proves nothing.
+        On a connection used earlier, late data or a duplicate of its response could be mistaken for the next response.
+        Calls that must not run twice always use a new connection, since a reset of a reused one does not prove that
+        the call never ran.
         """
         latest = self.core.clock.now - SETTLE_US
-        return next((one for one in reversed(self._idle) if one.idle_since <= latest), None)
+        return next(
+            (connection for connection in reversed(self._idle) if connection.idle_since <= latest), None
+        )
 
     def connect(self, number: int, call: CallRequest) -> None:
-        """Make a call on a new connection; where none may be made, the call ends, and was never sent."""
+        """Make a call on a new connection, or end it as never sent if the connection limit is reached."""
         if len(self._busy) + len(self._connecting) >= self.max_busy:
             self.call_ended(number, EndReason.CALL_NOT_CONNECTED, b"")
             return
@@ -221,7 +227,7 @@
         factory.connect(self.address)
 
     def give_up(self, number: int) -> None:
-        """Cancel a call by closing its connection; its end is not reported."""
+        """Cancel a call by closing its connection. Its end is not reported."""
         factory = self._connecting.pop(number, None)
         if factory is not None:
             factory.cancel()
@@ -231,15 +237,15 @@
             connection.transport.abortConnection()
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
-        """Report the end of a call."""
+        """Report the end of a call to the owner."""
         self._connecting.pop(number, None)
         self._busy.pop(number, None)
         self.core.execution.call_ended(number, reason, body)
 
-    # ---- for the owner ----
+    # ---- called by the owner ----
 
     def move(self, address: Address) -> None:
-        """Send new calls to a new address; those in flight at the old one may still be answered there."""
+        """Send new calls to a new address. Calls in flight may still be answered at the old one."""
         if address == self.address:
             return
         self.address = address
@@ -248,33 +254,33 @@
         for connection in idle:
             connection.transport.loseConnection()
         for factory in list(self._connecting.values()):
-            factory.interrupt()
+            factory.restart()
 
     def close(self) -> None:
-        """No more calls are made here: idle connections are closed, calls in flight end as they do."""
+        """Close all idle connections. Calls in flight are not affected."""
         self.set_max_idle(0)
 
     def set_max_idle(self, max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
-        """Keep so many connections without a call from now on."""
+        """Change the maximum number of idle connections, and close those above it."""
         self.max_idle = max_idle
         self._close_surplus()
 
     # ---- connections ----
 
     def connection_made(self, number: int, connection: DatabaseProtocol) -> None:
-        """A connection was made for a call."""
+        """Record that the connection for a call was established."""
         self._connecting.pop(number, None)
         self._busy[number] = connection
 
     def connection_idle(self, connection: DatabaseProtocol) -> None:
-        """A connection may be used for another call."""
+        """Return a connection to the pool for reuse."""
         connection.idle_since = self.core.clock.now
         self._idle.append(connection)
         self._close_surplus()
-        self._watch_idle()
+        self._schedule_idle_expiry()
 
     def connection_lost(self, connection: DatabaseProtocol) -> None:
-        """A connection must not be used again."""
+        """Remove a connection from the pool."""
         if connection in self._idle:
             self._idle.remove(connection)
 
@@ -282,15 +288,15 @@
         while len(self._idle) > self.max_idle:
             self._idle.popleft().transport.loseConnection()
 
-    def _close_aged(self) -> None:
+    def _close_expired(self) -> None:
         while self._idle and self.core.clock.now - self._idle[0].idle_since >= MAX_IDLE_US:
             self._idle.popleft().transport.loseConnection()
 
-    def _watch_idle(self) -> None:
+    def _schedule_idle_expiry(self) -> None:
         if self._idle_alarm is None and self._idle:
             self._idle_alarm = self.core.alarms.at(self._idle[0].idle_since + MAX_IDLE_US, self._idle_expired)
 
     def _idle_expired(self) -> None:
         self._idle_alarm = None
-        self._close_aged()
-        self._watch_idle()
+        self._close_expired()
+        self._schedule_idle_expiry()
--- a/moorusher/backends/errors.py
+++ b/moorusher/backends/errors.py
@@ -4,8 +4,8 @@
 
 
 class UnreadableMessageError(ValueError):
-    """A line of the kernel that is no message of the protocol.
+    """A line from the kernel is not a valid protocol message.
 
-    The client reads on from the last notice over a new connection. Where it is logged again and again, compare the
-    versions of kernel and runner.
+    The client reconnects and has the notices after the last valid one sent again. If this is logged repeatedly,
+    compare the versions of kernel and runner.
     """
--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -1,4 +1,4 @@
-"""Connections to the kernel: dialled, watched, replaced, and dialled again with backoff."""
+"""The connection to the kernel: reconnects with backoff, and replacement of silent connections."""
 
 from __future__ import annotations
 
@@ -22,60 +22,62 @@
 log = logging.getLogger("moorusher")
 
 CONNECT_TIMEOUT_S = 5
-BASE_BACKOFF_US = 20 * MS  # doubled with each attempt
+BASE_BACKOFF_US = 20 * MS  # Doubled with each attempt.
 MAX_BACKOFF_US = 400 * MS
-MAX_UNREADABLE = 3  # connections given up over the same unreadable line
+MAX_UNREADABLE = 3  # Reconnects because of the same unreadable line, before the line is skipped.
 
 
 class KernelClient(ClientFactory):
-    """Keeps one connection to the kernel, and replaces it where it breaks, falls silent or the address changes.
+    """Keeps one connection to the kernel, and replaces it if it breaks, falls silent or the address changes.
 
-    connection: the present one (KernelProtocol), None while there is none. An earlier one may serve until its
-        replacement is made; after that it is ignored.
-    session: what outlives connections, and takes the commands (KernelSession).
+    Attributes:
+        connection: The current connection, None if there is none. It stays in use until its replacement is
+            established, and is ignored after that.
+        session: The state that is kept across connections. Commands are sent through it.
+        message_received: Handler for messages of the current connection.
     """
 
     noisy = False
 
     def __init__(self, reactor: Any, address: Address) -> None:
-        """Nothing is dialled before `start`."""
+        """Create a client that connects when `start` is called."""
         self._reactor = reactor
         self._address = address
-        self.session = KernelSession(self._booted)
+        self.session = KernelSession(self._kernel_booted)
         self.message_received: Callable[[KernelMessage], None] = self.session.message_received
         self.connection: KernelProtocol | None = None
         self._connected_at = 0
-        self._connector: Any = None  # of the connection being made: an earlier one that fails says nothing
+        self._connector: Any = None  # Of the latest attempt. Failures of earlier attempts are ignored.
         self._backoff_us = BASE_BACKOFF_US
         self._reconnect_alarm: Alarm | None = None
-        self._silence = SilenceDetection()
+        self._silence_detection = SilenceDetection()
         self._silence_alarm: Alarm | None = None
-        self._unreadable_lines = 0  # in a row, after the same notice
-        self._unreadable_after = 0  # the number of that notice
-        self._skipped_line = False  # on this connection; the line may have been BOOTED
+        self._unreadable_lines = 0  # Consecutive unreadable lines after the same notice.
+        self._unreadable_after_notice = 0  # Number of that notice.
+        self._skipped_line = False  # Whether a line of this connection was skipped. It may have been BOOTED.
         self._is_closing = False
 
     @property
     def core(self) -> RequestEngine:
-        """The request engine; set by the owner, since engine and client need each other."""
+        """The request engine. Set by the owner, since engine and client refer to each other."""
         return self.session.core
 
     @core.setter
     def core(self, core: RequestEngine) -> None:
         self.session.core = core
 
-    # ---- for the owner ----
+    # ---- called by the owner ----
 
     def start(self) -> None:
-        """Dial."""
+        """Start connecting."""
         self._reconnect_alarm = None
         self._connector = self._reactor.connectTCP(*self._address, self, timeout=CONNECT_TIMEOUT_S)
 
     def move(self, address: Address) -> None:
-        """The kernel has a new address.
+        """Connect to a new address of the kernel.
 
-        A connection to the old one serves until the new one is made: the kernel takes nothing new there, but what is
-        open is carried for a while.
+        The connection to the old address stays in use until the new one is established: the kernel accepts nothing
+        new there, but still handles open runs for a while.
         """
         if address == self._address or self._is_closing:
             return
@@ -88,12 +90,12 @@
         self._reconnect_now()
 
     def close(self) -> None:
-        """End the connection, and make no other."""
+        """Close the connection without reconnecting."""
         self._is_closing = True
         if self.connection is not None:
             self.connection.transport.loseConnection()
 
-    # ---- dialling ----
+    # ---- connecting ----
 
     def _reconnect_now(self) -> None:
         if self._reconnect_alarm is not None:
@@ -102,7 +104,7 @@
 
     def _reconnect_later(self) -> None:
         if self._is_closing or self._connector is not None:
-            return  # not wanted, or being made already
+            return  # The client is closing, or an attempt is already in progress.
         self.core.begin_turn()
         if self._reconnect_alarm is not None:
             self._reconnect_alarm.cancel()
@@ -111,37 +113,37 @@
         self._backoff_us = min(MAX_BACKOFF_US, self._backoff_us * 2)
 
     def buildProtocol(self, addr: object) -> KernelProtocol:
-        """Make the protocol of a connection."""
+        """Return the protocol of a new connection."""
         return KernelProtocol(self)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Dial again after a backoff."""
+        """Retry after a backoff."""
         if connector is self._connector:
             self._connector = None
             self._reconnect_later()
 
-    # ---- from the protocol ----
+    # ---- called by the protocol ----
 
     def connection_made(self, connection: KernelProtocol) -> None:
-        """Replace the connection that there is by a new one."""
+        """Use a new connection, and close the one that it replaces."""
         self.core.begin_turn()
-        earlier = self.connection
+        previous = self.connection
         self.connection = connection
         self._connected_at = self.core.clock.now
         self._connector = None
-        if earlier is not None:
-            self.core.kernel_status.link_lost()  # until the new one has had its answer
+        if previous is not None:
+            self.core.kernel_status.link_lost()  # until the kernel answers on the new connection
         self.session.connection_replaced()
-        self._start_watching()
-        if earlier is not None:
-            earlier.transport.loseConnection()  # what was written to it goes out first
+        self._start_silence_checks()
+        if previous is not None:
+            previous.transport.loseConnection()  # after pending writes
         if self._is_closing:
             connection.transport.loseConnection()
         else:
             self.session.open(connection)
 
     def connection_lost(self, connection: KernelProtocol, reason: str) -> None:
-        """Dial again, unless the connection was replaced before."""
+        """Reconnect, unless the connection was already replaced."""
         if connection is not self.connection:
             return
         self.core.kernel_status.link_lost()
@@ -160,7 +162,7 @@
         self.core.counters.add("kernel link: " + EndReason.CONNECTION_LOST.value)
         self._reconnect_later()
 
-    def _booted(self, booted: Booted) -> None:
+    def _kernel_booted(self, booted: Booted) -> None:
         self._backoff_us = BASE_BACKOFF_US
         state = "cold" if booted.is_empty else "warm"
         log.info(
@@ -168,19 +170,22 @@
         )
 
     def line_too_long(self) -> None:
-        """Count a line beyond the bound; its connection is dropped."""
+        """Count a line that is too long. The protocol aborts its connection."""
         self.core.counters.add("kernel link: " + EndReason.LINE_TOO_LONG.value)
 
     def line_unreadable(self, connection: KernelProtocol, line: bytes) -> None:
-        """Read on from the last notice over a new connection; a line that stays unreadable is skipped in the end."""
+        """Reconnect, so that the kernel sends the notices after the last valid one again.
+
+        A line that is still unreadable after `MAX_UNREADABLE` reconnects is skipped.
+        """
         log.error("kernel message unreadable: line=%r", line[:MAX_LOGGED_BYTES])
         self.core.begin_turn()
         self.core.counters.add("kernel lines unread")
         last_notice = self.session.last_notice
-        if self._unreadable_after != last_notice:
+        if self._unreadable_after_notice != last_notice:
             self._unreadable_lines = 0
         self._unreadable_lines += 1
-        self._unreadable_after = last_notice
+        self._unreadable_after_notice = last_notice
         if self._unreadable_lines <= MAX_UNREADABLE:
             connection.transport.abortConnection()
             self.connection_lost(connection, "unreadable message")
@@ -188,16 +193,16 @@
             self._skipped_line = True
 
     def data_received(self, connection: KernelProtocol) -> None:
-        """Take note that a connection is alive."""
+        """Record that the connection is alive."""
         if connection is self.connection:
             self.core.begin_turn()
-            self._silence.data_received(self.core.clock.now)
+            self._silence_detection.data_received(self.core.clock.now)
 
     # ---- silence ----
 
-    def _start_watching(self) -> None:
+    def _start_silence_checks(self) -> None:
         self._skipped_line = False
-        self._silence.restart(self.core.clock.now)
+        self._silence_detection.restart(self.core.clock.now)
         if self._silence_alarm is not None:
             self._silence_alarm.cancel()
         self._silence_alarm = self.core.alarms.at(self.core.clock.now + PROBE_AFTER_US, self._check_silence)
@@ -207,16 +212,18 @@
         if self.connection is None or self._is_closing:
             return
         now = self.core.clock.now
-        # A kernel that was never up may start late, and is silent until then.
-        waits_for_start = self.session.state is SessionState.OPENING and not (
+        # A kernel that has never answered may still be starting, and is silent until it is up.
+        may_be_starting = self.session.state is SessionState.OPENING and not (
             self.session.was_up or self._skipped_line
         )
-        verdict = self._silence.check(now, not waits_for_start, self._connector is None)
+        verdict = self._silence_detection.check(now, not may_be_starting, self._connector is None)
         if verdict is SilenceVerdict.REPLACE:
-            silent_ms = self._silence.silent_for(now) // MS
-            log.warning("kernel connection silent, dialling another: silent_ms=%d", silent_ms)
+            silent_ms = self._silence_detection.silent_for(now) // MS
+            log.warning("kernel connection is silent, connecting again: silent_ms=%d", silent_ms)
             self.core.counters.add("kernel link: " + EndReason.READ_TIMEOUT.value)
-            self._reconnect_now()  # the silent one serves until the new one is made
+            self._reconnect_now()  # The silent connection stays in use until the new one is established.
         elif verdict is SilenceVerdict.PROBE:
             self.session.ask_gauges()
-        self._silence_alarm = self.core.alarms.at(now + self._silence.next_check_after(), self._check_silence)
+        self._silence_alarm = self.core.alarms.at(
+            now + self._silence_detection.next_check_after(), self._check_silence
+        )
--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the kernel's protocol: a line of JSON to one typed message and back, whole or not at all."""
+"""The messages of the kernel protocol: decoding of JSON lines to typed messages, and encoding of commands."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
     "KILLED": EndReason.RUN_KILLED,
     "NOOP": EndReason.RUN_NEVER_STARTED,
 }
-EMPTY_STATUS = "EMPTY"  # of BOOTED: the kernel has lost what an earlier one had
+EMPTY_STATUS = "EMPTY"  # Status of BOOTED if the kernel has lost the state from before its restart.
 
 # ---- from the kernel ----
 
 
 @dataclass(slots=True, frozen=True)
 class Booted:
-    """The answer to OPEN: the kernel is up, and all notices after the one named there follow.
+    """The answer to OPEN: the kernel is up, and sends all notices after the one that OPEN names.
 
-    is_empty: it knows nothing of earlier runs.
-    age_ms: since it was started.
+    Attributes:
+        is_empty: Whether the kernel has no record of earlier runs.
+        age_ms: Time since the start of the kernel.
     """
 
     is_empty: bool
@@ -36,14 +37,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """What the kernel numbers, keeps and replays. It counts as read once it was decoded."""
+    """A message that the kernel numbers, stores and replays. It counts as read once it has been decoded."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class RunEnded(Notice):
-    """A run has ended."""
+    """A run has ended; `body` is its result."""
 
     rid: str
     reason: EndReason
@@ -52,20 +53,20 @@
 
 @dataclass(slots=True, frozen=True)
 class CallNeeded(Notice):
-    """A run waits for a downstream call with this body."""
+    """A run waits for a downstream call; `body` is the body of the call."""
 
     rid: str
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Remark(Notice):
-    """A notice without a meaning for the runner."""
+class IgnoredNotice(Notice):
+    """A notice that the runner does not use."""
 
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """The figures that SYSINFO request for, with the mark of that question."""
+    """The answer to SYSINFO: the kernel's gauges, and the mark of that command."""
 
     mark: str
     values: tuple[float, ...]
@@ -73,24 +74,27 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandRejected:
-    """EINVAL: a command was not carried out."""
+    """EINVAL: the kernel rejected a command."""
 
     command: str
     rid: str
 
 
 @dataclass(slots=True, frozen=True)
-class Unknown:
-    """A message of a kind that this program does not know."""
+class UnknownMessage:
+    """A message of a kind that the runner does not know."""
 
     kind: str
 
 
-KernelMessage = Union[Notice, Booted, Gauges, CommandRejected, Unknown]
+KernelMessage = Union[Notice, Booted, Gauges, CommandRejected, UnknownMessage]
 
 
 def decode_message(line: bytes) -> KernelMessage:
-    """Decode a line. Raises UnreadableMessageError, and nothing else."""
+    """Decode a line.
+
+    :raises UnreadableMessageError: The line is not a valid message. No other error is raised.
+    """
     try:
         return _decode(json.loads(line))
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as exc:
@@ -100,30 +104,34 @@
 def _decode(message: Any) -> KernelMessage:
     kind = message["t"]
     if kind == "REAP":
-        return RunEnded(_number(message), _rid(message), RUN_END_REASONS[message["status"]], _body(message))
+        return RunEnded(
+            _notice_number(message), _rid(message), RUN_END_REASONS[message["status"]], _body(message)
+        )
     if kind == "IOREQ":
-        return CallNeeded(_number(message), _rid(message), _body(message))
+        return CallNeeded(_notice_number(message), _rid(message), _body(message))
     if kind == "DMESG":
-        return Remark(_number(message))
+        return IgnoredNotice(_notice_number(message))
     if kind == "INFO":
-        return Gauges(str(message.get("mark")), tuple(_figure(value) for value in message.get("v") or ()))
+        return Gauges(
+            str(message.get("mark")), tuple(_finite_number(value) for value in message.get("v") or ())
+        )
     if kind == "BOOTED":
-        return Booted(message.get("status") == EMPTY_STATUS, _figure(message.get("time_ms") or 0))
+        return Booted(message.get("status") == EMPTY_STATUS, _finite_number(message.get("time_ms") or 0))
     if kind == "EINVAL":
         return CommandRejected(str(message.get("status")), str(message.get("rid")))
-    return Unknown(str(kind))
+    return UnknownMessage(str(kind))
 
 
-def _number(message: Any) -> int:
+def _notice_number(message: Any) -> int:
     number = message["no"]
     if isinstance(number, bool) or not isinstance(number, int):
-        raise ValueError("a notice without its number")
+        raise ValueError("notice: `no` must be an integer")
     return number
 
 
 def _rid(message: Any) -> str:
     if not (rid := message.get("rid", "")):
-        raise ValueError("a notice without its request")
+        raise ValueError("notice: `rid` is missing")
     return str(rid)
 
 
@@ -131,11 +139,11 @@
     return binascii.a2b_base64(message.get("b64") or "", strict_mode=True)
 
 
-def _figure(value: Any) -> float:
-    figure = float(value)
-    if isinstance(value, bool) or not math.isfinite(figure):
-        raise ValueError("a figure that is not a finite number")
-    return figure
+def _finite_number(value: Any) -> float:
+    number = float(value)
+    if isinstance(value, bool) or not math.isfinite(number):
+        raise ValueError("expected a finite number")
+    return number
 
 
 # ---- to the kernel ----
@@ -146,37 +154,37 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Encode a command as a line."""
+    """Encode a command as a line of JSON."""
     return _ENCODER.encode(command).encode() + b"\n"
 
 
-def open_after(notice: int) -> Command:
-    """Begin a connection: all notices after this one are to be sent again."""
-    return {"t": "OPEN", "no": notice}
+def open_command(last_notice: int) -> Command:
+    """Return the first command of a connection. The kernel sends all notices after `last_notice` again."""
+    return {"t": "OPEN", "no": last_notice}
 
 
-def run_request(rid: str, route: str, body: bytes) -> Command:
-    """Run a request."""
+def run_command(rid: str, route: str, body: bytes) -> Command:
+    """Return the command that runs a request."""
     return {"t": "SCHED", "rid": rid, "route": route, "b64": _base64(body)}
 
 
-def stop_run(rid: str) -> Command:
-    """Stop a run."""
+def stop_command(rid: str) -> Command:
+    """Return the command that stops a run."""
     return {"t": "PREEMPT", "rid": rid}
 
 
-def call_reply(rid: str, body: bytes) -> Command:
-    """Give a run the reply to the call that it waits for."""
+def call_reply_command(rid: str, body: bytes) -> Command:
+    """Return the command that passes a run the reply to its call."""
     return {"t": "IODONE", "rid": rid, "b64": _base64(body)}
 
 
-def skip_call(rid: str, notice: int) -> Command:
-    """Let a run go on without the call that it request for by that notice."""
+def skip_call_command(rid: str, notice: int) -> Command:
+    """Return the command that continues a run without the call requested by notice `notice`."""
     return {"t": "NOIO", "rid": rid, "no": notice}
 
 
-def ask_for_gauges(mark: str) -> Command:
-    """Ask for the gauges; the answer carries the mark."""
+def gauges_command(mark: str) -> Command:
+    """Return the command that requests the gauges. The answer carries `mark`."""
     return {"t": "SYSINFO", "mark": mark}
 
 
--- a/moorusher/backends/kernel_protocol.py
+++ b/moorusher/backends/kernel_protocol.py
@@ -1,4 +1,4 @@
-"""Framing on one connection to the kernel: lines in, commands out. What they mean is decided in `kernel_session`."""
+"""Framing of a connection to the kernel. `kernel_session` handles the messages."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 
 log = logging.getLogger("moorusher")
 
-MAX_LOGGED_BYTES = 200  # of a line
+MAX_LOGGED_BYTES = 200  # Maximum number of bytes of a kernel line that are logged.
 
 
 class KernelConnectionListener(Protocol):
-    """What takes the events of connections.
+    """Receives the events of connections.
 
-    connection: the present one; messages of others are dropped.
-    message_received: takes each message of the present connection.
+    Attributes:
+        connection: The current connection. Messages of other connections are dropped.
+        message_received: Handler for messages of the current connection.
     """
 
     connection: KernelProtocol | None
     message_received: Callable[[KernelMessage], None]
 
     def connection_made(self, connection: KernelProtocol) -> None:
-        """A connection was made."""
+        """Called when a connection was established."""
 
     def data_received(self, connection: KernelProtocol) -> None:
-        """Data have come, whatever they are."""
+        """Called when any data has arrived."""
 
     def line_unreadable(self, connection: KernelProtocol, line: bytes) -> None:
-        """A line was no message."""
+        """Called when a line is not a valid message."""
 
     def line_too_long(self) -> None:
-        """A line was beyond the bound; its connection is dropped."""
+        """Called when a line is too long, before its connection is aborted."""
 
     def connection_lost(self, connection: KernelProtocol, reason: str) -> None:
-        """A connection has ended."""
+        """Called when a connection has closed."""
 
 
 class KernelProtocol(LineOnlyReceiver):
-    """One connection to the kernel."""
+    """A connection to the kernel."""
 
-    transport: Any  # zope's interfaces mean nothing to mypy
+    transport: Any  # mypy does not support zope interfaces.
     delimiter = b"\n"
     MAX_LENGTH = 65_536
 
     def __init__(self, listener: KernelConnectionListener) -> None:
-        """The listener is told of everything that happens on the connection."""
         self._listener = listener
 
     def connectionMade(self) -> None:
-        """Report the connection."""
+        """Notify the listener of the new connection."""
         self.transport.setTcpNoDelay(True)
         self._listener.connection_made(self)
 
@@ -64,14 +64,14 @@
         self.transport.write(encode_command(command))
 
     def dataReceived(self, data: bytes) -> None:
-        """Report that the connection is alive, and split the data into lines."""
+        """Notify the listener, and split the data into lines."""
         self._listener.data_received(self)
         super().dataReceived(data)  # type: ignore[no-untyped-call]
 
     def lineReceived(self, line: bytes) -> None:
-        """Decode a message and hand it on."""
+        """Decode a message and pass it to the listener."""
         if self._listener.connection is not self:
-            return  # a newer connection has taken over
+            return  # This connection was replaced.
         try:
             message = decode_message(line)
         except UnreadableMessageError:
@@ -79,14 +79,14 @@
             return
         try:
             self._listener.message_received(message)
-        except Exception:  # a fault of ours over one message must not end the program
-            log.exception("kernel message failed: line=%r", line[:MAX_LOGGED_BYTES])
+        except Exception:  # An internal error in handling one message must not stop the process.
+            log.exception("handling of a kernel message failed: line=%r", line[:MAX_LOGGED_BYTES])
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Drop the connection: nothing tells where the next message begins."""
+        """Abort the connection: the start of the next message is unknown."""
         self._listener.line_too_long()
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Report the loss."""
+        """Notify the listener of the closed connection."""
         self._listener.connection_lost(self, reason.getErrorMessage() if reason is not None else "")
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -1,7 +1,7 @@
-"""What outlives a connection to the kernel: the last notice read, the commands known to be read, the replay.
+"""Kernel state that is kept across connections: the last notice read, and which commands are confirmed as read.
 
 After a reconnection the kernel replays the notices after the last one read. Commands wait for the end of the replay.
-The request engine then sends again what the kernel is not known to have read, where that is allowed.
+The request engine then sends unconfirmed commands again, if that is allowed.
 """
 
 from __future__ import annotations
@@ -21,78 +21,79 @@
     KernelMessage,
     Notice,
     RunEnded,
-    ask_for_gauges,
-    call_reply,
-    open_after,
-    run_request,
-    skip_call,
-    stop_run,
+    call_reply_command,
+    gauges_command,
+    open_command,
+    run_command,
+    skip_call_command,
+    stop_command,
 )
 from .kernel_protocol import KernelProtocol
 
 log = logging.getLogger("moorusher")
 
-REPLAY_END_MARK = "replayed"  # of the question whose answer ends a replay
-READ_MARK = "g"  # begins the mark of other questions; the number of commands written before follows
+REPLAY_END_MARK = "replayed"  # Mark of the SYSINFO command whose answer ends a replay.
+CONFIRMATION_MARK = "g"  # Prefix of all other marks, followed by the number of commands written before.
 
 
 class SessionState(Enum):
-    """How far the session has come. The values are for the log."""
+    """State of a session. The values appear in the log."""
 
     DOWN = "down"
-    OPENING = "opening"  # OPEN was sent; BOOTED comes when the kernel is up
-    REPLAYING = "replaying"  # notices after the last one read are coming; commands wait for their end
+    OPENING = "opening"  # OPEN was sent. The kernel answers BOOTED when it is up.
+    REPLAYING = "replaying"  # The kernel replays notices. Commands wait for the end of the replay.
     UP = "up"
 
 
 class KernelSession:
-    """Messages and commands, over one connection after the other; the `Kernel` of `core/run.py`.
+    """Messages and commands across connections. Implements `KernelTransport` of `core/run.py`.
 
-    core: the request engine; set by the owner.
-    state: see SessionState.
-    last_notice: the number of the last notice read (int).
-    was_up: a kernel has answered once (bool).
+    Attributes:
+        core: The request engine; set by the owner.
+        state: State of the current connection.
+        last_notice: Number of the last notice read.
+        was_up: Whether a kernel has answered on any connection.
     """
 
     def __init__(self, on_booted: Callable[[Booted], None]) -> None:
-        """`on_booted` is called as a kernel answers the opening of a connection."""
+        """:param on_booted: Called when the kernel answers OPEN."""
         self.core: RequestEngine
-        self._on_up = on_booted
+        self._booted_callback = on_booted
         self.state = SessionState.DOWN
         self.last_notice = 0
         self.was_up = False
         self._connection: KernelProtocol | None = None
-        # Commands are counted over all connections; `_read` never exceeds `_written`.
-        self._written = NOT_WRITTEN
-        self._read = NOT_WRITTEN
+        # Numbers of the last command written and the last one confirmed as read, counted across connections.
+        self._last_written = NOT_WRITTEN
+        self._last_confirmed = NOT_WRITTEN
 
     @property
     def unconfirmed_commands(self) -> int:
-        """Return how many commands were written that the kernel is not known to have read."""
-        return self._written - self._read
+        """Number of written commands that the kernel has not confirmed as read."""
+        return self._last_written - self._last_confirmed
 
     # ---- connections ----
 
     def open(self, connection: KernelProtocol) -> None:
-        """Begin on a new connection."""
+        """Open the session on a new connection."""
         self._connection = connection
         self.state = SessionState.OPENING
-        connection.send(open_after(self.last_notice))  # before anything else
+        connection.send(open_command(self.last_notice))  # must be the first command
 
     def connection_replaced(self) -> None:
-        """Another connection was made, and nothing may be sent until it is open."""
+        """Block commands until the new connection is open."""
         self._connection = None
         self.state = SessionState.OPENING
 
     def connection_lost(self) -> None:
-        """The connection is lost, and there is no other yet."""
+        """Record that there is no connection."""
         self._connection = None
         self.state = SessionState.DOWN
 
     # ---- messages ----
 
     def message_received(self, message: KernelMessage) -> None:
-        """Take one message of the present connection."""
+        """Handle a message of the current connection."""
         if isinstance(message, Notice):
             self._on_notice(message)
         elif isinstance(message, Gauges):
@@ -106,7 +107,7 @@
 
     def _on_notice(self, notice: Notice) -> None:
         if notice.number <= self.last_notice:
-            return  # replayed, or sent twice
+            return  # Already read: it was replayed or sent twice.
         self.last_notice = notice.number
         if isinstance(notice, CallNeeded):
             self.core.execution.call_needed(notice.rid, notice.number, notice.body)
@@ -114,22 +115,22 @@
             self.core.execution.run_ended(notice.rid, notice.reason, notice.body)
 
     def _on_gauges(self, gauges: Gauges) -> None:
-        """The kernel reads a connection in order: an answer shows that all before its question was read."""
+        """Handle the answer to SYSINFO, which confirms all commands before it: the kernel reads them in order."""
         if gauges.mark == REPLAY_END_MARK:
             self.state = SessionState.UP
-            self.core.execution.reconnected(self._read)
-        elif gauges.mark.startswith(READ_MARK) and gauges.mark[len(READ_MARK) :].isdecimal():
-            confirmed = min(int(gauges.mark[len(READ_MARK) :]), self._written)
-            self._read = max(self._read, confirmed)
+            self.core.execution.reconnected(self._last_confirmed)
+        elif gauges.mark.startswith(CONFIRMATION_MARK) and gauges.mark[len(CONFIRMATION_MARK) :].isdecimal():
+            confirmed = min(int(gauges.mark[len(CONFIRMATION_MARK) :]), self._last_written)
+            self._last_confirmed = max(self._last_confirmed, confirmed)
         self.core.kernel_status.gauges_received(gauges.values)
 
     def _on_booted(self, booted: Booted) -> None:
-        self._on_up(booted)
+        self._booted_callback(booted)
         if self.was_up and self._connection is not None:
-            # The answer to this question comes after the replay: only then it is known what to send again. Anything
-            # sent before would be sent twice, and a second reply could be taken for that of a later call.
+            # The answer arrives after the replay. Only then it is known which commands to send again. A command sent
+            # earlier would be sent twice, and a duplicate reply could be taken for the reply to a later call.
             self.state = SessionState.REPLAYING
-            self._connection.send(ask_for_gauges(REPLAY_END_MARK))
+            self._connection.send(gauges_command(REPLAY_END_MARK))
         else:
             self.state = SessionState.UP
             self.was_up = True
@@ -139,38 +140,38 @@
     # ---- commands ----
 
     def _send(self, command: Command) -> int:
-        """Send a command, and return its number; NOT_WRITTEN where it was dropped.
+        """Send a command and return its number, or NOT_WRITTEN if the session is not up.
 
-        The engine sends dropped commands again once the replay has been read.
+        The engine sends commands that were not written again after the replay.
         """
         if self.state is not SessionState.UP or self._connection is None:
             return NOT_WRITTEN
-        self._written += 1
+        self._last_written += 1
         self._connection.send(command)
-        return self._written
+        return self._last_written
 
     def run(self, rid: str, route: str, body: bytes) -> int:
-        """Have the kernel run a request."""
-        return self._send(run_request(rid, route, body))
+        """Run a request in the kernel."""
+        return self._send(run_command(rid, route, body))
 
     def stop(self, rid: str) -> int:
-        """Have a run stopped."""
-        return self._send(stop_run(rid))
+        """Stop a run."""
+        return self._send(stop_command(rid))
 
     def call_done(self, rid: str, body: bytes) -> int:
-        """Give a run the reply to its call.
+        """Send a run the reply to its call.
 
-        It must not be sent twice: the question that follows soon shows that it was read.
+        The reply must not be sent twice, so SYSINFO follows at once to confirm that it was read.
         """
-        number = self._send(call_reply(rid, body))
+        number = self._send(call_reply_command(rid, body))
         self.ask_gauges()
         return number
 
     def call_skipped(self, rid: str, notice: int) -> int:
-        """Let a run go on without the call of that notice."""
-        return self._send(skip_call(rid, notice))
+        """Continue a run without the call that notice `notice` requested."""
+        return self._send(skip_call_command(rid, notice))
 
     def ask_gauges(self) -> None:
-        """Ask for the gauges, and by that for a proof of what was read."""
+        """Request the gauges. The answer also confirms the commands written before."""
         if self.state is SessionState.UP and self._connection is not None:
-            self._connection.send(ask_for_gauges(f"{READ_MARK}{self._written}"))
+            self._connection.send(gauges_command(f"{CONFIRMATION_MARK}{self._last_written}"))
--- a/moorusher/backends/owner.py
+++ b/moorusher/backends/owner.py
@@ -1,4 +1,4 @@
-"""What a backend for downstream calls needs of whoever owns it: the request engine, or the server pool."""
+"""Interface of the owner of a downstream backend: the request engine or the server pool."""
 
 from __future__ import annotations
 
@@ -10,23 +10,18 @@
 
 
 class CallListener(Protocol):
-    """Takes the ends of calls."""
+    """Receives the ends of calls."""
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
-        """The call of this number has ended; `body` is the reply, empty without one."""
+        """Called when call `number` has ended; `body` is the reply, empty if there is none."""
 
 
 class BackendOwner(Protocol):
-    """The owner of a backend.
-
-    clock, alarms: the time as of the present turn (us), and timers on it.
-    counters: for operators.
-    execution: takes the ends of calls.
-    """
+    """The owner of a backend."""
 
     @property
     def clock(self) -> Clock:
-        """The clock of the present turn."""
+        """The time of the current turn, in microseconds."""
 
     @property
     def alarms(self) -> Alarms:
@@ -34,11 +29,11 @@
 
     @property
     def counters(self) -> Counters:
-        """Counters for operators."""
+        """Counters that are shown to operators."""
 
     @property
     def execution(self) -> CallListener:
-        """Takes the ends of calls."""
+        """The receiver of the ends of calls."""
 
     def begin_turn(self) -> None:
-        """Read the time anew: something has come from outside."""
+        """Update the time. Must be called when input arrives."""
--- a/moorusher/backends/server_backends.py
+++ b/moorusher/backends/server_backends.py
@@ -1,4 +1,4 @@
-"""The connections to each server of the tier, over the protocol it speaks."""
+"""The backends of the servers of the tier, each with the protocol of its server."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from .owner import BackendOwner
 from .uwsgi import UwsgiCalls
 
-MAX_IDLE_PER_SERVER = 4  # that are kept to one server: there are many servers
+MAX_IDLE_PER_SERVER = 4  # Idle connections to one server. There may be many servers.
 
 Backend = DatabasePool | UwsgiCalls
 
 
 class ServerBackends:
-    """A backend for each server that was called, by its name."""
+    """The backends of the servers that have been called, by server name."""
 
     def __init__(self, reactor: Any, owner: BackendOwner) -> None:
-        """The ends of attempts are reported to the owner."""
+        """:param owner: Receives the ends of attempts."""
         self._reactor = reactor
         self._owner = owner
         self._by_name: dict[str, Backend] = {}
 
     def get(self, server: EndpointConfig) -> Backend:
-        """Return the backend of a server, made or moved to its present address and protocol."""
+        """Return the backend of a server, created or updated for its current address and protocol."""
         backend = self._by_name.get(server.name)
-        speaks_uwsgi = server.protocol is EndpointProtocol.UWSGI
-        if backend is not None and isinstance(backend, UwsgiCalls) is not speaks_uwsgi:
-            backend.close()  # the protocol has changed; attempts in flight end as they do
+        uses_uwsgi = server.protocol is EndpointProtocol.UWSGI
+        if backend is not None and isinstance(backend, UwsgiCalls) is not uses_uwsgi:
+            backend.close()  # The protocol has changed. Attempts in flight are not affected.
             backend = None
         if backend is None:
             backend = self._by_name[server.name] = self._make(server)
@@ -46,12 +46,12 @@
         return backend
 
     def update(self, server: EndpointConfig) -> None:
-        """Move the backend of a server whose configuration has changed; one that was never called has none."""
+        """Update the backend of a server after a change of its configuration, if the server has been called."""
         if server.name in self._by_name:
             self.get(server)
 
     def close(self, name: str) -> None:
-        """Keep no connection to a server any more; attempts in flight end as they do."""
+        """Close the idle connections to a server. Attempts in flight are not affected."""
         backend = self._by_name.pop(name, None)
         if backend is not None:
             backend.close()
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -1,4 +1,4 @@
-"""Calls to many servers below: carries out what load balancing decides, over a backend for each server."""
+"""Downstream calls to many servers: executes the decisions of load balancing, with a backend for each server."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from ..warm_start.learned_state import DonorCondition, LearnedState, capture_learned_state
 from .server_backends import Backend, ServerBackends
 
-# Any other reason proves nothing: the call may have run, and counts as FAILED.
+# All other reasons map to FAILED: they don't prove that the call never ran.
 OUTCOME_OF_END_REASON: dict[EndReason, AttemptOutcome] = {
     EndReason.CALL_ANSWERED: AttemptOutcome.ANSWERED,
     EndReason.CALL_REJECTED: AttemptOutcome.REJECTED,
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptReply:
-    """What a backend reported of an attempt."""
+    """The end of an attempt as its backend reported it."""
 
     attempt_id: int
     reason: EndReason
@@ -52,30 +52,29 @@
 
 
 class AttemptOwner:
-    """The owner of the servers' backends: their calls are attempts, numbered by attempt id."""
+    """The owner of the servers' backends. Each call of a backend is an attempt; its number is the attempt ID."""
 
     def __init__(self, pool: ServerPool) -> None:
-        """The ends of attempts are reported to the pool."""
         self._pool = pool
 
     @property
     def clock(self) -> Clock:
-        """That of the request engine."""
+        """The clock of the request engine."""
         return self._pool.core.clock
 
     @property
     def alarms(self) -> Alarms:
-        """Those of the request engine."""
+        """The timers of the request engine."""
         return self._pool.core.alarms
 
     @property
     def counters(self) -> Counters:
-        """Those of the request engine."""
+        """The counters of the request engine."""
         return self._pool.core.counters
 
     @property
     def execution(self) -> AttemptOwner:
-        """Takes the ends of attempts."""
+        """The receiver of the ends of attempts."""
         return self
 
     def begin_turn(self) -> None:
@@ -83,14 +82,15 @@
         self._pool.core.begin_turn()
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
-        """Report an attempt."""
+        """Report the end of an attempt to the pool."""
         self._pool.attempt_ended(AttemptReply(number, reason, body))
 
 
 class ServerPool:
-    """The servers of `[tier]`, behind the `CallTransport` protocol of `core/call.py`.
+    """The servers of `[tier]`. Implements `CallTransport` of `core/call.py`.
 
-    core: the request engine that calls come from; set by the owner.
+    Attributes:
+        core: The request engine, which makes the calls; set by the owner.
     """
 
     def __init__(
@@ -102,7 +102,11 @@
         draw: Callable[[], float],
         grants: Grants | None = None,
     ) -> None:
-        """`runner`: this instance's name. `draw` returns random numbers from 0 to under 1."""
+        """Create a pool.
+
+        :param runner: Name of this runner.
+        :param draw: Returns random numbers in [0, 1).
+        """
         self.core: RequestEngine
         self._servers = list(servers)
         self._policy = policy
@@ -111,15 +115,15 @@
         self._grants = grants or Grants()
         self._routes: RouteTable | None = None
         self._backends = ServerBackends(reactor, AttemptOwner(self))
-        self._calls: dict[int, CallRequest] = {}  # open calls by id
-        self._backend_of: dict[int, Backend] = {}  # by attempt in flight
+        self._calls: dict[int, CallRequest] = {}  # open calls by request number
+        self._backend_by_attempt: dict[int, Backend] = {}  # backends of the attempts in flight, by attempt ID
         self._alarm: Alarm | None = None
         self._alarm_at = 0
         self._started_at = 0
 
     @property
     def routes(self) -> RouteTable:
-        """The routes; they are made at first use, since the clock comes with the core."""
+        """The route table. It is created at first use, since the clock is available only once `core` is set."""
         if self._routes is None:
             now = self._started_at = self.core.clock.now
             self._routes = RouteTable(
@@ -129,28 +133,28 @@
 
     @property
     def balancer(self) -> LoadBalancer:
-        """The load balancer of the platform's servers, for requests that no customer's rules are for."""
+        """The load balancer of the platform's servers, for requests to which no customer's rules apply."""
         return self.routes.balancers.default
 
-    # ---- from the request engine ----
+    # ---- called by the request engine ----
 
-    def call(self, number: int, asked: CallRequest) -> None:
-        """Make a call for request `number`; its end is reported through `call_over` of the core."""
+    def call(self, number: int, request: CallRequest) -> None:
+        """Make the call of request `number`, and report its end to `core.execution`."""
         now = self.core.clock.now
-        self._calls[number] = asked
-        started = CallStarted(now, number, asked.effect, now + asked.timeout_ms * MS)
-        self._execute(self.routes.handle(started, asked.route))
+        self._calls[number] = request
+        started = CallStarted(now, number, request.effect, now + request.timeout_ms * MS)
+        self._execute(self.routes.handle(started, request.route))
 
     def give_up(self, number: int) -> None:
-        """Cancel the call of request `number`, if it has one; nothing is reported."""
+        """Cancel the call of request `number`, if it has one. Its end is not reported."""
         self._calls.pop(number, None)
         self._execute(self.routes.handle(CallCancelled(self.core.clock.now, number)))
 
-    # ---- from the backends ----
+    # ---- called by the backends ----
 
     def attempt_ended(self, reply: AttemptReply) -> None:
-        """Take a backend's report; one of an attempt that was cancelled is ignored."""
-        if self._backend_of.pop(reply.attempt_id, None) is None:
+        """Handle the end of an attempt, unless the attempt was cancelled."""
+        if self._backend_by_attempt.pop(reply.attempt_id, None) is None:
             return
         self.core.begin_turn()
         outcome = OUTCOME_OF_END_REASON.get(reply.reason, AttemptOutcome.FAILED)
@@ -160,13 +164,16 @@
     # ---- instructions ----
 
     def _execute(self, instructions: list[Instruction], reply: AttemptReply | None = None) -> None:
-        """Carry out instructions in order. `reply`: that they follow from."""
+        """Execute instructions in order.
+
+        :param reply: The end of the attempt that caused the instructions, if any.
+        """
         for instruction in instructions:
             match instruction:
                 case SendAttempt():
                     self._send(instruction)
                 case CancelAttempt():
-                    backend = self._backend_of.pop(instruction.attempt_id, None)
+                    backend = self._backend_by_attempt.pop(instruction.attempt_id, None)
                     if backend is not None:
                         backend.give_up(instruction.attempt_id)
                 case CompleteCall():
@@ -179,7 +186,7 @@
         if server is None or call is None:
             return
         backend = self._backends.get(server)
-        self._backend_of[send.attempt_id] = backend
+        self._backend_by_attempt[send.attempt_id] = backend
         backend.call(send.attempt_id, replace(call, timeout_ms=max(1, send.timeout_us // MS)))
 
     def _complete(self, completed: CompleteCall, reply: AttemptReply | None) -> None:
@@ -187,13 +194,13 @@
         if reply is not None and reply.attempt_id == completed.attempt_id != NO_ATTEMPT:
             self.core.execution.call_ended(completed.call_id, reply.reason, reply.body)
             return
-        # No attempt was made, or its server was removed under it; the latter proves nothing.
+        # No attempt was made, or its server was removed during it. The latter doesn't prove that the call never ran.
         was_rejected = completed.outcome is AttemptOutcome.REJECTED
         reason = EndReason.CALL_REJECTED if was_rejected else EndReason.CALL_CONNECTION_LOST
         self.core.execution.call_ended(completed.call_id, reason, b"")
 
     def _arm_timer(self) -> None:
-        """One alarm for the earliest of all timers; one that is too early is harmless."""
+        """Set one alarm for the earliest timer. An alarm that fires too early does no harm."""
         due = self.routes.next_timer()
         if due is None or (self._alarm is not None and self._alarm_at <= due):
             return
@@ -209,20 +216,20 @@
     # ---- membership ----
 
     def put(self, server: EndpointConfig) -> None:
-        """Add a server, or change the address, weight, zone or protocol of the one with its name.
+        """Add a server, or update the address, weight, zone or protocol of the server with the same name.
 
-        Raises TooManyEndpointsError.
+        :raises TooManyEndpointsError: The limit of servers is reached.
         """
         self.routes.balancers.put(self.core.clock.now, server)
         self._backends.update(server)
 
     def drain(self, name: str) -> bool:
-        """Send no new calls to a server. False where there is none of that name."""
+        """Stop sending new calls to a server. Return False if there is no server of that name."""
         balancers = self.routes.balancers
         return balancers.drain(name) or name in balancers.servers
 
     def remove(self, name: str) -> bool:
-        """Remove a server at once, with its attempts in flight. False where there is none of that name."""
+        """Remove a server and end its attempts in flight. Return False if there is no server of that name."""
         if self.routes.balancers.find_server(name) is None:
             return False
         self._execute(self.routes.handle(EndpointRemoved(self.core.clock.now, name)))
@@ -230,12 +237,12 @@
         return True
 
     def _close_if_unused(self, name: str) -> None:
-        """Close a server's backend, unless the server is draining and needs it."""
+        """Close a server's backend, unless the server is draining and still needs it."""
         if self.routes.balancers.find_server(name) is None:
             self._backends.close(name)
 
     def follow(self, servers: Iterable[EndpointConfig], grants: Grants | None = None) -> None:
-        """Take a new configuration: a server that is no longer listed is retired."""
+        """Apply a new configuration. Servers that are no longer listed are retired."""
         listed = {server.name: server for server in servers}
         balancers = self.routes.balancers
         if grants is not None:
@@ -246,18 +253,21 @@
         for server in listed.values():
             self.put(server)
 
-    # ---- for operators, and for the next start ----
+    # ---- status and learned state ----
 
     def servers_json(self) -> list[dict[str, object]]:
-        """Each server as `GET /servers` shows it."""
+        """Return the servers as `GET /servers` shows them."""
         return servers_json(self.balancer, self.core.clock.now)
 
     def counts_json(self) -> dict[str, int]:
-        """What was done since the start, as `GET /servers` shows it."""
+        """Return the counts since the start as `GET /servers` shows them."""
         return counts_json(self.balancer)
 
     def learned_state(self, condition: DonorCondition) -> LearnedState:
-        """What has been learnt of the servers; `condition`: how this runner is."""
+        """Return the learned state of the servers, to be kept for the next start.
+
+        :param condition: Condition of this runner.
+        """
         endpoints = self.balancer.endpoints.by_name.values()
         now = self.core.clock.now
         return capture_learned_state(self._runner, endpoints, now, now - self._started_at, condition)
--- a/moorusher/backends/silence_detection.py
+++ b/moorusher/backends/silence_detection.py
@@ -1,7 +1,7 @@
-"""When a connection that has been silent is replaced: a peer can die without a word, and then nothing arrives at it.
+"""Detection of silent connections, which must be replaced: a peer can fail without closing its connection.
 
-Inputs: when data came last, and the time now. A silent connection is asked first. One that stays silent is doubted, and
-looked at once more shortly after: where this process itself was paused, what the peer sent waits unread meanwhile.
+A silent peer is first asked for an answer. If it remains silent, its connection is suspected, and checked once more
+shortly after: if this process itself was paused, data from the peer is still waiting to be read.
 """
 
 from __future__ import annotations
@@ -10,53 +10,53 @@
 
 from ..time_units import MS, SECOND
 
-PROBE_AFTER_US = SECOND  # without data, the peer is asked for an answer
-MAX_SILENCE_US = 3 * SECOND  # without data, the connection is doubted
-CONFIRM_AFTER_US = 250 * MS  # in doubt, until it is looked at once more
+PROBE_AFTER_US = SECOND  # Time without data after which the peer is asked for an answer.
+MAX_SILENCE_US = 3 * SECOND  # Time without data after which the connection is suspected.
+CONFIRM_AFTER_US = 250 * MS  # Time until a suspected connection is checked again.
 
 
 class SilenceVerdict(Enum):
     """What to do about a connection."""
 
     ALIVE = "alive"
-    PROBE = "probe"  # ask for an answer
-    REPLACE = "replace"  # it has been silent for too long, twice
+    PROBE = "probe"  # Ask the peer for an answer.
+    REPLACE = "replace"  # The connection was silent for too long in two consecutive checks.
 
 
 class SilenceDetection:
-    """Watches one connection at a time; times in microseconds."""
+    """Monitors one connection at a time. All times are in microseconds."""
 
     def __init__(self) -> None:
-        """Call `restart` with each new connection."""
         self._last_data_at = 0
-        self._is_doubted = False  # it was silent for too long when it was last checked
+        self._is_suspected = False  # Whether the connection was silent for too long at the last check.
 
     def restart(self, now: int) -> None:
-        """A new connection was made."""
+        """Start monitoring a new connection."""
         self._last_data_at = now
-        self._is_doubted = False
+        self._is_suspected = False
 
     def data_received(self, now: int) -> None:
-        """Data have come, whatever they are."""
+        """Record that data has arrived."""
         self._last_data_at = now
-        self._is_doubted = False
+        self._is_suspected = False
 
     def silent_for(self, now: int) -> int:
-        """Return how long no data have come."""
+        """Return the time since data last arrived."""
         return now - self._last_data_at
 
-    def check(self, now: int, may_doubt: bool, may_replace: bool) -> SilenceVerdict:
-        """Judge the connection; call it again after `next_check_after`.
+    def check(self, now: int, may_suspect: bool, may_replace: bool) -> SilenceVerdict:
+        """Check the connection. The next check is due after `next_check_after`.
 
-        `may_doubt`: False while the peer may rightly be silent. `may_replace`: False while a replacement is being made.
+        :param may_suspect: False while the peer may legitimately be silent.
+        :param may_replace: False while a replacement is being established.
         """
         silence = self.silent_for(now)
-        was_doubted = self._is_doubted
-        self._is_doubted = may_doubt and silence >= MAX_SILENCE_US
-        if self._is_doubted and was_doubted and may_replace:
+        was_suspected = self._is_suspected
+        self._is_suspected = may_suspect and silence >= MAX_SILENCE_US
+        if self._is_suspected and was_suspected and may_replace:
             return SilenceVerdict.REPLACE
         return SilenceVerdict.PROBE if silence >= PROBE_AFTER_US else SilenceVerdict.ALIVE
 
     def next_check_after(self) -> int:
-        """Return in how many microseconds to check again."""
-        return CONFIRM_AFTER_US if self._is_doubted else PROBE_AFTER_US
+        """Return the time until the next check."""
+        return CONFIRM_AFTER_US if self._is_suspected else PROBE_AFTER_US
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -1,4 +1,4 @@
-"""Downstream calls to a uwsgi peer: a connection for each call; closing it cancels the call."""
+"""Downstream calls to a uwsgi peer, with a connection for each call. Closing the connection cancels the call."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .http_client import HttpClientProtocol, HttpResponse
 from .owner import BackendOwner
 
-CONNECT_TIMEOUT_S = 30  # a call's own time limit is mostly shorter
+CONNECT_TIMEOUT_S = 30  # The time limit of a call is usually shorter.
 NEVER_RAN_HEADER = b"x-moorusher-never-ran"
 
 
 def call_packet(call: CallRequest) -> bytes:
     """Encode a call as a uwsgi request."""
-    # The peer gives the call a rid of its own: a second call for this request is a new attempt there.
+    # The peer assigns its own rid to the call, so another call for the same request is a new attempt there.
     variables: dict[str, str | None] = {
         "REQUEST_METHOD": "POST",
         "REQUEST_URI": "/",
@@ -35,7 +35,7 @@
 
 
 def end_reason_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
-    """Tell by the response how a call ended; without a proof that it never ran, it may have."""
+    """Return how a call ended. Unless the response proves that the call never ran, it may have run."""
     if status == 200:
         return EndReason.CALL_ANSWERED
     if headers.get(NEVER_RAN_HEADER) == b"1":
@@ -46,10 +46,9 @@
 
 
 class UwsgiProtocol(HttpClientProtocol):
-    """The connection of one call: a uwsgi packet out, an HTTP response in."""
+    """The connection of one call: sends a uwsgi packet and reads an HTTP response."""
 
     def __init__(self, factory: UwsgiCallFactory) -> None:
-        """`factory` is the call's."""
         super().__init__()
         self._factory = factory
 
@@ -60,35 +59,36 @@
         self.transport.write(call_packet(self._factory.call))
 
     def response_received(self, response: HttpResponse) -> None:
-        """The call has ended by its response."""
+        """End the call with its response."""
         self._factory.call_ended(end_reason_of(response.status, response.headers), response.body)
         self.transport.loseConnection()
 
     def response_malformed(self, reason: str) -> None:
-        """The call has ended without a readable response."""
+        """End the call without a response, and abort the connection."""
         self._factory.call_ended(EndReason.CALL_REPLY_UNREADABLE)
         self.transport.abortConnection()
 
     def unexpected_data(self) -> None:
-        """The response was whole; what follows it has no meaning."""
+        """Abort the connection. The response was complete, and the data after it is ignored."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The call has ended, unless its response came before."""
+        """End the call, unless it has ended already."""
         self._factory.call_ended(EndReason.CALL_CONNECTION_LOST)
 
 
 class UwsgiCallFactory(ClientFactory):
-    """One call, from dialling to its end, which is reported once.
+    """One call, from the connection attempt to its end, which is reported once.
 
-    call: what is sent.
-    connector: Twisted's, of the call's connection; set by the owner.
+    Attributes:
+        number: Number of the call.
+        call: The request of the call.
+        connector: Twisted's connector of the call's connection; set by the owner.
     """
 
     noisy = False
 
     def __init__(self, client: UwsgiCalls, number: int, call: CallRequest) -> None:
-        """`number`: the call's, which its end is reported by."""
         self._client = client
         self._has_ended = False
         self.number = number
@@ -96,59 +96,59 @@
         self.connector: Any = None
 
     def buildProtocol(self, addr: object) -> UwsgiProtocol | None:
-        """Make the protocol; a call that was cancelled while it dialled needs none."""
+        """Return the protocol, or None if the call was cancelled during the connection attempt."""
         return None if self._has_ended else UwsgiProtocol(self)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """The call never ran."""
+        """End the call, which was never sent."""
         self.call_ended(EndReason.CALL_NOT_CONNECTED)
 
     def call_ended(self, reason: EndReason, body: bytes = b"") -> None:
-        """Report the first end; others say nothing more."""
+        """Report the end of the call, unless it has ended already."""
         if not self._has_ended:
             self._has_ended = True
             self._client.call_ended(self, reason, body)
 
     def cancel(self) -> None:
-        """Close the connection; nothing is reported."""
+        """Close the connection. The end of the call is not reported."""
         self._has_ended = True
         self.connector.disconnect()
 
 
 class UwsgiCalls:
-    """Calls to one uwsgi peer, each over a connection of its own.
+    """Calls to one uwsgi peer, each on its own connection.
 
-    address: of the peer (Address).
-    core: the request engine or the server pool, which calls come from (BackendOwner); set by it.
+    Attributes:
+        address: Address of the peer.
+        core: The request engine or server pool that makes the calls; set by it.
     """
 
     def __init__(self, reactor: Any, address: Address) -> None:
-        """`address` may be changed by `move`."""
         self.core: BackendOwner
         self.address = address
         self._reactor = reactor
-        self._open: dict[int, UwsgiCallFactory] = {}  # by the call's number
+        self._open: dict[int, UwsgiCallFactory] = {}  # by call number
 
     def move(self, address: Address) -> None:
-        """Send the next calls to a new address; each has a connection of its own."""
+        """Send new calls to a new address. Calls in flight keep their own connections."""
         self.address = address
 
     def close(self) -> None:
-        """No more calls are made here; nothing is kept between calls."""
+        """Do nothing: no connection is kept between calls."""
 
     def call(self, number: int, request: CallRequest) -> None:
-        """Make a call; its end is reported to the core."""
+        """Make a call, and report its end to `core.execution`."""
         factory = self._open[number] = UwsgiCallFactory(self, number, request)
         factory.connector = self._reactor.connectTCP(*self.address, factory, timeout=CONNECT_TIMEOUT_S)
 
     def give_up(self, number: int) -> None:
-        """Cancel a call; its end is not reported."""
+        """Cancel a call. Its end is not reported."""
         factory = self._open.pop(number, None)
         if factory is not None:
             factory.cancel()
 
     def call_ended(self, factory: UwsgiCallFactory, reason: EndReason, body: bytes) -> None:
-        """Report the end of a call, unless another has its number by now."""
+        """Report the end of a call, unless a newer call has the same number."""
         if self._open.get(factory.number) is factory:
             del self._open[factory.number]
             self.core.execution.call_ended(factory.number, reason, body)
--- a/moorusher/frontends/__init__.py
+++ b/moorusher/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests come in: framing only, one module for each protocol."""
+"""Listeners for clients, load balancers and operators: framing only, with a module for each protocol."""
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -1,4 +1,4 @@
-"""HAProxy's agent check: one line of text about this runner, then a close."""
+"""The HAProxy agent check: one line of text about this runner, after which the connection is closed."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 from ..health_reporting.reporter import Reporter
 from .probes import PROBE_TIMEOUT_US, ProbeFactory
 
-MAX_SENT_BYTES = 256  # of `agent-send`; more is no load balancer's
-MAX_NAME_LENGTH = 32  # characters of it that tell one load balancer from another behind one address
+MAX_SENT_BYTES = 256  # Longest accepted `agent-send` text. No load balancer sends more.
+MAX_NAME_LENGTH = 32  # Characters of the text that distinguish load balancers behind one address.
 
 
 class AgentCheckProtocol(Protocol):
     """One agent check.
 
-    HAProxy sends nothing, or the text of `agent-send`, and reads one line. It need not wait for its text to be read;
-    but a close with the text unread would reset the connection before the line is seen. So our half is closed, and the
-    other side has `PROBE_TIMEOUT_US` to close its own. `host`: the load balancer's address; its port changes with each
-    check. `reading`: the line is written before anything is read.
+    HAProxy sends nothing or the `agent-send` text, and reads one line. The line is sent without waiting for the text.
+    But a close with the text unread would reset the connection, and the line could be lost. So only our half is
+    closed, and HAProxy has `PROBE_TIMEOUT_US` to close its half.
+
+    Attributes:
+        reading: Always False: the line is written before anything is read.
+        host: Address of the load balancer. Its port changes with each check.
     """
 
     transport: Any
@@ -32,11 +35,11 @@
     def __init__(self, factory: AgentCheckFactory) -> None:
         self._factory = factory
         self._core = factory.core
-        self._ending: EndReason | None = None
+        self._end_reason: EndReason | None = None
         self._received = b""
 
     def connectionMade(self) -> None:
-        """Write the line at once."""
+        """Write the line."""
         self._factory.limiter.connection_opened(self)
         self._factory.limiter.connection_closing(self)
         self._factory.count_check()
@@ -47,44 +50,51 @@
         self._alarm = self._core.alarms.at(self._core.clock.now + PROBE_TIMEOUT_US, self.cut)
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep what names the load balancer."""
+        """Collect the `agent-send` text, which names the load balancer."""
         self._received += data[: MAX_SENT_BYTES + 1 - len(self._received)]
         if len(self._received) > MAX_SENT_BYTES:
-            self._ending = self._ending or EndReason.LINE_TOO_LONG
+            self._end_reason = self._end_reason or EndReason.LINE_TOO_LONG
             self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
-        """The check is over."""
+        """Count the ended check, and record its sender."""
         self._alarm.cancel()
         self._factory.connection_closed(self)
-        self._core.counters.add("probes: " + (self._ending or EndReason.CLOSED_BY_PEER).value)
+        self._core.counters.add("probes: " + (self._end_reason or EndReason.CLOSED_BY_PEER).value)
         if self._received:
-            self._factory.note_sender(self.host, self._received)
+            self._factory.record_sender(self.host, self._received)
 
     def leave(self) -> None:
-        """Nothing can be asked of a load balancer here."""
+        """Do nothing: the protocol can't ask a load balancer to close."""
 
     def end(self, ending: EndReason) -> bool:
-        """Abort: the line has had its time."""
-        self._ending = self._ending or ending
+        """Abort the connection: the line was already sent."""
+        self._end_reason = self._end_reason or ending
         self.transport.abortConnection()
         return True
 
     def cut(self) -> None:
-        """The other side has not closed in time."""
+        """Abort the connection if it is still open."""
         if self in self._factory.limiter.connections:
             self.end(EndReason.SLOW_READER)
 
 
 class AgentCheckFactory(ProbeFactory):
-    """Listens for HAProxy's agent checks. `maxconn`: whether the line tells a maximum of connections."""
+    """Builds the protocols of HAProxy agent checks.
+
+    Attributes:
+        maxconn: Whether the line includes a maximum number of connections.
+    """
 
     def __init__(self, core: RequestEngine, reporter: Reporter, maxconn: bool = False) -> None:
         super().__init__(core, reporter, AgentCheckProtocol)
         self.maxconn = maxconn
 
-    def note_sender(self, host: str, sent: bytes) -> None:
-        """Tell load balancers behind one address apart by the name in `agent-send`: their intervals differ."""
+    def record_sender(self, host: str, sent: bytes) -> None:
+        """Record a check of the load balancer named in `agent-send`.
+
+        Load balancers behind one address must be distinguished, since their check intervals differ.
+        """
         name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MAX_NAME_LENGTH]
         if name:
             self.core.begin_turn()
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -1,9 +1,10 @@
-"""Bounds the connections of a frontend, and chooses which one is evicted for a new one.
+"""Limits the connections of a frontend, and selects the connection that is evicted for a new one.
 
-Guards against clients that open connections by hundreds and send nothing, or send one request and keep the connection
-for good: they would take every slot, and other front ends could not connect. Each connection stands in one list at
-most, oldest first: `closing`, `silent` (no complete message yet), `idle` (no request open) or `asked to leave`. One
-that stands in none has a request open, and is never evicted. One alarm watches the oldest of each list.
+Guards against clients that open hundreds of connections and send nothing, or send one request and keep the connection
+open forever: they would occupy all slots, and other front ends could not connect. Each connection is in at most one
+queue, in order of time: `closing`, `silent` (no complete message yet), `idle` (no open request) or `close requested`.
+A connection that is in none of them has an open request, and is never evicted. One alarm is set for the earliest
+timeout of all queues.
 """
 
 from __future__ import annotations
@@ -16,102 +17,103 @@
 from ..core.request_engine import RequestEngine
 from ..time_units import MS, SECOND
 
-EVICTION_GRACE_US = (
-    300 * MS
-)  # a connection that is younger, or idle for less, is evicted only if there is no other
-LEAVE_TIMEOUT_US = 2 * SECOND  # for the other side to close what it was asked to close
-CLOSE_TIMEOUT_US = 5 * SECOND  # for the other side to read the last of what it was sent
-MAX_CANDIDATES = 32  # connections of one list that are looked at for an eviction
+# A connection that is younger, or idle for less, is evicted only if there is no other candidate.
+EVICTION_GRACE_US = 300 * MS
+LEAVE_TIMEOUT_US = 2 * SECOND  # Time for the other side to close a connection after the request to do so.
+CLOSE_TIMEOUT_US = 5 * SECOND  # Time for the other side to read the rest of the output.
+MAX_CANDIDATES = 32  # Connections of one queue that are considered for an eviction.
 
 
 class LimitedConnection(Protocol):
-    """What a `ConnectionLimiter` needs of a connection."""
+    """Interface of the connections of a `ConnectionLimiter`."""
 
     @property
     def reading(self) -> bool:
-        """Whether a message has begun whose rest may still come."""
+        """Whether a message has been received in part, and the rest may still arrive."""
 
     def leave(self) -> None:
         """Ask the other side to close."""
 
     def end(self, ending: EndReason) -> bool:
-        """Close, and return True; False where a request turned out to be unread, and the connection stays."""
+        """Close, and return True. Return False and stay open if unread input contains a request."""
 
     def cut(self) -> None:
-        """Abort the connection, whatever is unsent."""
+        """Abort the connection, and discard unsent output."""
 
 
-Since = dict[
-    LimitedConnection, int
-]  # connections, oldest first, and the time in us since when they stand there
+# Connections, each with the time in us at which it entered the queue. The earliest comes first.
+EntryTimes = dict[LimitedConnection, int]
 
 
 class ConnectionLimiter:
-    """The connections of one frontend: how many there may be, and when each has to close.
+    """Limits the number of connections of one frontend, and closes them after their timeouts.
 
-    `max_connections`: how many may be open. `first_message_timeout`: for a connection to bring its first complete
-    message, us. `idle_timeout`: for a connection without an open request, us. `connections`: all that are open.
+    Attributes:
+        max_connections: Maximum number of open connections.
+        first_message_timeout_us: Time for a connection to deliver its first complete message, in us.
+        idle_timeout_us: Time that a connection may be open without a request, in us.
+        connections: All open connections.
     """
 
     def __init__(
-        self, core: RequestEngine, max_connections: int, first_message_timeout: int, idle_timeout: int
+        self, core: RequestEngine, max_connections: int, first_message_timeout_us: int, idle_timeout_us: int
     ) -> None:
         self.core = core
         self.max_connections = max_connections
-        self.first_message_timeout = first_message_timeout
-        self.idle_timeout = idle_timeout
+        self.first_message_timeout_us = first_message_timeout_us
+        self.idle_timeout_us = idle_timeout_us
         self.connections: set[LimitedConnection] = set()
-        self._closing: Since = {}
-        self._silent: Since = {}
-        self._idle: Since = {}
-        self._asked_to_leave: Since = {}
+        self._closing: EntryTimes = {}
+        self._silent: EntryTimes = {}
+        self._idle: EntryTimes = {}
+        self._close_requested: EntryTimes = {}
         self._alarm: Alarm | None = None
-        self._alarm_at = 0  # us; of `_alarm`
-        self._is_reserved = False  # a slot is free for the connection that is accepted next
+        self._alarm_at_us = 0  # time of `_alarm` in us
+        self._is_reserved = False  # Whether a slot is reserved for the connection that is accepted next.
 
     def __len__(self) -> int:
         return len(self.connections)
 
-    def set_idle_timeout(self, idle_timeout: int) -> None:
+    def set_idle_timeout(self, idle_timeout_us: int) -> None:
         """Apply a new idle timeout, in us, to all connections."""
-        self.idle_timeout = idle_timeout
+        self.idle_timeout_us = idle_timeout_us
         self._schedule()
 
-    # ---- what connections report ----
+    # ---- called by connections ----
 
     def connection_opened(self, connection: LimitedConnection) -> None:
-        """A new connection, which has brought nothing yet."""
+        """Add a new connection, which has not delivered any message."""
         self.connections.add(connection)
         self._silent[connection] = self.core.clock.now
         self._schedule()
 
     def connection_idle(self, connection: LimitedConnection) -> None:
-        """A complete message has come, and no request is open."""
+        """Record that a complete message has arrived, and no request is open."""
         self.connection_busy(connection)
         if connection in self.connections and connection not in self._closing:
             self._idle[connection] = self.core.clock.now
             self._schedule()
 
     def leave_requested(self, connection: LimitedConnection) -> None:
-        """It was asked to close; it has `LEAVE_TIMEOUT_US` from now on."""
+        """Record that the other side was asked to close. `LEAVE_TIMEOUT_US` starts now."""
         self.connection_busy(connection)
-        self._asked_to_leave[connection] = self.core.clock.now
+        self._close_requested[connection] = self.core.clock.now
         self._schedule()
 
     def connection_busy(self, connection: LimitedConnection) -> None:
-        """A request is open."""
+        """Record that a request is open."""
         self._silent.pop(connection, None)
         self._idle.pop(connection, None)
-        self._asked_to_leave.pop(connection, None)
+        self._close_requested.pop(connection, None)
 
     def connection_closing(self, connection: LimitedConnection) -> None:
-        """Nothing that still comes on it counts; it waits for the other side to close."""
+        """Record that the connection ignores further input, and waits for the other side to close."""
         self.connection_busy(connection)
         self._closing[connection] = self.core.clock.now
         self._schedule()
 
     def connection_closed(self, connection: LimitedConnection) -> None:
-        """It is gone."""
+        """Remove a closed connection."""
         self.connection_busy(connection)
         self._closing.pop(connection, None)
         self.connections.discard(connection)
@@ -120,52 +122,55 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether one more connection needs the slot of another, which has not been evicted yet."""
+        """Whether a new connection requires an eviction."""
         return len(self.connections) >= self.max_connections and not self._is_reserved
 
     def admit(self) -> bool:
-        """Whether there is a slot for a new connection, after an eviction where that is needed."""
+        """Return whether there is a slot for a new connection, after an eviction if necessary."""
         was_reserved = self._is_reserved
         self._is_reserved = False
         return was_reserved or not self.is_full or self.evict_one()
 
     def reserve(self) -> bool:
-        """The same for the connection that is accepted next; `admit` has the slot then."""
+        """Reserve a slot for the next `admit`, evicting a connection if necessary. Return whether one is reserved."""
         self._is_reserved = self._is_reserved or not self.is_full or self.evict_one()
         return self._is_reserved
 
     def evict_one(self) -> bool:
-        """Evict the connection that has been without an open request for longest. False where there is none.
+        """Evict the connection that has had no open request for longest. Return False if there is none.
 
-        Those in the middle of a message go last: a slow client may be bringing its first request.
+        Connections that have received a message in part come last: a slow client may be sending its first request.
         """
         now = self.core.clock.now
-        graced = now - EVICTION_GRACE_US
+        grace_start = now - EVICTION_GRACE_US
         return (
-            self._evict(graced, mid_message=False)
-            or self._cut_closing(graced)
-            or self._evict(graced, mid_message=True)
+            self._evict(grace_start, mid_message=False)
+            or self._abort_closing(grace_start)
+            or self._evict(grace_start, mid_message=True)
             or self._evict(now, mid_message=True)
         )
 
     def _evict(self, since: int, mid_message: bool) -> bool:
-        """Evict one that has been in its list since then. `mid_message`: also one that is reading a message."""
+        """Evict a connection that has been in its queue since `since` or longer.
+
+        :param mid_message: Whether connections that have received a message in part may be evicted.
+        """
         return any(
-            self._evict_from(listed, since, mid_message)
-            for listed in (self._asked_to_leave, self._silent, self._idle)
+            self._evict_from(queue, since, mid_message)
+            for queue in (self._close_requested, self._silent, self._idle)
         )
 
     @staticmethod
-    def _evict_from(listed: Since, since: int, mid_message: bool) -> bool:
-        for connection in list(islice(listed, MAX_CANDIDATES)):
-            if listed.get(connection, since + 1) > since:
+    def _evict_from(queue: EntryTimes, since: int, mid_message: bool) -> bool:
+        for connection in list(islice(queue, MAX_CANDIDATES)):
+            if queue.get(connection, since + 1) > since:
                 return False
             if (mid_message or not connection.reading) and connection.end(EndReason.EVICTED_WHILE_IDLE):
                 return True
         return False
 
-    def _cut_closing(self, since: int) -> bool:
-        """Abort one that has been closing since then: it had time to take its last answer."""
+    def _abort_closing(self, since: int) -> bool:
+        """Abort a connection that has been closing since `since` or longer: it had time to read its last answer."""
         connection = next(iter(self._closing), None)
         if connection is None or self._closing[connection] > since:
             return False
@@ -175,45 +180,45 @@
 
     # ---- timeouts ----
 
-    def _timeouts(self) -> tuple[tuple[Since, int], ...]:
+    def _timeouts(self) -> tuple[tuple[EntryTimes, int], ...]:
         return (
-            (self._silent, self.first_message_timeout),
-            (self._idle, self.idle_timeout),
-            (self._asked_to_leave, LEAVE_TIMEOUT_US),
+            (self._silent, self.first_message_timeout_us),
+            (self._idle, self.idle_timeout_us),
+            (self._close_requested, LEAVE_TIMEOUT_US),
             (self._closing, CLOSE_TIMEOUT_US),
         )
 
     def _schedule(self) -> None:
-        """Set the alarm to the earliest timeout."""
-        due_times = [next(iter(listed.values())) + timeout for listed, timeout in self._timeouts() if listed]
+        """Set the alarm for the earliest timeout."""
+        due_times = [next(iter(queue.values())) + timeout for queue, timeout in self._timeouts() if queue]
         due = min(due_times, default=None)
-        if due is None or (self._alarm is not None and self._alarm_at <= due):
+        if due is None or (self._alarm is not None and self._alarm_at_us <= due):
             return
         if self._alarm is not None:
             self._alarm.cancel()
-        self._alarm_at = due
-        self._alarm = self.core.alarms.at(due, self._ring)
+        self._alarm_at_us = due
+        self._alarm = self.core.alarms.at(due, self._alarm_fired)
 
-    def _ring(self) -> None:
+    def _alarm_fired(self) -> None:
         self._alarm = None
         now = self.core.clock.now
-        for listed, timeout in self._timeouts():
-            while listed:
-                connection = next(iter(listed))
-                if now - listed[connection] < timeout:
+        for queue, timeout in self._timeouts():
+            while queue:
+                connection = next(iter(queue))
+                if now - queue[connection] < timeout:
                     break
-                self._time_out(connection, listed)
+                self._time_out(connection, queue)
         self._schedule()
 
-    def _time_out(self, connection: LimitedConnection, listed: Since) -> None:
-        if listed is self._closing:
-            del listed[connection]
+    def _time_out(self, connection: LimitedConnection, queue: EntryTimes) -> None:
+        if queue is self._closing:
+            del queue[connection]
             connection.cut()
-        elif listed is self._idle:
-            del listed[connection]
-            self._asked_to_leave[connection] = self.core.clock.now
+        elif queue is self._idle:
+            del queue[connection]
+            self._close_requested[connection] = self.core.clock.now
             connection.leave()
         else:
-            ending = EndReason.READ_TIMEOUT if listed is self._silent else EndReason.IDLE_TIMEOUT
+            ending = EndReason.READ_TIMEOUT if queue is self._silent else EndReason.IDLE_TIMEOUT
             if connection.end(ending):
-                listed.pop(connection, None)
+                queue.pop(connection, None)
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -1,7 +1,8 @@
-"""The operators' second address: HTTP/1.1 with one call a connection. Framing only.
+"""The console, a second address for operators: HTTP/1.1 with one call per connection. Framing only.
 
-Its connection slots are its own, and come out of the descriptors that clients never get. A caller that sends nothing,
-or half a call, gets 408 half a second after its accept: it must neither wait long itself nor keep another waiting.
+The console has its own connection slots, from the descriptors that are never available to clients. A caller that has
+sent no complete call half a second after it was accepted gets status 408, so that neither it nor other callers wait
+long.
 """
 
 from __future__ import annotations
@@ -19,23 +20,23 @@
 from .connection_limits import ConnectionLimiter
 from .http import HttpReply, HttpServerProtocol, not_allowed
 
-CALL_TIMEOUT_US = 500 * MS  # for a call to arrive; its answer is owed within a second
-LINGER_US = 200 * MS
-MAX_BODY_BYTES = 1024  # no call needs a body, and some tools send `{}`
+CALL_TIMEOUT_US = 500 * MS  # Time for a call to arrive. It must be answered within a second.
+LINGER_US = 200 * MS  # Time for an answer to be read, and for the other side to close.
+MAX_BODY_BYTES = 1024  # No call needs a body, but some tools send `{}`.
 QUIESCE_REASON = "quiesced by an operator"
 
 
 class ConsoleProtocol(HttpServerProtocol):
-    """One call of an operator, answered and closed."""
+    """One call of an operator. The answer closes the connection."""
 
-    linger = LINGER_US
+    linger_us = LINGER_US
     max_body_bytes = MAX_BODY_BYTES
 
     def leave(self) -> None:
-        """Nothing is asked of an operator: the answer closes the connection."""
+        """Do nothing: the answer closes the connection."""
 
     def _close(self, ending: EndReason) -> None:
-        """Answer 408 before closing a connection on which no call has arrived."""
+        """Answer 408 before closing a connection on which no complete call has arrived."""
         if ending in (EndReason.READ_TIMEOUT, EndReason.EVICTED_WHILE_IDLE):
             self._write(HttpReply(408, b"the call did not come whole in time\n"), keep_alive=False)
         super()._close(ending)
@@ -45,14 +46,17 @@
 
 
 class Console(Factory):
-    """Listens at the operators' second address.
+    """Builds the protocols of console connections, and answers the calls.
 
-    `core`: the request engine. `reporter`: the health state. `limiter`: the connections. `is_serving` tells whether
-    clients are accepted.
+    Attributes:
+        core: The request engine.
+        reporter: Reports the health state.
+        limiter: Limits the connections.
+        counter_prefix: Prefix of the connection counters.
     """
 
     noisy = False
-    counts = "console connections"
+    counter_prefix = "console connections"
 
     def __init__(
         self,
@@ -61,6 +65,7 @@
         max_connections: int,
         is_serving: Callable[[], bool],
     ) -> None:
+        """:param is_serving: Returns whether clients are accepted."""
         self.core = core
         self.reporter = reporter
         self._is_serving = is_serving
@@ -72,7 +77,7 @@
         }
 
     def buildProtocol(self, addr: object) -> ConsoleProtocol | None:
-        """Return a protocol, or None where no slot is free."""
+        """Return a protocol, or None if no slot is free."""
         self.core.begin_turn()
         if not self.limiter.admit():
             self.core.counters.add("console connections: " + EndReason.TOO_MANY_CONNECTIONS.value)
@@ -80,11 +85,11 @@
         return ConsoleProtocol(self)
 
     def connection_closed(self, connection: Any) -> None:
-        """The slot of this connection is free."""
+        """Release the slot of a connection."""
         self.limiter.connection_closed(connection)
 
     def handle(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
-        """Answer one call; `source` is not used here."""
+        """Return the reply to a call. `source` is not used."""
         self.core.counters.add("console calls")
         if path not in self._handlers:
             return HttpReply(404, f"known are {', '.join(self._handlers)}\n".encode())
@@ -112,10 +117,11 @@
         return self._state(200 if self._is_ready else 503)
 
     def _quiesce(self) -> HttpReply:
-        """Set maintenance without an end. Where the runner drains, nothing new is sent to it already."""
+        """Set maintenance without an end, unless the runner is draining and is sent no requests anyway."""
         maintenance = self.reporter.tracker.maintenance
         if self.reporter.is_in_rotation or (maintenance is not None and maintenance.expires_us is not None):
-            self.reporter.set_maintenance(QUIESCE_REASON)  # one that ends by itself would put the runner back
+            # Replaces a maintenance that expires, since its end would put the runner back into rotation.
+            self.reporter.set_maintenance(QUIESCE_REASON)
         return self._state(200)
 
     def _resume(self) -> HttpReply:
--- a/moorusher/frontends/health.py
+++ b/moorusher/frontends/health.py
@@ -16,7 +16,7 @@
 
 
 def wants_json(accept: str) -> bool:
-    """Whether an `Accept` header names JSON with a quality that text does not exceed. No header means text."""
+    """Return whether an `Accept` header prefers JSON or rates it like text. An empty header means text."""
     json_quality = 0.0
     text_quality = 0.0
     for item in accept.lower().split(","):
@@ -41,9 +41,11 @@
 
 
 class HealthCheckFactory(ProbeFactory):
-    """Listens for health checks over HTTP.
+    """Builds the protocols of HTTP health checks, and answers the checks.
 
-    `codes`: the status codes that an operator has chosen. `load`: the load report of /health, None where it is off.
+    Attributes:
+        codes: The status codes that the operator has configured.
+        load: The load report in answers of /health, None if it is off.
     """
 
     def __init__(
@@ -54,11 +56,14 @@
         self.load = load
 
     def handle(self, method: str, path: str, headers: dict[str, str], source: str) -> HttpReply:
-        """Answer one health check; `source` is the load balancer's address."""
+        """Return the reply to a health check.
+
+        :param source: Address of the load balancer.
+        """
         if method not in ("GET", "HEAD"):
             return not_allowed("GET", "HEAD")
         self.count_check()
-        if path == "/alive":  # for what restarts dead processes, not for routing
+        if path == "/alive":  # for supervisors that restart dead processes, not for routing
             return HttpReply(200, b"alive\n")
         report = self.reporter.report(source)
         answer = self._answer(path, report)
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -1,7 +1,7 @@
-"""The server's side of HTTP/1: one call read whole, with its bounds, and answered. Framing only.
+"""HTTP/1 server framing: reads each call completely, within limits, and answers it.
 
-A small reader of its own in place of Twisted's web server, which costs 6 MB and several times as much for a call,
-and counts its time-out anew with every byte (docs/design/standing.md).
+Twisted's web server is not used: it takes 6 MB of memory and several times as much processor time per call, and
+restarts its timeout with every byte (docs/design/standing.md).
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from ..time_units import SECOND
 from .unread_input import read_unread_input
 
-MAX_HEAD_BYTES = 4096  # of a call before its body, all lines together
-MAX_LENGTH_DIGITS = 12  # of Content-Length
-LINGER_US = 2 * SECOND  # for an answer to be read, and for the other side to close
+MAX_HEAD_BYTES = 4096  # Size of all lines of a call before its body.
+MAX_LENGTH_DIGITS = 12  # Maximum number of digits of Content-Length.
+LINGER_US = 2 * SECOND  # Time for an answer to be read, and for the other side to close.
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -30,12 +30,18 @@
     431: "Request Header Fields Too Large",
     503: "Service Unavailable",
 }
-OTHER_REASON = "Health"  # of status codes that an operator has chosen for health checks
+OTHER_REASON = (
+    "Health"  # Reason phrase of other status codes, which operators can configure for health checks.
+)
 
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """The answer to a call. `headers`: those beside type, length, caching and connection."""
+    """The answer to a call.
+
+    Attributes:
+        headers: Headers besides type, length, caching and connection.
+    """
 
     status: int
     body: bytes
@@ -46,66 +52,70 @@
 class HttpServerProtocol(LineReceiver):
     """Reads one call after the other, and answers each.
 
-    The factory has `core`, `limiter`, `connection_closed(protocol)`, `counts` (the prefix of its counters) and
-    `handle(method, path, headers, host)`, which returns the reply to a call. `host`: the caller's address; its port
-    changes with each connection. `linger`: us for an answer to be read. `max_body_bytes`: a body up to this is read and
-    dropped.
+    The factory has `core`, `limiter`, `connection_closed(protocol)`, `counter_prefix` and
+    `handle(method, path, headers, host)`, which returns the reply to a call.
+
+    Attributes:
+        host: Address of the caller. Its port changes with each connection.
+        linger_us: Time for an answer to be read.
+        max_body_bytes: Longest accepted body. Bodies are read and discarded.
     """
 
     transport: Any
     host = ""
     delimiter = b"\n"
     MAX_LENGTH = MAX_HEAD_BYTES
-    linger = LINGER_US
+    linger_us = LINGER_US
     max_body_bytes = 0
 
     def __init__(self, factory: Any) -> None:
         self._factory = factory
         self._core = factory.core
-        self._ending: EndReason | None = None
-        self._alarm: Any = None  # of an answer that is not read
+        self._end_reason: EndReason | None = None
+        self._alarm: Any = None  # aborts the connection if an answer is not read
         self._calls_answered = 0
-        self._expect_call()
+        self._reset_call()
 
-    def _expect_call(self) -> None:
-        self._request: bytes | None = None  # the request line, once it has come
+    def _reset_call(self) -> None:
+        self._request: bytes | None = None  # The request line, None until it has arrived.
         self._headers: dict[str, str] = {}
         self._head_bytes = 0
-        self._missing_body_bytes = 0
+        self._remaining_body_bytes = 0
 
     # ---- Twisted's events ----
 
     def connectionMade(self) -> None:
-        """A caller has connected."""
+        """Register the new connection."""
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)  # calls sent and never read must not pile up as answers
+        # Bounds the unread answers if a caller sends calls without reading.
+        self.transport.registerProducer(self, True)
         self._factory.limiter.connection_opened(self)
 
     def pauseProducing(self) -> None:
-        """The other side does not read: nothing more is read from it, and it has `linger` to begin."""
+        """Stop reading, since the other side does not read. It has `linger_us` to resume."""
         super().pauseProducing()  # type: ignore[no-untyped-call]
         if self._alarm is None:
-            self._alarm = self._core.alarms.at(self._core.clock.now + self.linger, self._end_slow_reader)
+            self._alarm = self._core.alarms.at(self._core.clock.now + self.linger_us, self._abort_slow_reader)
 
     def resumeProducing(self) -> None:
-        """The other side reads again."""
-        if self._alarm is not None and self._ending is None:
+        """Resume reading, since the other side reads again."""
+        if self._alarm is not None and self._end_reason is None:
             self._alarm.cancel()
             self._alarm = None
         super().resumeProducing()  # type: ignore[no-untyped-call]
 
     def connectionLost(self, reason: object = None) -> None:
-        """The connection is gone."""
+        """Release the connection's slot, and count why it ended."""
         if self._alarm is not None:
             self._alarm.cancel()
         self.transport.unregisterProducer()
         self._factory.connection_closed(self)
-        ending = self._ending or EndReason.CLOSED_BY_PEER
-        self._core.counters.add(f"{self._factory.counts}: {ending.value}")
+        ending = self._end_reason or EndReason.CLOSED_BY_PEER
+        self._core.counters.add(f"{self._factory.counter_prefix}: {ending.value}")
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes have come; they are dropped once the connection closes."""
-        if self._ending is None:
+        """Parse received data, unless the connection is closing."""
+        if self._end_reason is None:
             self._core.begin_turn()
             super().dataReceived(data)  # type: ignore[no-untyped-call]
 
@@ -114,15 +124,15 @@
         self._reject(431, "the head is too long", EndReason.LINE_TOO_LONG)
 
     def lineReceived(self, line: bytes) -> None:
-        """One line of a call's head."""
-        if self._ending is not None:
+        """Parse a line of a call's head."""
+        if self._end_reason is not None:
             return
         line = line.removesuffix(b"\r")
         self._head_bytes += len(line) + len(b"\r\n")
         if self._head_bytes > MAX_HEAD_BYTES:
             self._reject(431, "the head is too long", EndReason.LINE_TOO_LONG)
         elif self._request is None:
-            if line:  # empty lines before a request are passed over, as HTTP advises
+            if line:  # Empty lines before a request are ignored, as HTTP recommends.
                 self._request = line
         elif line:
             self._read_header(line)
@@ -130,10 +140,10 @@
             self._end_head(self._request)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """A part of a call's body."""
-        count = min(len(data), self._missing_body_bytes)
-        self._missing_body_bytes -= count
-        if not self._missing_body_bytes and self._ending is None:
+        """Discard body data, and handle the call once the body is complete."""
+        count = min(len(data), self._remaining_body_bytes)
+        self._remaining_body_bytes -= count
+        if not self._remaining_body_bytes and self._end_reason is None:
             self._handle_call()
             self.setLineMode(data[count:])  # type: ignore[no-untyped-call]
 
@@ -141,45 +151,46 @@
 
     @property
     def reading(self) -> bool:
-        """Whether a call has begun whose rest may still come."""
+        """Whether a call has been received in part, and the rest may still arrive."""
         return self._request is not None
 
     def leave(self) -> None:
-        """Close an idle connection: HTTP has no other word for it."""
+        """Close an idle connection, since HTTP has no message that asks the other side to close."""
         self.end(EndReason.IDLE_TIMEOUT)
 
     def end(self, ending: EndReason) -> bool:
-        """Close. Returns False where a call had come unread: it is answered now, and the connection stays."""
+        """Close. If unread input contains a call, answer it, stay open and return False."""
         answered_before = self._calls_answered
-        if self._ending is None and ending is not EndReason.CLOSED_LOCALLY:
+        if self._end_reason is None and ending is not EndReason.CLOSED_LOCALLY:
             read_unread_input(self.transport)
-            if self._calls_answered > answered_before and self._ending is None:
+            if self._calls_answered > answered_before and self._end_reason is None:
                 return False
-        if self._ending is None:
+        if self._end_reason is None:
             self._close(ending)
         return True
 
     def cut(self) -> None:
-        """Abort the connection, whatever is unsent."""
+        """Abort the connection, and discard unsent output."""
         if self in self._factory.limiter.connections:
             self.transport.abortConnection()
 
-    def _end_slow_reader(self) -> None:
-        self._ending = self._ending or EndReason.SLOW_READER
+    def _abort_slow_reader(self) -> None:
+        self._end_reason = self._end_reason or EndReason.SLOW_READER
         self.cut()
 
     def _close(self, ending: EndReason) -> None:
-        self._ending = ending
+        self._end_reason = ending
         self._factory.limiter.connection_closing(self)
-        # Dropped, since `_ending` is set: left unread, it would reset the connection, answer and all.
+        # Unread input would make the close reset the connection, and the answer could be lost. The input is discarded,
+        # since `_end_reason` is set.
         read_unread_input(self.transport)
         self.transport.loseConnection()
-        self._cut_later()
+        self._schedule_abort()
 
-    def _cut_later(self) -> None:
+    def _schedule_abort(self) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
-        self._alarm = self._core.alarms.at(self._core.clock.now + self.linger, self.cut)
+        self._alarm = self._core.alarms.at(self._core.clock.now + self.linger_us, self.cut)
 
     # ---- a call ----
 
@@ -196,7 +207,7 @@
             self._reject(400, "no HTTP/1 request", EndReason.FRAMING_LOST)
             return
         length = self._headers.get("content-length", "0")
-        # isdigit alone lets other scripts' digits pass; int alone lets '+5' and '1_0' pass.
+        # isdigit alone accepts digits of other scripts, and int alone accepts '+5' and '1_0'.
         if not (length.isascii() and length.isdigit()):
             self._reject(400, "Content-Length: expected a whole number", EndReason.FRAMING_LOST)
             return
@@ -204,8 +215,8 @@
         if is_too_long or "transfer-encoding" in self._headers:
             self._reject(413, "no such body is taken here", EndReason.FRAMING_LOST)
             return
-        self._missing_body_bytes = int(length)
-        if self._missing_body_bytes:
+        self._remaining_body_bytes = int(length)
+        if self._remaining_body_bytes:
             self.setRawMode()  # type: ignore[no-untyped-call]
         else:
             self._handle_call()
@@ -213,7 +224,7 @@
     def _handle_call(self) -> None:
         method, path, version = (part.decode("latin-1") for part in (self._request or b"").split())
         headers = self._headers
-        self._expect_call()
+        self._reset_call()
         self._calls_answered += 1
         connection = headers.get("connection", "").lower()
         keep_alive = connection == "keep-alive" if version == "HTTP/1.0" else connection != "close"
@@ -221,13 +232,16 @@
         self._answer(reply, keep_alive, method != "HEAD")
 
     def _reject(self, status: int, text: str, ending: EndReason) -> None:
-        """Answer an error and close our half: where the next call begins is not known, and the error is to be read."""
+        """Answer an error and close our half of the connection.
+
+        The start of the next call is unknown, and after a full close the caller might not be able to read the error.
+        """
         self._core.counters.add("faulty")
-        self._ending = ending
+        self._end_reason = ending
         self._factory.limiter.connection_closing(self)
         self._write(HttpReply(status, text.encode() + b"\n"), keep_alive=False)
         self.transport.loseWriteConnection()
-        self._cut_later()
+        self._schedule_abort()
 
     def _answer(self, reply: HttpReply, keep_alive: bool, with_body: bool = True) -> None:
         self._write(reply, keep_alive, with_body)
@@ -250,6 +264,6 @@
 
 
 def not_allowed(*allowed: str) -> HttpReply:
-    """Return a 405 that names the methods that are allowed."""
+    """Return a 405 reply that names the allowed methods."""
     text = f"only {' and '.join(allowed)}\n"
     return HttpReply(405, text.encode(), headers=[("Allow", ", ".join(allowed))])
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -1,4 +1,4 @@
-"""The platform's protocol, JSON-RPC 2.0 with one message a line: framing, and the life of a connection."""
+"""The platform's protocol, JSON-RPC 2.0 with one message per line: framing, and opening and closing of connections."""
 
 from __future__ import annotations
 
@@ -18,25 +18,30 @@
 from .limited_protocol import LimitedFactory
 from .unread_input import read_unread_input
 
-MAX_LINE_BYTES = 8192  # a body in base64 takes 2,732 of it
-# Until a message that gets an answer has come. A client that sends none is owed its close within 3 s, and a slow one
-# may take 2 s over its first request.
+MAX_LINE_BYTES = 8192  # The longest body takes 2,732 bytes in base64.
+# Time for the first message that gets an answer. A connection without one must be closed within 3 s, and a slow
+# client may take 2 s for its first request.
 FIRST_MESSAGE_TIMEOUT_US = 2_500 * MS
-DEFAULT_IDLE_TIMEOUT_US = 30 * SECOND  # where the settings name none
-LINGER_US = SECOND  # for the other side to read why it is closed
-MAX_READ_BYTES = 16_384  # in one turn, from one connection: many of them at once must not hold the loop
-MAX_UNSENT_BYTES = 256 * 1024  # 32 answers of 4 KiB in base64 are two thirds of it
+DEFAULT_IDLE_TIMEOUT_US = 30 * SECOND  # Used if the settings contain no idle timeout.
+LINGER_US = SECOND  # Time for the other side to read why the connection is closed.
+# Per connection and turn, so that many busy connections don't block the event loop.
+MAX_READ_BYTES = 16_384
+MAX_UNSENT_BYTES = 256 * 1024  # 32 answers of 4 KiB in base64 take two thirds of it.
 
 
 class JsonRpcProtocol(LineOnlyReceiver):
-    """One connection of a front end.
-
-    `session`: its requests. `active`: when something last came, us. `leaving`: the other side has been asked to send
-    nothing new. `unsent`: bytes written since the other side stopped reading, 0 while it reads. `last_ending`: why
-    nothing more is read, while open requests still get their answers. `ending`: why it closes, None while it is open.
+    """A connection of a front end.
+
+    Attributes:
+        session: The requests of the connection.
+        active: When the connection was made or the last message arrived, in us.
+        leaving: Whether the other side has been asked to send no new requests.
+        unsent: Bytes written since the other side stopped reading, 0 while it reads.
+        last_ending: Why reading has stopped while open requests are still answered; None while reading.
+        ending: Why the connection closes; None while it is open.
     """
 
-    transport: Any  # zope's interfaces mean nothing to mypy
+    transport: Any  # mypy does not support zope interfaces.
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
 
@@ -50,16 +55,16 @@
         self.unsent = 0
         self.last_ending: EndReason | None = None
         self.ending: EndReason | None = None
-        self._message_began_us = 0  # when the message began whose end has not come yet; 0 where there is none
-        self._is_producer = False  # registered at the transport
+        self._message_began_us = 0  # When the incomplete message began to arrive; 0 if there is none.
+        self._is_producer = False  # Whether this is registered as a producer at the transport.
 
     # ---- Twisted's events ----
 
     def connectionMade(self) -> None:
-        """A front end has connected."""
+        """Register the new connection."""
         self.transport.setTcpNoDelay(True)
         self.transport.bufferSize = MAX_READ_BYTES
-        # A front end that does not read is not read either; what it is already owed is bounded in `send`.
+        # Stops reading from a front end that does not read. `send` limits the answers to requests already received.
         self.transport.registerProducer(self, True)
         self._is_producer = True
         self._core.begin_turn()
@@ -70,7 +75,7 @@
             self.leave()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The connection is gone: nobody waits for its requests."""
+        """Release the connection's slot, count why it ended, and cancel its requests."""
         self._unregister_producer()
         is_clean = reason is None or reason.check(ConnectionDone)  # type: ignore[no-untyped-call]
         self._limiter.connection_closed(self)
@@ -79,7 +84,7 @@
         self.session.connection_lost()
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes have come; they are dropped once nothing more is read."""
+        """Parse received data, unless reading has stopped."""
         if self.ending is not None or self.last_ending is not None:
             return
         self._core.begin_turn()
@@ -90,7 +95,7 @@
             self._message_began_us = self._core.clock.now
 
     def lineReceived(self, line: bytes) -> None:
-        """One message has come."""
+        """Handle a message."""
         if self.ending is not None or self.last_ending is not None or not line.strip():
             return
         self._core.begin_turn()
@@ -98,61 +103,61 @@
         self.session.handle(line, self._message_began_us or None)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Where the next message starts is not known: nothing more is read."""
+        """Send an error and stop reading: the start of the next message is unknown."""
         self.send(error_line(None, PARSE, f"a line of more than {self.MAX_LENGTH} bytes"))
         self.stop_reading(EndReason.LINE_TOO_LONG)
 
     def pauseProducing(self) -> None:
-        """The other side does not read."""
+        """Stop reading, since the other side does not read."""
         self.unsent = 1
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        """The other side reads again."""
+        """Resume reading, since the other side reads again."""
         self.unsent = 0
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
-        """The transport says so as the connection ends; `connectionLost` follows."""
+        """Called when the connection ends. `connectionLost` follows."""
 
     def _unregister_producer(self) -> None:
         if self._is_producer:
             self._is_producer = False
             self.transport.unregisterProducer()
 
-    # ---- for the session ----
+    # ---- called by the session ----
 
     def send(self, line: bytes) -> None:
-        """Write one line. A connection that does not read is aborted above `MAX_UNSENT_BYTES`."""
-        self.transport.write(line)  # the transport writes once a turn, whatever was added to it
+        """Write a line. Abort the connection if the other side does not read and `MAX_UNSENT_BYTES` is exceeded."""
+        self.transport.write(line)  # The transport collects the output, and sends it once per turn.
         if self.unsent:
             self.unsent += len(line)
             if self.unsent > MAX_UNSENT_BYTES:
                 self.end(EndReason.SLOW_READER)
 
-    def idle(self) -> None:
-        """A complete message has come, and no request is open."""
+    def mark_idle(self) -> None:
+        """Record that a complete message has arrived, and no request is open."""
         self._limiter.connection_idle(self)
 
-    def busy(self) -> None:
-        """A request is open."""
+    def mark_busy(self) -> None:
+        """Record that a request is open."""
         self._limiter.connection_busy(self)
 
     def leave(self) -> None:
-        """Ask the front end to send nothing new here, once."""
+        """Ask the front end to send no new requests, unless it was asked before."""
         if not self.leaving:
             self.leaving = True
             self.send(LEAVING)
 
     def stop_reading(self, ending: EndReason) -> None:
-        """Read nothing more, and close once all open requests are answered."""
+        """Stop reading, and close once all open requests are answered."""
         if self.last_ending is None:
             self.last_ending = ending
-            self.busy()
-            self.end_if_answered()
+            self.mark_busy()
+            self.close_if_answered()
 
-    def end_if_answered(self) -> None:
-        """Close if nothing more is read and no request is open."""
+    def close_if_answered(self) -> None:
+        """Close if reading has stopped and no request is open."""
         if self.last_ending is not None and not self.session.open:
             self._half_close(self.last_ending)
 
@@ -160,14 +165,14 @@
 
     @property
     def reading(self) -> bool:
-        """Whether a message has begun whose rest may still come."""
+        """Whether a message has been received in part, and the rest may still arrive."""
         began = self._message_began_us
         return began > 0 and self._core.clock.now - began < FIRST_MESSAGE_TIMEOUT_US
 
     def end(self, ending: EndReason) -> bool:
-        """Close, after reading what has come unread.
+        """Read pending input, then close.
 
-        Returns False, and stays open, where that has a request, or where an idle connection is reading one.
+        Return False and stay open if the input contains a request, or if an idle connection has received one in part.
         """
         if self.ending is None and ending is not EndReason.SLOW_READER and not self.unsent:
             read_unread_input(self.transport)
@@ -181,35 +186,35 @@
         return True
 
     def read_rest(self) -> None:
-        """The runner ends: requests that have come until now still get their answers."""
+        """Read pending input before the runner stops, so that requests in it are answered."""
         if self.ending is None and not self.unsent:
             read_unread_input(self.transport)
 
     def close(self) -> None:
-        """The runner ends, and all that was open has its answer."""
+        """Close before the runner stops, after all open requests have been answered."""
         if self.ending is None:
             self._close(EndReason.CLOSED_LOCALLY)
 
     def cut(self) -> None:
-        """Abort the connection, whatever is unsent."""
+        """Abort the connection, and discard unsent output."""
         if self in self._limiter.connections:
             self.transport.abortConnection()
 
     def _close(self, ending: EndReason) -> None:
         if ending is EndReason.EVICTED_WHILE_IDLE:
-            self.leave()  # an idle front end learns why, and sends nothing new
+            self.leave()  # notifies the idle front end, so that it sends no new requests
         self.ending = ending
         self._limiter.connection_closing(self)
         if ending is EndReason.SLOW_READER:
             self.transport.abortConnection()
         else:
-            self._unregister_producer()  # with a producer that is paused, Twisted would never close
+            self._unregister_producer()  # Twisted would never close a connection with a paused producer.
             self.transport.loseConnection()
 
     def _half_close(self, ending: EndReason) -> None:
-        """Close our half, and drop what still comes.
+        """Close our half of the connection, and discard further input.
 
-        A close with input unread would reset the connection, and the other side might never see the error.
+        A full close with unread input would reset the connection, and the other side might never see the error.
         """
         if self.ending is None:
             self.ending = ending
@@ -219,15 +224,17 @@
 
 
 class JsonRpcFactory(LimitedFactory):
-    """Listens for front ends.
+    """Builds the protocols of front-end connections.
 
-    `draining`: new connections are asked to leave at once. `is_fit`: what health checks are answered.
+    Attributes:
+        draining: Whether new connections are asked at once to send no requests.
+        is_fit: Returns the answer to health checks.
     """
 
     def __init__(self, core: RequestEngine, max_connections: int, is_fit: Callable[[], bool]) -> None:
-        idle_timeout = round(core.settings.max_idle_connection_ms * MS) or DEFAULT_IDLE_TIMEOUT_US
+        idle_timeout_us = round(core.settings.max_idle_connection_ms * MS) or DEFAULT_IDLE_TIMEOUT_US
         super().__init__(
-            core, ConnectionLimiter(core, max_connections, FIRST_MESSAGE_TIMEOUT_US, idle_timeout)
+            core, ConnectionLimiter(core, max_connections, FIRST_MESSAGE_TIMEOUT_US, idle_timeout_us)
         )
         self.draining = False
         self.is_fit = is_fit
@@ -238,15 +245,18 @@
 
     @property
     def connections(self) -> set[JsonRpcProtocol]:
-        """All that are open."""
+        """The open connections."""
         return cast(set[JsonRpcProtocol], self.limiter.connections)
 
     def leave(self) -> None:
-        """Ask all front ends, and those that still connect, to send nothing new here."""
+        """Ask all front ends, including those that connect later, to send no new requests."""
         self.draining = True
         for connection in list(self.connections):
             connection.leave()
 
-    def trim(self, idle_timeout: int) -> None:
-        """Ask front ends to close what has carried nothing for this time, us: our own close could cross a request."""
-        self.limiter.set_idle_timeout(idle_timeout)
+    def trim(self, idle_timeout_us: int) -> None:
+        """Change the idle timeout, in us, after which front ends are asked to close a connection.
+
+        The runner does not close it at once, since a request could arrive at the same time.
+        """
+        self.limiter.set_idle_timeout(idle_timeout_us)
--- a/moorusher/frontends/jsonrpc_messages.py
+++ b/moorusher/frontends/jsonrpc_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the platform's protocol: what a request must have, and the lines that go back. No connection."""
+"""Messages of the platform's protocol: parsing and validation of requests, and encoding of answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     is_identifier,
 )
 
-# Codes of errors: JSON-RPC's own, and the platform's for a request that failed, or that never ran.
+# Error codes: those of JSON-RPC, and the platform's for a request that failed (FAILED) or never ran (REFUSED).
 PARSE = -32700
 INVALID = -32600
 NO_METHOD = -32601
@@ -31,7 +31,7 @@
 REFUSED = -32014
 MAX_BODY_BYTES = 2048
 LEAVING = b'{"jsonrpc":"2.0","method":"leaving"}\n'
-FAULT_CODES = {
+INVALID_ARRIVAL_CODES = {
     InvalidArrival.UNKNOWN_CLASS: NO_METHOD,
     InvalidArrival.UNKNOWN_TENANT: INVALID_PARAMS,
     InvalidArrival.ARRIVAL_TIME_IMPLAUSIBLE: INVALID_PARAMS,
@@ -42,7 +42,12 @@
 
 
 class InvalidMessageError(ValueError):
-    """A line that is no message of the protocol: `code` and `tag` are for the error that it gets."""
+    """A line is not a valid message of the protocol.
+
+    Attributes:
+        code: Error code of the answer.
+        tag: JSON-RPC ID of the answer, None if the line has no readable ID.
+    """
 
     def __init__(self, code: int, text: str, tag: int | None = None) -> None:
         super().__init__(text)
@@ -52,7 +57,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One line that has the form of a call or a notification; `tag` is None for a notification."""
+    """A valid JSON-RPC call or notification.
+
+    Attributes:
+        tag: JSON-RPC ID of a call, None for a notification.
+    """
 
     method: str
     tag: int | None
@@ -60,9 +69,9 @@
 
 
 def read_message(line: bytes) -> Message:
-    """Parse one line.
+    """Parse a line.
 
-    :raises InvalidMessageError: it is not JSON, or has not the form of JSON-RPC 2.0.
+    :raises InvalidMessageError: The line is not valid JSON or not a valid JSON-RPC 2.0 message.
     """
     try:
         message = json.loads(line)
@@ -80,27 +89,27 @@
 
 
 class InvalidParamsError(ValueError):
-    """The params of a request break the protocol; the text names the key and what is expected there."""
+    """A param of a request is invalid. The message names the key and the expected value."""
 
 
 def _number(params: dict[str, Any], key: str, allowed: ValueRange) -> float | None:
     value = params.get(key)
     if value is None:
         return None
-    # Not by isinstance alone: True is an int, and JSON as Python reads it has NaN and Infinity, in no range.
+    # isinstance alone is not enough: True is an int. NaN and Infinity, which Python's JSON accepts, are in no range.
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not allowed.contains(value):
         raise InvalidParamsError(f"{key}: expected a number {allowed}")
     return value
 
 
-def _needed(params: dict[str, Any], key: str, allowed: ValueRange) -> float:
+def _required_number(params: dict[str, Any], key: str, allowed: ValueRange) -> float:
     value = _number(params, key, allowed)
     if value is None:
         raise InvalidParamsError(f"{key}: required")
     return value
 
 
-def _text(params: dict[str, Any], key: str, max_length: int) -> str | None:
+def _string(params: dict[str, Any], key: str, max_length: int) -> str | None:
     value = params.get(key)
     if value is None:
         return None
@@ -109,7 +118,7 @@
     return value
 
 
-def _hex(text: str | None, key: str) -> int | None:
+def _hex_number(text: str | None, key: str) -> int | None:
     if text is None:
         return None
     try:
@@ -119,46 +128,46 @@
 
 
 def read_arrival(method: str, params: Any, began_us: int | None = None) -> Arrival:
-    """Map the params of one request to the core's names, checked in form.
+    """Validate the params of a request and convert them to an `Arrival`.
 
-    :param began_us: when its first byte was read, if that was in an earlier turn.
-    :raises InvalidParamsError: a param is missing or can't be used; the text names it.
+    :param began_us: When the first byte of the request was read, if that was in an earlier turn.
+    :raises InvalidParamsError: A param is missing or invalid. The message names it.
     """
     if not isinstance(params, dict):
         raise InvalidParamsError("params: expected an object")
     rid = _request_id(params)
     token = _token(params)
     body = _body(params)
-    caller = _needed(params, "peer", PEER)
+    caller = _required_number(params, "peer", PEER)
     if caller != int(caller):
         raise InvalidParamsError("peer: expected a whole number")
     return Arrival(
         rid=rid,
         class_name=method,
         body=body,
-        t0_unix_ms=_needed(params, "t0", UNIX_MS),
+        t0_unix_ms=_required_number(params, "t0", UNIX_MS),
         arrived_us=began_us,
         budget_ms=_number(params, "budget", BUDGET_MS),
-        tenant=_text(params, "acct", 256),
+        tenant=_string(params, "acct", 256),
         caller=int(caller),
-        memory_kb=_needed(params, "mem", MEMORY_KB),
-        rank=_needed(params, "prio", RANK),
+        memory_kb=_required_number(params, "mem", MEMORY_KB),
+        rank=_required_number(params, "prio", RANK),
         token=token,
-        subject=_hex(_text(params, "obj", 32), "obj"),
+        subject=_hex_number(_string(params, "obj", 32), "obj"),
         is_retry=bool(params.get("again")),
         cost_hint_ms=_number(params, "est", BUDGET_MS),
     )
 
 
 def _request_id(params: dict[str, Any]) -> str:
-    rid = _text(params, "rid", MAX_REQUEST_ID_LENGTH)
+    rid = _string(params, "rid", MAX_REQUEST_ID_LENGTH)
     if rid is None or not is_identifier(rid, MAX_REQUEST_ID_LENGTH):
         raise InvalidParamsError("rid: required, of letters, digits and -_.:")
     return rid
 
 
 def _token(params: dict[str, Any]) -> str | None:
-    token = _text(params, "token", MAX_TOKEN_LENGTH)
+    token = _string(params, "token", MAX_TOKEN_LENGTH)
     if token is not None and not is_identifier(token, MAX_TOKEN_LENGTH):
         raise InvalidParamsError("token: expected letters, digits and -_.:")
     return token
@@ -178,7 +187,10 @@
 
 
 def error_line(tag: int | None, code: int, message: str, hint: float | None = None, **data: object) -> bytes:
-    """An error; `tag` is None where the message had no id that can be read."""
+    """Encode an error.
+
+    :param tag: JSON-RPC ID, None if the message had no readable ID.
+    """
     if hint is not None:
         data["hint"] = hint
     error: dict[str, object] = {"code": code, "message": message}
@@ -188,19 +200,19 @@
 
 
 def result_line(tag: int | None, result: dict[str, object]) -> bytes:
-    """A result of the protocol's own methods."""
+    """Encode the result of one of the protocol's own methods."""
     return json.dumps({"jsonrpc": "2.0", "id": tag, "result": result}).encode() + b"\n"
 
 
 def served_line(tag: int, body: bytes, hint: float | None) -> bytes:
-    """The result of a run, put together by hand: it is most of what is written."""
+    """Encode the result of a run. It is formatted without the JSON encoder, since most of the output is results."""
     content = binascii.b2a_base64(body, newline=False)
     more = b"" if hint is None else b',"hint":%s' % json.dumps(hint).encode()
     return b'{"jsonrpc":"2.0","id":%d,"result":{"content":"%s"%s}}\n' % (tag, content, more)
 
 
 def answer_line(tag: int, answer: Answer, hint: float | None) -> bytes:
-    """The final answer of a request."""
+    """Encode the final answer of a request."""
     if answer.verdict is Verdict.SERVED:
         return served_line(tag, answer.content, hint)
     if answer.verdict is Verdict.FAILED:
--- a/moorusher/frontends/jsonrpc_session.py
+++ b/moorusher/frontends/jsonrpc_session.py
@@ -1,4 +1,4 @@
-"""What the messages of one JSON-RPC connection mean: requests, revocations, health checks, and their answers."""
+"""Handles the messages of one JSON-RPC connection: requests, revocations, health checks and their answers."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ..core.requests import Request
 from .jsonrpc_messages import (
     FAILED,
-    FAULT_CODES,
     INVALID,
+    INVALID_ARRIVAL_CODES,
     INVALID_PARAMS,
     NO_METHOD,
     REFUSED,
@@ -26,39 +26,42 @@
     result_line,
 )
 
-MAX_OPEN_REQUESTS = 32  # on one connection
-# Malformed messages until a connection is asked to leave. A front end sends none, but for classes that this runner does
-# not know yet; what it has on its way by then still gets its answers.
+MAX_OPEN_REQUESTS = 32  # Open requests per connection.
+# Malformed messages after which a front end is asked to send no new requests. A correct front end causes none, except
+# for classes that this runner does not know yet. Requests that are already on their way are still answered.
 MAX_FAULTS_BEFORE_LEAVE = 16
-MAX_FAULTS = MAX_FAULTS_BEFORE_LEAVE + 2 * MAX_OPEN_REQUESTS  # until it is closed, since it did not leave
+# Malformed messages after which the connection is closed.
+MAX_FAULTS = MAX_FAULTS_BEFORE_LEAVE + 2 * MAX_OPEN_REQUESTS
 
 
 class JsonRpcConnection(Protocol):
-    """What a session needs of its connection."""
+    """Interface of the connection of a session."""
 
     def send(self, line: bytes) -> None:
-        """Write one line."""
+        """Write a line."""
 
     def leave(self) -> None:
-        """Ask the other side to send nothing new here."""
+        """Ask the other side to send no new requests."""
 
-    def idle(self) -> None:
-        """A complete message has come, and no request is open."""
+    def mark_idle(self) -> None:
+        """Called when a complete message has arrived, and no request is open."""
 
-    def busy(self) -> None:
-        """A request is open."""
+    def mark_busy(self) -> None:
+        """Called when a request is open."""
 
     def stop_reading(self, ending: EndReason) -> None:
-        """Read nothing more; close once `end_if_answered` is called with no request open."""
+        """Stop reading, and close once `close_if_answered` is called with no request open."""
 
-    def end_if_answered(self) -> None:
-        """Close if nothing more is read and no request is open."""
+    def close_if_answered(self) -> None:
+        """Close if reading has stopped and no request is open."""
 
 
 class JsonRpcSession:
-    """The requests of one connection, and the way back for their answers (`core.answer.Reply`).
+    """The requests of one connection. Implements `core.answer.Reply`, which sends their answers.
 
-    `open`: requests that are owed an answer, by their id on this connection. `faults`: malformed messages so far.
+    Attributes:
+        open: Requests without an answer, by their JSON-RPC ID.
+        error_count: Number of malformed messages so far.
     """
 
     def __init__(
@@ -69,27 +72,27 @@
         self._is_fit = is_fit
         self.open: dict[int, Request] = {}
         self._id_by_rid: dict[str, int] = {}
-        self.faults = 0
+        self.error_count = 0
 
     def handle(self, line: bytes, began_us: int | None) -> None:
-        """Handle one message.
+        """Handle a message.
 
-        :param began_us: when its first byte was read, if that was in an earlier turn.
+        :param began_us: When the first byte of the message was read, if that was in an earlier turn.
         """
         try:
             message = read_message(line)
         except InvalidMessageError as error:
-            self._fault(error.tag, error.code, str(error))
+            self._reject_message(error.tag, error.code, str(error))
             return
         if message.method == "revoke":
             self._revoke(message.tag, message.params)
         elif message.method == "heartbeat":
             self._check_health(message.tag)
-        elif message.tag is not None:  # JSON-RPC has no answer to a notification of an unknown method
-            self._request(message.method, message.tag, message.params, began_us)
+        elif message.tag is not None:  # JSON-RPC does not answer notifications, even of unknown methods.
+            self._submit_request(message.method, message.tag, message.params, began_us)
 
     def connection_lost(self) -> None:
-        """Nobody waits for the open requests any more."""
+        """Cancel the open requests, since their caller has disconnected."""
         requests = list(self.open.values())
         self.open = {}
         self._id_by_rid.clear()
@@ -101,34 +104,36 @@
         request = self.open.pop(tag, None)
         if request is not None:
             self._id_by_rid.pop(request.rid, None)
-            self._note_idle()
+            self._mark_idle_if_answered()
         self._connection.send(answer_line(tag, answer, hint))
         if answer.cause is Cause.UNKNOWN_TO_KERNEL:
-            self._count_fault()
-        self._connection.end_if_answered()
+            self._count_error()
+        self._connection.close_if_answered()
 
-    def _request(self, method: str, tag: int, params: Any, began_us: int | None) -> None:
+    def _submit_request(self, method: str, tag: int, params: Any, began_us: int | None) -> None:
         registrar = self._core.registrar
         if method not in registrar.classes:
-            # Front ends learn late of a class that was dropped: no reason to close their connection.
-            self._fault(tag, NO_METHOD, "no such method", method not in registrar.former_classes)
+            # Front ends may learn late that a class was removed, so such a request does not count as malformed.
+            self._reject_message(tag, NO_METHOD, "no such method", method not in registrar.former_classes)
             return
         if tag < 1 or tag in self.open:
-            self._fault(tag, INVALID, "id: expected one from 1 on that is not in use")
+            self._reject_message(tag, INVALID, "id: expected one from 1 on that is not in use")
             return
         if len(self.open) >= MAX_OPEN_REQUESTS:
-            self._fault(tag, INVALID, f"more than {MAX_OPEN_REQUESTS} requests open on one connection")
+            self._reject_message(
+                tag, INVALID, f"more than {MAX_OPEN_REQUESTS} requests open on one connection"
+            )
             return
         try:
             arrival = read_arrival(method, params, began_us)
         except InvalidParamsError as error:
-            self._fault(tag, INVALID_PARAMS, str(error))
+            self._reject_message(tag, INVALID_PARAMS, str(error))
             return
         submitted = self._core.submit(arrival, self, tag)
         if isinstance(submitted, InvalidArrival):
             self._reject(tag, submitted)
             return
-        self._connection.busy()
+        self._connection.mark_busy()
         self.open[tag] = submitted
         self._id_by_rid[submitted.rid] = tag
 
@@ -136,24 +141,24 @@
         if reason in NEVER_RAN:
             hint = self._core.state.load_signal
             self._connection.send(error_line(tag, REFUSED, reason.value, hint, backoff=RETRY_AFTER_MS))
-            self._note_idle()
+            self._mark_idle_if_answered()
         else:
-            code = FAULT_CODES.get(reason, FAILED)
-            self._fault(tag, code, reason.value, by_client=reason in FAULT_CODES)
+            code = INVALID_ARRIVAL_CODES.get(reason, FAILED)
+            self._reject_message(tag, code, reason.value, by_client=reason in INVALID_ARRIVAL_CODES)
 
-    def _fault(self, tag: int | None, code: int, text: str, by_client: bool = True) -> None:
+    def _reject_message(self, tag: int | None, code: int, text: str, by_client: bool = True) -> None:
         self._core.counters.add("faulty")
         self._connection.send(error_line(tag, code, text))
-        self._note_idle()
+        self._mark_idle_if_answered()
         if by_client:
-            self._count_fault()
+            self._count_error()
 
-    def _count_fault(self) -> None:
-        """Bound the malformed messages of a connection: each costs the loop as much as a request."""
-        self.faults += 1
-        if self.faults == MAX_FAULTS_BEFORE_LEAVE:
+    def _count_error(self) -> None:
+        """Count a malformed message. Their number is limited, since each costs as much time as a request."""
+        self.error_count += 1
+        if self.error_count == MAX_FAULTS_BEFORE_LEAVE:
             self._connection.leave()
-        if self.faults >= MAX_FAULTS:
+        if self.error_count >= MAX_FAULTS:
             self._connection.stop_reading(EndReason.TOO_MANY_ERRORS)
 
     def _check_health(self, tag: int | None) -> None:
@@ -162,10 +167,10 @@
             result["hint"] = self._core.state.load_signal
         self._core.counters.add("health checks")
         self._connection.send(result_line(tag, result))
-        self._note_idle()
+        self._mark_idle_if_answered()
 
     def _revoke(self, tag: int | None, params: Any) -> None:
-        """The caller waits no longer for a request, which is named by its rid or by its id on this connection."""
+        """Cancel a request, which the caller names by its rid or by its JSON-RPC ID."""
         named = params if isinstance(params, dict) else {}
         revoked = named.get("id")
         rid = named.get("rid")
@@ -175,10 +180,10 @@
         if request is not None:
             self._id_by_rid.pop(request.rid, None)
             self._core.caller_disconnected(request)
-            self._note_idle()
+            self._mark_idle_if_answered()
         if tag is not None and tag not in self.open:
             self._connection.send(result_line(tag, {}))
 
-    def _note_idle(self) -> None:
+    def _mark_idle_if_answered(self) -> None:
         if not self.open:
-            self._connection.idle()
+            self._connection.mark_idle()
--- a/moorusher/frontends/limited_protocol.py
+++ b/moorusher/frontends/limited_protocol.py
@@ -1,4 +1,4 @@
-"""The Factory of frontends that bound their connections with a `ConnectionLimiter`."""
+"""Base class of the factories whose connections a `ConnectionLimiter` limits."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 
 
 class LimitedFactory(Factory):
-    """Builds the protocols of accepted connections. `server/accepting_port.py` asks it for a slot before it accepts.
+    """Builds the protocols of accepted connections. `server/accepting_port.py` reserves a slot before each accept.
 
-    `core`: the request engine. `limiter`: the connections and their bound. `counted_as`: prefix of its counters.
+    Attributes:
+        core: The request engine.
+        limiter: Limits the connections.
+        counter_prefix: Prefix of the connection counters.
     """
 
     noisy = False
-    counted_as = "connections"
+    counter_prefix = "connections"
 
     def __init__(self, core: RequestEngine, limiter: ConnectionLimiter) -> None:
         self.core = core
@@ -29,23 +32,23 @@
         raise NotImplementedError
 
     def buildProtocol(self, addr: object) -> Any:
-        """Return a protocol, or None where no slot is free and no connection can be evicted."""
+        """Return a protocol, or None if no slot is free and no connection can be evicted."""
         self.core.begin_turn()
         if not self.limiter.admit():
-            self.core.counters.add(f"{self.counted_as}: {EndReason.TOO_MANY_CONNECTIONS.value}")
+            self.core.counters.add(f"{self.counter_prefix}: {EndReason.TOO_MANY_CONNECTIONS.value}")
             return None
         return self.connection()
 
     def is_full(self) -> bool:
-        """Whether all slots are taken."""
+        """Return whether all slots are in use."""
         return self.limiter.is_full
 
     def reserve_slot(self) -> bool:
-        """Reserve a slot for the connection that is accepted next. False where every connection has a request."""
+        """Reserve a slot for the next accepted connection. Return False if all connections have open requests."""
         self.core.begin_turn()
         return self.limiter.reserve()
 
     def evict_idle(self) -> None:
-        """Close one connection that has no request open, if there is one: the process is out of descriptors."""
+        """Close one connection without an open request, if there is one, to free a file descriptor."""
         self.core.begin_turn()
         self.limiter.evict_one()
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -1,4 +1,4 @@
-"""What the listeners for health checks share: bounds on connections, so that no load balancer starves the others."""
+"""Base class of the health-check listeners. It limits connections, so that no load balancer starves the others."""
 
 from __future__ import annotations
 
@@ -15,31 +15,37 @@
 from ..time_units import SECOND
 from .connection_limits import ConnectionLimiter
 
-MAX_CONNECTIONS = 128  # of load balancers at a time, for each listener
-MAX_CONNECTIONS_OF_HOST = 48  # of them from one address: a flood from there must leave slots to the others
-PROBE_TIMEOUT_US = 2 * SECOND  # for a health check to arrive, and for its answer to be read
-IDLE_TIMEOUT_US = 60 * SECOND  # a load balancer may keep its connection between health checks
+MAX_CONNECTIONS = 128  # Open connections per listener.
+MAX_CONNECTIONS_OF_HOST = (
+    48  # Open connections from one address, so that a flood from there leaves slots free.
+)
+PROBE_TIMEOUT_US = 2 * SECOND  # Time for a health check to arrive, and for its answer to be read.
+IDLE_TIMEOUT_US = 60 * SECOND  # A load balancer may keep its connection open between health checks.
 
 
 class ProbeFactory(Factory):
-    """Listens for health checks. A connection that finds no slot is closed without a byte.
+    """Builds the protocols of health checks. A connection without a free slot is closed without an answer.
 
-    `core`: the request engine. `reporter`: the health state. `limiter`: the connections. `counts`: prefix of its
-    counters. `build` makes the protocol of a connection from the factory; the protocol has an attribute `host`.
+    Attributes:
+        core: The request engine.
+        reporter: Reports the health state.
+        limiter: Limits the connections.
+        counter_prefix: Prefix of the connection counters.
     """
 
     noisy = False
-    counts = "probes"
+    counter_prefix = "probes"
 
     def __init__(self, core: RequestEngine, reporter: Reporter, build: Callable[[Any], Any]) -> None:
+        """:param build: Returns a protocol for this factory. The protocol has an attribute `host`."""
         self.core = core
         self.reporter = reporter
         self._build = build
         self.limiter = ConnectionLimiter(core, MAX_CONNECTIONS, PROBE_TIMEOUT_US, IDLE_TIMEOUT_US)
-        self._connections_of_host: Counter[str] = Counter()  # hosts without connections are not in it
+        self._connections_of_host: Counter[str] = Counter()  # without hosts that have no connection
 
     def buildProtocol(self, addr: object) -> Any:
-        """Return a protocol, or None where no slot is free for this address."""
+        """Return a protocol, or None if no slot is free for this address."""
         self.core.begin_turn()
         host = str(getattr(addr, "host", ""))
         if self._connections_of_host[host] >= MAX_CONNECTIONS_OF_HOST or not self.limiter.admit():
@@ -51,21 +57,23 @@
         return protocol
 
     def connection_closed(self, connection: Any) -> None:
-        """The slot of this connection is free."""
+        """Release the slot of a connection."""
         self.limiter.connection_closed(connection)
         self._connections_of_host[connection.host] -= 1
         if self._connections_of_host[connection.host] <= 0:
             del self._connections_of_host[connection.host]
 
     def count_check(self) -> None:
-        """Count one health check."""
+        """Count a health check."""
         self.core.counters.add("health checks")
 
 
 class RequestRates:
-    """Requests and failures a second, over at least the last second, for load reports.
+    """Rates of requests for load reports, measured over at least a second.
 
-    `served_per_s`, `failed_per_s`: as of the last `update`.
+    Attributes:
+        served_per_s: Rate of served requests as of the last `update`.
+        failed_per_s: Rate of failed requests as of the last `update`.
     """
 
     def __init__(self, core: RequestEngine) -> None:
@@ -77,7 +85,7 @@
         self.failed_per_s = 0.0
 
     def update(self) -> None:
-        """Work the rates out anew where a second has passed since the last time."""
+        """Calculate the rates again if a second has passed since the last calculation."""
         now = self._core.clock.now
         if now - self._updated_at_us < SECOND:
             return
@@ -91,14 +99,14 @@
 
 
 class LoadReport:
-    """The health state as a load report in ORCA's text form, for answers that carry it."""
+    """Formats the health state as a load report in the text format of ORCA."""
 
     def __init__(self, core: RequestEngine, reporter: Reporter) -> None:
         self._reporter = reporter
         self._rates = RequestRates(core)
 
     def text(self) -> str:
-        """Return the report. Utilization is left out where the gauges are too old."""
+        """Return the report, without utilization if the gauges are too old."""
         report = self._reporter.report()
         self._rates.update()
         gauges = self._reporter.observe().gauges
--- a/moorusher/frontends/unread_input.py
+++ b/moorusher/frontends/unread_input.py
@@ -1,20 +1,20 @@
-"""Reads what the system already holds for a connection, before that connection is closed.
+"""Reads the input that the operating system has received for a connection, before the connection is closed.
 
-A close over unread bytes resets the connection, and a request among them would never get its answer.
+A close with unread input resets the connection, and a request in that input would never be answered.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-READ_BYTES = 65_536  # in one read
-MAX_READS = 4  # a client that sends without end must not keep its connection open by that
+READ_BYTES = 65_536  # Maximum size of one read.
+MAX_READS = 4  # Bounds the work for a client that sends continuously.
 
 
 def read_unread_input(transport: Any) -> None:
-    """Pass to the protocol all that has arrived. An end of the stream or an error is left for the loop to find."""
+    """Pass pending input to the protocol. The end of the stream and errors are left to the event loop."""
     for _ in range(MAX_READS):
-        connected = getattr(transport, "socket", None)  # Twisted takes it away with the connection
+        connected = getattr(transport, "socket", None)  # Twisted deletes it when the connection is closed.
         if connected is None or transport.disconnecting:
             return
         try:
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi protocol: a packet of variables, then a body, then an HTTP response. Framing only."""
+"""The uwsgi frontend: reads a packet of variables and a body, and sends an HTTP response. Framing only."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from ..core.requests import Request
 from ..protocols.uwsgi_packets import (
     FAILED_STATUS,
-    FAULT_STATUS,
     HEAD,
+    INVALID_ARRIVAL_STATUS,
     PING,
     PONG,
     WSGI,
     InvalidPacketError,
+    build_response,
     content_length,
     parse_vars,
     read_arrival,
-    response,
 )
 from ..time_units import SECOND
 from .connection_limits import ConnectionLimiter
 from .limited_protocol import LimitedFactory
 from .unread_input import read_unread_input
 
-LINGER_US = 2 * SECOND  # for an answer to be read, and for the other side to close
+LINGER_US = 2 * SECOND  # Time for an answer to be read, and for the other side to close.
 
 
 class State(Enum):
-    """How far a connection has come."""
+    """State of a connection."""
 
     READING_PACKET = "reading the packet"
     READING_BODY = "reading the body"
@@ -46,9 +46,12 @@
 
 
 class UwsgiProtocol(Protocol):
-    """One request: the protocol has no way to put a second on a connection.
+    """A connection with its only request: the protocol does not support further requests on a connection.
 
-    `state`: how far it has come. `request`: the request that awaits its answer. `ending`: why the connection closes.
+    Attributes:
+        state: State of the connection.
+        request: The request that awaits its answer, None before and after.
+        ending: Why the connection closes, None if that is not known.
     """
 
     transport: Any
@@ -60,31 +63,33 @@
         self.request: Request | None = None
         self.ending: EndReason | None = None
         self._data = bytearray()
-        self._began_us = 0  # when the client connected: its budget runs while its body is still on the way
+        self._began_us = (
+            0  # When the client connected. The request's time budget includes the transfer of its body.
+        )
         self._variables: dict[str, str] = {}
-        self._body_bytes = 0  # length of the body that the packet announces
+        self._body_bytes = 0  # Length of the body as stated in the packet.
         self._alarm: Alarm | None = None
 
     @property
     def reading(self) -> bool:
-        """Whether a request has begun whose rest may still come."""
+        """Whether a request has been received in part, and the rest may still arrive."""
         return self.state is State.READING_BODY or bool(self._data)
 
     def connectionMade(self) -> None:
-        """A client has connected."""
+        """Register the new connection."""
         self.transport.setTcpNoDelay(True)
-        # A client that stops in the middle would else keep its slot for good.
+        # Starts a timeout, so that a client that stops within its request does not keep its slot forever.
         self._factory.limiter.connection_opened(self)
         self._core.counters.add("uwsgi connections")
         self._began_us = self._core.clock.now
 
     def leave(self) -> None:
-        """Nothing can be asked of a uwsgi client: one that is idle is answered that it was too slow."""
+        """Do nothing: uwsgi can't ask a client to close. An idle client gets status 408 from `end`."""
 
     def end(self, ending: EndReason) -> bool:
-        """Answer 408 and close: the request has not arrived in time, or its slot is needed.
+        """Answer 408 and close, since the request has not arrived in time or its slot is needed.
 
-        Returns False, and stays open, where the rest of the request was only unread.
+        Return False and stay open if the rest of the request is in unread input.
         """
         self.read_rest()
         if self.state is State.AWAITING_ANSWER:
@@ -92,19 +97,22 @@
         if self.state is not State.ANSWERED:
             self.ending = self.ending or ending
             self._finish(
-                response(408, b"the request did not come whole in time"),
+                build_response(408, b"the request did not come whole in time"),
                 close_now=ending is EndReason.EVICTED_WHILE_IDLE,
             )
         return True
 
     def cut(self) -> None:
-        """Abort the connection: the answer is not being read."""
+        """Abort the connection, since the answer is not being read."""
         if self in self._factory.limiter.connections:
             self.ending = self.ending or EndReason.IDLE_TIMEOUT
             self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
-        """The connection is gone. A request that has not arrived completely never entered the core."""
+        """Release the connection's slot, count why it ended, and cancel its request.
+
+        A request that has not arrived completely was never submitted to the core.
+        """
         if self._alarm is not None:
             self._alarm.cancel()
         self._factory.limiter.connection_closed(self)
@@ -118,7 +126,7 @@
         self.request = None
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes of the request have come; what follows it is dropped."""
+        """Parse data of the request, and discard any data after it."""
         if self.state in (State.AWAITING_ANSWER, State.ANSWERED):
             return
         self._data += data
@@ -130,7 +138,7 @@
         except InvalidPacketError as error:
             self._core.counters.add("faulty")
             self._data.clear()
-            self._finish(response(error.status, str(error).encode()))
+            self._finish(build_response(error.status, str(error).encode()))
 
     def _read_packet(self) -> None:
         if len(self._data) < HEAD.size:
@@ -160,24 +168,24 @@
             return
         self.state = State.AWAITING_ANSWER
         self.request = submitted
-        self._factory.limiter.connection_busy(self)  # from here on the core watches the deadline
+        self._factory.limiter.connection_busy(self)  # From now on, the core enforces the deadline.
 
     def _reject(self, reason: InvalidArrival) -> None:
-        status = FAULT_STATUS[reason]
+        status = INVALID_ARRIVAL_STATUS[reason]
         headers: dict[str, object] = {"Retry_After": 1} if status == 503 else {}
         if reason in NEVER_RAN:
             headers |= {"X_Moorusher_Backoff_Ms": round(RETRY_AFTER_MS), "X_Moorusher_Never_Ran": 1}
-        self._finish(response(status, reason.value.encode(), **headers))
+        self._finish(build_response(status, reason.value.encode(), **headers))
 
     def read_rest(self) -> None:
-        """Read what has come until now: a request among it is served."""
+        """Read pending input, so that a request in it is served."""
         if self.state in (State.READING_PACKET, State.READING_BODY):
             read_unread_input(self.transport)
 
     def close(self) -> None:
-        """The runner ends: a request that has not arrived completely never ran, and may go elsewhere."""
+        """Close before the runner stops. A request that has not arrived completely is answered as never run."""
         if self.state in (State.READING_PACKET, State.READING_BODY) and self._data:
-            refusal = response(
+            refusal = build_response(
                 503, Cause.SHUTTING_DOWN.value.encode(), Retry_After=1, X_Moorusher_Never_Ran=1
             )
             self._finish(refusal, close_now=True)
@@ -190,24 +198,26 @@
         if self._factory.load is not None:
             headers["endpoint_load_metrics"] = self._factory.load()
         if answer.verdict is Verdict.SERVED:
-            self._finish(response(200, answer.content, **headers))
+            self._finish(build_response(200, answer.content, **headers))
         elif answer.verdict is Verdict.REJECTED:
-            # Whole seconds are all that Retry-After can say; the exact wait stands beside it.
+            # Retry-After has only whole seconds, so the exact delay is sent in a header of its own.
             headers |= {
                 "Retry_After": max(1, math.ceil(answer.retry_after_ms / 1000)),
                 "X_Moorusher_Backoff_Ms": round(answer.retry_after_ms),
                 "X_Moorusher_Never_Ran": 1,
                 "X_Moorusher_Final": int(answer.final),
             }
-            self._finish(response(503, answer.rejection_message.encode(), **headers))
+            self._finish(build_response(503, answer.rejection_message.encode(), **headers))
         else:
-            self._finish(response(FAILED_STATUS[answer.cause], answer.cause.value.encode(), **headers))
+            self._finish(build_response(FAILED_STATUS[answer.cause], answer.cause.value.encode(), **headers))
 
     def _finish(self, data: bytes, close_now: bool = False) -> None:
-        """Write the answer and close our half; what still comes is dropped until the other side closes, or `LINGER_US`.
+        """Write the answer, close our half of the connection, and discard input until the other side closes.
+
+        A full close with unread input would reset the connection, and the answer could be lost. After `LINGER_US` the
+        connection is aborted.
 
-        With input unread, a close would reset the connection before the answer is seen. `close_now`: the descriptor is
-        needed, or the runner ends.
+        :param close_now: Close at once, since the descriptor is needed or the runner stops.
         """
         self.state = State.ANSWERED
         self.request = None
@@ -221,13 +231,15 @@
 
 
 class UwsgiFactory(LimitedFactory):
-    """Listens for uwsgi clients.
+    """Builds the protocols of uwsgi connections.
 
-    `max_body_bytes`: longest body of a request. `is_fit`: what pings are answered. `load`: returns the load report that
-    goes with each answer; None where there is none.
+    Attributes:
+        max_body_bytes: Longest accepted body of a request.
+        is_fit: Returns whether pings are answered.
+        load: Returns the load report for each answer, None if there is none.
     """
 
-    counted_as = "uwsgi connections"
+    counter_prefix = "uwsgi connections"
 
     def __init__(
         self,
@@ -243,10 +255,10 @@
         self.load: Callable[[], str] | None = None
 
     def connection(self) -> UwsgiProtocol:
-        """A new connection of a client."""
+        """Return the protocol of a new connection."""
         return UwsgiProtocol(self)
 
     @property
     def connections(self) -> set[UwsgiProtocol]:
-        """All that are open."""
+        """The open connections."""
         return cast(set[UwsgiProtocol], self.limiter.connections)
--- a/moorusher/protocols/__init__.py
+++ b/moorusher/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Formats on the wire that both a frontend and a backend use."""
+"""Wire formats that both a frontend and a backend use."""
--- a/moorusher/protocols/uwsgi_packets.py
+++ b/moorusher/protocols/uwsgi_packets.py
@@ -1,6 +1,6 @@
-"""The uwsgi protocol's packets and the HTTP responses that go back: read, checked and built. No connection.
+"""Packets of the uwsgi protocol and the HTTP responses to them: parsing, validation and encoding.
 
-Variables: CONTENT_LENGTH and those named in `VARS`; README.md has the table of statuses.
+The variables are CONTENT_LENGTH and those in `VARS`. README.md has the table of statuses.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
     is_identifier,
 )
 
-HEAD = struct.Struct("<BHB")  # modifier1, size of the variables, modifier2
+HEAD = struct.Struct("<BHB")  # modifier1, size of the variables in bytes, modifier2
 LENGTH = struct.Struct("<H")
 WSGI = 0  # modifier1 of a request
 PING = 100  # modifier1 of a ping
 PONG = 1  # modifier2 of the answer to a ping
 MAX_VARIABLES = 128
-MAX_LENGTH_DIGITS = 12  # of CONTENT_LENGTH
+MAX_LENGTH_DIGITS = 12  # Maximum number of digits of CONTENT_LENGTH.
 
 VARS = {
     "class": "MOORUSHER_CLASS",
@@ -45,7 +45,7 @@
     "obj": "MOORUSHER_SUBJECT",
 }
 
-FAULT_STATUS = {
+INVALID_ARRIVAL_STATUS = {
     InvalidArrival.UNKNOWN_CLASS: 404,
     InvalidArrival.UNKNOWN_TENANT: 403,
     InvalidArrival.IDEMPOTENCY_KEY_MISSING: 400,
@@ -58,7 +58,7 @@
     InvalidArrival.NOT_READY: 503,
     InvalidArrival.RULES_UNKNOWN: 503,
 }
-# A gateway's two words: what stood behind it failed (502), or did not answer in time (504).
+# As for any gateway: the backend failed (502), or did not answer in time (504).
 FAILED_STATUS = {
     Cause.RUN_FAILED: 502,
     Cause.UNKNOWN_TO_KERNEL: 502,
@@ -84,7 +84,11 @@
 
 
 class InvalidPacketError(ValueError):
-    """What was read is no uwsgi request; `status` is that of the HTTP response."""
+    """The received data is not a valid uwsgi request.
+
+    Attributes:
+        status: Status of the HTTP response.
+    """
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -92,9 +96,9 @@
 
 
 def parse_vars(block: bytes) -> dict[str, str]:
-    """Parse pairs of key and value, each with its length before it. A later pair of one key wins, as in uWSGI.
+    """Parse pairs of name and value, each preceded by its length. The last value of a name wins, as in uWSGI.
 
-    :raises InvalidPacketError: a length runs past the block, a name is empty, or there are too many variables.
+    :raises InvalidPacketError: A length exceeds the block, a name is empty, or there are too many variables.
     """
     found: dict[str, str] = {}
     at = 0
@@ -119,7 +123,7 @@
 
 
 def build_packet(variables: dict[str, str], modifier1: int = WSGI, modifier2: int = 0) -> bytes:
-    """Build a packet of variables, as a client sends it."""
+    """Build a packet of variables as a client sends it."""
     parts = []
     for pair in variables.items():
         for text in pair:
@@ -130,14 +134,14 @@
 
 
 def content_length(variables: dict[str, str], max_bytes: int) -> int:
-    """Return the length of the body, 0 where none is given.
+    """Return the length of the body, 0 if CONTENT_LENGTH is missing.
 
-    :raises InvalidPacketError: it is no whole number, or more than `max_bytes`.
+    :raises InvalidPacketError: The value is not a whole number, or exceeds `max_bytes`.
     """
     text = variables.get("CONTENT_LENGTH", "")
     if not text:
         return 0
-    # isdigit alone lets other scripts' digits pass; int alone lets '+5', ' 5' and '1_0' pass.
+    # isdigit alone accepts digits of other scripts, and int alone accepts '+5', ' 5' and '1_0'.
     if not (text.isascii() and text.isdigit()):
         raise InvalidPacketError(400, "CONTENT_LENGTH: expected a whole number")
     if len(text) > MAX_LENGTH_DIGITS or int(text) > max_bytes:
@@ -159,10 +163,10 @@
 
 
 def read_arrival(variables: dict[str, str], body: bytes, began_us: int | None = None) -> Arrival:
-    """Map the variables of one request to the core's names, checked in form.
+    """Validate the variables of a request and convert them to an `Arrival`.
 
-    :param began_us: when its first byte was read.
-    :raises InvalidPacketError: a variable is missing or can't be used; the text names it.
+    :param began_us: When the request began to arrive.
+    :raises InvalidPacketError: A variable is missing or invalid. The message names it.
     """
     class_name = variables.get(VARS["class"], "")
     if not class_name:
@@ -194,8 +198,8 @@
     )
 
 
-def response(status: int, body: bytes = b"", **headers: object) -> bytes:
-    """Build an HTTP response; underscores in the names of headers stand for hyphens."""
+def build_response(status: int, body: bytes = b"", **headers: object) -> bytes:
+    """Build an HTTP response. Underscores in header names become hyphens."""
     lines = [
         f"HTTP/1.1 {status} {REASONS[status]}",
         f"Content-Length: {len(body)}",
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -14,7 +14,7 @@
 from moorusher.frontends.jsonrpc import MAX_UNSENT_BYTES, JsonRpcFactory, JsonRpcProtocol
 from moorusher.frontends.jsonrpc_session import MAX_FAULTS, MAX_FAULTS_BEFORE_LEAVE
 from moorusher.frontends.uwsgi import UwsgiFactory
-from moorusher.protocols.uwsgi_packets import FAILED_STATUS, FAULT_STATUS, REASONS
+from moorusher.protocols.uwsgi_packets import FAILED_STATUS, INVALID_ARRIVAL_STATUS, REASONS
 from moorusher.scheduling.interface import SignalKind
 
 from .stand_ins import uwsgi_request
@@ -283,7 +283,7 @@
     connection.dataReceived(request_line(1, "write", token="t"))
     (rejected,) = take_messages(transport)
     assert rejected["error"] == {"code": -32014, "message": why, "data": {"backoff": 1000.0}}
-    assert connection.session.faults == 0
+    assert connection.session.error_count == 0
     other = UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None)
     transport = Transport()
     assert other is not None
@@ -316,4 +316,4 @@
         Cause.KEY_STATE_UNKNOWN,
         Cause.FORBIDDEN_BY_RULES,
     }
-    assert {*FAILED_STATUS.values(), *FAULT_STATUS.values()} <= set(REASONS)
+    assert {*FAILED_STATUS.values(), *INVALID_ARRIVAL_STATUS.values()} <= set(REASONS)
--- a/tests/test_silence_detection.py
+++ b/tests/test_silence_detection.py
@@ -20,9 +20,9 @@
 
 
 def check(
-    silence: SilenceDetection, after: int, may_doubt: bool = True, may_replace: bool = True
+    silence: SilenceDetection, after: int, may_suspect: bool = True, may_replace: bool = True
 ) -> SilenceVerdict:
-    return silence.check(START + after, may_doubt, may_replace)
+    return silence.check(START + after, may_suspect, may_replace)
 
 
 def test_a_connection_is_asked_first_and_replaced_when_it_stays_silent() -> None:
@@ -47,6 +47,6 @@
 def test_a_peer_that_may_be_silent_is_not_doubted_and_one_replacement_is_enough() -> None:
     silence = watched()
     for times in range(1, 4):
-        assert check(silence, times * MAX_SILENCE_US, may_doubt=False) is SilenceVerdict.PROBE
+        assert check(silence, times * MAX_SILENCE_US, may_suspect=False) is SilenceVerdict.PROBE
     assert check(silence, 4 * MAX_SILENCE_US, may_replace=False) is SilenceVerdict.PROBE
     assert check(silence, 5 * MAX_SILENCE_US, may_replace=False) is SilenceVerdict.PROBE
