--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -19,15 +19,15 @@
 class AgentCheckProtocol(Protocol):
     """One agent check.
 
-    HAProxy sends nothing or the `agent-send` text, and reads one line. The line is sent without waiting for the text.
-    But a close with the text unread would reset the connection, and the line could be lost. So only our half is
-    closed, and HAProxy has `PROBE_TIMEOUT_US` to close its half.
-
     Attributes:
         reading: Always False: the line is written before anything is read.
         host: Address of the load balancer. Its port changes with each check.
     """
 
+    # HAProxy sends nothing or the `agent-send` text, and reads one line. The line is sent without waiting for the text.
+    # But a close with the text unread would reset the connection, and the line could be lost. So only our half is
+    # closed, and HAProxy has `PROBE_TIMEOUT_US` to close its half.
+
     transport: Any
     reading = False
     host = ""
@@ -91,10 +91,8 @@
         self.maxconn = maxconn
 
     def record_sender(self, host: str, sent: bytes) -> None:
-        """Record a check of the load balancer named in `agent-send`.
-
-        Load balancers behind one address must be distinguished, since their check intervals differ.
-        """
+        """Record a check of the load balancer that is named in `agent-send`."""
+        # Load balancers behind one address must be distinguished, since their check intervals differ.
         name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MAX_NAME_LENGTH]
         if name:
             self.core.begin_turn()
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -1,11 +1,11 @@
-"""Limits the connections of a frontend, and selects the connection that is evicted for a new one.
+"""Limits the connections of a frontend, and selects the connection that is evicted for a new one."""
 
-Guards against clients that open hundreds of connections and send nothing, or send one request and keep the connection
-open forever: they would occupy all slots, and other front ends could not connect. Each connection is in at most one
-queue, in order of time: `closing`, `silent` (no complete message yet), `idle` (no open request) or `close requested`.
-A connection that is in none of them has an open request, and is never evicted. One alarm is set for the earliest
-timeout of all queues.
-"""
+# Guards against clients that open hundreds of connections and send nothing, or send one request and keep the connection
+# open forever: they would occupy all slots, and other front ends could not connect.
+#
+# Each connection is in at most one queue, in order of time: closing, silent (no complete message yet), idle (no open
+# request) or close requested. A connection that is in none of them has an open request, and is never evicted. One alarm
+# is set for the earliest timeout of all queues.
 
 from __future__ import annotations
 
@@ -137,10 +137,8 @@
         return self._is_reserved
 
     def evict_one(self) -> bool:
-        """Evict the connection that has had no open request for longest. Return False if there is none.
-
-        Connections that have received a message in part come last: a slow client may be sending its first request.
-        """
+        """Evict the connection that has had no open request for longest. Return False if there is none."""
+        # Connections that have received a message in part come last: a slow client may be sending its first request.
         now = self.core.clock.now
         grace_start = now - EVICTION_GRACE_US
         return (
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -1,8 +1,7 @@
-"""HTTP/1 server framing: reads each call completely, within limits, and answers it.
+"""HTTP/1 server framing: reads each call completely, within limits, and answers it."""
 
-Twisted's web server is not used: it takes 6 MB of memory and several times as much processor time per call, and
-restarts its timeout with every byte (docs/design/standing.md).
-"""
+# Twisted's web server is not used: it takes 6 MB of memory and several times as much processor time per call, and
+# restarts its timeout with every byte (docs/design/standing.md).
 
 from __future__ import annotations
 
@@ -232,10 +231,8 @@
         self._answer(reply, keep_alive, method != "HEAD")
 
     def _reject(self, status: int, text: str, ending: EndReason) -> None:
-        """Answer an error and close our half of the connection.
-
-        The start of the next call is unknown, and after a full close the caller might not be able to read the error.
-        """
+        """Answer an error and close our half of the connection."""
+        # The start of the next call is unknown. After a full close, the caller might not be able to read the error.
         self._core.counters.add("faulty")
         self._end_reason = ending
         self._factory.limiter.connection_closing(self)
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -212,10 +212,8 @@
             self.transport.loseConnection()
 
     def _half_close(self, ending: EndReason) -> None:
-        """Close our half of the connection, and discard further input.
-
-        A full close with unread input would reset the connection, and the other side might never see the error.
-        """
+        """Close our half of the connection, and discard further input."""
+        # A full close with unread input would reset the connection, and the other side might never see the error.
         if self.ending is None:
             self.ending = ending
             self._limiter.connection_closing(self)
@@ -255,8 +253,6 @@
             connection.leave()
 
     def trim(self, idle_timeout_us: int) -> None:
-        """Change the idle timeout, in us, after which front ends are asked to close a connection.
-
-        The runner does not close it at once, since a request could arrive at the same time.
-        """
+        """Change the idle timeout, in us, after which front ends are asked to close a connection."""
+        # The runner does not close it at once, since a request could arrive at the same time.
         self.limiter.set_idle_timeout(idle_timeout_us)
--- a/moorusher/frontends/unread_input.py
+++ b/moorusher/frontends/unread_input.py
@@ -1,14 +1,13 @@
-"""Reads the input that the operating system has received for a connection, before the connection is closed.
+"""Reads the input that the operating system has received for a connection, before the connection is closed."""
 
-A close with unread input resets the connection, and a request in that input would never be answered.
-"""
+# A close with unread input resets the connection, and a request in that input would never be answered.
 
 from __future__ import annotations
 
 from typing import Any
 
 READ_BYTES = 65_536  # Maximum size of one read.
-MAX_READS = 4  # Bounds the work for a client that sends continuously.
+MAX_READS = 4  # A client that sends continuously must not keep its connection open by that.
 
 
 def read_unread_input(transport: Any) -> None:
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -214,11 +214,10 @@
     def _finish(self, data: bytes, close_now: bool = False) -> None:
         """Write the answer, close our half of the connection, and discard input until the other side closes.
 
-        A full close with unread input would reset the connection, and the answer could be lost. After `LINGER_US` the
-        connection is aborted.
-
         :param close_now: Close at once, since the descriptor is needed or the runner stops.
         """
+        # A full close with unread input would reset the connection, and the answer could be lost. The connection is
+        # aborted after `LINGER_US`.
         self.state = State.ANSWERED
         self.request = None
         self._factory.limiter.connection_closing(self)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' second address and the drain: each call, each malformed one, each bound, without sockets."""
+"""Tests of the console and of draining without sockets: all calls, malformed calls and limits."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from .test_fronts import Transport, take_messages
 
 
-class Operated:
-    """A core with its console and both fronts, and connections made by hand."""
+class ConsoleHarness:
+    """A core with its console and both frontends. Connections are in memory."""
 
-    def __init__(self, kernel: bool = True, most: int = 8) -> None:
+    def __init__(self, kernel: bool = True, max_connections: int = 8) -> None:
         self.world = World(kernel=kernel)
         self.core = self.world.core
         self.reporter = Reporter(self.core, HealthPolicy(), "n1")
         self.serving, self.transports = True, list[Transport]()
-        self.console = Console(self.core, self.reporter, most, lambda: self.serving)
-        self.fit = lambda: self.reporter.is_fit
-        self.front = JsonRpcFactory(self.core, 10, self.fit)
-        self.uwsgi = UwsgiFactory(self.core, 10, 2048, 60.0, self.fit)
+        self.console = Console(self.core, self.reporter, max_connections, lambda: self.serving)
+        self.is_fit = lambda: self.reporter.is_fit
+        self.jsonrpc = JsonRpcFactory(self.core, 10, self.is_fit)
+        self.uwsgi = UwsgiFactory(self.core, 10, 2048, 60.0, self.is_fit)
 
-    def connect(self, *sent: bytes, front: Any = None) -> tuple[Any, Transport]:
-        factory: Any = front or self.console
+    def connect(self, *sent: bytes, frontend: Any = None) -> tuple[Any, Transport]:
+        factory: Any = frontend or self.console
         connection, transport = factory.buildProtocol(None), Transport()
         connection.makeConnection(transport)
         self.transports.append(transport)
@@ -44,68 +44,68 @@
     def call(self, method: str, path: str, *headers: str, body: bytes = b"") -> int:
         lines = [f"{method} {path} HTTP/1.1", "Host: x", *headers]
         _, transport = self.connect(("\r\n".join(lines) + "\r\n\r\n").encode() + body)
-        assert transport.disconnecting or transport.half_closed, "one call a connection"
+        assert transport.disconnecting or transport.half_closed, "the connection stays open after its call"
         assert transport.value().count(b"HTTP/1.1 ") == 1
         return int(transport.value().split(b" ", 2)[1])
 
     def health(self) -> int:
         return self.call("GET", "/admin/health")
 
-    def told(self) -> set[bool]:
-        """What every health answer says."""
-        _, heard = self.connect(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}\n', front=self.front)
-        _, ping = self.connect(HEAD.pack(PING, 0, 0), front=self.uwsgi)
+    def health_answers(self) -> set[bool]:
+        """Return the distinct answers of all kinds of health checks."""
+        _, heartbeat = self.connect(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}\n', frontend=self.jsonrpc)
+        _, ping = self.connect(HEAD.pack(PING, 0, 0), frontend=self.uwsgi)
         return {
             self.health() == 200,
-            take_messages(heard)[0]["result"]["fit"],
+            take_messages(heartbeat)[0]["result"]["fit"],
             ping.value() != b"",
             self.reporter.report().routable,
         }
 
 
-def test_each_call_has_its_answer_and_all_health_answers_follow_the_drain_in_the_same_turn() -> None:
-    o = Operated()
-    assert o.told() == {True}
-    assert o.call("POST", "/admin/quiesce") == 200
-    assert o.call("POST", "/admin/quiesce", "Content-Length: 2", body=b"{}") == 200
-    assert o.told() == {False}
-    o.world.take("a", 1)  # what still comes is served as always
-    o.world.turn()
-    assert o.world.runs() == ["a"]
-    o.world.wait(5000)
-    assert o.told() == {False}
-    assert o.call("POST", "/admin/resume") == 200
-    assert o.told() == {True}
-    assert o.call("POST", "/admin/resume") == 200  # not drained: nothing to do
-
-
-def test_a_drain_outlasts_a_maintenance_that_ends_by_itself_and_a_kernel_that_comes_up() -> None:
-    o = Operated(kernel=False)
-    o.reporter.set_maintenance("disk", 1.0)
-    assert o.call("POST", "/admin/quiesce") == 200
-    o.core.kernel_up(False, 0)
-    o.world.wait(2000)
-    assert o.told() == {False}
-    assert o.call("POST", "/admin/resume") == 200 and o.told() == {True}
-
-
-def test_a_runner_that_leaves_is_not_taken_back() -> None:
-    o = Operated()
-    o.call("POST", "/admin/quiesce")
-    o.core.drain(4000)
-    o.world.turn()
-    assert [o.call("POST", "/admin/quiesce"), o.call("POST", "/admin/resume")] == [200, 409]
-    assert o.told() == {False}
-
-
-def test_health_is_yes_only_when_all_that_serving_needs_is_there() -> None:
-    o = Operated(kernel=False)
-    assert o.health() == 503
-    o.core.kernel_up(False, 0)
-    o.world.turn()
-    assert o.health() == 200
-    o.serving = False
-    assert o.health() == 503
+def test_each_call_is_answered_and_all_health_answers_change_in_the_turn_of_the_quiesce() -> None:
+    harness = ConsoleHarness()
+    assert harness.health_answers() == {True}
+    assert harness.call("POST", "/admin/quiesce") == 200
+    assert harness.call("POST", "/admin/quiesce", "Content-Length: 2", body=b"{}") == 200
+    assert harness.health_answers() == {False}
+    harness.world.take("a", 1)  # Requests that still arrive are served as usual.
+    harness.world.turn()
+    assert harness.world.runs() == ["a"]
+    harness.world.wait(5000)
+    assert harness.health_answers() == {False}
+    assert harness.call("POST", "/admin/resume") == 200
+    assert harness.health_answers() == {True}
+    assert harness.call("POST", "/admin/resume") == 200  # A resume without a quiesce does nothing.
+
+
+def test_a_quiesce_remains_in_effect_after_a_maintenance_expires_and_the_kernel_boots() -> None:
+    harness = ConsoleHarness(kernel=False)
+    harness.reporter.set_maintenance("disk", 1.0)
+    assert harness.call("POST", "/admin/quiesce") == 200
+    harness.core.kernel_up(False, 0)
+    harness.world.wait(2000)
+    assert harness.health_answers() == {False}
+    assert harness.call("POST", "/admin/resume") == 200 and harness.health_answers() == {True}
+
+
+def test_a_draining_runner_can_not_be_resumed() -> None:
+    harness = ConsoleHarness()
+    harness.call("POST", "/admin/quiesce")
+    harness.core.drain(4000)
+    harness.world.turn()
+    assert [harness.call("POST", "/admin/quiesce"), harness.call("POST", "/admin/resume")] == [200, 409]
+    assert harness.health_answers() == {False}
+
+
+def test_health_is_ok_only_if_the_kernel_is_up_and_clients_are_accepted() -> None:
+    harness = ConsoleHarness(kernel=False)
+    assert harness.health() == 503
+    harness.core.kernel_up(False, 0)
+    harness.world.turn()
+    assert harness.health() == 200
+    harness.serving = False
+    assert harness.health() == 503
 
 
 @pytest.mark.parametrize(
@@ -129,24 +129,26 @@
         (b"POST /admin/resume HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 200),
     ],
 )
-def test_a_call_cut_anywhere_gets_the_answer_that_it_gets_whole(sent: bytes, code: int) -> None:
+def test_a_call_in_two_segments_gets_the_same_answer_wherever_it_is_split(sent: bytes, code: int) -> None:
     step = max(1, len(sent) // 60)
     for at in range(0, len(sent) + 1, step):
-        o = Operated()
-        connection, transport = o.connect(sent[:at], sent[at:])
+        harness = ConsoleHarness()
+        connection, transport = harness.connect(sent[:at], sent[at:])
         assert int(transport.value().split(b" ", 2)[1]) == code
-        connection.dataReceived(b"GET /admin/health HTTP/1.1\r\n\r\n" * 3)  # one call a connection
+        connection.dataReceived(
+            b"GET /admin/health HTTP/1.1\r\n\r\n" * 3
+        )  # Only one call per connection is answered.
         assert transport.value().count(b"HTTP/1.1 ") == 1
-        assert o.reporter.is_in_rotation
+        assert harness.reporter.is_in_rotation
 
 
-def test_405_says_what_is_allowed() -> None:
-    _, transport = Operated().connect(b"GET /admin/resume HTTP/1.1\r\n\r\n")
+def test_a_405_reply_names_the_allowed_method() -> None:
+    _, transport = ConsoleHarness().connect(b"GET /admin/resume HTTP/1.1\r\n\r\n")
     assert b"\r\nAllow: POST\r\n" in transport.value()
 
 
 @pytest.mark.parametrize(
-    "half",
+    "incomplete_call",
     [
         b"",
         b"G",
@@ -154,32 +156,32 @@
         b"POST /admin/quiesce HTTP/1.1\r\nContent-Length: 9\r\n\r\n{",
     ],
 )
-def test_a_silent_or_half_call_gets_408_and_a_close_well_within_a_second(half: bytes) -> None:
-    o = Operated()
-    connection, transport = o.connect(half)
+def test_an_incomplete_call_gets_408_and_is_closed_well_within_a_second(incomplete_call: bytes) -> None:
+    harness = ConsoleHarness()
+    connection, transport = harness.connect(incomplete_call)
     for _ in range(4):
-        o.world.wait(100)
-        connection.dataReceived(b"")  # nothing more: the time counts from the accept
+        harness.world.wait(100)
+        connection.dataReceived(b"")  # The timeout starts at the accept, not at the last event.
         assert not transport.value()
-    o.world.wait(150)
+    harness.world.wait(150)
     assert transport.value().startswith(b"HTTP/1.1 408 ") and transport.disconnecting
-    assert o.reporter.is_in_rotation
+    assert harness.reporter.is_in_rotation
 
 
-def test_a_hundred_silent_callers_neither_keep_a_call_from_its_answer_nor_hold_places() -> None:
-    o = Operated(most=8)
+def test_a_hundred_silent_callers_neither_block_a_call_nor_exceed_the_connection_limit() -> None:
+    harness = ConsoleHarness(max_connections=8)
     for _ in range(100):
-        silent = o.connect()[1]
-        assert sum(not t.disconnecting for t in o.transports) <= 8
-    assert o.health() == 200
-    o.world.wait(600)
+        silent = harness.connect()[1]
+        assert sum(not t.disconnecting for t in harness.transports) <= 8
+    assert harness.health() == 200
+    harness.world.wait(600)
     assert silent.value().startswith(b"HTTP/1.1 408 ")
 
 
-def test_the_answer_says_how_things_stand() -> None:
-    o = Operated()
-    o.call("POST", "/admin/quiesce")
-    _, transport = o.connect(b"GET /admin/health HTTP/1.1\r\n\r\n")
+def test_the_health_answer_describes_the_state_of_the_runner() -> None:
+    harness = ConsoleHarness()
+    harness.call("POST", "/admin/quiesce")
+    _, transport = harness.connect(b"GET /admin/health HTTP/1.1\r\n\r\n")
     assert json.loads(transport.value().split(b"\r\n\r\n")[1]) == {
         "ready": False,
         "kernel": True,
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -1,4 +1,4 @@
-"""Frontend connections without sockets: malformed messages, limits and timeouts."""
+"""Tests of frontend connections without sockets: malformed messages, limits and timeouts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Transport(_StringTransport):  # type: ignore[misc]
-    """Transport in memory that notes an abort and a half-close."""
+    """In-memory transport that records an abort and a half-close."""
 
     aborted = False
     half_closed = False
@@ -40,7 +40,7 @@
 
 
 def connected_frontend(**changes: Any) -> tuple[World, JsonRpcFactory, JsonRpcProtocol, Transport]:
-    """A JSON-RPC frontend with room for ten connections, and its first connection."""
+    """Return a JSON-RPC frontend with ten connection slots, and its first connection."""
     world = World(**changes)
     factory = JsonRpcFactory(world.core, 10, lambda: world.core.state.healthy)
     connection = factory.buildProtocol(None)
@@ -51,17 +51,17 @@
 
 
 def take_messages(transport: Transport) -> list[dict[str, Any]]:
-    """What was written to the client since the last call."""
+    """Return the messages written to the client since the last call."""
     received = [json.loads(line) for line in transport.value().splitlines()]
     transport.clear()
     return received
 
 
-NOW_MS = 1_000_001_600_000  # some minutes after the start of a `World`, never too old for a test
+NOW_MS = 1_000_001_600_000  # Some minutes after the start of a `World`, so that no request is too old.
 
 
 def request_line(tag: Any = 1, method: Any = "read", **params: Any) -> bytes:
-    """A request as a line of JSON-RPC; `params` replace the plain ones."""
+    """Return a JSON-RPC request. `params` override the default params."""
     params = {"rid": f"r{tag}", "t0": NOW_MS, "peer": 1, "mem": 1, "prio": 0, "content": ""} | params
     return json.dumps({"jsonrpc": "2.0", "id": tag, "method": method, "params": params}).encode() + b"\n"
 
@@ -93,7 +93,7 @@
 def test_malformed_lines_are_answered_with_an_error_and_the_next_line_is_read(
     line: bytes, code: int, tag: object
 ) -> None:
-    """A line that is no valid request gets its error code, and the next request runs."""
+    """An invalid line is answered with its error code, and does not prevent the next request from running."""
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(line.rstrip(b"\n") + b"\n" + request_line(9))
     world.turn()
@@ -103,9 +103,9 @@
 
 
 def test_a_line_that_is_too_long_is_answered_with_an_error_and_half_closes_the_connection() -> None:
-    """A client sends a line beyond the limit.
+    """A client sends a line that is too long.
 
-    It is half-closed: with input unread, a full close would reset the connection before the error is read.
+    A full close with unread input would reset the connection before the client reads the error, so it is half-closed.
     """
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(b"x" * 9000)
@@ -150,7 +150,7 @@
 def test_a_client_that_does_not_read_is_not_read_from_and_aborted_at_a_limit() -> None:
     """A client sends requests and never reads the answers.
 
-    Its requests are no longer read, and at the limit of unsent bytes its connection is aborted.
+    The runner stops reading its requests, and aborts the connection at the limit of unsent bytes.
     """
     _, _, connection, transport = connected_frontend()
     assert transport.producer is connection
@@ -162,7 +162,7 @@
 
 
 def connect_more(factory: JsonRpcFactory, count: int) -> list[tuple[JsonRpcProtocol, Transport]]:
-    """Further connections to this frontend."""
+    """Open `count` more connections to a frontend."""
     connections = []
     for _ in range(count):
         connection = factory.buildProtocol(None)
@@ -174,19 +174,19 @@
 
 
 def test_at_the_connection_limit_only_connections_without_a_request_in_flight_are_evicted() -> None:
-    """All ten connections are in use and further clients connect.
+    """All ten connection slots are in use, and more clients connect.
 
-    Each new one evicts an idle one; where all have a request in flight, the new one is not accepted.
+    Each new connection evicts an idle one. If all have a request in flight, the new connection is not accepted.
     """
     world, factory, connection, _ = connected_frontend(cores=20)
     connection.dataReceived(request_line())
     world.turn()
     idle, silent = connect_more(factory, 5), connect_more(factory, 4)
-    for idle_connection, _ in idle:  # one heartbeat each, and silence from then on
+    for idle_connection, _ in idle:  # Each sends one heartbeat and is idle afterwards.
         idle_connection.dataReceived(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}\n')
         world.wait(5)
     world.wait(400)
-    # Those that never sent a message are evicted first, then those idle for longest.
+    # Connections without any message are evicted first, then those that have been idle for longest.
     for i, (evicted, transport) in enumerate((*silent, *idle)):
         connect_more(factory, 1)[0][0].dataReceived(request_line(i + 1, rid=f"n{i}"))
         world.turn()
@@ -201,9 +201,9 @@
     "sent", [b"", b'{"jsonrpc":"2.0","id":1,', b'{"jsonrpc":"2.0","method":"read"}\n', b"\n\n\n"]
 )
 def test_a_client_that_sends_no_whole_message_is_closed_after_the_read_timeout(sent: bytes) -> None:
-    """A client connects and sends nothing, half a message or no request.
+    """A client connects and sends nothing, half a message, or only input that gets no answer.
 
-    A slow client may take 2 s for its first request, so the close comes after that and within 3 s.
+    A slow client may take 2 s for its first request, so the connection is closed after that, and within 3 s.
     """
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(sent)
@@ -221,7 +221,7 @@
     world, _, connection, transport = connected_frontend(max_idle_connection_ms=500.0)
     connection.dataReceived(request_line())
     world.wait(800)
-    assert take_messages(transport) == []  # its request is in flight, however long that takes
+    assert take_messages(transport) == []  # A connection with a request in flight is not idle.
     world.core.execution.run_ended("r1", EndReason.RUN_SUCCEEDED, b"")
     world.wait(450)
     assert len(take_messages(transport)) == 1
@@ -232,7 +232,7 @@
 
 
 def test_runs_that_the_kernel_rejects_count_as_errors_of_the_connection() -> None:
-    """The kernel rejects each run of a client: it is asked to close, and closed if it goes on."""
+    """The kernel rejects each run of a client, which is asked to leave, and disconnected if it continues."""
     world, _, connection, transport = connected_frontend()
     for i in range(1, MAX_FAULTS + 1):
         assert connection.ending is None
@@ -241,13 +241,13 @@
         world.core.execution.command_rejected("SCHED", f"r{i}")
         world.turn()
     received = take_messages(transport)
-    assert received.pop(MAX_FAULTS_BEFORE_LEAVE)["method"] == "leaving"  # the client is asked to close first
+    assert received.pop(MAX_FAULTS_BEFORE_LEAVE)["method"] == "leaving"
     assert [m["error"]["code"] for m in received] == [-32000] * MAX_FAULTS
     assert connection.ending is EndReason.TOO_MANY_ERRORS and transport.half_closed
 
 
 def test_a_connection_with_too_many_errors_is_closed_after_its_errors_can_be_read() -> None:
-    """Of thousands of malformed lines only some are answered, then the connection is half-closed."""
+    """Of thousands of malformed lines only a limited number is answered, then the connection is half-closed."""
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(b"{\n" * 5_000)
     connection.dataReceived(b"{\n" * 5_000 + request_line())
@@ -258,7 +258,7 @@
 
 
 def test_a_lost_connection_cancels_its_requests() -> None:
-    """A connection breaks while its two requests are in flight: nobody waits for them any more."""
+    """A connection breaks while two of its requests are in flight."""
     world, factory, connection, _ = connected_frontend()
     connection.dataReceived(request_line(1) + request_line(2))
     world.turn()
@@ -273,7 +273,7 @@
 ) -> None:
     """The store of idempotency keys is full, or the kernel is not up yet.
 
-    The request never ran, so its rejection says that another runner may take it.
+    The request never ran. Its rejection must say so, so that the client may send it to another runner.
     """
     world, _, connection, transport = connected_frontend()
     if why.startswith("no room"):
@@ -296,7 +296,7 @@
     "sent, received", [(b"", b""), (uwsgi_request("check", b"body")[:-1], b"HTTP/1.1 503 ")]
 )
 def test_an_incomplete_uwsgi_request_at_shutdown_is_marked_as_never_run(sent: bytes, received: bytes) -> None:
-    """The runner shuts down with a uwsgi request half received: it may be retried elsewhere."""
+    """The runner shuts down when it has received a uwsgi request in part, which may be sent to another runner."""
     world = World()
     connection = UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None)
     transport = Transport()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""What comes over each wire: tables of cases."""
+"""Tests of the parsers of requests, replies and configuration files, as tables of cases."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from moorusher.protocols import uwsgi_packets
 from moorusher.routing.grants import Grants
 
-GOOD = {
+VALID_PARAMS = {
     "rid": "9b1f03aa5c7e2d41",
     "t0": 1764576000123,
     "peer": 4,
@@ -37,10 +37,10 @@
 }
 
 
-def test_the_documented_request_is_read() -> None:
-    a = jsonrpc_messages.read_arrival("check", GOOD | {"obj": "7f3a9c21e0b4d655"})
-    assert (a.rid, a.budget_ms, a.tenant, a.body, a.subject) == (
-        GOOD["rid"],
+def test_a_valid_request_is_parsed() -> None:
+    arrival = jsonrpc_messages.read_arrival("check", VALID_PARAMS | {"obj": "7f3a9c21e0b4d655"})
+    assert (arrival.rid, arrival.budget_ms, arrival.tenant, arrival.body, arrival.subject) == (
+        VALID_PARAMS["rid"],
         480,
         "acme",
         b"\0\1",
@@ -90,9 +90,9 @@
         ({"content": "A" * 2736}, "content"),
     ],
 )
-def test_bad_params_are_named(change: dict[str, Any], named: str) -> None:
+def test_errors_name_the_invalid_param(change: dict[str, Any], named: str) -> None:
     with pytest.raises(jsonrpc_messages.InvalidParamsError, match=named):
-        jsonrpc_messages.read_arrival("check", GOOD | change)
+        jsonrpc_messages.read_arrival("check", VALID_PARAMS | change)
 
 
 VARS = {uwsgi_packets.VARS["class"]: "check"}
@@ -109,13 +109,13 @@
         b"".join(b"\4\0%04d\0\0" % i for i in range(200)),
     ],
 )
-def test_bad_variables(block: bytes) -> None:
+def test_invalid_blocks_of_variables_are_rejected(block: bytes) -> None:
     with pytest.raises(uwsgi_packets.InvalidPacketError) as caught:
         uwsgi_packets.parse_vars(block)
     assert caught.value.status == 400
 
 
-def test_a_packet_is_read_as_it_was_built() -> None:
+def test_a_built_packet_is_parsed_to_the_same_variables() -> None:
     raw = uwsgi_packets.build_packet(VARS | {"EMPTY": "", "HIGH": "\xff"})
     assert uwsgi_packets.HEAD.unpack_from(raw) == (0, len(raw) - 4, 0)
     assert uwsgi_packets.parse_vars(raw[4:]) == VARS | {"EMPTY": "", "HIGH": "\xff"}
@@ -135,14 +135,14 @@
         ("0x10", 400),
     ],
 )
-def test_bad_content_lengths(text: str, status: int) -> None:
+def test_invalid_content_lengths_are_rejected(text: str, status: int) -> None:
     with pytest.raises(uwsgi_packets.InvalidPacketError) as caught:
         uwsgi_packets.content_length({"CONTENT_LENGTH": text}, 2048)
     assert caught.value.status == status
 
 
 @pytest.mark.parametrize("text, length", [("", 0), ("0", 0), ("2048", 2048), ("007", 7)])
-def test_content_lengths(text: str, length: int) -> None:
+def test_valid_content_lengths_are_parsed(text: str, length: int) -> None:
     assert uwsgi_packets.content_length({"CONTENT_LENGTH": text}, 2048) == length
 
 
@@ -163,34 +163,39 @@
         ("class", ""),
     ],
 )
-def test_bad_uwsgi_values(name: str, text: str) -> None:
+def test_errors_name_the_invalid_uwsgi_variable(name: str, text: str) -> None:
     with pytest.raises(uwsgi_packets.InvalidPacketError, match=uwsgi_packets.VARS[name]):
         uwsgi_packets.read_arrival(VARS | {uwsgi_packets.VARS[name]: text}, b"")
 
 
-class Replies(HttpClientProtocol):
+class RecordingClient(HttpClientProtocol):
+    """A client that has sent one request, and records the responses and errors."""
+
     def __init__(self) -> None:
         super().__init__()
-        self.got: list[object] = []
+        self.events: list[object] = []
         self.request_sent()
 
     def unexpected_data(self) -> None:
-        self.got.append("stray")
+        self.events.append("unexpected data")
 
     def response_received(self, response: HttpResponse) -> None:
-        self.got.append((response.status, response.body, response.keep_alive))
+        self.events.append((response.status, response.body, response.keep_alive))
 
-    def response_malformed(self, why: str) -> None:
-        self.got.append(why)
+    def response_malformed(self, reason: str) -> None:
+        self.events.append(reason)
 
 
 @pytest.mark.parametrize(
-    "raw, got",
+    "raw, events",
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", [(200, b"ab", True)]),
-        (b"HTTP/1.1 204 No\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", [(204, b"", True), "stray"]),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab" * 2, [(200, b"ab", True), "stray"]),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabcd", [(200, b"ab", True), "stray"]),
+        (
+            b"HTTP/1.1 204 No\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+            [(204, b"", True), "unexpected data"],
+        ),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab" * 2, [(200, b"ab", True), "unexpected data"]),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabcd", [(200, b"ab", True), "unexpected data"]),
         (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
             ["conflicting Content-Length headers"],
@@ -214,17 +219,17 @@
         (b"HTTP/1.1 200 OK\r\nnonsense\r\n", ["invalid header"]),
     ],
 )
-def test_replies_over_http(raw: bytes, got: list[object]) -> None:
-    for step in (1, 7, len(raw)):  # in pieces of each size
-        client = Replies()
+def test_http_responses_are_parsed_in_segments_of_any_size(raw: bytes, events: list[object]) -> None:
+    for step in (1, 7, len(raw)):
+        client = RecordingClient()
         client.transport = type("T", (), {"disconnecting": False})()
         for at in range(0, len(raw), step):
             client.dataReceived(raw[at : at + step])
-        assert client.got == got
+        assert client.events == events
 
 
 @pytest.mark.parametrize(
-    "status, never, ending",
+    "status, never_started, reason",
     [
         (200, False, EndReason.CALL_ANSWERED),
         (503, True, EndReason.CALL_REJECTED),
@@ -236,13 +241,14 @@
         (404, False, EndReason.CALL_FAILED),
     ],
 )
-def test_endings_of_calls(status: int, never: bool, ending: EndReason) -> None:
-    assert database.end_reason_of(status, {b"never-started": b"1"} if never else {}) is ending
+def test_end_reasons_of_database_calls(status: int, never_started: bool, reason: EndReason) -> None:
+    headers = {b"never-started": b"1"} if never_started else {}
+    assert database.end_reason_of(status, headers) is reason
 
 
-def test_only_endings_that_prove_it_say_that_nothing_ran() -> None:
-    proofs = {e for e, o in SCHEDULER_OUTCOMES.items() if o.never_ran}
-    assert proofs == {
+def test_only_end_reasons_that_prove_it_count_as_never_run() -> None:
+    never_run = {reason for reason, outcome in SCHEDULER_OUTCOMES.items() if outcome.never_ran}
+    assert never_run == {
         EndReason.RUN_NEVER_STARTED,
         EndReason.CALL_REJECTED,
         EndReason.CALL_NOT_AWAITED,
@@ -263,6 +269,7 @@
 
 
 def load(tmp_path: Path, data: object, fronts: str = "") -> Config:
+    """Load a configuration from the platform's file with this content and an operator file."""
     (tmp_path / "c.json").write_text(data if isinstance(data, str) else json.dumps(data))
     (tmp_path / "fronts.toml").write_text(fronts)
     return loader.load({"GW_CONFIG": str(tmp_path / "c.json")}, tmp_path / "fronts.toml")
@@ -321,14 +328,14 @@
         ("agent = 5", "agent"),
     ],
 )
-def test_errors_of_the_fronts_file_name_the_key(tmp_path: Path, text: str, named: str) -> None:
+def test_errors_in_the_operator_file_name_the_key(tmp_path: Path, text: str, named: str) -> None:
     with pytest.raises(section.ConfigError, match=named):
         load(tmp_path, CONFIG, text)
 
 
-def test_a_config_is_read_with_its_defaults(tmp_path: Path) -> None:
-    c = load(tmp_path, CONFIG)
-    assert (c.listen, c.stop_ms, c.limits.sockets, c.uwsgi.listen) == (
+def test_a_configuration_is_loaded_with_its_defaults(tmp_path: Path) -> None:
+    config = load(tmp_path, CONFIG)
+    assert (config.listen, config.stop_ms, config.limits.sockets, config.uwsgi.listen) == (
         ("127.0.0.1", 8443),
         3000.0,
         1024,
@@ -340,9 +347,9 @@
         loader.load({})
 
 
-def test_the_shipped_fronts_file_has_everything_off() -> None:
-    got = read_operator_file(DEFAULT_OPERATOR_FILE)
-    assert got == OperatorConfig(
+def test_the_default_operator_file_enables_nothing() -> None:
+    config = read_operator_file(DEFAULT_OPERATOR_FILE)
+    assert config == OperatorConfig(
         UwsgiConfig(),
         HealthCheckConfig(),
         AdminConfig(),
@@ -354,7 +361,7 @@
     )
 
 
-def test_a_fleets_seats_are_the_runners_that_call_the_tier_unless_the_file_says_how_many(
+def test_the_number_of_runners_of_the_tier_defaults_to_the_number_of_fleet_seats(
     tmp_path: Path,
 ) -> None:
     seats = "".join(f'[[fleet.seat]]\nname = "n{i}"\naddress = "127.0.0.1:{3040 + i}"\n' for i in range(3))
@@ -366,12 +373,12 @@
     assert read_operator_file(file).tier.policy.runners == 1
 
 
-SERVER_KEYS = {"name", "address", "weight", "zone", "group", "protocol"}  # of the sample server and seat
+SERVER_KEYS = {"name", "address", "weight", "zone", "group", "protocol"}  # keys of the sample server and seat
 
 
-def test_the_shipped_fronts_file_names_every_key_with_its_default(tmp_path: Path) -> None:
-    shipped = DEFAULT_OPERATOR_FILE.read_text()
-    off = {
+def test_the_default_operator_file_documents_every_key_with_its_default(tmp_path: Path) -> None:
+    default_text = DEFAULT_OPERATOR_FILE.read_text()
+    keys_without_default = {
         *SERVER_KEYS,
         "listen",
         "below",
@@ -385,14 +392,22 @@
         "customer",
         "days",
     }
-    on = "\n".join(
-        line.removeprefix("# ") if " = " in line and line[2:].split(" ")[0] not in off else line
-        for line in shipped.splitlines()
+    uncommented = "\n".join(
+        line.removeprefix("# ")
+        if " = " in line and line[2:].split(" ")[0] not in keys_without_default
+        else line
+        for line in default_text.splitlines()
     )
-    (tmp_path / "fronts.toml").write_text(on)
-    got = read_operator_file(tmp_path / "fronts.toml")
-    assert got.forecast == ForecastPolicy() and got.outage == MaintenancePolicy()
-    assert (got.uwsgi, got.probes, got.tier, got.fleet, replace(got.namespaces, grants=Grants())) == (
+    (tmp_path / "fronts.toml").write_text(uncommented)
+    config = read_operator_file(tmp_path / "fronts.toml")
+    assert config.forecast == ForecastPolicy() and config.outage == MaintenancePolicy()
+    assert (
+        config.uwsgi,
+        config.probes,
+        config.tier,
+        config.fleet,
+        replace(config.namespaces, grants=Grants()),
+    ) == (
         UwsgiConfig(),
         HealthCheckConfig(),
         TierConfig(),
@@ -400,5 +415,5 @@
         NamespacesConfig(),
     )
     assert all(
-        f"# {name} = " in shipped for name in {**POLICY_FIGURES, **TIER_FIGURES, **settings.DUTY_FIGURES}
+        f"# {name} = " in default_text for name in {**POLICY_FIGURES, **TIER_FIGURES, **settings.DUTY_FIGURES}
     )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The runner as a process over real sockets: a test for each guarantee and each failure found."""
+"""Tests of the runner as a process with real sockets: guarantees, and failures that have occurred."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def asynchronous_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
-    """Run an asynchronous test in its own event loop, for 60 s at most."""
+    """Run an asynchronous test in its own event loop, with a timeout of 60 s."""
 
     @wraps(test)
     def run(*fixtures: P.args, **named: P.kwargs) -> None:
@@ -50,7 +50,7 @@
 
 
 def new_key() -> str:
-    """A new idempotency key."""
+    """Return a new idempotency key."""
     return os.urandom(16).hex()
 
 
@@ -63,7 +63,7 @@
     await until(check)
 
 
-# ---- no request lost ----
+# ---- requests are not lost ----
 
 
 @asynchronous_test
@@ -79,26 +79,26 @@
 
 @asynchronous_test
 async def test_a_run_that_hangs_is_answered_at_its_deadline() -> None:
-    """The kernel never ends a run: its client gets an error at the deadline."""
+    """The kernel never ends a run, so the client gets an error at the deadline."""
     async with running(kernel := Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
         idempotent, keyed = await asyncio.gather(
             client.ask("check", budget=1500), client.ask("submit", budget=1500, token=new_key())
         )
         assert (idempotent["error"]["code"], keyed["error"]["code"]) == (-32000, -32000)
-        # The idempotent run is stopped, the one with a key goes on.
+        # The idempotent run is stopped, and the keyed run continues.
         await wait_until(lambda: kernel.message_counts["PREEMPT"] == 1)
         assert set(client.answers.values()) == {1}
 
 
 @asynchronous_test
 async def test_a_broken_kernel_connection_loses_and_repeats_nothing() -> None:
-    """The connection to the kernel breaks during runs: each request is answered, and none runs twice."""
+    """The connection to the kernel breaks during runs. Each request is answered, and none runs twice."""
     async with running(kernel := Kernel(work=0.3)) as runner:
         client = await FrontEnd.connect(runner.port)
         pending = [client.send("submit", token=new_key()) for _ in range(4)]
         await wait_until(lambda: len(kernel.runs) >= 2)
-        kernel.cut()  # runs end meanwhile: their notices arrive with the replay
+        kernel.cut()  # Runs end while it is broken, and the kernel replays their notices.
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("result" in answer for answer in answers)
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
@@ -108,7 +108,7 @@
 
 @asynchronous_test
 async def test_a_runner_is_not_ready_until_its_kernel_has_booted() -> None:
-    """The kernel boots late: health checks say so, and requests are served as soon as it is up."""
+    """The kernel boots late. Health checks fail until then, and requests are served as soon as it is up."""
     async with running(kernel := Kernel(boot_delay_s=3600, state="EMPTY"), wait=False) as runner:
 
         async def listens() -> bool:
@@ -134,7 +134,7 @@
         assert (await client.ask("check"))["error"]["code"] == -32000
 
 
-# ---- no effect twice ----
+# ---- effects are not duplicated ----
 
 
 @asynchronous_test
@@ -147,15 +147,17 @@
         over_uwsgi = await exchange(runner.uwsgi, uwsgi_request("submit", token=token))
         assert (status(over_uwsgi), body_of(over_uwsgi)) == (200, b"did x")
         assert content(await first) == content(await same_turn) == b"did x"
-        assert content(await client.ask("submit", token=token)) == b"did x"  # from the kept result
+        assert content(await client.ask("submit", token=token)) == b"did x"  # from the stored result
         assert len(kernel.runs) == 1
-        other = await client.ask("submit", token=token, acct="bolt")  # another tenant's key is another key
+        other = await client.ask(
+            "submit", token=token, acct="bolt"
+        )  # Keys of different tenants are independent.
         assert "result" in other and len(kernel.runs) == 2
 
 
 @asynchronous_test
-async def test_the_result_of_a_keyed_request_is_kept_for_a_client_whose_connection_broke() -> None:
-    """A client's connection breaks while its request runs: a retry gets the result without a second run."""
+async def test_the_result_of_a_keyed_request_is_stored_for_a_client_whose_connection_broke() -> None:
+    """A client's connection breaks while its request runs. A retry gets the result without a second run."""
     async with running(kernel := Kernel(work=0.3)) as runner:
         client = await FrontEnd.connect(runner.port)
         token = new_key()
@@ -195,9 +197,9 @@
 def test_a_keyed_database_call_is_retried_only_if_it_certainly_never_ran(
     script: tuple[int | str, ...], calls: int, served: bool
 ) -> None:
-    """The database fails a call with an idempotency key.
+    """A database call with an idempotency key fails.
 
-    Only an error that proves that it never ran allows a retry.
+    It is retried only if the error proves that it never ran.
     """
 
     @asynchronous_test
@@ -228,9 +230,9 @@
 def test_a_keyed_uwsgi_call_is_retried_only_if_it_certainly_never_ran(
     script: tuple[int | str, ...], calls: int, served: bool
 ) -> None:
-    """A uwsgi backend fails a call with an idempotency key.
+    """A call with an idempotency key to a uwsgi backend fails.
 
-    Only an error that proves that it never ran allows a retry, which carries the same key.
+    It is retried only if the error proves that it never ran. The retry carries the same key.
     """
 
     @asynchronous_test
@@ -243,7 +245,7 @@
             answer = await client.ask("submit", token=token, budget=1500)
             assert ("result" in answer) is served
             assert peer.calls == [b"ask x"] * calls
-            # The key lets the peer run it once, whichever runner calls.
+            # With the key, the peer runs the call once, even if several runners make it.
             assert peer.tokens == [f"{token}.1"] * calls
             assert list(kernel.call_replies.values()) == ([b"reply"] if served else [])
 
@@ -252,13 +254,13 @@
 
 @asynchronous_test
 async def test_a_hanging_call_is_cancelled_by_a_close_and_pooled_connections_are_reused() -> None:
-    """The database never replies to a call: its connection is closed at the deadline."""
+    """The database never replies to a call, whose connection is closed at the deadline."""
     database = Database(200, 200, 200, "hang")
     async with running(Kernel(calls=True), database) as runner:
         client = await FrontEnd.connect(runner.port)
         for _ in range(3):
             assert "result" in await client.ask("check")
-            await asyncio.sleep(0.05)  # a connection is reused after nothing has followed its reply
+            await asyncio.sleep(0.05)  # A connection is reused only some time after its last reply.
         assert database.accepted == 1
         assert "error" in await client.ask("submit", token=new_key(), budget=1500)
 
@@ -277,8 +279,8 @@
 
 @asynchronous_test
 async def test_an_optional_downstream_call_is_skipped_if_its_backend_is_down() -> None:
-    """Nothing listens at the backend's address: the run goes on without its call."""
-    async with running(kernel := Kernel(calls=True), below=1) as runner:  # nothing listens there
+    """Nothing listens at the backend's address, so the run continues without its call."""
+    async with running(kernel := Kernel(calls=True), below=1) as runner:  # Nothing listens on port 1.
         client = await FrontEnd.connect(runner.port)
         assert "result" in await client.ask("check")
         assert kernel.skipped_calls == [1]
@@ -289,9 +291,9 @@
 
 @asynchronous_test
 async def test_draining_answers_all_requests_in_flight_and_ends_the_process() -> None:
-    """SIGTERM arrives with requests in flight over both protocols.
+    """SIGTERM arrives while requests over both protocols are in flight.
 
-    The runner serves on for a while, asks its clients to leave, closes its listening sockets, and ends
+    The runner continues to serve for a while, asks its clients to leave, closes its listening sockets, and exits
     after all requests are answered.
     """
     async with running(Kernel(work=0.9)) as runner:
@@ -301,7 +303,7 @@
         await asyncio.sleep(0.2)
         runner.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: "leaving within" in runner.text())
-        # Clients learn of it late: for part of its time it serves on, over new connections too.
+        # Clients learn late of the shutdown, so the runner serves for some time longer, also over new connections.
         late_client = await FrontEnd.connect(runner.port)
         assert not client.stray and "result" in await late_client.ask("check")
         await wait_until(lambda: any(message.get("method") == "leaving" for message in client.stray))
@@ -319,7 +321,7 @@
 
 @asynchronous_test
 async def test_draining_with_runs_that_hang_answers_before_the_process_ends() -> None:
-    """SIGTERM arrives while the kernel hangs: each request gets an error before the process ends."""
+    """SIGTERM arrives while the kernel hangs. Each request gets an error before the process exits."""
     async with running(Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
         pending = [client.send("submit", token=new_key()) for _ in range(8)]
@@ -335,7 +337,7 @@
 
 @asynchronous_test
 async def test_under_overload_requests_are_queued_or_rejected_and_the_concurrency_limit_holds() -> None:
-    """256 requests arrive at once: those that don't fit are rejected with a retry-after."""
+    """256 requests arrive at once. Those beyond the capacity of the runner are rejected with a backoff."""
     async with running(kernel := Kernel(work=0.2)) as runner:
         clients = [await FrontEnd.connect(runner.port) for _ in range(8)]
         answers = await asyncio.gather(
@@ -350,10 +352,10 @@
 
 @asynchronous_test
 async def test_requests_in_flight_and_line_length_are_limited_per_connection() -> None:
-    """One client sends too many requests and then a line without an end: other clients are not affected."""
+    """A client sends too many requests, and then a line that is too long. Other clients are not affected."""
     async with running(Kernel(hang=True)) as runner:
         client = await FrontEnd.connect(runner.port)
-        token = new_key()  # the retries of a run that hangs stay in flight
+        token = new_key()  # All requests have the key of one run that hangs, so they stay in flight.
         pending = [client.send("submit", token=token) for _ in range(33)]
         assert (await asyncio.wait_for(pending[32], WAIT))["error"]["code"] == -32600
         client.raw(b"x" * 100_000)
@@ -378,7 +380,7 @@
 
 @asynchronous_test
 async def test_a_uwsgi_client_that_disconnects_in_its_body_submits_no_request() -> None:
-    """A client that disconnects within its packet runs nothing; one that does after it is cancelled."""
+    """An incomplete request is not run. A complete one is cancelled if its client disconnects."""
     async with running(kernel := Kernel(hang=True)) as runner:
         raw = uwsgi_request("submit", b"0123456789", token=new_key())
         for sent in (raw[:2], raw[:-1], raw[:-10]):
@@ -387,14 +389,14 @@
             await writer.drain()
             writer.close()
         _, writer = await asyncio.open_connection("127.0.0.1", runner.uwsgi)
-        writer.write(raw)  # this one disconnects after its body: its request is cancelled
+        writer.write(raw)  # This client disconnects after the complete request, which is cancelled.
         await wait_until(lambda: len(kernel.runs) == 1)
         writer.close()
 
-        async def gone() -> bool:
+        async def is_cancelled() -> bool:
             return (await runner.counters()).get("gone") == 1
 
-        await until(gone)
+        await until(is_cancelled)
         counters = await runner.counters()
         assert counters["taken"] == 1 and len(kernel.runs) == 1
 
@@ -417,17 +419,17 @@
         assert await status_of(budget="1500") == 504
         assert status(await exchange(runner.uwsgi, uwsgi_request("check", bytes(2049)))) == 413
         assert status(await exchange(runner.uwsgi, build_packet({}, modifier1=5))) == 400
-        shed = await asyncio.gather(
+        answers = await asyncio.gather(
             *(exchange(runner.uwsgi, uwsgi_request("check", budget="1500")) for _ in range(200))
         )
-        rejected = [answer for answer in shed if status(answer) == 503]
+        rejected = [answer for answer in answers if status(answer) == 503]
         assert rejected and all(b"\r\nRetry-After: 1\r\n" in answer for answer in rejected)
-        assert {status(answer) for answer in shed} <= {503, 504}
+        assert {status(answer) for answer in answers} <= {503, 504}
 
 
 @asynchronous_test
 async def test_a_uwsgi_client_that_stops_in_its_body_gets_a_timeout() -> None:
-    """A client sends all but the last byte and waits: it gets status 408 and nothing runs."""
+    """A client sends all but the last byte and then waits. It gets status 408, and nothing runs."""
     async with running(kernel := Kernel()) as runner:
         raw = uwsgi_request("check", b"0123456789")
         assert status(await exchange(runner.uwsgi, raw[:-1])) == 408
@@ -439,9 +441,9 @@
 
 @asynchronous_test
 async def test_both_protocols_at_110_percent_load_lose_and_repeat_nothing() -> None:
-    """Two cores at 25 ms a run serve 80 requests a second, and 88 arrive, over both protocols in turn.
+    """Two cores with runs of 25 ms serve 80 requests per second, and 88 arrive, alternating between the protocols.
 
-    Every second pair is a `submit` whose idempotency key arrives once over each protocol.
+    Every second pair is a `submit` request whose idempotency key arrives once over each protocol.
     """
     kernel = Kernel(work=0.025)
     async with running(kernel) as runner:
@@ -491,8 +493,8 @@
 
 @asynchronous_test
 async def test_service_registration_is_renewed_while_serving_and_stops_on_draining() -> None:
-    """The registry closes a connection in the middle, and the runner drains with a run that hangs."""
-    announce = Announce(cut_at=2)  # it closes the connection in the middle: the next report arrives anyway
+    """The registry closes a connection between reports, and the runner drains while a run hangs."""
+    announce = Announce(cut_at=2)  # It closes the connection once. The reports after that must still arrive.
     reports = announce.reports
     async with running(Kernel(hang=True), announce=announce.port) as runner:
         await wait_until(lambda: len(reports) >= 4)
@@ -503,45 +505,48 @@
         runner.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: any(message.get("method") == "leaving" for message in client.stray))
         count = len(reports)
-        await wait_until(lambda: runner.process.poll() is not None)  # some seconds later, since the run hangs
+        # The process exits some seconds later, since the run hangs.
+        await wait_until(lambda: runner.process.poll() is not None)
         assert len(reports) == count
     announce.close()
 
 
-# ---- a new configuration ----
+# ---- reload of the configuration ----
 
 
 @asynchronous_test
 async def test_sighup_moves_all_connections_and_loses_nothing() -> None:
     """A reload changes the addresses of kernel, database and registry while requests are in flight."""
-    before = Announce()
-    after = Announce()
+    old_registry = Announce()
+    new_registry = Announce()
     kernel = Kernel(work=0.3, calls=True)
-    later = Database()
+    new_database = Database()
     token = new_key()
-    async with running(kernel, Database(), announce=before.port) as runner:
+    async with running(kernel, Database(), announce=old_registry.port) as runner:
         client = await FrontEnd.connect(runner.port)
-        later.listen()
+        new_database.listen()
         pending = [client.send("submit", token=token), *(client.send("check") for _ in range(3))]
         await wait_until(lambda: len(kernel.runs) >= 2)
         kernel.move()
         runner.reload(
-            kernel=f"{HOST}:{kernel.port}", db=f"{HOST}:{later.port}", announce=f"{HOST}:{after.port}"
+            kernel=f"{HOST}:{kernel.port}",
+            db=f"{HOST}:{new_database.port}",
+            announce=f"{HOST}:{new_registry.port}",
         )
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("result" in answer for answer in answers) and set(client.answers.values()) == {1}
-        # The result is kept across the change.
+        # Stored results are retained across the reload.
         assert content(await client.ask("submit", token=token)) == content(answers[0])
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
-        assert len(kernel.opened) == 2 and later.calls
-        await wait_until(lambda: bool(after.reports))
-        # A file that can't be used changes nothing, and the log names the key.
+        assert len(kernel.opened) == 2 and new_database.calls
+        await wait_until(lambda: bool(new_registry.reports))
+        # An invalid file changes nothing, and the log names the invalid key.
         runner.reload(kernel="nowhere")
         await wait_until(lambda: "kernel: expected HOST:PORT" in runner.text())
         assert "result" in await client.ask("check")
         assert (await runner.counters())["configurations read"] == 1
-    before.close()
-    after.close()
+    old_registry.close()
+    new_registry.close()
 
 
 # ---- administration ----
@@ -569,7 +574,7 @@
 
 
 @asynchronous_test
-async def test_clients_beyond_the_descriptor_limit_do_not_shut_out_operators_kernel_or_calls() -> None:
+async def test_clients_beyond_the_descriptor_limit_do_not_block_operators_kernel_or_calls() -> None:
     """300 idle clients and 100 idle operators connect to a runner with 100 file descriptors."""
     async with running(kernel := Kernel(calls=True), database := Database(), descriptors=100) as runner:
         connections = [socket.create_connection((HOST, runner.port)) for _ in range(300)]
@@ -590,11 +595,11 @@
 
 @asynchronous_test
 async def test_connections_accepted_without_a_free_descriptor_are_closed_and_counted() -> None:
-    """The system's limit of file descriptors is lower than the configured one, and all are in use."""
+    """The operating system's limit of file descriptors is below the configured one, and all are in use."""
     async with running(Kernel()) as runner:
         assert await runner.asked("health") == 200
         descriptor_limit = len(os.listdir(f"/proc/{runner.process.pid}/fd")) + 3
-        # Lower than its configuration says.
+        # The limit is lower than the one in the configuration.
         resource.prlimit(runner.process.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
         connections = [socket.create_connection((HOST, runner.port)) for _ in range(40)]
         await asyncio.sleep(0.2)
@@ -607,12 +612,12 @@
 
 @asynchronous_test
 async def test_a_silently_dead_kernel_connection_is_replaced_and_its_runs_are_answered() -> None:
-    """The connection to the kernel stays open, but nothing arrives on it: the runner opens a new one."""
+    """The connection to the kernel stays open, but no data arrives on it. The runner opens a new one."""
     async with running(kernel := Kernel(work=0.3)) as runner:
         client = await FrontEnd.connect(runner.port)
         pending = client.send("submit", token=new_key())
         await wait_until(lambda: len(kernel.runs) == 1)
-        dead_connection = kernel.link  # it stays open, and nothing more is sent on it
+        dead_connection = kernel.link  # It stays open, but the kernel sends nothing more on it.
         kernel.link = None
         assert dead_connection is not None
         dead_connection.send_message = lambda message: None  # type: ignore[method-assign]
