--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -47,7 +47,7 @@
         line = haproxy_agent_state(report, self._factory.reporter.stopped_accepting, self._factory.maxconn)
         self.transport.write(line.encode("ascii") + b"\n")
         self.transport.loseWriteConnection()
-        self._alarm = self._core.alarms.at(self._core.clock.now + PROBE_TIMEOUT_US, self.cut)
+        self._alarm = self._core.alarms.at(self._core.clock.now + PROBE_TIMEOUT_US, self.abort)
 
     def dataReceived(self, data: bytes) -> None:
         """Collect the `agent-send` text, which names the load balancer."""
@@ -64,19 +64,19 @@
         if self._received:
             self._factory.record_sender(self.host, self._received)
 
-    def leave(self) -> None:
+    def request_close(self) -> None:
         """Do nothing: the protocol can't ask a load balancer to close."""
 
-    def end(self, ending: EndReason) -> bool:
+    def try_close(self, end_reason: EndReason) -> bool:
         """Abort the connection: the line was already sent."""
-        self._end_reason = self._end_reason or ending
+        self._end_reason = self._end_reason or end_reason
         self.transport.abortConnection()
         return True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection if it is still open."""
         if self in self._factory.limiter.connections:
-            self.end(EndReason.SLOW_READER)
+            self.try_close(EndReason.SLOW_READER)
 
 
 class AgentCheckFactory(ProbeFactory):
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -19,7 +19,9 @@
 
 # A connection that is younger, or idle for less, is evicted only if there is no other candidate.
 EVICTION_GRACE_US = 300 * MS
-LEAVE_TIMEOUT_US = 2 * SECOND  # Time for the other side to close a connection after the request to do so.
+CLOSE_REQUEST_TIMEOUT_US = (
+    2 * SECOND
+)  # Time for the other side to close a connection after the request to do so.
 CLOSE_TIMEOUT_US = 5 * SECOND  # Time for the other side to read the rest of the output.
 MAX_CANDIDATES = 32  # Connections of one queue that are considered for an eviction.
 
@@ -31,13 +33,13 @@
     def reading(self) -> bool:
         """Whether a message has been received in part, and the rest may still arrive."""
 
-    def leave(self) -> None:
+    def request_close(self) -> None:
         """Ask the other side to close."""
 
-    def end(self, ending: EndReason) -> bool:
+    def try_close(self, end_reason: EndReason) -> bool:
         """Close, and return True. Return False and stay open if unread input contains a request."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, and discard unsent output."""
 
 
@@ -94,8 +96,8 @@
             self._idle[connection] = self.core.clock.now
             self._schedule()
 
-    def leave_requested(self, connection: LimitedConnection) -> None:
-        """Record that the other side was asked to close. `LEAVE_TIMEOUT_US` starts now."""
+    def close_requested(self, connection: LimitedConnection) -> None:
+        """Record that the other side was asked to close. `CLOSE_REQUEST_TIMEOUT_US` starts now."""
         self.connection_busy(connection)
         self._close_requested[connection] = self.core.clock.now
         self._schedule()
@@ -163,7 +165,7 @@
         for connection in list(islice(queue, MAX_CANDIDATES)):
             if queue.get(connection, since + 1) > since:
                 return False
-            if (mid_message or not connection.reading) and connection.end(EndReason.EVICTED_WHILE_IDLE):
+            if (mid_message or not connection.reading) and connection.try_close(EndReason.EVICTED_WHILE_IDLE):
                 return True
         return False
 
@@ -173,7 +175,7 @@
         if connection is None or self._closing[connection] > since:
             return False
         del self._closing[connection]
-        connection.cut()
+        connection.abort()
         return True
 
     # ---- timeouts ----
@@ -182,7 +184,7 @@
         return (
             (self._silent, self.first_message_timeout_us),
             (self._idle, self.idle_timeout_us),
-            (self._close_requested, LEAVE_TIMEOUT_US),
+            (self._close_requested, CLOSE_REQUEST_TIMEOUT_US),
             (self._closing, CLOSE_TIMEOUT_US),
         )
 
@@ -211,12 +213,12 @@
     def _time_out(self, connection: LimitedConnection, queue: EntryTimes) -> None:
         if queue is self._closing:
             del queue[connection]
-            connection.cut()
+            connection.abort()
         elif queue is self._idle:
             del queue[connection]
             self._close_requested[connection] = self.core.clock.now
-            connection.leave()
+            connection.request_close()
         else:
-            ending = EndReason.READ_TIMEOUT if queue is self._silent else EndReason.IDLE_TIMEOUT
-            if connection.end(ending):
+            end_reason = EndReason.READ_TIMEOUT if queue is self._silent else EndReason.IDLE_TIMEOUT
+            if connection.try_close(end_reason):
                 queue.pop(connection, None)
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -31,14 +31,14 @@
     linger_us = LINGER_US
     max_body_bytes = MAX_BODY_BYTES
 
-    def leave(self) -> None:
+    def request_close(self) -> None:
         """Do nothing: the answer closes the connection."""
 
-    def _close(self, ending: EndReason) -> None:
+    def _close(self, end_reason: EndReason) -> None:
         """Answer 408 before closing a connection on which no complete call has arrived."""
-        if ending in (EndReason.READ_TIMEOUT, EndReason.EVICTED_WHILE_IDLE):
+        if end_reason in (EndReason.READ_TIMEOUT, EndReason.EVICTED_WHILE_IDLE):
             self._write(HttpReply(408, b"the call did not come whole in time\n"), keep_alive=False)
-        super()._close(ending)
+        super()._close(end_reason)
 
     def _answer(self, reply: HttpReply, keep_alive: bool, with_body: bool = True) -> None:
         super()._answer(reply, False, with_body)
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -109,8 +109,8 @@
             self._alarm.cancel()
         self.transport.unregisterProducer()
         self._factory.connection_closed(self)
-        ending = self._end_reason or EndReason.CLOSED_BY_PEER
-        self._core.counters.add(f"{self._factory.counter_prefix}: {ending.value}")
+        end_reason = self._end_reason or EndReason.CLOSED_BY_PEER
+        self._core.counters.add(f"{self._factory.counter_prefix}: {end_reason.value}")
 
     def dataReceived(self, data: bytes) -> None:
         """Parse received data, unless the connection is closing."""
@@ -153,32 +153,32 @@
         """Whether a call has been received in part, and the rest may still arrive."""
         return self._request is not None
 
-    def leave(self) -> None:
+    def request_close(self) -> None:
         """Close an idle connection, since HTTP has no message that asks the other side to close."""
-        self.end(EndReason.IDLE_TIMEOUT)
+        self.try_close(EndReason.IDLE_TIMEOUT)
 
-    def end(self, ending: EndReason) -> bool:
+    def try_close(self, end_reason: EndReason) -> bool:
         """Close. If unread input contains a call, answer it, stay open and return False."""
         answered_before = self._calls_answered
-        if self._end_reason is None and ending is not EndReason.CLOSED_LOCALLY:
+        if self._end_reason is None and end_reason is not EndReason.CLOSED_LOCALLY:
             read_unread_input(self.transport)
             if self._calls_answered > answered_before and self._end_reason is None:
                 return False
         if self._end_reason is None:
-            self._close(ending)
+            self._close(end_reason)
         return True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, and discard unsent output."""
         if self in self._factory.limiter.connections:
             self.transport.abortConnection()
 
     def _abort_slow_reader(self) -> None:
         self._end_reason = self._end_reason or EndReason.SLOW_READER
-        self.cut()
+        self.abort()
 
-    def _close(self, ending: EndReason) -> None:
-        self._end_reason = ending
+    def _close(self, end_reason: EndReason) -> None:
+        self._end_reason = end_reason
         self._factory.limiter.connection_closing(self)
         # Unread input would make the close reset the connection, and the answer could be lost. The input is discarded,
         # since `_end_reason` is set.
@@ -189,7 +189,7 @@
     def _schedule_abort(self) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
-        self._alarm = self._core.alarms.at(self._core.clock.now + self.linger_us, self.cut)
+        self._alarm = self._core.alarms.at(self._core.clock.now + self.linger_us, self.abort)
 
     # ---- a call ----
 
@@ -230,11 +230,11 @@
         reply = self._factory.handle(method, path.partition("?")[0], headers, self.host)
         self._answer(reply, keep_alive, method != "HEAD")
 
-    def _reject(self, status: int, text: str, ending: EndReason) -> None:
+    def _reject(self, status: int, text: str, end_reason: EndReason) -> None:
         """Answer an error and close our half of the connection."""
         # The start of the next call is unknown. After a full close, the caller might not be able to read the error.
         self._core.counters.add("faulty")
-        self._end_reason = ending
+        self._end_reason = end_reason
         self._factory.limiter.connection_closing(self)
         self._write(HttpReply(status, text.encode() + b"\n"), keep_alive=False)
         self.transport.loseWriteConnection()
@@ -245,7 +245,7 @@
         if keep_alive:
             self._factory.limiter.connection_idle(self)
         else:
-            self.end(EndReason.CLOSED_LOCALLY)
+            self.try_close(EndReason.CLOSED_LOCALLY)
 
     def _write(self, reply: HttpReply, keep_alive: bool, with_body: bool = True) -> None:
         lines = [
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -34,11 +34,11 @@
 
     Attributes:
         session: The requests of the connection.
-        active: When the connection was made or the last message arrived, in us.
+        last_activity_us: When the connection was made or the last message arrived, in us.
         leaving: Whether the other side has been asked to send no new requests.
-        unsent: Bytes written since the other side stopped reading, 0 while it reads.
-        last_ending: Why reading has stopped while open requests are still answered; None while reading.
-        ending: Why the connection closes; None while it is open.
+        unsent_bytes: Bytes written since the other side stopped reading, 0 while it reads.
+        pending_end_reason: Why reading has stopped while open requests are still answered; None while reading.
+        end_reason: Why the connection closes; None while it is open.
     """
 
     transport: Any  # mypy does not support zope interfaces.
@@ -50,11 +50,11 @@
         self._core = factory.core
         self._limiter = factory.limiter
         self.session = JsonRpcSession(factory.core, self, factory.is_fit)
-        self.active = 0
+        self.last_activity_us = 0
         self.leaving = False
-        self.unsent = 0
-        self.last_ending: EndReason | None = None
-        self.ending: EndReason | None = None
+        self.unsent_bytes = 0
+        self.pending_end_reason: EndReason | None = None
+        self.end_reason: EndReason | None = None
         self._message_began_us = 0  # When the incomplete message began to arrive; 0 if there is none.
         self._is_producer = False  # Whether this is registered as a producer at the transport.
 
@@ -68,24 +68,24 @@
         self.transport.registerProducer(self, True)
         self._is_producer = True
         self._core.begin_turn()
-        self.active = self._core.clock.now
+        self.last_activity_us = self._core.clock.now
         self._limiter.connection_opened(self)
         self._core.counters.add("connections")
         if self._factory.draining:
-            self.leave()
+            self.request_close()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Release the connection's slot, count why it ended, and cancel its requests."""
         self._unregister_producer()
         is_clean = reason is None or reason.check(ConnectionDone)  # type: ignore[no-untyped-call]
         self._limiter.connection_closed(self)
-        ending = self.ending or (EndReason.CLOSED_BY_PEER if is_clean else EndReason.CONNECTION_LOST)
-        self._core.counters.add("connections: " + ending.value)
+        end_reason = self.end_reason or (EndReason.CLOSED_BY_PEER if is_clean else EndReason.CONNECTION_LOST)
+        self._core.counters.add("connections: " + end_reason.value)
         self.session.connection_lost()
 
     def dataReceived(self, data: bytes) -> None:
         """Parse received data, unless reading has stopped."""
-        if self.ending is not None or self.last_ending is not None:
+        if self.end_reason is not None or self.pending_end_reason is not None:
             return
         self._core.begin_turn()
         super().dataReceived(data)  # type: ignore[no-untyped-call]
@@ -96,10 +96,10 @@
 
     def lineReceived(self, line: bytes) -> None:
         """Handle a message."""
-        if self.ending is not None or self.last_ending is not None or not line.strip():
+        if self.end_reason is not None or self.pending_end_reason is not None or not line.strip():
             return
         self._core.begin_turn()
-        self.active = self._core.clock.now
+        self.last_activity_us = self._core.clock.now
         self.session.handle(line, self._message_began_us or None)
 
     def lineLengthExceeded(self, line: bytes) -> None:
@@ -109,12 +109,12 @@
 
     def pauseProducing(self) -> None:
         """Stop reading, since the other side does not read."""
-        self.unsent = 1
+        self.unsent_bytes = 1
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
         """Resume reading, since the other side reads again."""
-        self.unsent = 0
+        self.unsent_bytes = 0
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
@@ -130,10 +130,10 @@
     def send(self, line: bytes) -> None:
         """Write a line. Abort the connection if the other side does not read and `MAX_UNSENT_BYTES` is exceeded."""
         self.transport.write(line)  # The transport collects the output, and sends it once per turn.
-        if self.unsent:
-            self.unsent += len(line)
-            if self.unsent > MAX_UNSENT_BYTES:
-                self.end(EndReason.SLOW_READER)
+        if self.unsent_bytes:
+            self.unsent_bytes += len(line)
+            if self.unsent_bytes > MAX_UNSENT_BYTES:
+                self.try_close(EndReason.SLOW_READER)
 
     def mark_idle(self) -> None:
         """Record that a complete message has arrived, and no request is open."""
@@ -143,23 +143,23 @@
         """Record that a request is open."""
         self._limiter.connection_busy(self)
 
-    def leave(self) -> None:
+    def request_close(self) -> None:
         """Ask the front end to send no new requests, unless it was asked before."""
         if not self.leaving:
             self.leaving = True
             self.send(LEAVING)
 
-    def stop_reading(self, ending: EndReason) -> None:
+    def stop_reading(self, end_reason: EndReason) -> None:
         """Stop reading, and close once all open requests are answered."""
-        if self.last_ending is None:
-            self.last_ending = ending
+        if self.pending_end_reason is None:
+            self.pending_end_reason = end_reason
             self.mark_busy()
             self.close_if_answered()
 
     def close_if_answered(self) -> None:
         """Close if reading has stopped and no request is open."""
-        if self.last_ending is not None and not self.session.open:
-            self._half_close(self.last_ending)
+        if self.pending_end_reason is not None and not self.session.open:
+            self._half_close(self.pending_end_reason)
 
     # ---- closing ----
 
@@ -169,56 +169,56 @@
         began = self._message_began_us
         return began > 0 and self._core.clock.now - began < FIRST_MESSAGE_TIMEOUT_US
 
-    def end(self, ending: EndReason) -> bool:
+    def try_close(self, end_reason: EndReason) -> bool:
         """Read pending input, then close.
 
         Return False and stay open if the input contains a request, or if an idle connection has received one in part.
         """
-        if self.ending is None and ending is not EndReason.SLOW_READER and not self.unsent:
+        if self.end_reason is None and end_reason is not EndReason.SLOW_READER and not self.unsent_bytes:
             read_unread_input(self.transport)
-            if self.ending is None and self.session.open:
+            if self.end_reason is None and self.session.open:
                 return False
-            if self.ending is None and ending is EndReason.IDLE_TIMEOUT and self.reading:
-                self._limiter.leave_requested(self)
+            if self.end_reason is None and end_reason is EndReason.IDLE_TIMEOUT and self.reading:
+                self._limiter.close_requested(self)
                 return False
-        if self.ending is None:
-            self._close(ending)
+        if self.end_reason is None:
+            self._close(end_reason)
         return True
 
-    def read_rest(self) -> None:
+    def read_pending_input(self) -> None:
         """Read pending input before the runner stops, so that requests in it are answered."""
-        if self.ending is None and not self.unsent:
+        if self.end_reason is None and not self.unsent_bytes:
             read_unread_input(self.transport)
 
     def close(self) -> None:
         """Close before the runner stops, after all open requests have been answered."""
-        if self.ending is None:
+        if self.end_reason is None:
             self._close(EndReason.CLOSED_LOCALLY)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, and discard unsent output."""
         if self in self._limiter.connections:
             self.transport.abortConnection()
 
-    def _close(self, ending: EndReason) -> None:
-        if ending is EndReason.EVICTED_WHILE_IDLE:
-            self.leave()  # notifies the idle front end, so that it sends no new requests
-        self.ending = ending
+    def _close(self, end_reason: EndReason) -> None:
+        if end_reason is EndReason.EVICTED_WHILE_IDLE:
+            self.request_close()  # notifies the idle front end, so that it sends no new requests
+        self.end_reason = end_reason
         self._limiter.connection_closing(self)
-        if ending is EndReason.SLOW_READER:
+        if end_reason is EndReason.SLOW_READER:
             self.transport.abortConnection()
         else:
             self._unregister_producer()  # Twisted would never close a connection with a paused producer.
             self.transport.loseConnection()
 
-    def _half_close(self, ending: EndReason) -> None:
+    def _half_close(self, end_reason: EndReason) -> None:
         """Close our half of the connection, and discard further input."""
         # A full close with unread input would reset the connection, and the other side might never see the error.
-        if self.ending is None:
-            self.ending = ending
+        if self.end_reason is None:
+            self.end_reason = end_reason
             self._limiter.connection_closing(self)
             self.transport.loseWriteConnection()
-            self._core.alarms.at(self._core.clock.now + LINGER_US, self.cut)
+            self._core.alarms.at(self._core.clock.now + LINGER_US, self.abort)
 
 
 class JsonRpcFactory(LimitedFactory):
@@ -246,13 +246,13 @@
         """The open connections."""
         return cast(set[JsonRpcProtocol], self.limiter.connections)
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Ask all front ends, including those that connect later, to send no new requests."""
         self.draining = True
         for connection in list(self.connections):
-            connection.leave()
+            connection.request_close()
 
-    def trim(self, idle_timeout_us: int) -> None:
+    def set_idle_timeout(self, idle_timeout_us: int) -> None:
         """Change the idle timeout, in us, after which front ends are asked to close a connection."""
         # The runner does not close it at once, since a request could arrive at the same time.
         self.limiter.set_idle_timeout(idle_timeout_us)
--- a/moorusher/frontends/jsonrpc_session.py
+++ b/moorusher/frontends/jsonrpc_session.py
@@ -29,9 +29,9 @@
 MAX_OPEN_REQUESTS = 32  # Open requests per connection.
 # Malformed messages after which a front end is asked to send no new requests. A correct front end causes none, except
 # for classes that this runner does not know yet. Requests that are already on their way are still answered.
-MAX_FAULTS_BEFORE_LEAVE = 16
+MAX_ERRORS_BEFORE_LEAVING = 16
 # Malformed messages after which the connection is closed.
-MAX_FAULTS = MAX_FAULTS_BEFORE_LEAVE + 2 * MAX_OPEN_REQUESTS
+MAX_ERRORS = MAX_ERRORS_BEFORE_LEAVING + 2 * MAX_OPEN_REQUESTS
 
 
 class JsonRpcConnection(Protocol):
@@ -40,7 +40,7 @@
     def send(self, line: bytes) -> None:
         """Write a line."""
 
-    def leave(self) -> None:
+    def request_close(self) -> None:
         """Ask the other side to send no new requests."""
 
     def mark_idle(self) -> None:
@@ -49,7 +49,7 @@
     def mark_busy(self) -> None:
         """Called when a request is open."""
 
-    def stop_reading(self, ending: EndReason) -> None:
+    def stop_reading(self, end_reason: EndReason) -> None:
         """Stop reading, and close once `close_if_answered` is called with no request open."""
 
     def close_if_answered(self) -> None:
@@ -156,9 +156,9 @@
     def _count_error(self) -> None:
         """Count a malformed message. Their number is limited, since each costs as much time as a request."""
         self.error_count += 1
-        if self.error_count == MAX_FAULTS_BEFORE_LEAVE:
-            self._connection.leave()
-        if self.error_count >= MAX_FAULTS:
+        if self.error_count == MAX_ERRORS_BEFORE_LEAVING:
+            self._connection.request_close()
+        if self.error_count >= MAX_ERRORS:
             self._connection.stop_reading(EndReason.TOO_MANY_ERRORS)
 
     def _check_health(self, tag: int | None) -> None:
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -51,7 +51,7 @@
     Attributes:
         state: State of the connection.
         request: The request that awaits its answer, None before and after.
-        ending: Why the connection closes, None if that is not known.
+        end_reason: Why the connection closes, None if that is not known.
     """
 
     transport: Any
@@ -61,7 +61,7 @@
         self._core = factory.core
         self.state = State.READING_PACKET
         self.request: Request | None = None
-        self.ending: EndReason | None = None
+        self.end_reason: EndReason | None = None
         self._data = bytearray()
         self._began_us = (
             0  # When the client connected. The request's time budget includes the transfer of its body.
@@ -83,29 +83,29 @@
         self._core.counters.add("uwsgi connections")
         self._began_us = self._core.clock.now
 
-    def leave(self) -> None:
-        """Do nothing: uwsgi can't ask a client to close. An idle client gets status 408 from `end`."""
+    def request_close(self) -> None:
+        """Do nothing: uwsgi can't ask a client to close. An idle client gets status 408 from `try_close`."""
 
-    def end(self, ending: EndReason) -> bool:
+    def try_close(self, end_reason: EndReason) -> bool:
         """Answer 408 and close, since the request has not arrived in time or its slot is needed.
 
         Return False and stay open if the rest of the request is in unread input.
         """
-        self.read_rest()
+        self.read_pending_input()
         if self.state is State.AWAITING_ANSWER:
             return False
         if self.state is not State.ANSWERED:
-            self.ending = self.ending or ending
+            self.end_reason = self.end_reason or end_reason
             self._finish(
                 build_response(408, b"the request did not come whole in time"),
-                close_now=ending is EndReason.EVICTED_WHILE_IDLE,
+                close_now=end_reason is EndReason.EVICTED_WHILE_IDLE,
             )
         return True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, since the answer is not being read."""
         if self in self._factory.limiter.connections:
-            self.ending = self.ending or EndReason.IDLE_TIMEOUT
+            self.end_reason = self.end_reason or EndReason.IDLE_TIMEOUT
             self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
@@ -116,10 +116,10 @@
         if self._alarm is not None:
             self._alarm.cancel()
         self._factory.limiter.connection_closed(self)
-        ending = self.ending or (
+        end_reason = self.end_reason or (
             EndReason.CLOSED_LOCALLY if self.state is State.ANSWERED else EndReason.CLOSED_BY_PEER
         )
-        self._core.counters.add("uwsgi connections: " + ending.value)
+        self._core.counters.add("uwsgi connections: " + end_reason.value)
         if self.request is not None:
             self._core.caller_disconnected(self.request)
         self.state = State.ANSWERED
@@ -177,7 +177,7 @@
             headers |= {"X_Moorusher_Backoff_Ms": round(RETRY_AFTER_MS), "X_Moorusher_Never_Ran": 1}
         self._finish(build_response(status, reason.value.encode(), **headers))
 
-    def read_rest(self) -> None:
+    def read_pending_input(self) -> None:
         """Read pending input, so that a request in it is served."""
         if self.state in (State.READING_PACKET, State.READING_BODY):
             read_unread_input(self.transport)
@@ -226,7 +226,7 @@
             self.transport.loseConnection()
         else:
             self.transport.loseWriteConnection()
-        self._alarm = self._core.alarms.at(self._core.clock.now + LINGER_US, self.cut)
+        self._alarm = self._core.alarms.at(self._core.clock.now + LINGER_US, self.abort)
 
 
 class UwsgiFactory(LimitedFactory):
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -86,7 +86,7 @@
         service = self._service
         self._active_at_us = service.clock.now
         service.reporter.stop_accepting()
-        service.jsonrpc.leave()
+        service.jsonrpc.start_draining()
         service.serving = False
         for label in CLIENT_LISTENERS:
             service.listeners.close(label)
@@ -121,7 +121,7 @@
         is_reading = any(
             c.reading for c in connections
         )  # a message that has begun may still become a request
-        heard_at_us = max((c.active for c in self._service.jsonrpc.connections), default=0)
+        heard_at_us = max((c.last_activity_us for c in self._service.jsonrpc.connections), default=0)
         if not is_reading and now - max(self._active_at_us, heard_at_us) >= QUIET_US:
             self.end()
 
@@ -137,7 +137,7 @@
             self._close_client_listeners()
         connections = self._client_connections()
         for connection in connections:
-            connection.read_rest()  # a request that came in this moment is not closed over
+            connection.read_pending_input()  # a request that came in this moment is not closed over
         service.core.answer_all()
         for connection in connections:
             connection.close()  # after what is written has gone out
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -70,7 +70,7 @@
         self.health_check: Any = None
         self.console: Any = None
         self.warm_start_store: Any = None
-        self.core.hooks.trim_connections = self.jsonrpc.trim
+        self.core.hooks.trim_connections = self.jsonrpc.set_idle_timeout
         self.listeners = Listeners(reactor, self._budget.reserved, self.core.counters.add)
         self.shutdown = GracefulShutdown(self)
         self.hot_restart: Any = None
@@ -173,7 +173,7 @@
     def pause(self, shared: set[str]) -> None:
         """Another process accepts from now on: on the same sockets, or on its own."""
         self.listeners.pause(shared)
-        self.jsonrpc.leave()
+        self.jsonrpc.start_draining()
         if isinstance(self.backend, DatabasePool):
             self.backend.set_max_idle(0)  # idle connections are the other process's to open
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 import pytest
 
 from moorusher.core.outcomes import EndReason
-from moorusher.frontends.connection_limits import CLOSE_TIMEOUT_US, LEAVE_TIMEOUT_US
+from moorusher.frontends.connection_limits import CLOSE_REQUEST_TIMEOUT_US, CLOSE_TIMEOUT_US
 from moorusher.frontends.jsonrpc import FIRST_MESSAGE_TIMEOUT_US, MAX_LINE_BYTES, JsonRpcFactory
 from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.server.accepting_port import ACCEPT_RETRY_S, AcceptingPort
@@ -90,7 +90,7 @@
     harness.advance(round(IDLE_MS * 1000) + 10_000)
     assert [message.get("method") for message in client.messages()][1:] == ["leaving"]
     client.send(request_line())
-    harness.advance(LEAVE_TIMEOUT_US)
+    harness.advance(CLOSE_REQUEST_TIMEOUT_US)
     harness.loop.turn()
     harness.finish_run("r1")
     assert answer_of(client)["id"] == 1 and not client.ended
@@ -100,7 +100,7 @@
     """The client began a request before it read that it should close: the rest may still come."""
     harness = FrontendHarness()
     client = harness.connect_idle()
-    harness.advance(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
+    harness.advance(round(IDLE_MS * 1000) + CLOSE_REQUEST_TIMEOUT_US - 100_000)
     client.send(request_line()[:20])
     harness.loop.turn()
     harness.advance(200_000)
@@ -114,12 +114,12 @@
     """A client sends half a request on an idle connection and stops: the read timeout closes it."""
     harness = FrontendHarness()
     client = harness.connect_idle()
-    harness.advance(round(IDLE_MS * 1000) + LEAVE_TIMEOUT_US - 100_000)
+    harness.advance(round(IDLE_MS * 1000) + CLOSE_REQUEST_TIMEOUT_US - 100_000)
     client.send(request_line()[:20])
     harness.loop.turn()
-    harness.advance(LEAVE_TIMEOUT_US + FIRST_MESSAGE_TIMEOUT_US + 100_000)
+    harness.advance(CLOSE_REQUEST_TIMEOUT_US + FIRST_MESSAGE_TIMEOUT_US + 100_000)
     harness.loop.turn()
-    assert client.ended and client.protocol.ending is EndReason.IDLE_TIMEOUT
+    assert client.ended and client.protocol.end_reason is EndReason.IDLE_TIMEOUT
 
 
 def test_a_connection_with_an_unread_request_is_not_evicted_and_another_is() -> None:
@@ -230,7 +230,7 @@
     assert [message["error"]["code"] for message in client.messages()] == [-32700] and not client.ended
     harness.finish_run("r1")
     assert answer_of(client)["id"] == 1 and client.ended
-    assert client.protocol.ending is EndReason.LINE_TOO_LONG
+    assert client.protocol.end_reason is EndReason.LINE_TOO_LONG
 
 
 def test_a_connection_closed_with_unsent_bytes_ends_after_the_client_has_read_them() -> None:
@@ -239,8 +239,8 @@
     client = harness.connect()
     client.transport.write(bytes(8_000_000))  # more than the socket buffers hold
     harness.loop.turn()
-    assert client.protocol.unsent
-    assert client.protocol.end(EndReason.IDLE_TIMEOUT)
+    assert client.protocol.unsent_bytes
+    assert client.protocol.try_close(EndReason.IDLE_TIMEOUT)
     while not client.ended:
         before = len(client.read())
         harness.loop.turn()
@@ -253,7 +253,7 @@
     client = harness.connect()
     client.transport.write(bytes(8_000_000))
     harness.loop.turn()
-    client.protocol.end(EndReason.IDLE_TIMEOUT)
+    client.protocol.try_close(EndReason.IDLE_TIMEOUT)
     harness.loop.turn()
     assert len(harness.jsonrpc.limiter) == 1
     harness.advance(CLOSE_TIMEOUT_US + 10_000)
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -12,7 +12,7 @@
 from moorusher.core.answer import Answer, Cause, Verdict
 from moorusher.core.outcomes import EndReason
 from moorusher.frontends.jsonrpc import MAX_UNSENT_BYTES, JsonRpcFactory, JsonRpcProtocol
-from moorusher.frontends.jsonrpc_session import MAX_FAULTS, MAX_FAULTS_BEFORE_LEAVE
+from moorusher.frontends.jsonrpc_session import MAX_ERRORS, MAX_ERRORS_BEFORE_LEAVING
 from moorusher.frontends.uwsgi import UwsgiFactory
 from moorusher.protocols.uwsgi_packets import FAILED_STATUS, INVALID_ARRIVAL_STATUS, REASONS
 from moorusher.scheduling.interface import SignalKind
@@ -112,7 +112,9 @@
     connection.dataReceived(b"x" * 9000 + b"\n" + request_line())
     assert [m["error"]["code"] for m in take_messages(transport)] == [-32700]
     assert (
-        transport.half_closed and not transport.disconnecting and connection.ending is EndReason.LINE_TOO_LONG
+        transport.half_closed
+        and not transport.disconnecting
+        and connection.end_reason is EndReason.LINE_TOO_LONG
     )
     world.wait(1_100)
     assert transport.aborted and world.runs() == []
@@ -158,7 +160,7 @@
     assert transport.producerState == "paused"
     for i in range(MAX_UNSENT_BYTES // 4000 + 1):
         connection.session.answer(i, Answer(Verdict.SERVED, bytes(4096)), None)
-    assert transport.aborted and connection.ending is EndReason.SLOW_READER
+    assert transport.aborted and connection.end_reason is EndReason.SLOW_READER
 
 
 def connect_more(factory: JsonRpcFactory, count: int) -> list[tuple[JsonRpcProtocol, Transport]]:
@@ -190,10 +192,10 @@
     for i, (evicted, transport) in enumerate((*silent, *idle)):
         connect_more(factory, 1)[0][0].dataReceived(request_line(i + 1, rid=f"n{i}"))
         world.turn()
-        assert transport.disconnecting and evicted.ending is EndReason.EVICTED_WHILE_IDLE
+        assert transport.disconnecting and evicted.end_reason is EndReason.EVICTED_WHILE_IDLE
         evicted.connectionLost()
         assert len(factory.connections) == 10
-    assert factory.buildProtocol(None) is None and connection.ending is None
+    assert factory.buildProtocol(None) is None and connection.end_reason is None
     assert world.core.counters.total["connections: too many connections"] == 1
 
 
@@ -208,10 +210,10 @@
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(sent)
     world.wait(2_400)
-    assert connection.ending is None
+    assert connection.end_reason is None
     world.wait(150)
     assert (
-        connection.ending is EndReason.READ_TIMEOUT
+        connection.end_reason is EndReason.READ_TIMEOUT
         and transport.disconnecting
         and take_messages(transport) == []
     )
@@ -228,22 +230,22 @@
     world.wait(100)
     assert [m["method"] for m in take_messages(transport)] == ["leaving"] and not transport.disconnecting
     world.wait(2_100)
-    assert connection.ending is EndReason.IDLE_TIMEOUT and transport.disconnecting
+    assert connection.end_reason is EndReason.IDLE_TIMEOUT and transport.disconnecting
 
 
 def test_runs_that_the_kernel_rejects_count_as_errors_of_the_connection() -> None:
     """The kernel rejects each run of a client, which is asked to leave, and disconnected if it continues."""
     world, _, connection, transport = connected_frontend()
-    for i in range(1, MAX_FAULTS + 1):
-        assert connection.ending is None
+    for i in range(1, MAX_ERRORS + 1):
+        assert connection.end_reason is None
         connection.dataReceived(request_line(i))
         world.turn()
         world.core.execution.command_rejected("SCHED", f"r{i}")
         world.turn()
     received = take_messages(transport)
-    assert received.pop(MAX_FAULTS_BEFORE_LEAVE)["method"] == "leaving"
-    assert [m["error"]["code"] for m in received] == [-32000] * MAX_FAULTS
-    assert connection.ending is EndReason.TOO_MANY_ERRORS and transport.half_closed
+    assert received.pop(MAX_ERRORS_BEFORE_LEAVING)["method"] == "leaving"
+    assert [m["error"]["code"] for m in received] == [-32000] * MAX_ERRORS
+    assert connection.end_reason is EndReason.TOO_MANY_ERRORS and transport.half_closed
 
 
 def test_a_connection_with_too_many_errors_is_closed_after_its_errors_can_be_read() -> None:
@@ -251,10 +253,10 @@
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(b"{\n" * 5_000)
     connection.dataReceived(b"{\n" * 5_000 + request_line())
-    assert len(take_messages(transport)) == MAX_FAULTS + 1 and world.runs() == []
+    assert len(take_messages(transport)) == MAX_ERRORS + 1 and world.runs() == []
     assert transport.half_closed and not transport.aborted
     world.wait(1_100)
-    assert transport.aborted and connection.ending is EndReason.TOO_MANY_ERRORS
+    assert transport.aborted and connection.end_reason is EndReason.TOO_MANY_ERRORS
 
 
 def test_a_lost_connection_cancels_its_requests() -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -20,7 +20,7 @@
 from moorusher.core.reconfiguration import NEW, plan
 from moorusher.core.registration import InvalidArrival
 from moorusher.core.requests import Arrival
-from moorusher.frontends.jsonrpc_session import MAX_FAULTS, MAX_FAULTS_BEFORE_LEAVE, MAX_OPEN_REQUESTS
+from moorusher.frontends.jsonrpc_session import MAX_ERRORS, MAX_ERRORS_BEFORE_LEAVING, MAX_OPEN_REQUESTS
 from moorusher.membership.policy import Seat
 from moorusher.scheduling import Scheduler
 from moorusher.scheduling import interface as api
@@ -222,14 +222,14 @@
         connection.dataReceived(request_line(i, "read"))
     assert not transport.disconnecting and not transport.half_closed
     # A client may know a new class before this runner does.
-    for i in range(60, 60 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS):
+    for i in range(60, 60 + MAX_ERRORS_BEFORE_LEAVING + MAX_OPEN_REQUESTS):
         connection.dataReceived(request_line(i, "never was"))
     assert (
         connection.leaving
         and sum("error" in message for message in take_messages(transport))
-        == 58 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
+        == 58 + MAX_ERRORS_BEFORE_LEAVING + MAX_OPEN_REQUESTS
     )
-    for i in range(200, 200 + MAX_FAULTS):
+    for i in range(200, 200 + MAX_ERRORS):
         connection.dataReceived(request_line(i, "never was"))
     assert not transport.half_closed  # too many errors by now, but with a request in flight
     take_messages(transport)
