--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -96,7 +96,7 @@
         """Send the first report and schedule further ones."""
         self._report_periodically()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Report to a new address at once: waiting for the next report could let the entry expire."""
         if address == self._address or self._is_stopped:
             return
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -20,7 +20,7 @@
 
 CONNECT_TIMEOUT_S = 30  # The time limit of a call is usually shorter.
 # Time between a response and the reuse of its connection, in which unexpected further data is detected.
-SETTLE_US = 20 * MS
+REUSE_DELAY_US = 20 * MS
 # The database closes idle connections after 10 s. No call must be sent while it does so.
 MAX_IDLE_US = 7 * SECOND
 MAX_IDLE_CONNECTIONS = 32
@@ -207,13 +207,13 @@
         connection.send(number, request)
 
     def _find_reusable(self) -> DatabaseProtocol | None:
-        """Return the most recently idle connection that has been idle for `SETTLE_US`, or None.
+        """Return the most recently idle connection that has been idle for `REUSE_DELAY_US`, or None.
 
         On a connection used earlier, late data or a duplicate of its response could be mistaken for the next response.
         Calls that must not run twice always use a new connection, since a reset of a reused one does not prove that
         the call never ran.
         """
-        latest = self.core.clock.now - SETTLE_US
+        latest = self.core.clock.now - REUSE_DELAY_US
         return next(
             (connection for connection in reversed(self._idle) if connection.idle_since <= latest), None
         )
@@ -244,7 +244,7 @@
 
     # ---- called by the owner ----
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Send new calls to a new address. Calls in flight may still be answered at the old one."""
         if address == self.address:
             return
--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 5
 BASE_BACKOFF_US = 20 * MS  # Doubled with each attempt.
 MAX_BACKOFF_US = 400 * MS
-MAX_UNREADABLE = 3  # Reconnects because of the same unreadable line, before the line is skipped.
+MAX_UNREADABLE_RECONNECTS = 3  # Reconnects because of the same unreadable line, before the line is skipped.
 
 
 class KernelClient(ClientFactory):
@@ -73,7 +73,7 @@
         self._reconnect_alarm = None
         self._connector = self._reactor.connectTCP(*self._address, self, timeout=CONNECT_TIMEOUT_S)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Connect to a new address of the kernel.
 
         The connection to the old address stays in use until the new one is established: the kernel accepts nothing
@@ -176,7 +176,7 @@
     def line_unreadable(self, connection: KernelProtocol, line: bytes) -> None:
         """Reconnect, so that the kernel sends the notices after the last valid one again.
 
-        A line that is still unreadable after `MAX_UNREADABLE` reconnects is skipped.
+        A line that is still unreadable after `MAX_UNREADABLE_RECONNECTS` reconnects is skipped.
         """
         log.error("kernel message unreadable: line=%r", line[:MAX_LOGGED_BYTES])
         self.core.begin_turn()
@@ -186,7 +186,7 @@
             self._unreadable_lines = 0
         self._unreadable_lines += 1
         self._unreadable_after_notice = last_notice
-        if self._unreadable_lines <= MAX_UNREADABLE:
+        if self._unreadable_lines <= MAX_UNREADABLE_RECONNECTS:
             connection.transport.abortConnection()
             self.connection_lost(connection, "unreadable message")
         else:
--- a/moorusher/backends/server_backends.py
+++ b/moorusher/backends/server_backends.py
@@ -7,11 +7,11 @@
 from ..load_balancing.policy import EndpointConfig, EndpointProtocol
 from .database import DatabasePool
 from .owner import BackendOwner
-from .uwsgi import UwsgiCalls
+from .uwsgi import UwsgiClient
 
 MAX_IDLE_PER_SERVER = 4  # Idle connections to one server. There may be many servers.
 
-Backend = DatabasePool | UwsgiCalls
+Backend = DatabasePool | UwsgiClient
 
 
 class ServerBackends:
@@ -27,19 +27,19 @@
         """Return the backend of a server, created or updated for its current address and protocol."""
         backend = self._by_name.get(server.name)
         uses_uwsgi = server.protocol is EndpointProtocol.UWSGI
-        if backend is not None and isinstance(backend, UwsgiCalls) is not uses_uwsgi:
+        if backend is not None and isinstance(backend, UwsgiClient) is not uses_uwsgi:
             backend.close()  # The protocol has changed. Attempts in flight are not affected.
             backend = None
         if backend is None:
             backend = self._by_name[server.name] = self._make(server)
         elif backend.address != server.address:
-            backend.move(server.address)
+            backend.set_address(server.address)
         return backend
 
     def _make(self, server: EndpointConfig) -> Backend:
         backend: Backend
         if server.protocol is EndpointProtocol.UWSGI:
-            backend = UwsgiCalls(self._reactor, server.address)
+            backend = UwsgiClient(self._reactor, server.address)
         else:
             backend = DatabasePool(self._reactor, server.address, MAX_IDLE_PER_SERVER)
         backend.core = self._owner
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -241,7 +241,7 @@
         if self.routes.balancers.find_server(name) is None:
             self._backends.close(name)
 
-    def follow(self, servers: Iterable[EndpointConfig], grants: Grants | None = None) -> None:
+    def update_config(self, servers: Iterable[EndpointConfig], grants: Grants | None = None) -> None:
         """Apply a new configuration. Servers that are no longer listed are retired."""
         listed = {server.name: server for server in servers}
         balancers = self.routes.balancers
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -88,7 +88,7 @@
 
     noisy = False
 
-    def __init__(self, client: UwsgiCalls, number: int, call: CallRequest) -> None:
+    def __init__(self, client: UwsgiClient, number: int, call: CallRequest) -> None:
         self._client = client
         self._has_ended = False
         self.number = number
@@ -115,7 +115,7 @@
         self.connector.disconnect()
 
 
-class UwsgiCalls:
+class UwsgiClient:
     """Calls to one uwsgi peer, each on its own connection.
 
     Attributes:
@@ -129,7 +129,7 @@
         self._reactor = reactor
         self._open: dict[int, UwsgiCallFactory] = {}  # by call number
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Send new calls to a new address. Calls in flight keep their own connections."""
         self.address = address
 
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..backends.database import DatabasePool
-from ..backends.uwsgi import UwsgiCalls
+from ..backends.uwsgi import UwsgiClient
 from ..config.model import Config
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from ..health_reporting.reporter import Reporter
 
 
-def build_backend(config: Config, reactor: Any) -> ServerPool | UwsgiCalls | DatabasePool | None:
+def build_backend(config: Config, reactor: Any) -> ServerPool | UwsgiClient | DatabasePool | None:
     """Build what runs' downstream calls go to: a pool of servers, a uwsgi peer, the database, or nothing."""
     if config.tier.servers:
         from ..backends.server_pool import ServerPool
@@ -31,7 +31,7 @@
             config.namespaces.grants,
         )
     if config.uwsgi.below is not None:
-        return UwsgiCalls(reactor, config.uwsgi.below)
+        return UwsgiClient(reactor, config.uwsgi.below)
     if config.db is not None:
         return DatabasePool(reactor, config.db)
     return None
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..backends.database import DatabasePool
-from ..backends.uwsgi import UwsgiCalls
+from ..backends.uwsgi import UwsgiClient
 from ..config.model import Config
 from ..config.section import Address, ConfigError, ConfigUnreadableError
 from ..core.reconfiguration import Plan, plan
@@ -168,14 +168,14 @@
         service.cluster.maintenance.reconfigure(new.outage)
     if service.server_pool is None:
         return []
-    service.server_pool.follow(new.tier.servers, new.namespaces.grants)
+    service.server_pool.update_config(new.tier.servers, new.namespaces.grants)
     return ["tier (all but its servers)"] if new.tier.policy != old.tier.policy else []
 
 
 def _move_connections(service: Service, new: Config, backend: Address | None) -> None:
     """Connect to the addresses of the new configuration."""
-    service.kernel.move(new.kernel)
-    if isinstance(service.backend, DatabasePool | UwsgiCalls) and backend is not None:
-        service.backend.move(backend)
+    service.kernel.set_address(new.kernel)
+    if isinstance(service.backend, DatabasePool | UwsgiClient) and backend is not None:
+        service.backend.set_address(backend)
     if service.announcer is not None and new.announce is not None:
-        service.announcer.move(new.announce)
+        service.announcer.set_address(new.announce)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -17,7 +17,7 @@
 from moorusher.backends.announce import Announcer
 from moorusher.backends.kernel import KernelClient
 from moorusher.backends.kernel_protocol import KernelProtocol
-from moorusher.backends.uwsgi import UwsgiCalls
+from moorusher.backends.uwsgi import UwsgiClient
 from moorusher.cluster_transport.hot_restart.peer_connection import PeerConnection
 from moorusher.core.call import CallRequest
 from moorusher.frontends.agent import AgentCheckFactory
@@ -109,7 +109,7 @@
 
 def uwsgi_below() -> Fed:
     world, dialled = World(), []
-    link = UwsgiCalls(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
+    link = UwsgiClient(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
     link.core = heard = Heard(world)
     link.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
     connection, transport = dialled[0].buildProtocol(None), Transport()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,8 +9,8 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from moorusher.backends.database import MAX_IDLE_US, SETTLE_US, DatabasePool
-from moorusher.backends.kernel import MAX_UNREADABLE, KernelClient
+from moorusher.backends.database import MAX_IDLE_US, REUSE_DELAY_US, DatabasePool
+from moorusher.backends.kernel import MAX_UNREADABLE_RECONNECTS, KernelClient
 from moorusher.backends.kernel_protocol import KernelProtocol
 from moorusher.backends.silence_detection import CONFIRM_AFTER_US, MAX_SILENCE_US
 from moorusher.cluster_transport.peers import PeerDialer
@@ -71,7 +71,7 @@
         connection.dataReceived(part)
     assert pool.outcomes == [(1, EndReason.CALL_ANSWERED)] and transport.aborted is closed
     pool.call(2, call_request(2))  # at once: more bytes after the reply could still be on their way
-    world.wait(SETTLE_US / 1000 + 5)
+    world.wait(REUSE_DELAY_US / 1000 + 5)
     pool.call(3, call_request(3))
     assert len(pool.dialled) == 2 + closed and (b"Request-Ref: r3" in transport.value()) is not closed
 
@@ -112,7 +112,7 @@
     connection.dataReceived(REPLY)
     pool.call(2, call_request(2))
     busy, busy_transport = pool.establish()
-    pool.move(("127.0.0.1", 2))
+    pool.set_address(("127.0.0.1", 2))
     assert transport.disconnecting and not busy_transport.disconnecting
     busy.dataReceived(REPLY)  # a call in flight may finish there, but no new one is sent there
     assert pool.outcomes[-1] == (2, EndReason.CALL_ANSWERED) and busy_transport.disconnecting
@@ -144,7 +144,7 @@
     connection, transport = pool.establish()
     assert b"Request-Ref: r1\r\nStatement-Timeout-Ms: 500\r\nContent-Length: 1\r\n\r\nq" in transport.value()
     connection.dataReceived(REPLY)
-    world.wait(SETTLE_US / 1000 + 5)
+    world.wait(REUSE_DELAY_US / 1000 + 5)
     pool.call(2, call_request(2))  # the same connection again
     assert len(pool.dialled) == 1 and b"Request-Ref: r2" in transport.value()
     connection.dataReceived(REPLY)
@@ -228,13 +228,13 @@
 def test_a_line_that_stays_unreadable_is_skipped_after_a_limited_number_of_reconnects() -> None:
     """The kernel sends the same damaged line on each connection: the runner must not reconnect for ever."""
     link = RecordingKernelClient(world := World())
-    for _ in range(MAX_UNREADABLE + 1):
+    for _ in range(MAX_UNREADABLE_RECONNECTS + 1):
         connection, transport = link.establish()
         receive(connection, b"{\n")
         world.wait(500)
     assert not transport.aborted
     receive_messages(connection, BOOTED)
-    assert len(link.dialled) == MAX_UNREADABLE + 1
+    assert len(link.dialled) == MAX_UNREADABLE_RECONNECTS + 1
 
 
 def test_nothing_is_sent_on_a_new_connection_before_the_replay_ends_and_a_reply_is_sent_once() -> None:
@@ -302,18 +302,18 @@
     link = RecordingKernelClient(world := World())
     first, _ = link.establish()
     receive_messages(first, BOOTED)
-    link.move(("127.0.0.1", 2))
+    link.set_address(("127.0.0.1", 2))
     world.core.runs._kernel = link.session
     world.take("a", 1)  # the old connection serves until the new one is up
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
-    link.move(("127.0.0.1", 3))  # while it dials
+    link.set_address(("127.0.0.1", 3))  # while it dials
     second, _ = link.establish()
     assert first.transport.disconnecting and link.dialled[1:] == [("127.0.0.1", 2), ("127.0.0.1", 3)]
     first.connectionLost()
     assert link.connection is second
     second.connectionLost()
-    link.move(("127.0.0.1", 4))  # while it waits to dial again
+    link.set_address(("127.0.0.1", 4))  # while it waits to dial again
     world.wait(1_000)
     assert link.dialled[3:] == [("127.0.0.1", 4)]
 
