--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -80,7 +80,7 @@
     noisy = False
 
     def __init__(self, reactor: Any, address: Address, name: str) -> None:
-        """:param name: Name of this runner."""
+        """Create an announcer for the runner `name`."""
         self.core: RequestEngine
         self.is_fit: Callable[[], bool] = lambda: True
         self._reactor = reactor
@@ -97,7 +97,7 @@
         self._report_periodically()
 
     def set_address(self, address: Address) -> None:
-        """Report to a new address at once: waiting for the next report could let the entry expire."""
+        """Switch to a new address and report there at once, since an entry could expire before the next report."""
         if address == self._address or self._is_stopped:
             return
         self._address = address
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -209,9 +209,9 @@
     def _find_reusable(self) -> DatabaseProtocol | None:
         """Return the most recently idle connection that has been idle for `REUSE_DELAY_US`, or None.
 
-        On a connection used earlier, late data or a duplicate of its response could be mistaken for the next response.
-        Calls that must not run twice always use a new connection, since a reset of a reused one does not prove that
-        the call never ran.
+        On a connection that has just become idle, late data or a duplicate response could be mistaken for the next
+        response. Calls that must not run twice always use a new connection, since a reset of a reused one does not
+        prove that the call never ran.
         """
         latest = self.core.clock.now - REUSE_DELAY_US
         return next(
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -56,7 +56,7 @@
     """
 
     def __init__(self, on_booted: Callable[[Booted], None]) -> None:
-        """:param on_booted: Called when the kernel answers OPEN."""
+        """Create a session. `on_booted` is called when the kernel answers OPEN."""
         self.core: RequestEngine
         self._booted_callback = on_booted
         self.state = SessionState.DOWN
@@ -142,7 +142,7 @@
     def _send(self, command: Command) -> int:
         """Send a command and return its number, or NOT_WRITTEN if the session is not up.
 
-        The engine sends commands that were not written again after the replay.
+        After the replay, the engine repeats the commands that were not written.
         """
         if self.state is not SessionState.UP or self._connection is None:
             return NOT_WRITTEN
--- a/moorusher/backends/server_backends.py
+++ b/moorusher/backends/server_backends.py
@@ -18,7 +18,7 @@
     """The backends of the servers that have been called, by server name."""
 
     def __init__(self, reactor: Any, owner: BackendOwner) -> None:
-        """:param owner: Receives the ends of attempts."""
+        """Create an empty set of backends. `owner` receives the ends of attempts."""
         self._reactor = reactor
         self._owner = owner
         self._by_name: dict[str, Backend] = {}
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -19,9 +19,7 @@
 
 # A connection that is younger, or idle for less, is evicted only if there is no other candidate.
 EVICTION_GRACE_US = 300 * MS
-CLOSE_REQUEST_TIMEOUT_US = (
-    2 * SECOND
-)  # Time for the other side to close a connection after the request to do so.
+CLOSE_REQUEST_TIMEOUT_US = 2 * SECOND  # Time for the other side to close after it was asked to.
 CLOSE_TIMEOUT_US = 5 * SECOND  # Time for the other side to read the rest of the output.
 MAX_CANDIDATES = 32  # Connections of one queue that are considered for an eviction.
 
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -64,7 +64,7 @@
         max_connections: int,
         is_serving: Callable[[], bool],
     ) -> None:
-        """:param is_serving: Returns whether clients are accepted."""
+        """Create a console. `is_serving` returns whether clients are accepted."""
         self.core = core
         self.reporter = reporter
         self._is_serving = is_serving
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -1,7 +1,7 @@
 """HTTP/1 server framing: reads each call completely, within limits, and answers it."""
 
-# Twisted's web server is not used: it takes 6 MB of memory and several times as much processor time per call, and
-# restarts its timeout with every byte (docs/design/standing.md).
+# Twisted's web server is not used: it costs 6 MB of memory, is several times as expensive per call, and restarts its
+# timeout with every byte (docs/design/standing.md).
 
 from __future__ import annotations
 
@@ -29,9 +29,8 @@
     431: "Request Header Fields Too Large",
     503: "Service Unavailable",
 }
-OTHER_REASON = (
-    "Health"  # Reason phrase of other status codes, which operators can configure for health checks.
-)
+# Reason phrase of other status codes, which operators can configure for health checks.
+OTHER_REASON = "Health"
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -144,7 +144,7 @@
         self._limiter.connection_busy(self)
 
     def request_close(self) -> None:
-        """Ask the front end to send no new requests, unless it was asked before."""
+        """Ask the front end to send no new requests and to close, unless it was asked before."""
         if not self.leaving:
             self.leaving = True
             self.send(LEAVING)
@@ -226,7 +226,7 @@
 
     Attributes:
         draining: Whether new connections are asked at once to send no requests.
-        is_fit: Returns the answer to health checks.
+        is_fit: Returns whether health checks are answered with "fit".
     """
 
     def __init__(self, core: RequestEngine, max_connections: int, is_fit: Callable[[], bool]) -> None:
--- a/moorusher/frontends/jsonrpc_session.py
+++ b/moorusher/frontends/jsonrpc_session.py
@@ -41,7 +41,7 @@
         """Write a line."""
 
     def request_close(self) -> None:
-        """Ask the other side to send no new requests."""
+        """Ask the other side to send no new requests and to close."""
 
     def mark_idle(self) -> None:
         """Called when a complete message has arrived, and no request is open."""
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -16,9 +16,8 @@
 from .connection_limits import ConnectionLimiter
 
 MAX_CONNECTIONS = 128  # Open connections per listener.
-MAX_CONNECTIONS_OF_HOST = (
-    48  # Open connections from one address, so that a flood from there leaves slots free.
-)
+# Open connections from one address. The limit leaves slots to other addresses if one opens many connections.
+MAX_CONNECTIONS_OF_HOST = 48
 PROBE_TIMEOUT_US = 2 * SECOND  # Time for a health check to arrive, and for its answer to be read.
 IDLE_TIMEOUT_US = 60 * SECOND  # A load balancer may keep its connection open between health checks.
 
@@ -37,12 +36,12 @@
     counter_prefix = "probes"
 
     def __init__(self, core: RequestEngine, reporter: Reporter, build: Callable[[Any], Any]) -> None:
-        """:param build: Returns a protocol for this factory. The protocol has an attribute `host`."""
+        """Create a factory. `build` returns the protocol of a connection, which has an attribute `host`."""
         self.core = core
         self.reporter = reporter
         self._build = build
         self.limiter = ConnectionLimiter(core, MAX_CONNECTIONS, PROBE_TIMEOUT_US, IDLE_TIMEOUT_US)
-        self._connections_of_host: Counter[str] = Counter()  # without hosts that have no connection
+        self._connections_of_host: Counter[str] = Counter()  # Hosts without a connection are removed.
 
     def buildProtocol(self, addr: object) -> Any:
         """Return a protocol, or None if no slot is free for this address."""
--- a/moorusher/frontends/uwsgi.py
+++ b/moorusher/frontends/uwsgi.py
@@ -63,9 +63,8 @@
         self.request: Request | None = None
         self.end_reason: EndReason | None = None
         self._data = bytearray()
-        self._began_us = (
-            0  # When the client connected. The request's time budget includes the transfer of its body.
-        )
+        # When the client connected. The request's time budget includes the transfer of its body.
+        self._began_us = 0
         self._variables: dict[str, str] = {}
         self._body_bytes = 0  # Length of the body as stated in the packet.
         self._alarm: Alarm | None = None
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -135,9 +135,8 @@
         harness = ConsoleHarness()
         connection, transport = harness.connect(sent[:at], sent[at:])
         assert int(transport.value().split(b" ", 2)[1]) == code
-        connection.dataReceived(
-            b"GET /admin/health HTTP/1.1\r\n\r\n" * 3
-        )  # Only one call per connection is answered.
+        # Only one call per connection is answered.
+        connection.dataReceived(b"GET /admin/health HTTP/1.1\r\n\r\n" * 3)
         assert transport.value().count(b"HTTP/1.1 ") == 1
         assert harness.reporter.is_in_rotation
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -242,8 +242,7 @@
     ],
 )
 def test_end_reasons_of_database_calls(status: int, never_started: bool, reason: EndReason) -> None:
-    headers = {b"never-started": b"1"} if never_started else {}
-    assert database.end_reason_of(status, headers) is reason
+    assert database.end_reason_of(status, {b"never-started": b"1"} if never_started else {}) is reason
 
 
 def test_only_end_reasons_that_prove_it_count_as_never_run() -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -149,9 +149,8 @@
         assert content(await first) == content(await same_turn) == b"did x"
         assert content(await client.ask("submit", token=token)) == b"did x"  # from the stored result
         assert len(kernel.runs) == 1
-        other = await client.ask(
-            "submit", token=token, acct="bolt"
-        )  # Keys of different tenants are independent.
+        # Keys of different tenants are independent.
+        other = await client.ask("submit", token=token, acct="bolt")
         assert "result" in other and len(kernel.runs) == 2
 
 
