--- a/moorusher/membership/__init__.py
+++ b/moorusher/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which runners of a cluster exist, which of them are alive, and which hold the replicas of a key. Pure: no I/O."""
+"""The members of a cluster, the failure detector, and the placement of replicas. Pure: no I/O."""
--- a/moorusher/membership/dissemination.py
+++ b/moorusher/membership/dissemination.py
@@ -1,6 +1,6 @@
-"""Gossip: which updates about members go with the next message, and how often each is told.
+"""Gossip: selects the updates about members for each message, and limits how often each is sent.
 
-As many steps in a large cluster as in a small one.
+The work per message does not depend on the size of the cluster.
 """
 
 from __future__ import annotations
@@ -13,37 +13,38 @@
 from .member import Member
 from .messages import MemberUpdate
 
-UPDATES_PER_MESSAGE = 8  # at most, and the sender's own beside them
-RETRANSMIT_FACTOR = 3  # each update is told so many times the logarithm of the cluster's size
+UPDATES_PER_MESSAGE = 8  # Limit without the sender's own update.
+RETRANSMIT_FACTOR = 3  # Each update is sent this factor times log2 of the cluster's size.
 
 
 class Dissemination:
-    """The updates that one member has to pass on."""
+    """The updates that one member has to send."""
 
     def __init__(self, me: str, members: Mapping[str, Member]) -> None:
         self._me = me
         self._members = members
-        # By seat, how often its update was told; the least told are first. A seat is in one of the two.
-        self._losses: OrderedDict[str, int] = OrderedDict()
-        self._others: OrderedDict[str, int] = OrderedDict()
+        # Number of transmissions of each seat's update, the least sent first. A seat is in at most one of the queues:
+        # the first is for members that are not alive, the second for all others.
+        self._loss_updates: OrderedDict[str, int] = OrderedDict()
+        self._other_updates: OrderedDict[str, int] = OrderedDict()
         self._max_transmissions = ceil(RETRANSMIT_FACTOR * log2(max(2, len(members))))
 
     def enqueue(self, member: Member) -> None:
-        """Something about that member is new."""
-        self._losses.pop(member.seat, None)
-        self._others.pop(member.seat, None)
-        queue = self._others if member.is_alive else self._losses
+        """Queue an update about a member that has changed."""
+        self._loss_updates.pop(member.seat, None)
+        self._other_updates.pop(member.seat, None)
+        queue = self._other_updates if member.is_alive else self._loss_updates
         queue[member.seat] = 0
         queue.move_to_end(member.seat, last=False)
 
     def updates_for(self, receiver: str) -> list[MemberUpdate]:
-        """The updates of the next message to `receiver`.
+        """Return the updates for the next message to `receiver`.
 
-        Losses come before all else, and of each kind what was told least; but first what is said of the receiver
-        itself, so that it can refute it.
+        An update about the receiver comes first, so that it can refute it. Next come updates about members that are not
+        alive, then all others, each group with the least sent first.
         """
-        chosen = [receiver] if receiver in self._losses or receiver in self._others else []
-        for queue in (self._losses, self._others):
+        chosen = [receiver] if receiver in self._loss_updates or receiver in self._other_updates else []
+        for queue in (self._loss_updates, self._other_updates):
             chosen += [seat for seat in islice(queue, UPDATES_PER_MESSAGE) if seat != receiver]
         chosen = chosen[:UPDATES_PER_MESSAGE]
         for seat in chosen:
@@ -53,7 +54,7 @@
         return [self._update(self._members[seat]) for seat in chosen]
 
     def _count_transmission(self, seat: str) -> None:
-        queue = self._losses if seat in self._losses else self._others
+        queue = self._loss_updates if seat in self._loss_updates else self._other_updates
         queue[seat] += 1
         if queue[seat] >= self._max_transmissions:
             del queue[seat]
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -1,8 +1,9 @@
-"""The failure detector: probes, suspicions and verdicts; the same number of messages a member in a cluster of any size.
+"""The failure detector: probes members, suspects those that don't answer, and declares them dead.
 
-SWIM (Das, Gupta and Motivala 2002) with suspicion, and versions that refute it; Lifeguard's local health (Dadgar,
-Phillips and Currey 2018): a member that is itself slow gives the others more time. What is decided here sets only when
-something is tried; no guarantee rests on it.
+It implements SWIM (Das, Gupta and Motivala 2002) with suspicion and with versions to refute it, and Lifeguard's local
+health (Dadgar, Phillips and Currey 2018): a member that is slow itself gives the others more time. The number of
+messages per member does not depend on the size of the cluster. The detector's decisions only affect when a takeover is
+tried; safety does not depend on them.
 """
 
 from __future__ import annotations
@@ -17,48 +18,48 @@
 from .member import STATE_PRECEDENCE, Member, MemberState
 from .messages import MemberStatus, MemberUpdate, Ping, PingAck, PingRequest
 
-PROBE_PERIOD_US = 200 * MS  # one member is probed in each
-ACK_TIMEOUT_US = 80 * MS  # until others are asked to probe the member; and again until it is suspected
-INDIRECT_PROBES = 3  # how many others are asked
-SUSPICION_TIMEOUT_US = 500 * MS  # in a small cluster; a pause of half a second is no death
-REFUSED_SUSPICION_TIMEOUT_US = 250 * MS  # where its address refuses connections: no process listens there
+PROBE_PERIOD_US = 200 * MS  # One member is probed per period.
+ACK_TIMEOUT_US = 80 * MS  # Timeout of a direct probe, and again of the indirect probes that follow it.
+INDIRECT_PROBES = 3  # Members that are requested to probe a member which does not answer.
+SUSPICION_TIMEOUT_US = 500 * MS  # In a small cluster. A pause of half a second must not count as a death.
+# Shorter if the member's address refuses connections, since no process listens there.
+REFUSED_SUSPICION_TIMEOUT_US = 250 * MS
 MAX_HEALTH_PENALTY = 5
-DIRECT_CONTACT_FRESH_US = (
-    200 * MS
-)  # for so long a member's own message counts for more than others' suspicion
-LATE_PERIOD_US = 100 * MS  # a period that begins so late shows that this process was stopped, or is slow
+# Time for which a member's own message outweighs suspicions from others.
+DIRECT_CONTACT_FRESH_US = 200 * MS
+LATE_PERIOD_US = 100 * MS  # If a period begins this late, this process was stopped or is slow.
 
 
 class DetectorHost(Protocol):
-    """Who carries out what is decided here. Times are in us."""
+    """The process that executes the detector's decisions. Times are in us."""
 
     def send(self, seat: str, message: Ping | PingAck | PingRequest) -> None:
-        """To whichever process has the seat."""
+        """Send a message to a seat."""
 
     def reply(self, seat: str, message: PingAck) -> None:
-        """To the process whose message is being handled."""
+        """Reply to the sender of the message being handled."""
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        """Calls `action` at that time, or soon after it."""
+        """Call `action` at that time or soon after it."""
 
     def member_lost(self, seat: str, incarnation: int) -> None:
-        """That process is dead, or has been replaced."""
+        """Called when that process is dead or has been replaced."""
 
     def random(self) -> float:
-        """From 0 to 1."""
+        """Return a random number from 0 to 1."""
 
     def clock(self) -> int:
-        """Now."""
+        """Return the current time."""
 
 
 class FailureDetector:
-    """One member's view of all of them.
+    """One member's view of the cluster.
 
     Attributes:
-        me: `str`, this member's seat.
-        by_seat: `Member` of each seat, this one's included.
-        own: `Member`, this one.
-        health: `int`, the penalty of this process: 0 is good; with each point it gives others more time.
+        me: Seat of this member.
+        by_seat: Members by seat, including this one.
+        own: This member.
+        health: Penalty of this process; 0 is healthy, and each point gives the other members more time.
     """
 
     def __init__(self, me: str, incarnation: int, seats: tuple[str, ...], host: DetectorHost) -> None:
@@ -71,13 +72,15 @@
         self._host = host
         self._others = [seat for seat in seats if seat != me]
         self._dissemination = Dissemination(me, self.by_seat)
-        self._probe_order: list[str] = []  # of this round; each member is probed once in a round
+        self._probe_order: list[
+            str
+        ] = []  # Members still to be probed in this round; each is probed once per round.
         self._serial = 0
-        self._awaited_acks: dict[int, str] = {}  # by serial of the probe: whose answer is waited for
-        self._next_period = 0  # us
+        self._awaited_acks: dict[int, str] = {}  # Seats of the outstanding probes, by serial.
+        self._next_period = 0  # Time (us) of the next period.
 
     def publish_status(self, status: MemberStatus) -> None:
-        """Tells the others what this member says of itself, where it has changed."""
+        """Send this member's status to the others if it has changed."""
         if status != self.own.status:
             self.own.status = status
             self.own.version += 1
@@ -86,7 +89,7 @@
     # ---- probes ----
 
     def start(self, now: int) -> None:
-        """Begins to probe, at a random point of a period: the members' probes shall not coincide."""
+        """Start to probe after a random part of a period, so that the members' probes don't coincide."""
         self._next_period = now + round(PROBE_PERIOD_US * self._host.random())
         self._host.at(self._next_period, lambda: self._period(self._next_period))
 
@@ -96,22 +99,22 @@
         self._next_period = now + PROBE_PERIOD_US
         self._host.at(self._next_period, lambda: self._period(self._next_period))
         if late > LATE_PERIOD_US:
-            self._make_up_for_pause(late)
+            self._compensate_for_pause(late)
         if not self._others:
             return
         if not self._probe_order:
             self._probe_order = sorted(self._others, key=lambda _: self._host.random())
         self.probe(self._probe_order.pop())
 
-    def _make_up_for_pause(self, pause: int) -> None:
-        """This process was stopped: the answers that it waits for have waited for it."""
+    def _compensate_for_pause(self, pause: int) -> None:
+        """Extend all timeouts by the time (us) for which this process was stopped and could not read answers."""
         self._penalize()
         self._awaited_acks.clear()
         for member in self.by_seat.values():
             member.state_since += pause
 
     def probe(self, seat: str) -> None:
-        """Pings a member; others are asked to where it does not answer."""
+        """Ping a member. If it does not answer, other members are requested to ping it."""
         self._serial += 1
         serial = self._serial
         self._awaited_acks[serial] = seat
@@ -133,7 +136,7 @@
         if self._awaited_acks.pop(serial, None) is None:
             return
         if all(self.by_seat[other].last_heard < sent_at for other in self._others):
-            self._penalize()  # nobody is heard: it may be this process
+            self._penalize()  # No message has arrived from any member, so this process may be the cause.
         self.suspect(seat)
 
     def _ack_timeout(self) -> int:
@@ -142,43 +145,45 @@
     def _penalize(self) -> None:
         self.health = min(MAX_HEALTH_PENALTY, self.health + 1)
 
-    # ---- verdicts ----
+    # ---- suspicion ----
 
     def suspect(self, seat: str, refused: bool = False) -> None:
-        """A member may be gone. `refused`: no process listens at its address; that is no proof either, but a reason to
-        wait less."""
+        """Suspect that a member is dead.
+
+        :param refused: Whether its address refuses connections. This is no proof of death but shortens the timeout.
+        """
         member = self.by_seat[seat]
         now = self._host.clock()
         if member.state is MemberState.ALIVE:
             self._set_state(member, MemberState.SUSPECT, member.version, now)
         member.connection_refused = member.connection_refused or refused
         if member.state is MemberState.SUSPECT:
-            self._schedule_verdict(member, now)
+            self._schedule_suspicion_timeout(member, now)
 
     def suspicion_timeout(self) -> int:
-        """us until a suspected member counts as dead; twice as long in a cluster of a thousand as in a small one."""
+        """Return the time (us) until a suspected member is declared dead: twice the base value for a thousand seats."""
         size_factor = max(1.0, log2(max(2, len(self.by_seat))) / 5)
         return round(SUSPICION_TIMEOUT_US * size_factor * (1 + self.health / 2))
 
     def _timeout_of(self, member: Member) -> int:
         return REFUSED_SUSPICION_TIMEOUT_US if member.connection_refused else self.suspicion_timeout()
 
-    def _schedule_verdict(self, member: Member, now: int) -> None:
+    def _schedule_suspicion_timeout(self, member: Member, now: int) -> None:
         incarnation = member.incarnation
         version = member.version
         due = max(now, member.state_since + self._timeout_of(member))
-        self._host.at(due, lambda: self._verdict(member, incarnation, version))
+        self._host.at(due, lambda: self._suspicion_timed_out(member, incarnation, version))
 
-    def _verdict(self, member: Member, incarnation: int, version: int) -> None:
-        """Dead, unless the suspicion was refuted, or has not lasted long enough by now."""
+    def _suspicion_timed_out(self, member: Member, incarnation: int, version: int) -> None:
+        """Declare the member dead, unless the suspicion was refuted or its timeout has been extended."""
         if member.state is not MemberState.SUSPECT:
             return
         if (member.incarnation, member.version) != (incarnation, version):
             return
         now = self._host.clock()
         if now - member.state_since < self._timeout_of(member):
-            # This process was stopped meanwhile, or is slower than it thought.
-            return self._schedule_verdict(member, now)
+            # This process was stopped since then, or its health penalty has grown.
+            return self._schedule_suspicion_timeout(member, now)
         self._set_state(member, MemberState.DEAD, version, now)
 
     def _set_state(self, member: Member, state: MemberState, version: int, now: int) -> None:
@@ -194,10 +199,10 @@
             if member.status.predecessor:
                 self._host.member_lost(member.seat, member.status.predecessor)
 
-    # ---- what is heard ----
+    # ---- contact and gossip ----
 
     def record_contact(self, seat: str, incarnation: int) -> None:
-        """Anything at all has come from that process."""
+        """Record that a message of any kind has arrived from that process."""
         member = self.by_seat[seat]
         now = self._host.clock()
         member.last_heard = now
@@ -205,15 +210,16 @@
             self._start_incarnation(member, incarnation)
             self._set_state(member, MemberState.ALIVE, 0, now)
         elif incarnation == member.incarnation and member.state is not MemberState.ALIVE:
-            # For this member alone; to others it says so itself.
+            # Keeps the version, since only the member itself may refute the suspicion for all others.
             self._set_state(member, MemberState.ALIVE, member.version, now)
 
     def _start_incarnation(self, member: Member, incarnation: int) -> None:
-        """Another process has the seat; until it says so itself, it replaces the former one, if that one lived."""
-        former = member.incarnation
+        """Record that a new process has the seat."""
+        # Until its own status arrives, the previous process, unless it is dead, counts as its living predecessor.
+        previous = member.incarnation
         member.incarnation = incarnation
         member.connection_refused = False
-        predecessor = former if member.state is not MemberState.DEAD else 0
+        predecessor = previous if member.state is not MemberState.DEAD else 0
         self._set_status(member, MemberStatus(predecessor=predecessor))
 
     def _set_status(self, member: Member, status: MemberStatus) -> None:
@@ -225,17 +231,17 @@
     def _apply_updates(self, updates: list[MemberUpdate]) -> None:
         now = self._host.clock()
         for update in updates[: 2 * UPDATES_PER_MESSAGE]:
-            is_told = MemberState.ALIVE.value <= update.state <= MemberState.DEAD.value
-            if update.seat == self.me and is_told:
+            has_valid_state = MemberState.ALIVE.value <= update.state <= MemberState.DEAD.value
+            if update.seat == self.me and has_valid_state:
                 self._refute(update)
-            elif update.seat in self.by_seat and is_told:
+            elif update.seat in self.by_seat and has_valid_state:
                 self._apply_update(self.by_seat[update.seat], update, now)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Others suspect this process: it lives, and says so with a higher version."""
+        """Refute a current suspicion of this process by publishing a higher version."""
         is_suspicion = update.state != MemberState.ALIVE.value
-        is_of_now = update.incarnation == self.own.incarnation and update.version >= self.own.version
-        if is_suspicion and is_of_now:
+        is_current = update.incarnation == self.own.incarnation and update.version >= self.own.version
+        if is_suspicion and is_current:
             self.own.version = update.version + 1
             self._dissemination.enqueue(self.own)
             self._penalize()
@@ -250,7 +256,7 @@
             member.version = -1
         is_fresh = member.is_alive and 0 <= now - member.last_heard < DIRECT_CONTACT_FRESH_US
         if state is not MemberState.ALIVE and is_fresh:
-            return  # it was just heard here
+            return  # A direct message from it is more recent.
         is_newer = update.version > member.version
         is_unknown = member.state is MemberState.UNKNOWN
         takes_precedence = STATE_PRECEDENCE[state] > STATE_PRECEDENCE[member.state]
@@ -261,25 +267,25 @@
         if state is not member.state or is_newer:
             self._set_state(member, state, update.version, now)
         if state is MemberState.SUSPECT:
-            self._schedule_verdict(member, now)
+            self._schedule_suspicion_timeout(member, now)
 
     # ---- messages ----
 
     def handle_ping(self, seat: str, ping: Ping) -> None:
-        """A probe of this member."""
+        """Answer a probe of this member."""
         self._apply_updates(ping.updates)
         ack = PingAck(ping.serial, self._dissemination.updates_for(seat), ping.requested_by)
         self._host.reply(seat, ack)
 
     def handle_ping_request(self, seat: str, request: PingRequest) -> None:
-        """Another member asks for a probe of a third."""
+        """Probe a third member for another one."""
         self._apply_updates(request.updates)
         if request.seat in self.by_seat and request.seat != self.me:
             updates = self._dissemination.updates_for(request.seat)
             self._host.send(request.seat, Ping(request.serial, updates, seat))
 
     def handle_ack(self, seat: str, ack: PingAck) -> None:
-        """The answer to a probe, or to one that another member has asked for."""
+        """Handle the answer to a probe, or forward it if another member requested the probe."""
         self._apply_updates(ack.updates)
         if ack.requested_by and ack.requested_by != self.me:
             if ack.requested_by in self.by_seat:
--- a/moorusher/membership/member.py
+++ b/moorusher/membership/member.py
@@ -1,4 +1,4 @@
-"""One member of the cluster, as another one knows it."""
+"""A member of the cluster, as another member knows it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class MemberState(Enum):
-    """Whether a member is there, as far as this one knows. The values are on the wire; the names are in the API."""
+    """The state of a member, as far as this member knows. The values are on the wire, the names in the API."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    UNKNOWN = 3  # never heard of
+    UNKNOWN = 3  # This member has not heard of it yet.
 
 
-# Of two updates of one version, that of the higher precedence counts.
+# Of two updates with the same version, the one with the higher precedence applies.
 STATE_PRECEDENCE = {
     MemberState.UNKNOWN: 0,
     MemberState.ALIVE: 0,
@@ -28,17 +28,17 @@
 
 @dataclass(slots=True)
 class Member:
-    """A seat, and the process that has it.
+    """A seat and the process that occupies it.
 
     Attributes:
-        seat: `str`.
-        incarnation: `int`, of its process; 0 where none was heard of.
-        version: `int`, of the last update by the member itself.
-        state: `MemberState`.
-        status: `MemberStatus`, what it says of itself.
-        state_since: `int`, us.
-        connection_refused: `bool`, no process listens at its address.
-        last_heard: `int`, us, of its last message to this member; -1 where there was none.
+        seat: Name of the seat.
+        incarnation: Incarnation of the process; 0 if none is known.
+        version: Version of the last known update about the member.
+        state: State of the member.
+        status: Status that the member publishes.
+        state_since: Time (us) of the last change of state.
+        connection_refused: Whether the member's address refuses connections.
+        last_heard: Time (us) of its last message to this member; -1 if there was none.
     """
 
     seat: str
@@ -52,15 +52,15 @@
 
     @property
     def is_alive(self) -> bool:
-        """Neither suspected, nor dead, nor unknown."""
+        """Whether the member is not suspected, dead or unknown."""
         return self.state is MemberState.ALIVE
 
     def is_lost(self, incarnation: int) -> bool:
-        """That process of the seat is lost, as far as is known."""
+        """Return whether that process of the seat is lost, as far as this member knows."""
         is_replaced = incarnation < self.incarnation and incarnation != self.status.predecessor
         return self.state is MemberState.DEAD or is_replaced
 
     @property
     def accepts_work(self) -> bool:
-        """Alive, and able to take work over."""
+        """Whether the member is alive and can take over work."""
         return self.is_alive and self.status.accepts_work
--- a/moorusher/membership/messages.py
+++ b/moorusher/membership/messages.py
@@ -1,6 +1,6 @@
 """The messages of the failure detector: probes, and the gossip that they carry.
 
-They are part of version 4 of the protocol among runners; see `replication.messages` for its wire form.
+They are part of version 4 of the protocol among runners; `replication.messages` describes its wire format.
 """
 
 from __future__ import annotations
@@ -9,23 +9,23 @@
 
 
 class WireMessage(msgspec.Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
-    """The base of the messages among runners: on the wire an array, without defaults at its end."""
+    """The base class of the messages among runners: encoded as an array without trailing default values."""
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself.
+    """The status that a member publishes about itself.
 
     Attributes:
-        accepts_work: `bool`, it can take over work.
-        cores: `int`.
-        predecessor: `int`, incarnation of the process that it replaces, while that one lives; else 0.
-        duties: `int`, how many it leads.
-        duty_replicas: `int`, registers of duties that it is a replica of.
-        weight: `int`, percent of its full capacity, as load balancers are told; 0: no new requests.
-        load: `int`, hundredths of a core that it serves, rounded.
-        peak_load: `int`, the most of them in the last while.
-        recovered: `bool`, as a replica of the cluster's own registers it has forgotten nothing.
-        durable: `bool`, its next process will know what this one knows.
+        accepts_work: Whether it can take over work.
+        cores: Number of cores.
+        predecessor: Incarnation of the process that it replaces, while that process lives; else 0.
+        duties: Number of duties that it leads.
+        duty_replicas: Number of duty registers of which it is a replica.
+        weight: Weight for load balancers in percent of its full capacity; 0 for no new requests.
+        load: Served load in hundredths of a core, rounded.
+        peak_load: Recent maximum of `load`.
+        recovered: Whether it has recovered as a replica of the cluster's own registers.
+        durable: Whether its state is on disk, so that the next process of the seat will have it.
     """
 
     accepts_work: bool = False
@@ -44,11 +44,11 @@
     """Gossip about one member.
 
     Attributes:
-        seat: `str`.
-        incarnation: `int`, of the process that the update is about.
-        version: `int`, grows as the member publishes a new status or refutes a suspicion.
-        state: `int`, the value of a `failure_detector.MemberState`.
-        status: `MemberStatus`.
+        seat: Seat of the member.
+        incarnation: Incarnation of its process.
+        version: Number that grows when the member publishes a new status or refutes a suspicion.
+        state: Value of a `member.MemberState`.
+        status: Status that the member has published.
     """
 
     seat: str
@@ -59,7 +59,7 @@
 
 
 class Ping(WireMessage, frozen=True, tag="ping"):
-    """Probes a member; carries gossip. `requested_by`: the seat that asked for the probe, or empty."""
+    """Probes a member, and carries gossip. `requested_by` is the seat that requested the probe, or empty."""
 
     serial: int
     updates: list[MemberUpdate]
@@ -67,7 +67,7 @@
 
 
 class PingAck(WireMessage, frozen=True, tag="pong"):
-    """The answer to a ping; carries gossip. `requested_by` as in the ping."""
+    """The answer to a ping, with gossip. `requested_by` is copied from the ping."""
 
     serial: int
     updates: list[MemberUpdate]
@@ -75,7 +75,7 @@
 
 
 class PingRequest(WireMessage, frozen=True, tag="pingfor"):
-    """Asks a member to probe `seat`, which does not answer the sender."""
+    """Requests that a member probes `seat`, which does not answer the sender."""
 
     serial: int
     seat: str
--- a/moorusher/membership/placement.py
+++ b/moorusher/membership/placement.py
@@ -1,7 +1,7 @@
-"""The seats of a cluster, as the operator's file lists them, and which of them are the replicas of a key.
+"""The seats of a cluster from the operator's file, and the placement of a key's replicas on them.
 
-Rendezvous hashing (Thaler and Ravishankar 1998), over the seats in the file and not over those that are alive: all
-runners work out the same replicas, whatever each has heard of the others.
+Rendezvous hashing (Thaler and Ravishankar 1998) over all seats in the file, whether alive or not, so that all runners
+compute the same replicas whatever they know of each other.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 from .policy import Seat
 
-# Keys of one slice have the same replicas: those are worked out once for each slice, however many seats there are.
+# All keys of a slice have the same replicas, so replicas are computed once per slice.
 SLICES = 4096
-# Keys that concern the cluster as a whole begin so; they are in a slice of their own, with more replicas.
+# Prefix of the keys that concern the cluster as a whole. They have a slice of their own, with more replicas.
 CLUSTER_KEY_PREFIX = b"fleet:"
-MAX_CLUSTER_REPLICAS = 7  # three of them may be out at a time
+MAX_CLUSTER_REPLICAS = 7  # Tolerates the loss of three replicas.
 
 
-def rendezvous_score(name: str, what: bytes) -> int:
-    """The rank of a seat for something, by rendezvous hashing: the highest is the first choice."""
-    return xxhash.xxh64_intdigest(what, xxhash.xxh32_intdigest(name.encode()))
+def rendezvous_score(name: str, key: bytes) -> int:
+    """Return the score of a seat for a key; the seat with the highest score is the first choice."""
+    return xxhash.xxh64_intdigest(key, xxhash.xxh32_intdigest(name.encode()))
 
 
 def majority(total: int) -> int:
-    """How many of so many are more than half."""
+    """Return the smallest number that is more than half of `total`."""
     return total // 2 + 1
 
 
 class Placement:
-    """The replicas of each key.
+    """The placement of the replicas of each key.
 
     Attributes:
-        by_name: `Seat` by its name.
-        names: of all seats, in order.
-        copies: `int`, replicas of a key; fewer where there are fewer seats.
+        by_name: Seats by name.
+        names: Sorted names of all seats.
+        copies: Number of replicas of a key; limited by the number of seats.
     """
 
     def __init__(self, seats: Sequence[Seat], copies: int = 3) -> None:
@@ -45,7 +45,10 @@
         self._slices: dict[int, tuple[str, ...]] = {}
 
     def digest(self) -> str:
-        """Of what all runners must agree on. Not of addresses: one machine may be reached by several."""
+        """Return a digest of the settings that must be the same at all runners.
+
+        It excludes addresses, because runners may reach a machine by different ones.
+        """
         lines = [str(self.copies)]
         for name, seat in sorted(self.by_name.items()):
             group = f" {seat.group}" if seat.group else ""
@@ -53,30 +56,30 @@
         return xxhash.xxh64_hexdigest("\n".join(lines).encode())
 
     def replicas(self, key: bytes) -> tuple[str, ...]:
-        """The seats of a key's replicas, the first choice first; in different zones as far as there are some."""
+        """Return the seats of a key's replicas, the first choice first, in different zones as far as possible."""
         return self.slice_replicas(self.slice_of(key))
 
     @staticmethod
     def slice_of(key: bytes) -> int:
-        """The slice of a key: 0 to `SLICES`, the last one for keys of the cluster as a whole."""
+        """Return the slice of a key, from 0 to `SLICES`. The last one is for keys of the cluster as a whole."""
         return SLICES if key.startswith(CLUSTER_KEY_PREFIX) else xxhash.xxh64_intdigest(key) % SLICES
 
     def slice_replicas(self, slice_number: int) -> tuple[str, ...]:
-        """The seats of the replicas of all keys of a slice."""
+        """Return the seats of the replicas of a slice."""
         found = self._slices.get(slice_number)
         if found is None:
             copies = self.copies
             if slice_number == SLICES:
-                # The largest odd number of seats: a further one would bear no further loss.
+                # The largest odd number, as one more replica would not tolerate one more loss.
                 odd = (min(MAX_CLUSTER_REPLICAS, len(self.names)) + 1) // 2 * 2 - 1
                 copies = max(copies, odd)
             found = self._choose(slice_number.to_bytes(4, "big"), copies)
             self._slices[slice_number] = found
         return found
 
-    def _choose(self, what: bytes, copies: int) -> tuple[str, ...]:
-        """One seat of each zone first, then the others, both by their rank."""
-        ranked = sorted(self.names, key=lambda name: rendezvous_score(name, what), reverse=True)
+    def _choose(self, key: bytes, copies: int) -> tuple[str, ...]:
+        """Choose seats by score: first one from each zone, then any others."""
+        ranked = sorted(self.names, key=lambda name: rendezvous_score(name, key), reverse=True)
         chosen: list[str] = []
         zones: set[str] = set()
         for name in ranked:
@@ -89,8 +92,8 @@
         return tuple(chosen)
 
     def takeover_order(self, key: bytes) -> list[str]:
-        """All seats in the order in which they are offered a key's work.
+        """Return all seats in the order in which they are offered a key's work.
 
-        Another order for each key, so that the work of a lost runner spreads over all the others.
+        The order differs between keys, so that the work of a lost runner is spread over all others.
         """
         return sorted(self.names, key=lambda name: rendezvous_score(name, key), reverse=True)
--- a/moorusher/replication/__init__.py
+++ b/moorusher/replication/__init__.py
@@ -1,5 +1,6 @@
 """Registers replicated by quorums (CASPaxos), and the keyed work whose owners they name.
 
-Pure: no I/O, no clock, no randomness of its own. `cluster_transport/replication.py` carries it out;
-`docs/design/takeover.md` says why it is safe. `node.py` puts the parts together; `interfaces.py` has their contracts.
+Pure: the package does no I/O and has no clock or random numbers of its own. `cluster_transport/replication.py` executes
+its decisions, `docs/design/takeover.md` explains why they are safe. `node.py` composes the parts; `interfaces.py`
+declares their interfaces.
 """
--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -1,9 +1,9 @@
-"""The acceptor's part of the registers: what it has promised and accepted, and when its vote counts.
+"""The acceptor of the registers: its promises, its accepted values, and when its votes count.
 
-Acceptors may lose their memory. The rule for those is that of crash-consistent quorums (Michael, Ports, Sharma and
-Szekeres, "Recovering Shared Objects Without Stable Storage", DISC 2017): each process of a seat has an incarnation,
-each vote names it together with the incarnations that the voter has heard of, and a vote of an incarnation that
-somebody knows to be past counts for nothing.
+An acceptor may lose its state in a restart. The rule for this case is that of crash-consistent quorums (Michael, Ports,
+Sharma and Szekeres, "Recovering Shared Objects Without Stable Storage", DISC 2017): each process of a seat has an
+incarnation. Each vote names the voter's incarnation and the other incarnations that the voter knows. A vote does not
+count if a member knows a later incarnation of the voter's seat.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 from .messages import FAST_BALLOT, Ballot, BallotRequest, Incarnations, SyncedRegister, SyncReply, Vote
 from .work_record import KeyDigest
 
-NO_BALLOT: Ballot = (-1, 0, 0)  # nothing was promised; a request at it only reads
-CLOSED_BALLOT: Ballot = (1, 0, 0)  # below every classic ballot, above FAST_BALLOT: the fast round is over
-SYNC_BATCH = 64  # registers in one part of an answer to a sync request
-PERMANENT_SYNC_BATCH = 4  # the same, of permanent registers: their values are larger
+NO_BALLOT: Ballot = (-1, 0, 0)  # Stands for "no promise"; a request at this ballot only reads.
+# Above FAST_BALLOT and below every classic ballot: a register with this promise accepts no fast write.
+CLOSED_BALLOT: Ballot = (1, 0, 0)
+SYNC_BATCH = 64  # Registers in one part of a sync reply.
+PERMANENT_SYNC_BATCH = 4  # Smaller than SYNC_BATCH, as the values of permanent registers are larger.
 US_PER_MS = 1_000
 
 
 @dataclass(slots=True)
 class RegisterState:
-    """What an acceptor has of one register.
+    """An acceptor's state of one register.
 
     Attributes:
-        promised: the highest ballot that it has promised.
-        accepted_ballot: of the value that it accepted last, or None.
-        value: that value.
-        expires_at: `int`, us; from then on the key no longer counts and is forgotten.
+        promised: Highest promised ballot.
+        accepted_ballot: Ballot of the last accepted value, or None.
+        value: Last accepted value, or None.
+        expires_at: Time (us) at which the key expires and its state is deleted.
     """
 
     promised: Ballot = NO_BALLOT
@@ -44,26 +45,26 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """The registers that one seat is a replica of. Pure: times are passed in, in us.
+    """The registers of which one seat is a replica. Pure: times are passed in, in us.
 
     Attributes:
-        seat: `str`, this acceptor's.
-        incarnation: `int`, of this process.
-        replicas: gives the seats of a key's replicas.
-        other_seats: all seats of the cluster but this one.
-        recovered: `bool`, nothing was forgotten, or what was forgotten no longer counts.
-        max_registers: `int`; at that many, a request for a further key is answered `at_capacity`.
-        registers: by key.
-        incarnations: by seat, the highest that was heard of.
-        synced_from: seats that have sent this incarnation all that they know.
-        slices_synced_from: by seat, the slices that it has sent completely.
-        slice_of: gives the slice of a key; keys of one slice have the same replicas.
-        slice_replicas: gives the replicas of a slice.
-        own_slices: slices that count here and that this seat is a replica of; worked out where it has forgotten.
-        on_change: called with each register that has another value.
-        journaled: `bool`, there is a disk: changes are noted until they are written.
-        permanent: `bool`, keys never expire.
-        journal_failing: `bool`, nothing can be written: no vote may leave.
+        seat: Seat of this acceptor.
+        incarnation: Incarnation of this process.
+        replicas: Returns the seats of a key's replicas.
+        other_seats: All seats of the cluster except this one.
+        recovered: Whether this acceptor knows all of its seat's promises and accepted values that still count.
+        max_registers: Limit of registers; requests for further keys are rejected with `at_capacity`.
+        registers: State of each register, by key.
+        incarnations: Highest known incarnation of each seat.
+        synced_from: Seats that have sent their complete state to this incarnation.
+        slices_synced_from: For each seat, the slices that it has sent completely.
+        slice_of: Returns the slice of a key; keys of one slice have the same replicas.
+        slice_replicas: Returns the seats of a slice's replicas.
+        own_slices: Slices of which this seat is a replica; None until recovery has computed them.
+        on_change: Called with the key and state of a register whose value has changed.
+        journaled: Whether changes are written to a journal on disk.
+        permanent: Whether keys never expire.
+        journal_failing: Whether the journal can't be written; no vote is sent then.
     """
 
     seat: str
@@ -79,13 +80,13 @@
     slice_of: Callable[[KeyDigest], int] = lambda key: 0
     slice_replicas: Callable[[int], tuple[str, ...]] | None = None
     own_slices: list[int] | None = None
-    # (when, key); an entry is stale where the register's own `expires_at` says otherwise
+    # Heap of (expiry time, key). An entry is stale if its time differs from the register's `expires_at`.
     _expiries: list[tuple[int, KeyDigest]] = field(default_factory=list)
     on_change: Callable[[KeyDigest, RegisterState], None] = lambda key, register: None
     journaled: bool = False
     permanent: bool = False
     journal_failing: bool = False
-    # A dict for its order: records are written in the order of the changes, in whichever process.
+    # A dict serves as an ordered set, so that every process writes its records in the order of the changes.
     _unsaved_registers: dict[KeyDigest, None] = field(default_factory=dict)
     _unsaved_incarnations: bool = True
     _unsaved_recovered: bool = True
@@ -96,25 +97,20 @@
     # ---- whether a vote counts ----
 
     def can_vote_on(self, key: KeyDigest) -> bool:
-        """Nothing that this seat's former processes may have promised for the key is unknown here.
-
-        Each majority that a former process may have been part of has a member that was heard from since.
-        """
+        """Return whether this acceptor knows all that earlier processes of its seat may have promised for the key."""
+        # It does once each majority that may have included such a process has a member that has sent its state since.
         return self.recovered or self._covers_slice(self.slice_of(key), self.replicas(key))
 
     def _covers_slice(self, slice_number: int, seats: tuple[str, ...]) -> bool:
-        heard_from = sum(
+        synced_seats = sum(
             seat in self.synced_from or slice_number in self.slices_synced_from.get(seat, ())
             for seat in seats
         )
-        return heard_from >= len(seats) - majority(len(seats)) + 1
+        return synced_seats >= len(seats) - majority(len(seats)) + 1
 
     def covers_all_votes(self) -> bool:
-        """All that this seat's votes rest on is known again: from every seat, or from enough for each of its slices.
-
-        The second way is there for a seat that is lost for good: it must not keep all that start anew after it from
-        ever recovering.
-        """
+        """Return whether all seats, or enough replicas of each of this seat's slices, have sent their state."""
+        # The second condition lets acceptors recover while another seat is permanently lost.
         return self.synced_from >= self.other_seats or (
             self.own_slices is not None
             and self.slice_replicas is not None
@@ -122,7 +118,7 @@
         )
 
     def known_slices(self) -> frozenset[int]:
-        """The slices that it can vote on while it has not recovered."""
+        """Return the slices on which this acceptor can vote before it has fully recovered."""
         slice_replicas = self.slice_replicas
         if slice_replicas is None:
             return frozenset()
@@ -131,7 +127,7 @@
         )
 
     def learn_incarnations(self, incarnations: Incarnations) -> None:
-        """Somebody has heard of these; votes of earlier ones count for nothing from here on."""
+        """Record incarnations that another member knows. Votes of earlier ones no longer count."""
         for seat, incarnation in incarnations.items():
             if incarnation > self.incarnations.get(seat, 0):
                 self.incarnations[seat] = incarnation
@@ -140,7 +136,7 @@
     # ---- votes ----
 
     def vote(self, now: int, request: BallotRequest) -> Vote:
-        """The answer to a proposer: a promise, an acceptance, or neither."""
+        """Return the vote on a proposer's request: a promise, an acceptance or a rejection."""
         seats = self.replicas(request.key)
         incarnations = {seat: self.incarnations[seat] for seat in seats if seat in self.incarnations}
         if self.seat not in seats or self.journal_failing or not self.can_vote_on(request.key):
@@ -190,7 +186,7 @@
         )
 
     def _accept(self, register: RegisterState, request: BallotRequest) -> bool:
-        """Changes the register where the request's ballot allows it."""
+        """Promise or accept if the request's ballot allows it. Return whether it did."""
         if request.ballot == FAST_BALLOT:
             if register.promised != NO_BALLOT:
                 return False
@@ -199,16 +195,16 @@
                 return False
             register.promised = request.ballot
             return True
-        elif request.ballot < register.promised or self._quorum_is_past(request.quorum):
+        elif request.ballot < register.promised or self._quorum_is_outdated(request.quorum):
             return False
         register.accepted_ballot = request.ballot
         register.value = request.value
         register.promised = request.next_ballot
         return True
 
-    def _quorum_is_past(self, quorum: Incarnations) -> bool:
-        """A promise of an acceptor that has started anew since is none: a value accepted on it could hide one that
-        was chosen meanwhile."""
+    def _quorum_is_outdated(self, quorum: Incarnations) -> bool:
+        """Return whether an acceptor of the quorum has restarted since its promise."""
+        # Its promise is void: a value accepted under it could hide another value that was chosen in the meantime.
         return any(self.incarnations.get(seat, 0) > incarnation for seat, incarnation in quorum.items())
 
     # ---- expiry ----
@@ -223,10 +219,8 @@
             heapq.heappush(self._expiries, (expires_at, key))
 
     def expire(self, now: int) -> list[KeyDigest]:
-        """Forgets the keys that no longer count, and returns them.
-
-        The window is part of the promise, so time may end a key, and nothing else.
-        """
+        """Delete the registers that have expired and return their keys."""
+        # A register may only be deleted by expiry, since its promises are valid for the whole window.
         expired = []
         while self._expiries and self._expiries[0][0] <= now:
             expires_at, key = heapq.heappop(self._expiries)
@@ -239,16 +233,18 @@
     # ---- recovery ----
 
     def answer_sync(self, now: int, seat: str, incarnation: int, space: int = 0) -> list[SyncReply]:
-        """The parts of the answer to a seat whose process has started anew.
+        """Return the parts of the reply to a seat whose process has restarted.
 
-        From here on its earlier incarnations count for nothing with this acceptor.
+        From then on this acceptor ignores earlier incarnations of that seat.
         """
         known = self.incarnations.get(seat, 0)
         if incarnation < known:
-            # It names no registers: by the time it arrives the asker may have the very incarnation that is named.
+            # The reply has no registers and is marked as `recovering`: when it arrives, the requester may have taken
+            # the incarnation that it names, and must not count it as a complete reply.
             return [SyncReply(known, {}, [], True, recovering=True, space=space)]
         self.learn_incarnations({seat: incarnation})
-        # A register that is left out counts as never written: who has forgotten any of a slice may not answer for it.
+        # The receiver takes a register that is missing from the reply as never written, so an acceptor that has not
+        # recovered sends only slices that it knows completely.
         slices = None if self.recovered else self.known_slices()
         if slices is not None and not slices:
             return [SyncReply(incarnation, dict(self.incarnations), [], True, recovering=True, space=space)]
@@ -268,7 +264,7 @@
         ]
 
     def _registers_for(self, now: int, seat: str, slices: frozenset[int] | None) -> list[SyncedRegister]:
-        """The registers that `seat` is a replica of, in `slices` alone where they are named."""
+        """Return the registers of which `seat` is a replica, limited to `slices` unless that is None."""
         return [
             (
                 key,
@@ -283,7 +279,7 @@
         ]
 
     def apply_sync(self, now: int, seat: str, reply: SyncReply) -> None:
-        """Takes in what another acceptor knows; after the last part, this one may have recovered."""
+        """Merge the state of another acceptor. After the last part, check whether this acceptor has recovered."""
         self.learn_incarnations(reply.incarnations)
         for key, promised, ballot, value, ttl_ms in reply.registers:
             register = self.registers.setdefault(key, RegisterState())
@@ -301,20 +297,21 @@
             self.check_recovered()
 
     def check_recovered(self) -> None:
-        """Recovered, once all that its votes rest on is known again."""
+        """Mark this acceptor as recovered if `covers_all_votes` holds."""
         if not self.recovered and self.covers_all_votes():
             self.recovered = True
 
     # ---- the journal ----
 
     def unsaved_records(self, now: int) -> list[Any]:
-        """Records of all changes since the last call. That it has recovered comes after what it has recovered."""
+        """Return records of all changes since the last call."""
         records: list[Any] = [
             self._record(now, key) for key in self._unsaved_registers if key in self.registers
         ]
         if self._unsaved_incarnations:
             records.append(IncarnationsRecord(dict(self.incarnations)))
         if self.recovered and self._unsaved_recovered:
+            # The last record, so that the journal never has it without the recovered registers.
             records.append(RecoveredRecord())
             self._unsaved_recovered = False
         self._unsaved_registers.clear()
@@ -322,7 +319,7 @@
         return records
 
     def all_records(self, now: int) -> list[Any]:
-        """Records of everything, in place of all that was written before."""
+        """Return records of the complete state, to replace the journal."""
         self._unsaved_registers.update(dict.fromkeys(self.registers))
         self._unsaved_incarnations = True
         self._unsaved_recovered = True
@@ -334,7 +331,7 @@
         return RegisterRecord(key, register.promised, register.accepted_ballot, register.value, ttl_ms)
 
     def restore(self, now: int, image: JournalImage) -> None:
-        """Takes in what a former process of this seat has left in its journal."""
+        """Load the journal of an earlier process of this seat."""
         former = {seat: number for seat, number in image.incarnations.items() if seat != self.seat}
         self.learn_incarnations(former)
         for key, record in image.registers.items():
@@ -344,4 +341,4 @@
             if record.value is not None:
                 self.on_change(key, register)
         self.recovered = image.recovered
-        self._unsaved_registers.clear()  # they are in the file already
+        self._unsaved_registers.clear()  # The file already has them.
--- a/moorusher/replication/errors.py
+++ b/moorusher/replication/errors.py
@@ -1,22 +1,22 @@
-"""What can be wrong with what a runner reads of its cluster. All are ValueErrors: they are about data."""
+"""Errors in data that a runner reads from its peers or its journal. All of them are ValueErrors."""
 
 from __future__ import annotations
 
 
 class UnreadableFrameError(ValueError):
-    """A peer's frame is no frame of this protocol; the connection is closed. Check what runs at that address."""
+    """A peer's frame can't be decoded; the connection is closed. Check which program runs at the peer's address."""
 
 
 class JournalError(ValueError):
-    """A journal that can't be used. Its file is kept; the acceptor starts as one that has forgotten."""
+    """A journal can't be used. Its file is retained; the acceptor starts without its state and has to recover."""
 
 
 class ForeignJournalError(JournalError):
-    """The file is of another cluster, seat or version.
+    """The file belongs to another cluster, seat or version.
 
     Check the folder in `[fleet] journal`: each seat needs its own.
     """
 
 
 class DamagedJournalError(JournalError):
-    """A record in the midst of the file, or its beginning, does not match its checksum. Check the disk."""
+    """The header or a record before the last one does not match its checksum. Check the disk."""
--- a/moorusher/replication/host_services.py
+++ b/moorusher/replication/host_services.py
@@ -1,4 +1,4 @@
-"""What the parts of a node ask of the process: messages, time, chance and counters; with the node's alarms."""
+"""Services of the host process for the parts of a node: messages, clock, random numbers, counters and timers."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 
 class HostServices:
-    """Passes on to the host. Alarms are kept here: the host is asked for the first of them alone. Times are in us."""
+    """Delegates to the host, which only wakes the node for the earliest of its timers. Times are in us."""
 
     def __init__(self, host: NodeHost) -> None:
         self.host = host
-        # (when, number in the order in which they were set, what to do)
-        self._alarms: list[tuple[int, int, Callable[[], None]]] = []
-        self._alarm_numbers = count()
+        # Heap of (due time, sequence number, action). The sequence number keeps the order of timers that are due at
+        # the same time.
+        self._timers: list[tuple[int, int, Callable[[], None]]] = []
+        self._timer_numbers = count()
 
     def send(self, seat: str, message: Any) -> None:
-        """To whichever process has the seat."""
+        """Send a message to a seat."""
         self.host.send(seat, message)
 
     def reply(self, seat: str, message: Any) -> None:
-        """To the process whose message is being handled."""
+        """Reply to the sender of the message being handled."""
         self.host.reply(seat, message)
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """`reply`, for later."""
+        """Return a function for a later `reply`."""
         return self.host.replier(seat)
 
     def durable(self, then: Callable[[], None], space: int) -> None:
@@ -36,30 +37,30 @@
         self.host.durable(then, space)
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Increment the counter of that name."""
         self.host.count(name)
 
     def random(self) -> float:
-        """From 0 to 1."""
+        """Return a random number from 0 to 1."""
         return self.host.random()
 
     def clock(self) -> int:
-        """Now."""
+        """Return the current time."""
         return self.host.clock()
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        """Calls `action` at that time, or soon after it."""
-        heapq.heappush(self._alarms, (when, next(self._alarm_numbers), action))
-        if self._alarms[0][0] == when:
+        """Call `action` at that time or soon after it."""
+        heapq.heappush(self._timers, (when, next(self._timer_numbers), action))
+        if self._timers[0][0] == when:
             self.host.wake(when)
 
-    def run_alarms(self) -> None:
-        """Runs what is due by the host's clock as it is now."""
+    def run_timers(self) -> None:
+        """Run all timers that are due by the host's clock at the time of the call."""
         now = self.clock()
-        while self._alarms and self._alarms[0][0] <= now:
-            heapq.heappop(self._alarms)[2]()
+        while self._timers and self._timers[0][0] <= now:
+            heapq.heappop(self._timers)[2]()
 
     def request_wake(self) -> None:
-        """Asks the host to wake the node for its next alarm."""
-        if self._alarms:
-            self.host.wake(self._alarms[0][0])
+        """Request that the host wakes the node for its next timer."""
+        if self._timers:
+            self.host.wake(self._timers[0][0])
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -1,6 +1,6 @@
-"""The contracts between a node, its parts, and the process that carries out what they decide.
+"""The interfaces between a node, its parts, and the process that executes their decisions.
 
-The parts of a node know each other through `WorkNode` alone, so that none of their modules imports another one.
+The parts of a node use each other only through `WorkNode`, so that none of their modules imports another one.
 """
 
 from __future__ import annotations
@@ -19,86 +19,87 @@
 
 
 class RegisterHost(Protocol):
-    """The member whose registers a `RegisterSpace` has. Times are in us."""
+    """The member that owns a `RegisterSpace`. Times are in us."""
 
     def send(self, seat: str, message: Any) -> None:
-        """To whichever process has the seat."""
+        """Send a message to a seat."""
 
     def reply(self, seat: str, message: Any) -> None:
-        """To the process whose message is being handled."""
+        """Reply to the sender of the message being handled."""
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """`reply`, for later."""
+        """Return a function for a later `reply`."""
 
     def durable(self, then: Callable[[], None], space: int) -> None:
-        """Calls `then` once all that the space's acceptor has changed so far is on its disk.
+        """Call `then` once all changes of the space's acceptor so far are on its disk.
 
-        At once where there is no disk; never where the disk fails. No vote may count for anybody before that.
+        The call is immediate if there is no journal, and never happens if the disk fails. A vote may not be sent or
+        counted before it.
         """
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        """Calls `action` at that time, or soon after it."""
+        """Call `action` at that time or soon after it."""
 
     def clock(self) -> int:
-        """Now."""
+        """Return the current time."""
 
     def random(self) -> float:
-        """From 0 to 1."""
+        """Return a random number from 0 to 1."""
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Increment the counter of that name."""
 
     def is_up(self, seat: str) -> bool:
-        """As far as the failure detector knows."""
+        """Return whether the failure detector considers the member alive."""
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """This process must be a later incarnation than it thought."""
+        """Set a higher incarnation of this process."""
 
 
 class NodeHost(Protocol):
-    """The process that carries out what a node decides, and the runner that does the work. Times are in us."""
+    """The process that executes a node's decisions, and the runner of its work. Times are in us."""
 
     def send(self, seat: str, message: Any) -> None:
-        """To whichever process has the seat."""
+        """Send a message to a seat."""
 
     def reply(self, seat: str, message: Any) -> None:
-        """To the process whose message is being handled."""
+        """Reply to the sender of the message being handled."""
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """`reply`, for later."""
+        """Return a function for a later `reply`."""
 
     def durable(self, then: Callable[[], None], space: int) -> None:
         """See `RegisterHost.durable`."""
 
     def clock(self) -> int:
-        """Now."""
+        """Return the current time."""
 
     def wake(self, when: int) -> None:
-        """Call `run_due` then."""
+        """Call the node's `run_due` at that time."""
 
     def random(self) -> float:
-        """From 0 to 1."""
+        """Return a random number from 0 to 1."""
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Increment the counter of that name."""
 
     def notify(self, event: WorkEvent) -> None:
-        """Something is settled about a key."""
+        """Called when the state of a key has changed."""
 
     def accept_takeover(
         self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
     ) -> bool:
-        """Queues another runner's work, which is this runner's now; False where it can't."""
+        """Queue work that this runner has taken over. Return whether it was queued."""
 
     def work_in_hand(self, key: KeyDigest) -> WorkInHand:
-        """What the runner knows of a key."""
+        """Return the runner's state of the work of a key."""
 
     def fit(self) -> bool:
-        """The runner can take work over."""
+        """Return whether the runner can take over work."""
 
 
 class WorkNode(Protocol):
-    """A node, as the parts that care for keyed work see it. Times are in us."""
+    """A node as its parts for keyed work use it. Times are in us."""
 
     tenures: dict[KeyDigest, Tenure]
     policy: ReplicationPolicy
@@ -109,7 +110,7 @@
 
     @property
     def host(self) -> NodeHost:
-        """Who carries out what is decided."""
+        """The process that executes the node's decisions."""
 
     @property
     def owner(self) -> Owner:
@@ -121,11 +122,11 @@
 
     @property
     def claim_timeout_us(self) -> int:
-        """How long a change may take that somebody waits for."""
+        """Timeout of a change for which a caller waits."""
 
     @property
     def last_may_be_chosen(self) -> bool:
-        """The change that was given up last may be chosen yet."""
+        """Whether the last abandoned change may still be chosen."""
 
     def change(
         self,
@@ -137,28 +138,28 @@
         promise: CarriedPromise | None = None,
         max_backoff_us: int = ...,
     ) -> None:
-        """Changes the register of a key; see `RegisterSpace.change`."""
+        """Change the register of a key; see `RegisterSpace.change`."""
 
     def clock(self) -> int:
-        """Now."""
+        """Return the current time."""
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        """Calls `action` at that time, or soon after it."""
+        """Call `action` at that time or soon after it."""
 
     def forget(self, tenure: Tenure) -> None:
-        """The key is no longer this runner's business."""
+        """Delete this runner's state of a key."""
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
-        """Goes by what the register says: held here, another's, or over."""
+        """Apply the register's value: the work is held here, owned by another runner, or finished."""
 
     def release_work(self, key: KeyDigest, rejected: bool = False) -> None:
-        """An attempt of this runner is over, and never ran."""
+        """Release an attempt of this runner that ended before its run."""
 
     def continue_work(self, tenure: Tenure) -> None:
-        """Another's work, whose owner is silent or gone."""
+        """Continue work whose owner does not answer or is lost."""
 
     def offer_work(self, key: KeyDigest, work: WorkRecord) -> None:
-        """Orphaned or released work, to the seat whose turn it is."""
+        """Offer orphaned or released work to the next seat in the takeover order."""
 
     def is_lost(self, owner: Owner) -> bool:
-        """That process is lost, as far as is known here: nobody acts for it any more."""
+        """Return whether that process is lost, as far as this member knows."""
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -1,8 +1,9 @@
-"""What an acceptor writes down: records to bytes and bytes to records. `storage/journal_files.py` has the files.
+"""The journal format of an acceptor: encodes and decodes records. `storage/journal_files.py` handles the files.
 
 A record is its length, a checksum and a msgpack array `[tag, field, ...]`; the tags and the order of the fields are
-the form of stored data. The first record says whose journal it is; a register's last record counts. A torn record at
-the end was never confirmed and is dropped; one with a whole record after it means that the file is damaged.
+part of the stored format. The first record identifies the journal. Of several records of a register, the last one is
+valid. A torn record at the end was never confirmed and is dropped. An invalid record that is followed by a complete one
+means that the file is damaged.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 JOURNAL_VERSION = 1
 MAX_RECORD_BYTES = 1 << 20
-_HEADER = struct.Struct(">IQ")  # length in bytes, checksum
+_HEADER = struct.Struct(">IQ")  # Length in bytes, checksum.
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -31,10 +32,10 @@
     """The first record of a file.
 
     Attributes:
-        version: `int`, see `JOURNAL_VERSION`.
-        fleet: `str`, name of the cluster.
-        seats_digest: `str`, digest of the seats in the operator's file.
-        seat: `str`, whose journal it is.
+        version: Format version, see `JOURNAL_VERSION`.
+        fleet: Name of the cluster.
+        seats_digest: Digest of the seats in the operator's file.
+        seat: Seat that the journal belongs to.
     """
 
     version: int
@@ -44,7 +45,7 @@
 
 
 class RegisterRecord(_Record, frozen=True, tag="slot"):
-    """A register as the acceptor has it. `ttl_ms`: how long it counts, from whenever the journal is read."""
+    """An acceptor's `RegisterState`. `ttl_ms` is the time until it expires, counted from the reading of the journal."""
 
     key: KeyDigest
     promised: Ballot
@@ -54,13 +55,13 @@
 
 
 class IncarnationsRecord(_Record, frozen=True, tag="incs"):
-    """Incarnations of seats: votes of earlier ones count for nothing."""
+    """Known incarnations of seats. Votes of earlier incarnations don't count."""
 
     incarnations: Incarnations
 
 
 class ChunkRecord(_Record, frozen=True, tag="piece"):
-    """A part of a state that a duty's register names, or is to name by the change at `mark`."""
+    """A part of a duty's state. `mark` names the change of the duty's register that refers to it, or is about to."""
 
     key: KeyDigest
     mark: tuple[int, int, int]
@@ -68,7 +69,7 @@
 
 
 class RecoveredRecord(_Record, frozen=True, tag="remembers"):
-    """What stands before it is all that this seat has promised or accepted, as far as it still counts."""
+    """States that the records before it are all promises and accepted values of this seat that still count."""
 
 
 Record = JournalHeader | RegisterRecord | IncarnationsRecord | ChunkRecord | RecoveredRecord
@@ -78,14 +79,14 @@
 
 @dataclass(slots=True)
 class JournalImage:
-    """What a file says.
+    """The content of a journal file.
 
     Attributes:
-        recovered: `bool`, see `RecoveredRecord`.
-        incarnations: by seat.
-        registers: the last record of each key.
-        chunks: in the order of the file.
-        valid_bytes: `int`, up to the end of the last whole record.
+        recovered: Whether the file has a `RecoveredRecord`.
+        incarnations: Known incarnations, by seat.
+        registers: Last record of each key.
+        chunks: Chunk records in the order of the file.
+        valid_bytes: Length of the file up to the end of the last complete record.
     """
 
     recovered: bool = False
@@ -95,7 +96,7 @@
     valid_bytes: int = 0
 
     def apply(self, record: Record) -> None:
-        """Takes in the next record of the file."""
+        """Add the next record of the file."""
         if isinstance(record, RegisterRecord):
             self.registers[record.key] = record
         elif isinstance(record, IncarnationsRecord):
@@ -107,7 +108,7 @@
 
 
 def encode_records(records: list[Any]) -> bytes:
-    """Records as one stretch of a file, each with its length and checksum."""
+    """Encode records for appending to a file, each with its length and checksum."""
     parts = []
     for record in records:
         body = _encoder.encode(record)
@@ -116,7 +117,7 @@
 
 
 def _record_at(data: bytes, start: int) -> tuple[Record, int] | None:
-    """The record that begins at `start`, and where it ends; None where no whole one does."""
+    """Return the record that begins at `start` and its end, or None if there is no complete record."""
     if start + _HEADER.size > len(data):
         return None
     length, digest = _HEADER.unpack_from(data, start)
@@ -133,27 +134,29 @@
 
 
 def read_journal(data: bytes, header: JournalHeader) -> JournalImage:
-    """What the file of this seat says.
+    """Decode the content of a journal file.
 
-    Raises ForeignJournalError or DamagedJournalError, with the reason.
+    :raises ForeignJournalError: If the file's header is not `header`.
+    :raises DamagedJournalError: If the header or a record before the last one is invalid.
     """
     image = JournalImage()
     while (found := _record_at(data, image.valid_bytes)) is not None:
         record, end = found
         if image.valid_bytes == 0 and record != header:
-            raise ForeignJournalError(f"of another fleet, seat or version: {record}")
+            raise ForeignJournalError(f"it belongs to another fleet, seat or version: {record}")
         image.apply(record)
         image.valid_bytes = end
     if image.valid_bytes == 0:
-        raise DamagedJournalError("it has no beginning")
+        raise DamagedJournalError("its header record is missing or damaged")
     if _has_record_after(data, image.valid_bytes + 1):
         raise DamagedJournalError(f"damaged at byte {image.valid_bytes}")
     return image
 
 
 def _has_record_after(data: bytes, start: int) -> bool:
-    """A whole record follows anywhere: what stands before it is damage, and not a torn end.
-
-    Every byte may be its first, since the damaged part may be the length that would lead there.
-    """
-    return any(_record_at(data, at) is not None for at in range(start, len(data) - _HEADER.size + 1))
+    """Return whether any complete record begins at or after `start`."""
+    # If one does, the bytes before it are damaged rather than a torn end. Every position is tried, since the damaged
+    # bytes may include the length of the record.
+    return any(
+        _record_at(data, position) is not None for position in range(start, len(data) - _HEADER.size + 1)
+    )
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -1,4 +1,4 @@
-"""What one runner knows of a key that it has to do with, as its owner or as one that waits for its result."""
+"""A runner's state of a key whose work it owns or whose result it waits for."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TenureStage(Enum):
-    """How far one runner has come with a key. The values are told by `GET /fleet/work`."""
+    """A runner's stage in the lifecycle of a key's work. `GET /fleet/work` returns the values."""
 
     CLAIMING = "claiming"
     HELD = "held"
@@ -23,23 +23,23 @@
 
 @dataclass(slots=True, eq=False)
 class Tenure:
-    """A key that this runner has something to do with.
+    """A runner's state of one key.
 
     Attributes:
-        key: `bytes`.
-        body_digest: `int`, of the request that came here.
-        request: `WorkRequest`, or None once nobody may take it over.
-        expires_at: `int`, us; the key does not count any more from then on.
-        stage: `TenureStage`.
-        attempt: `int`, of the register, as last read.
-        owner: `Owner` where another runner has the work, else None.
-        state: `WorkState` of the register, as last read.
-        promise: `CarriedPromise` for this runner's next change of the register, or None.
-        watch_serial: `int`; an answer or an alarm that belongs to an earlier watch counts for nothing.
-        waiting_seats: seats that wait for this runner's result.
-        busy: `bool`, a step is under way; see `run_step`.
-        taken_over: `bool`, the work was another runner's.
-        result: `bytes`, of this runner's run, while it is being written to the register.
+        key: Digest of tenant and idempotency key.
+        body_digest: Digest of the body of the request that this runner received.
+        request: Request that another runner can take over, or None if that is no longer allowed.
+        expires_at: Time (us) at which the key expires.
+        stage: Stage of the work at this runner.
+        attempt: Attempt in the register, as last read.
+        owner: Owner if another runner owns the work, else None.
+        state: State in the register, as last read.
+        promise: Promise for this runner's next change of the register, or None.
+        watch_serial: Number of the current watch; timers of earlier watches do nothing.
+        waiting_seats: Seats that wait for this runner's result.
+        busy: Whether a step is in progress; see `run_step`.
+        taken_over: Whether this runner took the work over from another one.
+        result: Result of this runner's run while it is being written to the register, or None.
     """
 
     key: KeyDigest
@@ -60,17 +60,17 @@
 
     @property
     def is_held(self) -> bool:
-        """Its register says that this runner holds it."""
+        """Whether this runner holds the work and has not started it."""
         return self.stage is TenureStage.HELD
 
     def take_promise(self) -> CarriedPromise | None:
-        """The promise for the next change; it serves one change only."""
+        """Return the promise for the next change and clear it, as it is valid for one change only."""
         promise = self.promise
         self.promise = None
         return promise
 
     def run_step(self, step: Callable[[], None]) -> None:
-        """Runs steps on the key one after the other; each must end with `finish_step`."""
+        """Run a step, after all earlier steps of the key. Each step must end with `finish_step`."""
         if self.busy:
             self._steps.append(step)
         else:
@@ -78,7 +78,7 @@
             step()
 
     def finish_step(self) -> None:
-        """The step under way is over."""
+        """Record that the current step has ended, and run the next one."""
         if self._steps:
             self._steps.pop(0)()
         else:
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -1,8 +1,8 @@
 """The messages among the runners of a cluster, and their frames.
 
-Wire form: msgpack arrays. Each message is `[tag, field, ...]` in the order in which the fields stand here, with
-trailing defaults left out. The tags and the order of the fields belong to version 4 of the protocol; class and field
-names do not reach the wire.
+Wire format: msgpack arrays. Each message is `[tag, field, ...]` in the order of the fields in its class, without
+trailing default values. The tags and the order of the fields are part of version 4 of the protocol; class and field
+names are not sent.
 """
 
 from __future__ import annotations
@@ -16,32 +16,34 @@
 from .errors import UnreadableFrameError
 from .work_record import KeyDigest, Owner, WorkRecord
 
-PROTOCOL_VERSION = 4  # both sides of a connection must name the same in their greeting
-MAX_FRAME_BYTES = 1 << 20  # of one frame; what is sent to a peer in one turn is cut into as many as it takes
+PROTOCOL_VERSION = 4  # Both sides of a connection must send the same version in their `Hello`.
+# Messages that are sent to a peer together are split into frames of at most this size.
+MAX_FRAME_BYTES = 1 << 20
 
-# (round, incarnation of the proposer, number of the proposer within its process); compared as a whole, so that no two
-# proposers ever use the same ballot.
+# (round, incarnation of the proposer, number of the proposer within its process). The last two make ballots of
+# different proposers different.
 Ballot = tuple[int, int, int]
-# The ballot of a first write without a promise. It is anyone's, and chosen only where all replicas accepted it.
+# The ballot of a first write without a promise. All proposers share it; its value is chosen only if all replicas accept
+# it.
 FAST_BALLOT: Ballot = (0, 0, 0)
-Incarnations = dict[str, int]  # by seat, the highest that the sender has heard of
-# A register as it is sent to a recovering acceptor: key, promised ballot, accepted ballot, value, ttl in ms.
+Incarnations = dict[str, int]  # Highest known incarnation of each seat.
+# A register as it is sent to a recovering acceptor: key, promised ballot, accepted ballot, value, TTL in ms.
 SyncedRegister = tuple[KeyDigest, Ballot, Ballot | None, WorkRecord | bytes | None, int]
 
 
 class ComponentPayload(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The base of the messages of a component of the cluster; one goes as the body of a `ComponentMessage`."""
+    """The base class of a component's messages, which are sent as the body of a `ComponentMessage`."""
 
 
 class Hello(WireMessage, frozen=True, tag="hello"):
-    """The first message on a connection, from either side.
+    """The first message of each side of a connection.
 
     Attributes:
-        version: `int`, see `PROTOCOL_VERSION`.
-        fleet: `str`, the cluster's name in the settings.
-        seats_digest: `str`, digest of the seats in the settings.
-        seat: `str`, the sender's.
-        incarnation: `int`, of the sending process.
+        version: Protocol version, see `PROTOCOL_VERSION`.
+        fleet: Name of the cluster in the settings.
+        seats_digest: Digest of the seats in the settings.
+        seat: Seat of the sender.
+        incarnation: Incarnation of the sender.
     """
 
     version: int
@@ -52,7 +54,7 @@
 
 
 class HandshakeRejected(WireMessage, frozen=True, tag="no"):
-    """The answer to a greeting that is not accepted; the connection closes."""
+    """The reply to a `Hello` that is rejected; the connection is closed after it."""
 
     reason: str
 
@@ -61,17 +63,17 @@
 
 
 class BallotRequest(WireMessage, frozen=True, tag="ask"):
-    """A proposer's request to an acceptor: to promise a ballot, or to accept a value.
+    """A proposer's request to an acceptor to promise a ballot or to accept a value.
 
     Attributes:
-        serial: `int`, repeated in the `Vote`.
-        key: `bytes`, of the register.
-        ballot: the ballot to promise or to accept at; `FAST_BALLOT` for a first write.
-        value: the value to accept, or None where only a promise is wanted.
-        next_ballot: promised together with an accepted value, so that the proposer's next write needs no prepare round.
-        quorum: who promised `ballot`, in which incarnation; empty for a promise and for a first write.
-        ttl_ms: `int`, how long the key still counts, by the proposer's clock.
-        space: `int`, see `register_space`.
+        serial: Number that the `Vote` repeats.
+        key: Key of the register.
+        ballot: Ballot to promise or to accept the value at; `FAST_BALLOT` for a first write.
+        value: Value to accept, or None to request a promise.
+        next_ballot: Ballot that an acceptor of the value promises too, which saves the next write a prepare round.
+        quorum: Seats that promised `ballot`, with their incarnations; empty for a promise and for a first write.
+        ttl_ms: Time until the key expires, by the proposer's clock.
+        space: Number of the register space.
     """
 
     serial: int
@@ -85,20 +87,20 @@
 
 
 class Vote(WireMessage, frozen=True, tag="vote"):
-    """An acceptor's answer to a `BallotRequest`.
+    """An acceptor's reply to a `BallotRequest`.
 
     Attributes:
-        serial: `int`, of the request.
-        key: `bytes`, of the register.
-        accepted: `bool`, the promise was given, or the value accepted.
-        promised: the highest ballot that the acceptor has promised.
-        accepted_ballot: of the value that it has, or None.
-        value: the value that it has, or None.
-        incarnation: `int`, the acceptor's own.
-        incarnations: of the key's replicas, as far as the acceptor knows.
-        recovering: `bool`, it may have forgotten something and has no vote.
-        at_capacity: `bool`, it has no capacity for a further key.
-        space: `int`, see `register_space`.
+        serial: Serial of the request.
+        key: Key of the register.
+        accepted: Whether the acceptor gave the promise or accepted the value.
+        promised: Highest ballot that the acceptor has promised.
+        accepted_ballot: Ballot of the acceptor's value, or None.
+        value: Last value that the acceptor has accepted, or None.
+        incarnation: Incarnation of the acceptor.
+        incarnations: Incarnations of the key's replicas that the acceptor knows.
+        recovering: Whether the acceptor can't vote, because it may have lost state.
+        at_capacity: Whether the acceptor can't store another key.
+        space: Number of the register space.
     """
 
     serial: int
@@ -118,23 +120,29 @@
 
 
 class SyncRequest(WireMessage, frozen=True, tag="sync"):
-    """A recovering acceptor asks for every register that it may have known. `incarnation`: its own."""
+    """Requests all registers that the recovering sender may have known.
+
+    Attributes:
+        incarnation: Incarnation of the sender.
+        space: Number of the register space.
+    """
 
     incarnation: int
     space: int = 0
 
 
 class SyncReply(WireMessage, frozen=True, tag="slots"):
-    """Registers for a recovering acceptor, one part of several.
+    """One part of the reply to a recovering acceptor.
 
     Attributes:
-        incarnation: `int`, the asker's as it was named; a higher one where the asker's was too low: it must be above.
-        incarnations: all that the sender has heard of.
-        registers: see `SyncedRegister`.
-        last: `bool`, this part ends the answer.
-        recovering: `bool`, the sender has forgotten too.
-        space: `int`, see `register_space`.
-        known_slices: slices that the answer is complete for; None where it is complete for all.
+        incarnation: Incarnation of the request, or, if the sender knows a higher one of the requester's seat, that one;
+            the requester must then exceed it.
+        incarnations: All incarnations that the sender knows.
+        registers: Registers of this part.
+        last: Whether this is the last part.
+        recovering: Whether the sender can't provide its registers, because it is recovering itself.
+        space: Number of the register space.
+        known_slices: Slices for which the reply is complete; None if it is complete for all slices.
     """
 
     incarnation: int
@@ -147,14 +155,15 @@
 
 
 class Bootstrap(WireMessage, frozen=True, tag="begin"):
-    """An operator's statement that nothing of this cluster ran before.
+    """An operator's statement that the cluster is new and its acceptors have no earlier state.
 
-    It counts for one incarnation alone: heard late, it must not make a later process vote as if it had recovered.
+    It is valid for one incarnation only, so that a delayed message does not let a later process vote before it has
+    recovered.
 
     Attributes:
-        incarnation: `int`, the receiver's, for which it counts.
-        space: `int`, see `register_space`.
-        accept_loss: `bool`, what the receiver has been synced is to count as all there was.
+        incarnation: Incarnation of the receiver for which the message is valid.
+        space: Number of the register space.
+        accept_loss: Whether the receiver should treat the state that it has received so far as complete.
     """
 
     incarnation: int
@@ -163,7 +172,7 @@
 
 
 class ComponentMessage(WireMessage, frozen=True, tag="for"):
-    """To a component of the cluster that not every runner has; the body is in that component's own form."""
+    """A message to a component that not every runner has. The component encodes the body."""
 
     component: str
     body: bytes
@@ -173,14 +182,22 @@
 
 
 class OwnershipQuery(WireMessage, frozen=True, tag="has"):
-    """To the owner of a key: is its work still in hand?"""
+    """Asks the owner of a key whether its work is still queued or running."""
 
     key: KeyDigest
     attempt: int
 
 
 class OwnershipReply(WireMessage, frozen=True, tag="had"):
-    """The owner's answer: whether the work is in hand; or that it is finished, with its result."""
+    """The reply to an `OwnershipQuery`.
+
+    Attributes:
+        key: Key of the work.
+        attempt: Attempt of the query.
+        in_hand: Whether the work is queued or running.
+        finished: Whether the run has ended.
+        result: Result of the run, or None.
+    """
 
     key: KeyDigest
     attempt: int
@@ -190,7 +207,7 @@
 
 
 class TakeoverOffer(WireMessage, frozen=True, tag="take"):
-    """To the seat whose turn it is: take over this work, which `owner` has left."""
+    """Offers work to a seat for takeover. `owner` has released the work or is lost."""
 
     key: KeyDigest
     owner: Owner
@@ -216,9 +233,9 @@
 
 
 def component_codec(kinds: Any) -> tuple[Callable[[Any], bytes], Callable[[bytes], Any]]:
-    """The encoder and the decoder of a component's messages, a union of them.
+    """Return the encoder and the decoder of a component's messages. The decoder raises `msgspec.MsgspecError`.
 
-    The decoder raises `msgspec.MsgspecError`.
+    :param kinds: Union of the message classes.
     """
     return msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(kinds).decode
 
@@ -228,12 +245,15 @@
 
 
 def encode(messages: list[Any]) -> bytes:
-    """Messages as one frame."""
+    """Encode messages as one frame."""
     return _encoder.encode(messages)
 
 
 def decode(frame: bytes) -> list[Any]:
-    """The messages of a frame. Raises UnreadableFrameError where it is none of this protocol."""
+    """Decode the messages of a frame.
+
+    :raises UnreadableFrameError: If the frame does not follow the protocol.
+    """
     try:
         return _decoder.decode(frame)
     except (msgspec.MsgspecError, RecursionError) as exc:
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -1,8 +1,8 @@
-"""One runner's part in a cluster: the failure detector, the registers, and the work of keys, without any I/O.
+"""One runner as a member of a cluster: the failure detector, the registers and the keyed work, without any I/O.
 
-Every decision about another runner's work is a change of that work's register: `TakeOverWork` of what never started,
-`EndOrphanedWork` of what may have. Who thinks of it, and when, is a matter of speed alone: the register tells two that
-do so at once apart.
+Every decision about another runner's work is a change of that work's register: `TakeOverWork` for work that has not
+started, `EndOrphanedWork` for work that may have started. The register serializes concurrent changes, so correctness
+does not depend on which runner proposes a change, or when.
 """
 
 from __future__ import annotations
@@ -42,23 +42,23 @@
 
 
 class Node(HostServices):
-    """One runner's part in the cluster. Times are in us, by the host's clock.
+    """One runner as a member of the cluster. Times are in us, by the host's clock.
 
     Attributes:
-        owner: `Owner`, this process.
-        placement: `Placement`, the replicas of each key.
-        policy: `Policy`, the operator's settings.
-        acceptor: `Acceptor`, the registers of keyed work that this seat is a replica of.
-        detector: `FailureDetector`, the other members.
-        registers: `RegisterSpace` of keyed work.
-        spaces: by number, all spaces of registers of this node.
-        tenures: by key, what this runner has to do with it.
-        components: by name, who handles the messages of a component of the cluster that not every runner has.
-        longest_window_us: `int`, the longest window that there is, with its margin.
-        duty_counts: how many duties this runner leads, and of how many it is a replica.
-        load_figures: weight, load and peak load, see `MemberStatus`.
-        is_durable: `bool`, all that it must not forget is on a disk.
-        on_member_lost: called with seat and incarnation of each process that is lost.
+        owner: Seat and incarnation of this process.
+        placement: Replicas of each key.
+        policy: Settings from the operator's file.
+        acceptor: Registers of keyed work of which this seat is a replica.
+        detector: Failure detector, with the state of all members.
+        registers: Register space of keyed work.
+        spaces: All register spaces of this node, by number.
+        tenures: State of the keys that this runner owns or waits for, by key.
+        components: Message handlers of the components that not every runner has, by name.
+        longest_window_us: Longest idempotency window of all request classes, with its margin.
+        duty_counts: Number of duties that this runner leads, and of duties of which it is a replica.
+        load_figures: Weight, load and peak load, see `MemberStatus`.
+        is_durable: Whether all state that must survive a restart is on disk.
+        on_member_lost: Functions to call with seat and incarnation of each lost process.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         recovered: bool = False,
         max_registers: int = 8_000,
     ) -> None:
-        """What a process that has forgotten once knew no longer counts after `longest_window_us`."""
+        """Create the node. All state that a restarted acceptor has lost expires within `longest_window_us`."""
         super().__init__(host)
         self.owner = Owner(me, incarnation)
         self.placement = placement
@@ -130,36 +130,35 @@
 
     @property
     def me(self) -> str:
-        """This seat."""
+        """Seat of this process."""
         return self.owner.seat
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     def restore(self, image: JournalImage) -> None:
-        """Before `start`: what a former process of this seat has left in its journal."""
+        """Load the journal of an earlier process of this seat. Must be called before `start`."""
         self.acceptor.restore(self.clock(), image)
         self.takeover.restore()
 
     def start(self) -> None:
-        """Begins to probe the others, and to recover where something was forgotten."""
+        """Start to probe the other members, and to recover the acceptors that have not recovered."""
         self.detector.start(self.clock())
         self.takeover.start()
         for space in self.spaces.values():
             space.start()
 
     def run_due(self) -> None:
-        """Called by the host at the time that it was asked to wake the node."""
+        """Called by the host at the requested wake time. Runs due timers and deletes expired keys."""
         now = self.clock()
-        self.run_alarms()
+        self.run_timers()
         for key in self.acceptor.expire(now):
             self.takeover.register_changed(key, None)
         self.request_wake()
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Another member knows a later process of this seat: this machine's clock was set back.
-
-        What is past must not look like the future.
-        """
+        """Set a higher incarnation, because another member knows a later incarnation of this seat."""
+        # This happens if the machine's clock was set back, since a process takes its incarnation from the clock. With
+        # the lower one, the other members would ignore this process's votes as those of an earlier process.
         self.owner = Owner(self.me, incarnation)
         self.detector.own.incarnation = incarnation
         for space in self.spaces.values():
@@ -170,25 +169,26 @@
         self.count("fleet: incarnation raised")
 
     def bootstrap(self, accept_loss: bool = False) -> str | None:
-        """See `AcceptorRecovery.bootstrap`; a space that has recovered is left as it is where another one has not.
+        """Bootstrap every space that has not recovered; see `AcceptorRecovery.bootstrap`.
 
-        Each space that can be is bootstrapped. Returns the reason where one that has not recovered can't be, or where
-        all have recovered: an operator who was told that all began would wait for the other one for ever.
+        :returns: None on success, or the reason if all spaces have recovered or one could not be bootstrapped.
         """
+        # Success with a space left would be misleading: the operator would not repeat the command, and that space would
+        # never vote.
         spaces = [space for space in self.spaces.values() if not space.acceptor.recovered]
         reasons = [space.recovery.bootstrap(accept_loss) for space in spaces or self.spaces.values()]
         return next((reason for reason in reasons if reason is not None), None)
 
     def add_space(self, space: RegisterSpace) -> None:
-        """A space for registers of another kind."""
+        """Add a space for registers of another kind."""
         self.spaces[space.space] = space
 
     # ---- messages ----
 
     def receive(self, seat: str, incarnation: int, message: Any) -> None:
-        """A message from another seat's process of that incarnation."""
+        """Handle a message from a process of another seat."""
         for space in self.spaces.values():
-            # Whoever has forgotten what earlier processes promised: their promises count no more.
+            # A new incarnation may have lost the promises of earlier ones, so those no longer count.
             space.acceptor.learn_incarnations({seat: incarnation})
         self.detector.record_contact(seat, incarnation)
         self._handlers[type(message)](seat, message)
@@ -207,19 +207,19 @@
     # ---- members ----
 
     def is_up(self, seat: str) -> bool:
-        """As far as the failure detector knows."""
+        """Return whether the failure detector considers the member alive."""
         return self.detector.by_seat[seat].is_alive
 
     def member_lost(self, seat: str, incarnation: int) -> None:
-        """From the failure detector: that process is dead, or has been replaced."""
+        """Called by the failure detector when a process is dead or has been replaced."""
         self.count("fleet: members lost")
         for notify in self.on_member_lost:
             notify(seat, incarnation)
 
     def publish_status(self, predecessor: int = 0, cores: int = 0) -> None:
-        """Tells the others of this runner, where something has changed.
+        """Publish this runner's status to the other members if it has changed.
 
-        `predecessor`: incarnation of the process that it replaces, while that one lives; else 0.
+        :param predecessor: Incarnation of the process that this one replaces, while that process lives; else 0.
         """
         recovered = CLUSTER_SPACE not in self.spaces or self.spaces[CLUSTER_SPACE].acceptor.recovered
         status = MemberStatus(
@@ -237,44 +237,44 @@
 
     @property
     def claim_timeout_us(self) -> int:
-        """How long a change may take that somebody waits for."""
+        """Timeout of a change for which a caller waits."""
         return round(self.policy.claim_timeout_ms * MS)
 
     @property
     def last_may_be_chosen(self) -> bool:
-        """The change that was given up last may be chosen yet."""
+        """Whether the last abandoned change may still be chosen."""
         return self.registers.last_may_be_chosen
 
     @property
     def unfinished(self) -> int:
-        """How many keys have an end or a release that is not yet known to a majority."""
+        """Number of keys with a register change in progress."""
         return sum(tenure.stage is TenureStage.FINISHING or tenure.busy for tenure in self.tenures.values())
 
     def extend_window(self, longest_window_us: int) -> None:
-        """The longest window has changed; a shorter one leaves what was promised as it is."""
+        """Adapt to a new longest window. A shorter one is ignored, as promises for the longer one are still valid."""
         self.longest_window_us = max(self.longest_window_us, longest_window_us)
-        self.registers.recovery.forgets_after = self.longest_window_us
+        self.registers.recovery.expires_after_us = self.longest_window_us
 
     def hand_over_held(self) -> None:
-        """The runner is not fit any more: what is held here and has not started goes to others."""
+        """Hand over all held work, because this runner can't run it any more."""
         self.publish_status()
         for key in [tenure.key for tenure in self.tenures.values() if tenure.is_held]:
             self.hand_over(key)
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
-        """Goes by what the register says: held here, another's, or over."""
+        """Apply the register's value: the work is held here, owned by another runner, or finished."""
         self.watched_work.adopt(tenure, result)
 
     def offer_work(self, key: KeyDigest, work: WorkRecord) -> None:
-        """Orphaned or released work, to the seat whose turn it is."""
+        """Offer orphaned or released work to the next seat in the takeover order."""
         self.takeover.offer(key, work)
 
     def is_lost(self, owner: Owner) -> bool:
-        """That process is lost, as far as is known here."""
+        """Return whether that process is lost, as far as this member knows."""
         return self.takeover.is_lost(owner)
 
     def forget(self, tenure: Tenure) -> None:
-        """The key is no longer this runner's business."""
+        """Delete this runner's state of a key."""
         if self.tenures.get(tenure.key) is tenure:
             del self.tenures[tenure.key]
             self.host.notify(KeyForgotten(tenure.key))
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -1,4 +1,4 @@
-"""Keyed work that this runner claims, starts, finishes, releases and hands over: each a change of its register."""
+"""Keyed work that this runner claims, starts, finishes, releases or hands over, each by a change of its register."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
     WorkState,
 )
 
-# Of claims that are withdrawn: nobody waits, and there may be thousands, on the side of a partition without majorities.
+# Retries of withdrawals back off this far because no caller waits for them, and because the side of a partition without
+# majorities may have thousands.
 MAX_WITHDRAW_BACKOFF_US = 8_000 * MS
-MAX_WITHDRAWALS = 4_000  # under way at a time
-NO_MAJORITY = "no majority of its keepers answers"  # told to callers
+MAX_WITHDRAWALS = 4_000  # Concurrent withdrawals.
+NO_MAJORITY = "no majority of its keepers answers"  # Part of the error that a caller gets.
 
 
 class OwnedWork:
-    """An owner's path through the lifecycle of work. Steps on one key go one after the other (`Tenure.run_step`)."""
+    """The owner's side of the lifecycle of work. Steps on one key are serialized by `Tenure.run_step`."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
@@ -37,25 +38,27 @@
     # ---- claim ----
 
     def claim(self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int) -> None:
-        """Claims a key that is new here.
+        """Claim a key that is new at this runner.
 
-        `ClaimGranted`, `ClaimJoined`, `ResultKnown`, `BodyDiffers` or `ClaimUncovered` follows, maybe at once.
-        `expires_at`: us.
+        `ClaimGranted`, `ClaimJoined`, `ResultKnown`, `BodyDiffers` or `ClaimUncovered` follows, possibly during this
+        call.
+
+        :param expires_at: Time (us) at which the key expires.
         """
-        former = self._node.tenures.get(key)
+        previous = self._node.tenures.get(key)
         tenure = Tenure(key, body_digest, request, expires_at, TenureStage.CLAIMING)
         self._node.tenures[key] = tenure
-        if former is None or not former.busy:
+        if previous is None or not previous.busy:
             return tenure.run_step(lambda: self._claim(tenure, request))
-        # An earlier attempt is still being withdrawn: that goes first.
+        # An earlier claim is still being withdrawn; the new claim waits for that.
         give_up_at = self._node.clock() + self._node.claim_timeout_us
         self._node.at(give_up_at, lambda: self._give_up_claim(tenure))
 
-        def claim_after_former() -> None:
+        def claim_after_previous() -> None:
             tenure.run_step(lambda: self._claim(tenure, request))
-            former.finish_step()
+            previous.finish_step()
 
-        former.run_step(claim_after_former)
+        previous.run_step(claim_after_previous)
         return None
 
     def _claim(self, tenure: Tenure, request: WorkRequest) -> None:
@@ -72,7 +75,7 @@
 
     def _claimed(self, tenure: Tenure, result: ChangeResult | None) -> None:
         if tenure.stage is not TenureStage.CLAIMING:
-            # Its caller has gone meanwhile: the next step releases what was written.
+            # The work was released while the claim was in progress; the next step releases it in the register too.
             work: WorkRecord | None = None if result is None else result.value
             is_ours = work is not None and work.owner == self._node.owner
             tenure.attempt = work.attempt if work is not None and is_ours else 0
@@ -92,7 +95,7 @@
             self._node.forget(tenure)
 
     def _give_up_claim(self, tenure: Tenure) -> None:
-        """The earlier attempt took too long to be withdrawn."""
+        """Fail a claim that still waits for the withdrawal of an earlier one."""
         is_waiting = tenure.stage is TenureStage.CLAIMING and not tenure.busy
         if self._node.tenures.get(tenure.key) is tenure and is_waiting:
             tenure.stage = TenureStage.FINISHING
@@ -102,10 +105,9 @@
             self._node.forget(tenure)
 
     def _withdraw(self, tenure: Tenure) -> None:
-        """Releases a claim whose outcome is not known.
-
-        Nobody waits for it, but the register may name this runner: were it lost later, another would run the work.
-        """
+        """Release a claim whose outcome is unknown."""
+        # No caller waits for the work, but the register may name this runner as its owner. If this runner were then
+        # lost, another one would run the work.
         if self._node.policy.serves_without_majority:
             return self._node.forget(tenure)
         if self._withdrawals >= MAX_WITHDRAWALS:
@@ -134,9 +136,11 @@
     # ---- start ----
 
     def start(self, key: KeyDigest) -> bool:
-        """Before a run is commanded. False where the key is not the cluster's business.
+        """Record the start of held work before its run is commanded.
+
+        `StartConfirmed`, `StartLost` or `StartUncovered` follows, possibly during this call.
 
-        Else `StartConfirmed`, `StartLost` or `StartUncovered` follows, maybe at once.
+        :returns: Whether this runner holds the key. If not, no event follows.
         """
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is not TenureStage.HELD:
@@ -146,7 +150,7 @@
         return True
 
     def _start(self, tenure: Tenure) -> None:
-        if tenure.stage is not TenureStage.STARTING:  # released meanwhile
+        if tenure.stage is not TenureStage.STARTING:  # It was released while this step was queued.
             return tenure.finish_step()
         self._node.change(
             tenure.key,
@@ -193,7 +197,10 @@
     # ---- the end ----
 
     def finish(self, key: KeyDigest, result: bytes | None) -> None:
-        """A run of this runner is over."""
+        """Record that a run of this runner has ended.
+
+        :param result: Result of the run, or None if it gave none.
+        """
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is TenureStage.OWNED_ELSEWHERE:
             return
@@ -205,7 +212,7 @@
         self._write_until_chosen(tenure, FinishWork(self._node.owner, tenure.attempt, result))
 
     def _write_until_chosen(self, tenure: Tenure, change: ChangeFunction) -> None:
-        """Retried until it is chosen, or the key no longer counts."""
+        """Change the register, with retries until the change is chosen or the key expires."""
 
         def written(result: ChangeResult | None) -> None:
             self._node.forget(tenure)
@@ -224,9 +231,11 @@
         tenure.run_step(write)
 
     def release(self, key: KeyDigest, rejected: bool = False) -> None:
-        """An attempt of this runner is over, and never ran.
+        """Release an attempt of this runner that ended before its run.
+
+        Work that was taken over, or for which other runners wait, is offered to the next seat.
 
-        `rejected`: work that was another's, or that others wait for, goes on to the next seat.
+        :param rejected: Whether this runner rejected the work; the work is then not offered to it again.
         """
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is TenureStage.OWNED_ELSEWHERE:
@@ -251,11 +260,11 @@
         work: WorkRecord | None = None if result is None else result.value
         if work is not None and work.state is WorkState.RELEASED and work.request is not None:
             self._node.offer_work(tenure.key, work)
-        self._answer_not_in_hand(tenure)
+        self._notify_waiting_seats(tenure)
         tenure.finish_step()
 
     def hand_over(self, key: KeyDigest) -> None:
-        """Held work, to whichever runner can run it: `HandedOver` follows once nobody can lose it any more."""
+        """Release held work to the runners that can run it. `HandedOver` follows once a majority has the release."""
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is not TenureStage.HELD or tenure.request is None:
             return
@@ -284,7 +293,7 @@
             tenure.promise = None
             if work.state is WorkState.RELEASED:
                 self._node.offer_work(tenure.key, work)
-            self._answer_not_in_hand(tenure)
+            self._notify_waiting_seats(tenure)
             tenure.waiting_seats.clear()
             self._node.adopt(tenure, result)
         tenure.finish_step()
@@ -292,10 +301,11 @@
     def _is_held_here(self, work: WorkRecord) -> bool:
         return work.owner == self._node.owner and work.state is WorkState.HELD
 
-    def _answer_not_in_hand(self, tenure: Tenure) -> None:
+    def _notify_waiting_seats(self, tenure: Tenure) -> None:
+        """Notify the seats that wait for the result that the work is no longer queued or running here."""
         for seat in sorted(tenure.waiting_seats):
             self._node.host.send(seat, OwnershipReply(tenure.key, tenure.attempt, False))
 
     def _time_left(self, tenure: Tenure) -> int:
-        """us; at least one attempt is made."""
+        """Return the time (us) until the key expires, and at least 1 ms, so that one attempt is made."""
         return max(MS, tenure.expires_at - self._node.clock())
--- a/moorusher/replication/policy.py
+++ b/moorusher/replication/policy.py
@@ -1,4 +1,7 @@
-"""What the operator's file says of a fleet. Imports nothing: it is read where there is no fleet, too."""
+"""Settings of a fleet from the operator's file.
+
+Has no imports from the rest of the package, since the settings are also read if no fleet is configured.
+"""
 
 from __future__ import annotations
 
@@ -7,13 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationPolicy:
-    """Figures of `[fleet]`.
+    """Settings of the section `[fleet]`.
 
     Attributes:
-        claim_timeout_ms: `float`; a key whose majority has not answered by then is uncovered.
-        replicas: `int`, of each key.
-        serves_without_majority: `bool`; uncovered keyed requests are served as by a runner without a cluster; else they
-            are rejected.
+        claim_timeout_ms: Time within which a majority of a key's replicas must answer; otherwise the key counts as
+            uncovered.
+        replicas: Number of replicas of each key.
+        serves_without_majority: Whether uncovered keyed requests are served as by a runner without a cluster. Otherwise
+            they are rejected.
     """
 
     claim_timeout_ms: float = 250.0
--- a/moorusher/replication/proposer.py
+++ b/moorusher/replication/proposer.py
@@ -1,10 +1,10 @@
-"""The proposer's part of one change of one register (CASPaxos, Rystsov 2018): pure, without a clock.
+"""The proposer of one change of one register (CASPaxos, Rystsov 2018): pure, without a clock.
 
-A register is read and rewritten by a majority of its replicas; the new value is a function of the old one. Two things
-save rounds. An accepted value carries the promise for the same proposer's next write. And a first write asks for no
-promise: it goes out at `FAST_BALLOT`, which is anyone's, and is chosen where *all* replicas accepted it (Lamport, "Fast
-Paxos", with three acceptors); where only a majority did, their promises for the next ballot carry the same value in one
-more round.
+A register is read and written at a majority of its replicas; the new value is a function of the old one. Two
+optimizations save rounds. An acceptor of a value also promises the next ballot to the same proposer. And a first write
+needs no promise: it is proposed at `FAST_BALLOT`, which all proposers share, and is chosen if *all* replicas accept it
+(Lamport, "Fast Paxos", with three acceptors). If only a majority accepts it, their promises for the next ballot let the
+proposer write the same value in one more round.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from .messages import FAST_BALLOT, Ballot, BallotRequest, Incarnations, Vote
 from .work_record import KeyDigest
 
-# What a change makes of the value that there is: the next one, or None where it is to stay as it is.
+# Returns the new value for the old one, or None to leave the register unchanged.
 ChangeFunction = Callable[[Any], Any]
 
 
 @dataclass(frozen=True, slots=True)
 class CarriedPromise:
-    """A promise that a proposer still has from its last write.
+    """A promise that a proposer obtained with its last write.
 
     Attributes:
-        ballot: the promised ballot.
-        value: the register's value at that write.
-        quorum: who promised, in which incarnation.
+        ballot: Promised ballot.
+        value: Value of the register after that write.
+        quorum: Seats that promised, with their incarnations.
     """
 
     ballot: Ballot
@@ -38,12 +38,12 @@
 
 @dataclass(slots=True)
 class ChangeResult:
-    """The end of a change.
+    """The result of a completed change.
 
     Attributes:
-        value: the register's value, known to be chosen.
-        applied: `bool`, the change made it; False where the change function left the value as it was.
-        promise: for the same proposer's next write, or None.
+        value: Chosen value of the register.
+        applied: Whether the change function gave a new value.
+        promise: Promise for the same proposer's next write, or None.
     """
 
     value: Any
@@ -52,7 +52,7 @@
 
 
 def highest_incarnations(votes: list[Vote]) -> Incarnations:
-    """The highest incarnation of each seat that one of the voters has heard of."""
+    """Return the highest incarnation of each seat that any of the voters knows."""
     highest: Incarnations = {}
     for vote in votes:
         for seat, incarnation in vote.incarnations.items():
@@ -62,26 +62,26 @@
 
 @dataclass(slots=True)
 class Proposer:
-    """Changes one register once.
+    """One change of one register.
 
-    `start`, `retry`, `handle_vote` and `settle_for_majority` return the requests that are to go to all replicas now;
-    `result` is set once the change is over. Whoever drives this decides when to retry, to settle for a majority or to
-    give up: none of that changes what may be chosen.
+    `start`, `retry`, `handle_vote` and `settle_for_majority` return the requests to send to all replicas; `result` is
+    set when the change is complete. The caller decides when to retry, to settle for a majority or to give up; none of
+    these decisions affects safety.
 
     Attributes:
-        key: `bytes`, of the register.
-        replicas: their seats.
-        incarnation: `int`, of the proposer's process; no two processes have the same.
-        number: `int`, no two proposers of one process have the same: a ballot has one value.
-        change: see `ChangeFunction`.
-        ttl_ms: `int`, how long the key still counts.
-        promise: carried over from the last write, or None.
-        space: `int`, see `register_space`.
-        result: `ChangeResult`, or None until the change is over.
-        conflicts: `int`, rounds that were blocked; counted by whoever drives this.
-        recovering_votes: `int`, replicas that have no vote, in this round.
-        at_capacity: `bool`, a replica has no capacity for a further key.
-        serial: `int`, of the present round.
+        key: Key of the register.
+        replicas: Seats of the register's replicas.
+        incarnation: Incarnation of the proposer's process, different for all processes.
+        number: Number of the proposer, different for all proposers of a process, so that a ballot has one value.
+        change: Function from the old value to the new one.
+        ttl_ms: Time until the key expires.
+        promise: Promise from the last write, or None.
+        space: Number of the register space.
+        result: Result, or None until the change is complete.
+        conflicts: Number of blocked rounds, counted by the caller.
+        recovering_votes: Number of replicas that can't vote in the current round, because they are recovering.
+        at_capacity: Whether a replica can't store another key.
+        serial: Serial of the current round.
     """
 
     key: KeyDigest
@@ -97,24 +97,28 @@
     recovering_votes: int = 0
     at_capacity: bool = False
     serial: int = 0
-    # The present round: its ballot, the value it carries (None: prepare), who promised, and the answers so far.
+    # The current round: its ballot, its value (None in a prepare round), the seats that promised the ballot, and the
+    # votes so far.
     _ballot: Ballot = FAST_BALLOT
     _value: Any = None
     _quorum: Incarnations = field(default_factory=dict)
     _applied: bool = True
     _votes: dict[str, Vote] = field(default_factory=dict)
     _rejections: set[str] = field(default_factory=set)
-    # The highest round of a ballot that was heard of: the next prepare goes above it.
+    # Highest known round of a ballot; the next prepare uses a higher one.
     _highest_round: int = 1
-    # Replicas that a value was sent to, and that have not rejected it.
+    # Replicas that were sent a value and have not rejected it.
     _may_have_accepted: set[str] = field(default_factory=set)
-    _value_rounds: int = 0  # how many rounds carried a value,
-    _value_serial: int = 0  # and the serial of the last of them
+    _value_rounds: int = 0  # Number of rounds that proposed a value.
+    _value_serial: int = 0  # Serial of the last round that proposed a value.
 
     # ---- requests ----
 
     def start(self, serial: int) -> list[BallotRequest]:
-        """The first requests. `serial` must differ from those of all other proposers of this process, by 1000s."""
+        """Return the first requests.
+
+        :param serial: Base of this proposer's serials. Bases of one process's proposers must be 1000 apart.
+        """
         self.serial = serial
         if self.promise is not None:
             promise = self.promise
@@ -128,11 +132,14 @@
         return self._request(FAST_BALLOT, value, {})
 
     def retry(self) -> list[BallotRequest]:
-        """From the promise on, at a higher ballot: after a conflict, or where no majority has answered."""
+        """Restart with a prepare round at a higher ballot, after a conflict or without an answer from a majority."""
         return self._prepare()
 
     def settle_for_majority(self) -> list[BallotRequest]:
-        """Waits for no further answers: a first write that a majority accepted goes on with their promises."""
+        """Continue a fast write with the promises of a majority, instead of waiting for all replicas.
+
+        :returns: The requests of the next round; empty if no majority has accepted the fast write.
+        """
         if self.result is not None:
             return []
         if self._ballot == FAST_BALLOT and self._value is not None:
@@ -151,13 +158,13 @@
         new = self.change(old)
         self._applied = new is not None
         self._value = old if new is None else new
-        if self._value is None:  # nothing there, and nothing to be written
+        if self._value is None:  # The register is empty, and the change function does not write it.
             self.result = ChangeResult(None, False, None)
             return []
         return self._request(ballot, self._value, quorum)
 
     def _request(self, ballot: Ballot, value: Any, quorum: Incarnations) -> list[BallotRequest]:
-        """A new round."""
+        """Begin a new round and return its requests."""
         self.serial += 1
         self._ballot = ballot
         self._quorum = quorum
@@ -186,10 +193,10 @@
     # ---- votes ----
 
     def handle_vote(self, seat: str, vote: Vote) -> list[BallotRequest]:
-        """An answer of a replica, of this round or of an earlier one."""
+        """Handle a replica's vote in the current or an earlier round, and return the next requests."""
         if not vote.accepted and vote.serial == self._value_serial and self._value_rounds == 1:
-            # Also while the next round is under way. With two rounds that carried a value, what the first has left
-            # is not known.
+            # A late rejection counts even if the next round has begun. After two rounds with a value, a rejection of
+            # the second does not show that the replica rejected the first.
             self._may_have_accepted.discard(seat)
         if self.result is not None or vote.serial != self.serial or seat not in self.replicas:
             return []
@@ -205,7 +212,9 @@
         return self._count(needed)
 
     def valid_votes(self) -> dict[str, Vote]:
-        """The votes that count, by seat: not those of an incarnation that another voter knows to be past."""
+        """Return the votes that count, by seat."""
+        # A vote does not count if another voter knows a later incarnation of its voter. No vote counts if a voter knows
+        # a later incarnation of a seat in the promising quorum.
         highest = highest_incarnations(list(self._votes.values()))
         return {
             seat: vote
@@ -230,29 +239,29 @@
 
     @property
     def may_be_chosen(self) -> bool:
-        """Some replica may have accepted a value: given up now, it may be chosen yet, by other proposers too."""
+        """Whether a replica may have accepted a value. Other proposers may then still complete an abandoned change."""
         return bool(self._may_have_accepted)
 
     @property
     def in_fast_round(self) -> bool:
-        """The present round is a first write without a promise."""
+        """Whether the current round is a first write without a promise."""
         return self._ballot == FAST_BALLOT and self._value is not None
 
     @property
     def accepted_by(self) -> set[str]:
-        """Seats that have accepted, or promised, in this round."""
+        """Seats that have accepted or promised in the current round."""
         return set(self._votes)
 
     @property
     def blocked(self) -> bool:
-        """The answers that are still to come can't complete this round."""
+        """Whether the outstanding votes can't complete the current round."""
         return len(self.replicas) - len(self._rejections) < majority(len(self.replicas)) or (
             self._ballot == FAST_BALLOT and bool(self._rejections)
         )
 
 
 def value_to_adopt(votes: list[Vote]) -> Any:
-    """The value that may have been chosen, by a majority's promises; any proposed one, where none can have been."""
+    """Return the value that may have been chosen, by a majority's promises, or else any accepted value or None."""
     ballots = [vote.accepted_ballot for vote in votes if vote.accepted_ballot is not None]
     if not ballots:
         return None
@@ -260,5 +269,6 @@
     values = [vote.value for vote in votes if vote.accepted_ballot == highest]
     if highest != FAST_BALLOT:
         return values[0]
-    # Of two first writes neither can have been chosen: that takes all replicas. One alone may have been.
+    # A fast write is chosen only if all replicas accept it. If the votes have two different fast values, neither was
+    # chosen; if they have only one, it may have been.
     return max(values, key=lambda value: (values.count(value), repr(value)))
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -1,4 +1,4 @@
-"""How an acceptor that has forgotten recovers: from other replicas, by time, or by an operator's bootstrap command."""
+"""Recovery of an acceptor that has lost its state: from other replicas, by expiry, or by an operator's command."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 from .interfaces import RegisterHost
 from .messages import Bootstrap, SyncReply, SyncRequest
 
-SYNC_INTERVAL_US = 500 * MS  # until those that have not sent all that they know are asked again
-MAX_SYNC_INTERVAL_US = 16_000 * MS  # the interval doubles up to this for seats that have sent what they know
-BOOTSTRAP_DELAY_US = 100 * MS  # from an operator's word that a cluster is new to the first vote by it
+SYNC_INTERVAL_US = 500 * MS  # Time between requests to seats that have not sent their complete state.
+# The interval doubles up to this value while all requested seats have already sent the slices that they know.
+MAX_SYNC_INTERVAL_US = 16_000 * MS
+BOOTSTRAP_DELAY_US = 100 * MS  # From a bootstrap command to the first vote; see `_finish_bootstrap`.
 SLICES_PER_SURVEY_TURN = 64
-SURVEY_TURN_US = 5 * MS
+SURVEY_TURN_US = 5 * MS  # Time between two turns of the survey.
 
 
 class AcceptorRecovery:
-    """Recovers one acceptor.
+    """The recovery of one acceptor.
 
     Attributes:
-        forgets_after: `int`, us, after which nothing that an earlier process knew counts any more; None where registers
-            are permanent.
-        recovering_peers: seats that have answered that they have forgotten too.
+        expires_after_us: Time after which all state of an earlier process has expired; None if registers are permanent.
+        recovering_peers: Seats that have replied that they are recovering too.
     """
 
-    def __init__(self, space: int, acceptor: Acceptor, host: RegisterHost, forgets_after: int | None) -> None:
-        self.forgets_after = forgets_after
+    def __init__(
+        self, space: int, acceptor: Acceptor, host: RegisterHost, expires_after_us: int | None
+    ) -> None:
+        self.expires_after_us = expires_after_us
         self.recovering_peers: set[str] = set()
         self._space = space
         self._acceptor = acceptor
@@ -34,31 +36,31 @@
         self._started_at = 0
 
     def start(self) -> None:
-        """Asks the others, where something was forgotten."""
+        """Start the recovery if the acceptor has lost its state."""
         acceptor = self._acceptor
         if acceptor.recovered:
             return
         self._started_at = self._host.clock()
-        if self.forgets_after is not None:
-            self._host.at(self._started_at + self.forgets_after, self._recover_by_time)
+        if self.expires_after_us is not None:
+            self._host.at(self._started_at + self.expires_after_us, self._recover_by_time)
         if acceptor.slice_replicas is not None and acceptor.own_slices is None:
             self._survey_slices(0, [])
         self.request_sync(SYNC_INTERVAL_US)
 
     def _recover_by_time(self) -> None:
-        """Whatever an earlier process of this seat knew is out of its window by now."""
-        if self.forgets_after is None:
+        """Mark the acceptor as recovered once all state of an earlier process of this seat has expired."""
+        if self.expires_after_us is None:
             return
-        due = self._started_at + self.forgets_after
-        if self._host.clock() < due:  # the window has become longer meanwhile
+        due = self._started_at + self.expires_after_us
+        if self._host.clock() < due:  # The window has been extended in the meantime.
             self._host.at(due, self._recover_by_time)
         elif not self._acceptor.recovered:
             self._acceptor.recovered = True
             self._host.count("fleet: remembers, as what was forgotten no longer counts")
 
     def _survey_slices(self, first: int, found: list[int]) -> None:
-        """Finds the slices that this seat is a replica of: some at a time, as all of them take a second in a cluster of
-        a thousand."""
+        """Find the slices of which this seat is a replica."""
+        # Done in turns, because all slices at once take a second in a cluster of a thousand seats.
         slice_replicas = self._acceptor.slice_replicas
         if slice_replicas is None or self._acceptor.recovered:
             return
@@ -74,21 +76,21 @@
     # ---- from other replicas ----
 
     def request_sync(self, interval_us: int) -> None:
-        """Asks all seats that have not sent everything, again and again until the acceptor has recovered."""
+        """Request the state of all seats that have not sent it completely, repeatedly until the acceptor recovers."""
         acceptor = self._acceptor
         if acceptor.recovered:
             return
-        asked = sorted(acceptor.other_seats - acceptor.synced_from)
-        for seat in asked:
+        pending_seats = sorted(acceptor.other_seats - acceptor.synced_from)
+        for seat in pending_seats:
             self._host.send(seat, SyncRequest(acceptor.incarnation, self._space))
-        # Seats that have sent what they know are asked less and less often; those that are recovering or not there
-        # may know more at any time.
-        all_have_sent = all(seat in acceptor.slices_synced_from for seat in asked)
+        # The interval grows only if all these seats have sent the slices that they know. A seat that has not replied,
+        # or is recovering itself, may be able to send its state at any time.
+        all_have_sent = all(seat in acceptor.slices_synced_from for seat in pending_seats)
         next_interval = min(MAX_SYNC_INTERVAL_US, 2 * interval_us) if all_have_sent else SYNC_INTERVAL_US
         self._host.at(self._host.clock() + next_interval, lambda: self.request_sync(next_interval))
 
     def handle_sync(self, seat: str, request: SyncRequest) -> None:
-        """Another replica has forgotten."""
+        """Handle the sync request of a recovering replica."""
         parts = self._acceptor.answer_sync(self._host.clock(), seat, request.incarnation, self._space)
         reply = self._host.replier(seat)
 
@@ -96,13 +98,14 @@
             for part in parts:
                 reply(part)
 
-        # That the asker's earlier incarnations count for nothing must outlive this process.
+        # This acceptor must ignore the requester's earlier incarnations after its own restart too, so the reply waits
+        # until the journal has the new incarnation.
         self._host.durable(send_parts, self._space)
 
     def handle_sync_reply(self, seat: str, reply: SyncReply) -> None:
-        """What another replica knows."""
+        """Handle a part of another replica's state."""
         if reply.incarnation < self._acceptor.incarnation:
-            return  # to an earlier process
+            return  # The reply is for an earlier process of this seat.
         if reply.incarnation > self._acceptor.incarnation:
             return self._host.raise_incarnation(reply.incarnation + 1)
         if reply.recovering:
@@ -111,24 +114,24 @@
             self.recovering_peers.discard(seat)
             self._acceptor.apply_sync(self._host.clock(), seat, reply)
 
-    # ---- by an operator's word ----
+    # ---- by an operator's command ----
 
     def bootstrap(self, accept_loss: bool = False) -> str | None:
-        """An operator says that nothing ran here before.
+        """Bootstrap the acceptors of all seats, on an operator's statement that the cluster is new.
 
-        With `accept_loss`: that what no seat knows any more counts for nothing.
-
-        Returns the reason where that can't be: a seat that has recovered may know better, and one that is not there may
-        have recovered.
+        :param accept_loss: Whether the operator states instead that state which no seat has any more may be dropped.
+        :returns: None on success, or the reason for a refusal.
         """
+        # Every other seat must have replied that it is recovering: a seat that has recovered has state, and one that
+        # has not replied may have some. With `accept_loss`, seats that have sent their state are allowed too.
         acceptor = self._acceptor
         if acceptor.recovered:
             remedy = "ask one that does not" if accept_loss else "the fleet has begun"
             return f"this runner remembers: {remedy}"
-        known = self.recovering_peers
+        replied_seats = self.recovering_peers
         if accept_loss:
-            known = known | acceptor.synced_from | acceptor.slices_synced_from.keys()
-        if missing := sorted(acceptor.other_seats - known):
+            replied_seats = replied_seats | acceptor.synced_from | acceptor.slices_synced_from.keys()
+        if missing := sorted(acceptor.other_seats - replied_seats):
             reason = "not heard of" if accept_loss else "not heard as one that remembers nothing"
             return f"{reason}: {', '.join(missing)}"
         for seat in sorted(acceptor.other_seats):
@@ -137,7 +140,7 @@
         return None
 
     def handle_bootstrap(self, seat: str, message: Bootstrap) -> None:
-        """An operator's word, heard at `seat`."""
+        """Handle an operator's bootstrap command that `seat` received."""
         acceptor = self._acceptor
         if message.incarnation != acceptor.incarnation or acceptor.recovered:
             return
@@ -146,11 +149,9 @@
             self._host.at(due, lambda: self._finish_bootstrap(message.incarnation))
 
     def _finish_bootstrap(self, incarnation: int) -> None:
-        """Some time after the word.
-
-        At once, a seat that votes by it could sync another one that the word has not reached yet; that one would not
-        take it any more, and two such know nothing that the other could recover by.
-        """
+        """Mark the acceptor as recovered, a delay after the bootstrap command."""
+        # Without the delay, a bootstrapped seat could send its state to seats that the command has not reached. Such a
+        # seat ignores the command from then on. With two of them, neither could recover from the other.
         if incarnation == self._acceptor.incarnation and not self._acceptor.recovered:
             self._acceptor.recovered = True
             self._host.count("fleet: begun")
--- a/moorusher/replication/register_reader.py
+++ b/moorusher/replication/register_reader.py
@@ -1,4 +1,4 @@
-"""Reads of registers that hinder nobody: the replicas are asked what they have, and promise nothing."""
+"""Reads of registers without a ballot. Replicas return their values and promise nothing, so no change is disturbed."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from .proposer import ChangeResult
 from .work_record import KeyDigest
 
-READ_TIMEOUT_US = 60 * MS  # replicas that have not agreed by then are asked by a ballot
-READ_RETRY_US = 4 * MS  # until the replicas are asked again, where a change is under way
+READ_TIMEOUT_US = 60 * MS  # If the replicas have not agreed by then, the read uses a ballot.
+READ_RETRY_US = 4 * MS  # Delay before a retry, if a change is in progress.
 MAX_READ_ATTEMPTS = 4
-READ_TTL_MS = 1  # a read keeps no key from being forgotten
+READ_TTL_MS = 1  # A read does not postpone the expiry of a key.
 
 
 @dataclass(slots=True, eq=False)
@@ -31,10 +31,10 @@
 
 
 class RegisterReader:
-    """Reads what is chosen in the registers of one space.
+    """Reads the chosen values of the registers of one space.
 
-    `next_number` gives the number of each attempt, which no change of the space has; `serials` is how many serials
-    belong to a number. `read_by_ballot(key, timeout_us, on_result)` reads as a change does, by a promise.
+    `next_number` returns a number for each attempt, different from those of the space's changes. `serials` is how many
+    serials belong to each number. `read_by_ballot(key, timeout_us, on_result)` reads by a change without a new value.
     """
 
     def __init__(
@@ -55,9 +55,10 @@
         self._pending: dict[int, _PendingRead] = {}
 
     def read(self, key: KeyDigest, timeout_us: int, on_result: Callable[[ChangeResult | None], None]) -> None:
-        """What is chosen. Where the replicas don't agree, or too few answer soon, a ballot decides.
+        """Read the chosen value. If the replicas disagree or too few answer in time, read it by a ballot.
 
-        `on_result(None)` where no majority has answered `timeout_us` after that.
+        :param timeout_us: Timeout of the read by ballot.
+        :param on_result: Called with the result, or with None if no majority answers the read by ballot.
         """
         self._attempt(_PendingRead(key, self._acceptor.replicas(key), timeout_us, on_result))
 
@@ -85,7 +86,7 @@
             self._host.durable(lambda: self.handle_vote(me, vote), self._space)
 
     def handle_vote(self, seat: str, vote: Vote) -> None:
-        """A replica's answer."""
+        """Handle a replica's answer."""
         number = vote.serial // self._serials
         pending = self._pending.get(number)
         if pending is None:
@@ -101,14 +102,14 @@
             pending.attempts += 1
             if pending.attempts >= MAX_READ_ATTEMPTS or len(known) < majority(len(pending.replicas)):
                 return self._decide_by_ballot(number)
-            # A change is on its way through the replicas.
+            # The replicas differ, so a change is in progress.
             del self._pending[number]
             self._host.at(self._host.clock() + READ_RETRY_US, lambda: self._attempt(pending))
         return None
 
     @staticmethod
     def votes_needed(pending: _PendingRead, vote: Vote) -> int:
-        """How many replicas must have accepted that very value; a first write without a promise needs all of them."""
+        """Return how many replicas must have accepted a value for it to be chosen. A fast write needs all of them."""
         replicas = len(pending.replicas)
         return replicas if vote.accepted_ballot == FAST_BALLOT else majority(replicas)
 
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -1,8 +1,8 @@
-"""One space of registers at one member: the changes that it proposes, and the votes that it gives.
+"""One space of registers at one member: the changes that it proposes and the votes that it gives.
 
-A space is for one kind of value: the life of keyed work, which ends with its window; the duties of the cluster, which
-last; what concerns the cluster as a whole. Acceptors of different spaces share nothing but the seats and their
-incarnations.
+A space holds one kind of value: the lifecycle of keyed work, which expires with its window; the duties of the cluster,
+which are permanent; or the state of the cluster as a whole. Acceptors of different spaces share only the seats and
+their incarnations.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from .register_reader import RegisterReader
 from .work_record import KeyDigest
 
-FAST_ROUND_TIMEOUT_US = 6 * MS  # a first write that not all replicas have answered goes on with a majority
-RETRY_BACKOFF_US = (
-    40 * MS
-)  # a round without a majority is retried at a higher ballot; the wait doubles each time
+# If not all replicas have answered a fast write by then, it continues with a majority.
+FAST_ROUND_TIMEOUT_US = 6 * MS
+# Delay before a round without a majority is retried at a higher ballot; doubles with each retry.
+RETRY_BACKOFF_US = 40 * MS
 MAX_RETRY_BACKOFF_US = 1_000 * MS
-CONFLICT_BACKOFF_US = 2 * MS  # times the number of conflicts, and 0.5 to 1.5 by chance
+CONFLICT_BACKOFF_US = 2 * MS  # Multiplied by the number of conflicts and a random factor from 0.5 to 1.5.
 MAX_CONFLICT_FACTOR = 10
-FOREVER_US = 1 << 50  # a time that never comes
-SERIALS_PER_CHANGE = 1_000  # a change's rounds have the serials from its number times this on
-MAX_ROUNDS = 900  # of one change; then it is given up
+FOREVER_US = 1 << 50  # Longer than any process runs.
+SERIALS_PER_CHANGE = 1_000  # The rounds of change N have serials from N * SERIALS_PER_CHANGE.
+MAX_ROUNDS = 900  # Rounds of one change, which is then abandoned.
 
-# The spaces that there are. Plain ints, as on the wire: a field is left out of a message only where it is the very
-# default, which a member of an Enum is not.
+# Numbers of the spaces. They are plain ints because a field is left out of a message only if its value is the default
+# itself, which a member of an Enum is not.
 WORK_SPACE = 0
 DUTY_SPACE = 1
 CLUSTER_SPACE = 2
@@ -41,15 +41,15 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingChange:
-    """A change under way.
+    """A change in progress.
 
     Attributes:
-        proposer: `Proposer`.
-        on_result: called once with its end; None where it was given up.
-        give_up_at: `int`, us.
-        backoff: `int`, us, until the present round is retried.
-        max_backoff: `int`, us.
-        round: `int`, grows with each request, so that an alarm that belongs to an older one does nothing.
+        proposer: Proposer of the change.
+        on_result: Called once with the result, or with None if the change was abandoned.
+        give_up_at: Time (us) at which the change is abandoned.
+        backoff: Delay (us) before the current round is retried.
+        max_backoff: Limit of `backoff` (us).
+        round: Number that grows with each request; timers of earlier requests do nothing.
     """
 
     proposer: Proposer
@@ -61,22 +61,24 @@
 
 
 class RegisterSpace:
-    """The registers of one space, for one member. Times are in us.
+    """The registers of one space at one member. Times are in us.
 
     Attributes:
-        space: `int`, its number.
-        acceptor: `Acceptor`, the registers that this member is a replica of.
-        recovery: `AcceptorRecovery` of that acceptor.
-        host: `RegisterHost`.
-        last_may_be_chosen: `bool`, of the change that was given up last: it may be chosen yet.
+        space: Number of the space.
+        acceptor: Registers of which this member is a replica.
+        recovery: Recovery of that acceptor.
+        host: Member that owns the space.
+        last_may_be_chosen: Whether the last abandoned change may still be chosen.
     """
 
-    def __init__(self, space: int, acceptor: Acceptor, host: RegisterHost, forgets_after: int | None) -> None:
-        """`forgets_after`: see `AcceptorRecovery`."""
+    def __init__(
+        self, space: int, acceptor: Acceptor, host: RegisterHost, expires_after_us: int | None
+    ) -> None:
+        """Create the space. `expires_after_us` is explained at `AcceptorRecovery`."""
         self.space = space
         self.acceptor = acceptor
         self.host = host
-        self.recovery = AcceptorRecovery(space, acceptor, host, forgets_after)
+        self.recovery = AcceptorRecovery(space, acceptor, host, expires_after_us)
         self.last_may_be_chosen = False
         self._reader = RegisterReader(
             space, acceptor, host, self._next_number, SERIALS_PER_CHANGE, self._read_by_ballot
@@ -87,26 +89,27 @@
 
     @property
     def me(self) -> str:
-        """This member's seat."""
+        """Seat of this member."""
         return self.acceptor.seat
 
     def start(self) -> None:
-        """Recovers, where something was forgotten."""
+        """Start the recovery if the acceptor has lost its state."""
         self.recovery.start()
 
     # ---- messages ----
 
     def handle_request(self, seat: str, request: BallotRequest) -> None:
-        """A proposer asks for this replica's vote."""
+        """Handle a proposer's request for this replica's vote."""
         vote = self.acceptor.vote(self.host.clock(), request)
         if not vote.accepted and request.ballot != NO_BALLOT:
-            return self.host.reply(seat, vote)  # it promises nothing
-        # A promise must be on the disk before it counts; and who only reads must not see what may be lost.
+            return self.host.reply(seat, vote)  # A rejection needs no write to the disk.
+        # A promise or an accepted value must be on disk before its vote is sent. The reply to a read waits too, since
+        # it must not show a value that a power loss can still remove.
         reply = self.host.replier(seat)
         return self.host.durable(lambda: reply(vote), self.space)
 
     def handle_vote(self, seat: str, vote: Vote) -> None:
-        """A replica's answer to a change or to a read."""
+        """Handle a replica's vote on a change or its answer to a read."""
         pending = self._pending.get(vote.serial // SERIALS_PER_CHANGE)
         if pending is not None:
             self._advance(pending, pending.proposer.handle_vote(seat, vote))
@@ -114,15 +117,15 @@
             self._reader.handle_vote(seat, vote)
 
     def handle_sync(self, seat: str, request: SyncRequest) -> None:
-        """See `AcceptorRecovery`."""
+        """Handle a `SyncRequest`; see `AcceptorRecovery.handle_sync`."""
         self.recovery.handle_sync(seat, request)
 
     def handle_sync_reply(self, seat: str, reply: SyncReply) -> None:
-        """See `AcceptorRecovery`."""
+        """Handle a `SyncReply`; see `AcceptorRecovery.handle_sync_reply`."""
         self.recovery.handle_sync_reply(seat, reply)
 
     def handle_bootstrap(self, seat: str, message: Bootstrap) -> None:
-        """See `AcceptorRecovery`."""
+        """Handle a `Bootstrap`; see `AcceptorRecovery.handle_bootstrap`."""
         self.recovery.handle_bootstrap(seat, message)
 
     # ---- changes ----
@@ -146,10 +149,11 @@
         promise: CarriedPromise | None = None,
         max_backoff_us: int = MAX_RETRY_BACKOFF_US,
     ) -> None:
-        """Changes a register.
+        """Change a register.
 
-        `expires_at`: until when the key counts. `on_result(None)` where no majority has answered after `timeout_us`;
-        `last_may_be_chosen` says during that call whether the change may come about yet.
+        :param expires_at: Time at which the key expires.
+        :param on_result: Called with the result, or with None if no majority answered within `timeout_us`. During a
+            call with None, `last_may_be_chosen` tells whether the change may still be chosen.
         """
         number = self._next_number()
         now = self.host.clock()
@@ -168,7 +172,7 @@
         self._advance(pending, proposer.start(number * SERIALS_PER_CHANGE))
 
     def _advance(self, pending: _PendingChange, requests: list[BallotRequest]) -> None:
-        """After each step of a proposer: its requests go out, or its end is reported, or it waits."""
+        """Act on a step of the proposer: send its requests, report its result, or decide whether to retry or wait."""
         proposer = pending.proposer
         for request in requests:
             pending.round += 1
@@ -176,7 +180,7 @@
                 if seat != self.me:
                     self.host.send(seat, request)
             self._await_votes(pending)
-            if self.me in proposer.replicas:  # last, so that the others are under way already
+            if self.me in proposer.replicas:  # Last, so that the requests to the others are already sent.
                 return self._vote_locally(pending, request)
         if proposer.result is not None:
             if self._pending.pop(proposer.serial // SERIALS_PER_CHANGE, None) is not None:
@@ -186,15 +190,13 @@
         elif proposer.blocked:
             self._retry_after_conflict(pending)
         elif proposer.in_fast_round and self._other_replicas_down(proposer):
-            further = proposer.settle_for_majority()
-            if further:
-                self._advance(pending, further)
+            next_requests = proposer.settle_for_majority()
+            if next_requests:
+                self._advance(pending, next_requests)
 
     def _is_hopeless(self, pending: _PendingChange) -> bool:
-        """No majority can vote, and the caller can't wait until that changes.
-
-        A change that may wait for longer is retried: acceptors that have forgotten recover meanwhile.
-        """
+        """Return whether no majority can vote and the timeout is too short to wait for one."""
+        # A change with a longer timeout is retried, since recovering acceptors may recover before it.
         if pending.give_up_at - self.host.clock() > MAX_RETRY_BACKOFF_US:
             return False
         proposer = pending.proposer
@@ -202,7 +204,7 @@
         return proposer.at_capacity or proposer.recovering_votes > replicas - majority(replicas)
 
     def _retry_after_conflict(self, pending: _PendingChange) -> None:
-        """At once after the first conflict; then after a wait that tells two proposers apart."""
+        """Retry immediately after the first conflict, and later after a random delay that separates the proposers."""
         proposer = pending.proposer
         proposer.conflicts += 1
         if proposer.conflicts == 1:
@@ -213,11 +215,12 @@
         return None
 
     def _vote_locally(self, pending: _PendingChange, request: BallotRequest) -> None:
-        """This member's own vote, which counts as little as any before it is on the disk."""
+        """Count this member's own vote, once it is on disk as a vote to another member would have to be."""
         vote = self.acceptor.vote(self.host.clock(), request)
 
         def count_vote() -> None:
-            if self._pending.get(pending.proposer.serial // SERIALS_PER_CHANGE) is pending:  # not given up
+            # The change may have been abandoned in the meantime.
+            if self._pending.get(pending.proposer.serial // SERIALS_PER_CHANGE) is pending:
                 self._advance(pending, pending.proposer.handle_vote(self.me, vote))
 
         if vote.accepted:
@@ -226,7 +229,7 @@
             count_vote()
 
     def _other_replicas_down(self, proposer: Proposer) -> bool:
-        """Nobody is left to wait for in a fast round."""
+        """Return whether all replicas that have not accepted in this round are down."""
         return all(seat in proposer.accepted_by or not self.host.is_up(seat) for seat in proposer.replicas)
 
     def _await_votes(self, pending: _PendingChange) -> None:
@@ -235,9 +238,9 @@
         def end_fast_round() -> None:
             if pending.round != round_number or pending.proposer.result is not None:
                 return
-            further = pending.proposer.settle_for_majority()
-            if further:
-                self._advance(pending, further)
+            next_requests = pending.proposer.settle_for_majority()
+            if next_requests:
+                self._advance(pending, next_requests)
 
         if pending.proposer.in_fast_round:
             self.host.at(self.host.clock() + FAST_ROUND_TIMEOUT_US, end_fast_round)
@@ -259,7 +262,7 @@
         self.host.at(min(now + delay_us, max(pending.give_up_at, now + MS)), retry)
 
     def _give_up(self, pending: _PendingChange) -> None:
-        pending.round += 1  # no alarm of it does anything any more
+        pending.round += 1  # Disables the timers of the change.
         if self._pending.pop(pending.proposer.serial // SERIALS_PER_CHANGE, None) is not None:
             self.last_may_be_chosen = pending.proposer.may_be_chosen
             pending.on_result(None)
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -1,4 +1,4 @@
-"""Keyed work that another runner has: watched, waited for, and continued where its owner is silent or gone."""
+"""Keyed work that another runner owns: waits for its result, continues it if the owner does not answer or is lost."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from .work_events import BodyDiffers, ClaimGranted, ClaimJoined, RejectedByAll, ResultKnown
 from .work_record import ClaimWork, EndOrphanedWork, ReadOnly, TakeOverWork, WorkRecord, WorkState
 
-OWNER_ANSWER_TIMEOUT_US = 150 * MS  # an owner that has not answered by then is taken for silent
-OWNER_POLL_US = 400 * MS  # until an owner that has the work in hand is asked again
+OWNER_ANSWER_TIMEOUT_US = 150 * MS  # If the owner has not answered by then, this runner continues the work.
+OWNER_POLL_US = 400 * MS  # Time until an owner that still has the work is queried again.
 
 
 class WatchedWork:
-    """What a runner does about work that it waits for."""
+    """The waiting side of the lifecycle of work."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
 
-    # ---- what a register says ----
+    # ---- register values ----
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
-        """Apply the register's value that a claim, or a read of another's work, has found."""
+        """Apply the register's value after a claim or after a change of work that this runner waits for."""
         work: WorkRecord | None = result.value
         is_claim = tenure.stage is TenureStage.CLAIMING
-        if work is None:  # forgotten, as its time is over
+        if work is None:  # The register has expired.
             self._wait_for(tenure, None, is_claim)
         elif work.body_digest != tenure.body_digest:
             self._body_differs(tenure, is_claim)
@@ -48,7 +48,7 @@
         self._node.forget(tenure)
 
     def _hold(self, tenure: Tenure, work: WorkRecord, result: ChangeResult, is_claim: bool) -> None:
-        """The work is this runner's: claimed, or taken over."""
+        """Hold the work, which this runner has claimed or taken over."""
         tenure.stage = TenureStage.HELD
         tenure.attempt = work.attempt
         tenure.promise = result.promise
@@ -66,7 +66,7 @@
         return None
 
     def _wait_for(self, tenure: Tenure, work: WorkRecord | None, is_claim: bool) -> None:
-        """The work is another runner's."""
+        """Wait for another runner's work. `work` is None if its register has expired."""
         tenure.stage = TenureStage.OWNED_ELSEWHERE
         if work is None:
             tenure.owner = None
@@ -77,7 +77,8 @@
             tenure.state = work.state
             is_rejected_here = work.state is WorkState.RELEASED and self._node.me in work.rejected_by
             if is_rejected_here and not is_claim:
-                # Work comes back to a seat that has rejected it only once all that can run it have.
+                # Work returns to a seat that has rejected it only after all other seats that can run it have rejected
+                # it too.
                 self._node.host.count("fleet: turned away by all")
                 self._node.host.notify(RejectedByAll(tenure.key))
                 return self._node.forget(tenure)
@@ -93,10 +94,10 @@
         self._node.host.notify(ResultKnown(tenure.key, result))
         self._node.forget(tenure)
 
-    # ---- the owner ----
+    # ---- queries to the owner ----
 
     def _watch(self, tenure: Tenure) -> None:
-        """Asks the owner whether it still has the work; an owner that does not answer is not waited for."""
+        """Query the owner, and continue the work if it does not answer in time."""
         tenure.watch_serial += 1
         serial = tenure.watch_serial
         owner = tenure.owner
@@ -120,7 +121,7 @@
         self._node.at(self._node.clock() + OWNER_POLL_US, watch_again)
 
     def _is_current(self, tenure: Tenure, serial: int) -> bool:
-        """Nothing has happened to the tenure since that watch began."""
+        """Return whether the watch with that serial is still the current one."""
         return (
             tenure.watch_serial == serial
             and tenure.stage is TenureStage.OWNED_ELSEWHERE
@@ -128,15 +129,18 @@
         )
 
     def continue_work(self, tenure: Tenure, not_in_hand: bool = False) -> None:
-        """The owner is silent, or has said that the work is `not_in_hand`: reads the register, and changes it."""
+        """Change the register of work whose owner does not answer or does not have it, or read it if that is too early.
+
+        :param not_in_hand: Whether the owner has answered that the work is neither queued nor running there.
+        """
         tenure.watch_serial += 1
         if self._node.clock() >= tenure.expires_at:
             return self._result_known(tenure, None)
         change = self._next_change(tenure, not_in_hand)
 
         def changed(result: ChangeResult | None) -> None:
-            is_ours_to_watch = tenure.stage is TenureStage.OWNED_ELSEWHERE
-            if self._node.tenures.get(tenure.key) is tenure and is_ours_to_watch:
+            is_owned_elsewhere = tenure.stage is TenureStage.OWNED_ELSEWHERE
+            if self._node.tenures.get(tenure.key) is tenure and is_owned_elsewhere:
                 if result is None:
                     self._watch_later(tenure)
                 else:
@@ -151,11 +155,9 @@
         return None
 
     def _next_change(self, tenure: Tenure, not_in_hand: bool) -> ChangeFunction:
-        """What may be made of work whose owner does not have it, or does not answer.
-
-        Started work ends without a result once its owner is lost, and is never run again; held or released work is
-        taken over, where this runner can run it.
-        """
+        """Return the change for work whose owner does not have it or does not answer."""
+        # Started work is finished without a result if its owner is lost or does not have it, and is never run again.
+        # Held or released work is taken over if this runner can run it.
         owner = tenure.owner
         if tenure.state is WorkState.STARTED:
             if owner is not None and (not_in_hand or self._node.is_lost(owner)):
@@ -172,7 +174,7 @@
     # ---- messages ----
 
     def handle_query(self, seat: str, query: OwnershipQuery) -> None:
-        """Another runner waits for work that it takes for this one's."""
+        """Handle the query of a runner that considers this one the owner of the work."""
         tenure = self._node.tenures.get(query.key)
         if tenure is not None and tenure.stage is TenureStage.OWNED_ELSEWHERE:
             return self._node.host.reply(seat, OwnershipReply(query.key, query.attempt, False))
@@ -188,7 +190,7 @@
         return self._node.host.reply(seat, reply)
 
     def handle_reply(self, seat: str, reply: OwnershipReply) -> None:
-        """The owner's answer."""
+        """Handle the owner's answer to a query."""
         tenure = self._node.tenures.get(reply.key)
         if tenure is None or tenure.stage is not TenureStage.OWNED_ELSEWHERE:
             return
@@ -204,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FirstThatApplies:
-    """The first change, or the second where the first leaves the value as it is."""
+    """The first change, or the second if the first leaves the value unchanged."""
 
     first: ChangeFunction
     second: ChangeFunction
--- a/moorusher/replication/work_events.py
+++ b/moorusher/replication/work_events.py
@@ -1,4 +1,4 @@
-"""What a node tells its runner about keyed work: one dataclass for each instruction, sent through `NodeHost.notify`."""
+"""Events about keyed work that a node sends to its runner through `NodeHost.notify`."""
 
 from __future__ import annotations
 
@@ -9,90 +9,103 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkEvent:
-    """The base: something is settled about a key."""
+    """The base class of all events; each is about one key."""
 
     key: KeyDigest
 
 
-# ---- the end of a claim: exactly one of these, or a `ResultKnown`, follows it ----
+# ---- results of a claim: exactly one of these, or a `ResultKnown`, follows it ----
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimGranted(WorkEvent):
-    """The key is this runner's: queue its request."""
+    """This runner owns the key and should queue its request."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimJoined(WorkEvent):
-    """Another runner has the key: wait for its result."""
+    """Another runner owns the key; its result follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class BodyDiffers(WorkEvent):
-    """The key was used with another body: reject the request."""
+    """The key was used with another body; the request should be rejected."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimUncovered(WorkEvent):
-    """No majority of the key's replicas answers. `proven`: nobody else can know of this claim."""
+    """No majority of the key's replicas answered.
+
+    Attributes:
+        reason: Text for the caller.
+        proven: Whether it is certain that no replica has accepted the claim.
+    """
 
     reason: str
     proven: bool
 
 
-# ---- the end of a start: exactly one of these follows it ----
+# ---- results of a start: exactly one of these follows it ----
 
 
 @dataclass(frozen=True, slots=True)
 class StartConfirmed(WorkEvent):
-    """A majority knows that the work has started: command the run now."""
+    """The start is recorded, and the run should be commanded now."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartLost(WorkEvent):
-    """Another runner has taken the work over: do not run it. `ResultKnown` follows."""
+    """Another runner has taken the work over; it must not run here. `ResultKnown` follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartUncovered(WorkEvent):
-    """No majority of the key's replicas answers: do not run it."""
+    """No majority of the key's replicas answered; the work must not run.
+
+    Attributes:
+        reason: Text for the caller.
+    """
 
     reason: str
 
 
-# ---- work that is another runner's ----
+# ---- work of another runner ----
 
 
 @dataclass(frozen=True, slots=True)
 class ResultKnown(WorkEvent):
-    """Another runner's work is over. `result` is None where it ended without one, or none can be known."""
+    """Another runner's work has ended.
+
+    Attributes:
+        result: Result of the run; None if it has none or the result can't be determined.
+    """
 
     result: bytes | None
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedByAll(WorkEvent):
-    """Every runner that could run the work has rejected it; it never ran."""
+    """Every runner that could run the work has rejected it, so it has not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOver(WorkEvent):
-    """Work that was held here is another's now: drop it from the queue. `ResultKnown` follows."""
+    """This runner has handed over work that it held, and should remove it from its queue. `ResultKnown` follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyForgotten(WorkEvent):
-    """Nothing more is said of the key."""
+    """The node has deleted its state of the key; no more events about it follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkInHand:
-    """What a runner knows of a key.
+    """A runner's state of the work of a key.
 
     Attributes:
-        in_hand: `bool`, queued or running here.
-        finished: `bool`.
-        result: `bytes`, where it finished with one.
+        in_hand: Whether the work is queued or running here.
+        finished: Whether the run has ended here.
+        result: Result of the run, or None.
     """
 
     in_hand: bool
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -1,12 +1,13 @@
 """The value of a key's register, a `WorkRecord`, and the changes that a proposer may make to it.
 
-    HELD -> STARTED -> FINISHED (with a result, or without)
+    HELD -> STARTED -> FINISHED (with or without a result)
       ^  \\-> RELEASED -> HELD by another runner
 
-STARTED is chosen before the run is commanded, so that every survivor knows which work may have run. From STARTED no
-change leads back to a run, except `ReleaseWork` by the owner itself: it has not commanded the run and never will.
+STARTED is chosen before the run is commanded, so that the other runners know which work may have run if the owner is
+lost. No change leads from STARTED back to a run, except `ReleaseWork` by the owner if it has not commanded the run and
+never will.
 
-A change is a function of the old value. It returns the new value, or None where the old value is to stay.
+A change is a function of the old value. It returns the new value, or None to leave the old value unchanged.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 import msgspec
 import xxhash
 
-KeyDigest = bytes  # digest of a tenant and its idempotency key; see `key_of`
+KeyDigest = bytes  # Digest of a tenant and its idempotency key; see `key_of`.
 
 
 class WorkState(Enum):
-    """How far the work of a key has come, by its register. The values are on the wire and in journals."""
+    """The state of a key's work in its register. The values are on the wire and in journals."""
 
-    HELD = 0  # queued at its owner
-    STARTED = 1  # its owner may have commanded the run
+    HELD = 0  # The work is queued at its owner.
+    STARTED = 1  # The owner may have commanded the run.
     FINISHED = 2
-    RELEASED = 3  # it never ran, and its owner has given it up
+    RELEASED = 3  # The owner has given the work up and has not run it.
 
 
 class Owner(msgspec.Struct, frozen=True, array_like=True):
@@ -37,21 +38,22 @@
 
 
 class WorkRequest(msgspec.Struct, frozen=True, array_like=True):
-    """The request as it was read: what another runner needs to run it. The order of the fields is the wire's.
+    """A request with all that another runner needs to run it. The order of the fields is part of the wire format.
 
     Attributes:
-        request_id: `str`, as the caller named it.
-        request_class: `str`, name of the class of requests.
-        tenant: `str`, or None for a request without a tenant.
-        token: `str`, the idempotency key as the caller sent it.
-        content: `bytes`, the body.
-        arrived_unix_ms: `float`, ms since 1970.
-        budget_ms: `float`, the caller's time budget, or None.
-        caller: `int`, number of the caller.
-        memory_kb: `float`, expected use of memory.
-        rank: `float`, priority among requests of one tenant.
-        subject: `int`, or None.
-        rules_revision: birth and number of the revision of the customer's rules that it was read under, or None.
+        request_id: ID from the caller.
+        request_class: Name of the request class.
+        tenant: Name of the tenant, or None for a request without one.
+        token: Idempotency key from the caller.
+        content: Body of the request.
+        arrived_unix_ms: Time of arrival in ms since 1970.
+        budget_ms: Time budget of the caller, or None.
+        caller: Number of the caller.
+        memory_kb: Expected memory use.
+        rank: Priority among the requests of one tenant.
+        subject: Number of the subject, or None.
+        rules_revision: Revision of the customer's rules that apply to the request (namespace incarnation and number),
+            or None.
     """
 
     request_id: str
@@ -69,16 +71,16 @@
 
 
 class WorkRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a key's register. The order of the fields is the wire's and the journal's.
+    """The value of a key's register. The order of the fields is part of the wire and journal formats.
 
     Attributes:
-        state: `WorkState`.
-        owner: `Owner`, the process that has the work, or had it last.
-        attempt: `int`, grows with each takeover; what an owner says of an earlier attempt is ignored.
-        body_digest: `int`; another body under the same key is another request and gets none of this one's result.
-        request: `WorkRequest`, present while another runner may take the work over.
-        result: `bytes`, present where the run gave one.
-        rejected_by: names of the seats that have rejected the work.
+        state: State of the work.
+        owner: Process that owns the work or owned it last.
+        attempt: Number that grows with each takeover; changes by an owner for an earlier attempt are ignored.
+        body_digest: Digest of the body. A request with the same key and another body does not get the result.
+        request: Request while another runner may take the work over, else None.
+        result: Result of the run, or None.
+        rejected_by: Names of the seats that have rejected the work.
     """
 
     state: WorkState
@@ -91,9 +93,9 @@
 
 
 def key_of(tenant: str | None, token: str) -> KeyDigest:
-    """The key of a tenant's idempotency key: 16 bytes.
+    """Return the 16-byte digest of a tenant and its idempotency key.
 
-    Tenants never share a key: whether there is a tenant, and where its name ends, is part of what is hashed.
+    Tenants never share a digest: the hashed data includes whether there is a tenant and the length of its name.
     """
     name = b"-" if tenant is None else b"+" + tenant.encode()
     return xxhash.xxh3_128_digest(len(name).to_bytes(4, "big") + name + token.encode())
@@ -101,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWork:
-    """A key that is new to the claiming runner: it becomes the owner, unless somebody has the key."""
+    """Claims a key that is new to the claiming runner. It becomes the owner unless the key has an owner."""
 
     owner: Owner
     body_digest: int
     request: WorkRequest
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """HELD by the claimer where there was nothing, or where the same work was released."""
+        """Return HELD by the claimer if the register was empty or the same work was released."""
         if old is None:
             return WorkRecord(WorkState.HELD, self.owner, 1, self.body_digest, self.request)
         if old.state is WorkState.RELEASED and (old.body_digest == self.body_digest or old.request is None):
@@ -118,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOverWork:
-    """Work that was released, or that `former_owner` holds and does not answer for. Never what may have started."""
+    """Takes over work that was released, or that `former_owner` holds. Never applies to work that may have started."""
 
     new_owner: Owner
     former_owner: Owner
     attempt: int
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """HELD by the new owner, one attempt later."""
+        """Return HELD by the new owner, with the next attempt number."""
         if old is None or old.request is None or old.owner == self.new_owner:
             return None
         is_held_by_former = (
@@ -146,22 +148,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _OwnersChange:
-    """A change that concerns one owner's attempt alone."""
+    """The base class of changes that apply to one attempt of one owner."""
 
     owner: Owner
     attempt: int
 
     def applies_to(self, old: WorkRecord | None) -> bool:
-        """The register still names that owner and attempt."""
+        """Return whether the register still has that owner and attempt."""
         return old is not None and old.owner == self.owner and old.attempt == self.attempt
 
 
 @dataclass(frozen=True, slots=True)
 class StartWork(_OwnersChange):
-    """Before the run is commanded. The request is dropped: nobody may take the work over from here on."""
+    """Records the start before the run is commanded. Drops the request, as the work can't be taken over any more."""
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """STARTED, where it was held."""
+        """Return STARTED if the work was held."""
         if old is not None and self.applies_to(old) and old.state is WorkState.HELD:
             return WorkRecord(
                 WorkState.STARTED, old.owner, old.attempt, old.body_digest, None, None, old.rejected_by
@@ -171,12 +173,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishWork(_OwnersChange):
-    """The run is over. The owner's own end replaces one that others wrote for it: theirs has no result."""
+    """Records the end of the run. Replaces an end without a result that another runner has recorded."""
 
     result: bytes | None
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """FINISHED with the result, where it was started or was ended without one."""
+        """Return FINISHED with the result if the work was started or was finished without a result."""
         if old is None or not self.applies_to(old):
             return None
         lacks_result = old.state is WorkState.FINISHED and old.result is None and self.result is not None
@@ -187,16 +189,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseWork(_OwnersChange):
-    """The owner says that the work never ran there and never will.
+    """Records that the work has not run at its owner and never will.
 
-    `request` is there where others may go on with it; `rejected`: this seat has rejected it.
+    Attributes:
+        request: Request if another runner may take the work over, else None.
+        rejected: Whether the owner's seat has rejected the work.
     """
 
     request: WorkRequest | None
     rejected: bool
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """RELEASED, where it was held or started."""
+        """Return RELEASED if the work was held or started."""
         if old is None or not self.applies_to(old):
             return None
         if old.state not in (WorkState.HELD, WorkState.STARTED):
@@ -209,15 +213,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawClaim:
-    """A claim whose outcome its owner did not learn in time: its caller got an error, and nobody here waits for it.
+    """Withdraws a claim that timed out with an unknown outcome, and whose caller has received an error.
 
-    It applies to whichever attempt the claim became: this owner has started none.
+    Applies to every attempt number, because this owner has started none of them.
     """
 
     owner: Owner
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """RELEASED, where this owner holds it."""
+        """Return RELEASED if this owner holds the work."""
         if old is not None and old.owner == self.owner and old.state is WorkState.HELD:
             return WorkRecord(WorkState.RELEASED, old.owner, old.attempt, old.body_digest)
         return None
@@ -225,18 +229,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EndOrphanedWork(_OwnersChange):
-    """Work that may have started at a lost runner ends without a result. `owner` is that lost process."""
+    """Finishes work that may have started at a lost process, the `owner`, without a result."""
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """FINISHED without a result, where it was started."""
+        """Return FINISHED without a result if the work was started."""
         if old is not None and self.applies_to(old) and old.state is WorkState.STARTED:
             return WorkRecord(WorkState.FINISHED, old.owner, old.attempt, old.body_digest)
         return None
 
 
 class ReadOnly:
-    """Changes nothing: a read that has the guarantees of a write."""
+    """Changes nothing. Serves as a read with the guarantees of a write."""
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Always None."""
+        """Return None."""
         return None
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -1,7 +1,7 @@
-"""Orphaned work, whose owner is lost: found among the registers of this replica, offered to others, and taken over.
+"""Orphaned work, whose owner is lost: finds it in the registers of this replica, offers it to runners, takes it over.
 
-Every takeover is a change of the work's register, so it does not matter how many runners try one at a time: who tries,
-and when, is a matter of speed alone.
+Every takeover is a change of the work's register, so several runners may safely try at once. Which runner tries, and
+when, only affects how fast the work continues.
 """
 
 from __future__ import annotations
@@ -15,56 +15,58 @@
 from .proposer import ChangeResult
 from .work_record import EndOrphanedWork, KeyDigest, Owner, TakeOverWork, WorkRecord, WorkState
 
-REPLICA_STAGGER_US = 250 * MS  # between the replicas of a key, in their order, until the next one sees to it
-RECHECK_US = 400 * MS  # until orphaned work is looked at again
-MAX_RECHECK_FACTOR = 5  # the wait grows with each attempt, up to so many times RECHECK_US
-TAKEOVERS_PER_TURN = 8  # a lost runner's work is taken over as a stream, not all at once
-TAKEOVER_TURN_US = 10 * MS
-RESTART_GRACE_US = (
-    1_000 * MS
-)  # after a start from a journal, until owners that were not heard from count as lost
+# Each replica of a key waits this much longer than the previous one before it acts.
+REPLICA_STAGGER_US = 250 * MS
+RECHECK_US = 400 * MS  # Time until orphaned work is checked again; multiplied by the number of checks so far.
+MAX_RECHECK_FACTOR = 5  # Limit of that factor.
+TAKEOVERS_PER_TURN = 8  # Spreads the takeover of a lost runner's work over time.
+TAKEOVER_TURN_US = 10 * MS  # Time between two turns.
+# Grace period after a start from a journal. Owners that have not been in contact by its end count as lost.
+RESTART_GRACE_US = 1_000 * MS
 MAX_QUEUED_OFFERS = 4_000
 
 
 class WorkTakeover:
-    """One replica's care for the work in its registers, and what its runner takes over."""
+    """Checks the work in one replica's registers, and takes over work that is offered to its runner."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
-        # Unfinished work in the registers here, both ways round.
-        self._keys_of: dict[Owner, set[KeyDigest]] = {}
-        self._owner_of: dict[KeyDigest, Owner] = {}
-        # Orphaned or released work that is checked for takeover: attempts so far.
-        self._attempts: dict[KeyDigest, int] = {}
-        # Offers that are to be taken up in the next turns.
+        # Unfinished work in this replica's registers, by owner and by key.
+        self._keys_by_owner: dict[Owner, set[KeyDigest]] = {}
+        self._owner_by_key: dict[KeyDigest, Owner] = {}
+        # Number of checks so far of each key whose orphaned or released work is being checked.
+        self._checks: dict[KeyDigest, int] = {}
+        # Offers to process in the next turns.
         self._offers: list[TakeoverOffer] = []
-        self._turn_is_due = False
-        # Owners that a journal names, until they have had the time to be heard from; and those that were not.
+        self._turn_is_scheduled = False
+        # Owners of the work in the journal, until the grace period after the start has passed.
         self._owners_in_journal: set[Owner] = set()
+        # Owners that were not in contact during that period.
         self._silent_owners: set[Owner] = set()
 
     # ---- start ----
 
     def restore(self) -> None:
-        """The registers were read from a journal."""
-        self._owners_in_journal = set(self._keys_of)
+        """Record the owners of the work that was read from a journal."""
+        self._owners_in_journal = set(self._keys_by_owner)
 
     def start(self) -> None:
-        """The node starts."""
+        """Begin the grace period for the owners of the work in the journal."""
         if self._owners_in_journal:
             self._node.at(self._node.clock() + RESTART_GRACE_US, self._check_restored_owners)
 
     def _check_restored_owners(self) -> None:
-        """Owners that are not heard from count as lost: after a power failure nobody else may know of them."""
+        """Treat owners that have not been in contact as lost."""
+        # After a power loss of all members, no failure detector has seen these processes, so none reports them as lost.
         for owner in sorted(self._owners_in_journal, key=lambda owner: (owner.seat, owner.incarnation)):
-            if owner == self._node.owner or self._is_heard_from(owner):
+            if owner == self._node.owner or self._is_known_alive(owner):
                 continue
-            if owner in self._keys_of:
+            if owner in self._keys_by_owner:
                 self._silent_owners.add(owner)
             self.owner_lost(owner)
         self._owners_in_journal.clear()
 
-    def _is_heard_from(self, owner: Owner) -> bool:
+    def _is_known_alive(self, owner: Owner) -> bool:
         member = self._node.detector.by_seat.get(owner.seat)
         return (
             member is not None
@@ -72,54 +74,54 @@
             and owner.incarnation in (member.incarnation, member.status.predecessor)
         )
 
-    # ---- what becomes orphaned ----
+    # ---- owners and their work ----
 
     def owner_lost(self, owner: Owner) -> None:
-        """Check all work of that process in the registers here for takeover."""
-        for key in sorted(self._keys_of.get(owner, ())):
+        """Called when a process is lost. Schedules a check of all its work in this replica's registers."""
+        for key in sorted(self._keys_by_owner.get(owner, ())):
             self._schedule_check(key)
 
     def is_lost(self, owner: Owner) -> bool:
-        """That process is lost, as far as is known here: nobody acts for it any more."""
+        """Return whether that process is lost, as far as this member knows."""
         member = self._node.detector.by_seat.get(owner.seat)
         return member is None or member.is_lost(owner.incarnation) or owner in self._silent_owners
 
     def register_changed(self, key: KeyDigest, register: RegisterState | None) -> None:
-        """A register here has another value; None: it was forgotten."""
-        self._drop(key)
+        """Called when the value of a register has changed. `register` is None if it has expired."""
+        self._untrack(key)
         work: WorkRecord | None = None if register is None else register.value
         if work is None or work.state is WorkState.FINISHED:
             return
         if work.state is WorkState.RELEASED and work.request is None:
             return
-        self._keys_of.setdefault(work.owner, set()).add(key)
-        self._owner_of[key] = work.owner
-        if work.state is WorkState.RELEASED and key not in self._attempts:
-            # Its owner offers it to others; where that one is lost before it does, a replica has to.
-            self._attempts[key] = 0
+        self._keys_by_owner.setdefault(work.owner, set()).add(key)
+        self._owner_by_key[key] = work.owner
+        if work.state is WorkState.RELEASED and key not in self._checks:
+            # The owner offers released work to another seat. If the owner is lost before that, a replica must do so.
+            self._checks[key] = 0
             self._node.at(self._node.clock() + RECHECK_US, lambda: self._check(key))
 
-    def _drop(self, key: KeyDigest) -> None:
-        owner = self._owner_of.pop(key, None)
+    def _untrack(self, key: KeyDigest) -> None:
+        owner = self._owner_by_key.pop(key, None)
         if owner is None:
             return
-        keys = self._keys_of[owner]
+        keys = self._keys_by_owner[owner]
         keys.discard(key)
         if not keys:
-            del self._keys_of[owner]
+            del self._keys_by_owner[owner]
             self._silent_owners.discard(owner)
 
-    # ---- orphaned work in the registers here ----
+    # ---- orphaned work in this replica's registers ----
 
     def _schedule_check(self, key: KeyDigest) -> None:
-        """The first replica that is up checks it at once, the next ones later, if it is still orphaned then."""
-        if key in self._attempts:
+        """Check a key: immediately on its first live replica, later on the others, so that one usually acts alone."""
+        if key in self._checks:
             return
-        self._attempts[key] = 0
+        self._checks[key] = 0
         me = self._node.me
         by_seat = self._node.detector.by_seat
-        up = [seat for seat in self._node.placement.replicas(key) if seat == me or by_seat[seat].is_alive]
-        position = up.index(me) if me in up else 0
+        live = [seat for seat in self._node.placement.replicas(key) if seat == me or by_seat[seat].is_alive]
+        position = live.index(me) if me in live else 0
         if position == 0:
             self._check(key)
         else:
@@ -127,15 +129,15 @@
             self._node.at(self._node.clock() + delay, lambda: self._check(key))
 
     def _check(self, key: KeyDigest) -> None:
-        """Again and again, until the work is somebody's or over."""
+        """Finish or offer the work of a key, repeatedly until it has a live owner or is finished."""
         register = self._node.acceptor.registers.get(key)
         work: WorkRecord | None = None if register is None else register.value
         if register is None or work is None or not self._is_orphaned(work):
-            self._attempts.pop(key, None)
+            self._checks.pop(key, None)
             return
-        attempts = self._attempts.get(key, 0) + 1
-        self._attempts[key] = attempts
-        delay = RECHECK_US * min(attempts, MAX_RECHECK_FACTOR)
+        checks = self._checks.get(key, 0) + 1
+        self._checks[key] = checks
+        delay = RECHECK_US * min(checks, MAX_RECHECK_FACTOR)
         self._node.at(self._node.clock() + delay, lambda: self._check(key))
         if work.state is WorkState.STARTED:
             self._node.change(
@@ -147,7 +149,7 @@
             )
             self._node.host.count("fleet: buried")
         else:
-            self.offer(key, work, attempts - 1)
+            self.offer(key, work, checks - 1)
 
     def _is_orphaned(self, work: WorkRecord) -> bool:
         if work.state is WorkState.FINISHED:
@@ -156,33 +158,36 @@
             return work.request is not None
         return self.is_lost(work.owner)
 
-    def offer(self, key: KeyDigest, work: WorkRecord, attempts: int = 0) -> None:
-        """To the seat whose turn it is; with each attempt that was made before, to the next one."""
-        able = [seat for seat in self._node.placement.takeover_order(key) if self._is_able(seat, work)]
-        if not able:
+    def offer(self, key: KeyDigest, work: WorkRecord, earlier_offers: int = 0) -> None:
+        """Offer work to a seat that can run it; after earlier offers, to the next one in the takeover order."""
+        eligible = [
+            seat for seat in self._node.placement.takeover_order(key) if self._is_eligible(seat, work)
+        ]
+        if not eligible:
             return
-        seat = able[attempts % len(able)]
+        seat = eligible[earlier_offers % len(eligible)]
         offer = TakeoverOffer(key, work.owner, work.attempt)
         if seat == self._node.me:
             self.handle_offer(seat, offer)
         else:
             self._node.host.send(seat, offer)
 
-    def _is_able(self, seat: str, work: WorkRecord) -> bool:
+    def _is_eligible(self, seat: str, work: WorkRecord) -> bool:
         if seat in work.rejected_by:
             return False
         if seat == self._node.me:
             return self._node.host.fit()
         return self._node.detector.by_seat[seat].accepts_work
 
-    # ---- work that this runner takes over ----
+    # ---- takeover by this runner ----
 
     def handle_offer(self, seat: str, offer: TakeoverOffer) -> None:
-        """Queued for one of the next turns; dropped where the runner is not fit: others are offered it later."""
+        """Queue an offer for one of the next turns."""
+        # If the runner can't take the work over, a replica later offers it to another seat.
         if len(self._offers) < MAX_QUEUED_OFFERS and self._node.host.fit():
             self._offers.append(offer)
-            if not self._turn_is_due:
-                self._turn_is_due = True
+            if not self._turn_is_scheduled:
+                self._turn_is_scheduled = True
                 self._take_turn()
 
     def _take_turn(self) -> None:
@@ -200,10 +205,10 @@
         if offers:
             self._node.at(self._node.clock() + TAKEOVER_TURN_US, self._take_turn)
         else:
-            self._turn_is_due = False
+            self._turn_is_scheduled = False
 
     def _expiry_of(self, key: KeyDigest) -> int:
-        """us; where this seat is no replica of the key, the longest window that there is."""
+        """Return the time (us) at which the key expires; the latest possible one if this seat has no register of it."""
         expires_at = self._node.clock() + self._node.longest_window_us
         register = self._node.acceptor.registers.get(key)
         return expires_at if register is None else min(expires_at, register.expires_at)
@@ -219,13 +224,14 @@
 
     def _taken_over(self, offer: TakeoverOffer, expires_at: int, result: ChangeResult | None) -> None:
         if result is None:
-            # The register may name this process all the same: its replicas see us alive, and wait for us.
+            # The register may name this process as the owner nevertheless. As it is alive, no replica would offer the
+            # work to another runner, so the takeover must be retried.
             self._retry_later(offer, expires_at)
             return
         work: WorkRecord | None = result.value
         if work is None or work.request is None or offer.key in self._node.tenures:
             return
-        # Held by us is ours, though a later round of our own may have found it so.
+        # `applied` does not matter: a later round of the same change may have found the value of an earlier one.
         if work.owner != self._node.owner or work.state is not WorkState.HELD:
             return
         tenure = Tenure(
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Several runners with their kernels, each link between two of them through a relay."""
+"""Clusters of real runners with their kernels, in which each link between two runners leads through a relay."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class Fleet:
-    """Runner i has kernel i; `relays[i, j]` is the way from i to j."""
+    """A cluster of runners. Runner i has kernel i; `relays[i, j]` carries the connections from i to j."""
 
     def __init__(
         self,
-        n: int,
+        count: int,
         uncovered: str = "refuse",
         window_ms: int = 20_000,
         journals: bool = False,
@@ -36,14 +36,17 @@
         copies: int = 3,
         claim_ms: int = 250,
         environment: Callable[[int], Mapping[str, str]] = lambda i: {},
-        **kernel: Any,
+        **kernel_options: Any,
     ) -> None:
-        self.ports = [free_port() for _ in range(n)]
-        self.relays = {(i, j): Relay(reactor(), self.ports[j]) for i in range(n) for j in range(n) if i != j}
-        self._kernel, self._journals = kernel, tempfile.TemporaryDirectory() if journals else None
-        self.kernels = [Kernel(**kernel) for _ in range(n)]
-        for k in self.kernels:
-            k.listen()
+        self.ports = [free_port() for _ in range(count)]
+        self.relays = {
+            (i, j): Relay(reactor(), self.ports[j]) for i in range(count) for j in range(count) if i != j
+        }
+        self._kernel_options = kernel_options
+        self._journals = tempfile.TemporaryDirectory() if journals else None
+        self.kernels = [Kernel(**kernel_options) for _ in range(count)]
+        for kernel in self.kernels:
+            kernel.listen()
         check, submit = SETTINGS["classes"]
         settings = SETTINGS | {"classes": [check, submit | {"windowMs": window_ms, "aimMs": aim_ms}]}
         self.uncovered, self._more, self._copies, self._claim_ms = uncovered, more, copies, claim_ms
@@ -59,10 +62,10 @@
                 name=f"n{i}",
                 environment=environment(i),
             )
-            for i in range(n)
+            for i in range(count)
         ]
         self.stopped: set[int] = set()
-        self._fronts: list[FrontEnd] = []  # a connection lasts as long as somebody knows it
+        self._front_ends: list[FrontEnd] = []  # References that keep the connections open.
 
     def toml(self, i: int) -> str:
         seats = "".join(
@@ -70,27 +73,28 @@
             f'address = "{HOST}:{self.relays[i, j].port if i != j else self.ports[i]}"\n'
             for j in range(len(self.ports))
         )
-        disk = f'journal = "{self._journals.name}/n{i}"\n' if self._journals else ""
+        journal = f'journal = "{self._journals.name}/n{i}"\n' if self._journals else ""
         return (
             f'[fleet]\nlisten = "{HOST}:{self.ports[i]}"\nname = "f"\nuncovered = "{self.uncovered}"\n'
             f"copies = {self._copies}\nclaim_ms = {self._claim_ms}\n"
-            f"{disk}{seats}{self._more(i)}"
+            f"{journal}{seats}{self._more(i)}"
         )
 
     async def begin(self) -> None:
-        for r in self.runners:
-            await r.ready()
+        """Bootstrap the cluster and wait until all acceptors vote."""
+        for runner in self.runners:
+            await runner.ready()
 
-        async def begun() -> bool:
-            got = await self.admin(0, "POST", "fleet/begin")
-            return got.startswith(b"HTTP/1.0 200") or got.startswith(b"HTTP/1.1 200")
+        async def is_bootstrapped() -> bool:
+            response = await self.admin(0, "POST", "fleet/begin")
+            return response.startswith(b"HTTP/1.0 200") or response.startswith(b"HTTP/1.1 200")
 
-        await until(begun)
+        await until(is_bootstrapped)
 
-        async def all_remember() -> bool:
-            return all([(await r.counters("fleet"))["remembers"] for r in self.runners])
+        async def all_have_recovered() -> bool:
+            return all([(await runner.counters("fleet"))["remembers"] for runner in self.runners])
 
-        await until(all_remember)
+        await until(all_have_recovered)
 
     async def admin(self, i: int, method: str, path: str) -> bytes:
         return await exchange(
@@ -100,9 +104,9 @@
         )
 
     async def front(self, i: int) -> FrontEnd:
-        made = await FrontEnd.connect(self.runners[i].port)
-        self._fronts.append(made)
-        return made
+        front_end = await FrontEnd.connect(self.runners[i].port)
+        self._front_ends.append(front_end)
+        return front_end
 
     def journal(self, i: int) -> Path:
         assert self._journals is not None
@@ -113,30 +117,35 @@
         return Placement(seats).replicas(key_of("acme", token))
 
     def ran(self) -> list[bytes]:
-        """The bodies of all runs that were begun, wherever."""
-        return [body for k in self.kernels for _, _, body in k.runs]
+        """Return the bodies of all runs that any kernel has started."""
+        return [body for kernel in self.kernels for _, _, body in kernel.runs]
 
     def began(self, *at: int) -> set[str]:
-        """The tokens of keyed runs that were begun by these runners' kernels."""
-        return {body.decode() for i in at for _, klass, body in self.kernels[i].runs if klass == "submit"}
+        """Return the keys of the keyed runs that these runners' kernels have started."""
+        return {
+            body.decode()
+            for i in at
+            for _, request_class, body in self.kernels[i].runs
+            if request_class == "submit"
+        }
 
     # ---- faults ----
 
     def kill(self, i: int) -> None:
-        """With its kernel, as a machine is lost."""
+        """Kill a runner with its kernel, as if its machine were lost."""
         self.runners[i].process.kill()
         self.kernels[i].close()
 
     async def gone(self, *which: int) -> None:
-        """Those that were killed, all where none is named, have left their addresses."""
+        """Wait until the killed runners, or all if none is named, have released their addresses."""
         for i in which or range(len(self.runners)):
             self.runners[i].process.wait()
         await asyncio.sleep(0.1)
 
     def again(self, i: int) -> None:
-        """A machine that was killed comes back, with an empty kernel; what its last one had begun is kept here."""
+        """Restart a killed runner with an empty kernel. The runs of its earlier kernel stay in `Kernel.runs`."""
         runs, port = self.kernels[i].runs, self.kernels[i].port
-        self.kernels[i] = Kernel(**self._kernel)
+        self.kernels[i] = Kernel(**self._kernel_options)
         self.kernels[i].runs.extend(runs)
         self.kernels[i].listen(port)
         self.runners[i].again()
@@ -150,7 +159,7 @@
         self.runners[i].process.send_signal(signal.SIGCONT)
 
     def cut_off(self, i: int, silent: bool = True) -> None:
-        """From all others, both ways, with nothing closed."""
+        """Drop all traffic between a runner and the others without closing connections, or end this."""
         for (a, b), relay in self.relays.items():
             if i in (a, b):
                 relay.silence(silent)
@@ -158,10 +167,10 @@
     def close(self) -> None:
         for i in list(self.stopped):
             self.go_on(i)
-        for r in self.runners:
-            r.close()
-        for k in self.kernels:
-            k.close()
+        for runner in self.runners:
+            runner.close()
+        for kernel in self.kernels:
+            kernel.close()
         for relay in self.relays.values():
             relay.close()
         if self._journals is not None:
@@ -169,21 +178,23 @@
 
 
 @asynccontextmanager
-async def fleet(n: int = 4, **how: Any) -> AsyncIterator[Fleet]:
-    made = Fleet(n, **how)
+async def fleet(count: int = 4, **options: Any) -> AsyncIterator[Fleet]:
+    """Run a bootstrapped cluster."""
+    cluster = Fleet(count, **options)
     try:
-        await made.begin()
-        yield made
+        await cluster.begin()
+        yield cluster
     finally:
-        made.close()
+        cluster.close()
 
 
 def token() -> str:
     return os.urandom(16).hex()
 
 
-async def within(true: Callable[[], bool], s: float) -> bool:
-    end = time.monotonic() + s
-    while not true() and time.monotonic() < end:
+async def within(condition: Callable[[], bool], timeout_s: float) -> bool:
+    """Return whether the condition becomes true within the timeout."""
+    end = time.monotonic() + timeout_s
+    while not condition() and time.monotonic() < end:
         await asyncio.sleep(0.02)
-    return true()
+    return condition()
