--- a/moorusher/cluster_transport/cluster_member.py
+++ b/moorusher/cluster_transport/cluster_member.py
@@ -41,7 +41,7 @@
     def is_busy(self) -> bool:
         """Work or duties of the fleet are still here."""
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """Whether this runner may take work and duties of the fleet."""
 
     def open_part_journal(self, part: str) -> OpenedJournal | None:
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -100,9 +100,9 @@
 
     # ---- the participant's host ----
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """Whether this runner may lead duties."""
-        return self.fleet.fit()
+        return self.fleet.can_accept_work()
 
     def send_fenced(
         self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -210,8 +210,8 @@
         """`reply`, for later."""
         return self.links.replier(seat)
 
-    def durable(self, then: Callable[[], None], space: int) -> None:
-        """See `RegisterHost.durable`."""
+    def call_when_durable(self, then: Callable[[], None], space: int) -> None:
+        """See `RegisterHost.call_when_durable`."""
         journal = self.journals.get(space)
         if journal is None:
             then()
@@ -242,7 +242,7 @@
             self._wake_at = None
             self.node.run_due()
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """This runner can take work over."""
         core = self.core
         return (
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -42,7 +42,7 @@
 class ParticipantHost(EffectReceivers, Protocol):
     """The process of a participant: sends effects, and knows whose work it can do."""
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """Whether this member may lead."""
 
     def work(self, lease: LeaseHolder) -> Worker | None:
@@ -124,7 +124,7 @@
         backoff_us = round(self.policy.probation_ms * MS)
         return Election(
             self.services,
-            is_fit=self._host.fit,
+            is_fit=self._host.can_accept_work,
             led_duties=lambda: len(self.leases),
             stability=StabilityTracker(backoff_us, backoff_us * MAX_STABILITY_BACKOFF),
             unfit_patience_us=round(2 * self.policy.unfit_timeout_ms * MS),
@@ -174,7 +174,7 @@
         self._announce(now)
 
     def _check_fitness(self, now_us: int) -> None:
-        if self._host.fit():
+        if self._host.can_accept_work():
             self._unfit_since_us = None
             self.leases.rebalance()
         elif self._unfit_since_us is None:
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -90,7 +90,7 @@
 
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call back once everything stored so far is on the disk; at once if there is none."""
-        self.node.durable(callback, DUTY_SPACE)
+        self.node.call_when_durable(callback, DUTY_SPACE)
 
     def read_register(self, key: KeyDigest, callback: RegisterCallback) -> None:
         """Read a register without hindering changes of it."""
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -100,7 +100,7 @@
         recipient = self.sim.network.sender
         return lambda message: self.sim.network.send(self, int(seat[1:]), message, recipient)
 
-    def durable(self, then: Callable[[], None], space: int) -> None:
+    def call_when_durable(self, then: Callable[[], None], space: int) -> None:
         """Call `then` once all that has changed so far is on the disk; at once where there is none."""
         if self.sim.scenario.journals:
             self.journal_writer.durable(then)
@@ -134,7 +134,7 @@
         self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
     ) -> bool:
         """Queue another runner's work; False where this process can't."""
-        if not self.fit():
+        if not self.can_accept_work():
             return False
         self.engine.accept_takeover(key, request)
         return True
@@ -143,7 +143,7 @@
         """Return what this process knows of a key."""
         return self.engine.in_hand(key)
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """Return whether it can take work over."""
         return self.engine.kernel_is_up and not self.draining
 
@@ -152,6 +152,6 @@
     def check_self(self) -> None:
         """Publish the status to the other members; hand queued work over where it can't be run here."""
         self.node.publish_status(cores=CORES)
-        if not self.fit():
+        if not self.can_accept_work():
             self.node.hand_over_held()
         self.sim.at(self.sim.now + CHECK_INTERVAL_US, self, self.check_self)
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -86,12 +86,12 @@
             skips_empty_writes=False,
         )
 
-    def durable(self, then: Callable[[], None], space: int) -> None:
+    def call_when_durable(self, then: Callable[[], None], space: int) -> None:
         """Call `then` once all that has changed so far in that space is on its disk."""
         if space == DUTY_SPACE and self.world.has_disks:
             self.duty_journal_writer.durable(then)
         else:
-            super().durable(then, space)
+            super().call_when_durable(then, space)
 
     def lost(self, key: bytes) -> None:
         """Of keyed work, which there is none of here."""
--- a/moorusher/replication/host_services.py
+++ b/moorusher/replication/host_services.py
@@ -32,9 +32,9 @@
         """Return a function for a later `reply`."""
         return self.host.replier(seat)
 
-    def durable(self, then: Callable[[], None], space: int) -> None:
-        """See `RegisterHost.durable`."""
-        self.host.durable(then, space)
+    def call_when_durable(self, then: Callable[[], None], space: int) -> None:
+        """See `RegisterHost.call_when_durable`."""
+        self.host.call_when_durable(then, space)
 
     def count(self, name: str) -> None:
         """Increment the counter of that name."""
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -30,7 +30,7 @@
     def replier(self, seat: str) -> Callable[[Any], None]:
         """Return a function for a later `reply`."""
 
-    def durable(self, then: Callable[[], None], space: int) -> None:
+    def call_when_durable(self, then: Callable[[], None], space: int) -> None:
         """Call `then` once all changes of the space's acceptor so far are on its disk.
 
         The call is immediate if there is no journal, and never happens if the disk fails. A vote may not be sent or
@@ -68,8 +68,8 @@
     def replier(self, seat: str) -> Callable[[Any], None]:
         """Return a function for a later `reply`."""
 
-    def durable(self, then: Callable[[], None], space: int) -> None:
-        """See `RegisterHost.durable`."""
+    def call_when_durable(self, then: Callable[[], None], space: int) -> None:
+        """See `RegisterHost.call_when_durable`."""
 
     def clock(self) -> int:
         """Return the current time."""
@@ -94,7 +94,7 @@
     def work_in_hand(self, key: KeyDigest) -> WorkInHand:
         """Return the runner's state of the work of a key."""
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """Return whether the runner can take over work."""
 
 
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -223,7 +223,7 @@
         """
         recovered = CLUSTER_SPACE not in self.spaces or self.spaces[CLUSTER_SPACE].acceptor.recovered
         status = MemberStatus(
-            self.host.fit(),
+            self.host.can_accept_work(),
             cores,
             predecessor,
             *self.duty_counts,
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -100,7 +100,7 @@
 
         # This acceptor must ignore the requester's earlier incarnations after its own restart too, so the reply waits
         # until the journal has the new incarnation.
-        self._host.durable(send_parts, self._space)
+        self._host.call_when_durable(send_parts, self._space)
 
     def handle_sync_reply(self, seat: str, reply: SyncReply) -> None:
         """Handle a part of another replica's state."""
--- a/moorusher/replication/register_reader.py
+++ b/moorusher/replication/register_reader.py
@@ -83,7 +83,7 @@
         self._host.at(self._host.clock() + READ_TIMEOUT_US, lambda: self._decide_by_ballot(number))
         if me in pending.replicas:
             vote = self._acceptor.vote(self._host.clock(), request)
-            self._host.durable(lambda: self.handle_vote(me, vote), self._space)
+            self._host.call_when_durable(lambda: self.handle_vote(me, vote), self._space)
 
     def handle_vote(self, seat: str, vote: Vote) -> None:
         """Handle a replica's answer."""
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -106,7 +106,7 @@
         # A promise or an accepted value must be on disk before its vote is sent. The reply to a read waits too, since
         # it must not show a value that a power loss can still remove.
         reply = self.host.replier(seat)
-        return self.host.durable(lambda: reply(vote), self.space)
+        return self.host.call_when_durable(lambda: reply(vote), self.space)
 
     def handle_vote(self, seat: str, vote: Vote) -> None:
         """Handle a replica's vote on a change or its answer to a read."""
@@ -224,7 +224,7 @@
                 self._advance(pending, pending.proposer.handle_vote(self.me, vote))
 
         if vote.accepted:
-            self.host.durable(count_vote, self.space)
+            self.host.call_when_durable(count_vote, self.space)
         else:
             count_vote()
 
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -163,7 +163,7 @@
             if owner is not None and (not_in_hand or self._node.is_lost(owner)):
                 return EndOrphanedWork(owner, tenure.attempt)
             return ReadOnly()
-        if not self._node.host.fit():
+        if not self._node.host.can_accept_work():
             return ReadOnly()
         take_over = TakeOverWork(self._node.owner, owner or self._node.owner, tenure.attempt)
         if tenure.state is WorkState.RELEASED and tenure.request is not None:
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -176,7 +176,7 @@
         if seat in work.rejected_by:
             return False
         if seat == self._node.me:
-            return self._node.host.fit()
+            return self._node.host.can_accept_work()
         return self._node.detector.by_seat[seat].accepts_work
 
     # ---- takeover by this runner ----
@@ -184,7 +184,7 @@
     def handle_offer(self, seat: str, offer: TakeoverOffer) -> None:
         """Queue an offer for one of the next turns."""
         # If the runner can't take the work over, a replica later offers it to another seat.
-        if len(self._offers) < MAX_QUEUED_OFFERS and self._node.host.fit():
+        if len(self._offers) < MAX_QUEUED_OFFERS and self._node.host.can_accept_work():
             self._offers.append(offer)
             if not self._turn_is_scheduled:
                 self._turn_is_scheduled = True
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -493,8 +493,8 @@
 class VotesBeforeWrite(Process):
     """A deliberate fault: a vote counts before it is on disk."""
 
-    def durable(self, then, space):  # type: ignore[no-untyped-def]
-        super().durable(lambda: None, space)
+    def call_when_durable(self, then, space):  # type: ignore[no-untyped-def]
+        super().call_when_durable(lambda: None, space)
         then()
 
 
