--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -64,7 +64,7 @@
             )
             for i in range(count)
         ]
-        self.stopped: set[int] = set()
+        self.paused: set[int] = set()
         self._front_ends: list[FrontEnd] = []  # References that keep the connections open.
 
     def toml(self, i: int) -> str:
@@ -80,13 +80,13 @@
             f"{journal}{seats}{self._more(i)}"
         )
 
-    async def begin(self) -> None:
+    async def bootstrap(self) -> None:
         """Bootstrap the cluster and wait until all acceptors vote."""
         for runner in self.runners:
             await runner.ready()
 
         async def is_bootstrapped() -> bool:
-            response = await self.admin(0, "POST", "fleet/begin")
+            response = await self.admin_request(0, "POST", "fleet/begin")
             return response.startswith(b"HTTP/1.0 200") or response.startswith(b"HTTP/1.1 200")
 
         await until(is_bootstrapped)
@@ -96,14 +96,14 @@
 
         await until(all_have_recovered)
 
-    async def admin(self, i: int, method: str, path: str) -> bytes:
+    async def admin_request(self, i: int, method: str, path: str) -> bytes:
         return await exchange(
             self.runners[i].admin,
             f"{method} /{path} HTTP/1.0\r\nAuthorization: Bearer {TOKEN}\r\n"
             "Content-Length: 0\r\n\r\n".encode(),
         )
 
-    async def front(self, i: int) -> FrontEnd:
+    async def connect_front_end(self, i: int) -> FrontEnd:
         front_end = await FrontEnd.connect(self.runners[i].port)
         self._front_ends.append(front_end)
         return front_end
@@ -112,15 +112,15 @@
         assert self._journals is not None
         return Path(self._journals.name) / f"n{i}"
 
-    def keepers(self, token: str) -> tuple[str, ...]:
+    def replicas(self, token: str) -> tuple[str, ...]:
         seats = [Seat(f"n{i}", (HOST, 0), f"z{i % 2}") for i in range(len(self.ports))]
         return Placement(seats).replicas(key_of("acme", token))
 
-    def ran(self) -> list[bytes]:
+    def run_bodies(self) -> list[bytes]:
         """Return the bodies of all runs that any kernel has started."""
         return [body for kernel in self.kernels for _, _, body in kernel.runs]
 
-    def began(self, *at: int) -> set[str]:
+    def started_keys(self, *at: int) -> set[str]:
         """Return the keys of the keyed runs that these runners' kernels have started."""
         return {
             body.decode()
@@ -136,13 +136,13 @@
         self.runners[i].process.kill()
         self.kernels[i].close()
 
-    async def gone(self, *which: int) -> None:
+    async def wait_for_exit(self, *which: int) -> None:
         """Wait until the killed runners, or all if none is named, have released their addresses."""
         for i in which or range(len(self.runners)):
             self.runners[i].process.wait()
         await asyncio.sleep(0.1)
 
-    def again(self, i: int) -> None:
+    def restart(self, i: int) -> None:
         """Restart a killed runner with an empty kernel. The runs of its earlier kernel stay in `Kernel.runs`."""
         runs, port = self.kernels[i].runs, self.kernels[i].port
         self.kernels[i] = Kernel(**self._kernel_options)
@@ -150,23 +150,23 @@
         self.kernels[i].listen(port)
         self.runners[i].again()
 
-    def stop(self, i: int) -> None:
-        self.stopped.add(i)
+    def pause(self, i: int) -> None:
+        self.paused.add(i)
         self.runners[i].process.send_signal(signal.SIGSTOP)
 
-    def go_on(self, i: int) -> None:
-        self.stopped.discard(i)
+    def resume(self, i: int) -> None:
+        self.paused.discard(i)
         self.runners[i].process.send_signal(signal.SIGCONT)
 
-    def cut_off(self, i: int, silent: bool = True) -> None:
+    def isolate(self, i: int, silent: bool = True) -> None:
         """Drop all traffic between a runner and the others without closing connections, or end this."""
         for (a, b), relay in self.relays.items():
             if i in (a, b):
                 relay.silence(silent)
 
     def close(self) -> None:
-        for i in list(self.stopped):
-            self.go_on(i)
+        for i in list(self.paused):
+            self.resume(i)
         for runner in self.runners:
             runner.close()
         for kernel in self.kernels:
@@ -182,7 +182,7 @@
     """Run a bootstrapped cluster."""
     cluster = Fleet(count, **options)
     try:
-        await cluster.begin()
+        await cluster.bootstrap()
         yield cluster
     finally:
         cluster.close()
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -14,7 +14,7 @@
 from .fleets import Fleet, fleet, token
 from .stand_ins import until
 from .test_sockets import asynchronous_test, wait_until
-from .test_takeover import ask_again, once, refused, served
+from .test_takeover import assert_ran_at_most_once, is_rejected, is_served, retry_requests
 
 pytestmark = pytest.mark.processes
 
@@ -53,7 +53,7 @@
     answers: dict[str, dict[str, Any]] = {}
     asked: dict[str, asyncio.Future[dict[str, Any]]] = {}
     for number in range(ROUNDS):
-        front = await f.front(number % len(f.runners))
+        front = await f.connect_front_end(number % len(f.runners))
         for t in (token() for _ in range(AT_ONCE)):
             asked[t] = front.send("submit", token=t, body=t.encode())
         await asyncio.sleep(ROUND_S)
@@ -67,7 +67,7 @@
     found: dict[str, dict[str, Any]] = {}
     wanted = list(tokens)
     for first in range(0, len(wanted), BATCH):
-        found |= await ask_again(f, at, wanted[first : first + BATCH])
+        found |= await retry_requests(f, at, wanted[first : first + BATCH])
     return found
 
 
@@ -87,7 +87,7 @@
     """All runners at once; the next processes find only their disks, which are well again."""
     for runner in f.runners:
         runner.process.kill()
-    await f.gone()
+    await f.wait_for_exit()
     for runner in f.runners:
         runner.environment = {}
         runner.again()
@@ -97,10 +97,10 @@
 
 def judge_first(f: Fleet, answers: Mapping[str, dict[str, Any]]) -> None:
     """A refusal is a promise that it did not run; no token of these has been asked for again yet."""
-    ran = f.began(*range(len(f.runners)))
+    ran = f.started_keys(*range(len(f.runners)))
     for t, answer in answers.items():
-        assert not refused(answer) or t not in ran, "refused, and it ran"
-        assert not served(t, answer) or t in ran
+        assert not is_rejected(answer) or t not in ran, "refused, and it ran"
+        assert not is_served(t, answer) or t in ran
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -114,8 +114,8 @@
         judge_first(f, answers)
         await disks_failed(f, kind, 1)
         again = await results(f, 2, answers)
-        assert not [a for t, a in again.items() if not served(t, a)]
-        once(f, answers)
+        assert not [a for t, a in again.items() if not is_served(t, a)]
+        assert_ran_at_most_once(f, answers)
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -131,18 +131,20 @@
         judge_first(f, answers)
         await disks_failed(f, kind, 0, 1, 2)
         again = await results(f, 2, answers)
-        not_served = {t: a for t, a in again.items() if not served(t, a)}
+        not_served = {t: a for t, a in again.items() if not is_served(t, a)}
         assert not [a for a in not_served.values() if a["error"]["code"] != ENDED]
-        once(f, answers)
+        assert_ran_at_most_once(f, answers)
         fresh = [token() for _ in range(6)]
-        assert all(served(t, a) for t, a in (await ask_again(f, 1, fresh)).items())
-        once(f, [*answers, *fresh])
+        assert all(is_served(t, a) for t, a in (await retry_requests(f, 1, fresh)).items())
+        assert_ran_at_most_once(f, [*answers, *fresh])
         known = [*fresh, *(t for t in answers if t not in not_served)]
         await until(lambda: settled(f))
         await lose_power(f)
         after = await results(f, 0, known)
-        assert not [a for t, a in after.items() if not served(t, a)], "what was said to be done is forgotten"
-        once(f, known)
+        assert not [a for t, a in after.items() if not is_served(t, a)], (
+            "what was said to be done is forgotten"
+        )
+        assert_ran_at_most_once(f, known)
 
 
 @asynchronous_test
@@ -158,13 +160,13 @@
         environment=environment(start, (("disk write", "KILL", 0.5),), 1),
     ) as f:
         first = [token() for _ in range(6)]
-        assert all(served(t, a) for t, a in (await ask_again(f, 0, first)).items())
+        assert all(is_served(t, a) for t, a in (await retry_requests(f, 0, first)).items())
         start.touch()
         asked: list[str] = []
-        front = await f.front(0)
+        front = await f.connect_front_end(0)
         while f.runners[1].process.poll() is None:
             asked.append(token())
-            assert served(asked[-1], await front.ask("submit", token=asked[-1], body=asked[-1].encode()))
+            assert is_served(asked[-1], await front.ask("submit", token=asked[-1], body=asked[-1].encode()))
             await asyncio.sleep(0.05)
         f.runners[1].environment = {}
         f.runners[1].again()
@@ -172,6 +174,6 @@
         f.kill(2)
         everything = [*first, *asked]
         got = await results(f, 1, everything)
-        assert all(served(t, a) for t, a in got.items()), "two of three have it on their disks"
-        once(f, everything)
+        assert all(is_served(t, a) for t, a in got.items()), "two of three have it on their disks"
+        assert_ran_at_most_once(f, everything)
         await wait_until(lambda: "keys recalled" in f.runners[1].text())
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -154,7 +154,7 @@
     runners whose reports were not acknowledged: neither doubles them. Duplicates of a request are no demand."""
     async with forecasting_fleet() as f:
         for i in range(4):
-            front, other = await f.fleet.front(i), await f.fleet.front((i + 1) % 4)
+            front, other = await f.fleet.connect_front_end(i), await f.fleet.connect_front_end((i + 1) % 4)
             key = token()
             for connection in (front, front, other):  # two of them are duplicates, one at another runner
                 await connection.ask("submit", token=key, body=key.encode())
@@ -212,7 +212,7 @@
         await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
         await wait_until(lambda: f.relays[leader].holding > 0)
         assert len(f.receiver.accepted) == taken
-        f.fleet.stop(leader)
+        f.fleet.pause(leader)
         await wait_until(lambda: len(f.receiver.accepted) > taken)
         term = f.receiver.accepted[-1].token.term
         f.relays[leader].silence(False)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -38,7 +38,15 @@
 
 from .fleets import Fleet, fleet, token
 from .test_sockets import asynchronous_test, wait_until
-from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
+from .test_takeover import (
+    assert_ran_at_most_once,
+    ignore_outcomes,
+    is_rejected,
+    is_served,
+    retry_requests,
+    send_requests,
+    wait_until_recovered,
+)
 
 HEADER = JournalHeader(JOURNAL_VERSION, "f", "digest", "a")
 OWNER = Owner("b", 1)
@@ -513,10 +521,10 @@
 async def restart_all(cluster: Fleet) -> None:
     """Restart all members and wait until each is ready and has recovered."""
     for i in range(len(cluster.runners)):
-        cluster.again(i)
+        cluster.restart(i)
     for i, runner in enumerate(cluster.runners):
         await runner.ready()
-        await remembers(cluster, i)
+        await wait_until_recovered(cluster, i)
 
 
 @pytest.mark.processes
@@ -528,26 +536,28 @@
     """
     async with fleet(3, work=0.4, journals=True, aim_ms=8000) as cluster:
         finished_key = token()
-        assert served(
+        assert is_served(
             finished_key,
-            await (await cluster.front(1)).ask("submit", token=finished_key, body=finished_key.encode()),
+            await (await cluster.connect_front_end(1)).ask(
+                "submit", token=finished_key, body=finished_key.encode()
+            ),
         )
-        requests = await many(cluster, 10)
-        quiet(requests)
-        started = cluster.began(0, 1, 2)
+        requests = await send_requests(cluster, 10)
+        ignore_outcomes(requests)
+        started = cluster.started_keys(0, 1, 2)
         for i in range(3):
             cluster.kill(i)
-        await cluster.gone()
+        await cluster.wait_for_exit()
         queued = set(requests) - started
         assert queued
         await restart_all(cluster)
-        answers = await ask_again(cluster, 2, [finished_key, *requests])
-        assert served(finished_key, answers[finished_key]), "its result is in the journals"
+        answers = await retry_requests(cluster, 2, [finished_key, *requests])
+        assert is_served(finished_key, answers[finished_key]), "its result is in the journals"
         assert all(
-            "error" in answers[key] and not refused(answers[key]) for key in set(requests) & started
+            "error" in answers[key] and not is_rejected(answers[key]) for key in set(requests) & started
         ), "work that may have run must fail and not run again"
-        assert all(served(key, answers[key]) for key in queued)
-        once(cluster, [finished_key, *requests])
+        assert all(is_served(key, answers[key]) for key in queued)
+        assert_ran_at_most_once(cluster, [finished_key, *requests])
 
 
 @pytest.mark.processes
@@ -555,17 +565,17 @@
 async def test_queued_work_is_taken_over_without_a_retry_after_a_power_loss_of_all_members() -> None:
     """All members are killed and one is not restarted. The others find its queued work in their journals."""
     async with fleet(3, work=0.4, journals=True, aim_ms=8000) as cluster:
-        requests = await many(cluster, 10)
-        quiet(requests)
-        queued = set(requests) - cluster.began(0)
+        requests = await send_requests(cluster, 10)
+        ignore_outcomes(requests)
+        queued = set(requests) - cluster.started_keys(0)
         for i in range(3):
             cluster.kill(i)
-        await cluster.gone()
+        await cluster.wait_for_exit()
         for i in (1, 2):
-            cluster.again(i)
+            cluster.restart(i)
             await cluster.runners[i].ready()
-        await wait_until(lambda: queued <= cluster.began(1, 2))
-        once(cluster, requests)
+        await wait_until(lambda: queued <= cluster.started_keys(1, 2))
+        assert_ran_at_most_once(cluster, requests)
 
 
 @pytest.mark.processes
@@ -583,7 +593,9 @@
 
         async def ask() -> bool:
             key = token()
-            return served(key, await (await cluster.front(0)).ask("submit", token=key, body=key.encode()))
+            return is_served(
+                key, await (await cluster.connect_front_end(0)).ask("submit", token=key, body=key.encode())
+            )
 
         assert await ask()
         limit_file_size(1, 10)
@@ -611,7 +623,9 @@
     """
     async with fleet(3, work=0.02, journals=True, window_ms=60_000) as cluster:
         tokens = [token() for _ in range(5)]
-        assert all(served(key, answer) for key, answer in (await ask_again(cluster, 0, tokens)).items())
+        assert all(
+            is_served(key, answer) for key, answer in (await retry_requests(cluster, 0, tokens)).items()
+        )
         for i in (1, 2):
             cluster.runners[i].process.kill()
         for i in (1, 2):
@@ -619,7 +633,7 @@
         for i in (1, 2):
             cluster.runners[i].again()
             await cluster.runners[i].ready()
-            await remembers(cluster, i)
-        answers = await ask_again(cluster, 1, tokens)
-        assert all(served(key, answer) for key, answer in answers.items())
-        once(cluster, tokens)
+            await wait_until_recovered(cluster, i)
+        answers = await retry_requests(cluster, 1, tokens)
+        assert all(is_served(key, answer) for key, answer in answers.items())
+        assert_ran_at_most_once(cluster, tokens)
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -59,7 +59,7 @@
     async def ask(
         self, i: int, path: str = "duties/alive", method: str = "GET"
     ) -> tuple[int, dict[str, Any]]:
-        head, _, body = (await self.fleet.admin(i, method, path)).partition(b"\r\n\r\n")
+        head, _, body = (await self.fleet.admin_request(i, method, path)).partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)
 
     async def superseded(self, i: int) -> None:
@@ -120,10 +120,10 @@
     """The leader is stopped, another member takes the lease, and the former leader wakes with its work."""
     async with watched() as w:
         first = w.leader
-        w.fleet.stop(first)
+        w.fleet.pause(first)
         await w.next_leader(first)
         await w.goes_on()
-        w.fleet.go_on(first)
+        w.fleet.resume(first)
         await w.superseded(first)
         await w.goes_on()
         assert w.leader != first
@@ -134,13 +134,13 @@
     """The leader is stopped; the next one is killed; a third leads when the first wakes."""
     async with watched(5, copies=5) as w:
         first = w.leader
-        w.fleet.stop(first)
+        w.fleet.pause(first)
         second = await w.next_leader(first)
         w.fleet.kill(second)
         await w.next_leader(first, second)
         await w.goes_on()
         term = w.term
-        w.fleet.go_on(first)
+        w.fleet.resume(first)
         await w.superseded(first)
         await w.goes_on()
         assert w.term == term
@@ -151,14 +151,14 @@
     """The leader is cut off from all others, and an operator asks it."""
     async with watched() as w:
         first = w.leader
-        w.fleet.cut_off(first)
+        w.fleet.isolate(first)
         await w.next_leader(first)
         await w.goes_on()
         status, told = await w.ask(first)
         assert status == 503 and "no majority" in told["error"] and "fleet show" in told["remedy"]
         status, listed = await w.ask(first, "duties")
         assert status == 200 and listed["duties"][0]["name"] == "alive", "what was known is still told"
-        w.fleet.cut_off(first, silent=False)
+        w.fleet.isolate(first, silent=False)
         await w.superseded(first)
         await w.goes_on()
 
@@ -170,13 +170,13 @@
         first = w.leader
         w.ways[first].silence()  # what it says from here on is held on its way
         await wait_until(lambda: w.ways[first].holding > 0)
-        w.fleet.stop(first)
+        w.fleet.pause(first)
         await w.next_leader(first)
         await w.goes_on()
         w.ways[first].resume()
         await wait_until(lambda: bool(w.receiver.rejected))
         assert all(f < w.receiver.accepted[-1].token for f in w.receiver.rejected)
-        w.fleet.go_on(first)
+        w.fleet.resume(first)
         await w.superseded(first)
 
 
@@ -248,8 +248,8 @@
             w.fleet.kill(gone[-1])
             if len(gone) < 3:
                 await w.next_leader(*gone)
-            await w.fleet.gone(gone[-1])
-            w.fleet.again(gone[-1])
+            await w.fleet.wait_for_exit(gone[-1])
+            w.fleet.restart(gone[-1])
         live = next(i for i in range(5) if i not in gone)
 
         told: dict[str, Any] = {}
@@ -276,9 +276,9 @@
         before, term = w.receiver.accepted[-1].body["reports"], w.term
         for i in range(4):
             w.fleet.kill(i)
-        await w.fleet.gone()
+        await w.fleet.wait_for_exit()
         for i in range(4):
-            w.fleet.again(i)
+            w.fleet.restart(i)
         await wait_until(lambda: w.term > term)
         first = next(t for t in w.receiver.accepted if t.token.term > term)
         assert (
@@ -294,15 +294,15 @@
         born = w.receiver.accepted[-1].token.generation
         for i in range(3):
             w.fleet.kill(i)
-        await w.fleet.gone()
+        await w.fleet.wait_for_exit()
         seen = len(w.receiver.accepted)
         for i in range(3):
-            w.fleet.again(i)
+            w.fleet.restart(i)
         for r in w.fleet.runners:
             await r.ready()
         await asyncio.sleep(0.5)
         assert len(w.receiver.accepted) == seen and (await w.ask(0))[0] == 503
-        await w.fleet.begin()
+        await w.fleet.bootstrap()
         await w.goes_on()
         assert w.receiver.accepted[-1].token > FencingToken(born, 1 << 30, 1 << 30)
 
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -100,14 +100,14 @@
     async def work(self, i: int, lasts: float = 0.3) -> None:
         """It goes down, is worked on, and starts anew."""
         self.fleet.kill(i)
-        await self.fleet.gone(i)
+        await self.fleet.wait_for_exit(i)
         await asyncio.sleep(lasts)
         self.start(i)
 
     def start(self, i: int) -> None:
         self.starts[i] += 1
         (self.folder / f"m{i}").write_text(f"start {self.starts[i]}")
-        self.fleet.again(i)
+        self.fleet.restart(i)
 
     async def script(self, i: int, *more: str, lasts: float = 0.3, rest: float = 0.0) -> int:
         """`ask --wait && reboot` on machine i; its exit code."""
@@ -169,7 +169,7 @@
             nonlocal served, asked
             while not stop:
                 with suppress(OSError, TimeoutError):
-                    f = await m.fleet.front(i)
+                    f = await m.fleet.connect_front_end(i)
                     while not stop and i not in m.away:
                         t = token()
                         got = await f.ask("submit", token=t, body=t.encode())
@@ -183,7 +183,7 @@
         await m.over()
         stop = True
         await asyncio.gather(*clients)
-        runs = m.fleet.ran()
+        runs = m.fleet.run_bodies()
         assert codes == [0, 0, 0, 0] and sorted(m.went) == [0, 1, 2, 3] and m.most == 1
         assert len(runs) == len(set(runs)) and served > 0.95 * asked > 20
 
@@ -197,7 +197,7 @@
     that is killed before that has not begun: the next process accepts the same slot, and nothing is queued again.
     """
     async with machines(3, work=30.0) as m:
-        front = await m.fleet.front(1)
+        front = await m.fleet.connect_front_end(1)
         run = front.send("check")  # it drains for as long as that runs: it must not be over before the kill
         assert (await m.api(0, "ask", id="a", seats=["n1"], reason="patch"))[0] == 200
         await m.until_at(1, "draining")
@@ -209,9 +209,9 @@
         await until(accepted)
         assert (await m.show(0))["turns"][0]["number"] == first
         m.fleet.kill(1)
-        await m.fleet.gone(1)
+        await m.fleet.wait_for_exit(1)
         run.cancel()
-        m.fleet.again(1)
+        m.fleet.restart(1)
         await m.until_at(1, "may go")
         assert (await m.show(0))["turns"][0]["number"] > first
         await m.work(1)
@@ -227,7 +227,7 @@
             await asyncio.sleep(wait)
             i = round(wait * 7) % 2
             m.fleet.kill(i)
-            await m.fleet.gone(i)
+            await m.fleet.wait_for_exit(i)
             m.start(i)
             await m.back(i)
         assert await asyncio.gather(*scripts) == [0, 0] and m.most == 1
@@ -238,11 +238,11 @@
 async def test_a_machine_stopped_while_its_grant_is_revoked_does_not_go_when_it_wakes() -> None:
     """A machine is stopped while it drains, its grant is revoked, and it wakes."""
     async with machines(3, work=1.0) as m:
-        front = await m.fleet.front(1)
+        front = await m.fleet.connect_front_end(1)
         run = front.send("check")
         first = asyncio.ensure_future(m.script(1, "--id", "a"))
         await m.until_at(1, "draining")
-        m.fleet.stop(1)  # with its run still out, and for longer than every limit
+        m.fleet.pause(1)  # with its run still out, and for longer than every limit
         status, got = await m.api(0, "cancel", id="a", by="another operator")
         assert status == 200 and not got["turns"]
         for i in (0, 2):  # until then nobody can know that it is lost, and another may be granted a slot
@@ -250,7 +250,7 @@
         second = asyncio.ensure_future(m.script(2))
         await asyncio.sleep(3.5)
         assert not m.went  # stopped it counts as lost, and so as out
-        m.fleet.go_on(1)
+        m.fleet.resume(1)
         assert "result" in await run
         assert await first == 5 and await second == 0 and m.went == [2] and m.most == 1
 
@@ -269,8 +269,8 @@
         assert await m.stage(1) == "may go" and not m.went
         # Its process dies and is there again, on the same start of its machine: that proves nothing.
         m.fleet.kill(1)
-        await m.fleet.gone(1)
-        m.fleet.again(1)
+        await m.fleet.wait_for_exit(1)
+        m.fleet.restart(1)
         await m.until_at(1, "may go")
         await asyncio.sleep(1.0)
         assert not m.went
@@ -286,18 +286,18 @@
         process = await m.ask(1)
         assert await process.wait() == 0
         m.may_go(1)
-        m.fleet.cut_off(0)
-        m.fleet.cut_off(2)
-        m.fleet.cut_off(3)  # each by itself now
+        m.fleet.isolate(0)
+        m.fleet.isolate(2)
+        m.fleet.isolate(3)  # each by itself now
         waits = asyncio.ensure_future(m.script(2))
         await m.work(1)
         await m.back(1)  # it serves, whatever the others say
-        assert "result" in await (await m.fleet.front(1)).ask("check")
+        assert "result" in await (await m.fleet.connect_front_end(1)).ask("check")
         status, got = await m.api(3, "ask", id="x", reason="patch")
         assert status == 503 and got["kind"] == "NoMajority"
         assert not (await m.show(3))["current"] and m.went == [1]
         for i in (0, 2, 3):
-            m.fleet.cut_off(i, silent=False)
+            m.fleet.isolate(i, silent=False)
         assert await waits == 0 and m.most == 1
         await m.over()
 
@@ -376,7 +376,7 @@
         await until(said)
         await asyncio.sleep(1.0)
         assert not m.went
-        await m.fleet.gone(3)
+        await m.fleet.wait_for_exit(3)
         m.start(3)
         assert await waits == 0
 
@@ -387,7 +387,7 @@
         process = await m.ask(0, "--together")
         assert await process.wait() == 0
         m.may_go(0)
-        front = await m.fleet.front(2)
+        front = await m.fleet.connect_front_end(2)
         run = front.send("check")
         second = asyncio.ensure_future(m.script(2, "--together"))
         await m.until_at(2, "draining", at=1)
@@ -430,7 +430,7 @@
 async def test_a_request_whose_caller_is_gone_is_withdrawn_and_the_machine_serves_on() -> None:
     """The script that waits for the machine is killed."""
     async with machines(3, work=1.5) as m:
-        front = await m.fleet.front(1)
+        front = await m.fleet.connect_front_end(1)
         run = front.send("check")
         for number in (signal.SIGKILL, signal.SIGTERM):
             process = await m.ask(1)
@@ -440,7 +440,7 @@
             await m.over()
         assert "result" in await run
         await m.back(1)
-        assert "result" in await (await m.fleet.front(1)).ask("check")
+        assert "result" in await (await m.fleet.connect_front_end(1)).ask("check")
 
 
 @asynchronous_test
@@ -460,9 +460,9 @@
         before = await m.show(0)
         for i in range(3):
             m.fleet.kill(i)
-        await m.fleet.gone()
+        await m.fleet.wait_for_exit()
         for i in range(3):
-            m.fleet.again(i)
+            m.fleet.restart(i)
         for i in range(3):
             await m.fleet.runners[i].ready() if f"n{i}" not in [t["seat"] for t in before["turns"]] else None
 
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -19,7 +19,7 @@
 from .fleets import Fleet, fleet, token
 from .stand_ins import HOST, Database, Kernel, content, exchange, until
 from .test_sockets import asynchronous_test, wait_until
-from .test_takeover import ask_again, many, once, served
+from .test_takeover import assert_ran_at_most_once, is_served, retry_requests, send_requests
 
 pytestmark = pytest.mark.processes
 
@@ -70,7 +70,7 @@
     async def route_of(self, i: int, class_name: str = "check", **params: Any) -> str:
         """Send one request to a runner, and return the servers that its call went to, or the text of the error."""
         body = os.urandom(8).hex().encode()
-        client = await self.fleet.front(i)
+        client = await self.fleet.connect_front_end(i)
         answer = await client.ask(class_name, body=body, **params)
         client.close()
         if "error" in answer:
@@ -182,7 +182,7 @@
         await cluster.publish(0)
         leader = await cluster.leader(0)
         others = [i for i in range(5) if i != leader]
-        cluster.fleet.cut_off(leader)
+        cluster.fleet.isolate(leader)
         alone = asyncio.ensure_future(
             cluster.request(leader, "PUT", "namespaces/acme?id=alone", draft_to("a2"))
         )
@@ -193,7 +193,7 @@
         _, listed = await cluster.request(leader, "GET", "namespaces")
         assert listed["cut_off"] and listed["ready"] is not False
         assert await cluster.route_of(leader) == "a1", "cut off, it goes on with what it had last"
-        cluster.fleet.cut_off(leader, silent=False)
+        cluster.fleet.isolate(leader, silent=False)
         await cluster.wait_for_revision(2)
         status, again = await cluster.request(
             leader, "PUT", "namespaces/acme?id=alone&expects=1", draft_to("a2")
@@ -209,21 +209,21 @@
     async with routed_cluster(5, copies=5, work=0.5) as cluster:
         await cluster.publish(0, to="a1")
         holder = (await cluster.leader(0) + 1) % 5
-        left = await many(cluster.fleet, 20, holder)
-        cluster.fleet.cut_off(holder)
+        left = await send_requests(cluster.fleet, 20, holder)
+        cluster.fleet.isolate(holder)
         others = [i for i in range(5) if i != holder]
         await cluster.publish(others[0], to="a2")
         cluster.fleet.kill(holder)
-        held = set(left) - cluster.fleet.began(holder)
-        answers = await ask_again(cluster.fleet, others[1], held)
-        once(cluster.fleet, left)
-        taken = cluster.fleet.began(*others) & held
+        held = set(left) - cluster.fleet.started_keys(holder)
+        answers = await retry_requests(cluster.fleet, others[1], held)
+        assert_ran_at_most_once(cluster.fleet, left)
+        taken = cluster.fleet.started_keys(*others) & held
         for t in taken:
             there = [
                 name for name, s in cluster.servers.items() if any(t.encode() in call for call in s.calls)
             ]
             assert there == ["a1"], "the taker decided by the revision that it was read under"
-        assert len([t for t in taken if served(t, answers[t])]) >= 2
+        assert len([t for t in taken if is_served(t, answers[t])]) >= 2
         for front in left.values():
             front.cancel()
 
@@ -236,21 +236,21 @@
     async with routed_cluster(5, copies=5, work=0.5) as cluster:
         await cluster.publish(0, to="a1")
         holder = (await cluster.leader(0) + 1) % 5
-        left = await many(cluster.fleet, 20, holder)
-        cluster.fleet.cut_off(holder)
+        left = await send_requests(cluster.fleet, 20, holder)
+        cluster.fleet.isolate(holder)
         others = [i for i in range(5) if i != holder]
         status, gone = await cluster.request(others[0], "DELETE", "namespaces/acme")
         assert status == 200 and gone["deleted"]
         await cluster.publish(others[0], to="a2")  # under the same name, and another namespace
         cluster.fleet.kill(holder)
-        held = set(left) - cluster.fleet.began(holder)
+        held = set(left) - cluster.fleet.started_keys(holder)
 
         async def all_refused() -> bool:
             counts = [await cluster.fleet.runners[i].counters() for i in others]
             return sum(int(c.get("fleet: not taken up without its rules", 0)) for c in counts) >= len(held)
 
         await until(all_refused)
-        assert not cluster.fleet.began(*others) & held
+        assert not cluster.fleet.started_keys(*others) & held
         for front in left.values():
             front.cancel()
 
@@ -270,7 +270,7 @@
         _, answer = await cluster.request(here, "DELETE", "namespaces/acme?wait=1")
         assert answer["deleted"] and not answer["complete"] and set(answer["lacking"]) == {f"n{away}"}
         assert await cluster.route_of(here) == "free"
-        cluster.fleet.again(away)
+        cluster.fleet.restart(away)
         await cluster.fleet.runners[away].ready()
         assert await cluster.route_of(away) == "free", "it learns what it has missed before it serves"
         anew = await cluster.publish(here)
@@ -288,8 +288,8 @@
         await wait_until(lambda: stored_count(cluster.fleet.journal(2) / "namespaces.db") == 1)
         for i in range(4):
             cluster.fleet.kill(i)
-        await cluster.fleet.gone()
-        cluster.fleet.again(2)
+        await cluster.fleet.wait_for_exit()
+        cluster.fleet.restart(2)
         await cluster.fleet.runners[2].ready()
         assert await cluster.route_of(2) == "a1" and await cluster.route_of(2, acct="bolt") == "free"
         assert "no other runner was heard of" in cluster.fleet.runners[2].text()
@@ -299,13 +299,13 @@
 async def test_a_rejection_by_rules_has_its_reason_and_a_retry_of_what_ran_is_answered() -> None:
     async with routed_cluster() as cluster:
         t = token()
-        front = await cluster.fleet.front(1)
+        front = await cluster.fleet.connect_front_end(1)
         ran = await front.ask("submit", token=t, body=b"once")
         await cluster.publish(
             0, rules={"no": {"match": {"class": ["submit"]}, "refuse": "closed for the week"}}
         )
         for i in (1, 3):  # here it ran; there it is another's
-            other = await cluster.fleet.front(i)
+            other = await cluster.fleet.connect_front_end(i)
             again = await other.ask("submit", token=t, body=b"once")
             assert content(again) == content(ran), "no rejection after a run"
             new = await other.ask("submit", token=token(), body=b"new")
@@ -384,9 +384,9 @@
         # Killed in the midst of that write, it would leave SQLite's own journal, which heals what is damaged here.
         await wait_until(lambda: stored_count(folder / "namespaces.db") == 1)
         cluster.fleet.kill(2)
-        await cluster.fleet.gone(2)
+        await cluster.fleet.wait_for_exit(2)
         (folder / "namespaces.db").write_bytes(b"no database at all" * 100)
-        cluster.fleet.again(2)
+        cluster.fleet.restart(2)
         await cluster.fleet.runners[2].ready()
         assert await cluster.route_of(2) == "a1", "the others have it"
         assert "is put aside" in cluster.fleet.runners[2].text() and (folder / "namespaces.damaged").exists()
--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -13,7 +13,15 @@
 from .fleets import Fleet, fleet, token
 from .stand_ins import Kernel, until
 from .test_sockets import asynchronous_test, wait_until
-from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
+from .test_takeover import (
+    assert_ran_at_most_once,
+    ignore_outcomes,
+    is_rejected,
+    is_served,
+    retry_requests,
+    send_requests,
+    wait_until_recovered,
+)
 
 pytestmark = pytest.mark.processes
 
@@ -26,9 +34,9 @@
 
 async def in_hand(f: Fleet, n: int) -> tuple[set[str], set[str]]:
     """The tokens that the first runner has in hand, and those of them that it only holds."""
-    asked = await many(f, n)
-    quiet(asked)
-    return set(asked), set(asked) - f.began(0)
+    asked = await send_requests(f, n)
+    ignore_outcomes(asked)
+    return set(asked), set(asked) - f.started_keys(0)
 
 
 @asynchronous_test
@@ -39,31 +47,31 @@
         ended_without_a_run = 0
         for moment in (0.0, 0.03, 0.05, 0.07, 0.09, 0.11, 0.14, 0.2):
             slowly(f, 0.02)
-            front = await f.front(0)
+            front = await f.connect_front_end(0)
             tokens = [token() for _ in range(6)]
-            quiet({t: front.send("submit", token=t, body=t.encode()) for t in tokens})
+            ignore_outcomes({t: front.send("submit", token=t, body=t.encode()) for t in tokens})
             await asyncio.sleep(moment)
             f.kill(0)
             slowly(f, 0.0)
-            there = f.began(0)
-            got = await ask_again(f, 2, tokens)
+            there = f.started_keys(0)
+            got = await retry_requests(f, 2, tokens)
             for t, answer in got.items():
-                ran = f.ran().count(t.encode())
-                if served(t, answer):
+                ran = f.run_bodies().count(t.encode())
+                if is_served(t, answer):
                     assert ran == 1
                 else:
-                    assert "error" in answer and not refused(answer), "it may have run"
+                    assert "error" in answer and not is_rejected(answer), "it may have run"
                     assert ran == (t in there)
                     ended_without_a_run += t not in there
-            once(f, tokens)
-            again = await ask_again(f, 3, tokens)
-            assert {t: served(t, a) for t, a in again.items()} == {t: served(t, a) for t, a in got.items()}, (
-                "another runner says otherwise"
-            )
-            await f.gone(0)
-            f.again(0)
+            assert_ran_at_most_once(f, tokens)
+            again = await retry_requests(f, 3, tokens)
+            assert {t: is_served(t, a) for t, a in again.items()} == {
+                t: is_served(t, a) for t, a in got.items()
+            }, "another runner says otherwise"
+            await f.wait_for_exit(0)
+            f.restart(0)
             await f.runners[0].ready()
-            await remembers(f, 0)
+            await wait_until_recovered(f, 0)
         assert ended_without_a_run <= 24, "what had no run was given up too often"
 
 
@@ -80,10 +88,10 @@
                 (Path(r.dir.name) / "config.json").write_text(json.dumps(r.config | {"settings": settings}))
                 r.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.12)
-        await wait_until(lambda: held <= f.began(1, 2, 3))
-        got = await ask_again(f, 2, asked)
-        assert all(served(t, got[t]) for t in held)
-        once(f, asked)
+        await wait_until(lambda: held <= f.started_keys(1, 2, 3))
+        got = await retry_requests(f, 2, asked)
+        assert all(is_served(t, got[t]) for t in held)
+        assert_ran_at_most_once(f, asked)
 
 
 @asynchronous_test
@@ -101,12 +109,12 @@
             return {body.decode() for _, _, body in kernel.runs}
 
         # A new process has forgotten what the old one kept: with n0 gone, too, such a key has one keeper left of three.
-        sure = {t for t in held if not {"n0", "n1"} <= set(f.keepers(t))}
-        await wait_until(lambda: sure <= f.began(1, 2, 3) | by_the_new_one())
-        got = await ask_again(f, 2, asked)
-        assert all(served(t, got[t]) for t in sure)
-        once(f, asked)
-        assert not by_the_new_one() & f.began(0, 1, 2, 3)
+        sure = {t for t in held if not {"n0", "n1"} <= set(f.replicas(t))}
+        await wait_until(lambda: sure <= f.started_keys(1, 2, 3) | by_the_new_one())
+        got = await retry_requests(f, 2, asked)
+        assert all(is_served(t, got[t]) for t in sure)
+        assert_ran_at_most_once(f, asked)
+        assert not by_the_new_one() & f.started_keys(0, 1, 2, 3)
 
         async def ended() -> bool:
             return r.processes[0].poll() == 0
@@ -126,8 +134,8 @@
         tokens: list[str] = []
         for turn in range(6):
             more = [token() for _ in range(4)]
-            got = await ask_again(f, turn % 3, more)
-            assert all(served(t, a) for t, a in got.items())
+            got = await retry_requests(f, turn % 3, more)
+            assert all(is_served(t, a) for t, a in got.items())
             tokens += more
 
             async def settled(i: int = turn % 3) -> bool:
@@ -135,9 +143,9 @@
 
             await until(settled)  # an answer goes out before its end has reached the keepers
             f.runners[turn % 3].process.kill()
-            await f.gone(turn % 3)
+            await f.wait_for_exit(turn % 3)
             f.runners[turn % 3].again()
             await f.runners[turn % 3].ready()
-        got = await ask_again(f, 1, tokens)
-        assert all(served(t, a) for t, a in got.items())
-        once(f, tokens)
+        got = await retry_requests(f, 1, tokens)
+        assert all(is_served(t, a) for t, a in got.items())
+        assert_ran_at_most_once(f, tokens)
