--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -27,7 +27,7 @@
 MAX_HEALTH_PENALTY = 5
 # Time for which a member's own message outweighs suspicions from others.
 DIRECT_CONTACT_FRESH_US = 200 * MS
-LATE_PERIOD_US = 100 * MS  # If a period begins this late, this process was stopped or is slow.
+LATE_PERIOD_US = 100 * MS  # If a period begins this late, this process was paused or is slow.
 
 
 class DetectorHost(Protocol):
@@ -72,9 +72,8 @@
         self._host = host
         self._others = [seat for seat in seats if seat != me]
         self._dissemination = Dissemination(me, self.by_seat)
-        self._probe_order: list[
-            str
-        ] = []  # Members still to be probed in this round; each is probed once per round.
+        # Members still to be probed in this round; each is probed once per round.
+        self._probe_order: list[str] = []
         self._serial = 0
         self._awaited_acks: dict[int, str] = {}  # Seats of the outstanding probes, by serial.
         self._next_period = 0  # Time (us) of the next period.
@@ -107,7 +106,8 @@
         self.probe(self._probe_order.pop())
 
     def _compensate_for_pause(self, pause: int) -> None:
-        """Extend all timeouts by the time (us) for which this process was stopped and could not read answers."""
+        """Drop outstanding probes and extend suspicions by the time (us) for which this process was paused."""
+        # During the pause it could not read the answers that had arrived.
         self._penalize()
         self._awaited_acks.clear()
         for member in self.by_seat.values():
@@ -182,7 +182,7 @@
             return
         now = self._host.clock()
         if now - member.state_since < self._timeout_of(member):
-            # This process was stopped since then, or its health penalty has grown.
+            # This process was paused since then, or its health penalty has grown.
             return self._schedule_suspicion_timeout(member, now)
         self._set_state(member, MemberState.DEAD, version, now)
 
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -1,8 +1,8 @@
 """The journal format of an acceptor: encodes and decodes records. `storage/journal_files.py` handles the files.
 
 A record is its length, a checksum and a msgpack array `[tag, field, ...]`; the tags and the order of the fields are
-part of the stored format. The first record identifies the journal. Of several records of a register, the last one is
-valid. A torn record at the end was never confirmed and is dropped. An invalid record that is followed by a complete one
+part of the stored format. The first record identifies the journal. A later record of a register replaces the earlier
+ones. A torn record at the end was never confirmed and is dropped. An invalid record that is followed by a complete one
 means that the file is damaged.
 """
 
@@ -45,7 +45,7 @@
 
 
 class RegisterRecord(_Record, frozen=True, tag="slot"):
-    """An acceptor's `RegisterState`. `ttl_ms` is the time until it expires, counted from the reading of the journal."""
+    """An acceptor's state of a register. `ttl_ms` is the time from the reading of the journal until it expires."""
 
     key: KeyDigest
     promised: Ballot
@@ -69,7 +69,7 @@
 
 
 class RecoveredRecord(_Record, frozen=True, tag="remembers"):
-    """States that the records before it are all promises and accepted values of this seat that still count."""
+    """States that the records before it include all promises and accepted values of this seat that still count."""
 
 
 Record = JournalHeader | RegisterRecord | IncarnationsRecord | ChunkRecord | RecoveredRecord
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -102,7 +102,9 @@
         """Handle a proposer's request for this replica's vote."""
         vote = self.acceptor.vote(self.host.clock(), request)
         if not vote.accepted and request.ballot != NO_BALLOT:
-            return self.host.reply(seat, vote)  # A rejection needs no write to the disk.
+            return self.host.reply(
+                seat, vote
+            )  # A rejection promises nothing, so it needs no write to the disk.
         # A promise or an accepted value must be on disk before its vote is sent. The reply to a read waits too, since
         # it must not show a value that a power loss can still remove.
         reply = self.host.replier(seat)
@@ -215,7 +217,7 @@
         return None
 
     def _vote_locally(self, pending: _PendingChange, request: BallotRequest) -> None:
-        """Count this member's own vote, once it is on disk as a vote to another member would have to be."""
+        """Count this member's own vote. As with a vote for another member, it must be on disk before it counts."""
         vote = self.acceptor.vote(self.host.clock(), request)
 
         def count_vote() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -169,7 +169,7 @@
     return proposer, run_round(acceptors, proposer, proposer.start(owner.incarnation * 1000), *seats)
 
 
-def test_a_fast_write_is_chosen_if_all_replicas_accept_it_and_else_needs_another_round() -> None:
+def test_a_fast_write_is_chosen_if_all_replicas_accept_it_and_otherwise_needs_another_round() -> None:
     proposer, _ = propose_claim(make_acceptors("x", "y", "z"), A, "x", "y", "z")
     assert proposer.result is not None and proposer.result.applied
     acceptors = make_acceptors("x", "y", "z")
@@ -186,9 +186,8 @@
     first, _ = propose_claim(acceptors, A, "x", "y")
     second, _ = propose_claim(acceptors, B, "z", "y")
     run_round(acceptors, second, run_round(acceptors, second, second.retry(), "z", "y"), "z", "y")
-    run_round(
-        acceptors, first, first.retry(), "x", "z"
-    )  # The ballot is too low; the votes name a higher one.
+    # The first ballot is too low; the votes name a higher one.
+    run_round(acceptors, first, first.retry(), "x", "z")
     run_round(acceptors, first, run_round(acceptors, first, first.retry(), "x", "z"), "x", "z")
     assert first.result is not None and second.result is not None
     assert first.result.value == second.result.value
@@ -222,7 +221,7 @@
 
 
 def test_restarted_acceptors_vote_again_although_one_seat_is_permanently_lost() -> None:
-    """Without the rule per slice, a lost seat would keep all acceptors that restart after it from ever recovering."""
+    """Without recovery per slice, a lost seat would keep all acceptors that restart after it from ever recovering."""
     simulation = ClusterSimulation(3, Scenario(seats=5, keys=0, faults=0))
     simulation.run(1_000_000)
     simulation.crash(simulation.processes[4])
@@ -540,7 +539,7 @@
     assert not host.lost and detector.health > 0
 
 
-def test_a_report_of_the_own_death_is_refuted_with_a_higher_version() -> None:
+def test_a_report_of_its_own_death_is_refuted_with_a_higher_version() -> None:
     detector, host = make_detector()
     before = detector.own.version
     detector.handle_ping("b", Ping(1, [update_about("a", 1, before, MemberState.DEAD)]))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -243,7 +243,7 @@
 
 
 def choose_runner_to_kill(cluster: Fleet, requests: Iterable[str]) -> int:
-    """Return the runner that has started most work, among those whose loss leaves some key with a majority."""
+    """Return the runner that has started the most work, among those whose loss leaves some key with a majority."""
     candidates = [i for i in range(1, len(cluster.runners)) if keys_with_majority(cluster, requests, 0, i)]
     return max(candidates, key=lambda i: len(cluster.started_keys(i)))
 
