--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -43,7 +43,7 @@
 class ParticipantHost(EffectReceivers, Protocol):
     """The process of a participant: sends effects and provides workers."""
 
-    def fit(self) -> bool:
+    def can_accept_work(self) -> bool:
         """Return whether this member may lead."""
 
     def work(self, lease: LeaseHolder) -> Worker | None:
@@ -126,7 +126,7 @@
         backoff_us = round(self.policy.probation_ms * MS)
         return Election(
             self.services,
-            is_fit=self._host.fit,
+            is_fit=self._host.can_accept_work,
             led_duties=lambda: len(self.leases),
             stability=StabilityTracker(backoff_us, backoff_us * MAX_STABILITY_BACKOFF),
             unfit_timeout_us=round(2 * self.policy.unfit_timeout_ms * MS),
@@ -176,7 +176,7 @@
         self._announce(now)
 
     def _check_fitness(self, now_us: int) -> None:
-        if self._host.fit():
+        if self._host.can_accept_work():
             self._unfit_since_us = None
             self.leases.rebalance()
         elif self._unfit_since_us is None:
--- a/moorusher/leadership/services.py
+++ b/moorusher/leadership/services.py
@@ -96,7 +96,7 @@
 
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call `callback` once all stored data is on the disk; immediately if there is no disk."""
-        self.node.durable(callback, DUTY_SPACE)
+        self.node.call_when_durable(callback, DUTY_SPACE)
 
     def read_register(self, key: KeyDigest, callback: RegisterCallback) -> None:
         """Read a register without conflicting with its changes."""
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -59,7 +59,7 @@
     async def request(
         self, i: int, path: str = "duties/alive", method: str = "GET"
     ) -> tuple[int, dict[str, Any]]:
-        head, _, body = (await self.fleet.admin(i, method, path)).partition(b"\r\n\r\n")
+        head, _, body = (await self.fleet.admin_request(i, method, path)).partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)
 
     async def wait_until_superseded(self, i: int) -> None:
@@ -129,10 +129,10 @@
     """The leader is stopped, another runner acquires the lease, and the former leader resumes with unfinished work."""
     async with watch_duty() as duty:
         first_leader = duty.leader
-        duty.fleet.stop(first_leader)
+        duty.fleet.pause(first_leader)
         await duty.next_leader(first_leader)
         await duty.wait_for_reports()
-        duty.fleet.go_on(first_leader)
+        duty.fleet.resume(first_leader)
         await duty.wait_until_superseded(first_leader)
         await duty.wait_for_reports()
         assert duty.leader != first_leader
@@ -143,13 +143,13 @@
     """The leader is stopped, the second leader is killed, and a third runner leads when the first one resumes."""
     async with watch_duty(5, copies=5) as duty:
         first_leader = duty.leader
-        duty.fleet.stop(first_leader)
+        duty.fleet.pause(first_leader)
         second = await duty.next_leader(first_leader)
         duty.fleet.kill(second)
         await duty.next_leader(first_leader, second)
         await duty.wait_for_reports()
         term = duty.term
-        duty.fleet.go_on(first_leader)
+        duty.fleet.resume(first_leader)
         await duty.wait_until_superseded(first_leader)
         await duty.wait_for_reports()
         assert duty.term == term
@@ -160,14 +160,14 @@
     """The leader is partitioned from all other runners, and an operator queries it."""
     async with watch_duty() as duty:
         first_leader = duty.leader
-        duty.fleet.cut_off(first_leader)
+        duty.fleet.isolate(first_leader)
         await duty.next_leader(first_leader)
         await duty.wait_for_reports()
         status, document = await duty.request(first_leader)
         assert status == 503 and "no majority" in document["error"] and "fleet show" in document["remedy"]
         status, listed = await duty.request(first_leader, "duties")
         assert status == 200 and listed["duties"][0]["name"] == "alive", "the last known list is still served"
-        duty.fleet.cut_off(first_leader, silent=False)
+        duty.fleet.isolate(first_leader, silent=False)
         await duty.wait_until_superseded(first_leader)
         await duty.wait_for_reports()
 
@@ -179,13 +179,13 @@
         first_leader = duty.leader
         duty.relays[first_leader].silence()  # delays all further requests of the leader
         await wait_until(lambda: duty.relays[first_leader].holding > 0)
-        duty.fleet.stop(first_leader)
+        duty.fleet.pause(first_leader)
         await duty.next_leader(first_leader)
         await duty.wait_for_reports()
         duty.relays[first_leader].resume()
         await wait_until(lambda: bool(duty.receiver.rejected))
         assert all(token < duty.receiver.accepted[-1].token for token in duty.receiver.rejected)
-        duty.fleet.go_on(first_leader)
+        duty.fleet.resume(first_leader)
         await duty.wait_until_superseded(first_leader)
 
 
@@ -258,8 +258,8 @@
             duty.fleet.kill(killed[-1])
             if len(killed) < 3:
                 await duty.next_leader(*killed)
-            await duty.fleet.gone(killed[-1])
-            duty.fleet.again(killed[-1])
+            await duty.fleet.wait_for_exit(killed[-1])
+            duty.fleet.restart(killed[-1])
         live = next(i for i in range(5) if i not in killed)
 
         document: dict[str, Any] = {}
@@ -287,9 +287,9 @@
         before, term = duty.receiver.accepted[-1].body["reports"], duty.term
         for i in range(4):
             duty.fleet.kill(i)
-        await duty.fleet.gone()
+        await duty.fleet.wait_for_exit()
         for i in range(4):
-            duty.fleet.again(i)
+            duty.fleet.restart(i)
         await wait_until(lambda: duty.term > term)
         first_report = next(request for request in duty.receiver.accepted if request.token.term > term)
         assert (
@@ -305,15 +305,15 @@
         first_generation = duty.receiver.accepted[-1].token.generation
         for i in range(3):
             duty.fleet.kill(i)
-        await duty.fleet.gone()
+        await duty.fleet.wait_for_exit()
         accepted_before = len(duty.receiver.accepted)
         for i in range(3):
-            duty.fleet.again(i)
+            duty.fleet.restart(i)
         for runner in duty.fleet.runners:
             await runner.ready()
         await asyncio.sleep(0.5)
         assert len(duty.receiver.accepted) == accepted_before and (await duty.request(0))[0] == 503
-        await duty.fleet.begin()
+        await duty.fleet.bootstrap()
         await duty.wait_for_reports()
         assert duty.receiver.accepted[-1].token > FencingToken(first_generation, 1 << 30, 1 << 30)
 
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -109,14 +109,14 @@
     async def reboot(self, i: int, work_s: float = 0.3) -> None:
         """Kill the runner, wait for the work to be done, and start the runner on a new boot."""
         self.fleet.kill(i)
-        await self.fleet.gone(i)
+        await self.fleet.wait_for_exit(i)
         await asyncio.sleep(work_s)
         self.start(i)
 
     def start(self, i: int) -> None:
         self.boots[i] += 1
         (self.folder / f"m{i}").write_text(f"start {self.boots[i]}")
-        self.fleet.again(i)
+        self.fleet.restart(i)
 
     async def script(self, i: int, *arguments: str, work_s: float = 0.3, delay_s: float = 0.0) -> int:
         """Run `ask --wait && reboot` on machine i, and return the exit code of `ask`."""
@@ -180,7 +180,7 @@
             nonlocal served, sent
             while not stop:
                 with suppress(OSError, TimeoutError):
-                    front = await m.fleet.front(i)
+                    front = await m.fleet.connect_front_end(i)
                     while not stop and i not in m.cleared:
                         key = token()
                         answer = await front.ask("submit", token=key, body=key.encode())
@@ -194,7 +194,7 @@
         await m.wait_until_no_requests()
         stop = True
         await asyncio.gather(*clients)
-        runs = m.fleet.ran()
+        runs = m.fleet.run_bodies()
         assert codes == [0, 0, 0, 0] and sorted(m.cleared_machines) == [0, 1, 2, 3] and m.max_cleared == 1
         assert len(runs) == len(set(runs)) and served > 0.95 * sent > 20
 
@@ -207,7 +207,7 @@
     process is killed before that, the next process accepts the same slot, and the machine is not queued again.
     """
     async with machines(3, work=30.0) as m:
-        front = await m.fleet.front(1)
+        front = await m.fleet.connect_front_end(1)
         run = front.send(
             "check"
         )  # the machine drains as long as this runs, which is longer than until the kill
@@ -221,9 +221,9 @@
         await until(accepted)
         assert (await m.show(0))["turns"][0]["number"] == first
         m.fleet.kill(1)
-        await m.fleet.gone(1)
+        await m.fleet.wait_for_exit(1)
         run.cancel()
-        m.fleet.again(1)
+        m.fleet.restart(1)
         await m.wait_for_stage(1, "may go")
         assert (await m.show(0))["turns"][0]["number"] > first
         await m.reboot(1)
@@ -239,7 +239,7 @@
             await asyncio.sleep(wait)
             i = round(wait * 7) % 2
             m.fleet.kill(i)
-            await m.fleet.gone(i)
+            await m.fleet.wait_for_exit(i)
             m.start(i)
             await m.wait_until_serving(i)
         assert await asyncio.gather(*scripts) == [0, 0] and m.max_cleared == 1
@@ -250,11 +250,11 @@
 async def test_a_machine_suspended_while_its_grant_is_revoked_is_not_cleared_when_it_resumes() -> None:
     """A machine is suspended while it drains, its grant is revoked, and it resumes."""
     async with machines(3, work=1.0) as m:
-        front = await m.fleet.front(1)
+        front = await m.fleet.connect_front_end(1)
         run = front.send("check")
         first = asyncio.ensure_future(m.script(1, "--id", "a"))
         await m.wait_for_stage(1, "draining")
-        m.fleet.stop(1)  # while its run is open, and for longer than every timeout
+        m.fleet.pause(1)  # while its run is open, and for longer than every timeout
         status, answer = await m.api(0, "cancel", id="a", by="another operator")
         assert status == 200 and not answer["turns"]
         # Before the others have detected the loss, another machine may be granted a slot.
@@ -263,7 +263,7 @@
         second = asyncio.ensure_future(m.script(2))
         await asyncio.sleep(3.5)
         assert not m.cleared_machines  # a suspended machine counts as lost, and so as out
-        m.fleet.go_on(1)
+        m.fleet.resume(1)
         assert "result" in await run
         assert await first == 5 and await second == 0 and m.cleared_machines == [2] and m.max_cleared == 1
 
@@ -282,8 +282,8 @@
         assert await m.stage(1) == "may go" and not m.cleared_machines
         # Its process restarts on the same boot, which does not prove that the work is over.
         m.fleet.kill(1)
-        await m.fleet.gone(1)
-        m.fleet.again(1)
+        await m.fleet.wait_for_exit(1)
+        m.fleet.restart(1)
         await m.wait_for_stage(1, "may go")
         await asyncio.sleep(1.0)
         assert not m.cleared_machines
@@ -299,18 +299,18 @@
         process = await m.ask(1)
         assert await process.wait() == 0
         m.mark_cleared(1)
-        m.fleet.cut_off(0)
-        m.fleet.cut_off(2)
-        m.fleet.cut_off(3)  # each runner is isolated now
+        m.fleet.isolate(0)
+        m.fleet.isolate(2)
+        m.fleet.isolate(3)  # each runner is isolated now
         second = asyncio.ensure_future(m.script(2))
         await m.reboot(1)
         await m.wait_until_serving(1)  # it serves without a connection to the others
-        assert "result" in await (await m.fleet.front(1)).ask("check")
+        assert "result" in await (await m.fleet.connect_front_end(1)).ask("check")
         status, answer = await m.api(3, "ask", id="x", reason="patch")
         assert status == 503 and answer["kind"] == "NoMajority"
         assert not (await m.show(3))["current"] and m.cleared_machines == [1]
         for i in (0, 2, 3):
-            m.fleet.cut_off(i, silent=False)
+            m.fleet.isolate(i, silent=False)
         assert await second == 0 and m.max_cleared == 1
         await m.wait_until_no_requests()
 
@@ -388,7 +388,7 @@
         await until(lost_is_out)
         await asyncio.sleep(1.0)
         assert not m.cleared_machines
-        await m.fleet.gone(3)
+        await m.fleet.wait_for_exit(3)
         m.start(3)
         assert await script == 0
 
@@ -399,7 +399,7 @@
         process = await m.ask(0, "--together")
         assert await process.wait() == 0
         m.mark_cleared(0)
-        front = await m.fleet.front(2)
+        front = await m.fleet.connect_front_end(2)
         run = front.send("check")
         second = asyncio.ensure_future(m.script(2, "--together"))
         await m.wait_for_stage(2, "draining", at=1)
@@ -442,7 +442,7 @@
 async def test_a_request_whose_caller_has_exited_is_withdrawn_and_the_machine_keeps_serving() -> None:
     """The script that waits for the machine is killed."""
     async with machines(3, work=1.5) as m:
-        front = await m.fleet.front(1)
+        front = await m.fleet.connect_front_end(1)
         run = front.send("check")
         for number in (signal.SIGKILL, signal.SIGTERM):
             process = await m.ask(1)
@@ -452,7 +452,7 @@
             await m.wait_until_no_requests()
         assert "result" in await run
         await m.wait_until_serving(1)
-        assert "result" in await (await m.fleet.front(1)).ask("check")
+        assert "result" in await (await m.fleet.connect_front_end(1)).ask("check")
 
 
 @asynchronous_test
@@ -473,9 +473,9 @@
         before = await m.show(0)
         for i in range(3):
             m.fleet.kill(i)
-        await m.fleet.gone()
+        await m.fleet.wait_for_exit()
         for i in range(3):
-            m.fleet.again(i)
+            m.fleet.restart(i)
         for i in range(3):
             await m.fleet.runners[i].ready() if f"n{i}" not in [t["seat"] for t in before["turns"]] else None
 
--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -13,7 +13,15 @@
 from .fleets import Fleet, fleet, token
 from .stand_ins import Kernel, until
 from .test_sockets import asynchronous_test, wait_until
-from .test_takeover import ask_again, many, once, quiet, refused, remembers, served
+from .test_takeover import (
+    assert_ran_at_most_once,
+    ignore_outcomes,
+    is_rejected,
+    is_served,
+    retry_requests,
+    send_requests,
+    wait_until_recovered,
+)
 
 pytestmark = pytest.mark.processes
 
@@ -26,9 +34,9 @@
 
 async def submit_requests(f: Fleet, count: int) -> tuple[set[str], set[str]]:
     """Submit requests to the first runner, and return all tokens and the tokens whose runs have not started."""
-    asked = await many(f, count)
-    quiet(asked)
-    return set(asked), set(asked) - f.began(0)
+    asked = await send_requests(f, count)
+    ignore_outcomes(asked)
+    return set(asked), set(asked) - f.started_keys(0)
 
 
 @asynchronous_test
@@ -40,31 +48,31 @@
         ended_without_a_run = 0
         for delay_s in (0.0, 0.03, 0.05, 0.07, 0.09, 0.11, 0.14, 0.2):
             delay_messages(f, 0.02)
-            front = await f.front(0)
+            front = await f.connect_front_end(0)
             tokens = [token() for _ in range(6)]
-            quiet({t: front.send("submit", token=t, body=t.encode()) for t in tokens})
+            ignore_outcomes({t: front.send("submit", token=t, body=t.encode()) for t in tokens})
             await asyncio.sleep(delay_s)
             f.kill(0)
             delay_messages(f, 0.0)
-            started_at_owner = f.began(0)
-            got = await ask_again(f, 2, tokens)
+            started_at_owner = f.started_keys(0)
+            got = await retry_requests(f, 2, tokens)
             for t, answer in got.items():
-                ran = f.ran().count(t.encode())
-                if served(t, answer):
+                ran = f.run_bodies().count(t.encode())
+                if is_served(t, answer):
                     assert ran == 1
                 else:
-                    assert "error" in answer and not refused(answer), "the request may have run"
+                    assert "error" in answer and not is_rejected(answer), "the request may have run"
                     assert ran == (t in started_at_owner)
                     ended_without_a_run += t not in started_at_owner
-            once(f, tokens)
-            again = await ask_again(f, 3, tokens)
-            assert {t: served(t, a) for t, a in again.items()} == {t: served(t, a) for t, a in got.items()}, (
-                "another runner gives a different answer"
-            )
-            await f.gone(0)
-            f.again(0)
+            assert_ran_at_most_once(f, tokens)
+            again = await retry_requests(f, 3, tokens)
+            assert {t: is_served(t, a) for t, a in again.items()} == {
+                t: is_served(t, a) for t, a in got.items()
+            }, "another runner gives a different answer"
+            await f.wait_for_exit(0)
+            f.restart(0)
             await f.runners[0].ready()
-            await remembers(f, 0)
+            await wait_until_recovered(f, 0)
         assert ended_without_a_run <= 24, "too many requests ended without a run"
 
 
@@ -81,10 +89,10 @@
                 (Path(r.dir.name) / "config.json").write_text(json.dumps(r.config | {"settings": settings}))
                 r.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.12)
-        await wait_until(lambda: not_started <= f.began(1, 2, 3))
-        got = await ask_again(f, 2, asked)
-        assert all(served(t, got[t]) for t in not_started)
-        once(f, asked)
+        await wait_until(lambda: not_started <= f.started_keys(1, 2, 3))
+        got = await retry_requests(f, 2, asked)
+        assert all(is_served(t, got[t]) for t in not_started)
+        assert_ran_at_most_once(f, asked)
 
 
 @asynchronous_test
@@ -103,12 +111,12 @@
 
         # The new process of n1 lacks the records of the old one. With n0 lost as well, a key that both replicated has
         # only one replica left of three.
-        recoverable = {t for t in not_started if not {"n0", "n1"} <= set(f.keepers(t))}
-        await wait_until(lambda: recoverable <= f.began(1, 2, 3) | run_by_the_new_process())
-        got = await ask_again(f, 2, asked)
-        assert all(served(t, got[t]) for t in recoverable)
-        once(f, asked)
-        assert not run_by_the_new_process() & f.began(0, 1, 2, 3)
+        recoverable = {t for t in not_started if not {"n0", "n1"} <= set(f.replicas(t))}
+        await wait_until(lambda: recoverable <= f.started_keys(1, 2, 3) | run_by_the_new_process())
+        got = await retry_requests(f, 2, asked)
+        assert all(is_served(t, got[t]) for t in recoverable)
+        assert_ran_at_most_once(f, asked)
+        assert not run_by_the_new_process() & f.started_keys(0, 1, 2, 3)
 
         async def ended() -> bool:
             return r.processes[0].poll() == 0
@@ -128,8 +136,8 @@
         tokens: list[str] = []
         for turn in range(6):
             more = [token() for _ in range(4)]
-            got = await ask_again(f, turn % 3, more)
-            assert all(served(t, a) for t, a in got.items())
+            got = await retry_requests(f, turn % 3, more)
+            assert all(is_served(t, a) for t, a in got.items())
             tokens += more
 
             async def settled(i: int = turn % 3) -> bool:
@@ -137,9 +145,9 @@
 
             await until(settled)  # an answer is sent before the replicas know the result
             f.runners[turn % 3].process.kill()
-            await f.gone(turn % 3)
+            await f.wait_for_exit(turn % 3)
             f.runners[turn % 3].again()
             await f.runners[turn % 3].ready()
-        got = await ask_again(f, 1, tokens)
-        assert all(served(t, a) for t, a in got.items())
-        once(f, tokens)
+        got = await retry_requests(f, 1, tokens)
+        assert all(is_served(t, a) for t, a in got.items())
+        assert_ran_at_most_once(f, tokens)
