--- a/moorusher/config_distribution/__init__.py
+++ b/moorusher/config_distribution/__init__.py
@@ -1,7 +1,7 @@
-"""How revisions of a customer's routing rules are published and distributed to all runners.
+"""Publication of customers' routing rules as revisions, and their distribution to all runners.
 
-`publisher`: the leader of a customer's lease publishes one revision after the other. `dissemination`: a new revision is
-broadcast down a tree. `anti_entropy`: pairs of members compare digests and repair what a broadcast missed. `replica`:
-one member's parts put together. Pure: `cluster_transport/config_distribution.py` does the I/O;
-`docs/design/namespaces.md` gives the reasons.
+`publisher`: the leader of a customer's lease publishes revisions one at a time. `dissemination`: a new revision is
+broadcast over a tree of members. `anti_entropy`: pairs of members compare digests and fetch revisions that a broadcast
+missed. `replica`: connects these parts at one member. This package does no I/O, which is in
+`cluster_transport/config_distribution.py`. `docs/design/namespaces.md` gives the reasons for this design.
 """
--- a/moorusher/config_distribution/anti_entropy.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: two members compare digests of their revisions, and whoever has less requests what it lacks.
+"""Anti-entropy: pairs of members compare digests of their revisions, and each requests the revisions it lacks.
 
-Each member compares with one other in each period, by digests of `BUCKETS` parts of the customers: the number of
-messages a member does not grow with seats or customers. A process that starts compares with one peer after the other
-until it knows what they have; then it is ready.
+Once per period, each member compares with one random peer. Customers are divided into `BUCKETS` buckets with one digest
+each, so the number of messages per member does not grow with the number of seats or customers. A process that starts
+compares with one peer after another until it knows their revisions, and becomes ready.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from ..namespaces.revision_id import RevisionId
 from ..time_units import MS
 from .messages import DigestDifference, DigestSummary
-from .services import Member, ObtainsRevisions
+from .services import Member, RevisionObtainer
 
 BUCKETS = 64
 PERIOD_US = 1_000 * MS
-STARTUP_PERIOD_US = 60 * MS
-MAX_LISTED = 500  # customers in one message
+STARTUP_PERIOD_US = 60 * MS  # Period until this member is ready.
+MAX_LISTED = 500  # Maximum number of customers in one message.
 MAX_CONCURRENT_REQUESTS = 4
 REQUEST_TIMEOUT_US = 600 * MS
-MAX_MISSING = 20_000  # customers
+MAX_MISSING = 20_000  # Maximum number of customers in `_missing`.
 
 
 def bucket_of(customer: str) -> int:
@@ -35,10 +35,10 @@
 
 
 class ComparingMember(Member, Protocol):
-    """What anti-entropy uses of a member."""
+    """The interface of a member that anti-entropy uses."""
 
     def random(self) -> float:
-        """Return a number from 0 up to, without, 1."""
+        """Return a random number in [0, 1)."""
         ...
 
     def live_peers(self) -> list[str]:
@@ -46,11 +46,11 @@
         ...
 
 
-class KnownRevisions(ObtainsRevisions, Protocol):
-    """What anti-entropy uses of a member's revisions."""
+class KnownRevisions(RevisionObtainer, Protocol):
+    """The interface of a member's revisions that anti-entropy uses."""
 
     def known(self, customer: str) -> tuple[RevisionId, bool]:
-        """Return the latest revision, and whether it is a deletion."""
+        """Return the latest known revision, and whether it is a deletion."""
         ...
 
 
@@ -64,9 +64,10 @@
 
 
 class AntiEntropy:
-    """Finds what a member lacks by comparing digests, and requests it.
+    """Finds revisions that a member lacks by comparing digests, and requests them.
 
-    ready: whether this member knows what the others have, or has stopped waiting for it.
+    Attributes:
+        ready: Whether this member knows the other members' revisions, or the timeout for that has passed.
     """
 
     def __init__(
@@ -76,25 +77,29 @@
         seat_count: int,
         on_ready: Callable[[], None],
     ) -> None:
-        """`on_ready`: called once."""
+        """Initialize without comparing; `start` begins that.
+
+        :param on_ready: Called once, when `ready` becomes true.
+        """
         self.ready = False
         self._member = member
         self._revisions = revisions
         self._seat_count = seat_count
         self._on_ready = on_ready
         self._customers: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self._digests: list[int | None] = [0] * BUCKETS  # None: to be computed anew
+        self._digests: list[int | None] = [0] * BUCKETS  # None if the digest must be recomputed.
         self._missing: dict[str, _Missing] = {}
-        self._queue: deque[str] = deque()  # customers of `_missing` that are not requested yet
-        self._requested: set[str] = set()  # at most MAX_CONCURRENT_REQUESTS
+        self._queue: deque[str] = deque()  # Customers of `_missing` that have not been requested yet.
+        self._requested: set[str] = set()  # At most MAX_CONCURRENT_REQUESTS customers.
         self._requesting = False
-        self._compared: set[str] = set()  # until ready: peers whose revisions are known here
-        self._ready_peers: set[str] = set()  # subset of `_compared`: they know what the others have
+        # Peers whose digests this member has compared with its own. No longer updated once this member is ready.
+        self._compared: set[str] = set()
+        self._ready_peers: set[str] = set()  # The peers in `_compared` that were ready themselves.
 
     # ---- periods, readiness ----
 
     def start(self, ready_timeout_us: int) -> None:
-        """Begin to compare; ready after the timeout at the latest, at once where there is no other seat."""
+        """Start comparing. This member is ready at once if it is the only seat, and at the latest after the timeout."""
         if self._seat_count == 1:
             self._become_ready()
             return
@@ -116,14 +121,14 @@
             peer = peers[int(self._member.random() * len(peers))]
             self._member.send(peer, DigestSummary(self.digests(), self.ready))
 
-    def _knows_enough(self) -> bool:
-        """Whether one ready peer, or so many that they are a majority with this member, have been compared with."""
+    def _has_enough_comparisons(self) -> bool:
+        """Return whether the compared peers include a ready one, or form a majority together with this member."""
         return bool(self._ready_peers) or len(self._compared) >= majority(self._seat_count) - 1
 
     # ---- digests ----
 
-    def note_changed(self, customer: str) -> None:
-        """A customer's revision has changed: its bucket's digest is computed anew when it is needed."""
+    def mark_changed(self, customer: str) -> None:
+        """Record that a customer's revision has changed. The digest of its bucket is recomputed on demand."""
         bucket = bucket_of(customer)
         self._customers[bucket].add(customer)
         self._digests[bucket] = None
@@ -144,13 +149,13 @@
         """Return the digest of each bucket."""
         return tuple(self._digest(bucket) for bucket in range(BUCKETS))
 
-    def _list(self, buckets: tuple[int, ...]) -> tuple[tuple[str, RevisionId, bool], ...]:
+    def _list_revisions(self, buckets: tuple[int, ...]) -> tuple[tuple[str, RevisionId, bool], ...]:
         listed = [
             (customer, *self._revisions.known(customer))
             for bucket in buckets
             for customer in sorted(self._customers[bucket])
         ]
-        if len(listed) > MAX_LISTED:  # from a random place on: the rest comes with a later comparison
+        if len(listed) > MAX_LISTED:  # Start at a random position, so that later comparisons list the others.
             start = int(self._member.random() * len(listed))
             listed = (listed[start:] + listed[:start])[:MAX_LISTED]
         return tuple(listed)
@@ -158,24 +163,28 @@
     # ---- messages ----
 
     def on_summary(self, seat: str, message: DigestSummary) -> None:
-        """Answer with what is here in the buckets that differ."""
+        """Reply with this member's revisions in the buckets that differ."""
         if len(message.digests) != BUCKETS:
             return
         differing = tuple(
-            bucket for bucket, theirs in enumerate(message.digests) if theirs != self._digest(bucket)
+            bucket
+            for bucket, peer_digest in enumerate(message.digests)
+            if peer_digest != self._digest(bucket)
         )
         self._member.send(
-            seat, DigestDifference(differing, self._list(differing), bool(differing), self.ready)
+            seat, DigestDifference(differing, self._list_revisions(differing), bool(differing), self.ready)
         )
 
     def on_difference(self, seat: str, message: DigestDifference) -> None:
-        """Request what the sender has and this member lacks; list this member's own where it is wanted."""
+        """Request the sender's revisions that this member lacks, and reply with this member's revisions if asked."""
         for customer, revision_id, deleted in message.listed:
             if revision_id > self._revisions.known(customer)[0] and len(self._missing) < MAX_MISSING:
                 self._add_missing(customer, _Missing(revision_id, deleted, seat))
         if message.reply_wanted:
             buckets = tuple(bucket for bucket in message.buckets if 0 <= bucket < BUCKETS)
-            self._member.send(seat, DigestDifference(buckets, self._list(buckets), False, self.ready))
+            self._member.send(
+                seat, DigestDifference(buckets, self._list_revisions(buckets), False, self.ready)
+            )
         if not self.ready:
             self._compared.add(seat)
             if message.ready:
@@ -185,15 +194,15 @@
     # ---- requests ----
 
     def _add_missing(self, customer: str, missing: _Missing) -> None:
-        before = self._missing.get(customer)
-        if before is None:
+        existing = self._missing.get(customer)
+        if existing is None:
             self._queue.append(customer)
-        if before is None or before.revision_id < missing.revision_id:
+        if existing is None or existing.revision_id < missing.revision_id:
             self._missing[customer] = missing
 
     def _request_next(self) -> None:
-        # A request that ends at once comes back here. `_requesting` makes that return to the loop below: thousands in
-        # a row would exceed the recursion limit.
+        # A request that ends synchronously calls this method again. `_requesting` makes that call return to the loop
+        # below, because recursion for thousands of requests in a row would exceed the recursion limit.
         if self._requesting:
             return
         self._requesting = True
@@ -205,7 +214,7 @@
                 continue
             self._request(customer, missing)
         self._requesting = False
-        if not self.ready and not self._queue and not self._requested and self._knows_enough():
+        if not self.ready and not self._queue and not self._requested and self._has_enough_comparisons():
             self._become_ready()
 
     def _request(self, customer: str, missing: _Missing) -> None:
@@ -219,7 +228,9 @@
             finished = True
             self._requested.discard(customer)
             if self._missing.get(customer) is missing:
-                del self._missing[customer]  # one that failed is found by a later comparison
+                del self._missing[
+                    customer
+                ]  # If the request failed, a later comparison finds the revision again.
             else:
                 self._queue.append(customer)
             self._request_next()
--- a/moorusher/config_distribution/errors.py
+++ b/moorusher/config_distribution/errors.py
@@ -1,4 +1,4 @@
-"""Errors of publishing: those of namespaces and those of leases, and how they cross the wire."""
+"""Errors of publishing: those of namespaces and of leases, and their decoding from messages."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 DistributionError = NamespaceError | LeadershipError
 
 _ERROR_TYPES: tuple[type[DistributionError], ...] = (*NAMESPACE_ERRORS, *LEASE_ERRORS)
-# Their kinds are on the wire. Where both packages have an error of the same kind (`Conflict`, `OverBudget`), that of
-# `leadership` is raised at the receiver.
+# Messages contain the kinds. If both packages have an error of the same kind (`Conflict`, `OverBudget`), the receiver
+# decodes it as that of `leadership`.
 ERRORS_BY_KIND = {error_type.kind: error_type for error_type in _ERROR_TYPES}
 
 
 def error_from_wire(kind: str, text: str) -> DistributionError:
-    """Return the error that another runner raised; `NoMajorityError` where its kind is unknown.
+    """Return the error that another runner reported; `NoMajorityError` if its kind is unknown.
 
-    Only its text is carried over: attributes of its own are not set.
+    Only the text is restored; attributes that the class defines itself are not set.
     """
     error_type = ERRORS_BY_KIND.get(kind, NoMajorityError)
     error = error_type.__new__(error_type)
--- a/moorusher/config_distribution/local_publishers.py
+++ b/moorusher/config_distribution/local_publishers.py
@@ -1,4 +1,4 @@
-"""The publishers of the leases that one member holds: created, reached by messages, connected to the replica."""
+"""The publishers of the leases that one member holds: their creation, and their connection to messages and replica."""
 
 from __future__ import annotations
 
@@ -20,14 +20,20 @@
 class LocalPublishers:
     """The publishers of the leases that this member holds (`publisher.PublisherHost`).
 
-    publisher_type: type of Publisher that is created.
-    by_lease: dict of lease name to Publisher.
+    Attributes:
+        publisher_type: Class of the publishers to create.
+        by_lease: Publishers by lease name.
+        register: Reader of histories from the register.
+        propagation: Distributes published revisions.
     """
 
     publisher_type: type[Publisher] = Publisher
 
     def __init__(self, member: MemberServices, host: ReplicaHost, by_lease: dict[str, Publisher]) -> None:
-        """The parts that need the publishers and are needed by them are set with `connect`."""
+        """Initialize without publishers.
+
+        `register` and `propagation` are set later by `connect`, because they are created after this object.
+        """
         self.by_lease = by_lease
         self._member = member
         self._host = host
@@ -35,7 +41,7 @@
         self.propagation: Propagation
 
     def connect(self, register: RegisterReader, propagation: Propagation) -> None:
-        """Set where histories are read, and who distributes what is published."""
+        """Set the reader of histories and the distributor of published revisions."""
         self.register = register
         self.propagation = propagation
 
@@ -46,49 +52,49 @@
         return publisher
 
     def on_submit(self, seat: str, message: SubmitDraft) -> None:
-        """Publish what a member has forwarded, and answer it."""
+        """Publish a submission that a member has forwarded, and send it the result."""
 
-        def answer(got: RevisionId | DistributionError) -> None:
-            if isinstance(got, Exception):
-                self._member.send(seat, SubmitResult(message.serial, (0, 0), got.kind, str(got)))
+        def send_result(result: RevisionId | DistributionError) -> None:
+            if isinstance(result, Exception):
+                self._member.send(seat, SubmitResult(message.serial, (0, 0), result.kind, str(result)))
             else:
-                self._member.send(seat, SubmitResult(message.serial, got))
+                self._member.send(seat, SubmitResult(message.serial, result))
 
         name = duty_of(message.submission.customer)
         publisher = self.by_lease.get(name)
         if publisher is None:
-            answer(LeaderBusyError(f"{name}: not with this runner"))
+            send_result(LeaderBusyError(f"{name}: not with this runner"))
         else:
-            publisher.submit(message.submission, answer)
+            publisher.submit(message.submission, send_result)
 
     # ---- publisher.PublisherHost ----
 
-    def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
-        """Check a draft against what is granted to the customer now."""
+    def check(self, customer: str, draft: bytes, callback: Callable[[NamespaceError | None], None]) -> None:
+        """Check a draft against the customer's current grant."""
         grant = self._host.grant_of(customer)
         if grant is None:
-            then(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
+            callback(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
         else:
-            self._host.check(draft, grant, then)
+            self._host.check(draft, grant, callback)
 
-    def history(self, customer: str, then: HistoryCallback) -> None:
+    def history(self, customer: str, callback: HistoryCallback) -> None:
         """Read the customer's history from a majority of the register."""
-        self.register.history(customer, then)
+        self.register.history(customer, callback)
 
     def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
         """Distribute a published revision."""
         self._member.count("namespaces: published")
-        self.propagation.published(customer, revision_id, draft)
+        self.propagation.distribute(customer, revision_id, draft)
 
     def publishing_limits(self, customer: str) -> PublishingLimits:
-        """Return how much the customer may publish and retain."""
+        """Return the customer's limits on publishing and retaining revisions."""
         return self._host.publishing_limits(customer)
 
     def ended(self, publisher: Publisher) -> None:
-        """Forget a publisher whose term is over."""
+        """Remove a publisher whose term has ended."""
         if self.by_lease.get(publisher.lease.name) is publisher:
             del self.by_lease[publisher.lease.name]
 
     def unix_ms(self) -> int:
-        """Return the wall-clock time."""
+        """Return the wall-clock time (Unix ms)."""
         return self._host.unix_ms()
--- a/moorusher/config_distribution/messages.py
+++ b/moorusher/config_distribution/messages.py
@@ -1,6 +1,6 @@
 """Messages between runners about customers' revisions.
 
-Encoded as arrays that begin with the tag: tags and the order of fields are the protocol, names are not.
+Messages are encoded as arrays that start with the tag. Tags and the order of fields are the protocol; names are not.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 from ..namespaces.revision_id import RevisionId
 from ..replication.messages import ComponentPayload, component_codec
 
-PART = "namespaces"  # the component's name in `replication.messages.ComponentMessage`
+PART = "namespaces"  # Name of this component in `replication.messages.ComponentMessage`.
 
 
 class SubmitDraft(ComponentPayload, frozen=True, tag="submit"):
-    """A submission, to the leader of the customer's lease."""
+    """Sends a submission to the leader of the customer's lease."""
 
     serial: int
     submission: Submission
 
 
 class SubmitResult(ComponentPayload, frozen=True, tag="submitted"):
-    """The answer: published as `revision_id`, or the name of an error class with its text."""
+    """Answers `SubmitDraft` with the published revision, or with the kind and text of an error."""
 
     serial: int
     revision_id: RevisionId
@@ -29,10 +29,11 @@
 
 
 class Disseminate(ComponentPayload, frozen=True, tag="cast"):
-    """Obtain a revision, and see that the seats with indexes from `low` up to, without, `high` obtain it.
+    """Asks the receiver to obtain a revision and to forward it to the seats with indexes in [low, high).
 
-    draft: None where it has to be requested (a large one), or where the namespace is deleted.
-    left_ms: the sender waits no longer than this for the result.
+    Attributes:
+        timeout_ms: How long the receiver has to report the result.
+        draft: None if the draft is large and must be requested, or if the namespace is deleted.
     """
 
     serial: int
@@ -41,32 +42,32 @@
     deleted: bool
     low: int
     high: int
-    left_ms: int
+    timeout_ms: int
     draft: bytes | None = None
 
 
 class DisseminateReceived(ComponentPayload, frozen=True, tag="heard"):
-    """A `Disseminate` has arrived; its result follows."""
+    """Acknowledges a `Disseminate`; its result follows."""
 
     serial: int
 
 
 class DisseminateResult(ComponentPayload, frozen=True, tag="covered"):
-    """The seats of the range that lack the revision, each with the reason; all others have it."""
+    """Reports the seats of the range that lack the revision, with reasons. All other seats have it."""
 
     serial: int
     lacking: dict[str, str]
 
 
 class RevisionRequest(ComponentPayload, frozen=True, tag="want"):
-    """Asks a member for a customer's revision, or a later one."""
+    """Requests a customer's revision, or a later one."""
 
     customer: str
     revision_id: RevisionId
 
 
 class RevisionReply(ComponentPayload, frozen=True, tag="given"):
-    """The requested revision, or a later one."""
+    """Sends the requested revision, or a later one."""
 
     customer: str
     revision_id: RevisionId
@@ -75,17 +76,23 @@
 
 
 class DigestSummary(ComponentPayload, frozen=True, tag="compare"):
-    """The sender's digests, one a bucket of customers. `ready`: the sender knows what the other members have."""
+    """Sends one digest for each bucket of customers.
+
+    Attributes:
+        ready: Whether the sender knows the other members' revisions.
+    """
 
     digests: tuple[int, ...]
     ready: bool
 
 
 class DigestDifference(ComponentPayload, frozen=True, tag="differ"):
-    """What the sender has in the buckets that differ.
+    """Lists the sender's revisions in the buckets whose digests differ.
 
-    listed: customer, revision, whether it is deleted.
-    reply_wanted: the receiver is to list its own.
+    Attributes:
+        listed: For each customer, its name, its revision and whether the namespace is deleted.
+        reply_wanted: Whether the receiver must reply with its own revisions in these buckets.
+        ready: Whether the sender knows the other members' revisions.
     """
 
     buckets: tuple[int, ...]
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -1,4 +1,4 @@
-"""Publications and deletions sent to all members, and which members lack one."""
+"""Distribution of publications and deletions to all members, and detection of the members that lack one."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 from ..namespaces.revision_id import RevisionId
 from ..time_units import MS
 from .dissemination import MAX_LACKING, Disseminator, LackingCallback
-from .publisher import Answer, duty_of
+from .publisher import RevisionCallback, duty_of
 from .register_reader import RegisterReader
 from .revision_fetching import RevisionFetcher
 from .services import MemberServices
 
 PROPAGATION_TIMEOUT_US = 2_000 * MS
 REGISTER_RETRY_PAUSE_US = 100 * MS
-DELETED_NUMBER = (
-    1 << 62
-)  # the revision number of a deleted namespace: later than all others of its incarnation
+# Revision number of a deleted namespace. It is later than all other numbers of the incarnation.
+DELETED_NUMBER = 1 << 62
 
 
 class Propagation:
-    """Brings revisions to all members, from this one."""
+    """Distributes revisions and deletions from this member to all others.
+
+    Attributes:
+        disseminator: Broadcasts the revisions that this member has.
+    """
 
     def __init__(
         self,
@@ -31,70 +34,72 @@
         register: RegisterReader,
         disseminator: Disseminator,
     ) -> None:
-        """`disseminator`: broadcasts what this member has."""
         self.disseminator = disseminator
         self._member = member
         self._directory = participant.directory
         self._revisions = revisions
         self._register = register
 
-    def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
-        """Make a revision that was published here current here, and broadcast it."""
+    def distribute(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
+        """Make a newly published revision current at this member, and broadcast it."""
 
-        def obtained(reason: str) -> None:
+        def on_obtained(reason: str) -> None:
             if not reason and self._revisions.customers.latest_id(customer) == revision_id:
                 self.disseminator.broadcast(
                     customer, revision_id, False, PROPAGATION_TIMEOUT_US, lambda lacking: None
                 )
 
-        self._revisions.obtain(customer, revision_id, False, draft, self._member.me, obtained)
+        self._revisions.obtain(customer, revision_id, False, draft, self._member.me, on_obtained)
 
     def everywhere(
         self,
         customer: str,
         revision_id: RevisionId,
-        then: LackingCallback,
+        callback: LackingCallback,
         timeout_us: int = PROPAGATION_TIMEOUT_US,
     ) -> None:
-        """Call `then` with the seats that have neither that revision nor a later one, and why; all others have."""
+        """Broadcast a revision, and call `callback` with the seats that have neither it nor a later one, and why.
+
+        This member first reads the revision from the register if it lacks it.
+        """
         deadline_us = self._member.now() + timeout_us
         customers = self._revisions.customers
         deleted = revision_id[1] == DELETED_NUMBER
 
-        def obtained(reason: str) -> None:
-            if reason:  # not even here, so no other seat was asked
+        def on_obtained(reason: str) -> None:
+            if reason:  # This member lacks the revision itself, so it has not asked any other seat.
                 seats = self._member.known_seats()[:MAX_LACKING]
-                then({seat: reason if seat == self._member.me else "not asked" for seat in seats})
+                callback({seat: reason if seat == self._member.me else "not asked" for seat in seats})
                 return
-            left_us = max(0, deadline_us - self._member.now())
-            self.disseminator.broadcast(customer, *self._revisions.known(customer), left_us, then)
+            remaining_us = max(0, deadline_us - self._member.now())
+            self.disseminator.broadcast(customer, *self._revisions.known(customer), remaining_us, callback)
 
-        def fetched(draft: bytes | None) -> None:
+        def on_fetched(draft: bytes | None) -> None:
             if draft is not None or customers.latest_id(customer) >= revision_id:
-                self._revisions.obtain(customer, revision_id, False, draft, self._member.me, obtained)
+                self._revisions.obtain(customer, revision_id, False, draft, self._member.me, on_obtained)
             elif self._member.now() >= deadline_us:
-                obtained("its draft is not to be had")
+                on_obtained("its draft is not to be had")
             else:
                 self._member.call_at(self._member.now() + REGISTER_RETRY_PAUSE_US, fetch)
 
         def fetch() -> None:
-            self._register.draft(customer, revision_id, fetched)
+            self._register.draft(customer, revision_id, on_fetched)
 
         if deleted or customers.latest_id(customer) >= revision_id:
-            self._revisions.obtain(customer, revision_id, deleted, None, self._member.me, obtained)
+            self._revisions.obtain(customer, revision_id, deleted, None, self._member.me, on_obtained)
         else:
             fetch()
 
-    def delete(self, customer: str, then: Answer) -> None:
-        """Delete a namespace with its history; created again, it has another incarnation."""
+    def delete(self, customer: str, callback: RevisionCallback) -> None:
+        """Delete a namespace with its history. If it is created again, it has another incarnation."""
 
-        def removed(got: LeaseRecord | LeadershipError) -> None:
-            if isinstance(got, LeadershipError):
-                then(got)
+        def on_removed(result: LeaseRecord | LeadershipError) -> None:
+            if isinstance(result, LeadershipError):
+                callback(result)
                 return
-            incarnation = got.generation
-            if got.status != LeaseStatus.REMOVED:
-                incarnation -= 1  # it has been created again since
+            incarnation = result.generation
+            if result.status != LeaseStatus.REMOVED:
+                incarnation -= 1  # The namespace has been created again since.
             revision_id = (incarnation, DELETED_NUMBER)
             self._revisions.obtain(
                 customer,
@@ -106,6 +111,6 @@
                     customer, revision_id, True, PROPAGATION_TIMEOUT_US, lambda lacking: None
                 ),
             )
-            then(revision_id)
+            callback(revision_id)
 
-        self._directory.remove(duty_of(customer), removed)
+        self._directory.remove(duty_of(customer), on_removed)
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -1,8 +1,8 @@
-"""The work of the lease `namespace/<customer>`: submissions become revisions, one after the other.
+"""Publication of submissions as revisions, one at a time, by the holder of the lease `namespace/<customer>`.
 
-A revision is published once a majority of the register has accepted it in this leader's term; only then is anybody
-notified. Where the outcome of an attempt is unknown, the register is read before the next attempt, so that one number
-never means two drafts.
+A revision is published once a majority of the register has accepted it in this leader's term; nobody is notified
+earlier. If the outcome of an attempt is unknown, the register is read before the next attempt, so that no number is
+ever used for two drafts.
 """
 
 from __future__ import annotations
@@ -27,72 +27,73 @@
 from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError
 
-KIND = "namespace"
-PREFIX = "namespace/"
-MAX_WAITING = 16  # submissions a customer
-Answer = Callable[[RevisionId | DistributionError], None]
-HistoryCallback = Callable[
-    [tuple[int, RevisionHistory] | LeadershipError], None
-]  # with the namespace's incarnation
+KIND = "namespace"  # Kind of these leases.
+LEASE_PREFIX = "namespace/"
+MAX_WAITING = 16  # Maximum number of waiting submissions per customer.
+RevisionCallback = Callable[[RevisionId | DistributionError], None]
+# Called with the namespace's incarnation and its history, or with an error.
+HistoryCallback = Callable[[tuple[int, RevisionHistory] | LeadershipError], None]
 
 
 def duty_of(customer: str) -> str:
     """Return the name of the lease whose leader publishes for a customer."""
-    return PREFIX + customer
+    return LEASE_PREFIX + customer
 
 
 class PublisherHost(Protocol):
-    """What a publisher uses of the member that leads."""
+    """The interface of the leading member that a publisher uses."""
 
-    def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
-        """Call `then` with what is wrong with a draft, or None."""
+    def check(self, customer: str, draft: bytes, callback: Callable[[NamespaceError | None], None]) -> None:
+        """Check a draft, and call `callback` with the error, or None if the draft is valid."""
         ...
 
-    def history(self, customer: str, then: HistoryCallback) -> None:
+    def history(self, customer: str, callback: HistoryCallback) -> None:
         """Read the customer's history from a majority of the register."""
         ...
 
     def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
-        """A revision has been published: distribute it."""
+        """Called when a revision has been published, to distribute it."""
         ...
 
     def publishing_limits(self, customer: str) -> PublishingLimits:
-        """Return how much may be published and retained."""
+        """Return the customer's limits on publishing and retaining revisions."""
         ...
 
     def ended(self, publisher: Publisher) -> None:
-        """The publisher's term is over."""
+        """Called when the publisher's term has ended."""
         ...
 
     def unix_ms(self) -> int:
-        """Return the wall-clock time."""
+        """Return the wall-clock time (Unix ms)."""
         ...
 
 
 class Publisher:
     """Publishes one customer's revisions while its lease is held (`leadership.worker.Worker`).
 
-    lease: LeaseHolder, through which the state is changed.
-    customer: str, whose revisions.
-    incarnation: int, of the namespace.
+    Attributes:
+        lease: Holder of the lease, which changes the lease's state.
+        host: The leading member.
+        customer: Name of the customer.
+        incarnation: Incarnation of the namespace.
     """
 
     def __init__(self, lease: LeaseHolder, host: PublisherHost) -> None:
         self.lease = lease
         self.host = host
-        self.customer = lease.name.removeprefix(PREFIX)
+        self.customer = lease.name.removeprefix(LEASE_PREFIX)
         self.incarnation = lease.record.generation
-        self._history: RevisionHistory | None = (
-            None  # None: unknown, the register is read before the next submission is judged
-        )
-        self._waiting: deque[tuple[Submission, Answer]] = deque()  # the first one is being published
+        # None if unknown: the register must be read before the next submission is processed.
+        self._history: RevisionHistory | None = None
+        # The first submission is being published.
+        self._waiting: deque[tuple[Submission, RevisionCallback]] = deque()
         self._stop_reason: LeadershipError | None = None
         self._stopped = False
 
     # ---- leadership.worker.Worker ----
 
     def start(self) -> None:
-        """Distribute the current revision again: the previous leader may have died before all had it."""
+        """Distribute the current revision again, because the previous leader may have failed before doing so."""
         try:
             self._history = decode_history(self.lease.state, self.customer)
         except ValueError:
@@ -101,108 +102,111 @@
             self.host.published(self.customer, (self.incarnation, entry.number), entry.draft)
 
     def before_release(self) -> None:
-        """Nothing has to be written before the lease is released."""
+        """Do nothing: no state has to be written before the lease is released."""
 
-    def stop(self, why: LeadershipError | None) -> None:
-        """Fail all waiting submissions with `why`, or `Busy` where the lease is released."""
+    def stop(self, reason: LeadershipError | None) -> None:
+        """Fail all waiting submissions with `reason`, or with `LeaderBusyError` if the lease is being released."""
         self._stopped = True
-        self._stop_reason = why
+        self._stop_reason = reason
         self.host.ended(self)
         waiting = list(self._waiting)
         self._waiting.clear()
-        for _, then in waiting:
-            then(why or self._being_released())
+        for _, callback in waiting:
+            callback(reason or self._lease_released_error())
 
-    def _being_released(self) -> LeaderBusyError:
+    def _lease_released_error(self) -> LeaderBusyError:
         return LeaderBusyError(f"{self.lease.name}: it is being given to another")
 
-    # ---- submissions, one after the other ----
+    # ---- submissions, one at a time ----
 
-    def submit(self, submission: Submission, then: Answer) -> None:
-        """Publish; call `then` once with the revision, or with why it was not published as far as is known here."""
+    def submit(self, submission: Submission, callback: RevisionCallback) -> None:
+        """Publish a submission, and call `callback` once with its revision or with an error.
+
+        After some errors (`NoMajorityError`, `LeaderBusyError`) the submission may still have been published.
+        """
         if self._stopped or submission.customer != self.customer:
-            then(self._stop_reason or self._being_released())
+            callback(self._stop_reason or self._lease_released_error())
             return
         if len(self._waiting) >= MAX_WAITING:
-            then(LeaderBusyError(f"{self.lease.name}: {MAX_WAITING} submissions wait already"))
+            callback(LeaderBusyError(f"{self.lease.name}: {MAX_WAITING} submissions wait already"))
             return
-        self._waiting.append((submission, then))
+        self._waiting.append((submission, callback))
         if len(self._waiting) == 1:
             self._process_first()
 
     def _process_first(self) -> None:
         if self._history is not None:
-            self._judge(self._history)
+            self._evaluate(self._history)
             return
 
-        def read(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
+        def on_read(result: tuple[int, RevisionHistory] | LeadershipError) -> None:
             if self._stopped:
                 return
-            if isinstance(got, LeadershipError):
-                self._done(got)
+            if isinstance(result, LeadershipError):
+                self._finish_first(result)
                 return
-            incarnation, history = got
+            incarnation, history = result
             if incarnation != self.incarnation:
-                self._done(self._being_released())
+                self._finish_first(self._lease_released_error())
                 return
             self._history = history
-            self._judge(history)
+            self._evaluate(history)
 
-        self.host.history(self.customer, read)
+        self.host.history(self.customer, on_read)
 
-    def _judge(self, history: RevisionHistory) -> None:
+    def _evaluate(self, history: RevisionHistory) -> None:
         """Check the first submission against the history, and publish it."""
         submission = self._waiting[0][0]
-        if (
-            before := history.find_submission(submission.submission_id)
-        ) is not None:  # a retry: the answer was lost
-            self._done((self.incarnation, before.number))
+        # A submission that is already in the history is a retry after a lost answer.
+        if (published := history.find_submission(submission.submission_id)) is not None:
+            self._finish_first((self.incarnation, published.number))
             return
         try:
             draft = draft_to_publish(history, submission)
         except NamespaceError as exc:
-            self._done(exc)
+            self._finish_first(exc)
             return
 
-        def checked(error: NamespaceError | None) -> None:
+        def on_checked(error: NamespaceError | None) -> None:
             if self._stopped:
                 return
             if error is not None:
-                self._done(error)
+                self._finish_first(error)
                 return
             self._publish(history, submission, draft)
 
-        self.host.check(self.customer, draft, checked)
+        self.host.check(self.customer, draft, on_checked)
 
     def _publish(self, history: RevisionHistory, submission: Submission, draft: bytes) -> None:
         try:
             limits = self.host.publishing_limits(self.customer)
             updated = add_revision(history, submission, draft, self.host.unix_ms(), limits)
         except NamespaceError as exc:
-            self._done(exc)
+            self._finish_first(exc)
             return
 
-        def finished(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             if self._stopped:
                 return
             if isinstance(outcome, Completed):
                 self._history = updated
                 revision_id = (self.incarnation, updated.current_number)
                 self.host.published(self.customer, revision_id, draft)
-                self._done(revision_id)
+                self._finish_first(revision_id)
                 return
             if isinstance(outcome, (NoMajorityError, LeaderBusyError)):
-                # The change may still be accepted. Judged by the old history, the next draft would get the same number:
-                # the register is read first, which also prevents the change from being accepted afterwards.
+                # The change may still be accepted. If the old history were used for the next draft, both could get the
+                # same number. So the register is read first, which also prevents later acceptance of the change.
                 self._history = None
-            self._done(outcome)
+            self._finish_first(outcome)
 
-        self.lease.submit(StateUpdate(encode_history(updated)), finished)
+        self.lease.submit(StateUpdate(encode_history(updated)), on_outcome)
 
-    def _done(self, answer: RevisionId | DistributionError) -> None:
+    def _finish_first(self, result: RevisionId | DistributionError) -> None:
+        """Report the result of the first submission, and process the next one."""
         if self._stopped:
             return
-        _, then = self._waiting.popleft()
-        then(answer)
+        _, callback = self._waiting.popleft()
+        callback(result)
         if self._waiting and not self._stopped:
             self._process_first()
--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -1,4 +1,4 @@
-"""Revisions and histories as a majority of the register has them, rather than as they are current at this member."""
+"""Reading of histories and revisions from a majority of the register, instead of this member's current revisions."""
 
 from __future__ import annotations
 
@@ -23,76 +23,84 @@
     def __init__(
         self,
         participant: Participant,
-        led_here: Container[str],
+        held_leases: Container[str],
         revisions: RevisionFetcher,
         reader: DraftReader,
     ) -> None:
-        """`led_here`: names of the leases that this member's publishers hold."""
+        """Initialize the reader.
+
+        :param held_leases: Names of the leases that this member's publishers hold.
+        """
         self._directory = participant.directory
-        self._led_here = led_here
+        self._held_leases = held_leases
         self._revisions = revisions
         self._reader = reader
 
-    def history(self, customer: str, then: HistoryCallback) -> None:
-        """Call `then` with the namespace's incarnation and its history.
+    def history(self, customer: str, callback: HistoryCallback) -> None:
+        """Call `callback` with the namespace's incarnation and its history.
 
-        Read by the leader itself, no change that it has given up on is accepted afterwards.
+        If this member is the leader, the read also prevents later acceptance of changes that the leader has given up.
         """
         name = duty_of(customer)
 
-        def read(got: Reading | LeadershipError) -> None:
-            if isinstance(got, LeadershipError):
-                then(got)
+        def on_read(result: Reading | LeadershipError) -> None:
+            if isinstance(result, LeadershipError):
+                callback(result)
                 return
             try:
-                history = decode_history(got.state or b"", customer)
+                history = decode_history(result.state or b"", customer)
             except ValueError as exc:
-                then(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # a LeadershipError
+                callback(error_from_wire("Damaged", str(exc)))  # type: ignore[arg-type]  # This is a LeadershipError.
                 return
-            then((got.record.generation, history))
+            callback((result.record.generation, history))
 
-        self._directory.read(name, read, after_abandoned_changes=name in self._led_here)
+        self._directory.read(name, on_read, after_abandoned_changes=name in self._held_leases)
 
-    def draft(self, customer: str, revision_id: RevisionId, then: Callable[[bytes | None], None]) -> None:
-        """Call `then` with the draft of exactly that revision; None where it is not there or not readable."""
+    def draft(self, customer: str, revision_id: RevisionId, callback: Callable[[bytes | None], None]) -> None:
+        """Call `callback` with the draft of exactly that revision, or with None if it can't be read."""
         incarnation, number = revision_id
 
-        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
-            entry = None if isinstance(got, LeadershipError) or got[0] != incarnation else got[1].find(number)
-            then(None if entry is None else entry.draft)
+        def on_history(result: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            entry = (
+                None
+                if isinstance(result, LeadershipError) or result[0] != incarnation
+                else result[1].find(number)
+            )
+            callback(None if entry is None else entry.draft)
 
-        self.history(customer, got_history)
+        self.history(customer, on_history)
 
     def revision(
         self,
         customer: str,
         revision_id: RevisionId,
-        then: Callable[[Revision | DistributionError], None],
+        callback: Callable[[Revision | DistributionError], None],
     ) -> None:
-        """Call `then` with exactly that revision, current or not, or with an error.
+        """Call `callback` with exactly that revision, current or not, or with an error.
 
-        For work that another runner has begun under it. `RevisionNotRetainedError` where it is retained no longer.
+        Used for work that another runner started under that revision. The error is `RevisionNotRetainedError` if the
+        revision is no longer retained.
         """
         current = self._revisions.customers.get(customer)
         if current is not None and current.revision_id == revision_id:
-            then(current)
+            callback(current)
             return
         incarnation, number = revision_id
 
-        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
-            if isinstance(got, LeadershipError):
-                then(got)
+        def on_history(result: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            if isinstance(result, LeadershipError):
+                callback(result)
                 return
-            entry = got[1].find(number) if got[0] == incarnation else None
+            entry = result[1].find(number) if result[0] == incarnation else None
             if entry is None:
-                then(RevisionNotRetainedError(f"revision {number} of {customer!r} is kept no longer"))
+                callback(RevisionNotRetainedError(f"revision {number} of {customer!r} is kept no longer"))
                 return
             draft = entry.draft
             self._reader.read(
                 draft,
-                lambda read: then(
+                lambda read: callback(
                     read if isinstance(read, NamespaceError) else Revision(customer, revision_id, read, draft)
                 ),
             )
 
-        self.history(customer, got_history)
+        self.history(customer, on_history)
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -1,6 +1,7 @@
-"""One member's replica of all customers' revisions, and its part in publishing and distributing them.
+"""One member's replica of all customers' revisions, with its components for publishing and distributing them.
 
-Between leadership, whose leases say who publishes, and the process, which reads drafts, stores them and routes by them.
+It connects leadership, whose leases determine the publishers, with the process, which parses and stores drafts and
+routes requests by them.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     SubmitResult,
 )
 from .propagation import Propagation
-from .publisher import Answer, Publisher
+from .publisher import Publisher, RevisionCallback
 from .register_reader import RegisterReader
 from .revision_fetching import RevisionFetcher
 from .services import MemberServices, ReplicaHost
@@ -40,19 +41,24 @@
 
 
 class Replica:
-    """One member's replica of all customers' revisions: its parts, connected.
-
-    member: MemberServices, what the parts use of the member.
-    revisions: RevisionFetcher, the current revisions.
-    disseminator, anti_entropy: how revisions come here and go on.
-    submissions: SubmissionForwarder, for what is submitted at this member.
-    publishers: LocalPublishers, for the leases that this member holds.
-    register: RegisterReader, for what a majority has.
-    propagation: Propagation, for publications and deletions from this member.
+    """One member's replica of all customers' revisions. Creates and connects its components.
+
+    Attributes:
+        member: Services of the member that the components use.
+        revisions: The current revisions, and fetches of later ones.
+        disseminator: Broadcasts revisions.
+        anti_entropy: Compares revisions with other members and fetches missing ones.
+        submissions: Forwards submissions made at this member to the leaders.
+        publishers: Publishers of the leases that this member holds.
+        register: Reads histories and revisions from a majority of the register.
+        propagation: Distributes publications and deletions from this member.
     """
 
     def __init__(self, participant: Participant, host: ReplicaHost, max_customers: int) -> None:
-        """`max_customers`: deleted namespaces that are remembered."""
+        """Create the components and register for the component's messages.
+
+        :param max_customers: Maximum number of deleted namespaces to retain.
+        """
         self._host = host
         self.member = member = MemberServices(participant, self._handle)
         self.revisions = RevisionFetcher(member, CurrentRevisions(max_customers), host, self._changed)
@@ -83,7 +89,10 @@
         return self.revisions.customers
 
     def start(self, stored: list[tuple[str, RevisionId, bytes | None]], ready_timeout_us: int) -> None:
-        """Begin with what this runner's disk has, and compare with the other members."""
+        """Load the revisions stored on this runner's disk, and start comparing with the other members.
+
+        :param stored: Customer, revision and draft; the draft is None if the namespace is deleted.
+        """
         for customer, revision_id, draft in stored:
             self.revisions.obtain(
                 customer, revision_id, draft is None, draft, self.member.me, lambda reason: None
@@ -91,16 +100,16 @@
         self.anti_entropy.start(ready_timeout_us)
 
     def work(self, lease: LeaseHolder) -> Publisher:
-        """Create the worker for a lease that this member has acquired (`leadership.worker.Worker`)."""
+        """Create the worker (`leadership.worker.Worker`) for a lease that this member has acquired."""
         return self.publishers.create(lease)
 
-    def submit(self, submission: Submission, then: Answer) -> None:
-        """Publish at the leader; see `SubmissionForwarder.submit`."""
-        self.submissions.submit(submission, then)
+    def submit(self, submission: Submission, callback: RevisionCallback) -> None:
+        """Forward a submission to the leader; see `SubmissionForwarder.submit`."""
+        self.submissions.submit(submission, callback)
 
-    def delete(self, customer: str, then: Answer) -> None:
+    def delete(self, customer: str, callback: RevisionCallback) -> None:
         """Delete a namespace; see `Propagation.delete`."""
-        self.propagation.delete(customer, then)
+        self.propagation.delete(customer, callback)
 
     def _on_message(self, seat: str, body: bytes) -> None:
         try:
@@ -114,6 +123,6 @@
         self._handlers[type(message)](seat, message)
 
     def _changed(self, customer: str, draft: bytes | None) -> None:
-        self.anti_entropy.note_changed(customer)
+        self.anti_entropy.mark_changed(customer)
         self._host.keep(customer, self.customers.latest_id(customer), draft)
         self._host.changed(customer)
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -1,6 +1,6 @@
-"""How one member comes to have a revision: it is received or requested, read, and made current.
+"""Fetching of revisions at one member: a draft is received or requested, parsed and made current.
 
-A customer's revision only moves forward, and is replaced as one value.
+A customer's revision is replaced as a whole, and only by a later one.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from .messages import RevisionReply, RevisionRequest
 from .services import DraftReader, Member, ObtainCallback
 
-MAX_CONCURRENT_FETCHES = 1_024  # customers
+MAX_CONCURRENT_FETCHES = 1_024  # One fetch per customer.
 FETCH_TIMEOUT_US = 5_000 * MS
 
 
 class FetchingMember(Member, Protocol):
-    """What fetching uses of a member."""
+    """The interface of a member that fetching uses."""
 
     def count(self, name: str) -> None:
         """Increment a counter."""
@@ -33,10 +33,11 @@
 class _Fetch:
     """One customer's fetch.
 
-    revision_id: the latest that is wanted, (0, 0) before the first.
-    source: the seat that has it.
-    waiting: who wants which revision.
-    reading: a draft is being parsed; none is requested meanwhile.
+    Attributes:
+        revision_id: The latest requested revision; (0, 0) before the first request.
+        source: Seat that has the revision.
+        waiting: Requested revisions with their callbacks.
+        reading: Whether a draft is being parsed. No draft is requested meanwhile.
     """
 
     revision_id: RevisionId
@@ -46,11 +47,12 @@
 
 
 class RevisionFetcher:
-    """One member's revisions, and the fetches of later ones.
+    """One member's current revisions, and the fetches of later ones.
 
-    Serves as `dissemination.DraftSource` and as `anti_entropy.KnownRevisions`.
+    Implements `dissemination.DraftSource` and `anti_entropy.KnownRevisions`.
 
-    customers: CurrentRevisions, the current revisions.
+    Attributes:
+        customers: The current revisions.
     """
 
     def __init__(
@@ -60,21 +62,24 @@
         reader: DraftReader,
         on_changed: Callable[[str, bytes | None], None],
     ) -> None:
-        """`on_changed`: a customer's current draft is another, or None where its namespace is deleted."""
+        """Initialize without fetches.
+
+        :param on_changed: Called with the customer and its new current draft, or None if its namespace was deleted.
+        """
         self.customers = customers
         self._member = member
         self._reader = reader
         self._on_changed = on_changed
         self._fetches: dict[str, _Fetch] = {}
 
-    # ---- what is current, and obtaining a later one ----
+    # ---- current revisions, and requests for later ones ----
 
     def known(self, customer: str) -> tuple[RevisionId, bool]:
-        """Return the latest revision known here, and whether it is a deletion."""
+        """Return the latest known revision, and whether it is a deletion."""
         return self.customers.latest_id(customer), self.customers.is_deleted(customer)
 
     def draft(self, customer: str, revision_id: RevisionId) -> bytes | None:
-        """Return the draft of exactly that revision, where it is current."""
+        """Return the draft of exactly that revision, or None if it is not current."""
         revision = self.customers.get(customer)
         return revision.draft if revision is not None and revision.revision_id == revision_id else None
 
@@ -85,23 +90,26 @@
         deleted: bool,
         draft: bytes | None,
         source: str,
-        then: ObtainCallback,
+        callback: ObtainCallback,
     ) -> None:
-        """Make that revision, or a later one, current here; without a draft it is requested from the seat `source`."""
+        """Make that revision, or a later one, current at this member.
+
+        :param draft: None to request it from the seat `source`.
+        """
         if revision_id <= self.customers.latest_id(customer):
-            then("")
+            callback("")
             return
         if deleted:
             self._delete(customer, revision_id)
-            then("")
+            callback("")
             return
         fetch = self._fetches.get(customer)
         if fetch is None:
             if len(self._fetches) >= MAX_CONCURRENT_FETCHES:
-                then("too many at a time")
+                callback("too many at a time")
                 return
             fetch = self._start_fetch(customer, source)
-        fetch.waiting.append((revision_id, then))
+        fetch.waiting.append((revision_id, callback))
         if revision_id > fetch.revision_id:
             fetch.revision_id = revision_id
             fetch.source = source
@@ -124,50 +132,52 @@
     def _read(self, customer: str, revision_id: RevisionId, draft: bytes, fetch: _Fetch) -> None:
         fetch.reading = True
 
-        def read(got: Namespace | NamespaceError) -> None:
+        def on_read(result: Namespace | NamespaceError) -> None:
             fetch.reading = False
-            if isinstance(got, NamespaceError):
+            if isinstance(result, NamespaceError):
                 self._member.count("namespaces: a revision that can't be read")
-                self._fail(customer, fetch, f"it can't be read: {got}")
+                self._fail(customer, fetch, f"it can't be read: {result}")
                 return
             try:
-                self.customers.install(Revision(customer, revision_id, got, draft))
-            except StaleRevisionError:  # a later one has become current while this one was parsed
+                self.customers.install(Revision(customer, revision_id, result, draft))
+            except StaleRevisionError:  # A later revision became current while this one was parsed.
                 self._complete(customer, fetch)
                 return
             self._on_changed(customer, draft)
             self._complete(customer, fetch)
 
-        self._reader.read(draft, read)
+        self._reader.read(draft, on_read)
 
     def _delete(self, customer: str, revision_id: RevisionId) -> None:
         self.customers.delete(customer, revision_id)
         self._on_changed(customer, None)
 
     def _complete(self, customer: str, fetch: _Fetch) -> None:
-        """Call back who wanted what is current now, and go on for the others."""
+        """Call the callbacks of the requests that are now fulfilled, and continue the fetch for the others."""
         current = self.customers.latest_id(customer)
-        served = [then for revision_id, then in fetch.waiting if revision_id <= current]
-        fetch.waiting = [(revision_id, then) for revision_id, then in fetch.waiting if revision_id > current]
+        fulfilled = [callback for revision_id, callback in fetch.waiting if revision_id <= current]
+        fetch.waiting = [
+            (revision_id, callback) for revision_id, callback in fetch.waiting if revision_id > current
+        ]
         if not fetch.waiting and self._fetches.get(customer) is fetch:
             del self._fetches[customer]
         elif fetch.waiting and not fetch.reading:
             self._member.send(fetch.source, RevisionRequest(customer, fetch.revision_id))
-        for then in served:
-            then("")
+        for callback in fulfilled:
+            callback("")
 
     def _fail(self, customer: str, fetch: _Fetch, reason: str) -> None:
         if self._fetches.get(customer) is fetch:
             del self._fetches[customer]
         waiting = fetch.waiting
         fetch.waiting = []
-        for _, then in waiting:
-            then(reason)
+        for _, callback in waiting:
+            callback(reason)
 
     # ---- messages ----
 
     def on_request(self, seat: str, message: RevisionRequest) -> None:
-        """Send the revision, or a later one; nothing where neither is here."""
+        """Send the requested revision or a later one, if this member has one."""
         customer = message.customer
         revision = self.customers.get(customer)
         if revision is not None and revision.revision_id >= message.revision_id:
@@ -178,7 +188,7 @@
             self._member.send(seat, RevisionReply(customer, self.customers.latest_id(customer), True, b""))
 
     def on_reply(self, seat: str, message: RevisionReply) -> None:
-        """Take a revision that was requested; one that is not wanted any more is ignored."""
+        """Process a requested revision. It is ignored if no fetch needs it any more."""
         fetch = self._fetches.get(message.customer)
         if fetch is None or message.revision_id <= self.customers.latest_id(message.customer):
             return
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica use of their member (identity, time, messages, who is alive) and of the process."""
+"""Interfaces of the member (identity, time, messages, liveness) and of the process that a replica's components use."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from . import messages
 from .messages import PART
 
-ObtainCallback = Callable[[str], None]  # "" once the revision is current here, else the reason why it is not
+# Called with "" once the revision is current at this member, or else with the reason why it is not.
+ObtainCallback = Callable[[str], None]
 UNREACHABLE_REASONS = {
     MemberState.SUSPECT: "suspected",
     MemberState.DEAD: "down",
@@ -24,7 +25,7 @@
 
 
 class Member(Protocol):
-    """One member of the cluster. Times are in us of its clock."""
+    """One member of the cluster. Times are in microseconds of its clock."""
 
     @property
     def me(self) -> str:
@@ -36,15 +37,15 @@
         ...
 
     def call_at(self, when: int, action: Callable[[], None]) -> None:
-        """Call `action` at that time."""
+        """Call `action` at a time (us)."""
         ...
 
     def now(self) -> int:
-        """Return the time."""
+        """Return the current time (us)."""
         ...
 
 
-class ObtainsRevisions(Protocol):
+class RevisionObtainer(Protocol):
     """The revisions of one member."""
 
     def obtain(
@@ -54,57 +55,70 @@
         deleted: bool,
         draft: bytes | None,
         source: str,
-        then: ObtainCallback,
+        callback: ObtainCallback,
     ) -> None:
-        """Make that revision, or a later one, current here; without a draft it is requested from `source`."""
+        """Make that revision, or a later one, current at this member.
+
+        :param draft: None to request it from the seat `source`.
+        """
         ...
 
 
 class DraftReader(Protocol):
-    """What reads drafts: the process."""
+    """Parses drafts. Implemented by the process."""
 
-    def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
-        """Parse a draft, and call `then` in a later turn."""
+    def read(self, draft: bytes, callback: Callable[[Namespace | NamespaceError], None]) -> None:
+        """Parse a draft, and call `callback` in a later turn of the event loop."""
         ...
 
 
 class ReplicaHost(DraftReader, Protocol):
-    """What a replica uses of the process."""
+    """The interface of the process that a replica uses."""
 
     def grant_of(self, customer: str) -> Grant | None:
-        """Return what is granted to a customer; None where the settings have no such customer."""
+        """Return the customer's grant, or None if the settings have no such customer."""
         ...
 
     def publishing_limits(self, customer: str) -> PublishingLimits:
-        """Return how much a customer may publish and retain."""
+        """Return the customer's limits on publishing and retaining revisions."""
         ...
 
-    def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
-        """Call `then` in a later turn with what is wrong with a draft, or None."""
+    def check(self, draft: bytes, grant: Grant, callback: Callable[[NamespaceError | None], None]) -> None:
+        """Check a draft; in a later turn of the event loop, call `callback` with the error or None."""
         ...
 
     def keep(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
-        """Store the current revision; None: the namespace is deleted."""
+        """Store the current revision on disk.
+
+        :param draft: None if the namespace is deleted.
+        """
         ...
 
     def unix_ms(self) -> int:
-        """Return the wall-clock time."""
+        """Return the wall-clock time (Unix ms)."""
         ...
 
     def became_ready(self) -> None:
-        """The replica knows what the other members have, or has stopped waiting for it."""
+        """Called when the replica knows the other members' revisions, or has stopped waiting for them."""
         ...
 
     def changed(self, customer: str) -> None:
-        """Another revision is current, or none."""
+        """Called when another revision has become current, or the namespace was deleted."""
         ...
 
 
 class MemberServices:
-    """A participant of the cluster as a `Member`."""
+    """Implements `Member` by a participant of the cluster.
+
+    Attributes:
+        participant: The participant.
+    """
 
     def __init__(self, participant: Participant, deliver_locally: Callable[[str, Any], None]) -> None:
-        """`deliver_locally`: takes messages that this member sends to itself."""
+        """Initialize the services.
+
+        :param deliver_locally: Called with this member's seat and a message that this member sends to itself.
+        """
         self.participant = participant
         self._deliver_locally = deliver_locally
 
@@ -120,22 +134,22 @@
 
     @property
     def incarnation(self) -> int:
-        """Of this process."""
+        """Incarnation of this process."""
         return self.participant.node.owner.incarnation
 
     def send(self, seat: str, message: Any) -> None:
-        """Send a message; one to this member is delivered in a turn of its own."""
+        """Send a message. A message to this member itself is delivered in a later turn."""
         if seat == self.me:
             self.call_at(self.now(), lambda: self._deliver_locally(seat, message))
         else:
             self.participant.node.send(seat, ComponentMessage(PART, messages.encode(message)))
 
     def call_at(self, when: int, action: Callable[[], None]) -> None:
-        """Call `action` at that time (us)."""
+        """Call `action` at a time (us)."""
         self.participant.services.at(when, action)
 
     def now(self) -> int:
-        """Return the time in us."""
+        """Return the current time (us)."""
         return self.participant.services.now()
 
     def count(self, name: str) -> None:
@@ -143,11 +157,11 @@
         self.participant.services.count(name)
 
     def random(self) -> float:
-        """Return a number from 0 up to, without, 1."""
+        """Return a random number in [0, 1)."""
         return self.participant.node.random()
 
     def known_seats(self) -> list[str]:
-        """Return all seats in the failure detector's order."""
+        """Return all seats in the order of the failure detector."""
         return list(self.participant.node.detector.by_seat)
 
     def live_peers(self) -> list[str]:
@@ -156,5 +170,5 @@
         return [seat for seat, member in members.items() if member.is_alive and seat != self.me]
 
     def unreachable_reason(self, seat: str) -> str:
-        """Return why nothing is sent to a seat; "" where it is alive."""
+        """Return why nothing is sent to a seat; empty if it is alive."""
         return UNREACHABLE_REASONS.get(self.participant.node.detector.by_seat[seat].state, "")
--- a/moorusher/namespaces/__init__.py
+++ b/moorusher/namespaces/__init__.py
@@ -1,5 +1,5 @@
-"""Each customer's routing rules in a namespace of its own: what may be written, which rule decides, and why.
+"""Namespaces: each customer's own routing rules, how drafts of them are parsed and checked, and which rule decides.
 
-Pure. A decision for a customer follows from that customer's revision, the platform's defaults and what the platform has
-granted it, and from nothing else. `docs/design/namespaces.md` says why it is built so.
+This package does no I/O. A decision for a customer depends only on that customer's revision, the platform's defaults
+and the platform's grants to that customer. `docs/design/namespaces.md` gives the reasons for this design.
 """
--- a/moorusher/namespaces/atoms.py
+++ b/moorusher/namespaces/atoms.py
@@ -1,8 +1,11 @@
-"""What a namespace's rules can distinguish. In each dimension all values fall into finitely many atoms, so a matcher's
-set is a mask of a few bits, and what rules have in common, or leave over, is exact.
+"""Atoms: the classes of attribute values that a namespace's rules can distinguish.
 
-An atom of strings is one literal that some rule names, or all strings under a prefix that are neither under a longer
-one nor named. There is always such a string. An atom of numbers lies between two ends of ranges.
+In each dimension, all values fall into finitely many atoms. A matcher's set is therefore a short bit mask, and
+intersections and differences of sets are exact.
+
+An atom of strings is either one literal that a rule names, or all strings with a given prefix that are not literals and
+have no longer prefix that a rule names. The latter is never empty. An atom of numbers is an interval between two
+adjacent range bounds.
 """
 
 from __future__ import annotations
@@ -20,29 +23,30 @@
 
 
 class StringAtoms:
-    """The atoms of strings.
+    """The atoms of one string dimension.
 
-    count: number of atoms.
-    full_mask: the mask of all of them.
+    Attributes:
+        count: Number of atoms.
+        full_mask: Mask of all atoms.
     """
 
     def __init__(self, sets: Iterable[StringSet]) -> None:
-        """Build the atoms that tell these sets apart."""
+        """Build the atoms that distinguish the given sets."""
         prefixes, literals = {""}, set[str]()
-        for one in sets:
-            prefixes |= one.prefixes
-            literals |= one.literals
+        for strings in sets:
+            prefixes |= strings.prefixes
+            literals |= strings.literals
         self._atom_by_literal = {literal: atom for atom, literal in enumerate(sorted(literals))}
         self._atom_by_prefix = {
             prefix: atom for atom, prefix in enumerate(sorted(prefixes), start=len(literals))
         }
         self._prefix_lengths = sorted({len(prefix) for prefix in prefixes}, reverse=True)
-        self._mask_by_prefix = self._masks_under(prefixes)
+        self._mask_by_prefix = self._masks_by_prefix(prefixes)
         self.count = len(literals) + len(prefixes)
         self.full_mask = (1 << self.count) - 1
 
-    def _masks_under(self, prefixes: Iterable[str]) -> dict[str, int]:
-        """Return for each prefix the atoms whose strings all begin with it."""
+    def _masks_by_prefix(self, prefixes: Iterable[str]) -> dict[str, int]:
+        """Return, for each prefix, the mask of the atoms whose strings all begin with it."""
         masks = dict.fromkeys(prefixes, 0)
         for text, atom in (*self._atom_by_literal.items(), *self._atom_by_prefix.items()):
             for length in self._prefix_lengths:
@@ -51,18 +55,18 @@
         return masks
 
     def atom_of(self, text: str) -> int:
-        """Return the atom that a string is in."""
-        found = self._atom_by_literal.get(text)
-        if found is not None:
-            return found
+        """Return the index of the atom that contains a string."""
+        atom = self._atom_by_literal.get(text)
+        if atom is not None:
+            return atom
         size, by_prefix = len(text), self._atom_by_prefix
         for length in self._prefix_lengths:
-            if length <= size and (found := by_prefix.get(text[:length])) is not None:
-                return found
-        raise AssertionError("the empty prefix holds every string")
+            if length <= size and (atom := by_prefix.get(text[:length])) is not None:
+                return atom
+        raise AssertionError("no atom found, although every string begins with the empty prefix")
 
     def mask_of(self, strings: AttributeSet) -> int:
-        """Return the mask of the atoms that a set consists of."""
+        """Return the mask of the atoms that make up a set."""
         assert isinstance(strings, StringSet)
         mask = 0
         for literal in strings.literals:
@@ -72,7 +76,7 @@
         return mask
 
     def example(self, atom: int) -> str:
-        """Return a string in an atom: the literal, the prefix itself, or the first plain string under it."""
+        """Return a string in an atom: its literal or its prefix, extended by one character if in another atom."""
         for literal, literal_atom in self._atom_by_literal.items():
             if literal_atom == atom:
                 return literal
@@ -84,28 +88,32 @@
 
 
 class NumberAtoms:
-    """The atoms of numbers.
+    """The atoms of one number dimension.
 
-    count: number of atoms.
-    full_mask: the mask of those that a number can be in.
+    Attributes:
+        count: Number of atoms.
+        full_mask: Mask of the atoms within the domain.
     """
 
     def __init__(self, sets: Iterable[NumberRanges], domain: NumberRange = ALL_NUMBERS.ranges[0]) -> None:
-        """Build the atoms that tell these sets apart; numbers are in `domain`."""
-        ends = set(domain)
-        for one in sets:
-            for number_range in one.ranges:
-                ends.update(number_range)
-        self._ends = sorted(ends)
-        self.count = len(self._ends) + 1
+        """Build the atoms that distinguish the given sets.
+
+        :param domain: Range that contains all numbers.
+        """
+        bounds = set(domain)
+        for numbers in sets:
+            for number_range in numbers.ranges:
+                bounds.update(number_range)
+        self._bounds = sorted(bounds)
+        self.count = len(self._bounds) + 1
         self.full_mask = self.mask_of(NumberRanges((domain,)))
 
     def atom_of(self, number: float) -> int:
-        """Return the atom that a number is in."""
-        return bisect_right(self._ends, number)
+        """Return the index of the atom that contains a number."""
+        return bisect_right(self._bounds, number)
 
     def mask_of(self, numbers: AttributeSet) -> int:
-        """Return the mask of the atoms that a set consists of."""
+        """Return the mask of the atoms that make up a set."""
         assert isinstance(numbers, NumberRanges)
         mask = 0
         for low, high in numbers.ranges:
@@ -115,7 +123,7 @@
 
     def example(self, atom: int) -> float:
         """Return a number in an atom."""
-        return self._ends[min(max(atom - 1, 0), len(self._ends) - 1)]
+        return self._bounds[min(max(atom - 1, 0), len(self._bounds) - 1)]
 
 
 Atoms = StringAtoms | NumberAtoms
--- a/moorusher/namespaces/boxes.py
+++ b/moorusher/namespaces/boxes.py
@@ -1,14 +1,14 @@
-"""Sets of requests as boxes of atoms: for each attribute one bit mask, with a bit for each atom that it may be in."""
+"""Boxes: sets of requests, represented by one bit mask per attribute, with a bit for each atom in the set."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-Box = tuple[int, ...]  # a mask of atoms for each of `rules.DIMENSIONS`, in order
+Box = tuple[int, ...]  # One mask of atoms for each of `rules.DIMENSIONS`, in that order.
 
 
 def set_bits(mask: int) -> Iterator[int]:
-    """Yield the indexes of the bits that are set, lowest first."""
+    """Yield the indexes of the set bits, lowest first."""
     while mask:
         lowest = mask & -mask
         yield lowest.bit_length() - 1
@@ -16,13 +16,13 @@
 
 
 def intersect(first: Box, second: Box) -> Box | None:
-    """Return what two boxes have in common; None where they are disjoint."""
-    common = tuple(one & other for one, other in zip(first, second, strict=True))
+    """Return the intersection of two boxes, or None if they are disjoint."""
+    common = tuple(first_mask & second_mask for first_mask, second_mask in zip(first, second, strict=True))
     return common if all(common) else None
 
 
 def subtract(box: Box, removed: Box) -> list[Box]:
-    """Return what of `box` is not in `removed`, as disjoint boxes."""
+    """Return the part of `box` outside `removed`, as disjoint boxes."""
     if intersect(box, removed) is None:
         return [box]
     pieces: list[Box] = []
--- a/moorusher/namespaces/current_revisions.py
+++ b/moorusher/namespaces/current_revisions.py
@@ -1,8 +1,10 @@
-"""All customers' namespaces at one runner. Nothing here looks from one into another: a decision is asked of one
-customer's revision, and that of a customer without one of the platform's default.
+"""The current revision of each customer's namespace at one runner.
 
-A runner goes from revision to revision forwards only, whole. A request keeps the `Revision` that it was read under, as
-a value, until its final answer; what is published, withdrawn or deleted meanwhile does not reach it.
+Namespaces are isolated: a decision depends on one customer's revision only, or on the platform's default if the
+customer has none.
+
+A runner replaces a revision as a whole, and only by a later one. A request keeps the `Revision` under which it was read
+until its final answer; later publications, changes of grants and deletions do not affect it.
 """
 
 from __future__ import annotations
@@ -23,8 +25,9 @@
 class Revision:
     """One revision of a customer's namespace.
 
-    namespace: the rules and routes.
-    draft: from which they were parsed.
+    Attributes:
+        namespace: The rules and routes.
+        draft: The draft from which they were parsed.
     """
 
     customer: str
@@ -33,7 +36,7 @@
     draft: bytes = b""
 
     def decide(self, request: RequestAttributes) -> tuple[Decision, tuple[Route, ...]]:
-        """Return the decision, and the routes to attempt in order; none where the request is rejected."""
+        """Return the decision and the routes to try in order; no routes if the request is rejected."""
         decision = self.namespace.table.decide(request)
         if decision.route is None:
             return decision, ()
@@ -41,15 +44,16 @@
 
 
 class CurrentRevisions:
-    """The revision of each customer that is current at one runner.
+    """The current revision of each customer at one runner.
 
-    max_tombstones: deleted namespaces that are remembered.
+    Attributes:
+        max_tombstones: Maximum number of deleted namespaces to retain.
     """
 
     def __init__(self, max_tombstones: int = 10_000) -> None:
         self.max_tombstones = max_tombstones
         self._current: dict[str, Revision] = {}
-        self._tombstones: dict[str, RevisionId] = {}  # no customer is in both
+        self._tombstones: dict[str, RevisionId] = {}  # Disjoint from `_current`.
 
     def __len__(self) -> int:
         return len(self._current)
@@ -59,8 +63,9 @@
     ) -> Revision:
         """Parse a published draft and make it current.
 
-        :raises StaleRevisionError: a later revision is current.
-        :raises NamespaceError: what is wrong with the draft; the current revision stays.
+        :param grant: If not None, the draft is checked against it; see `parse_draft`.
+        :raises StaleRevisionError: this revision or a later one is already known.
+        :raises NamespaceError: the draft is invalid; the current revision is unchanged.
         """
         self._check_later(customer, revision_id)
         return self.install(Revision(customer, revision_id, parse_draft(draft, grant), draft))
@@ -68,7 +73,7 @@
     def install(self, revision: Revision) -> Revision:
         """Make a parsed revision current.
 
-        :raises StaleRevisionError: a later one is.
+        :raises StaleRevisionError: this revision or a later one is already known.
         """
         self._check_later(revision.customer, revision.revision_id)
         self._current[revision.customer] = revision
@@ -76,32 +81,34 @@
         return revision
 
     def delete(self, customer: str, revision_id: RevisionId) -> None:
-        """Remember that the namespace is deleted.
+        """Remove the namespace and record a tombstone.
 
-        :raises StaleRevisionError: a later revision is current.
+        :raises StaleRevisionError: this revision or a later one is already known.
         """
         self._check_later(customer, revision_id)
         self._current.pop(customer, None)
         self._tombstones[customer] = revision_id
         while len(self._tombstones) > self.max_tombstones:
-            # The oldest goes: the register of the customer's duty still has what came last.
+            # The oldest tombstone can be dropped: the register of the customer's duty retains the latest state.
             del self._tombstones[next(iter(self._tombstones))]
 
     def _check_later(self, customer: str, revision_id: RevisionId) -> None:
         if revision_id <= self.latest_id(customer):
-            raise StaleRevisionError(f"{revision_id} is not later than {self.latest_id(customer)}")
+            raise StaleRevisionError(
+                f"revision {revision_id} is not later than the latest known, {self.latest_id(customer)}"
+            )
 
     def latest_id(self, customer: str) -> RevisionId:
-        """Return the id of the latest revision or deletion known here; `NO_REVISION` for none."""
+        """Return the id of the latest known revision or deletion; `NO_REVISION` if there is none."""
         revision = self._current.get(customer)
         return self._tombstones.get(customer, NO_REVISION) if revision is None else revision.revision_id
 
     def get(self, customer: str | None) -> Revision | None:
-        """Return the current revision; None where the platform's default applies."""
+        """Return the current revision, or None if the platform's default applies."""
         return None if customer is None else self._current.get(customer)
 
     def is_deleted(self, customer: str) -> bool:
-        """Return whether the namespace is deleted, as far as is known here."""
+        """Return whether this runner has a tombstone for the namespace."""
         return customer in self._tombstones
 
     def latest_ids(self) -> Mapping[str, RevisionId]:
--- a/moorusher/namespaces/draft.py
+++ b/moorusher/namespaces/draft.py
@@ -1,4 +1,4 @@
-"""A customer's draft as it is written, parsed into rules and routes; what it may cost; what it may name.
+"""Parsing of a customer's draft into rules and routes, with checks of its budget and of the names it may use.
 
     {"default": "main",
      "routes": {"main": {"servers": {"s1": 1}, "limit": 50, "tries": 2, "fall_back": "spare"},
@@ -8,8 +8,8 @@
                "no": {"match": {"class": ["admin"]}, "refuse": "not from here"}},
      "teams": {"lab": {"match": {"key": ["lab-*"]}, "rules": {...}}}}
 
-Whose it is is never said in it. Nothing in it is a reference to anybody else's: a pool that several use is known here
-only where the platform has granted it, under the name that the grant gives it.
+A draft does not name its customer, and can't refer to another customer's routes or servers. It can name a shared pool
+only if the platform has granted that pool, and by the name in the grant.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 import msgspec
 
 from .draft_rules import MAX_WEIGHT, parse_matcher, parse_rules
-from .draft_values import read_by_name, read_integer, read_name, read_object
+from .draft_values import read_integer, read_mapping, read_name, read_object
 from .errors import BudgetExceededError, MalformedInputError, NotGrantedError
 from .names import require_name
 from .namespace import Namespace, Route, check_fallbacks_end
@@ -33,12 +33,11 @@
 
 
 def parse_draft(draft: bytes, grant: Grant | None) -> Namespace:
-    """Parse a draft, and check it against what is granted.
+    """Parse a draft and check it against a grant.
 
-    `grant` is None for a published draft, which was checked then: what it names that is not granted here, or no
-    longer, is skipped by routing.
-
-    :raises NamespaceError: one of `errors.ERRORS`, with the path of what is wrong.
+    :param grant: None for a published draft, which was checked at publication. Routing skips its servers and pools
+        that are not granted at this runner, or no longer.
+    :raises NamespaceError: one of `errors.ERRORS`; its text contains the path of the invalid key.
     """
     if grant is not None:
         _check_size(draft, grant.budget)
@@ -65,7 +64,7 @@
 def _parse_routes(raw: Any, grant: Grant | None) -> dict[str, Route]:
     routes = {
         name: _parse_route(require_name(name, "routes"), raw_route, grant)
-        for name, raw_route in read_by_name(raw, "routes").items()
+        for name, raw_route in read_mapping(raw, "routes").items()
     }
     if grant is not None:
         _check_count("routes", len(routes), grant.budget.max_routes)
@@ -77,7 +76,7 @@
 def _parse_route(name: str, raw: Any, grant: Grant | None) -> Route:
     path = f"routes.{name}"
     values = read_object(raw, path, {"servers", "pool", "limit", "tries", "fall_back"})
-    weights = read_by_name(values.get("servers"), f"{path}.servers")
+    weights = read_mapping(values.get("servers"), f"{path}.servers")
     servers = tuple(
         sorted(
             (server, read_integer(weight, f"{path}.servers.{server}", 0, MAX_WEIGHT))
@@ -104,7 +103,7 @@
 
 
 def _check_references(routes: Mapping[str, Route], default: str) -> None:
-    """Check that the default and all fallbacks are routes of the draft, and that fallbacks come to an end."""
+    """Check that the default and all fallbacks are routes of the draft, and that fallbacks form no cycle."""
     if default not in routes:
         raise NotGrantedError(f"default: no such route of yours: {default!r}")
     for route in routes.values():
@@ -117,7 +116,7 @@
 
 def _parse_teams(raw: Any, routes: Mapping[str, Route]) -> list[Rule]:
     rules = []
-    for team, raw_team in read_by_name(raw, "teams").items():
+    for team, raw_team in read_mapping(raw, "teams").items():
         path = f"teams.{require_name(team, 'teams')}"
         values = read_object(raw_team, path, {"match", "rules"})
         scope = parse_matcher(values.get("match", {}), f"{path}.match")
@@ -135,6 +134,6 @@
     _check_count("words", sum(rule.matcher.member_count() for rule in rules), budget.max_set_members)
 
 
-def _check_count(what: str, count: int, granted: int) -> None:
+def _check_count(item_name: str, count: int, granted: int) -> None:
     if count > granted:
-        raise BudgetExceededError(f"{count} {what}; {granted} are granted")
+        raise BudgetExceededError(f"{count} {item_name}; {granted} are granted")
--- a/moorusher/namespaces/draft_changes.py
+++ b/moorusher/namespaces/draft_changes.py
@@ -1,4 +1,4 @@
-"""What changed between two drafts, by the names of their parts."""
+"""Differences between two drafts, by the names of their routes, rules and teams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def draft_changes(before: bytes, after: bytes) -> tuple[str, ...]:
-    """Return a line for each route, rule and team that differs, `+`, `-` or `~` first; neither draft need be valid."""
+    """Return a line for each difference: `+` (added), `-` (removed) or `~` (changed), and the name.
+
+    At most `MAX_LISTED_CHANGES` differences are listed. A draft that can't be decoded is treated as empty.
+    """
     old_parts, new_parts = _parts_by_name(before), _parts_by_name(after)
     changes = [
         f"{_sign(name, old_parts, new_parts)} {name}"
--- a/moorusher/namespaces/draft_rules.py
+++ b/moorusher/namespaces/draft_rules.py
@@ -1,11 +1,11 @@
-"""The rules of a draft, parsed: matchers and outcomes."""
+"""Parsing of a draft's rules: matchers and outcomes."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-from .draft_values import is_number, read_by_name, read_integer, read_object
+from .draft_values import is_number, read_integer, read_mapping, read_object
 from .errors import MalformedInputError, NotGrantedError
 from .names import require_name
 from .namespace import Route
@@ -20,13 +20,15 @@
 def parse_rules(
     raw: Any, path: str, routes: Mapping[str, Route], scope: Matcher = MATCH_ALL, team: str = ""
 ) -> list[Rule]:
-    """Parse the rules of a customer or of one of its teams, whose requests are those of `scope`.
+    """Parse the rules of a customer or of one of its teams.
 
-    :raises MalformedInputError: a key is missing, unknown or of the wrong kind.
-    :raises NotGrantedError: a rule names a route that the draft has not.
+    :param scope: Matcher of the team's requests; each rule is restricted to it.
+    :param team: Name of the team; empty for rules of the whole customer.
+    :raises MalformedInputError: a key is missing, unknown or of the wrong type.
+    :raises NotGrantedError: a rule names a route that is not in the draft.
     """
     rules = []
-    for name, raw_rule in read_by_name(raw, path).items():
+    for name, raw_rule in read_mapping(raw, path).items():
         rule_path = f"{path}.{require_name(name, path)}"
         values = read_object(raw_rule, rule_path, {"match", "to", "split", "refuse"})
         matcher = parse_matcher(values.get("match", {}), f"{rule_path}.match")
@@ -37,9 +39,9 @@
 
 
 def parse_matcher(raw: Any, path: str) -> Matcher:
-    """Parse a predicate on requests.
+    """Parse a matcher.
 
-    :raises MalformedInputError: a key is unknown or of the wrong kind.
+    :raises MalformedInputError: a key is unknown or of the wrong type.
     """
     values = read_object(raw, path, {"key", "class", "caller", "subject", "rank"})
     return Matcher(
@@ -81,8 +83,10 @@
 
 def _parse_ranges(raw: Any, path: str, minimum: float, maximum: float) -> NumberRanges:
     if not isinstance(raw, list) or not all(
-        isinstance(ends, list) and len(ends) == 2 and all(is_number(end, minimum, maximum) for end in ends)
-        for ends in raw
+        isinstance(bounds, list)
+        and len(bounds) == 2
+        and all(is_number(bound, minimum, maximum) for bound in bounds)
+        for bounds in raw
     ):
         raise MalformedInputError(f"{path}: expected a list of [from, to], from {minimum:g} to {maximum:g}")
     return NumberRanges.of([(float(low), float(high)) for low, high in raw])
@@ -106,8 +110,8 @@
 
 
 def _parse_route(raw: Any, path: str, routes: Mapping[str, Route]) -> RouteTo:
-    # An object is checked as a split's first: what is wrong inside of it is the more exact text.
-    weights = {raw: 1} if isinstance(raw, str) else read_by_name(raw, f"{path}.to")
+    # An object is first checked like that of a split, because an error inside it is more specific.
+    weights = {raw: 1} if isinstance(raw, str) else read_mapping(raw, f"{path}.to")
     _check_weights(weights, "to", path, routes)
     if not isinstance(raw, str):
         raise MalformedInputError(f"{path}.to: expected the name of a route")
@@ -115,7 +119,7 @@
 
 
 def _parse_split(raw: Any, path: str, routes: Mapping[str, Route]) -> Split:
-    weights = read_by_name(raw, f"{path}.split")
+    weights = read_mapping(raw, f"{path}.split")
     _check_weights(weights, "split", path, routes)
     if not any(weights.values()):
         raise MalformedInputError(f"{path}.split: expected a weight above 0")
--- a/moorusher/namespaces/draft_values.py
+++ b/moorusher/namespaces/draft_values.py
@@ -1,4 +1,7 @@
-"""Values of a draft's JSON by their kind; for others the `read` functions raise `MalformedInputError` with the path."""
+"""Type checks of the JSON values in a draft.
+
+The `read` functions raise `MalformedInputError`, with the path of the value, if its type or range is wrong.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 def read_object(raw: Any, path: str, known_keys: set[str]) -> dict[str, Any]:
-    """Return an object that has none but the known keys."""
+    """Return the value if it is an object with known keys only."""
     if not isinstance(raw, dict):
         raise MalformedInputError(f"{path}: expected an object")
     if unknown := sorted(set(raw) - known_keys):
@@ -18,8 +21,8 @@
     return raw
 
 
-def read_by_name(raw: Any, path: str) -> dict[str, Any]:
-    """Return an object whose keys are names; empty where it is missing."""
+def read_mapping(raw: Any, path: str) -> dict[str, Any]:
+    """Return the value if it is an object, whose keys are names; an empty one for None."""
     if raw is None:
         return {}
     if not isinstance(raw, dict):
@@ -28,19 +31,19 @@
 
 
 def read_name(raw: Any, path: str) -> str:
-    """Return the name of something that the draft or the platform has."""
+    """Return the value if it is a string, which names a route, server or pool."""
     if not isinstance(raw, str):
         raise MalformedInputError(f"{path}: expected a name, got {raw!r}")
     return raw
 
 
 def read_integer(raw: Any, path: str, minimum: int, maximum: int) -> int:
-    """Return a whole number within these bounds, both included."""
+    """Return the value if it is an integer within the inclusive bounds."""
     if isinstance(raw, bool) or not isinstance(raw, int) or not minimum <= raw <= maximum:
         raise MalformedInputError(f"{path}: expected a whole number from {minimum} to {maximum}, got {raw!r}")
     return raw
 
 
 def is_number(raw: Any, minimum: float, maximum: float) -> bool:
-    """Return whether a value is a number within these bounds, both included."""
+    """Return whether a value is a number within the inclusive bounds."""
     return isinstance(raw, (int, float)) and not isinstance(raw, bool) and minimum <= raw <= maximum
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -1,7 +1,7 @@
-"""Errors of customers' namespaces. Each says what is wrong, and in `remedy` what helps.
+"""Errors of customers' namespaces. Each has a text with the cause and a `remedy` for the operator.
 
-`kind`, `status` and `remedy` are part of the API, and runners send the kinds to each other (`config_distribution`). The
-operators' page (`docs/operate/namespaces.md`) lists them.
+`kind`, `status` and `remedy` are part of the API, and runners send the kinds to each other (`config_distribution`).
+`docs/operate/namespaces.md` lists the errors for operators.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 
 class NamespaceError(OperatorError):
-    """A draft, or a call about a namespace, is rejected."""
+    """A draft, or an API call about a namespace, is rejected."""
 
 
 class MalformedInputError(NamespaceError):
-    """A key of a draft, or of a query, is missing, unknown or of the wrong kind; the text begins with its path."""
+    """A key of a draft or of a query is missing, unknown or of the wrong type. The text begins with its path."""
 
     kind = "Malformed"
     status = 400
@@ -22,10 +22,11 @@
 
 
 class AmbiguousRulesError(NamespaceError):
-    """Two rules match one request, and neither is more specific.
+    """Two rules match the same request, and neither is more specific.
 
-    rules: their labels, sorted.
-    example: a request that both match, in words.
+    Attributes:
+        rules: Labels of the two rules, sorted.
+        example: Description of a request that both match.
     """
 
     kind = "Ambiguous"
@@ -39,10 +40,11 @@
 
 
 class UnreachableRuleError(NamespaceError):
-    """A rule that no request can reach.
+    """A rule can never decide for any request.
 
-    rule: its label.
-    covered_by: labels of the rules that cover it; none where it matches nothing by itself.
+    Attributes:
+        rule: Label of the rule.
+        covered_by: Labels of the rules that together cover it; empty if its own matcher matches no request.
     """
 
     kind = "Unreachable"
@@ -56,7 +58,7 @@
 
 
 class NotGrantedError(NamespaceError):
-    """A draft names what is not this customer's, nor granted to it."""
+    """A draft names a route, server or pool that is neither the customer's own nor granted to it."""
 
     kind = "Foreign"
     status = 403
@@ -64,7 +66,7 @@
 
 
 class BudgetExceededError(NamespaceError):
-    """More than the customer may cost; the text names the bound."""
+    """The customer's budget is exceeded. The text gives the limit."""
 
     kind = "OverBudget"
     status = 413
@@ -72,17 +74,19 @@
 
 
 class CircularFallbackError(NamespaceError):
-    """A route falls back on itself, directly or by others; the text names all of them."""
+    """A route falls back to itself, directly or through other routes. The text names all of them."""
 
     kind = "Circular"
     remedy = "Break the circle of fall-backs that is named."
 
 
 class PublishConflictError(NamespaceError):
-    """Another revision came first.
+    """A submission is not based on the current revision, because another one was published first.
 
-    expected, found: numbers of the revision that the change was made on top of, and of the current one.
-    changes: what changed in between, a line each.
+    Attributes:
+        expected: Number of the revision that the submission is based on.
+        found: Number of the current revision.
+        changes: Differences between the two, one line each.
     """
 
     kind = "Conflict"
@@ -101,7 +105,7 @@
 
 
 class RevisionNotRetainedError(NamespaceError):
-    """A revision that is not retained any more, or never was there."""
+    """The requested revision is no longer retained, or never existed."""
 
     kind = "Retired"
     status = 404
@@ -109,7 +113,7 @@
 
 
 class UnknownCustomerError(NamespaceError):
-    """No customer of that name has a namespace, or may have one."""
+    """The name is not that of a customer with a namespace, or the settings have no such customer."""
 
     kind = "NoSuchCustomer"
     status = 404
@@ -117,13 +121,13 @@
 
 
 class StaleRevisionError(NamespaceError):
-    """A revision is not later than the current one. Not sent: it is in this runner's log only."""
+    """A revision is not later than the latest known one. Never sent to other runners or to clients."""
 
     kind = "Stale"
     remedy = "Nothing: this runner has that revision, or a later one."
 
 
-# Those that are sent between runners, by their kinds.
+# Errors that runners send to each other, identified by their kinds.
 ERRORS: tuple[type[NamespaceError], ...] = (
     MalformedInputError,
     AmbiguousRulesError,
--- a/moorusher/namespaces/names.py
+++ b/moorusher/namespaces/names.py
@@ -1,8 +1,8 @@
-"""Names of customers, teams, routes and rules: compared exactly, in one normal form.
+"""Validation of the names of customers, teams, routes and rules.
 
-The form is Unicode's NFC, and nothing else: no folding of case, no stripping, no look-alikes made one. So `acme`,
-`Acme`, `acme-eu` and a name with a Cyrillic letter in it are four. A name that is not in that form is refused, not
-changed: who typed it learns of it.
+Names must be in Unicode's form NFC and are compared exactly. There is no case folding, no stripping and no merging of
+look-alike characters: `acme`, `Acme`, `acme-eu` and `acme` with a Cyrillic letter are four names. A name that is not in
+NFC is rejected rather than normalized, so that its author notices.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 from .errors import MalformedInputError
 
 MAX_LENGTH = 64  # characters
+# Unicode categories of control, format, surrogate, private-use and unassigned characters, and of separators.
 _REJECTED_CATEGORIES = {
     "Cc",
     "Cf",
@@ -21,11 +22,11 @@
     "Zl",
     "Zp",
     "Zs",
-}  # controls, formats, unassigned, spaces
+}
 
 
 def is_valid_name(name: str) -> bool:
-    """Return whether a string is a valid name in normal form."""
+    """Return whether a string is a valid name in form NFC."""
     return (
         0 < len(name) <= MAX_LENGTH
         and unicodedata.is_normalized("NFC", name)
@@ -34,9 +35,10 @@
 
 
 def require_name(name: object, path: str) -> str:
-    """Return the name.
+    """Return the name if it is valid.
 
-    :raises MalformedInputError: it is none, or not in normal form; `path` says where it stands.
+    :param path: Path of the name in its document, for the error's text.
+    :raises MalformedInputError: it is not a string, not in form NFC, or has rejected characters or a wrong length.
     """
     if not isinstance(name, str) or not is_valid_name(name):
         raise MalformedInputError(
--- a/moorusher/namespaces/namespace.py
+++ b/moorusher/namespaces/namespace.py
@@ -1,4 +1,4 @@
-"""The meaning of one draft: a customer's routes, and the table of its rules."""
+"""A parsed draft: a customer's routes and the table of its rules."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where calls go: servers of the customer's own, or one pool.
+    """A destination of calls: either servers of the customer's own or one granted pool.
 
-    servers: names with weights, sorted by name; none where it is a pool.
-    pool: the name of one that is granted, "" where it is servers.
-    max_in_flight: calls at a time; 0 for no limit.
-    max_attempts: of one call.
-    fallback: the route to take where this one fails, "" for none.
+    Attributes:
+        servers: Names and weights of the servers, sorted by name; empty if the route uses a pool.
+        pool: Name of the pool; empty if the route uses servers.
+        max_in_flight: Maximum number of concurrent calls; 0 for no limit.
+        max_attempts: Maximum number of attempts of one call.
+        fallback: Name of the route to use if this one fails; empty for none.
     """
 
     name: str
@@ -32,9 +33,10 @@
 class Namespace:
     """A customer's rules and routes.
 
-    routes: by name.
-    table: the rules.
-    default: the route where no rule matches.
+    Attributes:
+        routes: Routes by name.
+        table: Table of the rules.
+        default: Name of the route for requests that no rule matches.
     """
 
     routes: Mapping[str, Route]
@@ -42,7 +44,7 @@
     default: str
 
     def fallback_chain(self, route: str) -> tuple[Route, ...]:
-        """Return the route and its fallbacks, in order."""
+        """Return the route and its fallbacks, in the order in which they are tried."""
         chain: list[Route] = []
         while route:
             chain.append(self.routes[route])
@@ -53,7 +55,7 @@
 def check_fallbacks_end(routes: Mapping[str, Route]) -> None:
     """Check that no route falls back to itself.
 
-    :raises CircularFallbackError: one does, directly or by others.
+    :raises CircularFallbackError: a route does, directly or through other routes.
     """
     for name in sorted(routes):
         chain = [name]
--- a/moorusher/namespaces/policy.py
+++ b/moorusher/namespaces/policy.py
@@ -1,6 +1,7 @@
-"""What the platform grants a customer, from its settings.
+"""What the platform's settings grant to a customer.
 
-Imports nothing: it is loaded where there are no customers, too. `config/namespaces.py` has the keys of the settings.
+This module imports nothing else from the package, because it is loaded even if no customers are configured.
+`config/namespaces.py` has the keys of the settings.
 """
 
 from __future__ import annotations
@@ -8,20 +9,21 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-STATE_OVERHEAD_BYTES = 4 << 10  # of the state of a customer's lease, besides the drafts
+STATE_OVERHEAD_BYTES = 4 << 10  # Size of the state of a customer's lease without the drafts.
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one customer's draft and its rules may cost.
-
-    max_draft_bytes: of the draft as it is sent. Two further bounds apply: see `admin.namespaces.MAX_DRAFT_BYTES`.
-    max_rules: in the customer's own part and all teams together.
-    max_routes: by name.
-    max_route_servers: in all routes together.
-    max_set_members: strings, prefixes and ranges in all matchers together.
-    max_check_steps: of finding out which rules are reachable; one step is one mask or one box.
-    max_table_bytes: of memory for rules and look-ups, estimated.
+    """Limits on one customer's draft and the resources that its rules use.
+
+    Attributes:
+        max_draft_bytes: Size of the draft as sent. `admin.namespaces.MAX_DRAFT_BYTES` describes two other limits.
+        max_rules: Number of rules, including those of teams.
+        max_routes: Number of routes.
+        max_route_servers: Number of servers in all routes together.
+        max_set_members: Number of strings, prefixes and ranges in all matchers together.
+        max_check_steps: Steps of the reachability check; one step processes one mask or one box.
+        max_table_bytes: Estimated memory of the rules and look-up tables.
     """
 
     max_draft_bytes: int = 240_000
@@ -39,11 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What one customer may use.
+    """The servers, pools and budget that one customer may use.
 
-    servers: its own.
-    pools: those that others use as well, with its quota of each, from 0 to 1.
-    budget: what its rules may cost.
+    Attributes:
+        servers: Names of the customer's own servers.
+        pools: Names of shared pools, with the customer's share of each, from 0 to 1.
+        budget: Limits on the customer's draft.
     """
 
     servers: frozenset[str] = frozenset()
@@ -53,11 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishingLimits:
-    """How much of one customer's revisions is published and retained.
+    """Limits on publishing and retaining one customer's revisions.
 
-    max_revisions: retained, with the current one.
-    max_state_bytes: of all retained drafts together, with `STATE_OVERHEAD_BYTES`.
-    max_per_hour: revisions published.
+    Attributes:
+        max_revisions: Number of retained revisions, including the current one.
+        max_state_bytes: Size of all retained drafts together, plus `STATE_OVERHEAD_BYTES`.
+        max_per_hour: Number of revisions published within an hour.
     """
 
     max_revisions: int = 8
--- a/moorusher/namespaces/reachability.py
+++ b/moorusher/namespaces/reachability.py
@@ -1,4 +1,4 @@
-"""Checks on a customer's rules: no two equally specific ones match one request, and each is reached by some request."""
+"""Checks that no two equally specific rules match the same request, and that each rule decides for some request."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .errors import AmbiguousRulesError, BudgetExceededError, UnreachableRuleError
 from .rules import DIMENSIONS, Rule
 
-ATTRIBUTE_LABELS = {"class_name": "class"}  # in texts, where it differs from the field
+ATTRIBUTE_LABELS = {"class_name": "class"}  # Labels in error texts, if different from the field's name.
 
 
 def example_request(box: Box, atoms: Sequence[Atoms]) -> str:
-    """Return a request in a box, in words."""
+    """Return a description of a request in a box."""
     parts = []
     for dimension, values, mask in zip(DIMENSIONS, atoms, box, strict=True):
         lowest_atom = (mask & -mask).bit_length() - 1
@@ -23,13 +23,7 @@
 
 
 class ReachabilityCheck:
-    """One check of a rule set, in a bounded number of steps.
-
-    rules: in order of precedence.
-    boxes: of each rule, the requests that it matches.
-    atoms: by dimension.
-    masks: by dimension and atom, the rules that contain it, a bit a rule.
-    """
+    """One check of a rule set, in a bounded number of steps."""
 
     def __init__(
         self,
@@ -39,19 +33,26 @@
         masks: Sequence[Sequence[int]],
         max_steps: int,
     ) -> None:
+        """Prepare the check.
+
+        :param rules: Rules in order of precedence.
+        :param boxes: For each rule, the box of the requests that it matches.
+        :param atoms: Atoms by dimension.
+        :param masks: By dimension and atom, a mask with one bit for each rule that contains the atom.
+        """
         self._rules = rules
         self._boxes = boxes
         self._atoms = atoms
         self._masks = masks
         self._precedences = [rule.precedence() for rule in rules]
-        self._steps_left = max_steps
+        self._remaining_steps = max_steps
 
     def run(self) -> None:
         """Check each rule against those that precede it.
 
-        :raises AmbiguousRulesError: two rules are equally specific and match one request.
-        :raises UnreachableRuleError: no request reaches a rule.
-        :raises BudgetExceededError: it would take more steps than are granted.
+        :raises AmbiguousRulesError: two rules are equally specific and match the same request.
+        :raises UnreachableRuleError: a rule decides for no request.
+        :raises BudgetExceededError: the check takes more steps than are granted.
         """
         for index, rule in enumerate(self._rules):
             if not all(self._boxes[index]):
@@ -83,11 +84,11 @@
                 raise UnreachableRuleError(self._rules[index].label, labels)
 
     def _preceding_overlaps(self, index: int) -> list[int]:
-        """Return the rules of higher precedence that match a request which this one matches too."""
+        """Return the indexes of the preceding rules that match some request which this rule matches too."""
         candidates = (1 << index) - 1
         for atoms, masks, box_mask in zip(self._atoms, self._masks, self._boxes[index], strict=True):
             if box_mask & atoms.full_mask == atoms.full_mask:
-                continue  # every rule has some of it
+                continue  # The rule accepts every value in this dimension, so every other rule overlaps with it.
             overlapping = 0
             for atom in set_bits(box_mask):
                 overlapping |= masks[atom]
@@ -96,8 +97,8 @@
         return list(set_bits(candidates))
 
     def _spend(self, steps: int) -> None:
-        self._steps_left -= steps
-        if self._steps_left < 0:
+        self._remaining_steps -= steps
+        if self._remaining_steps < 0:
             raise BudgetExceededError(
                 "working out which rules can be reached takes more steps than are granted"
             )
--- a/moorusher/namespaces/revision_history.py
+++ b/moorusher/namespaces/revision_history.py
@@ -1,7 +1,7 @@
-"""A customer's revisions as the state of its duty: the current one, the last ones before it, what may come next.
+"""A customer's history: the state of its duty, with the current revision and some earlier ones.
 
-Numbers grow by one, without gaps. Rolling back to an earlier one is a new revision with that one's draft. A submission
-has an id of its own: one that is handed in again, as its answer was lost, gets the number that it has got before.
+Revision numbers increase by one, without gaps. A rollback is a new revision with the draft of an earlier one. A
+submission has an id, so that a retry after a lost answer returns the number of the revision already published.
 """
 
 from __future__ import annotations
@@ -19,10 +19,11 @@
 class PublishedRevision(msgspec.Struct, frozen=True, array_like=True):
     """One published revision. The order of fields is the stored form.
 
-    submission_id: of the submission that became it.
-    at_ms: when it was published, in Unix ms.
-    author: who published it.
-    restored_number: of the earlier revision whose draft it has again; 0 for none.
+    Attributes:
+        submission_id: Id of the submission that was published as this revision.
+        at_ms: Time of publication (Unix ms).
+        author: Author of the submission.
+        restored_number: Number of the earlier revision that a rollback restored; 0 if it is not a rollback.
     """
 
     number: int
@@ -34,12 +35,13 @@
 
 
 class Submission(msgspec.Struct, frozen=True, array_like=True):
-    """A change that somebody wants published. The order of fields is the protocol.
+    """A request to publish a draft or to roll back. The order of fields is the protocol.
 
-    submission_id: the same in each retry.
-    expected_number: of the revision that it was made on top of; 0 for none, below 0 for any.
-    author: who submits it.
-    rollback_number: in place of a draft, the number of the earlier revision to publish again.
+    Attributes:
+        submission_id: Id that stays the same in each retry.
+        expected_number: Number of the revision that the draft is based on; 0 for none, negative for any.
+        author: Author of the submission.
+        rollback_number: Number of the earlier revision to restore; 0 if `draft` is to be published.
     """
 
     customer: str
@@ -53,8 +55,9 @@
 class RevisionHistory(msgspec.Struct, frozen=True, array_like=True):
     """One customer's retained revisions: the state of its lease. The order of fields is the stored form.
 
-    revisions: the newest first.
-    published_at_ms: when revisions were published in the last hour, in Unix ms.
+    Attributes:
+        revisions: Retained revisions, newest first.
+        published_at_ms: Times at which revisions were published in the last hour (Unix ms).
     """
 
     customer: str
@@ -63,20 +66,20 @@
 
     @property
     def current(self) -> PublishedRevision | None:
-        """The newest revision."""
+        """The newest revision; None if there is none."""
         return self.revisions[0] if self.revisions else None
 
     @property
     def current_number(self) -> int:
-        """Of the newest revision; 0 for none."""
+        """Number of the newest revision; 0 if there is none."""
         return self.revisions[0].number if self.revisions else 0
 
     def find(self, number: int) -> PublishedRevision | None:
-        """Return the revision of that number; None where it is not retained."""
+        """Return the revision with that number, or None if it is not retained."""
         return next((revision for revision in self.revisions if revision.number == number), None)
 
     def find_submission(self, submission_id: str) -> PublishedRevision | None:
-        """Return the revision that a submission became; None where it is not retained."""
+        """Return the revision that a submission was published as, or None if no such revision is retained."""
         return next(
             (revision for revision in self.revisions if revision.submission_id == submission_id), None
         )
@@ -92,9 +95,9 @@
 
 
 def decode_history(state: bytes, customer: str) -> RevisionHistory:
-    """Decode the state of a customer's lease; an empty one is a history without revisions.
+    """Decode the state of a customer's lease; an empty state is a history without revisions.
 
-    :raises ValueError: it is another customer's, or damaged.
+    :raises ValueError: the state is damaged, or belongs to another customer.
     """
     if not state:
         return RevisionHistory(customer)
@@ -110,8 +113,8 @@
 def draft_to_publish(history: RevisionHistory, submission: Submission) -> bytes:
     """Return the draft to check and publish.
 
-    :raises PublishConflictError: the submission was made on top of another revision than the current one.
-    :raises RevisionNotRetainedError: the revision to publish again is not retained.
+    :raises PublishConflictError: the submission is not based on the current revision.
+    :raises RevisionNotRetainedError: the revision to restore is not retained.
     """
     expected_number = submission.expected_number
     if expected_number >= 0 and expected_number != history.current_number:
@@ -137,9 +140,10 @@
 def add_revision(
     history: RevisionHistory, submission: Submission, draft: bytes, now_ms: int, limits: PublishingLimits
 ) -> RevisionHistory:
-    """Return the history with that draft as the next revision, published at `now_ms`, Unix.
+    """Return the history with the draft added as the next revision.
 
-    :raises BudgetExceededError: too many in an hour, or too large.
+    :param now_ms: Time of publication (Unix ms).
+    :raises BudgetExceededError: the draft is too large, or too many revisions were published within an hour.
     """
     recent = _recent(history.published_at_ms, now_ms)
     if len(recent) >= limits.max_per_hour:
@@ -162,8 +166,9 @@
 
 
 def _recent(published_at_ms: tuple[int, ...], now_ms: int) -> tuple[int, ...]:
-    """Return the times within an hour, before or after: a clock that is set back or forward resets no budget, and
-    blocks nobody for over an hour.
+    """Return the times that differ from `now_ms` by less than an hour in either direction.
+
+    Setting the clock back or forward therefore neither resets the budget nor blocks publishing for over an hour.
     """
     return tuple(at_ms for at_ms in published_at_ms if abs(now_ms - at_ms) < HOUR_MS)
 
@@ -171,7 +176,7 @@
 def _retained(
     revisions: tuple[PublishedRevision, ...], limits: PublishingLimits
 ) -> tuple[PublishedRevision, ...]:
-    """Return the newest revisions, as many as the limits permit; the first one always."""
+    """Return as many of the newest revisions as the limits permit, and at least the first one."""
     size_bytes = STATE_OVERHEAD_BYTES + len(revisions[0].draft)
     retained = [revisions[0]]
     for revision in revisions[1 : limits.max_revisions]:
--- a/moorusher/namespaces/revision_id.py
+++ b/moorusher/namespaces/revision_id.py
@@ -1,8 +1,9 @@
-"""Which revision of a customer's namespace it is."""
+"""Identifiers of the revisions of a customer's namespace."""
 
 from __future__ import annotations
 
-# Incarnation of a namespace, and number of the revision in it; the larger one is later. A namespace that is deleted and
-# created again has a later incarnation, and nothing of the earlier one. A plain tuple, as it is sent.
+# Incarnation of the namespace and number of the revision within it; a larger tuple is a later revision. A namespace
+# that is deleted and created again gets a larger incarnation and starts without revisions. A plain tuple, because it is
+# sent in messages.
 RevisionId = tuple[int, int]
 NO_REVISION: RevisionId = (0, 0)
--- a/moorusher/namespaces/rule_table.py
+++ b/moorusher/namespaces/rule_table.py
@@ -1,8 +1,9 @@
-"""A customer's rules as a table that finds the one that decides for a request.
+"""A look-up table that finds the rule of a customer that decides for a request.
 
-Built once for a revision. A look-up takes five steps and an AND, however many rules there are, and whatever other
-customers have. Building fails for two rules that are equally specific and match one request, and for a rule that no
-request reaches. Both are decided on atoms, which cover all requests that the rules can distinguish.
+It is built once per revision. A look-up finds one atom in each of the five dimensions and ANDs their masks; the number
+of steps does not depend on the number of rules or on other customers. Building fails if two equally specific rules
+match the same request, or if a rule decides for no request. Both checks are exact, because atoms cover all requests
+that the rules can distinguish.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 from .weighted_split import split_route
 
 STRING_DIMENSIONS = ("key", "class_name")
-# Estimates of memory, in bytes: what a rule is kept as besides the masks, and what a mask takes besides its bits.
-RULE_BYTES = 3_500
-MASK_BYTES = 32
+RULE_BYTES = 3_500  # Estimated memory of a rule without its masks.
+MASK_BYTES = 32  # Estimated memory of a mask without its bits.
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What a table decides of a request.
+    """The decision of a table for one request.
 
-    rule: the one that decides; None where none matches and the customer's default applies.
-    route: where its calls go; None where it is rejected.
-    reason: for the client of a rejected request.
+    Attributes:
+        rule: The deciding rule; None if no rule matches and the customer's default applies.
+        route: Name of the route for its calls; None if the request is rejected.
+        reason: Reason that is sent to the client of a rejected request.
     """
 
     rule: Rule | None
@@ -40,10 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TableLimits:
-    """What building a table may cost.
+    """Limits on building a table.
 
-    max_check_steps: of finding out which rules are reachable.
-    max_bytes: of memory, estimated.
+    Attributes:
+        max_check_steps: Steps of the reachability check.
+        max_bytes: Estimated memory.
     """
 
     max_check_steps: int = 2_000_000
@@ -54,19 +56,21 @@
 
 
 class RuleTable:
-    """The rules of one revision, ready for look-ups.
+    """The rules of one revision, indexed for look-ups.
 
-    rules: in order of precedence.
-    default: the route where none matches.
+    Attributes:
+        rules: Rules in order of precedence.
+        default: Name of the route for requests that no rule matches.
     """
 
     def __init__(
         self, rules: Sequence[Rule], default: str, limits: TableLimits | None = DEFAULT_LIMITS
     ) -> None:
-        """Build the table; without `limits` the rules have been checked before, and are not checked again.
+        """Build the table.
 
-        :raises AmbiguousRulesError: two rules are equally specific and match one request.
-        :raises UnreachableRuleError: no request reaches a rule.
+        :param limits: None if the rules were already checked; they are not checked again.
+        :raises AmbiguousRulesError: two rules are equally specific and match the same request.
+        :raises UnreachableRuleError: a rule decides for no request.
         :raises BudgetExceededError: a limit is exceeded.
         """
         self.rules = sorted(rules, key=lambda rule: (rule.precedence(), rule.label))
@@ -100,19 +104,19 @@
         )
 
     def _rules_by_atom(self, dimension: int, boxes: Sequence[Box]) -> list[int]:
-        """Return for each atom of a dimension the rules that contain it, a bit a rule."""
+        """Return, for each atom of a dimension, a mask with one bit for each rule that contains the atom."""
         atoms = self._atoms[dimension]
-        masks, everywhere = [0] * (atoms.count + 1), 0
+        masks, unrestricted_rules = [0] * (atoms.count + 1), 0
         for index, box in enumerate(boxes):
             if box[dimension] & atoms.full_mask == atoms.full_mask:
-                everywhere |= 1 << index
+                unrestricted_rules |= 1 << index
                 continue
             for atom in set_bits(box[dimension]):
                 masks[atom] |= 1 << index
-        return [mask | everywhere for mask in masks]
+        return [mask | unrestricted_rules for mask in masks]
 
     def find(self, request: RequestAttributes) -> Rule | None:
-        """Return the rule that decides for a request; None where none matches."""
+        """Return the rule that decides for a request, or None if no rule matches."""
         key, subject, caller, class_name, rank = self._atoms
         masks = self._masks
         matching = (
@@ -125,7 +129,7 @@
         return self.rules[(matching & -matching).bit_length() - 1] if matching else None
 
     def decide(self, request: RequestAttributes) -> Decision:
-        """Return what is decided of a request."""
+        """Return the decision for a request."""
         rule = self.find(request)
         if rule is None:
             return Decision(None, self.default)
--- a/moorusher/namespaces/rules.py
+++ b/moorusher/namespaces/rules.py
@@ -1,4 +1,4 @@
-"""A customer's rules as values: which requests each matches, and its outcome."""
+"""Immutable values that represent a customer's rules: matchers and outcomes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAttributes:
-    """What rules may look at of a request.
-
-    class_name: of the request.
-    caller: its number; -1 for none.
-    subject: its number; -1 for none.
-    rank: its priority, from 0 up to, without, 1.
-    key: the idempotency key, "" for none.
-    spread: what splits go by where there is no key; no rule looks at it.
+    """The attributes of a request that decide its route.
+
+    Attributes:
+        class_name: Name of the request class.
+        caller: Number of the caller; -1 for none.
+        subject: Number of the subject; -1 for none.
+        rank: Priority in [0, 1).
+        key: Idempotency key; empty for none.
+        spread: Key by which splits choose a route if `key` is empty. Matchers do not use it.
     """
 
     class_name: str
@@ -28,13 +29,16 @@
     spread: str = ""
 
 
-# The attributes that matchers look at, the most important for how specific a rule is first.
+# The attributes that matchers use. Earlier ones weigh more when two rules' specificity is compared.
 DIMENSIONS = ("key", "subject", "caller", "class_name", "rank")
 
 
 @dataclass(frozen=True, slots=True)
 class Matcher:
-    """The predicate of a rule: sets that a request's attributes must all be in. Fields are `DIMENSIONS`, in order."""
+    """The predicate of a rule: each attribute of the request must be in the set of that attribute.
+
+    The fields are `DIMENSIONS`, in that order.
+    """
 
     key: StringSet = ALL_STRINGS
     subject: NumberRanges = ALL_NUMBERS
@@ -53,14 +57,14 @@
         )
 
     def specificity(self) -> tuple[SetSize, ...]:
-        """Return what orders matchers: the smaller is the more specific.
+        """Return a key that orders matchers: a smaller one is more specific.
 
-        A matcher that strictly contains another is larger: none of its sets is smaller, and one is larger.
+        If a matcher strictly contains another, its key is larger: no set is smaller, and at least one is larger.
         """
         return tuple(allowed.size() for allowed in self.attribute_sets())
 
     def intersect(self, other: Matcher) -> Matcher:
-        """Return the matcher of the requests that both match."""
+        """Return the matcher of the requests that both matchers match."""
         return Matcher(
             self.key.intersect(other.key),
             self.subject.intersect(other.subject),
@@ -84,16 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTo:
-    """Calls take this route of the customer's."""
+    """Outcome: calls use one of the customer's routes."""
 
     route: str
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Calls take one of several routes, by weight; the same key takes the same one as long as the weights stay.
+    """Outcome: calls use one of several routes, by weight. A key always gets the same route until weights change.
 
-    routes: names with weights, sorted by name.
+    Attributes:
+        routes: Names and weights of the routes, sorted by name.
     """
 
     routes: tuple[tuple[str, int], ...]
@@ -101,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """The request is rejected; its client gets the reason."""
+    """Outcome: the request is rejected, and its client receives the reason."""
 
     reason: str
 
@@ -110,10 +115,11 @@
 
 
 class Precedence(NamedTuple):
-    """Orders rules: of two that match, the one with the smaller precedence decides.
+    """Sort key of rules. Of two matching rules, the one with the smaller precedence decides.
 
-    customer_wide: whether it is no team's; rules of teams go first.
-    specificity: of its matcher.
+    Attributes:
+        customer_wide: Whether the rule belongs to no team; rules of teams precede others.
+        specificity: Specificity of the rule's matcher.
     """
 
     customer_wide: bool
@@ -124,9 +130,10 @@
 class Rule:
     """One rule of a customer.
 
-    matcher: which requests it is for.
-    outcome: what is decided of them.
-    team: the part of the customer that it belongs to, "" for the whole; rules of teams go first.
+    Attributes:
+        matcher: Predicate on requests.
+        outcome: Decision for matching requests.
+        team: Name of the team that the rule belongs to; empty for the whole customer. Rules of teams precede others.
     """
 
     name: str
@@ -136,9 +143,9 @@
 
     @property
     def label(self) -> str:
-        """The name, with that of the team."""
+        """The rule's name, prefixed by that of its team."""
         return f"{self.team}/{self.name}" if self.team else self.name
 
     def precedence(self) -> Precedence:
-        """Return what orders this rule among others."""
+        """Return the sort key of this rule."""
         return Precedence(not self.team, self.matcher.specificity())
--- a/moorusher/namespaces/sets.py
+++ b/moorusher/namespaces/sets.py
@@ -1,6 +1,6 @@
-"""The sets that matchers are made of: strings by prefix or one by one, and numbers by range.
+"""The sets that matchers consist of: strings, given by prefixes and literals, and numbers, given by ranges.
 
-`size` orders them by how specific they are: where one set strictly contains another, the inner one is smaller.
+`size` orders sets by specificity: if one set strictly contains another, the inner one is smaller.
 """
 
 from __future__ import annotations
@@ -10,14 +10,15 @@
 from fractions import Fraction
 from typing import NamedTuple
 
-ALPHABET_SIZE = 0x110000  # characters that a string may consist of
+ALPHABET_SIZE = 0x110000  # Number of Unicode code points.
 
 
 class SetSize(NamedTuple):
-    """How much a set contains; ordered.
+    """The size of a set. Sizes are ordered.
 
-    measure: the share of all strings under its prefixes, or the length of its ranges.
-    literals: number of single strings, 0 for numbers.
+    Attributes:
+        measure: Share of all strings that the prefixes cover, or total length of the ranges.
+        literals: Number of literals; 0 for a set of numbers.
     """
 
     measure: Fraction
@@ -26,10 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StringSet:
-    """A set of strings, in normal form: no prefix begins with another one, and no literal with a prefix.
+    """A set of strings in normal form: no prefix and no literal begins with another prefix of the set.
 
-    prefixes: all strings that begin with one of them are in the set; "" is for all strings.
-    literals: single strings in the set.
+    Attributes:
+        prefixes: The set contains all strings that begin with one of these; "" stands for all strings.
+        literals: Single strings in the set.
     """
 
     prefixes: frozenset[str] = frozenset()
@@ -38,15 +40,15 @@
     @classmethod
     def of(cls, literals: Iterable[str] = (), prefixes: Iterable[str] = ()) -> StringSet:
         """Return the set in normal form."""
-        outer: set[str] = set()
+        shortest_prefixes: set[str] = set()
 
         def is_covered(text: str) -> bool:
-            return any(text[:length] in outer for length in range(len(text) + 1))
+            return any(text[:length] in shortest_prefixes for length in range(len(text) + 1))
 
         for prefix in sorted(prefixes, key=len):
             if not is_covered(prefix):
-                outer.add(prefix)
-        return cls(frozenset(outer), frozenset(text for text in literals if not is_covered(text)))
+                shortest_prefixes.add(prefix)
+        return cls(frozenset(shortest_prefixes), frozenset(text for text in literals if not is_covered(text)))
 
     def __contains__(self, text: object) -> bool:
         return isinstance(text, str) and (
@@ -54,7 +56,7 @@
         )
 
     def intersect(self, other: StringSet) -> StringSet:
-        """Return the strings that are in both."""
+        """Return the set of the strings that are in both sets."""
         prefixes = self._prefixes_within(other) | other._prefixes_within(self)
         own_literals = {text for text in self.literals if text in other}
         other_literals = {text for text in other.literals if text in self}
@@ -72,7 +74,7 @@
 
 
 class NumberRange(NamedTuple):
-    """Numbers from `low` up to, without, `high`."""
+    """The numbers in [low, high)."""
 
     low: float
     high: float
@@ -80,15 +82,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberRanges:
-    """A set of numbers, in normal form: ranges in order, of which no two touch."""
+    """A set of numbers in normal form: sorted ranges that neither overlap nor touch."""
 
     ranges: tuple[NumberRange, ...] = ()
 
     @classmethod
     def of(cls, ranges: Iterable[tuple[float, float]]) -> NumberRanges:
-        """Return the set of all these ranges, each a low and a high number, in normal form."""
+        """Return the union of ranges, each given by its low and high bounds, in normal form."""
         merged: list[NumberRange] = []
-        for low, high in sorted(one for one in ranges if one[0] < one[1]):
+        for low, high in sorted(bounds for bounds in ranges if bounds[0] < bounds[1]):
             if merged and low <= merged[-1].high:
                 merged[-1] = NumberRange(merged[-1].low, max(high, merged[-1].high))
             else:
@@ -99,7 +101,7 @@
         return isinstance(number, (int, float)) and any(low <= number < high for low, high in self.ranges)
 
     def intersect(self, other: NumberRanges) -> NumberRanges:
-        """Return the numbers that are in both."""
+        """Return the set of the numbers that are in both sets."""
         return NumberRanges.of(
             (max(low, other_low), min(high, other_high))
             for low, high in self.ranges
@@ -107,14 +109,14 @@
         )
 
     def size(self) -> SetSize:
-        """Return the length of all ranges together."""
+        """Return the total length of the ranges."""
         lengths = (Fraction(high) - Fraction(low) for low, high in self.ranges)
         return SetSize(sum(lengths, Fraction()), 0)
 
 
-MIN_NUMBER = -1.0  # of a request without a caller or subject
+MIN_NUMBER = -1.0  # The number of a request without a caller or subject.
 MAX_NUMBER = float(1 << 53)
 ALL_STRINGS = StringSet(frozenset([""]))
-ALL_NUMBERS = NumberRanges.of([(MIN_NUMBER, MAX_NUMBER)])  # callers, subjects
+ALL_NUMBERS = NumberRanges.of([(MIN_NUMBER, MAX_NUMBER)])  # All numbers of callers and subjects.
 ALL_RANKS = NumberRanges.of([(0.0, 1.0)])
 AttributeSet = StringSet | NumberRanges
--- a/moorusher/namespaces/weighted_split.py
+++ b/moorusher/namespaces/weighted_split.py
@@ -1,4 +1,4 @@
-"""Which route of a split a key takes: weighted rendezvous hashing."""
+"""Choice of a split's route for a key by weighted rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -18,6 +18,6 @@
 
 
 def split_route(split: Split, key: str) -> str:
-    """Choose the route of a key; a changed weight moves only keys of the routes concerned."""
+    """Return the route for a key. A changed weight moves only keys to or from the route whose weight changed."""
     _, chosen = max((_score(key, route, weight), route) for route, weight in split.routes if weight > 0)
     return chosen
