--- a/moorusher/config_distribution/anti_entropy.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -1,9 +1,8 @@
-"""Anti-entropy: pairs of members compare digests of their revisions, and each requests the revisions it lacks.
+"""Anti-entropy: pairs of members compare digests of their revisions, and each requests the revisions it lacks."""
 
-Once per period, each member compares with one random peer. Customers are divided into `BUCKETS` buckets with one digest
-each, so the number of messages per member does not grow with the number of seats or customers. A process that starts
-compares with one peer after another until it knows their revisions, and becomes ready.
-"""
+# Once per period, each member compares with one random peer. Customers are divided into `BUCKETS` buckets with one
+# digest each, so the number of messages per member does not grow with the number of seats or customers. A process
+# that starts compares with one peer after another until it knows their revisions, and becomes ready.
 
 from __future__ import annotations
 
@@ -77,10 +76,7 @@
         seat_count: int,
         on_ready: Callable[[], None],
     ) -> None:
-        """Initialize without comparing; `start` begins that.
-
-        :param on_ready: Called once, when `ready` becomes true.
-        """
+        """Initialize; `on_ready` is called once, when `ready` becomes true."""
         self.ready = False
         self._member = member
         self._revisions = revisions
@@ -99,7 +95,7 @@
     # ---- periods, readiness ----
 
     def start(self, ready_timeout_us: int) -> None:
-        """Start comparing. This member is ready at once if it is the only seat, and at the latest after the timeout."""
+        """Start comparing; become ready at once if there is no other seat, and at the latest after the timeout."""
         if self._seat_count == 1:
             self._become_ready()
             return
@@ -176,7 +172,7 @@
         )
 
     def on_difference(self, seat: str, message: DigestDifference) -> None:
-        """Request the sender's revisions that this member lacks, and reply with this member's revisions if asked."""
+        """Request the sender's revisions that this member lacks; reply with this member's revisions if asked."""
         for customer, revision_id, deleted in message.listed:
             if revision_id > self._revisions.known(customer)[0] and len(self._missing) < MAX_MISSING:
                 self._add_missing(customer, _Missing(revision_id, deleted, seat))
@@ -228,9 +224,8 @@
             finished = True
             self._requested.discard(customer)
             if self._missing.get(customer) is missing:
-                del self._missing[
-                    customer
-                ]  # If the request failed, a later comparison finds the revision again.
+                # If the request failed, a later comparison finds the revision again.
+                del self._missing[customer]
             else:
                 self._queue.append(customer)
             self._request_next()
--- a/moorusher/config_distribution/dissemination.py
+++ b/moorusher/config_distribution/dissemination.py
@@ -1,10 +1,9 @@
-"""Tree broadcast: a revision is sent down a tree of all seats, and the seats that lack it are reported back up.
+"""Tree broadcast: a revision is sent down a tree of all seats, and the seats that lack it are reported back up."""
 
-The origin covers the range of all seats. It splits its range between up to `FAN_OUT` heads, each of which covers its
-part in the same way, so the number of messages per member is small for any number of seats. A head that does not
-acknowledge is skipped, and the rest of its range is split between other heads. `anti_entropy` distributes revisions
-that a broadcast did not deliver.
-"""
+# The origin covers the range of all seats. It splits its range between up to `FAN_OUT` heads, each of which covers
+# its part in the same way, so the number of messages per member is small for any number of seats. A head that does
+# not acknowledge is skipped, and the rest of its range is split between other heads. `anti_entropy` distributes
+# revisions that a broadcast did not deliver.
 
 from __future__ import annotations
 
@@ -92,15 +91,12 @@
     def __init__(
         self, member: BroadcastMember, revisions: DraftSource, seats: tuple[str, ...], incarnation: int = 0
     ) -> None:
-        """Initialize without broadcasts.
-
-        :param incarnation: Incarnation of this process. Serials start there, so that a result for an earlier process
-            of this seat matches no broadcast of this one.
-        """
         self._member = member
         self._revisions = revisions
         self.seats = tuple(sorted(seats))
         self._subtrees: dict[int, _Subtree] = {}
+        # Serials start at the process's incarnation, so that a result for an earlier process of this seat matches no
+        # broadcast of this one.
         self._serial = incarnation
 
     def broadcast(
@@ -166,7 +162,7 @@
         )
 
     def _on_acknowledge_timeout(self, serial: int) -> None:
-        """Skip a head that did not acknowledge, and split the rest of its range between other heads."""
+        """Skip a head that did not acknowledge, and split the rest of its range."""
         subtree = self._subtrees.get(serial)
         if subtree is None or subtree.acknowledged:
             return
@@ -224,7 +220,7 @@
             )
             self._cover(broadcast, message.low, message.high)
 
-        def cover_once_obtained(reason: str) -> None:
+        def on_draft_obtained(reason: str) -> None:
             on_obtained(reason)
             cover(self._revisions.draft(message.customer, message.revision_id))
 
@@ -236,7 +232,7 @@
             message.deleted,
             message.draft,
             seat,
-            on_obtained if inline else cover_once_obtained,
+            on_obtained if inline else on_draft_obtained,
         )
         if inline:
             cover(message.draft)
--- a/moorusher/config_distribution/local_publishers.py
+++ b/moorusher/config_distribution/local_publishers.py
@@ -1,4 +1,4 @@
-"""The publishers of the leases that one member holds: their creation, and their connection to messages and replica."""
+"""The publishers of the leases that one member holds."""
 
 from __future__ import annotations
 
@@ -30,13 +30,10 @@
     publisher_type: type[Publisher] = Publisher
 
     def __init__(self, member: MemberServices, host: ReplicaHost, by_lease: dict[str, Publisher]) -> None:
-        """Initialize without publishers.
-
-        `register` and `propagation` are set later by `connect`, because they are created after this object.
-        """
         self.by_lease = by_lease
         self._member = member
         self._host = host
+        # Set by `connect`, because they are created after this object.
         self.register: RegisterReader
         self.propagation: Propagation
 
--- a/moorusher/config_distribution/messages.py
+++ b/moorusher/config_distribution/messages.py
@@ -53,7 +53,7 @@
 
 
 class DisseminateResult(ComponentPayload, frozen=True, tag="covered"):
-    """Reports the seats of the range that lack the revision, with reasons. All other seats have it."""
+    """Reports the seats of the range that lack the revision, with reasons."""
 
     serial: int
     lacking: dict[str, str]
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -1,9 +1,8 @@
-"""Publication of submissions as revisions, one at a time, by the holder of the lease `namespace/<customer>`.
+"""Publication of submissions as revisions, one at a time, by the holder of the lease `namespace/<customer>`."""
 
-A revision is published once a majority of the register has accepted it in this leader's term; nobody is notified
-earlier. If the outcome of an attempt is unknown, the register is read before the next attempt, so that no number is
-ever used for two drafts.
-"""
+# A revision is published once a majority of the register has accepted it in this leader's term; nobody is notified
+# earlier. If the outcome of an attempt is unknown, the register is read before the next attempt, so that no number is
+# ever used for two drafts.
 
 from __future__ import annotations
 
@@ -27,7 +26,7 @@
 from ..namespaces.revision_id import RevisionId
 from .errors import DistributionError
 
-KIND = "namespace"  # Kind of these leases.
+KIND = "namespace"  # Kind of the lease in its record.
 LEASE_PREFIX = "namespace/"
 MAX_WAITING = 16  # Maximum number of waiting submissions per customer.
 RevisionCallback = Callable[[RevisionId | DistributionError], None]
--- a/moorusher/config_distribution/register_reader.py
+++ b/moorusher/config_distribution/register_reader.py
@@ -27,10 +27,7 @@
         revisions: RevisionFetcher,
         reader: DraftReader,
     ) -> None:
-        """Initialize the reader.
-
-        :param held_leases: Names of the leases that this member's publishers hold.
-        """
+        """Initialize with the names of the leases that this member's publishers hold."""
         self._directory = participant.directory
         self._held_leases = held_leases
         self._revisions = revisions
@@ -39,7 +36,7 @@
     def history(self, customer: str, callback: HistoryCallback) -> None:
         """Call `callback` with the namespace's incarnation and its history.
 
-        If this member is the leader, the read also prevents later acceptance of changes that the leader has given up.
+        If this member is the leader, the read also prevents later acceptance of changes that it has abandoned.
         """
         name = duty_of(customer)
 
@@ -98,8 +95,10 @@
             draft = entry.draft
             self._reader.read(
                 draft,
-                lambda read: callback(
-                    read if isinstance(read, NamespaceError) else Revision(customer, revision_id, read, draft)
+                lambda parsed: callback(
+                    parsed
+                    if isinstance(parsed, NamespaceError)
+                    else Revision(customer, revision_id, parsed, draft)
                 ),
             )
 
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -1,8 +1,7 @@
-"""One member's replica of all customers' revisions, with its components for publishing and distributing them.
+"""One member's replica of all customers' revisions, with its components for publishing and distributing them."""
 
-It connects leadership, whose leases determine the publishers, with the process, which parses and stores drafts and
-routes requests by them.
-"""
+# The replica connects leadership, whose leases determine the publishers, with the process, which parses and stores
+# drafts and routes requests by them.
 
 from __future__ import annotations
 
@@ -45,20 +44,17 @@
 
     Attributes:
         member: Services of the member that the components use.
-        revisions: The current revisions, and fetches of later ones.
+        revisions: Current revisions, and fetches of later ones.
         disseminator: Broadcasts revisions.
-        anti_entropy: Compares revisions with other members and fetches missing ones.
-        submissions: Forwards submissions made at this member to the leaders.
-        publishers: Publishers of the leases that this member holds.
-        register: Reads histories and revisions from a majority of the register.
-        propagation: Distributes publications and deletions from this member.
+        anti_entropy: Finds and fetches missing revisions.
+        submissions: Forwards submissions to the leaders.
+        publishers: Publishers of the leases held here.
+        register: Reads from a majority of the register.
+        propagation: Distributes publications and deletions.
     """
 
     def __init__(self, participant: Participant, host: ReplicaHost, max_customers: int) -> None:
-        """Create the components and register for the component's messages.
-
-        :param max_customers: Maximum number of deleted namespaces to retain.
-        """
+        """Create the components; retain at most `max_customers` deleted namespaces."""
         self._host = host
         self.member = member = MemberServices(participant, self._handle)
         self.revisions = RevisionFetcher(member, CurrentRevisions(max_customers), host, self._changed)
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -62,10 +62,7 @@
         reader: DraftReader,
         on_changed: Callable[[str, bytes | None], None],
     ) -> None:
-        """Initialize without fetches.
-
-        :param on_changed: Called with the customer and its new current draft, or None if its namespace was deleted.
-        """
+        """Initialize; `on_changed` is called with a customer and its new draft, or None for a deletion."""
         self.customers = customers
         self._member = member
         self._reader = reader
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -88,10 +88,7 @@
         ...
 
     def keep(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
-        """Store the current revision on disk.
-
-        :param draft: None if the namespace is deleted.
-        """
+        """Store the current revision on disk; the draft is None if the namespace is deleted."""
         ...
 
     def unix_ms(self) -> int:
@@ -108,17 +105,14 @@
 
 
 class MemberServices:
-    """Implements `Member` by a participant of the cluster.
+    """Implements `Member` for a participant of the cluster.
 
     Attributes:
         participant: The participant.
     """
 
     def __init__(self, participant: Participant, deliver_locally: Callable[[str, Any], None]) -> None:
-        """Initialize the services.
-
-        :param deliver_locally: Called with this member's seat and a message that this member sends to itself.
-        """
+        """Initialize; `deliver_locally` is called with this member's seat and a message that it sends to itself."""
         self.participant = participant
         self._deliver_locally = deliver_locally
 
--- a/moorusher/config_distribution/submission_forwarding.py
+++ b/moorusher/config_distribution/submission_forwarding.py
@@ -58,15 +58,12 @@
         grant_of: Callable[[str], Grant | None],
         first_serial: int,
     ) -> None:
-        """Initialize without submissions.
-
-        :param grant_of: Returns None for a name that is not a customer's.
-        :param first_serial: The process's incarnation, so that an answer to an earlier process of this seat matches no
-            submission of this one.
-        """
+        """Initialize; `grant_of` returns None for a name that is not a customer's."""
         self._member = member
         self._directory = participant.directory
         self._grant_of = grant_of
+        # Serials start at the process's incarnation, so that an answer to an earlier process of this seat matches no
+        # submission of this one.
         self._serial = first_serial
         self._pending: dict[int, _PendingSubmission] = {}
 
@@ -89,7 +86,7 @@
         self._attempt(self._serial)
 
     def _attempt(self, serial: int) -> None:
-        """Look up the leader, and forward the submission to it. Fail the submission if its deadline has passed."""
+        """Look up the leader and forward the submission, unless its deadline has passed."""
         pending = self._pending.get(serial)
         if pending is None:
             return
@@ -133,7 +130,7 @@
         self._retry_after(RETRY_PAUSE_US, serial, pending, pending.attempt)
 
     def _retry_after(self, pause_us: int, serial: int, pending: _PendingSubmission, attempt: int) -> None:
-        """Retry after a pause, unless the submission has been answered or another attempt has started meanwhile."""
+        """Retry after a pause, unless the submission is answered or another attempt has started by then."""
 
         def retry() -> None:
             if self._pending.get(serial) is pending and pending.attempt == attempt:
--- a/moorusher/namespaces/atoms.py
+++ b/moorusher/namespaces/atoms.py
@@ -1,12 +1,11 @@
-"""Atoms: the classes of attribute values that a namespace's rules can distinguish.
+"""Atoms: the classes of attribute values that a namespace's rules can distinguish."""
 
-In each dimension, all values fall into finitely many atoms. A matcher's set is therefore a short bit mask, and
-intersections and differences of sets are exact.
-
-An atom of strings is either one literal that a rule names, or all strings with a given prefix that are not literals and
-have no longer prefix that a rule names. The latter is never empty. An atom of numbers is an interval between two
-adjacent range bounds.
-"""
+# In each dimension, all values fall into finitely many atoms. A matcher's set is therefore a short bit mask, and
+# intersections and differences of sets are exact.
+#
+# An atom of strings is either one literal that a rule names, or all strings with a given prefix that are not literals
+# and have no longer prefix that a rule names. The latter is never empty. An atom of numbers is an interval between
+# two adjacent range bounds.
 
 from __future__ import annotations
 
@@ -76,7 +75,7 @@
         return mask
 
     def example(self, atom: int) -> str:
-        """Return a string in an atom: its literal or its prefix, extended by one character if in another atom."""
+        """Return an example string of an atom: its literal, its prefix, or its prefix plus one character."""
         for literal, literal_atom in self._atom_by_literal.items():
             if literal_atom == atom:
                 return literal
--- a/moorusher/namespaces/draft.py
+++ b/moorusher/namespaces/draft.py
@@ -36,8 +36,8 @@
     """Parse a draft and check it against a grant.
 
     :param grant: None for a published draft, which was checked at publication. Routing skips its servers and pools
-        that are not granted at this runner, or no longer.
-    :raises NamespaceError: one of `errors.ERRORS`; its text contains the path of the invalid key.
+        that this runner's settings do not grant.
+    :raises NamespaceError: one of `errors.ERRORS`; its text names the invalid part.
     """
     if grant is not None:
         _check_size(draft, grant.budget)
--- a/moorusher/namespaces/errors.py
+++ b/moorusher/namespaces/errors.py
@@ -40,7 +40,7 @@
 
 
 class UnreachableRuleError(NamespaceError):
-    """A rule can never decide for any request.
+    """A rule never decides for any request.
 
     Attributes:
         rule: Label of the rule.
@@ -86,7 +86,7 @@
     Attributes:
         expected: Number of the revision that the submission is based on.
         found: Number of the current revision.
-        changes: Differences between the two, one line each.
+        changes: Differences between the two revisions, one line each.
     """
 
     kind = "Conflict"
@@ -113,7 +113,7 @@
 
 
 class UnknownCustomerError(NamespaceError):
-    """The name is not that of a customer with a namespace, or the settings have no such customer."""
+    """No customer of that name is in the settings, or it has no namespace."""
 
     kind = "NoSuchCustomer"
     status = 404
--- a/moorusher/namespaces/names.py
+++ b/moorusher/namespaces/names.py
@@ -1,9 +1,8 @@
-"""Validation of the names of customers, teams, routes and rules.
+"""Validation of the names of customers, teams, routes and rules."""
 
-Names must be in Unicode's form NFC and are compared exactly. There is no case folding, no stripping and no merging of
-look-alike characters: `acme`, `Acme`, `acme-eu` and `acme` with a Cyrillic letter are four names. A name that is not in
-NFC is rejected rather than normalized, so that its author notices.
-"""
+# Names must be in Unicode's form NFC and are compared exactly. There is no case folding, no stripping and no merging
+# of look-alike characters: `acme`, `Acme`, `acme-eu` and `acme` with a Cyrillic letter are four names. A name that is
+# not in NFC is rejected rather than normalized, so that its author notices.
 
 from __future__ import annotations
 
--- a/moorusher/namespaces/policy.py
+++ b/moorusher/namespaces/policy.py
@@ -1,6 +1,6 @@
 """What the platform's settings grant to a customer.
 
-This module imports nothing else from the package, because it is loaded even if no customers are configured.
+This module imports no other module of the program, because it is loaded even if no customers are configured.
 `config/namespaces.py` has the keys of the settings.
 """
 
--- a/moorusher/namespaces/reachability.py
+++ b/moorusher/namespaces/reachability.py
@@ -35,10 +35,10 @@
     ) -> None:
         """Prepare the check.
 
-        :param rules: Rules in order of precedence.
-        :param boxes: For each rule, the box of the requests that it matches.
-        :param atoms: Atoms by dimension.
-        :param masks: By dimension and atom, a mask with one bit for each rule that contains the atom.
+        :param rules: In order of precedence.
+        :param boxes: For each rule, the requests that it matches.
+        :param atoms: By dimension.
+        :param masks: By dimension and atom, one bit for each rule that contains the atom.
         """
         self._rules = rules
         self._boxes = boxes
--- a/moorusher/namespaces/rule_table.py
+++ b/moorusher/namespaces/rule_table.py
@@ -1,10 +1,9 @@
-"""A look-up table that finds the rule of a customer that decides for a request.
+"""A look-up table that finds the rule of a customer that decides for a request."""
 
-It is built once per revision. A look-up finds one atom in each of the five dimensions and ANDs their masks; the number
-of steps does not depend on the number of rules or on other customers. Building fails if two equally specific rules
-match the same request, or if a rule decides for no request. Both checks are exact, because atoms cover all requests
-that the rules can distinguish.
-"""
+# The table is built once per revision. A look-up finds one atom in each of the five dimensions and ANDs their masks;
+# the number of steps does not depend on the number of rules or on other customers. Building fails if two equally
+# specific rules match the same request, or if a rule decides for no request. Both checks are exact, because atoms cover
+# all requests that the rules can distinguish.
 
 from __future__ import annotations
 
--- a/tests/test_config_namespaces.py
+++ b/tests/test_config_namespaces.py
@@ -1,4 +1,4 @@
-"""`[namespaces]`: grants to customers are disjoint and within what there is; errors name the key."""
+"""Section `[namespaces]`: customers' grants are disjoint and within the platform's resources; errors name the key."""
 
 from __future__ import annotations
 
@@ -24,17 +24,19 @@
 
 
 def test_each_customer_has_its_own_servers_quotas_and_budget() -> None:
-    got = read({"rules": 50, "customer": [ACME | {"rules": 70, "keep": 3}, BOLT]})
-    assert got.customers["acme"].grant == Grant(
+    config = read({"rules": 50, "customer": [ACME | {"rules": 70, "keep": 3}, BOLT]})
+    assert config.customers["acme"].grant == Grant(
         frozenset({"a1", "a2"}), {"shared": 0.5}, Budget(max_rules=70)
     )
     assert (
-        got.customers["acme"].publishing_limits.max_revisions == 3
-        and got.customers["bolt"].publishing_limits.max_revisions == 8
+        config.customers["acme"].publishing_limits.max_revisions == 3
+        and config.customers["bolt"].publishing_limits.max_revisions == 8
     )
-    assert got.customers["bolt"].grant.budget.max_rules == 50
-    assert got.grants.pool_quota("acme", "shared") == 5 and got.grants.pool_quota("nobody", "shared") == 0
-    assert got.grants.reserved_servers() == SERVERS - {"free"}
+    assert config.customers["bolt"].grant.budget.max_rules == 50
+    assert (
+        config.grants.pool_quota("acme", "shared") == 5 and config.grants.pool_quota("nobody", "shared") == 0
+    )
+    assert config.grants.reserved_servers() == SERVERS - {"free"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -1,5 +1,5 @@
 """Customers' rules at real runners, with faults between them: each draft is published once, revisions only advance, and
-no customer's decide for another.
+customers' rules do not affect each other.
 """
 
 from __future__ import annotations
@@ -44,84 +44,95 @@
 
 
 class RoutedCluster:
-    """Runners, each by its index, and the servers that their calls go to."""
+    """A cluster of runners, addressed by index, and the servers that receive their calls."""
 
     def __init__(self, fleet: Fleet, servers: dict[str, Database]) -> None:
         self.fleet, self.servers = fleet, servers
 
     async def request(self, i: int, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        got = await exchange(
+        """Call the administration API of a runner, and return the status and the decoded body."""
+        response = await exchange(
             self.fleet.runners[i].admin,
             f"{method} /{path} HTTP/1.0\r\nAuthorization: Bearer t0p\r\n"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body,
         )
-        head, _, rest = got.partition(b"\r\n\r\n")
+        head, _, rest = response.partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(rest)
 
     async def publish(
-        self, i: int, customer: str = "acme", how: str = "wait=1", **draft: Any
+        self, i: int, customer: str = "acme", query: str = "wait=1", **draft: Any
     ) -> dict[str, Any]:
-        """Publish a draft, which must be accepted, and return the answer."""
-        status, answer = await self.request(i, "PUT", f"namespaces/{customer}?{how}", draft_to(**draft))
+        """Publish a draft, assert that it is accepted, and return the answer."""
+        status, answer = await self.request(i, "PUT", f"namespaces/{customer}?{query}", draft_to(**draft))
         assert status == 200, answer
         return answer  # type: ignore[no-any-return]
 
     async def route_of(self, i: int, class_name: str = "check", **params: Any) -> str:
-        """Send one request to a runner, and return the servers that its call went to, or the text of the error."""
+        """Send one request to a runner, and return the servers that received its call, or the text of the error."""
         body = os.urandom(8).hex().encode()
         client = await self.fleet.front(i)
         answer = await client.ask(class_name, body=body, **params)
         client.close()
         if "error" in answer:
             return str(answer["error"]["message"])
-        return "+".join(name for name, s in self.servers.items() if any(body in call for call in s.calls))
+        return "+".join(
+            name for name, server in self.servers.items() if any(body in call for call in server.calls)
+        )
 
     async def leader(self, i: int, customer: str = "acme") -> int:
-        """Return the runner that leads the customer's duty."""
+        """Return the index of the runner that leads the customer's duty."""
         status, lease = await self.request(i, "GET", f"duties/namespace/{customer}")
         assert status == 200, lease
         return int(lease["owner"][1:])
 
     async def revision(self, i: int, customer: str = "acme") -> int:
-        """Return the number of the revision that a runner goes by."""
+        """Return the number of a runner's current revision."""
         _, listed = await self.request(i, "GET", "namespaces")
-        return next(int(n["revision"]) for n in listed["namespaces"] if n["customer"] == customer)
+        return next(int(entry["revision"]) for entry in listed["namespaces"] if entry["customer"] == customer)
 
-    async def wait_for_revision(self, number: int, *but: int) -> None:
-        """Wait until all runners but these go by that revision."""
+    async def wait_for_revision(self, number: int, *excluded: int) -> None:
+        """Wait until that revision is current at all runners except the excluded ones."""
 
-        async def is_everywhere() -> bool:
+        async def is_current_everywhere() -> bool:
             return all(
-                [await self.revision(i) == number for i in range(len(self.fleet.runners)) if i not in but]
+                [
+                    await self.revision(i) == number
+                    for i in range(len(self.fleet.runners))
+                    if i not in excluded
+                ]
             )
 
-        await until(is_everywhere)
+        await until(is_current_everywhere)
 
 
-def draft_to(to: str = "a1", **more: Any) -> bytes:
-    """A draft whose default route has that server alone."""
-    return json.dumps({"default": "main", "routes": {"main": {"servers": {to: 1}}}} | more).encode()
+def draft_to(to: str = "a1", **parts: Any) -> bytes:
+    """Return a draft whose default route has one server; `parts` replaces or adds parts of the draft."""
+    return json.dumps({"default": "main", "routes": {"main": {"servers": {to: 1}}}} | parts).encode()
 
 
 @asynccontextmanager
-async def routed_cluster(n: int = 4, more: str = "", **how: Any) -> AsyncIterator[RoutedCluster]:
+async def routed_cluster(n: int = 4, more: str = "", **options: Any) -> AsyncIterator[RoutedCluster]:
+    """Run a cluster with namespaces; `more` is appended to each runner's TOML file."""
     servers = {name: Database() for name in SERVERS}
     for server in servers.values():
         server.listen()
     tier = "".join(
-        f'[[tier.server]]\nname = "{name}"\naddress = "{HOST}:{s.port}"\n' for name, s in servers.items()
+        f'[[tier.server]]\nname = "{name}"\naddress = "{HOST}:{server.port}"\n'
+        for name, server in servers.items()
     )
     try:
-        async with fleet(n, more=lambda i: tier + TOML + more, **{"work": 0.02, "calls": True} | how) as f:
-            yield RoutedCluster(f, servers)
+        async with fleet(
+            n, more=lambda i: tier + TOML + more, **{"work": 0.02, "calls": True} | options
+        ) as runners:
+            yield RoutedCluster(runners, servers)
     finally:
-        for s in servers.values():
-            s.close()
+        for server in servers.values():
+            server.close()
 
 
 @asynchronous_test
-async def test_a_customers_rules_route_its_calls_at_every_runner_and_no_others() -> None:
+async def test_a_customers_rules_route_only_its_own_calls_at_every_runner() -> None:
     async with routed_cluster() as cluster:
         assert await cluster.route_of(2) == "free" and await cluster.route_of(2, acct="bolt") == "free"
         answer = await cluster.publish(0)
@@ -138,9 +149,9 @@
 
 
 @asynchronous_test
-async def test_each_submission_becomes_one_revision_though_the_leader_is_killed() -> None:
-    """Eight submissions wait at the leader of the customer's duty as it is killed. Each is retried, under its id, at
-    the next leader: none may be lost, none published twice, and an answer that came before stays true.
+async def test_each_submission_is_published_once_although_the_leader_is_killed() -> None:
+    """The leader of the customer's duty is killed while eight submissions wait there. Each is retried with its id at
+    the next leader. None may be lost or published twice, and earlier answers must remain valid.
     """
     async with routed_cluster(5) as cluster:
         await cluster.publish(0)
@@ -160,23 +171,25 @@
         await asyncio.sleep(0.03)
         cluster.fleet.kill(leader)
         answers = [await submission for submission in waiting]
-        again = [
+        retries = [
             await cluster.request(others[0], "PUT", f"namespaces/acme?id=s{k}&by=t", draft_to())
             for k in range(8)
         ]
-        assert all(status == 200 for status, _ in again), again
-        numbers = [t["revision"] for _, t in again]
-        assert sorted(numbers) == list(range(2, 10)), "each became one revision, without gaps"
+        assert all(status == 200 for status, _ in retries), retries
+        numbers = [answer["revision"] for _, answer in retries]
+        assert sorted(numbers) == list(range(2, 10)), "each submission became one revision, without gaps"
         assert all(
-            t["revision"] == n for (status, t), n in zip(answers, numbers, strict=True) if status == 200
+            answer["revision"] == number
+            for (status, answer), number in zip(answers, numbers, strict=True)
+            if status == 200
         )
         await cluster.wait_for_revision(9, leader)
 
 
 @asynchronous_test
-async def test_a_cut_off_leader_publishes_nothing_and_conflicts_once_it_is_back() -> None:
-    """The leader is on the smaller side of a partition. There a submission is refused for want of a majority, and
-    requests go on by the last revision; the other side publishes. Once the cut heals the first submission conflicts.
+async def test_a_partitioned_leader_publishes_nothing_and_conflicts_after_it_rejoins() -> None:
+    """The leader is on the minority side of a partition. It rejects a submission because it has no majority, and routes
+    requests by its last revision. The other side publishes. After the partition heals, the submission conflicts.
     """
     async with routed_cluster(5, copies=5) as cluster:
         await cluster.publish(0)
@@ -186,102 +199,107 @@
         alone = asyncio.ensure_future(
             cluster.request(leader, "PUT", "namespaces/acme?id=alone", draft_to("a2"))
         )
-        answer = await cluster.publish(others[0], how="wait=1&id=many", to="a2")
+        answer = await cluster.publish(others[0], query="wait=1&id=many", to="a2")
         assert answer["revision"] == 2
-        status, refused = await alone
-        assert status == 503 and "no majority" in refused["error"] and "fleet show" in refused["remedy"]
+        status, rejected = await alone
+        assert status == 503 and "no majority" in rejected["error"] and "fleet show" in rejected["remedy"]
         _, listed = await cluster.request(leader, "GET", "namespaces")
         assert listed["cut_off"] and listed["ready"] is not False
-        assert await cluster.route_of(leader) == "a1", "cut off, it goes on with what it had last"
+        assert await cluster.route_of(leader) == "a1", "the partitioned runner uses its last revision"
         cluster.fleet.cut_off(leader, silent=False)
         await cluster.wait_for_revision(2)
-        status, again = await cluster.request(
+        status, conflict = await cluster.request(
             leader, "PUT", "namespaces/acme?id=alone&expects=1", draft_to("a2")
         )
-        assert status == 409 and again["kind"] == "Conflict" and "~ routes.main" in again["error"]
+        assert status == 409 and conflict["kind"] == "Conflict" and "~ routes.main" in conflict["error"]
 
 
 @asynchronous_test
 async def test_a_taken_over_request_keeps_its_revision() -> None:
-    """Requests wait under revision 1 at a runner that is cut off and killed. All others have gone on to revision 2 when
-    one takes them over: they are decided by revision 1.
+    """Requests read under revision 1 wait at a runner that is partitioned and then killed. Another runner takes them
+    over when revision 2 is current at all live runners. It must route them by revision 1.
     """
     async with routed_cluster(5, copies=5, work=0.5) as cluster:
         await cluster.publish(0, to="a1")
         holder = (await cluster.leader(0) + 1) % 5
-        left = await many(cluster.fleet, 20, holder)
+        pending = await many(cluster.fleet, 20, holder)
         cluster.fleet.cut_off(holder)
         others = [i for i in range(5) if i != holder]
         await cluster.publish(others[0], to="a2")
         cluster.fleet.kill(holder)
-        held = set(left) - cluster.fleet.began(holder)
-        answers = await ask_again(cluster.fleet, others[1], held)
-        once(cluster.fleet, left)
-        taken = cluster.fleet.began(*others) & held
-        for t in taken:
-            there = [
-                name for name, s in cluster.servers.items() if any(t.encode() in call for call in s.calls)
+        waiting = set(pending) - cluster.fleet.began(holder)
+        answers = await ask_again(cluster.fleet, others[1], waiting)
+        once(cluster.fleet, pending)
+        taken_over = cluster.fleet.began(*others) & waiting
+        for key in taken_over:
+            called = [
+                name
+                for name, server in cluster.servers.items()
+                if any(key.encode() in call for call in server.calls)
             ]
-            assert there == ["a1"], "the taker decided by the revision that it was read under"
-        assert len([t for t in taken if served(t, answers[t])]) >= 2
-        for front in left.values():
-            front.cancel()
+            assert called == ["a1"], "the request was routed by the revision under which it was read"
+        assert len([key for key in taken_over if served(key, answers[key])]) >= 2
+        for response in pending.values():
+            response.cancel()
 
 
 @asynchronous_test
-async def test_work_whose_revision_is_gone_is_not_taken_over() -> None:
-    """Requests wait at a runner that is cut off and killed; meanwhile the namespace is deleted, and another one
-    published under its name. Nobody has the rules that they were read with: no runner may run them by other rules.
+async def test_requests_whose_revision_is_no_longer_retained_are_not_taken_over() -> None:
+    """Requests wait at a runner that is partitioned and then killed. Meanwhile the namespace is deleted and created
+    again under the same name. No runner has the rules under which the requests were read, so none may run them.
     """
     async with routed_cluster(5, copies=5, work=0.5) as cluster:
         await cluster.publish(0, to="a1")
         holder = (await cluster.leader(0) + 1) % 5
-        left = await many(cluster.fleet, 20, holder)
+        pending = await many(cluster.fleet, 20, holder)
         cluster.fleet.cut_off(holder)
         others = [i for i in range(5) if i != holder]
-        status, gone = await cluster.request(others[0], "DELETE", "namespaces/acme")
-        assert status == 200 and gone["deleted"]
-        await cluster.publish(others[0], to="a2")  # under the same name, and another namespace
+        status, answer = await cluster.request(others[0], "DELETE", "namespaces/acme")
+        assert status == 200 and answer["deleted"]
+        await cluster.publish(others[0], to="a2")  # A new incarnation under the same name.
         cluster.fleet.kill(holder)
-        held = set(left) - cluster.fleet.began(holder)
+        waiting = set(pending) - cluster.fleet.began(holder)
 
-        async def all_refused() -> bool:
-            counts = [await cluster.fleet.runners[i].counters() for i in others]
-            return sum(int(c.get("fleet: not taken up without its rules", 0)) for c in counts) >= len(held)
+        async def all_rejected() -> bool:
+            counters = [await cluster.fleet.runners[i].counters() for i in others]
+            return sum(
+                int(values.get("fleet: not taken up without its rules", 0)) for values in counters
+            ) >= len(waiting)
 
-        await until(all_refused)
-        assert not cluster.fleet.began(*others) & held
-        for front in left.values():
-            front.cancel()
+        await until(all_rejected)
+        assert not cluster.fleet.began(*others) & waiting
+        for response in pending.values():
+            response.cancel()
 
 
 @asynchronous_test
 async def test_a_deletion_is_complete_only_when_every_seat_has_it() -> None:
-    """One runner is down as a namespace is deleted. It might serve on by the deleted rules on the other side of a
-    partition, so that the deletion is incomplete; started again, it learns of it before it serves.
+    """A runner is down while a namespace is deleted. The others can't exclude that it still routes by the deleted rules
+    on the other side of a partition, so the deletion is incomplete. After a restart, the runner learns of the deletion
+    before it serves.
     """
     async with routed_cluster(4) as cluster:
         first = await cluster.publish(0)
         leader = await cluster.leader(0)
-        away = next(i for i in range(4) if i != leader)
-        here = next(i for i in range(4) if i not in (leader, away))
-        cluster.fleet.kill(away)
+        down = next(i for i in range(4) if i != leader)
+        up = next(i for i in range(4) if i not in (leader, down))
+        cluster.fleet.kill(down)
         await asyncio.sleep(1.5)
-        _, answer = await cluster.request(here, "DELETE", "namespaces/acme?wait=1")
-        assert answer["deleted"] and not answer["complete"] and set(answer["lacking"]) == {f"n{away}"}
-        assert await cluster.route_of(here) == "free"
-        cluster.fleet.again(away)
-        await cluster.fleet.runners[away].ready()
-        assert await cluster.route_of(away) == "free", "it learns what it has missed before it serves"
-        anew = await cluster.publish(here)
-        assert anew["born"] > first["born"] and anew["revision"] == 1
+        _, answer = await cluster.request(up, "DELETE", "namespaces/acme?wait=1")
+        assert answer["deleted"] and not answer["complete"] and set(answer["lacking"]) == {f"n{down}"}
+        assert await cluster.route_of(up) == "free"
+        cluster.fleet.again(down)
+        await cluster.fleet.runners[down].ready()
+        assert await cluster.route_of(down) == "free", "it learns of the deletion before it serves"
+        recreated = await cluster.publish(up)
+        assert recreated["born"] > first["born"] and recreated["revision"] == 1
 
 
 @asynchronous_test
 async def test_a_runner_that_starts_alone_uses_the_revisions_on_its_disk() -> None:
-    """The whole cluster is killed, and one runner starts: it hears of nobody, and goes by what it has stored.
+    """The whole cluster is killed, and one runner starts. It has no live peer, so it uses its stored revisions.
 
-    A publication is complete once the live runners have it; each writes it to its disk after that, which is waited for.
+    A publication is complete once all live runners have it, but each writes it to disk later. The test waits for that.
     """
     async with routed_cluster(4, journals=True) as cluster:
         await cluster.publish(0)
@@ -296,28 +314,28 @@
 
 
 @asynchronous_test
-async def test_a_rejection_by_rules_has_its_reason_and_a_retry_of_what_ran_is_answered() -> None:
+async def test_a_rejection_has_the_rules_reason_and_a_retry_of_a_finished_request_is_answered() -> None:
     async with routed_cluster() as cluster:
-        t = token()
+        key = token()
         front = await cluster.fleet.front(1)
-        ran = await front.ask("submit", token=t, body=b"once")
+        first = await front.ask("submit", token=key, body=b"once")
         await cluster.publish(
             0, rules={"no": {"match": {"class": ["submit"]}, "refuse": "closed for the week"}}
         )
-        for i in (1, 3):  # here it ran; there it is another's
-            other = await cluster.fleet.front(i)
-            again = await other.ask("submit", token=t, body=b"once")
-            assert content(again) == content(ran), "no rejection after a run"
-            new = await other.ask("submit", token=token(), body=b"new")
+        for i in (1, 3):  # The runner that ran the request, and another one.
+            client = await cluster.fleet.front(i)
+            retry = await client.ask("submit", token=key, body=b"once")
+            assert content(retry) == content(first), "a finished request is not rejected"
+            new = await client.ask("submit", token=token(), body=b"new")
             assert new["error"]["code"] == -32014 and "closed for the week" in new["error"]["message"]
             assert new["error"]["data"]["final"] == 1
         assert await cluster.route_of(2) == "a1"
 
 
 @asynchronous_test
-async def test_routes_fall_back_and_withdrawn_grants_are_skipped() -> None:
-    """The server of a route goes away: calls take its fallback. Then the grants of all that the draft names are
-    withdrawn: requests run without their call, and go to nobody else's servers.
+async def test_routes_fall_back_and_revoked_grants_are_skipped() -> None:
+    """If the server of a route is down, calls use the fallback. If all grants that the draft uses are then revoked,
+    requests run without their call and use no server of another customer.
     """
     async with routed_cluster() as cluster:
         draft: dict[str, Any] = {
@@ -342,12 +360,12 @@
             return bool((await runner.counters()).get("configurations read"))
 
         await until(is_reloaded)
-        assert await cluster.route_of(1) == "", "nothing of it is granted any more: it runs without its call"
+        assert await cluster.route_of(1) == "", "no grant is left, so the request runs without its call"
         assert await cluster.route_of(1, acct="bolt") == "free"
 
 
 @asynchronous_test
-async def test_publishing_goes_on_while_the_leader_is_replaced() -> None:
+async def test_publishing_continues_during_a_hot_restart_of_the_leader() -> None:
     """A new process of the leader's runner starts, and the old one shuts down while four drafts are published."""
     async with routed_cluster(journals=True) as cluster:
         await cluster.publish(0)
@@ -358,43 +376,45 @@
         await runner.says_yes()
         runner.processes[0].send_signal(signal.SIGTERM)
         others = [i for i in range(4) if i != leader]
-        for n in range(2, 6):
-            answer = await cluster.publish(others[n % 3], how=f"wait=1&id=n{n}", to=("a1", "a2")[n % 2])
-            assert answer["revision"] == n
+        for number in range(2, 6):
+            answer = await cluster.publish(
+                others[number % 3], query=f"wait=1&id=n{number}", to=("a1", "a2")[number % 2]
+            )
+            assert answer["revision"] == number
         await wait_until(lambda: runner.processes[0].poll() == 0)
         assert await cluster.route_of(leader) == "a2"
         kernel.close()
 
 
 def stored_count(path: Path) -> int:
-    """Return the number of revisions on a runner's disk whose writing is over."""
+    """Return the number of committed revisions in a runner's store; 0 if the store can't be read."""
     with suppress(sqlite3.Error), closing(sqlite3.connect(f"file:{path}?mode=ro", uri=True)) as db:
         return int(db.execute("select count(*) from had").fetchone()[0])
     return 0
 
 
 @asynchronous_test
-async def test_a_damaged_store_is_set_aside_and_fetched_from_others() -> None:
-    """A killed runner's store is overwritten with what is no database. It starts, keeps the file under another name,
-    and has the revision from the other runners before it serves.
+async def test_a_damaged_store_is_set_aside_and_revisions_are_fetched_from_peers() -> None:
+    """The store of a killed runner is overwritten with invalid data. The restarted runner renames the file and fetches
+    the revision from other runners before it serves.
     """
     async with routed_cluster(journals=True) as cluster:
         await cluster.publish(0)
         folder = cluster.fleet.journal(2)
-        # Killed in the midst of that write, it would leave SQLite's own journal, which heals what is damaged here.
+        # If it were killed during that write, SQLite's rollback journal would remain and repair the damage below.
         await wait_until(lambda: stored_count(folder / "namespaces.db") == 1)
         cluster.fleet.kill(2)
         await cluster.fleet.gone(2)
         (folder / "namespaces.db").write_bytes(b"no database at all" * 100)
         cluster.fleet.again(2)
         await cluster.fleet.runners[2].ready()
-        assert await cluster.route_of(2) == "a1", "the others have it"
+        assert await cluster.route_of(2) == "a1", "the revision was fetched from another runner"
         assert "is put aside" in cluster.fleet.runners[2].text() and (folder / "namespaces.damaged").exists()
         assert (await cluster.publish(1, to="a2"))["complete"]
 
 
 @asynchronous_test
-async def test_faulty_api_calls_are_answered_with_kind_and_remedy() -> None:
+async def test_invalid_api_calls_are_answered_with_kind_and_remedy() -> None:
     async with routed_cluster(3) as cluster:
         for method, path, body, status, kind in (
             ("PUT", "namespaces/acme?expects=x", draft_to(), 400, "Malformed"),
@@ -406,10 +426,10 @@
             ("GET", "namespaces/nobody/explain?class=x", b"", 404, "NoSuchCustomer"),
             ("GET", "namespaces/acme/explain?rank=2", b"", 400, "Malformed"),
         ):
-            got, answer = await cluster.request(1, method, path, body)
-            assert (got, answer["kind"]) == (status, kind) and answer["remedy"], answer
+            actual_status, answer = await cluster.request(1, method, path, body)
+            assert (actual_status, answer["kind"]) == (status, kind) and answer["remedy"], answer
         assert (await cluster.request(1, "POST", "namespaces/acme/forward/1"))[0] == 404
         assert (await cluster.request(1, "PUT", "namespaces/acme", b"x" * (800 << 10)))[0] == 413
         assert (await cluster.request(2, "GET", "namespaces/acme"))[1]["number"] == 0, (
-            "nothing of it was published"
+            "no revision was published"
         )
