--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -192,4 +192,4 @@
                 }
             )
 
-        self._replica.propagation.everywhere(customer, revision_id, got_lacking)
+        self._replica.propagation.propagate(customer, revision_id, got_lacking)
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -148,7 +148,7 @@
         """Parse a draft that was published."""
         self._parser.parse(draft, None, then)
 
-    def keep(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
+    def store_revision(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
         """Store the current revision; None: the namespace is deleted."""
         if self.store is not None:
             self.store.put(customer, revision_id, draft)
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -51,7 +51,7 @@
 
         self._revisions.obtain(customer, revision_id, False, draft, self._member.me, on_obtained)
 
-    def everywhere(
+    def propagate(
         self,
         customer: str,
         revision_id: RevisionId,
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -120,5 +120,5 @@
 
     def _changed(self, customer: str, draft: bytes | None) -> None:
         self.anti_entropy.mark_changed(customer)
-        self._host.keep(customer, self.customers.latest_id(customer), draft)
+        self._host.store_revision(customer, self.customers.latest_id(customer), draft)
         self._host.changed(customer)
--- a/moorusher/config_distribution/services.py
+++ b/moorusher/config_distribution/services.py
@@ -87,7 +87,7 @@
         """Check a draft; in a later turn of the event loop, call `callback` with the error or None."""
         ...
 
-    def keep(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
+    def store_revision(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
         """Store the current revision on disk; the draft is None if the namespace is deleted."""
         ...
 
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -109,7 +109,7 @@
         delay_us = round(self.sim.random.uniform(*PARSE_MS) * MS)
         self.sim.at(self.sim.now + delay_us, self, lambda: then(parsed))
 
-    def keep(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
+    def store_revision(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
         """Store a revision on the disk, if there is one; no draft: it was deleted."""
         if self.world.has_disks:
             self.publishing.stored[self.seat][customer] = (at, draft)
@@ -200,7 +200,7 @@
             Confirmation(customer, result, submission.submission_id, submission.draft, confirmed_us)
         )
         history.see_draft(customer, result, submission.draft)
-        process.replica.propagation.everywhere(
+        process.replica.propagation.propagate(
             customer, result, lambda lacking: self._on_propagated(customer, result, lacking, confirmed_us)
         )
 
