--- a/moorusher/config_distribution/submission_forwarding.py
+++ b/moorusher/config_distribution/submission_forwarding.py
@@ -111,7 +111,7 @@
                 pending.lease_created = True
                 attempt = pending.attempt
                 self._directory.create(
-                    name, KIND, lambda result: self._retry_after(0, serial, pending, attempt)
+                    name, KIND, lambda created: self._retry_after(0, serial, pending, attempt)
                 )
                 return
             self._retry_after(RETRY_PAUSE_US, serial, pending, pending.attempt)
