--- a/moorusher/admin/api.py
+++ b/moorusher/admin/api.py
@@ -1,4 +1,4 @@
-"""What all pages of the administration API share: JSON over HTTP on loopback, and the bearer token of changes."""
+"""Common parts of the administration API: JSON over HTTP on loopback, with a bearer token for changes."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 from ..errors import OperatorError
 
-# Twisted's web classes carry no types; named once here, so that the rest is checked.
+# Twisted's web classes have no type annotations. These aliases keep the untyped names in one place.
 Resource: Any = resource.Resource
 Site: Any = server.Site
-MAX_BODY_BYTES = 4096  # of a change; every one that there is takes some hundred
-IDLE_TIMEOUT_S = 10  # of a connection
-NO_TOKEN = {"error": "a bearer token is needed"}
+# Limit of the JSON body of a change, which takes a few hundred bytes. Drafts and histories have limits of their own.
+MAX_BODY_BYTES = 4096
+IDLE_TIMEOUT_S = 10  # Idle connections are closed after this time.
+TOKEN_REQUIRED = {"error": "a bearer token is needed"}
 
 
 class InvalidBodyError(ValueError):
-    """The body is no such change; the text names the key."""
+    """Raised if a request's body is not a valid change. The message names the faulty key."""
 
 
 def quiet_site(root: Any) -> Any:
@@ -31,13 +32,13 @@
     return site
 
 
-def path_of(request: Any) -> list[str]:
-    """Return the parts of the path below the page's own."""
+def path_segments(request: Any) -> list[str]:
+    """Return the segments of the request's path below that of the page."""
     return [part.decode("utf-8", "replace") for part in request.postpath if part]
 
 
 class JsonPage(Resource):  # type: ignore[misc]
-    """GET alone: the value that `read` returns, as JSON."""
+    """A page for GET that returns the value of `read` as JSON."""
 
     isLeaf = True
 
@@ -50,8 +51,8 @@
         return reply(request, 200, self._read())
 
 
-class Guarded(Resource):  # type: ignore[misc]
-    """A page that anybody may read, and that only the holder of the token may change."""
+class TokenProtectedPage(Resource):  # type: ignore[misc]
+    """Base class of pages that need the bearer token for changes but not for reads."""
 
     isLeaf = True
 
@@ -59,19 +60,19 @@
         super().__init__()
         self._token = token
 
-    def allowed(self, request: Any) -> bool:
-        """Whether the request carries the token. Without one in the configuration nobody may change anything."""
-        given = request.getHeader(b"authorization") or b""
-        # Compared in constant time: the time of a plain comparison tells how much of a guess is right.
-        if self._token and hmac.compare_digest(given, b"Bearer " + self._token.encode()):
+    def is_authorized(self, request: Any) -> bool:
+        """Return whether the request has the bearer token. Without a configured token, no request is authorized."""
+        authorization = request.getHeader(b"authorization") or b""
+        # The comparison takes constant time, since the duration of a plain one reveals how much of a guess is right.
+        if self._token and hmac.compare_digest(authorization, b"Bearer " + self._token.encode()):
             return True
         request.setHeader(b"www-authenticate", b"Bearer")
         return False
 
-    def body(self, request: Any) -> dict[str, Any]:
-        """Return the JSON object of the body, {} where it is empty.
+    def read_body(self, request: Any) -> dict[str, Any]:
+        """Return the JSON object in the request's body, {} if the body is empty.
 
-        :raises InvalidBodyError: it is too long or no JSON object.
+        :raises InvalidBodyError: The body is too long or not a JSON object.
         """
         raw = request.content.read(MAX_BODY_BYTES + 1)
         if len(raw) > MAX_BODY_BYTES:
@@ -87,8 +88,8 @@
         return parsed
 
 
-class ChangePage(Guarded):
-    """POST alone: calls `change` and answers 202 with what it returns."""
+class ChangePage(TokenProtectedPage):
+    """A page for POST that calls `change` and returns its value as JSON."""
 
     def __init__(self, token: str, change: Callable[[], object]) -> None:
         super().__init__(token)
@@ -96,23 +97,23 @@
 
     def render_POST(self, request: Any) -> bytes:
         """Answer 202, or 401 without the token."""
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         return reply(request, 202, self._change())
 
 
 def reply(request: Any, status: int, value: object) -> bytes:
-    """Set the status of the answer and return its body as JSON."""
+    """Set the status of the response and return `value` as its JSON body."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
     return json.dumps(value, sort_keys=True).encode() + b"\n"
 
 
-def later(request: Any, ask: Callable[[Callable[[Any], None]], None]) -> Any:
-    """Answer once other runners have answered; the client may have disconnected by then.
+def reply_later(request: Any, start: Callable[[Callable[[Any], None]], None]) -> Any:
+    """Answer the request when an asynchronous operation completes, unless the client has disconnected by then.
 
-    `ask` is called with a callback. It passes a value, JSON as bytes, or an `OperatorError` to it, and may raise one as
-    well. The answer of an error has its `status`, and in its JSON its text, `kind` and `remedy`.
+    :param start: Starts the operation, whose callback takes a value, JSON as bytes, or an `OperatorError`. It may also
+        raise an `OperatorError`. An error is answered with its `status` and, as JSON, its text, `kind` and `remedy`.
     """
     disconnected: list[object] = []
     request.notifyFinish().addErrback(disconnected.append)
@@ -127,7 +128,7 @@
         request.finish()
 
     try:
-        ask(answer)
+        start(answer)
     except OperatorError as error:
         answer(error)
     return server.NOT_DONE_YET
--- a/moorusher/admin/forecast.py
+++ b/moorusher/admin/forecast.py
@@ -1,11 +1,11 @@
 """The administration API of the forecast.
 
-    GET  /forecast           the next week of all customers, from the leader
-    GET  /forecast/NAME      of one customer
-    GET  /forecast/+here     what this runner has counted and not reported yet
-    POST /forecast           imports hours that were counted elsewhere
+    GET  /forecast           the leader's forecast of the next week for all customers
+    GET  /forecast/NAME      the same for one customer
+    GET  /forecast/+here     this runner's counts that it has not yet reported
+    POST /forecast           imports hourly counts from another source
 
-The body of the POST is a JSON array:
+The body of POST is a JSON array:
 
     [{"customer": "acme", "route": "main", "zone": "a", "first_hour": 495000, "asked": [12, 40], "core_ms": 80}]
 """
@@ -20,20 +20,20 @@
 from ..forecast_service.messages import ImportedHistory
 from ..forecasting.demand_counts import RouteKey
 from ..forecasting.hourly_series import MAX_COUNT, MAX_HOURS
-from .api import NO_TOKEN, Guarded, later, path_of, reply
+from .api import TOKEN_REQUIRED, TokenProtectedPage, path_segments, reply, reply_later
 
 MAX_HISTORY_BYTES = 400 << 10
 MAX_FIRST_HOUR = 10**8  # hours since 1970
-MAX_CORE_MS = 1e7  # of a request
+MAX_CORE_MS = 1e7  # core time of one request
 MAX_PRIORITY_WEIGHT = 1e9
 US_PER_MS = 1_000
-LOCAL_PAGE = "+here"  # in place of a customer's name
+LOCAL_PAGE = "+here"  # Stands in the path in place of a customer's name.
 
 RequestCount = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
 
 class _HistoryBody(msgspec.Struct, forbid_unknown_fields=True):
-    """One route's history as it is posted; the keys are those of the API. See `ImportedHistory`."""
+    """One route's history in the body of POST, with the keys of the API. See `ImportedHistory`."""
 
     first_hour: Annotated[int, msgspec.Meta(ge=0, le=MAX_FIRST_HOUR)]
     requests: Annotated[list[RequestCount], msgspec.Meta(min_length=1, max_length=MAX_HOURS)] = msgspec.field(
@@ -49,7 +49,7 @@
     )
 
     def to_message(self) -> ImportedHistory:
-        """Return it as it is sent to the leader."""
+        """Return the history as a message to the leader."""
         return ImportedHistory(
             RouteKey(self.customer, self.namespace_incarnation, self.route, self.zone),
             self.first_hour,
@@ -59,17 +59,17 @@
         )
 
 
-class ForecastPages(Guarded):
-    """`/forecast`: the forecast, by customer, and the import of histories."""
+class ForecastPages(TokenProtectedPage):
+    """`/forecast`: the forecast by customer, and the import of histories."""
 
     def __init__(self, token: str, forecast: ForecastLink) -> None:
         super().__init__(token)
         self._forecast = forecast
 
     def render_POST(self, request: Any) -> Any:
-        """Import histories: 200, 400 for a faulty body, 401 without the token, 413 for one that is too long."""
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        """Import histories. Answer 200, 400 for an invalid body, 401 without the token, 413 for too long a body."""
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         raw = request.content.read(MAX_HISTORY_BYTES + 1)
         if len(raw) > MAX_HISTORY_BYTES:
             return reply(request, 413, {"error": f"more than {MAX_HISTORY_BYTES} bytes"})
@@ -78,14 +78,14 @@
         except (msgspec.MsgspecError, RecursionError) as error:
             return reply(request, 400, {"error": str(error)})
         histories = [body.to_message() for body in bodies]
-        return later(request, lambda callback: self._forecast.import_history(histories, callback))
+        return reply_later(request, lambda callback: self._forecast.import_history(histories, callback))
 
     def render_GET(self, request: Any) -> Any:
-        """Answer 200 with the forecast of all customers or the named one, or with this runner's part; 404."""
-        path = path_of(request)
+        """Answer 200 with the forecast for all customers or the named one, or with the local counts; else 404."""
+        path = path_segments(request)
         if path == [LOCAL_PAGE]:
             return reply(request, 200, self._forecast.local_document())
         if len(path) > 1:
             return reply(request, 404, {"error": "no such page"})
         customer = path[0] if path else ""
-        return later(request, lambda callback: self._forecast.query(customer, callback))
+        return reply_later(request, lambda callback: self._forecast.query(customer, callback))
--- a/moorusher/admin/leadership.py
+++ b/moorusher/admin/leadership.py
@@ -1,9 +1,9 @@
 """The administration API of duties.
 
-GET  /duties                              what this runner leads or replicates
-GET  /duties/NAME                         read through its register, so current
-POST /duties/NAME/resume                  lets a suspended duty go on
-POST /duties/NAME/settle/NUMBER/done      closes an open intent; also /undone
+GET  /duties                              the duties that this runner leads or replicates
+GET  /duties/NAME                         a duty's current state, read from its register
+POST /duties/NAME/resume                  resumes a suspended duty
+POST /duties/NAME/settle/NUMBER/done      resolves an open intent as done; also /undone
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from ..leadership.lease_holder import LeaseHolder
 from ..leadership.lease_record import Intent, IntentResolution, LeaseStatus
 from ..time_units import MS
-from .api import Guarded, later, reply
+from .api import TokenProtectedPage, reply, reply_later
 
 MAX_NUMBER_DIGITS = 18
 SETTLE_VERDICTS = ("done", "undone")
 
 
-class DutyPages(Guarded):
-    """`/duties`: the duties of the fleet, and an operator's statements about them."""
+class DutyPages(TokenProtectedPage):
+    """`/duties`: the duties of the fleet, and operators' decisions about them."""
 
     def __init__(self, token: str, duties: DutyLink) -> None:
         super().__init__(token)
@@ -39,25 +39,25 @@
         if not path:
             duties = [snapshot_document(snapshot) for snapshot in self._duties.local_duties()]
             return reply(request, 200, {"duties": duties})
-        name = "/".join(path)  # a name may hold slashes
-        return later(request, lambda answer: self._duties.read(name, _as_document(answer)))
+        name = "/".join(path)  # A duty's name may contain slashes.
+        return reply_later(request, lambda answer: self._duties.read(name, _as_document(answer)))
 
     def render_POST(self, request: Any) -> Any:
-        """Resume a duty, or settle an intent. Needs the bearer token."""
-        if not self.allowed(request):
+        """Resume a duty, or resolve an intent. Needs the bearer token."""
+        if not self.is_authorized(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
         path = self._path(request)
         if len(path) > 1 and path[-1] == "resume":
             name = "/".join(path[:-1])
-            return later(request, lambda answer: self._duties.resume(name, _as_document(answer)))
+            return reply_later(request, lambda answer: self._duties.resume(name, _as_document(answer)))
         if _is_settle_path(path):
-            return self._settle(request, "/".join(path[:-3]), int(path[-2]), path[-1])
+            return self._resolve_intent(request, "/".join(path[:-3]), int(path[-2]), path[-1])
         return reply(
             request, 404, {"error": "expected /duties/NAME/resume or /duties/NAME/settle/NUMBER/done"}
         )
 
-    def _settle(self, request: Any, name: str, intent_revision: int, verdict: str) -> Any:
-        return later(
+    def _resolve_intent(self, request: Any, name: str, intent_revision: int, verdict: str) -> Any:
+        return reply_later(
             request,
             lambda answer: self._duties.resolve_intent(name, intent_revision, verdict, _as_document(answer)),
         )
@@ -72,7 +72,7 @@
 def _as_document(
     answer: Callable[[Any], None],
 ) -> Callable[[DutyReading | DutySnapshot | LeadershipError], None]:
-    """Return a callback that answers with the document of a result, or with an error as it is."""
+    """Return a callback that passes a result's document, or an error unchanged, to `answer`."""
 
     def callback(result: DutyReading | DutySnapshot | LeadershipError) -> None:
         if isinstance(result, DutyReading):
@@ -86,13 +86,13 @@
 
 
 def reading_document(reading: DutyReading) -> dict[str, Any]:
-    """Return the JSON of a duty that was read, with its state as text."""
+    """Return the JSON document of a duty that was read, with its state as text."""
     state = None if reading.state is None else reading.state.decode("utf-8", "replace")
     return snapshot_document(reading.snapshot) | {"state": state, "current": True}
 
 
 def snapshot_document(snapshot: DutySnapshot) -> dict[str, Any]:
-    """Return the JSON of a duty. Its keys are part of the API."""
+    """Return the JSON document of a duty. Its keys are part of the API."""
     record = snapshot.record
     return {
         "name": record.name,
--- a/moorusher/admin/maintenance.py
+++ b/moorusher/admin/maintenance.py
@@ -1,11 +1,11 @@
 """The administration API of maintenance.
 
-    GET  /outage                    who is out of service, who waits and why
-    POST /outage/ask                adds a request
-    POST /outage/cancel             withdraws it, or seats of it
-    POST /outage/hold, /resume      grants no slots until resumed; /resume also queues a suspended seat again
-    POST /outage/done               states that the work on a machine is over
-    POST /outage/wait               answers once a machine may be worked on, or will not be, or after `for_s`
+    GET  /outage                 the schedule: granted slots, and queued seats with the reason for the wait
+    POST /outage/ask             submits a request
+    POST /outage/cancel          withdraws a request, or some of its seats
+    POST /outage/hold, /resume   pauses and resumes the granting of slots; /resume also requeues a suspended seat
+    POST /outage/done            reports that the work on a machine has ended
+    POST /outage/wait            answers once a seat's slot is granted or its request has ended, or after `for_s`
 
 The body of a POST is a JSON object.
 """
@@ -26,7 +26,7 @@
 from ..maintenance.errors import MaintenanceError
 from ..maintenance.schedule import CompletionProof
 from ..maintenance.waiters import WaitResult
-from .api import Guarded, InvalidBodyError, later, reply
+from .api import InvalidBodyError, TokenProtectedPage, reply, reply_later
 from .maintenance_documents import status_document
 
 MAX_ID_CHARS = 64
@@ -36,7 +36,7 @@
 MIN_DURATION_S = 0.1
 MAX_UNIX_S = 1e12
 MAX_PRIORITY = 9
-REQUEST_ID_BYTES = 8  # of an id that is made here
+REQUEST_ID_BYTES = 8  # random bytes in a generated request ID
 REQUEST_KEYS = {
     "id",
     "seats",
@@ -56,39 +56,39 @@
 
 
 class _Body:
-    """The JSON object of a request. Its errors, InvalidBodyError, name the key."""
+    """Typed access to the JSON object of a request. Errors are `InvalidBodyError` and name the key."""
 
-    def __init__(self, sent: dict[str, Any], known_keys: set[str]) -> None:
-        unknown = sorted(set(sent) - known_keys)
+    def __init__(self, document: dict[str, Any], known_keys: set[str]) -> None:
+        unknown = sorted(set(document) - known_keys)
         if unknown:
             raise InvalidBodyError(f"{unknown[0]}: no such key; known are {', '.join(sorted(known_keys))}")
-        self._sent = sent
+        self._document = document
 
     def text(self, key: str, default: str | None = None, max_chars: int = MAX_TEXT_CHARS) -> str:
-        """Return a string. Without a default it must not be empty."""
-        value = self._sent.get(key, default)
+        """Return a string, which must not be empty if there is no default."""
+        value = self._document.get(key, default)
         min_chars = 1 if default is None else 0
         if not isinstance(value, str) or not min_chars <= len(value) <= max_chars:
             raise InvalidBodyError(f"{key}: expected a string of {min_chars} to {max_chars} characters")
         return value
 
-    def number(self, key: str, default: float, least: float, most: float) -> float:
+    def number(self, key: str, default: float, minimum: float, maximum: float) -> float:
         """Return a number within the bounds."""
-        value = self._sent.get(key, default)
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
-            raise InvalidBodyError(f"{key}: expected a number from {least:g} to {most:g}")
+        value = self._document.get(key, default)
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value <= maximum:
+            raise InvalidBodyError(f"{key}: expected a number from {minimum:g} to {maximum:g}")
         return float(value)
 
     def flag(self, key: str) -> bool:
-        """Return true or false; false by default."""
-        value = self._sent.get(key, False)
+        """Return a Boolean value; False by default."""
+        value = self._document.get(key, False)
         if not isinstance(value, bool):
             raise InvalidBodyError(f"{key}: expected true or false")
         return value
 
     def names(self, key: str) -> list[str]:
         """Return a list of names; empty by default."""
-        value = self._sent.get(key, [])
+        value = self._document.get(key, [])
         if not isinstance(value, list) or not all(_is_name(name) for name in value):
             raise InvalidBodyError(f"{key}: expected a list of names")
         return value
@@ -98,9 +98,9 @@
     return isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARS
 
 
-def read_request_form(sent: dict[str, Any]) -> RequestForm:
-    """Read the body of POST /outage/ask. Raises InvalidBodyError."""
-    body = _Body(sent, REQUEST_KEYS)
+def read_request_form(document: dict[str, Any]) -> RequestForm:
+    """Read the body of POST /outage/ask. Raise `InvalidBodyError` if a key or a value is invalid."""
+    body = _Body(document, REQUEST_KEYS)
     ends = body.text("ends", CompletionProof.REBOOT.api_name)
     if ends not in (proof.api_name for proof in CompletionProof):
         raise InvalidBodyError(f"ends: expected one of boot, done, got {ends!r}")
@@ -124,8 +124,8 @@
     )
 
 
-class OutagePages(Guarded):
-    """`/outage`: requests for maintenance, and an operator's statements about them."""
+class OutagePages(TokenProtectedPage):
+    """`/outage`: maintenance requests, and operators' commands for the schedule."""
 
     def __init__(self, token: str, maintenance: MaintenanceLink) -> None:
         super().__init__(token)
@@ -143,52 +143,54 @@
         """Show the schedule."""
         if any(request.postpath):
             return reply(request, 404, {"error": "no such page"})
-        return later(request, lambda answer: self._maintenance.show(_as_document(answer)))
+        return reply_later(request, lambda answer: self._maintenance.show(_as_document(answer)))
 
     def render_POST(self, request: Any) -> Any:
-        """Make a change, or wait. Needs the bearer token."""
-        if not self.allowed(request):
+        """Change the schedule, or wait for a slot. Needs the bearer token."""
+        if not self.is_authorized(request):
             return reply(request, 401, {"error": "a bearer token is needed"})
         path = [part.decode("utf-8", "replace") for part in request.postpath if part]
         handler = self._handlers.get(path[0]) if len(path) == 1 else None
         if handler is None:
             return reply(request, 404, {"error": f"expected one of {', '.join(sorted(self._handlers))}"})
         try:
-            return handler(self.body(request), request)
+            return handler(self.read_body(request), request)
         except InvalidBodyError as exc:
             return reply(request, 400, {"error": str(exc)})
 
-    def _submit(self, sent: dict[str, Any], request: Any) -> Any:
-        form = read_request_form(sent)
-        return later(request, lambda answer: self._maintenance.submit(form, _as_document(answer)))
+    def _submit(self, document: dict[str, Any], request: Any) -> Any:
+        form = read_request_form(document)
+        return reply_later(request, lambda answer: self._maintenance.submit(form, _as_document(answer)))
 
-    def _withdraw(self, sent: dict[str, Any], request: Any) -> Any:
-        body = _Body(sent, {"id", "seats", "by"})
+    def _withdraw(self, document: dict[str, Any], request: Any) -> Any:
+        body = _Body(document, {"id", "seats", "by"})
         request_id = body.text("id", max_chars=MAX_ID_CHARS)
         seats = body.names("seats")
         requested_by = body.text("by", "api", MAX_NAME_CHARS)
-        return later(
+        return reply_later(
             request,
             lambda answer: self._maintenance.withdraw(request_id, seats, requested_by, _as_document(answer)),
         )
 
-    def _pause(self, sent: dict[str, Any], request: Any) -> Any:
+    def _pause(self, document: dict[str, Any], request: Any) -> Any:
         default = "held by an operator"
-        reason = _Body(sent, {"why"}).text("why", default) or default
-        return later(request, lambda answer: self._maintenance.pause(reason, _as_document(answer)))
+        reason = _Body(document, {"why"}).text("why", default) or default
+        return reply_later(request, lambda answer: self._maintenance.pause(reason, _as_document(answer)))
 
-    def _resume(self, sent: dict[str, Any], request: Any) -> Any:
-        seat = _Body(sent, {"seat"}).text("seat", "", MAX_NAME_CHARS)
-        return later(request, lambda answer: self._maintenance.resume(seat, _as_document(answer)))
+    def _resume(self, document: dict[str, Any], request: Any) -> Any:
+        seat = _Body(document, {"seat"}).text("seat", "", MAX_NAME_CHARS)
+        return reply_later(request, lambda answer: self._maintenance.resume(seat, _as_document(answer)))
 
-    def _finish(self, sent: dict[str, Any], request: Any) -> Any:
-        body = _Body(sent, {"seat", "by"})
+    def _finish(self, document: dict[str, Any], request: Any) -> Any:
+        body = _Body(document, {"seat", "by"})
         seat = body.text("seat", max_chars=MAX_NAME_CHARS)
-        stated_by = body.text("by", "api", MAX_NAME_CHARS)
-        return later(request, lambda answer: self._maintenance.finish(seat, stated_by, _as_document(answer)))
+        reported_by = body.text("by", "api", MAX_NAME_CHARS)
+        return reply_later(
+            request, lambda answer: self._maintenance.finish(seat, reported_by, _as_document(answer))
+        )
 
-    def _wait(self, sent: dict[str, Any], request: Any) -> Any:
-        body = _Body(sent, {"id", "seat", "for_s"})
+    def _wait(self, document: dict[str, Any], request: Any) -> Any:
+        body = _Body(document, {"id", "seat", "for_s"})
         request_id = body.text("id", max_chars=MAX_ID_CHARS)
         seat = body.text("seat", "", MAX_NAME_CHARS) or self._maintenance.fleet.name
         timeout_s = body.number("for_s", MAX_WAIT_S, 0, MAX_WAIT_S)
@@ -196,20 +198,20 @@
         def wait(answer: Callable[[Any], None]) -> None:
             is_answered = False
 
-            def answered(result: WaitResult) -> None:
+            def on_result(result: WaitResult) -> None:
                 nonlocal is_answered
                 is_answered = True
                 answer({"id": request_id, "seat": seat, "word": result.status.value, "note": result.note})
 
-            cancel = self._maintenance.wait(request_id, seat, timeout_s, answered)
+            cancel = self._maintenance.wait(request_id, seat, timeout_s, on_result)
             if not is_answered:
                 request.notifyFinish().addErrback(lambda reason: cancel())
 
-        return later(request, wait)
+        return reply_later(request, wait)
 
 
 def _as_document(answer: Callable[[Any], None]) -> Callable[[MaintenanceStatus | MaintenanceError], None]:
-    """Return a callback that answers with the document of a status, or with an error as it is."""
+    """Return a callback that passes a status's document, or an error unchanged, to `answer`."""
 
     def callback(result: MaintenanceStatus | MaintenanceError) -> None:
         answer(result if isinstance(result, MaintenanceError) else status_document(result))
--- a/moorusher/admin/maintenance_documents.py
+++ b/moorusher/admin/maintenance_documents.py
@@ -1,4 +1,4 @@
-"""The JSON of maintenance in the administration API. The keys are part of the API."""
+"""JSON documents of maintenance in the administration API. Their keys are part of the API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def status_document(status: MaintenanceStatus) -> dict[str, Any]:
-    """Return the JSON of a schedule."""
+    """Return the JSON document of a schedule."""
     schedule = status.schedule
     policy = status.policy
     return {
--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -1,4 +1,4 @@
-"""GET, PUT and DELETE /maintenance: an operator takes this runner out of its load balancers, and puts it back."""
+"""GET, PUT and DELETE /maintenance: maintenance mode, in which load balancers send this runner no new requests."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from ..health.policy import MAX_MAINTENANCE_S, MAX_REASON_LENGTH
 from ..health_reporting.document import health_document
 from ..health_reporting.reporter import Reporter
-from .api import NO_TOKEN, Guarded, InvalidBodyError, reply
+from .api import TOKEN_REQUIRED, InvalidBodyError, TokenProtectedPage, reply
 
 DEFAULT_REASON = "maintenance"
 
 
 def read_maintenance(document: dict[str, Any]) -> tuple[str, float | None]:
-    """Return the reason, and the seconds after which maintenance ends by itself, None where it does not.
+    """Return the reason, and the seconds after which maintenance ends by itself, None if it doesn't.
 
-    :raises InvalidBodyError: a key is unknown, or its value is out of bounds.
+    :raises InvalidBodyError: A key is unknown, or its value is out of bounds.
     """
     unknown = sorted(set(document) - {"reason", "for_s"})
     if unknown:
@@ -34,23 +34,23 @@
     return is_number and 0 < value <= MAX_MAINTENANCE_S  # type: ignore[operator]
 
 
-class MaintenanceModePage(Guarded):
-    """A runner that shuts down can't be put into maintenance, nor out of it: 409."""
+class MaintenanceModePage(TokenProtectedPage):
+    """`/maintenance`: the maintenance mode. A runner that is shutting down refuses changes with 409."""
 
     def __init__(self, token: str, reporter: Reporter) -> None:
         super().__init__(token)
         self._reporter = reporter
 
     def render_GET(self, request: Any) -> bytes:
-        """Answer 200 with the maintenance that is set, or null."""
+        """Answer 200 with the current maintenance, null if there is none."""
         return reply(request, 200, {"maintenance": health_document(self._reporter)["maintenance"]})
 
     def render_PUT(self, request: Any) -> bytes:
-        """Set maintenance: 200, 400 for a faulty body, 401 without the token, 409 while shutting down."""
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        """Begin maintenance. Answer 200, 400 for an invalid body, 401 without the token, 409 during shutdown."""
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         try:
-            reason, duration_s = read_maintenance(self.body(request))
+            reason, duration_s = read_maintenance(self.read_body(request))
         except InvalidBodyError as error:
             return reply(request, 400, {"error": str(error)})
         if not self._reporter.set_maintenance(reason, duration_s):
@@ -58,9 +58,9 @@
         return self.render_GET(request)
 
     def render_DELETE(self, request: Any) -> bytes:
-        """End maintenance: 200, 401 without the token, 409 where none is set or while shutting down."""
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        """End maintenance. Answer 200, 401 without the token, 409 if there is none or during shutdown."""
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         if self._reporter.end_maintenance():
             return reply(request, 200, {"maintenance": None})
         draining = self._reporter.core.drain_state.draining
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -1,4 +1,4 @@
-"""What operators read and change of customers' namespaces, as the JSON of `/namespaces`."""
+"""Operators' operations on customers' namespaces, with the JSON documents of `/namespaces`."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 from ..time_units import MS
 
 ResultCallback = Callable[[dict[str, Any] | DistributionError], None]
-ABSENT_REASONS = ("down", "never heard of")  # of seats that a revision need not have come to
+# Reasons of seats that are not live. A revision is complete even if it is missing at such seats.
+ABSENT_REASONS = ("down", "never heard of")
 
 
 def _history_json(history: RevisionHistory) -> dict[str, Any]:
-    """Return the revisions that are retained, each with its changes since the one before it."""
+    """Return the retained revisions, each with its changes since the previous one."""
     revisions = []
     for entry in history.revisions:
-        before = history.find(entry.number - 1)
+        previous = history.find(entry.number - 1)
         revisions.append(
             {
                 "number": entry.number,
                 "at_ms": entry.at_ms,
                 "by": entry.author,
                 "of": entry.restored_number,
-                "changes": None if before is None else list(draft_changes(before.draft, entry.draft)),
+                "changes": None if previous is None else list(draft_changes(previous.draft, entry.draft)),
             }
         )
     current = history.current
@@ -55,11 +56,13 @@
     }
 
 
-def _explanation_json(customer: str, revision: Revision | None, asked: RequestAttributes) -> dict[str, Any]:
+def _explanation_json(
+    customer: str, revision: Revision | None, attributes: RequestAttributes
+) -> dict[str, Any]:
     if revision is None:
         return {"customer": customer, "revision": 0, "decides": "the platform's default"}
-    decision = decide_route(revision, asked)
-    matching = [rule.label for rule in revision.namespace.table.rules if asked in rule.matcher]
+    decision = decide_route(revision, attributes)
+    matching = [rule.label for rule in revision.namespace.table.rules if attributes in rule.matcher]
     hops = () if decision.path is None else decision.path.hops
     return {
         "customer": customer,
@@ -82,15 +85,15 @@
 
 
 class NamespaceOperations:
-    """Operations on customers' namespaces. Each calls back with JSON or with an error."""
+    """Operations on customers' namespaces. Callbacks take a JSON document or an error."""
 
     def __init__(self, service: NamespaceService) -> None:
         self._service = service
         self._core = service.core
         self._replica = service.replica
 
-    def listed(self) -> dict[str, Any]:
-        """Return what this runner has, of all customers of the settings."""
+    def list_all(self) -> dict[str, Any]:
+        """Return the revisions that this runner has, for all customers of the settings."""
         self._core.begin_turn()
         service = self._service
         node = self._replica.member.participant.node
@@ -105,47 +108,47 @@
             "namespaces": [self._local_json(customer) for customer in sorted(service.config.customers)],
         }
 
-    def show(self, customer: str, then: ResultCallback) -> None:
-        """Read what is current for the whole cluster, and which earlier revisions are retained."""
+    def show(self, customer: str, callback: ResultCallback) -> None:
+        """Read the cluster's current revision and the earlier ones that are retained."""
 
-        def got_history(got: tuple[int, RevisionHistory] | LeadershipError) -> None:
-            if isinstance(got, LeadershipError):
-                then(got)
+        def on_history(result: tuple[int, RevisionHistory] | LeadershipError) -> None:
+            if isinstance(result, LeadershipError):
+                callback(result)
                 return
-            incarnation, history = got
-            here = {
+            incarnation, history = result
+            register_fields = {
                 "current": True,
                 "born": incarnation,
                 "here": self._replica.customers.latest_id(customer)[1],
             }
-            then(self._local_json(customer) | here | _history_json(history))
+            callback(self._local_json(customer) | register_fields | _history_json(history))
 
-        if self._is_customer(customer, then):
-            self._replica.register.history(customer, got_history)
+        if self._is_customer(customer, callback):
+            self._replica.register.history(customer, on_history)
 
-    def publish(self, submission: Submission, wait: bool, then: ResultCallback) -> None:
-        """Publish a submission; `wait` for it to be everywhere."""
-        if self._is_customer(submission.customer, then):
-            self._replica.submit(submission, self._after_change(submission.customer, wait, then))
+    def publish(self, submission: Submission, wait: bool, callback: ResultCallback) -> None:
+        """Publish a submission and, if `wait` is true, wait for its propagation."""
+        if self._is_customer(submission.customer, callback):
+            self._replica.submit(submission, self._after_change(submission.customer, wait, callback))
 
-    def delete(self, customer: str, wait: bool, then: ResultCallback) -> None:
-        """Delete a namespace; `wait` for it to be deleted everywhere."""
-        if self._is_customer(customer, then):
-            self._replica.delete(customer, self._after_change(customer, wait, then))
+    def delete(self, customer: str, wait: bool, callback: ResultCallback) -> None:
+        """Delete a namespace and, if `wait` is true, wait for the propagation of its deletion."""
+        if self._is_customer(customer, callback):
+            self._replica.delete(customer, self._after_change(customer, wait, callback))
 
-    def explain(self, customer: str, asked: RequestAttributes, then: ResultCallback) -> None:
-        """Say which rule decides for such a request at this runner, and what its calls would do now."""
-        if self._is_customer(customer, then):
-            then(_explanation_json(customer, self._replica.customers.get(customer), asked))
+    def explain(self, customer: str, attributes: RequestAttributes, callback: ResultCallback) -> None:
+        """Return the rule that decides for a request at this runner, and the routes of its calls."""
+        if self._is_customer(customer, callback):
+            callback(_explanation_json(customer, self._replica.customers.get(customer), attributes))
 
-    # ---- parts of them ----
+    # ---- helpers ----
 
-    def _is_customer(self, customer: str, then: ResultCallback) -> bool:
-        """Whether the settings have the customer; else `then` gets the error."""
+    def _is_customer(self, customer: str, callback: ResultCallback) -> bool:
+        """Return whether the settings have the customer; if not, pass an error to the callback."""
         self._core.begin_turn()
         if customer in self._service.config.customers:
             return True
-        then(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
+        callback(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
         return False
 
     def _local_json(self, customer: str) -> dict[str, Any]:
@@ -159,37 +162,37 @@
         }
 
     def _after_change(
-        self, customer: str, wait: bool, then: ResultCallback
+        self, customer: str, wait: bool, callback: ResultCallback
     ) -> Callable[[RevisionId | DistributionError], None]:
-        def changed(got: RevisionId | DistributionError) -> None:
-            if isinstance(got, Exception):
-                then(got)
+        def on_change(result: RevisionId | DistributionError) -> None:
+            if isinstance(result, Exception):
+                callback(result)
             elif wait:
-                self._wait_everywhere(customer, got, then)
+                self._wait_for_propagation(customer, result, callback)
             else:
-                then(_change_json(customer, got))
+                callback(_change_json(customer, result))
 
-        return changed
+        return on_change
 
-    def _wait_everywhere(self, customer: str, revision_id: RevisionId, then: ResultCallback) -> None:
-        """Answer once it is known which seats lack the change.
+    def _wait_for_propagation(self, customer: str, revision_id: RevisionId, callback: ResultCallback) -> None:
+        """Call back with the seats that lack the change once they are known.
 
-        A deletion is complete when every seat has it: one that is down may be serving on the other side of a network
-        partition. A revision is complete when all that are alive have it.
+        A deletion is complete if every seat has it, since one that seems down may be serving on the other side of a
+        network partition. A revision is complete if all live seats have it.
         """
         change = _change_json(customer, revision_id)
         started_us = self._core.clock.now
 
-        def got_lacking(lacking: dict[str, str]) -> None:
-            live = [seat for seat, reason in lacking.items() if reason not in ABSENT_REASONS]
-            still_lacking = lacking if change["deleted"] else live
-            then(
+        def on_lacking_seats(lacking: dict[str, str]) -> None:
+            lacking_live = [seat for seat, reason in lacking.items() if reason not in ABSENT_REASONS]
+            lacking_required = lacking if change["deleted"] else lacking_live
+            callback(
                 change
                 | {
-                    "complete": not still_lacking,
+                    "complete": not lacking_required,
                     "lacking": lacking,
                     "took_ms": (self._core.clock.now - started_us) / MS,
                 }
             )
 
-        self._replica.propagation.everywhere(customer, revision_id, got_lacking)
+        self._replica.propagation.everywhere(customer, revision_id, on_lacking_seats)
--- a/moorusher/admin/replication.py
+++ b/moorusher/admin/replication.py
@@ -4,21 +4,21 @@
 
 from typing import Any
 
-from .api import NO_TOKEN, Guarded, path_of, reply
+from .api import TOKEN_REQUIRED, TokenProtectedPage, path_segments, reply
 
 BOOTSTRAP_PATHS = (["begin"], ["begin", "lost"])
 
 
-class ReplicationPages(Guarded):
-    """Members of the cluster, and the keyed work that its runners keep for each other."""
+class ReplicationPages(TokenProtectedPage):
+    """`/fleet`: the cluster's members, its replicated work with keys, and its bootstrap."""
 
     def __init__(self, token: str, link: Any) -> None:
         super().__init__(token)
         self._link = link
 
     def render_GET(self, request: Any) -> bytes:
-        """Answer 200 with the members, or with the work in hand; 404."""
-        path = path_of(request)
+        """Answer 200 with the members or the open work; else 404."""
+        path = path_segments(request)
         if path == ["work"]:
             return reply(request, 200, self._link.work_status())
         if path:
@@ -26,16 +26,16 @@
         return reply(request, 200, self._link.status())
 
     def render_POST(self, request: Any) -> bytes:
-        """Take the operator's word that no keyed work ran before (`begin`), or that what no member remembers any more
-        counts for nothing (`begin/lost`).
+        """Bootstrap the cluster on an operator's statement.
 
-        Answers 200, 401 without the token, 404, 409 with the reason why it can't begin.
+        `begin` states that no work with a key ran before; `begin/lost` that work which no member remembers may be
+        disregarded. Answer 200, 401 without the token, 404, or 409 with the reason for the refusal.
         """
-        path = path_of(request)
+        path = path_segments(request)
         if path not in BOOTSTRAP_PATHS:
             return reply(request, 404, {"error": "expected /fleet/begin or /fleet/begin/lost"})
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         refusal = self._link.bootstrap(len(path) > 1)
         return (
             reply(request, 200, {"begun": True})
--- a/moorusher/admin/servers.py
+++ b/moorusher/admin/servers.py
@@ -8,13 +8,13 @@
 from ..config.load_balancing import endpoint_of
 from ..config.section import ConfigError, Section
 from ..core.request_engine import RequestEngine
-from .api import NO_TOKEN, Guarded, InvalidBodyError, path_of, reply
+from .api import TOKEN_REQUIRED, InvalidBodyError, TokenProtectedPage, path_segments, reply
 
 NO_SUCH_SERVER = {"error": "no such server"}
 
 
-class ServersPage(Guarded):
-    """The servers of the pool that answers downstream calls."""
+class ServersPage(TokenProtectedPage):
+    """`/servers`: the pool of servers that answer downstream calls."""
 
     def __init__(self, token: str, pool: Any, core: RequestEngine) -> None:
         super().__init__(token)
@@ -27,8 +27,8 @@
         return servers
 
     def render_GET(self, request: Any) -> bytes:
-        """Answer 200 with all servers or the named one, or 404."""
-        path = path_of(request)
+        """Answer 200 with all servers or the named one; else 404."""
+        path = path_segments(request)
         if not path:
             document = {
                 "servers": self._servers(),
@@ -42,17 +42,17 @@
         return reply(request, 200, found[0])
 
     def render_PUT(self, request: Any) -> bytes:
-        """Add a server, or change the address, weight or zone of the one that has the name.
+        """Add a server, or change the address, weight or zone of the server with that name.
 
-        Answers 200, 400 for a faulty body, 401 without the token, 409 where there are too many servers.
+        Answer 200, 400 for an invalid body, 401 without the token, 409 if there are too many servers.
         """
-        path = path_of(request)
+        path = path_segments(request)
         if len(path) != 1:
             return reply(request, 404, {"error": "expected /servers/NAME"})
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         try:
-            endpoint = endpoint_of(Section({"name": path[0]} | self.body(request), ""))
+            endpoint = endpoint_of(Section({"name": path[0]} | self.read_body(request), ""))
         except (InvalidBodyError, ConfigError) as error:
             return reply(request, 400, {"error": str(error)})
         self._core.begin_turn()
@@ -63,20 +63,20 @@
         return reply(request, 200, {"servers": self._servers()})
 
     def render_DELETE(self, request: Any) -> bytes:
-        """Remove a server: 200, 401 without the token, 404."""
+        """Remove a server. Answer 200, 401 without the token, or 404."""
         return self._change(request, self._pool.remove)
 
     def render_POST(self, request: Any) -> bytes:
-        """Drain a server: 200, 401 without the token, 404."""
-        if path_of(request)[1:] != ["drain"]:
+        """Drain a server. Answer 200, 401 without the token, or 404."""
+        if path_segments(request)[1:] != ["drain"]:
             return reply(request, 404, {"error": "expected /servers/NAME/drain"})
         return self._change(request, self._pool.drain)
 
     def _change(self, request: Any, change: Callable[[str], bool]) -> bytes:
-        if not self.allowed(request):
-            return reply(request, 401, NO_TOKEN)
+        if not self.is_authorized(request):
+            return reply(request, 401, TOKEN_REQUIRED)
         self._core.begin_turn()
-        path = path_of(request)
+        path = path_segments(request)
         if not change(path[0] if path else ""):
             return reply(request, 404, NO_SUCH_SERVER)
         return reply(request, 200, {"servers": self._servers()})
--- a/moorusher/admin/site.py
+++ b/moorusher/admin/site.py
@@ -1,4 +1,4 @@
-"""The web site of the administration API: the pages of those parts that are switched on."""
+"""The web site of the administration API, with the pages of all parts that are enabled."""
 
 from __future__ import annotations
 
@@ -20,11 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminParts:
-    """What the pages are about; None for parts that are off.
-
-    `name`: the runner's. `token`: the bearer token of changes, "" where none are allowed. `drain`: begins the graceful
-    shutdown. `load_condition`: under which load the pool's latencies were measured. The others are the links of
-    `server/composition.py`.
+    """The parts of a runner that the pages show and change.
+
+    Attributes:
+        name: Name of the runner.
+        token: Bearer token for changes; "" if no changes are permitted.
+        drain: Starts the graceful shutdown.
+        load_condition: Returns the load condition under which the pool's latencies were measured.
+        server_pool and following: Links of `server/composition.py`; None for disabled parts.
     """
 
     core: RequestEngine
@@ -41,10 +44,10 @@
 
 
 def admin_site(parts: AdminParts) -> Any:
-    """Build the site."""
+    """Build the web site."""
     core = parts.core
     root = Resource()
-    root.putChild(b"status", JsonPage(lambda: status_of(core, parts.reporter, parts.name)))
+    root.putChild(b"status", JsonPage(lambda: runner_status(core, parts.reporter, parts.name)))
     root.putChild(b"counters", JsonPage(lambda: dict(core.counters.total)))
     root.putChild(b"standing", JsonPage(lambda: health_document(parts.reporter)))
     root.putChild(b"maintenance", MaintenanceModePage(parts.token, parts.reporter))
@@ -58,7 +61,7 @@
 
 
 def _put_cluster_pages(root: Any, parts: AdminParts) -> None:
-    """Pages of parts that are off are not imported."""
+    """Add the pages of the cluster. Pages of disabled parts are not imported."""
     if parts.replication is not None:
         root.putChild(b"fleet", ReplicationPages(parts.token, parts.replication))
         if parts.replication.leadership is not None:
@@ -85,13 +88,13 @@
 
 
 def _learned_state(parts: AdminParts) -> object:
-    from msgspec import to_builtins  # the file and the page are two forms of one value
+    from msgspec import to_builtins  # The page shows the same structure as the warm start file.
 
     parts.core.begin_turn()
     return to_builtins(parts.server_pool.learned_state(parts.load_condition()))
 
 
-def status_of(core: RequestEngine, reporter: Reporter, name: str) -> dict[str, object]:
+def runner_status(core: RequestEngine, reporter: Reporter, name: str) -> dict[str, object]:
     """Return the document of GET /status."""
     return {
         "name": name,
--- a/moorusher/admin/tenants.py
+++ b/moorusher/admin/tenants.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from ..core.request_engine import RequestEngine
-from .api import Resource, path_of, reply
+from .api import Resource, path_segments, reply
 
 
 class TenantsPage(Resource):  # type: ignore[misc]
-    """Anybody may read it; nothing here changes."""
+    """`/tenants`: a read-only page, which needs no token."""
 
     isLeaf = True
 
@@ -18,8 +18,8 @@
         self._core = core
 
     def render_GET(self, request: Any) -> bytes:
-        """Answer 200 with all tenants or the named one, or 404."""
-        path = path_of(request)
+        """Answer 200 with all tenants or the named one; else 404."""
+        path = path_segments(request)
         documents = self._documents()
         if not path:
             return reply(request, 200, documents)
--- a/moorusher/cli/__init__.py
+++ b/moorusher/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command line. `root` has the group of all commands; each other module has the commands on one subject, or what
-they share. What only one command needs is imported as it runs.
+"""The command line. `root` defines the group of all commands. Each other module defines the commands on one subject, or
+helpers that several of them use. Modules that only one command needs are imported when it runs.
 """
 
 from .root import cli, main
--- a/moorusher/cli/api_client.py
+++ b/moorusher/cli/api_client.py
@@ -1,4 +1,4 @@
-"""A client of a runner's administration API, and the options that say which runner it is."""
+"""A client of a runner's administration API, and the options that select the runner."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class ApiError(CommandError):
-    """A runner's answer to a request that it refuses.
+    """Raised if a runner refuses a request.
 
     Attributes:
-        status: of HTTP.
-        kind: of the error, as in `moorusher.errors`; "" where the answer names none.
+        status: HTTP status of the response.
+        kind: Kind of the error, as in `moorusher.errors`; "" if the response has none.
     """
 
     def __init__(self, text: str, status: int, kind: str) -> None:
@@ -39,10 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiClient:
-    """A runner's administration API.
+    """Client of a runner's administration API.
 
-    host, port: where it listens.
-    token: that changes need; "" for none.
+    Attributes:
+        host, port: Address of the API.
+        token: Bearer token for changes; "" for none.
     """
 
     host: str
@@ -52,11 +53,11 @@
     def request(
         self, method: str, path: str, body: object = None, accepted_statuses: Container[int] = ()
     ) -> Any:
-        """Send `body` as JSON, nothing where it is None, and return the answer's JSON.
+        """Send `body` as JSON, or no content if it is None, and return the JSON of the response.
 
-        :param accepted_statuses: those besides 2xx whose JSON is returned, too.
-        :raises ApiError: the runner refuses.
-        :raises CommandError: the runner can't be reached; `exit_code` is `UNREACHED`.
+        :param accepted_statuses: Statuses besides 2xx for which the JSON is also returned.
+        :raises ApiError: The runner refuses the request.
+        :raises CommandError: The runner can't be reached; `exit_code` is `UNREACHED`.
         """
         content = None if body is None else json.dumps(body).encode()
         return self.send(method, path, content, TIMEOUT_S, accepted_statuses)
@@ -69,7 +70,7 @@
         timeout_s: float,
         accepted_statuses: Container[int] = (),
     ) -> Any:
-        """Send bytes as they are; else as `request`."""
+        """Send bytes as they are; otherwise like `request`."""
         url = f"http://{self.host}:{self.port}/{path}"
         headers = {"Authorization": f"Bearer {self.token}"} if self.token and method != "GET" else {}
         request = Request(url, data=content, method=method, headers=headers)
@@ -79,44 +80,44 @@
         except HTTPError as exc:
             if exc.code in accepted_statuses:
                 return json.load(exc)
-            raise self._refused(exc) from exc
+            raise self._api_error(exc) from exc
         except (OSError, ValueError) as exc:
             raise CommandError(f"{self.host}:{self.port}: {exc}", UNREACHED) from exc
 
-    def _refused(self, response: HTTPError) -> ApiError:
-        refusal = _refusal_of(response)
-        kind = refusal.get("kind")
+    def _api_error(self, response: HTTPError) -> ApiError:
+        document = _error_document(response)
+        kind = document.get("kind")
         return ApiError(
-            f"{self.host}:{self.port}: {response.code}: {_refusal_text(refusal, response.reason)}",
+            f"{self.host}:{self.port}: {response.code}: {_error_text(document, response.reason)}",
             response.code,
             kind if isinstance(kind, str) else "",
         )
 
 
-def _refusal_of(response: HTTPError) -> dict[str, Any]:
-    """Return the JSON object of an answer; {} where it is none."""
+def _error_document(response: HTTPError) -> dict[str, Any]:
+    """Return the JSON object of a response; {} if the response is no JSON object."""
     try:
-        refusal = json.load(response)
+        document = json.load(response)
     except ValueError:
         return {}
-    return refusal if isinstance(refusal, dict) else {}
+    return document if isinstance(document, dict) else {}
 
 
-def _refusal_text(refusal: dict[str, Any], default: str) -> str:
-    """Return the error and its remedy; `default` where the answer has no error."""
-    error, remedy = refusal.get("error"), refusal.get("remedy")
+def _error_text(document: dict[str, Any], default: str) -> str:
+    """Return the error and its remedy; `default` if the document has no error."""
+    error, remedy = document.get("error"), document.get("remedy")
     if not isinstance(error, str):
         return default
     return f"{error}\n{remedy}" if remedy else error
 
 
 def path_segment(name: str) -> str:
-    """Return a name as one segment of a path."""
+    """Return a name quoted as one segment of a path."""
     return quote(name, safe="")
 
 
 def with_api(command: Callable[..., None]) -> Callable[..., None]:
-    """Pass the command, as its first argument, the API that --address, or the operator's file, names."""
+    """Add the options that select a runner to a command, and pass it the client of its API as first argument."""
 
     @click.option("--address", help="HOST:PORT of the API (default: admin.listen of the operator's file).")
     @click.option(
@@ -147,9 +148,9 @@
 
 
 def console_address(address: str | None) -> Address:
-    """Return the second address: the one given, else that of the configuration.
+    """Return the console's address: `address` if it is set, else that of the configuration.
 
-    :raises CommandError: the configuration can't be used, or sets none.
+    :raises CommandError: The address or the configuration is invalid, or neither is set.
     """
     try:
         listen = parse_address(address, "--address") if address else load().console
--- a/moorusher/cli/configuration.py
+++ b/moorusher/cli/configuration.py
@@ -26,7 +26,7 @@
 
 
 def configuration_json(config: Config) -> dict[str, object]:
-    """Return what the configuration comes to, without secrets. The keys are what scripts read."""
+    """Return a summary of the configuration without secrets. Scripts rely on its keys."""
     probes, settings, uwsgi = config.probes, config.settings, config.uwsgi
     return {
         "name": config.name,
@@ -53,7 +53,7 @@
 
 def _value_text(value: object) -> object:
     if isinstance(value, dict):
-        return ", ".join(f"{name} {figure:g}" for name, figure in value.items())
+        return ", ".join(f"{name} {number:g}" for name, number in value.items())
     if isinstance(value, list):
         return ", ".join(value) or "none"
     return value
@@ -68,5 +68,5 @@
         config = load(operator_file=fronts)
     except ConfigError as exc:
         raise CommandError(str(exc)) from exc
-    parts = configuration_json(config)
-    print_lines(parts, as_json, [f"{name:<9} {_value_text(value)}" for name, value in parts.items()])
+    summary = configuration_json(config)
+    print_lines(summary, as_json, [f"{name:<9} {_value_text(value)}" for name, value in summary.items()])
--- a/moorusher/cli/console.py
+++ b/moorusher/cli/console.py
@@ -1,4 +1,4 @@
-"""The command on a runner's second address."""
+"""The command that calls a runner's console, its second address."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .options import json_option
 from .output import print_result
 
-# Statuses that answer the call: in a state that does not permit it, not ready.
+# Error statuses whose body is the runner's state: 409 if the state does not permit the call, 503 if it is not ready.
 ANSWERED_STATUSES = frozenset({409, 503})
 
 
--- a/moorusher/cli/duty.py
+++ b/moorusher/cli/duty.py
@@ -1,4 +1,4 @@
-"""Commands on leader-elected tasks."""
+"""Commands for duties, which are tasks of the fleet that an elected leader runs."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
         f"change {lease['number']:<7} {lease['why']}"
     ]
     if (local := lease["here"]) is not None:
-        trouble = f": {local['trouble']}" if local["trouble"] else ""
-        lines.append(f"  here     {local['stage']} for {local['for_ms'] / 1000:.1f} s{trouble}")
+        error = f": {local['trouble']}" if local["trouble"] else ""
+        lines.append(f"  here     {local['stage']} for {local['for_ms'] / 1000:.1f} s{error}")
     lines += [
         f"  open     {intent['number']} to {intent['to']}, of term {intent['term']}, settled by "
         f"{intent['settle']}: {intent['what']}"
--- a/moorusher/cli/fleet.py
+++ b/moorusher/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Commands on the cluster of runners."""
+"""Commands for the cluster of runners."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 def _member_line(member: dict[str, Any]) -> str:
     fit = "yes" if member["fit"] else "no"
-    heard_s = "-" if member["heard_ms"] is None else f"{member['heard_ms'] / 1000:.1f}"
+    last_heard_s = "-" if member["heard_ms"] is None else f"{member['heard_ms'] / 1000:.1f}"
     return (
         f"{member['seat']:<16} {member['zone']:<8} {member['state']:<8} {fit:<4} "
-        f"{member['since_ms'] / 1000:>8.1f} {heard_s:>8}"
+        f"{member['since_ms'] / 1000:>8.1f} {last_heard_s:>8}"
     )
 
 
 def _fleet_lines(cluster: dict[str, Any]) -> list[str]:
-    recovery = "remembers" if cluster["remembers"] else "has forgotten, and has no vote yet"
+    recovery_text = "remembers" if cluster["remembers"] else "has forgotten, and has no vote yet"
     return [
-        f"fleet {cluster['name']}, seat {cluster['seat']}: {recovery}; keeps {cluster['keeps']} keys, "
+        f"fleet {cluster['name']}, seat {cluster['seat']}: {recovery_text}; keeps {cluster['keeps']} keys, "
         f"{cluster['in_hand']} in hand",
         f"{'seat':<16} {'zone':<8} {'state':<8} {'fit':<4} {'for s':>8} {'heard s':>8}",
         *(_member_line(member) for member in cluster["members"]),
--- a/moorusher/cli/forecast.py
+++ b/moorusher/cli/forecast.py
@@ -1,4 +1,4 @@
-"""Commands on the forecast of demand."""
+"""Commands for the demand forecast."""
 
 from __future__ import annotations
 
--- a/moorusher/cli/laboratory.py
+++ b/moorusher/cli/laboratory.py
@@ -1,4 +1,4 @@
-"""Commands of the laboratory: `pip install moorusher[lab]`."""
+"""Commands of the laboratory, which need the extra packages of `pip install moorusher[lab]`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 def _require_extra() -> None:
-    """Check that what the laboratory needs besides is installed."""
+    """Check that the extra packages of the laboratory are installed.
+
+    :raises CommandError: A package is missing.
+    """
     try:
         import hdrh.histogram  # noqa: F401
         import matplotlib  # noqa: F401
@@ -48,9 +51,9 @@
     if name not in registry.EXPERIMENTS:
         raise CommandError(f"no experiment {name}; known are {', '.join(registry.EXPERIMENTS)}")
     folder = out or Path(f"lab-{name}")
-    holds = registry.run_experiment(name, quick, seed, folder, click.echo)
+    passed = registry.run_experiment(name, quick, seed, folder, click.echo)
     click.echo(f"report: {folder / 'report.html'}")
-    raise SystemExit(0 if holds else 1)
+    raise SystemExit(0 if passed else 1)
 
 
 @lab.command("up")
--- a/moorusher/cli/maintenance_mode.py
+++ b/moorusher/cli/maintenance_mode.py
@@ -1,4 +1,4 @@
-"""Commands on a runner's maintenance mode, in which balancers send it nothing new: `moorusher maintenance`."""
+"""Commands for maintenance mode, in which load balancers send a runner no new requests: `moorusher maintenance`."""
 
 from __future__ import annotations
 
--- a/moorusher/cli/namespace.py
+++ b/moorusher/cli/namespace.py
@@ -1,4 +1,4 @@
-"""Commands on customers' routing rules."""
+"""Commands for customers' routing rules."""
 
 from __future__ import annotations
 
@@ -15,9 +15,8 @@
 from .options import json_option
 from .output import print_lines, print_result
 
-PUBLISH_TIMEOUT_S = (
-    15.0  # a submission is given up by the runner after eight seconds, and waited for after that
-)
+# More than the 8 s after which a runner gives up a submission, since with --wait the propagation follows.
+PUBLISH_TIMEOUT_S = 15.0
 
 
 @click.group()
@@ -51,15 +50,15 @@
 def _submit(
     api: ApiClient, method: str, path: str, query: dict[str, str], as_json: bool, draft: bytes = b""
 ) -> None:
-    """Send a change of a namespace, and print what became of it."""
+    """Send a change of a namespace, and print its result."""
     change = api.send(method, f"namespaces/{path}?{urlencode(query)}", draft, PUBLISH_TIMEOUT_S)
     print_lines(change, as_json, _change_lines(change))
     if change.get("complete") is False:
         raise SystemExit(REFUSED)
 
 
-def _submission_query(wait: bool, author: str | None, **more: str) -> dict[str, str]:
-    query = {"id": os.urandom(12).hex(), "by": author or getpass.getuser()} | more
+def _submission_query(wait: bool, author: str | None, **parameters: str) -> dict[str, str]:
+    query = {"id": os.urandom(12).hex(), "by": author or getpass.getuser()} | parameters
     return query | ({"wait": "1"} if wait else {})
 
 
@@ -103,7 +102,7 @@
     current = (
         f"{customer}: revision {answer['number']} of incarnation {answer['born']}; here {answer['here']}"
     )
-    print_lines(answer, as_json, [current, *(_revision_line(one) for one in answer["revisions"])])
+    print_lines(answer, as_json, [current, *(_revision_line(revision) for revision in answer["revisions"])])
 
 
 @namespace.command("publish")
--- a/moorusher/cli/options.py
+++ b/moorusher/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands have."""
+"""Options that several commands share."""
 
 from __future__ import annotations
 
--- a/moorusher/cli/output.py
+++ b/moorusher/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: a result, as JSON or as text, or one error."""
+"""The output of commands: a result as JSON or text, or one error."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class CommandError(click.ClickException):
-    """Ends the command with one line on standard error; `exit_code` tells scripts which kind of error it is."""
+    """Ends the command with a message on standard error. Scripts learn the kind of error from `exit_code`."""
 
     def __init__(self, text: str, exit_code: int = FAULTY) -> None:
         super().__init__(text)
-        self.exit_code = exit_code  # type: ignore[misc]  # click declares it for the class
+        self.exit_code = exit_code  # type: ignore[misc]  # click declares it as a class attribute
 
     def show(self, file: object = None) -> None:
         """Print the error on standard error."""
@@ -23,10 +23,10 @@
 
 
 def print_result(value: object, as_json: bool, text: str) -> None:
-    """Print a value as JSON, or the text that says the same."""
+    """Print a value as JSON, or its text form."""
     click.echo(json.dumps(value, indent=2, sort_keys=True) if as_json else text)
 
 
 def print_lines(value: object, as_json: bool, lines: list[str]) -> None:
-    """Print a value as JSON, or the lines that say the same."""
+    """Print a value as JSON, or the lines of its text form."""
     print_result(value, as_json, "\n".join(lines))
--- a/moorusher/cli/planned_maintenance.py
+++ b/moorusher/cli/planned_maintenance.py
@@ -1,4 +1,4 @@
-"""Commands on planned maintenance of machines: `moorusher outage`. The balancers' mode is in `maintenance_mode`."""
+"""Commands for planned maintenance of machines: `moorusher outage`. `maintenance_mode` has those for load balancers."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 def _post(api: ApiClient, path: str, **body: Any) -> Any:
-    """Post to a path below /outage, and wait for the answer as long as `for_s` of the body says, and a moment."""
+    """Post to a path below /outage. The timeout includes `for_s` of the body, for which the runner may wait."""
     timeout_s = ANSWER_TIMEOUT_S + body.get("for_s", 0.0)
     return api.send("POST", f"outage/{path}", json.dumps(body).encode(), timeout_s)
 
 
-# ---- the schedule as text ----
+# ---- text of the schedule ----
 
 
 def _age_line(age_ms: float | None) -> str:
@@ -65,12 +65,12 @@
     )
 
 
-def _blocked_line(blocked: dict[str, Any]) -> str:
-    return f"  {blocked['seat']:<14} held back: {blocked['why']}; `moorusher outage resume {blocked['seat']}`"
+def _suspended_line(suspended: dict[str, Any]) -> str:
+    return f"  {suspended['seat']:<14} held back: {suspended['why']}; `moorusher outage resume {suspended['seat']}`"
 
 
-def _waiting_line(waiting: dict[str, Any]) -> str:
-    return f"  {waiting['seat']:<14} waits, likely {duration_text(waiting['in_s'])}: {waiting['why']}"
+def _queued_line(queued: dict[str, Any]) -> str:
+    return f"  {queued['seat']:<14} waits, likely {duration_text(queued['in_s'])}: {queued['why']}"
 
 
 def _schedule_lines(schedule: dict[str, Any]) -> list[str]:
@@ -79,9 +79,9 @@
         lines.append(f"held: {schedule['hold']}")
     lines += [_request_line(request) for request in schedule["asks"]]
     lines += [_slot_line(slot) for slot in schedule["turns"]]
-    lines += [_blocked_line(blocked) for request in schedule["asks"] for blocked in request["held"]]
-    lines += [_waiting_line(waiting) for waiting in schedule["order"]]
-    starts_s = [waiting["in_s"] for waiting in schedule["order"] if waiting["in_s"] is not None]
+    lines += [_suspended_line(suspended) for request in schedule["asks"] for suspended in request["held"]]
+    lines += [_queued_line(queued) for queued in schedule["order"]]
+    starts_s = [queued["in_s"] for queued in schedule["order"] if queued["in_s"] is not None]
     if starts_s:
         lines.append(f"the last one is likely to go in {duration_text(max(starts_s))}")
     return lines
@@ -185,7 +185,7 @@
 
 
 def _wait_for_slot(api: ApiClient, request: dict[str, Any], timeout_s: float, as_json: bool) -> None:
-    """Send a request for one machine, and exit once the wait for it is over."""
+    """Submit a request for one machine, wait for its slot, and exit with the code of the result."""
     seat = request["seats"][0] if request["seats"] else ""
     deadline_s = time.monotonic() + timeout_s
     slot_wait = MaintenanceWait(partial(_post, api), request["id"], seat, request["by"], deadline_s)
--- a/moorusher/cli/planned_maintenance_wait.py
+++ b/moorusher/cli/planned_maintenance_wait.py
@@ -1,7 +1,7 @@
-"""Waits until a machine may be taken out: `moorusher outage ask --wait`.
+"""Waits until a machine may be taken out of service: `moorusher outage ask --wait`.
 
-What is asked for is withdrawn where the command ends before that, by a signal or out of time: nobody would work on the
-machine that goes out. An exit code of 0 is the only permission.
+If a signal or the timeout ends the command before that, it withdraws the request: otherwise a slot might be granted
+although nobody works on the machine. Only exit code 0 permits work on the machine.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 WITHDRAWN, OUT_OF_TIME, STOPPED = 5, 6, 130  # exit codes
 MAX_POLL_S, MIN_POLL_S = 20.0, 0.1
-RETRY_PAUSE_S = 0.5
-SERVICE_UNAVAILABLE = 503  # HTTP: the runner, or a majority of the fleet, may be there soon
-# Fallback for an answer without a `kind`. Runners name one; stand-ins that were written against the text, as in
+RETRY_DELAY_S = 0.5
+SERVICE_UNAVAILABLE = 503  # HTTP status: the runner or a majority of the fleet is temporarily unavailable.
+# Identifies the error in a response without a `kind`. Runners send one; test doubles that rely on the text, as in
 # tests/compatibility, don't.
 ALREADY_CLEARED_TEXT = "told to go already"
 UNREACHABLE_WARNING = (
     "the runner is not there to hear that it is withdrawn; where nobody asks again it takes it back by itself"
 )
-STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)  # the last: the terminal is gone
+STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)  # SIGHUP: the terminal has been closed.
 
-PostCallback = Callable[..., Any]  # posts keyword arguments as JSON to a path below /outage
+PostFunction = Callable[..., Any]  # Posts its keyword arguments as JSON to a path below /outage.
 
 
 class Outcome(Enum):
-    """What became of what was asked for. Values are those of the API, but for `OUT_OF_TIME`, which is the command's."""
+    """The outcome of a request. The values are those of the API, except for `OUT_OF_TIME`, which the command adds."""
 
     GRANTED = "granted"
     WITHDRAWN = "withdrawn"
@@ -46,42 +46,45 @@
 
 
 class WithdrawStatus(Enum):
-    """What became of a withdrawal."""
+    """The outcome of a withdrawal."""
 
     WITHDRAWN = auto()
-    ALREADY_CLEARED = auto()  # the slot was granted before: it can't be revoked
-    UNREACHABLE = auto()  # the runner, which withdraws it by itself where nobody waits for it
-    REJECTED = auto()  # for another reason: there is no such request any more
+    ALREADY_CLEARED = auto()  # The slot has already been granted and can't be revoked.
+    # The runner can't be reached. It withdraws the request by itself if nobody waits for it.
+    UNREACHABLE = auto()
+    REJECTED = auto()  # The runner refused, because the request no longer exists.
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawResult:
     """The result of a withdrawal.
 
-    status: what became of it.
-    warning: what whoever stops the command should read; "" for nothing.
+    Attributes:
+        status: Outcome of the withdrawal.
+        warning: Message for the user who stops the command; "" for none.
     """
 
     status: WithdrawStatus
     warning: str = ""
 
     def print_warning(self) -> None:
-        """Print the warning, if there is one, on standard error."""
+        """Print the warning on standard error, if there is one."""
         if self.warning:
             click.echo(f"moorusher: {self.warning}", err=True)
 
 
+# Outcomes that are not listed exit with `REFUSED`.
 EXIT_CODES = {
     Outcome.GRANTED.value: OK,
     Outcome.WITHDRAWN.value: WITHDRAWN,
     Outcome.OVER.value: WITHDRAWN,
     Outcome.OUT_OF_TIME.value: OUT_OF_TIME,
-}  # any other: `REFUSED`
+}
 STILL_WAITING = "waits"
 
 
 class Stopped(BaseException):
-    """A signal came, or the terminal is gone."""
+    """Raised when a stop signal arrives, which includes SIGHUP from a closed terminal."""
 
 
 def _raise_stopped(*_: object) -> None:
@@ -90,7 +93,7 @@
 
 @contextmanager
 def stop_signals() -> Iterator[None]:
-    """Raise `Stopped` for signals that end the command; afterwards they have their default action, if none came."""
+    """Raise `Stopped` on stop signals within the block; if none arrived, restore their default actions afterwards."""
     for number in STOP_SIGNALS:
         signal.signal(number, _raise_stopped)
     yield
@@ -104,14 +107,14 @@
 
 
 def _is_transient(error: CommandError) -> bool:
-    """Whether the same request may succeed soon."""
+    """Return whether the same request may succeed soon."""
     if isinstance(error, ApiError):
         return error.status == SERVICE_UNAVAILABLE
     return error.exit_code == UNREACHED
 
 
 def _is_already_cleared(error: CommandError) -> bool:
-    """Whether the machine was told that it may go, so that its slot can't be revoked."""
+    """Return whether the error says that the slot has already been granted, so that it can't be revoked."""
     if not isinstance(error, ApiError):
         return False
     if error.kind:
@@ -121,24 +124,26 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceWait:
-    """One machine's request for maintenance, and the wait for its slot.
-
-    request_id: the same in each retry.
-    seat: the machine's; "" for that of the runner that is asked.
-    author: who asks.
-    deadline_s: of the monotonic clock; then it is withdrawn.
+    """One machine's maintenance request, and the wait for its slot.
+
+    Attributes:
+        post: Sends a request to the runner.
+        request_id: ID of the maintenance request, the same in each retry.
+        seat: Seat of the machine; "" for that of the runner to which requests are sent.
+        author: User who submits the maintenance request.
+        deadline_s: Time on the monotonic clock at which the request is withdrawn.
     """
 
-    post: PostCallback
+    post: PostFunction
     request_id: str
     seat: str
     author: str
     deadline_s: float
 
     def submit(self, request: dict[str, Any]) -> None:
-        """Send the request until somebody has it: a runner that is replaced, or has no majority, may have it soon.
+        """Send the request, and retry it while the runner is being replaced or has no majority.
 
-        :raises CommandError: it is refused, or nobody has it by the deadline.
+        :raises CommandError: The request is refused, or is not accepted by the deadline.
         """
         while True:
             try:
@@ -147,12 +152,12 @@
             except CommandError as exc:
                 if not _is_transient(exc) or time.monotonic() >= self.deadline_s:
                     raise
-                time.sleep(RETRY_PAUSE_S)
+                time.sleep(RETRY_DELAY_S)
 
     def wait(self) -> dict[str, Any]:
-        """Return the answer once the wait is over; at the deadline the request is withdrawn.
+        """Return the answer once the wait is over; at the deadline, withdraw the request.
 
-        :raises CommandError: it is refused.
+        :raises CommandError: The runner refuses to wait.
         """
         while (remaining_s := self.deadline_s - time.monotonic()) > 0:
             poll_s = max(MIN_POLL_S, min(MAX_POLL_S, remaining_s))
@@ -161,14 +166,14 @@
             except CommandError as exc:
                 if exc.exit_code != UNREACHED:
                     raise
-                time.sleep(RETRY_PAUSE_S)
+                time.sleep(RETRY_DELAY_S)
                 continue
             if answer["word"] != STILL_WAITING:
                 return answer
-        return self._out_of_time()
+        return self._withdraw_at_deadline()
 
-    def _out_of_time(self) -> dict[str, Any]:
-        """Withdraw the request, and return the answer to the wait: granted where it was granted before that."""
+    def _withdraw_at_deadline(self) -> dict[str, Any]:
+        """Withdraw the request, and return the answer to the wait: granted if the slot has already been granted."""
         result = self.withdraw()
         outcome = Outcome.OUT_OF_TIME
         if result.status is WithdrawStatus.ALREADY_CLEARED:
@@ -178,7 +183,7 @@
         return {"seat": self.seat or "this machine", "word": outcome.value, "note": ""}
 
     def withdraw(self) -> WithdrawResult:
-        """Withdraw the request."""
+        """Withdraw the request, and return the outcome."""
         try:
             self.post("cancel", id=self.request_id, seats=[], by=self.author)
         except CommandError as exc:
--- a/moorusher/cli/root.py
+++ b/moorusher/cli/root.py
@@ -1,4 +1,4 @@
-"""The group of all commands, and the program."""
+"""The group of all commands, and the program's entry point."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .runner import drain, standing, stats
 from .servers import knowledge, servers
 
-ABORTED = 130  # by ^C, as shells have it
+ABORTED = 130  # exit code after ^C, as in shells
 
 
 @click.group(
@@ -74,9 +74,12 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command, that of the process where `argv` is None, and return the exit code."""
+    """Run one command, and return its exit code.
+
+    :param argv: Arguments of the command; those of the process if None.
+    """
     try:
-        # Not standalone: the exit code is this function's, so that tests and other programs can have it.
+        # In standalone mode click would end the process, but tests and other programs need the exit code.
         code = cli.main(args=argv, prog_name="moorusher", standalone_mode=False)
     except click.ClickException as exc:
         exc.show()
--- a/moorusher/cli/runner.py
+++ b/moorusher/cli/runner.py
@@ -1,4 +1,4 @@
-"""Commands on one runner in service: what it counts, its health state, and draining."""
+"""Commands for one runner: its counters, its health state, and draining."""
 
 from __future__ import annotations
 
--- a/moorusher/cli/servers.py
+++ b/moorusher/cli/servers.py
@@ -1,4 +1,4 @@
-"""Commands on the upstream servers of a runner, and on what it has learnt of them."""
+"""Commands for the upstream servers of a runner, and for the state that it has learned about them."""
 
 from __future__ import annotations
 
@@ -76,10 +76,10 @@
 
 
 def _learned_line(server: dict[str, Any]) -> str:
-    ejected = "  out" if server.get("out") else ""
+    ejected_mark = "  out" if server.get("out") else ""
     return (
         f"{server['name']:<16} {server.get('short_us', 0) / 1000:>9.1f} ms  {server.get('samples', 0):>6} samples  "
-        f"{server.get('answered', 1):>5.0%} answered{ejected}"
+        f"{server.get('answered', 1):>5.0%} answered{ejected_mark}"
     )
 
 
--- a/moorusher/cli/time_values.py
+++ b/moorusher/cli/time_values.py
@@ -1,4 +1,4 @@
-"""Durations and times as options have them, and durations as text."""
+"""Types of options for durations and times, and the text of durations."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 
 class Duration(click.ParamType[float]):
-    """Seconds, from 90, 90s, 10m, 2h or 1d."""
+    """An option's duration in seconds, written as 90, 90s, 10m, 2h or 1d."""
 
     name = "span"
 
     def convert(self, value: Any, param: Any, context: Any) -> float:
-        """Return the seconds; `context` fails with the text of what is expected."""
+        """Return the seconds, or fail with a message that says what is expected."""
         if isinstance(value, float):
             return value
-        found = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd]?)", str(value))
-        if found is None:
+        match = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd]?)", str(value))
+        if match is None:
             self.fail(f"expected a span as 90s, 10m, 2h or 1d, got {value!r}", param, context)
-        return float(found[1]) * SECONDS_BY_UNIT[found[2]]
+        return float(match[1]) * SECONDS_BY_UNIT[match[2]]
 
 
 class Moment(click.ParamType[float]):
-    """Unix seconds, from a local time as 2026-12-24T03:00, or a duration from now as +2h."""
+    """An option's time in Unix seconds, written as a local time (2026-12-24T03:00) or a duration from now (+2h)."""
 
     name = "moment"
 
     def convert(self, value: Any, param: Any, context: Any) -> float:
-        """Return the Unix seconds; `context` fails with the text of what is expected."""
+        """Return the Unix seconds, or fail with a message that says what is expected."""
         if isinstance(value, float):
             return value
         if str(value).startswith("+"):
@@ -47,7 +47,7 @@
 
 
 def duration_text(seconds: float | None) -> str:
-    """Return a duration in the unit that suits it; "?" where it is not known."""
+    """Return a duration as text, in seconds, minutes or hours; "?" if it is None."""
     if seconds is None:
         return "?"
     if seconds < 2 * MINUTE_S:
--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files of everything that old and new processes, stored data and other programs must go on understanding."""
+"""Golden files of the formats that must stay compatible with other builds, stored data and other programs."""
--- a/tests/compatibility/test_command_texts.py
+++ b/tests/compatibility/test_command_texts.py
@@ -1,7 +1,7 @@
-"""What the command line says of itself, and what it prints of answers that a runner in a test seldom gives.
+"""Help texts of the command line, and its output for answers that a runner in a test seldom gives.
 
-Guards against a verb, an option or a help text that changes its words or its layout, and against another exit code:
-maintenance scripts go by `moorusher outage ask --wait`, and only 0 lets them take the machine away.
+Guards against a changed command, option, help text, layout or exit code. Maintenance scripts depend on the exit code of
+`moorusher outage ask --wait`: only 0 permits them to take the machine out of service.
 """
 
 from __future__ import annotations
@@ -29,107 +29,107 @@
 SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
 
-class Refusal:
-    """An answer with another status than 200."""
+class ErrorResponse:
+    """A response with an error status."""
 
     def __init__(self, status: int, body: bytes) -> None:
         self.status, self.body = status, body
 
 
-def refusal(status: int, error: str, remedy: str = "") -> Refusal:
-    return Refusal(status, json.dumps({"error": error, "remedy": remedy}).encode())
+def error_response(status: int, error: str, remedy: str = "") -> ErrorResponse:
+    return ErrorResponse(status, json.dumps({"error": error, "remedy": remedy}).encode())
 
 
 def unreachable() -> Any:
     raise URLError(ConnectionRefusedError(111, "Connection refused"))
 
 
-def signalled() -> Any:
+def raise_sigterm() -> Any:
     signal.raise_signal(signal.SIGTERM)
 
 
-class Scripted:
-    """In place of connections and of the clock: answers in order, each request and each pause taken down."""
+class FakeApi:
+    """Replaces connections and the clock: returns the answers in order, and records each request and each sleep."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.answers: list[Any] = []
         self.requests: list[Any] = []
-        self.now = 1_000.0
-        drawn = count(1)
+        self.now_s = 1_000.0
+        random_numbers = count(1)
         patch.setattr(urllib.request.OpenerDirector, "open", lambda opener, *given: self._open(*given))
         patch.setattr(time, "sleep", self._sleep)
-        patch.setattr(time, "monotonic", lambda: self.now)
+        patch.setattr(time, "monotonic", lambda: self.now_s)
         patch.setattr(getpass, "getuser", lambda: "somebody")
-        patch.setattr(os, "urandom", lambda size: next(drawn).to_bytes(size, "big"))
+        patch.setattr(os, "urandom", lambda size: next(random_numbers).to_bytes(size, "big"))
 
     def _sleep(self, seconds: float) -> None:
-        self.now += seconds
+        self.now_s += seconds
         self.requests.append(f"pause of {seconds} s")
 
     def _open(self, request: Any, data: Any = None, timeout: Any = None) -> Any:
-        sent = None if request.data is None else request.data.decode()
-        self.requests.append([request.method, request.selector, sent, timeout, dict(request.header_items())])
+        body = None if request.data is None else request.data.decode()
+        self.requests.append([request.method, request.selector, body, timeout, dict(request.header_items())])
         answer = self.answers.pop(0)
         if callable(answer):
             answer = answer()
-        if isinstance(answer, Refusal):
+        if isinstance(answer, ErrorResponse):
             raise HTTPError(request.full_url, answer.status, "odd", None, io.BytesIO(answer.body))  # type: ignore[arg-type]
         if "wait" in request.selector:
-            self.now += 20.0
+            self.now_s += 20.0
         return io.BytesIO(answer if isinstance(answer, bytes) else json.dumps(answer).encode())
 
 
 @pytest.fixture
-def scripted() -> Iterator[Scripted]:
-    before = [signal.getsignal(number) for number in SIGNALS]
+def fake_api() -> Iterator[FakeApi]:
+    previous_handlers = [signal.getsignal(number) for number in SIGNALS]
     with pytest.MonkeyPatch.context() as patch:
         patch.setenv("COLUMNS", "100")
         patch.setenv("TZ", "UTC")
         time.tzset()
         for name in ("GW_CONSOLE", "GW_LISTEN", "GW_NAME"):
             patch.delenv(name, raising=False)
-        yield Scripted(patch)
+        yield FakeApi(patch)
     time.tzset()
-    for number, handler in zip(SIGNALS, before, strict=True):
+    for number, handler in zip(SIGNALS, previous_handlers, strict=True):
         signal.signal(number, handler)
 
 
 @pytest.fixture
-def play(scripted: Scripted, capsys: Any) -> Callable[..., list[Any]]:
-    def played(line: str, *answers: Any) -> list[Any]:
-        """The exit code, the requests and what was printed, for these answers."""
-        scripted.answers, scripted.requests = list(answers), []
+def run_command(fake_api: FakeApi, capsys: Any) -> Callable[..., list[Any]]:
+    def run(line: str, *answers: Any) -> list[Any]:
+        """Run a command with these answers, and return its exit code, requests and output."""
+        fake_api.answers, fake_api.requests = list(answers), []
         code = cli.main([*line.split(), "--address", "127.0.0.1:1", "--token", "secret"])
-        printed = capsys.readouterr()
-        assert not scripted.answers
-        return [line, code, scripted.requests, printed.out.splitlines(), printed.err.splitlines()]
+        output = capsys.readouterr()
+        assert not fake_api.answers
+        return [line, code, fake_api.requests, output.out.splitlines(), output.err.splitlines()]
 
-    return played
+    return run
 
 
-# ---- what it says of itself ----
+# ---- help and usage errors ----
 
 
-def paths(group: click.Group, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
+def command_paths(group: click.Group, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
     yield path
     for name, command in sorted(group.commands.items()):
         if isinstance(command, click.Group):
-            yield from paths(command, (*path, name))
+            yield from command_paths(command, (*path, name))
         else:
             yield (*path, name)
 
 
-def test_help_of_each_command_is_the_same(scripted: Scripted, capsys: Any) -> None:
-    assert cli.main(["version"]) == 0  # so that all are there
+def test_the_help_of_each_command_is_unchanged(fake_api: FakeApi, capsys: Any) -> None:
+    assert cli.main(["version"]) == 0  # Ensures that all commands are registered.
     capsys.readouterr()
-    told = {}
-    for path in paths(cli.cli):
+    help_texts = {}
+    for path in command_paths(cli.cli):
         assert cli.main([*path, "--help"]) == 0
-        told[" ".join(path)] = capsys.readouterr().out.splitlines()
-    assert_golden("commands_help", told)
+        help_texts[" ".join(path)] = capsys.readouterr().out.splitlines()
+    assert_golden("commands_help", help_texts)
 
 
-FAULTY = (
+INVALID_COMMANDS = (
     "odd",
     "--odd",
     "stats odd",
@@ -158,26 +158,26 @@
 )
 
 
-def test_faulty_commands_are_answered_with_the_same_words(
-    scripted: Scripted, capsys: Any, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+def test_the_error_messages_of_invalid_commands_are_unchanged(
+    fake_api: FakeApi, capsys: Any, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     (tmp_path / "empty.toml").write_text("")
     (tmp_path / "platform.json").write_text("{}")
     monkeypatch.setenv("GW_CONFIG", str(tmp_path / "platform.json"))
-    told = []
-    for line in (*FAULTY, "stats --fronts EMPTY", "console health"):
+    results = []
+    for line in (*INVALID_COMMANDS, "stats --fronts EMPTY", "console health"):
         words = [str(tmp_path / "empty.toml") if word == "EMPTY" else word for word in line.split()]
-        scripted.answers = [unreachable]
+        fake_api.answers = [unreachable]
         code = cli.main(words)
-        printed = capsys.readouterr()
-        told.append([line, code, printed.out.splitlines(), printed.err.splitlines()])
-    assert_golden("commands_faulty", told)
+        output = capsys.readouterr()
+        results.append([line, code, output.out.splitlines(), output.err.splitlines()])
+    assert_golden("commands_faulty", results)
 
 
-# ---- what it prints ----
+# ---- output ----
 
 GAUGE = {"age_ms": 1500}
-STANDING = {
+HEALTH = {
     "standing": "crowded",
     "weight": 40,
     "reason": "too many",
@@ -256,13 +256,13 @@
     },
 }
 CONSOLE = {"quiesced": "", "leaving": False, "replaced": False, "kernel": True, "ready": True}
-CHANGED = {"customer": "acme", "deleted": False, "revision": 3, "born": 2}
-LATE = {"complete": False, "took_ms": 8000.4, "lacking": {"n3": "down", "n2": "suspected"}}
+CHANGE = {"customer": "acme", "deleted": False, "revision": 3, "born": 2}
+INCOMPLETE = {"complete": False, "took_ms": 8000.4, "lacking": {"n3": "down", "n2": "suspected"}}
 
-ANSWERED: tuple[tuple[str, Any], ...] = (
-    ("standing", STANDING),
-    ("standing --check", STANDING | {"gauge": None, "unknown": []}),
-    ("standing --check", STANDING | {"routable": True}),
+COMMANDS_AND_ANSWERS: tuple[tuple[str, Any], ...] = (
+    ("standing", HEALTH),
+    ("standing --check", HEALTH | {"gauge": None, "unknown": []}),
+    ("standing --check", HEALTH | {"routable": True}),
     ("maintenance show", {"maintenance": {"reason": "work", "left_ms": 1500}}),
     ("maintenance show", {"maintenance": {"reason": "work", "left_ms": None}}),
     ("maintenance show", {"maintenance": None}),
@@ -323,9 +323,9 @@
         },
     ),
     ("namespace show acme --draft", {"draft": None}),
-    ("namespace back acme 2", CHANGED),
-    ("namespace back acme 2 --wait", CHANGED | LATE),
-    ("namespace delete acme --yes --wait", CHANGED | LATE | {"deleted": True, "complete": True}),
+    ("namespace back acme 2", CHANGE),
+    ("namespace back acme 2 --wait", CHANGE | INCOMPLETE),
+    ("namespace delete acme --yes --wait", CHANGE | INCOMPLETE | {"deleted": True, "complete": True}),
     (
         "namespace explain acme --class submit --key k/1",
         {
@@ -350,107 +350,112 @@
     ("outage resume n1", OUTAGE),
     ("forecast show a/b", FORECAST),
     ("forecast show", FORECAST | {"routes": [], "untold": {}, "hints": None}),
-    ("drain", refusal(409, "leaving already", "Wait.")),
-    ("drain", refusal(401, "no token")),
-    ("drain", Refusal(500, b"[1]")),
-    ("drain", Refusal(500, b"odd")),
+    ("drain", error_response(409, "leaving already", "Wait.")),
+    ("drain", error_response(401, "no token")),
+    ("drain", ErrorResponse(500, b"[1]")),
+    ("drain", ErrorResponse(500, b"odd")),
     ("drain", b"no JSON"),
     ("drain", unreachable),
 )
-CONSOLED: tuple[tuple[str, Any], ...] = (
+CONSOLE_CALLS_AND_ANSWERS: tuple[tuple[str, Any], ...] = (
     ("console health", CONSOLE),
-    ("console health", Refusal(503, json.dumps(CONSOLE | {"ready": False, "kernel": False}).encode())),
+    ("console health", ErrorResponse(503, json.dumps(CONSOLE | {"ready": False, "kernel": False}).encode())),
     ("console quiesce", CONSOLE | {"ready": False, "quiesced": "by an operator", "replaced": True}),
-    ("console resume", Refusal(409, json.dumps(CONSOLE | {"ready": False, "leaving": True}).encode())),
+    ("console resume", ErrorResponse(409, json.dumps(CONSOLE | {"ready": False, "leaving": True}).encode())),
 )
 
 
-def test_answers_are_printed_alike(play: Callable[..., list[Any]], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_output_for_each_answer_is_unchanged(
+    run_command: Callable[..., list[Any]], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(time, "time", lambda: 1_800_000_000.0)
-    assert_golden("commands_answers", [play(line, answer) for line, answer in ANSWERED])
+    assert_golden("commands_answers", [run_command(line, answer) for line, answer in COMMANDS_AND_ANSWERS])
 
 
-def test_answers_of_the_second_address_are_printed_alike(
-    scripted: Scripted, capsys: Any, monkeypatch: pytest.MonkeyPatch
+def test_the_output_for_each_answer_of_the_console_is_unchanged(
+    fake_api: FakeApi, capsys: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("GW_CONSOLE", "127.0.0.1:2")
-    told = []
-    for line, answer in CONSOLED:
-        for more in ([], ["--json"]):
-            scripted.answers, scripted.requests = [answer], []
-            code = cli.main([*line.split(), *more])
-            printed = capsys.readouterr()
-            told.append(
-                [line, more, code, scripted.requests, printed.out.splitlines(), printed.err.splitlines()]
+    results = []
+    for line, answer in CONSOLE_CALLS_AND_ANSWERS:
+        for options in ([], ["--json"]):
+            fake_api.answers, fake_api.requests = [answer], []
+            code = cli.main([*line.split(), *options])
+            output = capsys.readouterr()
+            results.append(
+                [line, options, code, fake_api.requests, output.out.splitlines(), output.err.splitlines()]
             )
-    assert_golden("commands_console", told)
+    assert_golden("commands_console", results)
 
 
-# ---- waiting for a turn ----
+# ---- waiting for a slot ----
 
 GRANTED = {"seat": "n1", "word": "granted", "note": ""}
-WAITS = GRANTED | {"word": "waits"}
-GONE = refusal(409, "n1 was told to go already")
+WAITING = GRANTED | {"word": "waits"}
+ALREADY_CLEARED = error_response(409, "n1 was told to go already")
 
-WAITED: dict[str, tuple[Any, ...]] = {
+ANSWERS_BY_CASE: dict[str, tuple[Any, ...]] = {
     "granted": ({}, GRANTED),
-    "granted with a note, after a wait": ({}, WAITS, GRANTED | {"note": "alone"}),
+    "granted with a note, after a wait": ({}, WAITING, GRANTED | {"note": "alone"}),
     "withdrawn by somebody": ({}, GRANTED | {"word": "withdrawn", "note": "by me"}),
     "over": ({}, GRANTED | {"word": "over"}),
     "held back": ({}, GRANTED | {"word": "held", "note": "failed"}),
-    "nobody there at first": (unreachable, refusal(503, "no majority"), {}, unreachable, GRANTED),
-    "refused": (refusal(409, "not yet"),),
-    "refused as it waits": ({}, refusal(404, "no such ask")),
-    "out of time": ({}, WAITS, WAITS, {}),
-    "out of time, and told to go meanwhile": ({}, WAITS, WAITS, GONE),
-    "out of time, and nobody there to hear it": ({}, WAITS, WAITS, unreachable),
-    "out of time, and the withdrawal refused": ({}, WAITS, WAITS, refusal(404, "no such ask")),
-    "stopped": ({}, signalled, {}),
-    "stopped before it was heard": (unreachable, signalled, {}),
-    "stopped, and told to go already": ({}, WAITS, signalled, GONE),
-    "stopped, and nobody there to hear it": ({}, signalled, unreachable),
+    "nobody there at first": (unreachable, error_response(503, "no majority"), {}, unreachable, GRANTED),
+    "refused": (error_response(409, "not yet"),),
+    "refused as it waits": ({}, error_response(404, "no such ask")),
+    "out of time": ({}, WAITING, WAITING, {}),
+    "out of time, and told to go meanwhile": ({}, WAITING, WAITING, ALREADY_CLEARED),
+    "out of time, and nobody there to hear it": ({}, WAITING, WAITING, unreachable),
+    "out of time, and the withdrawal refused": ({}, WAITING, WAITING, error_response(404, "no such ask")),
+    "stopped": ({}, raise_sigterm, {}),
+    "stopped before it was heard": (unreachable, raise_sigterm, {}),
+    "stopped, and told to go already": ({}, WAITING, raise_sigterm, ALREADY_CLEARED),
+    "stopped, and nobody there to hear it": ({}, raise_sigterm, unreachable),
 }
 
 
-def test_waiting_ends_alike(play: Callable[..., list[Any]]) -> None:
+def test_each_end_of_a_wait_is_unchanged(run_command: Callable[..., list[Any]]) -> None:
     line = "outage ask n1 --wait --timeout 30s --id first"
-    told = {how: play(line, *answers) for how, answers in WAITED.items()}
-    told["for this machine"] = play("outage ask --wait --timeout 30s --by me", {}, WAITS, WAITS, {})
-    told["refused until the time is up"] = play(
-        "outage ask n1 --wait --timeout 1s", *[refusal(503, "no majority")] * 3
+    results = {case: run_command(line, *answers) for case, answers in ANSWERS_BY_CASE.items()}
+    results["for this machine"] = run_command(
+        "outage ask --wait --timeout 30s --by me", {}, WAITING, WAITING, {}
+    )
+    results["refused until the time is up"] = run_command(
+        "outage ask n1 --wait --timeout 1s", *[error_response(503, "no majority")] * 3
     )
-    assert_golden("commands_waiting", told)
+    assert_golden("commands_waiting", results)
 
 
 OUT_OF_TIME_CODE, STOPPED_CODE = 6, 130
-KINDS: dict[str, tuple[int, tuple[Any, ...], list[str]]] = {
-    "TooLate": (0, ({}, WAITS, WAITS), []),
-    "NoSuchAsk": (OUT_OF_TIME_CODE, ({}, WAITS, WAITS), []),
+# For each kind of error: the expected exit code, the answers before the error, and the expected standard error output.
+CASES_BY_KIND: dict[str, tuple[int, tuple[Any, ...], list[str]]] = {
+    "TooLate": (0, ({}, WAITING, WAITING), []),
+    "NoSuchAsk": (OUT_OF_TIME_CODE, ({}, WAITING, WAITING), []),
     "TooLate, as it is stopped": (
         STOPPED_CODE,
-        ({}, signalled),
+        ({}, raise_sigterm),
         ["moorusher: 127.0.0.1:1: 409: n1 was told to go already"],
     ),
-    "NoSuchAsk, as it is stopped": (STOPPED_CODE, ({}, signalled), []),
+    "NoSuchAsk, as it is stopped": (STOPPED_CODE, ({}, raise_sigterm), []),
 }
 
 
-@pytest.mark.parametrize("case", KINDS)
+@pytest.mark.parametrize("case", CASES_BY_KIND)
 @pytest.mark.parametrize("text", ["n1 was told to go already", "another text"])
-def test_a_refused_withdrawal_is_judged_by_its_kind_whatever_its_text(
-    play: Callable[..., list[Any]], case: str, text: str
+def test_a_refused_withdrawal_is_judged_by_its_kind_and_not_by_its_text(
+    run_command: Callable[..., list[Any]], case: str, text: str
 ) -> None:
-    code, answers, printed = KINDS[case]
+    code, answers, expected_errors = CASES_BY_KIND[case]
     body = json.dumps({"error": text, "kind": case.split(",")[0], "remedy": ""}).encode()
     line = "outage ask n1 --wait --timeout 30s --id first"
-    got = play(line, *answers, Refusal(409, body))
-    assert got[1] == code
-    assert got[4] == [expected.replace("n1 was told to go already", text) for expected in printed]
+    result = run_command(line, *answers, ErrorResponse(409, body))
+    assert result[1] == code
+    assert result[4] == [error.replace("n1 was told to go already", text) for error in expected_errors]
 
 
 @pytest.mark.parametrize(("status", "exit_code"), [(503, 0), (409, 3)])
-def test_a_refused_request_is_sent_again_by_its_status_whatever_its_text(
-    play: Callable[..., list[Any]], status: int, exit_code: int
+def test_a_refused_request_is_retried_by_its_status_and_not_by_its_text(
+    run_command: Callable[..., list[Any]], status: int, exit_code: int
 ) -> None:
-    answers = [refusal(status, "wrong: 503: or not")] + ([{}, GRANTED] if status == 503 else [])
-    assert play("outage ask n1 --wait --timeout 30s --id first", *answers)[1] == exit_code
+    answers = [error_response(status, "wrong: 503: or not")] + ([{}, GRANTED] if status == 503 else [])
+    assert run_command("outage ask n1 --wait --timeout 30s --id first", *answers)[1] == exit_code
--- a/tests/compatibility/test_commands.py
+++ b/tests/compatibility/test_commands.py
@@ -1,7 +1,7 @@
-"""What the command line asks a runner, and what it prints of the answer, as JSON and in words.
+"""The requests that commands send to a runner, and their output as JSON and as text.
 
-Guards against a verb that asks for another page, sends another key, or reads a key that the runner no longer tells: a
-command of one build is used on runners of another, and scripts read `--json`.
+Guards against a command that requests another page, sends another key, or reads a key that the runner no longer
+returns: commands of one build are used with runners of another, and scripts read `--json`.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from moorusher import cli
 
 from .golden import assert_golden
-from .test_pages import DRAFT, HOUR, begun
+from .test_pages import DRAFT, HISTORY, bootstrap
 from .whole_runner import Runner, runner
 
 __all__ = ["runner"]
 
-READ = (
+READ_COMMANDS = (
     "stats",
     "stats status",
     "standing",
@@ -49,7 +49,7 @@
     "forecast show",
     "forecast show acme",
 )
-CHANGES = (
+CHANGE_COMMANDS = (
     "maintenance set --reason work --for 60",
     "maintenance show",
     "maintenance clear",
@@ -81,103 +81,110 @@
 )
 
 
-LABORATORY = ("lab", "check")
+LABORATORY_COMMANDS = ("lab", "check")
 
 
-class Answers:
-    """In place of connections: the runner's own pages answer, and what was asked is taken down."""
+class RunnerConnections:
+    """Replaces connections: the runner's own pages answer, and each request is recorded."""
 
     def __init__(self, runner: Runner, patch: pytest.MonkeyPatch) -> None:
         self._runner = runner
-        self.asked: list[Any] = []
+        self.requests: list[Any] = []
         patch.setattr(urllib.request.OpenerDirector, "open", lambda opener, *given: self.open(*given))
 
     def open(self, request: Any, data: Any = None, timeout: Any = None) -> Any:
         path = request.selector.removeprefix("/")
-        sent = request.data
+        request_body = request.data
         token = (request.get_header("Authorization") or "").removeprefix("Bearer ")
-        self.asked.append([f"{request.method} {path}", None if sent is None else sent.decode()])
-        status, told = self._runner.page(request.method, path, sent, token=token)
-        body = io.BytesIO(json.dumps(told).encode())
+        self.requests.append(
+            [f"{request.method} {path}", None if request_body is None else request_body.decode()]
+        )
+        status, document = self._runner.page(request.method, path, request_body, token=token)
+        body = io.BytesIO(json.dumps(document).encode())
         if status >= 400:
             raise HTTPError(request.full_url, status, "refused", None, body)  # type: ignore[arg-type]
         return body
 
 
 class Commands:
-    """Each with its exit code, what it asked and what it printed."""
+    """Runs commands, and returns the exit code, the requests and the output of each."""
 
-    def __init__(self, runner: Runner, patch: pytest.MonkeyPatch, folder: Path, out: Any) -> None:
-        self._answers, self._folder, self._out = Answers(runner, patch), folder, out
+    def __init__(self, runner: Runner, patch: pytest.MonkeyPatch, folder: Path, capsys: Any) -> None:
+        self._connections, self._folder, self._capsys = RunnerConnections(runner, patch), folder, capsys
         patch.setattr(getpass, "getuser", lambda: "somebody")
-        drawn = count(1)
-        patch.setattr(os, "urandom", lambda size: next(drawn).to_bytes(size, "big"))
+        random_numbers = count(1)
+        patch.setattr(os, "urandom", lambda size: next(random_numbers).to_bytes(size, "big"))
         (folder / "FILE").write_bytes(DRAFT)
-        (folder / "HOURS").write_text(json.dumps([HOUR]))
+        (folder / "HOURS").write_text(json.dumps([HISTORY]))
 
-    def run(self, line: str, *more: str) -> list[Any]:
+    def run(self, line: str, *options: str) -> list[Any]:
         words = [str(self._folder / word) if word in ("FILE", "HOURS") else word for word in line.split()]
-        code = cli.main([*words, "--address", "127.0.0.1:1", "--token", "secret", *more])
-        asked, self._answers.asked = self._answers.asked, []
-        printed = self._out.readouterr()
-        return [code, asked, printed.out, printed.err]
+        code = cli.main([*words, "--address", "127.0.0.1:1", "--token", "secret", *options])
+        requests, self._connections.requests = self._connections.requests, []
+        output = self._capsys.readouterr()
+        return [code, requests, output.out, output.err]
 
     def read(self, line: str) -> dict[str, Any]:
-        """In words, and as JSON."""
-        code, asked, text, error = self.run(line)
-        _, _, told, _ = self.run(line, "--json")
+        """Run a command twice, for its output as text and as JSON."""
+        code, requests, text, error = self.run(line)
+        _, _, json_text, _ = self.run(line, "--json")
         return {
             "command": line,
             "code": code,
-            "asked": asked,
+            "asked": requests,
             "text": text.splitlines(),
-            "json": json.loads(told) if told else None,
+            "json": json.loads(json_text) if json_text else None,
             "error": error.splitlines(),
         }
 
     def change(self, line: str) -> list[Any]:
-        code, asked, text, error = self.run(line)
-        return [line, code, asked, text.splitlines(), error.splitlines()]
+        code, requests, text, error = self.run(line)
+        return [line, code, requests, text.splitlines(), error.splitlines()]
 
 
 @pytest.fixture
 def commands(runner: Runner, monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: Any) -> Commands:
-    begun(runner)
+    bootstrap(runner)
     return Commands(runner, monkeypatch, tmp_path, capsys)
 
 
-def without_version(told: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    for one in told:
-        if one["command"] == "stats status":
-            assert one["json"].pop("version")
-            one["text"] = [line for line in one["text"] if not line.startswith("version")]
-    return told
+def without_version(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    for result in results:
+        if result["command"] == "stats status":
+            assert result["json"].pop("version")
+            result["text"] = [line for line in result["text"] if not line.startswith("version")]
+    return results
 
 
-def test_what_is_read_is_printed_alike(commands: Commands) -> None:
-    assert_golden("commands_read", without_version([commands.read(line) for line in READ]))
+def test_the_requests_and_output_of_read_commands_are_unchanged(commands: Commands) -> None:
+    assert_golden("commands_read", without_version([commands.read(line) for line in READ_COMMANDS]))
 
 
-def test_changes_are_asked_for_alike(commands: Commands) -> None:
-    assert_golden("commands_changes", [commands.change(line) for line in CHANGES])
+def test_the_requests_and_output_of_change_commands_are_unchanged(commands: Commands) -> None:
+    assert_golden("commands_changes", [commands.change(line) for line in CHANGE_COMMANDS])
 
 
-def verbs(group: click.Group, path: str = "") -> dict[str, list[Any]]:
-    """Each verb with its arguments and options, in order."""
-    told: dict[str, list[Any]] = {}
+def parameters_by_command(group: click.Group, path: str = "") -> dict[str, list[Any]]:
+    """Return each command's arguments and options, in order."""
+    parameters: dict[str, list[Any]] = {}
     for name, command in sorted(group.commands.items()):
         if isinstance(command, click.Group):
-            told |= verbs(command, f"{path}{name} ")
+            parameters |= parameters_by_command(command, f"{path}{name} ")
         else:
-            told[path + name] = [
-                [*one.opts, *one.secondary_opts] if isinstance(one, click.Option) else "argument"
-                for one in command.params
+            parameters[path + name] = [
+                [*parameter.opts, *parameter.secondary_opts]
+                if isinstance(parameter, click.Option)
+                else "argument"
+                for parameter in command.params
             ]
-    return told
+    return parameters
 
 
-def test_verbs_and_their_options_are_called_alike() -> None:
-    """But for those of the laboratory, which nobody else relies on."""
-    assert cli.main(["version"]) == 0  # so that all are there
-    told = verbs(cli.cli)
-    assert_golden("commands_verbs", {name: told[name] for name in told if name.split()[0] not in LABORATORY})
+def test_the_names_of_commands_and_options_are_unchanged() -> None:
+    """The laboratory's commands are excluded, since no other program depends on them."""
+    assert cli.main(["version"]) == 0  # Ensures that all commands are registered.
+    commands = parameters_by_command(cli.cli)
+    assert_golden(
+        "commands_verbs",
+        {name: commands[name] for name in commands if name.split()[0] not in LABORATORY_COMMANDS},
+    )
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -1,7 +1,7 @@
-"""Keys of the platform's file and of the operator's, and what `check-config` prints of them.
+"""Keys of the platform's and the operator's configuration files, and the output of `check-config`.
 
-Guards against a key that is called otherwise, or is no longer read, after its field in the program was renamed: an
-operator's file that has been right would be turned down (`no such key`), or its figures be replaced by defaults.
+Guards against a key that is renamed or no longer read because its field in the program was renamed: a valid operator's
+file would be rejected (`no such key`), or its values would be replaced by defaults.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 from .golden import FOLDER, assert_golden
 
-# ---- the names of the program, once ----
+# ---- adapters: only this section uses the program's names ----
 
 
-def read(platform: str, operator: str, folder: Path) -> Any:
-    """The configuration, without the file as it was read."""
+def load_configuration(platform: str, operator: str, folder: Path) -> Any:
+    """Load the configuration from the texts of both files; its copy of the raw file is removed."""
     (folder / "platform.json").write_text(platform)
     (folder / "operator.toml").write_text(operator)
     (folder / "admin.token").write_text("secret\n")
-    made = config.load({"GW_CONFIG": str(folder / "platform.json")}, folder / "operator.toml")
-    return replace(made, raw=None)
+    loaded = config.load({"GW_CONFIG": str(folder / "platform.json")}, folder / "operator.toml")
+    return replace(loaded, raw=None)
 
 
-def command(*arguments: str) -> int:
+def run_command(*arguments: str) -> int:
     return cli.main(list(arguments))
 
 
@@ -46,17 +46,17 @@
 
 
 def leaves(value: Any) -> Iterator[str]:
-    """All figures and words that a value holds, wherever they are."""
+    """Yield all numbers and strings in a value at any depth, including the keys of mappings."""
     if is_dataclass(value):
-        for one in fields(value):
-            yield from leaves(getattr(value, one.name))
+        for field in fields(value):
+            yield from leaves(getattr(value, field.name))
     elif isinstance(value, Mapping):
-        for name, one in value.items():
+        for name, item in value.items():
             yield str(name)
-            yield from leaves(one)
+            yield from leaves(item)
     elif isinstance(value, (list, tuple, set, frozenset)):
-        for one in value:
-            yield from leaves(one)
+        for item in value:
+            yield from leaves(item)
     elif isinstance(value, Enum):
         yield str(value.value)
     elif isinstance(value, Path):
@@ -65,41 +65,43 @@
         yield str(value)
 
 
-def values(value: Any) -> Iterator[str]:
-    """Of a file, without the names of its keys."""
+def file_values(value: Any) -> Iterator[str]:
+    """Yield the values of a parsed file without its keys."""
     if isinstance(value, dict):
-        for one in value.values():
-            yield from values(one)
+        for item in value.values():
+            yield from file_values(item)
     elif isinstance(value, list):
-        for one in value:
-            yield from values(one)
+        for item in value:
+            yield from file_values(item)
     else:
         yield str(value)
 
 
 def test_every_key_of_both_files_is_read(tmp_path: Path) -> None:
-    """Each has a value that no other has, so that one which is passed over is missing here."""
-    held = set(leaves(read(PLATFORM, OPERATOR, tmp_path)))
-    written = {text for value in tomllib.loads(OPERATOR).values() for text in values(value)}
-    assert_golden("configuration_values", {"held": sorted(held), "written, not held": sorted(written - held)})
+    """Each value in the files is unique, so the value of a key that is not read is missing from the configuration."""
+    loaded = set(leaves(load_configuration(PLATFORM, OPERATOR, tmp_path)))
+    written = {text for value in tomllib.loads(OPERATOR).values() for text in file_values(value)}
+    assert_golden(
+        "configuration_values", {"held": sorted(loaded), "written, not held": sorted(written - loaded)}
+    )
 
 
-def test_check_config_prints_the_same(
+def test_the_output_of_check_config_is_unchanged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    read(PLATFORM, OPERATOR, tmp_path)
+    load_configuration(PLATFORM, OPERATOR, tmp_path)
     monkeypatch.setenv("GW_CONFIG", str(tmp_path / "platform.json"))
     for name in ("GW_CONSOLE", "GW_LISTEN", "GW_NAME"):
         monkeypatch.delenv(name, raising=False)
     operator = str(tmp_path / "operator.toml")
-    assert command("check-config", "--fronts", operator, "--json") == 0
-    told: dict[str, Any] = {"json": json.loads(capsys.readouterr().out)}
-    assert command("check-config", "--fronts", operator) == 0
-    told["text"] = capsys.readouterr().out.splitlines()
-    assert_golden("configuration_check", told)
+    assert run_command("check-config", "--fronts", operator, "--json") == 0
+    output: dict[str, Any] = {"json": json.loads(capsys.readouterr().out)}
+    assert run_command("check-config", "--fronts", operator) == 0
+    output["text"] = capsys.readouterr().out.splitlines()
+    assert_golden("configuration_check", output)
 
 
-# ---- keys that there are ----
+# ---- known keys, their bounds and defaults ----
 
 SECTIONS = (
     "uwsgi",
@@ -115,7 +117,7 @@
     "outage",
     "admin",
 )
-LISTED = (
+LIST_SECTIONS = (
     "tier.server",
     "fleet.seat",
     "duties.report",
@@ -125,8 +127,8 @@
 )
 
 
-def keys() -> Iterator[tuple[str, str, str, str]]:
-    """Each key of the operator's file where it stands first: its path, its name, what is before and after it."""
+def operator_keys() -> Iterator[tuple[str, str, str, str]]:
+    """Yield the path and name of each key in the operator's file, and the text around its first occurrence."""
     lines = OPERATOR.splitlines(keepends=True)
     section, seen = "", set[str]()
     for i, line in enumerate(lines):
@@ -137,51 +139,56 @@
             yield key, line.split(" = ")[0], "".join(lines[:i]), "".join(lines[i + 1 :])
 
 
-def refusal(platform: str, operator: str, folder: Path) -> str:
-    with pytest.raises(ConfigError) as refused:
-        read(platform, operator, folder)
-    return str(refused.value)
+def error_message(platform: str, operator: str, folder: Path) -> str:
+    with pytest.raises(ConfigError) as raised:
+        load_configuration(platform, operator, folder)
+    return str(raised.value)
 
 
-def test_an_unknown_key_is_answered_with_the_same_known_ones(tmp_path: Path) -> None:
-    told = {"": refusal(PLATFORM, "odd_key = 1\n" + OPERATOR, tmp_path)}
+def test_the_error_for_an_unknown_key_names_the_same_known_keys(tmp_path: Path) -> None:
+    messages = {"": error_message(PLATFORM, "odd_key = 1\n" + OPERATOR, tmp_path)}
     for name in SECTIONS:
-        told[name] = refusal(
+        messages[name] = error_message(
             PLATFORM, OPERATOR.replace(f"\n[{name}]\n", f"\n[{name}]\nodd_key = 1\n"), tmp_path
         )
-    for name in LISTED:
+    for name in LIST_SECTIONS:
         head = f"\n[[{name}]]\n"
-        told[name] = refusal(PLATFORM, OPERATOR.replace(head, f"{head}odd_key = 1\n", 1), tmp_path)
-    assert_golden("configuration_keys", told)
+        messages[name] = error_message(PLATFORM, OPERATOR.replace(head, f"{head}odd_key = 1\n", 1), tmp_path)
+    assert_golden("configuration_keys", messages)
 
 
-def test_a_value_of_the_wrong_kind_is_answered_with_the_same_words(tmp_path: Path) -> None:
-    """Each key of the operator's file in its turn: its name and its bounds."""
-    told = {}
-    for key, name, before, after in keys():
-        told[key] = refusal(PLATFORM, f"{before}{name} = -900000000000000\n{after}", tmp_path)
-    assert_golden("configuration_bounds", told)
+def test_the_error_for_an_invalid_value_is_unchanged(tmp_path: Path) -> None:
+    """For each key of the operator's file, the error states its name and its bounds."""
+    messages = {}
+    for key, name, before, after in operator_keys():
+        messages[key] = error_message(PLATFORM, f"{before}{name} = -900000000000000\n{after}", tmp_path)
+    assert_golden("configuration_bounds", messages)
 
 
-def test_a_key_that_is_left_out_has_the_same_default(tmp_path: Path) -> None:
-    """Which values go from the configuration without the key, and which come; or why the key must be there."""
-    held = Counter(leaves(read(PLATFORM, OPERATOR, tmp_path)))
-    told: dict[str, Any] = {}
-    for key, _, before, after in keys():
+def test_the_default_of_each_key_is_unchanged(tmp_path: Path) -> None:
+    """For each key: the values that its removal deletes from and adds to the configuration, or the error message."""
+    complete = Counter(leaves(load_configuration(PLATFORM, OPERATOR, tmp_path)))
+    results: dict[str, Any] = {}
+    for key, _, before, after in operator_keys():
         try:
-            without = Counter(leaves(read(PLATFORM, before + after, tmp_path)))
-            told[key] = [sorted((held - without).elements()), sorted((without - held).elements())]
+            without = Counter(leaves(load_configuration(PLATFORM, before + after, tmp_path)))
+            results[key] = [
+                sorted((complete - without).elements()),
+                sorted((without - complete).elements()),
+            ]
         except ConfigError as exc:
-            told[key] = str(exc)
-    assert_golden("configuration_defaults", told)
-
-
-def test_a_key_of_the_platforms_file_of_the_wrong_kind_is_named(tmp_path: Path) -> None:
-    whole = json.loads(PLATFORM)
-    told: dict[str, str] = {}
-    for name in whole:
-        told[name] = refusal(json.dumps(whole | {name: -900000000000000}), OPERATOR, tmp_path)
-    for name in whole["limits"]:
-        limits = whole["limits"] | {name: -900000000000000}
-        told[f"limits.{name}"] = refusal(json.dumps(whole | {"limits": limits}), OPERATOR, tmp_path)
-    assert_golden("configuration_platform", told)
+            results[key] = str(exc)
+    assert_golden("configuration_defaults", results)
+
+
+def test_the_error_for_an_invalid_value_in_the_platforms_file_is_unchanged(tmp_path: Path) -> None:
+    document = json.loads(PLATFORM)
+    messages: dict[str, str] = {}
+    for name in document:
+        messages[name] = error_message(json.dumps(document | {name: -900000000000000}), OPERATOR, tmp_path)
+    for name in document["limits"]:
+        limits = document["limits"] | {name: -900000000000000}
+        messages[f"limits.{name}"] = error_message(
+            json.dumps(document | {"limits": limits}), OPERATOR, tmp_path
+        )
+    assert_golden("configuration_platform", messages)
--- a/tests/compatibility/test_counters.py
+++ b/tests/compatibility/test_counters.py
@@ -1,8 +1,8 @@
-"""Names that counters have, for `moorusher stats`, `GET /counters` and whatever watches them.
+"""Names of counters in `moorusher stats`, `GET /counters` and monitoring.
 
-Guards against a counter that is renamed along with what counts: a watch on it would see a figure that stands still, and
-the counts of two builds could not be added. Counters are named by texts in the program, some put together from the
-value of an Enum: each of these texts must still be there, wherever it has gone.
+Guards against a counter that is renamed together with its code: monitoring would see a value that no longer changes,
+and the counts of two builds could not be added up. Counters are named by string literals in the program, some of which
+are followed by the value of an Enum. Each of these literals must still be in the source, in any module.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 from .golden import assert_golden, read_golden
 
-# ---- the names of the program, once ----
+# ---- adapters: only this section uses the program's names ----
 
 SOURCES = Path(moorusher.__file__).parent
-NOT_IN_SERVICE = ("lab", "check")
-VALUES: dict[str, type[Enum]] = {
+EXCLUDED_PACKAGES = ("lab", "check")  # not part of a running runner
+ENUMS_BY_PREFIX: dict[str, type[Enum]] = {
     "succession: ": State,
     "standing: ": HealthState,
     "outage: ": MachineMode,
@@ -35,29 +35,31 @@
 }
 
 
-# ---- texts ----
+# ---- string literals ----
 
 
-def texts_of(node: ast.AST) -> Iterator[str]:
-    """Parts of texts that are put together are texts, too."""
-    for one in ast.walk(node):
-        if isinstance(one, ast.Constant) and isinstance(one.value, str):
-            yield one.value
+def strings_in(tree: ast.AST) -> Iterator[str]:
+    """Yield all string literals, including the literal parts of f-strings."""
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Constant) and isinstance(node.value, str):
+            yield node.value
 
 
-def texts() -> set[str]:
-    found = set[str]()
+def strings_in_source() -> set[str]:
+    strings = set[str]()
     for path in SOURCES.rglob("*.py"):
-        if path.relative_to(SOURCES).parts[0] not in NOT_IN_SERVICE:
-            found.update(texts_of(ast.parse(path.read_text())))
-    return found
+        if path.relative_to(SOURCES).parts[0] not in EXCLUDED_PACKAGES:
+            strings.update(strings_in(ast.parse(path.read_text())))
+    return strings
 
 
-def test_every_text_that_names_a_counter_is_still_there() -> None:
-    there = texts()
-    assert [text for text in read_golden("counter_texts") if text not in there] == []
+def test_every_string_that_names_a_counter_is_still_in_the_source() -> None:
+    strings = strings_in_source()
+    assert [text for text in read_golden("counter_texts") if text not in strings] == []
 
 
-def test_values_that_end_a_counters_name_are_the_same() -> None:
-    told = {head: sorted(str(one.value) for one in kind) for head, kind in VALUES.items()}
-    assert_golden("counter_values", told)
+def test_enum_values_that_end_a_counters_name_are_unchanged() -> None:
+    values = {
+        prefix: sorted(str(member.value) for member in enum) for prefix, enum in ENUMS_BY_PREFIX.items()
+    }
+    assert_golden("counter_values", values)
--- a/tests/compatibility/test_forecast_documents.py
+++ b/tests/compatibility/test_forecast_documents.py
@@ -1,7 +1,7 @@
-"""What the owner of the forecast answers, with routes that can't be forecast, and the names of models in it.
+"""Documents of the forecast's leader, including routes that can't be forecast and the names of models.
 
-Guards against a document whose keys or texts change with the names of the code: `moorusher forecast show` of an earlier
-build would fail on it, and whoever starts runners would not find its hints.
+Guards against a document whose keys or texts change with names in the code: `moorusher forecast show` of an earlier
+build would fail on it, and programs that start runners would not find the scaling hints.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 from .golden import assert_golden
 
-# ---- the names of the program, once ----
+# ---- adapters: only this section uses the program's names ----
 
 MODEL_NAMES = list(models.MODELS)
 ZONES = {"n1": "a", "n2": "b", "n3": "c"}
@@ -35,7 +35,7 @@
 
 
 HistoryBodies = list[admin_forecast._HistoryBody]
-FAULTY_BODIES = (
+INVALID_BODIES = (
     "{}",
     '[{"asked":[1]}]',
     '[{"first_hour":1}]',
@@ -55,31 +55,31 @@
 )
 
 
-def name_of(customer: str, route: str, zone: str) -> str:
+def encode_key(customer: str, route: str, zone: str) -> str:
     return demand_counts.encode_key(demand_counts.RouteKey(customer, 0, route, zone))
 
 
-def state_with(pasts: list[tuple[str, int, list[int], float, float]], first_bucket: int) -> bytes:
-    """The stored state of a duty that has counted nothing itself but the bucket of `first_bucket`."""
+def encode_state(histories: list[tuple[str, int, list[int], float, float]], first_bucket: int) -> bytes:
+    """Return the stored state of a duty with imported histories and one empty bucket of its own."""
     ledger = demand_ledger.DemandLedger(ZONES)
-    start = first_bucket * BUCKET_MS
-    ledger.record(demand_counts.BucketCounts("n1", 1, "a", first_bucket, start, start + 1, {}))
-    for past in pasts:
-        ledger.import_history(*past)
+    start_ms = first_bucket * BUCKET_MS
+    ledger.record(demand_counts.BucketCounts("n1", 1, "a", first_bucket, start_ms, start_ms + 1, {}))
+    for history in histories:
+        ledger.import_history(*history)
     return ledger_codec.encode_ledger(ledger)
 
 
-class Owner:
-    """Lease and process of a forecaster: effects are done at once, and forecasts worked out in this thread."""
+class ImmediateLease:
+    """Lease and process of a forecaster that complete effects at once and calculate forecasts in this thread."""
 
     def __init__(self, state: bytes, now_ms: int) -> None:
         self.record = SimpleNamespace(term=3)
         self.state, self.now_ms = state, now_ms
-        self.requests: list[Any] = []
+        self.effects: list[Any] = []
         self.counters: list[str] = []
 
     def submit(self, effect: Any, callback: Callable[[Any], None]) -> None:
-        self.requests.append(effect)
+        self.effects.append(effect)
         callback(Completed(FencingToken(1, 1, 2)))
 
     def unix_ms(self) -> int:
@@ -103,26 +103,26 @@
         callback(weekly_forecast.forecast_week(series, customers, first_hour, {}))
 
 
-def test_models_have_the_same_names() -> None:
+def test_the_names_of_models_are_unchanged() -> None:
     assert_golden("forecast_models", MODEL_NAMES)
 
 
-def test_the_owners_document_and_its_hints_are_the_same() -> None:
-    """Of eight weeks with as many requests in each hour, whose figures are the same everywhere."""
+def test_the_leaders_documents_and_hints_are_unchanged() -> None:
+    """The histories are constant over eight weeks, so that the forecast's numbers are the same on all machines."""
     hour = 472_000
-    state = state_with(
+    state = encode_state(
         [
-            (name_of("acme", "main", "a"), hour - 8 * 168, [40] * 8 * 168, 200_000_000.0, 2.0),
-            (name_of("bolt", "", "a"), hour - 8 * 168, [20] * 8 * 168, 1_000_000.0, 0.5),
-            (name_of("acme", "new", "b"), hour - 30, [40] * 30, 200_000_000.0, 2.0),
-            (name_of("cord", "main", "c"), hour - 8 * 168, [9] * 8 * 168, 0.0, 2.0),
+            (encode_key("acme", "main", "a"), hour - 8 * 168, [40] * 8 * 168, 200_000_000.0, 2.0),
+            (encode_key("bolt", "", "a"), hour - 8 * 168, [20] * 8 * 168, 1_000_000.0, 0.5),
+            (encode_key("acme", "new", "b"), hour - 30, [40] * 30, 200_000_000.0, 2.0),
+            (encode_key("cord", "main", "c"), hour - 8 * 168, [9] * 8 * 168, 0.0, 2.0),
         ],
         hour * BUCKETS_PER_HOUR,
     )
-    owner = Owner(state, hour * HOUR_MS + 1)
-    worker = Forecaster(owner, owner, POLICY, ZONES)  # type: ignore[arg-type]
-    worker.start()
-    documents = {customer: worker.document(customer) for customer in ("", "acme", "nobody")}
+    lease = ImmediateLease(state, hour * HOUR_MS + 1)
+    leader = Forecaster(lease, lease, POLICY, ZONES)  # type: ignore[arg-type]
+    leader.start()
+    documents = {customer: leader.document(customer) for customer in ("", "acme", "nobody")}
     for document in documents.values():
         for route in document["routes"]:
             route["hours"] = [len(route["hours"]), *sorted(set(route["hours"]))]
@@ -130,16 +130,16 @@
         "forecast_documents",
         {
             "documents": documents,
-            "requests": [[one.receiver, msgspec.json.decode(one.body)] for one in owner.requests],
-            "counters": owner.counters,
+            "requests": [[effect.receiver, msgspec.json.decode(effect.body)] for effect in lease.effects],
+            "counters": lease.counters,
         },
     )
 
 
-def test_a_faulty_history_is_answered_with_the_same_text() -> None:
-    texts = {}
-    for body in FAULTY_BODIES:
+def test_the_errors_for_invalid_histories_are_unchanged() -> None:
+    messages = {}
+    for body in INVALID_BODIES:
         with pytest.raises(msgspec.MsgspecError) as raised:
             msgspec.json.decode(body, type=HistoryBodies)
-        texts[body] = str(raised.value)
-    assert_golden("forecast_bodies", texts)
+        messages[body] = str(raised.value)
+    assert_golden("forecast_bodies", messages)
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -1,8 +1,8 @@
-"""What runners of one fleet say to each other, while some of them are of an earlier build.
+"""Messages between runners of one fleet, some of which may run an earlier build.
 
 Guards against a tag, an order of fields, an Enum's value or a default that changes with its name: a runner would then
-close its links (`framing lost`) or, worse, read one figure for another. All messages of all parts are compared, as a
-form and as bytes of samples.
+close its links (`framing lost`) or, worse, mistake one number for another. For all messages of all parts, the form and
+the bytes of samples are compared.
 """
 
 from __future__ import annotations
@@ -22,80 +22,81 @@
 from moorusher.replication import messages as fleet
 from moorusher.replication import work_record as work
 
-from .forms import told
+from .forms import form_and_samples
 from .golden import assert_golden, read_golden
 
-# ---- the names of the program, once ----
+# ---- adapters: only this section uses the program's names ----
 
-Coding = tuple[Callable[[Any], bytes], Callable[[bytes], Any]]
+Codec = tuple[Callable[[Any], bytes], Callable[[bytes], Any]]
 
-FLEET_FRAME: Coding = fleet.encode, fleet.decode
-FLEET = get_args(fleet.Message)
-PARTS: dict[str, tuple[str, Coding]] = {
+FLEET_FRAME: Codec = fleet.encode, fleet.decode
+FLEET_MESSAGES = get_args(fleet.Message)
+PARTS: dict[str, tuple[str, Codec]] = {
     "duties": (duties.PART, (duties.encode, duties.decode)),
     "namespaces": (publishing.PART, (publishing.encode, publishing.decode)),
     "forecast": (forecasting.PART, (forecasting.encode, forecasting.decode)),
     "outages": (outage.PART, (outage.encode, outage.decode)),
 }
-ERRORS_OF_PUBLISHING, ERRORS_OF_FORECASTING = publishing_errors.ERRORS_BY_KIND, forecast_errors.ERRORS_BY_KIND
+PUBLISHING_ERRORS, FORECAST_ERRORS = publishing_errors.ERRORS_BY_KIND, forecast_errors.ERRORS_BY_KIND
 VERSION, FIRST_BALLOT, MEMBER_STATES = (
     fleet.PROTOCOL_VERSION,
     fleet.FAST_BALLOT,
-    [one.value for one in MemberState],
+    [state.value for state in MemberState],
 )
 key_of = work.key_of
 
 
-# ---- the forms ----
+# ---- messages ----
 
 
-def spoken(coding: Coding) -> tuple[type, ...]:
-    """All messages that a part can read."""
-    kinds: Any = getattr(coding[1], "__self__").type  # noqa: B009
-    return get_args(kinds) or (kinds,)
+def message_types(codec: Codec) -> tuple[type, ...]:
+    """Return the types of all messages that a part can decode."""
+    union: Any = getattr(codec[1], "__self__").type  # noqa: B009
+    return get_args(union) or (union,)
 
 
-def by_tag(kinds: tuple[type, ...], coding: Coding) -> dict[str, Any]:
-    forms = [told(kind, *coding) for kind in kinds]
-    return {one["form"]["tag"]: one for one in sorted(forms, key=lambda one: str(one["form"]["tag"]))}
+def forms_by_tag(types: tuple[type, ...], codec: Codec) -> dict[str, Any]:
+    forms = [form_and_samples(kind, *codec) for kind in types]
+    return {form["form"]["tag"]: form for form in sorted(forms, key=lambda form: str(form["form"]["tag"]))}
 
 
-def in_a_frame(coding: Coding) -> Coding:
-    encode, decode = coding
+def single_message_codec(frame_codec: Codec) -> Codec:
+    """Return a codec for frames with one message."""
+    encode, decode = frame_codec
     return lambda message: encode([message]), lambda data: decode(data)[0]
 
 
-def test_messages_of_the_fleet_have_the_same_bytes() -> None:
-    assert_golden("messages_fleet", by_tag(FLEET, in_a_frame(FLEET_FRAME)))
+def test_the_bytes_of_the_fleets_messages_are_unchanged() -> None:
+    assert_golden("messages_fleet", forms_by_tag(FLEET_MESSAGES, single_message_codec(FLEET_FRAME)))
 
 
 @pytest.mark.parametrize("part", PARTS)
-def test_messages_of_a_part_have_the_same_bytes(part: str) -> None:
-    name, coding = PARTS[part]
+def test_the_bytes_of_a_parts_messages_are_unchanged(part: str) -> None:
+    name, codec = PARTS[part]
     assert name == part
-    assert_golden(f"messages_{part}", by_tag(spoken(coding), coding))
+    assert_golden(f"messages_{part}", forms_by_tag(message_types(codec), codec))
 
 
 @pytest.mark.parametrize("part", ["fleet", *PARTS])
-def test_what_was_written_before_is_read_and_written_as_it_was(part: str) -> None:
-    encode, decode = in_a_frame(FLEET_FRAME) if part == "fleet" else PARTS[part][1]
-    for tag, one in read_golden(f"messages_{part}").items():
-        for sample in one["samples"]:
+def test_messages_in_the_golden_files_are_decoded_and_encoded_unchanged(part: str) -> None:
+    encode, decode = single_message_codec(FLEET_FRAME) if part == "fleet" else PARTS[part][1]
+    for tag, form in read_golden(f"messages_{part}").items():
+        for sample in form["samples"]:
             data = bytes.fromhex(sample)
             assert encode(decode(data)) == data, tag
 
 
-def test_figures_that_all_runners_must_share_are_the_same() -> None:
-    told_ = {
+def test_constants_that_all_runners_must_share_are_unchanged() -> None:
+    constants = {
         "version": VERSION,
         "first ballot": FIRST_BALLOT,
         "states of a member": MEMBER_STATES,
         "keys": [key_of(None, "token").hex(), key_of("", "token").hex(), key_of("acme", "token").hex()],
     }
-    assert_golden("messages_figures", told_)
+    assert_golden("messages_figures", constants)
 
 
-def test_errors_are_named_over_the_wire_as_before() -> None:
-    """The answer to a submission or an ask names its error: another word would be no error that the asker knows."""
-    told_ = {"namespaces": sorted(ERRORS_OF_PUBLISHING), "forecast": sorted(ERRORS_OF_FORECASTING)}
-    assert_golden("messages_errors", told_)
+def test_the_kinds_of_errors_in_messages_are_unchanged() -> None:
+    """Answers to submissions and queries name the kind of an error; the receiver would not know another name."""
+    kinds = {"namespaces": sorted(PUBLISHING_ERRORS), "forecast": sorted(FORECAST_ERRORS)}
+    assert_golden("messages_errors", kinds)
--- a/tests/compatibility/test_namespace_rules.py
+++ b/tests/compatibility/test_namespace_rules.py
@@ -1,7 +1,7 @@
-"""What customers' drafts mean, the texts of what is wrong with them, and which route a split gives a key.
+"""Decisions of customers' drafts, messages for invalid drafts, and the route that a split assigns to a key.
 
-Guards against a renamed rule or error: operators' scripts read the texts and the names of the errors, and a key that
-gets another route of a split after an upgrade would run on servers that do not know it.
+Guards against a renamed rule or error, because operators' scripts read the messages and kinds of errors. Also guards
+against a key that gets another route of a split after an upgrade: it would run on servers that don't know it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from .golden import assert_golden
 
-# ---- the names of the program, once ----
+# ---- adapters: only this section uses the program's names ----
 
 BUDGET_FIELDS = {
     "bytes": "max_draft_bytes",
@@ -35,16 +35,16 @@
     "table_bytes": "max_table_bytes",
 }
 GRANTED = policy.Grant(frozenset({"s1", "s2"}), {"shared": 0.5})
-REQUEST_FORM = rules.RequestAttributes
+RequestAttributes = rules.RequestAttributes
 
 
-def parse(draft: bytes, bounds: dict[str, int] | None = None) -> Any:
-    budget = policy.Budget(**{BUDGET_FIELDS[name]: value for name, value in (bounds or {}).items()})
+def parse(draft: bytes, limits: dict[str, int] | None = None) -> Any:
+    budget = policy.Budget(**{BUDGET_FIELDS[name]: value for name, value in (limits or {}).items()})
     return drafts.parse_draft(draft, policy.Grant(GRANTED.servers, GRANTED.pools, budget))
 
 
 def decide(namespace: Any, request: dict[str, Any]) -> list[Any]:
-    decision = namespace.table.decide(REQUEST_FORM(**request))
+    decision = namespace.table.decide(RequestAttributes(**request))
     chain = () if decision.route is None else namespace.fallback_chain(decision.route)
     return [
         None if decision.rule is None else decision.rule.label,
@@ -54,33 +54,35 @@
     ]
 
 
-def splits(weights: dict[str, int], keys: list[str]) -> list[str]:
+def split_routes(weights: dict[str, int], keys: list[str]) -> list[str]:
     split = rules.Split(tuple(sorted(weights.items())))
     return [weighted_split.split_route(split, key) for key in keys]
 
 
-def next_book(book: Any, submission: list[Any], now_ms: int, keep: int = 2, an_hour: int = 3) -> Any:
-    sent = revision_history.Submission("acme", *submission)
-    bounds = policy.PublishingLimits(keep, 8 << 10, an_hour)
+def add_revision(
+    history: Any, fields: list[Any], now_ms: int, max_retained: int = 2, max_per_hour: int = 3
+) -> Any:
+    submission = revision_history.Submission("acme", *fields)
+    limits = policy.PublishingLimits(max_retained, 8 << 10, max_per_hour)
     return revision_history.add_revision(
-        book, sent, revision_history.draft_to_publish(book, sent), now_ms, bounds
+        history, submission, revision_history.draft_to_publish(history, submission), now_ms, limits
     )
 
 
-def empty_book() -> Any:
+def empty_history() -> Any:
     return revision_history.decode_history(b"", "acme")
 
 
-def pack_book(book: Any) -> bytes:
-    return revision_history.encode_history(book)
+def encode_history(history: Any) -> bytes:
+    return revision_history.encode_history(history)
 
 
-def unpack_book(state: bytes, customer: str) -> Any:
+def decode_history(state: bytes, customer: str) -> Any:
     return revision_history.decode_history(state, customer)
 
 
-differences = draft_changes.draft_changes
-checked_name = names.require_name
+changes_between = draft_changes.draft_changes
+require_name = names.require_name
 all_errors = errors.ERRORS
 
 
@@ -111,7 +113,8 @@
     return {"match": match, "to": "main"}
 
 
-FAULTS: list[tuple[Any, dict[str, int]]] = [
+# Changes of `DRAFT`, or whole drafts as bytes, each with the limits that apply.
+INVALID_DRAFTS: list[tuple[Any, dict[str, int]]] = [
     (b"{", {}),
     (b"[]", {}),
     ({"default": 7}, {}),
@@ -180,7 +183,7 @@
 
 
 def error_of(call: Callable[[], Any]) -> list[Any] | str:
-    """The name, status, text and remedy of what is raised."""
+    """Return the kind, status, message and remedy of the error that is raised."""
     try:
         call()
     except errors.NamespaceError as exc:
@@ -190,40 +193,43 @@
     return "accepted"
 
 
-def test_a_draft_decides_alike() -> None:
+def test_the_decisions_of_a_draft_are_unchanged() -> None:
     namespace = parse(json.dumps(DRAFT).encode())
-    decided = [[list(request.values()), decide(namespace, request)] for request in REQUESTS]
-    assert_golden("namespace_decisions", decided)
+    decisions = [[list(request.values()), decide(namespace, request)] for request in REQUESTS]
+    assert_golden("namespace_decisions", decisions)
 
 
-def test_a_key_keeps_its_route_of_a_split() -> None:
+def test_the_route_that_a_split_assigns_to_a_key_is_unchanged() -> None:
     keys = [f"key-{number}" for number in range(40)] + ["", "é"]
-    weights: list[dict[str, int]] = [{"a": 1, "b": 1}, {"a": 9, "b": 1, "c": 5}, {"a": 0, "b": 2}]
-    assert_golden("namespace_splits", [[one, splits(one, keys)] for one in weights])
+    splits: list[dict[str, int]] = [{"a": 1, "b": 1}, {"a": 9, "b": 1, "c": 5}, {"a": 0, "b": 2}]
+    assert_golden("namespace_splits", [[weights, split_routes(weights, keys)] for weights in splits])
 
 
-def test_faults_of_a_draft_have_the_same_texts() -> None:
-    def text_of(change: Any, bounds: dict[str, int]) -> Any:
+def test_the_errors_for_invalid_drafts_are_unchanged() -> None:
+    def error_for(change: Any, limits: dict[str, int]) -> Any:
         draft = change if isinstance(change, bytes) else json.dumps(DRAFT | change).encode()
-        return error_of(lambda: parse(draft, bounds))
+        return error_of(lambda: parse(draft, limits))
 
-    told = [
-        [change.decode() if isinstance(change, bytes) else change, bounds, text_of(change, bounds)]
-        for change, bounds in FAULTS
+    results = [
+        [change.decode() if isinstance(change, bytes) else change, limits, error_for(change, limits)]
+        for change, limits in INVALID_DRAFTS
     ]
-    assert_golden("namespace_faults", told)
+    assert_golden("namespace_faults", results)
 
 
-def test_faults_of_a_name_have_the_same_texts() -> None:
-    odd = ["", "a b", "a\u0000", "u\u0308", "x" * 65, 7, None, "\u200d", "ü", "Acme"]
+def test_the_errors_for_invalid_names_are_unchanged() -> None:
+    invalid_and_unusual = ["", "a b", "a\u0000", "u\u0308", "x" * 65, 7, None, "\u200d", "ü", "Acme"]
     assert_golden(
         "namespace_names",
-        [[name, error_of(lambda name=name: checked_name(name, "customer"))] for name in odd],  # type: ignore[misc]
+        [
+            [name, error_of(lambda name=name: require_name(name, "customer"))]  # type: ignore[misc]
+            for name in invalid_and_unusual
+        ],
     )
 
 
-def test_errors_have_the_same_names_statuses_and_remedies() -> None:
-    assert_golden("namespace_errors", [[one.kind, one.status, one.remedy] for one in all_errors])
+def test_the_kinds_statuses_and_remedies_of_errors_are_unchanged() -> None:
+    assert_golden("namespace_errors", [[error.kind, error.status, error.remedy] for error in all_errors])
 
 
 # ---- revisions ----
@@ -233,9 +239,9 @@
     return json.dumps({"default": "main", "routes": routes}).encode()
 
 
-def test_books_grow_alike() -> None:
-    """Published, published again, rolled back, refused: the bytes of each state, or the text of the error."""
-    book, told = empty_book(), []
+def test_the_stored_histories_after_submissions_are_unchanged() -> None:
+    """Covers publications, a retry, rollbacks and refusals: the bytes of each state, or the error, are compared."""
+    history, results = empty_history(), []
     for now_ms, submission in (
         (1_000_000, ["a", 0, "me", draft(main=1)]),
         (1_000_001, ["b", 0, "me", draft(main=2)]),
@@ -250,20 +256,23 @@
         (9_000_004, ["f", 1, "you", b"odd"]),
     ):
         result: list[Any] = []
-        error = error_of(lambda: result.append(next_book(book, submission, now_ms)))  # noqa: B023
+        error = error_of(lambda: result.append(add_revision(history, submission, now_ms)))  # noqa: B023
         if result:
-            book = result[0]
-        told.append([now_ms, submission[0], error, pack_book(book).hex()])
-    assert_golden("namespace_books", told)
+            history = result[0]
+        results.append([now_ms, submission[0], error, encode_history(history).hex()])
+    assert_golden("namespace_books", results)
 
 
-def test_a_damaged_book_has_the_same_text() -> None:
-    book = pack_book(next_book(empty_book(), ["a", 0, "me", b"{}"], 5))
-    told = [error_of(lambda: unpack_book(book, "bolt")), error_of(lambda: unpack_book(b"\x93", "acme"))]
-    assert_golden("namespace_damaged", told)
+def test_the_errors_for_damaged_histories_are_unchanged() -> None:
+    state = encode_history(add_revision(empty_history(), ["a", 0, "me", b"{}"], 5))
+    messages = [
+        error_of(lambda: decode_history(state, "bolt")),
+        error_of(lambda: decode_history(b"\x93", "acme")),
+    ]
+    assert_golden("namespace_damaged", messages)
 
 
-def test_differences_have_the_same_texts() -> None:
+def test_the_texts_of_changes_between_drafts_are_unchanged() -> None:
     many = {f"r{number}": number for number in range(30)}
     pairs: list[tuple[Any, Any]] = [
         (DRAFT, DRAFT | {"default": "spare"}),
@@ -272,7 +281,8 @@
         ([], DRAFT),
         ({"rules": 7}, {"rules": {"x": 1}}),
     ]
-    told = [
-        list(differences(json.dumps(before).encode(), json.dumps(after).encode())) for before, after in pairs
+    texts = [
+        list(changes_between(json.dumps(before).encode(), json.dumps(after).encode()))
+        for before, after in pairs
     ]
-    assert_golden("namespace_differences", [*told, list(differences(b"\xff", b""))])
+    assert_golden("namespace_differences", [*texts, list(changes_between(b"\xff", b""))])
--- a/tests/compatibility/test_outer_names.py
+++ b/tests/compatibility/test_outer_names.py
@@ -1,7 +1,7 @@
 """Names that leave the process: messages, settings, commands, the administration API, counters and stored data.
 
-Guards against a rename of an identifier that also renames what clients, peers, operators' tools or stored data use.
-`outer_names.txt` lists these names; each of them must still be in the source, as an identifier or a string.
+Guards against a rename of an identifier that also renames something that clients, peers, operators' tools or stored
+data use. `outer_names.txt` lists these names; each of them must still be in the source, as an identifier or a string.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 def names_in(tree: ast.AST) -> Iterator[str]:
     """Yield each identifier and each string, without docstrings."""
-    documentation = {
+    docstrings = {
         id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr) and is_docstring(node)
     }
     for node in ast.walk(tree):
-        if isinstance(node, ast.Constant) and id(node) not in documentation:
+        if isinstance(node, ast.Constant) and id(node) not in docstrings:
             if isinstance(node.value, str):
                 yield node.value
             elif isinstance(node.value, bytes):
@@ -51,13 +51,13 @@
     return {name for path in SOURCES.rglob("*.py") for name in names_in(ast.parse(path.read_text()))}
 
 
-def test_the_list_is_whole() -> None:
+def test_the_list_is_complete_and_without_duplicates() -> None:
     names = listed_names()
     assert len(names) >= MIN_NAMES
     assert len(set(names)) == len(names)
 
 
 def test_each_outer_name_is_still_in_the_source(names_in_source: set[str]) -> None:
-    # A command without a name of its own is called after its function, with "-" for "_".
+    # click names a command without an explicit name after its function, with "-" for "_".
     commands = {name.replace("_", "-") for name in names_in_source}
     assert [name for name in listed_names() if name not in names_in_source | commands] == []
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -1,8 +1,9 @@
-"""What a runner says first to whoever it calls: the kernel, the platform's list of runners, receivers of duties.
+"""The first bytes that a runner sends on outgoing connections: to the kernel, the platform's list of runners, and the
+receivers of duties' effects.
 
-Guards against a path, a key or an order that changes with a name in the program: a receiver that compares fences would
-refuse a report, or do it twice, and a kernel would not open. Bytes on connections are compared, and what is made of a
-receiver's answers.
+Guards against a path, a key or an order that changes with a name in the program: a receiver that compares fencing
+tokens would refuse an effect or apply it twice, and a kernel would not accept the link. The tests compare the bytes on
+the connections and the results that a receiver's answers lead to.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 from ..test_core import EngineHarness
 from .golden import assert_golden
-from .test_pages import begun
+from .test_pages import bootstrap
 from .whole_runner import Connection, Runner, runner
 
 __all__ = ["runner"]
@@ -36,44 +37,44 @@
 }
 
 
-def test_first_words_of_a_runner_are_the_same(runner: Runner) -> None:
-    begun(runner)
-    told: dict[str, list[str]] = {}
+def test_the_first_bytes_on_each_connection_are_unchanged(runner: Runner) -> None:
+    bootstrap(runner)
+    sent: dict[str, list[str]] = {}
     for host, port, factory, *_ in runner.reactor.tcpClients:
-        if f"{host}:{port}" not in told:
-            told[f"{host}:{port}"] = Connection(factory).written()
-    assert_golden("outgoing", told)
+        if f"{host}:{port}" not in sent:
+            sent[f"{host}:{port}"] = Connection(factory).written()
+    assert_golden("outgoing", sent)
 
 
-# ---- receivers ----
+# ---- receivers of effects ----
 
 
-class Exchanges:
-    """The names of the program, once."""
+class EffectExchange:
+    """One request to a receiver of effects, and the results that its answer leads to."""
 
     def __init__(self) -> None:
         self._reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
         self._receivers = HttpEffectReceivers(self._reactor, EngineHarness().core)
-        self.heard: list[Any] = []
+        self.results: list[Any] = []
 
-    def made(self, how: str) -> Connection:
+    def send(self, method: str) -> Connection:
         intent = Intent(7, 2, "127.0.0.1:1", b"what", IntentResolution.REPEAT)
-        if how == "fenced":
+        if method == "fenced":
             self._receivers.send_fenced(
-                "127.0.0.1:1", "duty", FencingToken(3, 4, 5), b"body", self.heard.append
+                "127.0.0.1:1", "duty", FencingToken(3, 4, 5), b"body", self.results.append
             )
-        elif how == "intent":
-            self._receivers.send_intent("127.0.0.1:1", "duty", intent, self.heard.append)
+        elif method == "intent":
+            self._receivers.send_intent("127.0.0.1:1", "duty", intent, self.results.append)
         else:
-            self._receivers.query_intent("127.0.0.1:1", "duty", intent, self.heard.append)
+            self._receivers.query_intent("127.0.0.1:1", "duty", intent, self.results.append)
         return Connection(self._reactor.tcpClients[-1][2])
 
 
-@pytest.mark.parametrize("how", ["fenced", "intent", "asked"])
-def test_what_receivers_are_told_and_answer_is_the_same(how: str) -> None:
-    told: dict[str, Any] = {"sent": Exchanges().made(how).written()}
+@pytest.mark.parametrize("method", ["fenced", "intent", "asked"])
+def test_the_exchange_with_a_receiver_is_unchanged(method: str) -> None:
+    exchange_data: dict[str, Any] = {"sent": EffectExchange().send(method).written()}
     for name, (status, body) in ANSWERS.items():
-        exchanges = Exchanges()
-        exchanges.made(how).answer(status, body)
-        told[name] = msgspec.to_builtins(astuple(exchanges.heard[0]))
-    assert_golden(f"outgoing_{how}", told)
+        exchange = EffectExchange()
+        exchange.send(method).answer(status, body)
+        exchange_data[name] = msgspec.to_builtins(astuple(exchange.results[0]))
+    assert_golden(f"outgoing_{method}", exchange_data)
--- a/tests/compatibility/test_pages.py
+++ b/tests/compatibility/test_pages.py
@@ -1,8 +1,8 @@
-"""JSON and lines that a runner's pages, health checks, agent check and second address answer with.
+"""Responses of a runner's administration pages, health checks, agent check and console.
 
-Guards against a key, a word or a status that follows the name of a field, an Enum's member or an exception in the
-program: an operator's script, a balancer or `moorusher` of another build would read a missing key, or take a machine
-for what it is not. A whole runner is taken through a course of calls, and each answer is compared.
+Guards against a key, a text or a status that changes with the name of a field, an Enum's member or an exception in the
+program: an operator's script, a load balancer or `moorusher` of another build would miss a key or misjudge the state of
+a machine. The tests send a sequence of requests to a complete runner and compare each response.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import pytest
 
-from moorusher.admin.api import later
+from moorusher.admin.api import reply_later
 from moorusher.errors import OperatorError
 
 from .golden import assert_golden
@@ -27,7 +27,7 @@
     b'"none":{"match":{"class":["check"]},"refuse":"not from here"}}}'
 )
 SHORT_DRAFT = b'{"default":"main","routes":{"main":{"servers":{"s1":1}}}}'
-READ = (
+READ_PAGES = (
     "status",
     "counters",
     "standing",
@@ -50,7 +50,13 @@
     "tenants",
     "tenants/acme",
 )
-HOUR = {"customer": "acme", "route": "main", "zone": "zone-of-n1", "first_hour": 472000, "asked": [12, 40]}
+HISTORY = {
+    "customer": "acme",
+    "route": "main",
+    "zone": "zone-of-n1",
+    "first_hour": 472000,
+    "asked": [12, 40],
+}
 CHANGES: tuple[tuple[Any, ...], ...] = (
     ("PUT", "maintenance", {"reason": "work", "for_s": 60}),
     ("DELETE", "maintenance"),
@@ -86,8 +92,8 @@
     ("POST", "duties/alive/resume"),
     ("POST", "duties/alive/settle/4/done"),
     ("POST", "duties/nothing/resume"),
-    ("POST", "forecast", [HOUR | {"core_ms": 80, "worth": 1.5, "born": 0}]),
-    ("POST", "forecast", [HOUR | {"odd": 1}, HOUR]),
+    ("POST", "forecast", [HISTORY | {"core_ms": 80, "worth": 1.5, "born": 0}]),
+    ("POST", "forecast", [HISTORY | {"odd": 1}, HISTORY]),
     ("POST", "fleet/begin"),
     ("POST", "fleet/odd"),
     ("GET", "servers/nobody"),
@@ -100,87 +106,91 @@
 LAST_HOUR = 1_700_000_000 // 3600 - 1
 
 
-class Course:
-    """Calls and their answers, in order."""
+class ApiSession:
+    """Sends requests to a runner's pages, and records the responses in order."""
 
     def __init__(self, runner: Runner) -> None:
         self._runner = runner
-        self.said: list[list[Any]] = []
+        self.responses: list[list[Any]] = []
 
-    def call(self, method: str, path: str, body: Any = None) -> None:
-        self.said.append([f"{method} {path}", *self._runner.page(method, path, body)])
+    def request(self, method: str, path: str, body: Any = None) -> None:
+        self.responses.append([f"{method} {path}", *self._runner.page(method, path, body)])
 
     def read_all(self) -> list[list[Any]]:
-        """Every page, and what was said before."""
-        for path in READ:
-            self.call("GET", path)
-        said, self.said = self.said, []
-        for one in said:
-            if one[0] == "GET status":
-                assert one[2].pop("version")
-        return said
-
-
-def begun(runner: Runner) -> None:
-    """It has the fleet's work in hand."""
-    runner.kernel_up()
+        """Read every page; return and clear all responses so far, without the version."""
+        for path in READ_PAGES:
+            self.request("GET", path)
+        responses, self.responses = self.responses, []
+        for response in responses:
+            if response[0] == "GET status":
+                assert response[2].pop("version")
+        return responses
+
+
+def bootstrap(runner: Runner) -> None:
+    """Connect the kernel and bootstrap the fleet, so that the runner accepts requests with keys."""
+    runner.connect_kernel()
     runner.wait(1)
     assert runner.page("POST", "fleet/begin") == [200, {"begun": True}]
     runner.wait(12)
 
 
-def test_pages_before_the_kernel_is_up(runner: Runner) -> None:
+def test_pages_before_the_kernel_is_connected(runner: Runner) -> None:
     runner.wait(1)
-    assert_golden("pages_start", {"listeners": runner.labels(), "pages": Course(runner).read_all()})
+    assert_golden(
+        "pages_start", {"listeners": runner.listener_labels(), "pages": ApiSession(runner).read_all()}
+    )
 
 
 def test_pages_of_a_runner_in_service_and_changes_over_them(runner: Runner) -> None:
-    begun(runner)
-    course = Course(runner)
-    assert_golden("pages_service", course.read_all())
+    bootstrap(runner)
+    session = ApiSession(runner)
+    assert_golden("pages_service", session.read_all())
     for change in CHANGES:
-        course.call(*change)
-    assert_golden("pages_changes", course.said)
-    course.said.clear()
-    runner.gauges(0.25)
-    runner.take("a", "submit", "token")
-    runner.take("b", "check")
+        session.request(*change)
+    assert_golden("pages_changes", session.responses)
+    session.responses.clear()
+    runner.report_gauges(0.25)
+    runner.submit("a", "submit", "token")
+    runner.submit("b", "check")
     runner.wait(0.1)
-    assert_golden("pages_work", course.read_all())
-    runner.ends_run("a")
-    course.call("DELETE", "namespaces/acme?wait=1")
-    course.call("PUT", "maintenance", {"reason": "work"})
-    course.call("POST", "drain")
+    assert_golden("pages_work", session.read_all())
+    runner.end_run("a")
+    session.request("DELETE", "namespaces/acme?wait=1")
+    session.request("PUT", "maintenance", {"reason": "work"})
+    session.request("POST", "drain")
     runner.wait(0.1)
-    course.call("PUT", "maintenance", {"reason": "late"})
-    assert_golden("pages_end", course.read_all())
+    session.request("PUT", "maintenance", {"reason": "late"})
+    assert_golden("pages_end", session.read_all())
 
 
-def test_a_forecast_and_its_hints_are_told_alike(runner: Runner) -> None:
-    """Of eight weeks with as many requests in each hour, whose figures are the same everywhere."""
-    begun(runner)
+def test_a_forecast_and_its_hints_are_unchanged(runner: Runner) -> None:
+    """The history is constant over eight weeks, so that the forecast's numbers are the same on all machines."""
+    bootstrap(runner)
     runner.wait(12)
-    weeks = HOUR | {"first_hour": LAST_HOUR - 8 * 168, "asked": [40] * 8 * 168, "core_ms": 200_000}
-    course = Course(runner)
-    course.call("POST", "forecast", [weeks])
+    weeks = HISTORY | {"first_hour": LAST_HOUR - 8 * 168, "asked": [40] * 8 * 168, "core_ms": 200_000}
+    session = ApiSession(runner)
+    session.request("POST", "forecast", [weeks])
     runner.wait(6)
     for path in ("forecast", "forecast/acme", "forecast/nobody"):
-        course.call("GET", path)
-        for route in course.said[-1][2]["routes"]:
+        session.request("GET", path)
+        for route in session.responses[-1][2]["routes"]:
             route["hours"] = [len(route["hours"]), *set(route["hours"])]
-    assert_golden("pages_forecast", {"pages": course.said, "hints": first_words(runner.calls_to(9300))})
+    assert_golden(
+        "pages_forecast",
+        {"pages": session.responses, "hints": sent_on_first_connection(runner.connections_to(9300))},
+    )
 
 
-def first_words(calls: list[Any]) -> list[str]:
-    """Of the first connection to such an address."""
-    return Connection(calls[0]).written()
+def sent_on_first_connection(factories: list[Any]) -> list[str]:
+    return Connection(factories[0]).written()
 
 
-def test_changes_without_the_token_are_turned_away_alike(runner: Runner) -> None:
-    told = [
+def test_changes_without_the_token_are_refused(runner: Runner) -> None:
+    responses = [
         [path, *runner.page(method, path, None, token="")] for method, path, *_ in CHANGES if method != "GET"
     ]
-    assert {(status, body["error"]) for _, status, body in told} <= {
+    assert {(status, body["error"]) for _, status, body in responses} <= {
         (401, "a bearer token is needed"),
         (404, "expected /fleet/begin or /fleet/begin/lost"),
     }
@@ -188,7 +198,7 @@
 
 MATCH = {"key": ["k*"], "class": ["submit"], "caller": [[0, 9]], "subject": [[1, 8]], "rank": [[0, 0.5]]}
 ROUTES = {"main": {"servers": {"s1": 1}}, "side": {"servers": {"s2": 2}, "limit": 3, "tries": 2}}
-WHOLE = {
+FULL_DRAFT = {
     "default": "main",
     "routes": ROUTES,
     "rules": {"all": {"match": MATCH, "split": {"main": 9, "side": 1}}},
@@ -196,7 +206,7 @@
         "lab": {"match": {"key": ["z*"]}, "rules": {"in": {"match": {"class": ["check"]}, "to": "side"}}}
     },
 }
-ODD: tuple[dict[str, Any], ...] = (
+INVALID_DRAFT_CHANGES: tuple[dict[str, Any], ...] = (
     {"odd": 1},
     {"routes": {"main": {"odd": 1}}},
     {"rules": {"r": {"odd": 1}}},
@@ -227,12 +237,12 @@
 )
 
 
-def test_customers_drafts_have_the_same_keys_and_faults(runner: Runner) -> None:
-    begun(runner)
-    course = Course(runner)
-    for i, odd in enumerate(ODD):
-        course.call("PUT", f"namespaces/acme?by=me&id=odd{i}", json.dumps(WHOLE | odd).encode())
-    course.call("PUT", "namespaces/acme?by=me&id=good", json.dumps(WHOLE).encode())
+def test_the_keys_and_errors_of_customers_drafts_are_unchanged(runner: Runner) -> None:
+    bootstrap(runner)
+    session = ApiSession(runner)
+    for i, change in enumerate(INVALID_DRAFT_CHANGES):
+        session.request("PUT", f"namespaces/acme?by=me&id=odd{i}", json.dumps(FULL_DRAFT | change).encode())
+    session.request("PUT", "namespaces/acme?by=me&id=good", json.dumps(FULL_DRAFT).encode())
     runner.wait(1)
     for query in (
         "class=submit&key=k1&caller=5&subject=5&rank=0.25",
@@ -240,53 +250,62 @@
         "class=check&key=z1",
         "class=check&key=a1",
     ):
-        course.call("GET", f"namespaces/acme/explain?{query}")
-    assert_golden("pages_drafts", course.said)
+        session.request("GET", f"namespaces/acme/explain?{query}")
+    assert_golden("pages_drafts", session.responses)
 
 
-# ---- words for what others have written ----
+# ---- documents of given records ----
 
 
-def test_duties_are_told_in_the_same_words(runner: Runner) -> None:
-    owner, version, intents = ["n1", 5], [7, 100, []], [[8, 2, "h:1", b"w", settle] for settle in range(3)]
-    told = [
-        runner.duty_told(["d", "report", 3, 2, 9, life, owner, 1, "n1", 4, [version], intents, "why", 6])
-        for life in range(6)
+def test_the_documents_of_duties_are_unchanged(runner: Runner) -> None:
+    holder, version, intents = (
+        ["n1", 5],
+        [7, 100, []],
+        [[8, 2, "h:1", b"w", resolution] for resolution in range(3)],
+    )
+    documents = [
+        runner.duty_document(
+            ["d", "report", 3, 2, 9, status, holder, 1, "n1", 4, [version], intents, "why", 6]
+        )
+        for status in range(6)
     ]
-    assert_golden("pages_duties", told)
+    assert_golden("pages_duties", documents)
 
 
-def test_outages_are_told_in_the_same_words(runner: Runner) -> None:
-    asks = [
-        ["a", "patch", "me", 60.0, 1.0, 2.0, 3.0, 4, True, ends, ["n1"], [["n1", "why"]], 5, "mark"]
-        for ends in range(2)
+def test_the_document_of_the_maintenance_schedule_is_unchanged(runner: Runner) -> None:
+    requests = [
+        ["a", "patch", "me", 60.0, 1.0, 2.0, 3.0, 4, True, completion, ["n1"], [["n1", "why"]], 5, "mark"]
+        for completion in range(2)
     ]
-    turns = [
+    slots = [
         [seat, "a", 6, stage, 7, 1.7e9, "mark", "digest", 600.0, 0, 1, 2, "note"]
         for seat in ("n1", "nobody")
         for stage in range(4)
     ]
-    ended = [["a", "n1", how, 1.7e9, "note"] for how in range(3)]
-    assert_golden("pages_outages", runner.outages_told([9, "held", asks, turns, ended, [["a", "n1", 2]]]))
+    history = [["a", "n1", outcome, 1.7e9, "note"] for outcome in range(3)]
+    assert_golden(
+        "pages_outages",
+        runner.schedule_document([9, "held", requests, slots, history, [["a", "n1", 2]]]),
+    )
 
 
-def test_members_are_told_in_the_same_words(runner: Runner) -> None:
-    assert_golden("pages_members", {str(state): runner.member_told(state) for state in range(4)})
+def test_the_texts_of_members_states_are_unchanged(runner: Runner) -> None:
+    assert_golden("pages_members", {str(state): runner.member_state_text(state) for state in range(4)})
 
 
 # ---- errors ----
 
 
-def errors(kind: type[OperatorError] = OperatorError) -> Iterator[type[OperatorError]]:
-    """Those that are told: none of the bases."""
-    for one in kind.__subclasses__():
-        yield from errors(one)
-        if not one.__subclasses__():
-            yield one
+def concrete_errors(base: type[OperatorError] = OperatorError) -> Iterator[type[OperatorError]]:
+    """Yield the error classes without subclasses, since base classes are not raised."""
+    for error_class in base.__subclasses__():
+        yield from concrete_errors(error_class)
+        if not error_class.__subclasses__():
+            yield error_class
 
 
-class Asked:
-    """A request of the web server, as far as an answer that comes later needs one."""
+class FakeWebRequest:
+    """The part of a web request that `reply_later` needs."""
 
     def __init__(self) -> None:
         self.status, self.written = 0, b""
@@ -301,55 +320,64 @@
         self.written += data
 
 
-def answer_of(kind: type[OperatorError]) -> list[Any]:
-    request, error = Asked(), kind.__new__(kind)
+def response_to(error_class: type[OperatorError]) -> list[Any]:
+    request, error = FakeWebRequest(), error_class.__new__(error_class)
     Exception.__init__(error, "what")
-    later(request, lambda told: told(error))
+    reply_later(request, lambda callback: callback(error))
     return [request.status, request.written.decode()]
 
 
-def test_errors_are_told_with_the_same_kind_status_and_remedy(runner: Runner) -> None:
-    told = sorted(answer_of(kind) for kind in errors() if kind.__module__.startswith("moorusher."))
-    assert_golden("pages_errors", told)
+def test_the_kinds_statuses_and_remedies_of_errors_are_unchanged(runner: Runner) -> None:
+    responses = sorted(
+        response_to(error_class)
+        for error_class in concrete_errors()
+        if error_class.__module__.startswith("moorusher.")
+    )
+    assert_golden("pages_errors", responses)
 
 
 # ---- health checks ----
 
 
-def get(path: str, accept: str = "*/*", method: str = "GET") -> bytes:
+def http_request(path: str, accept: str = "*/*", method: str = "GET") -> bytes:
     return f"{method} {path} HTTP/1.1\r\nHost: a\r\nAccept: {accept}\r\nContent-Length: 0\r\n\r\n".encode()
 
 
-def fronts(runner: Runner) -> dict[str, list[str]]:
-    asked = {
-        path: runner.front("health", get(path))
+def probe(runner: Runner) -> dict[str, list[str]]:
+    """Return the responses of the health checks, the agent check and the console."""
+    responses = {
+        path: runner.listener_response("health", http_request(path))
         for path in ("/health", "/ready", "/startup", "/alive", "/odd")
     }
-    return asked | {
-        "/health as JSON": runner.front("health", get("/health", "application/json")),
-        "agent": runner.front("agent"),
-        "console": runner.front("console", get("/admin/health")),
+    return responses | {
+        "/health as JSON": runner.listener_response("health", http_request("/health", "application/json")),
+        "agent": runner.listener_response("agent"),
+        "console": runner.listener_response("console", http_request("/admin/health")),
     }
 
 
-def test_probes_and_the_second_address_are_answered_alike(
+def test_the_responses_of_probes_and_the_console_are_unchanged(
     runner: Runner, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    told = {"starting": fronts(runner)}
-    runner.kernel_up()
+    responses = {"starting": probe(runner)}
+    runner.connect_kernel()
     runner.wait(15)
-    told["serving"] = fronts(runner)
-    runner.gauges(0.5)
-    runner.take("a", "check")
-    told["at work"] = fronts(runner)
-    told["quiesced"] = {"call": runner.front("console", get("/admin/quiesce", method="POST"))} | fronts(
-        runner
-    )
-    told["resumed"] = {"call": runner.front("console", get("/admin/resume", method="POST"))} | fronts(runner)
-    told["odd"] = {"console": runner.front("console", get("/odd"))}
-    runner.kernel_lost()
+    responses["serving"] = probe(runner)
+    runner.report_gauges(0.5)
+    runner.submit("a", "check")
+    responses["at work"] = probe(runner)
+    responses["quiesced"] = {
+        "call": runner.listener_response("console", http_request("/admin/quiesce", method="POST"))
+    } | probe(runner)
+    responses["resumed"] = {
+        "call": runner.listener_response("console", http_request("/admin/resume", method="POST"))
+    } | probe(runner)
+    responses["odd"] = {"console": runner.listener_response("console", http_request("/odd"))}
+    runner.disconnect_kernel()
     runner.wait(3)
-    told["without its kernel"] = fronts(runner)
-    runner.leaves()
-    told["leaving"] = {"call": runner.front("console", get("/admin/resume", method="POST"))} | fronts(runner)
-    assert_golden("fronts", told)
+    responses["without its kernel"] = probe(runner)
+    runner.shut_down()
+    responses["leaving"] = {
+        "call": runner.listener_response("console", http_request("/admin/resume", method="POST"))
+    } | probe(runner)
+    assert_golden("fronts", responses)
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -1,6 +1,6 @@
-"""A whole runner with every part on, in memory: one seat that is its fleet's majority, a clock that stands until told.
+"""A complete runner in memory with every part enabled. Its seat alone is a majority of its fleet; its clock is manual.
 
-Nothing is listened on and nobody is connected: calls go to its pages and fronts as their listeners would hand them on.
+No socket is opened. Tests pass requests to its pages and listeners' protocols directly.
 """
 
 from __future__ import annotations
@@ -39,34 +39,34 @@
 TURN_NS = 5_000_000
 
 
-def at_once(pool: Any, told: Any, action: Any, *given: Any, **named: Any) -> None:
-    """In place of a thread of the pool: what it says comes in the same order each time."""
+def run_immediately(pool: Any, callback: Any, action: Any, *args: Any, **kwargs: Any) -> None:
+    """Run an action in this thread instead of the pool's, so that the order of results is deterministic."""
     try:
-        result, succeeded = action(*given, **named), True
+        result, succeeded = action(*args, **kwargs), True
     except Exception:
         result, succeeded = Failure(), False  # type: ignore[no-untyped-call]
-    told(succeeded, result)
+    callback(succeeded, result)
 
 
-class Reactor(MemoryReactorClock):
-    """With what threads hand back, carried out in the next turn."""
+class FakeReactor(MemoryReactorClock):
+    """A reactor in memory that runs calls from threads at the start of the next turn."""
 
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        self._handed: list[Any] = []
+        self._thread_calls: list[Any] = []
 
-    def callFromThread(self, action: Any, *given: Any, **named: Any) -> None:
-        self._handed.append(lambda: action(*given, **named))
+    def callFromThread(self, action: Any, *args: Any, **kwargs: Any) -> None:
+        self._thread_calls.append(lambda: action(*args, **kwargs))
 
     def turn(self, seconds: float) -> None:
-        handed, self._handed = self._handed, []
-        for action in handed:
-            action()
+        calls, self._thread_calls = self._thread_calls, []
+        for call in calls:
+            call()
         self.advance(seconds)
 
 
 class Connection:
-    """One that has been made by the program, without a socket."""
+    """An outgoing connection of the program, without a socket."""
 
     def __init__(self, factory: Any) -> None:
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
@@ -85,29 +85,29 @@
 
 
 class Runner:
-    """The names of the program are used here alone."""
+    """The complete runner. Of the tests of pages and commands, only this class uses the program's internal names."""
 
     def __init__(self, patch: pytest.MonkeyPatch, folder: Path) -> None:
-        self.at_ns = 10**12
+        self.now_ns = 10**12
         patch.setattr(time, "time_ns", self.unix_ns)
         patch.setattr(time, "time", lambda: self.unix_ns() / 1e9)
-        patch.setattr(time, "monotonic", lambda: self.at_ns / 1e9)
-        patch.setattr(service, "Clock", lambda: Clock(lambda: self.at_ns, self.unix_ns))
+        patch.setattr(time, "monotonic", lambda: self.now_ns / 1e9)
+        patch.setattr(service, "Clock", lambda: Clock(lambda: self.now_ns, self.unix_ns))
         for name in ("start", "stop"):
             patch.setattr(ThreadPool, name, lambda pool: None)
-        patch.setattr(ThreadPool, "callInThreadWithCallback", at_once)
+        patch.setattr(ThreadPool, "callInThreadWithCallback", run_immediately)
         patch.setattr(sys, "setswitchinterval", lambda seconds: None)
         patch.delenv("TMPDIR", raising=False)
         (folder / "boot_id").write_text("this start of the machine\n")
-        self.reactor = Reactor()
-        self.service = Service(self._configuration(folder), self.reactor)
-        patch.setattr(self.service.listeners, "open", lambda handed: None)
+        self.reactor = FakeReactor()
+        self.service = Service(self._load_configuration(folder), self.reactor)
+        patch.setattr(self.service.listeners, "open", lambda inherited: None)
         patch.setattr(self.service, "_open_console", lambda address: None)
         self.service.start()
         self.planned = self.service.listeners.planned
 
     @staticmethod
-    def _configuration(folder: Path) -> Any:
+    def _load_configuration(folder: Path) -> Any:
         operator = (FOLDER / "fronts.toml").read_text()
         operator = re.sub(r"(?m)^(journal|knowledge_file) = .*\n", "", operator)
         operator = operator.replace("/nowhere/", f"{folder}/").replace("least = 18", "least = 1")
@@ -117,99 +117,99 @@
         return config.load({"GW_CONFIG": str(folder / "platform.json")}, folder / "operator.toml")
 
     def unix_ns(self) -> int:
-        return UNIX_NS + self.at_ns - 10**12
+        return UNIX_NS + self.now_ns - 10**12
 
-    # ---- what happens to it ----
+    # ---- events ----
 
     def wait(self, seconds: float) -> None:
         for _ in range(max(1, round(seconds * 1e9 / TURN_NS))):
-            self.at_ns += TURN_NS
+            self.now_ns += TURN_NS
             self.reactor.turn(TURN_NS / 1e9)
             self.service.core.fire_timers()
 
-    def kernel_up(self) -> None:
+    def connect_kernel(self) -> None:
         self.service.core.kernel_status.link_up()
         self.service.core.kernel_up(False, 0)
 
-    def kernel_lost(self) -> None:
+    def disconnect_kernel(self) -> None:
         self.service.core.kernel_status.link_lost()
 
-    def gauges(self, *values: float) -> None:
-        """As the kernel tells them, in the order of the settings."""
+    def report_gauges(self, *values: float) -> None:
+        """Receive the kernel's gauges, in the order of the settings."""
         self.service.core.kernel_status.gauges_received(values)
 
-    def take(self, rid: str, klass: str, token: str | None = None) -> None:
+    def submit(self, rid: str, klass: str, token: str | None = None) -> None:
         arrival = Arrival(rid, klass, b"body", tenant="acme", token=token, memory_kb=10.0)
         self.service.core.submit(arrival, self, 1)
         self.wait(0.005)
 
     def answer(self, tag: int, answer: Any, hint: float | None) -> None:
-        """To a request that was taken: nobody waits for it."""
+        """Ignore the answer to a submitted request."""
 
-    def ends_run(self, rid: str) -> None:
+    def end_run(self, rid: str) -> None:
         self.service.core.execution.run_ended(rid, EndReason.RUN_SUCCEEDED, b"result")
         self.wait(0.005)
 
-    def leaves(self) -> None:
+    def shut_down(self) -> None:
         self.service.leave()
 
-    # ---- what its pages would tell of values that others have written ----
+    # ---- documents of given records ----
 
-    def duty_told(self, array: list[Any]) -> Any:
+    def duty_document(self, array: list[Any]) -> Any:
         record = msgspec.convert(array, LeaseRecord)
         return snapshot_document(self.service.cluster.replication.leadership._snapshot(record))
 
-    def outages_told(self, array: list[Any]) -> Any:
+    def schedule_document(self, array: list[Any]) -> Any:
         return status_document(
             self.service.cluster.maintenance.status(msgspec.convert(array, Schedule), True)
         )
 
-    def member_told(self, state: int) -> Any:
+    def member_state_text(self, state: int) -> Any:
         self.service.cluster.replication.node.detector.by_seat["n1"].state = MemberState(state)
         return self.page("GET", "fleet")[1]["members"][0]["state"]
 
-    # ---- who calls it ----
+    # ---- requests and connections ----
 
     def page(self, method: str, path: str, body: Any = None, token: str = "secret") -> list[Any]:
-        """The status and the JSON of the answer."""
+        """Send a request to the administration API; return the status and the JSON of the response."""
         path, _, query = path.partition("?")
         request: Any = DummyRequest([part.encode() for part in path.split("/")])
         request.method = method.encode()
         request.content = io.BytesIO(
             body if isinstance(body, bytes) else json.dumps(body).encode() if body else b""
         )
-        for one in filter(None, query.split("&")):
-            name, _, value = one.partition("=")
+        for parameter in filter(None, query.split("&")):
+            name, _, value = parameter.partition("=")
             request.args[name.encode()] = [value.encode()]
         request.requestHeaders.addRawHeader(b"authorization", f"Bearer {token}".encode())
         root = self.planned["admin"][1].resource
-        found: Any = resource.getChildForRequest(root, request)  # type: ignore[no-untyped-call]
-        told = found.render(request)
-        if isinstance(told, bytes):
-            request.write(told)
+        page: Any = resource.getChildForRequest(root, request)  # type: ignore[no-untyped-call]
+        response = page.render(request)
+        if isinstance(response, bytes):
+            request.write(response)
         for _ in range(400):
-            if request.finished or isinstance(told, bytes):
+            if request.finished or isinstance(response, bytes):
                 break
             self.wait(0.005)
         return [request.responseCode, json.loads(b"".join(request.written) or b"null")]
 
-    def front(self, label: str, sent: bytes = b"") -> list[str]:
-        """The lines that one connection to that listener gets."""
+    def listener_response(self, label: str, data: bytes = b"") -> list[str]:
+        """Open one connection to a listener, send data, and return the lines of the response."""
         factory = self.service.console if label == "console" else self.planned[label][1]
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         transport.abortConnection = transport.loseWriteConnection = lambda: None
         transport.setTcpNoDelay = lambda on: None
         connection = factory.buildProtocol(transport.getPeer())
         connection.makeConnection(transport)
-        if sent:
-            connection.dataReceived(sent)
+        if data:
+            connection.dataReceived(data)
         return list(transport.value().decode().splitlines())
 
-    def calls_to(self, port: int) -> list[Any]:
-        """What has been asked of the reactor to connect there, in order."""
-        return [factory for _, to, factory, *_ in self.reactor.tcpClients if to == port]
+    def connections_to(self, port: int) -> list[Any]:
+        """Return the factories of all outgoing connections to a port, in order."""
+        return [factory for _, client_port, factory, *_ in self.reactor.tcpClients if client_port == port]
 
-    def labels(self) -> list[str]:
+    def listener_labels(self) -> list[str]:
         return list(self.planned)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, in this process: exit codes, and commands on a runner over its API."""
+"""The command line, run in this process: exit codes, and commands that call a runner's API."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     assert "kernel: expected HOST:PORT" in capsys.readouterr().err
 
 
-def test_commands_without_a_runner_fail_with_an_error_text(capsys: pytest.CaptureFixture[str]) -> None:
-    """Nobody listens at the address, or the command is a faulty one: exit code and text say which."""
+def test_commands_without_a_runner_fail_with_an_error_message(capsys: pytest.CaptureFixture[str]) -> None:
+    """The exit code and the message distinguish a runner that can't be reached from an invalid command."""
     assert cli.main(["stats", "--address", f"{HOST}:{free_port()}"]) == 1
     assert "refused" in capsys.readouterr().err
     assert (
@@ -50,19 +50,19 @@
 
 @pytest.mark.processes
 @asynchronous_test
-async def test_a_runner_whose_port_is_taken_ends_with_an_error() -> None:
-    """Another process listens where the runner should: it ends with exit code 1 and says that it could not start."""
-    with socket.socket() as other:
-        other.bind((HOST, 0))
-        other.listen()
-        async with running(Kernel(), wait=False, listen=other.getsockname()[1]) as runner:
+async def test_a_runner_whose_port_is_in_use_exits_with_an_error() -> None:
+    """If another process listens at its address, a runner exits with code 1 and logs that it could not start."""
+    with socket.socket() as occupying_socket:
+        occupying_socket.bind((HOST, 0))
+        occupying_socket.listen()
+        async with running(Kernel(), wait=False, listen=occupying_socket.getsockname()[1]) as runner:
             await wait_until(lambda: runner.process.poll() is not None)
             assert runner.process.returncode == 1 and "could not start" in runner.text()
 
 
 @pytest.mark.processes
 @asynchronous_test
-async def test_commands_on_a_runner_over_its_api() -> None:
+async def test_commands_that_call_a_runners_api() -> None:
     async with running(Kernel()) as runner:
 
         def run_command(*arguments: str) -> int:
