--- a/moorusher/forecast_service/documents.py
+++ b/moorusher/forecast_service/documents.py
@@ -1,4 +1,4 @@
-"""The forecast as JSON documents of the administration API. The keys belong to the API."""
+"""JSON documents of the forecast for the administration API. Their keys are part of the API."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 def forecast_document(
     forecast: WeeklyForecast, hints: ScalingHints | None, term: int, late_reports: int, customer: str
 ) -> dict[str, Any]:
-    """Return the document of one customer's routes, or with "" of all.
+    """Return the document of one customer's routes, or of all routes if `customer` is "".
 
-    :param term: of the leader's lease.
-    :param late_reports: reports that came after their bucket was closed.
+    :param term: Term of the leader's lease.
+    :param late_reports: Number of reports that arrived after their bucket was closed.
     """
     return {
         "first_hour": forecast.first_hour,
         "term": term,
         "routes": [
-            _route_document(one)
-            for one in forecast.by_route()
-            if not customer or decode_key(one.route).customer == customer
+            _route_document(route_forecast)
+            for route_forecast in forecast.by_route()
+            if not customer or decode_key(route_forecast.route).customer == customer
         ],
         "untold": {
             decode_key(route).label(): reason
--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -1,6 +1,6 @@
-"""Errors of the forecast. Each says what happened, and in `remedy` what an operator can do.
+"""Errors of the forecast. The message describes the failure, and `remedy` tells operators what they can do.
 
-Their `kind` is on the wire and in the administration API; the operators' page (`docs/operate/forecast.md`) lists them.
+`kind` is sent between runners and shown by the administration API; `docs/operate/forecast.md` lists all kinds.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 
 
 class ForecastError(OperatorError):
-    """Why there is no forecast, or why an operation was rejected."""
+    """There is no forecast, or an operation was rejected."""
 
 
 class ForecastNotReadyError(ForecastError):
-    """The forecast has not been worked out, or its leader does not answer, yet."""
+    """The forecast has not been computed yet, or its leader does not answer."""
 
     kind = "NotYet"
     status = 503
@@ -32,14 +32,14 @@
 
 
 class MissingLibraryError(ForecastError):
-    """The library that works the forecast out is not installed at the leader."""
+    """A library that the leader needs to compute the forecast is not installed."""
 
     kind = "NoNumpy"
     remedy = "Install the extra on all runners that may own the forecast: moorusher[forecast]."
 
 
 class InvalidHistoryError(ForecastError):
-    """A history that can't be imported; nothing of it was."""
+    """A history can't be imported. None of the histories in the request was imported."""
 
     kind = "BadPast"
     status = 400
@@ -56,5 +56,5 @@
 
 
 def error_from_wire(kind: str, text: str) -> ForecastError:
-    """Return the error that another runner answered with; `ForecastNotReadyError` where its kind is unknown."""
+    """Return the error that another runner answered with; `ForecastNotReadyError` if its kind is unknown."""
     return ERRORS_BY_KIND.get(kind, ForecastNotReadyError)(text)
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -1,7 +1,7 @@
-"""The leader's work: takes reports, replicates the ledger before it acknowledges them, forecasts, and sends hints.
+"""The leader's work: records reports, replicates the ledger before acknowledging them, forecasts and sends hints.
 
-What is acknowledged is in the state that a majority has; the next leader goes on from it to the same figures. Hints are
-sent with a fencing token: one of a former leader that arrives late changes nothing at its receiver.
+A report is acknowledged only after a majority has the state that includes it, from which the next leader computes the
+same forecast. Hints are sent with a fencing token, so that the receiver rejects late hints of a former leader.
 """
 
 from __future__ import annotations
@@ -30,42 +30,46 @@
 if TYPE_CHECKING:
     from ..forecasting.weekly_forecast import WeeklyForecast
 
-NAME = KIND = "forecast"  # of the duty
-SERIES_PER_TURN = 16  # compressed in one turn of the reactor
-TURN_INTERVAL_US = 2 * MS  # between two such turns
-MAX_PENDING_REPORTS = 10_000  # that wait to be replicated; further ones are dropped, and will be sent again
+# Name and kind of the duty.
+NAME = KIND = "forecast"
+# Number of series that are compressed in one turn of the reactor.
+SERIES_PER_TURN = 16
+# Time between two turns that compress series.
+TURN_INTERVAL_US = 2 * MS
+# Maximum number of reports that wait for replication. Reports beyond it are dropped, and their members send them again.
+MAX_PENDING_REPORTS = 10_000
 
 ImportCallback = Callable[[ForecastError | LeadershipError | None], None]
 
 
 class ForecasterHost(ForecastCalculator, Protocol):
-    """What a forecaster needs of its process."""
+    """Services that a forecaster uses of its process."""
 
     def send_to_member(self, seat: str, message: Message) -> None:
-        """Send a message to a member, this one included."""
+        """Send a message to a member, which may be this one."""
 
     def at(self, when_us: int, action: Callable[[], None]) -> None:
-        """Call `action` at that time of `clock`."""
+        """Call `action` when `clock` reaches `when_us`."""
 
     def clock(self) -> int:
-        """The monotonic time in us."""
+        """Return the monotonic time in microseconds."""
 
     def unix_ms(self) -> int:
-        """The time of day."""
+        """Return the Unix time."""
 
     def count(self, name: str) -> None:
         """Add 1 to a counter."""
 
     def running_by_zone(self) -> Mapping[str, int]:
-        """The number of runners that are up, by zone."""
+        """Return the number of runners that are up, by zone."""
 
     def ended(self, worker: Forecaster) -> None:
-        """The term of that worker is over."""
+        """Called when the term of a worker has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingAck:
-    """A report in the ledger that is acknowledged once a majority has it."""
+    """A recorded report, which is acknowledged once a majority has it."""
 
     seat: str
     serial: int
@@ -75,9 +79,11 @@
 class Forecaster:
     """The worker of the duty (`leadership.worker.Worker`).
 
-    lease: of this term.
-    ledger: the counts of all members.
-    hints: the last ones; None before the first forecast.
+    Attributes:
+        ledger_type: Class of the ledger.
+        lease: Lease of this term.
+        ledger: Counts of all members.
+        hints: Latest hints; None before the first forecast.
     """
 
     ledger_type: type[DemandLedger] = DemandLedger
@@ -85,7 +91,7 @@
     def __init__(
         self, lease: LeaseHolder, host: ForecasterHost, policy: ForecastPolicy, zones: Mapping[str, str]
     ) -> None:
-        """:param zones: the seats of the cluster, with their zones."""
+        """:param zones: Zone of each seat of the cluster."""
         self.lease = lease
         self.ledger = self.ledger_type(zones, policy.max_routes)
         self.hints: ScalingHints | None = None
@@ -93,7 +99,8 @@
         self._policy = policy
         self._codec = LedgerCodec(self.ledger)
         self._forecast = RollingForecast(host, self._send_hints)
-        # Nothing is counted after it: an update would overwrite the damaged state, which may still be repaired.
+        # After this error no reports are recorded, since an update would overwrite the damaged state, which may be
+        # repairable.
         self._state_error: CorruptLedgerError | None = None
         self._pending: list[_PendingAck] = []
         self._is_saving = self._is_stopped = False
@@ -101,7 +108,7 @@
     # ---- the lease's worker ----
 
     def start(self) -> None:
-        """Go on from the replicated state."""
+        """Start from the replicated state."""
         try:
             self._codec.decode(self.lease.state)
         except ValueError as error:
@@ -111,10 +118,10 @@
         self._tick()
 
     def before_release(self) -> None:
-        """Nothing is left to submit: what is not acknowledged will be reported to the next leader."""
+        """Submit nothing: members report unacknowledged counts to the next leader."""
 
     def stop(self, reason: LeadershipError | None) -> None:
-        """The term is over."""
+        """Stop the work when the term has ended."""
         self._is_stopped = True
         self._forecast.stop()
         self._pending.clear()
@@ -133,18 +140,18 @@
     # ---- counts ----
 
     def receive_report(self, seat: str, report: DemandReport) -> None:
-        """Take a member's counts. It is acknowledged once a majority has them."""
+        """Record a member's report, which is acknowledged once a majority has it."""
         if self._is_stopped or self._state_error is not None or len(self._pending) >= MAX_PENDING_REPORTS:
             return
         for bucket in report.buckets:
             if bucket.seat == seat:
                 self.ledger.record(bucket)
-        # Late ones are acknowledged as well: their runner need not keep them.
+        # Buckets that were reported too late are acknowledged as well, so that their runner discards them.
         progress = [(bucket.bucket, bucket.counted_until_ms) for bucket in report.buckets]
         self._pending.append(_PendingAck(seat, report.serial, progress))
 
     def _compress_and_save(self) -> None:
-        """In several turns: hundreds of series change with each hour, and compressing them takes a while."""
+        """Compress the changed series, then save. Uses several turns, since hundreds of series change each hour."""
         if self._is_stopped:
             return
         if self._codec.compress_some(SERIES_PER_TURN):
@@ -155,7 +162,7 @@
     def _save(self) -> None:
         saved, self._pending = self._pending, []
 
-        def replicated(outcome: Outcome) -> None:
+        def update_completed(outcome: Outcome) -> None:
             self._is_saving = False
             if self._is_stopped:
                 return
@@ -166,20 +173,24 @@
                 self._host.count("forecast: counts not kept")
                 self._pending = saved + self._pending
 
-        self.lease.submit(StateUpdate(self._codec.encode()), replicated)
+        self.lease.submit(StateUpdate(self._codec.encode()), update_completed)
 
     def import_history(self, histories: list[ImportedHistory], callback: ImportCallback) -> None:
         """Import histories that were counted elsewhere: all of them or none.
 
-        :param callback: called with None once a majority has them. Errors: CorruptLedgerError, ForecastNotReadyError,
-            InvalidHistoryError, or that of the state update.
+        :param callback: Called with None once a majority has them, or with CorruptLedgerError, ForecastNotReadyError,
+            InvalidHistoryError or the error of the state update.
         """
         error = self._import_error(histories)
         if error is not None:
             return callback(error)
-        for one in histories:
+        for history in histories:
             self.ledger.import_history(
-                encode_key(one.key), one.first_hour, one.requests, one.core_us, one.priority_weight
+                encode_key(history.key),
+                history.first_hour,
+                history.requests,
+                history.core_us,
+                history.priority_weight,
             )
         self._forecast.invalidate()
         return self.lease.submit(
@@ -194,10 +205,10 @@
             return ForecastNotReadyError(
                 "nothing has been counted yet: there is no hour that these come before"
             )
-        for one in histories:
-            if not self.ledger.can_import(encode_key(one.key), one.first_hour, one.requests):
-                return InvalidHistoryError(f"{one.key.label()}: its hours reach into those counted here")
-        routes = {encode_key(one.key) for one in histories}
+        for history in histories:
+            if not self.ledger.can_import(encode_key(history.key), history.first_hour, history.requests):
+                return InvalidHistoryError(f"{history.key.label()}: its hours reach into those counted here")
+        routes = {encode_key(history.key) for history in histories}
         if len(routes) < len(histories):
             return InvalidHistoryError("a route is named more than once")
         if len(self.ledger.series.keys() | routes) > self._policy.max_routes:
@@ -207,7 +218,7 @@
     # ---- hints ----
 
     def _send_hints(self, forecast: WeeklyForecast, first_hour: int) -> None:
-        """There is a new forecast, up to date with the hours before that one."""
+        """Plan and send hints from a new forecast, which includes the counts of all hours before `first_hour`."""
         host = self._host
         scaling = self._policy.scaling
         host.count("forecast: worked out")
@@ -217,18 +228,18 @@
         if scaling.receiver is not None:
             address, port = scaling.receiver
             body = msgspec.json.encode(self.hints)
-            self.lease.submit(FencedRequest(f"{address}:{port}", body), self._hints_answered)
+            self.lease.submit(FencedRequest(f"{address}:{port}", body), self._hints_response_received)
 
-    def _hints_answered(self, outcome: Outcome) -> None:
+    def _hints_response_received(self, outcome: Outcome) -> None:
         was_sent = isinstance(outcome, Completed)
         self._host.count("forecast: hints given" if was_sent else "forecast: hints not given")
 
     # ---- operators ----
 
     def document(self, customer: str) -> dict[str, Any]:
-        """Return the forecast of one customer, or with "" of all, as JSON of the administration API.
+        """Return the forecast of one customer, or of all if `customer` is "", as a document of the administration API.
 
-        :raises ForecastError: there is none.
+        :raises ForecastError: if there is no forecast.
         """
         error = self._state_error or self._forecast.error
         if error is not None:
--- a/moorusher/forecast_service/hint_planning.py
+++ b/moorusher/forecast_service/hint_planning.py
@@ -1,4 +1,4 @@
-"""From the forecast of each route to the scaling hints of each zone."""
+"""Computes the scaling hints of each zone from the forecasts of its routes."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 ) -> ScalingHints:
     """Return the hints for the hours from `first_hour` (since 1970, UTC) on.
 
-    A route without a forecast adds nothing to the hints of its zone, and has the zone skipped only where no other route
-    there has a forecast. It is new, or little of it was counted: if it withheld the hints of the others, each new route
-    would do so for its first 48 known hours (`MIN_KNOWN_HOURS` in `forecasting/weekly_forecast.py`). A route that is
-    forecast and was never measured does withhold them: see `make_hints`.
+    A route without a forecast does not affect the hints of its zone. The zone is skipped only if none of its routes has
+    a forecast. Otherwise each new route would suppress the hints of its zone for its first 48 known hours
+    (`MIN_KNOWN_HOURS` in `forecasting/weekly_forecast.py`). A route that has a forecast but was never measured does
+    suppress them; see `make_hints`.
 
-    :param ledger: has the cost and the priority of each route's requests.
+    :param ledger: Ledger with the cost and the priority of each route's requests.
     :param now_ms: Unix time.
-    :param running: runners that are up, by zone.
+    :param running: Number of runners that are up, by zone.
     """
     demands = [
-        _route_demand(one, ledger, first_hour - forecast.first_hour, policy) for one in forecast.by_route()
+        _route_demand(route_forecast, ledger, first_hour - forecast.first_hour, policy)
+        for route_forecast in forecast.by_route()
     ]
     zones = {demand.zone for demand in demands}
     skipped_zones = {
@@ -49,7 +50,7 @@
 def _route_demand(
     forecast: RouteForecast, ledger: DemandLedger, start: int, policy: ScalingPolicy
 ) -> RouteDemand:
-    """The demand to plan for, from hour `start` of the forecast on: a higher quantile for requests of high priority."""
+    """Return the demand to plan for from hour `start` of the forecast on, at a higher quantile for high priority."""
     series = ledger.series.get(forecast.route)
     key = decode_key(forecast.route)
     core_us = 0.0 if series is None else series.core_us
--- a/moorusher/forecast_service/leader_lookup.py
+++ b/moorusher/forecast_service/leader_lookup.py
@@ -1,4 +1,4 @@
-"""Finds the member that leads the forecast."""
+"""Lookup of the member that leads the forecast."""
 
 from __future__ import annotations
 
@@ -13,26 +13,30 @@
 
 
 class LeaderLookup:
-    """Finds the seat of the leader, in what this member replicates or in the register."""
+    """Finds the seat of the leader in this member's own replica or in the register."""
 
     def __init__(self, participant: Participant) -> None:
         self._participant = participant
 
     def last_known(self) -> str:
-        """Return the leader by this member's own copy of the record; "" where it has none, or the leader is down."""
-        known = self._participant.directory.last_known(NAME)
-        holder = None if isinstance(known, LeadershipError) else known.record.holder
+        """Return the leader according to this member's replica; "" if it names none, or if the leader is down."""
+        reading = self._participant.directory.last_known(NAME)
+        holder = None if isinstance(reading, LeadershipError) else reading.record.holder
         if holder is None or not self._participant.node.is_up(holder.seat):
             return ""
         return holder.seat
 
     def read(self, callback: LeaderCallback) -> None:
-        """Ask a majority for the leader. Errors: NoMajorityError, also where nobody leads it, and those of the read."""
+        """Read the leader from a majority.
 
-        def got(reading: Reading | LeadershipError) -> None:
+        :param callback: Called with the leader's seat, with NoMajorityError if there is no leader, or with the error of
+            the read.
+        """
+
+        def record_read(reading: Reading | LeadershipError) -> None:
             if isinstance(reading, LeadershipError):
                 return callback(reading)
             holder = reading.record.holder
             return callback(NoMajorityError(NAME) if holder is None else holder.seat)
 
-        self._participant.directory.read(NAME, got, state=False)
+        self._participant.directory.read(NAME, record_read, state=False)
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -1,4 +1,4 @@
-"""One member's part in the forecast: counts, reports to the leader, queries it, and may lead the forecast itself."""
+"""One member's part in the forecast: it counts, reports to the leader, queries the leader, and may lead itself."""
 
 from __future__ import annotations
 
@@ -32,26 +32,28 @@
     ReportAck,
 )
 
-MAX_DOCUMENT_BYTES = 400 << 10  # of an answer: it has to fit into a frame
+# Maximum size of the document in a reply, which has to fit into a frame.
+MAX_DOCUMENT_BYTES = 400 << 10
 
 
 class MemberHost(Protocol):
-    """What a member needs of its process."""
+    """Services that a member uses of its process."""
 
     def unix_ms(self) -> int:
-        """The time of day."""
+        """Return the Unix time."""
 
     def make_forecaster(self, lease: LeaseHolder) -> Forecaster:
-        """Return the worker for a term that begins."""
+        """Return the worker for a new term."""
 
 
 class ForecastMember:
     """One member's part in the forecast.
 
-    participant: this member's part in the duties.
-    zone: str, of this runner.
-    counter: of this runner's demand.
-    forecaster: the worker, while this member leads the forecast.
+    Attributes:
+        participant: This member's part in the duties.
+        zone: Zone of this runner.
+        counter: Counter of this runner's demand.
+        forecaster: Worker while this member leads the forecast; otherwise None.
     """
 
     def __init__(self, participant: Participant, host: MemberHost, policy: ForecastPolicy) -> None:
@@ -64,7 +66,7 @@
         self.counter = DemandCounter(me, incarnation, self.zone, host.unix_ms(), policy.max_routes)
         self.forecaster: Forecaster | None = None
         self._lookup = LeaderLookup(participant)
-        # From the incarnation on: an answer to an earlier process of this seat must not pass for one to this process.
+        # Starts above the incarnation, so that a reply to an earlier process of this seat matches no query of this one.
         serials = count(incarnation + 1)
         self._reporter = DemandReporter(participant, self.counter, self._lookup, self.send, serials)
         self._queries = LeaderQueries(self._services, self._find_leader, self.send, serials)
@@ -72,7 +74,7 @@
         participant.directory.declare(NAME, KIND)
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start reporting at the configured interval."""
         self._tick()
 
     def _tick(self) -> None:
@@ -82,13 +84,13 @@
         self.report()
 
     def report(self) -> None:
-        """Report now what is not acknowledged."""
+        """Report the unacknowledged counts now."""
         self._reporter.report(self._host.unix_ms(), self.forecaster is not None)
 
     # ---- messages ----
 
     def send(self, seat: str, message: Message) -> None:
-        """Send a message to a member. One to this member itself arrives in a later turn."""
+        """Send a message to a member. A message to this member itself arrives in a later turn of the reactor."""
         if seat == self._services.me:
             self._services.at(self._services.now(), lambda: self._dispatch(seat, message))
         else:
@@ -107,15 +109,15 @@
             case DemandReport():
                 self._report_received(seat, message)
             case ReportAck():
-                self._reporter.acknowledged(seat, message)
+                self._reporter.ack_received(seat, message)
             case NotLeader():
-                self._reporter.redirected(seat, message)
+                self._reporter.not_leader_received(seat, message)
             case ForecastQuery():
-                self.send(seat, self._answer(message))
+                self.send(seat, self._make_reply(message))
             case HistoryImport():
                 self._import_received(seat, message)
             case LeaderReply():
-                self._queries.answered(message)
+                self._queries.reply_received(message)
             case _:
                 assert_never(message)
 
@@ -125,7 +127,7 @@
         else:
             self.send(seat, NotLeader(report.serial, self._lookup.last_known()))
 
-    def _answer(self, query: ForecastQuery) -> LeaderReply:
+    def _make_reply(self, query: ForecastQuery) -> LeaderReply:
         try:
             document = msgspec.json.encode(self._leading_forecaster().document(query.customer))
         except ForecastError as error:
@@ -156,12 +158,15 @@
     # ---- operators ----
 
     def query(self, customer: str, callback: DocumentCallback) -> None:
-        """Ask the leader for the forecast of one customer, or with "" of all. See `LeaderQueries.ask`."""
-        self._queries.ask(lambda serial: ForecastQuery(serial, customer), callback)
+        """Query the leader for the forecast of one customer, or of all if it is "". See `LeaderQueries.send_query`."""
+        self._queries.send_query(lambda serial: ForecastQuery(serial, customer), callback)
 
     def import_history(self, histories: list[ImportedHistory], callback: DocumentCallback) -> None:
-        """Have the leader import histories. See `LeaderQueries.ask`, and for errors `Forecaster.import_history`."""
-        self._queries.ask(lambda serial: HistoryImport(serial, histories), callback)
+        """Request that the leader imports histories.
+
+        See `LeaderQueries.send_query`, and `Forecaster.import_history` for its errors.
+        """
+        self._queries.send_query(lambda serial: HistoryImport(serial, histories), callback)
 
     def _find_leader(self, callback: LeaderCallback) -> None:
         if self.forecaster is not None:
@@ -172,12 +177,12 @@
     # ---- leadership ----
 
     def work(self, lease: LeaseHolder) -> Forecaster:
-        """Return the worker for a term that begins."""
+        """Return the worker for a new term."""
         self.forecaster = self._host.make_forecaster(lease)
         return self.forecaster
 
     def ended(self, worker: Forecaster) -> None:
-        """The term of that worker is over; a later one may have begun."""
+        """Called when the term of a worker has ended. The next term may have started already."""
         if self.forecaster is worker:
             self.forecaster = None
 
--- a/moorusher/forecast_service/messages.py
+++ b/moorusher/forecast_service/messages.py
@@ -1,7 +1,7 @@
-"""The messages between members about demand and its forecast.
+"""Messages between members about demand and its forecast.
 
-Wire form: msgpack arrays of the tag and the fields in the order in which they stand here. Class and field names do not
-reach the wire.
+Wire format: msgpack arrays of the tag and the fields in the order of their definition. Class and field names are not
+sent.
 """
 
 from __future__ import annotations
@@ -9,35 +9,35 @@
 from ..forecasting.demand_counts import BucketCounts, RouteKey
 from ..replication.messages import ComponentPayload, component_codec
 
-PART = "forecast"  # names these messages among all that members exchange
+PART = "forecast"  # The component's name in `replication.messages.ComponentMessage`.
 
-# A bucket, and until when (Unix ms) it had been counted when it was reported.
+# Number of a bucket, and the Unix time in ms up to which it had been counted when it was reported.
 BucketProgress = tuple[int, int]
 
 
 class DemandReport(ComponentPayload, frozen=True, tag="report"):
-    """From a member to the leader: its buckets that are not acknowledged as far as they were counted."""
+    """Report of a member to the leader, with the member's unacknowledged buckets."""
 
     serial: int
     buckets: list[BucketCounts]
 
 
 class ReportAck(ComponentPayload, frozen=True, tag="took"):
-    """The answer of the leader: a majority has what the report of that serial said."""
+    """Reply of the leader to a report: a majority has its counts."""
 
     serial: int
     buckets: list[BucketProgress]
 
 
 class NotLeader(ComponentPayload, frozen=True, tag="elsewhere"):
-    """The answer of a member that doesn't lead the forecast. `leader`: the seat that does, "" where unknown."""
+    """Reply to a report by a member that doesn't lead the forecast. `leader`: seat of the leader, "" if unknown."""
 
     serial: int
     leader: str
 
 
 class ForecastQuery(ComponentPayload, frozen=True, tag="ask"):
-    """To the leader: the forecast of one customer, or with "" of all. Answered by `LeaderReply`."""
+    """Query to the leader for the forecast of one customer, or of all if it is "". Answered by `LeaderReply`."""
 
     serial: int
     customer: str
@@ -46,10 +46,12 @@
 class ImportedHistory(ComponentPayload, frozen=True, tag="past"):
     """Hours of one route that were counted elsewhere.
 
-    first_hour: int, hours since 1970, UTC.
-    requests: by hour.
-    core_us: float, processor time of a request; 0 where unknown.
-    priority_weight: float, of a request; 0 where unknown.
+    Attributes:
+        key: Key of the route.
+        first_hour: Hours since 1970, UTC.
+        requests: Requests by hour.
+        core_us: Processor time per request; 0 if unknown.
+        priority_weight: Priority weight per request; 0 if unknown.
     """
 
     key: RouteKey
@@ -60,18 +62,20 @@
 
 
 class HistoryImport(ComponentPayload, frozen=True, tag="load"):
-    """To the leader: histories that an operator brings. Answered by `LeaderReply`."""
+    """Request to the leader to import histories from an operator. Answered by `LeaderReply`."""
 
     serial: int
     histories: list[ImportedHistory]
 
 
 class LeaderReply(ComponentPayload, frozen=True, tag="told"):
-    """The answer to a query or an import.
+    """Reply to a query or an import.
 
-    document: JSON; b"" after an error.
-    error: str, its `kind`; "" after success.
-    error_text: str.
+    Attributes:
+        serial: Serial number of the request.
+        document: JSON document; b"" after an error.
+        error: `kind` of the error; "" after success.
+        error_text: Message of the error.
     """
 
     serial: int
--- a/moorusher/forecast_service/rolling_forecast.py
+++ b/moorusher/forecast_service/rolling_forecast.py
@@ -1,4 +1,4 @@
-"""The forecast as it rolls on: made anew every six hours, and in between corrected by each hour that was closed."""
+"""Rolling forecast: recomputed every six hours, and corrected with the actual demand after each closed hour."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ForecastCalculator(Protocol):
-    """Works forecasts out, in a thread. Each callback is called once, with the forecast or the reason for none."""
+    """Computes forecasts in a thread. Each callback is called once, with the forecast or an error."""
 
     def calculate_forecast(
         self,
@@ -42,44 +42,47 @@
 class RollingForecast:
     """Keeps the forecast up to date with the ledger.
 
-    latest: the forecast with its correction; None before the first.
-    error: why the last calculation failed; None after one that succeeded. `latest` is out of date then.
+    Attributes:
+        latest: Latest forecast, including its correction; None before the first one.
+        error: Error of the last calculation, after which `latest` is outdated; None if it succeeded.
     """
 
     def __init__(self, calculator: ForecastCalculator, on_update: UpdateCallback) -> None:
-        """:param on_update: called with each new `latest`, and the first hour that it does not know yet."""
+        """:param on_update: Called with each new `latest` and the first hour whose counts it does not include."""
         self.latest: WeeklyForecast | None = None
         self.error: ForecastError | None = None
         self._calculator = calculator
         self._on_update = on_update
-        self._uncorrected: WeeklyForecast | None = None  # what corrections are made to
+        self._uncorrected: WeeklyForecast | None = None  # Forecast that corrections are applied to.
         self._is_calculating = self._is_stopped = False
-        self._is_outdated = False  # the history has changed since the calculation under way began
-        self._known_until_hour = 0  # closed hours before it are in the last forecast
+        self._is_outdated = False  # Whether the history has changed since the running calculation started.
+        self._known_until_hour = (
+            0  # The last forecast includes the counts of all closed hours before this one.
+        )
 
     def stop(self) -> None:
-        """Drop what is being calculated."""
+        """Discard the result of a running calculation."""
         self._is_stopped = True
 
     def invalidate(self) -> None:
-        """Make the next forecast anew: the history before it has changed."""
+        """Recompute the forecast at the next update, because its history has changed."""
         self._uncorrected = None
         self._known_until_hour = 0
         self._is_outdated = self._is_calculating
 
     def update(self, ledger: DemandLedger) -> None:
-        """Calculate, if hours were closed since the last forecast."""
+        """Start a calculation if hours were closed since the last forecast."""
         hour = ledger.next_hour
         base = self._uncorrected
         if self._is_calculating or not ledger.series or hour <= self._known_until_hour:
             return
         self._is_calculating = True
         if base is None or hour - base.first_hour >= REFRESH_INTERVAL_H:
-            self._calculate_anew(ledger, hour)
+            self._calculate_forecast(ledger, hour)
         else:
             self._calculate_correction(ledger, base, hour)
 
-    def _calculate_anew(self, ledger: DemandLedger, hour: int) -> None:
+    def _calculate_forecast(self, ledger: DemandLedger, hour: int) -> None:
         def done(result: WeeklyForecast | ForecastError) -> None:
             if isinstance(result, ForecastError):
                 return self._failed(result, hour)
@@ -105,19 +108,19 @@
         self._calculator.calculate_correction(base, actual, done)
 
     def _failed(self, error: ForecastError, hour: int) -> None:
-        if self._take_result(hour):
+        if self._finish_calculation(hour):
             self.error = error
 
     def _succeeded(self, forecast: WeeklyForecast, hour: int) -> None:
-        if self._take_result(hour):
+        if self._finish_calculation(hour):
             self.error = None
             self.latest = forecast
             self._on_update(forecast, hour)
 
-    def _take_result(self, hour: int) -> bool:
-        """A calculation is over. Return whether its result counts.
+    def _finish_calculation(self, hour: int) -> bool:
+        """Record that a calculation has ended. Return whether its result is used.
 
-        One from a history that has changed meanwhile counts until the next calculation, which follows at once.
+        A result is also used if the history has changed since; the next update then starts another calculation.
         """
         self._is_calculating = False
         if not self._is_outdated:
--- a/moorusher/forecasting/__init__.py
+++ b/moorusher/forecasting/__init__.py
@@ -1,5 +1,5 @@
-"""The demand of each route: counted by all runners, forecast for the next week, and turned into scaling hints. Pure.
+"""Demand per route: counts from all runners, a forecast of the next week, and scaling hints. Does no I/O.
 
-`docs/design/forecast.md` gives the reasons. Modules that need numpy are imported only by the member that leads the
-forecast.
+`docs/design/forecast.md` explains the design. Only the member that leads the forecast imports the modules that need
+numpy.
 """
--- a/moorusher/forecasting/backtest.py
+++ b/moorusher/forecasting/backtest.py
@@ -1,6 +1,6 @@
-"""The backtest: what each model would have forecast at earlier origins of a route's own history, and how far off.
+"""The backtest: forecasts of each model from earlier origins in a route's own history, and their errors.
 
-Other customers' histories count for nothing.
+Histories of other customers have no influence.
 """
 
 from __future__ import annotations
@@ -16,19 +16,25 @@
 
 MAX_ORIGINS = 8
 ORIGIN_SPACING_H = 60
-LAST_ORIGIN_H = 48  # before the end of the history
-MIN_TRAINING_H = 240  # before an origin
-ORIGIN_DECAY = 0.85  # weight of an origin, over that of the next newer one
-SAME_LEVEL = 0.01  # difference of log levels that is no shift
-MIN_ERROR = 1e-9  # keeps the logarithm of an exact forecast's error finite
+# Hours from the newest origin to the end of the history.
+LAST_ORIGIN_H = 48
+# Hours of history required before an origin.
+MIN_TRAINING_H = 240
+# Weight of an origin, relative to that of the next newer one.
+ORIGIN_DECAY = 0.85
+# Largest difference of two log levels that are considered equal.
+MAX_LEVEL_DIFFERENCE = 0.01
+# Lower bound of an error. Keeps the logarithm of an exact forecast's error finite.
+MIN_ERROR = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class Backtest:
-    """Forecasts at earlier origins, the newest one first.
+    """Forecasts from earlier origins, newest first.
 
-    forecasts: (models, routes, origins, 168).
-    actual: (routes, origins, 168), requests; NaN where unknown, or where nobody could have forecast it.
+    Attributes:
+        forecasts: Requests, (models, routes, origins, 168).
+        actual: Requests, (routes, origins, 168); NaN if unknown, or if no model could have predicted them.
     """
 
     forecasts: Floats
@@ -36,53 +42,59 @@
 
     @property
     def errors(self) -> Floats:
-        """Actual less forecast, (models, routes, origins, 168)."""
+        """Actual minus forecast, (models, routes, origins, 168)."""
         return np.asarray(self.actual[None] - self.forecasts)
 
 
 def run_backtest(window: TrainingWindow, model_names: tuple[str, ...]) -> Backtest:
-    """Let the models forecast from each origin with what was known then."""
+    """Forecast from each origin with each model, using only the history before the origin."""
     routes, hours = window.demand.shape
     origins = _origins(hours)
     forecasts = np.full((len(model_names), routes, len(origins), HOURS_PER_WEEK), np.nan)
     actual = np.full((routes, len(origins), HOURS_PER_WEEK), np.nan)
-    for index, origin in enumerate(origins):
-        known_then = TrainingWindow(window.demand[:, :origin], window.hour_of_week[: origin + HOURS_PER_WEEK])
+    for origin_index, origin in enumerate(origins):
+        training_window = TrainingWindow(
+            window.demand[:, :origin], window.hour_of_week[: origin + HOURS_PER_WEEK]
+        )
         end = min(hours, origin + HOURS_PER_WEEK)
         usable = _usable_hours(window, origin, end)
-        actual[:, index, : end - origin] = np.where(usable, window.demand[:, origin:end], np.nan)
-        for number, name in enumerate(model_names):
-            forecasts[number, :, index] = MODELS[name](known_then)
+        actual[:, origin_index, : end - origin] = np.where(usable, window.demand[:, origin:end], np.nan)
+        for model_index, name in enumerate(model_names):
+            forecasts[model_index, :, origin_index] = MODELS[name](training_window)
     return Backtest(forecasts, actual)
 
 
 def _origins(hours: int) -> list[int]:
-    """Hours of the history that models forecast from, the newest first; none in a short one."""
-    candidates = (hours - LAST_ORIGIN_H - number * ORIGIN_SPACING_H for number in range(MAX_ORIGINS))
+    """Return the forecast origins as indexes into the history, newest first; none if the history is short."""
+    candidates = (hours - LAST_ORIGIN_H - steps_back * ORIGIN_SPACING_H for steps_back in range(MAX_ORIGINS))
     return [origin for origin in candidates if origin >= MIN_TRAINING_H]
 
 
 def _usable_hours(window: TrainingWindow, origin: int, end: int) -> Bools:
-    """Hours after an origin by which forecasts from it can be judged.
+    """Return which hours after an origin are used to evaluate forecasts from it.
 
-    None after a level shift, which nobody could have foreseen; none from an origin at which a route was known for less
-    than a week and for less than half as long as now.
+    Excludes hours after a level shift, which no model could have predicted. Excludes all hours if, at the origin, the
+    route had been known for less than a week and for less than half as long as now.
     """
     known_hours = np.isfinite(window.demand).cumsum(axis=1)
-    enough = known_hours[:, origin - 1 : origin] >= np.minimum(HOURS_PER_WEEK, known_hours[:, -1:] / 2)
+    has_enough_history = known_hours[:, origin - 1 : origin] >= np.minimum(
+        HOURS_PER_WEEK, known_hours[:, -1:] / 2
+    )
     log_shift = window.adjusted.log_shift
-    same_level = np.abs(log_shift[:, origin:end] - log_shift[:, origin - 1 : origin]) < SAME_LEVEL
-    return np.asarray(enough & same_level)
+    is_same_level = (
+        np.abs(log_shift[:, origin:end] - log_shift[:, origin - 1 : origin]) < MAX_LEVEL_DIFFERENCE
+    )
+    return np.asarray(has_enough_history & is_same_level)
 
 
 def relative_errors(errors: Floats, baseline: int) -> Floats:
-    """Return each model's mean absolute error over that of the baseline, (models, routes); NaN where unknown.
+    """Return each model's mean absolute error divided by the baseline's, (models, routes); NaN if unknown.
 
-    The geometric mean over the origins, newer ones counting more: an origin just before a level shift, where all models
-    are far off, says little.
+    Ratios of the origins are combined by a geometric mean, with larger weights for newer origins. The geometric mean
+    limits the influence of an origin just before a level shift, from which all models have large errors.
 
-    :param errors: absolute, (models, routes, origins, 168).
-    :param baseline: index of the baseline's errors.
+    :param errors: Absolute errors, (models, routes, origins, 168).
+    :param baseline: Index of the baseline model.
     """
     origins = errors.shape[2]
     if not origins:
--- a/moorusher/forecasting/daily_levels.py
+++ b/moorusher/forecasting/daily_levels.py
@@ -1,4 +1,4 @@
-"""Levels of weeks and of days: what was counted, over what the weekly profile expects."""
+"""Levels of weeks and days: counted requests divided by the requests that the weekly profile predicts."""
 
 from __future__ import annotations
 
@@ -10,19 +10,24 @@
 from .seasonality import by_week
 from .time_units import HOURS_PER_DAY
 
-MAX_DAYS = 42  # looked back upon
-MIN_DAY_COVERAGE = 0.5  # share of a day's hours that are known
-MIN_DAY_REQUESTS = 10.0  # of a day; fewer say nothing of its level
-MIN_PROFILE = 0.02  # of an hour, so that ratios stay finite
+# Days of history for which levels are computed.
+MAX_DAYS = 42
+# Share of a day's hours that must be known for the day to have a level.
+MIN_DAY_COVERAGE = 0.5
+# Requests that a day must have to have a level; fewer are no reliable estimate.
+MIN_DAY_REQUESTS = 10.0
+# Lower bound of an hour of the profile. Keeps ratios finite.
+MIN_PROFILE = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class DailyLevels:
-    """Levels of the last days, each of 24 hours, counted back from the end of the history.
+    """Levels of the last days; each day is 24 hours, and the last one ends with the history.
 
-    log_level: (routes, days), log of counted over expected; NaN where too little is known.
-    requests: (routes, days), counted.
-    first_hour: int, index in the history where the first day begins.
+    Attributes:
+        log_level: Logarithm of counted divided by expected requests, (routes, days); NaN if too little is known.
+        requests: Counted requests, (routes, days).
+        first_hour: Index into the history at which the first day begins.
     """
 
     log_level: Floats
@@ -31,11 +36,11 @@
 
 
 def weekly_levels(weeks: Floats) -> Floats:
-    """Return the mean demand of an hour of each week, (routes, weeks, 1), NaN where unknown.
+    """Return the mean hourly demand of each week, (routes, weeks, 1); NaN if unknown.
 
-    A week that is known in part is corrected for which of its hours are.
+    The mean of a partly known week is corrected by the weekly profile at its known hours.
 
-    :param weeks: (routes, weeks, 168).
+    :param weeks: Hourly demand, (routes, weeks, 168).
     """
     with np.errstate(all="ignore"):
         level = np.nanmean(weeks, axis=2, keepdims=True)
@@ -47,7 +52,10 @@
 
 
 def median_profile(history: Floats, hour_of_week: Ints) -> Floats:
-    """Return a simple weekly profile, (routes, 168) with a mean of about 1: the median of weeks at their own levels."""
+    """Return a simple weekly profile with a mean of about 1, (routes, 168).
+
+    It is the median over the weeks, each divided by its own level.
+    """
     weeks = by_week(history, hour_of_week)
     with np.errstate(all="ignore"):
         profile = nan_median(weeks / weekly_levels(weeks), 1)
@@ -57,7 +65,10 @@
 
 
 def daily_levels(history: Floats, hour_of_week: Ints) -> DailyLevels:
-    """Return the levels of the last days. `history`: (routes, hours), NaN where unknown."""
+    """Return the levels of the last days.
+
+    :param history: Hourly demand, (routes, hours); NaN if unknown.
+    """
     days = min(MAX_DAYS, history.shape[1] // HOURS_PER_DAY)
     first_hour = history.shape[1] - HOURS_PER_DAY * days
     expected = median_profile(history, hour_of_week)[:, hour_of_week[first_hour:]]
--- a/moorusher/forecasting/demand_counter.py
+++ b/moorusher/forecasting/demand_counter.py
@@ -1,4 +1,4 @@
-"""The counter of one process: counts demand by buckets, and keeps each until a majority of the cluster has it."""
+"""Demand counter of one process. Retains each bucket until a majority of the cluster has replicated it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 from .demand_counts import BUCKET_MS, BucketCounts, DemandCounts, RouteKey, encode_key
 
-MAX_BUCKETS = 600  # kept until they are acknowledged: two days
+# Unacknowledged buckets that are retained: two days.
+MAX_BUCKETS = 600
 MAX_BUCKETS_PER_REPORT = 24
-# A longer pause between two ticks means that the process was stopped (SIGSTOP, a suspended machine): requests that came
-# meanwhile were not counted, so the pause must not look like a time without demand.
+# A longer gap between two ticks means that the process was stopped (SIGSTOP, a suspended machine). Requests that
+# arrived in the gap were not counted, so it must not appear as a period without demand.
 MAX_TICK_GAP_MS = 60_000
 
 
@@ -18,9 +19,11 @@
 class _Bucket:
     """One bucket of this process.
 
-    counted_from_ms, counted_until_ms: int, Unix time.
-    acknowledged_until_ms: int, until when what a majority has was counted; None before the first acknowledgement.
-    counts: by encoded `RouteKey`.
+    Attributes:
+        counted_from_ms: Unix time at which counting began.
+        counted_until_ms: Unix time up to which requests are counted.
+        acknowledged_until_ms: Unix time up to which a majority has the counts; None before the first acknowledgement.
+        counts: Counts by encoded `RouteKey`.
     """
 
     counted_from_ms: int
@@ -30,19 +33,22 @@
 
     @property
     def is_acknowledged(self) -> bool:
-        """A majority has all that was counted so far."""
+        """Whether a majority has all counts of the bucket so far."""
         return self.acknowledged_until_ms is not None and self.acknowledged_until_ms >= self.counted_until_ms
 
 
 class DemandCounter:
     """Counts the demand at one process.
 
-    seat, incarnation, zone: of the process, as its reports name them.
-    dropped_buckets: int, buckets that nobody acknowledged within two days.
+    Attributes:
+        seat: Seat of the runner.
+        incarnation: Incarnation of the process.
+        zone: Zone of the runner.
+        dropped_buckets: Number of buckets that were not acknowledged within two days.
     """
 
     def __init__(self, seat: str, incarnation: int, zone: str, now_ms: int, max_routes: int = 1_000) -> None:
-        """:param max_routes: of one bucket; further ones are counted under no route of their customer."""
+        """:param max_routes: Routes per bucket; requests for more routes are counted under the route ""."""
         self.seat = seat
         self.incarnation = incarnation
         self.zone = zone
@@ -52,30 +58,30 @@
         self._last_tick_ms = now_ms
 
     def __len__(self) -> int:
-        """The number of buckets that are kept."""
+        """Return the number of retained buckets."""
         return len(self._buckets)
 
     def tick(self, now_ms: int) -> None:
-        """Note that the process runs and counts. Has to be called more often than `MAX_TICK_GAP_MS`.
+        """Record that the process is running. Must be called at intervals shorter than `MAX_TICK_GAP_MS`.
 
-        Where the clock was set back, counting goes on in the bucket that it had reached.
+        If the clock is set back, counting continues in the bucket that was already reached.
         """
         previous_ms = self._last_tick_ms
         now_ms = max(previous_ms, now_ms)
         self._last_tick_ms = now_ms
         if now_ms // BUCKET_MS != previous_ms // BUCKET_MS:
-            self._begin_bucket(previous_ms, now_ms)
-        self._current.counted_until_ms = now_ms
+            self._start_bucket(previous_ms, now_ms)
+        self._current_bucket.counted_until_ms = now_ms
 
     @property
-    def _current_number(self) -> int:
+    def _current_bucket_number(self) -> int:
         return self._last_tick_ms // BUCKET_MS
 
     @property
-    def _current(self) -> _Bucket:
-        return self._buckets[self._current_number]
+    def _current_bucket(self) -> _Bucket:
+        return self._buckets[self._current_bucket_number]
 
-    def _begin_bucket(self, previous_ms: int, now_ms: int) -> None:
+    def _start_bucket(self, previous_ms: int, now_ms: int) -> None:
         number = now_ms // BUCKET_MS
         was_stopped = now_ms - previous_ms > MAX_TICK_GAP_MS
         previous = self._buckets.get(previous_ms // BUCKET_MS)
@@ -88,16 +94,16 @@
             self.dropped_buckets += 1
 
     def count(self, now_ms: int, key: RouteKey, counts: DemandCounts) -> None:
-        """Add counts to a route's."""
+        """Add counts to those of a route."""
         self.tick(now_ms)
-        by_route = self._current.counts
-        name = encode_key(key)
-        if name not in by_route and len(by_route) >= self._max_routes:
-            name = encode_key(RouteKey(key.customer, key.namespace_incarnation, "", key.zone))
-        by_route[name] = by_route.get(name, DemandCounts()).plus(counts)
-
-    def unacknowledged(self, now_ms: int) -> list[BucketCounts]:
-        """Return what is to be reported: the oldest buckets that have counted more than was acknowledged."""
+        by_route = self._current_bucket.counts
+        encoded_key = encode_key(key)
+        if encoded_key not in by_route and len(by_route) >= self._max_routes:
+            encoded_key = encode_key(RouteKey(key.customer, key.namespace_incarnation, "", key.zone))
+        by_route[encoded_key] = by_route.get(encoded_key, DemandCounts()).plus(counts)
+
+    def unacknowledged_buckets(self, now_ms: int) -> list[BucketCounts]:
+        """Return the oldest buckets with unacknowledged counts, for a report."""
         self.tick(now_ms)
         pending = sorted(number for number, bucket in self._buckets.items() if not bucket.is_acknowledged)
         return [self._report(number) for number in pending[:MAX_BUCKETS_PER_REPORT]]
@@ -115,11 +121,14 @@
         )
 
     def acknowledge(self, reported: Iterable[tuple[int, int]]) -> None:
-        """Note that a majority has these buckets: each a number, and until when (Unix ms) it had counted by then."""
+        """Record that a majority has replicated buckets.
+
+        :param reported: Number of each bucket, and the Unix time in ms up to which it had been counted.
+        """
         for number, until_ms in reported:
             bucket = self._buckets.get(number)
             if bucket is None:
                 continue
             bucket.acknowledged_until_ms = max(bucket.acknowledged_until_ms or 0, until_ms)
-            if number < self._current_number and until_ms >= bucket.counted_until_ms:
+            if number < self._current_bucket_number and until_ms >= bucket.counted_until_ms:
                 del self._buckets[number]
--- a/moorusher/forecasting/demand_counts.py
+++ b/moorusher/forecasting/demand_counts.py
@@ -1,9 +1,9 @@
-"""Demand as it is counted: first attempts of requests, rejected ones included, by buckets of five minutes (UTC).
+"""Demand counts: first attempts of requests, including rejected ones, in buckets of five minutes (UTC).
 
-Each process of a runner keeps counts that only grow, by seat, incarnation and bucket (a grow-only counter, the CRDT).
-Counts are merged by the larger of each figure. So reports that are repeated, late or out of order neither double nor
-lose anything, whichever member leads the forecast by then. Each bucket says which span of it was counted: what a lost
-runner did not report is a gap, and never a zero.
+Each process of a runner keeps counts that only grow, keyed by seat, incarnation and bucket (a grow-only counter CRDT).
+Counts are merged by the maximum of each field. So repeated, late and reordered reports neither double nor lose
+counts, even if the leader of the forecast changes. Each bucket states which span of it was counted, so that missing
+reports of a failed runner appear as a gap and not as zero demand.
 """
 
 from __future__ import annotations
@@ -16,12 +16,14 @@
 
 
 class RouteKey(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Whose demand it is. Sent and stored as an array: the order of the fields is part of the format.
-
-    customer: str, "" for requests without one.
-    namespace_incarnation: int; a namespace that was deleted and made anew has no past.
-    route: str, "" for requests without one.
-    zone: str, of the runner.
+    """Key of the counts of one route in one zone. Encoded as an array: the field order is part of the format.
+
+    Attributes:
+        customer: Name of the customer; "" for requests without one.
+        namespace_incarnation: Incarnation of the customer's namespace. A namespace that is deleted and created again
+            starts without a history.
+        route: Name of the route; "" for requests without one.
+        zone: Zone of the runner.
     """
 
     customer: str
@@ -30,19 +32,20 @@
     zone: str
 
     def label(self) -> str:
-        """Return the key as operators read it."""
+        """Return the key in readable form, for operators."""
         zone = f"@{self.zone}" if self.zone else ""
         return f"{self.customer or '-'}/{self.route or '-'}{zone}"
 
 
 class DemandCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Counts of one route. Sent and stored as an array: the order of the fields is part of the format.
-
-    requests: int, first attempts.
-    rejected: int, of them.
-    runs: int, that ended.
-    core_us: int, processor time of those runs.
-    priority_weight: float, the sum over the requests.
+    """Counts of one route. Encoded as an array: the field order is part of the format.
+
+    Attributes:
+        requests: First attempts.
+        rejected: First attempts that were rejected.
+        runs: Ended runs.
+        core_us: Processor time of the ended runs.
+        priority_weight: Sum of the priority weights of the requests.
     """
 
     requests: int = 0
@@ -52,7 +55,7 @@
     priority_weight: float = 0.0
 
     def plus(self, other: DemandCounts) -> DemandCounts:
-        """Return the sum, of counts of different requests."""
+        """Return the sum of these and other counts, which must be of different requests."""
         return DemandCounts(
             self.requests + other.requests,
             self.rejected + other.rejected,
@@ -62,7 +65,7 @@
         )
 
     def merged(self, other: DemandCounts) -> DemandCounts:
-        """Return the later state of the same counter: the larger of each figure."""
+        """Merge two states of the same counter: return the maximum of each field."""
         return DemandCounts(
             max(self.requests, other.requests),
             max(self.rejected, other.rejected),
@@ -73,16 +76,16 @@
 
 
 class BucketCounts(msgspec.Struct, frozen=True, array_like=True):
-    """What one process counted in one bucket.
-
-    Sent and stored as an array: the order of the fields is part of the format.
-
-    seat: str, of the runner.
-    incarnation: int, of the process.
-    zone: str, of the runner.
-    bucket: int, buckets since 1970.
-    counted_from_ms, counted_until_ms: int, Unix time; the process counted from the one to the other.
-    counts: by encoded `RouteKey`.
+    """Counts of one process in one bucket. Encoded as an array: the field order is part of the format.
+
+    Attributes:
+        seat: Seat of the runner.
+        incarnation: Incarnation of the process.
+        zone: Zone of the runner.
+        bucket: Number of the bucket, counted from 1970.
+        counted_from_ms: Unix time at which counting began.
+        counted_until_ms: Unix time up to which requests are counted.
+        counts: Counts by encoded `RouteKey`.
     """
 
     seat: str
@@ -94,10 +97,10 @@
     counts: dict[str, DemandCounts]
 
     def merged(self, other: BucketCounts) -> BucketCounts:
-        """Return the later state of the same process's bucket."""
+        """Merge two states of the same bucket of the same process."""
         counts = dict(self.counts)
-        for route, more in other.counts.items():
-            counts[route] = counts[route].merged(more) if route in counts else more
+        for route, other_counts in other.counts.items():
+            counts[route] = counts[route].merged(other_counts) if route in counts else other_counts
         return BucketCounts(
             self.seat,
             self.incarnation,
@@ -110,12 +113,12 @@
 
     @property
     def covered_ms(self) -> int:
-        """How long the process counted in this bucket."""
+        """Duration for which the process counted in this bucket."""
         return max(0, self.counted_until_ms - self.counted_from_ms)
 
     @property
     def is_valid(self) -> bool:
-        """Whether the span that was counted lies within the bucket."""
+        """Whether the counted span lies within the bucket."""
         start = self.bucket * BUCKET_MS
         return start <= self.counted_from_ms <= self.counted_until_ms <= start + BUCKET_MS
 
@@ -125,13 +128,13 @@
 
 
 def encode_key(key: RouteKey) -> str:
-    """Return a key as text, as it stands in counts that are sent and stored."""
+    """Return a key as text, in the form used in counts that are sent and stored."""
     return _encode(key).decode()
 
 
 def decode_key(text: str) -> RouteKey:
-    """Return the key of such a text.
+    """Return the key that `encode_key` encoded as this text.
 
-    :raises ValueError: it is none.
+    :raises ValueError: if the text is not an encoded key.
     """
     return _decoder.decode(text)
--- a/moorusher/forecasting/demand_ledger.py
+++ b/moorusher/forecasting/demand_ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: all runners' counts, as open buckets and as the closed hours of each route.
+"""The ledger: counts of all runners, as open buckets and as closed hours per route.
 
-A bucket is closed once all seats that should have reported it have, or a deadline has passed; reports of it that come
-later change nothing. So the closed hours are the same, whichever member leads the forecast.
+A bucket is closed once all expected seats have reported it or its deadline has passed. Later reports of it are
+ignored. So the closed hours do not depend on which member leads the forecast.
 """
 
 from __future__ import annotations
@@ -17,27 +17,29 @@
 )
 from .hourly_series import FULL_COVERAGE, HourlySeries
 
-REPORT_DEADLINE_MS = 900_000  # after its end, until when a bucket waits for reports
-# Buckets for which a seat that reported one is expected to report more (a day): one that is gone for longer must not
-# make all later hours look incomplete.
-EXPECTED_BUCKETS = 288
+# Time after the end of a bucket until which it waits for reports.
+REPORT_DEADLINE_MS = 900_000
+# Buckets after its last report for which a seat is still expected to report: one day. A seat that is down for longer
+# must not make all later hours incomplete.
+SEAT_EXPIRY_BUCKETS = 288
 
 
 class DemandLedger:
-    """Takes reports, closes buckets, and keeps the hours of each route.
-
-    zones: the seats of the cluster, with their zones.
-    max_routes: int; further routes are not kept.
-    series: the closed hours, by encoded `RouteKey`.
-    changed_routes: routes whose series has changed or gone since the set was last emptied.
-    first_bucket: int, the first that was counted (the start of its hour), 0 before any report.
-    next_bucket: int, the first that is not closed, 0 before any report.
-    last_bucket_by_seat: the last bucket that each seat reported.
-    open_buckets: by bucket, and within by seat and incarnation.
-    hour_counts: of the closed buckets of the hour that is not closed, by route.
-    hour_coverage: the sum of the covered shares of those buckets, by zone.
-    late_reports: int, of closed buckets.
-    invalid_reports: int, of a span outside of their bucket.
+    """Records reports, closes buckets, and stores the closed hours of each route.
+
+    Attributes:
+        zones: Zone of each seat of the cluster.
+        max_routes: Maximum number of routes that are stored.
+        series: Closed hours by encoded `RouteKey`.
+        changed_routes: Routes whose series changed or was deleted since the set was last emptied.
+        first_bucket: First bucket of the hour in which counting began; 0 before the first report.
+        next_bucket: First bucket that is not closed; 0 before the first report.
+        last_bucket_by_seat: Last bucket that each seat reported.
+        open_buckets: Reports by bucket, and in each bucket by seat and incarnation.
+        hour_counts: Counts of the closed buckets of the current hour, by route.
+        hour_coverage: Sum of the covered shares of these buckets, by zone.
+        late_reports: Number of reports of closed buckets.
+        invalid_reports: Number of reports whose span is not within their bucket.
     """
 
     def __init__(self, zones: Mapping[str, str], max_routes: int = 1_000) -> None:
@@ -54,13 +56,13 @@
 
     @property
     def next_hour(self) -> int:
-        """The first hour (since 1970, UTC) that is not closed."""
+        """First hour that is not closed, in hours since 1970, UTC."""
         return self.next_bucket // BUCKETS_PER_HOUR
 
     # ---- reports ----
 
     def record(self, report: BucketCounts) -> bool:
-        """Take a report. Return False if it changes nothing: its bucket is closed, or it is invalid."""
+        """Record a report. Return False if it is ignored because its bucket is closed or it is invalid."""
         if not report.is_valid:
             self.invalid_reports += 1
             return False
@@ -77,11 +79,11 @@
         return True
 
     def merge(self, known: BucketCounts, report: BucketCounts) -> BucketCounts:
-        """Merge two reports of one process on one bucket, in whichever order they came."""
+        """Merge two reports of one process for the same bucket. Their order does not matter."""
         return known.merged(report)
 
     def requests_this_hour(self) -> dict[str, int]:
-        """Return the requests of the hours that are not closed, as far as they were reported, by route."""
+        """Return the number of reported requests in hours that are not closed, by route."""
         requests = {route: counts.requests for route, counts in self.hour_counts.items()}
         for reports in self.open_buckets.values():
             for report in reports.values():
@@ -89,10 +91,10 @@
                     requests[route] = requests.get(route, 0) + counts.requests
         return requests
 
-    # ---- history from elsewhere ----
+    # ---- imported history ----
 
     def can_import(self, route: str, first_hour: int, requests: Sequence[int]) -> bool:
-        """Whether such hours can be imported: they must not overlap those that were counted here."""
+        """Return whether hours can be imported: they must not overlap hours that were counted here."""
         series = self.series.get(route)
         counted_from = self.next_hour if series is None else series.first_hour
         return first_hour + len(requests) <= counted_from
@@ -100,11 +102,11 @@
     def import_history(
         self, route: str, first_hour: int, requests: Sequence[int], core_us: float, priority_weight: float
     ) -> None:
-        """Put hours that were counted elsewhere before those known here; `can_import` has to be true of them.
+        """Insert hours that were counted elsewhere before the stored ones; `can_import` must be true for them.
 
-        :param first_hour: hours since 1970, UTC.
-        :param core_us: processor time of a request.
-        :param priority_weight: of a request.
+        :param first_hour: Hours since 1970, UTC.
+        :param core_us: Processor time per request.
+        :param priority_weight: Priority weight per request.
         """
         imported = HourlySeries(first_hour, core_us=core_us)
         for index, count in enumerate(requests):
@@ -122,7 +124,7 @@
     # ---- closing ----
 
     def close_buckets(self, now_ms: int) -> int:
-        """Close, in order, the buckets that can be closed at that Unix time. Return how many."""
+        """Close, in order, all buckets that can be closed at that Unix time. Return their number."""
         first = self.next_bucket
         while self.next_bucket and self._can_close(self.next_bucket, now_ms):
             self._close(self.next_bucket)
@@ -135,19 +137,19 @@
         if now_ms >= end_ms + REPORT_DEADLINE_MS:
             return True
         reports = self.open_buckets.get(bucket, {}).values()
-        complete = {report.seat for report in reports if report.counted_until_ms >= end_ms}
-        return complete >= self._expected_seats(bucket).keys()
+        complete_seats = {report.seat for report in reports if report.counted_until_ms >= end_ms}
+        return complete_seats >= self._expected_seats(bucket).keys()
 
     def _expected_seats(self, bucket: int) -> dict[str, str]:
-        """Seats that should report the bucket, with their zones: all but those that were silent for a day."""
+        """Return the seats that should report the bucket, with their zones; excludes seats silent for a day."""
         return {
             seat: zone
             for seat, zone in self.zones.items()
-            if bucket - self.last_bucket_by_seat.get(seat, self.first_bucket) < EXPECTED_BUCKETS
+            if bucket - self.last_bucket_by_seat.get(seat, self.first_bucket) < SEAT_EXPIRY_BUCKETS
         }
 
     def covered_shares(self, bucket: int) -> dict[str, float]:
-        """Return which share of an open bucket each seat counted, over all its processes."""
+        """Return the share of an open bucket that each seat counted, summed over its processes."""
         covered_ms: dict[str, int] = {}
         for report in self.open_buckets.get(bucket, {}).values():
             covered_ms[report.seat] = covered_ms.get(report.seat, 0) + report.covered_ms
@@ -163,16 +165,16 @@
             self._close_hour(bucket // BUCKETS_PER_HOUR)
 
     def _add_coverage(self, bucket: int) -> None:
-        """Add each zone's covered share: the mean over its expected seats, none of one that did not report."""
+        """Add the covered share of each zone: the mean over its expected seats, 0 for a seat without a report."""
         shares = self.covered_shares(bucket)
         by_zone: dict[str, list[float]] = {}
         for seat, zone in self._expected_seats(bucket).items():
             by_zone.setdefault(zone, []).append(shares.get(seat, 0.0))
-        for zone, found in by_zone.items():
-            self.hour_coverage[zone] = self.hour_coverage.get(zone, 0.0) + sum(found) / len(found)
+        for zone, seat_shares in by_zone.items():
+            self.hour_coverage[zone] = self.hour_coverage.get(zone, 0.0) + sum(seat_shares) / len(seat_shares)
 
     def _close_hour(self, hour: int) -> None:
-        # Sorted, so that another leader, which may close the same hour again, takes the same routes.
+        # Sorted, so that another leader that closes the same hour again stores the same routes.
         for route in sorted(self.hour_counts.keys() - self.series.keys()):
             if len(self.series) < self.max_routes:
                 self.series[route] = HourlySeries(hour)
--- a/moorusher/forecasting/hourly_series.py
+++ b/moorusher/forecasting/hourly_series.py
@@ -1,4 +1,4 @@
-"""The history of one route: its requests hour by hour, and which share of each hour was counted."""
+"""Demand history of one route: requests per hour, and the share of each hour that was counted."""
 
 from __future__ import annotations
 
@@ -9,24 +9,27 @@
 from .demand_counts import DemandCounts
 from .time_units import HOURS_PER_WEEK
 
-MAX_HOURS = 8 * HOURS_PER_WEEK  # kept of a route
-FULL_COVERAGE = 200  # a share of 1, as coverage is stored
-MEAN_DECAY = (
-    0.98  # weight that an hour leaves to the running means of a request's cost, priority and rejections
-)
-MAX_COUNT = 0xFFFF_FFFF  # of an hour, as it is stored
+# Hours that are stored per route.
+MAX_HOURS = 8 * HOURS_PER_WEEK
+# Stored coverage of an hour that was counted completely.
+FULL_COVERAGE = 200
+# Weight of the previous value when an hour updates the running means of cost, priority weight and rejected share.
+MEAN_DECAY = 0.98
+# Maximum number of requests per hour that can be stored.
+MAX_COUNT = 0xFFFF_FFFF
 
 
 @dataclass(slots=True)
 class HourlySeries:
     """Consecutive hours of one route.
 
-    first_hour: int, hours since 1970, UTC.
-    requests: by hour.
-    coverage: by hour, the share of it that was counted, in units of 1 / `FULL_COVERAGE`; 0 where it is unknown.
-    core_us: float, processor time of a request, a running mean; 0 before the first run.
-    priority_weight: float, of a request, a running mean.
-    rejected_share: float, of the requests, a running mean.
+    Attributes:
+        first_hour: Hours since 1970, UTC.
+        requests: Requests by hour.
+        coverage: Counted share of each hour, in units of 1 / `FULL_COVERAGE`; 0 if unknown.
+        core_us: Running mean of the processor time per request; 0 before the first run.
+        priority_weight: Running mean of the priority weight per request.
+        rejected_share: Running mean of the share of rejected requests.
     """
 
     first_hour: int
@@ -37,7 +40,7 @@
     rejected_share: float = 0.0
 
     def append(self, hour: int, counts: DemandCounts, covered_share: float) -> None:
-        """Add an hour (since 1970, UTC). Hours between are unknown; one that is there already is left as it is."""
+        """Append an hour (since 1970, UTC). Skipped hours become unknown; an hour that exists is not changed."""
         gap = hour - self.first_hour - len(self.requests)
         if gap < 0:
             return
@@ -45,7 +48,7 @@
         self.requests.extend(unknown_hours)
         self.coverage.extend(unknown_hours)
         self.requests.append(min(counts.requests, MAX_COUNT))
-        # Rounded down: an hour of which a second is missing must not count as complete.
+        # Rounded down, so that an hour with a missing second does not count as complete.
         self.coverage.append(floor(FULL_COVERAGE * min(1.0, max(0.0, covered_share)) + 1e-9))
         if gap > MAX_HOURS:
             self.first_hour = hour - MAX_HOURS
@@ -69,9 +72,9 @@
             self.rejected_share = MEAN_DECAY * self.rejected_share + rejected_share
 
     def demand_since(self, hour: int) -> list[float]:
-        """Return what each hour from that one on would have had if all of it had been counted.
+        """Return the demand of each hour from `hour` on, scaled up to a completely counted hour.
 
-        NaN where less than half of it was.
+        NaN if less than half of an hour was counted.
         """
         start = max(0, hour - self.first_hour)
         return [
--- a/moorusher/forecasting/intraday_correction.py
+++ b/moorusher/forecasting/intraday_correction.py
@@ -1,4 +1,4 @@
-"""The correction of a week's forecast by the hours that have passed since it was made."""
+"""Correction of a weekly forecast by the demand of the hours since it was computed."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 from .time_units import HOURS_PER_WEEK
 from .weekly_forecast import WeeklyForecast
 
-PRIOR_REQUESTS = 20.0  # taken to have come as forecast: a few more or less say little
-HALF_LIFE_H = 6.0  # hours ahead after which half of a correction is left
+# Pseudo-count of requests that agree with the forecast. It keeps the correction small if few requests are expected.
+PRIOR_REQUESTS = 20.0
+# Lead time at which half of the logarithm of the correction is applied.
+HALF_LIFE_H = 6.0
 
 
 def correct_with_actuals(forecast: WeeklyForecast, actual: Mapping[str, list[float]]) -> WeeklyForecast:
-    """Return the forecast with each route's coming hours scaled by what its first hours had over their forecast.
+    """Return the forecast with the remaining hours of each route scaled by its actual over its forecast demand so far.
 
-    :param actual: by route, the demand of the hours from `first_hour` on; NaN where unknown.
+    :param actual: Demand of the hours from `first_hour` on, by route; NaN if unknown.
     """
     quantiles = forecast.quantiles.copy()
     for index, route in enumerate(forecast.routes):
--- a/moorusher/forecasting/ledger_codec.py
+++ b/moorusher/forecasting/ledger_codec.py
@@ -1,4 +1,4 @@
-"""The stored form of the ledger: the replicated state of the duty `forecast`."""
+"""Encoding of the ledger as the replicated state of the duty `forecast`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from .hourly_series import HourlySeries
 
 COMPRESSION_LEVEL = 6
-REQUESTS_BYTES = 4  # of an hour
-COVERAGE_BYTES = 1  # of an hour
+# Bytes per hour.
+REQUESTS_BYTES = 4
+COVERAGE_BYTES = 1
 
 
 class StoredSeries(msgspec.Struct, array_like=True):
-    """A series as it is stored, as an array. `hours`: compressed, all requests and then all coverages."""
+    """Stored form of a series. `hours`: compressed requests of all hours, followed by all coverages."""
 
     first_hour: int
     hours: bytes
@@ -27,9 +28,9 @@
 
 
 class StoredLedger(msgspec.Struct, array_like=True):
-    """A ledger as it is stored, as an array; see `DemandLedger` for the fields.
+    """Stored form of a ledger; see `DemandLedger` for the fields.
 
-    What changes seldom comes first, so that the chunks in which the state is replicated stay the same.
+    Fields that rarely change come first, so that most chunks of the replicated state stay the same.
     """
 
     series: dict[str, StoredSeries]
@@ -48,7 +49,7 @@
 
 
 class LedgerCodec:
-    """Reads and writes the stored form of one ledger; only series that have changed are compressed anew."""
+    """Encodes and decodes one ledger. Only series that have changed are compressed again."""
 
     def __init__(self, ledger: DemandLedger) -> None:
         self._ledger = ledger
@@ -56,9 +57,9 @@
         ledger.changed_routes.update(ledger.series)
 
     def compress_some(self, max_series: int) -> bool:
-        """Compress up to so many changed series. Return whether none is left.
+        """Compress at most `max_series` changed series. Return whether all are compressed.
 
-        Hundreds of routes change with each hour; compressing all in one turn would stop the reactor.
+        Hundreds of routes change each hour, and compressing all of them in one turn would block the reactor.
         """
         changed = self._ledger.changed_routes
         for route in list(changed)[:max_series]:
@@ -67,11 +68,11 @@
             if series is None:
                 self._compressed.pop(route, None)
             else:
-                self._compressed[route] = _compressed(series)
+                self._compressed[route] = _compress(series)
         return not changed
 
     def encode(self) -> bytes:
-        """Return the stored form of the ledger. Equal ledgers have the same bytes."""
+        """Return the stored form of the ledger. Equal ledgers are encoded as the same bytes."""
         ledger = self._ledger
         self.compress_some(len(ledger.changed_routes))
         buckets = sorted(ledger.open_buckets.items())
@@ -90,9 +91,9 @@
         )
 
     def decode(self, state: bytes) -> None:
-        """Fill the ledger, a new one, from its stored form; b"" is that of a ledger without reports.
+        """Fill the ledger, which must be new, from its stored form; b"" is a ledger without reports.
 
-        :raises ValueError: the state is damaged; the ledger is as before.
+        :raises ValueError: if the state is damaged; the ledger is unchanged.
         """
         if not state:
             return
@@ -100,7 +101,7 @@
             stored = _decoder.decode(state)
             for route in stored.series:
                 decode_key(route)
-            series = {route: _decompressed(one) for route, one in stored.series.items()}
+            series = {route: _decompress(stored_series) for route, stored_series in stored.series.items()}
         except (msgspec.MsgspecError, zlib.error) as error:
             raise ValueError(str(error)) from error
         self._compressed = stored.series
@@ -127,23 +128,24 @@
 
 
 def decode_ledger(state: bytes, zones: Mapping[str, str]) -> DemandLedger:
-    """Return the ledger of a stored form. `zones`: the seats of the cluster, with their zones.
+    """Return the ledger of a stored form.
 
-    :raises ValueError: the state is damaged.
+    :param zones: Zone of each seat of the cluster.
+    :raises ValueError: if the state is damaged.
     """
     ledger = DemandLedger(zones)
     LedgerCodec(ledger).decode(state)
     return ledger
 
 
-def _compressed(series: HourlySeries) -> StoredSeries:
+def _compress(series: HourlySeries) -> StoredSeries:
     hours = zlib.compress(series.requests.tobytes() + series.coverage.tobytes(), COMPRESSION_LEVEL)
     return StoredSeries(
         series.first_hour, hours, series.core_us, series.priority_weight, series.rejected_share
     )
 
 
-def _decompressed(stored: StoredSeries) -> HourlySeries:
+def _decompress(stored: StoredSeries) -> HourlySeries:
     hours = zlib.decompress(stored.hours)
     count, remainder = divmod(len(hours), REQUESTS_BYTES + COVERAGE_BYTES)
     if remainder:
--- a/moorusher/forecasting/level_adjustment.py
+++ b/moorusher/forecasting/level_adjustment.py
@@ -1,4 +1,4 @@
-"""A history brought to today's level: its level shifts and its trend are removed."""
+"""Adjustment of a history to the current level: removes its level shifts and its trend."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 class AdjustedHistory:
     """A history at the level of its last hour.
 
-    demand: (routes, hours), NaN where unknown.
-    trend: (routes, 1), of a week, as a logarithm.
-    log_shift: (routes, hours), the log of the level shifts after each hour, which were removed from it.
+    Attributes:
+        demand: Hourly demand, (routes, hours); NaN if unknown.
+        trend: Logarithm of the weekly growth factor, (routes, 1).
+        log_shift: Logarithm of the factor by which level shifts after each hour were removed from it, (routes, hours).
     """
 
     demand: Floats
@@ -27,7 +28,7 @@
 
 
 def adjust_to_current_level(history: Floats, hour_of_week: Ints) -> AdjustedHistory:
-    """Return the history without its level shifts and its trend. `history`: (routes, hours)."""
+    """Return the history, (routes, hours), without its level shifts and its trend."""
     unshifted = remove_level_shifts(history, hour_of_week)
     trend = weekly_trend(unshifted.demand, hour_of_week)
     weeks_back = np.arange(history.shape[1] - 1, -1, -1) / HOURS_PER_WEEK
--- a/moorusher/forecasting/level_shifts.py
+++ b/moorusher/forecasting/level_shifts.py
@@ -1,7 +1,7 @@
-"""Level shifts: abrupt, lasting changes of a route's demand, found in its daily levels (changepoint detection).
+"""Detection of level shifts: abrupt, lasting changes of a route's demand (changepoint detection on daily levels).
 
-A shift is a difference between the medians of the days before and after it that is large and that noise does not
-explain. Of several candidates the day counts whose split leaves the least scatter.
+A shift is a large and statistically significant difference between the medians of the days before and after it. Of
+several candidates, the day whose split removes the most scatter is selected.
 """
 
 from __future__ import annotations
@@ -14,27 +14,35 @@
 from .daily_levels import daily_levels
 from .time_units import HOURS_PER_DAY
 
-WINDOW_DAYS = 10  # compared on each side of a shift
+# Days on each side of a shift that are compared.
+WINDOW_DAYS = 10
 MIN_KNOWN_DAYS_IN_WINDOW_BEFORE = 7
 MIN_KNOWN_DAYS_IN_WINDOW_AFTER = 2
-MIN_KNOWN_DAYS_BEFORE = (
-    14  # in the whole history before a shift: within a single week, a weekend looks like one
-)
-MIN_SHIFT = 0.3  # as a logarithm
-MIN_Z_SCORE = 5.0  # difference of the medians over its standard error
-MAX_SHIFTS = 2  # of one route
-MIN_NOISE = 0.03  # standard deviation of a daily log level
-DEFAULT_NOISE = 0.1  # where it is unknown
-MAD_TO_SIGMA = 1.4826  # median absolute deviation to standard deviation, for normal noise
-MEDIAN_VARIANCE = 1.6  # of the median of n days, times n, over that of one day
+# Known days required in the whole history before a shift. In a single week, a weekend looks like a shift.
+MIN_KNOWN_DAYS_BEFORE = 14
+# Minimum absolute size of a shift, as a logarithm.
+MIN_SHIFT = 0.3
+# Minimum of the difference of the medians divided by its standard error.
+MIN_Z_SCORE = 5.0
+# Maximum number of shifts per route.
+MAX_SHIFTS = 2
+# Lower bound of the standard deviation of a daily log level.
+MIN_NOISE = 0.03
+# Standard deviation of a daily log level if it can't be estimated.
+DEFAULT_NOISE = 0.1
+# Converts the median absolute deviation of normal noise to its standard deviation.
+MAD_TO_SIGMA = 1.4826
+# Variance of the median of n days, in units of the variance of one day divided by n.
+MEDIAN_VARIANCE = 1.6
 
 
 @dataclass(frozen=True, slots=True)
 class UnshiftedHistory:
     """A history at the level after its last shift.
 
-    demand: (routes, hours), NaN where unknown.
-    log_shift: (routes, hours), the log of what each hour was multiplied by.
+    Attributes:
+        demand: Hourly demand, (routes, hours); NaN if unknown.
+        log_shift: Logarithm of the factor that each hour was multiplied by, (routes, hours).
     """
 
     demand: Floats
@@ -43,7 +51,7 @@
 
 @dataclass(slots=True)
 class _BestShift:
-    """The clearest shift of each route so far; `scatter_removed` is 0 where there is none."""
+    """Most significant shift of each route so far; `scatter_removed` is 0 if there is none."""
 
     scatter_removed: Floats
     log_size: Floats
@@ -52,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """The split at one day, for all routes. `valid`: routes for which it may be a shift."""
+    """Split at one day, for all routes. `valid`: whether the split qualifies as a shift, by route."""
 
     log_size: Floats
     scatter_removed: Floats
@@ -60,22 +68,28 @@
 
 
 def remove_level_shifts(history: Floats, hour_of_week: Ints) -> UnshiftedHistory:
-    """Return the history at the level after its last shift. `history`: (routes, hours), NaN where unknown."""
+    """Return the history at the level after its last shift.
+
+    :param history: Hourly demand, (routes, hours); NaN if unknown.
+    """
     demand = history.copy()
     log_shift = np.zeros_like(history)
     for _ in range(MAX_SHIFTS):
-        if not _remove_clearest_shift(demand, log_shift, hour_of_week):
+        if not _remove_most_significant_shift(demand, log_shift, hour_of_week):
             break
     return UnshiftedHistory(demand, log_shift)
 
 
-def _remove_clearest_shift(demand: Floats, log_shift: Floats, hour_of_week: Ints) -> bool:
-    """Scale, in place, what lies before the clearest shift of each route. Return False if no route has one."""
+def _remove_most_significant_shift(demand: Floats, log_shift: Floats, hour_of_week: Ints) -> bool:
+    """Scale, in place, the hours before the most significant shift of each route.
+
+    Return False if no route has a shift.
+    """
     levels = daily_levels(demand, hour_of_week)
     days = levels.log_level.shape[1]
     if days < MIN_KNOWN_DAYS_BEFORE + MIN_KNOWN_DAYS_IN_WINDOW_AFTER:
         return False
-    best = _clearest_shifts(levels.log_level, levels.requests)
+    best = _most_significant_shifts(levels.log_level, levels.requests)
     routes = np.flatnonzero(best.scatter_removed > 0)
     for route in routes:
         until = levels.first_hour + HOURS_PER_DAY * best.day[route]
@@ -84,7 +98,7 @@
     return bool(len(routes))
 
 
-def _clearest_shifts(log_level: Floats, requests: Floats) -> _BestShift:
+def _most_significant_shifts(log_level: Floats, requests: Floats) -> _BestShift:
     routes, days = log_level.shape
     best = _BestShift(np.zeros(routes), np.zeros(routes), np.zeros(routes, int))
     with np.errstate(all="ignore"):
@@ -99,7 +113,7 @@
 
 
 def _daily_noise(log_level: Floats, requests: Floats) -> Floats:
-    """The standard deviation of a route's daily log level: that observed from day to day, and that of a count."""
+    """Return the standard deviation of each route's daily log level: day-to-day noise plus counting noise."""
     steps = np.diff(log_level, axis=1)
     deviation = nan_median(np.abs(steps - nan_median(steps, 1)[:, None]), 1)
     observed = np.maximum(MAD_TO_SIGMA * deviation / np.sqrt(2), MIN_NOISE)
@@ -122,14 +136,14 @@
         & (known_days >= MIN_KNOWN_DAYS_BEFORE)
         & (days_after >= MIN_KNOWN_DAYS_IN_WINDOW_AFTER)
     )
-    unsplit = _scatter(log_level[:, window_start : day + WINDOW_DAYS])
+    unsplit_scatter = _scatter(log_level[:, window_start : day + WINDOW_DAYS])
     return _Candidate(
         log_size,
-        unsplit - _scatter(before) - _scatter(after),
+        unsplit_scatter - _scatter(before) - _scatter(after),
         enough_days & (np.abs(log_size) > MIN_SHIFT) & (z_score > MIN_Z_SCORE),
     )
 
 
 def _scatter(log_level: Floats) -> Floats:
-    """The sum of the absolute deviations from the median."""
+    """Return the sum of the absolute deviations from the median."""
     return np.asarray(np.nansum(np.abs(log_level - nan_median(log_level, 1)[:, None]), axis=1))
--- a/moorusher/forecasting/models.py
+++ b/moorusher/forecasting/models.py
@@ -1,4 +1,4 @@
-"""The models: each takes a training window and returns the next 168 hours of all its routes, (routes, 168)."""
+"""Forecast models: each takes a training window and returns the next 168 hours of all its routes, (routes, 168)."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from .time_units import HOURS_PER_DAY, HOURS_PER_WEEK
 from .training_window import TrainingWindow
 
-TREND_DAMPING = 0.7  # trend of a week, over that of the week before it (a damped trend)
+# Ratio of the trend of a forecast week to that of the week before it (damped trend).
+TREND_DAMPING = 0.7
 MEDIAN_WEEKS = 4
 
 Model = Callable[[TrainingWindow], Floats]
 
 
 def seasonal_naive(window: TrainingWindow) -> Floats:
-    """Return the same hour of the last week in which it is known; 0 where it never was."""
+    """Return the demand of the same hour in the last week in which it is known; 0 if it is never known."""
     return _seasonal_naive(window.demand, window)
 
 
@@ -31,18 +32,18 @@
 
 
 def seasonal_median(window: TrainingWindow) -> Floats:
-    """Return the median of the same hour of the last four weeks, at today's level."""
+    """Return the median of the same hour over the last four weeks, at the current level."""
     demand = window.adjusted.demand
     with np.errstate(all="ignore"):
         median = nan_median(by_week(demand, window.past_hour_of_week)[:, -MEDIAN_WEEKS:], 1)
-    ahead = median[:, window.horizon_hour_of_week]
-    return np.where(np.isfinite(ahead), ahead, _seasonal_naive(demand, window))
+    forecast = median[:, window.horizon_hour_of_week]
+    return np.where(np.isfinite(forecast), forecast, _seasonal_naive(demand, window))
 
 
 def profile_and_level(window: TrainingWindow, half_life_days: float, with_trend: bool = True) -> Floats:
-    """Return the seasonal profile times the level of the last days, with a damped trend.
+    """Return the seasonal profile times the current level, with a damped trend.
 
-    :param half_life_days: after which a day counts half for the level (exponential smoothing).
+    :param half_life_days: Age at which a day has half weight in the level (exponential smoothing).
     """
     level = _current_level(window, half_life_days)
     forecast = level * window.profile[:, window.horizon_hour_of_week]
@@ -54,7 +55,7 @@
 
 
 def _current_level(window: TrainingWindow, half_life_days: float) -> Floats:
-    """(routes, 1): counted over what the profile expects, weighted by age; 0 where nothing is known."""
+    """Return counted over expected requests, weighted by age, (routes, 1); 0 if nothing is known."""
     demand = window.adjusted.demand
     hours_back = np.arange(demand.shape[1] - 1, -1, -1)
     decay = 0.5 ** (hours_back / (HOURS_PER_DAY * half_life_days))
@@ -69,8 +70,9 @@
     return lambda window: profile_and_level(window, half_life_days, with_trend)
 
 
-BASELINE = "same hour last week"  # the seasonal naive model: what every other one has to beat
-# By the names that the administration API tells.
+# Name of the seasonal naive model, which the combination of models has to beat.
+BASELINE = "same hour last week"
+# Models by name. The administration API shows these names.
 MODELS: dict[str, Model] = {
     BASELINE: seasonal_naive,
     "usual hour of four weeks": seasonal_median,
--- a/moorusher/forecasting/outliers.py
+++ b/moorusher/forecasting/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier detection: hours of outages and of floods, which say nothing of the usual demand.
+"""Outlier detection: hours with an outage or a traffic spike, which do not represent the usual demand.
 
 An hour is compared with the same hour of the customer's other weeks, each scaled to the level of its own week. An
-anomaly that lasts longer than two days is no outlier: the level has shifted.
+anomaly that lasts longer than two days is a level shift and not an outlier.
 """
 
 from __future__ import annotations
@@ -11,17 +11,26 @@
 from .arrays import Bools, Floats, Ints, nan_median
 from .seasonality import by_week, weeks_before_end
 
-LOW_RATIO = 0.25  # of the expected demand, below which an hour may be an outage
-HIGH_RATIO = 2.5  # of the expected demand, above which an hour may be a flood
-MIN_SIGMAS = 6.0  # standard deviations of a count; a smaller difference may be chance
-MIN_REQUESTS = 2  # difference beyond those deviations
-MAX_OUTLIER_HOURS = 48  # of a run; a longer one is a shift of the level
-MAX_GAP_HOURS = 14  # between two anomalous hours of one run
-MIN_RUN_DENSITY = 0.3  # share of the hours of a long run that are anomalous
+# Ratio of actual to expected demand below which an hour may be an outage.
+LOW_RATIO = 0.25
+# Ratio of actual to expected demand above which an hour may be a traffic spike.
+HIGH_RATIO = 2.5
+# An outlier differs from the expected count by more than this many standard deviations plus `MIN_REQUESTS`.
+MIN_SIGMAS = 6.0
+MIN_REQUESTS = 2
+# Maximum length of an anomalous period. A longer one is a level shift.
+MAX_OUTLIER_HOURS = 48
+# Maximum gap between two anomalous hours of the same period.
+MAX_GAP_HOURS = 14
+# Minimum share of anomalous hours in a long period that is treated as a level shift.
+MIN_PERIOD_DENSITY = 0.3
 
 
 def outlier_hours(history: Floats, hour_of_week: Ints) -> Bools:
-    """Return which hours are outliers. `history`: (routes, hours), NaN where unknown."""
+    """Return which hours are outliers.
+
+    :param history: Hourly demand, (routes, hours); NaN if unknown.
+    """
     weeks = by_week(history, hour_of_week)
     if weeks.shape[1] < 2:
         return np.zeros(history.shape, bool)
@@ -30,15 +39,15 @@
     ]
     with np.errstate(all="ignore"):
         noise = np.sqrt(np.maximum(expected, 1.0))
-        is_far = np.abs(history - expected) > MIN_SIGMAS * noise + MIN_REQUESTS
+        is_significant = np.abs(history - expected) > MIN_SIGMAS * noise + MIN_REQUESTS
         is_low = history < LOW_RATIO * expected
         is_high = history > HIGH_RATIO * np.maximum(expected, 1.0)
-        anomalous = is_far & (is_low | is_high)
-    return _without_long_runs(np.where(np.isfinite(history) & np.isfinite(expected), anomalous, False))
+        anomalous = is_significant & (is_low | is_high)
+    return _exclude_long_periods(np.where(np.isfinite(history) & np.isfinite(expected), anomalous, False))
 
 
 def _expected_by_week(weeks: Floats) -> Floats:
-    """Each hour's median over the other weeks, at the level of its own week."""
+    """Return the median of each hour over the other weeks, at the level of its own week."""
     with np.errstate(all="ignore"):
         level = nan_median(np.where(weeks > 0, weeks, np.nan), 2)[:, :, None]
         level = np.where(np.isfinite(level) & (level > 0), level, 1.0)
@@ -52,16 +61,16 @@
     return medians
 
 
-def _without_long_runs(anomalous: Bools) -> Bools:
-    """Leave out shifts of the level: long runs without a wide gap, of which a good share of the hours is anomalous.
+def _exclude_long_periods(anomalous: Bools) -> Bools:
+    """Exclude level shifts: long periods without a wide gap and with a sufficient share of anomalous hours.
 
-    Not each hour of a shifted level is anomalous: at night the counts are too small to tell.
+    Not every hour after a level shift is anomalous, since counts at night are too small to be significant.
     """
     outliers = anomalous.copy()
     for route in np.flatnonzero(anomalous.any(axis=1)):
         hours = np.flatnonzero(anomalous[route])
-        for run in np.split(hours, np.flatnonzero(np.diff(hours) > MAX_GAP_HOURS) + 1):
-            length = run[-1] - run[0] + 1
-            if length > MAX_OUTLIER_HOURS and len(run) >= MIN_RUN_DENSITY * length:
-                outliers[route, run] = False
+        for period in np.split(hours, np.flatnonzero(np.diff(hours) > MAX_GAP_HOURS) + 1):
+            length = period[-1] - period[0] + 1
+            if length > MAX_OUTLIER_HOURS and len(period) >= MIN_PERIOD_DENSITY * length:
+                outliers[route, period] = False
     return outliers
--- a/moorusher/forecasting/policy.py
+++ b/moorusher/forecasting/policy.py
@@ -1,4 +1,4 @@
-"""Settings of the forecast, as read from `[forecast]` in the operator's file. Imports nothing else of the package."""
+"""Settings of the forecast, read from `[forecast]` in the operator's file. Imports no other module of the package."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Calendar:
-    """A customer's calendar.
+    """Calendar of a customer.
 
-    time_zone: str, its name in the IANA database.
-    day_types: the type of each special day, such as "holiday", by ISO date.
+    Attributes:
+        time_zone: Name of the time zone in the IANA database.
+        day_types: Type of each special day, such as "holiday", by ISO date.
     """
 
     time_zone: str = "UTC"
@@ -20,17 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalingPolicy:
-    """Bounds of the scaling hints.
-
-    receiver: host and port of the service that starts and stops runners; None where hints are not sent.
-    cores_per_runner: float.
-    target_utilization: float, share of the cores that is planned to be used.
-    min_runners, max_runners: int, of one zone.
-    startup_min: float, minutes from the start of a runner until it is warmed up.
-    scale_down_delay_h: float, hours for which fewer runners must have been enough before one is stopped.
-    validity_min: float, minutes after which hints expire.
-    priority_threshold: float, priority weight of a request from which the 0.99 quantile is planned for; below it, the
-        0.9 quantile.
+    """Parameters and bounds of the scaling hints.
+
+    Attributes:
+        receiver: Host and port of the service that starts and stops runners; None if hints are not sent.
+        cores_per_runner: Cores of a runner.
+        target_utilization: Planned utilization of the cores, as a share.
+        min_runners: Minimum number of runners per zone.
+        max_runners: Maximum number of runners per zone.
+        startup_min: Minutes from the start of a runner until it is warmed up.
+        scale_down_delay_h: Hours for which fewer runners must have sufficed before one is stopped.
+        validity_min: Minutes after which hints expire.
+        priority_threshold: Mean priority weight of a request from which the 0.99 quantile of the demand is planned for,
+            instead of the 0.9 quantile.
     """
 
     receiver: tuple[str, int] | None = None
@@ -46,12 +49,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ForecastPolicy:
-    """The operator's settings of the forecast; `config/forecast.py` reads and checks them.
+    """The operator's settings of the forecast; `config/forecast.py` reads and validates them.
 
-    report_interval_ms: float, between two demand reports of a runner.
-    save_interval_ms: float, between two updates of the replicated state by the leader.
-    max_routes: int, routes that are forecast.
-    calendars: by customer.
+    Attributes:
+        enabled: Whether this runner takes part in the forecast.
+        report_interval_ms: Time between two demand reports of a runner.
+        save_interval_ms: Time between two updates of the replicated state by the leader.
+        max_routes: Maximum number of routes that are forecast.
+        calendars: Calendars by customer.
+        scaling: Parameters of the scaling hints.
     """
 
     enabled: bool = False
--- a/moorusher/forecasting/preprocessing.py
+++ b/moorusher/forecasting/preprocessing.py
@@ -1,4 +1,4 @@
-"""From counts to a training history: hours that say nothing of the demand become NaN."""
+"""Conversion of counts to a training history: hours that do not represent the demand become NaN."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 from .arrays import Floats, Ints
 from .outliers import outlier_hours
 
-MIN_COVERAGE = 0.5  # share of an hour that was counted, below which its count says nothing
+# Counted share of an hour below which its demand is unknown.
+MIN_COVERAGE = 0.5
 
 
 def scale_to_full_hours(requests: Floats, coverage: Floats) -> Floats:
-    """Return what each hour would have had if all of it had been counted; NaN where too little was.
+    """Return the requests scaled up to completely counted hours; NaN if too little of an hour was counted.
 
-    :param requests: (routes, hours), as counted.
-    :param coverage: (routes, hours), the share of each hour that was counted.
+    :param requests: Counted requests, (routes, hours).
+    :param coverage: Counted share of each hour, (routes, hours).
     """
     return np.where(coverage >= MIN_COVERAGE, requests / np.maximum(coverage, MIN_COVERAGE), np.nan)
 
 
 def mask_before_first_request(history: Floats) -> Floats:
-    """Return the history with NaN before the first request of each route: until then the route did not exist."""
+    """Return the history with NaN before the first request of each route, when the route did not exist."""
     has_requests = np.nan_to_num(history) > 0
     hours = history.shape[1]
     first = np.where(has_requests.any(axis=1), has_requests.argmax(axis=1), hours)
@@ -28,6 +29,6 @@
 
 
 def training_history(requests: Floats, coverage: Floats, hour_of_week: Ints) -> Floats:
-    """Return the history to train on: NaN where the demand is unknown, and for outages and floods."""
+    """Return the history to train on, with NaN for unknown demand, outages and traffic spikes."""
     history = mask_before_first_request(scale_to_full_hours(requests, coverage))
     return np.where(outlier_hours(history, hour_of_week), np.nan, history)
--- a/moorusher/forecasting/quantile_levels.py
+++ b/moorusher/forecasting/quantile_levels.py
@@ -1,4 +1,4 @@
-"""The quantiles that are forecast, and their indexes in arrays. Imports no numpy."""
+"""Quantiles that are forecast, and their indexes in arrays. Does not import numpy."""
 
 from __future__ import annotations
 
--- a/moorusher/forecasting/scaling_hints.py
+++ b/moorusher/forecasting/scaling_hints.py
@@ -1,6 +1,7 @@
-"""Scaling hints: how many runners each zone needs in the coming hours, with a reason for each step.
+"""Scaling hints: the number of runners that each zone needs in the next hours, with a reason for each change.
 
-Runners are added early, as they need time to start and warm up, and removed late: a dip between two peaks removes none.
+Runners are added early, because they need time to start and warm up. They are removed late, so that a dip between two
+peaks removes none.
 """
 
 from __future__ import annotations
@@ -14,17 +15,19 @@
 from .policy import ScalingPolicy
 from .time_units import MINUTES_PER_HOUR, MS_PER_MINUTE, SECONDS_PER_HOUR, US_PER_SECOND
 
-ROUNDING_TOLERANCE = 1e-9  # runners; a sum of floats just above a whole number needs no further one
+# In runners. Avoids an extra runner if rounding errors put a sum just above a whole number.
+ROUNDING_TOLERANCE = 1e-9
 
 
 class ScalingHint(msgspec.Struct, frozen=True):
-    """How many runners a zone needs from an hour on. Sent and shown as JSON under the names given by `field`.
-
-    zone: str.
-    from_hour: int, hours since 1970, UTC.
-    runners: int, until the next hint of the zone, or until the hints expire.
-    cores: float, that the demand needs in that hour.
-    reason: str, for operators.
+    """Number of runners that a zone needs from an hour on. JSON uses the names given by `field`.
+
+    Attributes:
+        zone: Name of the zone.
+        from_hour: Hours since 1970, UTC.
+        runners: Number of runners until the zone's next hint, or until the hints expire.
+        cores: Cores that the demand needs in that hour.
+        reason: Reason for operators.
     """
 
     zone: str
@@ -35,11 +38,13 @@
 
 
 class ScalingHints(msgspec.Struct, frozen=True):
-    """The hints for all zones. Sent and shown as JSON under the names given by `field`.
+    """The hints for all zones. JSON uses the names given by `field`.
 
-    created_ms, expires_ms: int, Unix time.
-    hints: in the order of the zones, and of the hours within each.
-    skipped_zones: zones without hints, with the reason.
+    Attributes:
+        created_ms: Unix time of creation.
+        expires_ms: Unix time after which the hints must not be used.
+        hints: Hints ordered by zone, and by hour within a zone.
+        skipped_zones: Zones without hints, with the reason.
     """
 
     created_ms: int = msgspec.field(name="made_ms")
@@ -50,11 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteDemand:
-    """The forecast demand of one route in one zone.
+    """Forecast demand of one route in one zone.
 
-    label: str, as operators read it.
-    requests_per_hour: by hour, at the quantile that its priority asks for.
-    core_us: float, processor time of a request; 0 where it was never measured.
+    Attributes:
+        label: Readable name of the route, for operators.
+        zone: Name of the zone.
+        requests_per_hour: Requests by hour, at the quantile for the route's priority.
+        core_us: Processor time per request; 0 if it was never measured.
     """
 
     label: str
@@ -64,7 +71,7 @@
 
 
 def required_cores(demands: Sequence[RouteDemand]) -> list[float]:
-    """Return the cores that all routes keep busy together, by hour."""
+    """Return the number of cores that all routes together keep busy, by hour."""
     hours = max((len(demand.requests_per_hour) for demand in demands), default=0)
     return [
         sum(
@@ -79,20 +86,20 @@
 
 
 def required_runners(cores: Sequence[float], policy: ScalingPolicy) -> list[int]:
-    """Return the runners to have by hour, for the cores that are needed by hour.
+    """Return the number of runners to run by hour, for the cores that are needed by hour.
 
-    The maximum over the hours in which a runner started now warms up, and over the hours for which fewer must have been
-    enough before one is stopped.
+    It is the maximum over the hours in which a runner that is started now warms up, and over the past hours of
+    `scale_down_delay_h`.
     """
     usable_cores = policy.cores_per_runner * policy.target_utilization
-    wanted = [
+    required = [
         min(policy.max_runners, max(policy.min_runners, ceil(needed / usable_cores - ROUNDING_TOLERANCE)))
         for needed in cores
     ]
     startup_hours = max(1, ceil(policy.startup_min / MINUTES_PER_HOUR))
-    early = [max(wanted[hour : hour + startup_hours + 1]) for hour in range(len(wanted))]
+    with_startup = [max(required[hour : hour + startup_hours + 1]) for hour in range(len(required))]
     delay_hours = max(0, round(policy.scale_down_delay_h))
-    return [max(early[max(0, hour - delay_hours) : hour + 1]) for hour in range(len(early))]
+    return [max(with_startup[max(0, hour - delay_hours) : hour + 1]) for hour in range(len(with_startup))]
 
 
 def make_hints(
@@ -105,12 +112,12 @@
 ) -> ScalingHints:
     """Return the hints for the hours from `first_hour` (since 1970, UTC) on.
 
-    A zone has none if the processor time of one of its forecast routes was never measured: that route would count as
-    costing nothing, and the hints would ask for fewer runners than its demand needs.
+    A zone is skipped if the processor time of one of its forecast routes was never measured: the route would count as
+    free of cost, and the hints would request fewer runners than its demand needs.
 
     :param now_ms: Unix time.
-    :param skipped_zones: zones without a forecast, with the reason; those are added of which a route was not measured.
-    :param running: runners of each zone now.
+    :param skipped_zones: Zones without a forecast, with the reason; zones with an unmeasured route are added to them.
+    :param running: Current number of runners by zone.
     """
     hints: list[ScalingHint] = []
     skipped = dict(skipped_zones)
@@ -128,7 +135,7 @@
 def _hints_of_zone(
     demands: Sequence[RouteDemand], first_hour: int, policy: ScalingPolicy, running: int
 ) -> list[ScalingHint]:
-    """One hint for each hour in which the number of runners changes."""
+    """Return one hint for each hour in which the number of runners changes."""
     cores = required_cores(demands)
     largest = max(demands, key=lambda demand: sum(demand.requests_per_hour) * demand.core_us)
     hints: list[ScalingHint] = []
@@ -144,7 +151,7 @@
 
 
 def _scale_up_reason(cores: Sequence[float], hour: int, largest: RouteDemand, policy: ScalingPolicy) -> str:
-    """Name the peak that the runners are for, within the time that they need to start."""
+    """Return a reason that names the peak demand within the startup time, for which runners are added."""
     end = min(len(cores), hour + 2 + ceil(policy.startup_min / MINUTES_PER_HOUR))
     peak = max(range(hour, end), key=lambda index: cores[index])
     return f"{cores[peak]:.2f} cores in {peak - hour} h, most of them for {largest.label}"
--- a/moorusher/forecasting/seasonal_profile.py
+++ b/moorusher/forecasting/seasonal_profile.py
@@ -1,8 +1,8 @@
-"""The seasonal profile of a week: which share of a week's demand falls on which hour.
+"""Weekly seasonal profile: the distribution of a week's demand over its hours.
 
-The profile changes slowly and the level quickly, so profiles are estimated from weeks at their own levels. As there are
-few weeks, estimates are shrunk (James and Stein): each hour towards what the days of its kind have in common, as far as
-the weeks differ by no more than noise.
+The profile changes slowly and the level quickly, so the profile is estimated from weeks that are divided by their own
+levels. There are few weeks, so the estimates are shrunk (James-Stein): each hour towards the common profile of working
+days or of the weekend, unless the difference exceeds noise.
 """
 
 from __future__ import annotations
@@ -14,22 +14,28 @@
 from .seasonality import by_week
 from .time_units import DAYS_PER_WEEK, HOURS_PER_DAY, HOURS_PER_WEEK
 
-WEEKLY_DECAY = 0.88  # weight of a week, over that of the week after it
-# Share of an hour's noise that the hours of its day have in common: hours of a day rise and fall together, so the noise
-# of a day's level is not a 24th of theirs.
+# Weight of a week, relative to that of the week after it.
+WEEKLY_DECAY = 0.88
+# Share of an hour's noise variance that all hours of a day have in common. The hours of a day rise and fall together,
+# so the noise variance of a day's level is more than 1/24 of an hour's.
 SHARED_DAY_NOISE = 0.5
-WORKING_DAYS = slice(0, 5)  # from Monday on
+# Days of the week, where 0 is Monday.
+WORKING_DAYS = slice(0, 5)
 WEEKEND = slice(5, 7)
-MIN_HOUR = 0.2  # of a profile with a mean of 1, for the variance of an hour that is hardly known
-MIN_COMMON_HOUR = 0.05  # of such a profile, where something is divided by it
-TINY = 1e-12  # keeps a variance in a denominator above 0
+# Lower bound of an hour of the profile (mean 1) in the variance of an hour that is known in few weeks.
+MIN_HOUR = 0.2
+# Lower bound of an hour of the common profile (mean 1) when it is used as a divisor.
+MIN_COMMON_HOUR = 0.05
+# Lower bound of a variance in a denominator.
+MIN_VARIANCE = 1e-12
+# Lower bound of a day's level in a denominator.
 MIN_DAY_LEVEL = 1e-9
 
 
 def seasonal_profile(history: Floats, hour_of_week: Ints) -> Floats:
-    """Return the weekly profile of each route, (routes, 168) with a mean of 1.
+    """Return the weekly profile of each route with a mean of 1, (routes, 168).
 
-    :param history: (routes, hours) at one level, NaN where unknown.
+    :param history: Hourly demand at one level, (routes, hours); NaN if unknown.
     """
     weeks = by_week(history, hour_of_week)
     weeks_back = np.arange(weeks.shape[1] - 1, -1, -1)
@@ -45,7 +51,7 @@
 
 
 def _variance_of_mean(relative: Floats, mean: Floats, weights: Floats) -> Floats:
-    """The variance of each hour's mean over the weeks; pooled with its neighbours, as weeks are few."""
+    """Return the variance of each hour's mean over the weeks, pooled with adjacent hours because weeks are few."""
     known_weights = np.where(np.isfinite(relative), weights, 0.0)
     total = known_weights.sum(axis=1)
     effective_weeks = ratio_or(total**2, (known_weights**2).sum(axis=1), 0.0)
@@ -60,7 +66,7 @@
 
 
 def _shrink(observed: Floats, common: Floats, variance: Floats) -> Floats:
-    """Keep of the difference from the common profile as much as exceeds noise."""
+    """Shrink the observed profile towards the common one, retaining the part of the difference that exceeds noise."""
     scale = np.maximum(common, MIN_COMMON_HOUR)
     difference = (((observed - common) / scale) ** 2).mean(axis=1, keepdims=True)
     noise = (variance / scale**2).mean(axis=1, keepdims=True)
@@ -68,32 +74,32 @@
 
 
 def _signal_share(variance: Floats, noise: Floats) -> Floats:
-    """The share of a variance that is not noise."""
-    return np.asarray(np.maximum(0.0, variance - noise) / np.maximum(variance, TINY))
+    """Return the share of a variance that is not noise."""
+    return np.asarray(np.maximum(0.0, variance - noise) / np.maximum(variance, MIN_VARIANCE))
 
 
 def _common_profile(observed: Floats, variance: Floats) -> Floats:
-    """The profile if all working days, and both days of the weekend, had the same course at levels of their own."""
+    """Return the profile if all working days, and both days of the weekend, differed only in their levels."""
     routes = observed.shape[0]
     days = observed.reshape(routes, DAYS_PER_WEEK, HOURS_PER_DAY)
     day_variance = variance.reshape(routes, DAYS_PER_WEEK, HOURS_PER_DAY)
     common = np.empty_like(days)
-    for kind in (WORKING_DAYS, WEEKEND):
-        common[:, kind] = _common_days(days[:, kind], day_variance[:, kind])
+    for day_group in (WORKING_DAYS, WEEKEND):
+        common[:, day_group] = _common_day_profile(days[:, day_group], day_variance[:, day_group])
     return common.reshape(routes, HOURS_PER_WEEK)
 
 
-def _common_days(days: Floats, variance: Floats) -> Floats:
-    """The days' levels, shrunk towards each other, times their common course, shrunk to a smooth one."""
+def _common_day_profile(days: Floats, variance: Floats) -> Floats:
+    """Return the days' levels, shrunk towards their mean, times the days' common shape, shrunk to a smoothed one."""
     level = days.mean(axis=2, keepdims=True)
     mean_level = level.mean(axis=1, keepdims=True)
     level_variance = ((level - mean_level) ** 2).mean(axis=1, keepdims=True)
     mean_variance = variance.mean(axis=(1, 2), keepdims=True)
-    level_trust = _signal_share(level_variance, mean_variance * SHARED_DAY_NOISE)
-    course = days.mean(axis=1, keepdims=True) / np.maximum(mean_level, MIN_DAY_LEVEL)
-    smooth = (np.roll(course, 1, axis=2) + 2 * course + np.roll(course, -1, axis=2)) / 4
-    roughness = ((course - smooth) ** 2).mean(axis=2, keepdims=True)
-    course_noise = mean_variance / days.shape[1] / np.maximum(mean_level, MIN_DAY_LEVEL) ** 2
-    course_trust = _signal_share(roughness, course_noise)
-    shrunk_level = mean_level + level_trust * (level - mean_level)
-    return np.asarray(shrunk_level * (smooth + course_trust * (course - smooth)))
+    level_weight = _signal_share(level_variance, mean_variance * SHARED_DAY_NOISE)
+    daily_shape = days.mean(axis=1, keepdims=True) / np.maximum(mean_level, MIN_DAY_LEVEL)
+    smooth_shape = (np.roll(daily_shape, 1, axis=2) + 2 * daily_shape + np.roll(daily_shape, -1, axis=2)) / 4
+    roughness = ((daily_shape - smooth_shape) ** 2).mean(axis=2, keepdims=True)
+    shape_noise = mean_variance / days.shape[1] / np.maximum(mean_level, MIN_DAY_LEVEL) ** 2
+    shape_weight = _signal_share(roughness, shape_noise)
+    shrunk_level = mean_level + level_weight * (level - mean_level)
+    return np.asarray(shrunk_level * (smooth_shape + shape_weight * (daily_shape - smooth_shape)))
--- a/moorusher/forecasting/seasonality.py
+++ b/moorusher/forecasting/seasonality.py
@@ -1,6 +1,7 @@
-"""The weekly season: the hours of a week in the customer's time zone, and the special days of its calendar.
+"""Weekly seasonality: the hours of a week in the customer's time zone, and the special days of its calendar.
 
-Daylight saving time: an hour that the clocks skip does not occur in that week, one that they repeat occurs twice.
+With daylight saving time, an hour that the clocks skip is missing in that week, and an hour that they repeat occurs
+twice.
 """
 
 from __future__ import annotations
@@ -15,15 +16,16 @@
 from .time_units import HOURS_PER_DAY, HOURS_PER_WEEK, SECONDS_PER_HOUR
 from .time_zones import time_zone
 
-ORDINARY_DAY = 0  # index of the type of a day that is not in the calendar
+ORDINARY_DAY = 0  # Index of the type of days that are not in the calendar.
 
 
 @dataclass(frozen=True, slots=True)
 class DayTypes:
-    """The types of days in a range of hours.
+    """Types of the days in a range of hours.
 
-    names: of the types by their index; "" at `ORDINARY_DAY`.
-    by_hour: for each hour, the index of its day's type.
+    Attributes:
+        names: Names of the types by index; "" at `ORDINARY_DAY`.
+        by_hour: Index of the day's type, for each hour.
     """
 
     names: tuple[str, ...]
@@ -31,22 +33,25 @@
 
 
 def hours_of_week(first_hour: int, count: int, zone_name: str) -> Ints:
-    """Return the hour of the week, 0 to 167 from Monday 0:00 in that time zone, of consecutive hours.
+    """Return the hour of the week for consecutive hours: 0 to 167 from Monday 0:00 in the time zone.
 
-    :param first_hour: hours since 1970, UTC.
-    :raises ValueError: there is no such time zone.
+    :param first_hour: Hours since 1970, UTC.
+    :raises ValueError: if the time zone does not exist.
     """
     zone = time_zone(zone_name)
     hours = np.empty(count, np.int64)
     start = _start_of(first_hour)
-    for done in range(0, count, HOURS_PER_DAY):
-        length = min(HOURS_PER_DAY, count - done)
-        hours[done : done + length] = _hours_of_day(start + timedelta(hours=done), length, zone)
+    for offset in range(0, count, HOURS_PER_DAY):
+        length = min(HOURS_PER_DAY, count - offset)
+        hours[offset : offset + length] = _hours_of_day(start + timedelta(hours=offset), length, zone)
     return hours
 
 
 def _hours_of_day(start: datetime, length: int, zone: tzinfo) -> Ints:
-    """At most a day from `start` on: looked up hour by hour only if the offset from UTC changes within it."""
+    """Return the hours of the week for at most a day from `start` on.
+
+    Each hour is converted separately only if the offset from UTC changes within the day.
+    """
     first = start.astimezone(zone)
     last = (start + timedelta(hours=length - 1)).astimezone(zone)
     if first.utcoffset() == last.utcoffset():
@@ -66,9 +71,9 @@
 
 
 def day_types(first_hour: int, count: int, calendar: Calendar) -> DayTypes:
-    """Return the types of the days in which consecutive hours lie, by the customer's midnight.
+    """Return the types of the days of consecutive hours; days begin at midnight in the customer's time zone.
 
-    :param first_hour: hours since 1970, UTC.
+    :param first_hour: Hours since 1970, UTC.
     """
     names = ("", *sorted(set(calendar.day_types.values())))
     by_hour = np.full(count, ORDINARY_DAY, np.int64)
@@ -84,14 +89,14 @@
 
 
 def weeks_before_end(hours: int) -> Ints:
-    """Return for each hour of a history how many whole weeks before its end it lies."""
+    """Return for each hour of a history the number of whole weeks from it to the end of the history."""
     return np.asarray((hours - 1 - np.arange(hours)) // HOURS_PER_WEEK)
 
 
 def by_week(history: Floats, hour_of_week: Ints) -> Floats:
-    """Return a history of (routes, hours) as (routes, weeks, 168), the newest week last; NaN where there is none.
+    """Return a history, (routes, hours), by week, (routes, weeks, 168), newest week last; NaN for missing hours.
 
-    Of an hour that the clocks repeat, the later one counts; one that they skip is NaN.
+    If the clocks repeat an hour, the later one is used; an hour that they skip is NaN.
     """
     routes, hours = history.shape
     weeks = -(-hours // HOURS_PER_WEEK)
--- a/moorusher/forecasting/time_units.py
+++ b/moorusher/forecasting/time_units.py
@@ -1,4 +1,4 @@
-"""Units of time that the whole package shares; it imports nothing, and so no numpy."""
+"""Time units of the package. Imports no numpy, so that all members can import it."""
 
 from __future__ import annotations
 
--- a/moorusher/forecasting/time_zones.py
+++ b/moorusher/forecasting/time_zones.py
@@ -1,4 +1,4 @@
-"""Time zones by their names."""
+"""Lookup of time zones by name."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def time_zone(name: str) -> ZoneInfo:
-    """Return the time zone of that name in the IANA database.
+    """Return the time zone with that name in the IANA database.
 
-    :raises ValueError: there is none.
+    :raises ValueError: if the time zone does not exist.
     """
     try:
         return ZoneInfo(name)
--- a/moorusher/forecasting/training_window.py
+++ b/moorusher/forecasting/training_window.py
@@ -1,4 +1,4 @@
-"""What a model may use: the history up to a forecast origin, and which hours of the week it covers."""
+"""Input of a model: the history up to a forecast origin, and the hours of the week."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 @dataclass(frozen=True)
 class TrainingWindow:
-    """A history that ends at the forecast origin.
+    """History that ends at the forecast origin.
 
-    demand: (routes, hours), requests; NaN where unknown.
-    hour_of_week: of those hours and of the 168 of the horizon.
+    Attributes:
+        demand: Requests, (routes, hours); NaN if unknown.
+        hour_of_week: Hour of the week of these hours and of the 168 hours after the origin.
     """
 
     demand: Floats
@@ -24,18 +25,18 @@
 
     @property
     def past_hour_of_week(self) -> Ints:
-        """Of the hours of the history."""
+        """Hour of the week of each hour of the history."""
         return self.hour_of_week[: self.demand.shape[1]]
 
     @property
     def horizon_hour_of_week(self) -> Ints:
-        """Of the 168 hours after the origin."""
+        """Hour of the week of each of the 168 hours after the origin."""
         origin = self.demand.shape[1]
         return self.hour_of_week[origin : origin + HOURS_PER_WEEK]
 
     @cached_property
     def adjusted(self) -> AdjustedHistory:
-        """The history at today's level."""
+        """The history at the current level."""
         return adjust_to_current_level(self.demand, self.past_hour_of_week)
 
     @cached_property
--- a/moorusher/forecasting/trend.py
+++ b/moorusher/forecasting/trend.py
@@ -1,4 +1,4 @@
-"""Trend: the growth of a route's demand, a week, as a logarithm."""
+"""Estimation of the trend: the logarithm of the weekly growth factor of a route's demand."""
 
 from __future__ import annotations
 
@@ -8,17 +8,19 @@
 from .daily_levels import daily_levels
 from .time_units import DAYS_PER_WEEK
 
-MAX_TREND = 0.25  # a week, as a logarithm
+# Maximum absolute trend, as a logarithm of the weekly growth factor.
+MAX_TREND = 0.25
+# Known days that are required to estimate a trend.
 MIN_TREND_DAYS = 21
-# Errors of consecutive days are correlated where the level wanders: the variance of a slope is that many times the one
-# that independent errors would have.
+# Errors of consecutive days are correlated if the level drifts, so the variance of the slope is larger by this factor
+# than with independent errors.
 VARIANCE_INFLATION = 10.0
 
 
 def weekly_trend(history: Floats, hour_of_week: Ints) -> Floats:
-    """Return the trend of each route, (routes, 1): the slope through its daily levels.
+    """Return the trend of each route, (routes, 1): the slope of a line fitted to its daily levels.
 
-    The slope is shrunk towards none by its own variance (James and Stein), and is none where too few days are known.
+    The slope is shrunk towards 0 according to its variance (James-Stein), and is 0 if too few days are known.
     """
     log_level = daily_levels(history, hour_of_week).log_level
     weeks = np.arange(log_level.shape[1]) / DAYS_PER_WEEK
--- a/moorusher/forecasting/weekly_forecast.py
+++ b/moorusher/forecasting/weekly_forecast.py
@@ -1,7 +1,7 @@
-"""The next week of many routes, customer by customer.
+"""Forecast of the next week for many routes, customer by customer.
 
-The same history gives the same figures, bit by bit, whichever runner works them out: nothing is random, and routes are
-taken in the order of their names, each customer's by themselves.
+The same history gives bit-identical results on every runner: nothing is random, and each customer's routes are
+processed separately, in the order of their names.
 """
 
 from __future__ import annotations
@@ -22,16 +22,18 @@
 from .seasonality import ORDINARY_DAY, day_types, hours_of_week
 from .time_units import HOURS_PER_WEEK
 
-MIN_KNOWN_HOURS = 48  # of a route, to forecast it
+# Known hours that are required to forecast a route.
+MIN_KNOWN_HOURS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class RouteForecast:
-    """The forecast of one route.
+    """Forecast of one route.
 
-    route: str, its encoded key.
-    quantiles: (quantiles, 168), requests an hour.
-    main_model: str, the model with the largest weight.
+    Attributes:
+        route: Encoded key of the route.
+        quantiles: Requests per hour, (quantiles, 168).
+        main_model: Name of the model with the largest weight.
     """
 
     route: str
@@ -41,13 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WeeklyForecast:
-    """The forecast of 168 hours.
-
-    first_hour: int, hours since 1970, UTC.
-    routes: their encoded keys, in the order of the arrays.
-    quantiles: (quantiles, routes, 168), requests an hour; see `quantile_levels.QUANTILES`.
-    main_models: the model with the largest weight, by route.
-    skipped: routes of which too little is known, with the reason.
+    """Forecast of 168 hours.
+
+    Attributes:
+        first_hour: Hours since 1970, UTC.
+        routes: Encoded keys of the routes, in the order of the arrays.
+        quantiles: Requests per hour, (quantiles, routes, 168); see `quantile_levels.QUANTILES`.
+        main_models: Name of the model with the largest weight, for each route.
+        skipped: Routes with too little known history, with the reason.
     """
 
     first_hour: int
@@ -62,9 +65,9 @@
             yield RouteForecast(route, self.quantiles[:, index], self.main_models[index])
 
     def quantiles_of(self, route: str) -> Floats:
-        """Return (quantiles, 168) of one route.
+        """Return the quantiles of one route, (quantiles, 168).
 
-        :raises ValueError: it has no forecast.
+        :raises ValueError: if the route has no forecast.
         """
         return np.asarray(self.quantiles[:, self.routes.index(route)])
 
@@ -73,9 +76,10 @@
 class _Counts:
     """Counts of several routes over the same hours.
 
-    first_hour: int, hours since 1970, UTC.
-    requests: (routes, hours).
-    coverage: (routes, hours), the share of each hour that was counted.
+    Attributes:
+        first_hour: Hours since 1970, UTC.
+        requests: Counted requests, (routes, hours).
+        coverage: Counted share of each hour, (routes, hours).
     """
 
     first_hour: int
@@ -85,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CustomerForecast:
-    """Of a customer's routes: the model with the largest weight, and (quantiles, routes, 168)."""
+    """Forecast of a customer's routes: main model of each route, and quantiles, (quantiles, routes, 168)."""
 
     main_models: list[str]
     quantiles: Floats
@@ -99,23 +103,25 @@
 ) -> WeeklyForecast:
     """Forecast the 168 hours from `first_hour` on (since 1970, UTC).
 
-    :param series: by route.
-    :param customers: the customer of each route.
-    :param calendars: by customer; one without a calendar has UTC and no special days.
+    :param series: Series by route.
+    :param customers: Customer of each route.
+    :param calendars: Calendars by customer; the default is UTC without special days.
     """
     routes: list[str] = []
     main_models: list[str] = []
-    in_order = sorted(series, key=lambda name: (customers[name], name))
-    skipped = {name: reason for name in in_order if (reason := _skip_reason(series[name]))}
+    ordered_routes = sorted(series, key=lambda name: (customers[name], name))
+    skipped = {name: reason for name in ordered_routes if (reason := _skip_reason(series[name]))}
     quantiles = [np.zeros((len(QUANTILES), 0, HOURS_PER_WEEK))]
     for customer in sorted(set(customers.values())):
-        names = [name for name in in_order if customers[name] == customer and name not in skipped]
-        if not names:
+        customer_routes = [
+            name for name in ordered_routes if customers[name] == customer and name not in skipped
+        ]
+        if not customer_routes:
             continue
-        counts = _counts({name: series[name] for name in names}, first_hour)
+        counts = _align_counts({name: series[name] for name in customer_routes}, first_hour)
         calendar = calendars.get(customer, Calendar())
         forecast = _forecast_customer(counts, calendar)
-        routes += names
+        routes += customer_routes
         main_models += forecast.main_models
         quantiles.append(forecast.quantiles)
     return WeeklyForecast(
@@ -130,27 +136,32 @@
     return f"{known} hours are known of it, and {MIN_KNOWN_HOURS} are needed"
 
 
-def _counts(series: Mapping[str, HourlySeries], end_hour: int) -> _Counts:
-    """From the first hour of any of the routes up to, and without, `end_hour`; 0 with no coverage where unknown."""
-    first_hour = min(one.first_hour for one in series.values())
+def _align_counts(series: Mapping[str, HourlySeries], end_hour: int) -> _Counts:
+    """Return the counts from the first hour of any route up to, but not including, `end_hour`.
+
+    Unknown hours have 0 requests and a coverage of 0.
+    """
+    first_hour = min(route_series.first_hour for route_series in series.values())
     shape = (len(series), end_hour - first_hour)
     requests, coverage = np.zeros(shape), np.zeros(shape)
-    for row, one in enumerate(series.values()):
-        length = min(len(one.requests), end_hour - one.first_hour)
-        start = one.first_hour - first_hour
-        requests[row, start : start + length] = one.requests[:length]
-        coverage[row, start : start + length] = np.asarray(one.coverage[:length], float) / FULL_COVERAGE
+    for row, route_series in enumerate(series.values()):
+        length = min(len(route_series.requests), end_hour - route_series.first_hour)
+        start = route_series.first_hour - first_hour
+        requests[row, start : start + length] = route_series.requests[:length]
+        coverage[row, start : start + length] = (
+            np.asarray(route_series.coverage[:length], float) / FULL_COVERAGE
+        )
     return _Counts(first_hour, requests, coverage)
 
 
 def _forecast_customer(counts: _Counts, calendar: Calendar) -> _CustomerForecast:
-    """The forecast of an ordinary week, times the factors of special days."""
+    """Return the forecast of an ordinary week, multiplied by the factors of special days."""
     hours = counts.requests.shape[1]
     hour_of_week = hours_of_week(counts.first_hour, hours + HOURS_PER_WEEK, calendar.time_zone)
     past_hour_of_week = hour_of_week[:hours]
     types = day_types(counts.first_hour, hours + HOURS_PER_WEEK, calendar)
     past_types = replace(types, by_hour=types.by_hour[:hours])
-    # Special days must neither be taken for floods nor teach anything of ordinary ones.
+    # Special days must not be classified as outliers, and must not affect the forecast of ordinary days.
     ordinary_coverage = np.where(past_types.by_hour[None, :] == ORDINARY_DAY, counts.coverage, 0.0)
     history = training_history(counts.requests, ordinary_coverage, past_hour_of_week)
     ensemble = forecast_ensemble(history, hour_of_week)
--- a/tests/test_demand_counting.py
+++ b/tests/test_demand_counting.py
@@ -55,12 +55,12 @@
 def test_what_is_not_acknowledged_is_reported_again_with_all_that_came_since() -> None:
     counter = DemandCounter("n0", 1, "z", START_MS)
     counter.count(START_MS + 10, KEY, one_request(priority_weight=2.0))
-    first = counter.unacknowledged(START_MS + 20)
+    first = counter.unacknowledged_buckets(START_MS + 20)
     counter.count(START_MS + 30, KEY, DemandCounts(requests=1, rejected=1, priority_weight=2.0))
-    again = counter.unacknowledged(START_MS + 40)
+    again = counter.unacknowledged_buckets(START_MS + 40)
     assert [report.counts[ROUTE].requests for report in first + again] == [1, 2]
     counter.acknowledge([(report.bucket, report.counted_until_ms) for report in again])
-    assert not counter.unacknowledged(START_MS + 40)
+    assert not counter.unacknowledged_buckets(START_MS + 40)
     assert len(counter) == 1, "the open bucket stays"
 
 
@@ -69,7 +69,7 @@
     counter.tick(START_MS + 40_000)
     for step in range(1, 8):
         counter.tick(START_MS + step * 50_000)
-    reports = counter.unacknowledged(START_MS + 350_000)
+    reports = counter.unacknowledged_buckets(START_MS + 350_000)
     spans = [(report.counted_from_ms - START_MS, report.counted_until_ms - START_MS) for report in reports]
     assert spans == [(0, 300_000), (300_000, 350_000)]
     counter.acknowledge([(report.bucket, report.counted_until_ms) for report in reports])
@@ -82,7 +82,7 @@
     counter = DemandCounter("n0", 1, "z", START_MS + 100_000)
     counter.tick(START_MS + 120_000)
     counter.tick(START_MS + 2 * BUCKET_MS + 5_000)
-    reports = counter.unacknowledged(START_MS + 2 * BUCKET_MS + 9_000)
+    reports = counter.unacknowledged_buckets(START_MS + 2 * BUCKET_MS + 9_000)
     assert [(report.bucket * BUCKET_MS - START_MS, report.covered_ms) for report in reports] == [
         (0, 20_000),
         (2 * BUCKET_MS, 4_000),
@@ -95,7 +95,7 @@
     counter = DemandCounter("n0", 1, "z", START_MS + BUCKET_MS + 5)
     counter.count(START_MS + BUCKET_MS + 10, KEY, one_request())
     counter.count(START_MS + 7, KEY, one_request())
-    reports = counter.unacknowledged(START_MS + 8)
+    reports = counter.unacknowledged_buckets(START_MS + 8)
     assert [(report.bucket * BUCKET_MS - START_MS, report.counts[ROUTE].requests) for report in reports] == [
         (BUCKET_MS, 2)
     ]
@@ -114,7 +114,7 @@
     counter = DemandCounter("n0", 1, "z", START_MS, max_routes=2)
     for index in range(5):
         counter.count(START_MS, RouteKey("acme", 1, f"r{index}", "z"), one_request())
-    (report,) = counter.unacknowledged(START_MS)
+    (report,) = counter.unacknowledged_buckets(START_MS)
     assert len(report.counts) == 3
     assert report.counts[encode_key(RouteKey("acme", 1, "", "z"))].requests == 3
 
