--- a/moorusher/forecast_service/rolling_forecast.py
+++ b/moorusher/forecast_service/rolling_forecast.py
@@ -56,9 +56,7 @@
         self._uncorrected: WeeklyForecast | None = None  # Forecast that corrections are applied to.
         self._is_calculating = self._is_stopped = False
         self._is_outdated = False  # Whether the history has changed since the running calculation started.
-        self._known_until_hour = (
-            0  # The last forecast includes the counts of all closed hours before this one.
-        )
+        self._known_until_hour = 0  # The last forecast includes the counts before this hour.
 
     def stop(self) -> None:
         """Discard the result of a running calculation."""
--- a/moorusher/forecasting/intraday_correction.py
+++ b/moorusher/forecasting/intraday_correction.py
@@ -18,7 +18,7 @@
 
 
 def correct_with_actuals(forecast: WeeklyForecast, actual: Mapping[str, list[float]]) -> WeeklyForecast:
-    """Return the forecast with the remaining hours of each route scaled by its actual over its forecast demand so far.
+    """Return the forecast with each route's remaining hours scaled by the ratio of its actual to its forecast demand.
 
     :param actual: Demand of the hours from `first_hour` on, by route; NaN if unknown.
     """
--- a/moorusher/forecasting/models.py
+++ b/moorusher/forecasting/models.py
@@ -55,7 +55,7 @@
 
 
 def _current_level(window: TrainingWindow, half_life_days: float) -> Floats:
-    """Return counted over expected requests, weighted by age, (routes, 1); 0 if nothing is known."""
+    """Return the ratio of counted to expected requests, weighted by age, (routes, 1); 0 if nothing is known."""
     demand = window.adjusted.demand
     hours_back = np.arange(demand.shape[1] - 1, -1, -1)
     decay = 0.5 ** (hours_back / (HOURS_PER_DAY * half_life_days))
--- a/tests/test_demand_counting.py
+++ b/tests/test_demand_counting.py
@@ -1,4 +1,7 @@
-"""Counts of demand, reported twice, late or to two leaders: neither doubled nor lost, and gaps are no zeros."""
+"""Demand counting: reports that are repeated, late or sent to two leaders neither double nor lose counts.
+
+Hours that were not counted are gaps, and not hours without demand.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +26,10 @@
 from moorusher.forecasting.hourly_series import FULL_COVERAGE, MAX_HOURS, HourlySeries
 from moorusher.forecasting.ledger_codec import decode_ledger, encode_ledger
 
-START_MS = 500_000 * HOUR_MS  # Unix time, the begin of an hour
+START_MS = 500_000 * HOUR_MS  # Unix time at the start of an hour.
 KEY = RouteKey("acme", 1, "main", "z")
 ROUTE = encode_key(KEY)
-ZONES = {"n0": "z", "n1": "z"}  # of the seats
+ZONES = {"n0": "z", "n1": "z"}  # Zone of each seat.
 
 
 def one_request(priority_weight: float = 0.0) -> DemandCounts:
@@ -36,7 +39,7 @@
 def report_of(
     seat: str, incarnation: int, bucket: int, requests: int, from_ms: int = 0, until_ms: int = BUCKET_MS
 ) -> BucketCounts:
-    """Counts of a bucket, numbered from `START_MS`; the span that was counted is relative to its begin."""
+    """Return a report of one bucket. Buckets are numbered from `START_MS`; the span is relative to its start."""
     start_ms = START_MS + bucket * BUCKET_MS
     return BucketCounts(
         seat,
@@ -52,7 +55,7 @@
 # ---- the counter of one process ----
 
 
-def test_what_is_not_acknowledged_is_reported_again_with_all_that_came_since() -> None:
+def test_unacknowledged_counts_are_reported_again_with_later_counts() -> None:
     counter = DemandCounter("n0", 1, "z", START_MS)
     counter.count(START_MS + 10, KEY, one_request(priority_weight=2.0))
     first = counter.unacknowledged_buckets(START_MS + 20)
@@ -61,7 +64,7 @@
     assert [report.counts[ROUTE].requests for report in first + again] == [1, 2]
     counter.acknowledge([(report.bucket, report.counted_until_ms) for report in again])
     assert not counter.unacknowledged_buckets(START_MS + 40)
-    assert len(counter) == 1, "the open bucket stays"
+    assert len(counter) == 1, "the current bucket is retained"
 
 
 def test_each_bucket_is_reported_with_its_span_until_it_is_acknowledged() -> None:
@@ -76,9 +79,9 @@
     assert len(counter) == 1
 
 
-def test_a_process_that_was_stopped_or_has_just_begun_says_from_when_it_counts() -> None:
-    """A process is stopped (SIGSTOP) and goes on two buckets later. Callers had no answer meanwhile, and nothing was
-    counted: a full bucket of its few requests would look like a time of low demand."""
+def test_reported_span_excludes_the_time_before_the_start_and_while_the_process_was_stopped() -> None:
+    """A process is stopped (SIGSTOP) and continues two buckets later. In between it answers no callers and counts
+    nothing. If its buckets were reported as complete, they would look like a time of low demand."""
     counter = DemandCounter("n0", 1, "z", START_MS + 100_000)
     counter.tick(START_MS + 120_000)
     counter.tick(START_MS + 2 * BUCKET_MS + 5_000)
@@ -89,9 +92,9 @@
     ]
 
 
-def test_a_clock_that_is_set_back_enters_no_bucket_twice() -> None:
-    """The clock of a machine is corrected by some minutes. If counting went on in the earlier bucket, its report would
-    say less than the one that was acknowledged, and the later bucket would be counted again."""
+def test_counting_does_not_return_to_an_earlier_bucket_after_the_clock_is_set_back() -> None:
+    """The clock of a machine is set back by some minutes. If counting continued in the earlier bucket, its new report
+    would have fewer counts than the acknowledged one, and the later bucket would be counted again."""
     counter = DemandCounter("n0", 1, "z", START_MS + BUCKET_MS + 5)
     counter.count(START_MS + BUCKET_MS + 10, KEY, one_request())
     counter.count(START_MS + 7, KEY, one_request())
@@ -101,8 +104,8 @@
     ]
 
 
-def test_buckets_that_nobody_acknowledges_are_bounded_and_counted_as_dropped() -> None:
-    """No member leads the forecast for more than two days, as a majority is gone."""
+def test_unacknowledged_buckets_are_bounded_and_counted_when_dropped() -> None:
+    """No member leads the forecast for more than two days, because a majority of the members is down."""
     counter = DemandCounter("n0", 1, "z", START_MS)
     for bucket in range(MAX_BUCKETS + 40):
         counter.tick(START_MS + bucket * BUCKET_MS)
@@ -110,7 +113,7 @@
     assert counter.dropped_buckets == 40
 
 
-def test_routes_of_a_bucket_beyond_the_bound_are_counted_under_no_route() -> None:
+def test_routes_beyond_the_limit_of_a_bucket_are_counted_under_the_empty_route() -> None:
     counter = DemandCounter("n0", 1, "z", START_MS, max_routes=2)
     for index in range(5):
         counter.count(START_MS, RouteKey("acme", 1, f"r{index}", "z"), one_request())
@@ -119,7 +122,7 @@
     assert report.counts[encode_key(RouteKey("acme", 1, "", "z"))].requests == 3
 
 
-def test_keys_are_kept_exactly() -> None:
+def test_keys_are_encoded_and_decoded_without_loss() -> None:
     for key in (
         KEY,
         RouteKey("a/b", 0, "", ""),
@@ -141,38 +144,40 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_reported_in_any_order_and_any_number_of_times_the_ledger_is_the_same(
+def test_ledger_does_not_depend_on_the_order_and_repetition_of_reports(
     steps: list[tuple[str, int, int, int]], rng: random.Random
 ) -> None:
-    """Counts of a process only grow; what is merged is what its largest report said."""
-    grown: dict[tuple[str, int, int], int] = {}
+    """Counts of a process only grow, so the merged counts are those of its largest report."""
+    totals: dict[tuple[str, int, int], int] = {}
     reports: list[BucketCounts] = []
-    for seat, incarnation, bucket, more in steps:
+    for seat, incarnation, bucket, requests in steps:
         process_bucket = seat, incarnation, bucket
-        grown[process_bucket] = grown.get(process_bucket, 0) + more
+        totals[process_bucket] = totals.get(process_bucket, 0) + requests
         until_ms = min(BUCKET_MS, 1000 * len(reports))
-        reports.append(report_of(seat, incarnation, bucket, grown[process_bucket], until_ms=until_ms))
-    again = reports + rng.choices(reports, k=len(reports))
-    rng.shuffle(again)
-    again.insert(0, reports[0])
-    one, other = DemandLedger(ZONES), DemandLedger(ZONES)
-    one.next_bucket = other.next_bucket = one.first_bucket = other.first_bucket = START_MS // BUCKET_MS
+        reports.append(report_of(seat, incarnation, bucket, totals[process_bucket], until_ms=until_ms))
+    shuffled = reports + rng.choices(reports, k=len(reports))
+    rng.shuffle(shuffled)
+    shuffled.insert(0, reports[0])
+    expected, ledger = DemandLedger(ZONES), DemandLedger(ZONES)
+    expected.next_bucket = ledger.next_bucket = expected.first_bucket = ledger.first_bucket = (
+        START_MS // BUCKET_MS
+    )
     for report in reports:
-        one.record(report)
-    for index, report in enumerate(again):
-        other.record(report)
-        if index % 3 == 0:  # another leader goes on from what was stored
-            other = decode_ledger(encode_ledger(other), ZONES)
+        expected.record(report)
+    for index, report in enumerate(shuffled):
+        ledger.record(report)
+        if index % 3 == 0:  # Another leader starts from the stored state.
+            ledger = decode_ledger(encode_ledger(ledger), ZONES)
     end_ms = START_MS + 2 * HOUR_MS + REPORT_DEADLINE_MS
-    one.close_buckets(end_ms)
-    other.close_buckets(end_ms)
-    assert encode_ledger(one) == encode_ledger(other)
-    assert sum(one.series[ROUTE].requests) == sum(grown.values())
+    expected.close_buckets(end_ms)
+    ledger.close_buckets(end_ms)
+    assert encode_ledger(expected) == encode_ledger(ledger)
+    assert sum(expected.series[ROUTE].requests) == sum(totals.values())
 
 
-def test_a_bucket_waits_for_all_seats_until_its_deadline_and_what_is_missing_is_a_gap() -> None:
-    """A runner is cut off in the middle of an hour: the hour is closed without it, and says that a quarter of it is
-    missing. What the runner reports afterwards must not change an hour that was forecast from."""
+def test_bucket_waits_for_all_seats_until_its_deadline_and_a_missing_report_is_a_gap() -> None:
+    """A runner is disconnected in the middle of an hour. The hour is closed without it, and its coverage shows that a
+    quarter is missing. Later reports of the runner must not change an hour that a forecast has used."""
     ledger = DemandLedger(ZONES)
     for bucket in range(BUCKETS_PER_HOUR):
         ledger.record(report_of("n0", 1, bucket, 10))
@@ -181,15 +186,16 @@
         ledger.record(report_of("n1", 1, bucket, 10))
     assert ledger.close_buckets(START_MS + HOUR_MS // 2) == BUCKETS_PER_HOUR // 2
     assert not ledger.record(report_of("n1", 1, 0, 99))
-    assert ledger.late_reports == 1, "what is closed stays as it is"
+    assert ledger.late_reports == 1, "a closed bucket does not change"
     ledger.close_buckets(START_MS + HOUR_MS + REPORT_DEADLINE_MS)
     series = ledger.series[ROUTE]
     assert list(series.requests) == [180]
     assert list(series.coverage) == [FULL_COVERAGE * 3 // 4]
 
 
-def test_the_last_seconds_of_a_lost_runner_are_no_zero() -> None:
-    """A runner is killed 100 s into a bucket; its next process counts from 160 s on. The minute between is a gap."""
+def test_the_time_between_two_processes_of_a_runner_is_a_gap() -> None:
+    """A runner is killed 100 s into a bucket, and its next process counts from 160 s on. The minute in between is a
+    gap, and not a time without demand."""
     ledger = DemandLedger(ZONES)
     for bucket in range(BUCKETS_PER_HOUR):
         ledger.record(report_of("n0", 1, bucket, 10))
@@ -201,10 +207,12 @@
     ledger.close_buckets(START_MS + HOUR_MS)
     series = ledger.series[ROUTE]
     assert list(series.requests) == [10 * 23 + 9]
-    assert list(series.coverage) == [FULL_COVERAGE - 2], "60 s of 7,200, and rounded down"
+    assert list(series.coverage) == [FULL_COVERAGE - 2], (
+        "60 s of 7,200 s are missing; the share is rounded down"
+    )
 
 
-def test_reports_of_a_span_outside_of_their_bucket_are_rejected() -> None:
+def test_reports_whose_span_is_not_within_their_bucket_are_rejected() -> None:
     ledger = DemandLedger(ZONES)
     for from_ms, until_ms in ((-1, 5), (5, 4), (0, BUCKET_MS + 1)):
         assert not ledger.record(report_of("n0", 1, 0, 0, from_ms, until_ms))
@@ -212,9 +220,10 @@
     assert not ledger.open_buckets
 
 
-def test_routes_beyond_the_bound_are_the_same_at_each_leader() -> None:
-    """A leader is lost before a majority has the hour that it closed, and the next one closes the hour again. Routes
-    were taken in the order of a set of texts, which each process has for itself: other ones were followed then."""
+def test_all_leaders_store_the_same_routes_if_there_are_too_many() -> None:
+    """A leader fails before a majority has the hour that it closed, and the next leader closes the hour again. New
+    routes were added in the iteration order of a set of strings, which differs between processes, so the next leader
+    stored other routes."""
     routes = sorted(encode_key(RouteKey("acme", 1, f"r{index}", "z")) for index in range(20))
     ledger = DemandLedger(ZONES, max_routes=3)
     counts = dict.fromkeys(routes, DemandCounts(1))
@@ -227,7 +236,7 @@
 
 
 def long_series() -> HourlySeries:
-    """More hours than are kept, from hour 100 on; each 97th was not counted."""
+    """Return a series with more hours than are stored, from hour 100 on. Each 97th hour was not counted."""
     rng, series = random.Random(1), HourlySeries(100)
     for hour in range(100, 100 + MAX_HOURS + 50):
         if hour % 97:
@@ -235,16 +244,16 @@
     return series
 
 
-def test_eight_weeks_are_kept_and_hours_that_were_not_counted_are_unknown() -> None:
+def test_eight_weeks_are_stored_and_hours_that_were_not_counted_are_unknown() -> None:
     series = long_series()
-    series.append(50, DemandCounts(9), 1.0)  # it is too late for that one
+    series.append(50, DemandCounts(9), 1.0)  # Ignored, since it is before the stored hours.
     assert len(series.requests) == MAX_HOURS
     assert series.first_hour == 150
     unknown = [index for index, coverage in enumerate(series.coverage) if not coverage]
     assert unknown[:2] == [(-150) % 97, (-150) % 97 + 97]
 
 
-def test_a_stored_ledger_is_small_and_read_as_it_was() -> None:
+def test_stored_ledger_is_small_and_decoded_without_loss() -> None:
     series, ledger = long_series(), DemandLedger(ZONES)
     ledger.series[ROUTE] = series
     state = encode_ledger(ledger)
@@ -254,7 +263,7 @@
     assert (stored.core_us, stored.priority_weight) == (500.0, series.priority_weight)
 
 
-def test_a_damaged_ledger_is_not_read() -> None:
+def test_damaged_ledger_is_rejected() -> None:
     ledger = DemandLedger(ZONES)
     ledger.series[ROUTE] = long_series()
     state = encode_ledger(ledger)
--- a/tests/test_forecast_checking.py
+++ b/tests/test_forecast_checking.py
@@ -1,4 +1,4 @@
-"""The forecast's counts in virtual time under faults of the cluster, and seeded mistakes that the check must find."""
+"""Simulation of demand counting under cluster faults in virtual time, with injected bugs that the check must find."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from moorusher.forecasting.demand_ledger import DemandLedger
 from moorusher.model_checking.forecast_simulation import DISK_SCENARIO, SCENARIO, ForecastSimulation
 
-MAX_SEEDS = 12  # within which a seeded mistake must be found
+MAX_SEEDS = 12  # Number of seeds within which an injected bug must be found.
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_hours_that_were_counted_completely_have_all_requests_and_none_has_more(seed: int) -> None:
+def test_completely_counted_hours_have_all_requests_and_no_hour_has_too_many(seed: int) -> None:
     for scenario, has_disks in ((SCENARIO, False), (DISK_SCENARIO, True)):
         simulation = ForecastSimulation(seed, scenario, has_disks)
         assert simulation.play() is None, simulation.faults.log
@@ -24,12 +24,12 @@
 
 
 class AddingLedger(DemandLedger):
-    """Adds a repeated report to the one that it has, and does not merge them."""
+    """Ledger with a bug: adds a repeated report to the recorded one instead of merging them."""
 
     def merge(self, known: BucketCounts, report: BucketCounts) -> BucketCounts:
         counts = {
-            route: known.counts[route].plus(more) if route in known.counts else more
-            for route, more in report.counts.items()
+            route: known.counts[route].plus(reported) if route in known.counts else reported
+            for route, reported in report.counts.items()
         }
         return BucketCounts(
             known.seat,
@@ -46,22 +46,22 @@
     ledger_type = AddingLedger
 
 
-class ZeroLedger(DemandLedger):
-    """Takes a runner that has reported nothing for one that nobody called."""
+class FullCoverageLedger(DemandLedger):
+    """Ledger with a bug: counts a runner without reports as a runner without demand."""
 
     def covered_shares(self, bucket: int) -> dict[str, float]:
         return dict.fromkeys(self.zones, 1.0)
 
 
-class ZeroForecaster(Forecaster):
-    ledger_type = ZeroLedger
+class FullCoverageForecaster(Forecaster):
+    ledger_type = FullCoverageLedger
 
 
 @pytest.mark.parametrize(
     ("forecaster", "violation"),
-    [(AddingForecaster, "are said to have been asked"), (ZeroForecaster, "said to be whole")],
+    [(AddingForecaster, "are said to have been asked"), (FullCoverageForecaster, "said to be whole")],
 )
-def test_a_seeded_mistake_is_found(forecaster: type[Forecaster], violation: str) -> None:
+def test_injected_bug_is_found(forecaster: type[Forecaster], violation: str) -> None:
     found: Any = next(
         (
             result
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -1,6 +1,6 @@
-"""Real runners that share a forecast, with faults between them: counts, imported histories, hints that count once.
+"""Forecast of real runner processes under faults: counts, imported histories, and fenced hints.
 
-Each runner reaches the receiver of the hints over a relay of its own, so that what a leader has sent can be held back.
+Each runner connects to the receiver of the hints through its own relay, so that a leader's hints can be delayed.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 pytestmark = pytest.mark.processes
 
-WEEKS = 3  # of an imported history
+WEEKS = 3  # Length of an imported history.
 HOURS_PER_WEEK = 168
-REPLICATED_S = 0.5  # after which a majority has what the leader has counted
+REPLICATION_S = 0.5  # Time after which a majority has the counts of the leader.
 
 
 def history(route: str = "main") -> bytes:
-    """Three weeks of one route, up to the hour before this one, as the API takes them."""
+    """Return the request body for importing three weeks of one route, up to the previous hour."""
     hours = HOURS_PER_WEEK * WEEKS
     first_hour = int(time.time()) // 3600 - hours
     requests = [round(4000 + 3000 * math.sin(2 * math.pi * (first_hour + i) / 24)) for i in range(hours)]
@@ -53,7 +53,7 @@
 
 
 class ForecastingFleet:
-    """A fleet with a forecast. `relays[i]`: the way from runner i to the receiver of the hints."""
+    """A fleet with a forecast. `relays[i]` connects runner i to the receiver of the hints."""
 
     def __init__(self, runners: Fleet, receiver: FencedReceiver, relays: list[Relay]) -> None:
         self.fleet, self.receiver, self.relays = runners, receiver, relays
@@ -61,18 +61,18 @@
     async def call(
         self, i: int, path: str = "forecast/acme", method: str = "GET", body: bytes = b""
     ) -> tuple[int, Any]:
-        """Status and JSON of the administration API of a runner."""
-        answer = await exchange(
+        """Send a request to the administration API of runner i. Return the status and the JSON document."""
+        response = await exchange(
             self.fleet.runners[i].admin,
             f"{method} /{path} HTTP/1.0\r\nAuthorization: Bearer t0p\r\n"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body,
         )
-        head, _, document = answer.partition(b"\r\n\r\n")
+        head, _, document = response.partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(document)
 
     async def leader(self, i: int) -> int:
-        """Who leads the forecast, as runner i reads it."""
+        """Return the index of the leader of the forecast according to runner i."""
         found: list[int] = []
 
         async def is_known() -> bool:
@@ -85,7 +85,7 @@
         return found[0]
 
     async def other_leader(self, i: int, former: int) -> int:
-        """Who leads the forecast after another one has, as runner i reads it."""
+        """Wait until runner i names another leader than `former`, and return its index."""
 
         async def has_changed() -> bool:
             return await self.leader(i) != former
@@ -94,39 +94,39 @@
         return await self.leader(i)
 
     async def import_history(self, i: int, route: str = "main") -> None:
-        async def is_taken() -> bool:
+        async def is_imported() -> bool:
             status, _ = await self.call(i, "forecast", "POST", history(route))
             return status == 200
 
-        await until(is_taken)
+        await until(is_imported)
 
     async def forecast(self, i: int) -> dict[str, Any]:
         found: list[dict[str, Any]] = []
 
-        async def is_there() -> bool:
+        async def is_available() -> bool:
             status, document = await self.call(i)
             if status == 200 and document["routes"]:
                 found.append(document)
             return bool(found)
 
-        await until(is_there)
+        await until(is_available)
         return found[0]
 
     async def counted_requests(self, i: int) -> int:
-        """What runner i, as the leader, has counted in this hour."""
+        """Return the number of requests that runner i, as the leader, has counted in the current hour."""
         _, document = await self.call(i, "forecast/+here")
         return sum(int(requests) for requests in document["lately"].values())
 
-    def live_runner(self, lost: int) -> int:
-        return next(i for i in range(len(self.fleet.runners)) if i != lost)
+    def live_runner(self, killed: int) -> int:
+        return next(i for i in range(len(self.fleet.runners)) if i != killed)
 
     def assert_tokens_grow(self) -> None:
-        tokens = [taken.token for taken in self.receiver.accepted]
+        tokens = [request.token for request in self.receiver.accepted]
         assert all(earlier < later for earlier, later in pairwise(tokens))
 
 
 @asynccontextmanager
-async def forecasting_fleet(n: int = 4, **how: Any) -> AsyncIterator[ForecastingFleet]:
+async def forecasting_fleet(n: int = 4, **options: Any) -> AsyncIterator[ForecastingFleet]:
     with TemporaryDirectory() as folder:
         receiver = FencedReceiver(reactor(), TokenStore(Path(folder) / "book"))
         relays = [Relay(reactor(), receiver.port) for _ in range(n)]
@@ -138,10 +138,10 @@
             )
 
         try:
-            async with fleet(n, more=toml, **how) as runners:
-                made = ForecastingFleet(runners, receiver, relays)
-                yield made
-                made.assert_tokens_grow()
+            async with fleet(n, more=toml, **options) as runners:
+                forecasting = ForecastingFleet(runners, receiver, relays)
+                yield forecasting
+                forecasting.assert_tokens_grow()
         finally:
             for relay in relays:
                 relay.close()
@@ -149,90 +149,97 @@
 
 
 @asynchronous_test
-async def test_requests_at_all_runners_are_counted_once_whoever_leads_the_forecast() -> None:
-    """The leader is killed after it has replicated its counts. The next one has these, and gets them again from all
-    runners whose reports were not acknowledged: neither doubles them. Duplicates of a request are no demand."""
-    async with forecasting_fleet() as f:
+async def test_each_request_is_counted_once_after_a_change_of_the_leader() -> None:
+    """The leader is killed after it has replicated its counts. The next leader has these counts, and runners whose
+    reports were not acknowledged report them again, which must not double them. Duplicates of a request do not count
+    as demand."""
+    async with forecasting_fleet() as forecasting:
         for i in range(4):
-            front, other = await f.fleet.front(i), await f.fleet.front((i + 1) % 4)
+            front, other = await forecasting.fleet.front(i), await forecasting.fleet.front((i + 1) % 4)
             key = token()
-            for connection in (front, front, other):  # two of them are duplicates, one at another runner
+            for connection in (front, front, other):  # Two duplicates, one of them at another runner.
                 await connection.ask("submit", token=key, body=key.encode())
             await front.ask("check")
-        leader = await f.leader(0)
+        leader = await forecasting.leader(0)
 
         async def all_are_counted() -> bool:
-            return await f.counted_requests(leader) == 8
+            return await forecasting.counted_requests(leader) == 8
 
         await until(all_are_counted)
-        await asyncio.sleep(REPLICATED_S)
-        f.fleet.kill(leader)
-        next_leader = await f.other_leader(f.live_runner(leader), leader)
+        await asyncio.sleep(REPLICATION_S)
+        forecasting.fleet.kill(leader)
+        next_leader = await forecasting.other_leader(forecasting.live_runner(leader), leader)
 
-        async def are_counted_again() -> bool:
-            return await f.counted_requests(next_leader) >= 8
+        async def next_leader_has_counts() -> bool:
+            return await forecasting.counted_requests(next_leader) >= 8
 
-        await until(are_counted_again)
-        await asyncio.sleep(REPLICATED_S)
-        assert await f.counted_requests(next_leader) == 8, "of sixteen"
+        await until(next_leader_has_counts)
+        await asyncio.sleep(REPLICATION_S)
+        assert await forecasting.counted_requests(next_leader) == 8, (
+            "counts that are reported again must not double"
+        )
 
 
 @asynchronous_test
-async def test_an_imported_history_is_forecast_from_and_the_next_leader_has_the_same_figures() -> None:
-    """The leader is killed; the next one works the forecast out again, from the replicated counts."""
-    async with forecasting_fleet() as f:
-        await f.import_history(1)
-        first = await f.forecast(2)
+async def test_next_leader_computes_the_same_forecast_from_an_imported_history() -> None:
+    """The leader is killed, and the next leader computes the forecast again from the replicated counts."""
+    async with forecasting_fleet() as forecasting:
+        await forecasting.import_history(1)
+        first = await forecasting.forecast(2)
         assert first["routes"][0]["day"][0] > 24 * 2_500
         assert first["hints"]["hints"]
-        await wait_until(lambda: len(f.receiver.accepted) > 0)
-        hint = f.receiver.accepted[-1].body["hints"][0]
+        await wait_until(lambda: len(forecasting.receiver.accepted) > 0)
+        hint = forecasting.receiver.accepted[-1].body["hints"][0]
         assert hint["zone"] == "z0"
         assert "cores" in hint["why"]
-        leader = await f.leader(0)
-        f.fleet.kill(leader)
-        await wait_until(lambda: f.receiver.accepted[-1].token.term > first["term"])
-        again = await f.forecast(f.live_runner(leader))
-        assert again["term"] > first["term"]
-        if again["first_hour"] == first["first_hour"]:  # else an hour has ended meanwhile
-            assert again["routes"] == first["routes"]
+        leader = await forecasting.leader(0)
+        forecasting.fleet.kill(leader)
+        await wait_until(lambda: forecasting.receiver.accepted[-1].token.term > first["term"])
+        second = await forecasting.forecast(forecasting.live_runner(leader))
+        assert second["term"] > first["term"]
+        if second["first_hour"] == first["first_hour"]:  # Otherwise an hour has ended in between.
+            assert second["routes"] == first["routes"]
 
 
 @asynchronous_test
-async def test_a_hint_of_a_former_leader_that_arrives_late_changes_nothing() -> None:
-    """The leader's hint is held up on the way, the leader is stopped, and the next one's hint arrives first. Then the
-    first one arrives: without its fencing token it would replace the newer one."""
-    async with forecasting_fleet() as f:
-        await f.import_history(0)
-        await wait_until(lambda: len(f.receiver.accepted) > 0)
-        leader = await f.leader(0)
+async def test_late_hint_of_a_former_leader_is_rejected() -> None:
+    """The leader's hint is delayed, the leader is stopped, and the next leader's hint arrives first. When the first
+    hint arrives then, it would replace the newer one if it had no fencing token."""
+    async with forecasting_fleet() as forecasting:
+        await forecasting.import_history(0)
+        await wait_until(lambda: len(forecasting.receiver.accepted) > 0)
+        leader = await forecasting.leader(0)
         others = [i for i in range(4) if i != leader]
-        f.relays[leader].silence()
-        taken = len(f.receiver.accepted)
-        await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
-        await wait_until(lambda: f.relays[leader].holding > 0)
-        assert len(f.receiver.accepted) == taken
-        f.fleet.stop(leader)
-        await wait_until(lambda: len(f.receiver.accepted) > taken)
-        term = f.receiver.accepted[-1].token.term
-        f.relays[leader].silence(False)
-        await wait_until(lambda: any(fence.term < term for fence in f.receiver.rejected))
+        forecasting.relays[leader].silence()
+        accepted = len(forecasting.receiver.accepted)
+        await forecasting.import_history(
+            others[0], "other"
+        )  # Causes a new forecast, whose hint the relay holds back.
+        await wait_until(lambda: forecasting.relays[leader].holding > 0)
+        assert len(forecasting.receiver.accepted) == accepted
+        forecasting.fleet.stop(leader)
+        await wait_until(lambda: len(forecasting.receiver.accepted) > accepted)
+        term = forecasting.receiver.accepted[-1].token.term
+        forecasting.relays[leader].silence(False)
+        await wait_until(
+            lambda: any(fencing_token.term < term for fencing_token in forecasting.receiver.rejected)
+        )
 
 
 @asynchronous_test
-async def test_histories_that_can_not_be_imported_are_rejected_with_a_remedy() -> None:
-    async with forecasting_fleet(3) as f:
-        await f.import_history(0)
-        status, answer = await f.call(1, "forecast", "POST", history())
+async def test_invalid_histories_are_rejected_with_a_remedy() -> None:
+    async with forecasting_fleet(3) as forecasting:
+        await forecasting.import_history(0)
+        status, answer = await forecasting.call(1, "forecast", "POST", history())
         assert status == 400
         assert answer["kind"] == "BadPast"
         assert "acme/main@z0" in answer["error"]
         assert answer["remedy"]
         for body in (b"{}", b'[{"first_hour": 5, "asked": [-1]}]', b'[{"asked": [1]}]', b"[" * 5000):
-            status, answer = await f.call(1, "forecast", "POST", body)
+            status, answer = await forecasting.call(1, "forecast", "POST", body)
             assert status == 400
             assert answer["error"]
-        await f.forecast(2)
-        status, document = await f.call(2, "forecast/nobody")
+        await forecasting.forecast(2)
+        status, document = await forecasting.call(2, "forecast/nobody")
         assert status == 200
         assert document["routes"] == []
--- a/tests/test_forecaster.py
+++ b/tests/test_forecaster.py
@@ -1,4 +1,4 @@
-"""The leader of the forecast: what it acknowledges, what it imports, and what it does with a state it can't read."""
+"""The leader of the forecast: acknowledgement of reports, imports, and a damaged state."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 COMPLETED = Completed(FencingToken(1, 1, 2))
 
 
-class StateUpdates:
-    """The lease and the process of a forecaster. State updates wait until the test says what became of them."""
+class FakeHost:
+    """Lease and process of a forecaster. State updates are pending until the test calls back with their outcome."""
 
     name, record = "forecast", None
 
@@ -38,7 +38,7 @@
         self.state = state
         self.submitted: list[tuple[bytes, Callable[[Outcome], None]]] = []
         self.sent: list[tuple[str, ReportAck]] = []
-        self._alarms: list[Callable[[], None]] = []
+        self._timers: list[Callable[[], None]] = []
 
     def submit(self, effect: Any, callback: Callable[[Outcome], None]) -> None:
         self.submitted.append((effect.state, callback))
@@ -47,7 +47,7 @@
         self.sent.append((seat, message))
 
     def at(self, when_us: int, action: Callable[[], None]) -> None:
-        self._alarms.append(action)
+        self._timers.append(action)
 
     def clock(self) -> int:
         return 0
@@ -61,33 +61,33 @@
     def ended(self, worker: Forecaster) -> None:
         return None
 
-    def pass_time(self) -> None:
-        """Everything that waits for a later time is done."""
-        alarms, self._alarms = self._alarms, []
-        for action in alarms:
+    def run_timers(self) -> None:
+        """Run all pending timers."""
+        timers, self._timers = self._timers, []
+        for action in timers:
             action()
 
 
-def started(host: StateUpdates, **policy: Any) -> Forecaster:
+def start_forecaster(host: FakeHost, **policy: Any) -> Forecaster:
     forecaster = Forecaster(host, host, ForecastPolicy(enabled=True, **policy), ZONES)  # type: ignore[arg-type]
     forecaster.start()
     return forecaster
 
 
-def test_reports_are_acknowledged_once_a_majority_has_them_and_not_before() -> None:
-    """No majority answers the first update. If the reports were acknowledged all the same, their runners would forget
-    counts that the next leader has not got."""
-    host = StateUpdates()
-    forecaster = started(host)
+def test_reports_are_acknowledged_only_after_a_majority_has_them() -> None:
+    """No majority answers the first update. If the reports were acknowledged anyway, their runners would discard counts
+    that the next leader does not have."""
+    host = FakeHost()
+    forecaster = start_forecaster(host)
     forecaster.receive_report("n0", DemandReport(7, [report_of("n0", 1, 0, 5, until_ms=900)]))
-    of_another_seat = report_of("n0", 1, 0, 99, until_ms=900)
-    forecaster.receive_report("n1", DemandReport(8, [of_another_seat]))
-    host.pass_time()
+    report_of_other_seat = report_of("n0", 1, 0, 99, until_ms=900)
+    forecaster.receive_report("n1", DemandReport(8, [report_of_other_seat]))
+    host.run_timers()
     assert not host.sent
     _, callback = host.submitted.pop()
     callback(NoMajorityError("forecast"))
-    assert not host.sent, "it may not have come about"
-    host.pass_time()
+    assert not host.sent, "the outcome of the update is unknown"
+    host.run_timers()
     state, callback = host.submitted.pop()
     callback(COMPLETED)
     assert [(seat, ack.serial) for seat, ack in host.sent] == [("n0", 7), ("n1", 8)]
@@ -95,52 +95,53 @@
     assert stored.counts[ROUTE].requests == 5
 
 
-def test_a_former_leader_takes_no_reports() -> None:
-    host = StateUpdates()
-    forecaster = started(host)
+def test_former_leader_ignores_reports() -> None:
+    host = FakeHost()
+    forecaster = start_forecaster(host)
     forecaster.stop(None)
     forecaster.receive_report("n0", DemandReport(9, []))
-    host.pass_time()
+    host.run_timers()
     assert not host.submitted
 
 
-def test_histories_are_imported_all_or_none() -> None:
-    host, outcomes = StateUpdates(), list[Any]()
-    forecaster = started(host, max_routes=2)
+def test_either_all_or_no_histories_are_imported() -> None:
+    host, outcomes = FakeHost(), list[Any]()
+    forecaster = start_forecaster(host, max_routes=2)
     forecaster.import_history([ImportedHistory(KEY, 5, [1], 0.0, 0.0)], outcomes.append)
     assert isinstance(outcomes.pop(), ForecastNotReadyError)
     forecaster.receive_report("n0", DemandReport(7, [report_of("n0", 1, 0, 5)]))
     first_hour = START_MS // HOUR_MS - 3
-    good = ImportedHistory(KEY, first_hour, [1, 2, 3], 0.0, 0.0)
+    valid = ImportedHistory(KEY, first_hour, [1, 2, 3], 0.0, 0.0)
     overlapping = ImportedHistory(RouteKey("acme", 1, "b", "z"), first_hour, [1] * 4, 0.0, 0.0)
     too_many = [
         ImportedHistory(RouteKey("acme", 1, f"r{index}", "z"), first_hour, [1], 0.0, 0.0)
         for index in range(3)
     ]
-    for histories in ([good, overlapping], [good, good], too_many):
+    for histories in ([valid, overlapping], [valid, valid], too_many):
         forecaster.import_history(histories, outcomes.append)
         assert isinstance(outcomes.pop(), InvalidHistoryError)
         assert not forecaster.ledger.series
         assert not host.submitted
-    forecaster.import_history([good], outcomes.append)
+    forecaster.import_history([valid], outcomes.append)
     host.submitted.pop()[1](COMPLETED)
     assert outcomes == [None]
     assert list(forecaster.ledger.series[ROUTE].requests) == [1, 2, 3]
 
 
-def test_a_state_that_can_not_be_read_is_left_as_it_is_and_reported_to_operators() -> None:
-    """The replicated state is damaged. A leader that began anew would overwrite what may still be repaired."""
-    host = StateUpdates(b"nonsense")
-    forecaster = started(host)
+def test_damaged_state_is_not_overwritten_and_is_reported_to_operators() -> None:
+    """The replicated state is damaged. A leader that started with an empty ledger would overwrite a state that may be
+    repairable."""
+    host = FakeHost(b"nonsense")
+    forecaster = start_forecaster(host)
     forecaster.receive_report("n0", DemandReport(7, [report_of("n0", 1, 0, 5)]))
-    host.pass_time()
+    host.run_timers()
     assert not host.submitted
     assert not host.sent
     with pytest.raises(CorruptLedgerError, match="can't be read"):
         forecaster.document("")
 
 
-def test_each_error_has_a_remedy_and_stands_on_the_page_for_on_call_staff() -> None:
+def test_each_error_has_a_remedy_and_is_on_the_page_for_on_call_staff() -> None:
     page = (Path(__file__).parent.parent / "docs" / "operate" / "forecast.md").read_text()
     assert {*ERRORS} == set(ForecastError.__subclasses__())
     for error_type in ERRORS:
--- a/tests/test_rolling_forecast.py
+++ b/tests/test_rolling_forecast.py
@@ -1,4 +1,4 @@
-"""When the forecast is made anew, when it is corrected, and when it stays as it is."""
+"""Rolling forecast: when it is recomputed, when it is corrected, and when it is unchanged."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     return WeeklyForecast(first_hour, (ROUTE,), np.ones((3, 1, 168)), ("any",), {})
 
 
-class Calculator:
-    """Calculations that wait until the test says what came of them."""
+class FakeCalculator:
+    """Calculations that are pending until the test calls back with their results."""
 
     def __init__(self) -> None:
         self.forecasts: list[tuple[int, Callable[[Any], None]]] = []
@@ -35,17 +35,17 @@
         self.corrections.append((actual, callback))
 
     def finish_forecast(self) -> int:
-        """Return from which hour on it was."""
+        """Complete the pending forecast, and return its first hour."""
         first_hour, callback = self.forecasts.pop()
         callback(forecast_from(first_hour))
         return first_hour
 
 
-class Course:
-    """A ledger of one route, and the forecast that follows it."""
+class ForecastFixture:
+    """A ledger of one route, and its rolling forecast."""
 
     def __init__(self) -> None:
-        self.calculator = Calculator()
+        self.calculator = FakeCalculator()
         self.updates: list[int] = []
         self.forecast = RollingForecast(self.calculator, lambda forecast, hour: self.updates.append(hour))
         self.ledger = DemandLedger({"n0": "z"})
@@ -53,7 +53,7 @@
         self.close_hours(0)
 
     def close_hours(self, count: int) -> None:
-        """As many hours as that are closed, from `FIRST_HOUR` on."""
+        """Close `count` hours from `FIRST_HOUR` on."""
         series = self.ledger.series[ROUTE]
         for hour in range(series.first_hour + len(series.requests), FIRST_HOUR + count):
             series.append(hour, DemandCounts(40), 1.0)
@@ -63,58 +63,58 @@
         self.forecast.update(self.ledger)
 
 
-def test_it_is_corrected_each_hour_and_made_anew_after_some() -> None:
-    course = Course()
-    course.update()
-    course.update()
-    assert len(course.calculator.forecasts) == 1, "one calculation at a time"
-    assert course.calculator.finish_forecast() == FIRST_HOUR
-    course.update()
-    assert not course.calculator.forecasts
-    assert not course.calculator.corrections, "nothing was closed since"
-    course.close_hours(1)
-    course.update()
-    actual, callback = course.calculator.corrections.pop()
+def test_forecast_is_corrected_each_hour_and_recomputed_after_an_interval() -> None:
+    fixture = ForecastFixture()
+    fixture.update()
+    fixture.update()
+    assert len(fixture.calculator.forecasts) == 1, "one calculation at a time"
+    assert fixture.calculator.finish_forecast() == FIRST_HOUR
+    fixture.update()
+    assert not fixture.calculator.forecasts
+    assert not fixture.calculator.corrections, "no hour was closed since the forecast"
+    fixture.close_hours(1)
+    fixture.update()
+    actual, callback = fixture.calculator.corrections.pop()
     assert actual == {ROUTE: [40.0]}
     callback(forecast_from(FIRST_HOUR))
-    course.close_hours(REFRESH_INTERVAL_H)
-    course.update()
-    assert course.calculator.finish_forecast() == FIRST_HOUR + REFRESH_INTERVAL_H
-    assert course.updates == [FIRST_HOUR, FIRST_HOUR + 1, FIRST_HOUR + REFRESH_INTERVAL_H]
+    fixture.close_hours(REFRESH_INTERVAL_H)
+    fixture.update()
+    assert fixture.calculator.finish_forecast() == FIRST_HOUR + REFRESH_INTERVAL_H
+    assert fixture.updates == [FIRST_HOUR, FIRST_HOUR + 1, FIRST_HOUR + REFRESH_INTERVAL_H]
 
 
-def test_a_calculation_that_fails_is_tried_again_with_the_next_hour() -> None:
-    course = Course()
-    course.update()
+def test_failed_calculation_is_retried_after_the_next_hour() -> None:
+    fixture = ForecastFixture()
+    fixture.update()
     error = ForecastNotReadyError("it could not be worked out: no reason")
-    course.calculator.forecasts.pop()[1](error)
-    assert course.forecast.error is error
-    course.update()
-    assert not course.calculator.forecasts
-    course.close_hours(1)
-    course.update()
-    course.calculator.finish_forecast()
-    assert course.forecast.error is None
-    assert course.updates == [FIRST_HOUR + 1]
-
-
-def test_what_is_calculated_when_the_term_ends_is_dropped() -> None:
-    course = Course()
-    course.update()
-    course.forecast.stop()
-    course.calculator.finish_forecast()
-    assert course.forecast.latest is None
-    assert not course.updates
-
-
-def test_a_history_that_is_imported_during_a_calculation_is_forecast_from_at_once() -> None:
-    """An operator imports two files, one after the other, and the second arrives while a forecast from the first is
-    being calculated. Its result was taken for up to date: the second file counted for nothing for up to six hours."""
-    course = Course()
-    course.update()
-    course.forecast.invalidate()
-    course.calculator.finish_forecast()
-    course.update()
-    assert course.calculator.finish_forecast() == FIRST_HOUR
-    course.update()
-    assert not course.calculator.forecasts
+    fixture.calculator.forecasts.pop()[1](error)
+    assert fixture.forecast.error is error
+    fixture.update()
+    assert not fixture.calculator.forecasts
+    fixture.close_hours(1)
+    fixture.update()
+    fixture.calculator.finish_forecast()
+    assert fixture.forecast.error is None
+    assert fixture.updates == [FIRST_HOUR + 1]
+
+
+def test_result_of_a_calculation_is_discarded_after_the_end_of_the_term() -> None:
+    fixture = ForecastFixture()
+    fixture.update()
+    fixture.forecast.stop()
+    fixture.calculator.finish_forecast()
+    assert fixture.forecast.latest is None
+    assert not fixture.updates
+
+
+def test_history_imported_during_a_calculation_is_used_by_the_next_calculation() -> None:
+    """An operator imports two files, and the second arrives while the forecast from the first is being calculated. The
+    result of that calculation was treated as current, so the second file had no effect for up to six hours."""
+    fixture = ForecastFixture()
+    fixture.update()
+    fixture.forecast.invalidate()
+    fixture.calculator.finish_forecast()
+    fixture.update()
+    assert fixture.calculator.finish_forecast() == FIRST_HOUR
+    fixture.update()
+    assert not fixture.calculator.forecasts
