--- a/moorusher/forecast_service/demand_reporter.py
+++ b/moorusher/forecast_service/demand_reporter.py
@@ -72,7 +72,7 @@
             self._set_leader(leader)
 
     def ack_received(self, seat: str, ack: ReportAck) -> None:
-        """Called when the leader has acknowledged a report, which is then replicated."""
+        """Called when the leader has acknowledged a report, whose counts a majority then has."""
         self._set_leader(seat)
         self._counter.acknowledge(ack.buckets)
 
--- a/moorusher/forecast_service/forecaster.py
+++ b/moorusher/forecast_service/forecaster.py
@@ -43,7 +43,7 @@
 
 
 class ForecasterHost(ForecastCalculator, Protocol):
-    """Services that a forecaster uses of its process."""
+    """Services of the process that a forecaster uses."""
 
     def send_to_member(self, seat: str, message: Message) -> None:
         """Send a message to a member, which may be this one."""
--- a/moorusher/forecast_service/member.py
+++ b/moorusher/forecast_service/member.py
@@ -1,4 +1,4 @@
-"""One member's part in the forecast: it counts, reports to the leader, queries the leader, and may lead itself."""
+"""One member's part in the forecast: it counts, reports to the leader, queries it, and may become the leader itself."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class MemberHost(Protocol):
-    """Services that a member uses of its process."""
+    """Services of the process that a member uses."""
 
     def unix_ms(self) -> int:
         """Return the Unix time."""
