--- a/moorusher/__init__.py
+++ b/moorusher/__init__.py
@@ -1,3 +1,3 @@
-"""moorusher: a request runner for many tenants, round the decisions of `moorusher.scheduling`."""
+"""moorusher: a request runner for many tenants, whose scheduling decisions are made by `moorusher.scheduling`."""
 
 __version__ = "0.2.0"
--- a/moorusher/__main__.py
+++ b/moorusher/__main__.py
@@ -1,12 +1,12 @@
-"""`python -m moorusher` runs one runner, without the command line's library: the platform gives little memory."""
+"""`python -m moorusher` runs one runner without importing the command line library, to save memory."""
 
 import os
 import signal
 import sys
 
 if len(sys.argv) == 1 or sys.argv[1] == "serve":
-    # Before anything large is imported, and before the configuration is read: a SIGHUP that comes earlier than that has
-    # nothing to add, and must not end the process; SIGTERM ends one that has taken nothing yet.
+    # Installed before the large imports. A SIGHUP before the configuration is read needs no reload, and must not end
+    # the process. SIGTERM ends the process at once, since it has not accepted any request yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
 
--- a/moorusher/config/__init__.py
+++ b/moorusher/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: read, checked and given defaults in one place. An error names the faulty key."""
+"""Configuration: reading, validation and defaults. Every error names the invalid key."""
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -1,4 +1,4 @@
-"""`[fleet]` and `[duties]` of the operator's file, read and checked."""
+"""Reads and validates `[fleet]` and `[duties]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 from ..leadership.policy import HeartbeatDuty, LeadershipPolicy
 from ..membership.policy import MAX_SEATS, Seat
 from ..replication.policy import ReplicationPolicy
-from .section import Address, ConfigError, Figure, Section, inside
+from .section import Address, ConfigError, NumericSetting, Section, require_private
 
 MAX_NAME_LENGTH = 64  # characters
 MAX_REPORT_INTERVAL_MS = 3_600_000
 
 
-# Figures of `[duties]`: `most` slots of some 300 bytes, `most` times `state_bytes` of memory at the very most.
+# Numeric settings of `[duties]` by key. Memory is needed for `most` slots of about 300 bytes, and at worst for `most`
+# states of `state_bytes`.
 DUTY_FIGURES = {
-    "most": Figure("max_duties", 1, 100_000),
-    "state_bytes": Figure("max_state_bytes", 1 << 10, 4 << 20),
-    "versions": Figure("max_versions", 1, 8),
-    "intents": Figure("max_open_intents", 1, 256),
-    "most_lost": Figure("max_lost_leaders", 2, 100),
-    "steady_ms": Figure("probation_ms", 100, 600_000),
-    "moves_a_minute": Figure("max_handovers_per_minute", 0.1, 600),
-    "patience_ms": Figure("unfit_timeout_ms", 100, 60_000),
+    "most": NumericSetting("max_duties", 1, 100_000),
+    "state_bytes": NumericSetting("max_state_bytes", 1 << 10, 4 << 20),
+    "versions": NumericSetting("max_versions", 1, 8),
+    "intents": NumericSetting("max_open_intents", 1, 256),
+    "most_lost": NumericSetting("max_lost_leaders", 2, 100),
+    "steady_ms": NumericSetting("probation_ms", 100, 600_000),
+    "moves_a_minute": NumericSetting("max_handovers_per_minute", 0.1, 600),
+    "patience_ms": NumericSetting("unfit_timeout_ms", 100, 60_000),
 }
-UNCOVERED_ALONE = {
-    "refuse": False,
-    "alone": True,
-}  # `uncovered`: what becomes of keyed work without a majority
+# Whether keyed work runs without a majority, by value of the key `uncovered`.
+RUNS_UNCOVERED = {"refuse": False, "alone": True}
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """Runners that talk with each other; none where `listen` is not set.
-
-    listen: where this runner's process listens for the others.
-    name: of the fleet; "" where there is none.
-    seats: of all runners, this one's with them.
-    policy: how keyed work is replicated.
-    journal: a folder on a disk that lasts; "" for none.
-    duties: the settings of `[duties]`.
+    """The cluster that this runner belongs to; without `listen` there is none.
+
+    Attributes:
+        listen: Address at which this runner listens for the others.
+        name: Name of the fleet; "" without one.
+        seats: Seats of all runners, including this one.
+        policy: Settings of the replication of keyed work.
+        journal: Folder on a persistent disk; "" for none.
+        duties: Settings of `[duties]`.
     """
 
     listen: Address | None = None
@@ -53,31 +53,35 @@
     journal: str = ""
     duties: LeadershipPolicy = field(default_factory=LeadershipPolicy)
 
-    def but_for_addresses(self) -> FleetConfig:
-        """Return what can't change while the runner serves: who keeps which key follows from it."""
+    def without_addresses(self) -> FleetConfig:
+        """Return the configuration without the seats' addresses.
+
+        The remainder can't change while the runner serves, as it determines the replicas of each key.
+        """
         return replace(self, seats=tuple(replace(seat, address=("", 0)) for seat in self.seats))
 
 
 def read_duties(section: Section) -> LeadershipPolicy:
-    """Read and check `[duties]`.
+    """Read and validate `[duties]`.
 
-    :raises ConfigError: with the key that is wrong.
+    :raises ConfigError: a key is unknown or its value is invalid.
     """
-    section.unknown({"on", "report", *DUTY_FIGURES})
-    figures = section.figures(DUTY_FIGURES, LeadershipPolicy())
-    reports: list[HeartbeatDuty] = []
-    for entry in _listed(section, "report"):
-        reports.append(_read_report(entry, reports))
-    return LeadershipPolicy(enabled=section.get("on", False), heartbeats=tuple(reports), **figures)
+    section.reject_unknown_keys({"on", "report", *DUTY_FIGURES})
+    numbers = section.numbers(DUTY_FIGURES, LeadershipPolicy())
+    heartbeats: list[HeartbeatDuty] = []
+    for entry in _entries(section, "report"):
+        heartbeats.append(_read_heartbeat(entry, heartbeats))
+    return LeadershipPolicy(enabled=section.get("on", False), heartbeats=tuple(heartbeats), **numbers)
 
 
 def read_fleet(section: Section, duties: Section) -> FleetConfig:
-    """Read and check `[fleet]` with its duties.
+    """Read and validate `[fleet]`.
 
-    :raises ConfigError: with the key that is wrong.
+    :param duties: the section `[duties]`, which becomes a part of the result.
+    :raises ConfigError: a key is unknown or its value is invalid.
     """
-    section.unknown({"listen", "name", "uncovered", "claim_ms", "copies", "seat", "journal"})
-    listen = inside(section.address("listen"), section.key("listen"))
+    section.reject_unknown_keys({"listen", "name", "uncovered", "claim_ms", "copies", "seat", "journal"})
+    listen = require_private(section.address("listen"), section.key("listen"))
     policy = _read_policy(section)
     duty_policy = read_duties(duties)
     if listen is None:
@@ -96,14 +100,14 @@
 def _read_policy(section: Section) -> ReplicationPolicy:
     defaults = ReplicationPolicy()
     uncovered = section.get("uncovered", "refuse")
-    if uncovered not in UNCOVERED_ALONE:
+    if uncovered not in RUNS_UNCOVERED:
         raise ConfigError(
-            f"{section.key('uncovered')}: expected one of {', '.join(UNCOVERED_ALONE)}, got {uncovered!r}"
+            f"{section.key('uncovered')}: expected one of {', '.join(RUNS_UNCOVERED)}, got {uncovered!r}"
         )
     policy = ReplicationPolicy(
         section.between("claim_ms", defaults.claim_timeout_ms, 10, 10_000),
         section.between("copies", defaults.replicas, 1, 7),
-        UNCOVERED_ALONE[uncovered],
+        RUNS_UNCOVERED[uncovered],
     )
     if policy.replicas % 2 == 0:
         raise ConfigError(f"{section.key('copies')}: expected an odd number, got {policy.replicas}")
@@ -115,39 +119,39 @@
     if not 1 <= len(listed) <= MAX_SEATS:
         raise ConfigError(f"{section.key('seat')}: expected 1 to {MAX_SEATS} of them, got {len(listed)}")
     seats: list[Seat] = []
-    for entry in _listed(section, "seat"):
+    for entry in _entries(section, "seat"):
         seats.append(_read_seat(entry, seats))
     return tuple(seats)
 
 
-def _read_seat(entry: Section, others: Iterable[Seat]) -> Seat:
-    entry.unknown({"name", "address", "zone", "group"})
+def _read_seat(entry: Section, previous: Iterable[Seat]) -> Seat:
+    entry.reject_unknown_keys({"name", "address", "zone", "group"})
     name = entry.get("name", "")
-    address = inside(entry.address("address"), entry.key("address"))
-    _check_unique_name(entry, name, (other.name for other in others))
+    address = require_private(entry.address("address"), entry.key("address"))
+    _check_unique_name(entry, name, (seat.name for seat in previous))
     if address is None:
         raise ConfigError(f"{entry.key('address')}: required, as HOST:PORT")
     return Seat(name, address, entry.get("zone", ""), entry.get("group", ""))
 
 
-def _read_report(entry: Section, others: Iterable[HeartbeatDuty]) -> HeartbeatDuty:
-    entry.unknown({"name", "to", "every_ms"})
+def _read_heartbeat(entry: Section, previous: Iterable[HeartbeatDuty]) -> HeartbeatDuty:
+    entry.reject_unknown_keys({"name", "to", "every_ms"})
     name = entry.get("name", "")
-    receiver = inside(entry.address("to"), entry.key("to"))
-    _check_unique_name(entry, name, (other.name for other in others))
+    receiver = require_private(entry.address("to"), entry.key("to"))
+    _check_unique_name(entry, name, (heartbeat.name for heartbeat in previous))
     if receiver is None:
         raise ConfigError(f"{entry.key('to')}: required, as HOST:PORT")
     return HeartbeatDuty(name, receiver, entry.between("every_ms", 5_000.0, 10, MAX_REPORT_INTERVAL_MS))
 
 
-def _check_unique_name(entry: Section, name: str, others: Iterable[str]) -> None:
-    if not is_identifier(name, MAX_NAME_LENGTH) or name in others:
+def _check_unique_name(entry: Section, name: str, previous_names: Iterable[str]) -> None:
+    if not is_identifier(name, MAX_NAME_LENGTH) or name in previous_names:
         raise ConfigError(
             f"{entry.key('name')}: expected letters, digits and -_.: that no other has, got {name!r}"
         )
 
 
-def _listed(section: Section, name: str) -> Iterator[Section]:
+def _entries(section: Section, name: str) -> Iterator[Section]:
     listed: list[Any] = section.get(name, [])
     for index, raw in enumerate(listed):
         yield Section(raw, f"{section.key(name)}[{index}]")
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -1,4 +1,4 @@
-"""`[tier]` of the operator's file, read and checked; its keys are mapped to the fields of the policy here alone."""
+"""Reads and validates `[tier]` of the operator's file, and maps its keys to the fields of the policy."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 from ..core.requests import is_identifier
 from ..load_balancing.policy import MAX_ENDPOINTS, EndpointConfig, EndpointProtocol, LoadBalancingPolicy
-from .section import ConfigError, Figure, Section
+from .section import ConfigError, NumericSetting, Section
 
 
 @dataclass(frozen=True, slots=True)
 class TierConfig:
-    """Several servers below, in place of the one address of `db` or `uwsgi.below`.
+    """Several downstream servers, in place of the single address of `db` or `uwsgi.below`.
 
-    servers: without any, there is no tier.
-    policy: how calls are balanced over them.
-    warm_start_file: keeps what was learnt of them over a restart; None: nothing does.
+    Attributes:
+        servers: Downstream servers; empty if the tier is disabled.
+        policy: Settings of the load balancing over the servers.
+        warm_start_file: Snapshot of learned state, which survives a restart; None for no snapshot.
     """
 
     servers: tuple[EndpointConfig, ...] = ()
@@ -28,34 +29,37 @@
 MAX_NAME_LENGTH = 64
 WEIGHT_BOUNDS = (0.01, 1000.0)
 
-# The figures of `[tier]`, by key.
+# Numeric settings of `[tier]` by key.
 TIER_FIGURES = {
-    "subset": Figure("subset_size", 0, MAX_ENDPOINTS),
-    "spill": Figure("zone_spill_ratio", 1, 100),
-    "least_limit": Figure("min_concurrency", 1, 1000),
-    "most_limit": Figure("max_concurrency", 1, 10_000),
-    "queue": Figure("max_queued_calls", 0, 10_000),
-    "consecutive": Figure("consecutive_failures", 1, 1000),
-    "failure_share": Figure("max_failure_rate", 0.01, 1),
-    "outlier": Figure("outlier_latency_ratio", 1.5, 1000),
-    "eject_s": Figure("base_ejection_s", 0.1, 600),
-    "most_eject_s": Figure("max_ejection_s", 0.1, 3600),
-    "most_ejected": Figure("max_ejected_fraction", 0, 1),
-    "panic": Figure("panic_threshold", 0, 1),
-    "retry_share": Figure("retry_budget_ratio", 0, 1),
-    "retry_floor_per_s": Figure("min_retries_per_s", 0, 100),
-    "backoff_ms": Figure("base_backoff_ms", 0, 10_000),
-    "most_backoff_ms": Figure("max_backoff_ms", 0, 60_000),
-    "slow_start_s": Figure("slow_start_s", 0, 600),
-    "slow_start_calls": Figure("slow_start_calls", 0, 1_000_000),
-    "slow_start_window_ms": Figure("slow_start_window_ms", 10, 600_000),
-    "runners": Figure("runners", 1, 10_000),
+    "subset": NumericSetting("subset_size", 0, MAX_ENDPOINTS),
+    "spill": NumericSetting("zone_spill_ratio", 1, 100),
+    "least_limit": NumericSetting("min_concurrency", 1, 1000),
+    "most_limit": NumericSetting("max_concurrency", 1, 10_000),
+    "queue": NumericSetting("max_queued_calls", 0, 10_000),
+    "consecutive": NumericSetting("consecutive_failures", 1, 1000),
+    "failure_share": NumericSetting("max_failure_rate", 0.01, 1),
+    "outlier": NumericSetting("outlier_latency_ratio", 1.5, 1000),
+    "eject_s": NumericSetting("base_ejection_s", 0.1, 600),
+    "most_eject_s": NumericSetting("max_ejection_s", 0.1, 3600),
+    "most_ejected": NumericSetting("max_ejected_fraction", 0, 1),
+    "panic": NumericSetting("panic_threshold", 0, 1),
+    "retry_share": NumericSetting("retry_budget_ratio", 0, 1),
+    "retry_floor_per_s": NumericSetting("min_retries_per_s", 0, 100),
+    "backoff_ms": NumericSetting("base_backoff_ms", 0, 10_000),
+    "most_backoff_ms": NumericSetting("max_backoff_ms", 0, 60_000),
+    "slow_start_s": NumericSetting("slow_start_s", 0, 600),
+    "slow_start_calls": NumericSetting("slow_start_calls", 0, 1_000_000),
+    "slow_start_window_ms": NumericSetting("slow_start_window_ms", 10, 600_000),
+    "runners": NumericSetting("runners", 1, 10_000),
 }
 
 
 def endpoint_of(section: Section) -> EndpointConfig:
-    """Read one server of `[[tier.server]]` or of the API. Raises ConfigError with the faulty key."""
-    section.unknown({"name", "address", "weight", "zone", "protocol"})
+    """Read and validate one server of `[[tier.server]]` or of the administration API.
+
+    :raises ConfigError: a key is unknown or its value is invalid.
+    """
+    section.reject_unknown_keys({"name", "address", "weight", "zone", "protocol"})
     name = section.get("name", "")
     address = section.address("address")
     if not is_identifier(name, MAX_NAME_LENGTH):
@@ -70,12 +74,13 @@
 
 
 def read_tier(section: Section, folder: Path, runners: int = 1) -> TierConfig:
-    """Read and check `[tier]` with its servers.
+    """Read and validate `[tier]` with its servers.
 
-    `folder`: that paths are relative to. `runners`: how many call the servers where the file does not say. Raises
-    ConfigError with the faulty key.
+    :param folder: base of relative paths.
+    :param runners: default for the number of runners that call the servers.
+    :raises ConfigError: a key is unknown or its value is invalid.
     """
-    section.unknown({*TIER_FIGURES, "zone", "hedge", "server", "knowledge_file"})
+    section.reject_unknown_keys({*TIER_FIGURES, "zone", "hedge", "server", "knowledge_file"})
     endpoints = _read_endpoints(section)
     policy = _read_policy(section, runners)
     file_name = section.get("knowledge_file", "")
@@ -102,9 +107,9 @@
 
 def _read_policy(section: Section, runners: int) -> LoadBalancingPolicy:
     defaults = LoadBalancingPolicy(runners=runners)
-    figures = section.figures(TIER_FIGURES, defaults)
+    numbers = section.numbers(TIER_FIGURES, defaults)
     policy = LoadBalancingPolicy(
-        zone=section.get("zone", ""), hedging_enabled=section.get("hedge", True), **figures
+        zone=section.get("zone", ""), hedging_enabled=section.get("hedge", True), **numbers
     )
     if policy.min_concurrency > policy.max_concurrency:
         raise ConfigError(
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -1,7 +1,7 @@
-"""The configuration of a runner as values, section by section.
+"""Data classes of a runner's configuration, one for each section.
 
-Most fields have the name of their key or section; for the others, the modules that read the sections map key to field:
-`health.py`, `load_balancing.py`, `fleet.py`, `namespaces.py`, `forecast.py` and `maintenance.py`.
+Most fields have the name of their key or section. For the others, the modules that read the sections map keys to
+fields: `health.py`, `load_balancing.py`, `fleet.py`, `namespaces.py`, `forecast.py` and `maintenance.py`.
 """
 
 from __future__ import annotations
@@ -23,9 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the process may take; the kernel's own cores and memory are in the settings.
+    """Resource limits of the process; the kernel's cores and memory are in the settings.
 
-    `sockets`: open descriptors.
+    Attributes:
+        cores: Processor cores.
+        memory_mb: Memory.
+        sockets: Open descriptors.
     """
 
     cores: float = 1.0
@@ -35,10 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UwsgiConfig:
-    """`[uwsgi]`: the second frontend, and a uwsgi peer for downstream calls.
-
-    `below`: the peer, in place of the database. `body_bytes`: longest body of a request. `idle_s`: how long a request
-    may take to arrive. `load_report`: whether each answer carries a load report.
+    """Section `[uwsgi]`: the second frontend, and a uwsgi peer for downstream calls.
+
+    Attributes:
+        listen: Address of the frontend.
+        below: Address of the peer, which replaces the database.
+        body_bytes: Maximum size of a request's body.
+        idle_s: Maximum time for a request to arrive.
+        load_report: Whether each answer has a load report.
     """
 
     listen: Address | None = None
@@ -50,11 +57,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckConfig:
-    """`[agent]`, `[health]` and `[standing]`: what load balancers poll, and what they are told.
-
-    `agent`, `health`: addresses of HAProxy's agent check and of the HTTP health checks. `maxconn`: whether the agent
-    check tells a maximum of connections. `codes`: HTTP status codes. `load_report`: whether health checks carry a load
-    report. `policy`: how the health state is worked out.
+    """Sections `[agent]`, `[health]` and `[standing]`: health checks for load balancers.
+
+    Attributes:
+        agent: Address of HAProxy's agent check.
+        maxconn: Whether the agent check reports a maximum number of connections.
+        health: Address of the HTTP health checks.
+        codes: HTTP status codes of the health checks.
+        load_report: Whether health checks have a load report.
+        policy: Settings of the health state.
     """
 
     agent: Address | None = None
@@ -67,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminConfig:
-    """`[admin]`: the administration API. Without a token it allows no changes."""
+    """Section `[admin]`: the administration API. Without a token it allows no changes."""
 
     listen: Address | None = None
     token: str = ""
@@ -75,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The operator's file, `deploy/fronts.toml`: everything is off where its section is missing."""
+    """The operator's file, `deploy/fronts.toml`: a feature is disabled if its section is missing."""
 
     uwsgi: UwsgiConfig = field(default_factory=UwsgiConfig)
     probes: HealthCheckConfig = field(default_factory=HealthCheckConfig)
@@ -89,11 +100,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a runner is told, read and checked.
-
-    `kernel`, `announce`, `db`: addresses to connect to. `console`: the operators' second address. `stop_ms`: time from
-    SIGTERM to SIGKILL. `raw`: the platform's file as it was parsed, against which the next one is checked. The others
-    are the sections of the operator's file.
+    """The whole configuration of a runner, validated.
+
+    The attributes not listed here are the sections of the operator's file.
+
+    Attributes:
+        name: Name of the runner.
+        listen: Address of the platform's frontend.
+        kernel, announce, db: Addresses to connect to.
+        stop_ms: Time from SIGTERM to SIGKILL.
+        limits: Resource limits of the process.
+        settings: Settings of the scheduler.
+        console: Listening address of the operators' console.
+        raw: The parsed platform file, whose keys the next file must have.
     """
 
     name: str
--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -1,4 +1,4 @@
-"""`[namespaces]` of the operator's file, read and checked: customers, what is granted to each, what each may cost."""
+"""Reads and validates `[namespaces]` of the operator's file: customers with their grants and budgets."""
 
 from __future__ import annotations
 
@@ -8,37 +8,38 @@
 
 from ..namespaces.policy import STATE_OVERHEAD_BYTES, Grant, PublishingLimits
 from ..routing.grants import Grants, Pool
-from .section import ConfigError, Figure, Section
+from .section import ConfigError, NumericSetting, Section
 
 MAX_CUSTOMERS = 10_000
 MAX_STARTUP_WAIT_MS = 60_000.0
-DEFAULT_MEMORY_MB = 64.0  # for all customers' drafts and tables at a runner
+DEFAULT_MEMORY_MB = 64.0  # Memory for all customers' drafts and tables in one runner.
 MAX_MEMORY_MB = 1_048_576.0
 MAX_POOL_LIMIT = 1_000_000
-MAX_QUOTA_SUM = 1.0 + 1e-9  # of a pool; with what adding up rounds
+MAX_QUOTA_SUM = 1.0 + 1e-9  # Limit for each pool, with a tolerance for rounding.
 MB = 1 << 20
 
 
-# By key of the settings.
-BUDGET_FIGURES = {
-    "bytes": Figure("max_draft_bytes", 1 << 10, 768 << 10),
-    "rules": Figure("max_rules", 1, 100_000),
-    "routes": Figure("max_routes", 1, 1_000),
-    "route_servers": Figure("max_route_servers", 1, 10_000),
-    "words": Figure("max_set_members", 1, 1_000_000),
-    "steps": Figure("max_check_steps", 1_000, 100_000_000),
-    "table_bytes": Figure("max_table_bytes", 1 << 16, 64 << 20),
+# Numeric settings of a customer's budget by key.
+BUDGET_SETTINGS = {
+    "bytes": NumericSetting("max_draft_bytes", 1 << 10, 768 << 10),
+    "rules": NumericSetting("max_rules", 1, 100_000),
+    "routes": NumericSetting("max_routes", 1, 1_000),
+    "route_servers": NumericSetting("max_route_servers", 1, 10_000),
+    "words": NumericSetting("max_set_members", 1, 1_000_000),
+    "steps": NumericSetting("max_check_steps", 1_000, 100_000_000),
+    "table_bytes": NumericSetting("max_table_bytes", 1 << 16, 64 << 20),
 }
-PUBLISHING_FIGURES = {
-    "keep": Figure("max_revisions", 1, 64),
-    "an_hour": Figure("max_per_hour", 1, 100_000),
+# Numeric settings of the limits on publishing by key.
+PUBLISHING_SETTINGS = {
+    "keep": NumericSetting("max_revisions", 1, 64),
+    "an_hour": NumericSetting("max_per_hour", 1, 100_000),
 }
-CUSTOMER_KEYS = BUDGET_FIGURES.keys() | PUBLISHING_FIGURES.keys()
+CUSTOMER_KEYS = BUDGET_SETTINGS.keys() | PUBLISHING_SETTINGS.keys()
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """What is granted to one tenant, and how much it may publish."""
+    """One customer's grant and limits on publishing."""
 
     grant: Grant = field(default_factory=Grant)
     publishing_limits: PublishingLimits = field(default_factory=PublishingLimits)
@@ -46,13 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NamespacesConfig:
-    """The section `[namespaces]`.
-
-    on: whether customers have namespaces.
-    customers: by name.
-    grants: which servers and pools customers may use.
-    max_tombstones: deleted namespaces that are remembered (`most`).
-    startup_wait_ms: how long a process that starts waits to learn what the others have (`start_ms`).
+    """Section `[namespaces]`.
+
+    Attributes:
+        on: Whether customers have namespaces.
+        customers: Customers by name.
+        grants: Servers and pools that customers may use.
+        max_tombstones: Maximum number of deleted namespaces that are retained (key `most`).
+        startup_wait_ms: Time that a starting process waits for the other runners' revisions (key `start_ms`).
     """
 
     on: bool = False
@@ -63,19 +65,20 @@
 
 
 def read_namespaces(section: Section, servers: set[str], duties: bool, state_bytes: int) -> NamespacesConfig:
-    """Read and check the section.
-
-    `servers`: names of all servers of the tier. `duties`: whether there are leases, with states of up to `state_bytes`.
+    """Read and validate `[namespaces]`.
 
-    :raises ConfigError: with the key that is wrong.
+    :param servers: names of all servers of the tier.
+    :param duties: whether the cluster has duties.
+    :param state_bytes: maximum size of a duty's state.
+    :raises ConfigError: a key is unknown or its value is invalid.
     """
-    section.unknown({"on", "most", "memory_mb", "start_ms", "customer", "pool", *CUSTOMER_KEYS})
+    section.reject_unknown_keys({"on", "most", "memory_mb", "start_ms", "customer", "pool", *CUSTOMER_KEYS})
     defaults = NamespacesConfig()
     on = section.get("on", defaults.on)
-    common = _read_figures(section, Customer(publishing_limits=PublishingLimits(max_state_bytes=state_bytes)))
+    common = _read_numbers(section, Customer(publishing_limits=PublishingLimits(max_state_bytes=state_bytes)))
     pools = _read_pools(section, servers)
     customers = _read_customers(section, servers, pools, common)
-    grants = _grants(section, customers, pools)
+    grants = _build_grants(section, customers, pools)
     if on:
         _check_memory(section, customers.values())
         _check_leases(section, [common, *customers.values()], duties, state_bytes)
@@ -89,19 +92,19 @@
     )
 
 
-def _read_figures(section: Section, defaults: Customer) -> Customer:
-    """Return `defaults` with the figures that the section has."""
-    budget = replace(defaults.grant.budget, **section.figures(BUDGET_FIGURES, defaults.grant.budget))
+def _read_numbers(section: Section, defaults: Customer) -> Customer:
+    """Return `defaults` with the numbers of the section applied."""
+    budget = replace(defaults.grant.budget, **section.numbers(BUDGET_SETTINGS, defaults.grant.budget))
     limits = replace(
         defaults.publishing_limits,
-        **section.figures(PUBLISHING_FIGURES, defaults.publishing_limits),
+        **section.numbers(PUBLISHING_SETTINGS, defaults.publishing_limits),
     )
     return Customer(replace(defaults.grant, budget=budget), limits)
 
 
 def _read_pools(section: Section, servers: set[str]) -> dict[str, Pool]:
     pools: dict[str, Pool] = {}
-    for entry in _listed(section, "pool", {"name", "servers", "limit"}):
+    for entry in _entries(section, "pool", {"name", "servers", "limit"}):
         name = _read_name(entry, pools)
         pools[name] = Pool(name, _read_servers(entry, servers), entry.between("limit", 64, 1, MAX_POOL_LIMIT))
     return pools
@@ -111,34 +114,32 @@
     section: Section, servers: set[str], pools: dict[str, Pool], common: Customer
 ) -> dict[str, Customer]:
     customers: dict[str, Customer] = {}
-    for entry in _listed(section, "customer", {"name", "servers", "pools", *CUSTOMER_KEYS}):
+    for entry in _entries(section, "customer", {"name", "servers", "pools", *CUSTOMER_KEYS}):
         name = _read_name(entry, customers)
-        listed = entry.section("pools")
-        if unknown := sorted(set(listed.data) - pools.keys()):
-            raise ConfigError(f"{listed.key(unknown[0])}: no such pool")
-        quotas = {pool: listed.between(pool, 0.0, 0.0, 1.0) for pool in listed.data}
+        quota_section = entry.section("pools")
+        if unknown := sorted(set(quota_section.data) - pools.keys()):
+            raise ConfigError(f"{quota_section.key(unknown[0])}: no such pool")
+        quotas = {pool: quota_section.between(pool, 0.0, 0.0, 1.0) for pool in quota_section.data}
         own_servers = frozenset(_read_servers(entry, servers))
-        customer = _read_figures(entry, common)
+        customer = _read_numbers(entry, common)
         customers[name] = replace(customer, grant=Grant(own_servers, quotas, customer.grant.budget))
     return customers
 
 
-def _listed(section: Section, name: str, known_keys: set[str]) -> list[Section]:
+def _entries(section: Section, name: str, known_keys: set[str]) -> list[Section]:
     listed: list[Any] = section.get(name, [])
     entries = [Section(raw, f"{section.key(name)}[{index}]") for index, raw in enumerate(listed)]
     for entry in entries:
-        entry.unknown(known_keys)
+        entry.reject_unknown_keys(known_keys)
     return entries
 
 
-def _read_name(entry: Section, taken: Mapping[str, object]) -> str:
-    from ..namespaces.names import (  # only where there are some: the platform has none
-        MAX_LENGTH,
-        is_valid_name,
-    )
+def _read_name(entry: Section, existing: Mapping[str, object]) -> str:
+    # Imported only if there are names to check: the platform's configuration has none.
+    from ..namespaces.names import MAX_LENGTH, is_valid_name
 
     name = entry.get("name", "")
-    if not is_valid_name(name) or name in taken:
+    if not is_valid_name(name) or name in existing:
         raise ConfigError(
             f"{entry.key('name')}: expected 1 to {MAX_LENGTH} characters in Unicode's form NFC, without spaces, "
             f"that no other has, got {name!r}"
@@ -156,21 +157,21 @@
     return tuple(listed)
 
 
-def _grants(section: Section, customers: Mapping[str, Customer], pools: dict[str, Pool]) -> Grants:
-    """Return what all customers may use, and check that it is theirs to use."""
+def _build_grants(section: Section, customers: Mapping[str, Customer], pools: dict[str, Pool]) -> Grants:
+    """Return the grants of all customers, after checking that they don't conflict."""
     own_servers = {name: customer.grant.servers for name, customer in customers.items()}
     quotas = {name: dict(customer.grant.pools) for name, customer in customers.items()}
-    _check_servers_apart(section, own_servers, pools)
+    _check_servers_disjoint(section, own_servers, pools)
     if len(customers) > MAX_CUSTOMERS:
         raise ConfigError(f"{section.key('customer')}: more than {MAX_CUSTOMERS}")
     _check_quotas(section, pools, quotas)
     return Grants(own_servers, quotas, pools)
 
 
-def _check_servers_apart(
+def _check_servers_disjoint(
     section: Section, own_servers: Mapping[str, frozenset[str]], pools: Mapping[str, Pool]
 ) -> None:
-    """A server is one customer's, or in pools, or for everybody: no customer reaches another's own."""
+    """Check that a server granted to one customer is granted to no other customer and is in no pool."""
     owners: dict[str, str] = {}
     for customer, servers in own_servers.items():
         for server in servers:
@@ -187,6 +188,7 @@
 
 
 def _check_quotas(section: Section, pools: Iterable[str], quotas: Mapping[str, Mapping[str, float]]) -> None:
+    """Check that the customers' quotas of each pool sum to at most 1."""
     for pool in pools:
         total = sum(customer.get(pool, 0.0) for customer in quotas.values())
         if total > MAX_QUOTA_SUM:
@@ -194,7 +196,7 @@
 
 
 def _check_memory(section: Section, customers: Iterable[Customer]) -> None:
-    """All budgets must fit into the memory together: then no publication is rejected because of another customer."""
+    """Check that all budgets together fit into the memory, so that no customer's use causes another's rejection."""
     max_mb = section.between("memory_mb", DEFAULT_MEMORY_MB, 1.0, MAX_MEMORY_MB)
     budgets = [customer.grant.budget for customer in customers]
     granted_mb = sum(budget.max_table_bytes + budget.max_draft_bytes for budget in budgets) / MB
@@ -206,7 +208,7 @@
 
 
 def _check_leases(section: Section, customers: Iterable[Customer], duties: bool, state_bytes: int) -> None:
-    """Namespaces need leases, whose states have space for a draft."""
+    """Check that the cluster has duties, and that their states have space for the largest draft."""
     if not duties:
         raise ConfigError(
             f"{section.key('on')}: namespaces are published by duties of a fleet: set duties.on"
@@ -219,7 +221,7 @@
 
 
 def _check_free_servers(section: Section, servers: set[str], grants: Grants) -> None:
-    """Some servers must be left for requests that no customer's rules are for."""
+    """Check that some servers remain for requests to which no customer's rules apply."""
     if not servers:
         raise ConfigError(f"{section.key('on')}: there is nothing to route to: set tier.server")
     if not servers - grants.reserved_servers():
--- a/moorusher/config/operator_file.py
+++ b/moorusher/config/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what listens beside the platform's frontend, and which parts are on."""
+"""Reads the operator's file, which configures additional listeners and optional features."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .load_balancing import TierConfig, read_tier
 from .model import AdminConfig, OperatorConfig, UwsgiConfig
 from .namespaces import NamespacesConfig, read_namespaces
-from .section import ConfigError, Section, loopback, unreadable
+from .section import ConfigError, Section, require_loopback, unreadable_error
 
 DEFAULT_OPERATOR_FILE = Path(__file__).resolve().parents[2] / "deploy" / "fronts.toml"
 SECTIONS = {
@@ -31,23 +31,23 @@
 
 
 def read_operator_file(path: Path) -> OperatorConfig:
-    """Read and check the file; everything is off where it is missing.
+    """Read and validate the file; if it is missing, all its features are disabled.
 
-    :raises ConfigUnreadableError: it can't be read at this moment.
-    :raises ConfigError: it is not valid TOML, or a key is unknown or its value can't be used.
+    :raises ConfigUnreadableError: the file is temporarily unreadable.
+    :raises ConfigError: the file is not valid TOML, a key is unknown or a value is invalid.
     """
     try:
         raw = tomllib.loads(path.read_text())
     except FileNotFoundError:
         return OperatorConfig()
     except OSError as error:
-        raise unreadable(path.name, error) from error
+        raise unreadable_error(path.name, error) from error
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ConfigError(f"{path.name}: {error}") from error
     root = Section(raw, "")
-    root.unknown(SECTIONS)
-    uwsgi = _uwsgi(root.section("uwsgi"))
-    admin = _admin(root.section("admin"), path.parent)
+    root.reject_unknown_keys(SECTIONS)
+    uwsgi = _read_uwsgi(root.section("uwsgi"))
+    admin = _read_admin(root.section("admin"), path.parent)
     probes = read_health_checks(root.section("agent"), root.section("health"), root.section("standing"))
     fleet = read_fleet(root.section("fleet"), root.section("duties"))
     tier = read_tier(root.section("tier"), path.parent, max(1, len(fleet.seats)))
@@ -57,14 +57,14 @@
         admin=admin,
         tier=tier,
         fleet=fleet,
-        namespaces=_namespaces(root.section("namespaces"), tier, fleet),
-        forecast=_forecast(root.section("forecast"), fleet),
-        outage=_outage(root.section("outage"), fleet),
+        namespaces=_read_namespaces(root.section("namespaces"), tier, fleet),
+        forecast=_read_forecast(root.section("forecast"), fleet),
+        outage=_read_maintenance(root.section("outage"), fleet),
     )
 
 
-def _uwsgi(section: Section) -> UwsgiConfig:
-    section.unknown({"listen", "below", "body_bytes", "idle_s", "load_report"})
+def _read_uwsgi(section: Section) -> UwsgiConfig:
+    section.reject_unknown_keys({"listen", "below", "body_bytes", "idle_s", "load_report"})
     defaults = UwsgiConfig()
     return UwsgiConfig(
         listen=section.address("listen"),
@@ -75,28 +75,28 @@
     )
 
 
-def _admin(section: Section, folder: Path) -> AdminConfig:
-    section.unknown({"listen", "token", "token_file"})
+def _read_admin(section: Section, folder: Path) -> AdminConfig:
+    section.reject_unknown_keys({"listen", "token", "token_file"})
     token = section.get("token", "")
     if name := section.get("token_file", ""):
         try:
             token = (folder / name).read_text().strip()
         except OSError as error:
-            raise unreadable("admin.token_file", error) from error
-    return AdminConfig(loopback(section.address("listen"), "admin.listen"), token)
+            raise unreadable_error("admin.token_file", error) from error
+    return AdminConfig(require_loopback(section.address("listen"), "admin.listen"), token)
 
 
-# Sections that are missing read nothing: what their parts need may not be installed.
+# These functions read nothing if the section is missing, since the dependencies of its feature may not be installed.
 
 
-def _namespaces(section: Section, tier: TierConfig, fleet: FleetConfig) -> NamespacesConfig:
+def _read_namespaces(section: Section, tier: TierConfig, fleet: FleetConfig) -> NamespacesConfig:
     if not section.data:
         return NamespacesConfig()
     servers = {server.name for server in tier.servers}
     return read_namespaces(section, servers, fleet.duties.enabled, fleet.duties.max_state_bytes)
 
 
-def _forecast(section: Section, fleet: FleetConfig) -> ForecastPolicy:
+def _read_forecast(section: Section, fleet: FleetConfig) -> ForecastPolicy:
     if not section.data:
         return ForecastPolicy()
     from .forecast import read_forecast
@@ -104,9 +104,9 @@
     return read_forecast(section, fleet.duties.enabled, fleet.duties.max_state_bytes)
 
 
-def _outage(section: Section, fleet: FleetConfig) -> MaintenancePolicy:
+def _read_maintenance(section: Section, fleet: FleetConfig) -> MaintenancePolicy:
     if not section.data:
         return MaintenancePolicy()
-    from .maintenance import read_outage
+    from .maintenance import read_maintenance
 
-    return read_outage(section, fleet.listen is not None)
+    return read_maintenance(section, fleet.listen is not None)
--- a/moorusher/config/platform_file.py
+++ b/moorusher/config/platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's file, which GW_CONFIG names: JSON with addresses, limits and the scheduler's settings."""
+"""Parses the platform's file, which GW_CONFIG names: JSON with addresses, limits and the scheduler's settings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 from .scheduler_settings import parse_settings
 from .section import Address, ConfigError, Section, parse_address
 
-OPTIONAL_KEYS = {"aimStretch", "passesDeadline", "fleet"}  # the platform's page allows these to be absent
+OPTIONAL_KEYS = {
+    "aimStretch",
+    "passesDeadline",
+    "fleet",
+}  # The platform's documentation makes these optional.
 DEFAULT_STOP_MS = 3000.0
 _NAME_PUNCTUATION = "-_."
 
@@ -20,10 +24,10 @@
 def parse_platform_file(
     text: bytes, environment: Mapping[str, str], operator: OperatorConfig, running: Any = None
 ) -> Config:
-    """Parse and check the file, and join it with the operator's.
+    """Parse and validate the file, and combine it with the operator's file.
 
-    :param running: the parsed file that is in service, whose keys the new one must have; None at the start.
-    :raises ConfigError: it is not valid JSON, or a key is missing or its value can't be used.
+    :param running: the parsed file in service, whose keys the new file must have; None at the start.
+    :raises ConfigError: the file is not valid JSON, a key is missing or a value is invalid.
     """
     try:
         raw = json.loads(text)
@@ -32,7 +36,7 @@
     root = Section(raw, "")
     if running is not None and (missing := missing_key(running, raw)) is not None:
         raise ConfigError(f"{missing}: missing, and the running configuration has it")
-    name = _name(root, environment)
+    name = _read_name(root, environment)
     listen = _listen_address(root, environment)
     kernel = root.address("kernel")
     if kernel is None:
@@ -40,8 +44,8 @@
     console = _console_address(root, environment)
     if console is not None and console == listen:
         raise ConfigError(f"console: the same address as listen, {_listen_text(root, environment)}")
-    limits = _limits(root.section("limits"))
-    settings = _settings(root)
+    limits = _read_limits(root.section("limits"))
+    settings = _read_settings(root)
     if operator.fleet.listen is not None and all(seat.name != name for seat in operator.fleet.seats):
         raise ConfigError(f"fleet.seat: none has this runner's name, {name}")
     return Config(
@@ -67,10 +71,10 @@
 
 
 def missing_key(running: Any, new: Any, path: str = "") -> str | None:
-    """Return the path of the first key that the running file has and the new one has not, or None.
+    """Return the path of the first key that the running file has and the new file lacks, or None.
 
-    Guards against a file that was cut or lost a part on its way: it must not run with defaults in place of what is
-    missing. In a list of objects, each must have the keys that all of the running ones have.
+    Guards against a truncated or incomplete file, for whose missing keys the runner would use defaults. In a list of
+    objects, each new object must have the keys that all running objects have.
     """
     if isinstance(running, dict) and isinstance(new, dict):
         return _missing_key_of_object(running, new, path)
@@ -104,7 +108,7 @@
     return None
 
 
-def _name(root: Section, environment: Mapping[str, str]) -> str:
+def _read_name(root: Section, environment: Mapping[str, str]) -> str:
     name = root.get("name", "") or environment.get("GW_NAME", "")
     if not name or not all(c.isalnum() or c in _NAME_PUNCTUATION for c in name):
         raise ConfigError(f"name: expected letters, digits, '-', '_' and '.', got {name!r} (or set GW_NAME)")
@@ -127,7 +131,7 @@
     return parse_address(text, "GW_CONSOLE") if text else root.address("console")
 
 
-def _limits(section: Section) -> Limits:
+def _read_limits(section: Section) -> Limits:
     defaults = Limits()
     return Limits(
         cores=section.positive("cores", defaults.cores),
@@ -136,7 +140,7 @@
     )
 
 
-def _settings(root: Section) -> Settings:
+def _read_settings(root: Section) -> Settings:
     seed_text = root.get("seed", "0")
     try:
         seed = int(seed_text, 16)
@@ -144,7 +148,7 @@
         raise ConfigError(f"seed: expected hexadecimal digits, got {seed_text!r}") from None
     try:
         settings = parse_settings(json.dumps(root.section("settings").data).encode(), seed)
-    except (ValueError, OverflowError) as error:  # the parser and the interface's own checks name the setting
+    except (ValueError, OverflowError) as error:  # The error names the setting.
         raise ConfigError(f"settings: {error}") from error
     _check_unique_names("classes", [request_class.name for request_class in settings.classes])
     _check_unique_names("realms", [tenant.name for tenant in settings.tenants])
@@ -152,6 +156,7 @@
 
 
 def _check_unique_names(listed: str, names: list[str]) -> None:
+    """Check that the names in the list `settings.<listed>` are unique and not empty."""
     for index, name in enumerate(names):
         if not name or name in names[:index]:
             raise ConfigError(
--- a/moorusher/config/scheduler_settings.py
+++ b/moorusher/config/scheduler_settings.py
@@ -1,6 +1,6 @@
-"""The scheduler's settings: their names in the platform's JSON, and the fields of `scheduling/interface.py`.
+"""Maps the scheduler's settings from their names in the platform's JSON to the fields of `scheduling/interface.py`.
 
-The platform's file and the simulator's start record hold the same object. Its themed names stand here alone.
+The platform's file and the simulator's start record hold the same object. No other module uses its names.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class SettingsError(ValueError):
-    """The settings cannot be used; the text names the setting."""
+    """The settings are invalid; the message names the setting."""
 
 
 EFFECTS = {
@@ -23,12 +23,16 @@
     "guarded": api.Effect.IDEMPOTENT_WITH_KEY,
     "single_shot": api.Effect.NOT_IDEMPOTENT,
 }
-HALTING = {member.value: member for member in api.Preemption}
-SIGNALS = {member.value: member for member in api.SignalKind}
-DEPENDENCIES = {"off": api.Downstream.OFF, "one_for_all": api.Downstream.SHARED, "tier": api.Downstream.TIER}
+PREEMPTION_MODES = {member.value: member for member in api.Preemption}
+SIGNAL_KINDS = {member.value: member for member in api.SignalKind}
+DOWNSTREAM_MODES = {
+    "off": api.Downstream.OFF,
+    "one_for_all": api.Downstream.SHARED,
+    "tier": api.Downstream.TIER,
+}
 
-# Fields of `scheduling/settings.py` that have another name in the JSON: an error names the key that an operator finds
-# there.
+# JSON keys of fields of `scheduling/settings.py` with a different name. Error messages use the key, which operators
+# find in the file.
 KEY_OF_FIELD = {
     "latency_objective_ms": "aimMs",
     "priority_weight": "worth",
@@ -57,7 +61,7 @@
 
 
 class _Object:
-    """One JSON object; a missing or wrong value raises `SettingsError` with the setting's path."""
+    """One JSON object; a missing or invalid value raises `SettingsError` with the setting's path."""
 
     def __init__(self, data: Any, path: str = "") -> None:
         if not isinstance(data, Mapping):
@@ -66,24 +70,24 @@
         self.path = path
 
     def get(self, key: str, default: ValueT) -> ValueT:
-        """An optional value of the default's type; whole numbers pass for fractional ones."""
+        """Return an optional value of the default's type; integers are accepted as floats."""
         value = self.data.get(key)
         if value is None:
             return default
         kind = type(default)
-        fits = isinstance(value, (int, float) if kind is float else kind)
-        if not fits or isinstance(value, bool) is not (kind is bool):
+        has_type = isinstance(value, (int, float) if kind is float else kind)
+        if not has_type or isinstance(value, bool) is not (kind is bool):
             raise SettingsError(f"setting {self.path}{key}: expected {kind.__name__}, got {value!r}")
         return cast(ValueT, float(value)) if kind is float else cast(ValueT, value)
 
     def require(self, key: str, kind: type[ValueT]) -> ValueT:
-        """A value of that type that must be there."""
+        """Return a required value of this type."""
         if self.data.get(key) is None:
             raise SettingsError(f"setting {self.path}{key}: required, expected {kind.__name__}")
         return self.get(key, kind())
 
     def choice(self, key: str, options: Mapping[str, EnumT], default: EnumT) -> EnumT:
-        """An optional member of an Enum, by its name in the JSON."""
+        """Return an optional member of an Enum by its name in the JSON."""
         value = self.data.get(key)
         if value is None:
             return default
@@ -93,41 +97,40 @@
         return options[value]
 
     def object(self, key: str) -> _Object:
-        """An optional object; empty where it is absent."""
+        """Return an optional object; it is empty if the key is missing."""
         return _Object(self.data.get(key) or {}, f"{self.path}{key}.")
 
     def values(self, key: str, kind: type[ValueT]) -> list[ValueT]:
-        """A list of plain values of that type; the error names the item."""
+        """Return a list of simple values of this type; errors name the item."""
         listed: list[Any] = self.get(key, [])
         items = _Object({str(i): value for i, value in enumerate(listed)}, f"{self.path}{key}.")
         return [items.require(str(i), kind) for i in range(len(listed))]
 
     def objects(self, key: str) -> list[_Object]:
-        """A list of objects; the error names the item."""
+        """Return a list of objects; errors name the item."""
         listed: list[Any] = self.get(key, [])
         return [_Object(item, f"{self.path}{key}[{i}].") for i, item in enumerate(listed)]
 
 
 def parse_settings(text: bytes, seed: int = 0) -> api.Settings:
-    """The settings from the platform's JSON; unknown keys are ignored.
+    """Parse the settings from the platform's JSON; unknown keys are ignored.
 
-    Raises:
-        SettingsError: no valid JSON, or a setting is missing, of another type or outside its bounds.
+    :raises SettingsError: the text is not valid JSON, or a setting is missing, of a wrong type or out of bounds.
     """
     try:
         root = _Object(json.loads(text))
     except (UnicodeDecodeError, json.JSONDecodeError, RecursionError) as exc:
         raise SettingsError(f"the settings are not valid JSON: {exc}") from exc
     try:
-        return _settings(root, seed)
+        return _parse_root(root, seed)
     except SettingsError:
         raise
     except (ValueError, OverflowError) as exc:
-        raise SettingsError(_in_terms_of_the_file(exc)) from exc
+        raise SettingsError(_with_json_keys(exc)) from exc
 
 
-def _settings(root: _Object, seed: int) -> api.Settings:
-    """The settings; a ValueError names the field whose value `api.Settings` does not take."""
+def _parse_root(root: _Object, seed: int) -> api.Settings:
+    """Return the settings; a ValueError of `api.Settings` names its field, not the JSON key."""
     extra = root.object("extra")
     invariants = root.object("invariants")
     limits = root.object("limits")
@@ -146,12 +149,12 @@
         warming_up=extra.get("cold", False),
         warm_up_initial_speed=invariants.get("coldShare", 1.0),
         warm_up_ms=invariants.get("warmAfterMs", 0.0),
-        preemption=extra.choice("halt", HALTING, api.Preemption.OFF),
-        signal=extra.choice("say", SIGNALS, api.SignalKind.OFF),
+        preemption=extra.choice("halt", PREEMPTION_MODES, api.Preemption.OFF),
+        signal=extra.choice("say", SIGNAL_KINDS, api.SignalKind.OFF),
         signal_ttl_ms=extra.get("heardForMs", 1000.0),
         callers=extra.get("upstreams", 1),
         peers=root.get("peersTotal", 1),
-        downstream=extra.choice("below", DEPENDENCIES, api.Downstream.OFF),
+        downstream=extra.choice("below", DOWNSTREAM_MODES, api.Downstream.OFF),
         call_quota=extra.get("fairCalls", 0.0),
         call_quota_window_ms=extra.get("depWindowMs", 5000.0),
         abandoned_call_ms=extra.get("staysForMs", 0.0),
@@ -169,7 +172,7 @@
 
 
 def _parse_classes(root: _Object, extra: _Object) -> tuple[api.RequestClass, ...]:
-    """The classes; what they may call, and are worth without, is listed apart and may be shorter."""
+    """Return the request classes. Their properties of downstream calls are in separate lists, which may be shorter."""
     may_call = extra.values("classCalls", bool)
     value_without_call = extra.values("worthWithout", float)
     return tuple(
@@ -198,11 +201,12 @@
         )
     except SettingsError:
         raise
-    except (ValueError, OverflowError) as exc:  # which of the classes, the interface does not know
-        raise SettingsError(_in_terms_of_the_file(exc).replace("classes[].", item.path)) from exc
+    except (ValueError, OverflowError) as exc:  # `api.RequestClass` does not know the index of the class.
+        raise SettingsError(_with_json_keys(exc).replace("classes[].", item.path)) from exc
 
 
-def _in_terms_of_the_file(error: Exception) -> str:
+def _with_json_keys(error: Exception) -> str:
+    """Return the error's message with the names of fields replaced by JSON keys."""
     return _RENAMED_FIELD.sub(lambda found: KEY_OF_FIELD[found[0]], str(error))
 
 
@@ -218,6 +222,6 @@
 
 
 def _parse_max_retry_after_ms(limits: _Object) -> float:
-    """0, so that no pause is ever asked for, where the platform does not pass Retry-After on."""
+    """Return 0, which disables Retry-After, if the platform does not forward it to clients."""
     max_ms = limits.get("maxRetryAfterMs", 0.0)
     return max_ms if limits.get("retryAfter", True) else 0.0
--- a/moorusher/config/section.py
+++ b/moorusher/config/section.py
@@ -1,4 +1,4 @@
-"""A part of a configuration as it was parsed: values by key, and errors that name the key."""
+"""A section of a parsed configuration: typed access to values by key, with errors that name the key."""
 
 from __future__ import annotations
 
@@ -10,32 +10,40 @@
 from ..transient_errors import TRANSIENT
 
 Value = TypeVar("Value")
-Address = tuple[str, int]  # host and port
+Address = tuple[str, int]  # Host and port.
 
-MAX_NUMBER = 1e15  # JSON as Python reads it has NaN, Infinity and whole numbers of any size
+MAX_NUMBER = 1e15  # Python's JSON parser accepts NaN, Infinity and integers of any size.
 MAX_PORT = 65_535
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the text names the key."""
+    """The configuration is invalid; the message names the key."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """A file of the configuration could not be read at that moment; a moment later it may be."""
+    """A file of the configuration is temporarily unreadable; a retry may succeed."""
 
 
-# The system had no capacity, or the disk failed: neither says anything of the file.
-READ_LATER = TRANSIENT | {errno.EIO}
+# Errors of a system without capacity or of a failing disk, which don't mean that the file is invalid.
+TEMPORARY_READ_ERRORS = TRANSIENT | {errno.EIO}
 
 
-def unreadable(key: str, error: OSError) -> ConfigError:
-    """Return the error for a file that could not be read; `key` names the file or who refers to it."""
-    kind = ConfigUnreadableError if error.errno in READ_LATER else ConfigError
+def unreadable_error(key: str, error: OSError) -> ConfigError:
+    """Return the error for a file that could not be read.
+
+    :param key: name of the file, or the key or variable that refers to it.
+    """
+    kind = ConfigUnreadableError if error.errno in TEMPORARY_READ_ERRORS else ConfigError
     return kind(f"{key}: {error}")
 
 
-class Figure(NamedTuple):
-    """A number of a section: the field that its key sets, and what it may be, both bounds included."""
+class NumericSetting(NamedTuple):
+    """A numeric setting.
+
+    Attributes:
+        field: Name of the field that it sets.
+        minimum, maximum: Bounds, both inclusive.
+    """
 
     field: str
     minimum: float
@@ -43,9 +51,13 @@
 
 
 class Section:
-    """One object of the configuration. `data`: its values by key. `path`: its own key, "" for the whole file.
+    """One object of the configuration.
 
-    Each method raises ConfigError, with the full path of the key, where a value can't be used.
+    Methods raise ConfigError with the full path of the key if a value is invalid.
+
+    Attributes:
+        data: Values by key.
+        path: Key of this section; "" for the whole file.
     """
 
     def __init__(self, data: Any, path: str) -> None:
@@ -59,7 +71,7 @@
         return f"{self.path}.{name}" if self.path else name
 
     def get(self, name: str, default: Value) -> Value:
-        """Return the value, which must have the type of the default, or the default where it is missing."""
+        """Return the value, which must have the type of the default, or the default if the key is missing."""
         value: Any = self.data.get(name)
         if value is None:
             return default
@@ -74,46 +86,52 @@
         return cast(Value, float(cast(float, value)))
 
     def positive(self, name: str, default: Value) -> Value:
-        """Return a number above 0."""
+        """Return a number greater than 0."""
         value = self.get(name, default)
         if not cast(float, value) > 0:
             raise ConfigError(f"{self.key(name)}: expected more than 0, got {value!r}")
         return value
 
     def between(self, name: str, default: Value, minimum: float, maximum: float) -> Value:
-        """Return a number within these bounds, both included."""
+        """Return a number within these bounds, both inclusive."""
         value = self.get(name, default)
         if not minimum <= cast(float, value) <= maximum:
             raise ConfigError(f"{self.key(name)}: expected {minimum:g} to {maximum:g}, got {value!r}")
         return value
 
-    def figures(self, figures: Mapping[str, Figure], defaults: object) -> dict[str, Any]:
-        """Return the values of these figures by field; those that are missing are as in `defaults`."""
+    def numbers(self, settings: Mapping[str, NumericSetting], defaults: object) -> dict[str, Any]:
+        """Return the values of numeric settings by field; missing ones have the value of the field in `defaults`.
+
+        :param settings: numeric settings by key.
+        """
         return {
-            figure.field: self.between(key, getattr(defaults, figure.field), figure.minimum, figure.maximum)
-            for key, figure in figures.items()
+            setting.field: self.between(
+                key, getattr(defaults, setting.field), setting.minimum, setting.maximum
+            )
+            for key, setting in settings.items()
         }
 
     def section(self, name: str) -> Section:
-        """Return the object under this key, empty where it is missing."""
+        """Return the object under this key; it is empty if the key is missing."""
         return Section(self.data.get(name, {}), self.key(name))
 
     def address(self, name: str) -> Address | None:
-        """Return HOST:PORT parsed, None where it is missing."""
+        """Return an address given as HOST:PORT, or None if the key is missing."""
         text = self.get(name, "")
         return parse_address(text, self.key(name)) if text else None
 
-    def unknown(self, known: set[str]) -> None:
-        """Refuse keys other than these: a misspelt one would else keep its default unseen."""
+    def reject_unknown_keys(self, known: set[str]) -> None:
+        """Raise an error for keys other than these, since a misspelled key would silently keep its default."""
         unknown = sorted(set(self.data) - known)
         if unknown:
             raise ConfigError(f"{self.key(unknown[0])}: no such key; known are {', '.join(sorted(known))}")
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parse HOST:PORT.
+    """Parse an address given as HOST:PORT.
 
-    :raises ConfigError: with the key.
+    :param key: key for the error message.
+    :raises ConfigError: the text is not a valid address.
     """
     host, colon, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
@@ -122,10 +140,11 @@
     return host.strip("[]"), int(port)
 
 
-def loopback(address: Address | None, key: str) -> Address | None:
-    """Return the address if it is one of this machine alone.
+def require_loopback(address: Address | None, key: str) -> Address | None:
+    """Return the address after checking that it is a loopback address or None.
 
-    :raises ConfigError: with the key.
+    :param key: key for the error message.
+    :raises ConfigError: the address is not a loopback address.
     """
     if address is not None:
         try:
@@ -137,10 +156,13 @@
     return address
 
 
-def inside(address: Address | None, key: str) -> Address | None:
-    """Return the address if it is loopback or private: messages between runners are neither encrypted nor signed.
+def require_private(address: Address | None, key: str) -> Address | None:
+    """Return the address after checking that it is a loopback or private address, or None.
+
+    Messages between runners are neither encrypted nor signed, so they must not leave private networks.
 
-    :raises ConfigError: with the key.
+    :param key: key for the error message.
+    :raises ConfigError: the address is public or not an IP address.
     """
     if address is not None and address[0] != "localhost":
         try:
--- a/moorusher/errors.py
+++ b/moorusher/errors.py
@@ -1,4 +1,4 @@
-"""The base of errors that an operator can act on."""
+"""Base class of errors that an operator can act on."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class OperatorError(Exception):
-    """What went wrong, in words, with what an operator can do.
+    """An error with a description for operators and a remedy.
 
     Attributes:
-        kind: its name in the administration API and between runners. Each error that is raised has its own; bases
-            have none.
-        status: of HTTP, for the administration API.
-        remedy: what can be done.
+        kind: Name of the error in the administration API and in messages between runners. Each concrete class has its
+            own; base classes have none.
+        status: HTTP status of the administration API.
+        remedy: What an operator can do.
     """
 
     kind: ClassVar[str]
--- a/moorusher/server/__init__.py
+++ b/moorusher/server/__init__.py
@@ -1,1 +1,1 @@
-"""One runner process: its parts put together, started, reconfigured, drained and ended."""
+"""One runner process: assembly of its parts, start, configuration reload, draining and shutdown."""
--- a/moorusher/server/accepting_port.py
+++ b/moorusher/server/accepting_port.py
@@ -1,4 +1,4 @@
-"""A listening port of Twisted that keeps connections waiting where there is no capacity for them."""
+"""A Twisted listening port that leaves connections in the backlog while there is no capacity for them."""
 
 from __future__ import annotations
 
@@ -19,29 +19,31 @@
 EVICTION_INTERVAL_S = 0.1
 
 log = logging.getLogger("moorusher")
-limited = RateLimitedLog(log)
+rate_limited_log = RateLimitedLog(log)
 
-_TcpPort: Any = tcp.Port  # Twisted's classes carry no types
+_TcpPort: Any = tcp.Port  # Twisted's classes have no type annotations
 
 
 class AcceptingPort(_TcpPort):  # type: ignore[misc]
-    """Twisted's listening port with an accept loop of its own.
+    """A Twisted listening port with its own accept loop.
 
-    Guards against a burst of connections while the process or the system is out of capacity. Twisted's own loop then
-    closes what it accepts, requests included, or polls the socket without a pause. Here connections stay in the
-    backlog until there is capacity, and an idle connection is evicted where the process's own descriptors are used up.
+    Handles a burst of connections while the process or the system is out of capacity. In that case Twisted's accept
+    loop closes the connections that it accepts, and their requests are lost, or it polls the socket without a pause.
+    This port leaves connections in the backlog until there is capacity, and evicts an idle connection when the
+    process has used up its descriptors. The factory may offer `is_full()`, `reserve_slot()` and `evict_idle()`
+    (`frontends/limited_protocol.py`).
 
-    `max_accepts_per_turn` bounds one turn of the loop, so that a burst can't come in faster than evicted connections
-    close. The factory may offer `is_full()`, `reserve_slot()` and `evict_idle()` (`frontends/limited_protocol.py`).
+    Attributes:
+        max_accepts_per_turn: Maximum number of connections accepted in one turn of the event loop, so that a burst
+            can't arrive faster than evicted connections close.
     """
 
     max_accepts_per_turn = 1
-    _closing = False  # accepts only what is in the backlog already, then closes
-    _paused = False  # by its owner, until `startReading`
-    _evicted_at_s = (
-        0.0  # monotonic time of the last eviction for a descriptor; 0 once an accept has succeeded
-    )
-    _count: Callable[[str], None]  # counts one event under a name
+    _closing = False  # Whether only the present backlog is accepted before the port closes.
+    _paused = False  # Whether the owner has stopped accepting, until `startReading`.
+    # Monotonic time of the last eviction that freed a descriptor; 0 after a successful accept.
+    _evicted_at_s = 0.0
+    _count: Callable[[str], None]  # Increments the counter with the given name.
 
     @classmethod
     def of(
@@ -52,7 +54,10 @@
         max_accepts_per_turn: int,
         count: Callable[[str], None],
     ) -> AcceptingPort:
-        """Accept on this socket, at most so many connections in one turn of the loop."""
+        """Create a port that accepts connections on the socket `listening`.
+
+        :param count: increments the counter with the given name.
+        """
         port: AcceptingPort = cls._fromListeningDescriptor(
             reactor, listening.fileno(), listening.family, factory
         )
@@ -62,12 +67,12 @@
         return port
 
     def doRead(self) -> None:
-        """Accept connections from the backlog, as far as the bounds allow."""
+        """Accept connections from the backlog, within the limits on connections."""
         accepted_count = 0
         for _ in range(self.max_accepts_per_turn):
             if not self._closing and self._is_full():
                 if accepted_count:
-                    return  # the loop comes back if more are waiting: none is evicted in vain
+                    return  # Called again if more are waiting. Prevents an eviction that no connection needs.
                 if not self.factory.reserve_slot():
                     return self._wait_for_connection_slot()
             try:
@@ -77,23 +82,23 @@
             except OSError as error:
                 if error.errno in NO_CAPACITY:
                     return self._wait_for_system_capacity(error)
-                self._accept_failed(error)  # concerns that one connection alone
+                self._accept_failed(error)  # The error affects only this connection.
             else:
                 self._evicted_at_s = 0.0
                 accepted_count += 1
-                self._begin_connection_safely(accepted, address)
+                self._start_connection_or_close(accepted, address)
         if not accepted_count and not self._closing:
-            self._pause_accepting()  # every accept failed: without a pause the loop would spin
+            self._pause_accepting()  # Every accept failed, and without a pause the event loop would spin.
 
-    def _begin_connection_safely(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
-        """Begin a connection; an exception in it must not close the listening socket, as Twisted's loop does."""
+    def _start_connection_or_close(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
+        """Start a connection, or close it on an exception; Twisted's loop would close the listening socket."""
         try:
-            self._begin_connection(accepted, address)
+            self._start_connection(accepted, address)
         except Exception:
-            log.exception("a connection could not be begun")
+            log.exception("failed to start an accepted connection")
             accepted.close()
 
-    def _begin_connection(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
+    def _start_connection(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
         protocol = self.factory.buildProtocol(self._buildAddr(address))
         if protocol is None:
             accepted.close()
@@ -105,31 +110,36 @@
     def _accept_failed(self, error: OSError) -> None:
         self._count("accepts that failed")
         name = errorcode.get(error.errno or 0, "?")
-        limited.write(logging.WARNING, f"accept {name}", "a connection could not be accepted: %s", name)
+        rate_limited_log.write(
+            logging.WARNING, f"accept {name}", "a connection could not be accepted: %s", name
+        )
 
     def _is_full(self) -> bool:
-        """Whether all connection slots of the frontend are taken; some frontends have no such bound."""
+        """Return whether all connection slots of the frontend are in use; some frontends have no such limit."""
         is_full = getattr(self.factory, "is_full", None)
         return is_full is not None and bool(is_full())
 
     def _wait_for_connection_slot(self) -> None:
-        """Every connection has an open request: one in the backlog may be served in time; closed, it is lost."""
+        """Pause accepting while every connection has an open request.
+
+        A connection that waits in the backlog may still be served in time. Closing it would lose its request.
+        """
         self._count("accepts that waited for a place")
-        limited.write(
+        rate_limited_log.write(
             logging.WARNING,
             "place",
-            "all places for connections have open requests: new ones wait; raise limits.sockets",
+            "all connection slots have open requests: new connections wait in the backlog; raise limits.sockets",
         )
         self._pause_accepting()
 
     def _wait_for_system_capacity(self, error: OSError) -> None:
-        """The system has no descriptor or no memory for a connection."""
+        """Pause accepting while there is no descriptor or no memory for a connection."""
         self._count("accepts without a descriptor")
         name = errorcode.get(error.errno or 0, "?")
-        limited.write(
+        rate_limited_log.write(
             logging.WARNING,
             f"accept {name}",
-            "no room to accept a connection: %s; raise limits.sockets or the system's limit on open files",
+            "no capacity to accept a connection: %s; raise limits.sockets or the system's limit on open files",
             name,
         )
         if error.errno == EMFILE:
@@ -138,7 +148,10 @@
             self._pause_accepting()
 
     def _evict_idle_connection(self) -> None:
-        """Free one of the process's own descriptors, at most one in `EVICTION_INTERVAL_S` where that does not help."""
+        """Evict an idle connection to free a descriptor of this process.
+
+        Until an accept succeeds, evicts at most one connection per `EVICTION_INTERVAL_S`.
+        """
         evict_idle = getattr(self.factory, "evict_idle", None)
         now = time.monotonic()
         if evict_idle is not None and now - self._evicted_at_s >= EVICTION_INTERVAL_S:
@@ -154,24 +167,27 @@
             super().startReading()
 
     def stopReading(self) -> None:
-        """Accept nothing until `startReading`."""
+        """Stop accepting until `startReading`."""
         self._paused = True
         super().stopReading()
 
     def startReading(self) -> None:
-        """Accept again."""
+        """Resume accepting."""
         self._paused = False
         super().startReading()
 
     def accept_last(self) -> None:
-        """Accept the whole backlog, then close: connections left there would be reset, their requests lost."""
+        """Accept the whole backlog, then close the port.
+
+        Closing it at once would reset the connections in the backlog and lose their requests.
+        """
         self.max_accepts_per_turn = MAX_BACKLOG
         self._closing = True
         self.doRead()
         self.stopListening()
 
     def connectionLost(self, reason: Any) -> None:
-        """Accept what has reached the backlog since `accept_last`: Twisted closes in a later turn."""
+        """Accept connections that reached the backlog after `accept_last`; Twisted closes the port a turn later."""
         if self._closing:
             self.doRead()
         super().connectionLost(reason)
--- a/moorusher/server/composition.py
+++ b/moorusher/server/composition.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a runner that its configuration asks for. What is off is not imported: memory is scarce."""
+"""Builds the parts of a runner that its configuration enables. Disabled parts are not imported, to save memory."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def build_backend(config: Config, reactor: Any) -> ServerPool | UwsgiCalls | DatabasePool | None:
-    """Build what runs' downstream calls go to: a pool of servers, a uwsgi peer, the database, or nothing."""
+    """Build the backend of runs' downstream calls: a pool of servers, a uwsgi peer, the database, or None."""
     if config.tier.servers:
         from ..backends.server_pool import ServerPool
 
@@ -39,10 +39,13 @@
 
 @dataclass(slots=True)
 class ClusterParts:
-    """Parts that need the other runners of a cluster; None where they are off.
+    """Parts that need the other runners of a cluster; each is None if it is disabled.
 
-    `replication`: the runner's part in the cluster, on which the others rest. `config_distribution`: customers' routing
-    rules. `forecast`: demand a week ahead. `maintenance`: machines taken out for work.
+    Attributes:
+        replication: Membership and replication, which the other parts need.
+        config_distribution: Distribution of customers' routing rules.
+        forecast: Forecast of the demand for one week.
+        maintenance: Planned maintenance of machines.
     """
 
     replication: Any = None
@@ -58,7 +61,10 @@
     reporter: Reporter,
     accepts_more_work: Callable[[], bool],
 ) -> ClusterParts:
-    """Build the parts that the configuration switches on."""
+    """Build the cluster parts that the configuration enables.
+
+    :param accepts_more_work: returns whether this runner may take over orphaned work of another runner.
+    """
     parts = ClusterParts()
     if config.fleet.listen is not None:
         from ..cluster_transport.replication import ReplicationService
@@ -91,7 +97,7 @@
 
 
 def reports_health(config: Config) -> bool:
-    """Whether anybody polls this runner's health state: otherwise no run spends time on observing it."""
+    """Return whether the configuration has a consumer of the health state; without one, runs are not observed."""
     probes = config.probes
     listens = probes.agent or probes.health or config.admin.listen or config.fleet.listen
     return bool(listens or config.uwsgi.load_report or config.tier.servers)
--- a/moorusher/server/connection_budget.py
+++ b/moorusher/server/connection_budget.py
@@ -1,28 +1,27 @@
-"""How many connections each part of a runner may have open, from its limit on descriptors."""
+"""Division of a runner's descriptors into numbers of connections for each of its parts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_RESERVED_DESCRIPTORS = (
-    160  # for everything but clients: backends, listening sockets, console, interpreter
-)
+# Bounds of the descriptors reserved for everything but clients: backends, listening sockets, console, interpreter.
+MAX_RESERVED_DESCRIPTORS = 160
 MIN_RESERVED_DESCRIPTORS = 40
-FIXED_DESCRIPTORS = (
-    14  # of the reserved: interpreter, event loop, listening sockets, kernel and announce service
-)
+# Part of the reserved descriptors: interpreter, event loop, listening sockets, kernel and announce service.
+FIXED_DESCRIPTORS = 14
 MIN_CLIENT_CONNECTIONS = 16
 MIN_CONSOLE_CONNECTIONS = 8
-IDLE_BACKEND_SHARE = 4  # one in so many reserved descriptors is for backend connections kept without a call
-CONSOLE_SHARE = 6  # one in so many reserved descriptors is for the operators' console
+IDLE_BACKEND_DIVISOR = 4  # Divides the reserved descriptors: the quotient is for idle backend connections.
+CONSOLE_DIVISOR = 6  # Divides the reserved descriptors: the quotient is for the operators' console.
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBudget:
-    """Numbers of connections.
+    """Numbers of connections that the parts of a runner may have open.
 
-    `client_connections`: for each frontend that takes requests. `reserved`: descriptors for everything else.
-    `console`: connections of the operators' console, whether or not it listens.
+    Attributes:
+        client_connections: Connections of each frontend that accepts requests.
+        reserved: Descriptors for everything else.
     """
 
     client_connections: int
@@ -30,9 +29,11 @@
 
     @classmethod
     def of(cls, descriptors: int, frontends: int) -> ConnectionBudget:
-        """Divide the descriptors of a process among the frontends that take requests and everything else.
+        """Divide the descriptors of a process among the frontends that accept requests and everything else.
 
-        Clients open at most half of the descriptors that a runner is given, so half are theirs in any case.
+        Clients open at most half as many connections as a runner has descriptors, so at least half are theirs.
+
+        :param frontends: number of frontends that accept requests.
         """
         reserved = min(
             MAX_RESERVED_DESCRIPTORS, max(descriptors // 3, MIN_RESERVED_DESCRIPTORS), descriptors // 2
@@ -42,14 +43,14 @@
 
     @property
     def console(self) -> int:
-        """Connections of the operators' console."""
-        return max(MIN_CONSOLE_CONNECTIONS, self.reserved // CONSOLE_SHARE)
+        """Number of connections of the operators' console, whether or not it listens."""
+        return max(MIN_CONSOLE_CONNECTIONS, self.reserved // CONSOLE_DIVISOR)
 
     def idle_backend_connections(self, maximum: int) -> int:
-        """Backend connections that may be kept open without a call, at most `maximum`."""
-        return min(maximum, self.reserved // IDLE_BACKEND_SHARE)
+        """Return the number of backend connections that may be open without a call, at most `maximum`."""
+        return min(maximum, self.reserved // IDLE_BACKEND_DIVISOR)
 
     def open_backend_connections(self, idle: int, console_listens: bool) -> int:
-        """Backend connections with a call, beside so many idle ones."""
+        """Return the number of backend connections that may have a call, in addition to `idle` connections."""
         console = self.console if console_listens else 0
         return max(1, self.reserved - FIXED_DESCRIPTORS - console - idle)
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -1,11 +1,11 @@
-"""Graceful shutdown: the notice to front ends, the time in which requests are still served, the last answers, the end.
+"""Graceful shutdown of a runner process.
 
-SIGTERM leads to `GracefulShutdown.drain`, or to `finish` where another process of the runner serves on:
+SIGTERM leads to `GracefulShutdown.drain`, or to `finish` if another process of the runner continues to serve:
 
-1. Announcing ends and health checks answer no at once.
-2. Clients are still accepted for a part of the time, since front ends learn of the notice late (`drain` alone).
-3. The listening sockets close; what was read is answered.
-4. Once nothing is owed and the connections are quiet, or just before the process would be killed, it ends.
+1. The runner stops announcing itself, and its health checks fail at once.
+2. New clients are still accepted for a part of the drain time, since front ends notice late (only in `drain`).
+3. The listening sockets close, and all requests that were read are answered.
+4. The process exits once no answer is outstanding and the connections are idle, or just before it would be killed.
 """
 
 from __future__ import annotations
@@ -22,13 +22,14 @@
 
 log = logging.getLogger("moorusher")
 
-QUIET_US = 250 * MS  # silence on all connections after which those that are left are closed
-KILL_MARGIN_US = 60 * MS  # the process has ended so long before the time at which it would be killed
-FLUSH_S = 0.03  # for bytes written last to leave the process
-# SIGKILL may come this long after SIGTERM: the longest deadline, bounded by the first, and the second.
+IDLE_TIMEOUT_US = 250 * MS  # Time without traffic on all connections after which they are closed.
+KILL_MARGIN_US = 60 * MS  # The process exits this long before it would be killed.
+FLUSH_S = 0.03  # Time for the last written bytes to leave the process.
+# SIGKILL may follow SIGTERM after the longest deadline, at most MAX_KILL_DEADLINE_MS, plus KILL_GRACE_MS.
 MAX_KILL_DEADLINE_MS = 3_000.0
 KILL_GRACE_MS = 700.0
-CLIENT_LISTENERS = ("listen", "uwsgi")  # health checks and administration are answered to the end
+# The other listeners, for health checks and administration, stay open until the process exits.
+CLIENT_LISTENERS = ("listen", "uwsgi")
 
 
 class GracefulShutdown:
@@ -37,50 +38,52 @@
     def __init__(self, service: Service) -> None:
         self._service = service
         self._ended = False
-        self._active_at_us = 0  # when a request was last owed an answer, or clients were still accepted
+        # Last time at which a request was unanswered or clients were accepted.
+        self._active_at_us = 0
 
     def drain(self) -> None:
-        """Begin to leave with nobody who serves on. No effect where the process leaves already."""
+        """Start to drain and exit when no other process continues to serve. No effect during a shutdown."""
         service = self._service
         core = service.core
         if core.drain_state.shutting_down:
             return
         stop_ms = min(service.config.stop_ms, self._earliest_kill_ms())
-        log.info("leaving within %.0f ms", stop_ms)
+        log.info("draining: exits within %.0f ms", stop_ms)
         core.drain(stop_ms)
         if service.announcer is not None:
             service.announcer.stop()
-        # Front ends learn of it seconds late, and whoever takes over is cold: connections are still accepted.
+        # Connections are still accepted: front ends notice the drain seconds late, and the runners that receive
+        # the traffic instead are not warmed up.
         accept_ms = min(core.settings.drain_grace_ms, SERVE_FRACTION * stop_ms)
         core.alarms.at(core.clock.now + round(accept_ms * MS), self._close_client_listeners)
         self._end_within(stop_ms)
 
     def finish(self) -> None:
-        """Begin to leave as another process serves on. No effect where the process leaves already."""
+        """Start to exit after another process has taken over. No effect during a shutdown."""
         core = self._service.core
         if core.drain_state.shutting_down:
             return
         stop_ms = self._earliest_kill_ms()
-        log.info("replaced: ends within %.0f ms", stop_ms)
+        log.info("replaced by another process: exits within %.0f ms", stop_ms)
         core.drain(stop_ms, replaced=True)
         self._end_within(stop_ms)
 
     def _earliest_kill_ms(self) -> float:
-        """The shortest time from SIGTERM to SIGKILL."""
+        """Return the shortest time from SIGTERM to SIGKILL."""
         longest_deadline = max(c.deadline_ms for c in self._service.core.settings.classes)
         return min(longest_deadline, MAX_KILL_DEADLINE_MS) + KILL_GRACE_MS
 
     def _end_within(self, stop_ms: float) -> None:
         core = self._service.core
         self._active_at_us = core.clock.now
-        core.hooks.turn_ended_while_draining = self._end_if_quiet
+        core.hooks.turn_ended_while_draining = self._end_if_idle
         core.alarms.at(core.clock.now + round(stop_ms * MS) - KILL_MARGIN_US, self.end)
         self._schedule_check()
 
     def _schedule_check(self) -> None:
-        """Keep the core's turns coming: `_end_if_quiet` is called at the end of each."""
+        """Schedule turns of the core periodically: `_end_if_idle` is called at the end of each turn."""
         core = self._service.core
-        core.alarms.at(core.clock.now + QUIET_US, self._schedule_check)
+        core.alarms.at(core.clock.now + IDLE_TIMEOUT_US, self._schedule_check)
 
     def _close_client_listeners(self) -> None:
         service = self._service
@@ -95,21 +98,21 @@
         return [*self._service.jsonrpc.connections, *self._service.uwsgi.connections]
 
     def _is_busy(self) -> bool:
-        """Whether answers are owed, clients are accepted, or work is under way that others wait for."""
+        """Return whether requests are unanswered, clients are accepted, or others wait for this process's work."""
         service = self._service
         core = service.core
-        accepts = bool(service.listeners.accepting() & set(CLIENT_LISTENERS))
-        hands_results_over = bool(core.drain_state.replaced and len(core.runs))
+        accepts_clients = bool(service.listeners.accepting() & set(CLIENT_LISTENERS))
+        hands_over_results = bool(core.drain_state.replaced and len(core.runs))
         replication = service.cluster.replication
         return bool(
             core.table.unanswered
-            or accepts
-            or hands_results_over
+            or accepts_clients
+            or hands_over_results
             or (replication is not None and replication.is_busy)
         )
 
-    def _end_if_quiet(self) -> None:
-        """End once all is answered, and front ends have closed their connections or say nothing more on them."""
+    def _end_if_idle(self) -> None:
+        """Exit if all requests are answered and the front ends' connections are closed or idle."""
         now = self._service.core.clock.now
         if self._is_busy():
             self._active_at_us = now
@@ -118,15 +121,14 @@
         if not connections:
             self.end()
             return
-        is_reading = any(
-            c.reading for c in connections
-        )  # a message that has begun may still become a request
-        heard_at_us = max((c.active for c in self._service.jsonrpc.connections), default=0)
-        if not is_reading and now - max(self._active_at_us, heard_at_us) >= QUIET_US:
+        # A partly received message may still become a request.
+        is_reading = any(c.reading for c in connections)
+        last_received_us = max((c.active for c in self._service.jsonrpc.connections), default=0)
+        if not is_reading and now - max(self._active_at_us, last_received_us) >= IDLE_TIMEOUT_US:
             self.end()
 
     def end(self) -> None:
-        """Answer what has come until now, close everything and stop the event loop."""
+        """Answer all received requests, close all parts and stop the event loop."""
         if self._ended:
             return
         self._ended = True
@@ -137,10 +139,10 @@
             self._close_client_listeners()
         connections = self._client_connections()
         for connection in connections:
-            connection.read_rest()  # a request that came in this moment is not closed over
+            connection.read_rest()  # Reads a request that has just arrived, which the close would lose.
         service.core.answer_all()
         for connection in connections:
-            connection.close()  # after what is written has gone out
+            connection.close()  # Takes effect once the written bytes have been sent.
         if service.hot_restart is not None:
             service.hot_restart.close()
         if service.cluster.replication is not None:
--- a/moorusher/server/listen_retry.py
+++ b/moorusher/server/listen_retry.py
@@ -1,4 +1,4 @@
-"""Retries to open listening sockets at the start of a process."""
+"""Retry of opening listening sockets at the start of a process."""
 
 from __future__ import annotations
 
@@ -11,36 +11,38 @@
 from ..transient_errors import is_transient
 
 LISTEN_RETRY_US = 100 * MS
-ADDRESS_TIMEOUT_US = (
-    4 * SECOND
-)  # for an address that is not free: a new process answers health checks within 6 s
-CAPACITY_TIMEOUT_US = 20 * SECOND  # for a system that has no capacity for a socket
+# Timeout for an address in use. A new process must answer health checks within 6 s.
+ADDRESS_TIMEOUT_US = 4 * SECOND
+CAPACITY_TIMEOUT_US = 20 * SECOND  # Timeout for a system without capacity for a socket.
 
 log = logging.getLogger("moorusher")
-_limited = RateLimitedLog(log)
+_rate_limited_log = RateLimitedLog(log)
 
 
 class ListenRetry:
-    """Tries again to open a socket, within a timeout.
+    """Retries to open a socket until a timeout.
 
-    Guards against two failures: an older build beside this one does not share its address and ends soon; a system
-    out of descriptors or memory may have some soon. A process that never gets its socket must end and say so, rather
-    than stay up unreachable.
+    Two failures are temporary: a process of an older build, which does not share its address, may exit soon, and a
+    system without free descriptors or memory may soon have some. A process that never gets its socket must exit with
+    an error rather than remain up but unreachable.
+
+    Attributes:
+        failing_since_us: Time of the first failure since the last success, or None.
     """
 
     def __init__(self, clock: Clock, alarms: Alarms) -> None:
         self._clock = clock
         self._alarms = alarms
-        self.failing_since_us: int | None = None  # None while no attempt has failed since the last success
+        self.failing_since_us: int | None = None
 
     def succeeded(self) -> None:
-        """The sockets are open: a later failure has the whole timeout again."""
+        """Record that the sockets are open, so that a later failure has the whole timeout."""
         self.failing_since_us = None
 
     def failed(self, error: OSError, attempt: Callable[[], None]) -> bool:
-        """Schedule `attempt`. Returns False, and schedules nothing, once the timeout for this error is over.
+        """Schedule `attempt` after a failure; `clock.now` must be the time of the current turn.
 
-        `clock.now` must be that of the present turn.
+        :returns: whether the attempt was scheduled; False once the timeout for this error has expired.
         """
         now = self._clock.now
         if self.failing_since_us is None:
@@ -49,6 +51,6 @@
         if now - self.failing_since_us >= timeout:
             log.error("could not start: %s", error)
             return False
-        _limited.write(logging.WARNING, "listen", "can't listen yet: %s", error)
+        _rate_limited_log.write(logging.WARNING, "listen", "can't listen yet: %s", error)
         self._alarms.at(now + LISTEN_RETRY_US, attempt)
         return True
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a runner: opened, shared with another process of it, and closed."""
+"""The listening sockets of a runner, which two of its processes may share."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from .accepting_port import AcceptingPort
 from .sockets import is_bound_to, open_listening_socket
 
-ACCEPTS_SHARE = (
-    8  # for one in so many reserved descriptors a listening socket accepts one connection more a turn
-)
+# A listening socket accepts one connection per turn of the event loop for this many reserved descriptors.
+DESCRIPTORS_PER_ACCEPT = 8
 
 
 class Listeners:
     """The open listening sockets by label, such as `listen`, `uwsgi` or `admin`.
 
-    `planned`: address and Twisted factory of each listener that the configuration asks for, by label. Labels go over
-    the wire between two processes of one runner.
+    Labels are sent between two processes of one runner.
+
+    Attributes:
+        planned: Address and Twisted factory of each configured listener, by label.
     """
 
     def __init__(self, reactor: Any, reserved_descriptors: int, count: Callable[[str], None]) -> None:
         self._reactor = reactor
         self._count = count
-        self._max_accepts_per_turn = max(1, reserved_descriptors // ACCEPTS_SHARE)
+        self._max_accepts_per_turn = max(1, reserved_descriptors // DESCRIPTORS_PER_ACCEPT)
         self.planned: dict[str, tuple[Address, Any]] = {}
         self._ports: dict[str, AcceptingPort] = {}
-        self._paused: set[str] = set()  # labels of `_ports` on which another process accepts
+        self._paused: set[str] = set()  # Labels of `_ports` on which another process accepts connections.
 
     def adopt(self, opened: socket.socket, factory: Any) -> AcceptingPort:
-        """Accept on this socket, which is closed here: Twisted keeps a duplicate.
+        """Accept connections on this socket and close `opened`: Twisted keeps a duplicate.
 
         :raises OSError: the system has no descriptor for the duplicate.
         """
@@ -42,9 +43,10 @@
         return AcceptingPort.of(self._reactor, opened, factory, self._max_accepts_per_turn, self._count)
 
     def _adopt_handed_over(self, descriptor: int, factory: Any) -> AcceptingPort:
-        """As `adopt`, but where that fails the descriptor stays open for another attempt.
+        """Accept connections on a descriptor that another process has handed over.
 
-        The process that handed it over no longer accepts on it: closing it would reset the connections of its backlog.
+        Unlike in `adopt`, the descriptor stays open on a failure, for another attempt. The process that handed it over
+        no longer accepts on it, so closing it would reset the connections in its backlog.
         """
         opened = socket.socket(fileno=descriptor)
         try:
@@ -58,9 +60,8 @@
     def open(self, handed_over: dict[str, int]) -> None:
         """Open each planned listener that is not open, on the descriptor handed over for its label or a new socket.
 
-        Descriptors that are used are removed from `handed_over`.
-
-        :raises OSError: an address is not free, or the system has no capacity; what is open by then stays open.
+        :param handed_over: descriptors by label; those that are used are removed.
+        :raises OSError: an address is in use, or the system has no capacity; listeners opened before stay open.
         """
         for label, (address, factory) in self.planned.items():
             if label in self._ports:
@@ -72,7 +73,7 @@
                 self._ports[label] = self.adopt(open_listening_socket(address), factory)
 
     def usable(self, handed_over: dict[str, int]) -> dict[str, int]:
-        """Return those descriptors, by label, that are bound to the address of a planned listener not yet open."""
+        """Return the descriptors, by label, that are bound to the address of a planned listener not yet open."""
         return {
             label: descriptor
             for label, descriptor in handed_over.items()
@@ -86,7 +87,11 @@
         return {label: port.fileno() for label, port in self._ports.items()}
 
     def pause(self, shared: set[str]) -> None:
-        """Stop accepting: another process does. Shared sockets stay open, should that process die; others close."""
+        """Stop accepting connections, since another process accepts them.
+
+        :param shared: labels of the sockets that the other process uses as well. They stay open in case that process
+            dies; the other sockets close.
+        """
         for label in list(self._ports):
             if label in shared:
                 self._ports[label].stopReading()
@@ -95,17 +100,17 @@
                 self.close(label)
 
     def resume(self) -> None:
-        """Accept again on all paused listeners."""
+        """Resume accepting on all paused listeners."""
         for label in self._paused:
             self._ports[label].startReading()
         self._paused.clear()
 
     def close(self, label: str) -> None:
-        """Close a listener, if it is open, after accepting its backlog unless another process accepts on the socket."""
+        """Close a listener if it is open. Its backlog is accepted first, unless another process accepts on it."""
         port = self._ports.pop(label, None)
         if port is not None and label not in self._paused:
             port.accept_last()
 
     def accepting(self) -> set[str]:
-        """Return the labels of the listeners on which this process accepts."""
+        """Return the labels of the listeners on which this process accepts connections."""
         return self._ports.keys() - self._paused
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -1,4 +1,4 @@
-"""From a configuration to a runner in service. Imports nothing that serving does not need: no command line either."""
+"""Starts a runner from its configuration. To save memory, imports nothing that serving does not need."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 log = logging.getLogger("moorusher")
 
-CONFIG_TIMEOUT_S = 8.0  # a process is to be ready within ten
+CONFIG_TIMEOUT_S = 8.0  # A process must be ready within 10 s.
 PEER_TIMEOUT_S = 0.2
 KB_PER_MB = 1024
 
-# Exit codes of all commands; README.md has the table.
+# Exit codes of all commands, documented in README.md.
 OK = 0
 UNREACHED = 1
 FAULTY = 2
@@ -31,9 +31,11 @@
 
 
 def _memory_of_other_process_mb(path: str | None) -> float:
-    """Memory of a process of this runner that is in service, in MB; 0 where there is none.
+    """Return the memory in MB of a process of this runner that is in service; 0 if there is none.
 
-    Asked before anything large is imported: two processes must fit into the limit together.
+    Called before any large import, since two processes must fit into the memory limit together.
+
+    :param path: Unix socket of that process.
     """
     try:
         with socket.socket(socket.AF_UNIX) as connection:
@@ -48,38 +50,39 @@
         return 0.0
 
 
-def _can_be_read_later(error: Exception) -> bool:
+def _is_temporarily_unreadable(error: Exception) -> bool:
     return isinstance(error, ConfigUnreadableError)
 
 
 def serve(operator_file: Path | None = None) -> int:
-    """Run one runner in the foreground until it has shut down. Returns the exit code.
+    """Run one runner in the foreground until it has shut down.
 
-    :param operator_file: the operator's file, which says what listens besides; that of the distribution where None.
+    :param operator_file: the operator's file, which configures additional listeners; None for the default file.
+    :returns: the exit code.
     """
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
-    # Nothing has been read yet: until the service takes the signal over, to shut down is to end.
+    # No request has been read yet, so until the service installs its handler, SIGTERM ends the process at once.
     signal.signal(signal.SIGTERM, lambda *_: os._exit(OK))
-    # A new configuration that comes meanwhile is read once the service can follow it.
+    # A SIGHUP during the start is remembered, and the configuration is reloaded once the service has started.
     early_hangups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
     read_config = partial(load, operator_file=operator_file)
     try:
-        config = retry_transient(read_config, CONFIG_TIMEOUT_S, may_pass=_can_be_read_later)
+        config = retry_transient(read_config, CONFIG_TIMEOUT_S, is_retryable=_is_temporarily_unreadable)
     except ConfigError as error:
         print(f"moorusher: {error}", file=sys.stderr)
         return FAULTY
-    taken_mb = _memory_of_other_process_mb(
+    used_mb = _memory_of_other_process_mb(
         rendezvous_path(os.environ.get("TMPDIR", ""), config.name, config.listen)
     )
-    if not fits_beside(config.limits.memory_mb, taken_mb):
+    if not fits_beside(config.limits.memory_mb, used_mb):
         log.error(
-            "limits.memory_mb: %g is too little for a second process: the one in service takes %.0f MB",
+            "limits.memory_mb: %g is too little for a second process: the process in service uses %.0f MB",
             config.limits.memory_mb,
-            taken_mb,
+            used_mb,
         )
         return FAULTY
-    from . import reactor  # installed before any module can import Twisted's default one
+    from . import reactor  # It must be installed before any module imports Twisted's default reactor.
 
     loop = reactor.install()
     from twisted.python.log import PythonLoggingObserver
--- a/moorusher/server/reactor.py
+++ b/moorusher/server/reactor.py
@@ -1,4 +1,4 @@
-"""The event loop: Twisted's epoll reactor on the monotonic clock, and the timer behind the core's alarms."""
+"""The event loop: Twisted's epoll reactor with the monotonic clock, and the timer for the core's alarms."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
 
 
 class MonotonicReactor(epollreactor.EPollReactor):
-    """Twisted's own timers follow the Unix clock: a step of it would delay or hurry every wait."""
+    """An epoll reactor whose timers use the monotonic clock.
+
+    Twisted's timers use the system clock, a step of which would delay or advance every timer.
+    """
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> Any:
-    """Install the reactor, before anything imports `twisted.internet.reactor`.
+    """Install the reactor; must be called before any import of `twisted.internet.reactor`.
 
-    :raises OSError: the system had no descriptor for it within `REACTOR_START_TIMEOUT_S`.
+    :raises OSError: the system had no free descriptor within `REACTOR_START_TIMEOUT_S`.
     """
     reactor = retry_transient(MonotonicReactor, REACTOR_START_TIMEOUT_S)
     main.installReactor(reactor)  # type: ignore[no-untyped-call]
@@ -30,22 +33,22 @@
 
 
 class LoopTimer:
-    """The one timer of the event loop that the core's alarms use.
+    """The single timer of the event loop that serves all alarms of the core.
 
-    :param ring: called at the time of the earliest alarm.
+    :param on_expired: called at the time of the earliest alarm.
     """
 
-    def __init__(self, reactor: Any, ring: Callable[[], None]) -> None:
+    def __init__(self, reactor: Any, on_expired: Callable[[], None]) -> None:
         self._reactor = reactor
-        self._ring = ring
-        self._call: Any = None  # the delayed call, while one is due
+        self._on_expired = on_expired
+        self._call: Any = None  # The scheduled delayed call, if any.
 
     def arm(self, when_us: int) -> None:
-        """Call `ring` at this time of the monotonic clock, in microseconds, and at no other."""
+        """Set the timer to this time of the monotonic clock; replaces an earlier setting."""
         if self._call is not None:
             self._call.cancel()
         self._call = self._reactor.callLater(max(0.0, when_us / 1e6 - time.monotonic()), self._fire)
 
     def _fire(self) -> None:
         self._call = None
-        self._ring()
+        self._on_expired()
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -1,4 +1,4 @@
-"""A new configuration in service: what of it applies at once, and what waits for the next start."""
+"""Reload of the configuration while serving; some changes are deferred to the next start."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 log = logging.getLogger("moorusher")
 
-# Fields of Config that SIGHUP changes; the others wait for the next start, as do some of the settings
-# (`core/reconfiguration.py`) and the addresses of health checks.
+# Fields of Config that a reload changes. Changes of the other fields, of some settings (`core/reconfiguration.py`) and
+# of the addresses of health checks are deferred to the next start.
 LIVE_FIELDS = frozenset(
     {
         "kernel",
@@ -40,31 +40,33 @@
 
 
 class ConfigReloader:
-    """Reads the configuration at SIGHUP, and again where its files could not be read at that moment.
+    """Reloads the configuration at SIGHUP, and retries if a file is temporarily unreadable.
 
-    A file that a transient error keeps from being read must not lose the operator's change: there is no second signal.
+    Without the retry, a transient read error would lose the operator's change, since there is no second signal.
     """
 
     def __init__(self, service: Service, reactor: Any) -> None:
         self._service = service
         self._reactor = reactor
-        self._limited = RateLimitedLog(log)
-        self._retry: Any = None  # the delayed call of the next attempt, where one is due
+        self._rate_limited_log = RateLimitedLog(log)
+        self._retry: Any = None  # The delayed call of the next attempt, if one is scheduled.
 
     def reload(self, load: Callable[..., Config]) -> None:
         """Read and check the whole configuration, then apply it; on an error nothing changes.
 
-        The files are read as they are by then: a SIGHUP that comes while an attempt is due replaces it.
+        Replaces a scheduled retry, since every attempt reads the present content of the files.
+
+        :param load: reads the configuration; `running` is the parsed platform file in service.
         """
         self._cancel_retry()
         service = self._service
         try:
             apply(service, load(running=service.config.raw))
         except ConfigUnreadableError as error:
-            self._limited.write(
+            self._rate_limited_log.write(
                 logging.WARNING,
                 "unreadable",
-                "configuration: it can't be read for the moment, and is tried again: %s",
+                "configuration temporarily unreadable, retrying: %s",
                 error,
             )
             self._retry = self._reactor.callLater(RETRY_INTERVAL_S, self._run_retry, load)
@@ -85,7 +87,7 @@
 def apply(service: Service, new: Config) -> None:
     """Apply a configuration to a running service.
 
-    :raises ConfigError: it asks for what needs a restart; raised before anything is changed.
+    :raises ConfigError: a change needs a restart; raised before anything is changed.
     """
     old = service.config
     deferred = _deferred_fields(old, new)
@@ -102,19 +104,19 @@
     deferred += _apply_cluster_parts(service, old, new)
     _move_connections(service, new, backend)
     service.core.counters.add("configurations read")
-    waits = f"; {', '.join(deferred)}: changed, for the next start" if deferred else ""
-    log.info("configuration read again: kernel %s:%d%s%s", *new.kernel, settings_plan.summary(), waits)
+    deferral = f"; {', '.join(deferred)}: changed, deferred to the next start" if deferred else ""
+    log.info("configuration read again: kernel %s:%d%s%s", *new.kernel, settings_plan.summary(), deferral)
 
 
 def _deferred_fields(old: Config, new: Config) -> list[str]:
-    """Return the names of what has changed and waits for the next start."""
+    """Return the names of the changed fields whose change is deferred to the next start."""
     deferred = [
         field.name
         for field in fields(Config)
         if getattr(new, field.name) != getattr(old, field.name) and field.name not in LIVE_FIELDS
     ]
-    if "fleet" in deferred and old.fleet.but_for_addresses() == new.fleet.but_for_addresses():
-        deferred.remove("fleet")  # its members are reached elsewhere: that applies at once
+    if "fleet" in deferred and old.fleet.without_addresses() == new.fleet.without_addresses():
+        deferred.remove("fleet")  # Only addresses of members differ, which apply at once.
     for name in ("agent", "health"):
         if getattr(new.probes, name) != getattr(old.probes, name):
             deferred.append(f"{name}.listen")
@@ -122,6 +124,7 @@
 
 
 def _check_no_restart_needed(service: Service, new: Config, backend: Address | None) -> None:
+    """Raise ConfigError if a part would have to be built or removed, which only a restart can do."""
     cluster = service.cluster
     changed = {
         "namespaces.on": new.namespaces.on != (cluster.config_distribution is not None),
@@ -137,7 +140,7 @@
 
 
 def _apply_settings(service: Service, settings_plan: Plan) -> list[str]:
-    """Return the names of the settings that wait for the next start."""
+    """Apply the settings; return the names of those deferred to the next start."""
     if settings_plan.settings != service.core.settings:
         service.core.reconfigure(settings_plan)
         service.reporter.reconfigure(settings_plan.settings)
@@ -145,7 +148,7 @@
 
 
 def _apply_health_checks(service: Service, new: Config) -> None:
-    """What load balancers are told, and when; listeners stay where they are until the next start."""
+    """Apply what health checks report, and when. Their listeners keep their addresses until the next start."""
     probes = new.probes
     service.reporter.set_policy(probes.policy)
     if service.cluster.replication is not None:
@@ -161,7 +164,7 @@
 
 
 def _apply_cluster_parts(service: Service, old: Config, new: Config) -> list[str]:
-    """Return the names of what waits for the next start."""
+    """Apply the settings of the cluster's parts and the servers; return the names of the deferred settings."""
     if service.cluster.config_distribution is not None:
         service.cluster.config_distribution.follow(new.namespaces)
     if service.cluster.maintenance is not None:
--- a/moorusher/server/secondary_listeners.py
+++ b/moorusher/server/secondary_listeners.py
@@ -1,4 +1,4 @@
-"""Plans the listeners beside the platform's frontend: uwsgi, peers, health checks and the administration API."""
+"""Plans the configured listeners: the platform's frontend, uwsgi, peers, health checks and the administration API."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def plan_listeners(service: Service) -> None:
-    """Enter every configured listener in `service.listeners.planned`."""
+    """Add every configured listener to `service.listeners.planned`."""
     config = service.config
     planned = service.listeners.planned
     planned["listen"] = config.listen, service.jsonrpc
@@ -50,10 +50,8 @@
 
 
 def _admin_site(service: Service) -> object:
-    from ..admin.site import (  # Twisted's web server: 6 MB that the platform does not need
-        AdminParts,
-        admin_site,
-    )
+    # Imported only if needed: Twisted's web server takes 6 MB, which the platform's configuration does not need.
+    from ..admin.site import AdminParts, admin_site
 
     cluster = service.cluster
     return admin_site(
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -1,4 +1,4 @@
-"""One runner process: its parts, and what signals, operators and another process of the runner ask of them."""
+"""One runner process: its parts, and its operations for signals, operators and another process of the runner."""
 
 from __future__ import annotations
 
@@ -35,13 +35,19 @@
 
 
 class Service:
-    """The parts of one runner process, and its life: started, reconfigured, replaced, drained, stopped.
-
-    `core`: the way of a request, without any wire. `jsonrpc`, `uwsgi`: the frontends that take requests. `kernel`: runs
-    them. `backend`: answers runs' downstream calls; `server_pool` is the same object where it is a pool. `cluster`:
-    parts that need other runners. `reporter`: the health state. `hot_restart`: the link to another process of this
-    runner, None where none can find this one. `serving`: clients are accepted, here or by the replacing process.
-    `failed`: it could not start.
+    """One runner process: its parts and its lifecycle from start to shutdown.
+
+    Attributes:
+        core: Handling of requests, independent of protocols.
+        jsonrpc, uwsgi: Frontends that accept requests.
+        kernel: Client of the kernel, which executes the runs.
+        backend: Answers runs' downstream calls, or None.
+        server_pool: `backend` if it is a pool of servers, else None.
+        cluster: Parts that need other runners.
+        reporter: Health state.
+        hot_restart: Link to another process of this runner, or None if no process can find this one.
+        serving: Whether clients are accepted, by this process or the one that replaces it.
+        failed: Whether the start has failed.
     """
 
     def __init__(self, config: Config, reactor: Any) -> None:
@@ -94,9 +100,9 @@
         return core
 
     def start(self) -> None:
-        """Open the console, begin to talk to kernel and peers, and accept clients unless another process does."""
+        """Open the console, connect to the kernel, and accept clients unless another process is in service."""
         config = self.config
-        if config.console is not None:  # first: it tells operators what is still missing
+        if config.console is not None:  # Opened first, as it shows operators which parts are not ready yet.
             from ..frontends.console import Console
 
             self.console = Console(self.core, self.reporter, self._budget.console, lambda: self.serving)
@@ -113,14 +119,14 @@
         self._join_other_process()
 
     def _join_other_process(self) -> None:
-        """Take over from a process of this runner that is in service, or accept at once where none can be found."""
+        """Take over from a process of this runner that is in service, or accept at once if none can be found."""
         path = None
         if folder := os.environ.get("TMPDIR"):
             from ..cluster_transport.hot_restart.coordinator import HotRestart
 
             path = rendezvous_path(folder, self.config.name, self.config.listen)
         if path is None:
-            log.info("no further process can find this one: TMPDIR is not set, or too long")
+            log.info("hot restart is disabled: TMPDIR is not set or too long")
             self.accept({})
             return
         self.hot_restart = HotRestart(self.reactor, self.core, self, path, self.config.name)
@@ -128,33 +134,33 @@
         self.reporter.on_maintenance_changed = self.hot_restart.maintenance_changed
         self.hot_restart.start()
 
-    # ---- beside another process of this runner ----
+    # ---- operations for another process of this runner ----
 
     def usable_sockets(self, handed_over: dict[str, int]) -> dict[str, int]:
-        """Of the sockets that another process has handed over, by label, those at this runner's addresses."""
+        """Return the handed-over sockets, by label, that are bound to this runner's addresses."""
         return self.listeners.usable(handed_over)
 
     def listening_sockets(self) -> dict[str, int]:
-        """The descriptors of its own sockets, by label."""
+        """Return the descriptors of this process's listening sockets, by label."""
         return self.listeners.descriptors()
 
     def accept(self, handed_over: dict[str, int]) -> None:
-        """Accept clients on the sockets that another process has handed over, and on others that it may share."""
+        """Accept clients on the sockets that another process has handed over, and on new sockets for the rest."""
         if self.core.drain_state.draining:
-            return  # an address that became free too late: whoever came in now would only be sent away
-        first = not self.serving
+            return  # The address became free too late: a client accepted now would only be rejected.
+        is_first = not self.serving
         try:
             self.listeners.open(handed_over)
         except OSError as error:
             self._retry_listening(error, lambda: self.accept(handed_over))
             return
         self._listen_retry.succeeded()
-        if first and self.announcer is not None:
+        if is_first and self.announcer is not None:
             self.announcer.core = self.core
             self.announcer.is_fit = self._is_fit
             self.announcer.start()
         self.serving = True
-        if first and self.cluster.replication is not None:
+        if is_first and self.cluster.replication is not None:
             self.cluster.replication.start()
         log.info("%s listens on %s:%d", self.config.name, *self.config.listen)
 
@@ -171,14 +177,17 @@
             self.reactor.stop()
 
     def pause(self, shared: set[str]) -> None:
-        """Another process accepts from now on: on the same sockets, or on its own."""
+        """Stop accepting clients, since another process accepts them from now on.
+
+        :param shared: labels of the listening sockets that the other process shares; it opens the others itself.
+        """
         self.listeners.pause(shared)
         self.jsonrpc.leave()
         if isinstance(self.backend, DatabasePool):
-            self.backend.set_max_idle(0)  # idle connections are the other process's to open
+            self.backend.set_max_idle(0)  # Leaves the budget of idle connections to the other process.
 
     def resume(self) -> None:
-        """The process that was to replace this one is gone."""
+        """Serve again after the process that was to replace this one has exited."""
         if self.core.drain_state.shutting_down:
             return
         self._bound_backend_connections()
@@ -187,7 +196,7 @@
         self.accept({})
 
     def load(self) -> ProcessLoad:
-        """What this process takes of the runner's limits."""
+        """Return this process's use of the runner's limits."""
         runs = self.core.runs
         return ProcessLoad(
             runs.on_cores,
@@ -197,29 +206,33 @@
         )
 
     def coexist(self, load: ProcessLoad) -> None:
-        """Keep within what another process of this runner leaves of its limits."""
+        """Keep this process within the part of the runner's limits that another process does not use."""
         self.core.coexist(load.on_cores, load.running, load.memory_kb)
         self._peer_process_connections = load.connections
         self.apply_connection_limits()
 
     def maintenance_fields(self) -> dict[str, Any] | None:
-        """The maintenance state, as another process of this runner is told it."""
-        m = self.reporter.tracker.maintenance
-        return None if m is None else {"reason": m.reason, "since": m.since_us, "until": m.expires_us}
+        """Return the maintenance state as it is sent to another process of this runner."""
+        state = self.reporter.tracker.maintenance
+        return (
+            None
+            if state is None
+            else {"reason": state.reason, "since": state.since_us, "until": state.expires_us}
+        )
 
     def follow_maintenance(self, fields: dict[str, Any] | None) -> None:
-        """Take over the maintenance state of another process of this runner."""
+        """Copy the maintenance state of another process of this runner."""
         self.reporter.copy_maintenance(
             None if fields is None else Maintenance(fields["reason"], fields["since"], fields["until"])
         )
 
     def incarnation(self) -> int:
-        """Among the runners of the cluster; 0 where there is none."""
+        """Return this process's incarnation in the cluster; 0 without a cluster."""
         replication = self.cluster.replication
         return 0 if replication is None else int(replication.node.owner.incarnation)
 
     def succeed(self, incarnation: int) -> None:
-        """The incarnation of the process that this one replaces."""
+        """Record the incarnation of the process that this one replaces."""
         if self.cluster.replication is not None:
             self.cluster.replication.predecessor = incarnation
 
@@ -227,26 +240,26 @@
         return self.reporter.is_fit
 
     def _accepts_more_work(self) -> bool:
-        """Whether to take over orphaned work of another runner: not where this one is overloaded itself."""
+        """Return whether to take over orphaned work of another runner; False if this runner is overloaded."""
         from ..health.states import HealthState
 
         return self.reporter.is_fit and self.reporter.report().state is not HealthState.OVERLOADED
 
     def load_condition(self) -> Any:
-        """The condition under which this runner's latencies were measured, for whoever learns from them."""
+        """Return the condition under which this runner's latencies were measured, for runners that learn from them."""
         from ..health.states import HealthState
         from ..warm_start.learned_state import DonorCondition
 
-        standing = self.reporter.report().state
+        state = self.reporter.report().state
         return {
             HealthState.OVERLOADED: DonorCondition.OVERLOADED,
             HealthState.WARMING_UP: DonorCondition.WARMING_UP,
-        }.get(standing, DonorCondition.HEALTHY)
+        }.get(state, DonorCondition.HEALTHY)
 
     # ---- limits and new settings ----
 
     def apply_limits(self, limits: Limits) -> None:
-        """Size tables and connection pools by the limits. What is open stays open."""
+        """Size tables and connection pools by the limits. Open connections are not closed."""
         request_frontends = 1 if self.config.uwsgi.listen is None else 2
         self._budget = ConnectionBudget.of(raise_descriptor_limit(limits.sockets), request_frontends)
         self.core.keys.limits.set_memory_limit(limits.memory_mb)
@@ -260,7 +273,7 @@
             self.backend.max_busy = self._budget.open_backend_connections(idle, console_listens)
 
     def apply_connection_limits(self) -> None:
-        """Bound the frontends' connections, beside those of another process."""
+        """Limit the frontends' connections, counting those of another process of this runner."""
         clients = self._budget.client_connections
         self.jsonrpc.limiter.max_connections = max(
             MIN_CLIENT_CONNECTIONS, clients - self._peer_process_connections
@@ -268,26 +281,26 @@
         self.uwsgi.limiter.max_connections = clients
 
     def reload(self, load: Callable[..., Config]) -> None:
-        """Read the configuration again (SIGHUP) and apply it as a whole; keys, runs and queued requests stay."""
+        """Reload the configuration (SIGHUP) and apply it as a whole; keys, runs and queued requests are retained."""
         self._reloader.reload(load)
 
     # ---- shutdown ----
 
     def terminate(self) -> None:
-        """SIGTERM: drain, unless another process of this runner serves on."""
+        """Shut down on SIGTERM: drain, unless another process of this runner continues to serve."""
         if self.hot_restart is None:
             self.leave()
         else:
             self.hot_restart.terminate()
 
     def leave(self) -> None:
-        """Drain: nobody serves on in place of this runner."""
+        """Drain, as no other process of this runner continues to serve."""
         self.shutdown.drain()
 
     def finish(self) -> None:
-        """Replaced by another process: answer what was read, and tell no frontend to keep away."""
+        """Exit after a replacement by another process: answer all read requests, without notifying front ends."""
         self.shutdown.finish()
 
     def counters(self) -> str:
-        """All counters as one line."""
+        """Return all counters as one line."""
         return "; ".join(self.core.counters.lines())
--- a/moorusher/server/signals.py
+++ b/moorusher/server/signals.py
@@ -1,4 +1,4 @@
-"""Runs a service until it has shut down, and brings the process's signals to it."""
+"""Runs a service until it has shut down, and passes the process's signals to it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 
 def run_service(config: Config, reactor: Any, load: Callable[[], Config], early_hangups: list[int]) -> int:
-    """Run one runner in the foreground. Returns the exit code: 0, or 1 if it could not start.
+    """Run one runner in the foreground.
 
-    :param load: reads the configuration again.
-    :param early_hangups: collects the SIGHUPs that came before the service could follow them.
+    :param load: reloads the configuration.
+    :param early_hangups: SIGHUPs received before the service could handle them.
+    :returns: the exit code: 0, or 1 if the start has failed.
     """
     service = Service(config, reactor)
 
     def start() -> None:
         try:
             service.start()
-        except Exception as error:  # a runner that can't listen must end and say so, not stay up unreachable
+        except Exception as error:
+            # A runner that can't listen must exit rather than remain up but unreachable.
             log.error("could not start: %s", error)
             service.failed = True
             reactor.stop()
@@ -35,14 +37,14 @@
     _install_signal_handlers(service, reactor, load)
     reactor.callWhenRunning(start)
     gc.collect()
-    gc.freeze()  # imported modules live as long as the process: later collections pass over them
+    gc.freeze()  # Excludes imported modules, which live as long as the process, from later collections.
     reactor.run(installSignalHandlers=False)
     log.info("counters: %s", service.counters())
     return int(service.failed)
 
 
 def _install_signal_handlers(service: Service, reactor: Any, load: Callable[[], Config]) -> None:
-    """A signal may come between any two instructions: the loop's own waker brings it into a turn."""
+    """Install handlers that run in a turn of the event loop, as a signal may interrupt any instruction."""
 
     def log_counters() -> None:
         log.info("counters: %s", service.counters())
--- a/moorusher/server/sockets.py
+++ b/moorusher/server/sockets.py
@@ -9,16 +9,16 @@
 
 from ..config.section import Address
 
-MAX_BACKLOG = 1024  # connections that may wait to be accepted
+MAX_BACKLOG = 1024  # connections
 
 
 def open_listening_socket(address: Address, backlog: int = MAX_BACKLOG) -> socket.socket:
     """Open a non-blocking listening socket at this address, which another process of this runner may share.
 
-    Twisted's own `listenTCP` sets no SO_REUSEPORT, and shuts a port that it opened down for every process that holds
-    the socket.
+    Twisted's `listenTCP` is not used: it does not set SO_REUSEPORT, and closing its port shuts the socket down in
+    every process that holds it.
 
-    :raises OSError: the address is not free, or the system has no capacity; the text names the address.
+    :raises OSError: the address is in use, or the system has no capacity; the text names the address.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     opened = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
@@ -34,7 +34,7 @@
 
 
 def is_bound_to(descriptor: int, address: Address) -> bool:
-    """Whether this descriptor, handed over by another process, is a socket bound to that address."""
+    """Return whether a descriptor that another process has handed over is a socket bound to this address."""
     try:
         with socket.socket(fileno=os.dup(descriptor)) as duplicate:
             host, port = duplicate.getsockname()[:2]
@@ -45,7 +45,10 @@
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Return how many of the wanted descriptors this process may have, after raising its soft limit where allowed."""
+    """Raise the soft limit on descriptors to `wanted` if allowed.
+
+    :returns: the number of descriptors that this process may open, at most `wanted`.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
         with suppress(OSError, ValueError):
--- a/moorusher/storage/__init__.py
+++ b/moorusher/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a runner keeps on its own disk: journals, snapshots and the store of revisions."""
+"""Files on a runner's own disk: journals, snapshots and the store of revisions."""
--- a/moorusher/storage/journal_files.py
+++ b/moorusher/storage/journal_files.py
@@ -1,8 +1,9 @@
-"""The folder of a seat's journals: one file for each process of the seat, which its acceptor writes before votes leave.
+"""The folder of a seat's journals: one file for each process of the seat.
 
-What is written is decided by the acceptor and `replication/journal.py`; when, by `journal_writer.py`. Whole files
-appear by rename; a lock shows that a file is still being written, so that nobody reads it. A file that a failed write
-has touched is never appended to.
+A journal holds the state of an acceptor, written before the votes that depend on it are sent. The acceptor and
+`replication/journal.py` determine its content, and `journal_writer.py` the time of each write. A whole file is written
+under a temporary name and renamed. A process locks the file that it writes, so that no other process reads it. After a
+failed write a file is never appended to.
 """
 
 from __future__ import annotations
@@ -23,49 +24,49 @@
 
 log = logging.getLogger("moorusher")
 
-OPEN_TIMEOUT_S = 1.0  # at the start, for a folder that can't be read
+OPEN_TIMEOUT_S = 1.0  # Timeout at the start for a folder that can't be read.
 OPEN_RETRY_S = 0.05
-WRITE_BYTES = 1 << 20  # in one call of the operating system
+MAX_WRITE_BYTES = 1 << 20  # Maximum size of one write to the operating system.
 FILE_MODE = 0o600
-JOURNAL_NAME = re.compile(r"(\d{1,20})\.log")  # the incarnation of the process that writes it
-UNFINISHED_NAME = re.compile(
-    r"\d{1,20}\.log\.new"
-)  # left by a process that was killed while it wrote a whole file
+# The number is the incarnation of the process that writes the file.
+JOURNAL_NAME = re.compile(r"(\d{1,20})\.log")
+# Name of the file that a process leaves if it is killed while it writes a whole file.
+UNFINISHED_NAME = re.compile(r"\d{1,20}\.log\.new")
 
 
 class FileSystem:
-    """What is asked of the operating system. A test makes each of these steps fail, or ends the process at it."""
+    """Operations of the operating system. Tests replace them, to fail or to end the process at each."""
 
     def read(self, file: BinaryIO) -> bytes:
-        """The rest of the file."""
+        """Return the rest of the file."""
         return file.read()
 
     def write(self, fd: int, data: bytes) -> int:
-        """How many of the bytes were written."""
+        """Write data; return the number of bytes written."""
         return os.write(fd, data)
 
     def sync(self, fd: int) -> None:
-        """Returns once the disk has all of the file."""
+        """Return once the whole file is on the disk."""
         os.fsync(fd)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Replaces `new`, in one step."""
+        """Rename a file atomically; an existing file `new` is replaced."""
         os.replace(old, new)
 
     def remove(self, path: Path) -> None:
-        """Whether it is there or not."""
+        """Remove a file if it exists."""
         path.unlink(missing_ok=True)
 
 
 @dataclass(slots=True, frozen=True)
 class OpenedJournal:
-    """The folder of a process that starts, and what the former process of the seat has left there.
+    """The journal folder of a starting process, with the journal of the seat's previous process.
 
     Attributes:
-        folder: `JournalFolder`.
-        incarnation: `int`, of the process that starts.
-        image: what the former process has left, or None.
-        reason: `str`, why there is no image, or why nothing can be written.
+        folder: Journals of the seat.
+        incarnation: Incarnation of the starting process.
+        image: Content of the previous process's journal, or None.
+        reason: Reason why there is no image, or why nothing can be written.
     """
 
     folder: JournalFolder
@@ -75,19 +76,19 @@
 
     @property
     def is_written(self) -> bool:
-        """The new file is there; else nothing can be written yet."""
+        """Whether this process's file exists; otherwise nothing can be written yet."""
         return self.folder.size > 0
 
 
 @dataclass(slots=True, frozen=True)
-class _FormerJournal:
-    """The file of the former process.
+class _PreviousJournal:
+    """The journal of the previous process.
 
     Attributes:
-        image: what it says, or None where nothing of it can be used.
-        reason: `str`, why not.
-        data: `bytes`, of the file.
-        damaged: `bool`, it is kept for whoever wants to look into it.
+        image: Its content, or None if it can't be used.
+        reason: Reason why it can't be used.
+        data: Bytes of the file.
+        damaged: Whether the file is damaged, and retained for an operator's inspection.
     """
 
     image: JournalImage | None
@@ -97,17 +98,17 @@
 
 
 class JournalFolder:
-    """The files of one seat. Blocking, and for one thread at a time.
+    """The journals of one seat. Its methods block, and only one thread may use it at a time.
 
-    Raises OSError where the disk is full or fails.
+    Methods raise OSError if the disk is full or fails.
 
     Attributes:
-        path: of the folder.
-        header: `JournalHeader`, the first record of each file.
-        incarnation: `int`, of this process, once it is known; else 0.
-        image: see `OpenedJournal`.
-        size: `int`, bytes of this process's file; 0 while there is none.
-        base_size: `int`, bytes that the file began with.
+        path: Path of the folder.
+        header: First record of each file.
+        incarnation: Incarnation of this process; 0 until it is known.
+        image: See `OpenedJournal`.
+        size: Bytes of this process's file; 0 while it does not exist.
+        base_size: Bytes of the file when it was last written as a whole.
     """
 
     def __init__(self, path: Path, header: JournalHeader, files: FileSystem | None = None) -> None:
@@ -122,69 +123,74 @@
 
     @property
     def name(self) -> str:
-        """Of this process's file."""
+        """Name of this process's file."""
         return f"{self.incarnation}.log"
 
     # ---- the start ----
 
-    def open(self, incarnation: int, last_try: bool = True) -> tuple[int, JournalImage | None, str]:
-        """Begins this process's file with what the former process has left.
+    def open(self, incarnation: int, is_last_attempt: bool = True) -> tuple[int, JournalImage | None, str]:
+        """Create this process's file with the content of the previous process's file.
 
-        Returns the incarnation of this process, above those of all files here and not below the given one; the image;
-        and why there is none. Before the last try a file that can't be read raises OSError.
+        :param incarnation: lower bound of this process's incarnation.
+        :returns: the incarnation of this process, which is higher than those of all files in the folder; the image;
+            and the reason if there is no image.
+        :raises OSError: the file can't be written or, before the last attempt, the previous file can't be read.
         """
         self.path.mkdir(parents=True, exist_ok=True)
         names = [entry.name for entry in self.path.iterdir()]
-        former_processes = sorted(int(match[1]) for name in names if (match := JOURNAL_NAME.fullmatch(name)))
-        former = _FormerJournal(None, "nothing is there")
-        if former_processes:
-            incarnation = max(incarnation, former_processes[-1] + 1)
-            former = self._former_journal(self.path / f"{former_processes[-1]}.log", last_try)
-        if former.image is not None:
-            incarnation = max(incarnation, former.image.incarnations.get(self.header.seat, 0) + 1)
+        incarnations = sorted(int(match[1]) for name in names if (match := JOURNAL_NAME.fullmatch(name)))
+        previous = _PreviousJournal(None, "no journal found")
+        if incarnations:
+            incarnation = max(incarnation, incarnations[-1] + 1)
+            previous = self._previous_journal(self.path / f"{incarnations[-1]}.log", is_last_attempt)
+        if previous.image is not None:
+            incarnation = max(incarnation, previous.image.incarnations.get(self.header.seat, 0) + 1)
         self.incarnation = incarnation
-        self.image = former.image
-        if former.image is None:
+        self.image = previous.image
+        if previous.image is None:
             self.rewrite(encode_records([self.header]))
         else:
-            self.rewrite(former.data[: former.image.valid_bytes])
-        # Only now: until here the former file is what counts.
-        if former.damaged:
-            self._discard(self.path / f"{former_processes.pop()}.log", keep=True)
+            self.rewrite(previous.data[: previous.image.valid_bytes])
+        # Older files are removed only now: until this process's file exists, the previous one is the seat's journal.
+        if previous.damaged:
+            self._discard(self.path / f"{incarnations.pop()}.log", keep=True)
         unfinished = [name for name in names if UNFINISHED_NAME.fullmatch(name)]
-        for name in [*(f"{process}.log" for process in former_processes), *unfinished]:
+        for name in [*(f"{old}.log" for old in incarnations), *unfinished]:
             self._discard(self.path / name)
-        return incarnation, former.image, former.reason
+        return incarnation, previous.image, previous.reason
 
-    def _former_journal(self, path: Path, last_try: bool) -> _FormerJournal:
+    def _previous_journal(self, path: Path, is_last_attempt: bool) -> _PreviousJournal:
         try:
             return self._read(path)
         except OSError as exc:
-            if not last_try:
+            if not is_last_attempt:
                 raise
-            return _FormerJournal(None, f"{path.name} can't be read and is kept: {exc}", damaged=True)
+            return _PreviousJournal(None, f"{path.name} can't be read and is kept: {exc}", damaged=True)
 
-    def _read(self, path: Path) -> _FormerJournal:
-        in_use = _FormerJournal(None, "another process of this seat is writing")
+    def _read(self, path: Path) -> _PreviousJournal:
+        in_use = _PreviousJournal(None, "another process of this seat is writing its journal")
         with open(path, "rb") as file:
             try:
                 fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
             except BlockingIOError:
                 return in_use
             data = self._files.read(file)
-            # Written anew since it was opened: then the lock is on a file that nobody uses any more.
+            # If the file was replaced after it was opened, the lock is on the old file, which is no longer used.
             if os.fstat(file.fileno()).st_ino != path.stat().st_ino:
                 return in_use
         try:
             image = read_journal(data, self.header)
         except JournalError as exc:
-            return _FormerJournal(None, f"{path.name} is not used, and is kept: {exc}", damaged=True)
+            return _PreviousJournal(None, f"{path.name} is not used, and is kept: {exc}", damaged=True)
         if not image.recovered:
-            return _FormerJournal(None, "that life had forgotten, too")
-        return _FormerJournal(image, "", data)
+            return _PreviousJournal(None, "the previous process had forgotten its state as well")
+        return _PreviousJournal(image, "", data)
 
     def _discard(self, path: Path, keep: bool = False) -> None:
-        """Removes a file that no longer counts, unless another process writes it; renames one that is to be kept."""
+        """Remove an obsolete file unless another process writes it.
+
+        :param keep: whether to rename the file instead, for inspection.
+        """
         try:
             if not self._is_free(path):
                 return
@@ -193,7 +199,7 @@
             else:
                 self._files.remove(path)
         except OSError as exc:
-            log.warning("fleet: journal: a former file was not removed: path=%s reason=%s", path, exc)
+            log.warning("fleet: journal: failed to remove an obsolete file: path=%s reason=%s", path, exc)
 
     def _is_free(self, path: Path) -> bool:
         fd = os.open(path, os.O_RDONLY)
@@ -208,18 +214,18 @@
     # ---- writes ----
 
     def _write(self, fd: int, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            left = left[self._files.write(fd, bytes(left[:WRITE_BYTES])) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[self._files.write(fd, bytes(remaining[:MAX_WRITE_BYTES])) :]
         self._files.sync(fd)
 
     def append(self, data: bytes) -> None:
-        """Returns once the disk has it."""
+        """Append to this process's file; return once the data is on the disk."""
         self._write(self._fd, data)
         self.size += len(data)
 
     def rewrite(self, data: bytes) -> None:
-        """Replaces the file by one with this content, in one step; returns once the disk has it."""
+        """Replace this process's file atomically; return once the new content is on the disk."""
         new = self.path / f"{self.name}.new"
         fd = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
@@ -236,7 +242,7 @@
         self.base_size = len(data)
 
     def _sync_folder(self) -> None:
-        """Without it a power failure may undo the rename."""
+        """Sync the folder, since otherwise a power failure may undo the rename."""
         fd = os.open(self.path, os.O_RDONLY)
         try:
             self._files.sync(fd)
@@ -244,7 +250,7 @@
             os.close(fd)
 
     def close(self) -> None:
-        """Releases the file and its lock."""
+        """Close this process's file and release its lock."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
@@ -253,39 +259,44 @@
 def open_folder(
     path: Path, header: JournalHeader, incarnation: int, files: FileSystem | None = None
 ) -> OpenedJournal:
-    """The folder of a process that starts; blocks for `OPEN_TIMEOUT_S` at most.
+    """Open the journal folder of a starting process. Blocks for about `OPEN_TIMEOUT_S` at most.
+
+    Failed reads are retried. An image that was read is used even if nothing can be written yet, since no vote is sent
+    until the journal can be written.
 
-    What can't be read is tried again. What was read counts even where nothing can be written yet: no vote leaves until
-    it can be. Raises ConfigError where not even the names of the files can be read.
+    :raises ConfigError: the folder can't be listed.
     """
     folder = JournalFolder(path, header, files)
-    give_up_at = time.monotonic() + OPEN_TIMEOUT_S
+    deadline_s = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
-            own, image, reason = folder.open(incarnation, last_try=time.monotonic() >= give_up_at)
+            own_incarnation, image, reason = folder.open(
+                incarnation, is_last_attempt=time.monotonic() >= deadline_s
+            )
         except OSError as exc:
             if folder.incarnation:
                 return OpenedJournal(folder, folder.incarnation, folder.image, f"can't be written: {exc}")
-            if time.monotonic() >= give_up_at:
+            if time.monotonic() >= deadline_s:
                 raise ConfigError(
                     f"fleet.journal: {path} can't be read: {exc}; check the disk, or name another folder"
                 ) from exc
         else:
-            return OpenedJournal(folder, own, image, reason)
+            return OpenedJournal(folder, own_incarnation, image, reason)
         time.sleep(OPEN_RETRY_S)
 
 
 def open_journal(
     config: FleetConfig, part: str, seats_digest: str, seat: str, incarnation: int
 ) -> OpenedJournal | None:
-    """The journal of one part of a seat; None where the operator's file names no folder for journals.
+    """Open the journal of one part of a seat; return None if the operator's file names no folder for journals.
 
-    Raises ConfigError; see `open_folder`.
+    :param part: subfolder of the part; "" for the folder itself.
+    :raises ConfigError: see `open_folder`.
     """
     if not config.journal:
         return None
     header = JournalHeader(JOURNAL_VERSION, config.name, seats_digest, seat)
     opened = open_folder(Path(config.journal) / part, header, incarnation)
-    found = opened.reason if opened.image is None else f"{len(opened.image.registers)} keys recalled"
-    log.info("fleet: journal: %s%s", f"{part}: " if part else "", found)
+    result = opened.reason if opened.image is None else f"{len(opened.image.registers)} keys restored"
+    log.info("fleet: journal: %s%s", f"{part}: " if part else "", result)
     return opened
--- a/moorusher/storage/journal_writer.py
+++ b/moorusher/storage/journal_writer.py
@@ -1,6 +1,7 @@
-"""Writes an acceptor's journal: one write and one fsync at a time, in a thread, for all that has gathered.
+"""Writes an acceptor's journal in a thread: one write and one fsync at a time, for all changes since the last write.
 
-Whatever waits for the disk is called in the order in which it came. While the disk fails, the acceptor has no vote.
+Callbacks that wait for the disk are called in the order of their registration. While the disk fails, the acceptor does
+not vote.
 """
 
 from __future__ import annotations
@@ -18,18 +19,17 @@
 
 log = logging.getLogger("moorusher")
 
-COMPACT_AFTER_BYTES = (
-    1 << 20
-)  # appended, at least, before a file is written anew without what no longer counts
-RETRY_S = 1  # after a failed write
+# Minimum of appended bytes before the file is rewritten without obsolete records.
+COMPACT_AFTER_BYTES = 1 << 20
+RETRY_S = 1  # Pause after a failed write.
 
 
 class JournalWriter:
-    """Between an acceptor and its folder.
+    """Writes the changes of an acceptor to its journal folder.
 
     Attributes:
-        failure: `str`, why nothing can be written; empty while all is well.
-        closed: `bool`, nothing more is written.
+        failure: Reason why nothing can be written; "" after a successful write.
+        closed: Whether nothing more is written.
     """
 
     def __init__(
@@ -40,28 +40,35 @@
         clock: Callable[[], int],
         count: Callable[[str], None],
     ) -> None:
-        """`clock`: us, read anew. `count`: one more in the counter of that name."""
+        """Attach to the acceptor, which from now on registers its changes for the journal.
+
+        :param clock: reads the time, in microseconds.
+        :param count: increments the counter with the given name.
+        """
         self._reactor = reactor
         self._folder = folder
         self._acceptor = acceptor
         self._clock = clock
         self._count = count
         self._waiting: list[Callable[[], None]] = []
-        self._writing = False  # a thread has the folder
+        self._writing = False  # Whether a thread is using the folder.
         self._save_scheduled = False
         self.failure = ""
         self.closed = False
         acceptor.journaled = True
 
-    def durable(self, then: Callable[[], None]) -> None:
-        """Calls `then` once the disk has all that the acceptor has changed so far; never where the disk fails: whoever
-        waits for a vote asks others, or again."""
+    def durable(self, callback: Callable[[], None]) -> None:
+        """Call `callback` once all changes of the acceptor up to now are on the disk.
+
+        Never called if the disk fails: a member that waits for the vote asks other members, or retries.
+        """
         if self.failure:
             return
-        self._waiting.append(then)
+        self._waiting.append(callback)
         if not self._writing and not self._save_scheduled:
             self._save_scheduled = True
-            self._reactor.callLater(0, self._save)  # with all that this turn of the loop still brings
+            # The write includes all later changes of this turn of the event loop.
+            self._reactor.callLater(0, self._save)
 
     def _save(self, compact: bool = False) -> None:
         self._save_scheduled = False
@@ -92,7 +99,7 @@
         self._writing = False
         self._count("fleet: written to the disk")
         if self.failure:
-            log.warning("fleet: the journal is written again")
+            log.warning("fleet: journal writes have recovered")
             self.failure = ""
             self._acceptor.journal_failing = False
         self._call_all(waiting)
@@ -101,11 +108,11 @@
 
     def _call_all(self, waiting: list[Callable[[], None]]) -> None:
         self._clock()
-        for then in waiting:
+        for callback in waiting:
             try:
-                then()
-            except Exception:  # a fault over one vote must not keep back the others
-                log.exception("fleet: after a write")
+                callback()
+            except Exception:  # An error in one callback must not prevent the others.
+                log.exception("fleet: a callback after a journal write failed")
                 self._count("faults")
 
     def _failed(self, failure: Failure) -> None:
@@ -113,10 +120,13 @@
         self.fail(str(failure.value))
 
     def fail(self, reason: str) -> None:
-        """Nothing can be written: no vote leaves until a whole new file could be; the old one is left alone."""
+        """Record that the journal can't be written, and retry with a whole new file; the old file is not changed.
+
+        No vote is sent until a write succeeds.
+        """
         self._waiting.clear()
         if not self.failure:
-            log.error("fleet: the journal can't be written, this keeper has no vote: %s", reason)
+            log.error("fleet: the journal can't be written, so this replica does not vote: reason=%s", reason)
             self._count("fleet: the disk failed")
         self.failure = reason or "failed"
         self._acceptor.journal_failing = True
@@ -124,7 +134,7 @@
             self._reactor.callLater(RETRY_S, self._save, True)
 
     def close(self) -> None:
-        """Nothing more is written; a write under way goes on."""
+        """Start no further write; one in progress is completed."""
         self.closed = True
         if not self._writing:
             self._folder.close()
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -1,8 +1,8 @@
-"""Customers' current revisions on this runner's disk, so that a start without a majority has what it had last.
+"""Stores customers' current revisions on disk, so that a runner that starts without a majority has its last ones.
 
 One SQLite file, written by one thread. A revision that can't be written stays pending: the write is retried each second
-until the file has it, or a newer one. A damaged file is renamed and the runner begins without it: other runners have
-the revisions. A file that can't be read for the moment is left as it is.
+until the file has that revision or a newer one. A damaged file is renamed and the runner starts with an empty store,
+since other runners have the revisions. A temporarily unreadable file is left unchanged.
 """
 
 from __future__ import annotations
@@ -26,45 +26,48 @@
     "create table if not exists had (customer text primary key, born integer, number integer, draft blob)"
 )
 SELECT = "select customer, born, number, draft from had"
-# The process that this one replaces writes to the same file: what it has may be older.
-PUT = (
+# Keeps the newer revision: the process that this one replaces writes older revisions to the same file.
+UPSERT = (
     "insert into had values (?, ?, ?, ?) on conflict (customer) do update set born = excluded.born, number = "
     "excluded.number, draft = excluded.draft where (excluded.born, excluded.number) > (born, number)"
 )
 WRITE_RETRY_PAUSE_S = 1.0
-OPEN_PATIENCE_S = 1.0  # at the start, while nothing is served yet, for a file that can't be read
-BUSY_TIMEOUT_S = 1.0  # for which SQLite itself waits for another process's lock
+OPEN_PATIENCE_S = 1.0  # Timeout for an unreadable file at the start, before the runner serves.
+BUSY_TIMEOUT_S = 1.0  # Time that SQLite waits for another process's lock.
 DAMAGED_SUFFIX = ".damaged"
 
-# These say that the file's content is wrong. All other errors (full, input/output, locked, can't open) may pass.
+# Error codes for invalid content of the file. All other errors (full, input/output, locked, can't open) may be
+# temporary.
 DAMAGE_CODES = frozenset(
     {sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB, sqlite3.SQLITE_FORMAT, sqlite3.SQLITE_ERROR}
 )
-PRIMARY_CODE_MASK = 0xFF  # the part of an extended error code that names its kind
+PRIMARY_CODE_MASK = 0xFF  # Selects the primary code within an extended error code.
 
-Stored = tuple[str, RevisionId, bytes | None]  # customer, revision, draft; None: the namespace is deleted
-Pending = dict[str, tuple[RevisionId, bytes | None]]  # by customer
+# Customer, revision, and draft or None for a deleted namespace.
+Stored = tuple[str, RevisionId, bytes | None]
+Pending = dict[str, tuple[RevisionId, bytes | None]]  # Revision and draft by customer.
 
 
 def is_damage(error: Exception) -> bool:
-    """Whether the file itself is at fault, so that each attempt would fail the same way."""
+    """Return whether the content of the file is invalid, so that each attempt would fail the same way."""
     if not isinstance(error, sqlite3.DatabaseError):
         return False
-    # Absent where Python's module found the fault, and not the library.
+    # The code is missing if Python's module raised the error and not SQLite itself.
     code = getattr(error, "sqlite_errorcode", None)
     return code is not None and code & PRIMARY_CODE_MASK in DAMAGE_CODES
 
 
 def connect(path: Path) -> sqlite3.Connection:
-    """Return a connection each of whose statements is a transaction, on the disk when it returns."""
+    """Return a connection on which each statement is a transaction, which is on the disk when it returns."""
     return sqlite3.connect(path, check_same_thread=False, isolation_level=None, timeout=BUSY_TIMEOUT_S)
 
 
 class Store:
-    """The file, and the thread that writes to it.
+    """Revisions in an SQLite file, with a thread that writes to it.
 
-    path: Path, of the file.
-    failing: str, the last error until a write succeeds; "" where there is none.
+    Attributes:
+        path: Path of the file.
+        failing: Last error, until a write succeeds; "" if there is none.
     """
 
     def __init__(
@@ -75,7 +78,11 @@
         count: Callable[[str], None],
         connect: Callable[[Path], sqlite3.Connection] = connect,
     ) -> None:
-        """`pool`: of one thread, which alone uses the connection. `count`: increments a counter."""
+        """Create a store that is not open yet.
+
+        :param pool: pool with one thread; only this thread uses the connection.
+        :param count: increments the counter with the given name.
+        """
         self.path = path
         self.failing = ""
         self._reactor = reactor
@@ -83,7 +90,7 @@
         self._count = count
         self._connect = connect
         self._connection: sqlite3.Connection | None = None
-        self._pending: Pending = {}  # not known to be in the file
+        self._pending: Pending = {}  # Revisions not known to be in the file.
         self._writing = False
         self._retry_scheduled = False
         self._closed = False
@@ -91,9 +98,14 @@
     # ---- the start ----
 
     def open(self) -> list[Stored]:
-        """Return what is stored; [] where it can't be read. Called once, before the reactor has work to do."""
+        """Open the file and return its content; [] if it can't be read.
+
+        Called once, before the event loop runs, as it blocks.
+        """
         try:
-            return retry_transient(self._open, OPEN_PATIENCE_S, may_pass=lambda error: not is_damage(error))
+            return retry_transient(
+                self._open, OPEN_PATIENCE_S, is_retryable=lambda error: not is_damage(error)
+            )
         except (OSError, sqlite3.Error) as error:
             self._disconnect()
             if is_damage(error):
@@ -104,7 +116,10 @@
     def _replace_damaged(self, damage: Exception) -> list[Stored]:
         damaged_path = self.path.with_suffix(DAMAGED_SUFFIX)
         log.error(
-            "namespaces: %s can't be read, and is put aside as %s: %s", self.path, damaged_path.name, damage
+            "namespaces: damaged store is renamed: path=%s new_name=%s reason=%s",
+            self.path,
+            damaged_path.name,
+            damage,
         )
         self._count("namespaces: a damaged store")
         try:
@@ -134,7 +149,10 @@
     # ---- writes ----
 
     def put(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
-        """Write a revision, or with None that the namespace is deleted; one older than what is there is ignored."""
+        """Write a revision, unless the store has a newer one.
+
+        :param draft: draft of the revision; None if the namespace is deleted.
+        """
         if self._closed:
             return
         pending = self._pending.get(customer)
@@ -144,7 +162,7 @@
             self._write()
 
     def _write(self) -> None:
-        """Write all that is pending; what is put meanwhile goes with the next write."""
+        """Write all pending revisions; those put during the write are written by the next one."""
         if self._closed or self._writing or not self._pending:
             return
         self._writing = True
@@ -154,13 +172,13 @@
         writing.addErrback(lambda failure: log.error("namespaces: %s", failure.getTraceback()))
 
     def _write_all(self, batch: Pending) -> None:
-        """In the pool's thread. A connection that has failed is not used again."""
+        """Write revisions, in the pool's thread. A failed connection is not used again."""
         try:
             if self._connection is None:
                 self._open()
             assert self._connection is not None
             for customer, (revision_id, draft) in batch.items():
-                self._connection.execute(PUT, (customer, *revision_id, draft))
+                self._connection.execute(UPSERT, (customer, *revision_id, draft))
         except BaseException:
             self._disconnect()
             raise
@@ -171,7 +189,7 @@
             if self._pending.get(customer) == written:
                 del self._pending[customer]
         if self.failing:
-            log.warning("namespaces: %s is written again", self.path)
+            log.warning("namespaces: writes to the store have recovered: path=%s", self.path)
             self.failing = ""
         self._write()
 
@@ -186,14 +204,14 @@
         self._write()
 
     def _note_failure(self, error: BaseException) -> None:
-        """Count each failure; log it where it differs from the last one."""
+        """Count a failure, and log it if it differs from the last one."""
         if str(error) != self.failing:
-            log.error("namespaces: %s can't be written, and is tried again: %s", self.path, error)
+            log.error("namespaces: access to the store failed, retrying: path=%s reason=%s", self.path, error)
         self.failing = str(error) or type(error).__name__
         self._count("namespaces: store not written")
 
     def close(self) -> None:
-        """Attempt once more to write what is pending, then close the file."""
+        """Try once more to write the pending revisions, then close the file."""
         self._closed = True
         self._pool.callInThread(self._write_last, dict(self._pending))
 
@@ -201,6 +219,11 @@
         try:
             self._write_all(batch)
         except (OSError, sqlite3.Error) as error:
-            log.error("namespaces: %d customers' revisions are not in %s: %s", len(batch), self.path, error)
+            log.error(
+                "namespaces: last write to the store failed: unwritten_customers=%d path=%s reason=%s",
+                len(batch),
+                self.path,
+                error,
+            )
         finally:
             self._disconnect()
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -1,4 +1,4 @@
-"""The snapshot of what was learnt, on a disk that lasts: read at the start, written now and then and at the end."""
+"""Snapshot file of learned endpoint state: read at the start, written periodically and at shutdown."""
 
 from __future__ import annotations
 
@@ -20,35 +20,39 @@
 
 log = logging.getLogger("moorusher")
 
-SAVE_PERIOD_US = 30 * SECOND  # a crash loses no more; a write takes some milliseconds
+# A crash loses at most this much learning time; a write takes some milliseconds.
+SAVE_PERIOD_US = 30 * SECOND
 
 
 def save_snapshot(path: Path, raw: bytes) -> None:
-    """Replace the file atomically: after a crash at any step it has the old bytes or the new ones. Raises OSError."""
+    """Replace the file atomically, so that after a crash at any step it has either the old or the new content.
+
+    :raises OSError: the file can't be written.
+    """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         with open(temporary, "wb") as file:
             file.write(raw)
             file.flush()
-            os.fsync(
-                file.fileno()
-            )  # before the rename: else the name could point to bytes that are not on the disk
+            # Without a sync before the rename, the new name could refer to data that is not on the disk.
+            os.fsync(file.fileno())
         os.replace(temporary, path)
     except OSError:
         temporary.unlink(missing_ok=True)
         raise
     folder = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)  # the rename itself: else a crash could bring the old file back
+        os.fsync(folder)  # Syncs the rename, which a crash could otherwise undo.
     finally:
         os.close(folder)
 
 
 def load_snapshot(path: Path, unix_s: float | None = None) -> LearnedState | None:
-    """Return the state in a file, aged by the file's modification time; `unix_s`: the time now, for tests.
+    """Return the state in a file, aged by the file's modification time.
 
-    None where there is no file, or, with a line in the log, none that can be used. A file from the future is of unknown
-    age, and is not used.
+    :param unix_s: the current time, for tests; None for the system clock.
+    :returns: None if the file is missing or unusable; an unusable file is logged. A file with a modification time in
+        the future has an unknown age, and is not used.
     """
     try:
         with open(path, "rb") as file:
@@ -56,7 +60,9 @@
             age_s = now_s - os.fstat(file.fileno()).st_mtime
             raw = file.read(MAX_SNAPSHOT_BYTES + 1)
         if age_s < 0:
-            log.warning("warm start without snapshot: file=%s reason=its time is in the future", path.name)
+            log.warning(
+                "warm start without snapshot: file=%s reason=modification time is in the future", path.name
+            )
             return None
         return decode_snapshot(raw).aged(age_s)
     except FileNotFoundError:
@@ -67,15 +73,16 @@
 
 
 class WarmStartFile:
-    """Lets the server pool learn from the snapshot, and writes what it has learnt.
+    """Loads the snapshot into the server pool, and saves the pool's learned state.
 
-    verification: of the priors that were read (PriorVerification), None where none were.
+    Attributes:
+        verification: Verification of the loaded priors; None if no snapshot was loaded.
     """
 
     def __init__(
         self, core: RequestEngine, pool: ServerPool, path: Path, condition: Callable[[], DonorCondition]
     ) -> None:
-        """`condition` returns how this runner is."""
+        """`condition` returns the condition under which this runner's latencies are measured."""
         self._core = core
         self._pool = pool
         self._path = path
@@ -84,7 +91,7 @@
         self.verification: PriorVerification | None = None
 
     def start(self) -> None:
-        """Read the snapshot, and begin to write it periodically."""
+        """Load the snapshot, and start to save it periodically."""
         state = load_snapshot(self._path)
         if state is not None:
             endpoints = self._pool.balancer.endpoints
@@ -102,19 +109,19 @@
         self.save()
 
     def save(self) -> None:
-        """Write the snapshot. A disk that is full or gone costs the snapshot, not the service."""
+        """Write the snapshot. A failure is counted and logged, and does not affect the service."""
         state = self._pool.learned_state(self._condition())
         if not state.endpoints:
-            return  # nothing was learnt: what the file has is worth more
+            return  # Keeps the state in the file, since nothing has been learned yet.
         try:
             save_snapshot(self._path, encode_snapshot(state))
             self._core.counters.add("knowledge kept")
         except (OSError, InvalidSnapshotError) as exc:
             self._core.counters.add("knowledge not kept")
-            log.warning("snapshot for the warm start not written: file=%s reason=%s", self._path.name, exc)
+            log.warning("warm start snapshot not written: file=%s reason=%s", self._path.name, exc)
 
     def stop(self) -> None:
-        """Write the snapshot for the last time."""
+        """Stop the periodic saving and write the snapshot once more."""
         if self._alarm is not None:
             self._alarm.cancel()
         self.save()
--- a/moorusher/time_units.py
+++ b/moorusher/time_units.py
@@ -1,6 +1,6 @@
-"""Units of time in microseconds, in which the program reckons."""
+"""Units of time in microseconds, the program's internal unit."""
 
 from __future__ import annotations
 
-MS = 1_000  # us in a millisecond
-SECOND = 1_000_000  # us in a second
+MS = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
--- a/moorusher/transient_errors.py
+++ b/moorusher/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the operating system that pass by themselves: it had no capacity at that moment."""
+"""Transient errors of the operating system, such as a temporary lack of capacity, and retries after them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def is_transient(error: Exception) -> bool:
-    """Whether the same call may succeed a moment later, with nothing changed by anybody."""
+    """Return whether a retry of the same call may succeed without any intervention."""
     return isinstance(error, OSError) and error.errno in TRANSIENT
 
 
@@ -24,17 +24,18 @@
     timeout_s: float,
     sleep: Callable[[float], None] = time.sleep,
     clock: Callable[[], float] = time.monotonic,
-    may_pass: Callable[[Exception], bool] = is_transient,
+    is_retryable: Callable[[Exception], bool] = is_transient,
 ) -> Result:
-    """Call `action` until it succeeds, while its errors may pass. Blocks: only for the time before the loop runs.
+    """Call `action` until it succeeds or fails for good. Blocks, so use it only before the event loop runs.
 
-    :raises Exception: the error of the last attempt, once `timeout_s` is over or an error can't pass.
+    :param is_retryable: returns whether to retry after an error.
+    :raises Exception: the error of the last attempt, if it is not retryable or `timeout_s` has expired.
     """
     deadline_s = clock() + timeout_s
     while True:
         try:
             return action()
         except Exception as error:
-            if not may_pass(error) or clock() >= deadline_s:
+            if not is_retryable(error) or clock() >= deadline_s:
                 raise
         sleep(RETRY_INTERVAL_S)
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -1,4 +1,4 @@
-"""A fleet with journals on disks that fail for seconds: what was taken on is owed, and no key runs twice."""
+"""A cluster with journals on disks that fail for seconds: no acknowledged result is lost, and no key runs twice."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 pytestmark = pytest.mark.processes
 
-FROM_S, TO_S = 0.5, 2.5  # after the test has said so
+FROM_S, TO_S = 0.5, 2.5  # Period of the disk faults, after the start file has been created.
 ROUNDS = 12
-AT_ONCE = 4
+REQUESTS_PER_ROUND = 4
 ROUND_S = 0.25
-BATCH = 8  # a connection has bounds
-ENDED = -32000  # it may have run
+BATCH_SIZE = 8  # The number of open requests of a connection is limited.
+ENDED = -32000  # Error code of a request that may have run.
 
-Failing = tuple[str, str, float]  # call, error and share of the calls
+DiskFault = tuple[str, str, float]  # Call, error and fraction of the calls that fail.
 
-KINDS: dict[str, tuple[Failing, ...]] = {
+DISK_FAULTS: dict[str, tuple[DiskFault, ...]] = {
     "full": (("disk write", "ENOSPC", 1.0),),
     "write fails": (("disk write", "EIO", 0.5),),
     "sync fails": (("disk sync", "EIO", 0.5),),
@@ -36,142 +36,152 @@
 }
 
 
-def environment(start: Path, failing: tuple[Failing, ...], *at: int) -> Any:
-    """Disks of these runners fail from when `start` is there."""
-    plan = json.dumps([(call, error, FROM_S, TO_S, share) for call, error, share in failing])
+def fault_environment(start: Path, disk_faults: tuple[DiskFault, ...], *runners: int) -> Any:
+    """Return a function from a runner to its environment; disks of `runners` fail once the file `start` exists."""
+    plan = json.dumps([(call, error, FROM_S, TO_S, fraction) for call, error, fraction in disk_faults])
 
-    def of(i: int) -> Mapping[str, str]:
-        faults = {"FAULT_PLAN": plan, "FAULT_START": str(start)} if i in at else {}
+    def environment_of(i: int) -> Mapping[str, str]:
+        faults = {"FAULT_PLAN": plan, "FAULT_START": str(start)} if i in runners else {}
         return {"PYTHONPATH": str(INJECT), "FAULT_SEED": str(i), **faults}
 
-    return of
+    return environment_of
 
 
-async def load(f: Fleet, start: Path) -> dict[str, dict[str, Any]]:
-    """Requests at each runner in turn, over the time in which disks fail, each with its first answer."""
+async def send_requests(cluster: Fleet, start: Path) -> dict[str, dict[str, Any]]:
+    """Start the faults and send requests to each runner in turn while disks fail; return the answers by token."""
     start.touch()
     answers: dict[str, dict[str, Any]] = {}
-    asked: dict[str, asyncio.Future[dict[str, Any]]] = {}
+    pending: dict[str, asyncio.Future[dict[str, Any]]] = {}
     for number in range(ROUNDS):
-        front = await f.front(number % len(f.runners))
-        for t in (token() for _ in range(AT_ONCE)):
-            asked[t] = front.send("submit", token=t, body=t.encode())
+        front_end = await cluster.front(number % len(cluster.runners))
+        for key in (token() for _ in range(REQUESTS_PER_ROUND)):
+            pending[key] = front_end.send("submit", token=key, body=key.encode())
         await asyncio.sleep(ROUND_S)
-    for t, answer in asked.items():
-        answers[t] = await asyncio.wait_for(answer, 10)
+    for key, answer in pending.items():
+        answers[key] = await asyncio.wait_for(answer, 10)
     return answers
 
 
-async def results(f: Fleet, at: int, tokens: Iterable[str]) -> dict[str, dict[str, Any]]:
-    """Each asked for again, a few at a time."""
-    found: dict[str, dict[str, Any]] = {}
-    wanted = list(tokens)
-    for first in range(0, len(wanted), BATCH):
-        found |= await ask_again(f, at, wanted[first : first + BATCH])
-    return found
+async def retry_all(cluster: Fleet, at: int, tokens: Iterable[str]) -> dict[str, dict[str, Any]]:
+    """Retry each token at one runner, in batches; return the answers by token."""
+    answers: dict[str, dict[str, Any]] = {}
+    retried = list(tokens)
+    for first in range(0, len(retried), BATCH_SIZE):
+        answers |= await ask_again(cluster, at, retried[first : first + BATCH_SIZE])
+    return answers
 
 
-async def disks_failed(f: Fleet, kind: str, *at: int) -> None:
-    """The fault was played: each of these says that its disk failed, or none where writes were only short."""
-    for i in at:
-        told = (await f.runners[i].counters()).get("fleet: the disk failed", 0)
-        assert bool(told) == (kind != "short writes")
+async def assert_disks_failed(cluster: Fleet, kind: str, *runners: int) -> None:
+    """Assert that the faults took effect: these runners report a failed disk, except for short writes."""
+    for i in runners:
+        reported = (await cluster.runners[i].counters()).get("fleet: the disk failed", 0)
+        assert bool(reported) == (kind != "short writes")
 
 
-async def settled(f: Fleet) -> bool:
-    """An answer goes out some ms before a majority has the result: none of that is left to do."""
-    return not any([(await runner.counters("fleet/work"))["work"] for runner in f.runners])
+async def is_settled(cluster: Fleet) -> bool:
+    """Return whether no result is waiting for a majority, which has it some ms after the answer is sent."""
+    return not any([(await runner.counters("fleet/work"))["work"] for runner in cluster.runners])
 
 
-async def lose_power(f: Fleet) -> None:
-    """All runners at once; the next processes find only their disks, which are well again."""
-    for runner in f.runners:
+async def restart_all_after_power_loss(cluster: Fleet) -> None:
+    """Kill all runners at once and start them again; they have only their disks, which work again."""
+    for runner in cluster.runners:
         runner.process.kill()
-    await f.gone()
-    for runner in f.runners:
+    await cluster.gone()
+    for runner in cluster.runners:
         runner.environment = {}
         runner.again()
-    for runner in f.runners:
+    for runner in cluster.runners:
         await runner.ready()
 
 
-def judge_first(f: Fleet, answers: Mapping[str, dict[str, Any]]) -> None:
-    """A refusal is a promise that it did not run; no token of these has been asked for again yet."""
-    ran = f.began(*range(len(f.runners)))
-    for t, answer in answers.items():
-        assert not refused(answer) or t not in ran, "refused, and it ran"
-        assert not served(t, answer) or t in ran
+def assert_first_answers_are_true(cluster: Fleet, answers: Mapping[str, dict[str, Any]]) -> None:
+    """Assert that rejected requests did not run and that served ones did; must be called before any retry."""
+    executed = cluster.began(*range(len(cluster.runners)))
+    for key, answer in answers.items():
+        assert not refused(answer) or key not in executed, "a rejected request was executed"
+        assert not served(key, answer) or key in executed
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", DISK_FAULTS)
 @asynchronous_test
-async def test_one_failing_disk_of_three_costs_no_result(kind: str, tmp_path: Path) -> None:
+async def test_a_failing_disk_of_one_runner_in_three_loses_no_result(kind: str, tmp_path: Path) -> None:
     start = tmp_path / "start"
     async with fleet(
-        3, work=0.02, journals=True, claim_ms=3_000, environment=environment(start, KINDS[kind], 1)
-    ) as f:
-        answers = await load(f, start)
-        judge_first(f, answers)
-        await disks_failed(f, kind, 1)
-        again = await results(f, 2, answers)
-        assert not [a for t, a in again.items() if not served(t, a)]
-        once(f, answers)
+        3,
+        work=0.02,
+        journals=True,
+        claim_ms=3_000,
+        environment=fault_environment(start, DISK_FAULTS[kind], 1),
+    ) as cluster:
+        answers = await send_requests(cluster, start)
+        assert_first_answers_are_true(cluster, answers)
+        await assert_disks_failed(cluster, kind, 1)
+        retried = await retry_all(cluster, 2, answers)
+        assert not [answer for key, answer in retried.items() if not served(key, answer)]
+        once(cluster, answers)
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", DISK_FAULTS)
 @asynchronous_test
-async def test_a_fleet_whose_disks_all_fail_goes_on_by_itself_when_they_recover(
-    kind: str, tmp_path: Path
-) -> None:
+async def test_a_cluster_whose_disks_all_fail_recovers_when_the_disks_do(kind: str, tmp_path: Path) -> None:
+    """After the recovery, a power loss of all runners must not lose an acknowledged result."""
     start = tmp_path / "start"
     async with fleet(
-        3, work=0.02, journals=True, claim_ms=500, environment=environment(start, KINDS[kind], 0, 1, 2)
-    ) as f:
-        answers = await load(f, start)
-        judge_first(f, answers)
-        await disks_failed(f, kind, 0, 1, 2)
-        again = await results(f, 2, answers)
-        not_served = {t: a for t, a in again.items() if not served(t, a)}
-        assert not [a for a in not_served.values() if a["error"]["code"] != ENDED]
-        once(f, answers)
-        fresh = [token() for _ in range(6)]
-        assert all(served(t, a) for t, a in (await ask_again(f, 1, fresh)).items())
-        once(f, [*answers, *fresh])
-        known = [*fresh, *(t for t in answers if t not in not_served)]
-        await until(lambda: settled(f))
-        await lose_power(f)
-        after = await results(f, 0, known)
-        assert not [a for t, a in after.items() if not served(t, a)], "what was said to be done is forgotten"
-        once(f, known)
+        3,
+        work=0.02,
+        journals=True,
+        claim_ms=500,
+        environment=fault_environment(start, DISK_FAULTS[kind], 0, 1, 2),
+    ) as cluster:
+        answers = await send_requests(cluster, start)
+        assert_first_answers_are_true(cluster, answers)
+        await assert_disks_failed(cluster, kind, 0, 1, 2)
+        retried = await retry_all(cluster, 2, answers)
+        not_served = {key: answer for key, answer in retried.items() if not served(key, answer)}
+        assert not [answer for answer in not_served.values() if answer["error"]["code"] != ENDED]
+        once(cluster, answers)
+        new = [token() for _ in range(6)]
+        assert all(served(key, answer) for key, answer in (await ask_again(cluster, 1, new)).items())
+        once(cluster, [*answers, *new])
+        acknowledged = [*new, *(key for key in answers if key not in not_served)]
+        await until(lambda: is_settled(cluster))
+        await restart_all_after_power_loss(cluster)
+        after = await retry_all(cluster, 0, acknowledged)
+        assert not [answer for key, answer in after.items() if not served(key, answer)], "a result was lost"
+        once(cluster, acknowledged)
 
 
 @asynchronous_test
-async def test_a_process_killed_with_half_a_record_written_comes_back_with_what_it_promised(
-    tmp_path: Path,
-) -> None:
+async def test_a_process_killed_within_the_write_of_a_record_restores_its_promises(tmp_path: Path) -> None:
+    """One runner is killed with a partial record in its journal, and restarted; then another runner is killed."""
     start = tmp_path / "start"
     async with fleet(
         3,
         work=0.02,
         journals=True,
         claim_ms=3_000,
-        environment=environment(start, (("disk write", "KILL", 0.5),), 1),
-    ) as f:
-        first = [token() for _ in range(6)]
-        assert all(served(t, a) for t, a in (await ask_again(f, 0, first)).items())
+        environment=fault_environment(start, (("disk write", "KILL", 0.5),), 1),
+    ) as cluster:
+        before = [token() for _ in range(6)]
+        assert all(served(key, answer) for key, answer in (await ask_again(cluster, 0, before)).items())
         start.touch()
-        asked: list[str] = []
-        front = await f.front(0)
-        while f.runners[1].process.poll() is None:
-            asked.append(token())
-            assert served(asked[-1], await front.ask("submit", token=asked[-1], body=asked[-1].encode()))
+        during: list[str] = []
+        front_end = await cluster.front(0)
+        while cluster.runners[1].process.poll() is None:
+            during.append(token())
+            assert served(
+                during[-1], await front_end.ask("submit", token=during[-1], body=during[-1].encode())
+            )
             await asyncio.sleep(0.05)
-        f.runners[1].environment = {}
-        f.runners[1].again()
-        await f.runners[1].ready()
-        f.kill(2)
-        everything = [*first, *asked]
-        got = await results(f, 1, everything)
-        assert all(served(t, a) for t, a in got.items()), "two of three have it on their disks"
-        once(f, everything)
-        await wait_until(lambda: "keys recalled" in f.runners[1].text())
+        cluster.runners[1].environment = {}
+        cluster.runners[1].again()
+        await cluster.runners[1].ready()
+        cluster.kill(2)
+        tokens = [*before, *during]
+        retried = await retry_all(cluster, 1, tokens)
+        assert all(served(key, answer) for key, answer in retried.items()), (
+            "two of three disks have every result"
+        )
+        once(cluster, tokens)
+        await wait_until(lambda: "keys restored" in cluster.runners[1].text())
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     "error, line, counter",
     [
-        ("ENFILE", "no room to accept a connection: ENFILE", "accepts without a descriptor"),
+        ("ENFILE", "no capacity to accept a connection: ENFILE", "accepts without a descriptor"),
         ("ECONNABORTED", "a connection could not be accepted: ECONNABORTED", "accepts that failed"),
     ],
 )
--- a/tests/test_forecast_settings.py
+++ b/tests/test_forecast_settings.py
@@ -1,4 +1,4 @@
-"""`[forecast]` of the operator's file."""
+"""Validation of `[forecast]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         ({"odd": 1}, r"forecast\.odd"),
     ],
 )
-def test_a_faulty_key_of_the_settings_is_named(settings: dict[str, Any], key: str) -> None:
+def test_the_error_names_the_invalid_key(settings: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
         read_forecast(Section(settings, "forecast"), False, 1 << 20)
 
--- a/tests/test_hangups.py
+++ b/tests/test_hangups.py
@@ -35,7 +35,7 @@
         assert not moved.opened
         await wait_until(lambda: bool(moved.opened))
         assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
-        assert moved.runs and 1 <= r.text().count("can't be read for the moment") <= 3
+        assert moved.runs and 1 <= r.text().count("configuration temporarily unreadable") <= 3
         assert "configuration not changed" not in r.text()
     moved.close()
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail is short, and true."""
+"""The list of tests that are known to fail: its format, its length, and its effect on a test run."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 RED_ENTRY = "tests/test_it.py::test_red; pytest tests; assert False; 1"
 GREEN_ENTRY = "tests/test_it.py::test_green; pytest tests; assert False; 1"
 GONE_ENTRY = "tests/test_it.py::test_gone; pytest tests; assert False; 1"
-RARE_ENTRY = "tests/test_it.py::test_green; pytest tests; 5 of 11: assert False; 1"
+FLAKY_ENTRY = "tests/test_it.py::test_green; pytest tests; 5 of 11: assert False; 1"
 
 
-def test_a_line_names_a_test_its_command_what_was_seen_and_its_issue() -> None:
+def test_a_line_has_a_test_its_command_the_observed_failure_and_its_issue() -> None:
     assert parse("a.py::test_b; pytest a.py; it is late; 30\n\n") == [
         KnownRed("a.py::test_b", "pytest a.py", "it is late", "30")
     ]
     assert parse("a.py::test_b[x; y]; pytest a.py; it is late; 30")[0].test == "a.py::test_b[x; y]"
-    for bad in ("a.py::test_b", "a; b", "a; b; c", "a; ; c; 30", "a; b; 1; 2; 3"):
+    for invalid in ("a.py::test_b", "a; b", "a; b; c", "a; ; c; 30", "a; b; 1; 2; 3"):
         with pytest.raises(InvalidKnownRedListError):
-            parse(bad)
+            parse(invalid)
     with pytest.raises(InvalidKnownRedListError, match="4 lines"):
         parse("a; b; c; 1\n" * 4)
     assert missing_tests([KnownRed("x", "", "", ""), KnownRed("y", "", "", "")], ["y", "z"]) == ["x"]
 
 
 @pytest.mark.parametrize(
-    "seen, always",
+    "observed, always_fails",
     [
         ("no such key", True),
         ("5 of 11: no such key", False),
@@ -40,25 +40,25 @@
         ("in 5 of 11: no such key", True),
     ],
 )
-def test_only_a_count_in_front_says_that_a_test_passes_now_and_then(seen: str, always: bool) -> None:
-    assert KnownRed("a.py::test_b", "pytest a.py", seen, "30").always_fails is always
+def test_a_test_is_flaky_only_if_its_failure_begins_with_a_count(observed: str, always_fails: bool) -> None:
+    assert KnownRed("a.py::test_b", "pytest a.py", observed, "30").always_fails is always_fails
 
 
 @pytest.mark.processes
 @pytest.mark.parametrize("workers", ["0", "2"])
 @pytest.mark.parametrize(
-    "lines, exit_code, said",
+    "lines, exit_code, expected_output",
     [
         ("", 1, "1 failed"),
         (RED_ENTRY, 0, "known red: tests/test_it.py::test_red: assert False (issue 1)"),
         (f"{RED_ENTRY}\n{GREEN_ENTRY}", 1, "XPASS(strict)"),
-        (f"{RED_ENTRY}\n{RARE_ENTRY}", 0, "known red: tests/test_it.py::test_green: 5 of 11: assert False"),
+        (f"{RED_ENTRY}\n{FLAKY_ENTRY}", 0, "known red: tests/test_it.py::test_green: 5 of 11: assert False"),
         (f"{RED_ENTRY}\n{GONE_ENTRY}", 4, "no such test"),
         (f"{RED_ENTRY}\n" * 4, 4, "4 lines"),
     ],
 )
-def test_a_run_passes_over_just_these(
-    lines: str, exit_code: int, said: str, workers: str, tmp_path: Path
+def test_a_test_run_accepts_only_the_listed_failures(
+    lines: str, exit_code: int, expected_output: str, workers: str, tmp_path: Path
 ) -> None:
     here = Path(__file__).parent
     (tmp_path / "tests").mkdir()
@@ -74,4 +74,4 @@
         text=True,
         timeout=60,
     )
-    assert run.returncode == exit_code and said in run.stdout + run.stderr
+    assert run.returncode == exit_code and expected_output in run.stdout + run.stderr
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -1,4 +1,4 @@
-"""What serving on the platform loads: nothing but what `requirements.txt` pins, and none of what is off there."""
+"""Imports of a runner on the platform: only libraries pinned in `requirements.txt`, and no disabled features."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 pytestmark = pytest.mark.processes
 
 ROOT = Path(__file__).resolve().parent.parent
-# Libraries of features that are off as shipped, and of the laboratory: a platform's build does not install them.
+# Libraries of features disabled by default and of the laboratory; the platform's build does not install them.
 EXTRAS = ("msgspec", "numpy", "matplotlib", "hdrh", "hypothesis", "pytest", "sqlite3")
 SERVE = """
 import sys
 
-class Missing:
+class BlockExtras:
     def find_spec(self, name, path=None, target=None):
         if name.split(".")[0] in {extras}:
             raise ModuleNotFoundError(name)
 
-sys.meta_path.insert(0, Missing())
+sys.meta_path.insert(0, BlockExtras())
 import json, os, pathlib, tempfile
 settings = {settings!r}
 with tempfile.TemporaryDirectory() as folder:
@@ -39,12 +39,10 @@
 """
 
 
-def test_serving_on_the_platform_needs_no_library_beyond_the_pinned_ones_and_loads_nothing_that_is_off() -> (
-    None
-):
+def test_serving_on_the_platform_needs_only_pinned_libraries_and_loads_no_disabled_feature() -> None:
     from .stand_ins import SETTINGS
 
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", SERVE.format(extras=EXTRAS, settings=SETTINGS)],
         cwd=ROOT,
         capture_output=True,
@@ -52,11 +50,11 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
     pinned = {line.split("==")[0].lower() for line in (ROOT / "requirements.txt").read_text().split()}
-    assert not pinned & set(EXTRAS), "one of them is installed by the build: it need not be missing here"
-    loaded = done.stdout.split()
-    parts = {
+    assert not pinned & set(EXTRAS), "the build installs one of EXTRAS: remove it from the list"
+    loaded = completed.stdout.split()
+    disabled_packages = {
         "replication",
         "membership",
         "leadership",
@@ -70,10 +68,13 @@
         "model_checking",
         "lab",
     }
-    odd = [
-        m for m in loaded if m.split(".")[1] in parts and m.split(".")[-1] not in (*parts, "policy", "grants")
+    unexpected = [
+        module
+        for module in loaded
+        if module.split(".")[1] in disabled_packages
+        and module.split(".")[-1] not in (*disabled_packages, "policy", "grants")
     ]
-    assert not odd
+    assert not unexpected
     assert not {
         "moorusher.cluster_transport.replication",
         "moorusher.cluster_transport.leadership",
--- a/tests/test_limited_log.py
+++ b/tests/test_limited_log.py
@@ -1,4 +1,4 @@
-"""Lines about faults that come by thousands."""
+"""Rate-limited logging of frequent faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from moorusher.rate_limited_log import RateLimitedLog
 
 
-def test_a_kind_is_written_once_a_second_and_tells_what_was_left_out(
+def test_a_kind_is_written_once_a_second_with_the_number_of_suppressed_lines(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     now = [100.0]
@@ -19,5 +19,5 @@
         limited.write(logging.WARNING, "b", "b")
         now[0] += 0.125
     lines = [record.getMessage() for record in caplog.records if record.getMessage().startswith("a")]
-    assert lines == ["a 0", "a 8; 7 like it since the last line", "a 16; 7 like it since the last line"]
+    assert lines == ["a 0", "a 8; 7 similar lines suppressed", "a 16; 7 similar lines suppressed"]
     assert len(caplog.records) == 6
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -269,7 +269,7 @@
         await wait_until(lambda: r.processes[1].poll() == 0)
         f = await FrontEnd.connect(r.port)
         r.processes[2].send_signal(signal.SIGTERM)
-        await wait_until(lambda: r.text().count("leaving within") == 1)
+        await wait_until(lambda: r.text().count("draining: exits within") == 1)
         assert (await f.ask("heartbeat"))["result"]["fit"] is False
 
 
