--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""Reconfiguration while serving: plan, scheduler and core; an invalid file changes nothing."""
+"""Reconfiguration while serving: plan, scheduler, core and file; an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -24,7 +24,11 @@
 from moorusher.membership.policy import Seat
 from moorusher.scheduling import Scheduler
 from moorusher.scheduling import interface as api
-from moorusher.server.connection_budget import FIXED_DESCRIPTORS, IDLE_BACKEND_SHARE, MIN_CONSOLE_CONNECTIONS
+from moorusher.server.connection_budget import (
+    FIXED_DESCRIPTORS,
+    IDLE_BACKEND_DIVISOR,
+    MIN_CONSOLE_CONNECTIONS,
+)
 from moorusher.server.server import Service
 
 from .helpers import KEYED, SAFE, done, only, opened, request, settings, started
@@ -36,7 +40,7 @@
 
 
 def settings_with_classes(*listed: api.RequestClass, **more: Any) -> api.Settings:
-    """Settings with these request classes; `more` replaces other plain ones."""
+    """Return default settings with these request classes; `more` overrides other settings."""
     return settings(classes=listed, **more)
 
 
@@ -79,7 +83,7 @@
 
 
 def reconfigure_scheduler(scheduler: Scheduler, now: float, new: api.Settings) -> None:
-    """Apply the new settings to a scheduler."""
+    """Apply new settings to a scheduler."""
     reconfiguration = plan(scheduler.state.settings, new)
     scheduler.step(
         now, [api.Reconfiguration(reconfiguration.settings, reconfiguration.classes, reconfiguration.tenants)]
@@ -105,7 +109,7 @@
 
 
 def test_a_queued_request_keeps_its_deadline_and_position_across_a_reconfiguration() -> None:
-    """The deadline of a class is shortened while a request of it is queued: the request keeps the old one."""
+    """The deadline of a class is shortened while a request of the class is queued; the request keeps the old one."""
     scheduler = opened(cores=1, survivable_runs_per_core=1.0)
     assert started(scheduler.step(0, [request(1), request(2)])) == [1]
     reconfigure_scheduler(
@@ -117,7 +121,7 @@
 
 
 def test_queued_requests_of_a_removed_tenant_run_and_quotas_are_recomputed() -> None:
-    """A tenant is removed while a request of it is queued."""
+    """A tenant is removed while one of its requests is queued."""
     scheduler = opened(
         cores=1, survivable_runs_per_core=1.0, tenants=(api.Tenant(1, "a"), api.Tenant(1, "b"))
     )
@@ -134,17 +138,17 @@
 
 
 def reconfigure_core(world: EngineHarness, new: api.Settings) -> None:
-    """Apply the new settings to the core, and finish the turn of the event loop."""
+    """Apply new settings to the core, and finish the turn of the event loop."""
     world.core.reconfigure(plan(world.core.settings, new))
     world.turn()
 
 
 def test_requests_in_flight_of_a_removed_class_are_served_and_new_ones_are_rejected() -> None:
-    """A class is removed while one request of it runs and another has just been read."""
+    """A class is removed while one of its requests runs and another has just been read."""
     world = EngineHarness()
     world.submit("a", 1)
     world.turn()
-    world.submit("b", 2, token="u")  # read in the same turn of the event loop as the change
+    world.submit("b", 2, token="u")  # Read in the same turn of the event loop as the change.
     reconfigure_core(world, settings_with_classes(SAFE))
     assert world.runs() == ["a", "b"]
     world.submit("c", 3, klass="read", token=None)
@@ -155,14 +159,14 @@
 
 
 def test_idempotency_keys_survive_the_removal_of_their_class_and_keep_the_longer_window() -> None:
-    """A class is removed and returns: a retry with a key that was used before must not run again."""
+    """A class is removed and added again. A retry with a key that was used before must not run again."""
     world = EngineHarness()
     world.submit("a", 1)
     world.turn()
     world.core.execution.run_ended("a", EndReason.RUN_SUCCEEDED, b"r")
     reconfigure_core(world, settings_with_classes(SAFE))
     world.wait(1000)
-    # The class returns, at another position.
+    # The class is added again, at another position.
     reconfigure_core(world, settings_with_classes(FAST, replace(KEYED, idempotency_window_ms=20_000), SAFE))
     world.now_ns += 15_000 * 1_000_000
     world.core.begin_turn()
@@ -177,7 +181,7 @@
 
 
 def test_a_retry_under_a_new_class_with_the_same_idempotency_key_does_not_run_again() -> None:
-    """A rename of a class is rolled out: the first attempt names the old one, its retry the new one."""
+    """A class is renamed between the first attempt of a request and its retry, which uses the new name."""
     world = EngineHarness()
     world.submit("a", 1)
     world.turn()
@@ -191,16 +195,16 @@
 
 
 def test_a_request_that_waits_for_its_key_claim_keeps_its_class() -> None:
-    """A class is removed while a replica still has to confirm the idempotency key of a request."""
+    """A class is removed while the claim of a request's idempotency key is not confirmed yet."""
 
-    class SilentPeer:
-        """Does nothing on any call: the claim stays under way."""
+    class UnresponsivePeer:
+        """Ignores every call, so that the claim stays pending."""
 
         def __getattr__(self, kind: str) -> Any:
             return lambda *args: None
 
     world = EngineHarness()
-    world.core.key_claims.peer = SilentPeer()
+    world.core.key_claims.peer = UnresponsivePeer()
     world.submit("a", 1)
     key = ("", "t")
     reconfigure_core(world, settings_with_classes(SAFE))
@@ -210,9 +214,9 @@
 
 
 def test_errors_for_a_removed_class_do_not_close_a_connection_with_a_request_in_flight() -> None:
-    """A client goes on with requests of a removed class.
+    """A client continues to send requests of a removed class.
 
-    The errors count only up to a limit, and no close may lose the answer to its request in flight.
+    The connection is closed after too many errors, but not before the answer to its request in flight.
     """
     world, _, connection, transport = connected_frontend()
     connection.dataReceived(request_line(1, "read", rid="r1"))
@@ -223,15 +227,15 @@
     assert not transport.disconnecting and not transport.half_closed
     # A client may know a new class before this runner does.
     for i in range(60, 60 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS):
-        connection.dataReceived(request_line(i, "never was"))
+        connection.dataReceived(request_line(i, "never existed"))
     assert (
         connection.leaving
         and sum("error" in message for message in take_messages(transport))
         == 58 + MAX_FAULTS_BEFORE_LEAVE + MAX_OPEN_REQUESTS
     )
     for i in range(200, 200 + MAX_FAULTS):
-        connection.dataReceived(request_line(i, "never was"))
-    assert not transport.half_closed  # too many errors by now, but with a request in flight
+        connection.dataReceived(request_line(i, "never existed"))
+    assert not transport.half_closed  # There were too many errors, but a request is in flight.
     take_messages(transport)
     world.core.execution.run_ended("r1", EndReason.RUN_SUCCEEDED, b"did")
     assert take_messages(transport)[-1]["id"] == 1 and transport.half_closed
@@ -252,12 +256,12 @@
 
 
 def cluster_config(*seats: Seat) -> cluster_settings.FleetConfig:
-    """The section of a cluster with these members."""
+    """Return the configuration of a cluster with these members."""
     return cluster_settings.FleetConfig(("127.0.0.1", 1), "f", seats)
 
 
 class ReloadableServer:
-    """A server that reads its configuration from `file`, on a reactor in memory."""
+    """A server on an in-memory reactor that reads its configuration from `file`."""
 
     def __init__(self, fleet: cluster_settings.FleetConfig | None = None, **more: Any) -> None:
         self.fleet = fleet or cluster_settings.FleetConfig()
@@ -266,11 +270,11 @@
         self.service = Service(self.load(), MemoryReactorClock())  # type: ignore[no-untyped-call]
 
     def load(self, running: Any = None) -> model.Config:
-        off = model.OperatorConfig(fleet=self.fleet)
-        return platform_file.parse_platform_file(self.file, {}, off, running)
+        operator = model.OperatorConfig(fleet=self.fleet)
+        return platform_file.parse_platform_file(self.file, {}, operator, running)
 
     def reload(self, text: str | bytes) -> bool:
-        """Reload this file; returns whether it was applied, and checks that it changed nothing if not."""
+        """Reload with this file; return whether it was applied, after checking that a rejected one changed nothing."""
         before = (
             self.service.config,
             self.service.core.settings,
@@ -291,16 +295,16 @@
 
 
 def test_the_retry_time_for_a_listening_address_restarts_after_a_success() -> None:
-    """An address is in use at the start, and again an hour later: the runner waits as long both times."""
+    """An address is in use at the start, and again an hour later; the runner has the whole timeout both times."""
     service = ReloadableServer().service
     address_in_use = OSError(errno.EADDRINUSE, "Address already in use")
     failing: list[OSError] = [address_in_use]
 
-    def opened(handed_over: dict[str, int]) -> None:
+    def open_listeners(handed_over: dict[str, int]) -> None:
         if failing:
             raise failing.pop()
 
-    service.listeners.open = opened  # type: ignore[method-assign]
+    service.listeners.open = open_listeners  # type: ignore[method-assign]
     service.accept({})
     assert service._listen_retry.failing_since_us is not None and not service.serving
     service.accept({})
@@ -308,7 +312,7 @@
     service.clock.now += 3_600_000_000
     failing.append(address_in_use)
     service.accept({})
-    assert not service.failed, "an hour later it is as patient as at its start"
+    assert not service.failed, "an hour later it must have the whole timeout again"
 
 
 def test_a_valid_file_is_applied_without_a_restart() -> None:
@@ -334,8 +338,8 @@
     )
     descriptors_for_backends = 60 // 2
     max_connections = server.service.jsonrpc.limiter.max_connections
-    assert pool.max_idle == descriptors_for_backends // IDLE_BACKEND_SHARE and pool.max_busy >= 1
-    assert max_connections == 30, "front ends may open half of them"
+    assert pool.max_idle == descriptors_for_backends // IDLE_BACKEND_DIVISOR and pool.max_busy >= 1
+    assert max_connections == 30, "half of the descriptors are for front ends"
     assert max_connections + MIN_CONSOLE_CONNECTIONS + FIXED_DESCRIPTORS + pool.max_idle + pool.max_busy <= 60
 
 
@@ -363,7 +367,7 @@
 
 
 def required_key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """The path of each key that a file must not leave out."""
+    """Yield the path of each key that a file must have."""
     for key, inner in (
         value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     ):
@@ -372,7 +376,7 @@
         yield from required_key_paths(inner, (*prefix, key))
 
 
-def test_a_file_without_a_key_that_is_in_force_changes_nothing_and_the_error_names_the_key() -> None:
+def test_a_file_that_lacks_a_key_of_the_running_one_changes_nothing_and_the_error_names_the_key() -> None:
     server = ReloadableServer()
     for path in required_key_paths(CONFIG):
         new = copy.deepcopy(CONFIG)
@@ -417,11 +421,11 @@
     server.fleet = cluster_config(first, Seat("n2", ("127.0.0.1", 3)))
     with caplog.at_level("INFO"):
         assert server.reload(json.dumps(CONFIG))
-    assert link.links.address_of("n2") == ("127.0.0.1", 3) and "for the next start" not in caplog.text
+    assert link.links.address_of("n2") == ("127.0.0.1", 3) and "deferred to the next start" not in caplog.text
     server.fleet = cluster_config(first, Seat("n2", ("127.0.0.1", 4)), Seat("n3", ("127.0.0.1", 5)))
     with caplog.at_level("INFO"):
         server.reload(json.dumps(CONFIG))
-    assert "fleet: changed, for the next start" in caplog.text and link.links.address_of("n2") == (
+    assert "fleet: changed, deferred to the next start" in caplog.text and link.links.address_of("n2") == (
         "127.0.0.1",
         3,
     )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -300,7 +300,7 @@
         over_uwsgi = asyncio.create_task(exchange(runner.uwsgi, uwsgi_request("check")))
         await asyncio.sleep(0.2)
         runner.process.send_signal(signal.SIGTERM)
-        await wait_until(lambda: "leaving within" in runner.text())
+        await wait_until(lambda: "draining: exits within" in runner.text())
         # Clients learn of it late: for part of its time it serves on, over new connections too.
         late_client = await FrontEnd.connect(runner.port)
         assert not client.stray and "result" in await late_client.ask("check")
