--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -54,17 +54,15 @@
     duties: LeadershipPolicy = field(default_factory=LeadershipPolicy)
 
     def without_addresses(self) -> FleetConfig:
-        """Return the configuration without the seats' addresses.
-
-        The remainder can't change while the runner serves, as it determines the replicas of each key.
-        """
+        """Return the part that can't change while the runner serves: all but the seats' addresses."""
+        # It determines the replicas of each key.
         return replace(self, seats=tuple(replace(seat, address=("", 0)) for seat in self.seats))
 
 
 def read_duties(section: Section) -> LeadershipPolicy:
     """Read and validate `[duties]`.
 
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({"on", "report", *DUTY_FIGURES})
     numbers = section.numbers(DUTY_FIGURES, LeadershipPolicy())
@@ -75,10 +73,9 @@
 
 
 def read_fleet(section: Section, duties: Section) -> FleetConfig:
-    """Read and validate `[fleet]`.
+    """Read and validate `[fleet]` and `[duties]`.
 
-    :param duties: the section `[duties]`, which becomes a part of the result.
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({"listen", "name", "uncovered", "claim_ms", "copies", "seat", "journal"})
     listen = require_private(section.address("listen"), section.key("listen"))
--- a/moorusher/config/forecast.py
+++ b/moorusher/config/forecast.py
@@ -34,7 +34,7 @@
 
     :param duties: whether the cluster has duties.
     :param state_bytes: maximum size of a duty's state.
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({"on", "calendar", "scaling", *FORECAST_SETTINGS})
     numbers = section.numbers(FORECAST_SETTINGS, ForecastPolicy())
--- a/moorusher/config/health.py
+++ b/moorusher/config/health.py
@@ -35,7 +35,7 @@
 def read_health_checks(agent: Section, health: Section, standing: Section) -> HealthCheckConfig:
     """Read and validate the three sections.
 
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     agent.reject_unknown_keys({"listen", "maxconn"})
     health.reject_unknown_keys(
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -57,7 +57,7 @@
 def endpoint_of(section: Section) -> EndpointConfig:
     """Read and validate one server of `[[tier.server]]` or of the administration API.
 
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({"name", "address", "weight", "zone", "protocol"})
     name = section.get("name", "")
@@ -78,7 +78,7 @@
 
     :param folder: base of relative paths.
     :param runners: default for the number of runners that call the servers.
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({*TIER_FIGURES, "zone", "hedge", "server", "knowledge_file"})
     endpoints = _read_endpoints(section)
--- a/moorusher/config/maintenance.py
+++ b/moorusher/config/maintenance.py
@@ -28,7 +28,7 @@
     """Read and validate `[outage]`.
 
     :param has_fleet: whether the file has a fleet, which planned maintenance needs.
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({"on", "machine_id", *MAINTENANCE_SETTINGS})
     defaults = MaintenancePolicy()
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -26,8 +26,6 @@
     """Resource limits of the process; the kernel's cores and memory are in the settings.
 
     Attributes:
-        cores: Processor cores.
-        memory_mb: Memory.
         sockets: Open descriptors.
     """
 
@@ -41,7 +39,6 @@
     """Section `[uwsgi]`: the second frontend, and a uwsgi peer for downstream calls.
 
     Attributes:
-        listen: Address of the frontend.
         below: Address of the peer, which replaces the database.
         body_bytes: Maximum size of a request's body.
         idle_s: Maximum time for a request to arrive.
@@ -102,17 +99,14 @@
 class Config:
     """The whole configuration of a runner, validated.
 
-    The attributes not listed here are the sections of the operator's file.
-
     Attributes:
-        name: Name of the runner.
         listen: Address of the platform's frontend.
         kernel, announce, db: Addresses to connect to.
         stop_ms: Time from SIGTERM to SIGKILL.
-        limits: Resource limits of the process.
         settings: Settings of the scheduler.
         console: Listening address of the operators' console.
         raw: The parsed platform file, whose keys the next file must have.
+        uwsgi, admin, ...: Sections of the operator's file.
     """
 
     name: str
--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -53,8 +53,8 @@
         on: Whether customers have namespaces.
         customers: Customers by name.
         grants: Servers and pools that customers may use.
-        max_tombstones: Maximum number of deleted namespaces that are retained (key `most`).
-        startup_wait_ms: Time that a starting process waits for the other runners' revisions (key `start_ms`).
+        max_tombstones: Maximum number of retained deleted namespaces (`most`).
+        startup_wait_ms: Time that a starting process waits for other runners' revisions (`start_ms`).
     """
 
     on: bool = False
@@ -70,7 +70,7 @@
     :param servers: names of all servers of the tier.
     :param duties: whether the cluster has duties.
     :param state_bytes: maximum size of a duty's state.
-    :raises ConfigError: a key is unknown or its value is invalid.
+    :raises ConfigError: a key or value is invalid.
     """
     section.reject_unknown_keys({"on", "most", "memory_mb", "start_ms", "customer", "pool", *CUSTOMER_KEYS})
     defaults = NamespacesConfig()
@@ -188,7 +188,6 @@
 
 
 def _check_quotas(section: Section, pools: Iterable[str], quotas: Mapping[str, Mapping[str, float]]) -> None:
-    """Check that the customers' quotas of each pool sum to at most 1."""
     for pool in pools:
         total = sum(customer.get(pool, 0.0) for customer in quotas.values())
         if total > MAX_QUOTA_SUM:
--- a/moorusher/config/platform_file.py
+++ b/moorusher/config/platform_file.py
@@ -12,11 +12,8 @@
 from .scheduler_settings import parse_settings
 from .section import Address, ConfigError, Section, parse_address
 
-OPTIONAL_KEYS = {
-    "aimStretch",
-    "passesDeadline",
-    "fleet",
-}  # The platform's documentation makes these optional.
+# The platform's documentation makes these keys optional.
+OPTIONAL_KEYS = {"aimStretch", "passesDeadline", "fleet"}
 DEFAULT_STOP_MS = 3000.0
 _NAME_PUNCTUATION = "-_."
 
@@ -155,10 +152,7 @@
     return settings
 
 
-def _check_unique_names(listed: str, names: list[str]) -> None:
-    """Check that the names in the list `settings.<listed>` are unique and not empty."""
+def _check_unique_names(key: str, names: list[str]) -> None:
     for index, name in enumerate(names):
         if not name or name in names[:index]:
-            raise ConfigError(
-                f"settings.{listed}[{index}].name: expected one that no other has, got {name!r}"
-            )
+            raise ConfigError(f"settings.{key}[{index}].name: expected one that no other has, got {name!r}")
--- a/moorusher/config/scheduler_settings.py
+++ b/moorusher/config/scheduler_settings.py
@@ -206,7 +206,7 @@
 
 
 def _with_json_keys(error: Exception) -> str:
-    """Return the error's message with the names of fields replaced by JSON keys."""
+    # Replaces the names of fields in the message.
     return _RENAMED_FIELD.sub(lambda found: KEY_OF_FIELD[found[0]], str(error))
 
 
--- a/moorusher/config/section.py
+++ b/moorusher/config/section.py
@@ -29,21 +29,13 @@
 
 
 def unreadable_error(key: str, error: OSError) -> ConfigError:
-    """Return the error for a file that could not be read.
-
-    :param key: name of the file, or the key or variable that refers to it.
-    """
+    """Return the error for an unreadable file; `key` is its name, or the key or variable that refers to it."""
     kind = ConfigUnreadableError if error.errno in TEMPORARY_READ_ERRORS else ConfigError
     return kind(f"{key}: {error}")
 
 
 class NumericSetting(NamedTuple):
-    """A numeric setting.
-
-    Attributes:
-        field: Name of the field that it sets.
-        minimum, maximum: Bounds, both inclusive.
-    """
+    """A numeric setting: the name of the field that it sets, and its inclusive bounds."""
 
     field: str
     minimum: float
@@ -128,9 +120,8 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parse an address given as HOST:PORT.
+    """Parse an address given as HOST:PORT; `key` is for the error message.
 
-    :param key: key for the error message.
     :raises ConfigError: the text is not a valid address.
     """
     host, colon, port = text.rpartition(":")
@@ -141,9 +132,8 @@
 
 
 def require_loopback(address: Address | None, key: str) -> Address | None:
-    """Return the address after checking that it is a loopback address or None.
+    """Return the address, which must be a loopback address or None.
 
-    :param key: key for the error message.
     :raises ConfigError: the address is not a loopback address.
     """
     if address is not None:
@@ -157,13 +147,11 @@
 
 
 def require_private(address: Address | None, key: str) -> Address | None:
-    """Return the address after checking that it is a loopback or private address, or None.
-
-    Messages between runners are neither encrypted nor signed, so they must not leave private networks.
+    """Return the address, which must be a loopback or private address, or None.
 
-    :param key: key for the error message.
     :raises ConfigError: the address is public or not an IP address.
     """
+    # Messages between runners are neither encrypted nor signed, so they must not leave private networks.
     if address is not None and address[0] != "localhost":
         try:
             is_private = ipaddress.ip_address(address[0]).is_private
--- a/moorusher/server/accepting_port.py
+++ b/moorusher/server/accepting_port.py
@@ -34,10 +34,10 @@
     (`frontends/limited_protocol.py`).
 
     Attributes:
-        max_accepts_per_turn: Maximum number of connections accepted in one turn of the event loop, so that a burst
-            can't arrive faster than evicted connections close.
+        max_accepts_per_turn: Maximum number of connections accepted in one turn of the event loop.
     """
 
+    # Bounded, so that a burst of connections can't arrive faster than evicted connections close.
     max_accepts_per_turn = 1
     _closing = False  # Whether only the present backlog is accepted before the port closes.
     _paused = False  # Whether the owner has stopped accepting, until `startReading`.
@@ -120,10 +120,8 @@
         return is_full is not None and bool(is_full())
 
     def _wait_for_connection_slot(self) -> None:
-        """Pause accepting while every connection has an open request.
-
-        A connection that waits in the backlog may still be served in time. Closing it would lose its request.
-        """
+        """Pause accepting while every connection has an open request."""
+        # A connection that waits in the backlog may still be served in time. Closing it would lose its request.
         self._count("accepts that waited for a place")
         rate_limited_log.write(
             logging.WARNING,
@@ -177,10 +175,8 @@
         super().startReading()
 
     def accept_last(self) -> None:
-        """Accept the whole backlog, then close the port.
-
-        Closing it at once would reset the connections in the backlog and lose their requests.
-        """
+        """Accept the whole backlog, then close the port."""
+        # Closing it at once would reset the connections in the backlog and lose their requests.
         self.max_accepts_per_turn = MAX_BACKLOG
         self._closing = True
         self.doRead()
--- a/moorusher/server/connection_budget.py
+++ b/moorusher/server/connection_budget.py
@@ -29,12 +29,8 @@
 
     @classmethod
     def of(cls, descriptors: int, frontends: int) -> ConnectionBudget:
-        """Divide the descriptors of a process among the frontends that accept requests and everything else.
-
-        Clients open at most half as many connections as a runner has descriptors, so at least half are theirs.
-
-        :param frontends: number of frontends that accept requests.
-        """
+        """Divide the descriptors of a process among the frontends that accept requests and everything else."""
+        # Clients open at most half as many connections as a runner has descriptors, so at least half are theirs.
         reserved = min(
             MAX_RESERVED_DESCRIPTORS, max(descriptors // 3, MIN_RESERVED_DESCRIPTORS), descriptors // 2
         )
--- a/moorusher/server/listen_retry.py
+++ b/moorusher/server/listen_retry.py
@@ -22,14 +22,14 @@
 class ListenRetry:
     """Retries to open a socket until a timeout.
 
-    Two failures are temporary: a process of an older build, which does not share its address, may exit soon, and a
-    system without free descriptors or memory may soon have some. A process that never gets its socket must exit with
-    an error rather than remain up but unreachable.
-
     Attributes:
         failing_since_us: Time of the first failure since the last success, or None.
     """
 
+    # Two failures are temporary: a process of an older build, which does not share its address, may exit soon, and a
+    # system without free descriptors or memory may soon have some. A process that never gets its socket must exit with
+    # an error rather than remain up but unreachable.
+
     def __init__(self, clock: Clock, alarms: Alarms) -> None:
         self._clock = clock
         self._alarms = alarms
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -43,11 +43,9 @@
         return AcceptingPort.of(self._reactor, opened, factory, self._max_accepts_per_turn, self._count)
 
     def _adopt_handed_over(self, descriptor: int, factory: Any) -> AcceptingPort:
-        """Accept connections on a descriptor that another process has handed over.
-
-        Unlike in `adopt`, the descriptor stays open on a failure, for another attempt. The process that handed it over
-        no longer accepts on it, so closing it would reset the connections in its backlog.
-        """
+        """Accept connections on a descriptor that another process has handed over; on a failure it stays open."""
+        # It stays open for another attempt: the process that handed it over no longer accepts on it, so closing it
+        # would reset the connections in its backlog.
         opened = socket.socket(fileno=descriptor)
         try:
             port = self._accept_on(opened, factory)
--- a/moorusher/server/reactor.py
+++ b/moorusher/server/reactor.py
@@ -14,11 +14,9 @@
 
 
 class MonotonicReactor(epollreactor.EPollReactor):
-    """An epoll reactor whose timers use the monotonic clock.
-
-    Twisted's timers use the system clock, a step of which would delay or advance every timer.
-    """
+    """An epoll reactor whose timers use the monotonic clock."""
 
+    # Twisted's timers use the system clock, a step of which would delay or advance every timer.
     seconds = staticmethod(time.monotonic)
 
 
--- a/moorusher/storage/journal_files.py
+++ b/moorusher/storage/journal_files.py
@@ -1,11 +1,12 @@
 """The folder of a seat's journals: one file for each process of the seat.
 
 A journal holds the state of an acceptor, written before the votes that depend on it are sent. The acceptor and
-`replication/journal.py` determine its content, and `journal_writer.py` the time of each write. A whole file is written
-under a temporary name and renamed. A process locks the file that it writes, so that no other process reads it. After a
-failed write a file is never appended to.
+`replication/journal.py` determine its content, and `journal_writer.py` the time of each write.
 """
 
+# A whole file is written under a temporary name and renamed. A process locks the file that it writes, so that no other
+# process reads it. After a failed write a file is never appended to.
+
 from __future__ import annotations
 
 import fcntl
@@ -187,10 +188,7 @@
         return _PreviousJournal(image, "", data)
 
     def _discard(self, path: Path, keep: bool = False) -> None:
-        """Remove an obsolete file unless another process writes it.
-
-        :param keep: whether to rename the file instead, for inspection.
-        """
+        """Remove an obsolete file, or rename it if `keep`, unless another process writes it."""
         try:
             if not self._is_free(path):
                 return
@@ -259,13 +257,12 @@
 def open_folder(
     path: Path, header: JournalHeader, incarnation: int, files: FileSystem | None = None
 ) -> OpenedJournal:
-    """Open the journal folder of a starting process. Blocks for about `OPEN_TIMEOUT_S` at most.
-
-    Failed reads are retried. An image that was read is used even if nothing can be written yet, since no vote is sent
-    until the journal can be written.
+    """Open the journal folder of a starting process. Failed reads are retried for about `OPEN_TIMEOUT_S`.
 
     :raises ConfigError: the folder can't be listed.
     """
+    # An image that was read is used even if nothing can be written yet, since no vote is sent until the journal can be
+    # written.
     folder = JournalFolder(path, header, files)
     deadline_s = time.monotonic() + OPEN_TIMEOUT_S
     while True:
--- a/moorusher/storage/journal_writer.py
+++ b/moorusher/storage/journal_writer.py
@@ -120,10 +120,8 @@
         self.fail(str(failure.value))
 
     def fail(self, reason: str) -> None:
-        """Record that the journal can't be written, and retry with a whole new file; the old file is not changed.
-
-        No vote is sent until a write succeeds.
-        """
+        """Record that the journal can't be written, and retry with a whole new file."""
+        # The old file is not changed, and no vote is sent until a write succeeds.
         self._waiting.clear()
         if not self.failure:
             log.error("fleet: the journal can't be written, so this replica does not vote: reason=%s", reason)
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -98,10 +98,7 @@
     # ---- the start ----
 
     def open(self) -> list[Stored]:
-        """Open the file and return its content; [] if it can't be read.
-
-        Called once, before the event loop runs, as it blocks.
-        """
+        """Open the file and return its content, or [] if it can't be read. Called once, before the event loop runs."""
         try:
             return retry_transient(
                 self._open, OPEN_PATIENCE_S, is_retryable=lambda error: not is_damage(error)
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -51,15 +51,14 @@
     """Return the state in a file, aged by the file's modification time.
 
     :param unix_s: the current time, for tests; None for the system clock.
-    :returns: None if the file is missing or unusable; an unusable file is logged. A file with a modification time in
-        the future has an unknown age, and is not used.
+    :returns: None if the file is missing or unusable; an unusable file is logged.
     """
     try:
         with open(path, "rb") as file:
             now_s = time.time() if unix_s is None else unix_s
             age_s = now_s - os.fstat(file.fileno()).st_mtime
             raw = file.read(MAX_SNAPSHOT_BYTES + 1)
-        if age_s < 0:
+        if age_s < 0:  # The age of the state is unknown.
             log.warning(
                 "warm start without snapshot: file=%s reason=modification time is in the future", path.name
             )
