--- a/moorusher/admin/servers.py
+++ b/moorusher/admin/servers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config.load_balancing import endpoint_of
+from ..config.load_balancing import read_endpoint
 from ..config.section import ConfigError, Section
 from ..core.request_engine import RequestEngine
 from .api import NO_TOKEN, Guarded, InvalidBodyError, path_of, reply
@@ -52,7 +52,7 @@
         if not self.allowed(request):
             return reply(request, 401, NO_TOKEN)
         try:
-            endpoint = endpoint_of(Section({"name": path[0]} | self.body(request), ""))
+            endpoint = read_endpoint(Section({"name": path[0]} | self.body(request), ""))
         except (InvalidBodyError, ConfigError) as error:
             return reply(request, 400, {"error": str(error)})
         self._core.begin_turn()
--- a/moorusher/cluster_transport/hot_restart/handover.py
+++ b/moorusher/cluster_transport/hot_restart/handover.py
@@ -27,7 +27,7 @@
     def resume(self) -> None:
         """Accept again."""
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Shut the runner down."""
 
     def finish(self) -> None:
@@ -48,7 +48,7 @@
     def incarnation(self) -> int:
         """Among the runners of a cluster; 0 where there is none."""
 
-    def succeed(self, incarnation: int) -> None:
+    def set_predecessor(self, incarnation: int) -> None:
         """The incarnation of the process that this one replaces."""
 
 
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -45,7 +45,7 @@
             Instruction.TRUST_KEYS: lambda: self._trust_keys_from(handover.peer_unknown_until_us),
             Instruction.DISCARD_PEER_KEYS: self._discard_peer_keys,
             Instruction.CLOSE_PEER_KEYS: lambda: self._peer_gone(died=True),
-            Instruction.DRAIN: process.leave,
+            Instruction.DRAIN: process.drain,
             Instruction.FINISH: process.finish,
         }
 
--- a/moorusher/cluster_transport/hot_restart/message_receiver.py
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -63,7 +63,7 @@
         self._handover.sockets = usable
         close_descriptors([socket for label, socket in sockets.items() if label not in usable])
         self._process.follow_maintenance(welcome.maintenance)
-        self._process.succeed(welcome.incarnation)
+        self._process.set_predecessor(welcome.incarnation)
         self._handover.peer_unknown_until_us = welcome.keys_unknown_until_us
         self._core.keys.limits.share_memory_with(welcome.key_table_bytes)
         self._handle(Event.WELCOMED)
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -19,7 +19,7 @@
 
 # Numeric settings of `[duties]` by key. Memory is needed for `most` slots of about 300 bytes, and at worst for `most`
 # states of `state_bytes`.
-DUTY_FIGURES = {
+DUTY_SETTINGS = {
     "most": NumericSetting("max_duties", 1, 100_000),
     "state_bytes": NumericSetting("max_state_bytes", 1 << 10, 4 << 20),
     "versions": NumericSetting("max_versions", 1, 8),
@@ -64,8 +64,8 @@
 
     :raises ConfigError: a key or value is invalid.
     """
-    section.reject_unknown_keys({"on", "report", *DUTY_FIGURES})
-    numbers = section.numbers(DUTY_FIGURES, LeadershipPolicy())
+    section.reject_unknown_keys({"on", "report", *DUTY_SETTINGS})
+    numbers = section.numbers(DUTY_SETTINGS, LeadershipPolicy())
     heartbeats: list[HeartbeatDuty] = []
     for entry in _entries(section, "report"):
         heartbeats.append(_read_heartbeat(entry, heartbeats))
--- a/moorusher/config/health.py
+++ b/moorusher/config/health.py
@@ -11,7 +11,7 @@
 
 # Numeric settings of `[standing]` by key. With values outside these bounds, reports to load balancers don't serve their
 # purpose.
-POLICY_FIGURES = {
+HEALTH_SETTINGS = {
     "probe_ms": NumericSetting("max_probe_interval_ms", 10, 10_000),
     "reaction_ms": NumericSetting("balancer_reaction_ms", 0, 10_000),
     "tip_per_core": NumericSetting("survivable_runs_per_core", 0, 1_000),
@@ -52,8 +52,8 @@
 
 
 def _read_policy(section: Section) -> HealthPolicy:
-    section.reject_unknown_keys(set(POLICY_FIGURES))
-    policy = HealthPolicy(**section.numbers(POLICY_FIGURES, HealthPolicy()))
+    section.reject_unknown_keys(set(HEALTH_SETTINGS))
+    policy = HealthPolicy(**section.numbers(HEALTH_SETTINGS, HealthPolicy()))
     values = health_policy_json(policy)
     for lower, upper in ASCENDING_KEYS:
         if not values[lower] < values[upper]:
@@ -63,7 +63,7 @@
 
 def health_policy_json(policy: HealthPolicy) -> dict[str, Any]:
     """Return the policy's values by the keys of `[standing]`."""
-    return {key: getattr(policy, setting.field) for key, setting in POLICY_FIGURES.items()}
+    return {key: getattr(policy, setting.field) for key, setting in HEALTH_SETTINGS.items()}
 
 
 def _read_status_codes(section: Section) -> StatusCodes:
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -30,7 +30,7 @@
 WEIGHT_BOUNDS = (0.01, 1000.0)
 
 # Numeric settings of `[tier]` by key.
-TIER_FIGURES = {
+TIER_SETTINGS = {
     "subset": NumericSetting("subset_size", 0, MAX_ENDPOINTS),
     "spill": NumericSetting("zone_spill_ratio", 1, 100),
     "least_limit": NumericSetting("min_concurrency", 1, 1000),
@@ -54,7 +54,7 @@
 }
 
 
-def endpoint_of(section: Section) -> EndpointConfig:
+def read_endpoint(section: Section) -> EndpointConfig:
     """Read and validate one server of `[[tier.server]]` or of the administration API.
 
     :raises ConfigError: a key or value is invalid.
@@ -80,7 +80,7 @@
     :param runners: default for the number of runners that call the servers.
     :raises ConfigError: a key or value is invalid.
     """
-    section.reject_unknown_keys({*TIER_FIGURES, "zone", "hedge", "server", "knowledge_file"})
+    section.reject_unknown_keys({*TIER_SETTINGS, "zone", "hedge", "server", "knowledge_file"})
     endpoints = _read_endpoints(section)
     policy = _read_policy(section, runners)
     file_name = section.get("knowledge_file", "")
@@ -95,7 +95,8 @@
 def _read_endpoints(section: Section) -> tuple[EndpointConfig, ...]:
     listed: list[Any] = section.get("server", [])
     endpoints = tuple(
-        endpoint_of(Section(table, f"{section.key('server')}[{index}]")) for index, table in enumerate(listed)
+        read_endpoint(Section(table, f"{section.key('server')}[{index}]"))
+        for index, table in enumerate(listed)
     )
     names = [endpoint.name for endpoint in endpoints]
     if duplicates := sorted({name for name in names if names.count(name) > 1}):
@@ -107,7 +108,7 @@
 
 def _read_policy(section: Section, runners: int) -> LoadBalancingPolicy:
     defaults = LoadBalancingPolicy(runners=runners)
-    numbers = section.numbers(TIER_FIGURES, defaults)
+    numbers = section.numbers(TIER_SETTINGS, defaults)
     policy = LoadBalancingPolicy(
         zone=section.get("zone", ""), hedging_enabled=section.get("hedge", True), **numbers
     )
--- a/moorusher/load_balancing/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -30,7 +30,7 @@
 class LoadBalancingPolicy:
     """Limits and thresholds. Units are in the names; fractions are from 0 to 1.
 
-    `config/load_balancing.py` maps the keys of `[tier]` to these fields: numbers by `TIER_FIGURES`, `zone` to `zone`,
+    `config/load_balancing.py` maps the keys of `[tier]` to these fields: numbers by `TIER_SETTINGS`, `zone` to `zone`,
     and `hedge` to `hedging_enabled`.
     """
 
--- a/moorusher/server/accepting_port.py
+++ b/moorusher/server/accepting_port.py
@@ -46,7 +46,7 @@
     _count: Callable[[str], None]  # Increments the counter with the given name.
 
     @classmethod
-    def of(
+    def from_socket(
         cls,
         reactor: Any,
         listening: socket.socket,
@@ -174,7 +174,7 @@
         self._paused = False
         super().startReading()
 
-    def accept_last(self) -> None:
+    def accept_backlog_and_close(self) -> None:
         """Accept the whole backlog, then close the port."""
         # Closing it at once would reset the connections in the backlog and lose their requests.
         self.max_accepts_per_turn = MAX_BACKLOG
@@ -183,7 +183,7 @@
         self.stopListening()
 
     def connectionLost(self, reason: Any) -> None:
-        """Accept connections that reached the backlog after `accept_last`; Twisted closes the port a turn later."""
+        """Accept connections that have arrived since `accept_backlog_and_close`, as Twisted closes a turn later."""
         if self._closing:
             self.doRead()
         super().connectionLost(reason)
--- a/moorusher/server/connection_budget.py
+++ b/moorusher/server/connection_budget.py
@@ -28,7 +28,7 @@
     reserved: int
 
     @classmethod
-    def of(cls, descriptors: int, frontends: int) -> ConnectionBudget:
+    def from_descriptors(cls, descriptors: int, frontends: int) -> ConnectionBudget:
         """Divide the descriptors of a process among the frontends that accept requests and everything else."""
         # Clients open at most half as many connections as a runner has descriptors, so at least half are theirs.
         reserved = min(
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -40,7 +40,9 @@
             return self._accept_on(opened, factory)
 
     def _accept_on(self, opened: socket.socket, factory: Any) -> AcceptingPort:
-        return AcceptingPort.of(self._reactor, opened, factory, self._max_accepts_per_turn, self._count)
+        return AcceptingPort.from_socket(
+            self._reactor, opened, factory, self._max_accepts_per_turn, self._count
+        )
 
     def _adopt_handed_over(self, descriptor: int, factory: Any) -> AcceptingPort:
         """Accept connections on a descriptor that another process has handed over; on a failure it stays open."""
@@ -107,7 +109,7 @@
         """Close a listener if it is open. Its backlog is accepted first, unless another process accepts on it."""
         port = self._ports.pop(label, None)
         if port is not None and label not in self._paused:
-            port.accept_last()
+            port.accept_backlog_and_close()
 
     def accepting(self) -> set[str]:
         """Return the labels of the listeners on which this process accepts connections."""
--- a/moorusher/server/secondary_listeners.py
+++ b/moorusher/server/secondary_listeners.py
@@ -60,7 +60,7 @@
             reporter=service.reporter,
             name=service.config.name,
             token=service.config.admin.token,
-            drain=service.leave,
+            drain=service.drain,
             load_condition=service.load_condition,
             server_pool=service.server_pool,
             replication=cluster.replication,
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -231,7 +231,7 @@
         replication = self.cluster.replication
         return 0 if replication is None else int(replication.node.owner.incarnation)
 
-    def succeed(self, incarnation: int) -> None:
+    def set_predecessor(self, incarnation: int) -> None:
         """Record the incarnation of the process that this one replaces."""
         if self.cluster.replication is not None:
             self.cluster.replication.predecessor = incarnation
@@ -261,7 +261,9 @@
     def apply_limits(self, limits: Limits) -> None:
         """Size tables and connection pools by the limits. Open connections are not closed."""
         request_frontends = 1 if self.config.uwsgi.listen is None else 2
-        self._budget = ConnectionBudget.of(raise_descriptor_limit(limits.sockets), request_frontends)
+        self._budget = ConnectionBudget.from_descriptors(
+            raise_descriptor_limit(limits.sockets), request_frontends
+        )
         self.core.keys.limits.set_memory_limit(limits.memory_mb)
         self._bound_backend_connections()
 
@@ -289,11 +291,11 @@
     def terminate(self) -> None:
         """Shut down on SIGTERM: drain, unless another process of this runner continues to serve."""
         if self.hot_restart is None:
-            self.leave()
+            self.drain()
         else:
             self.hot_restart.terminate()
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Drain, as no other process of this runner continues to serve."""
         self.shutdown.drain()
 
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -32,7 +32,7 @@
     "excluded.number, draft = excluded.draft where (excluded.born, excluded.number) > (born, number)"
 )
 WRITE_RETRY_PAUSE_S = 1.0
-OPEN_PATIENCE_S = 1.0  # Timeout for an unreadable file at the start, before the runner serves.
+OPEN_TIMEOUT_S = 1.0  # Timeout for an unreadable file at the start, before the runner serves.
 BUSY_TIMEOUT_S = 1.0  # Time that SQLite waits for another process's lock.
 DAMAGED_SUFFIX = ".damaged"
 
@@ -101,7 +101,7 @@
         """Open the file and return its content, or [] if it can't be read. Called once, before the event loop runs."""
         try:
             return retry_transient(
-                self._open, OPEN_PATIENCE_S, is_retryable=lambda error: not is_damage(error)
+                self._open, OPEN_TIMEOUT_S, is_retryable=lambda error: not is_damage(error)
             )
         except (OSError, sqlite3.Error) as error:
             self._disconnect()
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -83,7 +83,7 @@
     def incarnation(self) -> int:
         return 77
 
-    def succeed(self, incarnation: int) -> None:
+    def set_predecessor(self, incarnation: int) -> None:
         self.heard.append(["follows", incarnation])
 
     def pause(self, shared: set[str]) -> None:
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -151,7 +151,7 @@
         self.wait(0.005)
 
     def leaves(self) -> None:
-        self.service.leave()
+        self.service.drain()
 
     # ---- what its pages would tell of values that others have written ----
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -184,7 +184,7 @@
     address = listening.getsockname()
     counts: list[str] = []
     with listening:
-        port = AcceptingPort.of(harness.loop.reactor, listening, harness.jsonrpc, 8, counts.append)
+        port = AcceptingPort.from_socket(harness.loop.reactor, listening, harness.jsonrpc, 8, counts.append)
     clients = [socket.create_connection(address) for _ in range(MAX_CONNECTIONS + 2)]
     for i, client in enumerate(clients):
         client.send(request_line(1, rid=f"r{i}"))
@@ -212,7 +212,9 @@
     listening = open_listening_socket((HOST, 0))
     address = listening.getsockname()
     with listening:
-        port = AcceptingPort.of(harness.loop.reactor, listening, harness.jsonrpc, 8, lambda name: None)
+        port = AcceptingPort.from_socket(
+            harness.loop.reactor, listening, harness.jsonrpc, 8, lambda name: None
+        )
     build_protocol = harness.jsonrpc.buildProtocol
     harness.jsonrpc.buildProtocol = lambda addr: 1 / 0  # type: ignore[method-assign]
     first = socket.create_connection(address)
@@ -383,11 +385,11 @@
     listening = open_listening_socket((HOST, 0))
     address = listening.getsockname()
     with listening:
-        port = AcceptingPort.of(
+        port = AcceptingPort.from_socket(
             harness.loop.reactor, listening, harness.jsonrpc, 1, harness.engine.core.counters.add
         )
     clients = [socket.create_connection(address) for _ in range(2)]
-    port.accept_last()
+    port.accept_backlog_and_close()
     if connects_during_close:  # Twisted closes the socket in a later turn of the loop
         clients.append(socket.create_connection(address))
     for i, client in enumerate(clients):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -13,8 +13,8 @@
 from moorusher.backends.http_client import HttpClientProtocol, HttpResponse
 from moorusher.config import fleet as settings
 from moorusher.config import loader, section
-from moorusher.config.health import POLICY_FIGURES
-from moorusher.config.load_balancing import TIER_FIGURES, TierConfig
+from moorusher.config.health import HEALTH_SETTINGS
+from moorusher.config.load_balancing import TIER_SETTINGS, TierConfig
 from moorusher.config.model import AdminConfig, Config, HealthCheckConfig, OperatorConfig, UwsgiConfig
 from moorusher.config.namespaces import NamespacesConfig
 from moorusher.config.operator_file import DEFAULT_OPERATOR_FILE, read_operator_file
@@ -394,5 +394,5 @@
         NamespacesConfig(),
     )
     assert all(
-        f"# {name} = " in shipped for name in {**POLICY_FIGURES, **TIER_FIGURES, **settings.DUTY_FIGURES}
+        f"# {name} = " in shipped for name in {**HEALTH_SETTINGS, **TIER_SETTINGS, **settings.DUTY_SETTINGS}
     )
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -53,7 +53,7 @@
 @pytest.fixture(autouse=True)
 def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(revisions, "WRITE_RETRY_PAUSE_S", 0.05)
-    monkeypatch.setattr(revisions, "OPEN_PATIENCE_S", 0.3)
+    monkeypatch.setattr(revisions, "OPEN_TIMEOUT_S", 0.3)
     monkeypatch.setattr(revisions, "BUSY_TIMEOUT_S", 0.05)
 
 
