--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -151,7 +151,7 @@
         self.wait(0.005)
 
     def shut_down(self) -> None:
-        self.service.leave()
+        self.service.drain()
 
     # ---- documents of given records ----
 
