--- a/moorusher/lab/demand_series.py
+++ b/moorusher/lab/demand_series.py
@@ -1,4 +1,4 @@
-"""Weeks of demand as customers have them: twelve kinds, drawn from a seed, with what befalls them."""
+"""Generated weeks of demand for a seed: twelve kinds of typical customers, some of them with incidents."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 Floats = npt.NDArray[np.float64]
 WEEKS = 8
-"""Of history that a series has."""
+"""Weeks of history of a series."""
 FIRST_HOUR = 491_000
-"""An hour since 1970, in January 2026."""
+"""First hour of a series, in hours since 1970: in January 2026."""
 _HOURS_PER_DAY = 24
 _BASE_DEMAND = 0.08
-"""Of an hour without a peak, where the highest peak is about 1."""
+"""Demand of an hour without a peak, relative to a highest peak of about 1."""
 _ZONES = ["UTC", "Europe/Copenhagen", "America/New_York"]
-_LATEST_INCIDENT_H = 30
-"""Incidents begin at least so many hours before the history ends."""
+_MIN_INCIDENT_LEAD_H = 30
+"""Least number of hours from the begin of an incident to the end of the history."""
 
 
 @dataclass(frozen=True, slots=True)
 class DemandSeries:
-    """A drawn series, by the hour.
+    """A generated hourly series.
 
     Attributes:
-        kind: a key of `KINDS`.
-        requests: what was asked for, the week to come included.
-        counted: the share of each hour that was counted.
-        calendar: its days.
-        first_hour: hours since 1970.
+        kind: Kind of demand, a key of `KINDS`.
+        requests: Requests of each hour, including the week after the history.
+        counted: Share of each hour in which requests were counted.
+        calendar: Calendar of the customer.
+        first_hour: First hour, in hours since 1970.
     """
 
     kind: str
@@ -46,7 +46,7 @@
 
 
 class Peak(NamedTuple):
-    """A peak of the day: hour of its middle, width in hours, height."""
+    """A daily peak: the hour of its middle, its width in hours, and its height."""
 
     hour: float
     width_h: float
@@ -54,17 +54,17 @@
 
 
 Trend = Callable[[np.random.Generator, Floats, int], Floats]
-"""Changes the mean of each hour; the number is that of the hours of history."""
+"""Changes the mean of each hour. Its last argument is the number of hours of history."""
 
 
 class DemandKind(NamedTuple):
-    """How a kind of demand is drawn.
+    """Parameters of a kind of demand.
 
     Attributes:
-        requests_per_hour: the mean.
-        peaks: of each day.
-        weekend: demand of a Saturday, of that of a Monday.
-        trend: what changes over the weeks.
+        requests_per_hour: Mean requests per hour.
+        peaks: Peaks of each day.
+        weekend: Demand of a Saturday, relative to a Monday.
+        trend: Change over the weeks.
     """
 
     requests_per_hour: float
@@ -74,7 +74,7 @@
 
 
 def _day_profile(peaks: list[Peak]) -> Floats:
-    """Demand of 24 hours."""
+    """Return the relative demand of the 24 hours of a day."""
     hours = np.arange(_HOURS_PER_DAY)
     profile = np.full(_HOURS_PER_DAY, _BASE_DEMAND)
     for peak in peaks:
@@ -84,7 +84,7 @@
 
 
 def _week_profile(rng: np.random.Generator, peaks: list[Peak], weekend: float) -> Floats:
-    """Demand of the hours of a week; its mean is 1."""
+    """Return the relative demand of the hours of a week, with a mean of 1."""
     day = _day_profile(peaks)
     days = np.array([1.0, 1.05, 1.0, 0.97, 0.9, weekend, weekend * 0.9]) * rng.normal(1.0, 0.05, 7)
     week = np.concatenate([day * factor for factor in days])
@@ -110,7 +110,7 @@
     return changed
 
 
-def _recently_begun(rng: np.random.Generator, mean: Floats, history_h: int) -> Floats:
+def _recently_started(rng: np.random.Generator, mean: Floats, history_h: int) -> Floats:
     changed = mean.copy()
     changed[: history_h - int(rng.integers(9, 20)) * _HOURS_PER_DAY] = 0.0
     return changed
@@ -130,7 +130,7 @@
     "shrinking": DemandKind(250.0, EVENING, 0.9, _shrinking),
     "jump": DemandKind(200.0, OFFICE, 0.3, _level_shift),
     "rare": DemandKind(0.8, EVENING, 1.0, _steady),
-    "new": DemandKind(80.0, OFFICE, 0.3, _recently_begun),
+    "new": DemandKind(80.0, OFFICE, 0.3, _recently_started),
     "outages": DemandKind(200.0, OFFICE, 0.5, _steady),
     "floods": DemandKind(100.0, EVENING, 1.0, _steady),
     "gaps": DemandKind(150.0, OFFICE, 0.3, _steady),
@@ -138,9 +138,9 @@
 
 
 def draw_series(seed: int, kind: str, weeks: int = WEEKS) -> DemandSeries:
-    """Weeks of history, and one to come: in that, nothing befalls it but chance.
+    """Generate weeks of history and the week after it, which has random variation but no incidents.
 
-    :param kind: a key of `KINDS`.
+    :param kind: A key of `KINDS`.
     """
     rng = np.random.default_rng([seed, sorted(KINDS).index(kind)])
     demand = KINDS[kind]
@@ -167,21 +167,21 @@
 
 
 def _draw_hours(rng: np.random.Generator, history_h: int, shortest: int, longest: int) -> slice:
-    """Some hours of the history, shorter than `longest`."""
-    begin = int(rng.integers(0, history_h - _LATEST_INCIDENT_H))
+    """Draw a range of at least `shortest` and fewer than `longest` hours of the history."""
+    start = int(rng.integers(0, history_h - _MIN_INCIDENT_LEAD_H))
     length = int(rng.integers(shortest, longest))
-    return slice(begin, begin + length)
+    return slice(start, start + length)
 
 
 def _add_outages(rng: np.random.Generator, requests: Floats, mean: Floats, history_h: int) -> None:
-    """Hours in which nearly nothing came."""
+    """Add hours in which almost no requests arrived."""
     for _ in range(4):
         hours = _draw_hours(rng, history_h, 2, 20)
         requests[hours] = rng.poisson(0.02 * mean[hours])
 
 
 def _add_floods(rng: np.random.Generator, requests: Floats, mean: Floats, history_h: int) -> None:
-    """Hours in which many times as much came."""
+    """Add hours with several times the usual number of requests."""
     for _ in range(4):
         hours = _draw_hours(rng, history_h, 1, 12)
         flood = rng.uniform(4, 12) * mean[hours].mean() + 30
@@ -189,7 +189,7 @@
 
 
 def _add_gaps(rng: np.random.Generator, requests: Floats, counted: Floats, history_h: int) -> None:
-    """Hours that were counted in part, or not at all."""
+    """Add hours in which requests were counted for only a part of the time, or not at all."""
     for _ in range(5):
         hours = _draw_hours(rng, history_h, 2, 30)
         share = rng.choice([0.0, 0.3, 0.7])
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -1,8 +1,8 @@
-"""The experiment "duties": one leader at a time, against what it replaces.
+"""The experiment "duties": exclusive leadership with fencing tokens, compared with leases that rely on clocks.
 
-Order: the same seeds with fencing tokens, and with leases by the clock alone (a leader acts without asking while its
-last majority is fresh, and the receiver takes what comes). Loss: real runners, the leader killed again and again. Size:
-virtual time.
+Three measurements: the order of effects, on the same seeds with fencing tokens and with clock leases (a leader acts
+without asking while its last majority is recent, and the receiver accepts every effect); the failover time of real
+runners whose leader is killed repeatedly; and large fleets, in virtual time.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 RUNNERS = 4
 REPORT_INTERVAL_MS = 20
 MAX_WAIT_S = 10.0
-"""For the next effect after a kill."""
+"""Longest wait for the next effect after a kill."""
 
 
 # ---- real runners ----
 
 
 class RealFleet(RunnerFleet):
-    """Four runners with one report duty; the leader is killed, and comes back."""
+    """Four runners with one report duty, whose leader is killed and restarted."""
 
     def __init__(self, reactor: Any, receiver: FencedReceiver) -> None:
         self.receiver = receiver
@@ -48,7 +48,7 @@
         super().__init__(reactor, RUNNERS, settings, lambda index: duties)
 
     async def measure_failover(self, kills: int, log: Log) -> list[float]:
-        """Seconds from each kill of the leader to the next effect."""
+        """Return the seconds from each kill of the leader to the next effect."""
         await self.begin()
         effects = self.receiver.accepted
         while len(effects) < 10:
@@ -57,19 +57,19 @@
         for number in range(kills):
             last = effects[-1]
             leader = int(last.body["by"][1:])
-            failovers_s.append(await self._kill(leader, last))
-            log(f"kill {number + 1} of {kills}: the next effect after {failovers_s[-1]:.2f} s")
+            failovers_s.append(await self._kill_leader(leader, last))
+            log(f"kill {number + 1} of {kills}: next effect after {failovers_s[-1]:.2f} s")
             await self._restart(leader)
         return failovers_s
 
-    async def _kill(self, leader: int, last: AcceptedEffect) -> float:
+    async def _kill_leader(self, leader: int, last: AcceptedEffect) -> float:
         effects = self.receiver.accepted
         term = last.token.term
         killed_at_s = self.reactor.seconds()
         self.runners[leader].signal("KILL")
         while effects[-1].token.term == term and self.reactor.seconds() < killed_at_s + MAX_WAIT_S:
             await self.pause(0.005)
-        return next((each.at_s - killed_at_s for each in effects if each.token.term > term), MAX_WAIT_S)
+        return next((effect.at_s - killed_at_s for effect in effects if effect.token.term > term), MAX_WAIT_S)
 
     async def _restart(self, leader: int) -> None:
         await self.pause(0.3)
@@ -100,11 +100,13 @@
             counts[arm] += order.out_of_order
             counts[f"{arm}, all"] += order.total
     result.figures["order"] = dict(counts)
-    fences = f"{counts['fences']} of {counts['fences, all']}"
-    leases = f"{counts['leases']} of {counts['leases, all']}"
-    log(f"out of order: {fences} with fences, {leases} with leases")
-    result.add_criterion("effects out of order", fences, "none", not counts["fences"])
-    result.add_criterion("and with leases alone on the same seeds", leases, "some", counts["leases"] > 0)
+    with_tokens = f"{counts['fences']} of {counts['fences, all']}"
+    with_clock_leases = f"{counts['leases']} of {counts['leases, all']}"
+    log(f"effects out of order: {with_tokens} with fencing tokens, {with_clock_leases} with clock leases")
+    result.add_criterion("effects out of order", with_tokens, "none", not counts["fences"])
+    result.add_criterion(
+        "and with leases alone on the same seeds", with_clock_leases, "some", counts["leases"] > 0
+    )
 
 
 async def _measure_failover(result: Result, reactor: Any, kills: int, log: Log) -> None:
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -1,4 +1,4 @@
-"""Simulations of the experiment "duties": the order of effects by seed, and large fleets, in virtual time."""
+"""Simulations of the experiment "duties" in virtual time: the order of effects for a seed, and large fleets."""
 
 from __future__ import annotations
 
@@ -17,40 +17,40 @@
 from ..time_units import SECOND
 
 LEASE_US = SECOND
-"""A usual figure: the failure detector's patience."""
+"""Lease duration of the baseline: as long as the failure detector waits, which is usual for such leases."""
 _REVISIONS_PER_RECORD = 1000
-_LOSS_PATIENCE_S = 30
-_OBSERVED_S = 5
-_CREATION_S = 5
+_MAX_RECOVERY_S = 30
+_OBSERVATION_S = 5
+_CREATION_PERIOD_S = 5
 
 
 class ClockLeaseExecutor(EffectExecutor):
-    """Of a lease by the clock: for so long after the last majority it acts without asking one."""
+    """Executor of a clock lease: acts without asking a majority for `LEASE_US` after the last one."""
 
-    confirmed_us = 0
-    requests = 0
+    confirmed_at_us = 0
+    unconfirmed_requests = 0
 
     def issue_token(self, request: FencedRequest) -> None:
-        """Send at once while the lease is fresh, else ask a majority."""
+        """Send at once while the lease is valid by the local clock, otherwise ask a majority."""
         now = self.lease.context.services.now()
-        if now - max(self.confirmed_us, self.lease.since_us) < LEASE_US:
-            self.requests += 1
+        if now - max(self.confirmed_at_us, self.lease.since_us) < LEASE_US:
+            self.unconfirmed_requests += 1
             record = self.lease.record
-            revision = record.revision * _REVISIONS_PER_RECORD + self.requests
+            revision = record.revision * _REVISIONS_PER_RECORD + self.unconfirmed_requests
             token = FencingToken(record.generation, record.term, revision)
             return self.send_fenced(request, token, 1)
-        self.confirmed_us = now
+        self.confirmed_at_us = now
         return super().issue_token(request)
 
 
 class ClockLeaseHolder(LeaseHolder):
-    """Holds a lease by its own clock."""
+    """Holder of a lease whose validity is judged by the local clock."""
 
     effect_executor_class = ClockLeaseExecutor
 
 
 class ClockLeaseParticipant(Participant):
-    """The baseline: it leads by a lease and its own clock alone."""
+    """The baseline: a participant that relies on its lease and local clock alone."""
 
     lease_holder_class = ClockLeaseHolder
 
@@ -65,18 +65,21 @@
     FaultKind.ONE_WAY_PARTITION,
     FaultKind.CRASH,
 )
-"""Each fault is drawn from these; pauses are twice as likely, since leases by the clock fail by them."""
+"""Each fault is drawn from these. Pauses are twice as likely, since they are what breaks clock leases."""
 
 
 class EffectOrder(NamedTuple):
-    """Effects that counted, and those of an earlier term that came to count after one of a later."""
+    """Numbers of accepted effects: in total, and those accepted after an effect of a later term."""
 
     out_of_order: int
     total: int
 
 
 def count_out_of_order(seed: int, clock_leases: bool) -> EffectOrder:
-    """Under pauses, cuts and kills, with fencing tokens or with leases by the clock."""
+    """Count effects out of order under pauses, partitions and crashes.
+
+    :param clock_leases: whether leaders rely on clock leases instead of fencing tokens.
+    """
     scenario = Scenario(seats=5, keys=0, faults=10, fault_kinds=_FAULT_KINDS)
     simulation = DutySimulation(
         seed,
@@ -103,23 +106,23 @@
     """A process whose duties do nothing."""
 
     def work(self, lease: LeaseHolder) -> None:
-        """Nothing."""
+        """Do nothing."""
         return None
 
 
 @dataclass(frozen=True, slots=True)
 class LargeFleetResult:
-    """Of a large fleet whose duties are spread, and a fifth of which is then lost.
+    """Figures of a large fleet whose duties are distributed, and a fifth of which then fails.
 
     Attributes:
-        owned: duties with a leader.
-        imbalance: the most duties of a member over the mean.
-        messages_per_member_s: while nothing happens.
-        owned_after_loss: duties with a leader again.
-        expected_after_loss: duties with a majority of their replicas left.
-        recovery_s: until all of those have a leader.
-        imbalance_after_loss: of the remaining members.
-        observed_from_s: when messages were counted.
+        owned: Number of duties with a leader.
+        imbalance: Largest number of duties of a member, divided by the mean.
+        messages_per_member_s: Messages per member and second while the fleet is idle.
+        owned_after_loss: Number of duties with a leader after the failure.
+        expected_after_loss: Number of duties that still have a majority of their replicas.
+        recovery_s: Seconds from the failure until all expected duties have a leader.
+        imbalance_after_loss: Imbalance among the remaining members.
+        observed_from_s: Time in seconds at which the count of messages begins.
     """
 
     owned: int
@@ -132,7 +135,7 @@
     observed_from_s: float
 
     def figures(self) -> dict[str, float]:
-        """As they stand in a report."""
+        """Return the figures under their names in the report."""
         return {
             "owned": self.owned,
             "largest over mean": self.imbalance,
@@ -146,7 +149,7 @@
 
 
 def simulate_large_fleet(seats: int, duties: int, seed: int) -> LargeFleetResult:
-    """A fleet that has been up for a while is given duties; then it is observed, and a fifth of it is lost."""
+    """Create duties in a fleet that is already running, count its messages, then fail a fifth of the members."""
     is_small = seats <= 100
     warm_up_s = 8.0 if is_small else 30.0
     settling_s = 8.0 if is_small else 20.0
@@ -159,59 +162,64 @@
     _create_duties(simulation, participants, duties)
     simulation.run(simulation.now + round(settling_s * SECOND))
 
-    owned = _leases_of(participants)
+    lease_counts = _lease_counts(participants)
     observed_from = simulation.now
     messages_per_s = _message_rate(simulation)
 
     lost_count = seats // 5
     lost_at = simulation.now
     expected = _duties_with_majority(participants, lost_count)
-    owned_after = _lose_members(simulation, participants, lost_count, expected)
+    lease_counts_after = _fail_members(simulation, participants, lost_count, expected)
     return LargeFleetResult(
-        owned=sum(owned),
-        imbalance=max(owned) / (duties / seats),
+        owned=sum(lease_counts),
+        imbalance=max(lease_counts) / (duties / seats),
         messages_per_member_s=messages_per_s / seats,
-        owned_after_loss=sum(owned_after),
+        owned_after_loss=sum(lease_counts_after),
         expected_after_loss=expected,
         recovery_s=(simulation.now - lost_at) / SECOND,
-        imbalance_after_loss=max(owned_after) / max(1e-9, sum(owned_after) / len(owned_after)),
+        imbalance_after_loss=max(lease_counts_after)
+        / max(1e-9, sum(lease_counts_after) / len(lease_counts_after)),
         observed_from_s=observed_from / SECOND,
     )
 
 
 def _create_duties(simulation: DutySimulation, participants: list[Participant], duties: int) -> None:
     for index in range(duties):
-        at = simulation.now + round(index / duties * _CREATION_S * SECOND)
+        at = simulation.now + round(index / duties * _CREATION_PERIOD_S * SECOND)
         directory = participants[index % len(participants)].directory
         simulation.at(at, None, partial(directory.create, f"d{index}", "idle", lambda reply: None))
 
 
 def _message_rate(simulation: DutySimulation) -> float:
-    """Messages a second of the whole fleet, over the next seconds."""
+    """Return the messages per second of the whole fleet, counted for `_OBSERVATION_S`."""
     before = simulation.history.messages
-    simulation.run(simulation.now + _OBSERVED_S * SECOND)
-    return (simulation.history.messages - before) / _OBSERVED_S
+    simulation.run(simulation.now + _OBSERVATION_S * SECOND)
+    return (simulation.history.messages - before) / _OBSERVATION_S
 
 
-def _lose_members(
+def _fail_members(
     simulation: DutySimulation, participants: list[Participant], lost_count: int, expected: int
 ) -> list[int]:
-    """Lose the first members; the duties of each other once as many as expected have a leader, or for too long."""
+    """Fail the first `lost_count` members and wait for recovery.
+
+    :returns: The number of leases of each remaining member once `expected` duties have a leader, or after
+        `_MAX_RECOVERY_S`.
+    """
     for process in simulation.processes[:lost_count]:
         process.alive = False
     remaining = participants[lost_count:]
-    patience = simulation.now + _LOSS_PATIENCE_S * SECOND
-    while sum(_leases_of(remaining)) < expected and simulation.now < patience:
+    timeout_at = simulation.now + _MAX_RECOVERY_S * SECOND
+    while sum(_lease_counts(remaining)) < expected and simulation.now < timeout_at:
         simulation.run(simulation.now + SECOND // 10)
-    return _leases_of(remaining)
+    return _lease_counts(remaining)
 
 
-def _leases_of(participants: list[Participant]) -> list[int]:
+def _lease_counts(participants: list[Participant]) -> list[int]:
     return [len(participant.leases.by_key) for participant in participants]
 
 
 def _duties_with_majority(participants: list[Participant], lost_count: int) -> int:
-    """Duties at least two of whose three replicas are left, where the first members are lost."""
+    """Count the duties that keep at least two of their three replicas when the first members fail."""
     keys = {key for participant in participants for key in participant.election.records}
     replicas = participants[0].services.replicas
     return sum(sum(int(seat[1:]) >= lost_count for seat in replicas(key)) >= 2 for key in keys)
--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -1,7 +1,7 @@
-"""Health reports at large size, in virtual time: many runners, many balancers, a part of the runners slows down.
+"""Simulation of health reports in a large fleet in virtual time: many runners and balancers; some runners slow down.
 
-A runner here starts whatever comes: no scheduler holds it back, so what it reports of itself is all that keeps it under
-the number of runs at which it collapses. Cores are a fluid (work done by n runs on the cores); arrivals are Poisson.
+A simulated runner starts every request at once. It has no scheduler that limits its load, so only its health reports
+keep it below the number of runs at which it collapses. Work is a fluid that the runs share; arrivals are Poisson.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 STEP_S = 0.1
 REPORT_LIFETIME_S = 0.5
-"""A report is worked out so often at most: the real ones are shared for 10 ms."""
-WINDOW_S = 3
-"""Of the mean that a machine collapses by."""
-LATE_S = 10
-"""Of the end, in which changes of weight are counted apart."""
+"""Shortest interval between two reports of a runner. Real runners reuse a report for 10 ms."""
+COLLAPSE_WINDOW_S = 3
+"""Window of the mean runs per core that decides whether a machine collapses."""
+FINAL_PERIOD_S = 10
+"""Last seconds of the simulation, whose weight changes are also counted separately."""
 FULL_WEIGHT = 100
 _NEVER_S = -1.0
-_DEGRADATION_THRESHOLD = 3
-"""Runs a core past which less gets done in all."""
+_DEGRADATION_RUNS_PER_CORE = 3
+"""Runs per core above which the total throughput falls."""
 _DEGRADATION_PER_RUN = 0.08
-_RECOVERY_S = 2
-"""After the slowdown, until weights are expected to rise."""
+_RECOVERY_DELAY_S = 2
+"""Time after the slowdown until weights are expected to rise."""
 
 Floats = npt.NDArray[np.float64]
 
@@ -42,13 +42,13 @@
     """A fleet of runners behind balancers.
 
     Attributes:
-        service_time_s: of a core for each request.
-        load: share of what the fleet can do.
-        collapse_runs_per_core: a machine collapses when the mean runs a core exceed this.
-        slowed_share: of the runners that slow down.
-        slow_factor: their speed then.
-        probe_interval_s: of half of the balancers; the others probe twice as often.
-        max_runs_per_core: connections that a machine accepts; what is beyond is lost.
+        service_time_s: Core time of each request, in seconds.
+        load: Load as a share of the fleet's capacity.
+        collapse_runs_per_core: Mean runs per core above which a machine collapses.
+        slowed_share: Share of the runners that slow down.
+        slow_factor: Speed of the slowed runners, relative to normal.
+        probe_interval_s: Probe interval of half of the balancers; the others probe twice as often.
+        max_runs_per_core: Connections per core that a machine accepts; requests beyond them are lost.
     """
 
     runners: int = 1000
@@ -67,18 +67,20 @@
 
 
 class FleetResult(msgspec.Struct, frozen=True):
-    """What came of a fleet; the serialized names are those of the experiment's figures.
+    """Result of a simulated fleet; the serialized names are those of the experiment's figures.
 
     Attributes:
-        collapsed: runners.
-        worst_runs_per_core: the highest mean.
-        changes_slowed: changes of weight a minute of a slowed runner.
-        changes_others: the same of a runner that nothing happens to.
-        largest_fallback: how far the slowed runners' mean weight falls back on its way up.
-        final_weight: of the slowed runners, in the mean.
-        changes_at_end: changes of weight a minute of a runner in the last 10 s.
-        runs_lines: runs a core, of the slowed and of the others.
-        weights: mean weight of the slowed.
+        collapsed: Number of runners that collapsed.
+        worst_runs_per_core: Highest mean of runs per core of any runner.
+        lost_share: Share of the requests that were lost.
+        changes_slowed: Weight changes per minute of a slowed runner.
+        changes_others: Weight changes per minute of a runner that is not slowed.
+        collapsed_slowed: Number of slowed runners that collapsed.
+        largest_fallback: Largest drop of the slowed runners' mean weight while it recovers.
+        final_weight: Mean weight of the slowed runners at the end.
+        changes_at_end: Weight changes per minute of a runner in the last 10 s.
+        runs_lines: Runs per core over time, of the slowed runners and of the others.
+        weights: Mean weight of the slowed runners over time.
     """
 
     collapsed: int = msgspec.field(name="fell")
@@ -94,7 +96,7 @@
     weights: Points
 
     def figures(self) -> dict[str, Any]:
-        """As they stand in a report: all but the lines of its plots."""
+        """Return the figures under their names in the report, without the lines of its plots."""
         figures: dict[str, Any] = msgspec.to_builtins(self)
         del figures["lines"]
         del figures["weights"]
@@ -102,7 +104,7 @@
 
 
 class FleetSimulation:
-    """One play of a scenario, with or without health reports."""
+    """One simulation of a scenario, with or without health reports."""
 
     def __init__(self, scenario: FleetScenario, seed: int, with_report: bool) -> None:
         self.scenario = scenario
@@ -112,8 +114,8 @@
         self._trackers = self._create_trackers()
         self._reported = np.full(runners, FULL_WEIGHT)
         self._reported_at_s = np.full(runners, _NEVER_S)
-        self._read_weight = np.full((scenario.balancers, runners), float(FULL_WEIGHT))
-        """Each balancer's last word of each runner."""
+        self._last_read_weight = np.full((scenario.balancers, runners), float(FULL_WEIGHT))
+        """Weight of each runner that each balancer read last."""
         probes_slowly = np.arange(scenario.balancers) % 2 == 0
         self._interval_s = np.where(probes_slowly, scenario.probe_interval_s, scenario.probe_interval_s / 2)
         self._next_probe_s = self._rng.random((scenario.balancers, runners)) * self._interval_s[:, None]
@@ -122,18 +124,19 @@
         self._alive = np.ones(runners, bool)
         self._slowed = np.zeros(runners, bool)
         self._slowed[: round(runners * scenario.slowed_share)] = True
-        self._recent = np.repeat(self._running[:, None], round(WINDOW_S / STEP_S), axis=1)
-        self._rate = scenario.load * runners * scenario.cores / scenario.service_time_s
-        """Requests a second, to all runners."""
+        self._recent_runs = np.repeat(self._running[:, None], round(COLLAPSE_WINDOW_S / STEP_S), axis=1)
+        self._requests_per_s = scenario.load * runners * scenario.cores / scenario.service_time_s
+        """Requests per second to the whole fleet."""
         self._changes = np.zeros(runners, int)
-        self._late_changes = np.zeros(runners, int)
-        self._lost = 0.0
-        self._sent = 0.0
+        self._final_changes = np.zeros(runners, int)
+        self._lost_requests = 0.0
+        self._sent_requests = 0.0
         self._collapsed = 0
-        self._worst = np.zeros(runners)
+        self._highest_runs_per_core = np.zeros(runners)
         self._runs_lines: dict[str, Points] = {"slowed": [], "others": []}
         self._weights: Points = []
-        for tracker in self._trackers:  # in service for long
+        # The runners have been in service for a long time.
+        for tracker in self._trackers:
             tracker.runs_on_cores(0, round(scenario.load * scenario.cores))
             tracker._weight.level = FULL_WEIGHT
 
@@ -142,7 +145,7 @@
         policy = HealthPolicy(
             max_probe_interval_ms=1000, balancer_reaction_ms=500 + REPORT_LIFETIME_S * 1000, ramp_s=10
         )
-        window_us = WINDOW_S * 1_000_000
+        window_us = COLLAPSE_WINDOW_S * 1_000_000
         guard = scenario.max_runs_per_core / scenario.collapse_runs_per_core
         return [
             HealthTracker(
@@ -161,7 +164,7 @@
         ]
 
     def run(self) -> FleetResult:
-        """Play the whole scenario."""
+        """Simulate the whole scenario."""
         for step in range(round(self.scenario.seconds / STEP_S)):
             now_s = step * STEP_S
             now_us = round(now_s * 1e6)
@@ -169,7 +172,7 @@
                 self._probe(now_s, now_us)
             self._receive_requests(now_us)
             self._reject_excess()
-            self._work(now_s, now_us)
+            self._execute_runs(now_s, now_us)
             self._collapse_and_record(step, now_s)
         return self._result()
 
@@ -182,7 +185,7 @@
                 self._trackers[runner].probes.probed(now_us, self._balancer_names[balancer])
             if now_s - self._reported_at_s[runner] >= REPORT_LIFETIME_S:
                 self._renew_report(runner, now_s, now_us)
-            self._read_weight[probing[:, runner], runner] = self._reported[runner]
+            self._last_read_weight[probing[:, runner], runner] = self._reported[runner]
         self._next_probe_s = np.where(
             probing, self._next_probe_s + self._interval_s[:, None], self._next_probe_s
         )
@@ -194,19 +197,19 @@
         weight = self._trackers[runner].report(observation).weight
         if weight != self._reported[runner]:
             self._changes[runner] += 1
-            if now_s >= self.scenario.seconds - LATE_S:
-                self._late_changes[runner] += 1
+            if now_s >= self.scenario.seconds - FINAL_PERIOD_S:
+                self._final_changes[runner] += 1
         self._reported[runner] = weight
 
     def _receive_requests(self, now_us: int) -> None:
-        """Each balancer has an even part of the load, and routes it by weight."""
-        weights = self._read_weight * self._alive
+        """Distribute the arrivals: each balancer has an equal part of the load and routes it by weight."""
+        weights = self._last_read_weight * self._alive
         total = weights.sum(axis=1, keepdims=True)
         shares = (weights / np.maximum(total, 1e-9)).sum(axis=0)
-        arrivals = self._rng.poisson(shares * self._rate / self.scenario.balancers * STEP_S)
-        self._sent += self._rate * STEP_S
+        arrivals = self._rng.poisson(shares * self._requests_per_s / self.scenario.balancers * STEP_S)
+        self._sent_requests += self._requests_per_s * STEP_S
         balancers_without_server = float((total[:, 0] <= 0).mean())
-        self._lost += self._rate * STEP_S * balancers_without_server
+        self._lost_requests += self._requests_per_s * STEP_S * balancers_without_server
         self._running += arrivals
         for runner in np.flatnonzero(arrivals):
             tracker = self._trackers[runner]
@@ -217,14 +220,14 @@
     def _reject_excess(self) -> None:
         limit = self.scenario.max_runs_per_core * self.scenario.cores
         excess = np.maximum(0.0, self._running - limit)
-        self._lost += float(excess.sum())
+        self._lost_requests += float(excess.sum())
         self._running -= excess
 
-    def _work(self, now_s: float, now_us: int) -> None:
+    def _execute_runs(self, now_s: float, now_us: int) -> None:
         scenario = self.scenario
         in_slowdown = scenario.slow_at_s <= now_s < scenario.slow_until_s
         speed = np.where(self._slowed & in_slowdown, scenario.slow_factor, 1.0)
-        excess = np.maximum(0.0, self._running / scenario.cores - _DEGRADATION_THRESHOLD)
+        excess = np.maximum(0.0, self._running / scenario.cores - _DEGRADATION_RUNS_PER_CORE)
         degradation = 1 + _DEGRADATION_PER_RUN * excess
         busy = np.minimum(self._running, scenario.cores)
         completed = np.minimum(self._running, busy * speed / degradation / scenario.service_time_s * STEP_S)
@@ -236,11 +239,11 @@
             tracker.runs_on_cores(now_us, count)
 
     def _collapse_and_record(self, step: int, now_s: float) -> None:
-        self._recent[:, step % self._recent.shape[1]] = self._running
-        mean = self._recent.mean(axis=1) / self.scenario.cores
-        self._worst = np.maximum(self._worst, mean * self._alive)
+        self._recent_runs[:, step % self._recent_runs.shape[1]] = self._running
+        mean = self._recent_runs.mean(axis=1) / self.scenario.cores
+        self._highest_runs_per_core = np.maximum(self._highest_runs_per_core, mean * self._alive)
         collapses = self._alive & (mean > self.scenario.collapse_runs_per_core)
-        self._lost += float(self._running[collapses].sum())
+        self._lost_requests += float(self._running[collapses].sum())
         self._collapsed += int(collapses.sum())
         self._alive &= ~collapses
         self._running = self._running * self._alive
@@ -252,27 +255,27 @@
 
     def _result(self) -> FleetResult:
         minutes = self.scenario.seconds / 60
-        recovering_since_s = self.scenario.slow_until_s + _RECOVERY_S
+        recovering_since_s = self.scenario.slow_until_s + _RECOVERY_DELAY_S
         recovery = [weight for at_s, weight in self._weights if at_s >= recovering_since_s]
         return FleetResult(
             collapsed=self._collapsed,
-            worst_runs_per_core=float(self._worst.max()),
-            lost_share=self._lost / self._sent,
+            worst_runs_per_core=float(self._highest_runs_per_core.max()),
+            lost_share=self._lost_requests / self._sent_requests,
             changes_slowed=float(self._changes[self._slowed].mean() / minutes),
             changes_others=float(self._changes[~self._slowed].mean() / minutes),
             collapsed_slowed=int((self._slowed & ~self._alive).sum()),
             largest_fallback=_largest_fallback(recovery),
             final_weight=recovery[-1] if recovery else 0.0,
-            changes_at_end=float(self._late_changes.mean() * (60 / LATE_S)),
+            changes_at_end=float(self._final_changes.mean() * (60 / FINAL_PERIOD_S)),
             runs_lines=self._runs_lines,
             weights=self._weights,
         )
 
 
 def _largest_fallback(values: list[float]) -> float:
-    """The largest fall below the highest value so far.
+    """Return the largest drop below the highest value so far.
 
-    All balancers see the recovery at once: a large one says that the recovered runners swing together.
+    All balancers see the recovery at the same time, so a large drop shows that recovered runners oscillate together.
     """
     highest = float("-inf")
     largest = 0.0
@@ -283,11 +286,12 @@
 
 
 def simulate_fleet(scenario: FleetScenario, seed: int, with_report: bool) -> FleetResult:
-    """Play a scenario, with or without health reports; the same seed plays the same."""
+    """Simulate a scenario, with or without health reports; the result depends only on the arguments."""
     return FleetSimulation(scenario, seed, with_report).run()
 
 
-if __name__ == "__main__":  # a process of its own: the experiment on sockets needs its own loop's time
+# Runs in a separate process. It would otherwise block the event loop on which the experiment measures real sockets.
+if __name__ == "__main__":
     seed = int(sys.argv[1])
     with_report = sys.argv[2] == "report"
     load = float(sys.argv[3])
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -1,6 +1,7 @@
-"""The experiment "forecast": drawn weeks of demand against plain and seasonal references.
+"""The experiment "forecast": forecasts of generated demand, compared with naive and seasonal references.
 
-Quantiles are held against what came, hints against two plain rules of scaling; and the time and memory of many routes.
+Quantiles are compared with the actual demand, and scaling hints with two simple scaling rules. The experiment also
+measures the time and memory that forecasts of many routes take.
 """
 
 from __future__ import annotations
@@ -35,18 +36,20 @@
 SEEDS_PER_EXPERIMENT_SEED = 100
 ROUTES_PER_CUSTOMER = 50
 PEAK_CORES = 40
-"""That a series needs at its highest."""
+"""Cores that a series needs at its highest demand."""
 _SCALING = ScalingPolicy(cores_per_runner=2.0, startup_min=15.0)
 _MEASUREMENT_TIMEOUT_S = 600
 
 
 class DrawnWeekForecast(NamedTuple):
-    """A forecast of the last week of a drawn series, and what came; `forecasting.weekly_forecast` has that of runners.
+    """Forecast and actual demand of the last week of a generated series.
+
+    Runners use the forecast of `forecasting.weekly_forecast` instead.
 
     Attributes:
-        quantiles: 0.5, 0.9 and 0.99, each of 168 hours.
-        last_week: the same hours of last week, as they were counted.
-        actual: what came.
+        quantiles: The quantiles 0.5, 0.9 and 0.99, each for 168 hours.
+        last_week: Counted demand in the same hours of the week before.
+        actual: Actual demand.
     """
 
     quantiles: Floats
@@ -55,7 +58,7 @@
 
 
 def backtest_last_week(series: DemandSeries) -> DrawnWeekForecast:
-    """The forecast of a series' last week by the weeks before it."""
+    """Forecast the last week of a series from the weeks before it."""
     hour_of_week = hours_of_week(series.first_hour, HISTORY_H + HOURS_PER_WEEK, series.calendar.time_zone)
     history = series.requests[None, :HISTORY_H]
     counted = series.counted[None, :HISTORY_H]
@@ -66,9 +69,9 @@
 
 
 def smoothed_week(series: DemandSeries) -> Floats | None:
-    """A reference of statsmodels: level, damped trend and a week's season, smoothed exponentially.
+    """Forecast with the exponential smoothing of statsmodels: level, damped trend and a weekly season.
 
-    :returns: None where statsmodels is missing.
+    :returns: None if statsmodels is not installed.
     """
     try:
         from statsmodels.tsa.holtwinters import ExponentialSmoothing
@@ -97,15 +100,15 @@
 
 @dataclass(slots=True)
 class Accuracy:
-    """Of forecasts over many series.
+    """Accuracy of forecasts over many series.
 
     Attributes:
-        error_ratios: over the error of the same hour of last week, by kind.
-        smoothing_ratios: over the error of exponential smoothing.
-        under_90: share of the hours under the quantile 0.9, by kind.
-        under_99: the same of 0.99.
-        lost_shares: of requests, by plan.
-        runner_hours: by plan.
+        error_ratios: Error divided by that of the same hour of last week, by kind of demand.
+        smoothing_ratios: Error divided by that of exponential smoothing.
+        under_90: Share of the hours whose demand is at most the quantile 0.9, by kind of demand.
+        under_99: Share of the hours whose demand is at most the quantile 0.99.
+        lost_shares: Share of lost requests, by plan.
+        runner_hours: Runner-hours, by plan.
     """
 
     error_ratios: dict[str, list[float]] = field(default_factory=dict)
@@ -116,7 +119,7 @@
     runner_hours: dict[str, list[float]] = field(default_factory=dict)
 
     def add(self, series: DemandSeries, with_reference: bool) -> None:
-        """Forecast one series, and count what came of it."""
+        """Forecast one series and record its errors, quantiles and scaling outcomes."""
         forecast = backtest_last_week(series)
         quantiles = forecast.quantiles
         actual = forecast.actual
@@ -134,14 +137,14 @@
 
 
 def measure_accuracy(seeds: range, with_reference: bool, log: Log) -> Accuracy:
-    """Forecasts over many seeds and all kinds of demand."""
+    """Measure the accuracy over many seeds and all kinds of demand."""
     accuracy = Accuracy()
     for kind in KINDS:
         for seed in seeds:
             accuracy.add(draw_series(seed, kind), with_reference)
         log(
-            f"{kind}: error over last week's {statistics.fmean(accuracy.error_ratios[kind]):.3f}, under the 90 "
-            f"{statistics.fmean(accuracy.under_90[kind]):.3f}"
+            f"{kind}: error relative to last week's {statistics.fmean(accuracy.error_ratios[kind]):.3f}, "
+            f"share of hours under quantile 0.9 {statistics.fmean(accuracy.under_90[kind]):.3f}"
         )
     return accuracy
 
@@ -151,14 +154,14 @@
 
 @dataclass(slots=True)
 class RouteHistories:
-    """Histories of routes, and the customer of each."""
+    """Histories of routes, and the customer of each route."""
 
     series: dict[str, HourlySeries] = field(default_factory=dict)
     customers: dict[str, str] = field(default_factory=dict)
 
 
 def draw_routes(seed: int, routes: int = 1_000) -> RouteHistories:
-    """Routes of all kinds of demand, for the time and memory that they take."""
+    """Generate routes with all kinds of demand, to measure the time and memory that their forecasts take."""
     kinds = list(KINDS)
     histories = RouteHistories()
     for index in range(routes):
@@ -189,16 +192,16 @@
 
 
 class ForecastCost(NamedTuple):
-    """Of many routes: seconds of one core, and MB more than their histories take."""
+    """Cost of forecasts of many routes: seconds of one core, and MiB beyond the memory of their histories."""
 
     seconds: float
     megabytes: float
 
 
 def measure_cost(seed: int, routes: int = 1_000) -> ForecastCost:
-    """The cost of a forecast, in a process of its own.
+    """Measure the cost of a forecast in a separate process.
 
-    :raises subprocess.SubprocessError: it failed, or took too long.
+    :raises subprocess.SubprocessError: The process failed or timed out.
     """
     process = subprocess.run(
         [sys.executable, "-W", "ignore", "-c", _MEASUREMENT.format(seed=seed, routes=routes)],
@@ -212,7 +215,7 @@
 
 
 def is_reproducible(seed: int) -> bool:
-    """Whether another owner works out the same from the same state, bit by bit."""
+    """Return whether another leader computes the same forecast from the same state, bit for bit."""
     routes = draw_routes(seed, 60)
     calendars = {"c0": Calendar("Europe/Copenhagen")}
     hour = FIRST_HOUR + HISTORY_H
@@ -291,11 +294,7 @@
     lost = {plan: statistics.fmean(shares) for plan, shares in accuracy.lost_shares.items()}
     hours = {plan: statistics.fmean(values) for plan, values in accuracy.runner_hours.items()}
     result.figures["hints"] = {"worth lost": lost, "runner-hours": hours}
-    log(
-        "  ".join(
-            f"{plan}: lost {100 * lost[plan]:.3f} of 100, {hours[plan]:.0f} runner-hours" for plan in lost
-        )
-    )
+    log("  ".join(f"{plan}: lost {100 * lost[plan]:.3f}%, {hours[plan]:.0f} runner-hours" for plan in lost))
     for rule in ("last hour", "same hour last week"):
         result.add_criterion(
             f"worth lost by hints, to that by the {rule}",
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -1,4 +1,4 @@
-"""A simulated week of a service that is scaled by a plan, with cold starts: what is lost, and what it costs."""
+"""Simulation of a week of a service that is scaled by a plan, with cold starts: lost requests and runner-hours."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalingOutcome:
-    """What a plan came to: the share of requests lost, and the runner-hours used."""
+    """Outcome of a plan: the share of requests lost, and the runner-hours used."""
 
     lost_share: float
     runner_hours: float
 
 
 class _Pool:
-    """Runners of a service: a started one is of no use until it is warm, an ended one is gone at once."""
+    """Runners of a service: a started runner serves nothing until it is warm; a stopped one exits at once."""
 
     def __init__(self, warm: int, cold_start_steps: int) -> None:
         self.warm = float(warm)
@@ -37,17 +37,17 @@
 
     @property
     def size(self) -> float:
-        """Warm runners, and those that are starting."""
+        """Number of warm and starting runners."""
         return self.warm + len(self._steps_until_warm)
 
     def advance(self) -> None:
-        """A step of time passes."""
+        """Advance the time by one step."""
         remaining = [steps_left - 1 for steps_left in self._steps_until_warm]
         self.warm += sum(steps_left <= 0 for steps_left in remaining)
         self._steps_until_warm = [steps_left for steps_left in remaining if steps_left > 0]
 
     def scale_to(self, wanted: int) -> None:
-        """Start or end runners; cold ones end first."""
+        """Start or stop runners; cold runners are stopped first."""
         size = self.size
         if wanted > size:
             self._steps_until_warm += [self._cold_start_steps] * round(wanted - size)
@@ -62,11 +62,11 @@
 def simulate_scaling(
     requests: Floats, core_s: float, plan: list[int], scaling: ScalingPolicy
 ) -> ScalingOutcome:
-    """A week in steps of five minutes; what the warm runners can't do is lost.
+    """Simulate a week in steps of five minutes; requests beyond the capacity of the warm runners are lost.
 
-    :param requests: of each hour.
-    :param core_s: seconds of a core that a request takes.
-    :param plan: runners wanted, of each hour.
+    :param requests: Requests of each hour.
+    :param core_s: Core seconds of one request.
+    :param plan: Wanted number of runners, for each hour.
     """
     cold_start_steps = max(1, round(scaling.startup_min / 60 * STEPS_PER_HOUR))
     pool = _Pool(plan[0], cold_start_steps)
@@ -86,11 +86,11 @@
 def compare_plans(
     series: DemandSeries, quantiles: Floats, scaling: ScalingPolicy, core_s: float
 ) -> dict[str, ScalingOutcome]:
-    """Hints against two plain rules: what the last hour needed, and the same hour of last week.
+    """Compare hints with two simple rules: the need of the last hour, and that of the same hour of last week.
 
-    Each rule has as much to spare as makes its runner-hours those of the hints.
+    The headroom of each rule is set so that it uses as many runner-hours as the hints.
 
-    :param quantiles: of the forecast; hints follow the second one, 0.9.
+    :param quantiles: Quantiles of the forecast; hints use the second one, 0.9.
     """
     requests = series.requests
     week = requests[HISTORY_H:]
@@ -109,7 +109,7 @@
 def _rule_at_same_cost(
     week: Floats, expected: Floats, core_s: float, scaling: ScalingPolicy, runner_hours: float
 ) -> ScalingOutcome:
-    """By bisection of the utilization that the rule aims at."""
+    """Find the outcome of a rule at the given runner-hours, by bisection of its target utilization."""
     low = _LOWEST_UTILIZATION
     high = _HIGHEST_UTILIZATION
     outcome = ScalingOutcome(0.0, 0.0)
