--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -1,4 +1,4 @@
-"""Maintenance of many machines in virtual time: the same decisions as those of real runners, step by step."""
+"""Simulation of the maintenance of many machines in virtual time, with the planning code of real runners."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 ZONES = 4
 GROUPS = 20
 ACCEPTORS = 7
-"""Machines that keep the schedule."""
-MAX_FILL = 0.95
-"""Of the cores that are up."""
-LOST_PART = 100
-"""One in so many is lost unasked."""
-LOSS_WITHIN_S = 2_000
-LOST_FOR_S = 600
+"""Number of machines that store the schedule."""
+MAX_UTILIZATION = 0.95
+"""Largest share of the available cores that may be in use."""
+MACHINES_PER_FAILURE = 100
+"""One of this many machines fails unexpectedly."""
+FAILURES_WITHIN_S = 2_000
+FAILURE_DURATION_S = 600
 STEP_S = 5.0
-LONGEST_S = 50_000
-"""A simulation ends then."""
-_NEVER_S = 1e9
+MAX_DURATION_S = 50_000
+"""Virtual time after which a simulation ends."""
+_NEVER_S = 1e9  # A time after the end of every simulation.
 _MESSAGES_FROM_US = 3_000_000
 _MESSAGES_UNTIL_US = 13_000_000
 
@@ -47,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LargeMaintenanceResult:
-    """Of the maintenance of many machines.
+    """Figures of the maintenance of many machines.
 
     Attributes:
-        duration_s: of virtual time.
-        bound_ratio: the duration over the shortest that the limit allows.
-        min_free_share: the least share of the cores that was free.
-        max_machines_down: at a time.
-        mean_step_ms: of the processor, for one plan.
-        longest_step_ms: the same.
-        max_schedule_bytes: of the encoded schedule.
+        duration_s: Duration in virtual time, in seconds.
+        bound_ratio: Duration divided by the shortest one that the limits allow.
+        min_free_share: Smallest share of the cores that was free.
+        max_machines_down: Largest number of machines that were down at the same time.
+        mean_step_ms: Mean real time of one planning step, in ms.
+        longest_step_ms: Longest real time of one planning step, in ms.
+        max_schedule_bytes: Largest size of the encoded schedule, in bytes.
     """
 
     duration_s: float
@@ -68,7 +68,7 @@
     max_schedule_bytes: int
 
     def figures(self) -> dict[str, float]:
-        """As they stand in a report."""
+        """Return the figures under their names in the report."""
         return {
             "seconds": self.duration_s,
             "over the bound": self.bound_ratio,
@@ -81,10 +81,10 @@
 
 
 class LargeMaintenance:
-    """All machines are to be worked on, and one in a hundred is lost unasked meanwhile.
+    """Maintenance of all machines, while one in a hundred fails unexpectedly.
 
-    :param load: share of all cores.
-    :param max_down: machines at a time.
+    :param load: Share of all cores that is in use.
+    :param max_down: Largest number of machines that may be down at the same time.
     """
 
     def __init__(self, load: float, seed: int, machines: int, max_down: int) -> None:
@@ -96,14 +96,14 @@
             max_out=max_down,
             max_out_per_zone=max_down // 4,
             max_out_per_group=4,
-            max_utilization=MAX_FILL,
+            max_utilization=MAX_UTILIZATION,
             capacity_stable_s=0,
         )
         self._names = [f"m{index:04}" for index in range(machines)]
-        lost_names = rng.sample(self._names, machines // LOST_PART)
-        self._lost_at = {name: rng.uniform(0, LOSS_WITHIN_S) for name in lost_names}
+        failing_names = rng.sample(self._names, machines // MACHINES_PER_FAILURE)
+        self._fails_at = {name: rng.uniform(0, FAILURES_WITHIN_S) for name in failing_names}
         self._work_s = {name: rng.uniform(150, 210) for name in self._names}
-        """Of drain, work, start and warming, in all."""
+        """Seconds of drain, maintenance, start and warm-up together, by machine."""
         request = MaintenanceRequest(
             "all", "patch", "me", 120.0, 0.0, shares_zone=True, queued=tuple(self._names)
         )
@@ -112,32 +112,32 @@
         self._work_ends: dict[str, float] = {}
         self._step_ms: list[float] = []
         self._schedule_bytes: list[int] = []
-        self._min_free = 1.0
-        self._most_down = 0
+        self._min_free_share = 1.0
+        self._max_machines_down = 0
 
     def run(self) -> LargeMaintenanceResult:
-        """Until all machines were worked on."""
-        while (self._schedule.requests or self._schedule.slots) and self._now < LONGEST_S:
+        """Simulate until the maintenance of all machines is done, or for `MAX_DURATION_S`."""
+        while (self._schedule.requests or self._schedule.slots) and self._now < MAX_DURATION_S:
             seats = [self._view(index, name) for index, name in enumerate(self._names)]
             self._grant(seats)
             self._record(seats)
             self._now += STEP_S
             self._end_work()
-        by_load = int(len(self._names) * (1 - self._load / MAX_FILL)) or 1
-        shortest_s = sum(self._work_s.values()) / min(self._max_down, by_load)
+        max_down_at_load = int(len(self._names) * (1 - self._load / MAX_UTILIZATION)) or 1
+        shortest_s = sum(self._work_s.values()) / min(self._max_down, max_down_at_load)
         return LargeMaintenanceResult(
             duration_s=self._now,
             bound_ratio=self._now / shortest_s,
-            min_free_share=self._min_free,
-            max_machines_down=self._most_down,
+            min_free_share=self._min_free_share,
+            max_machines_down=self._max_machines_down,
             mean_step_ms=mean(self._step_ms),
             longest_step_ms=max(self._step_ms),
             max_schedule_bytes=max(self._schedule_bytes),
         )
 
     def _view(self, index: int, name: str) -> SeatView:
-        lost_at = self._lost_at.get(name, _NEVER_S)
-        is_up = lost_at > self._now or self._now > lost_at + LOST_FOR_S
+        fails_at = self._fails_at.get(name, _NEVER_S)
+        is_up = fails_at > self._now or self._now > fails_at + FAILURE_DURATION_S
         used_cores = self._load * CORES
         return SeatView(
             name, f"z{index % ZONES}", f"g{index % GROUPS}", is_up, CORES, 100, used_cores, used_cores
@@ -153,22 +153,22 @@
         self._step_ms.append(1000 * (perf_counter() - began))
         if not step.grants:
             return
-        most = self._policy.max_out
-        self._apply(GrantSlots(self._schedule.revision, step.grants, most, self._now))
+        max_out = self._policy.max_out
+        self._apply(GrantSlots(self._schedule.revision, step.grants, max_out, self._now))
         for _, seat in step.grants:
             slot = self._schedule.slot(seat)
             assert slot is not None
             self._apply(AcceptSlot(slot, 1))
-            self._apply(ClearMachine(slot, 1, most, self._now, "1", "s"))
+            self._apply(ClearMachine(slot, 1, max_out, self._now, "1", "s"))
             self._work_ends[seat] = self._now + self._work_s[seat]
 
     def _record(self, seats: list[SeatView]) -> None:
         self._schedule_bytes.append(len(encode_schedule(self._schedule)))
-        lost = {seat.seat for seat in seats if not seat.is_up}
+        failed = {seat.seat for seat in seats if not seat.is_up}
         cores_up = sum(seat.cores for seat in seats if seat.is_up and self._schedule.slot(seat.seat) is None)
-        used = self._load * 4 * (len(self._names) - len(lost))
-        self._min_free = min(self._min_free, 1 - used / cores_up)
-        self._most_down = max(self._most_down, len(self._schedule.slots))
+        used_cores = self._load * 4 * (len(self._names) - len(failed))
+        self._min_free_share = min(self._min_free_share, 1 - used_cores / cores_up)
+        self._max_machines_down = max(self._max_machines_down, len(self._schedule.slots))
 
     def _end_work(self) -> None:
         for slot in self._schedule.slots:
@@ -182,12 +182,12 @@
 def simulate_large_maintenance(
     load: float, seed: int, machines: int = 1_000, max_down: int = 40
 ) -> LargeMaintenanceResult:
-    """Maintenance of all machines; the same seed plays the same, but for the processor's time."""
+    """Simulate the maintenance of all machines; apart from real times, the result depends only on the arguments."""
     return LargeMaintenance(load, seed, machines, max_down).run()
 
 
 def messages_per_member(seats: int) -> float:
-    """A second, while the maintenance of a whole fleet goes on."""
+    """Return the messages per member and second during the maintenance of a whole fleet."""
     scenario = Scenario(seats=seats, keys=0, faults=0, loss=0, duplication=0, seconds=20)
     simulation = MaintenanceSimulation(1, scenario, requests=0)
     simulation.run(_MESSAGES_FROM_US)
--- a/moorusher/lab/namespace_rules.py
+++ b/moorusher/lab/namespace_rules.py
@@ -1,4 +1,4 @@
-"""Drawn rules of customers: decisions against a plain reference, and the time that a look-up takes."""
+"""Randomly generated customer rules: decisions compared with a simple reference, and the time of a look-up."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 GRANT = Grant(frozenset({"s"}), {}, UNBOUNDED)
 KEYS = [f"{letter}{suffix}" for letter in "abc" for suffix in ("", "x", "y-", "y-1")]
 REQUESTS_PER_DRAFT = 200
-LOOKED_UP_RULES = 1_000
-_LOOK_UPS = 5_000
+LARGE_RULE_COUNT = 1_000
+_LOOK_UPS_PER_REPETITION = 5_000
 _REPETITIONS = 7
 _REVISION = (1, 1)
 _ATTRIBUTES = ("key", "subject", "caller", "class_name", "rank")
 
 
 def reference_decision(rules: list[Rule], request: RequestAttributes) -> str | None:
-    """The label of the rule for a request, found by looking at one rule after the other.
+    """Return the label of the rule for a request, found by a linear search; None if no rule matches.
 
-    A team's rules come first; of those that match, the one whose parts are the smallest.
+    Among the matching rules, those of a team take precedence; then the most specific one wins.
     """
     best: Rule | None = None
     for rule in rules:
@@ -46,10 +46,12 @@
 
 
 def _more_specific(first: Rule, second: Rule) -> Rule:
-    """By the first parts of different size; `first` where all are alike."""
-    for own, other in zip(second.matcher.attribute_sets(), first.matcher.attribute_sets(), strict=True):
-        if own.size() != other.size():
-            return second if own.size() < other.size() else first
+    """Return the rule whose first attribute set of a different size is smaller; `first` if all sizes are equal."""
+    for second_set, first_set in zip(
+        second.matcher.attribute_sets(), first.matcher.attribute_sets(), strict=True
+    ):
+        if second_set.size() != first_set.size():
+            return second if second_set.size() < first_set.size() else first
     return first
 
 
@@ -57,7 +59,7 @@
 
 
 def draw_draft(rng: random.Random) -> bytes:
-    """A draft of some rules, as they come: they may overlap and contain each other."""
+    """Generate a draft with a few random rules, which may overlap or contain each other."""
     draft = {
         "default": "main",
         "routes": {"main": {"servers": {"s": 1}}},
@@ -100,7 +102,7 @@
 
 @dataclass(slots=True)
 class DecisionCounts:
-    """Decisions that were compared with the reference."""
+    """Numbers of decisions that were compared with the reference, and of generated drafts that were rejected."""
 
     wrong: int = 0
     total: int = 0
@@ -108,7 +110,7 @@
 
 
 def count_wrong_decisions(seed: int, decisions: int) -> DecisionCounts:
-    """Compare so many decisions, on drawn drafts and requests."""
+    """Compare at least `decisions` decisions with the reference, on random drafts and requests."""
     rng = random.Random(seed)
     counts = DecisionCounts()
     while counts.total < decisions:
@@ -130,7 +132,7 @@
 
 
 def draft_of_size(rules: int, route: str = "main", server: str = "s") -> bytes:
-    """A draft with so many rules."""
+    """Generate a draft with the given number of rules."""
     return json.dumps(
         {
             "default": route,
@@ -147,28 +149,31 @@
 
 @dataclass(frozen=True, slots=True)
 class LookUpTimes:
-    """The time of one look-up in us: of a customer alone, and beside others."""
+    """Time of one look-up, in us: with one customer in the table, and with many."""
 
     alone_us: float
     beside_others_us: float
 
 
 def measure_look_ups(others: int, rules_of_others: int) -> LookUpTimes:
-    """For a customer with a thousand rules, alone and beside others."""
+    """Measure the look-ups of a customer with a thousand rules, first alone, then beside other customers."""
     customers = CurrentRevisions(others + 1)
-    customers.install_draft("acme", _REVISION, draft_of_size(LOOKED_UP_RULES), GRANT)
-    alone_us = _look_up_us(customers, "acme", LOOKED_UP_RULES)
+    customers.install_draft("acme", _REVISION, draft_of_size(LARGE_RULE_COUNT), GRANT)
+    alone_us = _measure_look_up_us(customers, "acme", LARGE_RULE_COUNT)
     shared = draft_of_size(rules_of_others)
     for index in range(others):
         customers.install_draft(f"c{index}", _REVISION, shared, None)
-    return LookUpTimes(alone_us, _look_up_us(customers, "acme", LOOKED_UP_RULES))
+    return LookUpTimes(alone_us, _measure_look_up_us(customers, "acme", LARGE_RULE_COUNT))
 
 
-def _look_up_us(customers: CurrentRevisions, name: str, rules: int) -> float:
-    """The median of several goes, as a request has it: by the customer's name, then by its rules."""
+def _measure_look_up_us(customers: CurrentRevisions, name: str, rules: int) -> float:
+    """Measure a look-up as requests do it, by the customer's name, then by its rules.
+
+    :returns: The median over the repetitions, in us.
+    """
     requests = [
         RequestAttributes("submit", index % 60, -1, 0.1, f"{index % rules:05x}-abc")
-        for index in range(_LOOK_UPS)
+        for index in range(_LOOK_UPS_PER_REPETITION)
     ]
     times_us = []
     for _ in range(_REPETITIONS):
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -1,7 +1,7 @@
 """The experiment "namespaces": customers' rules.
 
-Decisions against a plain reference, look-ups beside other customers, publishing to all runners, and what a customer at
-three times its share with ten thousand rules costs the others.
+It compares decisions with a simple reference, and measures look-ups beside other customers, the publishing to all
+runners, and how much a customer with ten thousand rules that sends three times its share slows down the others.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 REQUEST_CLASS = RequestClass("check", 1.0, SERVICE_TIME_MS, True, 2_000, 6_000)
 DATABASE_DELAY_S = 0.005
 LOAD = 0.85
-"""Of the fleet's capacity, where each tenant is at its share."""
+"""Load as a share of the fleet's capacity when each tenant sends its share."""
 LOAD_S = 8.0
 OVERLOAD_FACTOR = 3
 SMALL_DRAFT_RULES = 10
 LARGE_DRAFT_RULES = 10_000
 REPUBLISH_INTERVAL_S = 2.0
 _SETTLING_S = 3.0
-"""After the last arrival, for answers still to come."""
+"""Time after the last arrival for outstanding answers."""
 _NEVER_MS = 1e9
 
 _BUDGET_TOML = "bytes = 780000\nrules = 20000\nwords = 200000\nsteps = 50000000\ntable_bytes = 67108864\n"
 
 
 class RoutedFleet(RunnerFleet):
-    """A fleet whose customers have rules, and a server of their own each."""
+    """A fleet whose customers have rules and a separate server each."""
 
     def __init__(self, reactor: Any) -> None:
         self.databases = {name: Database(reactor, 200, delay=DATABASE_DELAY_S) for name in ("free", *TENANTS)}
@@ -79,15 +79,18 @@
         )
 
     async def publish(self, index: int, customer: str, draft: bytes) -> dict[str, Any]:
-        """Publish a draft by one runner, and wait until all have it; what that runner replied."""
+        """Publish a draft through one runner and wait until all runners have it.
+
+        :returns: The reply of that runner.
+        """
         reply = await self.request_admin(index, f"namespaces/{customer}?wait=1", "PUT", draft)
         decoded: dict[str, Any] = reply.decode()
         return decoded
 
     async def play_load(self, seed: int, rates: dict[str, float], seconds: float) -> dict[str, float]:
-        """Each tenant's share of value served in time.
+        """Send load and return each tenant's share of the value that was served in time.
 
-        :param rates: requests a second, by tenant.
+        :param rates: Requests per second, by tenant.
         """
         self._loads_played += 1
         clients = [
@@ -118,7 +121,7 @@
 
 
 class Republisher:
-    """Publishes a large draft of the large tenant again and again."""
+    """Publishes a large draft of the large tenant repeatedly."""
 
     def __init__(self, fleet: RoutedFleet, log: Log) -> None:
         self._fleet = fleet
@@ -127,7 +130,7 @@
         self._stopped = False
 
     async def start(self) -> None:
-        """Publish it once, then go on beside."""
+        """Publish the draft once, then continue in the background."""
         await self._fleet.publish(0, LARGE_TENANT, self._draft)
         republishing = Deferred.fromCoroutine(self._republish())
         republishing.addErrback(lambda failure: self._log(failure.getErrorMessage()))
@@ -138,7 +141,7 @@
             await self._fleet.pause(REPUBLISH_INTERVAL_S)
 
     def stop(self) -> None:
-        """After the revision that is on its way."""
+        """Stop after the current publication."""
         self._stopped = True
 
 
@@ -165,32 +168,34 @@
 async def _measure_decisions(result: Result, seed: int, decisions: int, log: Log) -> None:
     counts = await deferToThread(count_wrong_decisions, seed, decisions)
     wrong = f"{counts.wrong} of {counts.total}"
-    log(f"{wrong} decisions wrong; {counts.rejected_drafts} drafts refused")
+    log(f"{wrong} decisions wrong; {counts.rejected_drafts} drafts rejected")
     result.add_criterion("wrong decisions against the reference", wrong, "none", not counts.wrong)
 
 
 async def _measure_look_ups(result: Result, others: int, rules_of_others: int, log: Log) -> None:
     times = await deferToThread(measure_look_ups, others, rules_of_others)
     alone_us = times.alone_us
-    beside_us = times.beside_others_us
+    beside_others_us = times.beside_others_us
     result.figures["look-ups"] = {
         "alone us": alone_us,
-        "beside others us": beside_us,
+        "beside others us": beside_others_us,
         "others": others,
         "rules of each": rules_of_others,
     }
-    log(f"look-up {alone_us:.1f} us alone, {beside_us:.1f} us beside {others} others")
-    result.add_criterion("look-up among 1,000 rules", f"{beside_us:.1f} us", "under 15 us", beside_us < 15)
+    log(f"look-up {alone_us:.1f} us alone, {beside_others_us:.1f} us beside {others} others")
+    result.add_criterion(
+        "look-up among 1,000 rules", f"{beside_others_us:.1f} us", "under 15 us", beside_others_us < 15
+    )
     result.add_criterion(
         f"the same beside {others} other customers of {rules_of_others} rules, over alone",
-        f"{beside_us / alone_us:.2f}",
+        f"{beside_others_us / alone_us:.2f}",
         "at most 1.3",
-        beside_us <= 1.3 * alone_us,
+        beside_others_us <= 1.3 * alone_us,
     )
 
 
 async def _measure_publishing(result: Result, fleet: RoutedFleet, revisions: int, log: Log) -> None:
-    """From the answer that it is published, and from the submission, to the last runner."""
+    """Measure the time until the last runner has a revision, since its submission and since its publication."""
     since_published_ms = []
     since_submitted_ms = []
     incomplete = 0
@@ -217,11 +222,16 @@
     )
 
 
-# ---- quiet customers beside a large one ----
+# ---- isolation of customers from a large one ----
 
 
 class IsolationArm(NamedTuple):
-    """What the large tenant does: how much more it sends than its share, and whether it has many rules."""
+    """Behaviour of the large tenant.
+
+    Attributes:
+        load_factor: Its load, relative to its share.
+        republishes: Whether it publishes many rules repeatedly.
+    """
 
     load_factor: int
     republishes: bool
@@ -229,7 +239,7 @@
 
 ISOLATION_ARMS = {
     "alone": IsolationArm(1, False),
-    "again": IsolationArm(1, False),  # the same once more: the noise
+    "again": IsolationArm(1, False),  # The same as "alone". Their difference is the noise.
     "flood": IsolationArm(OVERLOAD_FACTOR, False),
     "beside": IsolationArm(OVERLOAD_FACTOR, True),
 }
@@ -243,7 +253,8 @@
     names = list(ISOLATION_ARMS)
     for number in rounds:
         first = number % len(names)
-        for name in names[first:] + names[:first]:  # each follows each of the others
+        # Rotates the arms, so that their position in a round has no systematic effect.
+        for name in names[first:] + names[:first]:
             served = await _play_isolation_arm(fleet, ISOLATION_ARMS[name], seed * 50 + number, log)
             shares[name].append(statistics.fmean(served[tenant] for tenant in TENANTS[1:]))
             lines[name].append((number, shares[name][-1]))
@@ -256,7 +267,7 @@
 
 
 async def _play_isolation_arm(fleet: RoutedFleet, arm: IsolationArm, seed: int, log: Log) -> dict[str, float]:
-    """Each tenant's share of value served in time."""
+    """Play one arm and return each tenant's share of the value that was served in time."""
     capacity = RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
     rate = LOAD * capacity / len(TENANTS)
     rates = dict.fromkeys(TENANTS[1:], rate) | {LARGE_TENANT: arm.load_factor * rate}
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -1,8 +1,8 @@
-"""The experiment "outage": eight runners in two zones under load, whose machines are all to be worked on.
+"""The experiment "outage": maintenance of the machines of eight runners in two zones under load.
 
-By the order that they settle themselves, all at once, one after the other by a script that asks only for health, and in
-a fixed order with a fixed wait. The same with one lost unasked half-way, and with the network cut in two; and the same
-decisions for a thousand machines.
+The machines are rebooted in the order that the runners coordinate, all at once, one after the other by a script that
+checks only their health, or in a fixed order at fixed intervals. Variants add the unexpected failure of a runner or a
+network partition. The same planning is simulated for a thousand machines.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 ARMS_AT_A_TIME = 2
 LARGE_LOADS = (0.6, 0.85)
-"""Of a thousand machines."""
+"""Loads of the simulations with a thousand machines."""
 BASELINES = {
     RebootOrder.COORDINATED: RebootOrder.NONE,
     RebootOrder.COORDINATED_WITH_LOSS: RebootOrder.NONE_WITH_LOSS,
     RebootOrder.COORDINATED_WITH_PARTITION: RebootOrder.NONE_WITH_PARTITION,
 }
-"""The same without reboots, by the orders that are held to criteria."""
+"""Baseline without reboots of each order that has criteria."""
 PLOTTED = (RebootOrder.COORDINATED, RebootOrder.AT_ONCE, RebootOrder.BY_HEALTH)
 
 Results = dict[RebootOrder, list[OutageResult]]
-"""Of each order, by seed."""
+"""Results of each order, one for each seed."""
 
 
 async def _play(reactor: Any, quick: bool, seed: int, log: Log) -> Result:
@@ -79,7 +79,10 @@
 
 
 async def _play_arm(seed: int, order: RebootOrder) -> OutageResult | None:
-    """In a process of its own; None where it did not come to an end."""
+    """Play one arm in a separate process.
+
+    :returns: None if the process wrote no result.
+    """
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "result.json"
         arguments = ["-m", "moorusher.lab.outage_arm", str(seed), order.value, str(path)]
@@ -93,10 +96,11 @@
 
 def _describe(outcome: OutageResult | None) -> str:
     if outcome is None:
-        return "did not come to an end"
+        return "ended without a result"
     return (
-        f"served {outcome.served_share:.3f}  lost or failed {outcome.failed}  twice {outcome.executed_twice}"
-        f"  most out {outcome.max_machines_down}  went {outcome.reboots}  in {outcome.duration_s:.0f} s"
+        f"served {outcome.served_share:.3f}  lost or failed {outcome.failed}"
+        f"  executed twice {outcome.executed_twice}  max machines down {outcome.max_machines_down}"
+        f"  reboots {outcome.reboots}  in {outcome.duration_s:.0f} s"
         f"  {outcome.counts}"
     )
 
@@ -114,59 +118,61 @@
 
 
 def _add_figures(result: Result, results: Results) -> None:
-    for order, every in results.items():
+    for order, outcomes in results.items():
         result.figures[order.value] = {
-            "served": mean(each.served_share for each in every),
-            "lost": mean(each.failed for each in every),
-            "twice": mean(each.executed_twice for each in every),
-            "most": mean(each.max_machines_down for each in every),
-            "went": mean(each.reboots for each in every),
-            "seconds": mean(each.duration_s for each in every),
+            "served": mean(outcome.served_share for outcome in outcomes),
+            "lost": mean(outcome.failed for outcome in outcomes),
+            "twice": mean(outcome.executed_twice for outcome in outcomes),
+            "most": mean(outcome.max_machines_down for outcome in outcomes),
+            "went": mean(outcome.reboots for outcome in outcomes),
+            "seconds": mean(outcome.duration_s for outcome in outcomes),
         }
 
 
 def _judge_order(result: Result, order: RebootOrder, results: Results) -> None:
     baseline_name = BASELINES[order].value
-    every = results[order]
+    outcomes = results[order]
     baseline = results[BASELINES[order]]
-    cost = mean(each.requests_not_served for each in every)
-    baseline_cost = mean(each.requests_not_served for each in baseline)
-    more = (cost - baseline_cost) / mean(each.requests for each in every)
+    not_served = mean(outcome.requests_not_served for outcome in outcomes)
+    baseline_not_served = mean(outcome.requests_not_served for outcome in baseline)
+    extra_share = (not_served - baseline_not_served) / mean(outcome.requests for outcome in outcomes)
     result.add_criterion(
         f"{order.value}: service lost",
-        f"{100 * more:.2f} points more",
+        f"{100 * extra_share:.2f} points more",
         f"at most 1 more than with {baseline_name}",
-        more <= 0.01,
+        extra_share <= 0.01,
     )
-    failed = mean(each.failed for each in every)
-    baseline_failed = mean(each.failed for each in baseline)
+    failed = mean(outcome.failed for outcome in outcomes)
+    baseline_failed = mean(outcome.failed for outcome in baseline)
     result.add_criterion(
         f"{order.value}: requests lost or failed by the work",
         f"{failed:.0f}, {baseline_failed:.0f} with {baseline_name}",
         "a fifth more at most, as courses differ",
         failed <= 1.2 * baseline_failed,
     )
-    _judge_machines(result, order, every)
+    _judge_machines(result, order, outcomes)
 
 
-def _judge_machines(result: Result, order: RebootOrder, every: list[OutageResult]) -> None:
-    executed_twice = sum(each.executed_twice for each in every)
+def _judge_machines(result: Result, order: RebootOrder, outcomes: list[OutageResult]) -> None:
+    executed_twice = sum(outcome.executed_twice for outcome in outcomes)
     result.add_criterion(
         f"{order.value}: keyed work begun twice", str(executed_twice), "none", not executed_twice
     )
-    most_down = max(each.max_machines_down for each in every)
-    result.add_criterion(f"{order.value}: most out at a time", str(most_down), "1", most_down <= 1)
-    fewest = min(each.reboots for each in every)
+    max_down = max(outcome.max_machines_down for outcome in outcomes)
+    result.add_criterion(f"{order.value}: most out at a time", str(max_down), "1", max_down <= 1)
+    min_reboots = min(outcome.reboots for outcome in outcomes)
     result.add_criterion(
         f"{order.value}: all went",
-        str(fewest),
+        str(min_reboots),
         str(RUNNERS),
-        all(each.reboots == RUNNERS for each in every),
+        all(outcome.reboots == RUNNERS for outcome in outcomes),
     )
 
 
-def _judge_duration(result: Result, every: list[OutageResult]) -> None:
-    ratio = mean(each.duration_s / sum(each.slot_times_s) for each in every if each.slot_times_s)
+def _judge_duration(result: Result, outcomes: list[OutageResult]) -> None:
+    ratio = mean(
+        outcome.duration_s / sum(outcome.slot_times_s) for outcome in outcomes if outcome.slot_times_s
+    )
     result.add_criterion(
         "settled: time for all over the shortest that the limit allows",
         f"{ratio:.2f}",
--- a/moorusher/lab/outage_arm.py
+++ b/moorusher/lab/outage_arm.py
@@ -1,4 +1,4 @@
-"""One play of the experiment "outage": the fleet under load, whose machines are all rebooted in some order."""
+"""One arm of the experiment "outage": a fleet under load, all of whose machines are rebooted in some order."""
 
 from __future__ import annotations
 
@@ -33,36 +33,36 @@
 from .runners import reap_children
 
 LOAD = 0.7
-"""Of the fleet's capacity."""
+"""Load as a share of the fleet's capacity."""
 KEYED_CLASS = "submit"
 FIXED_INTERVAL_S = 7.0
-"""Between two reboots in a fixed order."""
+"""Interval between two reboots in the fixed order."""
 MAX_PLAY_S = 150.0
 IDLE_PLAY_S = 45.0
-"""Of a play in which no machine is rebooted."""
+"""Duration of a play in which no machine is rebooted."""
 LOSS_AT_S = 20.0
 PARTITION_AT_S = 15.0
 PARTITION_UNTIL_S = 20.0
 MAINTENANCE_ID = "all"
 PROBE_INTERVAL_S = 0.5
 _LEAD_S = 5.0
-"""Of load before the first reboot."""
+"""Time under load before the first reboot."""
 _SETTLING_S = 4.0
-"""After the load's end, for answers still to come."""
+"""Time after the end of the load for outstanding answers."""
 _TRACE_INTERVAL_S = 0.5
 
 
 class RebootOrder(enum.Enum):
-    """How machines are rebooted, and what befalls the fleet meanwhile."""
+    """How the machines are rebooted, and which fault happens meanwhile."""
 
     NONE = "nobody"
     COORDINATED = "settled"
-    """By the order that the runners settle among themselves."""
+    """In the order that the runners coordinate."""
     AT_ONCE = "at once"
     BY_HEALTH = "health"
-    """One after the other by a script that asks only for health."""
+    """One after the other, by a script that checks only their health."""
     FIXED = "fixed"
-    """In a fixed order with a fixed wait."""
+    """In a fixed order at fixed intervals."""
     NONE_WITH_LOSS = "nobody lost"
     COORDINATED_WITH_LOSS = "lost"
     NONE_WITH_PARTITION = "nobody cut"
@@ -70,7 +70,7 @@
 
     @property
     def is_coordinated(self) -> bool:
-        """Whether the runners settle the order."""
+        """Whether the runners coordinate the order."""
         return self in (
             RebootOrder.COORDINATED,
             RebootOrder.COORDINATED_WITH_LOSS,
@@ -84,29 +84,29 @@
 
     @property
     def has_loss(self) -> bool:
-        """Whether a runner is lost unasked."""
+        """Whether a runner fails unexpectedly."""
         return self in (RebootOrder.NONE_WITH_LOSS, RebootOrder.COORDINATED_WITH_LOSS)
 
     @property
     def has_partition(self) -> bool:
-        """Whether the network is cut in two for a while."""
+        """Whether the network is partitioned for a while."""
         return self in (RebootOrder.NONE_WITH_PARTITION, RebootOrder.COORDINATED_WITH_PARTITION)
 
 
 class OutageResult(msgspec.Struct):
-    """What came of one play; the serialized names are those of the experiment's figures.
+    """Result of one play; the serialized names are those of the experiment's figures.
 
     Attributes:
-        served_share: of the value asked for.
-        requests: all.
-        counts: requests by outcome.
-        failed: requests that were lost, failed or reached nobody.
-        executed_twice: keyed requests that were begun more than once.
-        max_machines_down: at a time.
-        reboots: machines that came back.
-        duration_s: until all were back.
-        slot_times_s: how long each runner held its slot.
-        lines: machines down, and requests in flight a core, over time.
+        served_share: Share of the requested value that was served in time.
+        requests: Number of all requests.
+        counts: Number of requests by outcome.
+        failed: Number of requests that were lost, failed or reached no runner.
+        executed_twice: Number of keyed requests that were executed more than once.
+        max_machines_down: Largest number of machines that were down at the same time.
+        reboots: Number of machines that were rebooted and are serving again.
+        duration_s: Seconds until all reboots were done.
+        slot_times_s: Seconds for which each runner held its slot.
+        lines: Machines down, and requests in flight per core, over time.
     """
 
     served_share: float = msgspec.field(name="served")
@@ -122,12 +122,12 @@
 
     @property
     def requests_not_served(self) -> float:
-        """Those that were not served in time."""
+        """Number of requests that were not served in time, estimated by their value."""
         return (1 - self.served_share) * self.requests
 
 
 class OutageArm:
-    """One play, in a process of its own."""
+    """One play, in a separate process."""
 
     def __init__(self, reactor: Any, seed: int, order: RebootOrder) -> None:
         self.reactor = reactor
@@ -177,7 +177,7 @@
         await _gather(self._reboot_when_granted(index) for index in range(RUNNERS))
 
     async def _reboot_when_granted(self, index: int) -> None:
-        """As a script on the machine that waits for its slot."""
+        """Wait for the machine's slot, then reboot it, as a script on the machine does."""
         request = {"id": MAINTENANCE_ID, "for_s": 5}
         granted = False
         while not granted:
@@ -199,17 +199,17 @@
         await self._fleet.reboot(index)
 
     async def _watch_slots(self) -> None:
-        """Note how long each runner holds its slot, from its grant on."""
+        """Record how long each runner holds its slot, starting at the grant."""
         granted_at: dict[str, float] = {}
         while len(self._slot_times_s) < RUNNERS:
             for index in range(RUNNERS):
                 schedule = await self._fleet.request_admin(index, "outage", method="GET", timeout_s=1)
                 if schedule.get("current"):
-                    self._note_slots(granted_at, {slot["seat"] for slot in schedule["turns"]})
+                    self._record_slots(granted_at, {slot["seat"] for slot in schedule["turns"]})
                     break
             await self._fleet.pause(0.1)
 
-    def _note_slots(self, granted_at: dict[str, float], seats: set[str]) -> None:
+    def _record_slots(self, granted_at: dict[str, float], seats: set[str]) -> None:
         for seat in seats - granted_at.keys():
             granted_at[seat] = self.now
         for seat in [seat for seat in granted_at if seat not in seats]:
@@ -218,7 +218,7 @@
     def _schedule_faults(self) -> None:
         fleet = self._fleet
         if self.order.has_loss:
-            self.reactor.callLater(LOSS_AT_S, lambda: Deferred.fromCoroutine(fleet.lose_runner()))
+            self.reactor.callLater(LOSS_AT_S, lambda: Deferred.fromCoroutine(fleet.fail_runner()))
         elif self.order.has_partition:
             self.reactor.callLater(PARTITION_AT_S, fleet.set_partition, True)
             self.reactor.callLater(PARTITION_UNTIL_S, fleet.set_partition, False)
@@ -226,7 +226,7 @@
     # ---- the play ----
 
     async def play(self) -> OutageResult:
-        """Play it; the processes go on until `close`."""
+        """Play the arm; its processes run until `close`."""
         await self._fleet.begin()
         seconds = IDLE_PLAY_S if self.order.reboots_nothing else MAX_PLAY_S
         rate = LOAD * RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
@@ -281,7 +281,7 @@
         )
 
     def close(self) -> None:
-        """Stop probes and requests, end the fleet."""
+        """Stop probes and requests, and end the fleet."""
         if self._trace_timer is not None:
             self._trace_timer.cancel()
         for prober in self._probers:
@@ -292,12 +292,12 @@
 
 
 def _gather(coroutines: Iterable[Coroutine[Any, Any, None]]) -> Deferred[Any]:
-    """All of them side by side."""
+    """Run the coroutines concurrently."""
     return gatherResults([Deferred.fromCoroutine(coroutine) for coroutine in coroutines])
 
 
 def main(seed: int, order: RebootOrder, path: Path) -> None:
-    """Play one arm in this process, and write its result."""
+    """Play one arm in this process and write its result to `path`."""
     from ..server import reactor as loop
 
     reactor = loop.install()
@@ -316,5 +316,6 @@
     reactor.run(installSignalHandlers=False)
 
 
-if __name__ == "__main__":  # an arm: eight runners and their kernels take a loop of their own
+# Each arm runs in its own process, since eight runners and their kernels need an event loop of their own.
+if __name__ == "__main__":
     main(int(sys.argv[1]), RebootOrder(sys.argv[2]), Path(sys.argv[3]))
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the experiment "outage": eight runners whose machines can be rebooted, lost and cut off."""
+"""The fleet of the experiment "outage": eight runners whose machines can be rebooted, killed and partitioned."""
 
 from __future__ import annotations
 
@@ -29,22 +29,26 @@
 ]
 TENANTS = ["north", "south"]
 REBOOT_S = 3.0
-"""For how long a machine is down."""
+"""How long a machine is down during a reboot."""
 WARM_UP_S = 2.0
 COLD_SPEED = 0.5
 STOP_TIMEOUT_S = 4.2
-"""After which a runner that was told to leave is killed."""
-LOST_FOR_S = 6.0
+"""Time after SIGTERM until a runner that is still running is killed."""
+FAILURE_DURATION_S = 6.0
 HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 250.0\nclimb_s = 2.0"
 
 
 class OutageFleet:
-    """Runners with a kernel each, and a relay for each of their links.
+    """Runners with a kernel each, and a relay for each link between them.
 
-    :param coordinated: whether the runners settle an order of maintenance.
-    :ivar down: machines that may be rebooted, or are not yet back.
-    :ivar max_down: machines that were down at a time.
-    :ivar reboots: machines that were rebooted and came back.
+    :param coordinated: Whether the runners coordinate the order of maintenance.
+
+    Attributes:
+        down: Indexes of the machines that are being rebooted.
+        max_down: Largest number of machines that were down at the same time.
+        reboots: Number of machines that were rebooted and are serving again.
+        kernels: The kernel of each runner.
+        runners: The runners.
     """
 
     def __init__(self, reactor: Any, coordinated: bool) -> None:
@@ -97,7 +101,7 @@
         return runners
 
     def _write_machine_id(self, index: int, start: int) -> None:
-        """It changes with each start of the machine."""
+        """Write the file that identifies the machine and the number of its start."""
         (self._folder / f"m{index}").write_text(f"start {start}")
 
     def _fleet_toml(self, index: int) -> str:
@@ -109,7 +113,7 @@
             f'[[fleet.seat]]\nname = "r{other}"\nzone = "z{other % ZONES}"\naddress = "{HOST}:{port}"\n'
             for other, port in enumerate(ports)
         )
-        # A machine that starts anew has its disk.
+        # The journal is on the machine's disk, which a reboot preserves.
         fleet = (
             f'[fleet]\nlisten = "{HOST}:{self._ports[index]}"\nname = "lab"\n'
             f'journal = "{self._folder}/j{index}"\n{seats}'
@@ -128,7 +132,10 @@
     async def request_admin(
         self, index: int, path: str, sent: Any = None, method: str = "POST", timeout_s: float = 6
     ) -> Any:
-        """The JSON of a reply, {} where none came or it is an error."""
+        """Send an administration request.
+
+        :returns: The decoded JSON of the reply, or {} if there is no reply or it is an error.
+        """
         body = None if sent is None else json.dumps(sent).encode()
         reply = await request_admin(self.runners[index].admin, path, method, body, timeout_s)
         return reply.decode() if reply.succeeded else {}
@@ -146,7 +153,7 @@
         return await self.request_admin(index, "standing", method="GET")
 
     async def is_routable(self, index: int) -> bool:
-        """Whether it says that balancers may send to it."""
+        """Return whether a runner reports that balancers may send it requests."""
         return bool((await self._health_report(index)).get("routable"))
 
     async def _is_serving(self, index: int) -> bool:
@@ -155,7 +162,7 @@
     # ---- reboots ----
 
     async def reboot(self, index: int) -> None:
-        """Stop the runner, in order as far as it ends in time; then the machine is down, and starts cold."""
+        """Stop the runner, gracefully if it ends in time, keep its machine down, then start it with a cold kernel."""
         self.down.add(index)
         self.max_down = max(self.max_down, len(self.down))
         await self._stop_runner(index)
@@ -180,20 +187,20 @@
             kill_timer.cancel()
 
     def _start_machine(self, index: int, start: int) -> None:
-        """A cold kernel on the port of the former one, and a runner."""
-        former = self.kernels[index]
+        """Start a cold kernel on the port of the previous one, and the runner."""
+        previous = self.kernels[index]
         kernel = self._create_kernel(cold=True)
         kernel.close()
-        kernel.runs.extend(former.runs)
-        kernel.listen(former.port)
+        kernel.runs.extend(previous.runs)
+        kernel.listen(previous.port)
         self.kernels[index] = kernel
         self._write_machine_id(index, start)
         self.runners[index].start_process()
 
     # ---- faults ----
 
-    async def lose_runner(self) -> None:
-        """Kill the last one that is up; it comes back after a while."""
+    async def fail_runner(self) -> None:
+        """Kill the last runner that is up, and its kernel; restart both after `FAILURE_DURATION_S`."""
         index = next(
             index
             for index in reversed(range(RUNNERS))
@@ -201,22 +208,22 @@
         )
         self.runners[index].signal("KILL")
         self.kernels[index].close()
-        await self.pause(LOST_FOR_S)
+        await self.pause(FAILURE_DURATION_S)
         self._start_machine(index, 1)
 
     def set_partition(self, silent: bool) -> None:
-        """Between runners of even and of odd number."""
+        """Begin or end a partition between the runners of even and of odd index."""
         for (source, target), relay in self._relays.items():
             if source % 2 != target % 2:
                 relay.silence(silent)
 
     def close(self) -> None:
-        """Kill all runners, close kernels and relays, remove their files."""
+        """Kill all runners, close kernels and relays, and remove their files."""
         for runner in self.runners:
             runner.comes_back = False
             runner.signal(signal.SIGCONT)
             runner.signal("KILL")
-        closed: list[Any] = [*self.kernels, *self._relays.values()]
-        for each in closed:
-            each.close()
+        components: list[Any] = [*self.kernels, *self._relays.values()]
+        for component in components:
+            component.close()
         self._temporary.cleanup()
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -1,4 +1,4 @@
-"""A pool of servers in virtual time: servers with faults, calls that arrive whatever happens, several ways to route."""
+"""Simulation of a pool of servers in virtual time: servers with faults, open-loop arrivals, several routing methods."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 US_PER_MS = 1_000
 US_PER_S = 1_000_000
 _FAULTY_REPLY_US = 1 * US_PER_MS
-"""Until a server that fails or rejects at once has replied."""
+"""Time that a server takes to reply to a call that it fails or rejects at once."""
 _SERVICE_TIME_MU = -0.125
 _SERVICE_TIME_SIGMA = 0.5
-"""Of the lognormal service time; its mean is 1."""
+"""Parameters of the lognormal distribution of service times, which has a mean of 1."""
 
 
 class FaultKind(enum.Enum):
@@ -43,9 +43,9 @@
     SLOW = "slow"
     HANG = "hang"
     FAIL = "fail"
-    """It fails each call at once, after it has begun it."""
+    """Starts each call, then fails it at once."""
     REJECT = "turn"
-    """It rejects each call at once, and has not begun it."""
+    """Rejects each call at once, without starting it."""
 
 
 @dataclass(slots=True)
@@ -53,9 +53,10 @@
     """A fault of a server.
 
     Attributes:
-        since_s: when it begins.
-        until_s: when it ends.
-        factor: how many times as long the calls of a slow server take.
+        kind: How the server behaves.
+        since_s: Time at which the fault begins, in seconds.
+        until_s: Time at which the fault ends, in seconds.
+        factor: Factor by which the calls of a slow server take longer.
     """
 
     kind: FaultKind
@@ -65,16 +66,16 @@
 
 
 class QueuedAttempt(NamedTuple):
-    """An attempt that waits for a slot of its server."""
+    """An attempt that is queued for a slot of its server."""
 
     attempt_id: int
     work_us: float
 
 
 class SimulatedServer:
-    """One server: `slots` calls at work at a time, the rest waits.
+    """A server that executes up to `slots` calls at a time and queues the others.
 
-    :param service_time_ms: the mean.
+    :param service_time_ms: Mean service time.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         self.queue: deque[QueuedAttempt] = deque()
 
     def fault_at(self, now: int) -> FaultKind | None:
-        """The fault that it has at a time in us."""
+        """Return the kind of fault that the server has at a time in us."""
         fault = self.fault
         if fault is not None and fault.since_s <= now / US_PER_S < fault.until_s:
             return fault.kind
@@ -100,13 +101,13 @@
 
     LOAD_BALANCER = "tier"
     RANDOM = "plain"
-    """To any server at random, as behind a proxy that hands calls out."""
+    """To a random server, as behind a proxy without knowledge of the servers' state."""
     ROUND_ROBIN = "round"
 
 
 @dataclass(slots=True)
 class _Call:
-    """A call without an answer."""
+    """A call that has not been answered yet."""
 
     arrived_us: int
     keyed: bool
@@ -121,11 +122,11 @@
 
 
 @dataclass(slots=True)
-class _Draws:
-    """What was drawn of a call, and how often servers began it."""
+class _CallWork:
+    """Work of a call, relative to the mean, and how many times servers started to execute it."""
 
     work: float
-    began: int = 0
+    executions: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,11 +134,11 @@
     """The calls of one caller.
 
     Attributes:
-        rate: calls a second.
-        seconds: for how long they arrive.
-        latency_objective_ms: answered later, a call is not in time.
-        deadline_ms: after which the caller gives up.
-        keyed_share: of calls with an idempotency key.
+        rate: Calls per second.
+        seconds: Duration of the arrivals.
+        latency_objective_ms: Latency up to which an answer is in time.
+        deadline_ms: Time after which the caller gives up.
+        keyed_share: Share of calls with an idempotency key.
     """
 
     rate: float = 150.0
@@ -148,13 +149,13 @@
 
 
 class PoolSimulation:
-    """One caller's calls against the servers.
+    """Simulation of one caller's calls to the servers.
 
-    :param seed: of arrivals and service times: the same for every method.
-    :param prepare: changes the load balancer before the first call.
-    :param events: what happens, with the time in s.
-    :param method_seed: of what the method itself draws.
-    :param bin_s: length of the bins of the statistics.
+    :param seed: Seed of arrivals and service times; they are the same for every method.
+    :param prepare: Changes the load balancer before the first call.
+    :param events: Actions on the simulation, with their time in seconds.
+    :param method_seed: Seed of the random choices of the routing method.
+    :param bin_s: Length of the bins of the statistics, in seconds.
     """
 
     def __init__(
@@ -182,7 +183,7 @@
         self._event_numbers = itertools.count()
         self._attempt_ids = itertools.count(1 << 40)
         self._calls: dict[int, _Call] = {}
-        self._draws: dict[int, _Draws] = {}
+        self._call_work: dict[int, _CallWork] = {}
         self._attempts: dict[int, _Attempt] = {}
         self._timer_at: int | None = None
         self.load_balancer = LoadBalancer(
@@ -201,7 +202,7 @@
         heapq.heappush(self._events, (self.now + delay_us, next(self._event_numbers), action))
 
     def run(self) -> CallStatistics:
-        """Play until nothing is left to happen."""
+        """Run until there are no more events."""
         self._arrive(0)
         while self._events:
             self.now, _, action = heapq.heappop(self._events)
@@ -218,7 +219,7 @@
         gap_us = round(self._rng.expovariate(self.load.rate) * US_PER_S)
         self._schedule(gap_us, lambda: self._arrive(call_id + 1))
         keyed = self._rng.random() < self.load.keyed_share
-        self._draws[call_id] = _Draws(self._rng.lognormvariate(_SERVICE_TIME_MU, _SERVICE_TIME_SIGMA))
+        self._call_work[call_id] = _CallWork(self._rng.lognormvariate(_SERVICE_TIME_MU, _SERVICE_TIME_SIGMA))
         self._calls[call_id] = _Call(self.now, keyed)
         self.statistics.record_arrival(self.now)
         deadline_us = round(self.load.deadline_ms * US_PER_MS)
@@ -250,7 +251,7 @@
             self._cancel(attempt_id)
 
     def execute(self, instructions: list[Instruction]) -> None:
-        """What the load balancer has decided."""
+        """Execute instructions of the load balancer."""
         for instruction in instructions:
             if isinstance(instruction, SendAttempt):
                 server = self.servers[instruction.endpoint]
@@ -271,7 +272,7 @@
             self.statistics.record_answer(call.arrived_us, latency_ms, in_time)
 
     def _arm_timer(self) -> None:
-        """One event for the load balancer's earliest time, as a link has one alarm."""
+        """Schedule an event for the load balancer's earliest timer, as a link does with its single timer."""
         due = self.load_balancer.next_timer()
         if due is not None and (self._timer_at is None or due < self._timer_at):
             self._timer_at = due
@@ -294,17 +295,17 @@
             if failed:
                 self._count_execution(call_id)
             return
-        work_us = self._draws[call_id].work * server.service_time_us
+        work_us = self._call_work[call_id].work * server.service_time_us
         if len(server.busy) < server.slots:
             self._begin(attempt_id, server, work_us)
         else:
             server.queue.append(QueuedAttempt(attempt_id, work_us))
 
     def _count_execution(self, call_id: int) -> None:
-        draws = self._draws[call_id]
-        draws.began += 1
+        call_work = self._call_work[call_id]
+        call_work.executions += 1
         call = self._calls.get(call_id)
-        if call is not None and call.keyed and draws.began > 1:
+        if call is not None and call.keyed and call_work.executions > 1:
             self.statistics.executed_twice += 1
 
     def _begin(self, attempt_id: int, server: SimulatedServer, work_us: float) -> None:
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -1,4 +1,4 @@
-"""The experiment "takeover": six runners under load, some of which are lost, as a fleet and without it, by seed."""
+"""The experiment "takeover": six runners under load, some of which fail, as a fleet and as independent runners."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ArmName(NamedTuple):
-    """Which loss at which load, as a fleet or without it."""
+    """Name of an arm: the loss and the load, and whether the runners form a fleet."""
 
     case: str
     in_fleet: bool
 
 
 Results = dict[ArmName, list[TakeoverResult]]
-"""Of each arm, by seed."""
+"""Results of each arm, one for each seed."""
 
 
 async def _play(reactor: Any, quick: bool, seed: int, log: Log) -> Result:
@@ -28,13 +28,13 @@
             for one_seed in range(seed, seed + (1 if quick else 10)):
                 await _play_arms(results, reactor, one_seed, load, loss, log)
     result = Result()
-    for name, every in results.items():
-        figures = [each.figures() for each in every]
+    for name, outcomes in results.items():
+        figures = [outcome.figures() for outcome in outcomes]
         result.figures[f"{name.case}, fleet {'on' if name.in_fleet else 'off'}"] = {
-            key: sum(each[key] for each in figures) / len(figures) for key in figures[0]
+            key: sum(play_figures[key] for play_figures in figures) / len(figures) for key in figures[0]
         }
         if name.in_fleet:
-            judge_fleet(result, name.case, every, results.get(ArmName(name.case, False)))
+            judge_fleet(result, name.case, outcomes, results.get(ArmName(name.case, False)))
     return result
 
 
@@ -50,56 +50,56 @@
 
 
 def judge_fleet(
-    result: Result, case: str, every: list[TakeoverResult], without_fleet: list[TakeoverResult] | None
+    result: Result, case: str, outcomes: list[TakeoverResult], without_fleet: list[TakeoverResult] | None
 ) -> None:
-    """Hold the plays of one case to their criteria.
+    """Add the criteria of one case to the result.
 
-    :param every: the plays as a fleet, at least one.
-    :param without_fleet: the plays of the same seeds without it, None where there are none.
+    :param outcomes: The plays with a fleet, at least one.
+    :param without_fleet: The plays of the same seeds without a fleet, None if there are none.
     """
-    _judge_keyed_requests(result, case, every)
-    executions = _mean([each.executions_per_served for each in every])
+    _judge_keyed_requests(result, case, outcomes)
+    executions = _mean([outcome.executions_per_served for outcome in outcomes])
     result.add_criterion(
         f"{case}: runs for one served", f"{executions:.2f}", "at most 1.1", executions <= 1.1
     )
-    median_s = _median_takeover_s(every)
+    median_s = _median_takeover_s(outcomes)
     result.add_criterion(
         f"{case}: time to the first takeover", f"{median_s:.2f} s", "under 1 s", median_s < 1.0
     )
     if without_fleet is not None:
-        others = _mean([each.others_served for each in every])
-        others_without = _mean([each.others_served for each in without_fleet])
+        others_served = _mean([outcome.others_served for outcome in outcomes])
+        others_served_without = _mean([outcome.others_served for outcome in without_fleet])
         result.add_criterion(
             f"{case}: what survivors serve of the rest",
-            f"{others:.3f} with, {others_without:.3f} without",
+            f"{others_served:.3f} with, {others_served_without:.3f} without",
             "within 0.01 of it",
-            others >= others_without - 0.01,
+            others_served >= others_served_without - 0.01,
         )
 
 
-def _judge_keyed_requests(result: Result, case: str, every: list[TakeoverResult]) -> None:
-    tokens = sum(each.tokens for each in every)
-    executed_twice = sum(each.executed_twice for each in every)
+def _judge_keyed_requests(result: Result, case: str, outcomes: list[TakeoverResult]) -> None:
+    tokens = sum(outcome.tokens for outcome in outcomes)
+    executed_twice = sum(outcome.executed_twice for outcome in outcomes)
     result.add_criterion(f"{case}: begun twice", f"{executed_twice} of {tokens}", "none", executed_twice == 0)
-    held = sum(each.held_at_loss for each in every)
-    held_served = sum(each.held_served * each.held_at_loss for each in every)
-    if held and not case.startswith(Loss.CUT.value):
+    queued = sum(outcome.queued_at_loss for outcome in outcomes)
+    queued_served = sum(outcome.queued_served * outcome.queued_at_loss for outcome in outcomes)
+    if queued and not case.startswith(Loss.CUT.value):
         result.add_criterion(
             f"{case}: held at the loss, served in time",
-            f"{held_served:.0f} of {held}",
+            f"{queued_served:.0f} of {queued}",
             "0.9",
-            held_served >= 0.9 * held,
+            queued_served >= 0.9 * queued,
         )
-    open_at_loss = sum(each.open_at_loss for each in every)
-    without_outcome = sum(each.without_outcome for each in every)
+    open_at_loss = sum(outcome.open_at_loss for outcome in outcomes)
+    without_outcome = sum(outcome.without_outcome for outcome in outcomes)
     result.add_criterion(
         f"{case}: without an ending", f"{without_outcome} of {open_at_loss}", "none", without_outcome == 0
     )
 
 
-def _median_takeover_s(every: list[TakeoverResult]) -> float:
-    """The upper median of the time to the first takeover; a play without a takeover counts as infinite."""
-    takeovers_s = sorted(each.takeover_s if each.has_takeover else math.inf for each in every)
+def _median_takeover_s(outcomes: list[TakeoverResult]) -> float:
+    """Return the upper median of the time to the first takeover; a play without a takeover counts as infinite."""
+    takeovers_s = sorted(outcome.takeover_s if outcome.has_takeover else math.inf for outcome in outcomes)
     return takeovers_s[len(takeovers_s) // 2]
 
 
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -1,4 +1,4 @@
-"""One play of the experiment "takeover": six runners under load, their callers, and the loss of some."""
+"""One play of the experiment "takeover": six runners under load, their callers, and the failure of some runners."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 KEYED_CLASS = CLASSES[1]
 TENANTS = ["north", "south"]
 LOAD_S = 9.0
-LOST_AT_S = 3.0
-STOPPED_S = 3.0
-"""For how long a stopped runner stands still."""
+FAILURE_AT_S = 3.0
+SUSPENSION_S = 3.0
+"""How long a runner is suspended by SIGSTOP."""
 CALLER_TIMEOUT_S = 2.0
-"""After which a caller tries the next runner."""
+"""Time after which a caller sends its request to the next runner."""
 RETRY_AFTER_LOSS_S = 0.2
 RETRY_AFTER_REJECTION_S = 0.4
 BURST_SIZE = 10
 BURST_SERVICE_TIME_MS = 4 * SERVICE_TIME_MS
-LOSABLE_RUNNERS = (1, 4)
-"""One or both are lost; all of them get a burst before, so that there is something to be lost."""
+FAILING_RUNNERS = (1, 4)
+"""Indexes of the runners of which one or both fail. Both receive a burst before, so that they have queued requests."""
 _BURST_LEAD_S = 0.1
 _WATCH_INTERVAL_S = 0.02
 _SETTLING_S = 5.0
@@ -50,21 +50,21 @@
 
 
 class Loss(enum.Enum):
-    """What befalls some of the runners."""
+    """Which failure some of the runners have."""
 
     ONE_KILLED = "one"
     TWO_KILLED = "two"
     STOPPED = "stopped"
-    """It stands still for a while, and goes on."""
+    """The process is suspended for a while, then continues."""
     CUT = "cut"
-    """Its links to the others are silent."""
+    """The links to the other runners deliver nothing."""
 
 
 class TakeoverArm:
-    """One play.
+    """One play of an arm.
 
-    :param load: share of the fleet's capacity.
-    :param in_fleet: whether the runners are a fleet, which takes over the work of lost ones.
+    :param load: Load as a share of the fleet's capacity.
+    :param in_fleet: Whether the runners form a fleet, which takes over the work of failed runners.
     """
 
     def __init__(self, reactor: Any, seed: int, load: float, in_fleet: bool, loss: Loss) -> None:
@@ -96,15 +96,16 @@
         rate = load * RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
         self._arrivals = draw_arrivals(seed, CLASSES, TENANTS, rate, LOAD_S)
         self._requests: list[CallerRequest] = []
-        self._request_of: dict[str, CallerRequest] = {}
-        self._lost: list[int] = []
+        self._request_by_id: dict[str, CallerRequest] = {}
+        self._failed_runners: list[int] = []
         self._open_at_loss: list[CallerRequest] = []
-        self._begun_at_lost: set[str] = set()
-        self._taken_over_at: float | None = None
+        # Idempotency keys of the requests that the failed runners had started.
+        self._started_at_failed: set[str] = set()
+        self._takeover_at: float | None = None
         self._began_us = 0
 
     def _create_relays(self) -> dict[tuple[int, int], Relay]:
-        """From each runner to each other."""
+        """Create a relay from each runner to each of the others."""
         return {
             (source, target): Relay(self.reactor, self._fleet_ports[target])
             for source in range(RUNNERS)
@@ -136,7 +137,7 @@
         return await request_admin(port, path, method, timeout_s=_ADMIN_TIMEOUT_S)
 
     async def play(self) -> TakeoverResult:
-        """Play it, end all processes."""
+        """Play the arm and end all its processes."""
         for index in range(RUNNERS):
             while b'"kernel_up": true' not in (await self._request_admin(index, "status")).body:
                 await self._pause(0.1)
@@ -144,8 +145,8 @@
             await self._pause(0.2)
         await self._pause(0.5)
         self._began_us = now_us()
-        self.reactor.callLater(LOST_AT_S - _BURST_LEAD_S, self._send_burst)
-        self.reactor.callLater(LOST_AT_S, self._lose_runners)
+        self.reactor.callLater(FAILURE_AT_S - _BURST_LEAD_S, self._send_burst)
+        self.reactor.callLater(FAILURE_AT_S, self._fail_runners)
         for arrival in self._arrivals:
             if arrival.at_s > self.now:
                 await self._pause(arrival.at_s - self.now)
@@ -159,24 +160,24 @@
     def _send(self, arrival: Arrival, runner: int) -> None:
         request = CallerRequest(arrival, arrival.token or "", self.now)
         self._requests.append(request)
-        self._try(request, runner)
+        self._attempt(request, runner)
 
     def _send_burst(self) -> None:
-        """Keyed work beyond what a runner's cores take at once, so that there is something to be lost."""
+        """Send more keyed requests than a runner's cores execute at once, so that some are queued at the failure."""
         body = f"work {BURST_SERVICE_TIME_MS:.1f}".encode()
-        for runner in LOSABLE_RUNNERS:
+        for runner in FAILING_RUNNERS:
             for _ in range(BURST_SIZE):
                 token = f"{self._rng.getrandbits(64):016x}"
                 self._send(Arrival(self.now, KEYED_CLASS, TENANTS[0], body, token), runner)
 
-    def _try(self, request: CallerRequest, runner: int) -> None:
-        """Send it, with the same key as before."""
+    def _attempt(self, request: CallerRequest, runner: int) -> None:
+        """Send the request to a runner, with the same idempotency key as in earlier attempts."""
         if request.outcome or self.now - request.sent_at > request.deadline_s:
             return
         request.runners.append(runner)
-        tries = len(request.runners)
-        request_id = f"{len(self._requests):06x}.{tries}.{self._rng.getrandbits(32):08x}"
-        self._request_of[request_id] = request
+        attempts = len(request.runners)
+        request_id = f"{len(self._requests):06x}.{attempts}.{self._rng.getrandbits(32):08x}"
+        self._request_by_id[request_id] = request
         timer = self.reactor.callLater(CALLER_TIMEOUT_S, lambda: self._try_next(request, runner))
 
         def on_outcome(outcome: str) -> None:
@@ -188,48 +189,51 @@
         self._clients[runner].send(request.arrival, request_id, on_outcome)
 
     def _outcome_received(self, request: CallerRequest, runner: int, outcome: str) -> None:
-        if outcome in ("lost", "unreached") and runner in self._lost:
+        if outcome in ("lost", "unreached") and runner in self._failed_runners:
             self.reactor.callLater(RETRY_AFTER_LOSS_S, lambda: self._try_next(request, runner))
-        elif outcome == "refused" and request.token and self.now > LOST_AT_S:
+        elif outcome == "refused" and request.token and self.now > FAILURE_AT_S:
             self.reactor.callLater(RETRY_AFTER_REJECTION_S, lambda: self._try_next(request, runner))
         else:
             request.outcome = outcome
             request.ended_at = self.now
 
     def _try_next(self, request: CallerRequest, runner: int) -> None:
-        """At the next runner that is not lost."""
+        """Send the request to the next runner that has not failed."""
         if request.outcome:
             return
         following = [*range(runner + 1, RUNNERS), *range(RUNNERS)]
-        self._try(request, next(index for index in following if index not in self._lost))
+        self._attempt(request, next(index for index in following if index not in self._failed_runners))
 
     # ---- the loss ----
 
-    def _lose_runners(self) -> None:
-        losses = len(LOSABLE_RUNNERS) if self.loss is Loss.TWO_KILLED else 1
-        self._lost = list(LOSABLE_RUNNERS[:losses])
+    def _fail_runners(self) -> None:
+        losses = len(FAILING_RUNNERS) if self.loss is Loss.TWO_KILLED else 1
+        self._failed_runners = list(FAILING_RUNNERS[:losses])
         self._open_at_loss = [
             request
             for request in self._requests
-            if request.token and not request.outcome and request.runners and request.runners[-1] in self._lost
+            if request.token
+            and not request.outcome
+            and request.runners
+            and request.runners[-1] in self._failed_runners
         ]
-        self._begun_at_lost = {
-            self._request_of[run.request_id].token
-            for index in self._lost
+        self._started_at_failed = {
+            self._request_by_id[run.request_id].token
+            for index in self._failed_runners
             for run in self._kernels[index].runs
-            if run.request_id in self._request_of
+            if run.request_id in self._request_by_id
         }
-        for index in self._lost:
-            self._lose_runner(index)
+        for index in self._failed_runners:
+            self._fail_runner(index)
         if self.loss is Loss.STOPPED:
-            self.reactor.callLater(STOPPED_S, self._lost.clear)
+            self.reactor.callLater(SUSPENSION_S, self._failed_runners.clear)
         self._watch_for_takeover()
 
-    def _lose_runner(self, index: int) -> None:
+    def _fail_runner(self, index: int) -> None:
         runner = self._runners[index]
         if self.loss is Loss.STOPPED:
             runner.signal("STOP")
-            self.reactor.callLater(STOPPED_S, runner.signal, signal.SIGCONT)
+            self.reactor.callLater(SUSPENSION_S, runner.signal, signal.SIGCONT)
         elif self.loss is Loss.CUT:
             for link, relay in self._relays.items():
                 if index in link:
@@ -239,17 +243,17 @@
             self._kernels[index].close()
 
     def _watch_for_takeover(self) -> None:
-        held = {request.token for request in self._open_at_loss} - self._begun_at_lost
+        queued = {request.token for request in self._open_at_loss} - self._started_at_failed
         for index, kernel in enumerate(self._kernels):
-            if index in self._lost or self._taken_over_at is not None:
+            if index in self._failed_runners or self._takeover_at is not None:
                 continue
-            if any(self._token_of(run.request_id) in held for run in kernel.runs):
-                self._taken_over_at = self.now
-        if self._taken_over_at is None and self.now < LOAD_S + 4:
+            if any(self._token_of(run.request_id) in queued for run in kernel.runs):
+                self._takeover_at = self.now
+        if self._takeover_at is None and self.now < LOAD_S + 4:
             self.reactor.callLater(_WATCH_INTERVAL_S, self._watch_for_takeover)
 
     def _token_of(self, request_id: str) -> str:
-        request = self._request_of.get(request_id)
+        request = self._request_by_id.get(request_id)
         return "" if request is None else request.token
 
     # ---- the result ----
@@ -260,19 +264,21 @@
         )
         del executions[""]
         keyed = [request for request in self._requests if request.token]
-        held = [request for request in self._open_at_loss if request.token not in self._begun_at_lost]
+        queued = [request for request in self._open_at_loss if request.token not in self._started_at_failed]
         others = [
             request
             for request in self._requests
-            if request.sent_at > LOST_AT_S and not request.token and request.runners[0] not in LOSABLE_RUNNERS
+            if request.sent_at > FAILURE_AT_S
+            and not request.token
+            and request.runners[0] not in FAILING_RUNNERS
         ]
-        takeover_s = -1.0 if self._taken_over_at is None else self._taken_over_at - LOST_AT_S
+        takeover_s = -1.0 if self._takeover_at is None else self._takeover_at - FAILURE_AT_S
         return TakeoverResult(
             tokens=len(keyed),
             executed_twice=sum(count > 1 for count in executions.values()),
             open_at_loss=len(self._open_at_loss),
-            held_at_loss=len(held),
-            held_served=share_served(held),
+            queued_at_loss=len(queued),
+            queued_served=share_served(queued),
             without_outcome=sum(not request.outcome for request in self._open_at_loss),
             executions_per_served=sum(executions.values()) / max(1, count_served(keyed)),
             served=share_served(keyed),
@@ -281,10 +287,10 @@
         )
 
     def close(self) -> None:
-        """Kill all runners, close what they speak with."""
+        """Kill all runners, and close clients, kernels and relays."""
         for runner in self._runners:
             runner.signal(signal.SIGCONT)
             runner.signal("KILL")
-        closed: list[Any] = [*self._clients, *self._kernels, *self._relays.values()]
-        for each in closed:
-            each.close()
+        components: list[Any] = [*self._clients, *self._kernels, *self._relays.values()]
+        for component in components:
+            component.close()
--- a/moorusher/lab/takeover_result.py
+++ b/moorusher/lab/takeover_result.py
@@ -1,4 +1,4 @@
-"""Requests of the experiment "takeover", and what came of them."""
+"""Requests of the experiment "takeover", and their results."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 
 @dataclass(slots=True)
 class CallerRequest:
-    """One request, over all of its tries; times in s from the start.
+    """One request with all of its attempts; times are in seconds since the load began.
 
     Attributes:
-        token: its idempotency key, empty for none.
-        runners: that it was sent to, in order.
-        outcome: empty while it has none.
+        arrival: Arrival that the request belongs to.
+        token: Idempotency key, empty if there is none.
+        sent_at: Time of the first attempt.
+        runners: Indexes of the runners that it was sent to, in order.
+        outcome: Outcome, empty until there is one.
+        ended_at: Time of the outcome.
     """
 
     arrival: Arrival
@@ -26,7 +29,7 @@
 
     @property
     def deadline_s(self) -> float:
-        """From the first try."""
+        """Deadline in seconds from the first attempt."""
         return self.arrival.request_class.deadline_ms / 1000
 
     @property
@@ -37,26 +40,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverResult:
-    """What came of one play.
+    """Result of one play.
 
     Attributes:
-        tokens: keyed requests.
-        executed_twice: keys that were begun more than once.
-        open_at_loss: keyed requests without an answer at the runners that were lost.
-        held_at_loss: those of them that had not begun.
-        held_served: share of these that was served in time.
-        without_outcome: of those open at the loss.
-        executions_per_served: runs for each keyed request served in time.
-        served: share of the keyed requests that was served in time.
-        others_served: the same of later requests without a key, at the other runners.
-        takeover_s: from the loss until another runner began a held request, -1 for never.
+        tokens: Number of keyed requests.
+        executed_twice: Number of keys that were executed more than once.
+        open_at_loss: Number of keyed requests without an answer at the failed runners when they failed.
+        queued_at_loss: Number of the open requests that had not started.
+        queued_served: Share of the queued requests that was served in time.
+        without_outcome: Number of the open requests that never had an outcome.
+        executions_per_served: Runs per keyed request that was served in time.
+        served: Share of the keyed requests that was served in time.
+        others_served: Share served in time of the requests without a key that were sent after the
+            failure to runners that do not fail.
+        takeover_s: Seconds from the failure until another runner started a queued request, -1 if none did.
     """
 
     tokens: int
     executed_twice: int
     open_at_loss: int
-    held_at_loss: int
-    held_served: float
+    queued_at_loss: int
+    queued_served: float
     without_outcome: int
     executions_per_served: float
     served: float
@@ -65,17 +69,17 @@
 
     @property
     def has_takeover(self) -> bool:
-        """Whether another runner ever began a held request."""
+        """Whether another runner ever started a queued request."""
         return self.takeover_s >= 0
 
     def figures(self) -> dict[str, float]:
-        """As they stand in a report."""
+        """Return the figures under their names in the report."""
         return {
             "tokens": self.tokens,
             "begun twice": self.executed_twice,
             "in hand": self.open_at_loss,
-            "held": self.held_at_loss,
-            "held served": self.held_served,
+            "held": self.queued_at_loss,
+            "held served": self.queued_served,
             "no ending": self.without_outcome,
             "runs for one served": self.executions_per_served,
             "served": self.served,
@@ -85,10 +89,10 @@
 
 
 def count_served(requests: list[CallerRequest]) -> int:
-    """Those that were served in time."""
+    """Return the number of requests that were served in time."""
     return sum(request.served_in_time for request in requests)
 
 
 def share_served(requests: list[CallerRequest]) -> float:
-    """Of those that were served in time, 0 where there is no request."""
+    """Return the share of requests that were served in time, 0 if there are no requests."""
     return count_served(requests) / max(1, len(requests))
--- a/moorusher/lab/tier.py
+++ b/moorusher/lab/tier.py
@@ -1,6 +1,6 @@
-"""The experiment "tier": eight servers, one of which hangs, one becomes five times as slow, one fails at once.
+"""The experiment "tier": load balancing over eight servers, one of which hangs, one slows down, and one fails calls.
 
-Also the cost of one choice, and how evenly many runners spread over subsets of many servers.
+It also measures the cost of selecting a server, and how evenly many runners are spread over subsets of many servers.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 )
 
 FAULTS_SINCE_S = 8.0
-"""When all three faults begin."""
+"""Time at which all three faults begin."""
 LOAD = CallLoad(rate=150.0, seconds=30.0)
 SERVER_COUNT = 8
 SPREAD_RUNNERS = 2000
 SPREAD_SERVERS = 500
 SUBSET_SIZE = 20
 POOL_SIZES = (10, 100, 1000)
-"""Servers that the cost of a choice is measured at."""
+"""Numbers of servers for which the cost of a selection is measured."""
 _OTHER_METHOD_SEED = 1000
 
 Statistics = dict[str, list[CallStatistics]]
-"""Of each arm, by seed."""
+"""Statistics of each arm, one for each seed."""
 
 
 class Arm(NamedTuple):
@@ -47,12 +47,12 @@
 
     method: RoutingMethod
     seed_offset: int = 1
-    """From the seed of the arrivals to the seed of what the method draws."""
+    """Difference between the seed of the arrivals and the seed of the method's random choices."""
 
 
 ARMS = {
     "tier": Arm(RoutingMethod.LOAD_BALANCER),
-    # The same calls and servers, and other draws of its own: what two runs of one method differ by.
+    # The same calls and servers with another seed of the method. The difference from "tier" is the noise.
     "again": Arm(RoutingMethod.LOAD_BALANCER, _OTHER_METHOD_SEED),
     "plain": Arm(RoutingMethod.RANDOM),
     "round": Arm(RoutingMethod.ROUND_ROBIN),
@@ -72,11 +72,12 @@
     return share_in_time(statistics.bins[int(FAULTS_SINCE_S) : int(LOAD.seconds)])
 
 
-def _choice_cost_us(server_count: int, rounds: int = 4000) -> float:
-    """Of one choice among so many servers, on this machine: the best of three goes."""
+def _selection_cost_us(server_count: int, rounds: int = 4000) -> float:
+    """Measure the time of one selection among `server_count` servers on this machine: the best of three repetitions."""
     servers = [EndpointConfig(f"s{index}", ("127.0.0.1", 1)) for index in range(server_count)]
     balancer = LoadBalancer(servers, LoadBalancingPolicy(), "r", random.Random(1).random, 0)
-    for call_id in range(1000):  # every server has its figures
+    # Gives every server latency samples before the measurement.
+    for call_id in range(1000):
         now = call_id * 1000
         started = CallStarted(now, call_id, Effect.IDEMPOTENT_WITH_KEY, now + 10**6)
         for instruction in balancer.handle(started):
@@ -92,8 +93,8 @@
     return best_us
 
 
-def _most_runners_of_a_server() -> int:
-    """Of many runners on subsets of many servers."""
+def _max_runners_per_server() -> int:
+    """Return the largest number of runners of one server when many runners use subsets of many servers."""
     endpoints = [
         Endpoint(EndpointConfig(f"s{index}", ("127.0.0.1", 1)), LoadBalancingPolicy(), 0)
         for index in range(SPREAD_SERVERS)
@@ -110,7 +111,7 @@
     statistics: Statistics = {}
     for name, arm in ARMS.items():
         log(
-            f"{name}: {len(seeds)} seeds, {LOAD.seconds:.0f} s of {LOAD.rate:.0f} calls a second in virtual time"
+            f"{name}: {len(seeds)} seeds, {LOAD.seconds:.0f} s of {LOAD.rate:.0f} calls per second in virtual time"
         )
         statistics[name] = [
             PoolSimulation(
@@ -118,21 +119,21 @@
             ).run()
             for one_seed in seeds
         ]
-    result = Result(figures={name: _figures(every) for name, every in statistics.items()})
+    result = Result(figures={name: _figures(plays) for name, plays in statistics.items()})
     _judge_service(result, statistics)
     _judge_attempts(result, statistics)
     _judge_spread(result)
-    _judge_choice_cost(result)
+    _judge_selection_cost(result)
     _add_plots(result, statistics)
     return result
 
 
-def _figures(every: list[CallStatistics]) -> dict[str, Any]:
+def _figures(plays: list[CallStatistics]) -> dict[str, Any]:
     return {
-        "in_time": [_share_in_time_since_faults(each) for each in every],
-        "p99_ms": [each.latency_percentile_ms(0.99) for each in every],
-        "attempts_a_call": [each.attempts_per_call for each in every],
-        "ends": [dict(each.outcomes) for each in every],
+        "in_time": [_share_in_time_since_faults(play) for play in plays],
+        "p99_ms": [play.latency_percentile_ms(0.99) for play in plays],
+        "attempts_a_call": [play.attempts_per_call for play in plays],
+        "ends": [dict(play.outcomes) for play in plays],
     }
 
 
@@ -152,11 +153,11 @@
 
 def _judge_attempts(result: Result, statistics: Statistics) -> None:
     tier = statistics["tier"]
-    attempts = max(each.attempts_per_call for each in tier)
+    attempts = max(play.attempts_per_call for play in tier)
     result.add_criterion("attempts for each call", f"{attempts:.3f}", "1.1", attempts <= 1.1)
     shift_s = max(
-        each.seconds_until_shifted({name}, FAULTS_SINCE_S, 1 / SERVER_COUNT)
-        for each in tier
+        play.seconds_until_shifted({name}, FAULTS_SINCE_S, 1 / SERVER_COUNT)
+        for play in tier
         for name in ("s0", "s1", "s2")
     )
     result.add_criterion(
@@ -172,7 +173,7 @@
         "no more than in turns",
         p99_ms["tier"] <= p99_ms["round"],
     )
-    twice = sum(each.executed_twice for each in tier)
+    twice = sum(play.executed_twice for play in tier)
     result.add_criterion("keyed calls that a server began twice", f"{twice}", "0", twice == 0)
 
 
@@ -181,7 +182,7 @@
 
 
 def _judge_spread(result: Result) -> None:
-    connections = _most_runners_of_a_server()
+    connections = _max_runners_per_server()
     spread = connections / (SPREAD_RUNNERS * SUBSET_SIZE / SPREAD_SERVERS)
     result.add_criterion(
         f"{SPREAD_RUNNERS} runners on {SUBSET_SIZE} of {SPREAD_SERVERS} servers each: largest load over the mean",
@@ -191,8 +192,8 @@
     )
 
 
-def _judge_choice_cost(result: Result) -> None:
-    costs_us = {count: _choice_cost_us(count) for count in POOL_SIZES}
+def _judge_selection_cost(result: Result) -> None:
+    costs_us = {count: _selection_cost_us(count) for count in POOL_SIZES}
     result.figures["us_a_choice"] = costs_us
     result.add_criterion(
         "us a choice at 10, 100 and 1,000 servers",
@@ -205,9 +206,9 @@
 def _add_plots(result: Result, statistics: Statistics) -> None:
     shares = {
         name: [
-            (float(second), each.in_time / each.calls)
-            for second, each in enumerate(statistics[name][0].bins)
-            if each.calls
+            (float(second), arrivals.in_time / arrivals.calls)
+            for second, arrivals in enumerate(statistics[name][0].bins)
+            if arrivals.calls
         ]
         for name in ("tier", "plain", "round")
     }
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -1,6 +1,6 @@
-"""The experiment "warm-start": a new instance over twelve servers, four of them faulty.
+"""The experiment "warm-start": a new instance that balances load over twelve servers, four of them faulty.
 
-It starts cold, with what a running instance has learned, and with what nobody should have told it.
+It starts without knowledge, with the state that a running instance has learned, or with slow, stale or false state.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 SERVER_COUNT = 12
 SLOTS = 24
-"""Calls at work at a time, of each server."""
+"""Calls that each server executes at a time."""
 LOAD = CallLoad(rate=360.0, seconds=12.0)
 BIN_S = 0.25
 DONOR_S = 20.0
-"""For how long a donor has served."""
+"""How long a donor has served before its state is captured."""
 YOUNG_DONOR_S = 5.0
 STALE_AGE_S = 3600
 STEADY_MARGIN = 0.02
-"""Of the share in time below the steady level."""
+"""How far below the steady level the share of calls answered in time may be."""
 EARLY_S = 5
 PLOTTED_S = 8
 SLOW_FACTOR = 15.0
@@ -48,7 +48,7 @@
 FORMER_FAULTS: Faults = {1: FaultKind.SLOW, 3: FaultKind.FAIL, 7: FaultKind.SLOW}
 
 Statistics = dict[str, list[CallStatistics]]
-"""Of each arm, by seed."""
+"""Statistics of each arm, one for each seed."""
 
 
 def _servers(faults: Faults) -> list[SimulatedServer]:
@@ -62,11 +62,11 @@
     ]
 
 
-# ---- what a new instance is told ----
+# ---- learned state that a new instance receives ----
 
 
 def _donor_state(seed: int, seconds: float = DONOR_S, faults: Faults = FAULTS) -> LearnedState:
-    """What an instance that has served for so long has learned."""
+    """Return the state that an instance has learned after serving for `seconds`."""
     load = CallLoad(rate=LOAD.rate, seconds=seconds)
     donor = PoolSimulation(_servers(faults), RoutingMethod.LOAD_BALANCER, seed + _DONOR_SEED_OFFSET, load)
     donor.run()
@@ -74,8 +74,8 @@
     return capture_learned_state("donor", endpoints, donor.now, round(seconds * 1e6))
 
 
-def _of_slow_donor(state: LearnedState) -> LearnedState:
-    """The donor's own loop was slow: all that it measured took four times as long."""
+def _measured_by_slow_donor(state: LearnedState) -> LearnedState:
+    """Return the state that a donor with a slow event loop would have, with four times the latency."""
     endpoints = tuple(
         msgspec.structs.replace(
             endpoint,
@@ -87,8 +87,11 @@
     return msgspec.structs.replace(state, condition=DonorCondition.SLOW, endpoints=endpoints)
 
 
-def _of_lying_donor(state: LearnedState) -> LearnedState:
-    """Healthy is told as ejected, ejected as healthy, slow as fast: by a donor that is named healthy."""
+def _falsified(state: LearnedState) -> LearnedState:
+    """Return a false state: half of the healthy servers ejected, ejected ones healthy, and latencies inverted.
+
+    The reported condition of the donor is unchanged, so nothing reveals that the state is false.
+    """
     endpoints = tuple(
         msgspec.structs.replace(
             endpoint,
@@ -111,25 +114,25 @@
 
 
 def _slow_donor_states(seed: int) -> list[LearnedState]:
-    return [_of_slow_donor(_donor_state(seed))]
+    return [_measured_by_slow_donor(_donor_state(seed))]
 
 
 def _stale_states(seed: int) -> list[LearnedState]:
-    """Other servers were faulty then, and it was an hour ago."""
+    """Return a state that is an hour old and from a time when other servers were faulty."""
     return [_donor_state(seed, faults=FORMER_FAULTS).aged(STALE_AGE_S)]
 
 
-def _lying_states(seed: int) -> list[LearnedState]:
-    return [_of_lying_donor(_donor_state(seed))]
+def _false_states(seed: int) -> list[LearnedState]:
+    return [_falsified(_donor_state(seed))]
 
 
 def _contradicting_states(seed: int) -> list[LearnedState]:
-    honest = _donor_state(seed)
-    return [honest, _of_lying_donor(honest)]
+    state = _donor_state(seed)
+    return [state, _falsified(state)]
 
 
 def _young_donor_states(seed: int) -> list[LearnedState]:
-    """In a rolling deploy donors are new themselves."""
+    """Return the state of a donor that started recently, as donors have in a rolling deployment."""
     return [_donor_state(seed, YOUNG_DONOR_S)]
 
 
@@ -139,16 +142,19 @@
     "warm": _warm_states,
     "slow donor": _slow_donor_states,
     "stale": _stale_states,
-    "lying": _lying_states,
+    "lying": _false_states,
     "two that contradict": _contradicting_states,
     "young donor": _young_donor_states,
 }
-"""What the new instance of each arm is told, by seed. `again` has other draws of its own than `cold`."""
+"""Learned states that the new instance of each arm receives, for a seed.
+
+`again` differs from `cold` only in the seed of the load balancer's random choices, which shows the noise.
+"""
 _ARMS_WITHOUT_DONOR = 2
 
 
 def _new_instance(arm: str, seed: int) -> PoolSimulation:
-    # As it comes over the wire.
+    # Encodes and decodes each state, as happens between a donor and a new instance.
     states = [decode_snapshot(encode_snapshot(state)) for state in ARMS[arm](seed)]
 
     def prepare(balancer: LoadBalancer) -> None:
@@ -166,7 +172,7 @@
     )
 
 
-# ---- what came of it ----
+# ---- results ----
 
 
 def _bins_of_arrivals(statistics: CallStatistics) -> list[ArrivalBin]:
@@ -174,14 +180,17 @@
 
 
 def _shares_by_bin(statistics: CallStatistics) -> list[float]:
-    """The share answered in time, 1 where no call arrived."""
-    return [each.in_time / each.calls if each.calls else 1.0 for each in _bins_of_arrivals(statistics)]
+    """Return the share of calls answered in time in each bin, 1 for a bin without calls."""
+    return [
+        arrivals.in_time / arrivals.calls if arrivals.calls else 1.0
+        for arrivals in _bins_of_arrivals(statistics)
+    ]
 
 
 def _seconds_until_steady(statistics: CallStatistics) -> float:
-    """Until the share answered in time, over a second from then on, stays near the steady level.
+    """Return the time after which the share of calls answered in time remains near the steady level.
 
-    That level is the share of the last third.
+    The share is measured over windows of a second. The steady level is the share in the last third of the arrivals.
     """
     bins = _bins_of_arrivals(statistics)
     steady_level = share_in_time(bins[len(bins) * 2 // 3 :])
@@ -194,8 +203,8 @@
 
 
 def _early_losses(statistics: CallStatistics) -> int:
-    """Calls of the first seconds that were not answered in time."""
-    return sum(each.calls - each.in_time for each in statistics.bins[: round(EARLY_S / BIN_S)])
+    """Return the number of calls of the first `EARLY_S` that were not answered in time."""
+    return sum(arrivals.calls - arrivals.in_time for arrivals in statistics.bins[: round(EARLY_S / BIN_S)])
 
 
 def _upper_median(values: list[float]) -> float:
@@ -208,21 +217,21 @@
     for arm in ARMS:
         log(f"{arm}: {len(seeds)} seeds in virtual time")
         statistics[arm] = [_new_instance(arm, one_seed).run() for one_seed in seeds]
-    result = Result(figures={arm: _figures(every) for arm, every in statistics.items()})
+    result = Result(figures={arm: _figures(plays) for arm, plays in statistics.items()})
     _judge_time_until_steady(result)
     _judge_early_losses(result)
-    twice = sum(each.executed_twice for every in statistics.values() for each in every)
+    twice = sum(play.executed_twice for plays in statistics.values() for play in plays)
     result.add_criterion("keyed calls that a server began twice", f"{twice}", "0", twice == 0)
     lines = {arm: _mean_shares(statistics[arm]) for arm in ("cold", "warm", "lying", "stale")}
     result.plots.append(Plot("answered in time after the start, mean of the seeds", "s", "share", lines))
     return result
 
 
-def _figures(every: list[CallStatistics]) -> dict[str, Any]:
+def _figures(plays: list[CallStatistics]) -> dict[str, Any]:
     return {
-        "steady_after_s": [_seconds_until_steady(each) for each in every],
-        "lost_in_5_s": [_early_losses(each) for each in every],
-        "attempts_a_call": [each.attempts_per_call for each in every],
+        "steady_after_s": [_seconds_until_steady(play) for play in plays],
+        "lost_in_5_s": [_early_losses(play) for play in plays],
+        "attempts_a_call": [play.attempts_per_call for play in plays],
     }
 
 
@@ -242,7 +251,7 @@
     cold = lost["cold"]
     noise = max(abs(a - b) for a, b in zip(cold, lost["again"], strict=True))
     for arm in list(ARMS)[_ARMS_WITHOUT_DONOR:]:
-        worst = max(own - without for own, without in zip(lost[arm], cold, strict=True))
+        worst = max(own - baseline for own, baseline in zip(lost[arm], cold, strict=True))
         result.add_criterion(
             f"{arm}: calls lost in the first 5 s beyond cold, the worst seed",
             f"{worst} (median {_upper_median(lost[arm]):.0f}, cold {_upper_median(cold):.0f})",
@@ -251,10 +260,10 @@
         )
 
 
-def _mean_shares(every: list[CallStatistics]) -> list[tuple[float, float]]:
-    shares = [_shares_by_bin(each) for each in every]
+def _mean_shares(plays: list[CallStatistics]) -> list[tuple[float, float]]:
+    shares_by_seed = [_shares_by_bin(play) for play in plays]
     return [
-        (index * BIN_S, sum(each[index] for each in shares) / len(shares))
+        (index * BIN_S, sum(shares[index] for shares in shares_by_seed) / len(shares_by_seed))
         for index in range(round(PLOTTED_S / BIN_S))
     ]
 
