--- a/moorusher/lab/demand_series.py
+++ b/moorusher/lab/demand_series.py
@@ -23,7 +23,7 @@
 """Demand of an hour without a peak, relative to a highest peak of about 1."""
 _ZONES = ["UTC", "Europe/Copenhagen", "America/New_York"]
 _MIN_INCIDENT_LEAD_H = 30
-"""Least number of hours from the begin of an incident to the end of the history."""
+"""Minimum number of hours from the start of an incident to the end of the history."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +31,10 @@
     """A generated hourly series.
 
     Attributes:
-        kind: Kind of demand, a key of `KINDS`.
+        kind: A key of `KINDS`.
         requests: Requests of each hour, including the week after the history.
         counted: Share of each hour in which requests were counted.
-        calendar: Calendar of the customer.
-        first_hour: First hour, in hours since 1970.
+        first_hour: Hours since 1970.
     """
 
     kind: str
@@ -74,7 +73,6 @@
 
 
 def _day_profile(peaks: list[Peak]) -> Floats:
-    """Return the relative demand of the 24 hours of a day."""
     hours = np.arange(_HOURS_PER_DAY)
     profile = np.full(_HOURS_PER_DAY, _BASE_DEMAND)
     for peak in peaks:
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -1,8 +1,8 @@
 """The experiment "duties": exclusive leadership with fencing tokens, compared with leases that rely on clocks.
 
-Three measurements: the order of effects, on the same seeds with fencing tokens and with clock leases (a leader acts
-without asking while its last majority is recent, and the receiver accepts every effect); the failover time of real
-runners whose leader is killed repeatedly; and large fleets, in virtual time.
+It measures the order of effects on the same seeds with fencing tokens and with clock leases (a leader acts without
+asking while its last majority is recent, and the receiver accepts every effect), the failover time of real runners
+whose leader is killed repeatedly, and large fleets in virtual time.
 """
 
 from __future__ import annotations
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -76,10 +76,7 @@
 
 
 def count_out_of_order(seed: int, clock_leases: bool) -> EffectOrder:
-    """Count effects out of order under pauses, partitions and crashes.
-
-    :param clock_leases: whether leaders rely on clock leases instead of fencing tokens.
-    """
+    """Count effects out of order under faults, with clock leases or fencing tokens."""
     scenario = Scenario(seats=5, keys=0, faults=10, fault_kinds=_FAULT_KINDS)
     simulation = DutySimulation(
         seed,
@@ -115,14 +112,14 @@
     """Figures of a large fleet whose duties are distributed, and a fifth of which then fails.
 
     Attributes:
-        owned: Number of duties with a leader.
-        imbalance: Largest number of duties of a member, divided by the mean.
+        owned: Duties with a leader.
+        imbalance: Most duties of a member, divided by the mean.
         messages_per_member_s: Messages per member and second while the fleet is idle.
-        owned_after_loss: Number of duties with a leader after the failure.
-        expected_after_loss: Number of duties that still have a majority of their replicas.
-        recovery_s: Seconds from the failure until all expected duties have a leader.
+        owned_after_loss: Duties with a leader after the failure.
+        expected_after_loss: Duties that still have a majority of their replicas.
+        recovery_s: Time until all expected duties have a leader again.
         imbalance_after_loss: Imbalance among the remaining members.
-        observed_from_s: Time in seconds at which the count of messages begins.
+        observed_from_s: Start of the count of messages.
     """
 
     owned: int
@@ -149,7 +146,7 @@
 
 
 def simulate_large_fleet(seats: int, duties: int, seed: int) -> LargeFleetResult:
-    """Create duties in a fleet that is already running, count its messages, then fail a fifth of the members."""
+    """Create duties in a running fleet, count its messages, then fail a fifth of the members."""
     is_small = seats <= 100
     warm_up_s = 8.0 if is_small else 30.0
     settling_s = 8.0 if is_small else 20.0
@@ -191,7 +188,6 @@
 
 
 def _message_rate(simulation: DutySimulation) -> float:
-    """Return the messages per second of the whole fleet, counted for `_OBSERVATION_S`."""
     before = simulation.history.messages
     simulation.run(simulation.now + _OBSERVATION_S * SECOND)
     return (simulation.history.messages - before) / _OBSERVATION_S
@@ -200,11 +196,7 @@
 def _fail_members(
     simulation: DutySimulation, participants: list[Participant], lost_count: int, expected: int
 ) -> list[int]:
-    """Fail the first `lost_count` members and wait for recovery.
-
-    :returns: The number of leases of each remaining member once `expected` duties have a leader, or after
-        `_MAX_RECOVERY_S`.
-    """
+    """Fail the first members, wait for `expected` leases or the timeout, and return the remaining lease counts."""
     for process in simulation.processes[:lost_count]:
         process.alive = False
     remaining = participants[lost_count:]
--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -42,13 +42,13 @@
     """A fleet of runners behind balancers.
 
     Attributes:
-        service_time_s: Core time of each request, in seconds.
-        load: Load as a share of the fleet's capacity.
+        service_time_s: Core time of each request.
+        load: Share of the fleet's capacity.
         collapse_runs_per_core: Mean runs per core above which a machine collapses.
         slowed_share: Share of the runners that slow down.
-        slow_factor: Speed of the slowed runners, relative to normal.
-        probe_interval_s: Probe interval of half of the balancers; the others probe twice as often.
-        max_runs_per_core: Connections per core that a machine accepts; requests beyond them are lost.
+        slow_factor: Relative speed of the slowed runners.
+        probe_interval_s: Interval of half of the balancers; the others probe twice as often.
+        max_runs_per_core: Connections per core that a machine accepts; further requests are lost.
     """
 
     runners: int = 1000
@@ -70,17 +70,17 @@
     """Result of a simulated fleet; the serialized names are those of the experiment's figures.
 
     Attributes:
-        collapsed: Number of runners that collapsed.
-        worst_runs_per_core: Highest mean of runs per core of any runner.
-        lost_share: Share of the requests that were lost.
+        collapsed: Runners that collapsed.
+        worst_runs_per_core: Highest mean runs per core of a runner.
+        lost_share: Share of requests lost.
         changes_slowed: Weight changes per minute of a slowed runner.
-        changes_others: Weight changes per minute of a runner that is not slowed.
-        collapsed_slowed: Number of slowed runners that collapsed.
-        largest_fallback: Largest drop of the slowed runners' mean weight while it recovers.
+        changes_others: Weight changes per minute of another runner.
+        collapsed_slowed: Slowed runners that collapsed.
+        largest_fallback: Largest drop of the slowed runners' mean weight during recovery.
         final_weight: Mean weight of the slowed runners at the end.
         changes_at_end: Weight changes per minute of a runner in the last 10 s.
-        runs_lines: Runs per core over time, of the slowed runners and of the others.
-        weights: Mean weight of the slowed runners over time.
+        runs_lines: Runs per core of the slowed and of the other runners.
+        weights: Mean weight of the slowed runners.
     """
 
     collapsed: int = msgspec.field(name="fell")
@@ -202,7 +202,7 @@
         self._reported[runner] = weight
 
     def _receive_requests(self, now_us: int) -> None:
-        """Distribute the arrivals: each balancer has an equal part of the load and routes it by weight."""
+        """Route an equal part of the load by each balancer's weights."""
         weights = self._last_read_weight * self._alive
         total = weights.sum(axis=1, keepdims=True)
         shares = (weights / np.maximum(total, 1e-9)).sum(axis=0)
@@ -273,10 +273,8 @@
 
 
 def _largest_fallback(values: list[float]) -> float:
-    """Return the largest drop below the highest value so far.
-
-    All balancers see the recovery at the same time, so a large drop shows that recovered runners oscillate together.
-    """
+    """Return the largest drop below the highest value so far."""
+    # All balancers see the recovery at the same time, so a large drop shows that recovered runners oscillate together.
     highest = float("-inf")
     largest = 0.0
     for value in values:
@@ -286,7 +284,7 @@
 
 
 def simulate_fleet(scenario: FleetScenario, seed: int, with_report: bool) -> FleetResult:
-    """Simulate a scenario, with or without health reports; the result depends only on the arguments."""
+    """Simulate a scenario; the result depends only on the arguments."""
     return FleetSimulation(scenario, seed, with_report).run()
 
 
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -1,7 +1,7 @@
 """The experiment "forecast": forecasts of generated demand, compared with naive and seasonal references.
 
-Quantiles are compared with the actual demand, and scaling hints with two simple scaling rules. The experiment also
-measures the time and memory that forecasts of many routes take.
+Quantiles are compared with the actual demand, and hints with two simple scaling rules. The time and memory for many
+routes are measured.
 """
 
 from __future__ import annotations
@@ -41,11 +41,10 @@
 _MEASUREMENT_TIMEOUT_S = 600
 
 
+# `forecasting.weekly_forecast` has the forecast that runners make.
 class DrawnWeekForecast(NamedTuple):
     """Forecast and actual demand of the last week of a generated series.
 
-    Runners use the forecast of `forecasting.weekly_forecast` instead.
-
     Attributes:
         quantiles: The quantiles 0.5, 0.9 and 0.99, each for 168 hours.
         last_week: Counted demand in the same hours of the week before.
@@ -103,10 +102,10 @@
     """Accuracy of forecasts over many series.
 
     Attributes:
-        error_ratios: Error divided by that of the same hour of last week, by kind of demand.
-        smoothing_ratios: Error divided by that of exponential smoothing.
-        under_90: Share of the hours whose demand is at most the quantile 0.9, by kind of demand.
-        under_99: Share of the hours whose demand is at most the quantile 0.99.
+        error_ratios: Error relative to that of the same hour of last week, by kind.
+        smoothing_ratios: Error relative to that of exponential smoothing.
+        under_90: Share of hours with demand up to the quantile 0.9, by kind.
+        under_99: Share of hours with demand up to the quantile 0.99.
         lost_shares: Share of lost requests, by plan.
         runner_hours: Runner-hours, by plan.
     """
@@ -119,7 +118,7 @@
     runner_hours: dict[str, list[float]] = field(default_factory=dict)
 
     def add(self, series: DemandSeries, with_reference: bool) -> None:
-        """Forecast one series and record its errors, quantiles and scaling outcomes."""
+        """Forecast one series and record its accuracy."""
         forecast = backtest_last_week(series)
         quantiles = forecast.quantiles
         actual = forecast.actual
@@ -161,7 +160,7 @@
 
 
 def draw_routes(seed: int, routes: int = 1_000) -> RouteHistories:
-    """Generate routes with all kinds of demand, to measure the time and memory that their forecasts take."""
+    """Generate routes with all kinds of demand, to measure the cost of forecasts."""
     kinds = list(KINDS)
     histories = RouteHistories()
     for index in range(routes):
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -86,11 +86,11 @@
 def compare_plans(
     series: DemandSeries, quantiles: Floats, scaling: ScalingPolicy, core_s: float
 ) -> dict[str, ScalingOutcome]:
-    """Compare hints with two simple rules: the need of the last hour, and that of the same hour of last week.
+    """Compare hints with two rules: as many runners as the last hour, or the same hour of last week, needed.
 
     The headroom of each rule is set so that it uses as many runner-hours as the hints.
 
-    :param quantiles: Quantiles of the forecast; hints use the second one, 0.9.
+    :param quantiles: Forecast quantiles; hints use the second one, 0.9.
     """
     requests = series.requests
     week = requests[HISTORY_H:]
@@ -109,7 +109,7 @@
 def _rule_at_same_cost(
     week: Floats, expected: Floats, core_s: float, scaling: ScalingPolicy, runner_hours: float
 ) -> ScalingOutcome:
-    """Find the outcome of a rule at the given runner-hours, by bisection of its target utilization."""
+    # Finds the target utilization at which the rule uses `runner_hours`, by bisection.
     low = _LOWEST_UTILIZATION
     high = _HIGHEST_UTILIZATION
     outcome = ScalingOutcome(0.0, 0.0)
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -50,13 +50,13 @@
     """Figures of the maintenance of many machines.
 
     Attributes:
-        duration_s: Duration in virtual time, in seconds.
+        duration_s: Duration in virtual time.
         bound_ratio: Duration divided by the shortest one that the limits allow.
-        min_free_share: Smallest share of the cores that was free.
-        max_machines_down: Largest number of machines that were down at the same time.
-        mean_step_ms: Mean real time of one planning step, in ms.
-        longest_step_ms: Longest real time of one planning step, in ms.
-        max_schedule_bytes: Largest size of the encoded schedule, in bytes.
+        min_free_share: Smallest share of free cores.
+        max_machines_down: Most machines down at the same time.
+        mean_step_ms: Mean real time of a planning step.
+        longest_step_ms: Longest real time of a planning step.
+        max_schedule_bytes: Largest size of the encoded schedule.
     """
 
     duration_s: float
@@ -83,8 +83,8 @@
 class LargeMaintenance:
     """Maintenance of all machines, while one in a hundred fails unexpectedly.
 
-    :param load: Share of all cores that is in use.
-    :param max_down: Largest number of machines that may be down at the same time.
+    :param load: Share of all cores in use.
+    :param max_down: Most machines that may be down at the same time.
     """
 
     def __init__(self, load: float, seed: int, machines: int, max_down: int) -> None:
@@ -116,7 +116,7 @@
         self._max_machines_down = 0
 
     def run(self) -> LargeMaintenanceResult:
-        """Simulate until the maintenance of all machines is done, or for `MAX_DURATION_S`."""
+        """Simulate until the maintenance is complete."""
         while (self._schedule.requests or self._schedule.slots) and self._now < MAX_DURATION_S:
             seats = [self._view(index, name) for index, name in enumerate(self._names)]
             self._grant(seats)
--- a/moorusher/lab/namespace_rules.py
+++ b/moorusher/lab/namespace_rules.py
@@ -46,7 +46,7 @@
 
 
 def _more_specific(first: Rule, second: Rule) -> Rule:
-    """Return the rule whose first attribute set of a different size is smaller; `first` if all sizes are equal."""
+    """Return the rule with the smaller attribute set, compared in order; `first` if all sizes are equal."""
     for second_set, first_set in zip(
         second.matcher.attribute_sets(), first.matcher.attribute_sets(), strict=True
     ):
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class DecisionCounts:
-    """Numbers of decisions that were compared with the reference, and of generated drafts that were rejected."""
+    """Numbers of compared decisions and of rejected drafts."""
 
     wrong: int = 0
     total: int = 0
@@ -156,7 +156,7 @@
 
 
 def measure_look_ups(others: int, rules_of_others: int) -> LookUpTimes:
-    """Measure the look-ups of a customer with a thousand rules, first alone, then beside other customers."""
+    """Measure look-ups among a thousand rules, for one customer alone and beside others."""
     customers = CurrentRevisions(others + 1)
     customers.install_draft("acme", _REVISION, draft_of_size(LARGE_RULE_COUNT), GRANT)
     alone_us = _measure_look_up_us(customers, "acme", LARGE_RULE_COUNT)
@@ -167,10 +167,7 @@
 
 
 def _measure_look_up_us(customers: CurrentRevisions, name: str, rules: int) -> float:
-    """Measure a look-up as requests do it, by the customer's name, then by its rules.
-
-    :returns: The median over the repetitions, in us.
-    """
+    """Return the median time of a look-up by the customer's name, then by its rules, as requests do it."""
     requests = [
         RequestAttributes("submit", index % 60, -1, 0.1, f"{index % rules:05x}-abc")
         for index in range(_LOOK_UPS_PER_REPETITION)
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -79,16 +79,13 @@
         )
 
     async def publish(self, index: int, customer: str, draft: bytes) -> dict[str, Any]:
-        """Publish a draft through one runner and wait until all runners have it.
-
-        :returns: The reply of that runner.
-        """
+        """Publish a draft through one runner, wait until all have it, and return the reply."""
         reply = await self.request_admin(index, f"namespaces/{customer}?wait=1", "PUT", draft)
         decoded: dict[str, Any] = reply.decode()
         return decoded
 
     async def play_load(self, seed: int, rates: dict[str, float], seconds: float) -> dict[str, float]:
-        """Send load and return each tenant's share of the value that was served in time.
+        """Send load and return each tenant's share of value served in time.
 
         :param rates: Requests per second, by tenant.
         """
@@ -226,12 +223,7 @@
 
 
 class IsolationArm(NamedTuple):
-    """Behaviour of the large tenant.
-
-    Attributes:
-        load_factor: Its load, relative to its share.
-        republishes: Whether it publishes many rules repeatedly.
-    """
+    """Load of the large tenant, relative to its share, and whether it publishes many rules repeatedly."""
 
     load_factor: int
     republishes: bool
@@ -267,7 +259,6 @@
 
 
 async def _play_isolation_arm(fleet: RoutedFleet, arm: IsolationArm, seed: int, log: Log) -> dict[str, float]:
-    """Play one arm and return each tenant's share of the value that was served in time."""
     capacity = RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
     rate = LOAD * capacity / len(TENANTS)
     rates = dict.fromkeys(TENANTS[1:], rate) | {LARGE_TENANT: arm.load_factor * rate}
--- a/moorusher/lab/outage_arm.py
+++ b/moorusher/lab/outage_arm.py
@@ -94,18 +94,18 @@
 
 
 class OutageResult(msgspec.Struct):
-    """Result of one play; the serialized names are those of the experiment's figures.
+    """Result of one play, serialized under the names of the experiment's figures.
 
     Attributes:
-        served_share: Share of the requested value that was served in time.
-        requests: Number of all requests.
-        counts: Number of requests by outcome.
-        failed: Number of requests that were lost, failed or reached no runner.
-        executed_twice: Number of keyed requests that were executed more than once.
-        max_machines_down: Largest number of machines that were down at the same time.
-        reboots: Number of machines that were rebooted and are serving again.
-        duration_s: Seconds until all reboots were done.
-        slot_times_s: Seconds for which each runner held its slot.
+        served_share: Share of the requested value served in time.
+        requests: Number of requests.
+        counts: Requests by outcome.
+        failed: Requests that were lost, failed or reached no runner.
+        executed_twice: Keyed requests that were executed more than once.
+        max_machines_down: Most machines down at the same time.
+        reboots: Completed reboots.
+        duration_s: Time until all reboots were complete.
+        slot_times_s: How long each runner held its slot.
         lines: Machines down, and requests in flight per core, over time.
     """
 
@@ -122,7 +122,7 @@
 
     @property
     def requests_not_served(self) -> float:
-        """Number of requests that were not served in time, estimated by their value."""
+        """Estimated number of requests not served in time."""
         return (1 - self.served_share) * self.requests
 
 
@@ -177,7 +177,7 @@
         await _gather(self._reboot_when_granted(index) for index in range(RUNNERS))
 
     async def _reboot_when_granted(self, index: int) -> None:
-        """Wait for the machine's slot, then reboot it, as a script on the machine does."""
+        """Wait for the machine's slot, then reboot it."""
         request = {"id": MAINTENANCE_ID, "for_s": 5}
         granted = False
         while not granted:
@@ -292,7 +292,6 @@
 
 
 def _gather(coroutines: Iterable[Coroutine[Any, Any, None]]) -> Deferred[Any]:
-    """Run the coroutines concurrently."""
     return gatherResults([Deferred.fromCoroutine(coroutine) for coroutine in coroutines])
 
 
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -44,11 +44,9 @@
     :param coordinated: Whether the runners coordinate the order of maintenance.
 
     Attributes:
-        down: Indexes of the machines that are being rebooted.
-        max_down: Largest number of machines that were down at the same time.
-        reboots: Number of machines that were rebooted and are serving again.
-        kernels: The kernel of each runner.
-        runners: The runners.
+        down: Indexes of machines that are being rebooted.
+        max_down: Most machines down at the same time.
+        reboots: Number of completed reboots.
     """
 
     def __init__(self, reactor: Any, coordinated: bool) -> None:
@@ -101,7 +99,7 @@
         return runners
 
     def _write_machine_id(self, index: int, start: int) -> None:
-        """Write the file that identifies the machine and the number of its start."""
+        # The content changes with each start of the machine, as a boot id does.
         (self._folder / f"m{index}").write_text(f"start {start}")
 
     def _fleet_toml(self, index: int) -> str:
@@ -132,10 +130,7 @@
     async def request_admin(
         self, index: int, path: str, sent: Any = None, method: str = "POST", timeout_s: float = 6
     ) -> Any:
-        """Send an administration request.
-
-        :returns: The decoded JSON of the reply, or {} if there is no reply or it is an error.
-        """
+        """Send an administration request and return the decoded reply, or {} if it fails."""
         body = None if sent is None else json.dumps(sent).encode()
         reply = await request_admin(self.runners[index].admin, path, method, body, timeout_s)
         return reply.decode() if reply.succeeded else {}
@@ -200,7 +195,7 @@
     # ---- faults ----
 
     async def fail_runner(self) -> None:
-        """Kill the last runner that is up, and its kernel; restart both after `FAILURE_DURATION_S`."""
+        """Kill the last runner that is up and its kernel, and restart both later."""
         index = next(
             index
             for index in reversed(range(RUNNERS))
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -53,9 +53,8 @@
     """A fault of a server.
 
     Attributes:
-        kind: How the server behaves.
-        since_s: Time at which the fault begins, in seconds.
-        until_s: Time at which the fault ends, in seconds.
+        since_s: Start of the fault.
+        until_s: End of the fault.
         factor: Factor by which the calls of a slow server take longer.
     """
 
@@ -155,7 +154,7 @@
     :param prepare: Changes the load balancer before the first call.
     :param events: Actions on the simulation, with their time in seconds.
     :param method_seed: Seed of the random choices of the routing method.
-    :param bin_s: Length of the bins of the statistics, in seconds.
+    :param bin_s: Length of the bins of the statistics.
     """
 
     def __init__(
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -54,8 +54,8 @@
 ) -> None:
     """Add the criteria of one case to the result.
 
-    :param outcomes: The plays with a fleet, at least one.
-    :param without_fleet: The plays of the same seeds without a fleet, None if there are none.
+    :param outcomes: Plays with a fleet, at least one.
+    :param without_fleet: Plays of the same seeds without a fleet, if any.
     """
     _judge_keyed_requests(result, case, outcomes)
     executions = _mean([outcome.executions_per_served for outcome in outcomes])
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -105,7 +105,6 @@
         self._began_us = 0
 
     def _create_relays(self) -> dict[tuple[int, int], Relay]:
-        """Create a relay from each runner to each of the others."""
         return {
             (source, target): Relay(self.reactor, self._fleet_ports[target])
             for source in range(RUNNERS)
@@ -171,7 +170,7 @@
                 self._send(Arrival(self.now, KEYED_CLASS, TENANTS[0], body, token), runner)
 
     def _attempt(self, request: CallerRequest, runner: int) -> None:
-        """Send the request to a runner, with the same idempotency key as in earlier attempts."""
+        """Send the request with the same idempotency key as before."""
         if request.outcome or self.now - request.sent_at > request.deadline_s:
             return
         request.runners.append(runner)
--- a/moorusher/lab/takeover_result.py
+++ b/moorusher/lab/takeover_result.py
@@ -12,12 +12,10 @@
     """One request with all of its attempts; times are in seconds since the load began.
 
     Attributes:
-        arrival: Arrival that the request belongs to.
-        token: Idempotency key, empty if there is none.
+        token: Idempotency key, or empty.
         sent_at: Time of the first attempt.
         runners: Indexes of the runners that it was sent to, in order.
-        outcome: Outcome, empty until there is one.
-        ended_at: Time of the outcome.
+        outcome: Empty until there is one.
     """
 
     arrival: Arrival
@@ -43,17 +41,17 @@
     """Result of one play.
 
     Attributes:
-        tokens: Number of keyed requests.
-        executed_twice: Number of keys that were executed more than once.
-        open_at_loss: Number of keyed requests without an answer at the failed runners when they failed.
-        queued_at_loss: Number of the open requests that had not started.
-        queued_served: Share of the queued requests that was served in time.
-        without_outcome: Number of the open requests that never had an outcome.
-        executions_per_served: Runs per keyed request that was served in time.
-        served: Share of the keyed requests that was served in time.
-        others_served: Share served in time of the requests without a key that were sent after the
-            failure to runners that do not fail.
-        takeover_s: Seconds from the failure until another runner started a queued request, -1 if none did.
+        tokens: Keyed requests.
+        executed_twice: Keys that were executed more than once.
+        open_at_loss: Keyed requests that the failed runners had not answered at the failure.
+        queued_at_loss: Open requests that had not started.
+        queued_served: Share of the queued requests served in time.
+        without_outcome: Open requests that never had an outcome.
+        executions_per_served: Runs per keyed request served in time.
+        served: Share of the keyed requests served in time.
+        others_served: Share served in time of the requests without a key that were sent to the
+            other runners after the failure.
+        takeover_s: Time from the failure until another runner started a queued request, or -1.
     """
 
     tokens: int
--- a/moorusher/lab/tier.py
+++ b/moorusher/lab/tier.py
@@ -73,7 +73,7 @@
 
 
 def _selection_cost_us(server_count: int, rounds: int = 4000) -> float:
-    """Measure the time of one selection among `server_count` servers on this machine: the best of three repetitions."""
+    """Return the time of one selection among `server_count` servers: the best of three repetitions."""
     servers = [EndpointConfig(f"s{index}", ("127.0.0.1", 1)) for index in range(server_count)]
     balancer = LoadBalancer(servers, LoadBalancingPolicy(), "r", random.Random(1).random, 0)
     # Gives every server latency samples before the measurement.
@@ -94,7 +94,7 @@
 
 
 def _max_runners_per_server() -> int:
-    """Return the largest number of runners of one server when many runners use subsets of many servers."""
+    # Many runners use a subset each of many servers.
     endpoints = [
         Endpoint(EndpointConfig(f"s{index}", ("127.0.0.1", 1)), LoadBalancingPolicy(), 0)
         for index in range(SPREAD_SERVERS)
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -88,10 +88,8 @@
 
 
 def _falsified(state: LearnedState) -> LearnedState:
-    """Return a false state: half of the healthy servers ejected, ejected ones healthy, and latencies inverted.
-
-    The reported condition of the donor is unchanged, so nothing reveals that the state is false.
-    """
+    """Swap good and bad servers: eject half of the healthy ones, admit ejected ones, and invert latencies."""
+    # The reported condition of the donor is unchanged, so nothing reveals that the state is false.
     endpoints = tuple(
         msgspec.structs.replace(
             endpoint,
@@ -118,7 +116,7 @@
 
 
 def _stale_states(seed: int) -> list[LearnedState]:
-    """Return a state that is an hour old and from a time when other servers were faulty."""
+    # The state is an hour old and from a time when other servers were faulty.
     return [_donor_state(seed, faults=FORMER_FAULTS).aged(STALE_AGE_S)]
 
 
@@ -132,7 +130,7 @@
 
 
 def _young_donor_states(seed: int) -> list[LearnedState]:
-    """Return the state of a donor that started recently, as donors have in a rolling deployment."""
+    # In a rolling deployment, donors have started recently themselves.
     return [_donor_state(seed, YOUNG_DONOR_S)]
 
 
@@ -180,7 +178,7 @@
 
 
 def _shares_by_bin(statistics: CallStatistics) -> list[float]:
-    """Return the share of calls answered in time in each bin, 1 for a bin without calls."""
+    """Return the share answered in time of each bin, 1 without calls."""
     return [
         arrivals.in_time / arrivals.calls if arrivals.calls else 1.0
         for arrivals in _bins_of_arrivals(statistics)
@@ -188,10 +186,8 @@
 
 
 def _seconds_until_steady(statistics: CallStatistics) -> float:
-    """Return the time after which the share of calls answered in time remains near the steady level.
-
-    The share is measured over windows of a second. The steady level is the share in the last third of the arrivals.
-    """
+    """Return the time after which the share answered in time remains near the steady level."""
+    # The steady level is the share in the last third of the arrivals. It is compared with windows of a second.
     bins = _bins_of_arrivals(statistics)
     steady_level = share_in_time(bins[len(bins) * 2 // 3 :])
     width = round(1 / BIN_S)
