--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -1,7 +1,8 @@
 """Simulation of health reports in a large fleet in virtual time: many runners and balancers; some runners slow down.
 
 A simulated runner starts every request at once. It has no scheduler that limits its load, so only its health reports
-keep it below the number of runs at which it collapses. Work is a fluid that the runs share; arrivals are Poisson.
+keep it below the number of runs at which it collapses. Work is modelled as a fluid: the runs of a machine share its
+cores, and a step completes a fraction of runs. Arrivals are Poisson.
 """
 
 from __future__ import annotations
@@ -202,7 +203,7 @@
         self._reported[runner] = weight
 
     def _receive_requests(self, now_us: int) -> None:
-        """Route an equal part of the load by each balancer's weights."""
+        """Let each balancer route an equal part of the load by its weights."""
         weights = self._last_read_weight * self._alive
         total = weights.sum(axis=1, keepdims=True)
         shares = (weights / np.maximum(total, 1e-9)).sum(axis=0)
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -33,8 +33,8 @@
 """Largest share of the available cores that may be in use."""
 MACHINES_PER_FAILURE = 100
 """One of this many machines fails unexpectedly."""
-FAILURES_WITHIN_S = 2_000
-FAILURE_DURATION_S = 600
+FAILURES_WITHIN_S = 2_000  # Failures begin in this first part of the simulation.
+FAILURE_DURATION_S = 600  # How long a failed machine is down.
 STEP_S = 5.0
 MAX_DURATION_S = 50_000
 """Virtual time after which a simulation ends."""
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -1,7 +1,7 @@
 """The experiment "namespaces": customers' rules.
 
 It compares decisions with a simple reference, and measures look-ups beside other customers, the publishing to all
-runners, and how much a customer with ten thousand rules that sends three times its share slows down the others.
+runners, and how much service the others lose to a customer that sends three times its share and has ten thousand rules.
 """
 
 from __future__ import annotations
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -34,7 +34,7 @@
 COLD_SPEED = 0.5
 STOP_TIMEOUT_S = 4.2
 """Time after SIGTERM until a runner that is still running is killed."""
-FAILURE_DURATION_S = 6.0
+FAILURE_DURATION_S = 6.0  # How long a killed runner is down.
 HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 250.0\nclimb_s = 2.0"
 
 
