--- a/moorusher/cluster_transport/__init__.py
+++ b/moorusher/cluster_transport/__init__.py
@@ -1,2 +1,2 @@
-"""I/O between the processes of one runner and between the runners of a cluster: carries out what pure packages
-decide."""
+"""I/O between the processes of one runner, and between the runners of a cluster. The decisions are made in packages
+that do no I/O."""
--- a/moorusher/cluster_transport/cluster_member.py
+++ b/moorusher/cluster_transport/cluster_member.py
@@ -1,7 +1,6 @@
-"""The interface of this runner's link to its fleet, for the parts that build on it.
+"""The interface of this runner's membership in its fleet, for the components that build on it.
 
-`replication.ReplicationService` implements it. The parts import this module alone, so that no circle of imports
-leads back.
+`replication.ReplicationService` implements it. The components import only this module, which avoids a circular import.
 """
 
 from __future__ import annotations
@@ -18,13 +17,14 @@
 class ClusterMember(Protocol):
     """This runner as a member of its fleet.
 
-    reactor: of Twisted.
-    core: of this runner.
-    config: settings.
-    name: str, this runner's seat.
-    node: registers, membership and messages.
-    predecessor: int, incarnation of the process that this one replaces; 0 if none.
-    namespaces, forecast, maintenance: parts that are started with the fleet; each enters itself.
+    Attributes:
+        reactor: Twisted's reactor.
+        core: Request engine of this runner.
+        config: Settings of the fleet.
+        name: This runner's seat.
+        node: Registers, membership and messages.
+        predecessor: Incarnation of the process that this one replaces; 0 if none.
+        namespaces, forecast, maintenance: Components that are started with the fleet. Each registers itself here.
     """
 
     reactor: Any
@@ -39,13 +39,13 @@
 
     @property
     def is_busy(self) -> bool:
-        """Work or duties of the fleet are still here."""
+        """Whether this runner still has work or duties of the fleet."""
 
     def fit(self) -> bool:
         """Whether this runner may take work and duties of the fleet."""
 
     def open_part_journal(self, part: str) -> OpenedJournal | None:
-        """Open the journal of a part; None if the settings have none."""
+        """Open the journal of a component; None if the settings have no journal."""
 
     def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
-        """Write what this acceptor promises to that journal, before it is said."""
+        """Have this acceptor's promises written to that journal before they are sent."""
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -1,4 +1,4 @@
-"""Connects a replica of customers' revisions to this process: its disk, its thread for drafts, its requests."""
+"""Connects the replica of customers' namespaces to this process: its disk, its parser thread and its requests."""
 
 from __future__ import annotations
 
@@ -33,9 +33,10 @@
 
 
 def attributes_of(arrival: Arrival) -> RequestAttributes:
-    """Return what rules may look at of a request.
+    """Return the attributes of a request that rules may match.
 
-    A split of a request without a key goes by its caller's subject, else by its own id: then its retries may differ.
+    Splits of a request without a key use its subject, or else its id. In the latter case a retry, which has another
+    id, may take another branch.
     """
     subject = -1 if arrival.subject is None else arrival.subject
     return RequestAttributes(
@@ -54,9 +55,13 @@
     Serves the replica as its host (`config_distribution.services.ReplicaHost`) and the request engine as
     `core.routes.Routes`.
 
-    replica: Replica, the revisions that are current here.
-    store: Store of them on disk; None without a journal folder.
-    ready: bool, False from `start` until the replica knows what others have; nothing is served meanwhile.
+    Attributes:
+        duties: This runner's connection to the duties.
+        config: Settings of the namespaces.
+        core: Request engine of this process.
+        replica: The current revisions.
+        store: Store of the current revisions on disk; None without a journal folder.
+        ready: False from `start` until the replica has caught up with other runners. No request is served meanwhile.
     """
 
     def __init__(self, duties: DutyLink, config: NamespacesConfig, reactor: Any) -> None:
@@ -76,28 +81,28 @@
         self.core.hooks.routes = self
 
     def start(self) -> None:
-        """Load the stored revisions, and ask the other runners for later ones."""
+        """Load the stored revisions, and request later ones from the other runners."""
         self.ready = False
         sys.setswitchinterval(SWITCH_INTERVAL_S)
         self._pool.start()
         stored = [] if self.store is None else self.store.open()
         if stored:
-            log.info("namespaces: %d customers' rules found on disk", len(stored))
+            log.info("namespaces: loaded stored revisions: customers=%d", len(stored))
         self.replica.start(stored, round(self.config.startup_wait_ms * MS))
 
     def close(self) -> None:
-        """Write what is not on disk yet."""
+        """Write revisions that are not on disk yet, and close the store."""
         if self.store is not None:
             self.store.close()
 
     def follow(self, config: NamespacesConfig) -> None:
-        """Take other grants and budgets at once; published revisions stay as they are."""
+        """Apply changed grants and budgets at once. Published revisions remain unchanged."""
         self.config = config
 
     # ---- core.routes.Routes ----
 
     def rule(self, arrival: Arrival, tenant: str | None) -> RoutingDecision | None:
-        """Return what the tenant's rules decide; None where the platform's default applies."""
+        """Return the decision of the tenant's rules; None if the platform's default applies."""
         if tenant is None or tenant not in self.config.customers:
             return None
         revision = self.replica.customers.get(tenant)
@@ -105,22 +110,25 @@
             return None
         return decide_route(revision, attributes_of(arrival))
 
-    def ruling(
+    def decide_by_revision(
         self,
         arrival: Arrival,
         revision_id: RevisionId | None,
-        then: Callable[[RoutingDecision | DistributionError | None], None],
+        callback: Callable[[RoutingDecision | DistributionError | None], None],
     ) -> None:
-        """Decide for work of another runner by the very revision that it was read under; None: there was none."""
+        """Decide the route of another runner's work by the revision that applied there when the work was read.
+
+        :param revision_id: None if no rules applied; `callback` then gets None.
+        """
         customer = arrival.tenant
         if revision_id is None or customer is None:
-            then(None)
+            callback(None)
             return
 
-        def found(got: Revision | DistributionError) -> None:
-            then(decide_route(got, attributes_of(arrival)) if isinstance(got, Revision) else got)
+        def on_result(result: Revision | DistributionError) -> None:
+            callback(decide_route(result, attributes_of(arrival)) if isinstance(result, Revision) else result)
 
-        self.replica.register.revision(customer, revision_id, found)
+        self.replica.register.revision(customer, revision_id, on_result)
 
     # ---- leadership ----
 
@@ -131,25 +139,27 @@
     # ---- config_distribution.services.ReplicaHost ----
 
     def grant_of(self, customer: str) -> Grant | None:
-        """Return what is granted to a customer; None where the settings have no such customer."""
-        found = self.config.customers.get(customer)
-        return None if found is None else found.grant
+        """Return the grant of a customer; None if the settings don't list the customer."""
+        settings = self.config.customers.get(customer)
+        return None if settings is None else settings.grant
 
     def publishing_limits(self, customer: str) -> PublishingLimits:
-        """Return how much a customer may publish and retain."""
-        found = self.config.customers.get(customer)
-        return PublishingLimits() if found is None else found.publishing_limits
+        """Return the limits on what a customer may publish and retain."""
+        settings = self.config.customers.get(customer)
+        return PublishingLimits() if settings is None else settings.publishing_limits
 
     def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
-        """Call `then` with what is wrong with a draft, or None."""
-        self._parser.parse(draft, grant, lambda got: then(got if isinstance(got, NamespaceError) else None))
+        """Call `then` with the error in a draft, or None if it is valid under the grant."""
+        self._parser.parse(
+            draft, grant, lambda result: then(result if isinstance(result, NamespaceError) else None)
+        )
 
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
-        """Parse a draft that was published."""
+        """Parse a published draft."""
         self._parser.parse(draft, None, then)
 
     def keep(self, customer: str, revision_id: RevisionId, draft: bytes | None) -> None:
-        """Store the current revision; None: the namespace is deleted."""
+        """Store the current revision. `draft` is None if the namespace is deleted."""
         if self.store is not None:
             self.store.put(customer, revision_id, draft)
 
@@ -158,15 +168,19 @@
         return time.time_ns() // 1_000_000
 
     def became_ready(self) -> None:
-        """Begin to serve."""
+        """Called when the replica has caught up, or has stopped waiting for other runners. Requests are served now."""
         self.ready = True
-        log.info("namespaces: %d customers' rules are known here", len(self.replica.customers))
+        log.info("namespaces: ready to serve: customers=%d", len(self.replica.customers))
         if not self.replica.member.live_peers() and len(self.replica.member.seats) > 1:
             log.warning(
-                "namespaces: no other runner was heard of: who is not known here gets the platform's default, "
-                "and rules may be older than elsewhere, until one is"
+                "namespaces: no other runner responded: until one does, customers without a revision here get the "
+                "platform's default, and rules may be older than on other runners"
             )
 
     def changed(self, customer: str) -> None:
-        """Another revision is current, or none."""
-        log.info("namespaces: %s is at %s here", customer, self.replica.customers.latest_id(customer))
+        """Called when another revision has become current, or the namespace was deleted."""
+        log.info(
+            "namespaces: current revision changed: customer=%s revision=%s",
+            customer,
+            self.replica.customers.latest_id(customer),
+        )
--- a/moorusher/cluster_transport/draft_parsing.py
+++ b/moorusher/cluster_transport/draft_parsing.py
@@ -1,4 +1,4 @@
-"""Customers' drafts parsed in a thread: a large one takes a second, and requests must not wait for it."""
+"""Parses customers' drafts in a thread, since a large one takes a second and must not delay requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("moorusher")
 
-# How long the reactor's turn waits for the thread. With Python's usual 5 ms each turn is 6 ms late.
+# Python's thread switch interval. At the default of 5 ms, the reactor waits 6 ms for the interpreter lock in each turn.
 SWITCH_INTERVAL_S = 0.0005
 LARGE_DRAFT_BYTES = 32 << 10
 
@@ -29,17 +29,15 @@
 
 
 class DaemonThreadPool(ThreadPool):
-    """A pool whose threads end with the program, whatever they do then."""
+    """A pool of daemon threads, which don't delay the end of the program."""
 
     threadFactory = _DaemonThread
 
 
 def _parse(draft: bytes, grant: Grant | None) -> Namespace | NamespaceError:
-    """In the thread. Parsing makes up to half a million objects.
-
-    A garbage collection meanwhile, or the next one, would stop the reactor for 80 ms: collection is off while a draft
-    is parsed, and the objects of a large one are excluded from later collections.
-    """
+    # Runs in the thread. Parsing creates up to half a million objects, and a garbage collection over them would stop
+    # the reactor for 80 ms. So collection is disabled meanwhile, and the objects of a large draft are frozen, which
+    # excludes them from later collections.
     gc.disable()
     try:
         return parse_draft(draft, grant)
@@ -52,23 +50,26 @@
 
 
 class DraftParser:
-    """Parses drafts in a pool's thread, and calls back in the reactor's."""
+    """Parses drafts in a thread of a pool, and calls back in the reactor's thread."""
 
     def __init__(self, reactor: Any, pool: ThreadPool, begin_turn: Callable[[], None]) -> None:
-        """`begin_turn`: called before each result, as a turn of the core begins."""
+        """:param begin_turn: Called before each callback, to begin a turn of the request engine."""
         self._reactor = reactor
         self._pool = pool
         self._begin_turn = begin_turn
 
     def parse(
-        self, draft: bytes, grant: Grant | None, then: Callable[[Namespace | NamespaceError], None]
+        self, draft: bytes, grant: Grant | None, callback: Callable[[Namespace | NamespaceError], None]
     ) -> None:
-        """Call `then` with the namespace or its error; without `grant` it is not checked against a grant."""
+        """Parse a draft, and call back with the namespace or the error.
+
+        :param grant: Grant that the draft must keep to; None skips that check.
+        """
 
-        def parsed(got: Any) -> None:
+        def parsed(result: Any) -> None:
             self._begin_turn()
-            then(got)
+            callback(result)
 
         parsing = deferToThreadPool(self._reactor, self._pool, _parse, draft, grant)
         parsing.addCallback(parsed)
-        parsing.addErrback(lambda failure: log.error("namespaces: a draft could not be read: %s", failure))
+        parsing.addErrback(lambda failure: log.error("namespaces: draft parser failed: error=%s", failure))
--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -1,11 +1,12 @@
-"""Requests of duties to receivers outside: one HTTP exchange each, with the fencing token or the intent in its body.
+"""Requests of duties to external receivers: one HTTP exchange each, with a fencing token or an intent in its body.
 
     POST /fenced  {"duty", "fence": [generation, term, revision], "body"}
                   200 {"verdict": "new" or "again"}      409 {"highest": [generation, term, revision]}
     POST /intent  {"duty", "number", "term", "what"}     200 {"done": true or false}
-    POST /asked   {"duty", "number"}                     200 {"done": true or false}; after false it is never done
+    POST /asked   {"duty", "number"}                     200 {"done": true or false}
 
-`body` and `what` are base64. A request without an answer within the timeout may have arrived all the same.
+After answering `/asked` with false, a receiver must never perform that intent. `body` and `what` are base64. A request
+that times out may have been performed.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 TIMEOUT_US = 1_000 * MS
 CONNECT_TIMEOUT_S = 1
-MAX_OPEN_EXCHANGES = 256  # further ones count as not answered
+MAX_OPEN_EXCHANGES = 256  # an exchange beyond the limit ends without a response
 HTTP_OK = 200
 HTTP_CONFLICT = 409
 ACCEPTED_VERDICTS = (TokenVerdict.CURRENT.value, TokenVerdict.DUPLICATE.value)
 
 
 class Answer(msgspec.Struct):
-    """The JSON body of an answer."""
+    """The JSON body of a receiver's answer."""
 
     verdict: str = ""
     done: bool = False
@@ -45,7 +46,7 @@
 
 
 def parse_answer(status: int, body: bytes) -> ReceiverResponse:
-    """Return what a receiver has answered; NO_RESPONSE if its body can't be read."""
+    """Parse a receiver's answer; NO_RESPONSE if its body can't be decoded."""
     try:
         answer = msgspec.json.decode(body, type=Answer)
     except (msgspec.MsgspecError, RecursionError):
@@ -74,28 +75,30 @@
         )
 
     def response_received(self, response: HttpResponse) -> None:
-        """The answer is complete."""
+        """Finish the exchange with a complete response."""
         self.transport.loseConnection()
         self._exchange.finish(parse_answer(response.status, response.body))
 
     def response_malformed(self, reason: str) -> None:
-        """What came is no HTTP answer."""
-        log.warning("duties: a receiver's answer can't be read: reason=%s", reason)
+        """Abort the connection after a malformed HTTP response."""
+        log.warning("duties: malformed HTTP response of a receiver: reason=%s", reason)
         self.transport.abortConnection()
 
     def unexpected_data(self) -> None:
-        """Something came after the answer."""
+        """Abort the connection when data follows the response."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Ends the exchange, if there was no answer."""
+        """Finish the exchange, if there was no response."""
         self._exchange.finish(NO_RESPONSE)
 
 
 class EffectExchange(ClientFactory):
-    """One exchange with a receiver, given up after a timeout.
+    """One exchange with a receiver, with a timeout.
 
-    path, body: of the request.
+    Attributes:
+        path: Path of the request.
+        body: Body of the request.
     """
 
     noisy = False
@@ -112,12 +115,12 @@
         self._timeout: Alarm = core.alarms.at(core.clock.now + TIMEOUT_US, self._on_timeout)
 
     def buildProtocol(self, addr: object) -> EffectProtocol:
-        """Return the protocol of the connection."""
+        """Create the protocol of the connection."""
         self._protocol = EffectProtocol(self)
         return self._protocol
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Nobody listens, or the connection took too long."""
+        """Finish the exchange when the connection was refused or timed out."""
         self.finish(NO_RESPONSE)
 
     def _on_timeout(self) -> None:
@@ -126,7 +129,7 @@
         self.finish(NO_RESPONSE)
 
     def finish(self, response: ReceiverResponse) -> None:
-        """End the exchange; only the first call counts."""
+        """Finish the exchange. Only the first call has an effect."""
         callback = self._callback
         self._callback = None
         if callback is not None:
@@ -139,7 +142,9 @@
 class HttpEffectReceivers:
     """All exchanges of this runner with receivers (`leadership.worker.EffectReceivers`).
 
-    open_exchanges: int.
+    Attributes:
+        core: Request engine of this runner.
+        open_exchanges: Number of unfinished exchanges.
     """
 
     def __init__(self, reactor: Any, core: RequestEngine) -> None:
@@ -159,7 +164,7 @@
         self._post(receiver, b"/intent", content, callback)
 
     def query_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
-        """Ask whether an intent was done."""
+        """Ask the receiver whether an intent was performed."""
         self._post(receiver, b"/asked", {"duty": duty, "number": intent.revision}, callback)
 
     def _post(self, receiver: str, path: bytes, content: dict[str, Any], callback: ResponseCallback) -> None:
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -1,4 +1,4 @@
-"""Connects the forecast to this process: demand from the engine, calculations in a thread, operators."""
+"""Connects the forecast to this process: demand of the request engine, calculation in a thread, and operators."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class DemandCounting(DemandObserver):
-    """Counts first attempts, by the route that they were given when they were read."""
+    """Counts first attempts by the route that was chosen when the request was read."""
 
     def __init__(self, link: ForecastLink) -> None:
         self._link = link
@@ -68,12 +68,13 @@
 
 
 class ForecastLink:
-    """The process of a member and of its forecaster (`MemberHost`, `ForecasterHost`), and the operators' way to them.
+    """Host of the forecast's member and forecaster (`MemberHost`, `ForecasterHost`), and the operators' interface.
 
-    duties: this runner's link to the duties.
-    policy: settings.
-    core: the engine of this runner.
-    member: this runner's part in the forecast.
+    Attributes:
+        duties: This runner's connection to the duties.
+        policy: Settings of the forecast.
+        core: Request engine of this runner.
+        member: This runner as a member of the forecast.
     """
 
     def __init__(self, duties: DutyLink, policy: ForecastPolicy, reactor: Any) -> None:
@@ -88,19 +89,19 @@
         self.core.hooks.demand = DemandCounting(self)
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start reporting demand."""
         self._pool.start()
         self.member.start()
 
-    def leave(self) -> None:
-        """The process is about to end: report what was counted last."""
+    def report_now(self) -> None:
+        """Report the latest counts before this process ends."""
         self.member.report()
 
     def work(self, lease: LeaseHolder) -> Forecaster:
-        """Return the worker for a term that begins (`leadership.WorkerFactory`)."""
+        """Create the worker for a new term (`leadership.WorkerFactory`)."""
         return self.member.work(lease)
 
-    # ---- the member's host ----
+    # ---- MemberHost ----
 
     def unix_ms(self) -> int:
         """See `MemberHost`."""
@@ -112,7 +113,7 @@
         zones = {name: seat.zone for name, seat in placement.by_name.items()}
         return Forecaster(lease, self, self.policy, zones)
 
-    # ---- the forecaster's host ----
+    # ---- ForecasterHost ----
 
     def send_to_member(self, seat: str, message: Message) -> None:
         """See `ForecasterHost`."""
@@ -173,9 +174,8 @@
 
     def _in_thread(self, calculate: Callable[[], WeeklyForecast], callback: ForecastCallback) -> None:
         def run() -> WeeklyForecast | MissingLibraryError:
-            sys.setswitchinterval(
-                SWITCH_INTERVAL_S
-            )  # the reactor must not wait long for the interpreter's lock
+            # Keeps the reactor from waiting long for the interpreter lock.
+            sys.setswitchinterval(SWITCH_INTERVAL_S)
             try:
                 return calculate()
             except ModuleNotFoundError as error:
@@ -194,17 +194,17 @@
     # ---- operators ----
 
     def query(self, customer: str, callback: DocumentCallback) -> None:
-        """Ask the leader for the forecast of one customer, or with "" of all."""
+        """Request the forecast of one customer from the leader, or of all customers if `customer` is empty."""
         self.core.begin_turn()
         self.member.query(customer, callback)
 
     def import_history(self, histories: list[ImportedHistory], callback: DocumentCallback) -> None:
-        """Have the leader import histories that were counted elsewhere."""
+        """Have the leader import demand that was counted outside of the fleet."""
         self.core.begin_turn()
         self.member.import_history(histories, callback)
 
     def local_document(self) -> dict[str, Any]:
-        """Return this runner's own part as JSON of the administration API, whose keys these are."""
+        """Return this runner's own state of the forecast as a document of the administration API."""
         member, forecaster = self.member, self.member.forecaster
         requests = {} if forecaster is None else forecaster.ledger.requests_this_hour()
         return {
--- a/moorusher/cluster_transport/hot_restart/__init__.py
+++ b/moorusher/cluster_transport/hot_restart/__init__.py
@@ -1,6 +1,6 @@
-"""The connection between two processes of one runner, and the process's role carried out over it.
+"""Hot restart: the connection between the old and the new process of one runner, and the handover over it.
 
-`frames` are the messages and their bytes, `peer_connection` the protocol, `rendezvous` how the processes find each
-other; `coordinator` has the role decide (`moorusher.hot_restart.process_role`), and `message_receiver` and
-`instruction_executor` carry out what follows.
+`frames` defines the messages and their encoding, `peer_connection` the protocol, and `rendezvous` how the processes
+find each other. `coordinator` passes events to the state machine (`moorusher.hot_restart.process_role`);
+`message_receiver` handles the other process's messages, and `instruction_executor` the state machine's instructions.
 """
--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -1,4 +1,4 @@
-"""Carries out the role of this process beside another one of its runner."""
+"""Drives the hot-restart state machine of this process with events of its connection and its runner."""
 
 from __future__ import annotations
 
@@ -22,17 +22,19 @@
 
 
 class HotRestart:
-    """The role of this process, and the connection to the other one.
+    """Hot restart as seen by one process of a runner, either the old or the new one.
 
     Attributes:
-        core: the engine of this process.
-        role: decides what is to be done.
+        core: Request engine of this process.
+        role: State machine that decides what this process does.
     """
 
     def __init__(
         self, reactor: Any, core: RequestEngine, process: RunnerProcess, path: str, name: str
     ) -> None:
-        """`path` is where processes of this runner find each other, `name` the runner's."""
+        """:param path: Path of the runner's rendezvous socket.
+        :param name: Name of the runner.
+        """
         self._reactor = reactor
         self.core = core
         self._process = process
@@ -48,19 +50,19 @@
     # ---- events ----
 
     def start(self) -> None:
-        """Look for another process of this runner."""
+        """Start looking for another process of this runner."""
         self._restart_timeout()
         self._rendezvous.discover()
 
     def handle(self, event: Event) -> None:
-        """Have the role decide about an event, and carry it out."""
-        before = self.role.state
+        """Pass an event to the state machine and carry out its instructions."""
+        previous_state = self.role.state
         instructions = self.role.handle(event)
         state = self.role.state
-        if state is not before:
-            log.info("succession: %s (%s)", state.value, event.value)
+        if state is not previous_state:
+            log.info("hot restart: %s (%s)", state.value, event.value)
             self.core.counters.add(f"succession: {state.value}")
-        if instructions or state is not before:
+        if instructions or state is not previous_state:
             self._restart_timeout()
         for instruction in instructions:
             self._executor.carry_out(instruction)
@@ -74,75 +76,81 @@
         timeout_ms = TIMEOUTS_MS.get(self.role.state)
         if timeout_ms is not None:
             self.core.begin_turn()
-            due = self.core.clock.now + round(timeout_ms * MS)
-            self._timeout = self.core.alarms.at(due, lambda: self.handle(Event.TIMEOUT))
+            due_us = self.core.clock.now + round(timeout_ms * MS)
+            self._timeout = self.core.alarms.at(due_us, lambda: self.handle(Event.TIMEOUT))
 
     def _claim_unanswered(self) -> bool:
-        """Before the newcomer is let on this process may go on without it, afterwards it may not. True where there is
-        nobody left to claim keys with."""
+        """Return whether this process has abandoned the other one, so that keys need no claim any more.
+
+        A process may abandon the new one only until it has permitted it to accept. Later the new one may run keys.
+        """
         if self.role.state is State.HANDING_OVER:
             self.handle(Event.TIMEOUT)
         return self.core.key_claims.peer is None
 
     def kernel_up(self) -> None:
-        """The kernel has answered."""
+        """Called when the kernel has answered for the first time."""
         self.handle(Event.KERNEL_UP)
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Called on SIGTERM."""
         self.handle(Event.SIGTERM)
 
     def maintenance_changed(self) -> None:
-        """An operator has taken the runner out or put it back: both processes answer for one runner."""
+        """Notify the other process that an operator has set or ended maintenance, since it applies to the runner."""
         peer = self._handover.peer
         if peer is not None and self.role.claims_keys:
             peer.send(frames.MaintenanceChanged(self._process.maintenance_fields()))
 
     def close(self) -> None:
-        """The process ends in order: the other one need not wait for anything of it."""
+        """Disconnect and unpublish on a regular exit, so that the other process doesn't wait for this one."""
         if self._handover.peer is not None:
-            self._handover.peer.say_bye()
-        self._rendezvous.withdraw()
+            self._handover.peer.disconnect()
+        self._rendezvous.unpublish()
 
     # ---- the connection ----
 
     def call_soon(self, action: Callable[[], None]) -> None:
-        """Have the event loop call a function once."""
+        """Schedule one call of a function in the next turn of the event loop."""
         self._reactor.callLater(0, action)
 
     def connected(self, peer: PeerConnection) -> None:
-        """Greet the process in service; one that has connected to this one greets first."""
+        """Send the handshake, if this process made the connection. The connecting side always sends first."""
         self.core.begin_turn()
         if not peer.accepted:
             self._handover.peer = peer
             peer.send(frames.Hello(frames.VERSION, self._name, os.getpid()))
 
     def lost(self, peer: PeerConnection) -> None:
-        """The other process has died, as it has not said goodbye."""
+        """Called when a connection is lost without a `Bye`, which means that the other process has died."""
         self.core.begin_turn()
         if peer is self._handover.peer:
             self._handover.peer = None
             self.handle(Event.PEER_DIED)
 
     def received(self, peer: PeerConnection, frame: frames.Frame) -> None:
-        """A frame has come. Only a greeting is heard of a process that is not the other one yet."""
+        """Handle a frame. Until its handshake is accepted, a process may send nothing but the handshake."""
         if frame.kind != frames.HELLO and peer is not self._handover.peer:
             return
         message = frames.decode(frame)
         if isinstance(message, frames.Hello):
-            self._greeted(peer, message)
+            self._hello_received(peer, message)
         else:
             self._receiver.receive(peer, message)
 
-    def _greeted(self, peer: PeerConnection, hello: frames.Hello) -> None:
+    def _hello_received(self, peer: PeerConnection, hello: frames.Hello) -> None:
         if hello.version != frames.VERSION or hello.name != self._name:
-            log.warning("a further process is passed over: version=%r runner=%r", hello.version, hello.name)
+            log.warning(
+                "hot restart: ignored a process of another version or runner: version=%r runner=%r",
+                hello.version,
+                hello.name,
+            )
             return
-        log.info("a further process of this runner has come: pid=%s", hello.pid)
-        welcome = self.role.state is State.SOLE
-        if welcome:
+        log.info("hot restart: another process of this runner connected: pid=%s", hello.pid)
+        is_welcome = self.role.state is State.SOLE
+        if is_welcome:
             self._handover.peer = peer
         self.handle(Event.NEWCOMER)
-        if not welcome:
+        if not is_welcome:
             peer.send(frames.Busy())
             peer.close()
--- a/moorusher/cluster_transport/hot_restart/frames.py
+++ b/moorusher/cluster_transport/hot_restart/frames.py
@@ -1,7 +1,7 @@
-"""The messages between two processes of one runner, and their bytes.
+"""The messages between two processes of one runner, and their encoding.
 
-A frame is a JSON object, a line end, and the result of a run where the message has one. The names of kinds and fields
-are read by processes of other builds: they stand here and nowhere else. Fields that are not known are ignored.
+A frame is a JSON object, a newline, and the result of a run if the message has one. Processes of other versions read
+the names of kinds and fields, so no other module defines any. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from ...hot_restart.shared_budget import ProcessLoad
 
 VERSION = 1
-MAX_FRAME_BYTES = 65_536  # a result has 4 KiB
+MAX_FRAME_BYTES = 65_536  # ample: the result of a run is at most 4 KiB
 
 Fields = dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """A frame as it was read: JSON, but its fields are not looked at yet."""
+    """A frame whose JSON has been parsed and whose fields have not been validated."""
 
     kind: str
     fields: Fields
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """A further process has come. `pid` may be missing where the version is another one."""
+    """The handshake of a new process. `pid` may be None if the version is another one."""
 
     version: int
     name: str
@@ -40,13 +40,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Welcome:
-    """The process in service hands over; its sockets come beside the frame, in the order of `labels`.
+    """The answer of the process in service. Its sockets are passed along with the frame.
 
     Attributes:
-        maintenance: why an operator has taken the runner out, and until when; None where it is in service.
-        key_table_bytes: the size of its key table.
-        keys_unknown_until_us: until then its key table may miss keys that have run.
-        incarnation: among the runners of a cluster; 0 where there is none.
+        labels: Labels of the sockets, in the order in which these are passed.
+        maintenance: Reason and time limits of the maintenance that an operator has set; None if there is none.
+        key_table_bytes: Size of its key table.
+        keys_unknown_until_us: Time until which its key table may lack keys that have run.
+        incarnation: Its incarnation as a member of a cluster; 0 without a cluster.
     """
 
     labels: list[str]
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyRecord:
-    """One entry of the key table."""
+    """One entry of the sender's key table."""
 
     key: IdempotencyKey
     body_digest: int
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """The other process wants to run a key."""
+    """A request of the sender to run a key. Answers repeat `serial`."""
 
     serial: int
     key: IdempotencyKey
@@ -86,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimGranted:
-    """A claim is granted."""
+    """Answer to a claim: the receiver may run the key."""
 
     serial: int
     key: IdempotencyKey
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyInUse:
-    """A claimed key belongs to an attempt of the other process."""
+    """Answer to a claim: an attempt of the sender has the key."""
 
     serial: int
     key: IdempotencyKey
@@ -104,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyTableFull:
-    """A claimed key can't be noted by the other process."""
+    """Answer to a claim: the sender's key table has no room for the key."""
 
     serial: int
     key: IdempotencyKey
@@ -112,14 +113,14 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyReleased:
-    """An attempt of the other process never ran."""
+    """An attempt of the sender has ended and never ran."""
 
     key: IdempotencyKey
 
 
 @dataclass(slots=True, frozen=True)
 class KeyFinished:
-    """A run of the other process is over."""
+    """A run of the sender has ended."""
 
     key: IdempotencyKey
     body_digest: int
@@ -129,43 +130,43 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What the other process takes of the runner's limits."""
+    """The sender's share of the runner's limits that is in use."""
 
     load: ProcessLoad
 
 
 @dataclass(slots=True, frozen=True)
 class MaintenanceChanged:
-    """An operator has taken the runner out, or put it back."""
+    """An operator has set or ended maintenance; None if it has ended."""
 
     maintenance: Fields | None
 
 
 @dataclass(slots=True, frozen=True)
 class Ready:
-    """The new process can serve, on the sockets with these labels."""
+    """The new process is ready to serve on the sockets with these labels."""
 
     labels: list[str]
 
 
 @dataclass(slots=True, frozen=True)
 class KeysSynced:
-    """All keys have been sent."""
+    """The sender has sent its whole key table."""
 
 
 @dataclass(slots=True, frozen=True)
 class AcceptPermitted:
-    """The process in service accepts nothing more."""
+    """The old process has stopped accepting, and the new one may accept."""
 
 
 @dataclass(slots=True, frozen=True)
 class Busy:
-    """The process in service is in another replacement."""
+    """The process in service is already handing over to another process."""
 
 
 @dataclass(slots=True, frozen=True)
 class Bye:
-    """The process hangs up, and goes on without the other one."""
+    """The sender disconnects and continues without the receiver."""
 
 
 Message = Union[
@@ -192,31 +193,37 @@
 
 
 def split(data: bytes) -> Frame:
-    """A frame from its bytes. Raises ValueError, KeyError or TypeError where it is none."""
+    """Parse a frame without its length prefix.
+
+    :raises ValueError, KeyError, TypeError: The bytes are not a frame.
+    """
     head, _, result = data.partition(b"\n")
     fields = json.loads(head)
     return Frame(fields["t"], fields, result)
 
 
 def decode(frame: Frame) -> Message:
-    """The message of a frame. Raises ValueError, KeyError or TypeError where it is none."""
+    """Return the message in a frame.
+
+    :raises ValueError, KeyError, TypeError: The frame is not a valid message.
+    """
     return _DECODERS[frame.kind](frame.fields, frame.result)
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message, without their length."""
+    """Encode a message as a frame without its length prefix."""
     kind, fields, result = _ENCODERS[type(message)](message)
     head = json.dumps({"t": kind} | fields, separators=(",", ":")).encode()
     return head + b"\n" + result
 
 
-# ---- reading ----
+# ---- decoding ----
 
 
 def _key(fields: Fields) -> IdempotencyKey:
     tenant, token = fields["k"]
     if not isinstance(token, str) or not isinstance(tenant, str | None):
-        raise ValueError("no key")
+        raise ValueError("field 'k' is not a pair of tenant and token")
     return tenant, token
 
 
@@ -277,9 +284,9 @@
     "BYE": lambda fields, _: Bye(),
 }
 
-# ---- writing ----
+# ---- encoding ----
 
-Encoded = tuple[str, Fields, bytes]  # kind, fields in their order, result
+Encoded = tuple[str, Fields, bytes]  # kind, fields in wire order, result
 
 
 def _encode_welcome(message: Welcome) -> Encoded:
--- a/moorusher/cluster_transport/hot_restart/handover.py
+++ b/moorusher/cluster_transport/hot_restart/handover.py
@@ -1,4 +1,4 @@
-"""What the parts of a hot restart share: the service that this process is, and how far the handover has come."""
+"""State of a handover, shared by the parts of the hot restart, and the interface to the service of this process."""
 
 from __future__ import annotations
 
@@ -10,57 +10,57 @@
 
 
 class RunnerProcess(Protocol):
-    """The service that this process is."""
+    """The service that runs in this process. Sockets are file descriptors by label."""
 
     def usable_sockets(self, handed_over: dict[str, int]) -> dict[str, int]:
-        """Of the sockets that were handed over, by label, those at this runner's addresses."""
+        """Return those of the sockets that are bound to addresses of this runner."""
 
     def accept(self, handed_over: dict[str, int]) -> None:
-        """Accept clients on these sockets, and on others of its own."""
+        """Accept clients on these sockets, and on new ones for the runner's other addresses."""
 
     def listening_sockets(self) -> dict[str, int]:
-        """The descriptors of its own sockets, by label."""
+        """Return the sockets that this process listens on."""
 
     def pause(self, shared: set[str]) -> None:
-        """Accept nothing more; `shared` are the labels of the sockets that the new process listens on as well."""
+        """Stop accepting. `shared`: labels of the sockets that the new process listens on, too."""
 
     def resume(self) -> None:
         """Accept again."""
 
     def leave(self) -> None:
-        """Shut the runner down."""
+        """Drain and shut down, with no other process to serve in its place."""
 
     def finish(self) -> None:
-        """Answer what was read and end; another process serves on."""
+        """Answer the requests that were read, and exit while another process serves."""
 
     def load(self) -> ProcessLoad:
-        """What it takes of the runner's limits."""
+        """Return the share of the runner's limits that this process uses."""
 
     def coexist(self, load: ProcessLoad) -> None:
-        """Keep within what the other process leaves of the runner's limits."""
+        """Limit this process to the share of the runner's limits that the other process leaves."""
 
     def maintenance_fields(self) -> dict[str, Any] | None:
-        """Why an operator has taken the runner out, and until when; None where it is in service."""
+        """Return the maintenance that an operator has set, as fields of a frame; None if there is none."""
 
     def follow_maintenance(self, fields: dict[str, Any] | None) -> None:
-        """An operator has told the other process."""
+        """Adopt the maintenance state of the other process."""
 
     def incarnation(self) -> int:
-        """Among the runners of a cluster; 0 where there is none."""
+        """Return this process's incarnation as a member of a cluster; 0 without a cluster."""
 
     def succeed(self, incarnation: int) -> None:
-        """The incarnation of the process that this one replaces."""
+        """Store the incarnation of the process that this one replaces."""
 
 
 class Handover:
-    """Of one process.
+    """State of the handover in one process.
 
     Attributes:
-        role: decides what is to be done.
-        peer: the other process, while there is a connection to it.
-        sockets: of the other process, by label, not yet listened on.
-        shared_labels: of the sockets that the new process listens on as well.
-        peer_unknown_until_us: which keys have run before then, the other process does not know itself.
+        role: State machine that decides what this process does.
+        peer: Connection to the other process; None while there is none.
+        sockets: Sockets received from the other process, by label, that this process doesn't listen on yet.
+        shared_labels: Labels of the sockets that the new process listens on, too.
+        peer_unknown_until_us: Time until which the other process's key table may lack keys that have run.
     """
 
     def __init__(self) -> None:
@@ -70,12 +70,12 @@
         self.shared_labels: set[str] = set()
         self.peer_unknown_until_us = 0
 
-    def take_sockets(self) -> dict[str, int]:
-        """The sockets that were handed over, once."""
+    def pop_sockets(self) -> dict[str, int]:
+        """Return the sockets that were received, and forget them."""
         sockets = self.sockets
         self.sockets = {}
         return sockets
 
     def close_sockets(self) -> None:
-        """The sockets that were handed over are not listened on."""
-        close_descriptors(list(self.take_sockets().values()))
+        """Close the sockets that were received and are not used."""
+        close_descriptors(list(self.pop_sockets().values()))
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -13,12 +13,12 @@
 from .peer_connection import close_descriptors
 from .rendezvous import Rendezvous
 
-LOAD_REPORT_INTERVAL = 50 * MS  # this process's load is looked at, and sent where it has changed
-FOREVER_US = 1 << 62
+LOAD_REPORT_INTERVAL_US = 50 * MS  # a load that hasn't changed since the last report is not sent
+FOREVER_US = 1 << 62  # later than any time of the clock
 
 
 class InstructionExecutor:
-    """One method for each instruction. Those that need the other process do nothing where it is gone meanwhile."""
+    """Maps each instruction to a function. Those that need the other process do nothing if it has disconnected."""
 
     def __init__(
         self, core: RequestEngine, process: RunnerProcess, handover: Handover, rendezvous: Rendezvous
@@ -30,10 +30,10 @@
         self._methods: dict[Instruction, Callable[[], None]] = {
             Instruction.DISCOVER: rendezvous.discover_later,
             Instruction.LISTEN: self._listen,
-            Instruction.ADOPT_SOCKETS: lambda: process.accept(handover.take_sockets()),
+            Instruction.ADOPT_SOCKETS: lambda: process.accept(handover.pop_sockets()),
             Instruction.PUBLISH_ADDRESS: rendezvous.publish,
             Instruction.SEND_WELCOME: self._send_welcome,
-            Instruction.SEND_BUSY: lambda: None,  # to the further process, by whoever has its connection
+            Instruction.SEND_BUSY: lambda: None,  # the coordinator sends it, since it has that connection
             Instruction.SEND_READY: lambda: self._send(frames.Ready(list(handover.sockets))),
             Instruction.STOP_ACCEPTING: lambda: process.pause(handover.shared_labels),
             Instruction.LET_ON: lambda: self._send(frames.AcceptPermitted()),
@@ -44,13 +44,13 @@
             Instruction.DISTRUST_KEYS_FOR_A_WINDOW: core.state.forget_keys_for_a_window,
             Instruction.TRUST_KEYS: lambda: self._trust_keys_from(handover.peer_unknown_until_us),
             Instruction.DISCARD_PEER_KEYS: self._discard_peer_keys,
-            Instruction.CLOSE_PEER_KEYS: lambda: self._peer_gone(died=True),
+            Instruction.CLOSE_PEER_KEYS: lambda: self._end_key_sharing(died=True),
             Instruction.DRAIN: process.leave,
             Instruction.FINISH: process.finish,
         }
 
     def carry_out(self, instruction: Instruction) -> None:
-        """Carry out one instruction, at once."""
+        """Carry out one instruction."""
         self._methods[instruction]()
 
     def _send(self, message: frames.Message) -> None:
@@ -58,7 +58,7 @@
             self._handover.peer.send(message)
 
     def _listen(self) -> None:
-        unused = list(self._handover.take_sockets().values())
+        unused = list(self._handover.pop_sockets().values())
         self._process.accept({})
         close_descriptors(unused)
 
@@ -93,26 +93,26 @@
         peer = self._handover.peer
         self._handover.peer = None
         if peer is not None:
-            peer.say_bye()
+            peer.disconnect()
 
     def _trust_keys_from(self, time_us: int) -> None:
         self._core.keys.unknown_until = time_us
 
     def _discard_peer_keys(self) -> None:
-        self._peer_gone(died=False)
+        self._end_key_sharing(died=False)
         self._handover.close_sockets()
 
-    def _peer_gone(self, died: bool) -> None:
+    def _end_key_sharing(self, died: bool) -> None:
         self._core.key_claims.peer_disconnected(died=died)
         self._core.keys.limits.share_memory_with(None)
         self._process.coexist(ProcessLoad())
 
     def _report_load(self) -> None:
-        """What this process takes, to the one that keeps within what is left."""
+        """Send this process's load periodically to the successor, which must stay within the remaining limits."""
         if self._handover.peer is None or not self._handover.role.is_predecessor:
             return
         load = self._process.load()
         if load != self._reported_load:
             self._reported_load = load
             self._send(frames.LoadReport(load))
-        self._core.alarms.at(self._core.clock.now + LOAD_REPORT_INTERVAL, self._report_load)
+        self._core.alarms.at(self._core.clock.now + LOAD_REPORT_INTERVAL_US, self._report_load)
--- a/moorusher/cluster_transport/hot_restart/message_receiver.py
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -1,4 +1,4 @@
-"""What the messages of the other process lead to."""
+"""Handles the messages of the runner's other process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MessageReceiver:
-    """One method for each kind of message, but for the greeting."""
+    """Maps each kind of message to a function, except `Hello`, which the coordinator handles."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         handover: Handover,
         handle: Callable[[Event], None],
     ) -> None:
-        """`handle` has the role decide about an event."""
+        """:param handle: Passes an event to the state machine."""
         self._core = core
         self._claims = core.key_claims
         self._process = process
@@ -45,12 +45,12 @@
             frames.Ready: self._ready,
             frames.KeysSynced: lambda _: self._handle(Event.KEYS_SYNCED),
             frames.AcceptPermitted: lambda _: self._handle(Event.LET_ON),
-            frames.Busy: lambda _: self._peer_goes(Event.PEER_BUSY),
-            frames.Bye: lambda _: self._peer_goes(Event.PEER_LEFT),
+            frames.Busy: lambda _: self._peer_disconnects(Event.PEER_BUSY),
+            frames.Bye: lambda _: self._peer_disconnects(Event.PEER_LEFT),
         }
 
     def receive(self, peer: PeerConnection, message: frames.Message) -> None:
-        """Carry out one message."""
+        """Handle one message."""
         if isinstance(message, frames.Welcome):
             self._welcome(peer, message)
         else:
@@ -69,7 +69,7 @@
         self._handle(Event.WELCOMED)
 
     def _unsupported_welcome(self, welcome: frames.UnsupportedWelcome) -> None:
-        log.warning("the other process is passed over: version=%r", welcome.version)
+        log.warning("hot restart: the other process has an unsupported version: version=%r", welcome.version)
 
     def _key_record(self, record: frames.KeyRecord) -> None:
         self._claims.snapshot_entry(
@@ -94,7 +94,7 @@
         self._handover.shared_labels = set(ready.labels)
         self._handle(Event.NEWCOMER_READY)
 
-    def _peer_goes(self, event: Event) -> None:
+    def _peer_disconnects(self, event: Event) -> None:
         peer = self._handover.peer
         self._handover.peer = None
         if peer is not None:
--- a/moorusher/cluster_transport/hot_restart/peer_connection.py
+++ b/moorusher/cluster_transport/hot_restart/peer_connection.py
@@ -1,4 +1,4 @@
-"""The connection to the other process of this runner: framing, handed-over sockets, and keys sent one by one."""
+"""The connection to the other process of this runner: framing, passed sockets, and the transfer of the key table."""
 
 from __future__ import annotations
 
@@ -23,43 +23,46 @@
 log = logging.getLogger("moorusher")
 
 KEYS_PER_TURN = 64
-CREDENTIALS = struct.Struct("3i")  # pid, user, group, as SO_PEERCRED has them
+CREDENTIALS = struct.Struct("3i")  # pid, uid and gid: struct ucred, as SO_PEERCRED returns it
 
 
 def close_descriptors(descriptors: list[int]) -> None:
-    """Close sockets that were handed over and are not used."""
+    """Close received sockets that are not used."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
 
 
 class ConnectionOwner(Protocol):
-    """Who has the connections to other processes of this runner."""
+    """Receives the events of connections to other processes of this runner."""
 
     core: RequestEngine
 
     def connected(self, peer: PeerConnection) -> None:
-        """A connection is made, by either side."""
+        """Called when a connection is established by either side."""
 
     def received(self, peer: PeerConnection, frame: frames.Frame) -> None:
-        """A frame was read. Raises ValueError, KeyError or TypeError where it is no message."""
+        """Called when a frame was read.
+
+        :raises ValueError, KeyError, TypeError: The frame is not a valid message.
+        """
 
     def lost(self, peer: PeerConnection) -> None:
-        """The connection is lost, and this side has not closed it."""
+        """Called when the connection is lost, unless this side has closed it."""
 
     def call_soon(self, action: Callable[[], None]) -> None:
-        """Have the event loop call a function once."""
+        """Schedule one call of a function in the next turn of the event loop."""
 
 
 @implementer(IFileDescriptorReceiver)
 class PeerConnection(Int32StringReceiver):
-    """One connection; the key claims see it as the other process (`key_claims.ClaimPeer`).
+    """One connection. It also represents the other process to the key claims (`key_claims.ClaimPeer`).
 
     Attributes:
-        owner: who is told of what comes.
-        accepted: the other process has connected to this one.
-        received_descriptors: sockets that were handed over and not taken yet.
-        closed: nothing is sent or read any more.
+        owner: Receives the events of this connection.
+        accepted: Whether the other process has connected to this one.
+        received_descriptors: Received sockets that no `Welcome` has named yet.
+        closed: Whether the connection is closed, so that frames are neither sent nor handled.
     """
 
     transport: Any
@@ -75,7 +78,7 @@
     # ---- the connection ----
 
     def connectionMade(self) -> None:
-        """Turn away a process of another user: whoever has the sockets could answer in this runner's name."""
+        """Reject a process of another user, since a process with the sockets can answer in the runner's name."""
         credentials = self.transport.socket.getsockopt(
             socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size
         )
@@ -87,11 +90,11 @@
         self.owner.connected(self)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        """A socket is handed over; the frame that names it follows."""
+        """Store a received socket. The `Welcome` frame that labels it follows."""
         self.received_descriptors.append(descriptor)
 
     def stringReceived(self, string: bytes) -> None:
-        """A whole frame was read. One that makes no sense is logged and passed over."""
+        """Handle a complete frame. One that can't be decoded is logged, counted and ignored."""
         if self.closed:
             return
         core = self.owner.core
@@ -99,16 +102,18 @@
         try:
             self.owner.received(self, frames.split(string))
         except (ValueError, KeyError, TypeError, RecursionError) as error:
-            log.error("unreadable frame of the other process: frame=%r reason=%s", string[:200], error)
+            log.error(
+                "hot restart: unreadable frame of the other process: frame=%r reason=%s", string[:200], error
+            )
             core.counters.add("succession: " + EndReason.FRAMING_LOST.value)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """What follows can't be framed any more."""
+        """Abort the connection, as later frames can't be separated any more."""
         self.owner.core.counters.add("succession: " + EndReason.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Nothing more comes; sockets that nobody has taken are closed."""
+        """Close the received sockets that are not used, and notify the owner unless this side closed."""
         self._stop_sending_keys()
         close_descriptors(self.received_descriptors)
         self.received_descriptors = []
@@ -122,16 +127,16 @@
             self.sendString(frames.encode(message))  # type: ignore[no-untyped-call]
 
     def send_descriptor(self, descriptor: int) -> None:
-        """Hand over a socket."""
+        """Pass a socket to the other process."""
         self.transport.sendFileDescriptor(descriptor)
 
     def close(self) -> None:
-        """Close the connection; its owner is not told."""
+        """Close the connection without notifying its owner."""
         self.closed = True
         self.transport.loseConnection()
 
-    def say_bye(self) -> None:
-        """Tell the other process that this one goes on without it, and close."""
+    def disconnect(self) -> None:
+        """Send `Bye`, so that the other process doesn't take this one for dead, and close."""
         self.send(frames.Bye())
         self._stop_sending_keys()
         self.close()
@@ -141,42 +146,42 @@
             self._key_sender.stopProducing()
 
     def send_keys(self, entries: Iterator[KeyEntry]) -> None:
-        """Send these keys, then `KeysSynced`, as fast as the other side reads."""
+        """Send these entries, then `KeysSynced`, as fast as the other side reads."""
         self._key_sender = _KeySender(self, entries)
         self.transport.registerProducer(self._key_sender, True)
         self._key_sender.send_some()
 
-    # ---- the key claims' view of the other process ----
+    # ---- key_claims.ClaimPeer ----
 
     def claim(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
-        """This process wants to run the key."""
+        """Request the key for this process."""
         self.send(frames.Claim(serial, key, body_digest, expires_us))
 
     def claim_granted(self, serial: int, key: IdempotencyKey) -> None:
-        """The claimed key is the other process's."""
+        """Grant the key to the other process."""
         self.send(frames.ClaimGranted(serial, key))
 
     def key_in_use(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
-        """The claimed key belongs to an attempt here."""
+        """Answer that an attempt of this process has the key."""
         self.send(frames.KeyInUse(serial, key, body_digest, expires_us))
 
     def key_table_full(self, serial: int, key: IdempotencyKey) -> None:
-        """The claimed key can't be noted here."""
+        """Answer that this process's key table has no room for the key."""
         self.send(frames.KeyTableFull(serial, key))
 
     def key_released(self, key: IdempotencyKey) -> None:
-        """The attempt here never ran."""
+        """Report that the attempt of this process has ended and never ran."""
         self.send(frames.KeyReleased(key))
 
     def key_finished(
         self, key: IdempotencyKey, body_digest: int, expires_us: int, result: bytes | None
     ) -> None:
-        """The run here is over."""
+        """Report that the run of this process has ended."""
         self.send(frames.KeyFinished(key, body_digest, expires_us, result))
 
 
 class _KeySender:
-    """Sends keys one by one, and pauses while the other side reads too slowly (an IPushProducer)."""
+    """Sends the entries of a key table, and pauses while the other side reads too slowly (an IPushProducer)."""
 
     def __init__(self, connection: PeerConnection, entries: Iterator[KeyEntry]) -> None:
         self._connection = connection
@@ -184,20 +189,20 @@
         self._paused = False
 
     def pauseProducing(self) -> None:
-        """The other side reads too slowly."""
+        """Called when the transport's buffer is full."""
         self._paused = True
 
     def resumeProducing(self) -> None:
-        """The other side has caught up."""
+        """Called when the transport's buffer has been written."""
         self._paused = False
         self.send_some()
 
     def stopProducing(self) -> None:
-        """Nobody reads any more."""
+        """Called when the connection is closed."""
         self._entries = None
 
     def send_some(self) -> None:
-        """Send as many keys as one turn may take, and the others in later turns."""
+        """Send up to `KEYS_PER_TURN` entries, and schedule the rest for later turns of the event loop."""
         connection = self._connection
         for _ in range(KEYS_PER_TURN):
             if self._entries is None or self._paused or connection.closed:
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -1,4 +1,4 @@
-"""How the processes of one runner find each other: a Unix socket under a path that all of them know."""
+"""How the processes of one runner find each other: a Unix socket at a path that all of them derive alike."""
 
 from __future__ import annotations
 
@@ -22,33 +22,36 @@
 
 log = logging.getLogger("moorusher")
 
-PUBLISH_RETRY = 1_000 * MS  # until $TMPDIR is tried again
-DISCOVER_RETRY = 200 * MS  # until the next look where nobody could be reached
+PUBLISH_RETRY_US = 1_000 * MS
+DISCOVER_RETRY_US = 200 * MS
 CONNECT_TIMEOUT_S = 2
-SOCKET_MODE = 0o600  # for this user alone
+SOCKET_MODE = 0o600
 BACKLOG = 8
 
 
 class RendezvousOwner(ConnectionOwner, Protocol):
-    """Who looks for other processes, and is looked for."""
+    """Uses a `Rendezvous`, and receives the events of its connections."""
 
     def handle(self, event: Event) -> None:
-        """Nobody is there."""
+        """Called with `NO_PEER` or `PEER_DEAD` when there is no process to connect to."""
 
 
 _UnixPort: Any = unix.Port  # Twisted's classes carry no types
 
 
 class _ListeningPort(_UnixPort):  # type: ignore[misc]
-    """Twisted's port removes the name that it was bound to, and lets anybody connect: this one's socket has been
-    renamed, and is for this user alone."""
+    """A Unix port that does not unlink its path when it closes, as Twisted's does: the socket has been renamed, and
+    another process may have the path by then."""
 
     def connectionLost(self, reason: object) -> None:
         tcp.Port.connectionLost(self, reason)  # type: ignore[no-untyped-call]
 
     @classmethod
     def adopt(cls, reactor: Any, bound: socket.socket, factory: Factory) -> _ListeningPort:
-        """Listen on a copy of a socket that is bound."""
+        """Listen on a duplicate of a bound socket.
+
+        The mode is set since Twisted's default lets any user connect.
+        """
         port: _ListeningPort = cls._fromListeningDescriptor(reactor, bound.fileno(), factory)
         port.mode = SOCKET_MODE
         port.startListening()
@@ -56,7 +59,7 @@
 
 
 class _AcceptingFactory(Factory):
-    """For further processes, which find this one."""
+    """Builds the protocol for new processes that connect to this one."""
 
     noisy = False
 
@@ -68,7 +71,7 @@
 
 
 class _ConnectingFactory(ClientFactory):
-    """For one attempt to reach the process in service."""
+    """Makes one attempt to connect to the process in service."""
 
     noisy = False
 
@@ -84,40 +87,47 @@
 
 
 class Rendezvous:
-    """Looks for the process in service, and lets further processes find this one."""
+    """Connects to the process in service, and publishes this process's own socket."""
 
     def __init__(self, reactor: Any, owner: RendezvousOwner, path: str) -> None:
         self._reactor = reactor
         self._owner = owner
         self._path = path
         self._listening: Any = None
-        self._inode = 0  # of the socket that this process has published
+        self._inode = 0  # inode of the socket that this process has published
 
-    # ---- looking for another process ----
+    # ---- discovery ----
 
     def discover(self) -> None:
-        """Connect to the process in service, or tell the owner that there is none."""
+        """Connect to the process in service, or notify the owner that there is none."""
         try:
             found = os.stat(self._path)
         except OSError:
             self._owner.handle(Event.NO_PEER)
             return
         if not stat.S_ISSOCK(found.st_mode) or found.st_uid != os.getuid():
-            log.warning("not a socket of this runner, passed over: path=%s", self._path)
+            log.warning(
+                "hot restart: ignored the rendezvous path, which is no socket of this user: path=%s",
+                self._path,
+            )
             self._owner.handle(Event.NO_PEER)
             return
         factory = _ConnectingFactory(self._owner, self._not_connected)
         try:
             self._reactor.connectUNIX(self._path, factory, timeout=CONNECT_TIMEOUT_S)
-        except OSError as error:  # no descriptor is left, which Twisted raises at once
-            log.warning("can't look for another process yet: path=%s reason=%s", self._path, error)
+        except OSError as error:  # Twisted raises it at once if the process is out of file descriptors
+            log.warning(
+                "hot restart: can't connect to the rendezvous socket; retrying: path=%s reason=%s",
+                self._path,
+                error,
+            )
             self.discover_later()
 
     def discover_later(self) -> None:
-        """Look again in a moment."""
+        """Call `discover` again after `DISCOVER_RETRY_US`."""
         core = self._owner.core
         core.begin_turn()
-        core.alarms.at(core.clock.now + DISCOVER_RETRY, self.discover)
+        core.alarms.at(core.clock.now + DISCOVER_RETRY_US, self.discover)
 
     def _not_connected(self, error_number: int | None) -> None:
         self._owner.core.begin_turn()
@@ -125,16 +135,19 @@
             self._owner.handle(Event.PEER_DEAD)
         elif error_number == errno.ENOENT:
             self._owner.handle(Event.NO_PEER)
-        else:  # its queue is full: it hangs, or many come at once
+        else:  # its backlog is full: it hangs, or many processes connect at once
             self.discover_later()
 
-    # ---- being found ----
+    # ---- publication ----
 
     def publish(self) -> None:
-        """Listen under a name of its own first, which then replaces in one step whatever was at the path."""
+        """Make this process the one that new processes connect to.
+
+        It listens at a path of its own first, and renames that atomically over the runner's path.
+        """
         own_path = f"{self._path}.{os.getpid()}"
         mask = os.umask(0o177)
-        if self._listening is not None:  # this process was replaced, and its successor has died
+        if self._listening is not None:  # this process was replaced, and its successor has died since
             self._listening.stopListening()
         try:
             Path(own_path).unlink(missing_ok=True)
@@ -148,16 +161,20 @@
             self._inode = os.stat(own_path).st_ino
             os.rename(own_path, self._path)
         except OSError as error:
-            log.error("no further process can find this one yet: path=%s reason=%s", self._path, error)
+            log.error(
+                "hot restart: can't publish the rendezvous socket; retrying: path=%s reason=%s",
+                self._path,
+                error,
+            )
             with suppress(OSError):
                 os.unlink(own_path)
             core = self._owner.core
-            core.alarms.at(core.clock.now + PUBLISH_RETRY, self._publish_again)
+            core.alarms.at(core.clock.now + PUBLISH_RETRY_US, self._retry_publish)
         finally:
             os.umask(mask)
 
-    def _publish_again(self) -> None:
-        """Unless this process shuts down, or another one is at the path by now."""
+    def _retry_publish(self) -> None:
+        """Publish again, unless this process shuts down or another process has published meanwhile."""
         if not self._owner.core.drain_state.shutting_down and not self._path_is_socket():
             self._owner.core.begin_turn()
             self.publish()
@@ -168,8 +185,8 @@
         except OSError:
             return False
 
-    def withdraw(self) -> None:
-        """Remove the socket, unless it is a successor's."""
+    def unpublish(self) -> None:
+        """Remove the socket from the runner's path, unless another process has replaced it."""
         if self._listening is not None:
             with suppress(OSError):
                 if os.stat(self._path).st_ino == self._inode:
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -1,5 +1,5 @@
-"""Keyed work between the core and the node: what the core asks before a key is used and a run starts, what the cluster
-has settled of a key, and work of other runners that this one takes over.
+"""Connects the request engine to the cluster's node for requests with an idempotency key: claims of keys, starts of
+runs, the node's decisions about them, and work taken over from other runners.
 """
 
 from __future__ import annotations
@@ -33,34 +33,35 @@
 
 log = logging.getLogger("moorusher")
 
-MAX_REQUEST_ID = 56  # characters of a request id that is in use here already, before a number is added
+# A request id that is already in use here is cut to this length, and a number is appended.
+MAX_REQUEST_ID_CHARS = 56
 
 
 class NoReply:
-    """The way back of work that another runner has read: whoever asks for it again is answered through its key."""
+    """Reply channel of work taken over from another runner: there is no client here. Retries get its result by key."""
 
     def answer(self, tag: int, answer: Answer, hint: float | None) -> None:
-        """Drops the answer."""
+        """Drop the answer."""
 
 
 class KeyedWorkCoordinator:
-    """The part of `replication.interfaces.NodeHost` about work, and the core's `KeyCoordinator`.
+    """Implements the methods of `replication.interfaces.NodeHost` about work, and the engine's `KeyCoordinator`.
 
     Attributes:
-        core: the request engine.
-        node: `Node`.
-        namespaces: customers' namespaces, or None where there are none.
+        core: Request engine of this runner.
+        node: This runner's node of the cluster.
+        namespaces: Customers' namespaces; None without any.
     """
 
     node: Node
     namespaces: Any
 
-    def __init__(self, core: RequestEngine, alone: bool) -> None:
-        """`alone`: work that no majority answers for is run all the same."""
+    def __init__(self, core: RequestEngine, serves_without_majority: bool) -> None:
+        """:param serves_without_majority: Whether to run keyed work even if no majority answers a claim."""
         self.core = core
-        self._alone = alone
+        self._serves_without_majority = serves_without_majority
         self._core_keys: dict[KeyDigest, CoreKey] = {}
-        # Work that was taken over, and whose customer's rules are being fetched.
+        # Work that was taken over and waits for its customer's rules to be fetched.
         self._awaiting_rules: set[KeyDigest] = set()
         self._no_reply = NoReply()
         self._handlers: dict[type[WorkEvent], Callable[[Any], None]] = {
@@ -69,22 +70,25 @@
             BodyDiffers: self._body_differs,
             ClaimUncovered: self._claim_uncovered,
             StartConfirmed: self._start_confirmed,
-            StartLost: self._given_away,
+            StartLost: self._moved_away,
             StartUncovered: self._start_uncovered,
             ResultKnown: self._result_known,
             RejectedByAll: self._rejected_by_all,
-            HandedOver: self._given_away,
+            HandedOver: self._moved_away,
             KeyForgotten: self._key_forgotten,
         }
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Add 1 to a counter."""
         self.core.counters.add(name)
 
-    # ---- for the core: `KeyCoordinator` and `KeyObserver` ----
+    # ---- KeyCoordinator and KeyObserver, called by the request engine ----
 
     def acquire_key(self, request: Request) -> bool:
-        """Claims the key of a request. False where there is nothing to claim: no key, or a repeat of a known one."""
+        """Claim the key of a request in the cluster.
+
+        :returns: False if no claim is needed: the request has no key, or repeats one that is known here.
+        """
         entry = None if request.key is None else self.core.keys.of_attempt(request.number)
         if entry is None or entry.number != request.number or entry.remote:
             return False
@@ -111,21 +115,21 @@
         )
 
     def announce_start(self, request: Request) -> bool:
-        """Before a run is commanded. True where a majority must know of it first."""
+        """Announce the start of a run, before it is commanded. Return whether a majority must acknowledge it first."""
         return request.key is not None and self.node.start_work(key_of(*request.key))
 
     def key_released(self, entry: KeyEntry) -> None:
-        """An attempt is over, and never ran."""
+        """Called when an attempt has ended and never ran."""
         self.node.release_work(key_of(*entry.key))
 
     def key_finished(self, entry: KeyEntry) -> None:
-        """A run is over."""
+        """Called when a run has ended."""
         self.node.finish_work(key_of(*entry.key), entry.result)
 
-    # ---- for the node: what the cluster has settled ----
+    # ---- NodeHost: decisions of the cluster ----
 
     def notify(self, event: WorkEvent) -> None:
-        """Carries out in the core what is settled about a key."""
+        """Apply a decision about a key to the request engine."""
         self._handlers[type(event)](event)
 
     def _request(self, key: KeyDigest) -> Request | None:
@@ -152,7 +156,7 @@
         request = self._request(event.key)
         if request is None:
             return
-        if self._alone:
+        if self._serves_without_majority:
             self.core.remote_claims.granted(request)
         else:
             self.core.remote_claims.unavailable(request, event.reason, event.proven)
@@ -165,12 +169,12 @@
         if (request := self._request(event.key)) is not None:
             self.core.remote_claims.start_unconfirmed(request, event.reason)
 
-    def _given_away(self, event: StartLost | HandedOver) -> None:
+    def _moved_away(self, event: StartLost | HandedOver) -> None:
         if (request := self._request(event.key)) is not None:
             self.core.remote_claims.moved_away(request)
 
     def _result_known(self, event: ResultKnown) -> None:
-        if (request := self._request(event.key)) is not None:  # found while it was being claimed
+        if (request := self._request(event.key)) is not None:  # the claim of a request found the result
             self.core.remote_claims.joined(request)
         core_key = self._core_keys.get(event.key)
         if core_key is not None:
@@ -183,23 +187,27 @@
     def _key_forgotten(self, event: KeyForgotten) -> None:
         self._core_keys.pop(event.key, None)
 
-    # ---- for the node: work of other runners ----
+    # ---- NodeHost: work of other runners ----
 
     def accept_takeover(
         self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
     ) -> bool:
-        """Queues another runner's work under the rules that it was read under; False where that can't be."""
+        """Queue another runner's work under the rules that applied there when it was read.
+
+        :returns: False if it can't be queued.
+        """
         self._core_keys[key] = (request.tenant, request.token)
         arrival = self._arrival(request)
         if request.rules_revision is None:
             return self._queue(arrival, None)
         if self.namespaces is None:
             log.warning(
-                "fleet: work of another runner not taken over: key=%s reason=no rules here", request.token
+                "fleet: did not take over work of another runner: key=%s reason=namespaces are not enabled",
+                request.token,
             )
             return False
         self._awaiting_rules.add(key)
-        self.namespaces.ruling(
+        self.namespaces.decide_by_revision(
             arrival, request.rules_revision, lambda ruling: self._queue_with_rules(key, arrival, ruling)
         )
         return True
@@ -207,7 +215,7 @@
     def _arrival(self, request: WorkRequest) -> Arrival:
         request_id = request.request_id
         if request_id in self.core.table.by_rid:
-            request_id = f"{request_id[:MAX_REQUEST_ID]}.{len(self.core.table)}"
+            request_id = f"{request_id[:MAX_REQUEST_ID_CHARS]}.{len(self.core.table)}"
         return Arrival(
             request_id,
             request.request_class,
@@ -224,32 +232,36 @@
         )
 
     def _queue_with_rules(self, key: KeyDigest, arrival: Arrival, ruling: Any) -> None:
-        """`ruling`: by the revision that it was read under, or the error why that can't be had: then another runner may
-        have the work."""
+        """Queue work whose rules were fetched, or release it to another runner if they could not be.
+
+        :param ruling: The decision of the rules, or the error that prevented it.
+        """
         self._awaiting_rules.discard(key)
         tenure = self.node.tenures.get(key)
         if tenure is None or not tenure.is_held:
-            return  # it went to another meanwhile
+            return  # another runner has acquired it meanwhile
         if isinstance(ruling, Exception):
             self.count("fleet: not taken up without its rules")
             log.warning(
-                "fleet: work of another runner not taken over: key=%s reason=%s", arrival.token, ruling
+                "fleet: did not take over work of another runner: key=%s reason=%s", arrival.token, ruling
             )
             self.node.release_work(key, rejected=True)
         elif not self._queue(arrival, ruling):
             self.node.release_work(key, rejected=True)
 
     def _queue(self, arrival: Arrival, ruling: Any) -> bool:
-        taken = self.core.remote_claims.take_over(arrival, self._no_reply, 0, ruling)
-        if not isinstance(taken, Request):
+        result = self.core.remote_claims.take_over(arrival, self._no_reply, 0, ruling)
+        if not isinstance(result, Request):
             log.warning(
-                "fleet: work of another runner not taken over: key=%s reason=%s", arrival.token, taken.value
+                "fleet: did not take over work of another runner: key=%s reason=%s",
+                arrival.token,
+                result.value,
             )
             return False
         return True
 
     def work_in_hand(self, key: KeyDigest) -> WorkInHand:
-        """What this runner, or the process that it replaces, knows of a key."""
+        """Return the state of a key in this runner, including the other process during a hot restart."""
         if key in self._awaiting_rules:
             return WorkInHand(in_hand=True)
         core_key = self._core_keys.get(key)
@@ -262,5 +274,5 @@
             )
         if entry is None:
             return WorkInHand(in_hand=False)
-        is_ours = not entry.remote or has_sibling
-        return WorkInHand(is_ours and not entry.finished, entry.finished, entry.result)
+        is_local = not entry.remote or has_sibling
+        return WorkInHand(is_local and not entry.finished, entry.finished, entry.result)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -1,4 +1,4 @@
-"""Connects a participant in the fleet's duties to this process: its journal, receivers, workers and operators."""
+"""Connects the duties of the fleet to this process: its journal, effect receivers, workers and operators."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
 
 
 class WorkerFactory(Protocol):
-    """A part of this process that does the work of one kind of duty."""
+    """A component of this process that creates the workers of one kind of duty."""
 
     def work(self, lease: LeaseHolder) -> Worker:
-        """Return the worker for a duty."""
+        """Create the worker for a lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class DutySnapshot:
-    """A duty as this process knows it.
+    """A duty as known to this process.
 
-    record: the lease record.
-    lease: this member's lease, if the record is its own latest one.
-    now_us: int, when it was taken.
+    Attributes:
+        record: The lease record.
+        lease: This member's lease, if it is at the same position as the record.
+        now_us: Time of the snapshot.
     """
 
     record: LeaseRecord
@@ -56,20 +57,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyReading:
-    """A duty as a majority has it, with its state."""
+    """A duty as read from a majority, with its state."""
 
     snapshot: DutySnapshot
     state: bytes | None
 
 
 class DutyLink:
-    """The process of a participant (`participant.ParticipantHost`), and the operators' way to it.
-
-    fleet: this runner's link to the fleet.
-    policy: settings.
-    participant: the member's part.
-    namespaces, forecast: who does the work of those kinds; set only if the settings have them, as both are imported
-        only then.
+    """Host of the participant (`participant.ParticipantHost`), and the operators' interface to it.
+
+    Attributes:
+        fleet: This runner as a member of its fleet.
+        policy: Settings of the duties.
+        core: Request engine of this runner.
+        participant: This member's participant in the duties.
+        namespaces, forecast: Create the workers of these kinds. None unless enabled, since they are imported only then.
     """
 
     def __init__(self, fleet: ClusterMember, policy: LeadershipPolicy) -> None:
@@ -91,14 +93,14 @@
             self.participant.directory.declare(report.name, HEARTBEAT_KIND)
 
     def start(self) -> None:
-        """Restore the journal. Called before the fleet's own start, which asks others for what is missing."""
+        """Restore the journal. Must precede the start of the node, which requests missing state from other members."""
         if self._journal_image is not None:
             self.participant.acceptor.restore(self.core.clock.now, self._journal_image)
             self.participant.repair_restored()
             self._journal_image = None
         self.participant.start()
 
-    # ---- the participant's host ----
+    # ---- ParticipantHost ----
 
     def fit(self) -> bool:
         """Whether this runner may lead duties."""
@@ -119,7 +121,7 @@
         self._receivers.query_intent(receiver, duty, intent, callback)
 
     def work(self, lease: LeaseHolder) -> Worker | None:
-        """Return the worker for a duty; None if this runner's settings don't say what it is for."""
+        """Create the worker for a duty; None if this runner's settings configure none for its kind or name."""
         log.info("duties: acquired the lease: duty=%s term=%d", lease.name, lease.record.term)
         worker = self._heartbeat_worker(lease)
         if worker is not None:
@@ -127,7 +129,7 @@
         factory = self._worker_factory(lease.record.kind)
         if factory is not None:
             return factory.work(lease)
-        log.warning("duties: no worker in this runner's settings: duty=%s", lease.name)
+        log.warning("duties: this runner's settings configure no worker: duty=%s", lease.name)
         return None
 
     def _heartbeat_worker(self, lease: LeaseHolder) -> HeartbeatWorker | None:
@@ -146,7 +148,7 @@
         return None
 
     def _fleet_summary(self) -> dict[str, Any]:
-        """What a heartbeat reports: the receiver gets these keys."""
+        """Return the document that a heartbeat sends to its receiver."""
         members = self.fleet.node.detector.by_seat.values()
         return {
             "fleet": self.fleet.config.name,
@@ -158,7 +160,7 @@
     # ---- operators ----
 
     def local_duties(self) -> list[DutySnapshot]:
-        """Return the duties that this runner leads or replicates, by name, without asking others."""
+        """Return the duties that this runner leads or replicates, sorted by name, without contacting others."""
         self.core.begin_turn()
         records = dict(self.participant.election.records)
         for key, lease in self.participant.leases.by_key.items():
@@ -176,27 +178,30 @@
     def read(self, name: str, callback: Callable[[DutyReading | LeadershipError], None]) -> None:
         """Read a duty through its register, with its state."""
 
-        def got(reading: Reading | LeadershipError) -> None:
+        def on_reading(reading: Reading | LeadershipError) -> None:
             if isinstance(reading, LeadershipError):
                 callback(reading)
             else:
                 callback(DutyReading(self._snapshot(reading.record), reading.state))
 
         self.core.begin_turn()
-        self.participant.directory.read(name, got)
+        self.participant.directory.read(name, on_reading)
 
     def resume(self, name: str, callback: SnapshotCallback) -> None:
-        """Let a suspended duty go on."""
+        """Resume a suspended duty."""
         self.core.begin_turn()
         self.participant.directory.resume(name, self._snapshot_to(callback))
 
     def resolve_intent(
         self, name: str, intent_revision: int, verdict: str, callback: SnapshotCallback
     ) -> None:
-        """Close an open intent. `verdict`: what the operator has found; it is logged only."""
+        """Close an open intent by an operator's decision.
+
+        :param verdict: The operator's finding whether it was performed. It is only logged.
+        """
         self.core.begin_turn()
         log.warning(
-            "duties: an operator settled an intent: duty=%s intent=%d verdict=%s",
+            "duties: an operator resolved an intent: duty=%s intent=%d verdict=%s",
             name,
             intent_revision,
             verdict,
@@ -204,7 +209,7 @@
         self.participant.directory.resolve_intent(name, intent_revision, self._snapshot_to(callback))
 
     def _snapshot_to(self, callback: SnapshotCallback) -> Callable[[LeaseRecord | LeadershipError], None]:
-        def got(result: LeaseRecord | LeadershipError) -> None:
+        def on_result(result: LeaseRecord | LeadershipError) -> None:
             callback(result if isinstance(result, LeadershipError) else self._snapshot(result))
 
-        return got
+        return on_result
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -1,4 +1,4 @@
-"""The machine of this runner, as the maintenance of the fleet sees it: its state, and whether it is in service."""
+"""The machine of this runner, as seen by the fleet's planned maintenance: its state, and whether it is in service."""
 
 from __future__ import annotations
 
@@ -16,18 +16,24 @@
 
 log = logging.getLogger("moorusher")
 
-REASON_PREFIX = "outage: "  # of maintenance that is set here, and not by an operator
+# Begins the reason of maintenance that is set by this module. An operator's reasons lack it.
+REASON_PREFIX = "outage: "
 WARM_STATES = (HealthState.SERVING, HealthState.OVERLOADED)
 MAX_BOOT_ID_CHARS = 64
 
 
 def read_boot_id(path: str) -> str:
-    """Return what tells this boot of the machine from others; empty if it can't be read: then none proves anything."""
+    """Return the id of the machine's current boot.
+
+    :returns: An empty text if the file can't be read; a reboot is then no proof that maintenance is complete.
+    """
     try:
         return Path(path).read_text().strip()[:MAX_BOOT_ID_CHARS]
     except OSError as exc:
         log.error(
-            "outage.machine_id: %s: a machine that was out counts as back by an operator's word alone", exc
+            "outage: can't read the file that outage.machine_id names, so only an operator can state that "
+            "maintenance of this machine is complete: reason=%s",
+            exc,
         )
         return ""
 
@@ -35,13 +41,14 @@
 class LocalMachineHost:
     """This runner and its machine (`machine_controller.MachineHost`).
 
-    boot_id: str, of the machine.
-    is_out: bool, nothing new is taken, and what has not begun goes to others.
+    Attributes:
+        boot_id: Id of the machine's boot at the start of this process.
+        is_out_of_service: Whether this runner accepts no new work, and hands work that has not started to others.
     """
 
     def __init__(self, fleet: ClusterMember, reporter: Reporter, boot_id: str) -> None:
         self.boot_id = boot_id
-        self.is_out = False
+        self.is_out_of_service = False
         self._fleet = fleet
         self._core = fleet.core
         self._reporter = reporter
@@ -54,7 +61,7 @@
         return time.time()
 
     def machine_state(self) -> MachineState:
-        """Return the state of this process, without what the coordinator knows itself."""
+        """Return the state as far as this process knows it. The machine controller fills in the other fields."""
         report = self._reporter.report()
         spaces = self._fleet.node.spaces.values()
         return MachineState(
@@ -63,20 +70,20 @@
             is_first_process=not self._fleet.predecessor,
             boot_id=self.boot_id,
             settings_digest=self._settings_digest(),
-            is_drained=self.is_out and self._is_drained(),
+            is_drained=self.is_out_of_service and self._is_drained(),
             is_warm=report.state in WARM_STATES,
             recovered=all(space.acceptor.recovered for space in spaces),
         )
 
     def _settings_digest(self) -> str:
-        """Computed only when the settings were replaced: it is asked for with each tick."""
+        # Cached until the settings are replaced, since each tick reads it.
         if self._digested_settings is not self._core.settings:
             self._digested_settings = self._core.settings
             self._digest = xxhash.xxh64_hexdigest(repr(self._digested_settings).encode())
         return self._digest
 
     def _is_drained(self) -> bool:
-        """Nothing is open or runs, nothing of it is the fleet's, and whoever sends requests had the time to notice."""
+        """Return whether no request is open, no run or work of the fleet is left, and clients had time to notice."""
         core = self._core
         if core.table.unanswered or len(core.runs) or self._fleet.is_busy:
             return False
@@ -84,25 +91,25 @@
         return core.clock.now - self._out_since_us >= horizon_us
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
-        """Take this runner out of service, or put it back."""
-        is_out = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
-        if is_out and not self.is_out:
+        """Remove this runner from service, or return it to service."""
+        is_out_of_service = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
+        if is_out_of_service and not self.is_out_of_service:
             log.info("outage: draining this machine for maintenance: reason=%s", reason)
             self._out_since_us = self._core.clock.now
-        elif self.is_out and not is_out:
+        elif self.is_out_of_service and not is_out_of_service:
             log.info("outage: this machine is back in service: state=%s", mode.value)
-        self.is_out = is_out
-        if is_out and self._reporter.is_in_rotation:
+        self.is_out_of_service = is_out_of_service
+        if is_out_of_service and self._reporter.is_in_rotation:
             self._reporter.set_maintenance(REASON_PREFIX + reason)
-        elif not is_out and self._is_own_maintenance():
+        elif not is_out_of_service and self._is_own_maintenance():
             self._reporter.end_maintenance()
 
     def _is_own_maintenance(self) -> bool:
-        """The maintenance that is set comes from here, or from the process that this one replaced."""
+        """Return whether maintenance was set by this module, here or in the process that this one replaced."""
         maintenance = self._reporter.tracker.maintenance
         return maintenance is not None and maintenance.reason.startswith(REASON_PREFIX)
 
     def alert(self, text: str) -> None:
-        """Log and count something that an operator must look at."""
-        log.error("planned maintenance of this machine needs a person: %s", text)
+        """Log and count a problem that needs an operator."""
+        log.error("outage: planned maintenance of this machine needs an operator: %s", text)
         self._core.counters.add("outages that need a person")
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -1,4 +1,4 @@
-"""Connects the maintenance of the fleet to this process: its journal, its own state, and operators."""
+"""Connects the fleet's planned maintenance to this process: its journal, its load and its operators."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .cluster_member import ClusterMember
 from .machine_host import LocalMachineHost, read_boot_id
 
-MAX_WAIT_S = 30.0  # of one question; a caller asks again
+MAX_WAIT_S = 30.0  # limit of one `wait`; a caller that needs longer calls again
 
 
 @dataclass(frozen=True, slots=True)
 class SeatSelection:
-    """The machines that a request is for: every one, those of a zone or group, or those named; this one by default."""
+    """The machines that a request applies to: all, those of a zone or group, or named ones. Default: this machine."""
 
     every: bool = False
     zone: str = ""
@@ -36,10 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestForm:
-    """A request as an operator makes it; see `MaintenanceRequest`.
+    """A request as an operator submits it; see `MaintenanceRequest`.
 
-    selection: the machines.
-    ends_with_caller: bool, it is withdrawn when the caller who waits on this machine is gone.
+    Attributes:
+        selection: The machines.
+        ends_with_caller: Whether it is withdrawn when the caller that waits on this machine has exited.
     """
 
     id: str
@@ -57,17 +58,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceStatus:
-    """A schedule as this runner sees it.
-
-    seat: str, of this runner.
-    schedule: Schedule.
-    is_current: bool, a majority says so now.
-    age_us: int since it was read; None if it never was.
-    policy: this runner's settings.
-    step: the next step, with the reason of each machine that waits.
-    starts_in_s: estimates by request id and seat.
-    alive_seats: set of seats.
-    now_s: Unix time.
+    """The schedule as seen by this runner.
+
+    Attributes:
+        seat: Seat of this runner.
+        schedule: The schedule.
+        is_current: Whether a majority has just confirmed the schedule.
+        age_us: Time since the schedule was read; None if it never was.
+        policy: This runner's settings.
+        step: The next step, with the reason why each waiting machine waits.
+        starts_in_s: Estimated time until the start, by request id and seat.
+        alive_seats: Seats whose members are alive.
+        now_s: Unix time.
     """
 
     seat: str
@@ -85,12 +87,13 @@
 
 
 class MaintenanceLink:
-    """The process of a coordinator: its journal and load report, and the operators' way to it.
+    """Connects the maintenance coordinator to its journal, its load report and the operators.
 
-    fleet: this runner's link to the fleet.
-    policy: settings.
-    machine: this runner's machine.
-    coordinator: the member's part.
+    Attributes:
+        fleet: This runner as a member of its fleet.
+        policy: Settings of planned maintenance.
+        machine: This runner's machine.
+        coordinator: Planned maintenance as run by this member.
     """
 
     def __init__(self, fleet: ClusterMember, policy: MaintenancePolicy, reporter: Reporter) -> None:
@@ -113,24 +116,24 @@
         fleet.maintenance = self
 
     @property
-    def is_out(self) -> bool:
-        """Nothing new is taken, and what has not begun goes to others."""
-        return self.machine.is_out
+    def is_out_of_service(self) -> bool:
+        """Whether this runner accepts no new work, and hands work that has not started to others."""
+        return self.machine.is_out_of_service
 
     def start(self) -> None:
-        """Restore the journal. Called before the fleet's own start, which asks others for what is missing."""
+        """Restore the journal. Must precede the start of the node, which requests missing state from other members."""
         if self._journal_image is not None:
             self.coordinator.replica.acceptor.restore(self.core.clock.now, self._journal_image)
             self._journal_image = None
         self.coordinator.start()
 
     def reconfigure(self, policy: MaintenancePolicy) -> None:
-        """Follow other settings, for what is granted from now on."""
+        """Apply changed settings to future grants."""
         self.policy = policy
         self.coordinator.reconfigure(policy)
 
     def report_load(self) -> None:
-        """Update what the other members are told of this one. Called periodically."""
+        """Update the load that this member publishes to the others. Called periodically."""
         self._gauge.cores = self.core.settings.cores
         load, peak_load = self._gauge.sample(self.core.clock.now, self.core.runs.on_cores)
         self.fleet.node.load_figures = self._reporter.report().weight, load, peak_load
@@ -138,7 +141,10 @@
     # ---- operators ----
 
     def submit(self, form: RequestForm, callback: StatusCallback) -> None:
-        """Add a request. Errors: UnknownSeatError, NotLocalError, and those of `MaintenanceCoordinator.submit`."""
+        """Add a request.
+
+        `callback` may get UnknownSeatError, NotLocalError, or an error of `MaintenanceCoordinator.submit`.
+        """
         self.core.begin_turn()
         seats = self._selected_seats(form.selection)
         if not seats:
@@ -174,22 +180,22 @@
     def withdraw(
         self, request_id: str, seats: Sequence[str], requested_by: str, callback: StatusCallback
     ) -> None:
-        """Withdraw seats of a request; all if none is named."""
+        """Withdraw the named seats of a request, or all of its seats if none is named."""
         self.core.begin_turn()
         self.coordinator.withdraw(request_id, list(seats), requested_by, self._status_to(callback))
 
     def pause(self, reason: str, callback: StatusCallback) -> None:
-        """Grant no slots until resumed."""
+        """Stop granting slots until `resume`."""
         self.core.begin_turn()
         self.coordinator.pause(reason, self._status_to(callback))
 
     def resume(self, seat: str, callback: StatusCallback) -> None:
-        """End the pause, or queue a suspended seat again."""
+        """End the pause, or queue a suspended seat again if one is given."""
         self.core.begin_turn()
         self.coordinator.resume(seat, self._status_to(callback))
 
     def finish(self, seat: str, stated_by: str, callback: StatusCallback) -> None:
-        """State that the work on a machine is over."""
+        """Record an operator's statement that the maintenance of a machine is complete."""
         self.core.begin_turn()
         self.coordinator.finish(seat, stated_by, self._status_to(callback))
 
@@ -207,13 +213,13 @@
         return self.coordinator.wait(request_id, seat, timeout_us, callback)
 
     def _status_to(self, callback: StatusCallback) -> Callable[[Schedule | MaintenanceError], None]:
-        def got(result: Schedule | MaintenanceError) -> None:
+        def on_result(result: Schedule | MaintenanceError) -> None:
             callback(result if isinstance(result, MaintenanceError) else self.status(result, True))
 
-        return got
+        return on_result
 
     def status(self, schedule: Schedule, is_current: bool) -> MaintenanceStatus:
-        """Return a schedule as this runner sees it."""
+        """Return the status for a schedule as this runner sees it."""
         now_s = self.machine.unix_s()
         step = self.coordinator.explain()
         placement = self.fleet.node.placement
--- a/moorusher/cluster_transport/peer_links.py
+++ b/moorusher/cluster_transport/peer_links.py
@@ -1,4 +1,4 @@
-"""All connections of one runner to the others: who is accepted, and by which connection a message goes."""
+"""All connections of one runner to the other members: the handshake, and the choice of connection for each message."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 
 
 class PeerLinks:
-    """The `peers.PeerOwner` of a node.
+    """The connections of a node (`peers.PeerOwner`).
 
     Attributes:
-        core: has the clock, the alarms and the counters.
-        reactor: the loop.
-        closed: `bool`, nothing more is connected.
-        incoming: connections that others have made.
+        core: Request engine, for its clock, alarms and counters.
+        reactor: Twisted's reactor.
+        closed: Whether `close` was called, after which no connection is made.
+        incoming: Connections made by other members.
     """
 
     def __init__(
-        self, reactor: Any, core: RequestEngine, config: FleetConfig, digest: str, node: Node
+        self, reactor: Any, core: RequestEngine, config: FleetConfig, seats_digest: str, node: Node
     ) -> None:
-        """`digest`: of the seats in the settings, which all members must have alike."""
+        """:param seats_digest: Digest of the seats in the settings, which must be equal on all members."""
         self.reactor = reactor
         self.core = core
         self.closed = False
         self.incoming: set[PeerConnection] = set()
         self._cluster = config.name
-        self._digest = digest
+        self._seats_digest = seats_digest
         self._node = node
         self._dialers = {
             seat.name: PeerDialer(self, seat.name, seat.address)
             for seat in config.seats
             if seat.name != node.me
         }
-        self._current_peer: PeerConnection | None = None  # whose message is being handled
+        self._current_peer: PeerConnection | None = None  # sender of the message that is being handled
         self._to_flush: list[PeerConnection] = []
 
     def set_addresses(self, config: FleetConfig) -> None:
-        """New addresses of the same seats, for the next connections."""
+        """Set new addresses of the same seats, for future connections."""
         for seat in config.seats:
             if seat.name in self._dialers:
                 self._dialers[seat.name].address = seat.address
 
     def address_of(self, seat: str) -> tuple[str, int]:
-        """Where the next connection to that seat goes."""
+        """Return the address for the next connection to a seat."""
         return self._dialers[seat].address
 
     def close(self) -> None:
-        """Sends what has gathered, and ends all connections."""
+        """Send the buffered messages, and close all connections."""
         self.flush()
         self.closed = True
         for dialer in self._dialers.values():
@@ -67,13 +67,13 @@
     # ---- the handshake ----
 
     def hello(self) -> Hello:
-        """This process's greeting."""
+        """Return this process's handshake."""
         owner = self._node.owner
-        return Hello(PROTOCOL_VERSION, self._cluster, self._digest, owner.seat, owner.incarnation)
+        return Hello(PROTOCOL_VERSION, self._cluster, self._seats_digest, owner.seat, owner.incarnation)
 
     def check_hello(self, peer: PeerConnection, hello: Hello) -> str | None:
-        """Takes the peer for a member of the cluster, or returns the reason why not."""
-        reason = self._why_foreign(peer, hello)
+        """Accept the peer's handshake and record its seat, or return the reason for rejecting it."""
+        reason = self._handshake_error(peer, hello)
         if reason is not None:
             return reason
         if not peer.is_outgoing:
@@ -82,17 +82,17 @@
         peer.incarnation = hello.incarnation
         outgoing = self._dialers[hello.seat].peer
         if outgoing is not None and 0 < outgoing.incarnation < hello.incarnation:
-            # Another process has the seat by now: what is sent is for that one.
+            # A later process has the seat by now. Reconnecting sends further messages to that one.
             outgoing.transport.loseConnection()
         self._node.detector.record_contact(hello.seat, hello.incarnation)
         return None
 
-    def _why_foreign(self, peer: PeerConnection, hello: Hello) -> str | None:
+    def _handshake_error(self, peer: PeerConnection, hello: Hello) -> str | None:
         if hello.version != PROTOCOL_VERSION:
             return f"version {hello.version} of the messages, and {PROTOCOL_VERSION} is spoken here"
         if hello.fleet != self._cluster:
             return f"another fleet, {hello.fleet!r}"
-        if hello.seats_digest != self._digest:
+        if hello.seats_digest != self._seats_digest:
             return "other seats in its file"
         is_own_seat = hello.seat == self._node.me and not peer.is_outgoing
         if hello.seat not in self._node.detector.by_seat or is_own_seat:
@@ -102,8 +102,8 @@
         return None
 
     def rejected_by_peer(self, peer: PeerConnection, reason: str) -> None:
-        """The peer does not take this process for a member."""
-        log.error("fleet: %s does not take this runner for one of its fleet: %s", peer.seat, reason)
+        """Called when the peer has rejected this process's handshake."""
+        log.error("fleet: a peer rejected this runner's handshake: seat=%s reason=%s", peer.seat, reason)
         self.count("fleet links: refused by another")
         peer.rejected = True
         peer.transport.loseConnection()
@@ -111,43 +111,43 @@
     # ---- connections ----
 
     def connected(self, peer: PeerConnection) -> None:
-        """A connection to a peer was made."""
+        """Called when a connection to a peer was made."""
         self._dialers[peer.seat].connected(peer)
 
     def disconnected(self, peer: PeerConnection) -> None:
-        """A connection has ended, whoever made it."""
+        """Called when a connection is lost, whichever side made it."""
         self.incoming.discard(peer)
         if peer.is_outgoing and self._dialers[peer.seat].peer is peer:
             if not peer.incarnation and not peer.rejected:
-                # Accepted and dropped at once: no process of the cluster is behind that address.
+                # The connection was closed before a handshake: no member listens at that address.
                 self.connect_failed(peer.seat, refused=True)
             self._dialers[peer.seat].disconnected()
 
     def connect_failed(self, seat: str, refused: bool) -> None:
-        """No connection could be made. `refused`: nothing listens at the address."""
+        """Called when no connection could be made. `refused`: whether no process listens at the address."""
         if not self.closed:
             self._node.detector.suspect(seat, refused)
 
     # ---- messages ----
 
     def receive(self, peer: PeerConnection, message: Message) -> None:
-        """A message of a peer that has greeted."""
+        """Pass a message of an accepted peer to the node."""
         self._current_peer = peer
         try:
             self._node.receive(peer.seat, peer.incarnation, message)
-        except Exception:  # a fault over one message must end neither the connection nor the program
-            log.exception("fleet: a message was not handled: seat=%s message=%s", peer.seat, message)
+        except Exception:  # an error in handling one message must not end the connection or the program
+            log.exception("fleet: handling a message failed: seat=%s message=%s", peer.seat, message)
             self.count("faults")
         finally:
             self._current_peer = None
 
     def send(self, seat: str, message: Message) -> None:
-        """To whichever process has the seat."""
+        """Send a message to the process that currently has the seat."""
         if seat in self._dialers:
             self._dialers[seat].send(message)
 
     def reply(self, seat: str, message: Message) -> None:
-        """To the process whose message is being handled."""
+        """Send a message to the process whose message is being handled."""
         peer = self._current_peer
         if peer is not None and peer.seat == seat:
             peer.send(message)
@@ -155,25 +155,25 @@
             self.send(seat, message)
 
     def replier(self, seat: str) -> Callable[[Message], None]:
-        """`reply`, for later."""
+        """Return a function that sends to the process whose message is being handled, to be called later."""
         peer = self._current_peer
         if peer is not None and peer.seat == seat:
             return peer.send
         return lambda message: self.send(seat, message)
 
     def flush_soon(self, peer: PeerConnection) -> None:
-        """The peer has messages to send: all of this turn go in one frame."""
+        """Flush the peer at the end of this turn, so that all messages of the turn share a frame."""
         if not self._to_flush:
             self.reactor.callLater(0, self.flush)
         self._to_flush.append(peer)
 
     def flush(self) -> None:
-        """Sends what has gathered."""
+        """Send the buffered messages."""
         peers = self._to_flush
         self._to_flush = []
         for peer in peers:
             peer.flush()
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Add 1 to a counter."""
         self.core.counters.add(name)
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -1,7 +1,7 @@
-"""The connections among the runners of a cluster: frames of messages over TCP. What they mean is decided elsewhere.
+"""The connections between the runners of a cluster, which carry frames of messages over TCP.
 
-A connection is made by whoever has something to send; answers come back on it, so that they reach the very process that
-asked, though another one may have taken its seat.
+A runner connects when it has something to send. Answers return on the same connection, so that they reach the process
+that sent the request even if another process has taken its seat meanwhile.
 """
 
 from __future__ import annotations
@@ -31,10 +31,9 @@
 
 log = logging.getLogger("moorusher")
 
-MAX_QUEUED_MESSAGES = 512  # for a peer while the connection to it is being made
-MAX_UNSENT_BYTES = (
-    4 << 20
-)  # a peer that reads more slowly loses what follows: it is silent for the others then
+MAX_QUEUED_MESSAGES = 512  # per peer, while the connection to it is being made
+# With more unsent bytes, messages to a peer are dropped. A peer that reads so slowly then looks silent to the others.
+MAX_UNSENT_BYTES = 4 << 20
 MAX_MESSAGES_PER_FRAME = 256
 HANDSHAKE_TIMEOUT_US = 2_000 * MS
 RECONNECT_BACKOFF_US = 50 * MS  # doubles with each attempt
@@ -44,13 +43,13 @@
 
 
 class PeerOwner(Protocol):
-    """Whose connections they are: who is accepted, and who gets the messages.
+    """Checks handshakes, and receives messages and events of connections.
 
     Attributes:
-        core: has the clock and the alarms.
-        reactor: the loop.
-        closed: `bool`, nothing more is connected.
-        incoming: connections that others have made.
+        core: Request engine, for its clock and alarms.
+        reactor: Twisted's reactor.
+        closed: Whether the owner is closed, after which no connection is made.
+        incoming: Connections made by other members.
     """
 
     core: RequestEngine
@@ -59,48 +58,49 @@
     incoming: set[PeerConnection]
 
     def hello(self) -> Hello:
-        """This process's greeting."""
+        """Return this process's handshake."""
 
     def check_hello(self, peer: PeerConnection, hello: Hello) -> str | None:
-        """Takes the peer for a member of the cluster, or returns the reason why not."""
+        """Accept the peer's handshake and record its seat, or return the reason for rejecting it."""
 
     def connected(self, peer: PeerConnection) -> None:
-        """A connection to a peer was made."""
+        """Called when a connection to a peer was made."""
 
     def rejected_by_peer(self, peer: PeerConnection, reason: str) -> None:
-        """The peer does not take this process for a member."""
+        """Called when the peer has rejected this process's handshake."""
 
     def disconnected(self, peer: PeerConnection) -> None:
-        """A connection has ended, whoever made it."""
+        """Called when a connection is lost, whichever side made it."""
 
     def connect_failed(self, seat: str, refused: bool) -> None:
-        """No connection could be made. `refused`: nothing listens at the address."""
+        """Called when no connection could be made. `refused`: whether no process listens at the address."""
 
     def receive(self, peer: PeerConnection, message: Message) -> None:
-        """A message of a peer that has greeted."""
+        """Called for each message of an accepted peer."""
 
     def flush_soon(self, peer: PeerConnection) -> None:
-        """Call `peer.flush` in this turn of the loop."""
+        """Call `peer.flush` at the end of this turn of the event loop."""
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Add 1 to a counter."""
 
 
 class PeerConnection(Int32StringReceiver):
     """A connection to or from another seat's process.
 
     Attributes:
-        seat: `str`; empty until the peer has greeted, where it made the connection.
-        incarnation: `int`, of the peer's process; 0 until it has greeted.
-        is_outgoing: `bool`, this process made the connection.
-        rejected: `bool`, the peer does not take this process for a member.
+        owner: Checks the handshake, and receives messages and events.
+        seat: Seat of the peer. Empty on an incoming connection until the handshake.
+        incarnation: Incarnation of the peer's process; 0 until the handshake.
+        is_outgoing: Whether this process made the connection.
+        rejected: Whether the peer has rejected this process's handshake.
     """
 
     transport: Any
     MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self, owner: PeerOwner, seat: str = "") -> None:
-        """`seat`: where this process makes the connection."""
+        """:param seat: Seat of the peer if this process makes the connection, else empty."""
         self.owner = owner
         self.seat = seat
         self.incarnation = 0
@@ -110,7 +110,7 @@
         self._handshake_timer: Alarm | None = None
 
     def connectionMade(self) -> None:
-        """Greets, or waits for a greeting."""
+        """Send the handshake, or wait for the peer's."""
         self.transport.setTcpNoDelay(True)
         core = self.owner.core
         core.begin_turn()
@@ -119,30 +119,30 @@
             self.owner.connected(self)
         else:
             self.owner.incoming.add(self)
-            due = core.clock.now + HANDSHAKE_TIMEOUT_US
-            self._handshake_timer = core.alarms.at(due, self._handshake_timed_out)
+            due_us = core.clock.now + HANDSHAKE_TIMEOUT_US
+            self._handshake_timer = core.alarms.at(due_us, self._handshake_timed_out)
 
     def _handshake_timed_out(self) -> None:
         self.owner.count("fleet links: " + EndReason.READ_TIMEOUT.value)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The connection has ended."""
+        """Notify the owner."""
         if self._handshake_timer is not None:
             self._handshake_timer.cancel()
         self.owner.core.begin_turn()
         self.owner.disconnected(self)
 
-    # ---- out ----
+    # ---- sending ----
 
     def send(self, message: Message) -> None:
-        """Sends in this turn of the loop, in one frame with all that the turn still brings."""
+        """Buffer a message until the end of this turn of the event loop. All messages of a turn share a frame."""
         self._outgoing.append(message)
         if len(self._outgoing) == 1:
             self.owner.flush_soon(self)
 
     def flush(self) -> None:
-        """Sends what has gathered; drops it where the peer reads too slowly."""
+        """Send the buffered messages, or drop them if the peer reads too slowly."""
         messages = self._outgoing
         self._outgoing = []
         if self._unsent_bytes() > MAX_UNSENT_BYTES:
@@ -155,7 +155,7 @@
         return buffered + sum(map(len, self.transport._tempDataBuffer))
 
     def send_now(self, messages: list[Message]) -> None:
-        """In as many frames as it takes: one is never too long for the peer."""
+        """Send messages at once, split into frames that don't exceed the peer's length limit."""
         frame: list[Message] = []
         size = 0
         for message in messages:
@@ -169,21 +169,21 @@
         if frame:
             self.sendString(encode(frame))  # type: ignore[no-untyped-call]
 
-    # ---- in ----
+    # ---- receiving ----
 
     def stringReceived(self, string: bytes) -> None:
-        """A frame. Whatever comes before the greeting is dropped."""
+        """Handle a frame. Messages before the handshake are dropped."""
         self.owner.core.begin_turn()
         try:
             messages = decode(string)
         except UnreadableFrameError as exc:
-            log.warning("fleet: a peer sent an unreadable frame: seat=%s reason=%s", self.seat, exc)
+            log.warning("fleet: received an unreadable frame: seat=%s reason=%s", self.seat, exc)
             self.owner.count("fleet links: " + EndReason.FRAMING_LOST.value)
             self.transport.abortConnection()
             return
         for message in messages:
             if isinstance(message, Hello):
-                if not self._greeted(message):
+                if not self._handle_hello(message):
                     return
             elif isinstance(message, HandshakeRejected):
                 self.owner.rejected_by_peer(self, message.reason)
@@ -191,11 +191,13 @@
             elif self.incarnation:
                 self.owner.receive(self, message)
 
-    def _greeted(self, hello: Hello) -> bool:
-        """Whether the connection goes on."""
+    def _handle_hello(self, hello: Hello) -> bool:
+        """Return whether the handshake was accepted."""
         reason = self.owner.check_hello(self, hello)
         if reason is not None:
-            log.warning("fleet: %s of %s refused: %s", hello.seat, hello.fleet, reason)
+            log.warning(
+                "fleet: rejected a handshake: seat=%s fleet=%s reason=%s", hello.seat, hello.fleet, reason
+            )
             self.owner.count("fleet links: refused")
             self.send_now([HandshakeRejected(reason)])
             self.transport.loseConnection()
@@ -206,18 +208,19 @@
         return True
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """A frame that is longer than any of ours."""
+        """Abort the connection, as no member sends a frame this long."""
         self.owner.count("fleet links: " + EndReason.LINE_TOO_LONG.value)
         self.transport.abortConnection()
 
 
 class PeerDialer(ClientFactory):
-    """The connection to one seat: made when there is something to send, made anew when it breaks.
+    """Makes the connection to one seat when there is something to send, and remakes it when it is lost.
 
     Attributes:
-        seat: `str`.
-        address: host and port; may be changed for the next connection.
-        peer: `PeerConnection`, or None where there is none.
+        owner: Owner of the connections.
+        seat: Seat of the peer.
+        address: Host and port. A change applies to the next connection.
+        peer: The established connection; None without one.
     """
 
     noisy = False
@@ -229,11 +232,11 @@
         self.peer: PeerConnection | None = None
         self._queued: list[Message] = []
         self._connecting = False
-        self._not_before = 0  # us; no attempt is made before that
-        self._backoff = RECONNECT_BACKOFF_US
+        self._not_before_us = 0  # earliest time of the next attempt
+        self._backoff_us = RECONNECT_BACKOFF_US
 
     def send(self, message: Message) -> None:
-        """Sends, or queues until there is a connection; drops what is too much."""
+        """Send a message, or queue it until there is a connection. Drop it if the queue is full."""
         if self.peer is not None:
             return self.peer.send(message)
         if len(self._queued) < MAX_QUEUED_MESSAGES:
@@ -242,12 +245,12 @@
         return None
 
     def connect(self) -> None:
-        """Connects, now or as soon as the backoff allows it."""
+        """Connect now, or when the backoff has passed."""
         if self._connecting or self.owner.closed:
             return
         self._connecting = True
-        wait_us = self._not_before - self.owner.core.clock.now
-        if wait_us > 0:  # what is queued must not wait until something else is sent
+        wait_us = self._not_before_us - self.owner.core.clock.now
+        if wait_us > 0:  # scheduled, since queued messages must not wait for another call of `send`
             self.owner.reactor.callLater(wait_us / US_PER_S, self._connect_now)
         else:
             self._connect_now()
@@ -257,31 +260,31 @@
             self.owner.reactor.connectTCP(*self.address, self, timeout=CONNECT_TIMEOUT_S)
 
     def buildProtocol(self, addr: object) -> PeerConnection:
-        """The connection was made."""
+        """Create the protocol of an outgoing connection."""
         return PeerConnection(self.owner, self.seat)
 
     def connected(self, peer: PeerConnection) -> None:
-        """Sends what is queued."""
+        """Send the queued messages on a new connection."""
         self._connecting = False
         self.peer = peer
-        self._backoff = RECONNECT_BACKOFF_US
+        self._backoff_us = RECONNECT_BACKOFF_US
         queued = self._queued
         self._queued = []
         for message in queued:
             peer.send(message)
 
     def disconnected(self) -> None:
-        """Connects anew at once: whether anything listens, and whether that is a later process, is known soon."""
+        """Reconnect at once, to find out soon whether a process still listens and whether it is a later one."""
         self.peer = None
         self.connect()
         self._back_off()
 
     def _back_off(self) -> None:
-        self._not_before = self.owner.core.clock.now + self._backoff
-        self._backoff = min(MAX_RECONNECT_BACKOFF_US, self._backoff * 2)
+        self._not_before_us = self.owner.core.clock.now + self._backoff_us
+        self._backoff_us = min(MAX_RECONNECT_BACKOFF_US, self._backoff_us * 2)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """What was queued is dropped: to whom it mattered, it is sent again."""
+        """Drop the queued messages. Senders that need an answer retry."""
         self.owner.core.begin_turn()
         self._connecting = False
         self._queued.clear()
@@ -291,7 +294,7 @@
 
 
 class PeerServerFactory(Factory):
-    """Listens for the other runners of the cluster."""
+    """Creates the protocols of connections from other runners of the cluster."""
 
     noisy = False
 
@@ -299,5 +302,5 @@
         self.owner = owner
 
     def buildProtocol(self, addr: object) -> PeerConnection:
-        """Another runner connects."""
+        """Create the protocol of an incoming connection."""
         return PeerConnection(self.owner)
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -1,6 +1,6 @@
-"""One runner's part in a cluster, carried out: between the core, the node, its journals and the connections.
+"""Connects one runner's node of the cluster to the request engine, the journals and the connections to other members.
 
-What is settled, and how, is decided in `replication/`.
+The protocols themselves are in the package `moorusher.replication`, which does no I/O.
 """
 
 from __future__ import annotations
@@ -28,23 +28,25 @@
 
 log = logging.getLogger("moorusher")
 
-SELF_CHECK_US = 100 * MS  # so often this runner's own state is looked at
-KERNEL_LOST_US = 300 * MS  # without the kernel, until what is held here goes to others
+SELF_CHECK_INTERVAL_US = 100 * MS
+KERNEL_LOSS_PATIENCE_US = (
+    300 * MS
+)  # without the kernel for this long, held work is handed over to other runners
 NS_PER_US = 1_000
 
 
 class ReplicationService(KeyedWorkCoordinator):
-    """Carries out one node's part: `replication.interfaces.NodeHost` towards the node.
+    """This runner as a member of its cluster; the host of its node (`replication.interfaces.NodeHost`).
 
     Attributes:
-        config: `FleetConfig`.
-        name: `str`, this runner's seat.
-        node: `Node`.
-        links: `PeerLinks`, the connections.
-        journals: by the number of the space whose acceptor writes there.
-        predecessor: `int`, incarnation of the process that this one replaces; else 0.
-        leadership, namespaces, forecast, maintenance: parts of the cluster that this runner takes part in, each None
-            where it is not set; they are built, and imported, by the server.
+        reactor: Twisted's reactor.
+        config: Settings of the fleet.
+        name: This runner's seat.
+        node: Registers, membership and messages.
+        links: Connections to the other members.
+        journals: Journal writers by the number of the register space whose acceptor writes there.
+        predecessor: Incarnation of the process that this one replaces; 0 if none.
+        leadership, namespaces, forecast, maintenance: Optional components, built by the server; None if disabled.
     """
 
     def __init__(
@@ -56,9 +58,9 @@
         accepts_work: Callable[[], bool],
         random: Callable[[], float],
     ) -> None:
-        """`accepts_work`: the runner can take work over. `random`: from 0 to 1.
-
-        Raises ConfigError where the folder of the journals can't be read.
+        """:param accepts_work: Returns whether the runner can take work over.
+        :param random: Returns a random number from 0 to 1.
+        :raises ConfigError: The folder of the journals can't be read.
         """
         super().__init__(core, config.policy.serves_without_majority)
         self.reactor = reactor
@@ -71,32 +73,32 @@
         self.forecast: Any = None
         self.maintenance: Any = None
         placement = Placement(config.seats, config.policy.replicas)
-        self._digest = placement.digest()
+        self._seats_digest = placement.digest()
         self.journals: dict[int, JournalWriter] = {}
-        self._image: JournalImage | None = None
+        self._journal_image: JournalImage | None = None
         incarnation = time.time_ns() // NS_PER_US
-        journal = open_journal(config, "", self._digest, name, incarnation)
+        journal = open_journal(config, "", self._seats_digest, name, incarnation)
         if journal is not None:
             incarnation = journal.incarnation
-            self._image = journal.image
+            self._journal_image = journal.image
         self.node = Node(name, incarnation, placement, self, config.policy, self.longest_window_us())
         if journal is not None:
             self.attach_journal(journal, WORK_SPACE, self.node.acceptor)
-        self.links = PeerLinks(reactor, core, config, self._digest, self.node)
-        self._wake_at: int | None = None  # us; the node is woken then
+        self.links = PeerLinks(reactor, core, config, self._seats_digest, self.node)
+        self._wake_at_us: int | None = None  # time of the next call of the node's `run_due`
         self.predecessor = 0
-        self._handed_over = False  # what is held here is for others to take
+        self._handed_over = False  # whether held work is being handed over to other runners
         core.hooks.coordinator = self
         core.keys.observers.append(self)
 
-    # ---- life ----
+    # ---- life cycle ----
 
     def start(self) -> None:
-        """Restores what the journal has, and starts the node and its parts."""
+        """Restore the journal, and start the optional components and the node."""
         self.core.begin_turn()
-        if self._image is not None:
-            self.node.restore(self._image)
-            self._image = None
+        if self._journal_image is not None:
+            self.node.restore(self._journal_image)
+            self._journal_image = None
         for part in (self.leadership, self.namespaces, self.forecast, self.maintenance):
             if part is not None:
                 part.start()
@@ -105,7 +107,7 @@
         self._check_self()
 
     def close(self) -> None:
-        """The process ends."""
+        """Close connections, journals and stores at the end of the process."""
         self.links.close()
         for journal in self.journals.values():
             journal.close()
@@ -113,16 +115,16 @@
             self.namespaces.close()
 
     def reconfigure(self, config: FleetConfig) -> None:
-        """New addresses of the same seats, and maybe a longer window."""
+        """Apply new addresses of the same seats, and a longer idempotency window if the classes have one now."""
         self.links.set_addresses(config)
         self.node.extend_window(self.longest_window_us())
 
     def longest_window_us(self) -> int:
-        """The longest window of a class of requests, with its margin."""
+        """Return the longest idempotency window of a request class, with its margin."""
         return window_end(0, self.core.state.longest_key_window_ms())
 
     def _check_self(self) -> None:
-        """Publishes this runner's status; hands held work over while it can't serve."""
+        """Publish this runner's status, and hand over held work while it can't serve. Repeats periodically."""
         core = self.core
         is_replacing = core.key_claims.is_successor and core.key_claims.peer is not None
         if self.maintenance is not None:
@@ -133,21 +135,21 @@
         else:
             self._handed_over = False
         if not self.links.closed:
-            core.alarms.at(core.clock.now + SELF_CHECK_US, self._check_self)
+            core.alarms.at(core.clock.now + SELF_CHECK_INTERVAL_US, self._check_self)
 
     def _must_hand_over(self) -> bool:
         core = self.core
-        if core.drain_state.draining or (self.maintenance is not None and self.maintenance.is_out):
+        if core.drain_state.draining or (self.maintenance is not None and self.maintenance.is_out_of_service):
             return True
-        lost_at = core.kernel_status.link_lost_at
-        is_lost = lost_at is not None and core.clock.now - lost_at >= KERNEL_LOST_US
+        lost_at_us = core.kernel_status.link_lost_at
+        is_lost = lost_at_us is not None and core.clock.now - lost_at_us >= KERNEL_LOSS_PATIENCE_US
         return is_lost and core.ready
 
     def _hand_over(self) -> None:
         if not self._handed_over:
-            log.info("fleet: keyed work that has not started goes to others")
+            log.info("fleet: handing over keyed work that has not started to other runners")
             if self.forecast is not None:
-                self.forecast.leave()
+                self.forecast.report_now()
         self._handed_over = True
         self.node.hand_over_held()
         if self.leadership is not None:
@@ -155,25 +157,26 @@
 
     @property
     def is_busy(self) -> bool:
-        """Something is under way that must not end with this process."""
+        """Whether this runner still has unfinished work or leases of the cluster."""
         leads = self.leadership is not None and self.leadership.participant.leases.by_key
         return bool(self.node.unfinished or leads)
 
     # ---- journals ----
 
     def open_part_journal(self, part: str) -> OpenedJournal | None:
-        """The journal of a part beside keyed work, or None where there are no journals.
+        """Open the journal of a component other than keyed work; None without journals.
 
-        Its file may show that this process is a later incarnation than it thought.
+        If the file records a later incarnation of this seat than the clock suggests, this process's incarnation is
+        raised.
         """
         incarnation = self.node.owner.incarnation
-        journal = open_journal(self.config, part, self._digest, self.name, incarnation)
+        journal = open_journal(self.config, part, self._seats_digest, self.name, incarnation)
         if journal is not None and journal.incarnation > incarnation:
             self.node.raise_incarnation(journal.incarnation)
         return journal
 
     def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
-        """What this acceptor promises is written there before it is sent; it has no vote while nothing can be."""
+        """Have an acceptor's promises written to a journal before they are sent. It can't vote while writing fails."""
         writer = JournalWriter(self.reactor, journal.folder, acceptor, self.now, self.count)
         self.journals[space] = writer
         if not journal.is_written:
@@ -182,32 +185,35 @@
     # ---- for operators ----
 
     def bootstrap(self, accept_loss: bool) -> str | None:
-        """An operator's word; see `Node.bootstrap`. Returns the reason where that can't be."""
+        """Bootstrap the node by an operator's order; see `Node.bootstrap`.
+
+        :returns: None, or the reason why it is not possible.
+        """
         self.core.begin_turn()
         return self.node.bootstrap(accept_loss)
 
     def status(self) -> dict[str, object]:
-        """What `GET /fleet` tells."""
+        """Return the document of `GET /fleet`."""
         now = self.now()
         counters = self.core.counters.total
         return cluster_document(self.config.name, self.node, self.journals.values(), counters, now)
 
     def work_status(self) -> dict[str, object]:
-        """What `GET /fleet/work` tells."""
+        """Return the document of `GET /fleet/work`."""
         return work_document(self.node, self.now())
 
-    # ---- for the node: `NodeHost` ----
+    # ---- NodeHost ----
 
     def send(self, seat: str, message: Message) -> None:
-        """To whichever process has the seat."""
+        """Send a message to the process that currently has the seat."""
         self.links.send(seat, message)
 
     def reply(self, seat: str, message: Message) -> None:
-        """To the process whose message is being handled."""
+        """Send a message to the process whose message is being handled."""
         self.links.reply(seat, message)
 
     def replier(self, seat: str) -> Callable[[Message], None]:
-        """`reply`, for later."""
+        """See `PeerLinks.replier`."""
         return self.links.replier(seat)
 
     def durable(self, then: Callable[[], None], space: int) -> None:
@@ -219,31 +225,31 @@
             journal.durable(then)
 
     def random(self) -> float:
-        """From 0 to 1."""
+        """Return a random number from 0 to 1."""
         return self._random()
 
     def clock(self) -> int:
-        """us, as of this turn of the loop."""
+        """Return the time in us at the start of this turn of the event loop."""
         return self.core.clock.now
 
     def now(self) -> int:
-        """us, read anew."""
+        """Read the clock and return the time in us."""
         self.core.begin_turn()
         return self.core.clock.now
 
     def wake(self, when: int) -> None:
-        """Calls the node's `run_due` then."""
-        if self._wake_at is None or when < self._wake_at:
-            self._wake_at = when
+        """Schedule the node's `run_due` for a time in us."""
+        if self._wake_at_us is None or when < self._wake_at_us:
+            self._wake_at_us = when
             self.core.alarms.at(when, self._wake)
 
     def _wake(self) -> None:
-        if self._wake_at is not None and self._wake_at <= self.core.clock.now:
-            self._wake_at = None
+        if self._wake_at_us is not None and self._wake_at_us <= self.core.clock.now:
+            self._wake_at_us = None
             self.node.run_due()
 
     def fit(self) -> bool:
-        """This runner can take work over."""
+        """Return whether this runner can take over work and duties of the fleet."""
         core = self.core
         return (
             core.ready
--- a/moorusher/cluster_transport/replication_status.py
+++ b/moorusher/cluster_transport/replication_status.py
@@ -1,6 +1,6 @@
-"""What `GET /fleet` and `GET /fleet/work` tell: the JSON of one runner's view of its cluster.
+"""The documents of `GET /fleet` and `GET /fleet/work`: one runner's view of its cluster.
 
-The keys are the API's; the names in the code are mapped to them here.
+This module maps the names in the code to the keys of the API.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from ..time_units import MS
 
 MAX_LISTED_KEYS = 1_000
-KEY_DIGITS = 12  # hexadecimal digits by which a key is shown
+KEY_DIGITS = 12  # hexadecimal digits of a key's digest that are shown
 
 
 def member_document(member: Member, zone: str, now: int) -> dict[str, object]:
-    """One member. `now`: us."""
+    """Return the document of one member. `now`: us."""
     return {
         "seat": member.seat,
         "zone": zone,
@@ -31,7 +31,7 @@
 
 
 def journal_state(journals: Iterable[JournalWriter]) -> str | None:
-    """`written`, or what is wrong; None where there are no journals."""
+    """Return `written`, or the failures of the journals; None without journals."""
     writers = list(journals)
     if not writers:
         return None
@@ -41,7 +41,7 @@
 def cluster_document(
     cluster: str, node: Node, journals: Iterable[JournalWriter], counters: dict[str, int], now: int
 ) -> dict[str, object]:
-    """The cluster as this runner knows it. `counters`: all of the runner's; `now`: us."""
+    """Return the document of the cluster as known to this runner. `counters`: all counters; `now`: us."""
     return {
         "name": cluster,
         "seat": node.me,
@@ -59,7 +59,7 @@
 
 
 def tenure_document(tenure: Tenure, now: int) -> dict[str, object]:
-    """A key that this runner has in hand or waits for, without its body and token. `now`: us."""
+    """Return the document of a key that this runner holds or waits for, without its body and token. `now`: us."""
     return {
         "key": tenure.key.hex()[:KEY_DIGITS],
         "class": None if tenure.request is None else tenure.request.request_class,
@@ -71,6 +71,6 @@
 
 
 def work_document(node: Node, now: int) -> dict[str, object]:
-    """The keys that this runner has in hand or waits for. `now`: us."""
+    """Return the document of the keys that this runner holds or waits for. `now`: us."""
     tenures = list(node.tenures.values())[:MAX_LISTED_KEYS]
     return {"work": [tenure_document(tenure, now) for tenure in tenures]}
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -285,7 +285,7 @@
 
     def lets_on(self, node: Runner) -> int:
         """How often a process of this runner has left its clients to a further one."""
-        return node.text().count("succession: finishes, and the other one serves")
+        return node.text().count("hot restart: finishes, and the other one serves")
 
     def _due_once_woken(self, asked: Asked) -> Asked:
         """Due when the process that serves goes on, or another one serves in its place."""
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -82,7 +82,7 @@
             (further := Kernel()).listen()
             r.start(further.port)  # the next process finds this one
             await r.says_yes()
-            assert "a further process of this runner has come" in r.text()
+            assert "another process of this runner connected" in r.text()
             further.close()
 
     run()
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -213,7 +213,7 @@
         leaving = w.fleet.runners[first]
         leaving.process.send_signal(signal.SIGTERM)
         await wait_until(
-            lambda: "goes to others" in leaving.text()
+            lambda: "handing over keyed work" in leaving.text()
         )  # the duty is given up, and the report has no answer yet
         w.ways[first].resume()
         then = await w.next_leader(first)
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -292,7 +292,7 @@
         cluster.fleet.again(2)
         await cluster.fleet.runners[2].ready()
         assert await cluster.route_of(2) == "a1" and await cluster.route_of(2, acct="bolt") == "free"
-        assert "no other runner was heard of" in cluster.fleet.runners[2].text()
+        assert "no other runner responded" in cluster.fleet.runners[2].text()
 
 
 @asynchronous_test
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -61,13 +61,13 @@
         in_the_way = Path(rendezvous_path(str(r.spool), "n1", (HOST, r.port)) or "")
         in_the_way.mkdir()
         await r.ready()
-        await wait_until(lambda: "no further process can find this one yet" in r.text())
+        await wait_until(lambda: "can't publish the rendezvous socket" in r.text())
         in_the_way.rmdir()
         await wait_until(in_the_way.is_socket)
         (further := Kernel()).listen()
         r.start(further.port)
         await r.says_yes()
-        assert "a further process of this runner has come" in r.text()
+        assert "another process of this runner connected" in r.text()
         further.close()
 
 
@@ -83,7 +83,7 @@
         runner.environment = {"PYTHONPATH": str(INJECT), "FAULT_PLAN": plan, "FAULT_START": str(start)}
         former = runner.process
         await both.begin(late=1.5)
-        await wait_until(lambda: "a further process of this runner has come" in runner.text())
+        await wait_until(lambda: "another process of this runner connected" in runner.text())
         start.touch()
         answers = []
         while "can't listen yet" not in runner.text() or not runner.text().count("finishes, and the other"):
@@ -261,7 +261,7 @@
         r = both.runner
         await both.replace()
         await both.begin()
-        await wait_until(lambda: r.text().count("has come:") >= 2)
+        await wait_until(lambda: r.text().count("another process of this runner connected:") >= 2)
         assert await r.asked("health") == 503
         r.processes[0].send_signal(signal.SIGTERM)
         await r.says_yes()
