--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -33,11 +33,9 @@
 
 
 def attributes_of(arrival: Arrival) -> RequestAttributes:
-    """Return the attributes of a request that rules may match.
-
-    Splits of a request without a key use its subject, or else its id. In the latter case a retry, which has another
-    id, may take another branch.
-    """
+    """Return the attributes of a request that rules may match."""
+    # Splits of a request without a key use its subject, or else its id. In the latter case a retry, which has another
+    # id, may take another branch.
     subject = -1 if arrival.subject is None else arrival.subject
     return RequestAttributes(
         arrival.class_name,
@@ -56,9 +54,6 @@
     `core.routes.Routes`.
 
     Attributes:
-        duties: This runner's connection to the duties.
-        config: Settings of the namespaces.
-        core: Request engine of this process.
         replica: The current revisions.
         store: Store of the current revisions on disk; None without a journal folder.
         ready: False from `start` until the replica has caught up with other runners. No request is served meanwhile.
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -73,7 +73,6 @@
     Attributes:
         duties: This runner's connection to the duties.
         policy: Settings of the forecast.
-        core: Request engine of this runner.
         member: This runner as a member of the forecast.
     """
 
@@ -94,7 +93,7 @@
         self.member.start()
 
     def report_now(self) -> None:
-        """Report the latest counts before this process ends."""
+        """Report the latest counts at once, as this runner is about to stop serving."""
         self.member.report()
 
     def work(self, lease: LeaseHolder) -> Forecaster:
--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -80,10 +80,9 @@
             self._timeout = self.core.alarms.at(due_us, lambda: self.handle(Event.TIMEOUT))
 
     def _claim_unanswered(self) -> bool:
-        """Return whether this process has abandoned the other one, so that keys need no claim any more.
-
-        A process may abandon the new one only until it has permitted it to accept. Later the new one may run keys.
-        """
+        # Returns whether this process has abandoned the other one, so that keys need no claim any more.
+        # Until the new process is permitted to accept, the old one can continue without it. After that it can't, as the
+        # new one may have run keys.
         if self.role.state is State.HANDING_OVER:
             self.handle(Event.TIMEOUT)
         return self.core.key_claims.peer is None
@@ -111,7 +110,7 @@
     # ---- the connection ----
 
     def call_soon(self, action: Callable[[], None]) -> None:
-        """Schedule one call of a function in the next turn of the event loop."""
+        """See `ConnectionOwner`."""
         self._reactor.callLater(0, action)
 
     def connected(self, peer: PeerConnection) -> None:
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -108,7 +108,7 @@
         self._process.coexist(ProcessLoad())
 
     def _report_load(self) -> None:
-        """Send this process's load periodically to the successor, which must stay within the remaining limits."""
+        # Runs periodically: sends this process's load to the successor, which must stay within the remaining limits.
         if self._handover.peer is None or not self._handover.role.is_predecessor:
             return
         load = self._process.load()
--- a/moorusher/cluster_transport/hot_restart/peer_connection.py
+++ b/moorusher/cluster_transport/hot_restart/peer_connection.py
@@ -59,7 +59,6 @@
     """One connection. It also represents the other process to the key claims (`key_claims.ClaimPeer`).
 
     Attributes:
-        owner: Receives the events of this connection.
         accepted: Whether the other process has connected to this one.
         received_descriptors: Received sockets that no `Welcome` has named yet.
         closed: Whether the connection is closed, so that frames are neither sent nor handled.
@@ -181,7 +180,7 @@
 
 
 class _KeySender:
-    """Sends the entries of a key table, and pauses while the other side reads too slowly (an IPushProducer)."""
+    # Sends the entries of a key table, and pauses while the other side reads too slowly (an IPushProducer).
 
     def __init__(self, connection: PeerConnection, entries: Iterator[KeyEntry]) -> None:
         self._connection = connection
@@ -189,20 +188,20 @@
         self._paused = False
 
     def pauseProducing(self) -> None:
-        """Called when the transport's buffer is full."""
+        # Called when the transport's buffer is full.
         self._paused = True
 
     def resumeProducing(self) -> None:
-        """Called when the transport's buffer has been written."""
+        # Called when the transport's buffer has been written.
         self._paused = False
         self.send_some()
 
     def stopProducing(self) -> None:
-        """Called when the connection is closed."""
+        # Called when the connection is closed.
         self._entries = None
 
     def send_some(self) -> None:
-        """Send up to `KEYS_PER_TURN` entries, and schedule the rest for later turns of the event loop."""
+        # Sends up to `KEYS_PER_TURN` entries, and schedules the rest for later turns of the event loop.
         connection = self._connection
         for _ in range(KEYS_PER_TURN):
             if self._entries is None or self._paused or connection.closed:
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -1,4 +1,4 @@
-"""How the processes of one runner find each other: a Unix socket at a path that all of them derive alike."""
+"""How the processes of one runner find each other: a Unix socket at a path made from its name and address."""
 
 from __future__ import annotations
 
@@ -40,18 +40,15 @@
 
 
 class _ListeningPort(_UnixPort):  # type: ignore[misc]
-    """A Unix port that does not unlink its path when it closes, as Twisted's does: the socket has been renamed, and
-    another process may have the path by then."""
+    # A Unix port that does not unlink its path when it closes, as Twisted's does: the socket has been renamed, and
+    # another process may have the path by then.
 
     def connectionLost(self, reason: object) -> None:
         tcp.Port.connectionLost(self, reason)  # type: ignore[no-untyped-call]
 
     @classmethod
     def adopt(cls, reactor: Any, bound: socket.socket, factory: Factory) -> _ListeningPort:
-        """Listen on a duplicate of a bound socket.
-
-        The mode is set since Twisted's default lets any user connect.
-        """
+        # Listens on a duplicate of a bound socket. The mode is set since Twisted's default lets any user connect.
         port: _ListeningPort = cls._fromListeningDescriptor(reactor, bound.fileno(), factory)
         port.mode = SOCKET_MODE
         port.startListening()
@@ -59,7 +56,7 @@
 
 
 class _AcceptingFactory(Factory):
-    """Builds the protocol for new processes that connect to this one."""
+    # Builds the protocol for new processes that connect to this one.
 
     noisy = False
 
@@ -71,7 +68,7 @@
 
 
 class _ConnectingFactory(ClientFactory):
-    """Makes one attempt to connect to the process in service."""
+    # Makes one attempt to connect to the process in service.
 
     noisy = False
 
@@ -141,10 +138,8 @@
     # ---- publication ----
 
     def publish(self) -> None:
-        """Make this process the one that new processes connect to.
-
-        It listens at a path of its own first, and renames that atomically over the runner's path.
-        """
+        """Make this process the one that new processes connect to."""
+        # It listens at a path of its own first, and renames that atomically over the runner's path.
         own_path = f"{self._path}.{os.getpid()}"
         mask = os.umask(0o177)
         if self._listening is not None:  # this process was replaced, and its successor has died since
@@ -174,7 +169,7 @@
             os.umask(mask)
 
     def _retry_publish(self) -> None:
-        """Publish again, unless this process shuts down or another process has published meanwhile."""
+        # Publishes again, unless this process shuts down or another process has published meanwhile.
         if not self._owner.core.drain_state.shutting_down and not self._path_is_socket():
             self._owner.core.begin_turn()
             self.publish()
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -141,7 +141,9 @@
         if (request := self._request(event.key)) is not None:
             tenure = self.node.tenures.get(event.key)
             if tenure is not None and tenure.attempt > 1:
-                request.uncounted = False  # an earlier attempt was rejected, here or elsewhere
+                request.uncounted = (
+                    False  # not a first attempt: an earlier one was rejected, here or elsewhere
+                )
             self.core.remote_claims.granted(request)
 
     def _claim_joined(self, event: ClaimJoined) -> None:
@@ -174,7 +176,7 @@
             self.core.remote_claims.moved_away(request)
 
     def _result_known(self, event: ResultKnown) -> None:
-        if (request := self._request(event.key)) is not None:  # the claim of a request found the result
+        if (request := self._request(event.key)) is not None:  # its claim was still pending
             self.core.remote_claims.joined(request)
         core_key = self._core_keys.get(event.key)
         if core_key is not None:
@@ -232,10 +234,8 @@
         )
 
     def _queue_with_rules(self, key: KeyDigest, arrival: Arrival, ruling: Any) -> None:
-        """Queue work whose rules were fetched, or release it to another runner if they could not be.
-
-        :param ruling: The decision of the rules, or the error that prevented it.
-        """
+        # Queues work whose rules were fetched, or releases it to another runner if they could not be.
+        # `ruling` is the decision of the rules, or the error that prevented it.
         self._awaiting_rules.discard(key)
         tenure = self.node.tenures.get(key)
         if tenure is None or not tenure.is_held:
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -69,7 +69,6 @@
     Attributes:
         fleet: This runner as a member of its fleet.
         policy: Settings of the duties.
-        core: Request engine of this runner.
         participant: This member's participant in the duties.
         namespaces, forecast: Create the workers of these kinds. None unless enabled, since they are imported only then.
     """
--- a/moorusher/cluster_transport/peer_links.py
+++ b/moorusher/cluster_transport/peer_links.py
@@ -16,14 +16,7 @@
 
 
 class PeerLinks:
-    """The connections of a node (`peers.PeerOwner`).
-
-    Attributes:
-        core: Request engine, for its clock, alarms and counters.
-        reactor: Twisted's reactor.
-        closed: Whether `close` was called, after which no connection is made.
-        incoming: Connections made by other members.
-    """
+    """The connections of a node. Implements `peers.PeerOwner`, which lists the attributes."""
 
     def __init__(
         self, reactor: Any, core: RequestEngine, config: FleetConfig, seats_digest: str, node: Node
@@ -67,12 +60,12 @@
     # ---- the handshake ----
 
     def hello(self) -> Hello:
-        """Return this process's handshake."""
+        """See `PeerOwner`."""
         owner = self._node.owner
         return Hello(PROTOCOL_VERSION, self._cluster, self._seats_digest, owner.seat, owner.incarnation)
 
     def check_hello(self, peer: PeerConnection, hello: Hello) -> str | None:
-        """Accept the peer's handshake and record its seat, or return the reason for rejecting it."""
+        """See `PeerOwner`."""
         reason = self._handshake_error(peer, hello)
         if reason is not None:
             return reason
@@ -102,7 +95,7 @@
         return None
 
     def rejected_by_peer(self, peer: PeerConnection, reason: str) -> None:
-        """Called when the peer has rejected this process's handshake."""
+        """See `PeerOwner`."""
         log.error("fleet: a peer rejected this runner's handshake: seat=%s reason=%s", peer.seat, reason)
         self.count("fleet links: refused by another")
         peer.rejected = True
@@ -111,11 +104,11 @@
     # ---- connections ----
 
     def connected(self, peer: PeerConnection) -> None:
-        """Called when a connection to a peer was made."""
+        """See `PeerOwner`."""
         self._dialers[peer.seat].connected(peer)
 
     def disconnected(self, peer: PeerConnection) -> None:
-        """Called when a connection is lost, whichever side made it."""
+        """See `PeerOwner`."""
         self.incoming.discard(peer)
         if peer.is_outgoing and self._dialers[peer.seat].peer is peer:
             if not peer.incarnation and not peer.rejected:
@@ -124,14 +117,14 @@
             self._dialers[peer.seat].disconnected()
 
     def connect_failed(self, seat: str, refused: bool) -> None:
-        """Called when no connection could be made. `refused`: whether no process listens at the address."""
+        """See `PeerOwner`."""
         if not self.closed:
             self._node.detector.suspect(seat, refused)
 
     # ---- messages ----
 
     def receive(self, peer: PeerConnection, message: Message) -> None:
-        """Pass a message of an accepted peer to the node."""
+        """See `PeerOwner`."""
         self._current_peer = peer
         try:
             self._node.receive(peer.seat, peer.incarnation, message)
@@ -162,7 +155,7 @@
         return lambda message: self.send(seat, message)
 
     def flush_soon(self, peer: PeerConnection) -> None:
-        """Flush the peer at the end of this turn, so that all messages of the turn share a frame."""
+        """See `PeerOwner`."""
         if not self._to_flush:
             self.reactor.callLater(0, self.flush)
         self._to_flush.append(peer)
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -89,7 +89,6 @@
     """A connection to or from another seat's process.
 
     Attributes:
-        owner: Checks the handshake, and receives messages and events.
         seat: Seat of the peer. Empty on an incoming connection until the handshake.
         incarnation: Incarnation of the peer's process; 0 until the handshake.
         is_outgoing: Whether this process made the connection.
@@ -217,7 +216,6 @@
     """Makes the connection to one seat when there is something to send, and remakes it when it is lost.
 
     Attributes:
-        owner: Owner of the connections.
         seat: Seat of the peer.
         address: Host and port. A change applies to the next connection.
         peer: The established connection; None without one.
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -29,9 +29,8 @@
 log = logging.getLogger("moorusher")
 
 SELF_CHECK_INTERVAL_US = 100 * MS
-KERNEL_LOSS_PATIENCE_US = (
-    300 * MS
-)  # without the kernel for this long, held work is handed over to other runners
+# After so long without the kernel, held work is handed over to other runners.
+KERNEL_LOSS_PATIENCE_US = 300 * MS
 NS_PER_US = 1_000
 
 
@@ -124,7 +123,7 @@
         return window_end(0, self.core.state.longest_key_window_ms())
 
     def _check_self(self) -> None:
-        """Publish this runner's status, and hand over held work while it can't serve. Repeats periodically."""
+        # Runs periodically: publishes this runner's status, and hands over held work while it can't serve.
         core = self.core
         is_replacing = core.key_claims.is_successor and core.key_claims.peer is not None
         if self.maintenance is not None:
@@ -164,14 +163,11 @@
     # ---- journals ----
 
     def open_part_journal(self, part: str) -> OpenedJournal | None:
-        """Open the journal of a component other than keyed work; None without journals.
-
-        If the file records a later incarnation of this seat than the clock suggests, this process's incarnation is
-        raised.
-        """
+        """Open the journal of a component other than keyed work; None without journals."""
         incarnation = self.node.owner.incarnation
         journal = open_journal(self.config, part, self._seats_digest, self.name, incarnation)
         if journal is not None and journal.incarnation > incarnation:
+            # The file records a later incarnation of this seat than the clock suggests.
             self.node.raise_incarnation(journal.incarnation)
         return journal
 
@@ -205,15 +201,15 @@
     # ---- NodeHost ----
 
     def send(self, seat: str, message: Message) -> None:
-        """Send a message to the process that currently has the seat."""
+        """See `PeerLinks`."""
         self.links.send(seat, message)
 
     def reply(self, seat: str, message: Message) -> None:
-        """Send a message to the process whose message is being handled."""
+        """See `PeerLinks`."""
         self.links.reply(seat, message)
 
     def replier(self, seat: str) -> Callable[[Message], None]:
-        """See `PeerLinks.replier`."""
+        """See `PeerLinks`."""
         return self.links.replier(seat)
 
     def durable(self, then: Callable[[], None], space: int) -> None:
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -1,7 +1,7 @@
-"""Messages arrive cut at any byte: each parser must make the same of the pieces as of the whole.
+"""Input that arrives split at any byte: each parser must behave as if it had arrived in one piece.
 
-One table: what each wire is sent, and how a connection of it is made. What is compared is all that can be seen of it:
-what it answered, whether it closed, and what the core and the links were told.
+`CASES` gives the input of each protocol and the function that makes a connection for it. The tests compare everything
+observable: the answers, whether the connection was closed, and the calls to the request engine or the client.
 """
 
 from __future__ import annotations
@@ -34,40 +34,42 @@
 from .test_fronts import NOW_MS, Transport, connected_frontend, request_line
 from .test_links import REPLY, RecordingPool
 
-Fed = tuple[Any, Callable[[], object]]  # a connection, and what is to be seen once it was fed
+Connected = tuple[Any, Callable[[], object]]  # a connection, and a function that returns its observable state
 
 
-class Heard:
-    """Stands for the core behind a link: writes down what it is told."""
+class RecordingCore:
+    """Stands for the request engine behind a client, and records the calls of its methods."""
 
     def __init__(self, world: World) -> None:
-        self.said: list[Any] = []
+        self.calls: list[Any] = []
         self.clock, self.alarms, self.counters = world.core.clock, world.core.alarms, world.core.counters
         self.ready = True
         self.execution = self.kernel_status = self
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *args, **named: self.said.append((name, args, named)) if name != "begin_turn" else None
+        return lambda *args, **kwargs: (
+            self.calls.append((name, args, kwargs)) if name != "begin_turn" else None
+        )
 
 
-def seen(world: World, transport: Transport) -> object:
+def observable_state(world: World, transport: Transport) -> object:
     world.turn()
     return (
         transport.value(),
         transport.disconnecting,
         transport.half_closed,
         transport.aborted,
-        [(s[0], s[1]) for s in world.kernel.said if s[0] == "run"],
-        sorted((n, v) for n, v in world.core.counters.total.items()),
+        [(command[0], command[1]) for command in world.kernel.said if command[0] == "run"],
+        sorted((name, value) for name, value in world.core.counters.total.items()),
     )
 
 
-def jsonrpc() -> Fed:
+def jsonrpc_connection() -> Connected:
     world, _, connection, transport = connected_frontend()
-    return connection, lambda: seen(world, transport)
+    return connection, lambda: observable_state(world, transport)
 
 
-def uwsgi() -> Fed:
+def uwsgi_connection() -> Connected:
     world = World()
     connection, transport = (
         UwsgiFactory(world.core, 10, 2048, 60.0, lambda: True).buildProtocol(None),
@@ -75,10 +77,10 @@
     )
     assert connection is not None
     connection.makeConnection(transport)
-    return connection, lambda: seen(world, transport)
+    return connection, lambda: observable_state(world, transport)
 
 
-def probes(kind: str) -> Fed:
+def probe_connection(kind: str) -> Connected:
     world = World()
     reporter = Reporter(world.core, HealthPolicy(), "n1")
     factory = (
@@ -88,36 +90,36 @@
     )
     connection, transport = factory.buildProtocol(None), Transport()
     connection.makeConnection(transport)
-    return connection, lambda: seen(world, transport)
+    return connection, lambda: observable_state(world, transport)
 
 
-def kernel() -> Fed:
+def kernel_connection() -> Connected:
     world = World()
     link = KernelClient(SimpleNamespace(), ("127.0.0.1", 1))
-    link.core = heard = Heard(world)  # type: ignore[assignment]
+    link.core = core = RecordingCore(world)  # type: ignore[assignment]
     connection, transport = KernelProtocol(link), Transport()
     connection.makeConnection(transport)  # type: ignore[no-untyped-call]
-    return connection, lambda: (heard.said, transport.value(), transport.aborted, link.session.last_notice)
+    return connection, lambda: (core.calls, transport.value(), transport.aborted, link.session.last_notice)
 
 
-def database() -> Fed:
+def database_connection() -> Connected:
     pool = RecordingPool(World())
     pool.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
     connection, transport = pool.establish()
     return connection, lambda: (pool.outcomes, transport.aborted, transport.disconnecting)
 
 
-def uwsgi_below() -> Fed:
+def uwsgi_backend_connection() -> Connected:
     world, dialled = World(), []
     link = UwsgiCalls(SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1))
-    link.core = heard = Heard(world)
+    link.core = core = RecordingCore(world)
     link.call(1, CallRequest("r1", "read", None, Effect.IDEMPOTENT, None, b"q", 500))
     connection, transport = dialled[0].buildProtocol(None), Transport()
     connection.makeConnection(transport)
-    return connection, lambda: (heard.said, transport.aborted, transport.disconnecting)
+    return connection, lambda: (core.calls, transport.aborted, transport.disconnecting)
 
 
-def announce() -> Fed:
+def announcer_connection() -> Connected:
     world, dialled = World(), []
     announcer = Announcer(
         SimpleNamespace(connectTCP=lambda *a, **k: dialled.append(a[2])), ("127.0.0.1", 1), "n1"
@@ -135,27 +137,27 @@
     )
 
 
-def succession() -> Fed:
-    take_messages: list[object] = []
+def hot_restart_connection() -> Connected:
+    messages: list[object] = []
     link: Any = SimpleNamespace(
         core=World().core,
         connected=lambda peer: None,
-        lost=take_messages.append,
-        received=lambda peer, frame: take_messages.append((frame.fields, frame.result)),
+        lost=messages.append,
+        received=lambda peer, frame: messages.append((frame.fields, frame.result)),
     )
     peer = PeerConnection(link, accepted=True)
     peer.transport = transport = Transport()
-    return peer, lambda: (take_messages, transport.aborted)
+    return peer, lambda: (messages, transport.aborted)
 
 
-def frame(head: dict[str, object], blob: bytes = b"") -> bytes:
-    whole = json.dumps(head).encode() + b"\n" + blob
-    return struct.pack("!I", len(whole)) + whole
+def frame(fields: dict[str, object], result: bytes = b"") -> bytes:
+    content = json.dumps(fields).encode() + b"\n" + result
+    return struct.pack("!I", len(content)) + content
 
 
 NOTICES = b"".join(
-    json.dumps(m).encode() + b"\n"
-    for m in (
+    json.dumps(message).encode() + b"\n"
+    for message in (
         {"t": "BOOTED", "status": "LOADED", "time_ms": 5},
         {"t": "IOREQ", "no": 1, "rid": "a", "b64": "eHg="},
         {"t": "DMESG", "no": 2, "status": "hello"},
@@ -166,72 +168,104 @@
 )
 HEARTBEAT = b'{"jsonrpc":"2.0","id":9,"method":"heartbeat"}\r\n'
 
-CASES: list[tuple[str, Callable[[], Fed], bytes]] = [
-    ("request, heartbeat", jsonrpc, request_line(1, t0=NOW_MS) + HEARTBEAT),
-    ("noise, then a request", jsonrpc, b"\xff\x00{}\n[]\n\n" + request_line(2, "write", token="t")),
+CASES: list[tuple[str, Callable[[], Connected], bytes]] = [
+    ("request, heartbeat", jsonrpc_connection, request_line(1, t0=NOW_MS) + HEARTBEAT),
     (
-        "revoked",
-        jsonrpc,
+        "invalid lines, then a request",
+        jsonrpc_connection,
+        b"\xff\x00{}\n[]\n\n" + request_line(2, "write", token="t"),
+    ),
+    (
+        "revoked request",
+        jsonrpc_connection,
         request_line(3) + b'{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}\n' + HEARTBEAT,
     ),
-    ("two under one number", jsonrpc, request_line(4) + request_line(4, rid="x") + request_line(5, "none")),
-    ("uwsgi request", uwsgi, uwsgi_request("read", tenant="", t0=str(NOW_MS), rid="r1")),
-    ("uwsgi ping", uwsgi, HEAD.pack(PING, 0, 0)),
-    ("uwsgi packet that lies", uwsgi, HEAD.pack(0, 6, 0) + b"\x04\x00ab\x09\x00"),
-    ("uwsgi body too long", uwsgi, uwsgi_request("read", b"x" * 2049, tenant="")),
-    ("agent", lambda: probes("agent"), b"lb1\nmore"),
     (
-        "health, twice",
-        lambda: probes("health"),
+        "two requests with one id",
+        jsonrpc_connection,
+        request_line(4) + request_line(4, rid="x") + request_line(5, "none"),
+    ),
+    ("uwsgi request", uwsgi_connection, uwsgi_request("read", tenant="", t0=str(NOW_MS), rid="r1")),
+    ("uwsgi ping", uwsgi_connection, HEAD.pack(PING, 0, 0)),
+    ("uwsgi packet with wrong lengths", uwsgi_connection, HEAD.pack(0, 6, 0) + b"\x04\x00ab\x09\x00"),
+    ("uwsgi body too long", uwsgi_connection, uwsgi_request("read", b"x" * 2049, tenant="")),
+    ("agent check", lambda: probe_connection("agent"), b"lb1\nmore"),
+    (
+        "two health checks",
+        lambda: probe_connection("health"),
         b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\nHEAD /alive HTTP/1.0\n\n",
     ),
-    ("health, no HTTP", lambda: probes("health"), b"GET /ready HTTP/1.1\r\nno colon\r\n\r\n"),
-    ("kernel", kernel, NOTICES),
-    ("kernel, spoilt", kernel, NOTICES[:300] + b'{"t":"REAP","no":4}\n' + NOTICES),
-    ("database", database, REPLY),
+    (
+        "malformed health check",
+        lambda: probe_connection("health"),
+        b"GET /ready HTTP/1.1\r\nno colon\r\n\r\n",
+    ),
+    ("kernel", kernel_connection, NOTICES),
+    ("kernel, malformed notice", kernel_connection, NOTICES[:300] + b'{"t":"REAP","no":4}\n' + NOTICES),
+    ("database", database_connection, REPLY),
     (
         "database, 1xx first",
-        database,
+        database_connection,
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + REPLY,
     ),
-    ("database, turned away", database, b"HTTP/1.1 503 No\r\nNever-Started: 1\r\nContent-Length: 0\r\n\r\n"),
-    ("database, noise", database, b"\x00\x01HTTP/1.1 200 OK\r\n\r\n"),
-    ("database, 3 GB", database, b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 40),
     (
-        "database, two lengths",
-        database,
+        "database, rejected call",
+        database_connection,
+        b"HTTP/1.1 503 No\r\nNever-Started: 1\r\nContent-Length: 0\r\n\r\n",
+    ),
+    ("database, no HTTP", database_connection, b"\x00\x01HTTP/1.1 200 OK\r\n\r\n"),
+    (
+        "database, oversized reply",
+        database_connection,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 40,
+    ),
+    (
+        "database, two Content-Length headers",
+        database_connection,
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy",
     ),
-    ("uwsgi below", uwsgi_below, REPLY),
+    ("uwsgi backend", uwsgi_backend_connection, REPLY),
     (
-        "uwsgi below, never ran",
-        uwsgi_below,
+        "uwsgi backend, never ran",
+        uwsgi_backend_connection,
         b"HTTP/1.1 503 N\r\nX-Moorusher-Never-Ran: 1\r\nContent-Length: 2\r\n\r\nab",
     ),
-    ("announce", announce, b"HTTP/1.1 204 No Content\r\n\r\n"),
-    ("announce, spoilt", announce, b"HTTP/1.1 2\xff4\r\n\r\n"),
-    ("succession", succession, frame({"t": "KEY", "k": [None, "b"]}, b"\x00\n\xff" * 9) + frame({"t": "GO"})),
-    ("succession, nonsense", succession, frame({"t": "KEY"})[:-1] + b"!" + frame({"t": "GO"})),
+    ("announce", announcer_connection, b"HTTP/1.1 204 No Content\r\n\r\n"),
+    ("announce, malformed reply", announcer_connection, b"HTTP/1.1 2\xff4\r\n\r\n"),
+    (
+        "hot restart",
+        hot_restart_connection,
+        frame({"t": "KEY", "k": [None, "b"]}, b"\x00\n\xff" * 9) + frame({"t": "GO"}),
+    ),
+    (
+        "hot restart, malformed frame",
+        hot_restart_connection,
+        frame({"t": "KEY"})[:-1] + b"!" + frame({"t": "GO"}),
+    ),
 ]
 
 
-def feed(make: Callable[[], Fed], *parts: bytes) -> object:
+def feed(make: Callable[[], Connected], *parts: bytes) -> object:
     connection, outcome = make()
     for part in parts:
         connection.dataReceived(part)
     return outcome()
 
 
-@pytest.mark.parametrize("make, sent", [c[1:] for c in CASES], ids=[c[0] for c in CASES])
-def test_pieces_are_read_as_the_whole_is(make: Callable[[], Fed], sent: bytes) -> None:
-    whole = feed(make, sent)
+@pytest.mark.parametrize("make, sent", [case[1:] for case in CASES], ids=[case[0] for case in CASES])
+def test_input_split_anywhere_has_the_same_effect_as_in_one_piece(
+    make: Callable[[], Connected], sent: bytes
+) -> None:
+    expected = feed(make, sent)
     for at in range(1, len(sent)):
-        assert feed(make, sent[:at], sent[at:]) == whole, at
-    assert feed(make, *(sent[i : i + 1] for i in range(len(sent)))) == whole
+        assert feed(make, sent[:at], sent[at:]) == expected, at
+    assert feed(make, *(sent[i : i + 1] for i in range(len(sent)))) == expected
 
 
-@pytest.mark.parametrize("make, sent", [c[1:] for c in CASES], ids=[c[0] for c in CASES])
-def test_half_of_it_and_a_close_end_nothing_else(make: Callable[[], Fed], sent: bytes) -> None:
+@pytest.mark.parametrize("make, sent", [case[1:] for case in CASES], ids=[case[0] for case in CASES])
+def test_a_connection_lost_after_partial_input_raises_no_exception(
+    make: Callable[[], Connected], sent: bytes
+) -> None:
     for at in range(0, len(sent), 7):
         connection, _ = make()
         connection.dataReceived(sent[:at])
--- a/tests/test_hangups.py
+++ b/tests/test_hangups.py
@@ -1,4 +1,4 @@
-"""New configurations that come at a bad moment: as a process begins, and while files can't be opened."""
+"""SIGHUP (reload) at a bad moment: while a process starts, and while the configuration can't be opened."""
 
 from __future__ import annotations
 
@@ -15,53 +15,54 @@
 pytestmark = pytest.mark.processes
 
 
-def environment(error: str, start: Path | None, until_s: float) -> dict[str, str]:
-    plan = json.dumps([("open", error, 0, until_s, 1.0)])
-    begins = {} if start is None else {"FAULT_START": str(start)}
-    return {"PYTHONPATH": str(INJECT), "FAULT_PLAN": plan, **begins}
+def fault_environment(error: str, start: Path | None, duration_s: float) -> dict[str, str]:
+    """Return the environment in which `open` fails: from the process's start, or once the file `start` exists."""
+    plan = json.dumps([("open", error, 0, duration_s, 1.0)])
+    trigger = {} if start is None else {"FAULT_START": str(start)}
+    return {"PYTHONPATH": str(INJECT), "FAULT_PLAN": plan, **trigger}
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "EIO"])
 @asynchronous_test
-async def test_a_configuration_that_can_not_be_opened_for_a_moment_is_taken_when_it_can(
+async def test_a_configuration_that_can_not_be_opened_for_a_moment_is_applied_later(
     tmp_path: Path, error: str
 ) -> None:
-    start, moved = tmp_path / "start", Kernel(work=0.01)
-    moved.listen()
-    async with running(Kernel(), environment=environment(error, start, 1.5)) as r:
+    start, new_kernel = tmp_path / "start", Kernel(work=0.01)
+    new_kernel.listen()
+    async with running(Kernel(), environment=fault_environment(error, start, 1.5)) as runner:
         start.touch()
-        r.reload(kernel=f"{HOST}:{moved.port}")
+        runner.reload(kernel=f"{HOST}:{new_kernel.port}")
         await asyncio.sleep(0.5)
-        assert not moved.opened
-        await wait_until(lambda: bool(moved.opened))
-        assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
-        assert moved.runs and 1 <= r.text().count("can't be read for the moment") <= 3
-        assert "configuration not changed" not in r.text()
-    moved.close()
+        assert not new_kernel.opened
+        await wait_until(lambda: bool(new_kernel.opened))
+        assert "result" in await (await FrontEnd.connect(runner.port)).ask("check")
+        assert new_kernel.runs and 1 <= runner.text().count("can't be read for the moment") <= 3
+        assert "configuration not changed" not in runner.text()
+    new_kernel.close()
 
 
 @asynchronous_test
-async def test_the_newest_of_several_configurations_is_taken_and_a_bad_one_is_turned_down(
+async def test_the_latest_of_several_configurations_is_applied_and_an_invalid_one_is_rejected(
     tmp_path: Path,
 ) -> None:
-    start, moved = tmp_path / "start", Kernel(work=0.01)
-    moved.listen()
-    async with running(Kernel(), environment=environment("ENFILE", start, 1.0)) as r:
+    start, new_kernel = tmp_path / "start", Kernel(work=0.01)
+    new_kernel.listen()
+    async with running(Kernel(), environment=fault_environment("ENFILE", start, 1.0)) as runner:
         start.touch()
-        r.reload(kernel="nowhere")
+        runner.reload(kernel="nowhere")
         await asyncio.sleep(0.2)
-        r.reload(kernel=f"{HOST}:{moved.port}")
-        await wait_until(lambda: bool(moved.opened))
-        assert r.text().count("configuration read again") == 1
-        r.reload(kernel="nowhere")
-        await wait_until(lambda: "configuration not changed" in r.text())
-    moved.close()
+        runner.reload(kernel=f"{HOST}:{new_kernel.port}")
+        await wait_until(lambda: bool(new_kernel.opened))
+        assert runner.text().count("configuration read again") == 1
+        runner.reload(kernel="nowhere")
+        await wait_until(lambda: "configuration not changed" in runner.text())
+    new_kernel.close()
 
 
 @asynchronous_test
-async def test_a_start_waits_until_its_configuration_can_be_opened() -> None:
-    async with running(Kernel(), environment=environment("ENFILE", None, 1.5)) as r:
-        assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
+async def test_a_process_waits_at_startup_until_its_configuration_can_be_opened() -> None:
+    async with running(Kernel(), environment=fault_environment("ENFILE", None, 1.5)) as runner:
+        assert "result" in await (await FrontEnd.connect(runner.port)).ask("check")
 
 
 @pytest.mark.parametrize(
@@ -69,8 +70,8 @@
     ["moorusher.server.main", "moorusher.config.loader", "twisted.internet", "moorusher.server.server"],
 )
 @asynchronous_test
-async def test_a_hangup_as_a_process_begins_does_not_end_it(module: str) -> None:
+async def test_a_sighup_during_startup_does_not_end_the_process(module: str) -> None:
     hangup = {"PYTHONPATH": str(INJECT), "FAULT_HANGUP": module}
-    async with running(Kernel(), environment=hangup) as r:
-        assert "result" in await (await FrontEnd.connect(r.port)).ask("check")
-        assert r.process.poll() is None
+    async with running(Kernel(), environment=hangup) as runner:
+        assert "result" in await (await FrontEnd.connect(runner.port)).ask("check")
+        assert runner.process.poll() is None
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Connections to the database, the kernel and replicas, without sockets: duplicates, delays, new addresses."""
+"""Connections to the database, the kernel and other runners, without sockets: duplicates, delays, new addresses."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.dialled.append(factory)
 
     def establish(self) -> tuple[Any, Transport]:
-        """Establish the connection that was dialled last."""
+        """Establish the connection that was requested last."""
         connection = self.dialled[-1].buildProtocol(None)
         transport = Transport()
         connection.makeConnection(transport)
@@ -62,7 +62,7 @@
 ) -> None:
     """The database sends more than one reply to a call, at once or a moment later.
 
-    On a connection that is used again the rest would be taken for the reply to the next call.
+    If the connection were reused, the rest would be read as the reply to the next call.
     """
     pool = RecordingPool(world := World())
     pool.call(1, call_request(1))
@@ -70,7 +70,7 @@
     for part in (REPLY, extra) if in_second_segment else (REPLY + extra,):
         connection.dataReceived(part)
     assert pool.outcomes == [(1, EndReason.CALL_ANSWERED)] and transport.aborted is closed
-    pool.call(2, call_request(2))  # at once: more bytes after the reply could still be on their way
+    pool.call(2, call_request(2))  # not reused at once: more bytes may still arrive after the reply
     world.wait(SETTLE_US / 1000 + 5)
     pool.call(3, call_request(3))
     assert len(pool.dialled) == 2 + closed and (b"Request-Ref: r3" in transport.value()) is not closed
@@ -80,16 +80,16 @@
 def test_only_idempotent_calls_reuse_an_idle_connection_and_are_retried_if_it_is_lost(
     effect: Effect,
 ) -> None:
-    """The database has closed an idle connection, and its runner does not know that yet.
+    """The database has closed an idle connection, and the runner has not noticed yet.
 
-    A call sent on it may or may not have run: only an idempotent one is sent there, and then retried.
+    A call sent on it may or may not have run, so only idempotent calls use such a connection, and they are retried.
     """
     pool = RecordingPool(world := World())
     pool.call(1, call_request(1))
     connection, _ = pool.establish()
     connection.dataReceived(REPLY)
     world.wait(100)
-    # On a new connection at once, since a reset would not prove that the call never ran.
+    # Not on the idle connection, since its loss would not prove that the call never ran.
     pool.call(2, call_request(2, effect))
     assert len(pool.dialled) == 2
     pool.establish()[0].connectionLost()
@@ -97,7 +97,7 @@
     assert len(pool.dialled) == 2
     connection.connectionLost()
     assert len(pool.dialled) == 3
-    pool.establish()[0].connectionLost()  # a new connection that breaks is no reason for a retry
+    pool.establish()[0].connectionLost()  # a call on a new connection is not retried
     assert (
         pool.outcomes[1:] == [(2, EndReason.CALL_CONNECTION_LOST), (3, EndReason.CALL_CONNECTION_LOST)]
         and len(pool.dialled) == 3
@@ -114,7 +114,7 @@
     busy, busy_transport = pool.establish()
     pool.move(("127.0.0.1", 2))
     assert transport.disconnecting and not busy_transport.disconnecting
-    busy.dataReceived(REPLY)  # a call in flight may finish there, but no new one is sent there
+    busy.dataReceived(REPLY)  # the call in flight may finish at the old address, and no new one is sent there
     assert pool.outcomes[-1] == (2, EndReason.CALL_ANSWERED) and busy_transport.disconnecting
     world.wait(100)
     pool.call(3, call_request(3))
@@ -122,7 +122,7 @@
 
 
 def test_calls_beyond_the_connection_limit_fail_without_being_sent() -> None:
-    """All file descriptors for calls are in use: a further call fails as never sent, a later one succeeds."""
+    """All connections to the database are in use: another call fails as never sent, and a later one succeeds."""
     pool = RecordingPool(World())
     pool.max_busy = 2
     for number in (1, 2, 3):
@@ -131,7 +131,7 @@
     connection, _ = pool.establish()
     pool.call(4, call_request(4))
     assert pool.outcomes[1:] == [(4, EndReason.CALL_NOT_CONNECTED)], (
-        "the call that is out counts as the dial did"
+        "the call in flight must count as the pending connection did"
     )
     connection.dataReceived(REPLY)
     pool.call(5, call_request(5))
@@ -145,7 +145,7 @@
     assert b"Request-Ref: r1\r\nStatement-Timeout-Ms: 500\r\nContent-Length: 1\r\n\r\nq" in transport.value()
     connection.dataReceived(REPLY)
     world.wait(SETTLE_US / 1000 + 5)
-    pool.call(2, call_request(2))  # the same connection again
+    pool.call(2, call_request(2))  # reuses the connection
     assert len(pool.dialled) == 1 and b"Request-Ref: r2" in transport.value()
     connection.dataReceived(REPLY)
     world.wait(MAX_IDLE_US / 1000 - 10)
@@ -168,7 +168,7 @@
         return SimpleNamespace(disconnect=lambda: None)
 
     def establish(self) -> tuple[KernelProtocol, Transport]:
-        """Establish the connection that was dialled last."""
+        """Establish the connection that was requested last."""
         connection = self.buildProtocol(None)
         transport = Transport()
         connection.makeConnection(transport)  # type: ignore[no-untyped-call]
@@ -181,7 +181,7 @@
 
 
 def receive_messages(connection: KernelProtocol, *messages: dict[str, Any]) -> None:
-    """Let the connection receive these messages of the kernel, a line each."""
+    """Let the connection receive these messages of the kernel, one line each."""
     receive(connection, b"".join(json.dumps(message).encode() + b"\n" for message in messages))
 
 
@@ -204,9 +204,9 @@
     ],
 )
 def test_an_unreadable_notice_of_the_kernel_is_requested_again_on_a_new_connection(line: bytes) -> None:
-    """A line of the kernel arrives damaged, with a notice that may be the end of a run.
+    """The kernel sends a malformed line, which may have reported the end of a run.
 
-    The connection is made again from the last notice that was read, and a notice received twice counts once.
+    The runner reconnects and requests the notices after the last one that it read. A repeated notice counts once.
     """
     link = RecordingKernelClient(world := World())
     connection, transport = link.establish()
@@ -225,8 +225,8 @@
     assert world.verdicts() == [(1, Verdict.SERVED)] and link.session.last_notice == 2
 
 
-def test_a_line_that_stays_unreadable_is_skipped_after_a_limited_number_of_reconnects() -> None:
-    """The kernel sends the same damaged line on each connection: the runner must not reconnect for ever."""
+def test_a_line_that_remains_unreadable_is_skipped_after_a_limited_number_of_reconnects() -> None:
+    """The kernel sends the same malformed line on each connection: the runner must not reconnect for ever."""
     link = RecordingKernelClient(world := World())
     for _ in range(MAX_UNREADABLE + 1):
         connection, transport = link.establish()
@@ -238,7 +238,7 @@
 
 
 def test_nothing_is_sent_on_a_new_connection_before_the_replay_ends_and_a_reply_is_sent_once() -> None:
-    """The connection to the kernel breaks while a run waits for the reply to its call."""
+    """The connection to the kernel is lost while a run waits for the reply to its call."""
     link = RecordingKernelClient(world := World(downstream=Downstream.TIER))
     world.core.runs._kernel = link.session
     connection, _ = link.establish()
@@ -257,7 +257,7 @@
     sent = [json.loads(message) for message in transport.value().splitlines()]
     assert [message["t"] for message in sent] == ["IODONE", "SYSINFO"]
     transport.clear()
-    connection.connectionLost()  # may have been read: sent twice, it could answer a second call
+    connection.connectionLost()  # the kernel may have read the reply; a repeated one could answer a later call
     connection, transport = link.establish()
     receive_messages(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
     assert b"IODONE" not in transport.value()
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize("is_acknowledged", [False, True])
 def test_commands_acknowledged_by_an_answered_mark_are_not_resent(is_acknowledged: bool) -> None:
-    """The connection breaks after a command: it is resent unless an answered mark shows that it was read."""
+    """The connection is lost after a command, which is resent unless an answered mark proves that it was read."""
     link = RecordingKernelClient(world := World())
     world.core.runs._kernel = link.session
     connection, transport = link.establish()
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("mark", ["g", "gg", "g-1", "g1.5", "g99999", "None", ""])
 def test_a_mark_that_was_never_sent_acknowledges_nothing(mark: str) -> None:
-    """The kernel answers a mark that it was never sent: no later command may count as read by that."""
+    """The kernel answers a mark that it was never sent: this must not acknowledge any later command."""
     link = RecordingKernelClient(world := World())
     world.core.runs._kernel = link.session
     connection, _ = link.establish()
@@ -304,22 +304,22 @@
     receive_messages(first, BOOTED)
     link.move(("127.0.0.1", 2))
     world.core.runs._kernel = link.session
-    world.take("a", 1)  # the old connection serves until the new one is up
+    world.take("a", 1)  # the old connection is used until the new one is established
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
-    link.move(("127.0.0.1", 3))  # while it dials
+    link.move(("127.0.0.1", 3))  # while it connects
     second, _ = link.establish()
     assert first.transport.disconnecting and link.dialled[1:] == [("127.0.0.1", 2), ("127.0.0.1", 3)]
     first.connectionLost()
     assert link.connection is second
     second.connectionLost()
-    link.move(("127.0.0.1", 4))  # while it waits to dial again
+    link.move(("127.0.0.1", 4))  # while it waits to reconnect
     world.wait(1_000)
     assert link.dialled[3:] == [("127.0.0.1", 4)]
 
 
-class ClusterLink:
-    """As much of the cluster's transport as a dialer uses."""
+class DialerOwner:
+    """The part of `PeerOwner` that a dialer uses."""
 
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()  # type: ignore[no-untyped-call]
@@ -327,34 +327,34 @@
         self.core = self
         self.clock = SimpleNamespace(now=0)
 
-    def touch(self) -> None:
+    def begin_turn(self) -> None:
         self.clock.now = round(self.reactor.seconds() * 1e6)
 
-    def unreached(self, seat: str, refused: bool) -> None: ...
+    def connect_failed(self, seat: str, refused: bool) -> None: ...
 
 
-def test_a_closed_connection_between_replicas_is_remade_at_once_and_then_with_a_delay() -> None:
-    """The other side closes the connection again and again: reconnects must not become a busy loop."""
-    link = ClusterLink()
-    dialer = PeerDialer(link, "n1", ("127.0.0.1", 1))  # type: ignore[arg-type]
+def test_a_lost_connection_to_another_runner_is_remade_at_once_and_then_with_a_delay() -> None:
+    """The other side closes the connection repeatedly: the runner must not reconnect in a busy loop."""
+    owner = DialerOwner()
+    dialer = PeerDialer(owner, "n1", ("127.0.0.1", 1))  # type: ignore[arg-type]
     dialer.send("first")  # type: ignore[arg-type]
-    dialled = link.reactor.tcpClients
+    dialled = owner.reactor.tcpClients
     assert len(dialled) == 1
-    dialer._connecting = False  # the connection was established,
-    dialer.disconnected()  # and closed, since a later process is this member
+    dialer._connecting = False  # the connection was established
+    dialer.disconnected()  # and closed by the other side
     assert len(dialled) == 2
     dialer._connecting = False
-    link.touch()
-    dialer.disconnected()  # and again: not at once each time
+    owner.begin_turn()
+    dialer.disconnected()  # the second time, it waits
     assert len(dialled) == 2
-    link.reactor.advance(1.1)
+    owner.reactor.advance(1.1)
     assert len(dialled) == 3
 
 
-def test_a_silent_kernel_connection_is_replaced_and_serves_until_then() -> None:
-    """The connection to the kernel is dead or slow: nothing arrives on it, not even answers to what is asked.
+def test_a_silent_kernel_connection_is_replaced_and_used_until_then() -> None:
+    """The connection to the kernel is dead or slow: nothing arrives on it, not even answers to `SYSINFO`.
 
-    It is replaced, and what still arrives before the new one is up counts.
+    It is replaced. Messages that arrive on it before the new connection is established are still handled.
     """
     link = RecordingKernelClient(world := World())
     world.core.runs._kernel = link.session
@@ -376,19 +376,19 @@
 
 
 def test_a_kernel_connection_with_unread_input_is_kept_after_a_pause_of_this_process() -> None:
-    """This process stood still for long: the kernel only seems silent, its messages wait in the buffer."""
+    """This process was paused: the kernel only seems silent, as its messages wait in the socket's buffer."""
     link = RecordingKernelClient(world := World())
     connection, _ = link.establish()
     receive_messages(connection, BOOTED)
     world.at += 10_000_000_000
-    world.core.fire_timers()  # timers come before what is read
+    world.core.fire_timers()  # the event loop runs due timers before it reads
     world.turn()
     receive_messages(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
     world.wait(CONFIRM_AFTER_US / 1000 + 10)
     assert len(link.dialled) == 1
 
 
-def test_a_kernel_that_boots_slowly_is_not_taken_for_a_silent_one() -> None:
+def test_a_kernel_that_boots_slowly_is_not_treated_as_silent() -> None:
     link = RecordingKernelClient(world := World())
     connection, _ = link.establish()
     world.wait(20_000)
@@ -398,7 +398,7 @@
     world.wait(50)
     link.establish()
     world.wait((MAX_SILENCE_US + CONFIRM_AFTER_US) / 1000 + 1_000)
-    assert len(link.dialled) == 3  # the kernel has booted by now: a silent connection is a dead one
+    assert len(link.dialled) == 3  # after the first boot, a silent connection is treated as dead
 
 
 @pytest.mark.parametrize(
@@ -418,7 +418,7 @@
 def test_a_malformed_message_closes_the_connection_without_an_exception_and_the_next_one_reads_on(
     line: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The kernel sends JSON that is no message: no exception is logged, and the runner reconnects."""
+    """The kernel sends JSON that is not a valid message: no exception is logged, and the runner reconnects."""
     link = RecordingKernelClient(world := World())
     connection, transport = link.establish()
     if b"BOOTED" not in line:
