--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -90,7 +90,7 @@
         if self.store is not None:
             self.store.close()
 
-    def follow(self, config: NamespacesConfig) -> None:
+    def reconfigure(self, config: NamespacesConfig) -> None:
         """Apply changed grants and budgets at once. Published revisions remain unchanged."""
         self.config = config
 
--- a/moorusher/cluster_transport/hot_restart/handover.py
+++ b/moorusher/cluster_transport/hot_restart/handover.py
@@ -36,7 +36,7 @@
     def load(self) -> ProcessLoad:
         """Return the share of the runner's limits that this process uses."""
 
-    def coexist(self, load: ProcessLoad) -> None:
+    def set_peer_load(self, load: ProcessLoad) -> None:
         """Limit this process to the share of the runner's limits that the other process leaves."""
 
     def maintenance_fields(self) -> dict[str, Any] | None:
@@ -48,7 +48,7 @@
     def incarnation(self) -> int:
         """Return this process's incarnation as a member of a cluster; 0 without a cluster."""
 
-    def succeed(self, incarnation: int) -> None:
+    def set_predecessor(self, incarnation: int) -> None:
         """Store the incarnation of the process that this one replaces."""
 
 
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -105,7 +105,7 @@
     def _end_key_sharing(self, died: bool) -> None:
         self._core.key_claims.peer_disconnected(died=died)
         self._core.keys.limits.share_memory_with(None)
-        self._process.coexist(ProcessLoad())
+        self._process.set_peer_load(ProcessLoad())
 
     def _report_load(self) -> None:
         # Runs periodically: sends this process's load to the successor, which must stay within the remaining limits.
--- a/moorusher/cluster_transport/hot_restart/message_receiver.py
+++ b/moorusher/cluster_transport/hot_restart/message_receiver.py
@@ -40,7 +40,7 @@
             frames.KeyTableFull: lambda message: self._claims.key_table_full(message.serial, message.key),
             frames.KeyReleased: lambda message: self._claims.peer_released_key(message.key),
             frames.KeyFinished: self._key_finished,
-            frames.LoadReport: lambda message: self._process.coexist(message.load),
+            frames.LoadReport: lambda message: self._process.set_peer_load(message.load),
             frames.MaintenanceChanged: self._maintenance_changed,
             frames.Ready: self._ready,
             frames.KeysSynced: lambda _: self._handle(Event.KEYS_SYNCED),
@@ -63,7 +63,7 @@
         self._handover.sockets = usable
         close_descriptors([socket for label, socket in sockets.items() if label not in usable])
         self._process.follow_maintenance(welcome.maintenance)
-        self._process.succeed(welcome.incarnation)
+        self._process.set_predecessor(welcome.incarnation)
         self._handover.peer_unknown_until_us = welcome.keys_unknown_until_us
         self._core.keys.limits.share_memory_with(welcome.key_table_bytes)
         self._handle(Event.WELCOMED)
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -163,7 +163,7 @@
 def _apply_cluster_parts(service: Service, old: Config, new: Config) -> list[str]:
     """Return the names of what waits for the next start."""
     if service.cluster.config_distribution is not None:
-        service.cluster.config_distribution.follow(new.namespaces)
+        service.cluster.config_distribution.reconfigure(new.namespaces)
     if service.cluster.maintenance is not None:
         service.cluster.maintenance.reconfigure(new.outage)
     if service.server_pool is None:
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -196,7 +196,7 @@
             len(self.jsonrpc.connections) + len(self.uwsgi.connections),
         )
 
-    def coexist(self, load: ProcessLoad) -> None:
+    def set_peer_load(self, load: ProcessLoad) -> None:
         """Keep within what another process of this runner leaves of its limits."""
         self.core.coexist(load.on_cores, load.running, load.memory_kb)
         self._peer_process_connections = load.connections
@@ -218,7 +218,7 @@
         replication = self.cluster.replication
         return 0 if replication is None else int(replication.node.owner.incarnation)
 
-    def succeed(self, incarnation: int) -> None:
+    def set_predecessor(self, incarnation: int) -> None:
         """The incarnation of the process that this one replaces."""
         if self.cluster.replication is not None:
             self.cluster.replication.predecessor = incarnation
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -67,7 +67,7 @@
     def load(self) -> ProcessLoad:
         return ProcessLoad(2, 3, 1024.5, 7)
 
-    def coexist(self, load: ProcessLoad) -> None:
+    def set_peer_load(self, load: ProcessLoad) -> None:
         self.heard.append(load == ProcessLoad(5, 6, 2048.5, 8))
 
     def listening_sockets(self) -> dict[str, int]:
@@ -83,7 +83,7 @@
     def incarnation(self) -> int:
         return 77
 
-    def succeed(self, incarnation: int) -> None:
+    def set_predecessor(self, incarnation: int) -> None:
         self.heard.append(["follows", incarnation])
 
     def pause(self, shared: set[str]) -> None:
