--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -205,7 +205,7 @@
             len(self.jsonrpc.connections) + len(self.uwsgi.connections),
         )
 
-    def coexist(self, load: ProcessLoad) -> None:
+    def set_peer_load(self, load: ProcessLoad) -> None:
         """Keep this process within the part of the runner's limits that another process does not use."""
         self.core.coexist(load.on_cores, load.running, load.memory_kb)
         self._peer_process_connections = load.connections
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -67,7 +67,7 @@
     def load(self) -> ProcessLoad:
         return ProcessLoad(2, 3, 1024.5, 7)
 
-    def coexist(self, load: ProcessLoad) -> None:
+    def set_peer_load(self, load: ProcessLoad) -> None:
         self.events.append(load == ProcessLoad(5, 6, 2048.5, 8))
 
     def listening_sockets(self) -> dict[str, int]:
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -224,7 +224,7 @@
         leaving = duty.fleet.runners[first_leader]
         leaving.process.send_signal(signal.SIGTERM)
         # The release has started, and the report is still unanswered.
-        await wait_until(lambda: "goes to others" in leaving.text())
+        await wait_until(lambda: "handing over keyed work" in leaving.text())
         duty.relays[first_leader].resume()
         successor = await duty.next_leader(first_leader)
         _, document = await duty.request(successor)
