--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger("moorusher")
 
-# Gauges are requested this long before a scheduler timer is due, so that they are fresh when it fires.
+# Gauges are requested this long before a scheduler timer is due, so that they are fresh when the timer fires.
 GAUGE_LEAD_US = 25 * MS
 
 
@@ -79,8 +79,9 @@
         if request is None:
             return
         if request.stage is not RequestStage.QUEUED:
-            # A rejection promises that the request never ran. This one has run, or waits for an attempt that may have.
-            log.error("the scheduler rejected a request that had started: request=%s", request.rid)
+            # A rejection promises that the request never ran. This request has started, or waits for the result of
+            # another attempt, which may have run.
+            log.error("the scheduler rejected a request that is no longer queued: request=%s", request.rid)
             self._fail(api.Fail(action.id))
             return
         self._state.hooks.observer.request_rejected(self._state.clock.now)
--- a/moorusher/core/answer.py
+++ b/moorusher/core/answer.py
@@ -37,7 +37,7 @@
 
     Attributes:
         verdict: Kind of the answer.
-        content: Result; for a rejection by a customer's rules, their reason.
+        content: Result of the run; for a rejection by a customer's rules, the reason that the rules give.
         cause: Reason why the request was not served.
         retry_after_ms: For a rejection: delay before the next attempt.
         final: For a rejection: whether other runners would reject the request, too.
--- a/moorusher/core/call.py
+++ b/moorusher/core/call.py
@@ -22,11 +22,11 @@
         class_name: Class of the request.
         tenant: Tenant of the request.
         effect: Effect of the class. It alone determines whether the call may be retried.
-        token: The same for all attempts of a request with an idempotency key, else None. A token alone doesn't permit
-            a retry of the call.
+        token: Idempotency token of the call, the same in all attempts of the request; None if the request has no key.
+            A token alone doesn't permit a retry of the call.
         body: Body of the call.
         timeout_ms: Time after which the call is abandoned.
-        route: Route by the rules of the request's customer, for a transport that supports them.
+        route: Route of the call by the rules of the request's customer, for a transport that supports routes.
     """
 
     rid: str
@@ -40,13 +40,16 @@
 
 
 class CallTransport(Protocol):
-    """Connection to the downstream service. Reports the end of each call once, through `Execution.call_ended`."""
+    """Connection to the downstream service.
+
+    Reports the end of each call that was not abandoned once, through `Execution.call_ended`.
+    """
 
     def call(self, number: int, request: CallRequest) -> None:
         """Make the call of the request with this number."""
 
     def give_up(self, number: int) -> None:
-        """Abandon a call, without a report of its end."""
+        """Abandon a call. Its end is not reported."""
 
 
 class NoCallTransport:
@@ -80,7 +83,10 @@
         return len(self._open)
 
     def make(self, number: int, request: CallRequest, timed_out: Callable[[], None]) -> None:
-        """Make a call, and abandon an open one of the same request. Calls `timed_out` at its timeout."""
+        """Make a call, after abandoning an open call of the same request.
+
+        :param timed_out: called at the timeout of the new call.
+        """
         self.drop(number)
         alarm = self._alarms.at(self._clock.now + request.timeout_ms * MS, timed_out)
         self._open[number] = _OpenCall(self._clock.now, alarm)
--- a/moorusher/core/completion.py
+++ b/moorusher/core/completion.py
@@ -47,7 +47,7 @@
         Has no effect on a started or unanswered request.
         """
         request = self._table.by_number.get(number)
-        # The scheduler drops a key before it ends the request, which remains in the table until then.
+        # An unanswered request remains in the table and retains its key, even if the scheduler has dropped the key.
         if request is None or request.stage in STARTED_STAGES or request.reply is not None:
             return
         self._table.remove(request)
--- a/moorusher/core/coordination.py
+++ b/moorusher/core/coordination.py
@@ -1,7 +1,7 @@
 """Interface between the engine and the other runners of a cluster, for the coordination of idempotency keys.
 
-The engine calls it before a request is reported to the scheduler, and again before its run is commanded. The cluster's
-answers arrive through `remote_claims.RemoteClaims`. The end of an attempt is reported by the key table
+The engine calls the coordinator before a request is reported to the scheduler, and again before its run is commanded.
+The cluster's answers arrive through `remote_claims.RemoteClaims`. The end of an attempt is reported by the key table
 (`idempotency_keys.KeyObserver`).
 """
 
@@ -16,13 +16,13 @@
     """Acquires idempotency keys from the cluster and announces runs to it."""
 
     def acquire_key(self, request: Request) -> bool:
-        """Acquire the request's key, if the cluster has to grant it.
+        """Begin to acquire the request's key, if the cluster has to grant it.
 
         :returns: whether to wait for `RemoteClaims.granted`, `joined` or `unavailable`.
         """
 
     def announce_start(self, request: Request) -> bool:
-        """Announce a run, which a majority may have to acknowledge.
+        """Announce the start of a run to the cluster, a majority of which may have to acknowledge it.
 
         :returns: whether to wait for `RemoteClaims.start_confirmed`, `moved_away` or `start_unconfirmed`.
         """
@@ -32,9 +32,9 @@
     """Coordinator of a runner that is in no cluster: no request has to wait."""
 
     def acquire_key(self, request: Request) -> bool:
-        """Return False: this runner has the key."""
+        """Return False: the request need not wait, as no other runner has to grant its key."""
         return False
 
     def announce_start(self, request: Request) -> bool:
-        """Return False: the run may start."""
+        """Return False: the run need not wait for an acknowledgement."""
         return False
--- a/moorusher/core/demand.py
+++ b/moorusher/core/demand.py
@@ -15,4 +15,4 @@
         """Called when a request is answered with `REJECTED`."""
 
     def run_ended(self, request: Request, core_us: int) -> None:
-        """Called when a run has ended; `core_us` estimates its processor time."""
+        """Called when a run has ended; `core_us` is its estimated processor time."""
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -50,11 +50,12 @@
     def open(self) -> None:
         """Create and open a scheduler."""
         state = self._state
-        # Taken from the kernel, since the settings only describe it at the time they were written.
+        # The kernel's own report is used, since the settings describe the kernel at the time they were written.
         self._opened_warming_up = self._kernel_status.is_warming_up()
         scheduler = self._make_scheduler(replace(state.settings, warming_up=self._opened_warming_up))
         self.scheduler = scheduler
-        # With a warm kernel the scheduler opens now, whatever the kernel's age: its first window begins at its opening.
+        # For a kernel that is warming up, the opening time is the kernel's start, from which the warm-up is counted.
+        # For a warm kernel it is the current time, because the scheduler's first window begins at the opening time.
         opened_at_us = self._kernel_status.started_at_us if self._opened_warming_up else state.clock.now
         for action in scheduler.open(state.clock.scheduler_ms(opened_at_us)):
             self._executor.carry_out(action)
@@ -85,8 +86,8 @@
 
     def _replace_scheduler(self) -> None:
         # After an exception in a step, the scheduler's state can't be trusted, so all unanswered requests fail and a
-        # new scheduler is created. The key table remains, so that nothing runs twice. Runs continue, and the new
-        # scheduler ignores their ends.
+        # new scheduler is created. The key table remains, so that nothing runs twice. Idempotent runs are stopped. All
+        # other runs continue, and the new scheduler ignores their ends.
         self._state.counters.add("faults")
         for number in list(self._state.table.by_number):
             self._fail_request(number)
--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -20,7 +20,7 @@
 
     Attributes:
         settings: Settings currently in force; replaced by `RequestEngine.reconfigure`.
-        healthy: Result of health checks, set by the scheduler.
+        healthy: Whether health checks succeed; set by the scheduler.
         load_signal: Value sent with every answer (see `Settings.signal`); None until the scheduler sets one.
     """
 
@@ -61,6 +61,6 @@
     def distrust_new_keys(self) -> None:
         """Treat keys that are not in the table as keys that may have run, until the longest window has passed.
 
-        Called when a process has exited whose keys are unknown.
+        Called when another process of this runner has exited and its keys are unknown here.
         """
         self.keys.unknown_until = window_end(self.clock.now, self.longest_key_window_ms())
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -35,7 +35,8 @@
 
     def start(self, request: Request) -> None:
         """Command the kernel to run a request, unless another attempt has its key."""
-        # The key is marked as started together with the command, so that a faulty scheduler can't make it run twice.
+        # The key is marked as started together with the command, so that a faulty scheduler can't start two runs under
+        # one key.
         if request.key is not None and not self._keys.start(
             request.number, self._state.clock.now, request.request_class.idempotency_window_ms
         ):
@@ -98,7 +99,7 @@
             self._turn.events.append(api.CallNeeded(request.number))
 
     def reconnected(self, commands_read: int) -> None:
-        """Send lost commands again. Called once a new connection has read the kernel's replay.
+        """Send again the commands that may be lost. Called when a new connection has received the kernel's replay.
 
         :param commands_read: number of commands that the kernel is known to have read.
         """
@@ -121,7 +122,7 @@
             )
 
     def _is_awaited(self, request: Request) -> bool:
-        """Return whether the caller of the request or of a retry of it waits."""
+        """Return whether the caller of the request, or of a retry of the request, still waits."""
         if request.reply is not None:
             return True
         entry = self._keys.of_attempt(request.number)
@@ -132,7 +133,7 @@
         return " ".join(by_number[number].rid for number in numbers[:MAX_IDS_LOGGED] if number in by_number)
 
     def _stop_at_deadline(self, number: int) -> None:
-        """Schedule the stop of a run whose reply may be lost."""
+        """Schedule the stop of a run at its deadline, if the reply to its call may still be lost then."""
         request = self._table.by_number.get(number)
         if request is not None:
             due = max(request.deadline_us, self._state.clock.now)
--- a/moorusher/core/hooks.py
+++ b/moorusher/core/hooks.py
@@ -14,7 +14,7 @@
     return None
 
 
-def _no_connections(idle_ms: int) -> None:
+def _no_connections(idle_us: int) -> None:
     return None
 
 
@@ -27,7 +27,7 @@
         demand: Receives notifications about demand.
         observer: Receives the events that the runner's health is derived from.
         kernel_up: Called once, on the kernel's first message.
-        trim_connections: Called with a time in ms; closes client connections that have been idle for longer.
+        trim_connections: Called with the time in us after which idle client connections are to be closed.
         turn_ended_while_draining: Called after each turn once a shutdown has begun.
     """
 
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -19,8 +19,9 @@
 # new settings replace a class by another, front ends send retries of open requests under the name of the new class.
 IdempotencyKey = tuple[str | None, str]
 
-# Added to the window. Front ends count the window from t0 of the attempt that ran to the time they write a retry, plus
-# 50 ms, and the retry may wait unread for a while. A cached result may be served late, but a key must not run twice.
+# Added to the window. Front ends measure the window from t0 of the attempt that ran to the time when they write a
+# retry, with a tolerance of 50 ms, and the retry may then wait unread. Serving a cached result after the window is
+# allowed, but running a key twice within it is not.
 WINDOW_MARGIN_US = 2 * SECOND
 RECHECK_INTERVAL_US = SECOND  # extension of an expired key while its attempt is still open
 
@@ -34,11 +35,11 @@
         number: Number of the attempt that has the key.
         body_digest: `digest` of the body, the same for all attempts.
         expires_us: Time at which the key is freed, if its attempt has ended by then.
-        started: Whether the attempt runs or has run, or may have.
+        started: Whether the attempt runs, has run or may have run.
         finished: Whether the outcome of the attempt is known.
         result: Cached result of a successful run.
         waiters: Numbers of the requests that wait for the result.
-        remote: Whether the attempt belongs to another process or runner; it counts as started then.
+        remote: Whether the attempt belongs to another process or runner. A remote attempt counts as started.
         former_numbers: Numbers of the attempts that had the key before.
     """
 
@@ -88,7 +89,7 @@
         limits: Limits on the size of the table.
         result_bytes: Total size of the cached results.
         observers: Notified of the end of this process's own attempts.
-        unknown_until: Time (us) before which keys that are not in the table may have run in a process that has exited.
+        unknown_until: Time (us) until which a key that is not in the table may have run in a process that has exited.
     """
 
     def __init__(self, memory_mb: float = 192.0) -> None:
@@ -184,7 +185,7 @@
     # ---- progress of an attempt ----
 
     def start(self, number: int, now: int, window_ms: float) -> bool:
-        """Mark the attempt as started. Returns False if another attempt has its key or it has run already."""
+        """Mark the attempt as started. Returns False if it must not run: it was started before, or lacks its key."""
         entry = self._by_number.get(number)
         if entry is None or entry.started or entry.number != number:
             return False
@@ -194,7 +195,7 @@
         return True
 
     def finish(self, number: int, result: bytes | None) -> list[int]:
-        """Record the end of a run and cache its result. Returns the numbers of its waiters, and clears them."""
+        """Record the end of a run and cache its result. Removes its waiters, and returns their numbers."""
         entry = self._by_number.get(number)
         if entry is None or entry.number != number:
             return []
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -1,8 +1,8 @@
 """Intake: the stages of a request before the scheduler.
 
 The request is registered, its idempotency key is claimed with the other process of this runner and with the other
-runners, its customer's rules are applied, and it is reported to the scheduler. The claims are asynchronous: their
-answer triggers the next step.
+runners, its customer's rules are applied, and it is reported to the scheduler. The claims are asynchronous: the answer
+to a claim triggers the next step.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     def resubmit(
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None
     ) -> Request | InvalidArrival:
-        """Continue a request of another runner, whose key this runner has acquired.
+        """Continue a request of another runner, after this runner has acquired the request's key.
 
         :param ruling: decision by the rules under which the other runner read the request.
         """
@@ -85,7 +85,7 @@
         return request
 
     def key_claimed(self, request: Request) -> None:
-        """Claim the key with the other runners. Called when no other process of this runner has it."""
+        """Claim the key with the other runners. Called when no claim with the other process is needed or pending."""
         if not self._state.hooks.coordinator.acquire_key(request):
             self.schedule(request)
 
@@ -96,7 +96,8 @@
         """
         self._turn.begin()
         self._count_demand(request)
-        # Rules are not applied earlier: a rejection promises that no attempt has run, which is unknown before.
+        # Rules are not applied earlier: a rejection promises that no attempt has run, which is unknown until the key is
+        # claimed.
         if request.ruling is not None and request.ruling.refusal and request.retry_of is None:
             self._reject_by_rules(request)
             return
--- a/moorusher/core/kernel_status.py
+++ b/moorusher/core/kernel_status.py
@@ -59,7 +59,7 @@
         return self._started_cold and age_us < self._state.settings.warm_up_ms * MS
 
     def warm_up_speed(self) -> float:
-        """Return the minimum share of full speed at the kernel's age according to the settings; 1 if it is warm."""
+        """Return the minimum speed that the settings state for the kernel's age, as a share of its full speed."""
         settings = self._state.settings
         if not self._started_cold or settings.warm_up_ms <= 0:
             return 1.0
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -23,7 +23,7 @@
 
 
 class ClaimPeer(Protocol):
-    """Sends messages to the other process. They arrive in order, and after a lost message none arrives."""
+    """Sends messages to the other process. They arrive in order; if one is lost, no later one arrives."""
 
     def claim(self, serial: int, key: IdempotencyKey, body_digest: int, expires_us: int) -> None:
         """Claim a key. The answer repeats `serial`."""
@@ -50,7 +50,7 @@
     """Continues the processing of requests whose claim has been answered."""
 
     def key_claimed(self, request: Request) -> None:
-        """Called when this process has the key, or the request is a retry of the other one's attempt."""
+        """Called when this process has the key, or the request is a retry of the other process's attempt."""
 
     def reject_before_scheduling(self, request: Request, why: str, never_ran: bool = True) -> None:
         """Called when the key could not be claimed."""
@@ -69,8 +69,8 @@
     Attributes:
         peer: The other process, if there is one to claim keys with.
         is_successor: Whether this process gets a key that both claim at the same time.
-        peer_unresponsive: Called when a claim is not answered in time. Returns whether it has abandoned the other
-            process, so that this process has all keys.
+        peer_unresponsive: Called when a claim is not answered in time. Returns whether the other process was abandoned;
+            this process then has all keys.
     """
 
     def __init__(
@@ -276,7 +276,8 @@
                 self._share_result(waiter, None)
         pending = list(self._pending.values())
         self._pending = {}
-        # The other process can't have run the keys of these claims, as this process has not granted them to it.
+        # The other process can't have run a request under the key of a pending claim, because this process has not
+        # granted it the key.
         for claim in pending:
             claim.timeout.cancel()
             if claim.request.number in self._table.by_number:
--- a/moorusher/core/key_table_limits.py
+++ b/moorusher/core/key_table_limits.py
@@ -34,7 +34,7 @@
         )
 
     def share_memory_with(self, size_bytes: int | None) -> None:
-        """Account for the table of another process under the same limit; None: there is no other process."""
+        """Account for another process's table of this size under the same limit; None: there is no other process."""
         if size_bytes is None:
             self._max_remote_bytes = None
         else:
--- a/moorusher/core/reconfiguration.py
+++ b/moorusher/core/reconfiguration.py
@@ -81,7 +81,7 @@
 
 def plan(old: api.Settings, new: api.Settings) -> Plan:
     """Compare the current settings with new ones."""
-    old_classes = {cls.name: cls for cls in reversed(old.classes)}  # the first of several classes of one name
+    old_classes = {cls.name: cls for cls in reversed(old.classes)}  # for a repeated name, its first class
     new_names = {cls.name for cls in new.classes}
     return Plan(
         settings=replace(new, **{name: getattr(old, name) for name in FIXED_UNTIL_RESTART}),
--- a/moorusher/core/registration.py
+++ b/moorusher/core/registration.py
@@ -13,11 +13,12 @@
 from .idempotency_keys import IdempotencyKeyTable, digest, window_end
 from .requests import Arrival, Request, RequestTable
 
-# An open request takes its body, 2 KiB, and some overhead. The scheduler's own memory limit rejects requests long
-# before this number is reached.
+# Maximum number of open requests. Each one takes memory for its body (2 KiB) and some overhead. The scheduler's own
+# memory limit rejects requests long before this number is reached.
 MAX_REQUESTS = 10_000
 MAX_FORMER_CLASSES = 256  # number of dropped classes whose windows are stored
-# Leaves room for a paused machine or a stepped clock. An arrival time further off is the sender's mistake.
+# Maximum difference between a stated arrival time and the current time. It allows for a paused machine or a stepped
+# clock. A larger difference is the sender's mistake.
 MAX_SKEW_US = 3_600 * SECOND
 RETRY_AFTER_MS = 1_000.0  # retry delay sent with rejections that don't come from the scheduler
 
@@ -94,7 +95,7 @@
     ) -> Request | InvalidArrival:
         """Create the request and add it to the tables.
 
-        :param takes_over: whether it continues another runner's attempt under its key.
+        :param takes_over: whether the request continues another runner's attempt under the same key.
         """
         now = self._clock.now
         index = self.classes.get(arrival.class_name)
@@ -138,7 +139,8 @@
     def _reserve_key(
         self, request: Request, key: tuple[str | None, str], takes_over: bool
     ) -> InvalidArrival | None:
-        # Reserves the key, or makes the request a retry of the attempt that has it. Returns the reason if this fails.
+        # Reserves the key, or makes the request a retry of the attempt that has the key. Returns the reason if neither
+        # is possible.
         now = self._clock.now
         request.key = key
         entry = self._keys.find(key, now)
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -42,12 +42,12 @@
     # ---- answers to `acquire_key` ----
 
     def granted(self, request: Request) -> None:
-        """Pass the request to the scheduler. Called when this runner has its key."""
+        """Pass the request to the scheduler. Called when this runner has the request's key."""
         if request.number in self._table.by_number:
             self._intake.schedule(request)
 
     def joined(self, request: Request) -> None:
-        """Have the request wait for the result of another runner's attempt, which has its key."""
+        """Have the request wait for the result of another runner's attempt, which has the request's key."""
         self._cede_key(request)
         if request.number in self._table.by_number:
             self._intake.schedule(request)
@@ -74,7 +74,7 @@
 
     def start_unconfirmed(self, request: Request, why: str) -> None:
         """Fail the request without a run. Called when no majority has acknowledged the start."""
-        # The request is not rejected, since the other runners may consider this one dead and run the request.
+        # The request is not rejected, since the other runners may consider this runner dead and run the request.
         if not self._is_starting(request):
             return
         self._turn.begin()
@@ -99,7 +99,8 @@
 
     def moved_away(self, request: Request) -> None:
         """Have a queued or starting request wait for the result of another runner, which has taken it over."""
-        # The request is removed from the scheduler and waits until its deadline.
+        # The request is removed from the scheduler. It fails if there is no result `answer_slack_ms` before its
+        # deadline.
         entry = self._keys.of_attempt(request.number)
         if request.number not in self._table.by_number or entry is None:
             return
@@ -128,7 +129,7 @@
     def take_over(
         self, arrival: Arrival, reply: Reply, tag: int, ruling: Ruling | None = None
     ) -> Request | InvalidArrival:
-        """Continue a request of another runner, whose key this runner has acquired."""
+        """Continue a request of another runner, after this runner has acquired the request's key."""
         return self._intake.resubmit(arrival, reply, tag, ruling)
 
     # ---- the end of other runners' attempts ----
@@ -145,7 +146,7 @@
                 self._completion.share_result(waiter, result)
 
     def never_ran(self, key: IdempotencyKey) -> None:
-        """Reject the requests that wait for another runner's attempt, which has never run and is not continued."""
+        """Reject the requests that wait for another runner's attempt, which has not run and never will."""
         self._turn.begin()
         entry = self._open_remote_entry(key)
         if entry is None:
--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -131,7 +131,7 @@
         """Create the scheduler. Called on the kernel's first message.
 
         :param cold: whether the kernel's caches were cold when it started.
-        :param age_ms: time since the start of the kernel, which may be long before or after that of this process.
+        :param age_ms: time since the kernel started, which may have been long before or after this process started.
         """
         self.begin_turn()
         if self.dispatcher.scheduler is None:
@@ -155,7 +155,7 @@
             self.hooks.observer.state_changed()
 
     def coexist(self, on_cores: int, running: int, memory_kb: float) -> None:
-        """Report the load of the process that this one replaces to the scheduler."""
+        """Report to the scheduler the load of the process that this one replaces."""
         self.dispatcher.coexist(api.PredecessorLoad(on_cores, running, memory_kb))
 
     def answer_all(self) -> None:
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -123,7 +123,7 @@
         retry_of: Number of the attempt that has the key; None for a first attempt.
         uncounted: Whether the request seems to be a first attempt and has not been counted as demand.
         stop_requested: Whether the scheduler has stopped the request while it was `STARTING`.
-        ruling: The `routes.Ruling` by the rules under which the request was read.
+        ruling: Decision (`routes.Ruling`) of the rules that applied when the request was read, or None.
     """
 
     number: int
@@ -164,7 +164,7 @@
         return len(self.by_number)
 
     def allocate_number(self) -> int:
-        """Return a number that no open request has."""
+        """Return the next number. Numbers repeat only after `MAX_REQUEST_NUMBER` others."""
         number = self._next_number
         self._next_number = number % MAX_REQUEST_NUMBER + 1
         return number
@@ -191,7 +191,7 @@
         return len(arrivals), max(0, now - min(arrivals)) if arrivals else 0
 
     def memory_kb(self, run_memory_factor: float) -> float:
-        """Estimate the memory of the open requests, of which a running one takes `run_memory_factor` times as much."""
+        """Estimate the memory of the open requests. A run multiplies a request's memory by `run_memory_factor`."""
         return sum(
             request.arrival.memory_kb * (run_memory_factor if request.stage is RequestStage.RUNNING else 1.0)
             for request in self.by_number.values()
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -63,10 +63,10 @@
     """Result of `Runs.resend`, as lists of request numbers.
 
     Attributes:
-        runs: The run command was sent again.
-        replies: The reply was sent again.
-        uncertain: The reply may be lost, but is not sent again because the kernel may have read it.
-        unwanted: The run command was never written, and is not sent because no caller waits.
+        runs: Requests whose run command was sent again.
+        replies: Requests whose reply was sent again.
+        uncertain: Requests whose reply may be lost, but is not sent again because the kernel may have read it.
+        unwanted: Requests whose run command was never written, and is not sent because no caller waits.
     """
 
     runs: list[int] = field(default_factory=list)
@@ -224,7 +224,7 @@
     def resend(
         self, commands_read: int, is_awaited: Callable[[Request], bool] = lambda request: True
     ) -> Resent:
-        """Send commands that the kernel may have missed again, after its replay has been read.
+        """Send again the commands that the kernel may have missed. Called after the kernel's replay has been read.
 
         :param commands_read: number of commands that the kernel is known to have read.
         :param is_awaited: returns whether a caller still waits for a request.
@@ -276,7 +276,7 @@
 
 
 def _evidence(command_number: int, commands_read: int) -> Evidence:
-    """Return what is known about a command when the kernel is known to have read `commands_read` commands."""
+    """Return the evidence about a command, given the number of commands that the kernel is known to have read."""
     if command_number == NOT_WRITTEN:
         return Evidence.NOT_SENT
     return Evidence.SUCCEEDED if command_number <= commands_read else Evidence.IN_DOUBT
--- a/moorusher/scheduling/actions.py
+++ b/moorusher/scheduling/actions.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class Start:
-    """Run a queued request, or resume a suspended one."""
+    """Run a queued request."""
 
     id: int
 
--- a/moorusher/scheduling/admission.py
+++ b/moorusher/scheduling/admission.py
@@ -14,9 +14,9 @@
 from moorusher.scheduling.state import SchedulerState
 from moorusher.scheduling.timing import NEVER
 
-# Longest expected wait, as a share of the time until the objective minus the expected run. A request that
-# would wait longer is rejected at once: after a late rejection its caller has no time left to try another
-# runner.
+# Longest expected wait of an admitted request, as a share of its slack: the time until its objective minus
+# the expected duration of its run. A request that would wait longer is rejected at once: after a late
+# rejection its caller has no time left to try another runner.
 MAX_WAIT_FRACTION = 0.55
 
 RESIDUAL_SLOT_FRACTION = 0.5  # mean remaining time of the run that ends next, as a share of the slot time
@@ -66,8 +66,8 @@
         """
         state = self._state
         wait_ms = self.expected_wait_ms(job)
-        # A class that has used up its credit is not queued, but may start at once if a slot is free: free
-        # slots are not reserved for other classes.
+        # A job of a class that has used up its credit is not queued, but may start at once if a slot is free:
+        # free slots are not reserved for other classes.
         if wait_ms > 0.0 and job.class_state.credit_ms < 0:
             wait_ms = NEVER
         return wait_ms > self.max_wait_ms(job) and state.concurrency.running + state.queue.waiting > 0
@@ -82,10 +82,11 @@
     def max_wait_ms(self, job: Job) -> float:
         """Return the longest time for which the job may be queued, in ms.
 
-        A marked retry is older than its own times show. To limit retry storms, it may not wait at all, unless
-        other tenants are over their quota and its own is not. All classes of a tenant over its quota get the
-        limit of the most urgent class. Otherwise classes with longer objectives would fill the queue and
-        starve that class.
+        The client of a marked retry has already waited for earlier attempts, which the retry's own age does
+        not include. To limit retry storms, a marked retry may not wait at all, unless other tenants are over
+        their quota and its own tenant is not. All classes of a tenant over its quota get the limit of the
+        most urgent class. Otherwise classes with longer objectives would fill the queue and starve the most
+        urgent one.
         """
         state = self._state
         over_quota = job.tenant.over_quota
@@ -105,7 +106,8 @@
         """Return how long the job is expected to be queued, in ms.
 
         The estimate is the time in which the tenant's queue is served at the tenant's weight, as if the other
-        backlogged tenants remained backlogged. Its upper bound is the time for all queued jobs.
+        backlogged tenants remained backlogged. Its upper bound is the time for the queued jobs of all tenants
+        that `job` does not outrank.
         """
         state = self._state
         concurrency = state.concurrency
--- a/moorusher/scheduling/concurrency.py
+++ b/moorusher/scheduling/concurrency.py
@@ -7,10 +7,11 @@
 
 BUSY_FRACTION = 0.8  # core utilization; below it a slot may be added, above it a slot is removed
 
-# A slot may be added if all slots are taken and requests are queued for this share of a window.
+# A slot may be added if all slots are in use and requests are queued for this share of a window.
 SATURATED_FRACTION = 0.8
 
-MAX_RUNNING_FRACTION = 0.8  # share of the number of runs that the machine survives
+# Share of the number of concurrent runs that the machine can sustain (`survivable_runs_per_core`).
+MAX_RUNNING_FRACTION = 0.8
 
 
 class Concurrency:
@@ -24,9 +25,11 @@
         slots: The job in each slot, or None. Its length is `limit`.
         on_cores: Number of jobs in state `RUNNING`, with or without a slot.
         running: Number of jobs that have started and not ended, including those at a downstream call.
-        saturated_ms: Time in this window with as many runs on the cores as slots, and a queue.
+        saturated_ms: Time in this window with requests queued and at least as many runs on the cores as
+            slots.
         cpu_busy: Share of the cores in use, as last reported by the machine's gauge.
-        service_ms: Service clock: core time that one job on the cores has received since the start.
+        service_ms: Service clock: core time that a job would have received if it had been on the cores since
+            the start.
     """
 
     __slots__ = (
@@ -61,7 +64,11 @@
         self.service_ms += elapsed_ms * min(1.0, self.settings.cores / max(1, self.on_cores))
 
     def max_running(self, now: float) -> float:
-        """Return the maximum number of runs, below what the machine survives at its current warm-up speed."""
+        """Return the maximum number of concurrent runs.
+
+        It is a share of what the machine can sustain at its current warm-up speed, less the runs of the
+        predecessor process.
+        """
         settings = self.settings
         age_ms = now - self.started_at
         warm_up_progress = min(1.0, age_ms / max(1.0, settings.warm_up_ms)) if settings.warming_up else 1.0
@@ -103,7 +110,8 @@
     def adjust_limit(self, now: float, window_ms: float) -> None:
         """Adjust the number of slots at the end of a window.
 
-        A slot is added if requests were queued while cores were idle, and removed if the cores were busy.
+        A slot is added if requests were queued for most of the window although cores were idle. A slot beyond
+        the number of cores is removed if the cores were busy and the last slot is free.
         """
         is_saturated = self.saturated_ms > SATURATED_FRACTION * window_ms
         if is_saturated and self.cpu_busy < BUSY_FRACTION and self.limit + 1 < self.max_running(now):
--- a/moorusher/scheduling/deadlines.py
+++ b/moorusher/scheduling/deadlines.py
@@ -14,12 +14,12 @@
 
 
 def set_deadlines(job: Job, state: SchedulerState) -> None:
-    """Set a new job's deadline and latency objective, both counted from when its caller sent it.
+    """Set a new job's deadline and latency objective, counted from the time when its caller sent it.
 
-    A wait stated by the caller (`Request.ttl_ms`) replaces the deadline of the class. A stated wait of 0
-    means that nobody waits any more if callers propagate deadlines, and otherwise that no wait was stated.
-    NaN and infinity count as not stated. A wait that is shorter than usual shows that the client has already
-    waited (an unmarked retry) and makes the objective earlier.
+    A wait stated by the caller (`Request.ttl_ms`), counted from now, replaces the deadline of the class. If
+    callers propagate deadlines, a stated wait of 0 means that nobody waits any more; otherwise it means that
+    no wait was stated. NaN and infinity count as not stated. A stated wait that is shorter than usual shows
+    an unmarked retry, whose client has already waited; it makes the objective earlier.
     """
     request = job.request
     request_class = job.request_class
@@ -51,8 +51,8 @@
     def sweep(self) -> None:
         """Charge running jobs for their core time, and answer each job that is overdue or has lost its value.
 
-        The scheduler calls this before it admits new requests, because a step is late if the process was
-        paused.
+        A job that can be in time only without its downstream call abandons the call. The scheduler calls this
+        before it admits new requests, because jobs may have become overdue during a pause of the process.
         """
         state = self._state
         charge_use = state.queue.charge_use
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -37,27 +37,29 @@
 # Shortest timeout with which a call is sent. A call with a shorter one would only time out, and would use
 # budget that other calls need to complete.
 TIMEOUT_PER_CALL_TIME = 2.0  # multiple of the mean duration of a call
-IDLE_BUDGET_TIMEOUT_FRACTION = 0.5  # upper bound: share of the timeout that an unused budget gives
+# Upper bound of that shortest timeout, as a share of the timeout that an unused budget allows.
+IDLE_BUDGET_TIMEOUT_FRACTION = 0.5
 
 # Limits for an optional call, without which its request can be answered. Both are multiples of the mean slot
 # time.
 SKIP_WAIT_SLOT_TIMES = 0.7  # longest time for which a request waits until its call is sent
-ABANDON_SLOT_TIMES = 1.5  # time that a request needs after its call to be answered in time
+ABANDON_SLOT_TIMES = 1.5  # time that a request needs after it has abandoned its call to be answered in time
 
 
 class DownstreamCalls:
     """The downstream calls of this runner and their budget.
 
-    A call is charged the longest time that it may take when it is sent. At its end, the unused part is
-    refunded, by the duration of the call and not by the time at which a slow runner learns of its end.
-    Therefore the runner's mean use stays within its quota over every window, even if calls hang.
+    When a call is sent, the longest time that it may take is charged to the budget. When it has ended, the
+    unused part of the charge is refunded, based on the duration of the call and not on the time at which a
+    slow runner learns of the end. Charged time is refilled evenly over time. Therefore the runner's mean use
+    stays within its quota over every window, even if calls hang.
 
     Attributes:
         waiting: Jobs in state `AWAITING_CALL`.
         in_flight: Number of jobs in state `CALLING`.
         max_in_flight: Maximum number of concurrent calls.
         call_ms: Mean duration of a call. One that timed out counts only if it took longer than the mean.
-        spent_ms: Call time that is charged and not yet refilled.
+        spent_ms: Call time that is charged and neither refunded nor refilled yet.
         budget_ms: Budget of call time. No call is sent while `spent_ms` has reached it.
     """
 
@@ -115,7 +117,7 @@
         ]
 
     def call_ended(self, job: Job, event: CallEnded) -> None:
-        """Settle the charge of an ended call, update the estimates, and resume its job or plan a retry."""
+        """Settle the charge of an ended call, update the estimates, and resume its job, retry or fail it."""
         if job.state is not JobState.CALLING:
             return
         state = self._state
@@ -140,8 +142,8 @@
     def should_abandon(self, job: Job) -> bool:
         """Return whether a job must abandon its call in flight now to be answered in time.
 
-        Applies only if an answer without the call has value and the objective left enough time for the rest
-        of the request when its run started.
+        Applies only if an answer without the call has value, and if the time from the start of the run to the
+        objective was long enough for the rest of the request after the call.
         """
         if job.request_class.value_fraction_without_call <= 0:
             return False
@@ -158,7 +160,7 @@
         self._lifecycle.resume_without_call(job)
 
     def _should_skip(self, job: Job) -> bool:
-        """Return whether an optional call would end late, or has waited so long that it delays others."""
+        """Return whether an optional call would end too late, or has waited so long that it delays others."""
         if job.request_class.value_fraction_without_call <= 0:
             return False
         state = self._state
@@ -189,7 +191,7 @@
         state.actions.append(StartCall(job.id, timeout_ms))
 
     def _timeout_ms(self, spent_ms: float) -> float:
-        """Return the timeout, in ms, at which the maximum of concurrent calls stays within the budget."""
+        """Return the timeout, in ms, with which `max_in_flight` calls stay within the remaining budget."""
         share_ms = (self.budget_ms - spent_ms) / self.max_in_flight
         return share_ms - self._state.settings.abandoned_call_ms
 
--- a/moorusher/scheduling/fair_queue.py
+++ b/moorusher/scheduling/fair_queue.py
@@ -80,7 +80,7 @@
         waiting: Number of jobs in all queues.
         virtual_time: v(t) in the paper, in ms. Monotonic.
         eligibility_lead: Largest lag of the virtual clock observed when no tenant was eligible, in ms. It is
-            added to the clock in the eligibility check only.
+            added to the clock in the eligibility check, and subtracted from the clock's upper bound.
         active_weight: Sum of the weights of active tenants.
         service_rate: Core time used per unit of time, a running mean over windows.
         work_ms: Core time of the runs that ended in this window.
@@ -108,7 +108,7 @@
         self.work_ms = 0.0
 
     def advance(self, elapsed_ms: float) -> None:
-        """Advance the virtual clock, at most to the largest start tag.
+        """Advance the virtual clock, at most to the largest start tag minus `eligibility_lead`.
 
         The clock's rate is an estimate. If the clock passed all start tags, every tenant would be eligible on
         every slot, and the stagger that keeps the high slots for small requests would be lost.
@@ -124,8 +124,8 @@
     def max_cost_ms(self, job: Job) -> float:
         """Return L_max, the pessimistic cost of section 5, for the job's tenant and class, in ms.
 
-        If the pair has no completed run, this is the caller's hint, or without one the largest known cost of
-        any pair, or the mean cost.
+        If the pair has no completed run, this is the caller's hint. Without a hint, it is the largest known
+        cost of any pair, or the mean cost if no cost is known.
         """
         ratio = job.tenant.max_cost_ratios.get(job.class_state)
         if ratio is None:
@@ -231,7 +231,7 @@
     def remove_idle(self, tenant_count: int) -> None:
         """Remove the queues of idle callers and removed tenants whose start tag has passed.
 
-        There may be thousands of callers, and a new queue is equivalent to such a queue.
+        There may be thousands of callers. A new queue is equivalent to the removed one.
         """
         self.tenants = {
             number: tenant
--- a/moorusher/scheduling/job.py
+++ b/moorusher/scheduling/job.py
@@ -39,7 +39,7 @@
         memory_kb: Memory of the outstanding request.
         sent_at: Time when its caller sent it.
         deadline_at: Time by which it must be answered.
-        objective_at: Time by which an answer has its full value, at most `deadline_at`.
+        objective_at: Time until which an answer has its full value, at most `deadline_at`.
         cost_hint_ms: Core time that its caller expects, 0 if not given.
         state: State of the job.
         slot: Number of its slot, or `NO_SLOT`.
--- a/moorusher/scheduling/lifecycle.py
+++ b/moorusher/scheduling/lifecycle.py
@@ -62,7 +62,7 @@
         self.close(job)
 
     def close(self, job: Job) -> None:
-        """Mark a job as answered. Remove it if it has not started, or stop its run if that is allowed."""
+        """Mark a job as answered. Remove it if it has no run of its own, or stop the run if allowed."""
         state = self._state
         job.answered = True
         if job.state is JobState.QUEUED:
@@ -77,7 +77,7 @@
             state.actions.append(Stop(job.id))
 
     def may_stop(self, job: Job) -> bool:
-        """Return whether a run of the job may be stopped. One that may already have had an effect may not."""
+        """Return whether a run of the job may be stopped: only an idempotent run, which can be repeated."""
         return (
             self._state.settings.preemption is not Preemption.OFF
             and job.request_class.effect is Effect.IDEMPOTENT
--- a/moorusher/scheduling/priority.py
+++ b/moorusher/scheduling/priority.py
@@ -11,7 +11,8 @@
 OUTRANKING_RATIO = 1.5  # ratio of two priority weights above which one class outranks the other
 DEMAND_LEARNING_RATE = 0.2  # weight of the newest window in the demand of a class
 
-# Minimum share of all slots for classes of equal priority, regardless of the demand of outranking classes.
+# Minimum share of all slots that the classes of one priority get together, regardless of the demand of
+# outranking classes.
 MIN_CLASS_CAPACITY = 0.1
 
 
@@ -23,8 +24,8 @@
 def update_credits(classes: Sequence[ClassState], slot_ms: float, slot_count: int, window_ms: float) -> None:
     """Grant each class credit for the slot time that outranking classes leave, at the end of a window.
 
-    A class without credit is not admitted while there is a queue. This has an effect only in overload, in
-    which an order by age alone would reject requests of all classes alike.
+    A request of a class without credit is admitted only if it can start at once. This has an effect only in
+    overload. Without credits, requests of all classes would be rejected alike then.
 
     :param classes: All classes of the settings. Their `demand`, `credit_ms`, `arrivals` and `windows` are
         updated.
--- a/moorusher/scheduling/reconfiguration.py
+++ b/moorusher/scheduling/reconfiguration.py
@@ -7,7 +7,8 @@
 from moorusher.scheduling.service_time import ClassState, ServiceTime
 from moorusher.scheduling.state import SchedulerState
 
-# Removed tenants get numbers below this one. Queues of callers have numbers from -1 down, but far fewer.
+# Removed tenants get numbers below this one. The queues of callers are numbered from -1 down. There are far
+# too few callers to reach this number.
 REMOVED_TENANT_NUMBER_BASE = -(1 << 40)
 
 
--- a/moorusher/scheduling/rejection.py
+++ b/moorusher/scheduling/rejection.py
@@ -43,8 +43,9 @@
         """Reject a job that never ran.
 
         After a final rejection, the caller must not try another runner. The rejection of a first attempt is
-        not final if retries are marked and few. The Retry-After is the expected slot time. A tenant over its
-        quota gets no Retry-After, because the caller would pause the requests of all its tenants.
+        not final if retries are marked and few. The Retry-After is the expected slot time, up to a limit. A
+        tenant over its quota gets no Retry-After unless the runner drains, because the caller would pause the
+        requests of all its tenants.
         """
         state = self._state
         self.recent_rejections += 1.0
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -73,8 +73,8 @@
         self.calls.advance(now - state.now)
         state.advance(now)
         self._handle_ends(events)
-        # Overdue requests are answered before new ones are admitted, because the process may have been
-        # paused.
+        # Overdue requests are answered before new ones are admitted, because many may have become overdue
+        # during a pause of the process.
         self.deadlines.sweep()
         for event in events:
             self._handle(event)
--- a/moorusher/scheduling/service_time.py
+++ b/moorusher/scheduling/service_time.py
@@ -66,7 +66,10 @@
         self.stated_waits_ms: deque[float] = deque(maxlen=STATED_WAIT_SAMPLES)
 
     def record_run(self, duration_ms: float, completed: bool) -> None:
-        """Update the estimates with a run. The duration of an incomplete run is only a lower bound."""
+        """Update the estimates with a run.
+
+        The duration of an incomplete run is only a lower bound, so it counts only if it exceeds the mean.
+        """
         if completed or duration_ms > self.run_ms:
             deviation_ms = abs(duration_ms - self.run_ms)
             self.run_deviation_ms += RUN_TIME_LEARNING_RATE * (deviation_ms - self.run_deviation_ms)
@@ -89,8 +92,8 @@
     def redefine(self, request_class: RequestClass) -> ClassState:
         """Apply new settings to the class and return its state.
 
-        Stated waits are cleared if the deadline has changed, on which they depend. Run durations don't depend
-        on it.
+        Stated waits depend on the deadline and are cleared if it has changed. Run durations do not depend on
+        the deadline.
         """
         if request_class.deadline_ms != self.request_class.deadline_ms:
             self.stated_waits_ms.clear()
--- a/moorusher/scheduling/settings.py
+++ b/moorusher/scheduling/settings.py
@@ -155,8 +155,9 @@
         key_entry_kb: Memory of an entry in the table of idempotency keys.
         answer_slack_ms: Time after a deadline within which an answer still counts as in time.
         drain_grace_ms: Time after a drain notice within which callers may still send requests.
-        survivable_runs_per_core: Number of runs per core that the machine survives after the warm-up.
-        overload_window_ms: Time for which the machine survives more runs.
+        survivable_runs_per_core: Number of concurrent runs per core that the machine can sustain after the
+            warm-up without failing.
+        overload_window_ms: Time for which the machine can run more than that without failing.
         warming_up: Whether the machine has just started.
         warm_up_initial_speed: Speed of a machine that has just started, as a share of its full speed.
         warm_up_ms: Time until the machine has its full speed.
--- a/moorusher/scheduling/signals.py
+++ b/moorusher/scheduling/signals.py
@@ -6,7 +6,8 @@
 from moorusher.scheduling.rejection import Rejection
 from moorusher.scheduling.state import SchedulerState
 
-# Share of the shortest latency objective for which requests within the allowance are queued at most.
+# Longest time for which requests within the allowance are queued, as a share of the shortest latency
+# objective.
 QUEUE_FRACTION = 0.5
 QUEUE_FRACTION_UNDER_PRESSURE = 0.25  # the same after recent rejections
 
@@ -33,7 +34,8 @@
     def end_window(self) -> None:
         """Compute the allowance at the end of a window, and send it if it has changed.
 
-        This runner does not have to read requests that callers hold back or send to runners with capacity.
+        Callers delay requests beyond their allowance or send them to other runners, so that this runner does
+        not have to read and reject them.
         """
         state = self._state
         if state.settings.signal is not SignalKind.ALLOWANCE or state.draining.callers_stopped:
@@ -46,10 +48,10 @@
             state.actions.append(Signal(allowance))
 
     def _compute(self) -> float:
-        """Return the capacity for runs and queued requests, divided among callers by max-min fairness.
+        """Return the largest number of outstanding requests that one caller may have.
 
-        Callers with fewer outstanding requests than an even share leave the rest of their share to the
-        others.
+        The capacity for runs and queued requests is divided among the callers by max-min fairness: callers
+        with fewer outstanding requests than an even share leave the rest of their share to the others.
         """
         state = self._state
         concurrency = state.concurrency
--- a/tests/scheduling/generated_day.py
+++ b/tests/scheduling/generated_day.py
@@ -1,8 +1,8 @@
 """A simulated runner with callers that are generated from a seed. It checks the scheduler's invariants at each step.
 
-The invariants: every request gets one final answer by its deadline; no request that may have run is rejected, and no
-key runs twice; memory and the number of runs stay within their limits; no action names an unknown request or one in a
-wrong state.
+The invariants: every request gets one final answer by its deadline; no request that may have run is rejected unless its
+class is idempotent, and no key runs twice; memory and the number of runs stay within their limits; no action names an
+unknown request or a request in a wrong state.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 ARRIVALS_UNTIL_MS = 12_000.0
 DRAIN_START_MS = 9_000.0
 DRAIN_DURATION_MS = 4_000.0
-LONG_PAUSE_MS = 300.0  # pause of the whole process, by which answers may be late
+LONG_PAUSE_MS = 300.0  # pause of the whole process; answers may be late by this time
 RUN_EXTRA_KB = 30.0  # additional memory of a run of `helpers.request`
 NOT_DRAINING = 1e9
 
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -13,7 +13,7 @@
 
 
 def test_a_marked_retry_waits_less_than_a_first_attempt() -> None:
-    """After a burst, retries that were already late for their client displaced first attempts from the queue."""
+    """Regression: after a burst, retries that were already late for their client displaced first attempts."""
     queued = {}
     for is_retry in (False, True):
         scheduler = opened(cores=1, tenants=(Tenant(1.0),))
@@ -24,7 +24,7 @@
 
 
 def test_a_tenant_of_small_weight_is_not_rejected_for_a_short_wait() -> None:
-    """A request of a tenant with a small weight was rejected although the queue was short.
+    """Regression: a request of a tenant with a small weight was rejected although the queue was short.
 
     The expected wait was computed from the weight alone. It must be at most the time for all queued requests.
     """
@@ -35,7 +35,7 @@
 
 
 def test_a_request_that_would_end_late_is_not_started() -> None:
-    """A runner that read requests late ran old attempts, for a fifth of their value, instead of new ones."""
+    """Regression: a runner that read requests late ran old attempts, for a fifth of their value, and no new ones."""
     late = replace(SAFE, late_value_fraction=0.2)
     scheduler = opened(classes=(late, KEYED))
     assert only(scheduler.step(0.0, [request(1, waited_ms=950.0)]), api.Reject)
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -32,7 +32,7 @@
 
 
 def test_a_short_queue_with_idle_cores_does_not_raise_the_slot_count() -> None:
-    """The slot count rose after a short queue, and more runs than cores made every run longer."""
+    """Regression: the slot count rose after a short queue, and more runs than cores made every run longer."""
     scheduler = opened(cores=2)
     scheduler.step(0.0, [request(i) for i in range(1, 5)])
     scheduler.step(50.0, done(1, 2))
--- a/tests/scheduling/test_deadlines.py
+++ b/tests/scheduling/test_deadlines.py
@@ -24,7 +24,7 @@
 
 
 def test_a_request_with_a_stated_wait_of_zero_is_due_at_once_if_deadlines_are_propagated() -> None:
-    """A stated wait of 0 was treated as not stated, so that the full deadline of the class applied."""
+    """Regression: a stated wait of 0 was treated as not stated, so that the full deadline of the class applied."""
     scheduler = opened(propagates_deadline=True, cores=1, tenants=(Tenant(1.0),))
     scheduler.step(0.0, [request(1, ttl_ms=5000.0)])
     actions = scheduler.step(1.0, [request(2, ttl_ms=0.0), request(3, ttl_ms=-4.0)])
@@ -34,7 +34,7 @@
 
 
 def test_a_stated_wait_shorter_than_usual_counts_as_age() -> None:
-    """Unmarked retries were treated as first attempts, and ran although their objective had passed."""
+    """Regression: unmarked retries were treated as first attempts, and ran although their objective had passed."""
     scheduler = opened(propagates_deadline=True)
     for i in range(1, 9):
         scheduler.step(200.0 * i, [request(i, ttl_ms=2700.0)])
@@ -45,8 +45,8 @@
 
 
 def test_a_request_without_remaining_value_is_answered_at_once_in_any_position() -> None:
-    """A late request without value was answered only at its deadline if it waited behind the head of a queue, or for
-    a downstream call."""
+    """Regression: a late request without value was answered only at its deadline if it was queued behind another
+    request or waited for a downstream call."""
     scheduler = opened(
         cores=1,
         tenants=(Tenant(1.0),),
--- a/tests/scheduling/test_downstream_calls.py
+++ b/tests/scheduling/test_downstream_calls.py
@@ -27,8 +27,8 @@
 
 
 def test_a_call_and_its_run_that_end_in_one_batch_leave_no_call_in_flight() -> None:
-    """A slow runner gets both ends in one batch. If the end of the run was processed first, the call seemed to be
-    abandoned and its charge was not refunded."""
+    """Regression: a slow runner gets both ends in one batch. When the end of the run was processed first, the call
+    seemed to be abandoned and its charge was not refunded."""
     scheduler = opened(**SHARED_DEPENDENCY)
     scheduler.step(0.0, [request(1), request(2)])
     assert only(scheduler.step(10.0, [api.CallNeeded(1)]), api.StartCall)
@@ -57,7 +57,7 @@
 
 
 def test_scarce_calls_go_to_requests_that_have_no_value_without_them() -> None:
-    """With an overloaded dependency, reads with an optional call used the calls that writes required."""
+    """Regression: at an overloaded dependency, optional calls of reads used the budget for required calls of writes."""
     scheduler = opened(
         downstream=api.Downstream.SHARED,
         classes=(CALLING, replace(KEYED, may_call=True)),
@@ -76,7 +76,7 @@
 def test_a_long_optional_call_is_skipped_early_enough_to_answer_in_time(
     value_fraction_without_call: float, is_skipped: bool
 ) -> None:
-    """A request waited for a missing reply until it was late and its answer had no value."""
+    """Regression: a request waited for a missing reply until its answer was late and had no value."""
     scheduler = opened(
         downstream=api.Downstream.TIER,
         classes=(replace(CALLING, value_fraction_without_call=value_fraction_without_call),),
@@ -97,8 +97,8 @@
 def call_slow_dependency(slow_call_ms: float) -> dict[str, list[float]]:
     """Run requests with idempotency keys that require a call to a shared dependency.
 
-    A call takes 30 ms, and `slow_call_ms` from second 5 to 13. Return the timeouts of the calls in the slow period, and
-    the durations of those that ended and of those that timed out.
+    A call takes 30 ms until second 5, and then `slow_call_ms` until the end at second 13. Return, for the slow period,
+    the timeouts of the calls, and the durations of the calls that ended and of those that timed out.
     """
     scheduler = opened(
         cores=6,
@@ -147,8 +147,8 @@
 
 
 def test_a_call_to_a_slow_dependency_is_not_sent_if_it_would_time_out() -> None:
-    """A dependency became ten times slower. The budget was used for calls with timeouts of a few milliseconds, which
-    all timed out, and the requests with idempotency keys failed."""
+    """Regression: when a dependency became ten times slower, the budget was used for calls with timeouts of a few
+    milliseconds, which all timed out, and the requests with idempotency keys failed."""
     results = call_slow_dependency(slow_call_ms=600.0)
     assert min(results["timeouts"]) >= 300.0
     assert len(results["ended"]) > 8 > 4 * len(results["timed out"])
@@ -163,9 +163,9 @@
 def success_share_at_overloaded_dependency(runner_count: int = 4) -> float:
     """Run several runners, each with its own scheduler, with one dependency that has 4 slots.
 
-    A call is 40 ms of work, and 320 ms from second 3 on. Concurrent calls beyond the slots share them and slow each
-    other down. From then on, the load is far above the capacity of the dependency. Return the share of calls that
-    succeeded from second 5 on.
+    A call is 40 ms of work until second 3, and then 320 ms, so that the load is far above the capacity of the
+    dependency. If there are more concurrent calls than slots, they share the slots and slow each other down. Return the
+    share of calls that succeeded from second 5 on.
     """
     classes = (replace(KEYED, may_call=True, latency_objective_ms=3000.0, deadline_ms=5000.0),)
     schedulers = [
@@ -218,5 +218,5 @@
 
 
 def test_an_overloaded_dependency_gets_fewer_concurrent_calls() -> None:
-    """All runners kept as many calls in flight as their quota allowed, and none ended before its timeout."""
+    """Regression: all runners had as many calls in flight as their quota allowed, and each of these calls timed out."""
     assert success_share_at_overloaded_dependency() >= 0.45
--- a/tests/scheduling/test_fair_queue.py
+++ b/tests/scheduling/test_fair_queue.py
@@ -53,7 +53,7 @@
 
 
 def test_tenants_of_small_requests_keep_the_high_slot() -> None:
-    """The paper's example: two slots, request sizes 1 and 4. Expensive tenants must rarely hold both slots at once."""
+    """The paper's example: two slots, request sizes 1 and 4. Expensive tenants must rarely use both slots at once."""
     scheduler = opened(cores=2, tenants=tuple(Tenant(1.0) for _ in range(4)), classes=(PATIENT,))
     cost_ms = {0: 40.0, 1: 40.0, 2: 160.0, 3: 160.0}
     next_id, ends, now, both_expensive_ms, runs = 100, {}, 0.0, 0.0, dict.fromkeys(cost_ms, 0)
--- a/tests/scheduling/test_invariants.py
+++ b/tests/scheduling/test_invariants.py
@@ -172,8 +172,8 @@
 def test_every_request_is_answered_with_invalid_hints_and_waits(
     cost_hint_ms: float, ttl_ms: float | None, propagates_deadline: bool
 ) -> None:
-    """Requests were never answered: a cost hint of NaN was added to the start tags, and a stated wait of NaN made
-    every comparison false."""
+    """Regression: requests were never answered after a cost hint of NaN was added to the start tags, or because a
+    stated wait of NaN made every comparison false."""
     scheduler = opened(propagates_deadline=propagates_deadline, max_retry_after_ms=1000.0)
     unanswered = set(range(1, 41))
     ends: list[api.Event] = []
--- a/tests/scheduling/test_priority.py
+++ b/tests/scheduling/test_priority.py
@@ -15,7 +15,8 @@
 
 
 def test_slots_are_reserved_for_the_class_of_higher_priority_weight() -> None:
-    """In overload, free slots were assigned in order of arrival, and the most valuable class lost as much as others."""
+    """Regression: in overload, slots were assigned in order of arrival, and the most valuable class was rejected as
+    often as others."""
     scheduler = opened(cores=2, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
     ended_count = {0: 0, 1: 0}
     arrival_count = {0: 0, 1: 0}
@@ -41,8 +42,8 @@
 
 
 def test_free_slots_are_not_reserved() -> None:
-    """Runners of a downstream tier rejected calls although most of their slots were free, because the slots were
-    reserved for a class without requests."""
+    """Regression: runners of a downstream tier rejected calls although most of their slots were free, because the
+    slots were reserved for a class without requests."""
     scheduler = opened(cores=3, classes=(SAFE, HIGH_PRIORITY), tenants=(Tenant(1.0),))
     scheduler.step(0.0, [request(1)])
     scheduler.state.service_time.classes[0].credit_ms = -1.0
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -47,7 +47,8 @@
         max_retry_after_ms=1000.0,
     )
     sent: dict[int, tuple[int, int]] = {}
-    rng = random.Random(1)  # with a fixed order in step with the runs, the same class would always be first
+    # The classes are random. In a fixed order in step with the runs, the same class would always be first.
+    rng = random.Random(1)
     ends: dict[int, float] = {}
     results: dict[str, Any] = {
         "started": [],
@@ -87,7 +88,7 @@
 
 @pytest.mark.parametrize("modest_retries", [False, True])
 def test_a_tenant_within_its_quota_is_served_while_another_floods_the_runner(modest_retries: bool) -> None:
-    """When one tenant sent three times its quota, the runner was full and rejected the retries of the others."""
+    """Regression: when one tenant sent three times its quota, the runner was full and rejected the others' retries."""
     results = run_flood(modest_retries=modest_retries)
     modest = [pair for pair in results["sent"] if pair[0] == MODEST]
     assert len([pair for pair in results["rejected"] if pair[0] == MODEST]) <= 0.1 * len(modest)
@@ -95,7 +96,7 @@
 
 
 def test_a_rejection_for_a_tenant_over_its_quota_has_no_retry_after() -> None:
-    """A caller sends requests of all tenants. After a Retry-After for one of them, it paused all of them."""
+    """Regression: a caller, which sends requests of all tenants, paused all of them after a Retry-After for one."""
     results = run_flood()
     assert len(results["retry_after"][GREEDY]) > 50
     assert set(results["retry_after"][GREEDY]) == {0.0}
@@ -108,7 +109,7 @@
 
 
 def test_a_class_with_a_short_objective_is_not_starved_for_a_tenant_over_its_quota() -> None:
-    """The queue filled with requests that could wait long, and urgent requests were rejected all day."""
+    """Regression: the queue filled with requests that could wait long, and urgent requests were always rejected."""
     classes = [
         class_index for tenant, class_index in run_flood(greedy_batch=2)["started"] if tenant == GREEDY
     ]
--- a/tests/scheduling/test_rejection.py
+++ b/tests/scheduling/test_rejection.py
@@ -11,8 +11,8 @@
 
 
 def test_excess_requests_are_rejected_on_arrival_and_finally() -> None:
-    """Requests were queued for long before they were rejected. Their retries looked like first attempts but were
-    already late, which caused a retry loop."""
+    """Regression: requests were queued for a long time before they were rejected. Their retries looked like first
+    attempts but were already late, which caused a retry loop."""
     scheduler = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
     actions = scheduler.step(0.0, [request(i) for i in range(1, 30)])
     rejections = only(actions, api.Reject)
@@ -21,8 +21,8 @@
 
 
 def test_a_rejection_of_a_first_attempt_is_not_final_if_marked_retries_are_few() -> None:
-    """In a large fleet, other runners have capacity. If a fifth of the arrivals are retries, it is a retry storm, and
-    further attempts only add load."""
+    """After a rejection that is not final, the caller tries another runner, which may have capacity in a large fleet.
+    If more than a fifth of the arrivals are retries, this is a retry storm, in which more attempts only add load."""
 
     def rejections_final(is_retry: bool, retries_marked: bool) -> set[bool]:
         scheduler = opened(cores=1, tenants=(Tenant(1.0),), retries_marked=retries_marked)
@@ -36,7 +36,8 @@
 
 
 def test_a_rejection_has_a_short_retry_after() -> None:
-    """A client that paused for the maximum Retry-After retried after its objective. One slot time is sufficient."""
+    """Regression: clients paused for the maximum Retry-After, and retried when their objective had passed. A pause of
+    one slot time is sufficient."""
     scheduler = opened(cores=1, tenants=(Tenant(1.0),), max_retry_after_ms=1000.0)
     scheduler.step(0.0, [request(1)])
     rejections = only(scheduler.step(300.0, [*done(1), *[request(i) for i in range(2, 40)]]), api.Reject)
--- a/tests/scheduling/test_service_time.py
+++ b/tests/scheduling/test_service_time.py
@@ -11,7 +11,7 @@
 
 
 def test_early_errors_do_not_change_the_estimates() -> None:
-    """A runner whose runs failed at once lowered its estimates of cost and duration, and admitted more requests."""
+    """Regression: a runner whose runs failed immediately reduced its estimates, and admitted more requests."""
     scheduler = opened()
     scheduler.step(0.0, [request(1)])
     scheduler.step(300.0, done(1))
@@ -29,9 +29,9 @@
 
 
 def test_long_runs_in_an_outage_do_not_stop_admission_for_good() -> None:
-    """Runs that waited for calls for seconds raised the expected duration of a run above every objective. Then no
-    request was started, so no run showed that the outage was over (incident i194c80: only 9% of the requests were
-    served until its end)."""
+    """Regression: runs that waited for calls for seconds raised the expected duration of a run above every objective.
+    Then no request was started, so no run showed that the outage was over (incident i194c80: only 9% of the requests
+    were served until its end)."""
     scheduler = opened()
     now = 0.0
     for i in range(1, 40):
--- a/tests/scheduling/test_signals.py
+++ b/tests/scheduling/test_signals.py
@@ -52,7 +52,7 @@
     # The caller with most requests must reduce them, but gets the capacity that the others leave.
     assert even < 3 < skewed < 25
     _, (slow,) = scheduler_with_load(900.0, {1: 9, 2: 9, 3: 9})
-    # A slow runner allows fewer requests, so that the others go to other runners instead of waiting.
+    # A slow runner allows fewer requests, so that callers send the rest to other runners instead of waiting.
     assert slow < even
     scheduler, signals = scheduler_with_load(100.0, {1: 9}, signal=SignalKind.OFF)
     assert signals == []
@@ -84,7 +84,7 @@
 def test_idle_connections_close_early_only_with_a_surplus_of_callers(
     callers: int, closes_early: bool
 ) -> None:
-    """Hundreds of callers left connections open that they did not reuse, which took a third of the core time."""
+    """Regression: idle connections that hundreds of callers did not reuse used a third of the core time."""
     scheduler = opened(callers=callers, max_idle_connection_ms=30_000.0)
     idle_timeouts_ms = [30_000.0]
     for i in range(1, 100):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -46,7 +46,7 @@
         return self.loop.connect(self.jsonrpc if factory is None else factory)
 
     def connect_idle(self) -> Client:
-        """A client whose only request, a heartbeat, has been answered."""
+        """Return a client whose only request, a heartbeat, has been answered."""
         client = self.connect()
         client.send(HEARTBEAT)
         self.loop.turn()
@@ -72,9 +72,9 @@
 
 
 def test_a_request_that_arrives_as_the_read_timeout_expires_is_answered() -> None:
-    """The request is in the socket's buffer when the read timeout of its connection fires.
+    """The request is in the socket's buffer when the read timeout of its connection expires.
 
-    A close without a read would lose the request.
+    Guards against a close that does not read the buffer first, which would lose the request.
     """
     harness = FrontendHarness()
     client = harness.connect()
@@ -87,7 +87,8 @@
 
 
 def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered() -> None:
-    """The client of an idle connection was asked to close it, and a request is in the buffer when it is closed."""
+    """The client was asked to close its idle connection. Its next request is in the socket's buffer when the runner
+    closes the connection."""
     harness = FrontendHarness()
     client = harness.connect_idle()
     harness.advance(round(IDLE_MS * 1000) + 10_000)
@@ -100,7 +101,7 @@
 
 
 def test_a_request_half_received_when_its_idle_connection_is_closed_may_be_completed() -> None:
-    """The client began a request before it read that it should close the connection, and sends the rest later."""
+    """The client sent half a request before it read the message that asks it to close, and sends the rest later."""
     harness = FrontendHarness()
     client = harness.connect_idle()
     harness.advance(round(IDLE_MS * 1000) + CLOSE_REQUEST_TIMEOUT_US - 100_000)
@@ -273,7 +274,7 @@
 
 
 def test_a_uwsgi_request_completed_as_the_read_timeout_expires_is_served() -> None:
-    """The last byte of the request is in the socket's buffer when the read timeout fires."""
+    """The last byte of the request is in the socket's buffer when the read timeout expires."""
     harness = FrontendHarness()
     client = harness.connect(harness.uwsgi)
     raw = uwsgi_request("read", b"body", tenant="", rid="u1")
@@ -287,13 +288,13 @@
 
 
 def test_a_uwsgi_answer_arrives_completely_although_the_client_sent_more_than_its_request() -> None:
-    """A close with input unread would reset the connection and lose the answer."""
+    """Guards against a close with unread input, which would reset the connection and lose the answer."""
     harness = FrontendHarness()
     client = harness.connect(harness.uwsgi)
     client.send(uwsgi_request("read", b"body", tenant="", rid="u1"))
     harness.loop.turn()
     harness.engine.core.execution.run_ended("u1", EndReason.RUN_SUCCEEDED, b"done")
-    # Arrives while the answer is being sent. A close with this input unread would reset the connection.
+    # This input arrives while the answer is being sent. If it were unread at the close, the connection would be reset.
     client.send(b"more than was announced")
     harness.loop.turn()
     client.send(b"and more")
@@ -361,7 +362,10 @@
 
 
 def test_half_a_request_counts_as_being_read_until_the_read_timeout() -> None:
-    """A drain waits for the rest of a partly received request, but only until the read timeout."""
+    """Tests `reading`, by which a drain decides whether to wait for the rest of a partly received request.
+
+    It must be true only until the read timeout, so that a client that stops within a request does not delay a drain.
+    """
     harness = FrontendHarness()
     client = harness.connect()
     client.send(request_line()[:9])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -210,7 +210,10 @@
 
 
 def reconnect(harness: EngineHarness, commands_read: int) -> list[tuple[object, ...]]:
-    """Return the commands sent on a new connection, when the kernel is known to have read this many before."""
+    """Reconnect the kernel, and return the commands sent on the new connection.
+
+    `commands_read` is the number of earlier commands that the kernel is known to have read.
+    """
     harness.kernel.commands.clear()
     harness.kernel.up = True
     harness.core.execution.reconnected(commands_read)
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -167,7 +167,7 @@
         second, heartbeat = front_end.submit(tokens)
         received: list[asyncio.Future[dict[str, Any]]] = []
         for answer in (*(first[token].answer for token in tokens), heartbeat):
-            answer.add_done_callback(received.append)  # answers that are already there come first
+            answer.add_done_callback(received.append)  # answers received before come first in the list
         await asyncio.gather(*(attempts[token].answer for attempts in (first, second) for token in tokens))
         # The kernel receives this run after any other run that was started.
         await send_request(runner, new_key(), body=b"work 10")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -205,7 +205,7 @@
 
 
 def test_stated_waits_reach_the_scheduler_if_deadlines_are_propagated() -> None:
-    """A stated wait of 0 was treated as not stated, so that the full deadline of the class applied."""
+    """Regression: a stated wait of 0 was treated as not stated, so that the full deadline of the class applied."""
     setup = {**SETUP, "extra": {**SETUP["extra"], "passesDeadline": True}}  # type: ignore[dict-item]
     assert parse_settings(json.dumps(setup).encode()).propagates_deadline
     record = struct.pack("<HIdHIdHBIfQdf", 257, 9, 0.0, 1, 0, 40.0, 0, 0, 0, 0.5, 0, 0.0, 20.0)
