--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -75,8 +75,8 @@
         rid: Request id, unique among the open requests.
         class_name: Name of the request class.
         body: Input of the run.
-        t0_unix_ms: Time of arrival at the machine, by the sender's clock.
-        arrived_us: Time of arrival by the engine's clock; None: now.
+        t0_unix_ms: Time of arrival that the sender states, by the sender's clock.
+        arrived_us: Time when its first byte was read, by the engine's clock; None: now.
         budget_ms: Time that the caller waits, from the arrival.
         tenant: Name of the tenant.
         caller: Number of the front end that sent the request.
@@ -114,7 +114,7 @@
         request_class: Class as of the time of arrival; new settings don't affect open requests.
         tenant: Name of the tenant; None if the settings define no tenants.
         body: Input of the run.
-        arrived_us: Time of arrival at the machine, by the engine's clock.
+        arrived_us: Time of arrival by the engine's clock: as stated by the sender, else when it was read.
         reply: Receives the answer; None once it is sent or the caller has disconnected.
         tag: Identifies the request to `reply`.
         arrival: The request as read by the frontend.
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""The engine's interface to the cluster, without a cluster: requests that wait for its decisions on their keys."""
+"""The engine's interface to the cluster, with a stub in place of the cluster's decisions on idempotency keys."""
 
 from __future__ import annotations
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -24,7 +24,7 @@
 
 
 def classes_of_each_effect() -> list[dict[str, Any]]:
-    """Return one class of each effect, with the name of the effect. Downstream calls are required."""
+    """Return one class for each effect, named after the effect."""
     base = {"aimMs": 3000, "deadlineMs": 8000, "worth": 1, "windowMs": 0}
     return [
         base | {"name": effect, "effect": effect, "windowMs": 20000 if effect == "guarded" else 0}
@@ -33,6 +33,7 @@
 
 
 def settings_of_each_effect() -> dict[str, Any]:
+    """Return settings with these classes, whose runs may make downstream calls and can't be answered without them."""
     extra = SETTINGS["extra"] | {"classCalls": [True] * 3, "worthWithout": [0] * 3}
     return {"classes": classes_of_each_effect(), "extra": extra}
 
