--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -75,8 +75,8 @@
         rid: Request id, unique among the open requests.
         class_name: Name of the request class.
         body: Input of the run.
-        t0_unix_ms: Time of arrival at the machine, by the sender's clock.
-        arrived_us: Time of arrival by the engine's clock; None: now.
+        t0_unix_ms: Time of arrival that the sender states, by the sender's clock.
+        arrived_us: Time when its first byte was read, by the engine's clock; None: now.
         budget_ms: Time that the caller waits, from the arrival.
         tenant: Name of the tenant.
         caller: Number of the front end that sent the request.
@@ -114,7 +114,7 @@
         request_class: Class as of the time of arrival; new settings don't affect open requests.
         tenant: Name of the tenant; None if the settings define no tenants.
         body: Input of the run.
-        arrived_us: Time of arrival at the machine, by the engine's clock.
+        arrived_us: Time of arrival by the engine's clock: as stated by the sender, else when it was read.
         reply: Receives the answer; None once it is sent or the caller has disconnected.
         tag: Identifies the request to `reply`.
         arrival: The request as read by the frontend.
@@ -123,7 +123,7 @@
         retry_of: Number of the attempt that has the key; None for a first attempt.
         uncounted: Whether the request seems to be a first attempt and has not been counted as demand.
         stop_requested: Whether the scheduler has stopped the request while it was `STARTING`.
-        ruling: The `routes.Ruling` by the rules under which the request was read.
+        ruling: Decision (`routes.Ruling`) of the rules that applied when the request was read, or None.
     """
 
     number: int
@@ -164,7 +164,7 @@
         return len(self.by_number)
 
     def allocate_number(self) -> int:
-        """Return a number that no open request has."""
+        """Return the next number. Numbers repeat only after `MAX_REQUEST_NUMBER` others."""
         number = self._next_number
         self._next_number = number % MAX_REQUEST_NUMBER + 1
         return number
@@ -191,7 +191,7 @@
         return len(arrivals), max(0, now - min(arrivals)) if arrivals else 0
 
     def memory_kb(self, run_memory_factor: float) -> float:
-        """Estimate the memory of the open requests, of which a running one takes `run_memory_factor` times as much."""
+        """Estimate the memory of the open requests. A run multiplies a request's memory by `run_memory_factor`."""
         return sum(
             request.arrival.memory_kb * (run_memory_factor if request.stage is RequestStage.RUNNING else 1.0)
             for request in self.by_number.values()
