--- a/moorusher/lab/__init__.py
+++ b/moorusher/lab/__init__.py
@@ -1,12 +1,12 @@
-"""The laboratory: `pip install moorusher[lab]`. Never imported by what serves.
+"""The laboratory: experiments and demos, installed by `pip install moorusher[lab]`. The server never imports it.
 
-What a runner speaks with: `stand_ins` (kernel, database, uwsgi peer, announce service) on emulated `cores`;
+Peers of a runner: `stand_ins` (kernel, database, uwsgi peer, announce service) on emulated `cores`;
 `fenced_receiver`, `relays` between runners, `balancer` and `health_prober`.
 
 Runners and their load: `runners`, `runner_fleet`, `admin_client`; `arrivals`, `load_generator`, `runner_client`.
 
-Experiments, by their names on the command line: `registry` lists them, `experiment` and `report` are what they share.
-`health_report_experiment` (`shed` on the command line), `outage` and `takeover` play arms of real processes (`*_arm`);
-`tier` and `warm_start` are simulations of a server pool, `forecast` of drawn demand; `duties` and `namespaces` have
-both. `demo_runner` and `demo_fleet` are `moorusher lab up`.
+Experiments: `registry` lists them by their names on the command line; `experiment` and `report` hold their common code.
+`health_report_experiment` (`shed` on the command line), `outage` and `takeover` run arms of real processes (`*_arm`);
+`tier` and `warm_start` simulate a server pool, and `forecast` generated demand; `duties` and `namespaces` use both
+processes and simulations. `demo_runner` and `demo_fleet` implement `moorusher lab up`.
 """
--- a/moorusher/lab/admin_client.py
+++ b/moorusher/lab/admin_client.py
@@ -14,23 +14,28 @@
 from .ports import HOST
 
 ADMIN_TOKEN = "lab"
-_ERROR_STATUSES = 400
+_FIRST_ERROR_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class AdminReply:
-    """A reply; `status` is 0 where none came."""
+    """A reply of the administration API.
+
+    Attributes:
+        status: HTTP status, 0 if no reply arrived.
+        body: Content of the reply.
+    """
 
     status: int
     body: bytes
 
     @property
     def succeeded(self) -> bool:
-        """Whether a reply came that is no error."""
-        return 0 < self.status < _ERROR_STATUSES
+        """Whether a reply without an error status arrived."""
+        return 0 < self.status < _FIRST_ERROR_STATUS
 
     def decode(self) -> Any:
-        """The JSON of the body; {} where it is empty or none."""
+        """Return the decoded JSON body; {} if it is empty or not JSON."""
         try:
             return json.loads(self.body) if self.body else {}
         except ValueError:
@@ -40,9 +45,10 @@
 def request_admin(
     port: int, path: str, method: str = "GET", body: bytes | None = None, timeout_s: float = 10
 ) -> Deferred[AdminReply]:
-    """Send one request, in a thread.
+    """Send one request from a thread of the reactor's pool.
 
-    :param port: of the runner's administration API.
+    :param port: port of the runner's administration API.
+    :returns: the reply; its status is 0 if the connection failed or timed out.
     """
     url = f"http://{HOST}:{port}/{path}"
     headers = {"Authorization": f"Bearer {ADMIN_TOKEN}"}
--- a/moorusher/lab/arrivals.py
+++ b/moorusher/lab/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests drawn ahead from a seed: a Poisson arrival process over classes of requests and tenants."""
+"""A Poisson arrival process over request classes and tenants, generated in advance from a seed."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests of a load.
+    """A request class of a load.
 
     Attributes:
-        name: as the settings have it.
-        share: of all requests.
-        service_time_ms: mean work; drawn evenly from half of it to one and a half.
-        makes_call: whether each run makes a downstream call.
-        latency_objective_ms: answered later, a request counts as late.
-        deadline_ms: from the arrival.
-        keyed: whether requests have an idempotency key.
-        priority_weight: what a served request counts.
+        name: Name of the class in the settings.
+        share: Share of all requests, 0 to 1.
+        service_time_ms: Mean work of a run; drawn uniformly between 0.5 and 1.5 times this value.
+        makes_call: Whether each run makes a downstream call.
+        latency_objective_ms: Latency above which an answer counts as late.
+        deadline_ms: Time limit from the arrival.
+        keyed: Whether requests have an idempotency key.
+        priority_weight: Value of a served request.
     """
 
     name: str
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request, drawn ahead.
+    """One request of a load.
 
     Attributes:
-        at_s: from the start of the load.
-        request_class: what it asks for.
-        tenant: who asks.
-        body: says how much work the run is.
-        token: its idempotency key, if it has one.
+        at_s: Seconds from the start of the load.
+        request_class: Class of the request.
+        tenant: Name of the tenant.
+        body: Work of the run, in the form that the stand-in kernel reads.
+        token: Idempotency key, None for a request without one.
     """
 
     at_s: float
@@ -53,9 +53,9 @@
 def draw_arrivals(
     seed: int, classes: list[RequestClass], tenants: list[str], rate: float, seconds: float
 ) -> list[Arrival]:
-    """Poisson arrivals; the same seed draws the same.
+    """Return Poisson arrivals; the same seed gives the same arrivals.
 
-    :param rate: requests a second.
+    :param rate: requests per second.
     """
     rng = random.Random(seed)
     at_s = 0.0
@@ -68,7 +68,7 @@
 def _draw_arrival(
     rng: random.Random, at_s: float, classes: list[RequestClass], tenants: list[str]
 ) -> Arrival:
-    """The order of these draws is part of a seed's meaning."""
+    """Draw one arrival. A different order of the draws would change the arrivals of every seed."""
     request_class = rng.choices(classes, [each.share for each in classes])[0]
     work_ms = request_class.service_time_ms * rng.uniform(0.5, 1.5)
     share_before_call = rng.uniform(0.3, 0.7)
--- a/moorusher/lab/balancer.py
+++ b/moorusher/lab/balancer.py
@@ -1,7 +1,8 @@
-"""A stand-in balancer: what it has read of each server, and which one gets the next request.
+"""A stand-in balancer: its view of each server, and the choice of the server for the next request.
 
-From the published behaviour of common ones: checks with `rise` and `fall`, HAProxy's agent words, a slow start after a
-server comes up, weighted round robin or least connections. Pure; `lab/health_prober.py` has the sockets.
+It follows the published behaviour of common balancers: health checks with `rise` and `fall`, HAProxy's agent commands,
+slow start after a server has come up, and weighted round robin or least connections. It does no I/O; the sockets are
+in `lab/health_prober.py`.
 """
 
 from __future__ import annotations
@@ -13,41 +14,48 @@
 
 FULL_WEIGHT = 100
 SLOW_START_FLOOR = 0.05
-"""The least share of its weight that a server in slow start has."""
+"""Minimum share of its weight that a server has during slow start."""
 _UNLIMITED = 1 << 30
 _LONG_AGO_US = -(1 << 60)
 
 
 class AgentReport(NamedTuple):
-    """What a server's agent said, from `at_us` on."""
+    """A reply of a server's agent that differed from the one before it.
+
+    Attributes:
+        at_us: Time at which the balancer read it.
+        text: Commands, separated by spaces.
+    """
 
     at_us: int
     text: str
 
     @property
     def has_weight(self) -> bool:
-        """Whether it names a weight."""
+        """Whether the reply contains a weight."""
         return "%" in self.text
 
     @property
     def weight(self) -> int:
-        """The weight in 100 that it names first, 0 where it names none."""
+        """First weight in the reply, in percent; 0 if there is none."""
         return int(self.text.partition("%")[0].rpartition(" ")[2] or 0) if self.has_weight else 0
 
 
 @dataclass(slots=True)
 class Server:
-    """A runner, as a balancer knows it.
+    """A balancer's view of one runner.
 
     Attributes:
-        weight: of the agent's last word, in 100.
-        up: by checks and by the agent's operative word.
-        admin: administrative state: ready, drain or maint.
-        in_flight: requests without an answer.
-        maxconn: requests that it takes at a time.
-        sent: requests that it was picked for.
-        up_since: in us.
-        agent_reports: each change of what its agent said.
+        name: Name of the runner.
+        weight: Last weight reported by the agent, in percent.
+        up: Operational state, from health checks and the agent.
+        admin: Administrative state: ready, drain or maint.
+        in_flight: Number of requests without an answer.
+        maxconn: Limit of concurrent requests.
+        sent: Number of requests sent to the server.
+        up_since: Time at which the server last came up, in us.
+        agent_reports: Changes of the agent's reply, in order.
+        credit: Credit of the smooth weighted round robin.
     """
 
     name: str
@@ -60,12 +68,11 @@
     up_since: int = _LONG_AGO_US
     agent_reports: list[AgentReport] = field(default_factory=list)
     credit: float = 0.0
-    """Of the smooth weighted round robin."""
-    _passed: int = 0
-    _failed: int = 0
+    _passed_in_a_row: int = 0
+    _failed_in_a_row: int = 0
 
     def effective_weight(self, now: int, slow_start_us: int) -> float:
-        """Of a whole server: 0 takes nothing new, 1 is full."""
+        """Return the share of the full weight, 0 to 1; 0 if the server accepts no new requests."""
         if not self.up or self.admin != "ready" or self.in_flight >= self.maxconn:
             return 0.0
         ramp = 1.0
@@ -74,47 +81,51 @@
         return self.weight / FULL_WEIGHT * ramp
 
     def record_check(self, now: int, passed: bool, rise: int, fall: int) -> None:
-        """Count a health check: up after `rise` that passed, down after `fall` that failed, in a row."""
+        """Record a health check.
+
+        :param rise: consecutive successes after which the server is up.
+        :param fall: consecutive failures after which the server is down.
+        """
         if passed:
-            self._passed += 1
-            self._failed = 0
-            if self._passed >= rise:
-                self._come_up(now)
+            self._passed_in_a_row += 1
+            self._failed_in_a_row = 0
+            if self._passed_in_a_row >= rise:
+                self._set_up(now)
         else:
-            self._passed = 0
-            self._failed += 1
-            if self._failed >= fall:
+            self._passed_in_a_row = 0
+            self._failed_in_a_row += 1
+            if self._failed_in_a_row >= fall:
                 self.up = False
 
     def read_agent(self, now: int, line: str) -> None:
-        """One line of an agent: words apart by blanks, tabs or commas, and a description after '#'."""
-        words = line.partition("#")[0].replace(",", " ").replace("\t", " ").split()
-        for word in words:
-            self._apply_agent_word(now, word)
-        text = " ".join(words)
+        """Apply one line of an agent: commands separated by spaces, tabs or commas, and a description after '#'."""
+        commands = line.partition("#")[0].replace(",", " ").replace("\t", " ").split()
+        for command in commands:
+            self._apply_agent_command(now, command)
+        text = " ".join(commands)
         if not self.agent_reports or self.agent_reports[-1].text != text:
             self.agent_reports.append(AgentReport(now, text))
 
-    def _apply_agent_word(self, now: int, word: str) -> None:
-        if word.endswith("%") and word[:-1].isdigit():
-            self.weight = min(FULL_WEIGHT, int(word[:-1]))
-        elif word.startswith("maxconn:") and word[8:].isdigit():
-            self.maxconn = int(word[8:])
-        elif word in ("ready", "drain", "maint"):
-            self.admin = word
-        elif word in ("down", "fail", "stopped"):
+    def _apply_agent_command(self, now: int, command: str) -> None:
+        if command.endswith("%") and command[:-1].isdigit():
+            self.weight = min(FULL_WEIGHT, int(command[:-1]))
+        elif command.startswith("maxconn:") and command[8:].isdigit():
+            self.maxconn = int(command[8:])
+        elif command in ("ready", "drain", "maint"):
+            self.admin = command
+        elif command in ("down", "fail", "stopped"):
             self.up = False
-        elif word == "up":
-            self._come_up(now)
+        elif command == "up":
+            self._set_up(now)
 
-    def _come_up(self, now: int) -> None:
+    def _set_up(self, now: int) -> None:
         if not self.up:
             self.up = True
             self.up_since = now
 
 
 class BalancingMode(enum.Enum):
-    """How a balancer picks among servers."""
+    """Algorithm by which a balancer picks a server."""
 
     ROUND_ROBIN = "round"
     LEAST_CONNECTIONS = "least"
@@ -128,7 +139,10 @@
 class ServerPicker:
     """Picks the server of each request by effective weight.
 
-    :param slow_start_us: over which the weight of a server that has come up rises; 0 for none.
+    Attributes:
+        servers: Servers to pick from.
+        mode: Balancing algorithm.
+        slow_start_us: Time in which the weight of a server that has come up rises to its full value; 0 for none.
     """
 
     def __init__(
@@ -142,7 +156,7 @@
         self.slow_start_us = slow_start_us
 
     def pick(self, now: int, rng: random.Random) -> Server | None:
-        """The server of the next request, None where none takes it."""
+        """Return the server for the next request, None if no server accepts it."""
         weighted = [
             _Candidate(server.effective_weight(now, self.slow_start_us), server) for server in self.servers
         ]
@@ -158,7 +172,7 @@
 
 
 def _least_connections(candidates: list[_Candidate], rng: random.Random) -> Server:
-    """The fewest requests in flight by weight; ties are broken at random."""
+    """Return the server with the fewest requests in flight relative to its weight; break ties at random."""
 
     def load(candidate: _Candidate) -> tuple[float, float]:
         return (candidate.server.in_flight + 1) / candidate.weight, rng.random()
@@ -167,7 +181,7 @@
 
 
 def _smooth_round_robin(candidates: list[_Candidate]) -> Server:
-    """Each gains its weight in credit; the one with the most is picked, and pays what all have gained."""
+    """Add each server's weight to its credit, pick the highest credit, and deduct the sum of all weights from it."""
     for candidate in candidates:
         candidate.server.credit += candidate.weight
     picked = max(candidates, key=lambda candidate: candidate.server.credit).server
--- a/moorusher/lab/call_statistics.py
+++ b/moorusher/lab/call_statistics.py
@@ -1,4 +1,4 @@
-"""What the calls of a simulation came to."""
+"""Statistics of the calls of a simulation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt, by its time and server."""
+    """An attempt that was sent.
+
+    Attributes:
+        at_s: Seconds from the start of the simulation.
+        server: Name of the server.
+    """
 
     at_s: float
     server: str
@@ -20,14 +25,19 @@
 
 @dataclass(slots=True)
 class ArrivalBin:
-    """Calls that arrived within a bin of time, and those of them that were answered in time."""
+    """Calls that arrived within one interval of time.
+
+    Attributes:
+        calls: Number of calls.
+        in_time: Number of the calls that were answered in time.
+    """
 
     calls: int = 0
     in_time: int = 0
 
 
 def share_in_time(bins: list[ArrivalBin]) -> float:
-    """Of the calls of some bins, 0 where there was none."""
+    """Return the share of the calls in these bins that were answered in time; 0 if there were no calls."""
     calls = sum(each.calls for each in bins)
     return sum(each.in_time for each in bins) / max(1, calls)
 
@@ -35,11 +45,17 @@
 class CallStatistics:
     """Counts of calls and attempts.
 
-    :param bin_s: length of a bin of arrivals.
-    :param seconds: for how long calls arrive.
-    :ivar outcomes: calls by outcome.
-    :ivar latencies_ms: of the answered calls.
-    :ivar executed_twice: calls with an idempotency key that servers began more than once.
+    :param bin_s: length of an arrival bin, in seconds.
+    :param seconds: time during which calls arrive.
+
+    Attributes:
+        calls: Number of calls.
+        in_time: Number of calls that were answered in time.
+        outcomes: Number of calls by outcome.
+        latencies_ms: Latencies of the answered calls.
+        sent: Attempts that were sent, in order.
+        bins: Calls by time of arrival.
+        executed_twice: Number of calls with an idempotency key that servers began more than once.
     """
 
     def __init__(self, bin_s: float, seconds: float) -> None:
@@ -53,16 +69,16 @@
         self._bin_us = round(bin_s * _US_PER_S)
 
     def record_arrival(self, now: int) -> None:
-        """A call that arrived now, in us."""
+        """Record a call that arrived at a time in us."""
         self.calls += 1
         self.bins[now // self._bin_us].calls += 1
 
     def record_attempt(self, now: int, server: str) -> None:
-        """An attempt that was sent now, in us."""
+        """Record an attempt that was sent at a time in us."""
         self.sent.append(SentAttempt(now / _US_PER_S, server))
 
     def record_answer(self, arrived_us: int, latency_ms: float, in_time: bool) -> None:
-        """The answer to a call."""
+        """Record the answer to a call."""
         self.latencies_ms.append(latency_ms)
         if in_time:
             self.in_time += 1
@@ -70,21 +86,21 @@
 
     @property
     def attempts(self) -> int:
-        """Attempts that were sent."""
+        """Number of attempts that were sent."""
         return len(self.sent)
 
     @property
     def share_in_time(self) -> float:
-        """Of all calls."""
+        """Share of all calls that were answered in time."""
         return self.in_time / max(1, self.calls)
 
     @property
     def attempts_per_call(self) -> float:
-        """In the mean."""
+        """Mean number of attempts per call."""
         return self.attempts / self.calls
 
     def latency_percentile_ms(self, share: float) -> float:
-        """Of the answered calls; infinite where there is none.
+        """Return a percentile of the answered calls' latencies; infinite if no call was answered.
 
         :param share: 0.99 for the 99th percentile.
         """
@@ -92,7 +108,12 @@
         return ordered[int(share * (len(ordered) - 1))] if ordered else math.inf
 
     def seconds_until_shifted(self, servers: set[str], since_s: float, even_share: float) -> float:
-        """Until some servers get less than half of their even share of a second's calls; infinite for never."""
+        """Return the time until some servers get less than half of their even share of the attempts in one second.
+
+        :param since_s: time from which the attempts are considered.
+        :param even_share: share of all attempts that the servers would get under even balancing.
+        :returns: seconds from `since_s`; infinite if it never happens.
+        """
         at_s = since_s
         end_s = self.sent[-1].at_s if self.sent else since_s
         while at_s < end_s:
--- a/moorusher/lab/child_process.py
+++ b/moorusher/lab/child_process.py
@@ -1,4 +1,4 @@
-"""A module of the laboratory in a process of its own, so that it does not take this loop's time."""
+"""Runs modules of the laboratory in child processes, so that they don't delay the event loop."""
 
 from __future__ import annotations
 
@@ -12,23 +12,26 @@
 
 
 class _OutputReader(ProcessProtocol):
-    """Collects what a process prints."""
+    """Collects the standard output of a process."""
 
     def __init__(self, output: Deferred[str]) -> None:
         self._output = output
         self._received = b""
 
     def outReceived(self, data: bytes) -> None:
-        """A part of the output."""
+        """Append a part of the output."""
         self._received += data
 
     def processEnded(self, reason: Any) -> None:
-        """The output is whole."""
+        """Deliver the complete output."""
         self._output.callback(self._received.decode())
 
 
 def run_module(reactor: Any, module: str, *arguments: str) -> Deferred[str]:
-    """Start a module as a program; what it prints, once it has ended."""
+    """Run a module as a program.
+
+    :returns: its standard output, when it has exited.
+    """
     output: Deferred[str] = Deferred()
     reactor.spawnProcess(
         _OutputReader(output),
--- a/moorusher/lab/clock.py
+++ b/moorusher/lab/clock.py
@@ -6,5 +6,5 @@
 
 
 def now_us() -> int:
-    """The monotonic clock, in us."""
+    """Return the time of the monotonic clock, in us."""
     return time.monotonic_ns() // 1000
--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -1,7 +1,8 @@
 """The cores of an emulated machine.
 
-All runs share them. Less gets done while too many run, or while the machine is cold; too many for too long, and the
-machine collapses. Times are in us. Pure, so that it serves on sockets and in virtual time alike.
+All runs share them. Throughput drops while too many runs are active or while the machine is cold, and the machine
+collapses under too many runs for too long. Times are in us. The module does no I/O and reads no clock, so it works with
+real sockets as well as in virtual time.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 from ..health.history import LevelHistory
 
 NEVER = 1 << 60
-"""A time that does not come, in us."""
+"""A time that is never reached, in us."""
 _ROUNDING_US = 1e-6
-"""Work that is done up to this much is done."""
+"""Remaining work up to which a run counts as completed."""
 
 
 @dataclass(frozen=True, slots=True)
 class MachineSpec:
-    """A machine's cores, and how many runs they bear.
+    """The cores of a machine and the load that they can bear.
 
     Attributes:
-        cores: how many.
-        speed: work of one core, in us a us.
-        degradation_threshold: runs a core past which less gets done in all.
-        degradation_per_run: how much less, for each further run a core.
-        cold_speed: share of the speed right after a start.
-        warm_up_us: from a cold start to full speed.
-        collapse_runs_per_core: the machine collapses when the mean number of runs a core exceeds this.
-        window_us: of that mean.
+        cores: Number of cores.
+        speed: Work that one core does, in us per us.
+        degradation_threshold: Runs per core above which the total throughput drops.
+        degradation_per_run: Slowdown for each run per core above the threshold.
+        cold_speed: Share of the full speed right after a cold start.
+        warm_up_us: Time from a cold start to full speed.
+        collapse_runs_per_core: Mean runs per core above which the machine collapses.
+        window_us: Window of that mean.
     """
 
     cores: int = 2
@@ -44,21 +45,26 @@
 
 
 class Cores:
-    """Runs that share the cores of a machine: each gets the same part.
+    """Runs that share the cores of a machine equally.
 
-    All runs progress alike, so that one number, the work that each has got since the beginning, says how far a run is:
-    a run ends when that number reaches what it was at the run's start plus the run's own work.
+    All runs progress at the same rate. One counter, the work done per run since the beginning, therefore tracks all of
+    them: a run completes when the counter reaches its value at the run's start plus the run's own work.
 
-    :ivar started_at: when the machine started, in us.
-    :ivar factor: an outside slowdown: 0.25 is four times as slow, 0 a pause.
-    :ivar concurrency: runs at a time, over the window of the machine.
-    :ivar busy_us: time of cores that were in use.
+    :param starts_cold: whether the machine starts cold.
+
+    Attributes:
+        machine: Cores of the machine and their limits.
+        started_at: Start of the machine, in us.
+        starts_cold: Whether the machine started cold.
+        factor: External speed factor: 0.25 is four times as slow, 0 is a pause.
+        concurrency: Number of concurrent runs over the window of the machine.
+        busy_us: Total time that cores were in use.
     """
 
-    def __init__(self, machine: MachineSpec, now: int, cold: bool = False) -> None:
+    def __init__(self, machine: MachineSpec, now: int, starts_cold: bool = False) -> None:
         self.machine = machine
         self.started_at = now
-        self.cold = cold
+        self.starts_cold = starts_cold
         self.factor = 1.0
         self.concurrency = LevelHistory(machine.window_us, now)
         self.busy_us = 0.0
@@ -71,15 +77,15 @@
         return len(self._end_of)
 
     def warm_up_factor(self, now: int) -> float:
-        """The share of its full speed that the machine has reached."""
+        """Return the share of its full speed that the machine has reached, 0 to 1."""
         machine = self.machine
-        if not self.cold or not machine.warm_up_us:
+        if not self.starts_cold or not machine.warm_up_us:
             return 1.0
         progress = min(1.0, (now - self.started_at) / machine.warm_up_us)
         return machine.cold_speed + (1 - machine.cold_speed) * progress
 
     def _work_rate(self, now: int) -> float:
-        """Work of each run in a us."""
+        """Return the work done for each run in one us."""
         machine = self.machine
         runs = len(self._end_of)
         if not runs:
@@ -89,7 +95,7 @@
         return speed * min(1.0, machine.cores / runs) / (1 + machine.degradation_per_run * excess)
 
     def advance(self, now: int) -> None:
-        """Let all runs work until now."""
+        """Advance all runs to the current time."""
         elapsed = now - self._advanced_to
         if elapsed <= 0:
             return
@@ -99,7 +105,10 @@
         self._advanced_to = now
 
     def start(self, now: int, name: str, work_us: float) -> None:
-        """Begin a run of so much work."""
+        """Start a run.
+
+        :param work_us: time that the run takes on an idle core of speed 1.
+        """
         self.advance(now)
         end = self._work_per_run_us + work_us
         self._end_of[name] = end
@@ -107,7 +116,7 @@
         self.concurrency.set(now, len(self._end_of))
 
     def stop(self, now: int, name: str) -> bool:
-        """End a run before its work is done; whether it was there."""
+        """Stop a run before its work is done; return whether the run was active."""
         self.advance(now)
         if self._end_of.pop(name, None) is None:
             return False
@@ -115,7 +124,7 @@
         return True
 
     def completed(self, now: int) -> list[str]:
-        """Take out the runs whose work is done by now."""
+        """Remove the runs whose work is done and return their names."""
         self.advance(now)
         names = []
         while self._ends and (self._first_was_stopped() or self._first_is_done()):
@@ -135,7 +144,7 @@
         return self._ends[0][0] <= self._work_per_run_us + _ROUNDING_US
 
     def next_completion(self, now: int) -> int:
-        """When to look again, in us; `NEVER` where nothing runs, or nothing progresses."""
+        """Return the time of the next completion, in us; `NEVER` if no run is active or the cores are paused."""
         while self._ends and self._first_was_stopped():
             heapq.heappop(self._ends)
         rate = self._work_rate(now)
@@ -144,10 +153,10 @@
         return now + max(1, round((self._ends[0][0] - self._work_per_run_us) / rate))
 
     def survivable_runs(self, now: int) -> float:
-        """The mean number of runs that the machine bears."""
+        """Return the mean number of runs that the machine can bear."""
         machine = self.machine
         return survivable_runs(machine.cores, machine.collapse_runs_per_core, self.warm_up_factor(now))
 
     def has_collapsed(self, now: int) -> bool:
-        """Whether more ran, in the mean of the window, than the machine bears."""
+        """Return whether the mean number of runs in the window exceeds what the machine can bear."""
         return self.concurrency.mean(now) > self.survivable_runs(now)
--- a/moorusher/lab/experiment.py
+++ b/moorusher/lab/experiment.py
@@ -1,4 +1,4 @@
-"""What every experiment has: criteria with bounds, figures, plots."""
+"""Common types of all experiments: criteria with bounds, figures, plots."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from typing import Any
 
 Log = Callable[[str], None]
-"""Told of an experiment's progress, a line at a time."""
+"""Called with each line of an experiment's progress."""
 Points = list[tuple[float, float]]
-"""Of one line of a plot: x and y."""
+"""Points of one line of a plot, as x and y."""
 Play = Callable[[Any, bool, int, Log], Coroutine[Any, Any, "Result"]]
-"""Plays an experiment: the reactor, whether to be quick, the seed, the log of its progress."""
+"""Runs an experiment. Arguments: the reactor, whether to run the quick version, the seed, the progress log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Criterion:
-    """What an experiment is held to.
+    """A measured figure and the bound that it has to meet.
 
     Attributes:
-        name: of what was measured.
-        measured: the figure.
-        bound: what the figure is held to, in words.
-        holds: the verdict.
+        name: Name of the figure.
+        measured: Measured value, as text.
+        bound: Bound, as text.
+        holds: Whether the figure meets the bound.
     """
 
     name: str
@@ -31,14 +31,22 @@
     holds: bool
 
     def describe(self) -> str:
-        """One line for the terminal."""
+        """Return one line for the terminal."""
         verdict = "holds" if self.holds else "falls short"
         return f"{verdict:<12} {self.name}: {self.measured} (bound: {self.bound})"
 
 
 @dataclass(slots=True)
 class Plot:
-    """One plot of a report; `limit` is drawn as a dashed horizontal line."""
+    """One plot of a report.
+
+    Attributes:
+        title: Title above the plot.
+        x_label: Label of the x axis.
+        y_label: Label of the y axis.
+        lines: Points of each line, by label.
+        limit: Value at which a dashed horizontal line is drawn, None for no line.
+    """
 
     title: str
     x_label: str
@@ -49,12 +57,12 @@
 
 @dataclass(slots=True)
 class Result:
-    """What an experiment has measured, against its criteria.
+    """The result of an experiment.
 
     Attributes:
-        criteria: in the order of the report.
-        figures: all else that was measured, as it stands in the report.
-        plots: in the order of the report.
+        criteria: Criteria in the order of the report.
+        figures: Other measured values, as they are written to the report.
+        plots: Plots in the order of the report.
     """
 
     criteria: list[Criterion] = field(default_factory=list)
@@ -62,18 +70,24 @@
     plots: list[Plot] = field(default_factory=list)
 
     def add_criterion(self, name: str, measured: str, bound: str, holds: bool) -> None:
-        """Hold a figure to a bound."""
+        """Add a figure, its bound, and whether the bound is met."""
         self.criteria.append(Criterion(name, measured, bound, bool(holds)))
 
     @property
     def holds(self) -> bool:
-        """Whether all criteria hold, and there is one."""
+        """Whether there is at least one criterion and all criteria hold."""
         return bool(self.criteria) and all(criterion.holds for criterion in self.criteria)
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """An experiment by its name on the command line."""
+    """An experiment of the command line.
+
+    Attributes:
+        name: Name on the command line.
+        about: One sentence about the experiment, for the report.
+        play: Coroutine function that runs it.
+    """
 
     name: str
     about: str
--- a/moorusher/lab/load_generator.py
+++ b/moorusher/lab/load_generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load: arrivals are drawn ahead and don't wait for answers."""
+"""An open-loop load generator: arrivals are generated in advance and don't wait for answers."""
 
 from __future__ import annotations
 
@@ -14,19 +14,25 @@
 from .runner_client import RunnerClient
 
 MAX_IN_FLIGHT = 4000
-"""Requests of one load at a time: what is beyond is counted as not sent, not piled up."""
-_LONGEST_LATENCY_MS = 60_000
+"""Limit of concurrent requests of one load; requests beyond it are counted as not sent instead of queued."""
+_MAX_LATENCY_MS = 60_000
 
 
 class Route(NamedTuple):
-    """Where a request is sent: the server as its balancer knows it, and the client that reaches it."""
+    """Destination of a request: the balancer's view of the server, and the client that is connected to it."""
 
     server: Server
     client: RunnerClient
 
 
 class Completion(NamedTuple):
-    """The end of one request; `sent_at_s` from the start of the load."""
+    """A completed request.
+
+    Attributes:
+        sent_at_s: Seconds from the start of the load.
+        server: Name of the server.
+        outcome: Outcome as in `LoadGenerator.counts`.
+    """
 
     sent_at_s: float
     server: str
@@ -34,16 +40,20 @@
 
 
 class LoadGenerator:
-    """Sends arrivals at their times to whatever server `pick` names.
-
-    :param pick: the route of an arrival, or None where no server takes it.
-    :param name: request ids begin with it.
-    :ivar counts: requests by outcome.
-    :ivar latency: of the served, in ms.
-    :ivar offered_value: priority weight of all requests.
-    :ivar served_value: priority weight of those that were served within their latency objective.
-    :ivar in_flight: requests without an answer.
-    :ivar began_us: when it was started, by the monotonic clock.
+    """Sends each arrival at its time to the server that `pick` returns.
+
+    :param pick: returns the route of an arrival, or None if no server accepts it.
+    :param name: prefix of the request ids.
+
+    Attributes:
+        arrivals: Requests of the load.
+        counts: Number of requests by outcome.
+        latency: Latencies of the served requests, in ms.
+        offered_value: Sum of the priority weights of all requests.
+        served_value: Sum of the priority weights of the requests served within their latency objective.
+        in_flight: Number of requests without an answer.
+        completions: Completed requests, in order.
+        began_us: Time of the start by the monotonic clock, in us.
     """
 
     def __init__(
@@ -53,7 +63,7 @@
         self.arrivals = arrivals
         self.name = name
         self.counts: Counter[str] = Counter()
-        self.latency = HdrHistogram(1, _LONGEST_LATENCY_MS, 3)
+        self.latency = HdrHistogram(1, _MAX_LATENCY_MS, 3)
         self.offered_value = 0.0
         self.served_value = 0.0
         self.in_flight = 0
@@ -63,12 +73,12 @@
         self._next = 0
 
     def start(self) -> None:
-        """Begin with the first arrival."""
+        """Start sending arrivals."""
         self.began_us = now_us()
         self._send_due()
 
     def stop(self) -> None:
-        """Send nothing more; what is in flight still ends."""
+        """Stop sending; requests in flight still complete."""
         self._next = len(self.arrivals)
 
     @property
@@ -108,7 +118,7 @@
         route.client.send(arrival, f"{self.name}{number:08x}", on_outcome)
 
     def _record_served(self, arrival: Arrival, latency_ms: float) -> str:
-        """Whether it was served within its latency objective, or late."""
+        """Record a served request; return the outcome "served", or "late" if it exceeded its latency objective."""
         self.latency.record_value(max(1, round(latency_ms)))
         if latency_ms > arrival.request_class.latency_objective_ms:
             return "late"
--- a/moorusher/lab/ports.py
+++ b/moorusher/lab/ports.py
@@ -1,4 +1,4 @@
-"""Ports on loopback that no other process of this machine is given by chance."""
+"""Allocation of loopback ports that doesn't collide with other processes of this machine."""
 
 from __future__ import annotations
 
@@ -11,44 +11,45 @@
 HOST = "127.0.0.1"
 FIRST_PORT = 15_000
 PORT_COUNT = 15_000
-"""From `FIRST_PORT` on; all are below the range that the system takes the ports of outgoing connections from."""
-MOST_RESERVED = 1_000
-"""Reservations that this process keeps; the oldest is given up for a further one."""
+"""Number of ports from `FIRST_PORT`. All are below the system's range of ephemeral ports."""
+MAX_RESERVATIONS = 1_000
+"""Reservations that this process holds. The oldest is released when the limit is exceeded."""
 
-_PORTS_APART = 61
-"""Between the first ports of two processes whose ids follow each other."""
+_PORT_STRIDE = 61
+"""Distance between the first ports of two processes with consecutive ids."""
 
 _ports = itertools.cycle(range(FIRST_PORT, FIRST_PORT + PORT_COUNT))
-_started: list[int] = []
+_skipped: list[int] = []
+"""Ports that this process skips at the start of the range, empty before the first allocation."""
 _reservations: deque[socket.socket] = deque()
 
 
 def free_port() -> int:
-    """A port that nobody listens on and that no other test or laboratory of this machine is given.
+    """Return a port that is not in use and that no other test or laboratory process of this machine gets.
 
-    A server that is killed and comes back needs its port again. One that the system had chosen may be the local port
-    of somebody's connection by then ("Address already in use"), and a client that dials it while nobody listens may
-    reach itself. Neither happens below the range of outgoing connections.
+    A server that is killed and restarted needs its port again. An ephemeral port may have become the local port of
+    another connection by then ("Address already in use"), and a client that connects while no server listens on it may
+    connect to itself. Neither can happen below the ephemeral range.
 
-    :raises OSError: all ports of the range are taken.
+    :raises OSError: all ports of the range are in use.
     """
-    if not _started:
-        _started.extend(itertools.islice(_ports, os.getpid() * _PORTS_APART % PORT_COUNT))
+    if not _skipped:
+        _skipped.extend(itertools.islice(_ports, os.getpid() * _PORT_STRIDE % PORT_COUNT))
     for port in itertools.islice(_ports, PORT_COUNT):
         if not _reserve(port):
             continue
         with socket.socket() as probe, suppress(OSError):
-            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # as the runner will
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # the runner sets it too
             probe.bind((HOST, port))
             return port
-    raise OSError("no free port")
+    raise OSError("no free port in the laboratory's range")
 
 
 def _reserve(port: int) -> bool:
-    """Whether this process alone has the port now.
+    """Reserve a port for this process; return whether no other process holds it.
 
-    Runners share their addresses with further processes, so that two fleets that met on a port would share its clients
-    without an error. An abstract socket name, gone with this process, tells others that the port is taken.
+    Runners listen with shared ports, so two fleets on the same port would share its clients without an error. The
+    reservation is an abstract socket name, which the system releases when this process exits.
     """
     reservation = socket.socket(socket.AF_UNIX)
     try:
@@ -57,6 +58,6 @@
         reservation.close()
         return False
     _reservations.append(reservation)
-    if len(_reservations) > MOST_RESERVED:
+    if len(_reservations) > MAX_RESERVATIONS:
         _reservations.popleft().close()
     return True
--- a/moorusher/lab/probe_flood.py
+++ b/moorusher/lab/probe_flood.py
@@ -1,4 +1,4 @@
-"""A flood of agent probes, in a process of its own: `python -m moorusher.lab.probe_flood PORT`."""
+"""A flood of agent probes from a separate process: `python -m moorusher.lab.probe_flood PORT`."""
 
 from __future__ import annotations
 
@@ -15,18 +15,27 @@
 _MAX_UNANSWERED = 2000
 _TICK_S = 0.005
 _LINGER_S = 1
-"""For the last replies."""
+"""Time to wait for the last replies."""
 
 
 class FloodResult(msgspec.Struct):
-    """Probes of a flood, and those that were answered."""
+    """Result of a flood.
+
+    Attributes:
+        sent: Number of probes sent.
+        answered: Number of probes answered.
+    """
 
     sent: int = 0
     answered: int = 0
 
 
 class ProbeFlood:
-    """Sends probes at a rate; they don't wait for each other."""
+    """Sends probes at a fixed rate, without waiting for the replies.
+
+    Attributes:
+        result: Probes sent and answered so far.
+    """
 
     def __init__(self, reactor: Any, port: int) -> None:
         self.result = FloodResult()
@@ -35,7 +44,7 @@
         self._began_us = now_us()
 
     def send_due(self) -> None:
-        """Send what is due by now; stop the reactor once the flood is over."""
+        """Send the probes that are due, and stop the reactor after the end of the flood."""
         now_s = (now_us() - self._began_us) / 1e6
         due = min(now_s, FLOOD_S) * PROBES_PER_S
         while self.result.sent < due and self.result.sent - self.result.answered < _MAX_UNANSWERED:
@@ -51,7 +60,7 @@
 
 
 def main(port: int) -> None:
-    """Flood the agent on a port, print how many probes were answered."""
+    """Flood the agent on a port and print the result as JSON."""
     from ..server import reactor as loop
 
     reactor = loop.install()
--- a/moorusher/lab/registry.py
+++ b/moorusher/lab/registry.py
@@ -1,4 +1,4 @@
-"""All experiments by name, and how one is run from the command line."""
+"""All experiments by name, and the function by which the command line runs one."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def run_experiment(name: str, quick: bool, seed: int, folder: Path, log: Log) -> bool:
-    """Play it on a reactor of its own, write its report, log its verdicts.
+    """Run an experiment on a new reactor, write its report, and log its criteria.
 
     :raises KeyError: no experiment has this name.
     :returns: whether all criteria hold.
@@ -36,7 +36,7 @@
     from twisted.python.log import PythonLoggingObserver
 
     logging.basicConfig(level=logging.ERROR, format="%(message)s")
-    PythonLoggingObserver("lab").start()  # type: ignore[no-untyped-call]  # a stand-in's own fault must be seen
+    PythonLoggingObserver("lab").start()  # type: ignore[no-untyped-call]  # shows the errors of the stand-ins
 
     experiment = EXPERIMENTS[name]
     results: list[Result] = []
@@ -48,10 +48,10 @@
             log(outcome.getTraceback())
         reactor.stop()
 
-    def begin() -> None:
+    def start() -> None:
         Deferred.fromCoroutine(experiment.play(reactor, quick, seed, log)).addBoth(finished)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
     if not results:
         return False
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -1,4 +1,4 @@
-"""Relays between runners: each link of a fleet passes one, and is cut, delayed or made silent there."""
+"""TCP relays between runners, which cut, delay or silently stall the links of a fleet."""
 
 from __future__ import annotations
 
@@ -8,13 +8,20 @@
 
 from .ports import HOST, free_port
 
-MAX_HELD_BYTES = 8 << 20
-"""That a delayed or silent direction keeps back."""
+MAX_BUFFERED_BYTES = 8 << 20
+"""Buffer limit of a delayed or stalled direction; bytes beyond it are dropped."""
 _CONNECT_TIMEOUT_S = 2
 
 
 class _RelayEnd(Protocol):
-    """One end of a relayed connection; `forward` on the end whose bytes go towards the relay's target."""
+    """One end of a relayed connection.
+
+    Attributes:
+        relay: Relay that the connection passes through.
+        forward: Whether the bytes that this end receives go to the relay's target.
+        other: Other end, None until it is connected.
+        buffer: Bytes received and not yet forwarded.
+    """
 
     transport: Any
 
@@ -22,51 +29,55 @@
         self.relay = relay
         self.forward = forward
         self.other: _RelayEnd | None = None
-        self.held = bytearray()
+        self.buffer = bytearray()
 
     def connectionMade(self) -> None:
-        """The end that was accepted dials the target."""
+        """Connect to the target if this end is the accepted one."""
         self.relay.ends.add(self)
         self.transport.setTcpNoDelay(True)
         if self.forward:
             self.relay.reactor.connectTCP(
-                HOST, self.relay.to, _TargetFactory(self), timeout=_CONNECT_TIMEOUT_S
+                HOST, self.relay.target_port, _TargetFactory(self), timeout=_CONNECT_TIMEOUT_S
             )
 
     def dataReceived(self, data: bytes) -> None:
-        """Hold the bytes for the delay of the relay."""
-        if len(self.held) < MAX_HELD_BYTES:
-            self.held += data
+        """Buffer the bytes and forward them after the relay's delay."""
+        if len(self.buffer) < MAX_BUFFERED_BYTES:
+            self.buffer += data
         if self.relay.delay:
-            self.relay.reactor.callLater(self.relay.delay, self.pass_on)
+            self.relay.reactor.callLater(self.relay.delay, self.flush)
         else:
-            self.pass_on()
+            self.flush()
 
-    def pass_on(self) -> None:
-        """Pass on what is held, unless this direction is silent."""
-        silent = self.relay.silent_there if self.forward else self.relay.silent_back
-        if self.other is None or silent or not self.held:
+    def flush(self) -> None:
+        """Forward the buffered bytes, unless this direction is stalled."""
+        stalled = self.relay.forward_stalled if self.forward else self.relay.backward_stalled
+        if self.other is None or stalled or not self.buffer:
             return
-        data = bytes(self.held)
-        self.held = bytearray()
+        data = bytes(self.buffer)
+        self.buffer = bytearray()
         self.relay.passed += len(data)
         if self.relay.cut_after and self.relay.passed >= self.relay.cut_after:
             self.relay.passed = 0
-            half_a_frame = data[: len(data) // 2]
-            self.other.transport.write(half_a_frame)
+            first_half = data[: len(data) // 2]  # ends in the middle of a frame
+            self.other.transport.write(first_half)
             self.relay.cut()
             return
         self.other.transport.write(data)
 
     def connectionLost(self, reason: object = None) -> None:
-        """Close the other end, unless the relay leaves connections half open."""
+        """Close the other end, unless the relay keeps connections half open."""
         self.relay.ends.discard(self)
         if self.other is not None and not self.relay.half_open:
             self.other.transport.loseConnection()
 
 
 class _TargetFactory(ClientFactory):
-    """Dials the target for an end that was accepted."""
+    """Connects to the target on behalf of an accepted end.
+
+    Attributes:
+        accepted: End that the relay accepted.
+    """
 
     noisy = False
 
@@ -74,39 +85,41 @@
         self.accepted = accepted
 
     def buildProtocol(self, addr: object) -> _RelayEnd:
-        """The other end of the relayed connection."""
-        dialed = _RelayEnd(self.accepted.relay, forward=False)
-        dialed.other = self.accepted
-        self.accepted.other = dialed
-        self.accepted.relay.reactor.callLater(0, self.accepted.pass_on)
-        return dialed
+        """Return the outgoing end and pair it with the accepted one."""
+        outgoing = _RelayEnd(self.accepted.relay, forward=False)
+        outgoing.other = self.accepted
+        self.accepted.other = outgoing
+        self.accepted.relay.reactor.callLater(0, self.accepted.flush)
+        return outgoing
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """The target does not listen."""
+        """Abort the accepted end if the target can't be reached."""
         self.accepted.transport.abortConnection()
 
 
 class Relay(Factory):
-    """Passes on connections to a port, and breaks them as it is told.
-
-    :param to: the port that it passes connections on to.
-    :ivar port: where it listens.
-    :ivar silent_there: whether it keeps back what goes towards the target, without closing anything.
-    :ivar silent_back: the same for what comes from the target.
-    :ivar half_open: whether the end of one side is kept from the other.
-    :ivar delay: seconds that it keeps back what it passes on.
-    :ivar cut_after: bytes after which it cuts the link in the middle of what it carries; 0 for never.
-    :ivar passed: bytes since the last such cut.
+    """Relays connections to a port and injects faults into them.
+
+    Attributes:
+        target_port: Port that connections are relayed to.
+        ends: Ends of all open connections.
+        port: Port that the relay listens on.
+        forward_stalled: Whether bytes towards the target are held back, with all connections kept open.
+        backward_stalled: The same for bytes from the target.
+        half_open: Whether one end stays open when the other is closed.
+        delay: Delay of forwarded bytes, in seconds.
+        cut_after: Number of bytes after which all connections are aborted in the middle of a frame; 0 for never.
+        passed: Bytes forwarded since the last such abort.
     """
 
     noisy = False
 
-    def __init__(self, reactor: Any, to: int) -> None:
+    def __init__(self, reactor: Any, target_port: int) -> None:
         self.reactor = reactor
-        self.to = to
+        self.target_port = target_port
         self.ends: set[_RelayEnd] = set()
-        self.silent_there = False
-        self.silent_back = False
+        self.forward_stalled = False
+        self.backward_stalled = False
         self.half_open = False
         self.delay = 0.0
         self.cut_after = 0
@@ -115,31 +128,34 @@
         self.port: int = self._listening_port.getHost().port
 
     def buildProtocol(self, addr: object) -> _RelayEnd:
-        """The accepted end of a new connection."""
+        """Return the accepted end of a new connection."""
         return _RelayEnd(self, forward=True)
 
     def cut(self) -> None:
-        """Abort what is open; new connections are let through."""
+        """Abort all open connections; new ones are still relayed."""
         for end in list(self.ends):
             end.transport.abortConnection()
 
     def silence(self, silent: bool = True) -> None:
-        """Keep back both directions, or pass on again."""
-        self.silent_there = silent
-        self.silent_back = silent
+        """Stall both directions, or resume them.
+
+        :param silent: whether to stall.
+        """
+        self.forward_stalled = silent
+        self.backward_stalled = silent
         for end in list(self.ends):
-            end.pass_on()
+            end.flush()
 
     @property
     def holding(self) -> int:
-        """Bytes that are on their way and kept back."""
-        return sum(len(end.held) for end in self.ends)
+        """Number of bytes that are buffered in all connections."""
+        return sum(len(end.buffer) for end in self.ends)
 
     def resume(self) -> None:
-        """Pass on again what was kept back."""
+        """Forward the buffered bytes and resume both directions."""
         self.silence(False)
 
     def close(self) -> None:
-        """Stop listening, abort all connections."""
+        """Stop listening and abort all connections."""
         self._listening_port.stopListening()
         self.cut()
--- a/moorusher/lab/report.py
+++ b/moorusher/lab/report.py
@@ -1,4 +1,4 @@
-"""The report of an experiment: report.json and report.html, with each plot as a file beside them."""
+"""The report of an experiment: report.json, report.html, and one image file for each plot."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from .experiment import Criterion, Experiment, Plot, Result
 
-_INCHES = (9, 3.4)
+_PLOT_SIZE_INCHES = (9, 3.4)
 _DOTS_PER_INCH = 100
 
 
 def write_report(result: Result, experiment: Experiment, seed: int, quick: bool, folder: Path) -> None:
-    """Write all files of the report into `folder`, which is made where it is not there.
+    """Write all files of the report into `folder`, which is created if it doesn't exist.
 
     :raises OSError: the folder can't be written.
     """
@@ -52,7 +52,7 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(figsize=_INCHES)
+    figure, axes = pyplot.subplots(figsize=_PLOT_SIZE_INCHES)
     for label, points in plot.lines.items():
         axes.plot([x for x, _ in points], [y for _, y in points], label=label, linewidth=1.2)
     if plot.limit is not None:
--- a/moorusher/lab/runner_client.py
+++ b/moorusher/lab/runner_client.py
@@ -1,4 +1,4 @@
-"""A client of one runner, over the platform's protocol: JSON-RPC, a message a line."""
+"""A client of one runner over the platform's protocol: JSON-RPC, one message per line."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 MAX_REQUESTS_PER_CONNECTION = 32
 REJECTED_CODE = -32014
-"""The code of the error that says that a request was not begun."""
+"""Error code of a rejected request, which the runner did not begin."""
 _MEMORY_COST = 20.0
 _RANK = 0.5
 _CONNECT_TIMEOUT_S = 1
 
 OnOutcome = Callable[[str], None]
-"""Called once with the outcome: served, refused, failed, lost (the connection ended) or unreached."""
+"""Called once with the outcome: served, refused, failed, lost (connection closed) or unreached (not connected)."""
 
 
 class _QueuedRequest(NamedTuple):
@@ -33,7 +33,13 @@
 
 
 class _Connection(LineOnlyReceiver):
-    """One connection to the runner."""
+    """One connection to the runner.
+
+    Attributes:
+        client: Client that opened the connection.
+        waiting: Callbacks of requests without an answer, by number.
+        leaving: Whether the runner has announced its shutdown.
+    """
 
     transport: Any
     delimiter = b"\n"
@@ -45,12 +51,12 @@
         self.leaving = False
 
     def connectionMade(self) -> None:
-        """Take up requests that waited for a connection."""
+        """Send the requests that waited for a connection."""
         self.transport.setTcpNoDelay(True)
         self.client.connected(self)
 
     def lineReceived(self, line: bytes) -> None:
-        """An answer, or the notice that the runner is leaving."""
+        """Process an answer, or the notice that the runner is shutting down."""
         message = json.loads(line)
         if message.get("method") == "leaving":
             self.leaving = True
@@ -59,7 +65,7 @@
             on_outcome(_outcome_of(message))
 
     def connectionLost(self, reason: object = None) -> None:
-        """All that had no answer is lost."""
+        """Report all requests without an answer as lost."""
         self.client.connections.discard(self)
         waiting = self.waiting
         self.waiting = {}
@@ -67,7 +73,7 @@
             on_outcome("lost")
 
     def send_request(self, request: _QueuedRequest) -> None:
-        """Write it, and wait for its answer."""
+        """Send a request and register its callback."""
         self.waiting[request.number] = request.on_outcome
         self.transport.write(request.line + b"\n")
 
@@ -79,10 +85,13 @@
 
 
 class RunnerClient(ClientFactory):
-    """Sends requests to one runner, by as many connections as it takes.
+    """Sends requests to one runner and opens connections as needed.
+
+    :param port: port of the runner's request listener.
+    :param peer: number that identifies this client to the runner.
 
-    :param port: of the runner.
-    :param peer: the number by which the runner knows this client.
+    Attributes:
+        connections: Open connections.
     """
 
     noisy = False
@@ -96,18 +105,18 @@
         self._queue: list[_QueuedRequest] = []
 
     def buildProtocol(self, addr: object) -> _Connection:
-        """A further connection."""
+        """Return a new connection."""
         return _Connection(self)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Nobody listens: all that waited for a connection is unreached."""
+        """Report all requests that waited for a connection as unreached."""
         queue = self._queue
         self._queue = []
         for request in queue:
             request.on_outcome("unreached")
 
     def send(self, arrival: Arrival, request_id: str, on_outcome: OnOutcome) -> None:
-        """Send one request."""
+        """Send one request, on a new connection if the open ones are full."""
         number = next(self._numbers)
         line = self._encode(arrival, request_id, number)
         request = _QueuedRequest(line, number, on_outcome)
@@ -135,11 +144,11 @@
         return json.dumps(message).encode()
 
     def connected(self, connection: _Connection) -> None:
-        """A new connection takes as many of the waiting requests as it may."""
+        """Send queued requests on a new connection, up to its limit."""
         self.connections.add(connection)
-        taken = self._queue[:MAX_REQUESTS_PER_CONNECTION]
+        sendable = self._queue[:MAX_REQUESTS_PER_CONNECTION]
         self._queue = self._queue[MAX_REQUESTS_PER_CONNECTION:]
-        for request in taken:
+        for request in sendable:
             connection.send_request(request)
 
     def close(self) -> None:
--- a/moorusher/lab/runner_fleet.py
+++ b/moorusher/lab/runner_fleet.py
@@ -1,4 +1,4 @@
-"""Real runners of one fleet, for experiments: started with their kernels, begun, asked, ended."""
+"""A fleet of real runner processes with their kernels, for experiments."""
 
 from __future__ import annotations
 
@@ -19,12 +19,18 @@
 
 
 class RunnerFleet:
-    """Runners that know each other by their fleet listeners.
-
-    :param count: of runners.
-    :param settings: the platform's settings of each.
-    :param extra_toml: what the file of a runner, given by its index, has besides its fleet.
-    :param kernel_options: of each `Kernel`.
+    """Runners that form one fleet over their fleet listeners.
+
+    :param count: number of runners.
+    :param settings: platform settings of every runner.
+    :param extra_toml: returns the sections of a runner's file, besides `[fleet]`, by the runner's index.
+    :param kernel_options: options of every `Kernel`.
+
+    Attributes:
+        settings: Platform settings of every runner.
+        ports: Ports of the fleet listeners.
+        kernels: Kernels of the runners.
+        runners: Runner processes.
     """
 
     def __init__(
@@ -45,7 +51,7 @@
         self.runners = [self.start_runner(index) for index in range(count)]
 
     def start_runner(self, index: int) -> Runner:
-        """A process in this place of the fleet."""
+        """Start the runner with this index in the fleet."""
         seats = "".join(
             f'[[fleet.seat]]\nname = "r{other}"\nzone = "z{other % ZONES}"\naddress = "{HOST}:{port}"\n'
             for other, port in enumerate(self.ports)
@@ -60,17 +66,17 @@
         )
 
     async def pause(self, seconds: float) -> None:
-        """Wait."""
+        """Wait for some seconds."""
         await deferLater(self.reactor, seconds, lambda: None)
 
     def request_admin(
         self, index: int, path: str, method: str = "GET", body: bytes | None = None
     ) -> Deferred[AdminReply]:
-        """Ask the administration API of a runner."""
+        """Send a request to a runner's administration API."""
         return request_admin(self.runners[index].admin, path, method, body)
 
     async def begin(self) -> None:
-        """Wait until every runner has its kernel, form the fleet, and wait until every runner has heard of it."""
+        """Wait until every runner is connected to its kernel, form the fleet, and wait until every runner is in it."""
         for index in range(len(self.runners)):
             while b'"kernel_up": true' not in (await self.request_admin(index, "status")).body:
                 await self.pause(_POLL_S)
@@ -81,21 +87,21 @@
                 await self.pause(_POLL_S)
 
     async def _bootstrap(self) -> bool:
-        """Tell the first runner that the fleet is new.
+        """Request the first runner to form a new fleet.
 
-        :returns: False where it has to be told again: it refuses until it has heard from all others in all register
-            spaces. One that has recovered refuses too, and need not be told again.
+        :returns: False if the request has to be repeated: the runner rejects it until it has received messages from
+            all others in all register spaces. A runner that has recovered rejects it too, but needs no repetition.
         """
         reply = await self.request_admin(0, "fleet/begin", "POST")
         return reply.succeeded or await self._has_recovered(0)
 
     async def _has_recovered(self, index: int) -> bool:
-        """Whether a runner's acceptors vote, in all register spaces."""
+        """Return whether a runner's acceptors vote in all register spaces."""
         status = (await self.request_admin(index, "fleet")).decode()
         return bool(status.get("remembers"))
 
     def close(self) -> None:
-        """Kill all runners, close all kernels."""
+        """Kill all runners and close all kernels."""
         for runner in self.runners:
             runner.signal("KILL")
         for kernel in self.kernels:
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -1,4 +1,4 @@
-"""Real runner processes on loopback, each with its kernel and what else it speaks with."""
+"""Real runner processes on loopback, each with a stand-in kernel and its settings files."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from .stand_ins.kernel import Kernel
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-"""Of the repository: runners start there."""
+"""Root directory of the repository, the working directory of the runners."""
 GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")
 IDEMPOTENCY_WINDOW_MS = 20_000
 DEFAULT_COLLAPSE_MULTIPLE = 5.0
-"""Runs a core at which the settings say that a machine collapses."""
-_LOG_TAIL = 2000
-"""Characters of a runner's log that are shown when it ends by a fault."""
+"""Runs per core at which a machine collapses according to the settings."""
+_LOG_TAIL_CHARS = 2000
+"""Length of the end of a runner's log that is shown if the runner fails."""
 
 
 def runner_settings(
@@ -37,9 +37,9 @@
     collapse_multiple: float = DEFAULT_COLLAPSE_MULTIPLE,
     **extra: Any,
 ) -> dict[str, Any]:
-    """The platform's settings for a runner of the laboratory.
+    """Return the platform's settings for a runner of the laboratory.
 
-    :param extra: settings of the section `extra` that replace those of the laboratory.
+    :param extra: entries of the settings' section `extra` that override the laboratory's defaults.
     """
     laboratory_extra = {
         "cpus": cores,
@@ -82,25 +82,27 @@
 
 
 def reap_children(reactor: Any) -> None:
-    """Notice the end of child processes where the reactor runs without its own handlers of signals.
+    """Reap child processes on SIGCHLD, for a reactor that runs without its own signal handlers.
 
-    Such a reactor looks for a child's end once, as the child's pipe closes; a child that has not quite ended by then
-    would never be heard of.
+    Such a reactor checks for a child's exit only once, when the child's pipe closes. It would never notice a child
+    that exits after that check.
     """
     signal.signal(signal.SIGCHLD, lambda *_: reactor.callFromThread(reapAllProcesses))
 
 
 class Runner(ProcessProtocol):
-    """One runner process.
-
-    :param database_port: of the server below it, if it has one.
-    :param health_toml: of its section on health reports.
-    :param sends_maxconn: whether its agent says a number of connections too.
-    :param extra_toml: further sections of its file.
-    :ivar port: where it takes requests; `agent`, `health` and `admin` are its other listeners.
-    :ivar exit: its exit code, None while it runs.
-    :ivar ended: called with its exit code when it has gone.
-    :ivar comes_back: whether its files are kept for a further process.
+    """A runner process that can be restarted with the same addresses.
+
+    :param database_port: port of the runner's backend, None for no backend.
+    :param health_toml: content of the section on health reports.
+    :param sends_maxconn: whether the agent also reports a number of connections.
+    :param extra_toml: additional sections of the listeners' file.
+
+    Attributes:
+        port: Port for requests; `agent`, `health` and `admin` are the ports of the other listeners.
+        exit: Exit code, None while the process runs.
+        ended: Called with the exit code when the process has exited.
+        comes_back: Whether the files are kept for a restart.
     """
 
     def __init__(
@@ -152,7 +154,7 @@
         (self._folder / "config.json").write_text(json.dumps(config))
 
     def start_process(self) -> None:
-        """Start a process, with the same addresses as the one before it."""
+        """Start a process; a restarted one listens on the same addresses."""
         self.exit = None
         self._log = (self._folder / "log").open("ab")
         listeners = str(self._folder / "fronts.toml")
@@ -167,19 +169,19 @@
         )
 
     def processEnded(self, reason: Any) -> None:
-        """Note the exit code, show the log of one that ended by a fault, remove its files."""
+        """Store the exit code, log the end of a failed process' log, and remove the files."""
         code = reason.value.exitCode
         self.exit = code if code is not None else -1
         self._log.close()
         failed_by_itself = reason.value.signal is None and self.exit != 0
         if failed_by_itself and not self.comes_back:
-            tail = (self._folder / "log").read_text()[-_LOG_TAIL:]
-            logging.error("%s ended with %s:\n%s", self.name, self.exit, tail)
+            tail = (self._folder / "log").read_text()[-_LOG_TAIL_CHARS:]
+            logging.error("runner exited with an error: name=%s code=%s log:\n%s", self.name, self.exit, tail)
         if not self.comes_back:
             self._temporary.cleanup()
         self.ended(self.exit)
 
     def signal(self, name: str | int) -> None:
-        """Send a signal, by name or number, unless it has gone."""
+        """Send a signal, by name or number, unless the process has exited."""
         if self.exit is None:
             self.process.signalProcess(name)
--- a/moorusher/lab/stand_ins/kernel.py
+++ b/moorusher/lab/stand_ins/kernel.py
@@ -115,7 +115,7 @@
         age_ms: int = 5000,
     ) -> None:
         super().__init__(reactor)
-        self.cores = Cores(machine or _unbounded_machine(cores), now_us(), cold=state == "EMPTY")
+        self.cores = Cores(machine or _unbounded_machine(cores), now_us(), starts_cold=state == "EMPTY")
         self.work = work
         self.hang = hang
         self.calls = calls
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -57,7 +57,7 @@
     for name in "abcd":
         crowd.start(0, name, 10 * MS)
     assert ends(crowd, 10**9)[-1][0] == 80  # four of 10 ms, half as fast
-    cold = Cores(MachineSpec(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, cold=True)
+    cold = Cores(MachineSpec(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, starts_cold=True)
     cold.start(0, "a", 10 * MS)
     assert ends(cold, 10**9)[0][0] in (19, 20)
     cold.factor = 0.0
--- a/tests/test_lab_ports.py
+++ b/tests/test_lab_ports.py
@@ -1,5 +1,8 @@
-"""A server that was killed came back to "Address already in use": the system had given its port to a connection of
-another test meanwhile, which happens as soon as tests run side by side."""
+"""Ports of the laboratory.
+
+A restarted server failed with "Address already in use": the system had given its port to an outgoing connection of
+another test, which happens when tests run in parallel.
+"""
 
 from __future__ import annotations
 
@@ -10,47 +13,50 @@
 
 from twisted.internet import reactor
 
-from moorusher.lab.ports import _PORTS_APART, FIRST_PORT, HOST, PORT_COUNT, free_port
+from moorusher.lab.ports import _PORT_STRIDE, FIRST_PORT, HOST, PORT_COUNT, free_port
 from moorusher.lab.relays import Relay
 from moorusher.lab.stand_ins.kernel import Kernel
 
-FIRST_OUTGOING = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
+FIRST_EPHEMERAL_PORT = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
 
 
-def test_stand_ins_and_relays_listen_below_the_ports_of_outgoing_connections() -> None:
+def test_stand_ins_and_relays_listen_below_the_ephemeral_ports() -> None:
     kernel = Kernel(reactor)
     kernel.listen()
     relay = Relay(reactor, kernel.port)
     try:
-        assert kernel.port < FIRST_OUTGOING
-        assert relay.port < FIRST_OUTGOING
+        assert kernel.port < FIRST_EPHEMERAL_PORT
+        assert relay.port < FIRST_EPHEMERAL_PORT
         assert kernel.port != relay.port
     finally:
         kernel.close()
         relay.close()
 
 
-def test_a_port_is_given_once_by_all_processes_of_the_machine() -> None:
-    """Two processes whose ranges begin at the same port, which is as close as two can be."""
-    here = [free_port() for _ in range(20)]
-    ask = (
+def test_two_processes_never_allocate_the_same_port() -> None:
+    """Two processes that begin at the same port are the closest case."""
+    own_ports = [free_port() for _ in range(20)]
+    script = (
         "import os; os.getpid = lambda: %d\n"
         "from moorusher.lab.ports import free_port\n"
         "print(*(free_port() for _ in range(20)))"
     )
-    there = subprocess.run(
-        [sys.executable, "-c", ask % _id_that_begins_at(here[0])], check=True, capture_output=True, text=True
+    other_process = subprocess.run(
+        [sys.executable, "-c", script % _process_id_with_first_port(own_ports[0])],
+        check=True,
+        capture_output=True,
+        text=True,
     )
-    assert not set(here) & {int(port) for port in there.stdout.split()}
+    assert not set(own_ports) & {int(port) for port in other_process.stdout.split()}
 
 
-def test_a_port_in_use_is_passed_over() -> None:
-    with socket.socket() as taken:
+def test_a_port_in_use_is_skipped() -> None:
+    with socket.socket() as listener:
         first = free_port()
-        taken.bind((HOST, first + 1))
-        taken.listen()
+        listener.bind((HOST, first + 1))
+        listener.listen()
         assert free_port() != first + 1
 
 
-def _id_that_begins_at(port: int) -> int:
-    return next(i for i in range(PORT_COUNT) if i * _PORTS_APART % PORT_COUNT == port - FIRST_PORT)
+def _process_id_with_first_port(port: int) -> int:
+    return next(i for i in range(PORT_COUNT) if i * _PORT_STRIDE % PORT_COUNT == port - FIRST_PORT)
