--- a/moorusher/lab/demo_fleet.py
+++ b/moorusher/lab/demo_fleet.py
@@ -1,6 +1,6 @@
-"""`moorusher lab up --runners N`: several runners as a fleet, each with its kernel, under a trickle of keyed load.
+"""`moorusher lab up --runners N`: a fleet of runners, each with its kernel, under a light load with keyed requests.
 
-`kill NAME` and `stop NAME` on the terminal, and a line each second that shows what became of the work.
+The terminal accepts `kill NAME`, `stop NAME` and `go NAME`, and shows the outcomes of requests each second.
 """
 
 from __future__ import annotations
@@ -35,36 +35,36 @@
 CORES = 2
 SERVICE_TIME_MS = 150.0
 LOAD_S = 3600.0
-"""Arrivals are drawn so far ahead."""
+"""Time for which arrivals are generated in advance."""
 ARRIVAL_LOAD = 0.6
-"""Of the fleet's capacity, by which arrivals follow each other."""
+"""Share of the fleet's capacity that determines the mean interval between requests."""
 CLASSES = [
     RequestClass("check", 0.6, SERVICE_TIME_MS, True, 2000, 6000),
     RequestClass("submit", 0.4, SERVICE_TIME_MS, True, 4000, 10000, keyed=True),
 ]
 CALLER_TIMEOUT_S = 2.0
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 DATABASE_DELAY_S = 0.02
 MAINTENANCE_S = 5.0
-"""Of a machine, its way down included."""
+"""Length of a machine's maintenance, including its shutdown."""
 _KERNEL_DOWN_S = 0.5
-"""Before the machine starts again."""
+"""Time from the kernel's shutdown until the machine starts again."""
 WARM_UP_US = 2_000_000
 _COMMANDS: dict[str, str | int] = {"kill": "KILL", "stop": "STOP", "go": signal.SIGCONT}
 _FLEET_COUNTERS = ("covered", "joined", "taken over", "buried", "uncovered")
 _ADMIN_TIMEOUT_S = 1
-RULES = {
+EXAMPLE_RULES = {
     "default": "main",
     "routes": {"main": {"servers": {"north": 1}, "fall_back": "spare"}, "spare": {"pool": SHARED_POOL}},
     "rules": {
         "closed": {"match": {"class": ["submit"], "rank": [[0.9, 1]]}, "refuse": "closed for the week"}
     },
 }
-"""A draft that the user can publish."""
+"""A draft of namespace rules that the user can publish."""
 
 
 class _Terminal(LineOnlyReceiver):
-    """What is typed: a command and a runner's name."""
+    """Reads commands from the terminal: a verb and a runner's name."""
 
     delimiter = b"\n"
 
@@ -72,15 +72,15 @@
         self._execute = execute
 
     def lineReceived(self, line: bytes) -> None:
-        """Execute one line."""
+        """Execute the command of one line."""
         self._execute(line.decode("utf-8", "replace").split())
 
 
 class DemoFleet:
-    """The runners, and a load over all of them.
+    """A fleet of runners with their stand-ins and a load.
 
-    :param count: of runners.
-    :param load: share of their capacity, by which requests are drawn.
+    :param count: number of runners.
+    :param load: share of the fleet's capacity for which requests are generated.
     """
 
     def __init__(self, reactor: Any, count: int, load: float, log: Log) -> None:
@@ -108,15 +108,15 @@
             for index, (name, runner) in enumerate(self._runners.items())
         }
         self._in_maintenance: set[str] = set()
-        self._lost: set[str] = set()
+        self._stopped: set[str] = set()
         self._outcomes: Counter[str] = Counter()
         self._fleet_counters: dict[str, Counter[str]] = {}
-        self._leaving = False
+        self._shutting_down = False
         rate = load * count * CORES / (SERVICE_TIME_MS / 1000)
         self._arrivals = iter(draw_arrivals(1, CLASSES, list(TENANTS), rate, LOAD_S))
         self._sent = 0
         self._log_addresses()
-        reactor.callLater(1.0, self._begin_fleet)
+        reactor.callLater(1.0, self._form_fleet)
 
     def _start_runner(self, name: str) -> Runner:
         self._write_machine_id(name)
@@ -132,13 +132,13 @@
             health_toml="probe_ms = 500.0",
             extra_toml=fleet + backends,
         )
-        runner.ended = lambda code: self._runner_ended(name)
+        runner.ended = lambda code: self._runner_exited(name)
         runner.comes_back = True
         return runner
 
     def _log_addresses(self) -> None:
         rules = self._folder / "rules.json"
-        rules.write_text(json.dumps(RULES, indent=2))
+        rules.write_text(json.dumps(EXAMPLE_RULES, indent=2))
         for name, runner in self._runners.items():
             self._log(f"{name}  requests {HOST}:{runner.port}  admin {HOST}:{runner.admin}")
         names = list(self._runners)
@@ -159,25 +159,28 @@
     def _request_admin(
         self, name: str, path: str, on_reply: Callable[[Any], None], method: str = "GET"
     ) -> None:
-        """`on_reply` gets the JSON of the reply, {} where none came or it is an error."""
+        """Send a request to a runner's administration API.
 
-        def replied(reply: AdminReply) -> None:
+        :param on_reply: called with the JSON of the reply, {} after an error or without a reply.
+        """
+
+        def reply_received(reply: AdminReply) -> None:
             on_reply(reply.decode() if reply.succeeded else {})
 
         port = self._runners[name].admin
-        request_admin(port, path, method, timeout_s=_ADMIN_TIMEOUT_S).addCallback(replied)
+        request_admin(port, path, method, timeout_s=_ADMIN_TIMEOUT_S).addCallback(reply_received)
 
-    def _begin_fleet(self) -> None:
-        def begun(reply: Any) -> None:
-            if self._leaving:
+    def _form_fleet(self) -> None:
+        def fleet_formed(reply: Any) -> None:
+            if self._shutting_down:
                 return
             if not reply:
-                self.reactor.callLater(0.3, self._begin_fleet)
+                self.reactor.callLater(0.3, self._form_fleet)
                 return
             self._send_next()
             LoopingCall(self._log_counts).start(1.0, now=False)
 
-        self._request_admin("n1", "fleet/begin", begun, "POST")
+        self._request_admin("n1", "fleet/begin", fleet_formed, "POST")
 
     # ---- maintenance of machines ----
 
@@ -185,23 +188,23 @@
         return self._folder / f"machine-{name}"
 
     def _write_machine_id(self, name: str) -> None:
-        """It changes with each start of the machine."""
+        """Write an id that differs for each start of the machine."""
         self._machine_starts[name] += 1
         self._machine_id_file(name).write_text(f"start {self._machine_starts[name]}")
 
     def _schedule_received(self, name: str, schedule: Any) -> None:
-        """As a script on the machine that waits for its slot."""
+        """Start a machine's maintenance when its slot begins, as a script on the machine would do."""
         slots = [slot for slot in schedule.get("turns", []) if slot["seat"] == name]
-        if not slots or slots[0]["stage"] != "may go" or name in self._in_maintenance or self._leaving:
+        if not slots or slots[0]["stage"] != "may go" or name in self._in_maintenance or self._shutting_down:
             return
-        self._log(f"{name}: may go; {slots[0]['reason']}")
+        self._log(f"{name}: maintenance starts; {slots[0]['reason']}")
         self._in_maintenance.add(name)
         self._runners[name].signal("TERM")
         self.reactor.callLater(MAINTENANCE_S - _KERNEL_DOWN_S, self._kernels[name].close)
         self.reactor.callLater(MAINTENANCE_S, self._restart_machine, name)
 
     def _restart_machine(self, name: str) -> None:
-        if self._leaving:
+        if self._shutting_down:
             return
         port = self._kernels[name].port
         machine = MachineSpec(CORES, cold_speed=0.5, warm_up_us=WARM_UP_US)
@@ -210,61 +213,65 @@
         self._kernels[name] = kernel
         self._write_machine_id(name)
         self._runners[name].start_process()
-        self._lost.discard(name)
+        self._stopped.discard(name)
         self._in_maintenance.discard(name)
-        self._log(f"{name}: starts anew")
+        self._log(f"{name}: machine restarted")
 
     # ---- callers ----
 
     def _send_next(self) -> None:
         arrival = next(self._arrivals, None)
-        if arrival is None or self._leaving:
+        if arrival is None or self._shutting_down:
             return
-        self._try(arrival, self._rng.choice(list(self._runners)), 1)
+        self._send_attempt(arrival, self._rng.choice(list(self._runners)), 1)
         capacity = len(self._runners) * CORES * ARRIVAL_LOAD
-        gap_s = self._rng.expovariate(1.0) * SERVICE_TIME_MS / 1000 / capacity
-        self.reactor.callLater(gap_s, self._send_next)
+        interval_s = self._rng.expovariate(1.0) * SERVICE_TIME_MS / 1000 / capacity
+        self.reactor.callLater(interval_s, self._send_next)
+
+    def _send_attempt(self, arrival: Arrival, name: str, attempts: int) -> None:
+        """Send a request to a runner.
 
-    def _try(self, arrival: Arrival, name: str, tries: int) -> None:
+        :param attempts: number of attempts of the request, including this one.
+        """
         self._sent += 1
 
         def on_outcome(outcome: str) -> None:
             if not timer.active():
                 return
             timer.cancel()
-            if outcome in ("lost", "unreached") and tries < MAX_TRIES:
-                self._retry(arrival, tries)
+            if outcome in ("lost", "unreached") and attempts < MAX_ATTEMPTS:
+                self._retry(arrival, attempts)
             else:
                 self._outcomes[outcome] += 1
 
-        timer = self.reactor.callLater(CALLER_TIMEOUT_S, lambda: self._retry(arrival, tries))
+        timer = self.reactor.callLater(CALLER_TIMEOUT_S, lambda: self._retry(arrival, attempts))
         self._clients[name].send(arrival, f"m{self._sent:08x}", on_outcome)
 
-    def _retry(self, arrival: Arrival, tries: int) -> None:
-        names = [name for name in self._runners if name not in self._lost]
-        if tries < MAX_TRIES and names and not self._leaving:
-            self._try(arrival, self._rng.choice(names), tries + 1)
+    def _retry(self, arrival: Arrival, attempts: int) -> None:
+        names = [name for name in self._runners if name not in self._stopped]
+        if attempts < MAX_ATTEMPTS and names and not self._shutting_down:
+            self._send_attempt(arrival, self._rng.choice(names), attempts + 1)
         else:
             self._outcomes["no answer"] += 1
 
     # ---- the terminal ----
 
     def execute(self, words: list[str]) -> None:
-        """A command that was typed: kill, stop or go, and a runner's name."""
+        """Execute a command of the terminal: kill, stop or go, and a runner's name."""
         if len(words) != 2 or words[0] not in _COMMANDS or words[1] not in self._runners:
-            self._log(f"expected kill, stop or go, and one of {', '.join(self._runners)}")
+            self._log(f"unknown command: expected kill, stop or go, and one of {', '.join(self._runners)}")
             return
         command, name = words
         self._runners[name].signal(_COMMANDS[command])
         if command == "kill":
-            self._lost.add(name)
+            self._stopped.add(name)
             self._kernels[name].close()
         self._log(f"{name}: {command}")
 
     def _log_counts(self) -> None:
-        """A line each second: new requests by outcome, the fleet's counters, the last report."""
+        """Log a line each second: new requests by outcome, the fleet's counters, the last report of the duty."""
         for name in self._runners:
-            if name not in self._lost:
+            if name not in self._stopped:
                 self._request_admin(name, "outage", partial(self._schedule_received, name))
                 self._request_admin(name, "fleet", partial(self._counters_received, name))
         outcomes = self._outcomes
@@ -286,33 +293,36 @@
         if reply:
             self._fleet_counters[name] = Counter(reply["counters"])
 
-    # ---- the end ----
+    # ---- shutdown ----
 
-    def leave(self) -> None:
-        """Let all runners leave in order."""
-        if self._leaving:
+    def shut_down(self) -> None:
+        """Shut all runners down gracefully."""
+        if self._shutting_down:
             return
-        self._leaving = True
+        self._shutting_down = True
         for name, runner in self._runners.items():
-            if name not in self._lost:
+            if name not in self._stopped:
                 runner.signal(signal.SIGCONT)
                 runner.signal("TERM")
-        self._stop_if_all_ended()
+        self._stop_if_all_exited()
 
-    def _runner_ended(self, name: str) -> None:
-        self._lost.add(name)
-        if self._leaving:
-            self._stop_if_all_ended()
+    def _runner_exited(self, name: str) -> None:
+        self._stopped.add(name)
+        if self._shutting_down:
+            self._stop_if_all_exited()
 
-    def _stop_if_all_ended(self) -> None:
-        if len(self._lost) == len(self._runners):
+    def _stop_if_all_exited(self) -> None:
+        if len(self._stopped) == len(self._runners):
             self.reactor.stop()
 
 
 def run_demo_fleet(count: int, seconds: float, load: float, log: Log) -> int:
-    """Until ^C, or for some seconds where they are not 0.
+    """Run the demo.
 
-    :returns: the exit code, 0.
+    :param count: number of runners.
+    :param seconds: length of the demo; 0 to run until interrupted.
+    :param load: share of the fleet's capacity.
+    :returns: exit code, always 0.
     """
     from ..server import reactor as loop
 
@@ -321,9 +331,9 @@
     if sys.stdin.isatty():
         StandardIO(_Terminal(demo.execute))  # type: ignore[no-untyped-call]
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda *_: reactor.callFromThread(demo.leave))
+        signal.signal(number, lambda *_: reactor.callFromThread(demo.shut_down))
     reap_children(reactor)
     if seconds:
-        reactor.callLater(seconds, demo.leave)
+        reactor.callLater(seconds, demo.shut_down)
     reactor.run(installSignalHandlers=False)
     return 0
--- a/moorusher/lab/demo_fleet_files.py
+++ b/moorusher/lab/demo_fleet_files.py
@@ -1,4 +1,4 @@
-"""The sections of a runner's file in the fleet of `moorusher lab up --runners N`."""
+"""Sections of a runner's settings file in the fleet of `moorusher lab up --runners N`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,13 @@
 
 
 def backends_toml(servers: dict[str, int], receiver_port: int) -> str:
-    """Each tenant has a server of its own, both may use one, and one is for requests without rules.
+    """Return the sections on the tier, namespaces and forecast.
 
-    :param servers: ports by name.
-    :param receiver_port: of what takes hints.
+    Each tenant has its own server, a pool with one server is shared by both tenants, and one server receives the
+    requests without rules.
+
+    :param servers: ports of the backends, by name.
+    :param receiver_port: port of the receiver of hints.
     """
     tier = "".join(
         f'[[tier.server]]\nname = "{name}"\naddress = "{HOST}:{port}"\n' for name, port in servers.items()
@@ -32,11 +35,12 @@
 
 
 def fleet_toml(name: str, ports: dict[str, int], receiver_port: int, machine_id: Path) -> str:
-    """The fleet, its duty, and its maintenance.
+    """Return the sections on the fleet, its duty and its maintenance.
 
-    :param name: of the runner.
-    :param ports: of all runners' fleet listeners, by name.
-    :param receiver_port: of what the duty reports to.
+    :param name: name of the runner.
+    :param ports: ports of all runners' fleet listeners, by runner.
+    :param receiver_port: port of the receiver of the duty's reports.
+    :param machine_id: file that contains the machine's id.
     """
     seats = "".join(
         f'[[fleet.seat]]\nname = "{seat}"\naddress = "{HOST}:{port}"\nzone = "z{index % ZONES}"\n'
--- a/moorusher/lab/demo_runner.py
+++ b/moorusher/lab/demo_runner.py
@@ -1,4 +1,4 @@
-"""`moorusher lab up`: a runner in service on this machine, its kernel, its database, and a trickle of load."""
+"""`moorusher lab up`: a runner on this machine with a kernel, a database and a light load."""
 
 from __future__ import annotations
 
@@ -29,18 +29,21 @@
 ]
 TENANTS = ["north", "south"]
 LOAD_S = 60.0
-"""Arrivals are drawn so far ahead, and again."""
+"""Length of one generated load; the next one follows when it ends."""
 DATABASE_DELAY_S = 0.03
 COLD_SPEED = 0.3
 WARM_UP_S = 10
-_KEPT_LOADS = 2
-"""The load before the last may still have requests in flight."""
+_RETAINED_LOADS = 2
+"""Two, because the previous load may still have requests in flight."""
 
 
 class DemoRunner:
-    """The runner and all around it.
+    """A runner with its stand-ins, its balancer and its load.
 
     :param load: share of the runner's capacity.
+
+    Attributes:
+        exit_code: Exit code of the runner.
     """
 
     def __init__(self, reactor: Any, load: float, log: Log) -> None:
@@ -60,21 +63,21 @@
         settings = runner_settings(CLASSES, TENANTS, CORES)
         settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
         self._runner = Runner(reactor, self._kernel, settings, self._database.port, "probe_ms = 1000.0")
-        self._runner.ended = self._runner_ended
+        self._runner.ended = self._runner_exited
         self._server = Server("n1")
         self._client = RunnerClient(reactor, self._runner.port, 1)
         self._picker = ServerPicker([self._server])
         self._prober = HealthProber(reactor, self._server, self._runner.agent, ProbeKind.AGENT, 1.0, 0.5)
         self._loads: list[LoadGenerator] = []
         self._logged_counts = Counter[str]()
-        self._leaving = False
+        self._shutting_down = False
         self.exit_code = 0
 
     def start(self) -> None:
-        """Say how it is reached; load it a little later."""
+        """Log the addresses of the runner, and start the load after a second."""
         runner = self._runner
         self._log(
-            f"requests  {HOST}:{runner.port} (JSON-RPC, a message a line)\nagent     {HOST}:{runner.agent}\n"
+            f"requests  {HOST}:{runner.port} (JSON-RPC, one message per line)\nagent     {HOST}:{runner.agent}\n"
             f"health    http://{HOST}:{runner.health}/health\nadmin     http://{HOST}:{runner.admin}/standing\n"
             f"try       moorusher standing --address {HOST}:{runner.admin}"
         )
@@ -87,7 +90,7 @@
         arrivals = draw_arrivals(number + 1, CLASSES, TENANTS, rate, LOAD_S)
         load = LoadGenerator(self._reactor, arrivals, self._pick, f"up{number}-")
         self._loads.append(load)
-        del self._loads[:-_KEPT_LOADS]
+        del self._loads[:-_RETAINED_LOADS]
         load.start()
         self._reactor.callLater(LOAD_S, self._start_load)
 
@@ -96,14 +99,14 @@
         return None if server is None else Route(server, self._client)
 
     def _log_counts(self) -> None:
-        """A line each second: new requests by outcome, what the agent says, latencies."""
-        if self._leaving:
+        """Log a line each second: new requests by outcome, the agent's last report, and latencies."""
+        if self._shutting_down:
             return
         counts = sum((load.counts for load in self._loads), Counter[str]())
         new = counts - self._logged_counts
         self._logged_counts.update(new)
         reports = self._server.agent_reports
-        agent = reports[-1].text if reports else "no word yet"
+        agent = reports[-1].text if reports else "no agent report yet"
         self._log(
             f"served {new['served']:>4}  refused {new['refused']:>3}  failed {new['failed']:>3}"
             f"  [{agent}]{self._describe_latency()}"
@@ -118,19 +121,19 @@
         p99_ms = latency.get_value_at_percentile(99)
         return f"  p50 {p50_ms} ms  p99 {p99_ms} ms"
 
-    def leave(self) -> None:
-        """Let the runner leave in order."""
-        if self._leaving:
+    def shut_down(self) -> None:
+        """Shut the runner down gracefully."""
+        if self._shutting_down:
             return
-        self._leaving = True
-        self._log("leaving: the runner gets its notice, and answers what it has read")
+        self._shutting_down = True
+        self._log("shutting down: the runner finishes the requests that it has received")
         self._prober.stop()
         self._runner.signal("TERM")
 
-    def _runner_ended(self, code: int) -> None:
-        if not self._leaving:
-            self._log(f"the runner ended with {code}")
-        self._leaving = True
+    def _runner_exited(self, code: int) -> None:
+        if not self._shutting_down:
+            self._log(f"the runner exited unexpectedly: code={code}")
+        self._shutting_down = True
         self.exit_code = code
         self._client.close()
         self._kernel.close()
@@ -140,19 +143,21 @@
 
 
 def run_demo_runner(seconds: float, load: float, log: Log) -> int:
-    """Until ^C, or for some seconds where they are not 0.
+    """Run the demo.
 
-    :returns: the runner's exit code: 0 where it left in order.
+    :param seconds: length of the demo; 0 to run until interrupted.
+    :param load: share of the runner's capacity.
+    :returns: exit code of the runner, 0 after a graceful shutdown.
     """
     from ..server import reactor as loop
 
     reactor = loop.install()
     demo = DemoRunner(reactor, load, log)
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda *_: reactor.callFromThread(demo.leave))
+        signal.signal(number, lambda *_: reactor.callFromThread(demo.shut_down))
     reap_children(reactor)
     demo.start()
     if seconds:
-        reactor.callLater(seconds, demo.leave)
+        reactor.callLater(seconds, demo.shut_down)
     reactor.run(installSignalHandlers=False)
     return demo.exit_code
--- a/moorusher/lab/drain_notices.py
+++ b/moorusher/lab/drain_notices.py
@@ -1,4 +1,7 @@
-"""How soon a balancer reads that a runner drains: engines of the program in this process, each on a real port."""
+"""Measures how soon a balancer learns that a runner drains.
+
+The request engines run in this process, each with an agent on a real port.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 from .health_prober import HealthProber, ProbeKind
 from .ports import HOST
 
-NOTICES = 200
+NOTICE_COUNT = 200
 PROBE_INTERVAL_S = 0.5
 _EARLIEST_DRAIN_S = 1.5
 _DRAIN_SPREAD_S = 2
@@ -30,33 +33,36 @@
 
 
 class _UnusedKernel:
-    """A kernel that only has to be there."""
+    """A kernel that accepts every message and does nothing."""
 
     def run(self, rid: str, route: str, body: bytes) -> int:
-        """Nothing."""
+        """Do nothing."""
         return 1
 
     def stop(self, rid: str) -> int:
-        """Nothing."""
+        """Do nothing."""
         return 1
 
     def call_done(self, rid: str, body: bytes) -> int:
-        """Nothing."""
+        """Do nothing."""
         return 1
 
     def call_skipped(self, rid: str, notice: int) -> int:
-        """Nothing."""
+        """Do nothing."""
         return 1
 
     def ask_gauges(self) -> None:
-        """Nothing."""
+        """Do nothing."""
 
 
 class DrainingEngine:
-    """An engine that drains at some time, its agent, and a prober of it.
+    """A request engine that will drain, its agent, and a prober of the agent.
+
+    :param settings: settings parsed by `parse_settings`.
+    :param phase: phase of the prober, 0 to 1.
 
-    :param settings: as `parse_settings` reads them.
-    :param phase: of the prober, 0 to 1.
+    Attributes:
+        noticed: Fires with the number of probe intervals from the drain until the prober read it.
     """
 
     def __init__(self, reactor: Any, name: str, settings: Any, phase: float) -> None:
@@ -79,10 +85,9 @@
         self._prober = HealthProber(reactor, self._server, agent, ProbeKind.AGENT, PROBE_INTERVAL_S, phase)
         self._drained_at_us = 0
         self.noticed: Deferred[float] = Deferred()
-        """Probe intervals from the drain until the prober read of it."""
 
     def drain(self) -> None:
-        """Drain now, and wait for the prober."""
+        """Start to drain, and wait until the prober notices it."""
         self._engine.drain(_GRACE_MS)
         self._drained_at_us = now_us()
         self._poll()
@@ -100,11 +105,14 @@
 
 
 async def measure_drain_notices(reactor: Any, seed: int, runner_settings: dict[str, Any]) -> list[float]:
-    """Probe intervals until a prober has read of a drain, for many engines that drain at random phases."""
+    """Measure how many probe intervals pass until a prober notices a drain.
+
+    :returns: one value for each of many engines that drain at random times.
+    """
     rng = random.Random(seed)
     settings = parse_settings(json.dumps(runner_settings).encode(), 1)
     engines = []
-    for index in range(NOTICES):
+    for index in range(NOTICE_COUNT):
         engine = DrainingEngine(reactor, f"n{index}", settings, rng.random())
         reactor.callLater(_EARLIEST_DRAIN_S + rng.random() * _DRAIN_SPREAD_S, engine.drain)
         engines.append(engine)
--- a/moorusher/lab/fenced_receiver.py
+++ b/moorusher/lab/fenced_receiver.py
@@ -1,6 +1,6 @@
-"""A stand-in for what duties have effects at: it checks fencing tokens, and stores what it knows before it acts.
+"""A stand-in for the receiver of duties' effects, which checks fencing tokens and stores them before it acts.
 
-A real one has to do what `TokenStore` does: one transaction holds the comparison and what follows from it.
+A real receiver has to do the same as `TokenStore`: compare the token and store the consequence in one transaction.
 """
 
 from __future__ import annotations
@@ -30,16 +30,21 @@
 
 
 class TokenCheck(NamedTuple):
-    """The verdict on a token, and the highest that was known before it."""
+    """Result of a token's check.
+
+    Attributes:
+        verdict: Verdict on the token.
+        highest: Highest token known before the check, None if there was none.
+    """
 
     verdict: TokenVerdict
     highest: FencingToken | None
 
 
 class TokenStore:
-    """The highest fencing token of each duty, and which of its jobs are done.
+    """Stores the highest fencing token of each duty and the state of its jobs.
 
-    :param path: of the database; it holds the same after a restart.
+    :param path: file of the database, which outlives a restart.
     """
 
     def __init__(self, path: Path) -> None:
@@ -55,7 +60,7 @@
         self._database.execute("COMMIT")
 
     def check(self, duty: str, token: FencingToken) -> TokenCheck:
-        """Compare a token with the highest, and keep it where it is current."""
+        """Compare a token with the highest known one, and store it if it is current."""
         with self._transaction():
             row = self._database.execute(
                 "SELECT born, term, number FROM fences WHERE duty = ?", (duty,)
@@ -70,13 +75,13 @@
         return TokenCheck(verdict, highest)
 
     def perform_job(self, duty: str, number: int) -> bool:
-        """Do a job unless it is settled; whether it is done now."""
+        """Do a job unless it is settled; return whether it is done now."""
         with self._transaction():
             self._database.execute("INSERT OR IGNORE INTO jobs VALUES (?, ?, 1)", (duty, number))
             return self._is_done(duty, number)
 
     def settle_job(self, duty: str, number: int) -> bool:
-        """Whether a job was done; where it was not, it never will be."""
+        """Settle a job: return whether it was done, and prevent it from being done later if it was not."""
         with self._transaction():
             self._database.execute("INSERT OR IGNORE INTO jobs VALUES (?, ?, 0)", (duty, number))
             return self._is_done(duty, number)
@@ -94,7 +99,14 @@
 
 @dataclass(slots=True)
 class AcceptedEffect:
-    """An effect that counted; `at_s` by the reactor's clock."""
+    """An effect that the receiver accepted.
+
+    Attributes:
+        duty: Name of the duty.
+        token: Fencing token of the effect.
+        body: Decoded JSON body.
+        at_s: Time by the reactor's clock.
+    """
 
     duty: str
     token: FencingToken
@@ -104,14 +116,15 @@
 
 @dataclass(eq=False)
 class FencedReceiver(Resource):  # type: ignore[misc]
-    """An HTTP server that duties have effects at.
+    """An HTTP server that receives the effects of duties.
 
     Attributes:
-        checks_tokens: a real one must; without, it takes what comes.
-        accepted: effects that counted, in order.
-        rejected: tokens that were stale, in order.
-        drops_replies: it does what it is told, and its replies are lost.
-        port: where it listens.
+        store: Tokens and jobs.
+        checks_tokens: Whether stale tokens are rejected. A real receiver must reject them.
+        accepted: Accepted effects, in order.
+        rejected: Stale tokens, in order.
+        drops_replies: Whether requests are executed but the connection is aborted instead of a reply.
+        port: Port that the server listens on.
     """
 
     reactor: Any
@@ -128,7 +141,7 @@
         self.port: int = self._listening_port.getHost().port
 
     def render_POST(self, request: Any) -> Any:
-        """An effect under a token, a job to do, or a job to settle."""
+        """Handle an effect with a token, a job to do, or a job to settle."""
         sent = msgspec.json.decode(request.content.read())
         if request.path == b"/fenced":
             answer = self._fenced_effect(request, sent)
@@ -157,6 +170,6 @@
         return {"verdict": check.verdict.value}
 
     def close(self) -> None:
-        """Stop listening, close the database."""
+        """Stop listening and close the database."""
         self._listening_port.stopListening()
         self.store.close()
--- a/moorusher/lab/health_prober.py
+++ b/moorusher/lab/health_prober.py
@@ -1,4 +1,4 @@
-"""Health probes of a stand-in balancer, over sockets."""
+"""Health probes of a stand-in balancer over sockets."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .ports import HOST
 
 _MAX_READ_BYTES = 4096
-"""Of each piece of a reply."""
+"""Limit on the bytes used of each received chunk of a reply."""
 _TIMEOUT_S = 1.0
 
 OnReply = Callable[[bytes], None]
 
 
 class ProbeKind(enum.Enum):
-    """What a probe asks, by its path; the agent speaks without being asked."""
+    """Kind of a probe; the value is the path of its request. An agent replies without a request."""
 
     AGENT = None
     HTTP = b"/health"
@@ -34,22 +34,27 @@
     factory: Any
 
     def connectionMade(self) -> None:
-        """Send the request, if there is one."""
+        """Send the probe's request, if it has one."""
         self._received = b""
         if self.factory.request:
             self.transport.write(self.factory.request)
 
     def dataReceived(self, data: bytes) -> None:
-        """A part of the reply."""
+        """Append a part of the reply."""
         self._received += data[:_MAX_READ_BYTES]
 
     def connectionLost(self, reason: object = None) -> None:
-        """The reply is whole."""
+        """Deliver the complete reply."""
         self.factory.finish(self._received)
 
 
 class _ProbeFactory(ClientFactory):
-    """One probe; it ends once, by its reply or its time limit."""
+    """One probe, which ends with a reply, a failed connection or the timeout.
+
+    Attributes:
+        request: Bytes to send, b"" for none.
+        timer: Timer of the timeout.
+    """
 
     noisy = False
     protocol = _ProbeConnection
@@ -60,7 +65,7 @@
         self._on_reply: OnReply | None = on_reply
 
     def finish(self, reply: bytes) -> None:
-        """Hand over the reply, b"" for none; a second call does nothing."""
+        """Deliver the reply, b"" for none. Further calls have no effect."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         on_reply = self._on_reply
@@ -69,7 +74,7 @@
             on_reply(reply)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Nobody listens, or not in time."""
+        """Finish without a reply if the connection fails or times out."""
         self.finish(b"")
 
 
@@ -81,10 +86,10 @@
     timeout_s: float = _TIMEOUT_S,
     source: str = HOST,
 ) -> None:
-    """Connect, send, read until the other side closes.
+    """Connect, send the request, and read until the peer closes the connection.
 
-    :param on_reply: called once, with b"" where nothing came in time.
-    :param source: the address that it connects from.
+    :param on_reply: called once, with b"" if no reply arrives in time.
+    :param source: source address of the connection.
     """
     factory = _ProbeFactory(request, on_reply)
     connector = reactor.connectTCP(HOST, port, factory, timeout=timeout_s, bindAddress=(source, 0))
@@ -92,16 +97,20 @@
 
 
 class HealthProber:
-    """Probes one server at an interval.
-
-    :param port: of the server's agent or health listener.
-    :param interval_s: between two probes.
-    :param phase: of the interval until the first, 0 to 1.
-    :param rise: checks in a row that make the server up.
-    :param fall: checks in a row that make it down.
-    :param source: the address of this balancer.
-    :ivar latencies_us: of each probe that was answered.
-    :ivar unanswered: probes without an answer.
+    """Probes one server periodically.
+
+    :param phase: delay of the first probe as a share of the interval, 0 to 1.
+
+    Attributes:
+        server: Balancer's view of the server, updated by the replies.
+        port: Port of the server's agent or health listener.
+        kind: Kind of the probes.
+        interval_s: Time between two probes.
+        rise: Consecutive successful checks after which the server is up.
+        fall: Consecutive failed checks after which the server is down.
+        source: Source address of the probes.
+        latencies_us: Latency of each answered probe.
+        unanswered: Number of probes without an answer.
     """
 
     def __init__(
@@ -129,7 +138,7 @@
         self._timer = reactor.callLater(phase * interval_s, self._probe)
 
     def stop(self) -> None:
-        """Probe no more."""
+        """Stop probing."""
         if self._timer.active():
             self._timer.cancel()
 
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -1,4 +1,4 @@
-"""One arm of the experiment on health reports: runners, their kernels and database, two balancers, one load."""
+"""One arm of the experiment on health reports: runners with their kernels, a database, two balancers and a load."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 ]
 TENANTS = ["north", "south"]
 COLLAPSE_MULTIPLE = 5.0
-"""Runs a core at which a machine collapses."""
-LOOSE_COLLAPSE_MULTIPLE = 14.0
-"""A runner that is told this in its place has no guard of its own against the collapse."""
+"""Runs per core at which a machine collapses."""
+UNGUARDED_COLLAPSE_MULTIPLE = 14.0
+"""The same in the settings of runners whose own guard against the collapse is disabled by this high value."""
 IDLE_GAUGES = [0.05, 0.0, 0.1, 1.0]
-"""Gauges that say idle, whatever runs."""
+"""Gauges of an idle machine."""
 PROBE_INTERVALS_S = (0.5, 1.0)
-"""Of the two balancers."""
+"""Probe intervals of the two balancers."""
 COLD_SPEED = 0.25
 WARM_UP_S = 8.0
 SLOW_AT_S = 11.0
@@ -41,22 +41,22 @@
 SLOW_FACTOR = 0.25
 HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 500.0\nclimb_s = 4.0\ntip_per_core = 5.0"
 DATABASE_DELAY_S = 0.05
-_LATE_KERNEL_S = 3600.0
-"""A cold kernel is up when it is told, not by itself."""
+_COLD_BOOT_DELAY_S = 3600.0
+"""Longer than the experiment: a cold kernel boots only on request."""
 _SHIFT_STEP_S = 0.1
 _SHIFTED_SHARE = 2 / 9
-"""Two thirds of an even share of three runners."""
+"""Two thirds of an even share among three runners."""
 
 
 @dataclass(frozen=True, slots=True)
 class ArmOptions:
-    """What an arm differs in.
+    """Options in which the arms differ.
 
     Attributes:
-        with_report: balancers read the agent; else they only ask whether the process lives.
-        without_guard: the scheduler's own guard is out of the way, and the agent says `maxconn` too.
-        with_cold_runner: the last runner starts cold.
-        runners: how many.
+        with_report: Whether balancers read the agent. Otherwise they only check that the process is alive.
+        without_guard: Whether the scheduler's own guard is disabled. The agent reports `maxconn` too, then.
+        with_cold_runner: Whether the last runner starts cold.
+        runners: Number of runners.
     """
 
     with_report: bool
@@ -66,7 +66,12 @@
 
 
 class Collapse(NamedTuple):
-    """A machine that collapsed, in s from the start."""
+    """A collapse of a machine.
+
+    Attributes:
+        at_s: Seconds from the start of the load.
+        runner: Name of the runner on the machine.
+    """
 
     at_s: float
     runner: str
@@ -84,7 +89,17 @@
 
 
 class HealthReportArm:
-    """One arm: all arms of a round play side by side."""
+    """One arm. All arms of a round run at the same time.
+
+    Attributes:
+        name: Name of the arm.
+        options: Options of the arm.
+        collapses: Collapses of machines, in order.
+        probers: Probers of all balancers.
+        runners: Runner processes.
+        runs_per_core: Mean runs per core over time, by runner.
+        load: Load of the arm.
+    """
 
     def __init__(
         self,
@@ -105,7 +120,6 @@
         self._database.listen()
         self.runners = [self._start_runner(index) for index in range(options.runners)]
         self.runs_per_core: dict[str, Points] = {runner.name: [] for runner in self.runners}
-        """In the mean of the window, by runner."""
         self._balancers = [
             self._create_balancer(mode, seed + index) for index in range(len(PROBE_INTERVALS_S))
         ]
@@ -128,12 +142,12 @@
             gauges=GAUGES,
             age_ms=0 if is_cold else 60_000,
             state="EMPTY" if is_cold else "LOADED",
-            boot_delay_s=_LATE_KERNEL_S if is_cold else 0.0,
+            boot_delay_s=_COLD_BOOT_DELAY_S if is_cold else 0.0,
         )
         if options.without_guard:
             kernel.fixed_gauges = IDLE_GAUGES
         kernel.listen()
-        multiple = LOOSE_COLLAPSE_MULTIPLE if options.without_guard else COLLAPSE_MULTIPLE
+        multiple = UNGUARDED_COLLAPSE_MULTIPLE if options.without_guard else COLLAPSE_MULTIPLE
         settings = runner_settings(CLASSES, TENANTS, CORES, multiple)
         settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
         runner = Runner(
@@ -153,7 +167,7 @@
         return _Balancer(servers, ServerPicker(servers, mode), random.Random(seed))
 
     def start_probes(self) -> None:
-        """Each balancer probes from an address of its own."""
+        """Start the probes; each balancer has its own source address."""
         for number, (balancer, interval_s) in enumerate(zip(self._balancers, PROBE_INTERVALS_S, strict=True)):
             for server, runner in zip(balancer.servers, self.runners, strict=True):
                 kind = ProbeKind.AGENT if self.options.with_report else ProbeKind.ALIVE
@@ -165,13 +179,13 @@
                 )
 
     def start_load(self) -> None:
-        """Send requests, and let cold kernels come up."""
+        """Start the load and boot the cold kernels."""
         self.load.start()
         for runner in self.runners:
             runner.kernel.come_up()
 
     def _pick(self, arrival: Arrival) -> Route | None:
-        """The balancers take turns."""
+        """Return the route of an arrival; the balancers alternate."""
         self._picks += 1
         balancer = self._balancers[self._picks % len(self._balancers)]
         server = balancer.picker.pick(now_us(), balancer.rng)
@@ -187,20 +201,20 @@
         runner.signal("KILL")
 
     def record_runs(self) -> None:
-        """Note how many runs each runner has on its cores."""
+        """Record the mean runs per core of each runner."""
         now = now_us()
         for runner in self.runners:
             mean = runner.kernel.cores.concurrency.mean(now) / CORES
             self.runs_per_core[runner.name].append((self.load.now_s, mean))
 
     def slow_first_runner(self) -> None:
-        """Slow it once."""
+        """Slow the first runner's machine, unless it is slowed already."""
         kernel = self.runners[0].kernel
         if kernel.cores.factor == 1.0:
             kernel.slow(SLOW_FACTOR)
 
     def close(self) -> None:
-        """Kill all runners, close what they speak with."""
+        """Kill all runners and close their stand-ins."""
         for prober in self.probers:
             prober.stop()
         for client in self._clients.values():
@@ -215,15 +229,15 @@
 
     @property
     def first_balancers_servers(self) -> list[Server]:
-        """The runners as the first balancer knows them."""
+        """Runners as seen by the first balancer."""
         return self._balancers[0].servers
 
     def served_value_share(self) -> float:
-        """Share of the value asked for that was served within its latency objective."""
+        """Return the share of the offered value that was served within its latency objective."""
         return self.load.served_value / max(1e-9, self.load.offered_value)
 
     def served_share_since(self, since_s: float) -> float:
-        """Share of the later requests that were served within their latency objective."""
+        """Return the share of the requests since a time that were served within their latency objective."""
         requests = sum(arrival.at_s >= since_s for arrival in self.load.arrivals)
         served = sum(
             completion.sent_at_s >= since_s and completion.outcome == "served"
@@ -232,16 +246,16 @@
         return served / max(1, requests)
 
     def worst_runs_per_core(self) -> float:
-        """The highest mean of any runner."""
+        """Return the highest mean runs per core of any runner."""
         return max(runner.kernel.worst_runs_per_core for runner in self.runners)
 
     def traffic_share(self, runner: str, since_s: float, until_s: float) -> float:
-        """Of the requests that were sent within some time."""
+        """Return a runner's share of the requests that were sent within an interval."""
         names = [sent.runner for sent in self._sent if since_s <= sent.at_s < until_s]
         return names.count(runner) / max(1, len(names))
 
     def weight_lowered_at(self) -> list[float]:
-        """When each balancer first read, after the slowdown, that the first runner should get half or less."""
+        """Return when each balancer first read, after the slowdown, a weight of 50% or less for the first runner."""
         times_s = []
         for balancer in self._balancers:
             for report in balancer.servers[0].agent_reports:
@@ -252,7 +266,11 @@
         return times_s
 
     def traffic_shifted_at(self) -> float | None:
-        """When, since its weight was lowered, the first runner gets under two thirds of an even share of a second."""
+        """Return when the first runner's traffic dropped after its weight was lowered.
+
+        :returns: the start of the first second in which the runner gets less than two thirds of an even share, in
+            seconds from the start of the load; None if there is no such second.
+        """
         at_s = min(self.weight_lowered_at(), default=SLOW_AT_S)
         while at_s < SLOW_AT_S + SLOW_FOR_S:
             if self.traffic_share(self.runners[0].name, at_s, at_s + 1) < _SHIFTED_SHARE:
@@ -261,5 +279,5 @@
         return None
 
     def seconds_of(self, at_us: int) -> float:
-        """Seconds from the start of the load."""
+        """Convert a time of the monotonic clock to seconds from the start of the load."""
         return (at_us - self.load.began_us) / 1e6
--- a/moorusher/lab/health_report_criteria.py
+++ b/moorusher/lab/health_report_criteria.py
@@ -1,4 +1,4 @@
-"""The criteria and plots of the experiment on health reports, on the arms of all its rounds."""
+"""The criteria and plots of the experiment on health reports, from the arms of all its rounds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .probe_flood import FLOOD_S, PROBES_PER_S, FloodResult
 
 REACTION_S = 0.5
-"""Of a balancer, after it has read a report."""
+"""Time in which a balancer's traffic follows a report that it has read."""
 NEVER_S = float("inf")
 
 
@@ -28,9 +28,12 @@
     """One round of the experiment.
 
     Attributes:
-        arms: that share the load, by name.
-        calm: one that nothing happens to.
-        flooded: the same with a flood of probes.
+        mode: Balancing algorithm of all arms.
+        seed: Seed of the loads.
+        arms: Arms that get the same load, by name.
+        calm: Arm without any fault.
+        flooded: Arm without any fault except a flood of probes.
+        flood: Result of the flood.
     """
 
     mode: BalancingMode
@@ -42,7 +45,7 @@
 
     @property
     def all_arms(self) -> dict[str, HealthReportArm]:
-        """By name."""
+        """All arms by name, including the calm and the flooded one."""
         return self.arms | {"calm": self.calm, "flooded": self.flooded}
 
 
@@ -50,7 +53,7 @@
     """Add figures, criteria and plots of all rounds."""
     for each in rounds:
         result.figures[f"{each.mode.value}, seed {each.seed}"] = _figures_of_round(each)
-    _judge_shipped(result, rounds)
+    _judge_default_arms(result, rounds)
     _judge_without_guard(result, rounds)
     _judge_shift(result, rounds)
     _judge_cold_start(result, rounds)
@@ -92,14 +95,14 @@
     return max(each.arms[name].worst_runs_per_core() for each in rounds)
 
 
-def _judge_shipped(result: Result, rounds: list[Round]) -> None:
+def _judge_default_arms(result: Result, rounds: list[Round]) -> None:
     with_report = _worst_runs(rounds, "report")
     without = _worst_runs(rounds, "none")
     collapses = _collapses(rounds, "report") + _collapses(rounds, "none")
     result.add_criterion(
         "the program as shipped: worst crowd a core in a mean of 3 s",
-        f"{with_report:.2f} with the report, {without:.2f} without; {collapses} fell",
-        f"under {COLLAPSE_MULTIPLE:g}, none falls",
+        f"{with_report:.2f} with the report, {without:.2f} without; {collapses} collapsed",
+        f"under {COLLAPSE_MULTIPLE:g}, no collapse",
         max(with_report, without) < COLLAPSE_MULTIPLE and not collapses,
     )
     noise = max(
@@ -114,7 +117,7 @@
         "served worth with and without the report",
         f"{served:.3f} and {served_without:.3f}; of the "
         f"requests since the slowdown {served_slow:.3f} and {served_slow_without:.3f}; noise {noise:.3f}",
-        "more by 0.02 and by twice the noise",
+        "higher by at least 0.02 and twice the noise",
         served - served_without >= max(0.02, 2 * noise),
     )
 
@@ -125,8 +128,8 @@
     served = _mean_of(rounds, "loose-report", HealthReportArm.served_value_share)
     result.add_criterion(
         "its guard out of the way: worst crowd with the report",
-        f"{worst:.2f}; {collapses} fell; served worth {served:.3f}",
-        f"under {COLLAPSE_MULTIPLE:g}, none falls",
+        f"{worst:.2f}; {collapses} collapsed; served worth {served:.3f}",
+        f"under {COLLAPSE_MULTIPLE:g}, no collapse",
         worst < COLLAPSE_MULTIPLE and not collapses,
     )
     worst = _worst_runs(rounds, "loose-none")
@@ -134,20 +137,20 @@
     served = _mean_of(rounds, "loose-none", HealthReportArm.served_value_share)
     result.add_criterion(
         "the same without the report",
-        f"{worst:.2f}; {collapses} fell; served worth {served:.3f}",
-        f"{COLLAPSE_MULTIPLE:g} and more: else the case proves nothing",
+        f"{worst:.2f}; {collapses} collapsed; served worth {served:.3f}",
+        f"at least {COLLAPSE_MULTIPLE:g}; otherwise the comparison proves nothing",
         worst >= COLLAPSE_MULTIPLE,
     )
 
 
 def _judge_shift(result: Result, rounds: list[Round]) -> None:
-    """How soon traffic follows the report, and whether that is before the machine would have collapsed."""
+    """Judge how soon the traffic follows the report, and whether that is before the machine would have collapsed."""
     shift_s = max(_seconds_until_shifted(each.arms["loose-report"]) for each in rounds)
     longest_s = PROBE_INTERVALS_S[-1] + REACTION_S
     result.add_criterion(
         "from the first balancer's reading of the forecast until the traffic has shifted",
         f"{shift_s:.1f} s",
-        f"{longest_s:g} s: the slower balancer's interval and its reaction",
+        f"{longest_s:g} s: the slower balancer's probe interval plus its reaction time",
         shift_s <= longest_s,
     )
     lead_s = min(_lead_of_report(each) for each in rounds)
@@ -166,7 +169,7 @@
 
 
 def _lead_of_report(one_round: Round) -> float:
-    """From the last balancer's reading until the machine collapses without a report."""
+    """Return the seconds from the last balancer's reading until the machine collapses in the arm without reports."""
     without = one_round.arms["loose-none"]
     runs = without.runs_per_core[without.runners[0].name]
     crossing_s = min((at_s for at_s, mean in runs if mean >= COLLAPSE_MULTIPLE), default=NEVER_S)
@@ -189,21 +192,21 @@
 
 
 def _judge_flood(result: Result, rounds: list[Round]) -> None:
-    lost = max(each.calm.served_value_share() - each.flooded.served_value_share() for each in rounds)
+    lost_share = max(each.calm.served_value_share() - each.flooded.served_value_share() for each in rounds)
     answered_per_s = _mean(each.flood.answered for each in rounds) / FLOOD_S
     result.add_criterion(
         f"served worth lost to a flood of {PROBES_PER_S} probes a second",
-        f"{lost:.3f}, with {answered_per_s:.0f} a second answered",
+        f"{lost_share:.3f}, with {answered_per_s:.0f} answered probes per second",
         "0.01",
-        lost <= 0.01 and answered_per_s > 0.9 * PROBES_PER_S,
+        lost_share <= 0.01 and answered_per_s > 0.9 * PROBES_PER_S,
     )
     probers = [prober for each in rounds for prober in each.flooded.probers]
     unanswered = sum(prober.unanswered for prober in probers)
     slowest_ms = max(latency_us for prober in probers for latency_us in prober.latencies_us) / 1000
     result.add_criterion(
         "real probes during the flood",
-        f"{unanswered} unanswered, the slowest after {slowest_ms:.0f} ms",
-        "none, and 500 ms",
+        f"{unanswered} unanswered, slowest reply after {slowest_ms:.0f} ms",
+        "none unanswered, slowest under 500 ms",
         unanswered == 0 and slowest_ms < 500,
     )
 
@@ -212,14 +215,16 @@
 
 
 def _add_plots(result: Result, arms: dict[str, HealthReportArm]) -> None:
-    runs_label = "runs a core, mean of 3 s"
+    runs_label = "runs per core, mean of 3 s"
     slowed = {name: arm.runs_per_core[arm.runners[0].name] for name, arm in arms.items() if name != "again"}
-    result.plots.append(Plot("the slow runner's crowd", "s", runs_label, slowed, COLLAPSE_MULTIPLE))
+    result.plots.append(Plot("load of the slowed runner", "s", runs_label, slowed, COLLAPSE_MULTIPLE))
     for name in ("report", "loose-report"):
-        title = f"{name}: what the first balancer was told"
+        title = f"{name}: weights read by the first balancer"
         result.plots.append(Plot(title, "s", "weight", _weights_read(arms[name])))
     every_runner = dict(arms["loose-report"].runs_per_core)
-    result.plots.append(Plot("loose-report: crowds", "s", runs_label, every_runner, COLLAPSE_MULTIPLE))
+    result.plots.append(
+        Plot("loose-report: load by runner", "s", runs_label, every_runner, COLLAPSE_MULTIPLE)
+    )
     shares = _traffic_shares(arms["report"])
     result.plots.append(Plot("share of the traffic with the report", "s", "share", shares))
 
@@ -236,7 +241,7 @@
 
 def _traffic_shares(arm: HealthReportArm) -> dict[str, Points]:
     times_s = [step / 2 for step in range(round((SLOW_AT_S + SLOW_FOR_S - 1) * 2))]
-    labels = ("slows", "steady", "cold at the start")
+    labels = ("slowed", "steady", "cold start")
     return {
         label: [(at_s, arm.traffic_share(runner.name, at_s, at_s + 1)) for at_s in times_s]
         for label, runner in zip(labels, arm.runners, strict=True)
--- a/moorusher/lab/stand_ins/__init__.py
+++ b/moorusher/lab/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a runner speaks with, on loopback sockets: one module for each kind of server."""
+"""Stand-ins for the peers of a runner on loopback sockets, with one module for each kind of server."""
--- a/moorusher/lab/stand_ins/announce_service.py
+++ b/moorusher/lab/stand_ins/announce_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for the announce service, the list of runners that balancers read."""
+"""A stand-in for the announce service, which maintains the list of runners that balancers read."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 
 
 class Announce(StandInServer):
-    """Takes the reports of runners.
+    """An announce service that records the reports of runners.
 
-    :param cut_at: the number of the report at which it aborts the connection in place of a reply; 0 for none.
-    :ivar reports: method, path and body of each report, in order.
+    :param cut_at: number of the report, counted from 1, to which it replies by aborting the connection; 0 for none.
+
+    Attributes:
+        reports: Method, path and body of each report, in order.
     """
 
     protocol = HttpConnection
@@ -22,7 +24,7 @@
         self._cut_at = cut_at
 
     def request_received(self, connection: Any, request_line: bytes, body: bytes) -> None:
-        """Note the report, and reply without content."""
+        """Record the report and reply without content."""
         self.reports.append(request_line.split(b" HTTP")[0] + b" " + body)
         if len(self.reports) == self._cut_at:
             connection.transport.abortConnection()
--- a/moorusher/lab/stand_ins/base.py
+++ b/moorusher/lab/stand_ins/base.py
@@ -1,4 +1,4 @@
-"""What all stand-in servers share: a port, the open connections, and scripted replies."""
+"""Base classes of all stand-in servers: a port, the open connections, and scripted replies."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 class StandInServer(Factory):
-    """Listens on a port of its own; what it has open is closed with it.
+    """A server on its own port that closes its connections when it is closed.
 
-    :ivar port: where it listens, 0 before the first `listen`.
-    :ivar accepted: connections accepted so far.
-    :ivar open: connections that are open.
+    Attributes:
+        port: Port that the server listens on, 0 before the first `listen`.
+        accepted: Number of connections accepted so far.
+        open: Open connections.
     """
 
     noisy = False
@@ -29,12 +30,12 @@
         self._listening_port: Any = None
 
     def listen(self, port: int = 0) -> None:
-        """Listen on `port`, or on a free one."""
+        """Listen on `port`, or on a free port if it is 0."""
         self._listening_port = self.reactor.listenTCP(port or free_port(), self, interface=HOST)
         self.port = self._listening_port.getHost().port
 
     def deafen(self) -> None:
-        """Accept no further connection; what is open stays."""
+        """Accept no new connections; open ones remain."""
         if self._listening_port is not None:
             self._listening_port.stopListening()
             self._listening_port = None
@@ -46,7 +47,7 @@
             connection.transport.abortConnection()
 
     def buildProtocol(self, addr: object) -> Any:
-        """A connection that knows its server."""
+        """Return a new connection that refers to this server."""
         self.accepted += 1
         connection = self.protocol()
         connection.server = self
@@ -54,32 +55,36 @@
 
 
 class TrackedConnection(Protocol):
-    """A connection that its server lists as open."""
+    """A connection that is in its server's set of open connections while it is open.
+
+    Attributes:
+        server: Server that accepted the connection.
+    """
 
     transport: Any
     server: Any
 
     def connectionMade(self) -> None:
-        """Add it to the open connections of its server."""
+        """Add the connection to the server's open connections."""
         self.server.open.add(self)
 
     def connectionLost(self, reason: object = None) -> None:
-        """Remove it from the open connections of its server."""
+        """Remove the connection from the server's open connections."""
         self.server.open.discard(self)
 
 
 class HttpConnection(TrackedConnection, LineReceiver):
-    """One HTTP connection: hands each request with its body to `server.request_received`."""
+    """An HTTP connection that passes each complete request to `server.request_received`."""
 
     def connectionMade(self) -> None:
-        """Begin with an empty request."""
+        """Initialize the state of the first request."""
         super().connectionMade()
         self._content_length = 0
         self._request_line = b""
         self._body = b""
 
     def lineReceived(self, line: bytes) -> None:
-        """The request line, a header, or the empty line before the body."""
+        """Process the request line, a header, or the empty line before the body."""
         if not self._request_line:
             self._request_line = line
         elif line.lower().startswith(b"content-length:"):
@@ -89,7 +94,7 @@
             self.setRawMode()  # type: ignore[no-untyped-call]
 
     def rawDataReceived(self, data: bytes) -> None:
-        """A part of the body; what follows the body is the next request."""
+        """Append a part of the body, and pass on the complete request. Bytes after the body are the next request."""
         self._body += data
         if len(self._body) < self._content_length:
             return
@@ -104,10 +109,11 @@
 class ScriptedServer(StandInServer):
     """A server whose replies follow a script.
 
-    :param script: what becomes of each request in turn: a status, "reset", "hang", or a word of the subclass. The
-        last one stays.
-    :param delay: seconds until a reply.
-    :ivar calls: the bodies received, in order.
+    Attributes:
+        script: Reply to each request in turn: a status, "reset" to abort the connection, "hang" for no reply, or
+            another value that the subclass defines. The last one is repeated.
+        delay: Delay of each reply, in seconds.
+        calls: Bodies of the received requests, in order.
     """
 
     def __init__(self, reactor: Any, *script: int | str, delay: float = 0.0) -> None:
@@ -117,11 +123,11 @@
         self.calls: list[bytes] = []
 
     def answer(self, connection: Any, reply: int | str) -> None:
-        """Write the reply that the script names."""
+        """Write a reply of the script."""
         raise NotImplementedError
 
     def request_received(self, connection: Any, request_line: bytes, body: bytes) -> None:
-        """Take the next step of the script."""
+        """Record the request and reply with the next step of the script."""
         self.calls.append(body)
         reply = self.script.pop(0) if len(self.script) > 1 else self.script[0]
         if reply == "reset":
--- a/moorusher/lab/stand_ins/kernel.py
+++ b/moorusher/lab/stand_ins/kernel.py
@@ -1,4 +1,7 @@
-"""A stand-in for the kernel that runs a runner's requests: JSON messages by line, work on emulated cores."""
+"""A stand-in for the kernel that executes a runner's requests.
+
+It exchanges JSON messages, one per line, and emulates the work of runs on shared cores.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,13 @@
 from .base import StandInServer, TrackedConnection
 
 _POLL_US = 50_000
-"""Cores are looked at at least this often while something runs: speeds change under it."""
+"""Maximum interval between two checks of the cores during runs, because their speed changes over time."""
 _GAUGE_WINDOW_US = 250_000
-"""The use of processors is told of the time since the last window of this length."""
+"""Minimum length of the interval over which processor usage is measured."""
 _ENDLESS_WORK_US = 1e12
 _UNBOUNDED = 1e9
 _WORK_PREFIX = b"work "
-"""A body that begins so says what its run takes: `work 20 30` is 20 ms, a call, and 30 ms more."""
+"""Prefix of a body that specifies the work of its run: `work 20 30` is 20 ms, a call, and another 30 ms."""
 
 
 class RunState(enum.Enum):
@@ -31,12 +34,18 @@
 
     RUNNING = enum.auto()
     WAITING = enum.auto()
-    """It has made a call and has no reply yet."""
+    """The run waits for the reply to a call."""
     ENDED = enum.auto()
 
 
 class KernelRun(NamedTuple):
-    """One run that the kernel was told to begin."""
+    """A run that a runner has started.
+
+    Attributes:
+        request_id: Id of the request.
+        class_name: Name of the request class.
+        body: Body of the request.
+    """
 
     request_id: str
     class_name: str
@@ -45,7 +54,13 @@
 
 @dataclass(slots=True)
 class _Run:
-    """What the kernel keeps of a run; `remaining_us` are the pieces of work before each of its calls and the end."""
+    """The kernel's record of a run.
+
+    Attributes:
+        state: State of the run.
+        body: Body of the request.
+        remaining_us: Pieces of work that the run has not started; there is a call between two pieces.
+    """
 
     state: RunState
     body: bytes
@@ -54,7 +69,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingOpen:
-    """A link that was opened before the kernel was up."""
+    """A link that a runner opened before the kernel had booted.
+
+    Attributes:
+        link: Connection of the runner.
+        last_notice: Number of the last notice that the runner has received.
+        boot_timer: Timer of the end of the boot.
+    """
 
     link: KernelConnection
     last_notice: int
@@ -68,35 +89,41 @@
     MAX_LENGTH = 65_536
 
     def lineReceived(self, line: bytes) -> None:
-        """Hand the message to the kernel."""
+        """Pass the message to the kernel."""
         self.server.message_received(self, json.loads(line))
 
     def send_message(self, message: dict[str, Any]) -> None:
-        """Write one message as a line."""
+        """Send one message as a line."""
         self.transport.write(json.dumps(message).encode() + b"\n")
 
 
 class Kernel(StandInServer):
     """A kernel whose runs share the cores of one emulated machine.
 
-    :param cores: of the machine, where no `machine` is given.
-    :param work: seconds of a core that a run takes, where its body does not say it (see `_WORK_PREFIX`).
-    :param hang: whether runs never end.
-    :param calls: whether each run makes one call halfway.
-    :param boot_delay_s: seconds until the kernel is up.
-    :param state: what it says as it boots: "LOADED", or "EMPTY" for a cold machine.
-    :param machine: the cores, and what makes them slow or fall over.
-    :param gauges: the names of the gauges it tells.
-    :param age_ms: what it says of its age as it boots.
-    :ivar fixed_gauges: gauges told in place of the measured ones.
-    :ivar on_collapse: called once, where more runs than the machine survives have run on it for too long.
-    :ivar worst_runs_per_core: the highest mean of runs a core in the window of the machine.
-    :ivar runs: all runs that were begun, in order.
-    :ivar message_counts: messages received, by kind.
-    :ivar opened: the last notice that each opened link had seen.
-    :ivar call_replies: the reply to the last call of each run, by request.
-    :ivar skipped_calls: numbers of the notices whose calls were skipped.
-    :ivar refuse: kinds of messages that get EINVAL.
+    :param cores: number of cores if no `machine` is given.
+    :param boot_delay_s: time until the kernel has booted.
+    :param machine: cores of the machine and their limits; without it, any number of runs is possible.
+
+    Attributes:
+        cores: Emulated cores.
+        work: Core time of a run in seconds, unless its body specifies it (see `_WORK_PREFIX`).
+        hang: Whether runs never end.
+        calls: Whether each run makes one call halfway.
+        state: State reported after the boot: "LOADED", or "EMPTY" for a cold machine.
+        up_at: Time at which the kernel has booted, in us.
+        age_ms: Age reported after the boot.
+        gauges: Names of the reported gauges.
+        fixed_gauges: Gauges reported instead of the measured ones, None for the measured ones.
+        on_collapse: Called once when the machine collapses.
+        worst_runs_per_core: Highest mean of runs per core in the window of the machine.
+        runs: All runs that were started, in order.
+        message_counts: Number of received messages by kind.
+        opened: Last notice that the runner had received, for each link it opened.
+        call_replies: Reply to the last call of each run, by request.
+        skipped_calls: Numbers of the notices whose calls were skipped.
+        refuse: Kinds of messages that are answered with EINVAL.
+        max_running: Highest number of concurrent runs, without waiting ones.
+        link: Current connection of the runner, None if there is none.
     """
 
     protocol = KernelConnection
@@ -150,24 +177,24 @@
             self.link = None
 
     def close(self) -> None:
-        """Stop listening, abort all connections, look at the cores no more."""
+        """Stop listening, abort all connections, and stop the timer of the cores."""
         super().close()
         if self._poll_timer is not None and self._poll_timer.active():
             self._poll_timer.cancel()
 
     def move(self) -> None:
-        """Listen on a new port: the old one takes nothing new, its link stays until the next replaces it."""
+        """Listen on a new port instead of the old one; the old link remains until a new one replaces it."""
         self.deafen()
         self.listen()
 
     def slow(self, factor: float) -> None:
-        """Make all cores this many times as fast; 0 pauses them."""
+        """Set the speed of all cores relative to normal; 0 pauses them."""
         self._poll()
         self.cores.factor = factor
         self._poll()
 
     def come_up(self) -> None:
-        """Be up now, whatever `boot_delay_s` said: a cold kernel warms from here on."""
+        """Finish the boot now, regardless of `boot_delay_s`. A cold kernel starts to warm up."""
         self.cores.started_at = now_us()
         self.up_at = self.cores.started_at
         pending = self._pending_open
@@ -181,14 +208,14 @@
     # ---- messages ----
 
     def notify(self, **notice: Any) -> None:
-        """Send a numbered notice, and keep it for links that are opened later."""
+        """Send a numbered notice, and store it for links that are opened later."""
         notice["no"] = len(self._notices) + 1
         self._notices.append(notice)
         if self.link is not None:
             self.link.send_message(notice)
 
     def message_received(self, link: KernelConnection, message: dict[str, Any]) -> None:
-        """One message of a runner; `t` is its kind, `rid` the request that it is about."""
+        """Process one message of a runner; `t` is its kind and `rid` the id of the request it refers to."""
         kind = message["t"]
         request_id = message.get("rid", "")
         self.message_counts[kind] += 1
@@ -202,7 +229,7 @@
                 {"t": "INFO", "mark": message["mark"], "v": self.fixed_gauges or self._measure_gauges()}
             )
         elif kind == "SCHED" and run is None:
-            self._begin_run(request_id, message["route"], base64.b64decode(message["b64"]))
+            self._start_run(request_id, message["route"], base64.b64decode(message["b64"]))
         elif kind == "PREEMPT" and run is not None and run.state is not RunState.ENDED:
             self.cores.stop(now_us(), request_id)
             self._end_run(request_id, "KILLED", b"")
@@ -233,15 +260,15 @@
     # ---- runs ----
 
     def has_run(self, request_id: str) -> bool:
-        """Whether it was told to begin this request."""
+        """Return whether a run of this request was started."""
         return request_id in self._run_of
 
     def is_waiting(self, request_id: str) -> bool:
-        """Whether the run of this request waits for the reply to a call."""
+        """Return whether the run of this request waits for the reply to a call."""
         run = self._run_of.get(request_id)
         return run is not None and run.state is RunState.WAITING
 
-    def _begin_run(self, request_id: str, class_name: str, body: bytes) -> None:
+    def _start_run(self, request_id: str, class_name: str, body: bytes) -> None:
         self.runs.append(KernelRun(request_id, class_name, body))
         run = _Run(RunState.RUNNING, body, self._work_pieces_us(body))
         self._run_of[request_id] = run
@@ -250,7 +277,7 @@
         self.max_running = max(self.max_running, running)
 
     def _work_pieces_us(self, body: bytes) -> list[float]:
-        """Pieces of work in us; a call lies between two."""
+        """Return the pieces of work of a run, in us; there is a call between two pieces."""
         if body.startswith(_WORK_PREFIX):
             return [float(piece_ms) * 1000 for piece_ms in body[len(_WORK_PREFIX) :].split()]
         work_us = _ENDLESS_WORK_US if self.hang else self.work * 1e6
@@ -293,7 +320,7 @@
         return [values[name] for name in self.gauges]
 
     def _poll(self) -> None:
-        """End what is done, and look again when the next is."""
+        """End completed runs, check for a collapse, and schedule the next poll."""
         now = now_us()
         for request_id in self.cores.completed(now):
             self._work_done(request_id)
@@ -312,5 +339,5 @@
 
 
 def _unbounded_machine(cores: int) -> MachineSpec:
-    """Cores that bear any number of runs."""
+    """Return a machine that never slows down or collapses under load."""
     return MachineSpec(cores, degradation_threshold=_UNBOUNDED, collapse_runs_per_core=_UNBOUNDED)
--- a/moorusher/lab/stand_ins/uwsgi_peer.py
+++ b/moorusher/lab/stand_ins/uwsgi_peer.py
@@ -1,4 +1,4 @@
-"""A stand-in for a uwsgi server below a runner."""
+"""A stand-in for a uwsgi backend of a runner."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class UwsgiConnection(TrackedConnection):
-    """One connection: a packet of variables, then a body of CONTENT_LENGTH bytes."""
+    """A connection that receives a packet of variables, then a body of CONTENT_LENGTH bytes."""
 
     def connectionMade(self) -> None:
-        """Begin with an empty buffer."""
+        """Initialize an empty buffer."""
         super().connectionMade()
         self._buffer = b""
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand over the request once it is whole."""
+        """Buffer the bytes, and pass the request to the server when it is complete."""
         self._buffer += data
         if len(self._buffer) < HEAD.size:
             return
@@ -34,9 +34,10 @@
 
 
 class UwsgiPeer(ScriptedServer):
-    """A uwsgi server; "cut" in its script breaks off in the middle of the reply.
+    """A uwsgi server. "cut" in its script closes the connection in the middle of the reply.
 
-    :ivar tokens: the idempotency key of each request, None where it had none.
+    Attributes:
+        tokens: Idempotency key of each request, None for a request without one.
     """
 
     protocol = UwsgiConnection
@@ -46,7 +47,7 @@
         self.tokens: list[str | None] = []
 
     def answer(self, connection: Any, reply: int | str) -> None:
-        """Write a reply with this status, and close."""
+        """Write a reply with this status and close the connection."""
         is_cut = reply == "cut"
         status = 200 if is_cut else reply
         body = b"rep" if is_cut else b"reply"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory's own parts: what they stand for must be right, or experiments prove nothing."""
+"""Stand-ins, simulations and reports of the laboratory, on whose correctness the experiments depend."""
 
 from __future__ import annotations
 
@@ -35,61 +35,60 @@
 # ---- cores ----
 
 
-def ends(cores: Cores, until: int) -> list[tuple[int, str]]:
-    now, over = 0, list[tuple[int, str]]()
+def completions(cores: Cores, until: int) -> list[tuple[int, str]]:
+    """Return the completion times of runs up to a time in us, in ms, with the runs' names."""
+    now, completed = 0, list[tuple[int, str]]()
     while (due := cores.next_completion(now)) < NEVER and due <= until:
         now = due
-        over += [(now // MS, name) for name in cores.completed(now)]
-    return over
+        completed += [(now // MS, name) for name in cores.completed(now)]
+    return completed
 
 
-def test_cores_are_shared_by_all_that_runs() -> None:
+def test_runs_share_the_cores_equally() -> None:
     cores = Cores(MachineSpec(cores=2), 0)
     for name in "abcd":
         cores.start(0, name, 100 * MS)
     cores.start(0, "long", 200 * MS)
-    # Five on two cores: 100 ms of work take 250 ms; what is left of the long one then has a core to itself.
-    assert ends(cores, 10**9) == [(250, "a"), (250, "b"), (250, "c"), (250, "d"), (350, "long")]
+    # With five runs on two cores, 100 ms of work take 250 ms. The long run then has a core to itself.
+    assert completions(cores, 10**9) == [(250, "a"), (250, "b"), (250, "c"), (250, "d"), (350, "long")]
 
 
-def test_a_crowd_gets_less_done_a_cold_machine_too_and_a_pause_nothing() -> None:
-    crowd = Cores(MachineSpec(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
+def test_overloaded_and_cold_cores_are_slower_and_paused_cores_stand_still() -> None:
+    overloaded = Cores(MachineSpec(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
     for name in "abcd":
-        crowd.start(0, name, 10 * MS)
-    assert ends(crowd, 10**9)[-1][0] == 80  # four of 10 ms, half as fast
+        overloaded.start(0, name, 10 * MS)
+    assert completions(overloaded, 10**9)[-1][0] == 80  # four runs of 10 ms at half the speed
     cold = Cores(MachineSpec(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, starts_cold=True)
     cold.start(0, "a", 10 * MS)
-    assert ends(cold, 10**9)[0][0] in (19, 20)
+    assert completions(cold, 10**9)[0][0] in (19, 20)
     cold.factor = 0.0
     cold.start(30 * MS, "b", 10 * MS)
     assert cold.next_completion(30 * MS) == NEVER
 
 
-def test_a_stopped_run_ends_no_more_and_too_many_for_too_long_is_a_fall() -> None:
+def test_a_stopped_run_never_completes_and_sustained_overload_is_a_collapse() -> None:
     cores = Cores(MachineSpec(cores=1, collapse_runs_per_core=5), 0)
     for i in range(6):
         cores.start(0, str(i), 10**9)
     assert not cores.has_collapsed(2_400 * MS) and cores.has_collapsed(2_600 * MS)
     assert cores.stop(2_600 * MS, "0") and not cores.stop(2_600 * MS, "0")
-    assert "0" not in [name for _, name in ends(cores, 10**12)]
+    assert "0" not in [name for _, name in completions(cores, 10**12)]
 
 
 # ---- balancer ----
 
 
-def test_every_standing_is_read_as_it_was_meant() -> None:
+def test_the_balancer_gives_each_health_state_the_intended_weight() -> None:
     server = Server("s")
 
-    def shares(*said: HealthState, weight: int = 50) -> list[float]:
-        told = []
-        for standing in said:
-            server.read_agent(
-                0, haproxy_agent_state(health_report(standing, weight if standing.routable else 0))
-            )
-            told.append(server.effective_weight(0, 0))
-        return told
+    def effective_weights(*states: HealthState, weight: int = 50) -> list[float]:
+        weights = []
+        for state in states:
+            server.read_agent(0, haproxy_agent_state(health_report(state, weight if state.routable else 0)))
+            weights.append(server.effective_weight(0, 0))
+        return weights
 
-    assert shares(
+    assert effective_weights(
         HealthState.STARTING,
         HealthState.WARMING_UP,
         HealthState.MAINTENANCE,
@@ -104,7 +103,7 @@
     assert server.effective_weight(0, 0) == 0
 
 
-def test_rise_fall_and_slow_start() -> None:
+def test_checks_follow_rise_and_fall_and_a_server_that_comes_up_starts_slowly() -> None:
     server = Server("s")
     for passed, up in (
         (False, True),
@@ -124,44 +123,45 @@
 
 
 @pytest.mark.parametrize("mode", ["round", "least"])
-def test_the_choice_follows_the_weights(mode: str) -> None:
+def test_picks_are_proportional_to_the_weights(mode: str) -> None:
     servers = [Server("a", 100), Server("b", 50), Server("c", 0), Server("d", 100, up=False)]
-    choice, rng = ServerPicker(servers, BalancingMode(mode)), random.Random(1)
+    picker, rng = ServerPicker(servers, BalancingMode(mode)), random.Random(1)
     for _ in range(300):
-        picked = choice.pick(0, rng)
+        picked = picker.pick(0, rng)
         assert picked is not None
-        picked.in_flight += 1  # nothing ends: the fewest in flight by weight comes to the weights as well
+        # No request ends, so that the least-connections mode is proportional to the weights as well.
+        picked.in_flight += 1
     assert abs(servers[0].sent - 200) <= 2 and servers[2].sent == servers[3].sent == 0
     servers[0].up = servers[1].up = False
-    assert choice.pick(0, rng) is None
+    assert picker.pick(0, rng) is None
 
 
 # ---- load, reports ----
 
 
-def test_a_seed_draws_the_same_and_another_does_not() -> None:
-    first, again, other = (draw_arrivals(seed, CLASSES, ["t"], 50, 10) for seed in (1, 1, 2))
-    assert first == again != other and 400 < len(first) < 600
+def test_equal_seeds_generate_equal_arrivals_and_different_seeds_different_ones() -> None:
+    first, repeated, other = (draw_arrivals(seed, CLASSES, ["t"], 50, 10) for seed in (1, 1, 2))
+    assert first == repeated != other and 400 < len(first) < 600
     assert all(
-        (a.token is not None) == a.request_class.keyed
-        and len(a.body.split()) == 2 + a.request_class.makes_call
-        for a in first
+        (arrival.token is not None) == arrival.request_class.keyed
+        and len(arrival.body.split()) == 2 + arrival.request_class.makes_call
+        for arrival in first
     )
 
 
-def test_a_report_is_written_with_its_plots_and_holds_only_if_all_do(tmp_path: Path) -> None:
-    async def nothing(*_: object) -> Result:
+def test_a_report_is_written_with_its_plots_and_holds_only_if_all_criteria_hold(tmp_path: Path) -> None:
+    async def empty_experiment(*_: object) -> Result:
         return Result()
 
     result = Result()
-    assert not result.holds  # nothing measured, nothing held
+    assert not result.holds  # there is no criterion yet
     result.add_criterion("x", "1", "2 <b>", True)
     assert result.holds
     result.add_criterion("y", "3", "2", False)
     result.plots.append(Plot("p", "s", "n", {"line": [(0, 1), (1, 2)]}, limit=1.5))
-    write_report(result, Experiment("e", "about", nothing), 7, True, tmp_path)
-    told = json.loads((tmp_path / "report.json").read_text())
-    assert told == {
+    write_report(result, Experiment("e", "about", empty_experiment), 7, True, tmp_path)
+    report = json.loads((tmp_path / "report.json").read_text())
+    assert report == {
         "experiment": "e",
         "seed": 7,
         "quick": True,
@@ -172,7 +172,7 @@
         ],
         "figures": {},
     }
-    assert told["holds"] is False and [c["holds"] for c in told["criteria"]] == [True, False]
+    assert report["holds"] is False and [each["holds"] for each in report["criteria"]] == [True, False]
     assert (
         "2 &lt;b&gt;" in (tmp_path / "report.html").read_text()
         and (tmp_path / "plot0.png").stat().st_size > 1000
@@ -180,28 +180,28 @@
 
 
 @pytest.mark.processes
-def test_a_small_fleet_in_virtual_time_plays_the_same_twice() -> None:
+def test_the_fleet_simulation_is_deterministic_and_health_reports_prevent_collapses() -> None:
     fleet = FleetScenario(runners=20, balancers=4, seconds=20, slow_at_s=3, slow_until_s=15, load=0.6)
-    with_report, again, without = (simulate_fleet(fleet, 3, report) for report in (True, True, False))
-    assert with_report == again
+    with_report, repeated, without = (simulate_fleet(fleet, 3, report) for report in (True, True, False))
+    assert with_report == repeated
     assert with_report.collapsed == 0 and without.collapsed >= 1
 
 
 @pytest.mark.processes
-def test_the_cost_of_a_forecast_is_measured_in_a_process_of_its_own() -> None:
-    """Its program named a package that had been renamed, and the whole experiment on the forecast failed."""
+def test_the_cost_of_a_forecast_is_measured_in_a_separate_process() -> None:
+    """The script of that process imported a package that had been renamed, which failed the forecast experiment."""
     cost = measure_cost(1, routes=12)
     assert cost.seconds > 0 and cost.megabytes > 0
 
 
-# ---- the command line ----
-
-
-# ---- verdicts ----
+# ---- criteria ----
 
 
 def takeover_result(takeover_s: float) -> TakeoverResult:
-    """A play in which everything but the takeover went as it should."""
+    """Return the result of a trial in which everything but the takeover time meets its criterion.
+
+    :param takeover_s: time to the first takeover; -1 if there was none.
+    """
     return TakeoverResult(
         tokens=10,
         executed_twice=0,
@@ -227,40 +227,46 @@
         ((1.2,), "1.20 s", False),
     ],
 )
-def test_a_takeover_that_never_came_counts_against_its_criterion(
+def test_trials_without_a_takeover_count_against_the_criterion(
     takeovers_s: tuple[float, ...], measured: str, holds: bool
 ) -> None:
-    """Plays without a takeover were left out of the median, and a case without any takeover had no such criterion:
-    a fleet that never takes over passed."""
+    """A fleet that never took over passed: trials without a takeover were excluded from the median, and the criterion
+    was omitted if no trial had one.
+    """
     result = Result()
     judge_fleet(result, "one at 90%", [takeover_result(each) for each in takeovers_s], None)
-    verdicts = {each.name: (each.measured, each.holds) for each in result.criteria}
-    assert verdicts["one at 90%: time to the first takeover"] == (measured, holds)
+    criteria = {each.name: (each.measured, each.holds) for each in result.criteria}
+    assert criteria["one at 90%: time to the first takeover"] == (measured, holds)
     assert result.holds == holds
 
 
+# ---- the command line ----
+
+
 @pytest.mark.processes
-def test_lab_verbs_name_what_is_wrong_and_up_serves_and_leaves_in_order() -> None:
+def test_lab_commands_report_unknown_experiments_and_the_demo_serves_and_exits_cleanly() -> None:
     def moorusher(*args: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
             [sys.executable, "-m", "moorusher", *args], cwd=ROOT, capture_output=True, text=True, timeout=60
         )
 
     assert "shed" in moorusher("lab", "list").stdout
-    wrong = moorusher("lab", "run", "none")
+    unknown = moorusher("lab", "run", "none")
     known = "known are duties, forecast, namespaces, outage, shed, takeover, tier, warm-start"
-    assert wrong.returncode == 2 and known in wrong.stderr
-    up = moorusher("lab", "up", "--seconds", "4")
-    assert up.returncode == 0, up.stdout + up.stderr
-    assert sum(int(line.split()[1]) for line in up.stdout.splitlines() if line.startswith("served")) > 0
+    assert unknown.returncode == 2 and known in unknown.stderr
+    demo = moorusher("lab", "up", "--seconds", "4")
+    assert demo.returncode == 0, demo.stdout + demo.stderr
+    assert sum(int(line.split()[1]) for line in demo.stdout.splitlines() if line.startswith("served")) > 0
 
 
 @pytest.mark.processes
-def test_serving_imports_neither_the_laboratory_nor_the_command_line() -> None:
-    code = (
+def test_the_server_imports_neither_the_laboratory_nor_the_command_line() -> None:
+    script = (
         "import sys, moorusher.server.main, moorusher.server.server; "
         "print([m for m in sys.modules if m.startswith(('click', 'moorusher.lab', 'moorusher.cli', 'numpy', "
         "'twisted.web', 'moorusher.frontends.health'))])"
     )
-    got = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert got.stdout.strip() == "[]"
+    finished = subprocess.run(
+        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert finished.stdout.strip() == "[]"
