--- a/moorusher/lab/health_report_experiment.py
+++ b/moorusher/lab/health_report_experiment.py
@@ -109,7 +109,7 @@
     try:
         await _start_arms(reactor, all_arms)
         runners = sum(len(arm.runners) for arm in all_arms)
-        log(f"{mode.value}, seed {seed}: {runners} runners up; load of {LOAD:.0%} for {seconds:.0f} s")
+        log(f"{mode.value}, seed {seed}: {runners} runners up; {seconds:.0f} s of load at {LOAD:.0%}")
         for arm in all_arms:
             arm.start_load()
         flood = Deferred.fromCoroutine(_flood(reactor, flooded.runners[0]))
