--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -182,7 +182,7 @@
         """Start the load and boot the cold kernels."""
         self.load.start()
         for runner in self.runners:
-            runner.kernel.come_up()
+            runner.kernel.finish_boot()
 
     def _pick(self, arrival: Arrival) -> Route | None:
         """Return the route of an arrival; the balancers alternate."""
@@ -197,7 +197,7 @@
     def _collapse(self, runner: Runner) -> None:
         self.collapses.append(Collapse(self.load.now_s, runner.name))
         runner.kernel.cut()
-        runner.kernel.deafen()
+        runner.kernel.stop_listening()
         runner.signal("KILL")
 
     def record_runs(self) -> None:
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -44,8 +44,8 @@
         """Buffer the bytes and forward them after the relay's delay."""
         if len(self.buffer) < MAX_BUFFERED_BYTES:
             self.buffer += data
-        if self.relay.delay:
-            self.relay.reactor.callLater(self.relay.delay, self.flush)
+        if self.relay.delay_s:
+            self.relay.reactor.callLater(self.relay.delay_s, self.flush)
         else:
             self.flush()
 
@@ -56,9 +56,9 @@
             return
         data = bytes(self.buffer)
         self.buffer = bytearray()
-        self.relay.passed += len(data)
-        if self.relay.cut_after and self.relay.passed >= self.relay.cut_after:
-            self.relay.passed = 0
+        self.relay.bytes_since_cut += len(data)
+        if self.relay.cut_after_bytes and self.relay.bytes_since_cut >= self.relay.cut_after_bytes:
+            self.relay.bytes_since_cut = 0
             first_half = data[: len(data) // 2]  # ends in the middle of a frame
             self.other.transport.write(first_half)
             self.relay.cut()
@@ -107,9 +107,9 @@
         forward_stalled: Whether bytes towards the target are held back, with all connections kept open.
         backward_stalled: The same for bytes from the target.
         half_open: Whether one end stays open when the other is closed.
-        delay: Delay of forwarded bytes, in seconds.
-        cut_after: Number of bytes after which all connections are aborted in the middle of a frame; 0 for never.
-        passed: Bytes forwarded since the last such abort.
+        delay_s: Delay of forwarded bytes.
+        cut_after_bytes: Number of bytes after which all connections are aborted in the middle of a frame; 0 for never.
+        bytes_since_cut: Bytes forwarded since the last such abort.
     """
 
     noisy = False
@@ -121,9 +121,9 @@
         self.forward_stalled = False
         self.backward_stalled = False
         self.half_open = False
-        self.delay = 0.0
-        self.cut_after = 0
-        self.passed = 0
+        self.delay_s = 0.0
+        self.cut_after_bytes = 0
+        self.bytes_since_cut = 0
         self._listening_port: Any = reactor.listenTCP(free_port(), self, interface=HOST)
         self.port: int = self._listening_port.getHost().port
 
@@ -147,7 +147,7 @@
             end.flush()
 
     @property
-    def holding(self) -> int:
+    def buffered_bytes(self) -> int:
         """Number of bytes that are buffered in all connections."""
         return sum(len(end.buffer) for end in self.ends)
 
--- a/moorusher/lab/stand_ins/base.py
+++ b/moorusher/lab/stand_ins/base.py
@@ -34,7 +34,7 @@
         self._listening_port = self.reactor.listenTCP(port or free_port(), self, interface=HOST)
         self.port = self._listening_port.getHost().port
 
-    def deafen(self) -> None:
+    def stop_listening(self) -> None:
         """Accept no new connections; open ones remain."""
         if self._listening_port is not None:
             self._listening_port.stopListening()
@@ -42,7 +42,7 @@
 
     def close(self) -> None:
         """Stop listening and abort all connections."""
-        self.deafen()
+        self.stop_listening()
         for connection in list(self.open):
             connection.transport.abortConnection()
 
--- a/moorusher/lab/stand_ins/kernel.py
+++ b/moorusher/lab/stand_ins/kernel.py
@@ -121,7 +121,7 @@
         opened: Last notice that the runner had received, for each link it opened.
         call_replies: Reply to the last call of each run, by request.
         skipped_calls: Numbers of the notices whose calls were skipped.
-        refuse: Kinds of messages that are answered with EINVAL.
+        rejected_kinds: Kinds of messages that are answered with EINVAL.
         max_running: Highest number of concurrent runs, without waiting ones.
         link: Current connection of the runner, None if there is none.
     """
@@ -158,7 +158,7 @@
         self.opened: list[int] = []
         self.call_replies: dict[str, bytes] = {}
         self.skipped_calls: list[int] = []
-        self.refuse: set[str] = set()
+        self.rejected_kinds: set[str] = set()
         self.max_running = 0
         self.link: KernelConnection | None = None
         self._notices: list[dict[str, Any]] = []
@@ -184,7 +184,7 @@
 
     def move(self) -> None:
         """Listen on a new port instead of the old one; the old link remains until a new one replaces it."""
-        self.deafen()
+        self.stop_listening()
         self.listen()
 
     def slow(self, factor: float) -> None:
@@ -193,7 +193,7 @@
         self.cores.factor = factor
         self._poll()
 
-    def come_up(self) -> None:
+    def finish_boot(self) -> None:
         """Finish the boot now, regardless of `boot_delay_s`. A cold kernel starts to warm up."""
         self.cores.started_at = now_us()
         self.up_at = self.cores.started_at
@@ -222,7 +222,7 @@
         run = self._run_of.get(request_id)
         if kind == "OPEN":
             self._open(link, message["no"])
-        elif kind in self.refuse:
+        elif kind in self.rejected_kinds:
             link.send_message({"t": "EINVAL", "status": kind, "rid": request_id})
         elif kind == "SYSINFO":
             link.send_message(
@@ -245,7 +245,7 @@
     def _open(self, link: KernelConnection, last_notice: int) -> None:
         boot_us = self.up_at - now_us()
         if boot_us > 0:
-            timer = self.reactor.callLater(boot_us / 1e6, self.come_up)
+            timer = self.reactor.callLater(boot_us / 1e6, self.finish_boot)
             self._pending_open = _PendingOpen(link, last_notice, timer)
         else:
             self._link_opened(link, last_notice)
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -47,7 +47,7 @@
     def message_received(self, link: Any, m: dict[str, Any]) -> None:
         kind, rid = m["t"], m.get("rid", "")
         body = base64.b64decode(m.get("b64") or "")
-        if kind == "SCHED" and not self.has_run(rid) and kind not in self.refuse:
+        if kind == "SCHED" and not self.has_run(rid) and kind not in self.rejected_kinds:
             self._history.append(Ran(time.monotonic(), rid, body))
         if kind == "IODONE" and self.is_waiting(rid):
             self._history.append(Given(time.monotonic(), rid, b"re:" + self._wanted[rid], body))
@@ -268,8 +268,8 @@
 
     def _relay(self, to: int, life_s: float, cut_after: int) -> Relay:
         relay = Relay(reactor(), to)
-        relay.delay, relay.cut_after = self.faults.delay_s, cut_after
-        relay.passed = self.draw.randrange(cut_after) if cut_after else 0
+        relay.delay_s, relay.cut_after_bytes = self.faults.delay_s, cut_after
+        relay.bytes_since_cut = self.draw.randrange(cut_after) if cut_after else 0
         self.relays.append(relay)
         if life_s:
             self._cut_now_and_then(relay, life_s)
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -210,7 +210,7 @@
         f.relays[leader].silence()
         taken = len(f.receiver.accepted)
         await f.import_history(others[0], "other")  # a new forecast, whose hint is held on the way
-        await wait_until(lambda: f.relays[leader].holding > 0)
+        await wait_until(lambda: f.relays[leader].buffered_bytes > 0)
         assert len(f.receiver.accepted) == taken
         f.fleet.pause(leader)
         await wait_until(lambda: len(f.receiver.accepted) > taken)
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -178,7 +178,7 @@
     async with watch_duty() as duty:
         first_leader = duty.leader
         duty.relays[first_leader].silence()  # delays all further requests of the leader
-        await wait_until(lambda: duty.relays[first_leader].holding > 0)
+        await wait_until(lambda: duty.relays[first_leader].buffered_bytes > 0)
         duty.fleet.pause(first_leader)
         await duty.next_leader(first_leader)
         await duty.wait_for_reports()
@@ -220,7 +220,7 @@
     async with watch_duty() as duty:
         first_leader = duty.leader
         duty.relays[first_leader].silence()
-        await wait_until(lambda: duty.relays[first_leader].holding > 0)
+        await wait_until(lambda: duty.relays[first_leader].buffered_bytes > 0)
         leaving = duty.fleet.runners[first_leader]
         leaving.process.send_signal(signal.SIGTERM)
         # The release has started, and the report is still unanswered.
--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -29,7 +29,7 @@
 def delay_messages(f: Fleet, delay_s: float) -> None:
     """Delay each message between runners, so that a fault can be injected between two steps."""
     for relay in f.relays.values():
-        relay.delay = delay_s
+        relay.delay_s = delay_s
 
 
 async def submit_requests(f: Fleet, count: int) -> tuple[set[str], set[str]]:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -258,7 +258,7 @@
         inputs = json.loads(body_of(await exchange(runner.admin, b"GET /standing HTTP/1.0\r\n\r\n")))
         assert inputs["crowd"]["survives_per_core"] == 5 and inputs["maintenance"] is None
         port = kernel.port  # the kernel disconnects and reconnects
-        kernel.deafen()
+        kernel.stop_listening()
         kernel.cut()
         await wait_for_agent_line(b"ready fail #failed: kernel link")
         kernel.listen(port)
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -281,7 +281,7 @@
         await wait_until(lambda: "has its keys, and waits for the kernel" in r.text())
         r.processes[1].send_signal(signal.SIGTERM)
         await wait_until(lambda: r.processes[1].poll() is not None)
-        both.kernels[1].come_up()
+        both.kernels[1].finish_boot()
         assert r.processes[1].returncode == 0 and "and the other one serves" not in r.text()
         assert await r.asked("health", first) == 200
         assert "result" in await (await FrontEnd.connect(r.port)).ask("submit", token=new_key())
@@ -294,7 +294,7 @@
         await both.begin(late=3600)
         await wait_until(lambda: "has its keys, and waits for the kernel" in r.text())
         r.processes[1].send_signal(signal.SIGSTOP)  # the kernel's word and the signal wait for it together
-        both.kernels[1].come_up()
+        both.kernels[1].finish_boot()
         r.processes[1].send_signal(signal.SIGTERM)
         r.processes[1].send_signal(signal.SIGCONT)
         await wait_until(lambda: r.processes[1].poll() is not None)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -120,7 +120,7 @@
         await until(listens)
         client = await FrontEnd.connect(runner.port)
         assert (await client.ask("heartbeat"))["result"]["fit"] is False
-        kernel.come_up()
+        kernel.finish_boot()
         await runner.ready()
         assert (await client.ask("heartbeat"))["result"]["fit"] is True
         assert "result" in await client.ask("check")
@@ -129,7 +129,7 @@
 @asynchronous_test
 async def test_a_command_that_the_kernel_rejects_fails_its_request() -> None:
     async with running(kernel := Kernel()) as runner:
-        kernel.refuse = {"SCHED"}
+        kernel.rejected_kinds = {"SCHED"}
         client = await FrontEnd.connect(runner.port)
         assert (await client.ask("check"))["error"]["code"] == -32000
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -450,7 +450,7 @@
     # The claim timeout is long because such links are slow on a busy machine.
     async with fleet(work=0.02, claim_ms=3_000) as cluster:
         for relay in cluster.relays.values():
-            relay.cut_after, relay.delay = 20_000, 0.005
+            relay.cut_after_bytes, relay.delay_s = 20_000, 0.005
         tokens = [token() for _ in range(60)]
         for at in range(0, 60, 12):
             await retry_requests(cluster, at // 12 % 4, tokens[at : at + 12])
