--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -31,7 +31,7 @@
         cold_speed: Share of the full speed right after a cold start.
         warm_up_us: Time from a cold start to full speed.
         collapse_runs_per_core: Mean runs per core above which the machine collapses.
-        window_us: Window of that mean.
+        window_us: Window over which the mean is taken.
     """
 
     cores: int = 2
--- a/moorusher/lab/demo_fleet.py
+++ b/moorusher/lab/demo_fleet.py
@@ -132,8 +132,8 @@
             health_toml="probe_ms = 500.0",
             extra_toml=fleet + backends,
         )
-        runner.ended = lambda code: self._runner_exited(name)
-        runner.comes_back = True
+        runner.on_exit = lambda code: self._runner_exited(name)
+        runner.keeps_files = True
         return runner
 
     def _log_addresses(self) -> None:
--- a/moorusher/lab/demo_runner.py
+++ b/moorusher/lab/demo_runner.py
@@ -63,7 +63,7 @@
         settings = runner_settings(CLASSES, TENANTS, CORES)
         settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
         self._runner = Runner(reactor, self._kernel, settings, self._database.port, "probe_ms = 1000.0")
-        self._runner.ended = self._runner_exited
+        self._runner.on_exit = self._runner_exited
         self._server = Server("n1")
         self._client = RunnerClient(reactor, self._runner.port, 1)
         self._picker = ServerPicker([self._server])
--- a/moorusher/lab/health_report_criteria.py
+++ b/moorusher/lab/health_report_criteria.py
@@ -19,7 +19,7 @@
 from .probe_flood import FLOOD_S, PROBES_PER_S, FloodResult
 
 REACTION_S = 0.5
-"""Time in which a balancer's traffic follows a report that it has read."""
+"""Time that a balancer may take to shift its traffic after it has read a report."""
 NEVER_S = float("inf")
 
 
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -92,7 +92,7 @@
                 extra_toml=self._fleet_toml(index),
                 health_toml=HEALTH_TOML,
             )
-            runner.comes_back = True
+            runner.keeps_files = True
             runners.append(runner)
         return runners
 
@@ -169,10 +169,10 @@
 
     async def _stop_runner(self, index: int) -> None:
         runner = self.runners[index]
-        if runner.exit is not None:
+        if runner.exit_code is not None:
             return
         ended = Deferred[int]()
-        runner.ended = lambda code: ended.callback(code) if not ended.called else None
+        runner.on_exit = lambda code: ended.callback(code) if not ended.called else None
         runner.signal("TERM")
         kill_timer = self.reactor.callLater(STOP_TIMEOUT_S, runner.signal, "KILL")
         await ended
@@ -197,7 +197,7 @@
         index = next(
             index
             for index in reversed(range(RUNNERS))
-            if index not in self.down and self.runners[index].exit is None
+            if index not in self.down and self.runners[index].exit_code is None
         )
         self.runners[index].signal("KILL")
         self.kernels[index].close()
@@ -213,7 +213,7 @@
     def close(self) -> None:
         """Kill all runners, close kernels and relays, remove their files."""
         for runner in self.runners:
-            runner.comes_back = False
+            runner.keeps_files = False
             runner.signal(signal.SIGCONT)
             runner.signal("KILL")
         closed: list[Any] = [*self.kernels, *self._relays.values()]
--- a/moorusher/lab/ports.py
+++ b/moorusher/lab/ports.py
@@ -19,8 +19,8 @@
 """Distance between the first ports of two processes with consecutive ids."""
 
 _ports = itertools.cycle(range(FIRST_PORT, FIRST_PORT + PORT_COUNT))
+# Ports that this process skips at the start of the range. Empty before the first allocation.
 _skipped: list[int] = []
-"""Ports that this process skips at the start of the range, empty before the first allocation."""
 _reservations: deque[socket.socket] = deque()
 
 
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -100,9 +100,9 @@
 
     Attributes:
         port: Port for requests; `agent`, `health` and `admin` are the ports of the other listeners.
-        exit: Exit code, None while the process runs.
-        ended: Called with the exit code when the process has exited.
-        comes_back: Whether the files are kept for a restart.
+        exit_code: Exit code, None while the process runs.
+        on_exit: Called with the exit code when the process has exited.
+        keeps_files: Whether the files are kept for a restart.
     """
 
     def __init__(
@@ -122,9 +122,9 @@
         self.agent = free_port()
         self.health = free_port()
         self.admin = free_port()
-        self.exit: int | None = None
-        self.ended: Callable[[int], None] = lambda code: None
-        self.comes_back = False
+        self.exit_code: int | None = None
+        self.on_exit: Callable[[int], None] = lambda code: None
+        self.keeps_files = False
         self._reactor = reactor
         self._temporary = tempfile.TemporaryDirectory(prefix="moorusher-lab-")
         self._folder = Path(self._temporary.name)
@@ -155,7 +155,7 @@
 
     def start_process(self) -> None:
         """Start a process; a restarted one listens on the same addresses."""
-        self.exit = None
+        self.exit_code = None
         self._log = (self._folder / "log").open("ab")
         listeners = str(self._folder / "fronts.toml")
         log = self._log.fileno()
@@ -171,17 +171,19 @@
     def processEnded(self, reason: Any) -> None:
         """Store the exit code, log the end of a failed process' log, and remove the files."""
         code = reason.value.exitCode
-        self.exit = code if code is not None else -1
+        self.exit_code = code if code is not None else -1
         self._log.close()
-        failed_by_itself = reason.value.signal is None and self.exit != 0
-        if failed_by_itself and not self.comes_back:
+        failed_by_itself = reason.value.signal is None and self.exit_code != 0
+        if failed_by_itself and not self.keeps_files:
             tail = (self._folder / "log").read_text()[-_LOG_TAIL_CHARS:]
-            logging.error("runner exited with an error: name=%s code=%s log:\n%s", self.name, self.exit, tail)
-        if not self.comes_back:
+            logging.error(
+                "runner exited with an error: name=%s code=%s log:\n%s", self.name, self.exit_code, tail
+            )
+        if not self.keeps_files:
             self._temporary.cleanup()
-        self.ended(self.exit)
+        self.on_exit(self.exit_code)
 
     def signal(self, name: str | int) -> None:
         """Send a signal, by name or number, unless the process has exited."""
-        if self.exit is None:
+        if self.exit_code is None:
             self.process.signalProcess(name)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -53,7 +53,7 @@
     assert completions(cores, 10**9) == [(250, "a"), (250, "b"), (250, "c"), (250, "d"), (350, "long")]
 
 
-def test_overloaded_and_cold_cores_are_slower_and_paused_cores_stand_still() -> None:
+def test_overloaded_and_cold_cores_are_slower_and_paused_cores_do_no_work() -> None:
     overloaded = Cores(MachineSpec(cores=1, degradation_threshold=2, degradation_per_run=0.5), 0)
     for name in "abcd":
         overloaded.start(0, name, 10 * MS)
