--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -218,7 +218,7 @@
         await forecasting.import_history(
             others[0], "other"
         )  # Causes a new forecast, whose hint the relay holds back.
-        await wait_until(lambda: forecasting.relays[leader].holding > 0)
+        await wait_until(lambda: forecasting.relays[leader].buffered_bytes > 0)
         assert len(forecasting.receiver.accepted) == accepted
         forecasting.fleet.pause(leader)
         await wait_until(lambda: len(forecasting.receiver.accepted) > accepted)
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -288,7 +288,7 @@
         await wait_until(lambda: "has its keys, and waits for the kernel" in runner.text())
         runner.processes[1].send_signal(signal.SIGTERM)
         await wait_until(lambda: runner.processes[1].poll() is not None)
-        replaceable.kernels[1].come_up()
+        replaceable.kernels[1].finish_boot()
         assert runner.processes[1].returncode == 0 and "and the other one serves" not in runner.text()
         assert await runner.asked("health", first) == 200
         assert "result" in await (await FrontEnd.connect(runner.port)).ask("submit", token=new_key())
@@ -301,7 +301,7 @@
         await replaceable.start_process(boot_delay_s=3600)
         await wait_until(lambda: "has its keys, and waits for the kernel" in runner.text())
         runner.processes[1].send_signal(signal.SIGSTOP)  # it gets the kernel's message and the signal at once
-        replaceable.kernels[1].come_up()
+        replaceable.kernels[1].finish_boot()
         runner.processes[1].send_signal(signal.SIGTERM)
         runner.processes[1].send_signal(signal.SIGCONT)
         await wait_until(lambda: runner.processes[1].poll() is not None)
