--- a/moorusher/model_checking/__init__.py
+++ b/moorusher/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Model checking: every interleaving of small cases, and seeds in virtual time. For tests and the laboratory alone."""
+"""Model checking of small cases and seeded simulations in virtual time. Used only by tests and the laboratory."""
--- a/moorusher/model_checking/cluster_history.py
+++ b/moorusher/model_checking/cluster_history.py
@@ -1,4 +1,4 @@
-"""The history of a simulated cluster, as no member of it sees it: what the invariants are checked on."""
+"""The global history of a simulated cluster, which the invariants are checked against."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class AnswerKind(Enum):
-    """How a client was answered."""
+    """The kinds of answers to a client."""
 
-    RAN = "ran"
-    SHARED = "shared"  # with the result of another process's run
-    REJECTED = "rejected"  # with the promise that it never runs
-    FAILED = "failed"  # without that promise
+    RAN = "ran"  # The result of a run in the answering process.
+    SHARED = "shared"  # The result of a run in another process.
+    REJECTED = "rejected"  # An error that guarantees that the request never runs.
+    FAILED = "failed"  # An error without that guarantee.
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +23,10 @@
     """One run of a key.
 
     Attributes:
-        key: `KeyDigest`.
-        process: number of the process that ran it.
-        started_at: us.
-        received_at: us, when the request that it is the run of was received.
+        key: Key of the work.
+        process: Number of the process that ran it.
+        started_at: Start of the run in us.
+        received_at: Time in us at which the request was received.
     """
 
     key: KeyDigest
@@ -37,7 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a client was answered, by the process of that number, and when, in us."""
+    """An answer to a client.
+
+    Attributes:
+        key: Key of the request.
+        process: Number of the process that answered.
+        at: Time in us.
+        result: Result of the run, or None if there is none.
+        kind: Kind of the answer.
+    """
 
     key: KeyDigest
     process: int
@@ -48,7 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request for a key at the process of that number, and when, in us."""
+    """A client's request.
+
+    Attributes:
+        key: Key of the request.
+        process: Number of the process that received it.
+        at: Time in us.
+    """
 
     key: KeyDigest
     process: int
@@ -57,15 +71,17 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything that a simulation is checked by.
+    """The events of a simulation that its invariants are checked against.
 
     Attributes:
-        runs, answers, requests: in the order in which they came.
-        granted: by key, the number of the process that holds its claim.
-        results: by key, the results of its runs.
-        crashed_at: by number of a process, when it crashed, in us.
-        counts: the counters of all members, added up.
-        messages: `int`, how many were sent.
+        runs: All runs in order of time.
+        answers: All answers in order of time.
+        requests: All requests in order of time.
+        granted: Maps a key to the number of the process whose claim was granted last.
+        results: Maps a key to the results of its runs.
+        crashed_at: Maps the number of a process to the time of its crash in us.
+        counts: Sums of the counters of all members.
+        messages: Number of messages sent.
     """
 
     runs: list[Run] = field(default_factory=list)
--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -1,6 +1,6 @@
 """The invariants of keyed work, checked on the whole history of a simulated cluster.
 
-Each function returns what is violated, in words, or None.
+Each public function returns a description of a violation, or None.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     from .cluster_process import Process
     from .cluster_simulation import ClusterSimulation
 
-MAJORITY = 2  # of the three replicas of a key
+MAJORITY = 2  # Majority of the three replicas of a key.
 
 
 def find_violation(sim: ClusterSimulation) -> str | None:
-    """Check all invariants at the end of a simulation."""
+    """Check all invariants at the end of a simulation, and return the first violation."""
     history = sim.history
     return (
         repeated_run(history, window_us=round(sim.scenario.window_s * SECOND))
@@ -34,7 +34,7 @@
 
 
 def repeated_run(history: History, window_us: int) -> str | None:
-    """No key runs twice within its window, counted from when the first request was received."""
+    """Check that no key runs twice within its window, which begins when its first request is received."""
     runs_by_key: dict[KeyDigest, list[Run]] = {}
     for run in history.runs:
         runs_by_key.setdefault(run.key, []).append(run)
@@ -46,24 +46,25 @@
 
 
 def unknown_result(history: History) -> str | None:
-    """No client is answered with a result that no run had."""
+    """Check that every result that a client received is the result of a run of its key."""
     for answer in history.answers:
         if answer.result is not None and answer.result not in history.results[answer.key]:
-            where = f"at process {answer.process}"
-            return f"{answer.key!r} was answered {where} with what no run gave ({answer.kind.value})"
+            responder = f"process {answer.process}"
+            return f"{responder} answered {answer.key!r} with the result of no run ({answer.kind.value})"
     return None
 
 
 def conflicting_results(history: History) -> str | None:
-    """No key has two results."""
+    """Check that no key has more than one result."""
     has_conflict = any(len(results) > 1 for results in history.results.values())
-    return "two results of one key" if has_conflict else None
+    return "a key has more than one result" if has_conflict else None
 
 
 def run_after_rejection(history: History, now_us: int) -> str | None:
-    """No key runs that all its clients were told never runs.
+    """Check that no key runs after all requests for it were rejected.
 
-    Only the word of processes that had not crashed counts, and only while nobody asks again.
+    A rejection counts only if its process is alive at the start of the run, and only for the requests that the process
+    received before the rejection.
     """
     requests: defaultdict[KeyDigest, list[Request]] = defaultdict(list)
     for request in history.requests:
@@ -76,12 +77,12 @@
             for request in earlier
         ):
             ran = f"{run.key!r} ran at process {run.process} at {run.started_at}"
-            return f"{ran}, though all were told that it never ran"
+            return f"{ran} although all requests for it had been rejected"
     return None
 
 
 def _was_rejected(history: History, run: Run, request: Request) -> bool:
-    """That process rejected the key after it was asked for, and before it ran."""
+    """Return whether the request's process rejected the key between the request and the run."""
     return any(
         answer.key == run.key
         and answer.process == request.process
@@ -92,7 +93,7 @@
 
 
 def abandoned_work(sim: ClusterSimulation) -> str | None:
-    """Work that a majority of its live replicas knows is run, finished or released in the end."""
+    """Check that work that a majority of its replicas knows was run or is still in progress at the end."""
     ran = {run.key for run in sim.history.runs}
     for key in sim.history.granted:
         replicas = _replicas_with_open_work(sim, key)
@@ -100,7 +101,7 @@
             continue
         work = [process.node.acceptor.registers[key].value for process in replicas]
         if all(record.state in (WorkState.HELD, WorkState.RELEASED) for record in work):
-            return f"{key!r} is known to {len(replicas)} keepers, and nobody goes on with it: {work}"
+            return f"{key!r} is known to {len(replicas)} replicas, but no process continues it: {work}"
     return None
 
 
@@ -111,7 +112,7 @@
 
 
 def _replicas_with_open_work(sim: ClusterSimulation, key: KeyDigest) -> list[Process]:
-    """The live replicas of a key that have a vote on it, and know of work that somebody has to go on with."""
+    """Return the live replicas of a key that may vote on it and store work that a process must continue."""
     live = {process.node.me: process for process in sim.processes if process.alive}
     withdrawing = _withdrawing_owners(sim, key)
     return [
@@ -136,10 +137,10 @@
 
 
 def _withdrawing_owners(sim: ClusterSimulation, key: KeyDigest) -> set[Owner]:
-    """Its owners that have given their clients up, and are withdrawing their claims."""
-    given_up = {
+    """Return the owners that answered a client of this key with an error, and therefore withdraw their claims."""
+    failed_processes = {
         answer.process
         for answer in sim.history.answers
         if answer.key == key and answer.kind in (AnswerKind.REJECTED, AnswerKind.FAILED)
     }
-    return {process.node.owner for process in sim.processes if process.number in given_up}
+    return {process.node.owner for process in sim.processes if process.number in failed_processes}
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -1,4 +1,4 @@
-"""One process of a simulated cluster: the real node, and the host that carries out what it decides."""
+"""One process of a simulated cluster: the real replication node with a simulated host."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStart:
-    """How a process is started.
+    """The parameters of the start of a process.
 
     Attributes:
-        seat: `int`, the member that it is a process of.
-        number: `int`, the number of this process among all that were ever started.
-        incarnation: `int`.
-        recovered: `bool`, its acceptors may vote at once.
+        seat: Number of the member.
+        number: Number of the process, unique in the simulation.
+        incarnation: Incarnation of the node.
+        recovered: Whether its acceptors may vote at once.
     """
 
     seat: int
@@ -39,19 +39,19 @@
 
 
 class Process:
-    """One process of a member, a `replication.interfaces.NodeHost`.
+    """One process of a member. Implements `replication.interfaces.NodeHost`.
 
     Attributes:
-        engine_class: the real one, or one with a seeded mistake.
-        sim: `ClusterSimulation`.
-        seat: `int`, the member that it is a process of.
-        number: `int`, its number among all processes.
-        alive: `bool`, it has not crashed.
-        draining: `bool`, it takes nothing new.
-        stopped_until: `int`, us; until then it is paused.
-        node: the real node.
-        engine: the queue and the kernel.
-        journal_writer: writes what the node's acceptor must not forget.
+        engine_class: Class of the engine; tests replace it by one with a seeded mistake.
+        sim: Simulation that the process belongs to.
+        seat: Number of the member.
+        number: Number of the process, unique in the simulation.
+        alive: Whether the process has not crashed.
+        draining: Whether the process accepts no new work.
+        stopped_until: End of the current or last pause in us.
+        node: The real replication node.
+        engine: Simulated queue and kernel.
+        journal_writer: Writer of the journal of the node's acceptor.
     """
 
     engine_class: ClassVar[type[SimulatedRequestEngine]] = SimulatedRequestEngine
@@ -88,20 +88,20 @@
     # ---- `replication.interfaces.NodeHost` ----
 
     def send(self, seat: str, message: Any) -> None:
-        """To whichever process has the seat."""
+        """Send a message to the current process of a seat."""
         self.sim.network.send(self, int(seat[1:]), message)
 
     def reply(self, seat: str, message: Any) -> None:
-        """To the process whose message is being handled."""
+        """Send a message to the process whose message is being handled."""
         self.sim.network.send(self, int(seat[1:]), message, self.sim.network.sender)
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """`reply`, for later."""
+        """Return a function that replies later to the process whose message is being handled now."""
         recipient = self.sim.network.sender
         return lambda message: self.sim.network.send(self, int(seat[1:]), message, recipient)
 
     def durable(self, then: Callable[[], None], space: int) -> None:
-        """Call `then` once all that has changed so far is on the disk; at once where there is none."""
+        """Call `then` when all changes so far are on the disk; at once if the scenario has no journals."""
         if self.sim.scenario.journals:
             self.journal_writer.durable(then)
         else:
@@ -112,7 +112,7 @@
         return self.sim.now
 
     def wake(self, when: int) -> None:
-        """Call the node's `run_due` at that time, in us."""
+        """Call the node's `run_due` at a time in us, unless an earlier call is scheduled."""
         if self._wake_at is None or when < self._wake_at:
             self._wake_at = when
             self.sim.at(when, self, self._run_due)
@@ -123,34 +123,37 @@
             self.node.run_due()
 
     def count(self, name: str) -> None:
-        """One more in the counter of that name."""
+        """Increment a counter."""
         self.sim.history.counts[name] += 1
 
     def notify(self, event: WorkEvent) -> None:
-        """Something is settled about a key."""
+        """Called when the node has decided something about a key."""
         self.engine.on_event(event)
 
     def accept_takeover(
         self, key: KeyDigest, body_digest: int, request: WorkRequest, expires_at: int
     ) -> bool:
-        """Queue another runner's work; False where this process can't."""
+        """Queue work that the node has taken over.
+
+        :returns: Whether this process can run it.
+        """
         if not self.fit():
             return False
         self.engine.accept_takeover(key, request)
         return True
 
     def work_in_hand(self, key: KeyDigest) -> WorkInHand:
-        """Return what this process knows of a key."""
+        """Return the state of a key in this process."""
         return self.engine.in_hand(key)
 
     def fit(self) -> bool:
-        """Return whether it can take work over."""
+        """Return whether this process can take work over."""
         return self.engine.kernel_is_up and not self.draining
 
-    # ---- by itself ----
+    # ---- periodic check ----
 
     def check_self(self) -> None:
-        """Publish the status to the other members; hand queued work over where it can't be run here."""
+        """Publish the status to the other members, and hand queued work over if it can't be run here."""
         self.node.publish_status(cores=CORES)
         if not self.fit():
             self.node.hand_over_held()
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -1,9 +1,9 @@
-"""A cluster in virtual time: the real pure parts on a simulated network and simulated disks, with injected faults.
+"""A cluster in virtual time: real nodes on a simulated network and simulated disks, with injected faults.
 
-One seed is one simulation; the invariants are checked on its whole history. The same class, options and seed give the
-same simulation: `ClusterSimulation(SEED).play()` replays a seed that was found with the default scenario,
-`ClusterSimulation(SEED, SCENARIO).play()` one that was found with another, and `Counterexample.replay` whatever
-`find_counterexample` has returned.
+The invariants are checked on the whole history of a simulation. The same class, options and seed always give the same
+simulation: `ClusterSimulation(SEED).play()` replays a seed of the default scenario,
+`ClusterSimulation(SEED, SCENARIO).play()` a seed of another scenario, and `Counterexample.replay` the result of
+`find_counterexample`.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from .virtual_time import VirtualTime
 
 WINDOW_MARGIN_US = 500 * MS
-FAULTS_END_S = 5  # after the last request, until all partitions and pauses are over
-RECOVERY_S = 8  # without faults, until the invariants are checked
+FAULTS_END_S = 5  # From the end of the requests until all partitions and pauses are ended.
+RECOVERY_S = 8  # Time without faults before the invariants are checked.
 MAX_QUICK_REPEAT_S = 0.01
 MAX_REPEAT_S = 3
 
@@ -40,21 +40,21 @@
 class ClusterSimulation(VirtualTime):
     """One simulation: members, network, disks and faults in virtual time, all drawn from one seed.
 
-    By itself it checks keyed requests, which every simulated process accepts. `DutySimulation` and
-    `MaintenanceSimulation` build on it for leases and for planned maintenance; their scenarios have no keyed requests.
+    This class checks keyed requests, which every simulated process accepts. `DutySimulation` and
+    `MaintenanceSimulation` extend it to leases and to planned maintenance; their scenarios have no keyed requests.
 
     Attributes:
-        fault_injector_class: who injects the faults.
-        seed: `int`.
-        scenario: `Scenario`.
-        random: the one source of randomness; the order of draws is part of what a seed means.
-        placement: `Placement`, the replicas of each key.
-        longest_window_us: `int`, retention time of a key, with a margin.
-        history: `History`.
-        network: `SimulatedNetwork`.
-        journals: by seat, what is on its disk.
-        processes: by seat, its last process.
-        faults: who injects them.
+        fault_injector_class: Class of `faults`.
+        seed: Seed of all random draws.
+        scenario: Parameters of the simulation.
+        random: The only source of randomness. The order of draws determines what a seed does.
+        placement: Replicas of each key.
+        longest_window_us: Retention time of a key plus a margin.
+        history: Events that the invariants are checked against.
+        network: Simulated network.
+        journals: Content of the disk of each seat.
+        processes: Last process of each seat.
+        faults: Injector of the faults.
     """
 
     fault_injector_class: ClassVar[type[FaultInjector]] = FaultInjector
@@ -69,9 +69,10 @@
     ) -> None:
         """Prepare a simulation.
 
-        :param node_class: the real node, or one with a seeded mistake.
-        :param process_class: the host of the nodes.
-        :param amnesia: False is a seeded mistake: an acceptor that has lost its memory votes as one that has not.
+        :param node_class: Class of the nodes; tests replace it by one with a seeded mistake.
+        :param process_class: Class of the hosts of the nodes.
+        :param amnesia: Whether an acceptor that has lost its memory waits for recovery before it votes. False is a
+            seeded mistake.
         """
         super().__init__()
         self.seed = seed
@@ -101,8 +102,8 @@
     def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> Process:
         """Start a process of a member.
 
-        :param recovered: its acceptors may vote at once.
-        :param incarnation: None: by the clock.
+        :param recovered: Whether its acceptors may vote at once.
+        :param incarnation: Incarnation of the node. None derives it from the clock.
         """
         number = next(self._process_numbers)
         if incarnation is None:
@@ -117,13 +118,13 @@
         return process
 
     def crash(self, process: Process) -> None:
-        """The process ends at once, and all that it has not written is lost."""
+        """End a process at once. Its memory is lost, and its unfinished write may be on the disk in part."""
         process.alive = False
         self.history.crashed_at[process.number] = self.now
         process.journal_writer.crash(self.random)
 
     def restart_later(self, seat: int, when: int, incarnation: int | None = None) -> None:
-        """Start a further process of a member at that time, in us."""
+        """Start a new process of a member at a time in us."""
 
         def restart() -> None:
             self.processes[seat] = self.start_process(seat, not self._has_amnesia, incarnation)
@@ -154,12 +155,12 @@
 
         self.at(round(at_s * SECOND), None, send)
 
-    # ---- the whole ----
+    # ---- run and check ----
 
     def play(self) -> str | None:
-        """Run the simulation to its end, and check it.
+        """Run the simulation to its end, and check its invariants.
 
-        :returns: what is violated, in words; None where nothing is.
+        :returns: Description of a violation, or None.
         """
         self.run(round((self.scenario.seconds + FAULTS_END_S) * SECOND))
         self.end_faults()
@@ -173,7 +174,7 @@
             process.stopped_until = 0
 
     def violation(self) -> str | None:
-        """Return what is violated at the end, in words."""
+        """Return a description of a violation at the end, or None."""
         return find_violation(self)
 
 
@@ -182,9 +183,9 @@
     """A seed whose simulation violates an invariant.
 
     Attributes:
-        seed: `int`.
-        violation: the violated invariant, in words.
-        simulation: makes the simulation of a seed; the form of a `functools.partial` names its class and options.
+        seed: Seed of the simulation.
+        violation: Description of the violation.
+        simulation: Creates the simulation of a seed. The repr of a `functools.partial` names its class and options.
     """
 
     seed: int
@@ -192,9 +193,9 @@
     simulation: Callable[[int], ClusterSimulation]
 
     def replay(self) -> ClusterSimulation:
-        """Play the simulation again.
+        """Run the simulation again.
 
-        :returns: the simulation at its end, with its `history` and the log of its `faults`.
+        :returns: The finished simulation with its `history` and the log of its `faults`.
         """
         simulation = self.simulation(self.seed)
         simulation.play()
@@ -204,10 +205,10 @@
 def find_counterexample(
     seeds: Iterable[int], simulation: Callable[[int], ClusterSimulation]
 ) -> Counterexample | None:
-    """Play one simulation after the other.
+    """Run the simulations of these seeds until one violates an invariant.
 
-    :param simulation: makes the simulation of a seed.
-    :returns: the first seed whose simulation violates an invariant; None where there is none.
+    :param simulation: Creates the simulation of a seed.
+    :returns: The first counterexample, or None.
     """
     for seed in seeds:
         violation = simulation(seed).play()
--- a/moorusher/model_checking/explorer.py
+++ b/moorusher/model_checking/explorer.py
@@ -1,7 +1,7 @@
-"""Every interleaving: from each state all of its moves are made, each state once, until none is left.
+"""Explicit-state model checker: visits every state that can be reached from an initial state, each one once.
 
-A model gives states that can be copied, moves with names, and what is violated. The shortest path to a violation is
-found first, and can be replayed by its names.
+A model provides states that can be copied, named moves and an invariant. Breadth-first search finds a shortest path to
+a violation, which can be replayed from the names of its moves.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 
 
 class Transition(NamedTuple):
-    """The fingerprint of a state, and a move from there."""
+    """The fingerprint of a state, and a move from that state."""
 
     source: bytes
     move: str
 
 
-# By the fingerprint of each state that was visited, the transition that first led to it; None for the first state.
+# Maps the fingerprint of each visited state to the transition that first led to it; None for the initial state.
 Predecessors = dict[bytes, Transition | None]
 
 
 class Model(Protocol):
-    """One state of what is explored."""
+    """One state of the explored system."""
 
     def moves(self) -> Sequence[str]:
-        """Return the names of all moves from here."""
+        """Return the names of all moves that are possible in this state."""
 
     def apply(self, name: str) -> None:
-        """Make a move; this becomes the next state."""
+        """Make a move, which turns this object into the next state."""
 
     def copy(self) -> Model:
-        """Return a state that shares nothing that a move changes."""
+        """Return a copy that shares no data that a move changes."""
 
     def fingerprint(self) -> Hashable:
-        """The same for states that can't be told apart."""
+        """Return a value that is equal for equivalent states."""
 
     def violation(self) -> str | None:
-        """Return what is violated in this state, in words, or None."""
+        """Return a description of the invariant that this state violates, or None."""
 
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What was seen of a model.
+    """The result of an exploration.
 
     Attributes:
-        states: `int`, how many.
-        complete: `bool`, all states were seen.
-        violation: what is broken in the last one, or None.
-        path: the moves that lead there.
+        states: Number of visited states.
+        complete: Whether all reachable states were visited.
+        violation: Description of the violated invariant, or None.
+        path: Moves that lead from the initial state to the violation.
     """
 
     states: int
@@ -63,40 +63,46 @@
     def __str__(self) -> str:
         if self.violation is None:
             extent = "all" if self.complete else "not all"
-            return f"{self.states} states, {extent} seen, nothing broken"
+            return f"{self.states} states, {extent} visited, no violation"
         steps = [f"  {number}. {move}" for number, move in enumerate(self.path, start=1)]
-        return "\n".join([f"broken after {self.states} states: {self.violation}", *steps])
+        return "\n".join([f"violation after {self.states} states: {self.violation}", *steps])
 
 
 def fingerprint_of(state: Model) -> bytes:
-    """16 bytes for each state: millions fit into memory."""
+    """Return a hash of a state's fingerprint.
+
+    It has 16 bytes, so that millions of visited states fit into memory.
+    """
     return xxhash.xxh3_128_digest(repr(state.fingerprint()).encode())
 
 
-def explore(first: Model, max_states: int = 1_000_000, depth_first: bool = False) -> Exploration:
-    """Visit the states that can be reached from the first one.
+def explore(initial: Model, max_states: int = 1_000_000, depth_first: bool = False) -> Exploration:
+    """Visit the states that can be reached from the initial state.
 
-    :param max_states: how many are visited at most.
-    :param depth_first: finds some path to a violation sooner; breadth first finds the shortest one.
+    :param max_states: Maximum number of visited states.
+    :param depth_first: Whether to search depth first, which finds a violation sooner. Breadth-first search finds a
+        shortest path.
     """
-    start = fingerprint_of(first)
-    predecessors: Predecessors = {start: None}
-    queue: deque[tuple[bytes, Model]] = deque([(start, first)])
+    initial_fingerprint = fingerprint_of(initial)
+    predecessors: Predecessors = {initial_fingerprint: None}
+    queue: deque[tuple[bytes, Model]] = deque([(initial_fingerprint, initial)])
     while queue:
-        here, state = queue.pop() if depth_first else queue.popleft()
+        state_fingerprint, state = queue.pop() if depth_first else queue.popleft()
         for move in state.moves():
-            following = state.copy()
-            following.apply(move)
-            there = fingerprint_of(following)
-            if there in predecessors:
+            successor = state.copy()
+            successor.apply(move)
+            successor_fingerprint = fingerprint_of(successor)
+            if successor_fingerprint in predecessors:
                 continue
-            predecessors[there] = Transition(here, move)
-            violation = following.violation()
+            predecessors[successor_fingerprint] = Transition(state_fingerprint, move)
+            violation = successor.violation()
             if violation is not None:
-                return Exploration(len(predecessors), False, violation, _path_to(there, predecessors))
+                return Exploration(
+                    len(predecessors), False, violation, _path_to(successor_fingerprint, predecessors)
+                )
             if len(predecessors) >= max_states:
                 return Exploration(len(predecessors), False)
-            queue.append((there, following))
+            queue.append((successor_fingerprint, successor))
     return Exploration(len(predecessors), True)
 
 
@@ -109,13 +115,13 @@
     return tuple(reversed(path))
 
 
-def replay(first: Model, path: Sequence[str]) -> str | None:
-    """Make these moves.
+def replay(initial: Model, path: Sequence[str]) -> str | None:
+    """Make the moves of a path, starting with a copy of the initial state.
 
-    :returns: what is violated after them, in words, or None.
-    :raises KeyError: one of them can't be made.
+    :returns: Description of the invariant that the last state violates, or None.
+    :raises KeyError: If a move is not possible in its state.
     """
-    state = first.copy()
+    state = initial.copy()
     for move in path:
         if move not in state.moves():
             raise KeyError(move)
--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault injection: the schedule of faults, drawn before a simulation runs, and what each fault does."""
+"""Fault injection: draws the schedule of faults before a simulation runs, and carries out each fault."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 QUICK_RESTART_US = 20 * MS
 MIN_POWER_FAILURE_S = 0.02
 MAX_POWER_FAILURE_S = 1
-CLOCK_STEP = 5  # by how much an incarnation is lower once the clock was set back
+CLOCK_STEP = 5  # Decrease of a process's incarnation after its clock was set back.
 
 
 class FaultInjector:
     """Injects the faults of a scenario.
 
     Attributes:
-        log: one line for each fault.
+        log: One line for each injected fault.
     """
 
     def __init__(self, sim: ClusterSimulation) -> None:
@@ -34,7 +34,7 @@
         self._sim = sim
 
     def plan(self) -> None:
-        """Draw all faults: kind, member, begin and duration."""
+        """Draw kind, member, start time and duration of each fault, and schedule it."""
         random = self._sim.random
         scenario = self._sim.scenario
         for _ in range(scenario.faults):
@@ -47,7 +47,10 @@
             self._sim.at(round(at_s * SECOND), None, partial(self.inject, kind, seat, duration_s))
 
     def inject(self, kind: FaultKind, seat: int, duration_s: float) -> None:
-        """Inject a fault at a member; none where it is down already."""
+        """Inject a fault at a member, unless its process is not alive.
+
+        :raises ValueError: If this kind of simulation does not support the fault.
+        """
         process = self._sim.processes[seat]
         if not process.alive:
             return
@@ -74,10 +77,10 @@
             case FaultKind.PARTITION | FaultKind.ONE_WAY_PARTITION:
                 self._cut_links(self._draw_links(kind, seat), end_us)
             case _:
-                raise ValueError(f"no cluster of this kind has the fault {kind}")
+                raise ValueError(f"this simulation does not support the fault {kind}")
 
     def _fail_power(self, duration_s: float) -> None:
-        """All processes crash at once; each is restarted at a time of its own."""
+        """Crash all processes at once, and restart each after a delay drawn for it."""
         for process in self._sim.processes:
             if process.alive:
                 self._sim.crash(process)
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -1,7 +1,7 @@
-"""Every interleaving of a leader P that may be stopped anywhere and the next leader Q, with their effects.
+"""A model of a leader P, which may pause at any time, and the next leader Q, with their effects.
 
-Three replicas; messages lost, late and doubled; one replica that begins anew with or without its memory. The acceptors,
-writers and changes are the real ones.
+It has three replicas. Messages may be lost, reordered and duplicated, and one replica may restart with or without its
+memory. Acceptors, proposers and changes are the real ones.
 """
 
 from __future__ import annotations
@@ -29,27 +29,27 @@
 FIRST_TERM = 1
 MAX_LOST_LEADERS = 5
 MAX_VERSIONS = 9
-PERFORM = "performs"  # P's first move
-ACQUIRE = "acquires the lease"  # Q's first move
+PERFORM = "performs its effect"  # First move of P.
+ACQUIRE = "acquires the lease"  # First move of Q.
 FIRST_MOVES = {f"P {names.CLAIM}": f"P {PERFORM}", f"Q {names.CLAIM}": f"Q {ACQUIRE}"}
 
 
 class EffectKind(StrEnum):
-    """What both leaders want to do."""
+    """The kind of effect that both leaders want to perform."""
 
-    FENCED = "fenced"  # a request to a receiver that compares tokens
-    ONCE = "once"  # one job for both, at a receiver that can't compare
-    STATE = "state"  # an update of the duty's own state
+    FENCED = "fenced"  # A request to a receiver that compares fencing tokens.
+    ONCE = "once"  # The same job, at a receiver that can't compare tokens.
+    STATE = "state"  # An update of the duty's state.
 
 
 @dataclass(frozen=True, slots=True)
 class EffectMessage:
-    """In transit to the receiver: it arrives at any time, or never.
+    """A message to the receiver. It arrives at any time, or never.
 
     Attributes:
-        serial: `int`, which no answer ever names.
-        token: `FencingToken`.
-        is_job: `bool`, its receiver can't compare tokens.
+        serial: Always 0; no answer refers to it.
+        token: Fencing token of the effect.
+        is_job: Whether it goes to the receiver that can't compare tokens.
     """
 
     serial: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """A runner was told that a change of its own is chosen, at this token."""
+    """An acknowledgement to a runner that its change is chosen, with the token of the change."""
 
     runner: str
     token: FencingToken
@@ -70,19 +70,20 @@
     """A state of two terms of one duty.
 
     Attributes:
-        kind: what both leaders want to do.
-        compares: `bool`; False is a seeded mistake: the receiver does not compare tokens.
-        sends_early: `bool`, a seeded mistake: an effect is sent before its intent is chosen.
-        token_change, acquire_change: the real ones, or those with a seeded mistake.
-        highest: the highest token at the receiver.
-        jobs_done: `int`, at the receiver that can't compare.
-        operator_notified: `bool`, an operator was told that an outcome is uncertain.
-        acknowledged: who was told that a change of its own is chosen, and its token.
+        kind: Kind of effect that both leaders want to perform.
+        compares: Whether the receiver compares tokens. False is a seeded mistake.
+        sends_before_intent: Seeded mistake: whether an effect is sent before its intent is chosen.
+        token_change: Class of the change that issues a token; tests replace it by one with a seeded mistake.
+        acquire_change: Class of the change that acquires the lease; tests replace it by one with a seeded mistake.
+        highest: Highest token that the receiver has accepted.
+        jobs_done: Number of jobs done by the receiver that can't compare tokens.
+        operator_notified: Whether an operator was notified that an outcome is uncertain.
+        acknowledged: Acknowledgements in order.
     """
 
     kind: EffectKind = EffectKind.FENCED
     compares: bool = True
-    sends_early: bool = False
+    sends_before_intent: bool = False
     token_change: type[HolderChange] = IssueToken
     acquire_change: type[AcquireLease] = AcquireLease
     highest: FencingToken | None = None
@@ -92,7 +93,10 @@
 
     @classmethod
     def with_lease(cls, limits: RegisterModelLimits, **options: Any) -> Self:
-        """Return the state that begins with the lease held by P; `options`: further attributes."""
+        """Return an initial state in which P holds the lease.
+
+        :param options: Other attributes of the model.
+        """
         made = cls.initial(limits, **options)
         leader = made.runners["P"]
         owner = Owner("P", leader.incarnation)
@@ -106,7 +110,7 @@
         return made
 
     def fingerprint(self) -> Hashable:
-        """Return what tells two states of the search apart."""
+        """Return a value that is equal for equivalent states."""
         return (
             RegisterModel.fingerprint(self),
             self.highest,
@@ -139,7 +143,7 @@
         runner.attempt += 1
         runner.step = Step.EFFECT
         owner = Owner(runner.name, runner.incarnation)
-        if self.kind is EffectKind.ONCE and self.sends_early:
+        if self.kind is EffectKind.ONCE and self.sends_before_intent:
             self._send(runner.name, [(RECEIVER, EffectMessage(0, FencingToken(GENERATION, term, 0), True))])
         runner.change = self._effect_change(runner, owner, term)
         self._change(runner, runner.change, promise)
@@ -154,7 +158,7 @@
             return UpdateState(owner, GENERATION, term, runner.attempt, base_revision, 0, (), MAX_VERSIONS)
         return self.token_change(owner, GENERATION, term, runner.attempt)
 
-    # ---- what follows from a chosen value ----
+    # ---- chosen values ----
 
     def _step(self, runner: Runner) -> None:
         if runner.proposer is None or runner.proposer.result is None:
@@ -166,15 +170,15 @@
         if runner.step is Step.ACQUIRE_LEASE:
             self._acquired(runner, record, result.promise)
         else:
-            runner.step = Step.OVER
+            runner.step = Step.DONE
             if record is not None and runner.change.is_applied_in(record):
                 self._effect_chosen(runner, record)
 
     def _acquired(self, runner: Runner, record: LeaseRecord | None, promise: CarriedPromise | None) -> None:
         if record is None or record.holder != Owner(runner.name, runner.incarnation):
-            runner.step = Step.OVER
+            runner.step = Step.DONE
         elif record.intents:
-            runner.step = Step.OVER
+            runner.step = Step.DONE
             self.operator_notified = True
         else:
             self._start_effect(runner, record.term, promise)
@@ -182,21 +186,21 @@
     def _effect_chosen(self, runner: Runner, record: LeaseRecord) -> None:
         token = FencingToken(*record.position)
         if record.holder != Owner(runner.name, runner.incarnation):
-            self.failure = f"{runner.name} has made {token}, which is the other's"
+            self.failure = f"{runner.name} has issued {token} although the other runner holds the lease"
         if any(other.token == token and other.runner != runner.name for other in self.acknowledged):
-            self.failure = f"{runner.name} acts at {token}, as the other has"
+            self.failure = f"{runner.name} uses {token}, which the other runner has used"
         self.acknowledged = (*self.acknowledged, Acknowledgement(runner.name, token))
         if self.kind is EffectKind.STATE:
             self._check_versions(record)
-        elif not self.sends_early:
+        elif not self.sends_before_intent:
             self._send(runner.name, [(RECEIVER, EffectMessage(0, token, self.kind is EffectKind.ONCE))])
 
     def _check_versions(self, record: LeaseRecord) -> None:
-        """What was acknowledged in an earlier term is among the versions that are acknowledged later."""
+        """Check that the record contains the versions of all acknowledged updates."""
         revisions = {version.revision for version in record.versions}
         lost = [other.token for other in self.acknowledged if other.token.revision not in revisions]
         if lost:
-            self.failure = f"{lost[0]} was acknowledged, and {record.position} has lost it"
+            self.failure = f"the update at {lost[0]} was acknowledged but is missing at {record.position}"
 
     # ---- the receiver ----
 
@@ -211,7 +215,7 @@
     def _receive_job(self) -> None:
         self.jobs_done += 1
         if self.jobs_done > 1 and not self.operator_notified:
-            self.failure = "the job was done twice, and no operator was told"
+            self.failure = "the job was done twice, and no operator was notified"
 
     def _receive_fenced(self, sender: str, token: FencingToken) -> None:
         if self.compares and check_token(self.highest, token) is not TokenVerdict.CURRENT:
--- a/moorusher/model_checking/register_fingerprint.py
+++ b/moorusher/model_checking/register_fingerprint.py
@@ -1,6 +1,7 @@
-"""The fingerprint of a state of the register model: the same for states that can't be told apart.
+"""The fingerprint of a state of the register model, equal for equivalent states.
 
-Seats that nothing but their names tells apart are put into an order of what they know: up to six states are one then.
+Symmetry reduction: interchangeable seats differ in nothing but their names, so they are ranked by their content. Up to
+six states (the orders of three seats) then have one fingerprint.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class StateFingerprint:
-    """The fingerprints of all parts of a state, with seats by their rank instead of their name."""
+    """Computes the fingerprints of all parts of a state, with ranks in place of seat names."""
 
     def __init__(
         self,
@@ -24,7 +25,10 @@
         in_transit: Sequence[InTransit],
         interchangeable: tuple[str, ...],
     ) -> None:
-        """`interchangeable`: seats that nothing but their names tells apart; all three, where empty."""
+        """Rank the seats.
+
+        :param interchangeable: Seats that differ only in their names. Empty means all three.
+        """
         self._acceptors = acceptors
         self._runners = tuple(runners)
         self._in_transit = in_transit
@@ -39,20 +43,20 @@
         )
 
     def _rank_seats(self, interchangeable: tuple[str, ...]) -> dict[str, int]:
-        known: dict[str, list[Hashable]] = {
+        content_by_seat: dict[str, list[Hashable]] = {
             seat: [*register_values(acceptor)] for seat, acceptor in self._acceptors.items()
         }
         for sent in self._in_transit:
-            seat = sent.to if sent.to in known else sent.sender
-            if seat in known:
-                known[seat].append((seat == sent.to, sent.text))
+            seat = sent.to if sent.to in content_by_seat else sent.sender
+            if seat in content_by_seat:
+                content_by_seat[seat].append((seat == sent.to, sent.text))
         for runner in self._runners:
             if runner.proposer is not None:
                 for seat, vote in runner.proposer._votes.items():
-                    known[seat].append((runner.name, vote.accepted_ballot, vote.value))
+                    content_by_seat[seat].append((runner.name, vote.accepted_ballot, vote.value))
                 for seat in runner.proposer._rejections:
-                    known[seat].append((runner.name, "no"))
-        order = sorted(interchangeable, key=lambda seat: repr(known[seat]))
+                    content_by_seat[seat].append((runner.name, "no"))
+        order = sorted(interchangeable, key=lambda seat: repr(content_by_seat[seat]))
         others = [seat for seat in self._acceptors if seat not in interchangeable]
         return {seat: rank for rank, seat in enumerate([*order, *others])}
 
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -1,8 +1,8 @@
-"""Every interleaving of two runners that both want to run the work of one key.
+"""A model of two runners that both want to run the work of one key.
 
-Three acceptors; messages that are lost, duplicated and late; an acceptor that restarts with or without its memory.
-Acceptors, proposers and changes are the real ones. `register_state` has what a state consists of, `register_moves` the
-names of its moves, `register_fingerprint` what tells states apart.
+It has three acceptors. Messages may be lost, duplicated and reordered, and one acceptor may restart with or without its
+memory. Acceptors, proposers and changes are the real ones. `register_state` defines the parts of a state,
+`register_moves` the names of its moves, and `register_fingerprint` the equivalence of states.
 """
 
 from __future__ import annotations
@@ -45,37 +45,40 @@
 BODY_DIGEST = 1
 FIRST_ATTEMPT = 1
 FIRST_INCARNATIONS = {"P": 11, "Q": 22}
-NEXT_INCARNATION = 100  # from one incarnation of an acceptor to the next
+INCARNATION_STEP = 100  # Difference between successive incarnations of an acceptor.
 SERIALS_PER_CHANGE = 1_000
 NEVER_EXPIRES_US = 1 << 60
 TTL_MS = 10_000
-OPEN_STATES = (WorkState.HELD, WorkState.RELEASED)  # in which work may be taken over
+OPEN_STATES = (WorkState.HELD, WorkState.RELEASED)  # States in which work may be taken over.
 
 
 @dataclass(slots=True)
 class RegisterModel:
-    """A state of the case, see `explorer.Model`. Two of the same `fingerprint` can't be told apart.
+    """A state of the model, see `explorer.Model`.
 
     Attributes:
-        limits: `RegisterModelLimits`.
-        acceptor_class, proposer_class: the real ones, or those with a seeded mistake.
-        runs_early: `bool`, a seeded mistake: the work is run when the request to start goes out.
-        forgets: `bool`; False is a seeded mistake: an acceptor that has lost its memory votes as one that has not.
-        interchangeable: seats that nothing but their names tells apart; all three, where empty.
-        replicas_by_runner: where the runners do not have the same replicas.
-        acceptors: by seat.
-        runners: by name.
-        in_transit: messages, in order.
-        first_promise: of P, where it holds the key at the beginning.
-        duplicates, crashes, restarts: `int`, how many there were.
-        failure: what is violated, in words, or None.
+        limits: Bounds of the explored case.
+        acceptor_class: Class of the acceptors; tests replace it by one with a seeded mistake.
+        proposer_class: Class of the proposers; tests replace it by one with a seeded mistake.
+        runs_early: Seeded mistake: whether a runner runs the work as soon as it asks to start it.
+        amnesia: Whether an acceptor that has lost its memory must recover before it votes. False is a seeded mistake.
+        interchangeable: Seats that differ only in their names. Empty means all three.
+        replicas_by_runner: Replicas that each runner uses, if they are not the same.
+        acceptors: Acceptors by seat.
+        runners: Runners by name.
+        in_transit: Messages in transit, sorted.
+        first_promise: Promise that P carries if it holds the key initially.
+        duplicates: Number of messages duplicated so far.
+        crashes: Number of restarts without memory so far.
+        restarts: Number of restarts with memory so far.
+        failure: Description of the violated invariant, or None.
     """
 
     limits: RegisterModelLimits
     acceptor_class: type[Acceptor] = Acceptor
     proposer_class: type[Proposer] = Proposer
     runs_early: bool = False
-    forgets: bool = True
+    amnesia: bool = True
     interchangeable: tuple[str, ...] = ()
     replicas_by_runner: dict[str, tuple[str, ...]] = field(default_factory=dict)
     acceptors: dict[str, Acceptor] = field(default_factory=dict)
@@ -91,10 +94,10 @@
     def initial(
         cls, limits: RegisterModelLimits, replicas: dict[str, tuple[str, ...]] | None = None, **options: Any
     ) -> Self:
-        """Return the state in which nothing has happened.
+        """Return the initial state.
 
-        :param replicas: by runner, where they do not have the same ones.
-        :param options: further attributes.
+        :param replicas: Replicas that each runner uses, if they are not the same.
+        :param options: Other attributes of the model.
         """
         model = cls(limits, replicas_by_runner=replicas or {}, **options)
         if limits.crashes or limits.restarts:
@@ -111,11 +114,11 @@
             for (name, incarnation), retries in zip(FIRST_INCARNATIONS.items(), limits.retries, strict=True)
         }
         if limits.starts_held:
-            model._hold()
+            model._claim_for_p()
         return model
 
-    def _hold(self) -> None:
-        """P has claimed the key in a fast round."""
+    def _claim_for_p(self) -> None:
+        """Set the state in which P has claimed the key in a fast round."""
         holder = self.runners["P"]
         owner = Owner(holder.name, holder.incarnation)
         work = WorkRecord(WorkState.HELD, owner, FIRST_ATTEMPT, BODY_DIGEST, REQUEST)
@@ -129,14 +132,14 @@
     # ---- `explorer.Model` ----
 
     def copy(self) -> Self:
-        """Return a copy that shares nothing that a move changes."""
+        """Return a copy that shares no data that a move changes."""
         new = shallow_copy(self)
         new.acceptors = {seat: copy_acceptor(acceptor) for seat, acceptor in self.acceptors.items()}
         new.runners = {name: copy_runner(runner) for name, runner in self.runners.items()}
         return new
 
     def fingerprint(self) -> Hashable:
-        """The same for states that can't be told apart."""
+        """Return a value that is equal for equivalent states."""
         parts = StateFingerprint(self.acceptors, self.runners.values(), self.in_transit, self.interchangeable)
         return (*parts.of_all(), self.duplicates, self.crashes, self.restarts, self.failure)
 
@@ -148,9 +151,9 @@
         for runner in self.runners.values():
             moves += names.runner_moves(runner, self.limits)
         if self.crashes < self.limits.crashes:
-            moves.append(f"{RESTARTING} {names.FORGET}")
+            moves.append(f"{RESTARTING} {names.RESTART_WITHOUT_MEMORY}")
         if self.restarts < self.limits.restarts:
-            moves.append(f"{RESTARTING} {names.RESTART}")
+            moves.append(f"{RESTARTING} {names.RESTART_WITH_MEMORY}")
         return moves
 
     def apply(self, name: str) -> None:
@@ -159,15 +162,15 @@
         if subject in (names.DELIVER, names.DUPLICATE, names.LOSE_ANSWER):
             position, _, _ = verb.partition(":")
             self._apply_to_message(subject, int(position))
-        elif verb == names.RESTART:
+        elif verb == names.RESTART_WITH_MEMORY:
             self._restart_with_memory()
-        elif verb == names.FORGET:
+        elif verb == names.RESTART_WITHOUT_MEMORY:
             self._restart_without_memory()
         else:
             self._apply_to_runner(self.runners[subject], verb)
 
     def violation(self) -> str | None:
-        """Return what is violated in this state, in words."""
+        """Return a description of the invariant that this state violates, or None."""
         return self.failure
 
     # ---- messages and acceptors ----
@@ -181,17 +184,17 @@
         self._deliver(sent.to, sent.sender, sent.message, is_answered=verb != names.LOSE_ANSWER)
 
     def _restart_with_memory(self) -> None:
-        """What the acceptor has sent, and was not delivered yet, is lost."""
+        """Restart the acceptor. Its messages that are still in transit are lost."""
         self.restarts += 1
         self.in_transit = tuple(sent for sent in self.in_transit if sent.sender != RESTARTING)
 
     def _restart_without_memory(self) -> None:
         self.crashes += 1
         old = self.acceptors[RESTARTING]
-        incarnation = old.incarnation + NEXT_INCARNATION
-        new = self.acceptor_class(RESTARTING, incarnation, old.replicas, old.other_seats, not self.forgets)
+        incarnation = old.incarnation + INCARNATION_STEP
+        new = self.acceptor_class(RESTARTING, incarnation, old.replicas, old.other_seats, not self.amnesia)
         self.acceptors[RESTARTING] = new
-        if self.forgets:
+        if self.amnesia:
             request = SyncRequest(new.incarnation)
             self._send(RESTARTING, [(seat, request) for seat in sorted(new.other_seats)])
 
@@ -201,7 +204,10 @@
         self.in_transit = tuple(order)
 
     def _deliver(self, to: str, sender: str, message: Any, is_answered: bool = True) -> None:
-        """`is_answered`: the answer comes; else it is lost."""
+        """Deliver a message.
+
+        :param is_answered: Whether the answer to a ballot request arrives; otherwise it is lost.
+        """
         if isinstance(message, BallotRequest):
             vote = self.acceptors[to].vote(0, message)
             if self.limits.answers_travel:
@@ -254,7 +260,7 @@
         self._request(runner, runner.proposer.start(runner.serial * SERIALS_PER_CHANGE))
 
     def _request(self, runner: Runner, requests: list[BallotRequest]) -> None:
-        # An answer to an earlier round that is still in transit is not listened to.
+        # The runner ignores answers to earlier rounds, so they are dropped.
         self.in_transit = tuple(
             sent
             for sent in self.in_transit
@@ -266,7 +272,7 @@
         self._step(runner)
 
     def _step(self, runner: Runner) -> None:
-        """A change of the runner may be over: then its next one follows, or it runs the work."""
+        """Begin the runner's next change, or run the work, if its current change has a result."""
         if runner.proposer is None or runner.proposer.result is None:
             return
         result = runner.proposer.result
@@ -276,7 +282,7 @@
         owner = Owner(runner.name, runner.incarnation)
         is_own = work is not None and work.owner == owner
         if work is None:
-            runner.step = Step.OVER
+            runner.step = Step.DONE
         elif runner.step in (Step.CLAIM, Step.TAKE_OVER) and is_own and work.state is WorkState.HELD:
             runner.attempt = work.attempt
             self._start(runner, result.promise)
@@ -286,25 +292,28 @@
         elif runner.step is Step.START and is_own and work.state is WorkState.STARTED:
             self._on_started(runner, owner, result.promise)
         else:
-            runner.step = Step.OVER
+            runner.step = Step.DONE
 
     def _on_started(self, runner: Runner, owner: Owner, promise: CarriedPromise | None) -> None:
         if self.limits.releases and runner.name == "P":
-            # It gives up before the run is commanded, and says so.
+            # P releases the work before it commands the run.
             runner.step = Step.RELEASE
             runner.released = True
             self._change(runner, ReleaseWork(owner, runner.attempt, REQUEST, False), promise)
             return
-        runner.step = Step.OVER
+        runner.step = Step.DONE
         if not self.runs_early:
             self._run(runner)
 
     def _run(self, runner: Runner) -> None:
         runner.runs += 1
         if sum(other.runs for other in self.runners.values()) > 1:
-            self.failure = f"{runner.name} runs what another has run"
+            self.failure = f"{runner.name} runs work that has run before"
 
 
 def _replicas_function(replicas: tuple[str, ...]) -> Callable[[KeyDigest], tuple[str, ...]]:
-    """Each acceptor takes itself for a replica, whichever runner asks."""
+    """Return a function that returns the same replicas for every key.
+
+    Each acceptor thus considers itself a replica, whichever runner sends a request.
+    """
     return lambda key: replicas
--- a/moorusher/model_checking/register_moves.py
+++ b/moorusher/model_checking/register_moves.py
@@ -1,4 +1,4 @@
-"""The moves of the register model: which transitions a state has, and what each is called in a counterexample."""
+"""The moves of the register model: the transitions of a state and their names in counterexamples."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ..replication.work_record import WorkRecord
 from .register_state import InTransit, RegisterModelLimits, Runner, Step
 
-# Of a message in transit.
+# Moves of a message in transit.
 DELIVER = "deliver"
-LOSE_ANSWER = "unanswered"  # it is delivered, and its answer is lost
+LOSE_ANSWER = "unanswered"  # Deliver the message, and lose its answer.
 DUPLICATE = "duplicate"
-# Of an acceptor.
-FORGET = "forgets"  # it restarts without its memory
-RESTART = "restarts"
-# Of a runner.
+# Moves of an acceptor.
+RESTART_WITHOUT_MEMORY = "restarts without its memory"
+RESTART_WITH_MEMORY = "restarts with its memory"
+# Moves of a runner.
 CLAIM = "claims"
 START = "starts"
 TAKE_OVER = "takes over"
@@ -26,7 +26,10 @@
 
 
 def message_moves(in_transit: Sequence[InTransit], limits: RegisterModelLimits, duplicates: int) -> list[str]:
-    """Return the moves of all messages; `duplicates`: how many were duplicated so far."""
+    """Return the moves of all messages.
+
+    :param duplicates: Number of messages that were duplicated so far.
+    """
     named = [(position, sent, _name_of(sent)) for position, sent in enumerate(in_transit)]
     requests = [(position, name) for position, sent, name in named if isinstance(sent.message, BallotRequest)]
     moves = [f"{DELIVER} {position}: {name}" for position, _, name in named]
--- a/moorusher/model_checking/register_state.py
+++ b/moorusher/model_checking/register_state.py
@@ -1,4 +1,4 @@
-"""What a state of the register model consists of: acceptors, runners, and messages in transit."""
+"""The parts of a state of the register model: acceptors, runners, and messages in transit."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 KEY = b"k"
 SEATS = ("a", "b", "c")
-RESTARTING = "a"  # the acceptor that restarts, with or without its memory
+RESTARTING = "a"  # Seat of the acceptor that restarts, with or without its memory.
 
 
 @dataclass(frozen=True, slots=True)
 class RegisterModelLimits:
-    """How large the case is that is explored.
+    """The bounds of the explored case.
 
     Attributes:
-        retries: further rounds that P and Q may begin, whenever they like.
-        patient: `bool`, a further round only after a conflict, not at any time.
-        answers_travel: `bool`, answers travel by themselves; else they come at once, or are lost.
-        duplicates: `int`, messages that are duplicated.
-        crashes: `int`, restarts of acceptor a without its memory.
-        restarts: `int`, restarts of acceptor a with its memory.
-        starts_held: `bool`, P holds the key already, and is to start; Q takes it over.
-        takes_over: `bool`, Q goes on with what P holds.
-        releases: `bool`, P may say that the work never ran, after it has asked to start.
+        retries: Numbers of additional rounds that P and Q may begin.
+        patient: Whether an additional round may begin only after a conflict, not at any time.
+        answers_travel: Whether answers are messages in transit. Otherwise they arrive at once or are lost.
+        duplicates: Number of messages that are duplicated.
+        crashes: Number of restarts of acceptor a without its memory.
+        restarts: Number of restarts of acceptor a with its memory.
+        starts_held: Whether P holds the key initially; P then starts the work, and Q takes it over.
+        takes_over: Whether a runner takes over work that another runner has claimed or released.
+        releases: Whether P releases the work as not run after its start was chosen.
     """
 
     retries: tuple[int, int] = (0, 1)
@@ -45,33 +45,33 @@
 
 
 class Step(Enum):
-    """What the change is for that a runner makes."""
+    """The purpose of a runner's current change."""
 
-    IDLE = "idle"  # before the first one
+    IDLE = "idle"  # Before the first change.
     CLAIM = "claim"
     TAKE_OVER = "take over"
     START = "start"
     RELEASE = "release"
-    ACQUIRE_LEASE = "acquire the lease"  # see `leadership_interleavings`
-    EFFECT = "effect"
-    OVER = "over"  # after the last one
+    ACQUIRE_LEASE = "acquire the lease"  # Used by `leadership_interleavings`.
+    EFFECT = "effect"  # Used by `leadership_interleavings`.
+    DONE = "done"  # After the last change.
 
 
 @dataclass(slots=True)
 class Runner:
-    """Claims the key, or takes it over; then starts; then runs, once it has learnt that STARTED is chosen.
+    """A runner that claims the key or takes it over, starts the work, and runs it when STARTED is chosen.
 
     Attributes:
-        name: `str`, P or Q.
-        incarnation: `int`.
-        retries: `int`, further rounds that it may begin.
-        step: what its change is for.
-        attempt: `int`, of the work that it holds.
+        name: P or Q.
+        incarnation: Incarnation of the runner.
+        retries: Number of additional rounds that it may still begin.
+        step: Purpose of its current change.
+        attempt: Attempt number of the work that it holds.
         proposer: `Proposer` of the change in progress, or None.
-        serial: `int`, how many changes it has begun.
-        runs: `int`, how often it has run the work.
-        released: `bool`, it has given the work up.
-        change: of a subclass of the model.
+        serial: Number of changes that it has begun.
+        runs: Number of times that it has run the work.
+        released: Whether it has released the work.
+        change: Change in progress; set only by subclasses of `RegisterModel`.
     """
 
     name: str
@@ -87,7 +87,7 @@
 
 
 class InTransit(NamedTuple):
-    """A message in transit; `text` is the message as it is told from others."""
+    """A message in transit. `text` identifies its content, see `text_of`."""
 
     to: str
     sender: str
@@ -96,7 +96,10 @@
 
 
 def text_of(message: Any) -> str:
-    """Return a message but for the names of seats, which are compared elsewhere, and for what follows from the rest."""
+    """Return a text that identifies a message's content, without seat names and without fields that depend on others.
+
+    The fingerprint compares seat names by rank instead.
+    """
     if isinstance(message, BallotRequest):
         return f"ask {message.ballot} {message.value!r} {message.serial}"
     if isinstance(message, Vote):
@@ -108,7 +111,7 @@
 
 
 def register_values(acceptor: Acceptor) -> tuple[Hashable, ...]:
-    """Return what an acceptor has promised and accepted."""
+    """Return the promised ballot, accepted ballot and value of each register of an acceptor."""
     return tuple(
         (register.promised, register.accepted_ballot, register.value)
         for register in acceptor.registers.values()
@@ -116,7 +119,7 @@
 
 
 def copy_runner(runner: Runner) -> Runner:
-    """Return a copy that shares nothing that a move changes."""
+    """Return a copy that shares no data that a move changes."""
     new = shallow_copy(runner)
     if runner.proposer is not None:
         new.proposer = _copy_proposer(runner.proposer)
@@ -132,7 +135,7 @@
 
 
 def copy_acceptor(acceptor: Acceptor) -> Acceptor:
-    """Return a copy that shares nothing that a move changes."""
+    """Return a copy that shares no data that a move changes."""
     new = type(acceptor)(
         acceptor.seat,
         acceptor.incarnation,
--- a/moorusher/model_checking/scenario.py
+++ b/moorusher/model_checking/scenario.py
@@ -1,4 +1,4 @@
-"""What may happen in a simulated cluster: its size, its requests, and the faults that are injected."""
+"""The parameters of a cluster simulation: size, requests, message loss and injected faults."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 
 class FaultKind(StrEnum):
-    """What is injected; the values stand in the log of faults.
+    """The kinds of faults. The values appear in the fault log.
 
-    Every simulated cluster has the first nine. Only `MaintenanceSimulation` has MACHINE_POWER_LOSS and LOWERED_LIMIT:
-    with them in the scenario of another one, `FaultInjector.inject` raises `ValueError`.
+    All simulations support the first nine. Only `MaintenanceSimulation` supports MACHINE_POWER_LOSS and LOWERED_LIMIT:
+    in any other simulation `FaultInjector.inject` raises `ValueError` for them.
     """
 
-    CRASH = "kill"  # one process, restarted once the fault is over
-    QUICK_RESTART = "forget"  # one process, at once
-    CLOCK_SET_BACK = "clock"  # a quick restart on a clock that was set back
-    PAUSE = "stop"  # one process, as by SIGSTOP
-    PARTITION = "cut"  # between one member and some of the others
-    ONE_WAY_PARTITION = "one way"  # nothing that one member sends arrives
-    KERNEL_OUTAGE = "kernel"  # of one member
-    DRAIN = "leave"  # one member takes nothing new for a while
-    POWER_FAILURE = "power"  # of all processes
-    MACHINE_POWER_LOSS = "power of one"  # of one machine that is maintained
-    LOWERED_LIMIT = "limit"  # one member's settings allow less maintenance for a while
+    CRASH = "kill"  # Crashes one process and restarts it when the fault ends.
+    QUICK_RESTART = "forget"  # Crashes one process and restarts it after QUICK_RESTART_US.
+    CLOCK_SET_BACK = "clock"  # Quick restart after the clock was set back.
+    PAUSE = "stop"  # Pauses one process, as SIGSTOP does.
+    PARTITION = "cut"  # Cuts the links between one member and some of the others.
+    ONE_WAY_PARTITION = "one way"  # Drops all messages that one member sends.
+    KERNEL_OUTAGE = "kernel"  # Stops the kernel of one member.
+    DRAIN = "leave"  # One member accepts no new work until the fault ends.
+    POWER_FAILURE = "power"  # Crashes all processes at once.
+    MACHINE_POWER_LOSS = "power of one"  # Power failure of one machine; its boot count increases.
+    LOWERED_LIMIT = "limit"  # One member's settings lower the maintenance limit until the fault ends.
 
 
 FAULTS_WITHOUT_JOURNAL = (
@@ -45,19 +45,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What may happen in one simulation.
+    """The parameters of one simulation.
 
     Attributes:
-        seats: `int`, members of the cluster.
-        keys: `int`, idempotency keys that are asked for.
-        seconds: how long requests and faults are injected.
-        window_s: retention time of a key.
-        faults: `int`, how many are injected.
-        loss, duplication: shares of messages, from 0 to 1.
-        rejection: share of the work that is taken over, and then rejected.
-        repeats: share of the requests for a key that are followed by a further one.
-        journals: `bool`, acceptors write to disks, and a restarted one has what had been written.
-        fault_kinds: which faults are drawn, each entry as likely as the others.
+        seats: Number of members of the cluster.
+        keys: Number of idempotency keys that clients request.
+        seconds: Duration of the phase in which requests and faults are injected.
+        window_s: Retention time of a key.
+        faults: Number of injected faults.
+        loss: Share of messages that are lost, from 0 to 1.
+        duplication: Share of messages that are duplicated, from 0 to 1.
+        rejection: Share of the work that a process rejects after taking it over.
+        repeats: Probability that another request for the same key follows a request.
+        journals: Whether acceptors write a journal, which a restarted process recovers.
+        fault_kinds: Kinds that faults are drawn from, all with the same probability.
     """
 
     seats: int = 5
--- a/moorusher/model_checking/shallow_copy.py
+++ b/moorusher/model_checking/shallow_copy.py
@@ -1,4 +1,4 @@
-"""A fast copy of objects with slots, for models that are copied at each move."""
+"""A fast shallow copy of objects with slots, for models that are copied before each move."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def shallow_copy(original: T) -> T:
-    """Return a copy one level deep, as `copy.copy` of a dataclass with slots, in a third of the time."""
+    """Return a shallow copy of an object with slots, in a third of the time of `copy.copy`."""
     new = object.__new__(type(original))
     kind: Any = type(original)
     for name in _fields(kind):
--- a/moorusher/model_checking/simulated_journal.py
+++ b/moorusher/model_checking/simulated_journal.py
@@ -1,6 +1,6 @@
-"""Simulated disks: a journal that outlives the processes of its seat, and the process that writes to it.
+"""Simulated disks: a journal that persists across the processes of its seat, and the writer of a process.
 
-A write takes its time. Of one that is under way when its process crashes any part may have come to the disk.
+A write takes virtual time. If the process crashes during a write, a prefix of any length may be on the disk.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     """The journal of one seat.
 
     Attributes:
-        content: `bytes`, what is on the disk.
+        content: Bytes on the disk.
     """
 
     def __init__(self, header: JournalHeader) -> None:
@@ -30,7 +30,10 @@
         self.content = encode_records([header])
 
     def recover(self) -> JournalImage | None:
-        """Read the journal as a process does that starts; None if it holds nothing to restore, and begins anew."""
+        """Read the journal at the start of a process.
+
+        :returns: The recovered state, or None if there is none; the journal is then reset.
+        """
         image = read_journal(self.content, self._header)
         if image.recovered:
             self.content = self.content[: image.valid_bytes]
@@ -40,18 +43,18 @@
 
 
 def draw_write_time_us(random: Random) -> int:
-    """Return how long a write takes; some are slow."""
+    """Draw the duration of a write on a disk with some slow writes."""
     is_slow = random.random() < SLOW_WRITE_SHARE
     return round(random.uniform(MIN_WRITE_MS, MAX_SLOW_WRITE_MS if is_slow else MAX_WRITE_MS) * MS)
 
 
 def draw_fast_write_time_us(random: Random) -> int:
-    """Return how long a write takes on a disk without slow writes."""
+    """Draw the duration of a write on a disk without slow writes."""
     return round(random.uniform(MIN_WRITE_MS, MAX_WRITE_MS) * MS)
 
 
 class JournalWriter:
-    """One process that writes to its journal: one write at a time, each with all that has changed until then."""
+    """Writes the journal of one process: one write at a time, each with all changes since the previous one."""
 
     def __init__(
         self,
@@ -64,9 +67,9 @@
     ) -> None:
         """Prepare a writer.
 
-        :param unsaved_records: called as a write begins, for what is to be written.
-        :param draw_write_time_us: called for the time that a write takes.
-        :param skips_empty_writes: a write without records takes no time; else the time of any other.
+        :param unsaved_records: Called at the start of a write. Returns the bytes to be written.
+        :param draw_write_time_us: Returns the duration of a write.
+        :param skips_empty_writes: Whether a write without records takes no time.
         """
         self._process = process
         self._time = time
@@ -79,13 +82,13 @@
         self._is_writing = False
 
     def durable(self, callback: Callable[[], None]) -> None:
-        """Call `callback` once all that has changed so far is on the disk."""
+        """Call `callback` when all changes so far are on the disk."""
         self._waiting.append(callback)
         if not self._is_writing:
             self._start_write()
 
     def crash(self, random: Random) -> None:
-        """The process ends: any part of a write under way is on the disk, all of it maybe, and not confirmed."""
+        """Store a random prefix, possibly all, of the unfinished write. Its callbacks are never called."""
         if self._in_progress:
             written = random.randint(0, len(self._in_progress))
             self._journal.content += self._in_progress[:written]
--- a/moorusher/model_checking/simulated_network.py
+++ b/moorusher/model_checking/simulated_network.py
@@ -12,18 +12,18 @@
 
 MIN_DELAY_MS = 0.1
 MAX_DELAY_MS = 2.0
-LATE_SHARE = 0.02  # of messages, which take up to MAX_LATE_MS more
+LATE_SHARE = 0.02  # Share of messages that are delayed by up to MAX_LATE_MS more.
 MAX_LATE_MS = 300
 
-Link = tuple[int, int]  # the seats of sender and recipient
+Link = tuple[int, int]  # Seat numbers of sender and recipient.
 
 
 class SimulatedNetwork:
     """The links between all seats.
 
     Attributes:
-        cut_links: on which nothing comes through.
-        sender: the process whose message is being handled, or None.
+        cut_links: Links that drop all messages.
+        sender: Sender of the message that is being handled, or None.
     """
 
     def __init__(self, sim: ClusterSimulation) -> None:
@@ -34,7 +34,7 @@
     def send(self, sender: Process, seat: int, message: Any, recipient: Process | None = None) -> None:
         """Send a message to a seat.
 
-        :param recipient: the one process of the seat that may get it; None for whichever there is then.
+        :param recipient: Drop the message unless this process has the seat at delivery. None accepts any process.
         """
         random = self._sim.random
         self._sim.history.messages += 1
--- a/moorusher/model_checking/simulated_request_engine.py
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -1,4 +1,4 @@
-"""A runner's part in the work of keys: a queue and a kernel that only wait, and results that are made up."""
+"""The runner's part in keyed work: a simulated queue and kernel that wait for random times and invent results."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 if TYPE_CHECKING:
     from .cluster_process import Process
 
-MEAN_QUEUE_S = 0.3  # how long work is queued before it is started
+MEAN_QUEUE_S = 0.3
 MEAN_RUN_S = 0.2
-REJECTED_AFTER_US = 5 * MS  # work that was taken over
-BODY_DIGEST = 1  # of all requests
+REJECTION_DELAY_US = 5 * MS  # From taking work over until it is rejected.
+BODY_DIGEST = 1  # Digest of the body of all requests.
 
 
 class KeyState(Enum):
-    """How far one process is with a key."""
+    """The state of a key in one process."""
 
     CLAIMING = "claiming"
     HELD = "held"
@@ -50,10 +50,10 @@
     """The queue and the kernel of one process.
 
     Attributes:
-        states: by key, how far this process is with it.
-        results: by key, of those that are finished.
-        received_at: by key, when the request was received that is run, in us.
-        kernel_is_up: `bool`.
+        states: Maps a key to its state in this process.
+        results: Maps a finished key to its result.
+        received_at: Maps a key to the time in us at which its request was received.
+        kernel_is_up: Whether the kernel can run work.
     """
 
     def __init__(self, process: Process) -> None:
@@ -68,7 +68,7 @@
     # ---- requests ----
 
     def receive_request(self, key: KeyDigest) -> None:
-        """A client asks for this key here."""
+        """Receive a client's request for a key, and claim the key."""
         if key in self.states or self._process.draining or not self.kernel_is_up:
             return
         now = self._sim.now
@@ -79,10 +79,10 @@
         self._process.node.claim(key, BODY_DIGEST, request, now + self._sim.longest_window_us)
 
     def accept_takeover(self, key: KeyDigest, request: WorkRequest) -> None:
-        """Queue another runner's work; a share of it is rejected a little later."""
+        """Queue work of another runner. A share of it is rejected after REJECTION_DELAY_US."""
         self.received_at[key] = round(request.arrived_unix_ms * MS)
         if self._sim.random.random() < self._sim.scenario.rejection:
-            self._sim.at(self._sim.now + REJECTED_AFTER_US, self._process, lambda: self._reject(key))
+            self._sim.at(self._sim.now + REJECTION_DELAY_US, self._process, lambda: self._reject(key))
             self.states[key] = KeyState.HELD
         else:
             self._enqueue(key)
@@ -93,14 +93,14 @@
             self._process.node.release_work(key, rejected=True)
 
     def in_hand(self, key: KeyDigest) -> WorkInHand:
-        """Return what this process knows of a key."""
+        """Return whether this process holds a key's work, whether it has finished, and its result."""
         state = self.states.get(key)
         return WorkInHand(state in IN_HAND, state is KeyState.FINISHED, self.results.get(key))
 
-    # ---- what the node has settled ----
+    # ---- decisions of the node ----
 
     def on_event(self, event: WorkEvent) -> None:
-        """Do the runner's part in what is settled about a key."""
+        """Called when the node has decided something about a key."""
         key = event.key
         match event:
             case ClaimGranted():
@@ -142,14 +142,14 @@
         self._sim.at(self._sim.now + wait_us, self._process, lambda: self.start(key))
 
     def start(self, key: KeyDigest) -> None:
-        """The turn of queued work has come: the node has to confirm that it may be run."""
+        """Start queued work: ask the node to confirm that it may run."""
         if self.states.get(key) is KeyState.HELD and self.kernel_is_up:
             self.states[key] = KeyState.STARTING
             if not self._process.node.start_work(key):
                 self.states[key] = KeyState.HELD
 
     def run(self, key: KeyDigest) -> None:
-        """Run work that is being started."""
+        """Run work whose start the node has confirmed."""
         if self.states.get(key) is not KeyState.STARTING:
             return
         self.states[key] = KeyState.RUNNING
@@ -169,7 +169,7 @@
         self._answer(key, result, AnswerKind.RAN)
 
     def restore_kernel(self) -> None:
-        """The kernel is back: what is queued is started later, and what was running has ended."""
+        """End the kernel's outage: schedule the start of queued work, and finish the runs."""
         self.kernel_is_up = True
         for key, state in list(self.states.items()):
             if state is KeyState.HELD:
--- a/moorusher/model_checking/virtual_time.py
+++ b/moorusher/model_checking/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time: events are run in the order of their times, and the clock jumps from one to the next."""
+"""Virtual time: runs events in the order of their times, and advances the clock from one event to the next."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     """A simulated process that events belong to.
 
     Attributes:
-        alive: `bool`; the events of a process that has crashed are dropped.
-        stopped_until: `int`, us; the events of a paused process are deferred until then.
+        alive: Whether the process has not crashed. The events of a crashed process are dropped.
+        stopped_until: End of a pause in us. The events of a paused process are deferred until then.
     """
 
     alive: bool
@@ -21,7 +21,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event in the queue; `sequence` orders those of one time as they were scheduled."""
+    """An event in the queue. `sequence` orders events of the same time in the order in which they were scheduled."""
 
     when_us: int
     sequence: int
@@ -33,7 +33,7 @@
     """The clock of a simulation, and the queue of its events.
 
     Attributes:
-        now: `int`, us since the begin of the simulation.
+        now: Time in us since the start of the simulation.
     """
 
     def __init__(self) -> None:
@@ -44,15 +44,15 @@
     def at(self, when: int, process: Schedulable | None, action: Callable[[], None]) -> None:
         """Schedule an event.
 
-        :param when: time in us; a time that is over means now.
-        :param process: which process it belongs to; None for events outside of all processes.
+        :param when: Time in us. A time in the past means now.
+        :param process: Process that the event belongs to, or None if it belongs to no process.
         """
         heapq.heappush(
             self._queue, ScheduledEvent(max(when, self.now), next(self._sequence), process, action)
         )
 
     def run(self, until: int) -> None:
-        """Run all events up to that time, in us."""
+        """Run all events up to a time in us, and set the clock to it."""
         while self._queue and self._queue[0].when_us <= until:
             event = heapq.heappop(self._queue)
             self.now = max(self.now, event.when_us)
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -74,7 +74,7 @@
         {"token_change": IgnoresTerm},
         {"acquire_change": SameTerm},
         {"compares": False},
-        {"kind": EffectKind.ONCE, "sends_early": True},
+        {"kind": EffectKind.ONCE, "sends_before_intent": True},
     ],
     ids=[
         "term read before the write",
