--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -1,8 +1,8 @@
-"""Counts of demand in virtual time: real tallies, members and leaders of the forecast, and faults.
+"""Demand counting in virtual time: real counters, members and leaders of the forecast, and faults.
 
-One seed is one simulation of `cluster_simulation`; its whole history is checked. The demand that an hour has in the
-ledger is never more than there was; where the ledger says that the hour was counted whole, it is all of it. Time of day
-runs `SPEED` times as fast as the cluster's own, so that hours pass in a simulation.
+The invariants are checked at the end of a simulation: the ledger never counts more demand for an hour than there was,
+and if it marks the hour as completely counted, it counts all of it. The time of day advances `SPEED` times as fast as
+the cluster's clock, so that hours pass in a simulation.
 """
 
 from __future__ import annotations
@@ -35,21 +35,21 @@
 )
 from .scenario import FAULTS_WITH_JOURNAL, FAULTS_WITHOUT_JOURNAL, Scenario
 
-SPEED = 600  # of the time of day
-EPOCH_MS = 500_000 * HOUR_MS - 100_000  # Unix time at the begin of a simulation
+SPEED = 600  # Ratio of the time of day to the cluster's time.
+EPOCH_MS = 500_000 * HOUR_MS - 100_000  # Unix time at the start of a simulation.
 POLICY = ForecastPolicy(enabled=True, report_interval_ms=40.0, save_interval_ms=80.0)
 CUSTOMER = "acme"
 NAMESPACE_INCARNATION = 1
 ROUTES = ("main", "spare", "new")
 MEAN_REQUEST_INTERVAL_S = 0.02
-REQUESTS_AFTER_US = 3 * SECOND  # after the end of a scenario requests go on for so long
-NO_FORECAST_AFTER_US = 10 * MS
+REQUESTS_AFTER_US = 3 * SECOND  # Requests continue for this time after the faults of the scenario.
+FORECAST_DELAY_US = 10 * MS  # Time until a forecast fails with `ForecastNotReadyError`.
 SCENARIO = Scenario(seats=5, keys=0, faults=2, seconds=24.0, fault_kinds=FAULTS_WITHOUT_JOURNAL)
 DISK_SCENARIO = Scenario(seats=4, keys=0, faults=2, seconds=24.0, fault_kinds=FAULTS_WITH_JOURNAL)
 
 
 class HourOfDemand(NamedTuple):
-    """One hour of the requests for a route in a zone; the hour is counted from the epoch of Unix time."""
+    """The key of one hour of demand for a route in a zone. `hour` is the number of hours since the Unix epoch."""
 
     route: str
     zone: str
@@ -57,34 +57,34 @@
 
 
 class CountingProcess(DutyProcess):
-    """One process that counts demand and may lead the forecast; the host of both.
+    """One process that counts demand and may lead the forecast. Implements `MemberHost` and `ForecasterHost`.
 
     Attributes:
-        counting: `ForecastSimulation`.
-        member: the real one, or one with a seeded mistake.
+        forecast_simulation: Simulation that the process belongs to.
+        member: Member of the class `ForecastSimulation.member_class`.
     """
 
     def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, ForecastSimulation)
-        self.counting = sim
+        self.forecast_simulation = sim
         self.member = sim.member_class(self.participant, self, POLICY)
         sim.at(sim.now, self, self.member.start)
         sim.at(sim.now, self, self._receive_request)
 
     def _receive_request(self) -> None:
-        """A request is received, and the next one some time after it."""
+        """Receive a request, count it, and schedule the next one."""
         random = self.sim.random
         interval_us = round(random.expovariate(1 / MEAN_REQUEST_INTERVAL_S) * SECOND)
         self.sim.at(self.sim.now + interval_us, self, self._receive_request)
-        if self.sim.now >= self.counting.last_request_us:
+        if self.sim.now >= self.forecast_simulation.last_request_us:
             return
         route = random.choice(ROUTES)
         zone = self.member.zone
         now_ms = self.unix_ms()
         key = RouteKey(CUSTOMER, NAMESPACE_INCARNATION, route, zone)
         self.member.counter.count(now_ms, key, DemandCounts(requests=1, priority_weight=1.0))
-        self.counting.true_counts[HourOfDemand(route, zone, now_ms // HOUR_MS)] += 1
+        self.forecast_simulation.true_counts[HourOfDemand(route, zone, now_ms // HOUR_MS)] += 1
 
     def work(self, lease: LeaseHolder) -> Worker | None:
         """Return the worker for the lease of the forecast."""
@@ -93,28 +93,28 @@
     # ---- `forecast_service`: `MemberHost` and `ForecasterHost` ----
 
     def unix_ms(self) -> int:
-        """Return the time of day."""
+        """Return the time of day in ms since the Unix epoch."""
         return EPOCH_MS + self.sim.now * SPEED // MS
 
     def make_forecaster(self, lease: LeaseHolder) -> Forecaster:
-        """Return a forecaster that leads by this lease."""
+        """Return a forecaster that leads under this lease."""
         zones = {f"n{seat}": f"z{seat % 2}" for seat in range(self.sim.scenario.seats)}
-        return self.counting.forecaster_class(lease, self, POLICY, zones)
+        return self.forecast_simulation.forecaster_class(lease, self, POLICY, zones)
 
     def send_to_member(self, seat: str, message: Message) -> None:
-        """Send a message of the forecaster."""
+        """Send a message of the forecaster to the member of a seat."""
         self.member.send(seat, message)
 
     def at(self, when_us: int, action: Callable[[], None]) -> None:
-        """Call `action` at that time, in us."""
+        """Call `action` at a time in us."""
         self.participant.services.at(when_us, action)
 
     def ended(self, worker: Forecaster) -> None:
-        """A forecaster's term is over."""
+        """Called when a forecaster's term has ended."""
         self.member.ended(worker)
 
     def running_by_zone(self) -> Mapping[str, int]:
-        """Return the servers that run; none are simulated."""
+        """Return the number of running servers by zone; none are simulated."""
         return {}
 
     def calculate_forecast(
@@ -124,27 +124,28 @@
         first_hour: int,
         callback: ForecastCallback,
     ) -> None:
-        """No forecast is computed here: only the counts are checked."""
+        """Pass `ForecastNotReadyError` to `callback`: the simulation checks only the counts."""
         self.sim.at(
-            self.sim.now + NO_FORECAST_AFTER_US, self, lambda: callback(ForecastNotReadyError("not here"))
+            self.sim.now + FORECAST_DELAY_US, self, lambda: callback(ForecastNotReadyError("not here"))
         )
 
     def calculate_correction(
         self, forecast: Any, actual: Mapping[str, list[float]], callback: ForecastCallback
     ) -> None:
-        """Never called, as no forecast is computed here."""
-        raise AssertionError("nothing was worked out")
+        """Fail: it is never called, as no forecast is calculated in this simulation."""
+        raise AssertionError("a correction was requested although no forecast was calculated")
 
 
 class ForecastSimulation(DutySimulation):
     """One simulation of a cluster that counts demand.
 
     Attributes:
-        member_class, forecaster_class: the real ones, or those with a seeded mistake.
-        true_counts: the demand that there was.
-        last_request_us: `int`, when requests end.
-        hours: `int`, how many hours of a series the ledger had in the end.
-        complete_hours: `int`, how many of them it said were counted whole.
+        member_class: Class of the members; tests replace it by one with a seeded mistake.
+        forecaster_class: Class of the forecasters; tests replace it by one with a seeded mistake.
+        true_counts: True demand of each hour.
+        last_request_us: Time at which requests end.
+        hours: Number of hours in all series of the final ledger.
+        complete_hours: Number of these hours that the ledger marks as completely counted.
     """
 
     def __init__(
@@ -165,7 +166,7 @@
         super().__init__(seed, scenario, duties=0, has_disks=has_disks, process_class=CountingProcess)
 
     def ledger(self) -> DemandLedger | None:
-        """Return what a majority has in the end; None where it is not to be had."""
+        """Return the ledger that a majority stores, or None if no majority or no complete state is available."""
         replicas = self.voting_replicas(NAME)
         record = latest_record(NAME, replicas)
         if len(replicas) < MIN_REPLICAS or record is None:
@@ -174,29 +175,33 @@
         return None if state is None else decode_ledger(state, {})
 
     def violation(self) -> str | None:
-        """Return what was wrong in the simulation, in words."""
+        """Return a description of a violation, or None."""
         ledger = self.ledger()
         if ledger is None:
             return None
         self.hours = 0
         self.complete_hours = 0
         for name, series in ledger.series.items():
-            found = self._wrong_in_series(decode_key(name), series)
+            found = self._find_series_violation(decode_key(name), series)
             if found is not None:
                 return found
         return None
 
-    def _wrong_in_series(self, key: RouteKey, series: HourlySeries) -> str | None:
+    def _find_series_violation(self, key: RouteKey, series: HourlySeries) -> str | None:
         counts = zip(series.requests, series.coverage, strict=True)
         for hour, (requests, coverage) in enumerate(counts, start=series.first_hour):
             true_count = self.true_counts[HourOfDemand(key.route, key.zone, hour)]
-            where = f"{key.route} of {key.zone}"
+            series_name = f"{key.route} in {key.zone}"
             self.hours += 1
             if requests > true_count:
-                return f"{where}: {requests} are said to have been asked in hour {hour}, {true_count} were"
+                return (
+                    f"{series_name}: {requests} requests counted in hour {hour}, but there were {true_count}"
+                )
             if coverage != FULL_COVERAGE:
                 continue
             self.complete_hours += 1
             if requests != true_count:
-                return f"{where}: hour {hour} is said to be whole with {requests}, had {true_count}"
+                return (
+                    f"{series_name}: hour {hour} marked complete with {requests}, but there were {true_count}"
+                )
         return None
--- a/moorusher/model_checking/leadership_history.py
+++ b/moorusher/model_checking/leadership_history.py
@@ -1,4 +1,4 @@
-"""What a simulation has done to one duty, as no member of the cluster sees it, and the rules that it must keep."""
+"""The global history of one duty in a simulation, and its invariants."""
 
 from __future__ import annotations
 
@@ -10,12 +10,17 @@
 from ..leadership.fencing_token import FencingToken, TokenVerdict, check_token
 from ..leadership.lease_record import Intent
 
-TOKEN_BYTES = 4
+NUMBER_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgedUpdate:
-    """A state update that a leader was told is done: the number that it added, and when, in us."""
+    """A state update that was acknowledged to a leader.
+
+    Attributes:
+        number: Number that the update added to the state.
+        when_us: Time of the acknowledgement.
+    """
 
     number: int
     when_us: int
@@ -25,17 +30,18 @@
 class DutyHistory:
     """The history of one duty.
 
-    leaders: the processes that led it, by generation and term.
-    acknowledged: state updates that a leader was told are done.
-    highest: the highest token at the receiver that compares.
-    accepted: the tokens that it has accepted, in order.
-    performed: how often the receiver that can't compare has done a job.
-    idempotent: jobs that may be done more than once.
-    refused_intents: intents that were asked for before they came: never done from then on.
-    jobs_by_intent: the jobs that were done, by the revision of their intent.
-    resolved_undone: jobs that were settled as never done.
-    reported_done: jobs that a leader was told are done.
-    effect_times_us: when effects were completed.
+    Attributes:
+        leaders: Numbers of the processes that led it, by generation and term.
+        acknowledged: State updates that were acknowledged to a leader.
+        highest: Highest token at the receiver that compares tokens.
+        accepted: Tokens accepted by the receiver that compares tokens, in order.
+        performed: Number of times that the receiver that can't compare tokens has done each job.
+        idempotent: Jobs that may be done more than once.
+        refused_intents: Revisions of intents that a leader queried; the receiver refuses those that arrive later.
+        jobs_by_intent: Jobs that were done, by the revision of their intent.
+        resolved_undone: Jobs that were resolved as never done.
+        reported_done: Jobs that were reported to a leader as done.
+        effect_times_us: Times at which effects were completed.
     """
 
     leaders: dict[tuple[int, int], set[int]] = field(default_factory=lambda: defaultdict(set))
@@ -53,7 +59,10 @@
     # ---- the receivers ----
 
     def receive_fenced(self, token: FencingToken, compares: bool) -> ReceiverResponse:
-        """A request with a token arrives. `compares`: False is a seeded mistake."""
+        """Receive a request with a fencing token.
+
+        :param compares: Whether the receiver compares tokens. False is a seeded mistake.
+        """
         verdict = check_token(self.highest, token) if compares else TokenVerdict.CURRENT
         if verdict is TokenVerdict.STALE:
             return ReceiverResponse(answered=True, highest_token=self.highest)
@@ -63,7 +72,7 @@
         return ReceiverResponse(answered=True, done=True)
 
     def receive_intent(self, intent: Intent) -> ReceiverResponse:
-        """An intent arrives: its job is done, unless its receiver has said that it never will be."""
+        """Receive an intent, and do its job unless a query has ruled it out."""
         if intent.revision in self.refused_intents:
             return ReceiverResponse(answered=True, done=False)
         self.performed[intent.payload] += 1
@@ -71,39 +80,42 @@
         return ReceiverResponse(answered=True, done=True)
 
     def receive_query(self, intent: Intent) -> ReceiverResponse:
-        """A leader asks whether an intent was done; if not, it never will be."""
+        """Answer a leader's query whether an intent's job was done. If it was not, rule it out for the future."""
         self.refused_intents.add(intent.revision)
         return ReceiverResponse(answered=True, done=intent.revision in self.jobs_by_intent)
 
-    # ---- the rules ----
+    # ---- invariants ----
 
-    def broken_rule(self) -> str | None:
-        """Return which rule the history breaks, in words."""
-        return self._broken_order() or self._broken_job()
+    def find_violation(self) -> str | None:
+        """Return a description of the first violated invariant, or None."""
+        return self._find_order_violation() or self._find_job_violation()
 
-    def _broken_order(self) -> str | None:
+    def _find_order_violation(self) -> str | None:
         for term, processes in self.leaders.items():
             if len(processes) > 1:
-                return f"term {term} was had by processes {sorted(processes)}"
+                return f"term {term} had more than one leader: processes {sorted(processes)}"
         for first, second in pairwise(self.accepted):
             if second <= first:
-                return f"its receiver took {second} after {first}"
+                return f"the receiver accepted {second} after {first}"
         return None
 
-    def _broken_job(self) -> str | None:
+    def _find_job_violation(self) -> str | None:
         for job, times in self.performed.items():
             if times > 1 and job not in self.idempotent:
-                return f"{job!r} was done twice"
+                return f"{job!r} was done more than once"
         for job in self.reported_done:
             if not self.performed[job]:
-                return f"{job!r} was said to be done"
+                return f"{job!r} was reported as done but never done"
         for job in self.resolved_undone:
             if self.performed[job] and job not in self.idempotent:
-                return f"{job!r} was settled as never done"
+                return f"{job!r} was resolved as never done although it was done"
         return None
 
     def missing_updates(self, state: bytes, before_us: int | None = None) -> list[int]:
-        """Return the acknowledged updates that a state lacks; only those acknowledged before a time, if given."""
+        """Return the numbers of acknowledged updates that a state lacks.
+
+        :param before_us: Consider only updates acknowledged before this time. None means all.
+        """
         numbers = numbers_in(state)
         return [
             update.number
@@ -113,13 +125,13 @@
 
 
 def numbers_in(state: bytes) -> set[int]:
-    """Return the numbers of all updates that a state holds."""
+    """Return the numbers of all updates that a state contains."""
     return {
-        int.from_bytes(state[start : start + TOKEN_BYTES], "big")
-        for start in range(0, len(state), TOKEN_BYTES)
+        int.from_bytes(state[start : start + NUMBER_BYTES], "big")
+        for start in range(0, len(state), NUMBER_BYTES)
     }
 
 
 def append_number(state: bytes, number: int) -> bytes:
-    """Return the state after the update with that number."""
-    return state + number.to_bytes(TOKEN_BYTES, "big")
+    """Return the state after the update with this number."""
+    return state + number.to_bytes(NUMBER_BYTES, "big")
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -1,8 +1,9 @@
-"""Duties of a cluster in virtual time: the real pure parts, workers that try every kind of effect, and faults.
+"""Duties of a cluster in virtual time: real participants, workers that submit every kind of effect, and faults.
 
-One seed is one simulation of `cluster_simulation`; its whole history is checked. Each worker adds a number of its own
-to the state that it was handed: no acknowledged number may ever be missing. A receiver that compares accepts tokens in
-order. No job of a receiver that can't compare is done twice, nor after it was settled as never done.
+The invariants are checked on the whole history of a simulation. Each worker adds unique numbers to the state that it
+received: no acknowledged number may ever be missing. A receiver that compares tokens accepts them in increasing order.
+A receiver that can't compare tokens does no job twice, and no job that was resolved as never done; jobs that may be
+repeated are excepted.
 """
 
 from __future__ import annotations
@@ -50,26 +51,26 @@
 RESPONSE_TIMEOUT_US = 300 * MS
 REQUEST_LOSS = 0.02
 RESPONSE_LOSS = 0.03
-LATE_REQUESTS = 0.05  # share of requests that take up to MAX_LATE_MS
+LATE_REQUEST_SHARE = 0.05  # Share of requests that take up to MAX_LATE_MS.
 MAX_LATE_MS = 6_000
-REQUEST_MS = (0.1, 3)  # least and most time in transit
-RESPONSE_MS = (0.1, 2)
-MIN_REPLICAS = 2  # a majority of the three
+REQUEST_MS = (0.1, 3)  # Minimum and maximum time in transit.
+RESPONSE_MS = (0.1, 2)  # Minimum and maximum time in transit.
+MIN_REPLICAS = 2  # Majority of the three replicas.
 
 
 class DutyProcess(Process):
-    """One process of a simulated cluster, with the real participant in its duties.
+    """One process of a simulated cluster that participates in duties. Implements `participant.ParticipantHost`.
 
     Attributes:
-        world: `DutySimulation`.
-        participant: the real one, or one with a seeded mistake.
-        duty_journal_writer: writes what the duties' acceptor must not forget.
+        duty_simulation: Simulation that the process belongs to.
+        participant: Participant of the class `DutySimulation.participant_class`.
+        duty_journal_writer: Writer of the journal of the duties' acceptor.
     """
 
     def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, DutySimulation)
-        self.world = sim
+        self.duty_simulation = sim
         self.participant = sim.participant_class(
             self.node, self, sim.policy, start.recovered, sim.acceptor_class
         )
@@ -87,41 +88,44 @@
         )
 
     def durable(self, then: Callable[[], None], space: int) -> None:
-        """Call `then` once all that has changed so far in that space is on its disk."""
-        if space == DUTY_SPACE and self.world.has_disks:
+        """Call `then` when all changes so far in a register space are on its disk."""
+        if space == DUTY_SPACE and self.duty_simulation.has_disks:
             self.duty_journal_writer.durable(then)
         else:
             super().durable(then, space)
 
     def lost(self, key: bytes) -> None:
-        """Of keyed work, which there is none of here."""
+        """Called when keyed work is lost, which does not occur in this simulation."""
         raise AssertionError(key)
 
     # ---- `participant.ParticipantHost` ----
 
     def work(self, lease: LeaseHolder) -> Worker | None:
-        """Return the worker for a duty."""
-        return RandomWorker(self, self.world, lease)
+        """Return a worker for a lease."""
+        return RandomWorker(self, self.duty_simulation, lease)
 
     def send_fenced(
         self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
     ) -> None:
-        """Send a request to the receiver that compares."""
-        history = self.world.histories[duty]
-        self._exchange(lambda: history.receive_fenced(token, self.world.compares), callback)
+        """Send a request to the receiver that compares tokens."""
+        history = self.duty_simulation.histories[duty]
+        self._exchange(lambda: history.receive_fenced(token, self.duty_simulation.compares), callback)
 
     def send_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
-        """Send an intent to the receiver that can't compare."""
-        history = self.world.histories[duty]
+        """Send an intent to the receiver that can't compare tokens."""
+        history = self.duty_simulation.histories[duty]
         self._exchange(lambda: history.receive_intent(intent), callback)
 
     def query_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
-        """Ask the receiver that can't compare."""
-        history = self.world.histories[duty]
+        """Ask the receiver that can't compare tokens whether an intent's job was done."""
+        history = self.duty_simulation.histories[duty]
         self._exchange(lambda: history.receive_query(intent), callback)
 
     def _exchange(self, arrive: Callable[[], ReceiverResponse], callback: ResponseCallback) -> None:
-        """A request that was sent arrives though its sender is stopped or gone; sometimes very late, or never."""
+        """Send a request, which may arrive very late or never, and pass the response or a timeout to `callback`.
+
+        The request arrives even if its sender is paused or has crashed by then.
+        """
         random = self.sim.random
         is_answered = False
 
@@ -131,16 +135,16 @@
                 is_answered = True
                 callback(response)
 
-        def arrived() -> None:
+        def on_arrival() -> None:
             response = arrive()
             if random.random() > RESPONSE_LOSS:
                 delay_us = round(random.uniform(*RESPONSE_MS) * MS)
                 self.sim.at(self.sim.now + delay_us, self, lambda: answer(response))
 
         if random.random() > REQUEST_LOSS:
-            is_late = random.random() < LATE_REQUESTS
+            is_late = random.random() < LATE_REQUEST_SHARE
             delay_ms = random.uniform(0, MAX_LATE_MS) if is_late else random.uniform(*REQUEST_MS)
-            self.sim.at(self.sim.now + round(delay_ms * MS), None, arrived)
+            self.sim.at(self.sim.now + round(delay_ms * MS), None, on_arrival)
         self.sim.at(self.sim.now + RESPONSE_TIMEOUT_US, self, lambda: answer(NO_RESPONSE))
 
 
@@ -148,14 +152,15 @@
     """One simulation of a cluster with duties.
 
     Attributes:
-        names: of all duties.
-        histories: by duty, what has been done to it.
-        participant_class, acceptor_class: the real ones, or those with a seeded mistake.
-        policy: `Policy` of leadership.
-        has_disks: `bool`, replicas of duties have disks.
-        compares: `bool`, the receiver compares tokens; False is a seeded mistake.
-        wrong_reads: reads that lacked an acknowledged update, in words.
-        duty_journals: by seat, what is on the disk of its duties.
+        names: Names of all duties.
+        histories: History of each duty.
+        participant_class: Class of the participants; tests replace it by one with a seeded mistake.
+        acceptor_class: Class of the duties' acceptors; tests replace it by one with a seeded mistake.
+        policy: Leadership policy.
+        has_disks: Whether replicas of duties have disks.
+        compares: Whether the receiver compares tokens. False is a seeded mistake.
+        wrong_reads: Descriptions of reads that lacked an acknowledged update.
+        duty_journals: Content of each seat's disk for duties.
     """
 
     def __init__(
@@ -173,8 +178,8 @@
     ) -> None:
         """Prepare a simulation.
 
-        :param duties: how many there are.
-        :param amnesia: see `ClusterSimulation`.
+        :param duties: Number of duties.
+        :param amnesia: See `ClusterSimulation`.
         """
         scenario = scenario or SCENARIO
         self.names = [f"duty-{number}" for number in range(duties)]
@@ -196,12 +201,12 @@
             self._plan_reads()
 
     def next_update_number(self) -> int:
-        """Return the number of a further state update."""
+        """Return a number for the next state update."""
         self._updates += 1
         return self._updates
 
     def next_job(self) -> bytes:
-        """Return a further job."""
+        """Return a new job."""
         self._jobs += 1
         return b"job %d" % self._jobs
 
@@ -217,7 +222,7 @@
         return process
 
     def crash(self, process: Process) -> None:
-        """The process ends at once, and all that it has not written is lost."""
+        """End a process at once, see `ClusterSimulation.crash`."""
         super().crash(process)
         assert isinstance(process, DutyProcess)
         process.duty_journal_writer.crash(self.random)
@@ -232,44 +237,44 @@
             self.at(round(when_s * SECOND), None, partial(self._read, name, seat))
 
     def _read(self, name: str, seat: int) -> None:
-        """All that was acknowledged before the read began must be there."""
+        """Read a duty's state at a member, and check that it has all updates acknowledged before the read."""
         process = self.processes[seat]
-        began_us = self.now
+        started_us = self.now
         if not process.alive or process.stopped_until > self.now or not isinstance(process, DutyProcess):
             return
 
-        def got(reading: Reading | LeadershipError) -> None:
+        def on_reading(reading: Reading | LeadershipError) -> None:
             if isinstance(reading, Reading) and reading.state is not None:
-                missing = self.histories[name].missing_updates(reading.state, before_us=began_us)
+                missing = self.histories[name].missing_updates(reading.state, before_us=started_us)
                 if missing:
                     self.wrong_reads.append(
-                        f"{name}: read at n{seat}, asked for at {began_us}: {missing[:3]} missing"
+                        f"{name}: read at n{seat}, started at {started_us} us: {missing[:3]} missing"
                     )
 
-        process.participant.directory.read(name, got)
+        process.participant.directory.read(name, on_reading)
 
-    # ---- the end ----
+    # ---- final check ----
 
     def violation(self) -> str | None:
-        """Return what was wrong in the simulation, in words."""
+        """Return a description of a violation, or None."""
         if self.wrong_reads:
             return self.wrong_reads[0]
         for name, history in self.histories.items():
-            found = history.broken_rule() or self._wrong_at_end(name, history)
+            found = history.find_violation() or self._find_final_violation(name, history)
             if found is not None:
                 return f"{name}: {found}"
         return None
 
-    def _wrong_at_end(self, name: str, history: DutyHistory) -> str | None:
-        """All faults are over for a while: the voting replicas agree on the state, and one member leads the duty."""
+    def _find_final_violation(self, name: str, history: DutyHistory) -> str | None:
+        """Check that after RECOVERY_S without faults one member leads the duty with all acknowledged updates."""
         replicas = self.voting_replicas(name)
         if len(replicas) < MIN_REPLICAS:
-            return None  # a majority has forgotten at once: an operator must say how it goes on
+            return None  # A majority has lost its memory at once, which only an operator can resolve.
         record = latest_record(name, replicas)
         if record is None:
             if history.effect_times_us:
-                return f"no register, though {len(history.acknowledged)} changes were acknowledged"
-            return "it was never made"
+                return f"no register, although {len(history.acknowledged)} updates were acknowledged"
+            return "the duty was never created"
         if record.status == LeaseStatus.SUSPENDED:
             return None
         leases = self._leases(name)
@@ -278,9 +283,9 @@
         ]
         if len(active) != 1:
             known = [(lease.register.owner, lease.stage.value, lease.record.term) for lease in leases]
-            return f"{len(active)} at work on {record}; {known}"
+            return f"{len(active)} active leaders of {record}; leases: {known}"
         lost = history.missing_updates(active[0].state)
-        return f"acknowledged and gone: {lost[:5]}" if lost else None
+        return f"acknowledged updates were lost: {lost[:5]}" if lost else None
 
     def _leases(self, name: str) -> list[LeaseHolder]:
         key = register_key(name)
@@ -295,7 +300,7 @@
         return [process for process in self.processes if process.alive and isinstance(process, DutyProcess)]
 
     def voting_replicas(self, name: str) -> list[DutyProcess]:
-        """Return the live replicas of a duty that have a vote on its register."""
+        """Return the live replicas of a duty that may vote on its register."""
         key = register_key(name)
         return [
             process
@@ -306,7 +311,7 @@
 
 
 def latest_record(name: str, replicas: list[DutyProcess]) -> LeaseRecord | None:
-    """Return the record of the highest ballot that these replicas have accepted; None if there is none."""
+    """Return the record with the highest ballot that these replicas have accepted, or None."""
     key = register_key(name)
     slots = [process.participant.acceptor.registers.get(key) for process in replicas]
     accepted = [slot for slot in slots if slot is not None and slot.accepted_ballot is not None]
@@ -318,7 +323,7 @@
 
 
 def replicated_state(name: str, record: LeaseRecord, replicas: list[DutyProcess]) -> bytes | None:
-    """Return the state of a record, from the first of these replicas that has all of it."""
+    """Return the state of a record from the first of these replicas that has all its chunks, or None."""
     if not record.versions:
         return None
     key = register_key(name)
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -1,4 +1,4 @@
-"""A worker of simulated duties that tries every kind of effect."""
+"""A worker for simulated duties that submits every kind of effect."""
 
 from __future__ import annotations
 
@@ -12,47 +12,51 @@
 from .cluster_process import Process
 from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
 
-EFFECT_INTERVAL_MS = (20, 300)  # least and most time
-STATE_UPDATE_SHARE = 0.4  # of effects
-FENCED_SHARE = 0.3
+EFFECT_INTERVAL_MS = (20, 300)  # Minimum and maximum.
+STATE_UPDATE_SHARE = 0.4  # Share of effects that update the state.
+FENCED_SHARE = 0.3  # Share of effects that send a fenced request; the others do a job.
 
 
-class DutyWorld(Protocol):
-    """The simulation, as a worker sees it. `histories`: of each duty."""
+class DutyEnvironment(Protocol):
+    """The part of the simulation that a worker uses.
+
+    Attributes:
+        histories: History of each duty.
+    """
 
     histories: dict[str, DutyHistory]
 
     def next_update_number(self) -> int:
-        """Return the number of a further state update."""
+        """Return a number for the next state update."""
 
     def next_job(self) -> bytes:
-        """Return a further job."""
+        """Return a new job."""
 
 
 class RandomWorker:
-    """Submits one effect after another, of a kind drawn anew each time."""
+    """A worker that submits effects of randomly drawn kinds at random intervals."""
 
-    def __init__(self, process: Process, world: DutyWorld, lease: LeaseHolder) -> None:
+    def __init__(self, process: Process, environment: DutyEnvironment, lease: LeaseHolder) -> None:
         self._process = process
-        self._world = world
+        self._environment = environment
         self._lease = lease
-        self._history = world.histories[lease.name]
+        self._history = environment.histories[lease.name]
         self._is_stopped = False
         self._state = lease.state
         lease.intents.on_resolved = self._on_resolved
 
     def start(self) -> None:
-        """Begin."""
+        """Record the leader of the term, and schedule the first effect."""
         record = self._lease.record
         self._history.leaders[record.generation, record.term].add(self._process.number)
         self._schedule()
 
     def before_release(self) -> None:
-        """Hand a last state on."""
+        """Submit a last state update before the lease is released."""
         self._update_state()
 
     def stop(self, reason: LeadershipError | None) -> None:
-        """Submit nothing any more."""
+        """Stop submitting effects."""
         self._is_stopped = True
 
     def _schedule(self) -> None:
@@ -73,29 +77,29 @@
         self._schedule()
 
     def _update_state(self) -> None:
-        number = self._world.next_update_number()
-        self._state = append_number(self._state, number)  # updates that are under way are in it, too
+        number = self._environment.next_update_number()
+        self._state = append_number(self._state, number)  # The state also contains unacknowledged updates.
 
-        def done(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             if isinstance(outcome, Completed):
                 now = self._process.sim.now
                 self._history.acknowledged.append(AcknowledgedUpdate(number, now))
             self._on_outcome(outcome)
 
-        self._lease.submit(StateUpdate(self._state), done)
+        self._lease.submit(StateUpdate(self._state), on_outcome)
 
     def _do_job(self) -> None:
-        job = self._world.next_job()
+        job = self._environment.next_job()
         resolution = self._process.sim.random.choice(list(IntentResolution))
         if resolution == IntentResolution.REPEAT:
             self._history.idempotent.add(job)
 
-        def done(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             if isinstance(outcome, Completed) and outcome.done:
                 self._history.reported_done.append(job)
             self._on_outcome(outcome)
 
-        self._lease.submit(IntentRequest("s", job, resolution), done)
+        self._lease.submit(IntentRequest("s", job, resolution), on_outcome)
 
     def _on_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Completed):
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -1,10 +1,10 @@
-"""Every interleaving of the maintenance of three machines, of which one at a time may be out of service.
+"""A model of the maintenance of three machines, of which one at a time may be out of service.
 
-Interleaved are reading, planning, draining, going, coming back, changes that arrive late or not at all, one withdrawal
-and one crash. The register is one that takes a change at one moment (`register_interleavings` walks how it does that);
-whoever sent a change may abandon it, and it may come about at any later time all the same. A machine that is cut off is
-one that reads nothing, and whose changes don't arrive. What is checked is the machines themselves: how many may be
-worked on at one time.
+The moves are reads, plans, drains, the work itself, returns, changes that arrive late or never, one withdrawal and one
+crash. The register applies a change atomically; its protocol is explored in `register_interleavings`. A sender may
+abandon a change, which may still be applied at any later time. A partitioned machine is covered by the interleavings in
+which it reads nothing and its changes don't arrive. The invariant concerns the machines: how many may be worked on at
+the same time.
 """
 
 from __future__ import annotations
@@ -38,22 +38,22 @@
 MAX_HISTORY = 8
 CACHED_SCHEDULES = 1 << 16
 OPERATOR = "operator"
-CHANGE_RESULTS = ("error", "is_applied", "too_late", "_revoked")  # what applying a change leaves in it
+CHANGE_RESULTS = ("error", "is_applied", "too_late", "_revoked")  # Attributes set when a change is applied.
 
 
 @lru_cache(CACHED_SCHEDULES)
-def read(known: bytes) -> Schedule:
-    """Return the schedule that a register holds."""
+def decode_register(known: bytes) -> Schedule:
+    """Return the schedule that a value of the register encodes."""
     return decode_schedule(known or None)
 
 
 @lru_cache(CACHED_SCHEDULES)
-def grantable(known: bytes, budget_class: type[DisruptionBudget]) -> tuple[tuple[str, str], ...]:
-    """Return every (request id, seat) that may be granted, as no safety rests on the order.
+def grantable_slots(known: bytes, budget_class: type[DisruptionBudget]) -> tuple[tuple[str, str], ...]:
+    """Return every (request id, seat) that may be granted. Safety must not depend on their order.
 
-    Machines that are lost are taken to be there, as a wrong failure detector must cost nothing but time.
+    All machines are considered up, because an error of the failure detector may delay work but must not be unsafe.
     """
-    schedule = read(known)
+    schedule = decode_register(known)
     views = [SeatView(seat, is_up=True, cores=1, weight=100) for seat in SEATS]
     budget = budget_class(views, schedule, SEATS, POLICY)
     return tuple(
@@ -65,13 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceModelLimits:
-    """How large the case is that is walked.
+    """The bounds of the explored case.
 
-    seats: machines that are requested, one request each.
-    is_withdrawn: bool, the first request is withdrawn at any moment.
-    crashes: int, of a process or of a machine.
-    abandoned: int, changes whose answer is not waited for.
-    planners: seats that plan.
+    Attributes:
+        seats: Machines with a maintenance request, one request each.
+        is_withdrawn: Whether the first request may be withdrawn at any time.
+        crashes: Number of crashes of a process or a machine.
+        abandoned: Number of changes that their sender abandons.
+        planners: Seats that grant slots.
     """
 
     seats: tuple[str, ...] = ("a", "b")
@@ -86,18 +87,22 @@
     """A state of three machines and the schedule, see `explorer.Model`.
 
     Attributes:
-        limits: `MaintenanceModelLimits`.
-        grant_change, clear_change, withdraw_change, budget_class: the real ones, or those with a seeded mistake.
-        machine_policy: settings of the machines.
-        clears_early: `bool`, a seeded mistake: the operator is told as the change goes out.
-        any_process: `bool`, a seeded mistake: any later process counts as a later boot of its machine.
-        register: `bytes`, the schedule that is chosen.
-        machines: by seat.
-        sent: changes in transit.
-        crashes, abandoned: `int`, how many there were.
-        is_withdrawal_sent: `bool`.
-        is_withdrawn: `bool`, the operator has heard that nothing of it will come about.
-        failure: what is violated, in words, or None.
+        limits: Bounds of the explored case.
+        grant_change: Class of the change that grants slots; tests replace it by one with a seeded mistake.
+        clear_change: Class of the change that clears a machine; tests replace it by one with a seeded mistake.
+        withdraw_change: Class of the change that withdraws a request; tests replace it by one with a seeded mistake.
+        budget_class: Class of the disruption budget; tests replace it by one with a seeded mistake.
+        machine_policy: Policy of the machines.
+        clears_early: Seeded mistake: whether the operator is notified before the change that clears is chosen.
+        process_proves_reboot: Seeded mistake: whether a later process counts as a later boot of its machine.
+        register: Encoded schedule that is chosen.
+        machines: Machines by seat.
+        sent: Changes in transit.
+        crashes: Number of crashes so far.
+        abandoned: Number of abandoned changes so far.
+        is_withdrawal_sent: Whether the withdrawal was sent.
+        is_withdrawn: Whether the operator has received the confirmation of the withdrawal.
+        failure: Description of the violated invariant, or None.
     """
 
     limits: MaintenanceModelLimits
@@ -107,7 +112,7 @@
     budget_class: Any = DisruptionBudget
     machine_policy: MaintenancePolicy = POLICY
     clears_early: bool = False
-    any_process: bool = False
+    process_proves_reboot: bool = False
     register: bytes = b""
     machines: dict[str, ModelMachine] = field(default_factory=dict)
     sent: tuple[SentChange, ...] = ()
@@ -119,7 +124,10 @@
 
     @classmethod
     def initial(cls, limits: MaintenanceModelLimits, **options: Any) -> MaintenanceModel:
-        """Return the state in which every request was submitted; `options`: further attributes."""
+        """Return an initial state in which every request was submitted.
+
+        :param options: Other attributes of the model.
+        """
         model = cls(limits, **options)
         register: bytes | None = None
         for seat in limits.seats:
@@ -131,16 +139,16 @@
         return model
 
     def copy(self) -> MaintenanceModel:
-        """Return a copy that shares nothing that a move changes."""
+        """Return a copy that shares no data that a move changes."""
         new = shallow_copy(self)
         new.machines = {seat: shallow_copy(machine) for seat, machine in self.machines.items()}
         return new
 
     def fingerprint(self) -> Hashable:
-        """Return what tells two states of the search apart."""
+        """Return a value that is equal for equivalent states."""
         return (
             self.register,
-            tuple(machine.print() for machine in self.machines.values()),
+            tuple(machine.fingerprint() for machine in self.machines.values()),
             tuple(sorted((sent.sender, sent.incarnation, sent.text) for sent in self.sent)),
             self.crashes,
             self.abandoned,
@@ -154,9 +162,9 @@
         """Return the names of all moves that are possible now."""
         names: list[str] = []
         for index, sent in enumerate(self.sent):
-            names.append(f"arrives {index}: {sent.text}")
+            names.append(f"deliver {index}: {sent.text}")
             if sent.sender and self.abandoned < self.limits.abandoned:
-                names.append(f"abandoned {index}: {sent.text}")
+                names.append(f"abandon {index}: {sent.text}")
         for seat, machine in self.machines.items():
             names += self._machine_moves(seat, machine) if machine.is_alive else [f"{seat} starts"]
         if self.limits.is_withdrawn and not self.is_withdrawal_sent:
@@ -177,13 +185,13 @@
         ):
             names.append(f"{seat} has drained")
         if machine.has_operator and not machine.is_cleared and self._may_notify_operator(seat):
-            names.append(f"{seat} tells its operator")
+            names.append(f"{seat} notifies its operator")
         if machine.is_cleared:
-            names.append(f"{seat} is worked on")
+            names.append(f"{seat} goes down for work")
         if not machine.is_warm:
-            names.append(f"{seat} is warm")
+            names.append(f"{seat} has warmed up")
         if self.crashes < self.limits.crashes:
-            names += [f"{seat} fails", f"{seat} loses power"]
+            names += [f"{seat} crashes", f"{seat} loses power"]
         return names
 
     def _writes(self, seat: str, machine: ModelMachine) -> list[str]:
@@ -191,14 +199,14 @@
         if is_writing or machine.known is None:
             return []
         if self._own_change(seat) is not None:
-            return [f"{seat} acts"]
+            return [f"{seat} sends its change"]
         if seat in self.limits.planners:
-            return [f"{seat} plans {other}" for _, other in grantable(machine.known, self.budget_class)]
+            return [f"{seat} plans {other}" for _, other in grantable_slots(machine.known, self.budget_class)]
         return []
 
     def _known_slot(self, seat: str) -> Slot | None:
         known = self.machines[seat].known
-        return None if known is None else read(known).slot(seat)
+        return None if known is None else decode_register(known).slot(seat)
 
     def _machine_state(self, seat: str) -> MachineState:
         machine = self.machines[seat]
@@ -206,10 +214,10 @@
             seat=seat,
             incarnation=machine.incarnation,
             is_first_process=True,
-            boot_id=str(machine.incarnation if self.any_process else machine.boot),
+            boot_id=str(machine.incarnation if self.process_proves_reboot else machine.boot),
             settings_digest="",
             is_drained=machine.is_drained,
-            machines_out=0 if machine.known is None else len(read(machine.known).slots),
+            machines_out=0 if machine.known is None else len(decode_register(machine.known).slots),
             is_warm=machine.is_warm,
             recovered=True,
         )
@@ -248,7 +256,7 @@
     def apply(self, name: str) -> None:
         """Make a move."""
         subject, _, rest = name.partition(" ")
-        if subject in ("arrives", "abandoned"):
+        if subject in ("deliver", "abandon"):
             self._move_message(subject, int(rest.partition(":")[0]))
         elif subject == OPERATOR:
             self.is_withdrawal_sent = True
@@ -261,54 +269,56 @@
     def _move_message(self, kind: str, index: int) -> None:
         sent = self.sent[index]
         self.sent = self.sent[:index] + self.sent[index + 1 :]
-        if kind == "arrives":
+        if kind == "deliver":
             self._arrive(sent)
         else:
             self.abandoned += 1
             self.sent += (SentChange("", 0, sent.change, sent.text),)
 
-    def _move_machine(self, seat: str, what: str) -> None:
+    def _move_machine(self, seat: str, move: str) -> None:
         machine = self.machines[seat]
-        if what == "starts":
+        if move == "starts":
             machine.is_alive = True
             machine.incarnation += 1
             machine.known = None
             machine.is_drained = False
-        elif what == "reads":
+        elif move == "reads":
             machine.known = self.register
-        elif what == "acts":
+        elif move == "sends its change":
             change = self._own_change(seat)
             assert change is not None
             self._send(seat, change)
-        elif what.startswith("plans "):
-            self._plan(seat, machine, what.removeprefix("plans "))
-        elif what == "has drained":
+        elif move.startswith("plans "):
+            self._plan(seat, machine, move.removeprefix("plans "))
+        elif move == "has drained":
             machine.is_drained = True
-        elif what == "tells its operator":
-            self._clear(seat, machine)
-        elif what == "is worked on":
+        elif move == "notifies its operator":
+            self._notify_operator(seat, machine)
+        elif move == "goes down for work":
             machine.go_down_for_work()
-        elif what == "is warm":
+        elif move == "has warmed up":
             machine.is_warm = True
-            machine.is_away = False
+            machine.is_out = False
         else:
             self.crashes += 1
-            machine.crash(is_power_lost=what == "loses power")
+            machine.crash(is_power_lost=move == "loses power")
 
     def _plan(self, seat: str, machine: ModelMachine, other: str) -> None:
         assert machine.known is not None
-        granted = [one for one in grantable(machine.known, self.budget_class) if one[1] == other]
-        self._send(seat, self.grant_change(read(machine.known).revision, granted, POLICY.max_out, 0.0))
+        granted = [slot for slot in grantable_slots(machine.known, self.budget_class) if slot[1] == other]
+        self._send(
+            seat, self.grant_change(decode_register(machine.known).revision, granted, POLICY.max_out, 0.0)
+        )
 
-    def _clear(self, seat: str, machine: ModelMachine) -> None:
+    def _notify_operator(self, seat: str, machine: ModelMachine) -> None:
         machine.is_cleared = True
         if self.is_withdrawn and seat == self.limits.seats[0]:
-            self.failure = f"{seat} was told to go, though its operator had heard that it is withdrawn"
+            self.failure = f"{seat} was cleared after its operator had received the confirmed withdrawal"
 
     def _check_limit(self) -> None:
-        out = [seat for seat, machine in self.machines.items() if machine.is_cleared or machine.is_away]
+        out = [seat for seat, machine in self.machines.items() if machine.is_cleared or machine.is_out]
         if len(out) > POLICY.max_out:
-            self.failure = f"{out} may be worked on at one time"
+            self.failure = f"{out} may be worked on at the same time"
 
     def _arrive(self, sent: SentChange) -> None:
         self.register = sent.change(self.register) or self.register
@@ -316,12 +326,12 @@
             if sent.change.error is None:
                 self.is_withdrawn = True
                 if self.machines[self.limits.seats[0]].is_cleared:
-                    self.failure = "its operator heard that it is withdrawn, after the machine was told to go"
+                    self.failure = "the withdrawal was confirmed after the machine had been cleared"
         elif sent.sender:
             machine = self.machines[sent.sender]
             if machine.is_alive and machine.incarnation == sent.incarnation:
                 machine.known = self.register
 
     def violation(self) -> str | None:
-        """Return what is violated in this state, in words."""
+        """Return a description of the invariant that this state violates, or None."""
         return self.failure
--- a/moorusher/model_checking/maintenance_machines.py
+++ b/moorusher/model_checking/maintenance_machines.py
@@ -1,4 +1,4 @@
-"""Machines and messages of the interleavings of maintenance."""
+"""Machines and messages of the maintenance model."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 class ModelMachine:
     """A machine and its process.
 
-    incarnation, boot: int.
-    is_alive: bool.
-    known: the register's value, as last read.
-    has_operator: bool, the operator is there, to be told.
-    is_cleared: bool, the operator may begin at any time.
-    is_away: bool, it is being worked on, or has come back cold from that.
-    is_drained, is_warm: bool.
+    Attributes:
+        incarnation: Incarnation of the process.
+        boot: Number of the machine's boot.
+        is_alive: Whether the process is running.
+        known: Value of the register when the process last read it; None before the first read.
+        has_operator: Whether an operator waits at the machine to be notified.
+        is_cleared: Whether the operator was notified and may begin the work at any time.
+        is_out: Whether work on the machine has begun and the machine has not warmed up since.
+        is_drained: Whether the process has finished its work.
+        is_warm: Whether the process serves at full capacity.
     """
 
     incarnation: int = 1
@@ -27,17 +30,20 @@
     known: bytes | None = b""
     has_operator: bool = True
     is_cleared: bool = False
-    is_away: bool = False
+    is_out: bool = False
     is_drained: bool = False
     is_warm: bool = True
 
     def go_down_for_work(self) -> None:
-        """Its operator begins the work."""
+        """Shut the machine down as the operator begins the work."""
         self._lose_power()
-        self.is_away = True
+        self.is_out = True
 
     def crash(self, is_power_lost: bool) -> None:
-        """The process ends; with the power also whoever waits there, or was told, is gone."""
+        """End the process.
+
+        :param is_power_lost: Whether the machine loses power, which also ends the operator's wait and clearance.
+        """
         if is_power_lost:
             self._lose_power()
         self.is_alive = False
@@ -49,8 +55,8 @@
         self.boot += 1
         self.is_warm = False
 
-    def print(self) -> Hashable:
-        """Return what tells two states of the search apart."""
+    def fingerprint(self) -> Hashable:
+        """Return a value that is equal for equivalent machines."""
         return (
             self.incarnation,
             self.boot,
@@ -58,7 +64,7 @@
             self.known,
             self.has_operator,
             self.is_cleared,
-            self.is_away,
+            self.is_out,
             self.is_drained,
             self.is_warm,
         )
@@ -66,7 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SentChange:
-    """A change on its way. `sender`: who hears of it; empty if it was abandoned."""
+    """A change in transit to the register.
+
+    Attributes:
+        sender: Seat that receives the result; empty if the sender has abandoned the change.
+        incarnation: Incarnation of the sender.
+        change: Change to apply.
+        text: Description that identifies the change.
+    """
 
     sender: str
     incarnation: int
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -1,4 +1,4 @@
-"""Simulated machines, and the scripts that wait on them until they may be worked on."""
+"""Simulated machines, and the operators' scripts that wait on them for clearance to begin the work."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 WAIT_TIMEOUT_S = 2
 RETRY_S = 3
 POLL_S = 0.1
-STOPPED_SCRIPT_SHARE = 0.1  # of answers that come to a script which is stopped for up to MAX_STOPPED_S
-MAX_STOPPED_S = 4
+PAUSED_SCRIPT_SHARE = 0.1  # Share of answers that a script receives late because it is paused.
+MAX_PAUSE_S = 4
 MAX_ANSWER_S = 0.05
-WORK_DELAY_S = (0.01, 1.5)  # least and most time until granted work begins
+WORK_DELAY_S = (0.01, 1.5)  # Minimum and maximum time from the clearance to the start of the work.
 
 
 @dataclass(slots=True)
 class SimulatedMachine:
-    """A machine, as nobody in the cluster sees it.
+    """The true state of a machine, which no process of the cluster sees.
 
-    boots: int, what its own file would say.
-    is_cleared: bool, its script may begin the work at any time.
-    is_down: bool, it is being worked on.
-    is_warming_up: bool, it has come back from work, and is not what it was.
+    Attributes:
+        boots: Number of its boots, which serves as its boot id.
+        is_cleared: Whether its script may begin the work at any time.
+        is_down: Whether it is shut down for work.
+        is_warming_up: Whether it has returned from work without full capacity.
     """
 
     boots: int = 1
@@ -39,20 +40,28 @@
 
     @property
     def is_worked_on(self) -> bool:
-        """It may be worked on, or is not yet back in service."""
+        """Whether it may be worked on, or has not yet returned to full service."""
         return self.is_cleared or self.is_down or self.is_warming_up
 
 
 class MaintainedProcess(Process):
-    """A process with a coordinator of maintenance."""
+    """A process with a maintenance coordinator.
+
+    Attributes:
+        coordinator: The real coordinator.
+    """
 
     coordinator: MaintenanceCoordinator
 
 
-class MaintenanceWorld(Protocol):
-    """The simulation, as scripts see it.
+class ScriptEnvironment(Protocol):
+    """The part of the simulation that scripts use.
 
-    stuck: machines that are cleared, and nobody is there who begins the work.
+    Attributes:
+        now: Time in us.
+        random: Source of randomness.
+        machines: Machines by seat number.
+        stuck: Seat numbers of cleared machines on which no script is left to begin the work.
     """
 
     now: int
@@ -61,53 +70,59 @@
     stuck: set[int]
 
     def at(self, when: int, process: Schedulable | None, action: Callable[[], None]) -> None:
-        """Call `action` at that time, if the process is alive."""
+        """Call `action` at a time in us, if the process is alive then."""
 
     def live_process(self, seat: int) -> MaintainedProcess | None:
-        """Return the process of a seat, if it is alive."""
+        """Return the process of a seat, or None if it is not alive."""
 
     def clear_machine(self, seat: int) -> None:
-        """A script was told that it may begin."""
+        """Record that a script was granted its clearance."""
 
     def work_on(self, seat: int) -> None:
-        """The machine goes down, and boots again."""
+        """Shut the machine down for work, and boot it afterwards."""
 
 
 class Script:
-    """`moorusher outage ask --wait && reboot` on the machine itself; asks again by its id whatever becomes of a try.
-
-    seat: int, the machine.
-    request_id: str.
-    gives_up: bool, it is killed between its two commands.
-    is_over: bool, it has ended.
+    """Simulates `moorusher outage ask --wait && reboot` on a machine. It repeats its wait after any failure.
+
+    Attributes:
+        seat: Seat number of the machine.
+        request_id: Id of the maintenance request.
+        is_killed_early: Whether it is killed between its two commands.
+        is_over: Whether it has ended.
+        boot: Boot of the machine on which it was started.
     """
 
-    def __init__(self, world: MaintenanceWorld, seat: int, request_id: str, gives_up: bool) -> None:
+    def __init__(
+        self, environment: ScriptEnvironment, seat: int, request_id: str, is_killed_early: bool
+    ) -> None:
         self.seat = seat
         self.request_id = request_id
-        self.gives_up = gives_up
+        self.is_killed_early = is_killed_early
         self.is_over = False
-        self._world = world
-        self._machine = world.machines[seat]
+        self._environment = environment
+        self._machine = environment.machines[seat]
         self.boot = self._machine.boots
 
     @property
     def is_alive(self) -> bool:
-        """It waits, on the boot of the machine that it was started on."""
+        """Whether it has not ended and the machine has not shut down or rebooted since its start."""
         return not self.is_over and self._machine.boots == self.boot and not self._machine.is_down
 
     def wait(self) -> None:
-        """Ask the runner of its machine, and again if there is no answer."""
+        """Wait for clearance from the machine's runner, and retry if there is no answer."""
         if not self.is_alive:
             return
         is_answered = False
 
-        def answered(result: WaitResult) -> None:
+        def on_result(result: WaitResult) -> None:
             nonlocal is_answered
             if is_answered or not self.is_alive:
                 return
             is_answered = True
-            self._world.at(self._world.now + self._answer_delay_us(), None, lambda: self._on_answer(result))
+            self._environment.at(
+                self._environment.now + self._answer_delay_us(), None, lambda: self._on_answer(result)
+            )
 
         def retry() -> None:
             nonlocal is_answered
@@ -115,24 +130,24 @@
                 is_answered = True
                 self.wait()
 
-        self._request_clearance(answered)
-        self._world.at(self._world.now + RETRY_S * SECOND, None, retry)
+        self._request_clearance(on_result)
+        self._environment.at(self._environment.now + RETRY_S * SECOND, None, retry)
 
-    def _request_clearance(self, answered: Callable[[WaitResult], None]) -> None:
-        process = self._world.live_process(self.seat)
+    def _request_clearance(self, on_result: Callable[[WaitResult], None]) -> None:
+        process = self._environment.live_process(self.seat)
         if process is None:
             return
 
         def wait_for_grant() -> None:
-            process.coordinator.wait(self.request_id, f"n{self.seat}", WAIT_TIMEOUT_S * SECOND, answered)
+            process.coordinator.wait(self.request_id, f"n{self.seat}", WAIT_TIMEOUT_S * SECOND, on_result)
 
-        self._world.at(self._world.now, process, wait_for_grant)
+        self._environment.at(self._environment.now, process, wait_for_grant)
 
     def _answer_delay_us(self) -> int:
-        """An answer is on its way to the script, which may be stopped for long as well."""
-        random = self._world.random
-        is_stopped = random.random() < STOPPED_SCRIPT_SHARE
-        return round(random.uniform(0, MAX_STOPPED_S if is_stopped else MAX_ANSWER_S) * SECOND)
+        """Draw the time until the script handles an answer, which is long if the script is paused."""
+        random = self._environment.random
+        is_paused = random.random() < PAUSED_SCRIPT_SHARE
+        return round(random.uniform(0, MAX_PAUSE_S if is_paused else MAX_ANSWER_S) * SECOND)
 
     def _on_answer(self, result: WaitResult) -> None:
         if not self.is_alive:
@@ -141,21 +156,21 @@
             self.is_over = True
             self._on_granted()
         elif result.status is WaitStatus.QUEUED:
-            self._world.at(self._world.now + round(POLL_S * SECOND), None, self.wait)
+            self._environment.at(self._environment.now + round(POLL_S * SECOND), None, self.wait)
         else:
             self.is_over = True
 
     def _on_granted(self) -> None:
         is_first = not self._machine.is_cleared
-        self._world.clear_machine(self.seat)
-        if self.gives_up:
-            if is_first:  # killed between its two commands: nobody works on it, and nobody says so
-                self._world.stuck.add(self.seat)
+        self._environment.clear_machine(self.seat)
+        if self.is_killed_early:
+            if is_first:  # The script is killed between its two commands, so the granted work never begins.
+                self._environment.stuck.add(self.seat)
         else:
-            self._world.stuck.discard(self.seat)
-            delay_s = self._world.random.uniform(*WORK_DELAY_S)
-            self._world.at(self._world.now + round(delay_s * SECOND), None, self._start_work)
+            self._environment.stuck.discard(self.seat)
+            delay_s = self._environment.random.uniform(*WORK_DELAY_S)
+            self._environment.at(self._environment.now + round(delay_s * SECOND), None, self._start_work)
 
     def _start_work(self) -> None:
         if self._machine.boots == self.boot and not self._machine.is_down:
-            self._world.work_on(self.seat)
+            self._environment.work_on(self.seat)
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -1,7 +1,7 @@
-"""Maintenance of a cluster in virtual time: the real pure parts, scripts that wait on their machines, and faults.
+"""Maintenance of a cluster in virtual time: real coordinators, scripts that wait on their machines, and faults.
 
-One seed is one simulation of `cluster_simulation`. What is checked is the machines themselves: how many of them may be
-worked on at any moment, and whether all that was requested comes about in the end.
+The invariants concern the machines: how many of them may be worked on at the same time, and that every request is
+finished in the end.
 """
 
 from __future__ import annotations
@@ -51,26 +51,35 @@
 )
 WARM_UP_S = 0.6
 DRAIN_US = 300 * MS
-RECOVERY_S = 60.0  # after the faults, until all that was requested must have come about
+RECOVERY_S = 60.0  # Time after the faults in which all requests must be finished.
 CLOCK_SET_BACK_US = 3600 * SECOND
 FULL_WEIGHT = 100
 WARM_UP_WEIGHT = 35
 HUNDREDTHS = 100
-REFAIL_SHARE = 0.08  # of machines, shortly after they have come back
+REFAIL_SHARE = 0.08  # Share of machines that lose power shortly after their return from work.
 REFAIL_DELAY_S = 0.4
 REFAIL_DURATION_S = 0.5
-WORK_FACTORS = (0.5, 1.5)  # of the time that work was announced to take
+WORK_FACTORS = (0.5, 1.5)  # Minimum and maximum ratio of the actual to the announced duration of work.
 FIRST_REQUEST_S = 1
 MAX_POWER_LOSS_S = 2
 
 
 class MaintenanceProcess(MaintainedProcess):
-    """One process of a simulated cluster, with the real coordinator."""
+    """One process of a simulated cluster with a maintenance coordinator. Implements `MachineHost`.
+
+    Attributes:
+        maintenance_simulation: Simulation that the process belongs to.
+        boot: Boot of the machine on which the process was started.
+        started_at_us: Start time.
+        mode: Current mode of the machine.
+        mode_since_us: Time of the last change of the mode.
+        coordinator: Coordinator of the class `MaintenanceSimulation.coordinator_class`.
+    """
 
     def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, MaintenanceSimulation)
-        self.world = sim
+        self.maintenance_simulation = sim
         self.boot = sim.machines[start.seat].boots
         self.started_at_us = sim.now
         self.mode = MachineMode.SERVING
@@ -82,8 +91,8 @@
     # ---- `machine_controller.MachineHost` ----
 
     def unix_s(self) -> float:
-        """Return the time of the machine's own clock."""
-        return EPOCH_S + (self.sim.now + self.world.clock_skews_us[self.seat]) / 1e6
+        """Return the Unix time by the machine's clock."""
+        return EPOCH_S + (self.sim.now + self.maintenance_simulation.clock_skews_us[self.seat]) / 1e6
 
     def machine_state(self) -> MachineState:
         """Return the state of the machine."""
@@ -102,22 +111,26 @@
     def _check_warm(self) -> bool:
         is_warm = self.sim.now - self.started_at_us >= WARM_UP_S * SECOND
         if is_warm:
-            self.world.machines[self.seat].is_warming_up = False
+            self.maintenance_simulation.machines[self.seat].is_warming_up = False
         return is_warm
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
-        """Act by the mode."""
+        """Enter a mode, and drain if it requires that."""
         if mode is not self.mode:
             self.mode = mode
             self.mode_since_us = self.sim.now
         self.draining = mode in (MachineMode.DRAINING, MachineMode.CLEARED)
 
     def alert(self, text: str) -> None:
-        """Nobody reads it: `MaintenanceSimulation` finds by itself what is stuck."""
+        """Ignore an alert: `SimulatedOperators` finds stuck machines without alerts."""
 
     def check_self(self) -> None:
-        """Publish weight and load, too."""
-        self.node.load_figures = self._weight(), self.world.load, self.world.load
+        """Publish weight and load in addition to the status."""
+        self.node.load_figures = (
+            self._weight(),
+            self.maintenance_simulation.load,
+            self.maintenance_simulation.load,
+        )
         super().check_self()
 
     def _weight(self) -> int:
@@ -126,60 +139,66 @@
         return FULL_WEIGHT if self._check_warm() else WARM_UP_WEIGHT
 
     def lost(self, key: bytes) -> None:
-        """Of keyed work, which there is none of here."""
+        """Called when keyed work is lost, which does not occur in this simulation."""
         raise AssertionError(key)
 
 
 class MaintenanceFaultInjector(FaultInjector):
-    """Injects faults of machines as well."""
+    """Injects faults of processes and machines."""
 
     def __init__(self, sim: ClusterSimulation) -> None:
         super().__init__(sim)
         assert isinstance(sim, MaintenanceSimulation)
-        self._world = sim
+        self._simulation = sim
 
     def inject(self, kind: FaultKind, seat: int, duration_s: float) -> None:
-        """Inject a fault at a member, or at its machine."""
+        """Inject a fault at a member or at its machine."""
         if kind is FaultKind.MACHINE_POWER_LOSS:
             self._lose_power(seat, duration_s)
         elif kind is FaultKind.LOWERED_LIMIT:
             self._lower_limit(seat, duration_s)
         else:
             if kind is FaultKind.CLOCK_SET_BACK:
-                self._world.clock_skews_us[seat] -= CLOCK_SET_BACK_US
+                self._simulation.clock_skews_us[seat] -= CLOCK_SET_BACK_US
             super().inject(kind, seat, duration_s)
 
     def _lose_power(self, seat: int, duration_s: float) -> None:
-        world = self._world
-        machine = world.machines[seat]
-        process = world.processes[seat]
+        simulation = self._simulation
+        machine = simulation.machines[seat]
+        process = simulation.processes[seat]
         if not process.alive or machine.is_down:
             return
-        self.log.append(f"{world.now / SECOND:.3f} s: n{seat} loses power")
-        world.crash(process)
+        self.log.append(f"{simulation.now / SECOND:.3f} s: n{seat} loses power")
+        simulation.crash(process)
         machine.is_cleared = False
         machine.boots += 1
-        world.stuck.discard(seat)
-        world.restart_later(seat, world.now + round(min(duration_s, MAX_POWER_LOSS_S) * SECOND))
+        simulation.stuck.discard(seat)
+        simulation.restart_later(seat, simulation.now + round(min(duration_s, MAX_POWER_LOSS_S) * SECOND))
 
     def _lower_limit(self, seat: int, duration_s: float) -> None:
-        """One member's settings have a lower limit for a while, under whatever is granted."""
-        process = self._world.live_process(seat)
+        """Set a member's limit of machines that are out to 1 until the fault ends, whatever is granted already."""
+        process = self._simulation.live_process(seat)
         if process is not None:
             coordinator = process.coordinator
-            coordinator.reconfigure(replace(self._world.policy, max_out=1))
-            restore = partial(coordinator.reconfigure, self._world.policy)
-            self._world.at(self._world.now + round(duration_s * SECOND), process, restore)
+            coordinator.reconfigure(replace(self._simulation.policy, max_out=1))
+            restore = partial(coordinator.reconfigure, self._simulation.policy)
+            self._simulation.at(self._simulation.now + round(duration_s * SECOND), process, restore)
 
 
 class MaintenanceSimulation(ClusterSimulation):
     """One simulation of a cluster whose machines are maintained.
 
-    coordinator_class, acceptor_class: the real ones, or those with a seeded mistake.
-    load: int, of each member, in hundredths of a core.
-    operators: who make requests.
-    stuck: machines that are cleared, and nobody is there who begins the work.
-    max_cleared: int, machines that could be worked on at one time.
+    Attributes:
+        machines: Machines by seat number.
+        clock_skews_us: Deviation of each machine's clock.
+        policy: Maintenance policy of all members.
+        coordinator_class: Class of the coordinators; tests replace it by one with a seeded mistake.
+        acceptor_class: Class of the coordinators' acceptors; tests replace it by one with a seeded mistake.
+        load: Load of each member in hundredths of a core.
+        operators: Simulated operators.
+        stuck: Seat numbers of cleared machines on which no script is left to begin the work.
+        max_cleared: Maximum number of machines that could be worked on at the same time.
+        violations: Descriptions of violations found so far.
     """
 
     fault_injector_class = MaintenanceFaultInjector
@@ -195,7 +214,11 @@
         acceptor_class: type[Acceptor] = Acceptor,
         process_class: type[MaintenanceProcess] = MaintenanceProcess,
     ) -> None:
-        """`load`: of each member, in cores."""
+        """Prepare a simulation.
+
+        :param load: Load of each member in cores.
+        :param requests: Number of maintenance requests.
+        """
         self.machines = [SimulatedMachine() for _ in range(scenario.seats)]
         self.clock_skews_us = [0] * scenario.seats
         self.policy = policy
@@ -214,10 +237,10 @@
 
     def start_process(self, seat: int, recovered: bool, incarnation: int | None = None) -> Process:
         """Start a process of a member, see `ClusterSimulation`."""
-        made = super().start_process(seat, recovered, incarnation)
-        assert isinstance(made, MaintenanceProcess)
-        self.at(self.now, made, made.coordinator.start)
-        return made
+        process = super().start_process(seat, recovered, incarnation)
+        assert isinstance(process, MaintenanceProcess)
+        self.at(self.now, process, process.coordinator.start)
+        return process
 
     def live_processes(self) -> list[MaintenanceProcess]:
         """Return the processes that are alive."""
@@ -226,25 +249,25 @@
         ]
 
     def live_process(self, seat: int) -> MaintenanceProcess | None:
-        """Return the process of a seat, if it is alive."""
+        """Return the process of a seat, or None if it is not alive."""
         process = self.processes[seat]
         return process if process.alive and isinstance(process, MaintenanceProcess) else None
 
     # ---- machines ----
 
     def clear_machine(self, seat: int) -> None:
-        """A script was told that it may begin."""
+        """Record that a script was granted its clearance, and check the limits."""
         self.machines[seat].is_cleared = True
         worked_on = [seat for seat, machine in enumerate(self.machines) if machine.is_worked_on]
         self.max_cleared = max(self.max_cleared, len(worked_on))
         by_zone = Counter(seat % 2 for seat in worked_on)
         if len(worked_on) > self.policy.max_out or max(by_zone.values()) > self.policy.max_out_per_zone:
             self.violations.append(
-                f"{self.now / SECOND:.3f} s: n{seat} was told to go, and {worked_on} may be worked on"
+                f"{self.now / SECOND:.3f} s: n{seat} was cleared, so {worked_on} may be worked on at the same time"
             )
 
     def work_on(self, seat: int) -> None:
-        """The machine goes down, and boots again."""
+        """Shut the machine down for work, and boot it afterwards."""
         machine = self.machines[seat]
         machine.is_cleared = False
         machine.is_down = True
@@ -270,7 +293,7 @@
         self.at(self.now + round(work_s * SECOND), None, boot)
 
     def restart_later(self, seat: int, when: int, incarnation: int | None = None) -> None:
-        """Start a further process of a member at that time, in us, unless its machine is being worked on then."""
+        """Start a new process of a member at a time in us, unless one is alive or its machine is down then."""
 
         def restart() -> None:
             if not self.processes[seat].alive and not self.machines[seat].is_down:
@@ -278,12 +301,12 @@
 
         self.at(when, None, restart)
 
-    # ---- the whole simulation ----
+    # ---- run and check ----
 
     def play(self) -> str | None:
-        """Run the simulation to its end, and check it.
+        """Run the simulation to its end, and check its invariants.
 
-        :returns: what is violated, in words; None where nothing is.
+        :returns: Description of a violation, or None.
         """
         self.run(round(self.scenario.seconds * SECOND))
         self.end_faults()
@@ -303,7 +326,7 @@
         for request_id in self.operators.requested:
             request = last.request(request_id)
             if request is not None:
-                return f"{request_id} is not over: {request}, {last.slots}"
+                return f"{request_id} is not finished: {request}, {last.slots}"
             if not last.is_finished(request_id):
-                return f"{request_id} is forgotten"
+                return f"{request_id} is missing from the schedule"
         return None
--- a/moorusher/model_checking/publish_history.py
+++ b/moorusher/model_checking/publish_history.py
@@ -1,4 +1,4 @@
-"""What a simulation has published, as no member of the cluster sees it, and the rules that it must keep."""
+"""The global history of published revisions in a simulation, and its invariants."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from ..namespaces.revision_history import RevisionHistory
 from ..namespaces.revision_id import RevisionId
 
-Draft = tuple[str, RevisionId]  # a customer, and one of its revisions
+RevisionKey = tuple[str, RevisionId]  # A customer and one of its revisions.
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """A submission or a deletion that its sender was told is done.
+    """A submission or a deletion that was confirmed to its sender.
 
     Attributes:
-        customer: `str`.
-        revision_id: `RevisionId`, what it has become.
-        submission_id: `str`, empty for a deletion.
-        draft: `bytes`, empty for a deletion.
-        at: `int`, us.
+        customer: Customer of the namespace.
+        revision_id: Revision that resulted from it.
+        submission_id: Id of the submission; empty for a deletion.
+        draft: Submitted draft; empty for a deletion.
+        at: Time in us.
     """
 
     customer: str
@@ -32,7 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A submission whose sender was told an error, by its kind."""
+    """A submission that failed.
+
+    Attributes:
+        submission_id: Id of the submission.
+        error: Kind of the error that its sender received.
+    """
 
     submission_id: str
     error: str
@@ -40,38 +45,39 @@
 
 @dataclass(slots=True)
 class PublishHistory:
-    """Everything that the revisions of a simulation are checked by.
+    """The events that the revisions of a simulation are checked against.
 
     Attributes:
-        drafts: by revision, the drafts that it was seen to mean, anywhere.
-        current: by number of a process and customer, the revision that it has.
-        confirmations, failures: what senders were told.
-        propagation_times_us: from the confirmation until every member had the revision.
-        violations: what was seen to be violated, in words.
+        drafts: Drafts that any process or client had for a revision.
+        current: Current revision by number of a process and customer.
+        confirmations: Confirmed submissions and deletions in order.
+        failures: Failed submissions in order.
+        propagation_times_us: Times from a confirmation until every member had the revision.
+        violations: Descriptions of violations found so far.
     """
 
-    drafts: defaultdict[Draft, set[bytes]] = field(default_factory=lambda: defaultdict(set))
+    drafts: defaultdict[RevisionKey, set[bytes]] = field(default_factory=lambda: defaultdict(set))
     current: dict[tuple[int, str], RevisionId] = field(default_factory=dict)
     confirmations: list[Confirmation] = field(default_factory=list)
     failures: list[Failure] = field(default_factory=list)
     propagation_times_us: list[int] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
-    def see_draft(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
-        """A revision means this draft, somewhere: no revision ever means two."""
+    def record_draft(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
+        """Record the draft that a revision has in some place, and check that it has no other one."""
         drafts = self.drafts[customer, revision_id]
         drafts.add(draft)
         if len(drafts) > 1:
-            self.violations.append(f"{customer} {revision_id} means {sorted(drafts)}")
+            self.violations.append(f"{customer} {revision_id} has more than one draft: {sorted(drafts)}")
 
-    def see_current(self, process: int, customer: str, revision_id: RevisionId) -> None:
-        """A process has this revision now: no process goes back to an earlier one."""
+    def record_current(self, process: int, customer: str, revision_id: RevisionId) -> None:
+        """Record the current revision of a process, and check that it is not older than the previous one."""
         if revision_id < self.current.get((process, customer), (0, 0)):
             self.violations.append(f"process {process} went back to {revision_id} of {customer}")
         self.current[process, customer] = revision_id
 
-    def confirmed_twice(self, customer: str) -> str | None:
-        """A submission becomes one revision, however often it is handed in."""
+    def find_duplicate_revision(self, customer: str) -> str | None:
+        """Check that a submission becomes only one revision, however often it is submitted."""
         numbers: dict[tuple[int, str], int] = {}
         for confirmation in self.confirmations:
             submission_id = confirmation.submission_id
@@ -83,22 +89,23 @@
                 return f"{submission_id} was published as {first} and as {number}"
         return None
 
-    def of_customer(self, customer: str) -> list[Confirmation]:
-        """Return what was confirmed for a customer."""
+    def confirmations_of(self, customer: str) -> list[Confirmation]:
+        """Return the confirmations of a customer."""
         return [confirmation for confirmation in self.confirmations if confirmation.customer == customer]
 
 
-def wrong_in_history(
+def find_history_violation(
     history: RevisionHistory, incarnation: int, confirmations: list[Confirmation]
 ) -> str | None:
-    """Return what is wrong with the history that a majority has in the end, in words.
+    """Check the revision history that a majority stores at the end of a simulation.
 
-    :param incarnation: of the namespace.
-    :param confirmations: of its customer; each must be in the history, unless its namespace was deleted.
+    :param incarnation: Incarnation of the namespace.
+    :param confirmations: Confirmations of its customer. The history must contain each of them, except those of earlier
+        incarnations.
     """
     numbers = [entry.number for entry in history.revisions]
     if numbers != list(range(len(numbers), 0, -1)):
-        return f"numbers {numbers}"
+        return f"revision numbers are not consecutive: {numbers}"
     submission_ids = [entry.submission_id for entry in history.revisions]
     if len(set(submission_ids)) != len(submission_ids):
         return f"one submission became two revisions: {submission_ids}"
@@ -107,6 +114,6 @@
         entry = history.find(number)
         is_lost = entry is None or entry.draft != confirmation.draft
         if confirmed_incarnation > incarnation or (confirmed_incarnation == incarnation and is_lost):
-            published = f"{confirmation.revision_id} was told to be published"
-            return f"{published}, and {numbers} of {incarnation} are there"
+            confirmed = f"{confirmation.revision_id} was confirmed"
+            return f"{confirmed} but the register has revisions {numbers} of incarnation {incarnation}"
     return None
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -1,8 +1,9 @@
-"""Every interleaving of a publisher that may be superseded at any moment, and the publisher of the next term.
+"""A model of a publisher that may be superseded at any time, and of the publisher of the next term.
 
-Two submissions are handed in again anywhere; changes of the register arrive late, or their answer is lost. The
-publishers are the real ones. The register takes a change at one moment here (`register_interleavings` walks how it does
-that). A change that its leader has given up may arrive yet, until that leader has read the register again.
+Two submissions may each be submitted twice, to either publisher. Changes of the register may arrive late, and their
+answers may be lost. The publishers are the real ones. The register applies a change atomically here; its protocol is
+explored in `register_interleavings`. A change that its leader has abandoned may still arrive until that leader reads
+the register again.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
     submission_id: Submission(CUSTOMER, submission_id, -1, "x", submission_id.encode())
     for submission_id in ("s1", "s2")
 }
-MAX_HANDED_IN = 2  # times that each submission is
+MAX_ATTEMPTS = 2  # Number of times that each submission is submitted.
 MAX_REVISIONS = 9
-FIRST = "P"  # the leader of the first term
-NEXT = "Q"
+FIRST = "P"  # Leader of the first term.
+NEXT = "Q"  # Leader of the next term.
 NEXT_LEADS = f"{NEXT} takes over"
 
 
 class Confirmation(NamedTuple):
-    """A submission that was confirmed, and the number of its revision."""
+    """A confirmed submission and the number of its revision."""
 
     submission_id: str
     number: int
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGeneration:
-    """What a publisher reads of its lease record."""
+    """The part of a lease record that a publisher reads."""
 
     generation: int = GENERATION
 
@@ -53,9 +54,9 @@
     """A change of the register that a leader has sent.
 
     Attributes:
-        state: `bytes`, what the register is to hold.
-        callback: gets the outcome; None once the leader has heard it, or has given the change up.
-        is_applied: whether the register took it; None until it has arrived.
+        state: New value of the register.
+        callback: Called with the outcome. None after the leader has received the outcome or abandoned the change.
+        is_applied: Whether the register applied it. None until it has arrived.
     """
 
     state: bytes
@@ -64,31 +65,31 @@
 
 
 class SimulatedLeader:
-    """A leader in its term: the lease and the host of a real publisher.
+    """The leader of a term: the lease and the host of a real publisher.
 
     Attributes:
-        name: of its lease, as `LeaseHolder`.
-        who: `str`, its name in the moves.
-        term: `int`.
-        state: `bytes`, what the register held as it acquired the lease.
-        record: as `LeaseHolder`.
-        changes: `PendingChange`s, in the order in which they were sent.
-        reads: callbacks of reads of the register that are under way.
-        is_over: `bool`, it has heard that it is superseded.
-        publisher: the real one, or one with a seeded mistake.
+        name: Name of the lease, as in `LeaseHolder`.
+        label: Name of the leader in the moves.
+        term: Term of the lease.
+        state: Value of the register when the leader acquired the lease.
+        record: Lease record, as in `LeaseHolder`.
+        changes: Changes in the order in which they were sent.
+        reads: Callbacks of pending reads of the register.
+        is_superseded: Whether it has learned that the next term has begun.
+        publisher: Publisher of the class `PublishModel.publisher_class`.
     """
 
     name = LEASE
 
-    def __init__(self, model: PublishModel, who: str, term: int, state: bytes) -> None:
+    def __init__(self, model: PublishModel, label: str, term: int, state: bytes) -> None:
         self._model = model
-        self.who = who
+        self.label = label
         self.term = term
         self.state = state
         self.record = LeaseGeneration()
         self.changes: list[PendingChange] = []
         self.reads: list[HistoryCallback] = []
-        self.is_over = False
+        self.is_superseded = False
         self.publisher = model.publisher_class(self, self)  # type: ignore[arg-type]
         self.publisher.start()
 
@@ -102,46 +103,46 @@
     # ---- `config_distribution.publisher.PublisherHost` ----
 
     def check(self, customer: str, draft: bytes, then: Callable[[NamespaceError | None], None]) -> None:
-        """Every draft is right."""
+        """Accept every draft."""
         then(None)
 
     def history(self, customer: str, then: HistoryCallback) -> None:
-        """Begin a read of the register."""
+        """Start a read of the register."""
         self.reads.append(then)
 
     def published(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
-        """A revision is published."""
-        self._model.see_draft(revision_id[1], draft)
+        """Called when a revision is published."""
+        self._model.record_draft(revision_id[1], draft)
 
     def publishing_limits(self, customer: str) -> PublishingLimits:
-        """Return limits that nothing here comes to."""
+        """Return limits that the model never reaches."""
         return PublishingLimits(max_revisions=MAX_REVISIONS)
 
     def ended(self, publisher: Publisher) -> None:
-        """Nobody waits for it here."""
+        """Called when the publisher has ended; nothing to do."""
 
     def unix_ms(self) -> int:
-        """Return the wall-clock time, which stands still."""
+        """Return a constant wall-clock time."""
         return 0
 
     # ---- moves ----
 
     def supersede(self) -> None:
-        """It hears that the next term has begun."""
-        self.is_over = True
+        """Notify the publisher that the next term has begun."""
+        self.is_superseded = True
         self.publisher.stop(LeaseSupersededError(LEASE, self.term, None, self.term + 1))
 
     def abandon_late_changes(self) -> None:
-        """What this leader has given up, and has not arrived yet, never will."""
+        """Drop the changes that this leader has abandoned and that have not arrived yet."""
         for change in self.changes:
             if change.is_applied is None and change.callback is None:
                 change.is_applied = False
 
     def fingerprint(self) -> Hashable:
-        """The same for leaders that can't be told apart."""
+        """Return a value that is equal for equivalent leaders."""
         return (
-            self.who,
-            self.is_over,
+            self.label,
+            self.is_superseded,
             self.publisher._history,
             tuple(submission.submission_id for submission, _ in self.publisher._waiting),
             len(self.reads),
@@ -151,27 +152,27 @@
 
 @dataclass(slots=True)
 class PublishModel:
-    """A state of what is explored, see `explorer.Model`.
+    """A state of the model, see `explorer.Model`.
 
-    Publishers hold callbacks, so a state is copied by making all moves that lead to it again.
+    Publishers contain callbacks, so a state is copied by repeating all moves that lead to it.
 
     Attributes:
-        publisher_class: the real one, or one with a seeded mistake.
-        path: the moves that lead to this state.
-        term: `int`, of the register.
-        state: `bytes`, what the register holds.
-        handed_in: by submission, how often it was handed in.
-        drafts: by number of a revision, its draft.
-        confirmations: in order.
-        failure: what is violated, in words, or None.
-        leaders: by name.
+        publisher_class: Class of the publishers; tests replace it by one with a seeded mistake.
+        path: Moves that lead to this state.
+        term: Term of the register.
+        state: Value of the register.
+        attempts: Number of times that each submission was submitted.
+        drafts: Draft of each revision number.
+        confirmations: Confirmations in order.
+        failure: Description of the violated invariant, or None.
+        leaders: Leaders by label.
     """
 
     publisher_class: type[Publisher] = Publisher
     path: tuple[str, ...] = ()
     term: int = 1
     state: bytes = b""
-    handed_in: dict[str, int] = field(default_factory=lambda: dict.fromkeys(SUBMISSIONS, 0))
+    attempts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(SUBMISSIONS, 0))
     drafts: dict[int, bytes] = field(default_factory=dict)
     confirmations: list[Confirmation] = field(default_factory=list)
     failure: str | None = None
@@ -181,16 +182,16 @@
         self.leaders[FIRST] = SimulatedLeader(self, FIRST, self.term, self.state)
 
     def copy(self) -> PublishModel:
-        """Return a copy that moves by itself."""
+        """Return a copy that shares no data that a move changes."""
         new = PublishModel(self.publisher_class)
         for move in self.path:
             new.apply(move)
         return new
 
-    def see_draft(self, number: int, draft: bytes) -> None:
-        """A revision means this draft, somewhere: none ever means two."""
+    def record_draft(self, number: int, draft: bytes) -> None:
+        """Record the draft that a revision has in some place, and check that it has no other one."""
         if self.drafts.setdefault(number, draft) != draft:
-            self.failure = f"{number} means {self.drafts[number]!r} and {draft!r}"
+            self.failure = f"revision {number} has two drafts: {self.drafts[number]!r} and {draft!r}"
 
     # ---- moves ----
 
@@ -200,7 +201,7 @@
             return []
         names = [] if NEXT in self.leaders else [NEXT_LEADS]
         for leader in self.leaders.values():
-            if not leader.is_over:
+            if not leader.is_superseded:
                 names += self._leader_moves(leader)
             for index, change in enumerate(leader.changes):
                 names += self._change_moves(leader, index, change)
@@ -208,23 +209,23 @@
 
     def _leader_moves(self, leader: SimulatedLeader) -> list[str]:
         names = [
-            f"{submission_id} to {leader.who}"
-            for submission_id, count in self.handed_in.items()
-            if count < MAX_HANDED_IN
+            f"{submission_id} to {leader.label}"
+            for submission_id, count in self.attempts.items()
+            if count < MAX_ATTEMPTS
         ]
         if leader.reads:
-            names.append(f"{leader.who} reads")
+            names.append(f"{leader.label} reads")
         return names
 
     @staticmethod
     def _change_moves(leader: SimulatedLeader, index: int, change: PendingChange) -> list[str]:
         names: list[str] = []
         if change.is_applied is None:
-            names.append(f"{leader.who} change {index} arrives")
-        if change.callback is not None and not leader.is_over:
+            names.append(f"{leader.label} change {index} arrives")
+        if change.callback is not None and not leader.is_superseded:
             if change.is_applied is not None:
-                names.append(f"{leader.who} hears {index}")
-            names.append(f"{leader.who} drops {index}")
+                names.append(f"{leader.label} receives {index}")
+            names.append(f"{leader.label} abandons {index}")
         return names
 
     def apply(self, name: str) -> None:
@@ -235,16 +236,16 @@
             self.term += 1
             self.leaders[NEXT] = SimulatedLeader(self, NEXT, self.term, self.state)
         elif subject in SUBMISSIONS:
-            self._hand_in(subject, self.leaders[rest[0]])
+            self._submit(subject, self.leaders[rest[0]])
         elif verb == "reads":
             self._read(self.leaders[subject])
         elif verb == "change":
             self._arrive(self.leaders[subject], int(rest[0]))
         else:
-            self._answer(self.leaders[subject], int(rest[0]), is_lost=verb == "drops")
+            self._answer(self.leaders[subject], int(rest[0]), is_lost=verb == "abandons")
 
-    def _hand_in(self, submission_id: str, leader: SimulatedLeader) -> None:
-        self.handed_in[submission_id] += 1
+    def _submit(self, submission_id: str, leader: SimulatedLeader) -> None:
+        self.attempts[submission_id] += 1
         leader.publisher.submit(
             SUBMISSIONS[submission_id], lambda result: self._on_result(submission_id, result)
         )
@@ -254,10 +255,13 @@
             return
         number = result[1]
         self.confirmations.append(Confirmation(submission_id, number))
-        self.see_draft(number, submission_id.encode())
+        self.record_draft(number, submission_id.encode())
 
     def _read(self, leader: SimulatedLeader) -> None:
-        """A majority has promised a later ballot by then: what its leader has given up does not arrive any more."""
+        """Answer a read of the register.
+
+        A majority has promised a later ballot to the read, so changes that the leader has abandoned no longer arrive.
+        """
         leader.abandon_late_changes()
         callback = leader.reads.pop(0)
         callback((GENERATION, decode_history(self.state, CUSTOMER)))
@@ -270,7 +274,7 @@
         self.state = change.state
         current = decode_history(self.state, CUSTOMER).current
         if current is not None:
-            self.see_draft(current.number, current.draft)
+            self.record_draft(current.number, current.draft)
 
     def _answer(self, leader: SimulatedLeader, index: int, is_lost: bool) -> None:
         change = leader.changes[index]
@@ -287,17 +291,17 @@
     # ---- invariants ----
 
     def fingerprint(self) -> Hashable:
-        """The same for states that can't be told apart."""
+        """Return a value that is equal for equivalent states."""
         return (
             self.term,
             self.state,
-            tuple(self.handed_in.values()),
+            tuple(self.attempts.values()),
             tuple(sorted(set(self.confirmations))),
             tuple(leader.fingerprint() for leader in self.leaders.values()),
         )
 
     def violation(self) -> str | None:
-        """Return what is violated in this state, in words."""
+        """Return a description of the invariant that this state violates, or None."""
         if self.failure:
             return self.failure
         history = decode_history(self.state, CUSTOMER)
@@ -306,9 +310,9 @@
             return f"one submission became two revisions: {submission_ids}"
         numbers = [entry.number for entry in history.revisions]
         if numbers != list(range(len(numbers), 0, -1)):
-            return f"numbers {numbers}"
+            return f"revision numbers are not consecutive: {numbers}"
         for confirmation in self.confirmations:
             entry = history.find(confirmation.number)
             if entry is None or entry.submission_id != confirmation.submission_id:
-                return f"{tuple(confirmation)} was told, and is not there"
+                return f"{tuple(confirmation)} was confirmed but is missing"
         return None
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -1,8 +1,8 @@
 """Customers' revisions in virtual time: real replicas, publishers and leases, submissions at any member, and faults.
 
-One seed is one simulation of `cluster_simulation`; its whole history is checked. No number of an incarnation ever means
-two drafts; what was confirmed stays; a submission becomes one revision however often it is handed in; no process goes
-back; who is said to have a revision has it; in the end all have the same.
+The invariants are checked on the whole history of a simulation. A revision has only one draft. Confirmed revisions are
+never lost. A submission becomes one revision, however often it is submitted. No process returns to an older revision.
+A member that is reported to have a revision has it. At the end all members have the same revision.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     latest_record,
     replicated_state,
 )
-from .publish_history import Confirmation, Failure, PublishHistory, wrong_in_history
+from .publish_history import Confirmation, Failure, PublishHistory, find_history_violation
 from .scenario import FAULTS_WITH_JOURNAL, FAULTS_WITHOUT_JOURNAL, Scenario
 
 CUSTOMERS = ("acme", "bolt", "Acme")
@@ -44,33 +44,33 @@
 DISK_SCENARIO = Scenario(seats=4, keys=0, faults=6, fault_kinds=FAULTS_WITH_JOURNAL)
 MAX_CUSTOMERS = 100
 READY_TIMEOUT_US = 2_000 * MS
-PARSE_MS = (0.2, 40)  # least and most time that a draft is read in
-EPOCH_MS = 1_700_000_000_000  # Unix time at the begin of a simulation
-EXPECTATIONS = (-1, -1, -1, 0, 1, 2)  # the revision that a submission builds on; -1: whichever
-TIMES_HANDED_IN = (1, 1, 2, 3)  # as no answer came
+PARSE_MS = (0.2, 40)  # Minimum and maximum time to parse a draft.
+EPOCH_MS = 1_700_000_000_000  # Unix time at the start of a simulation.
+EXPECTED_REVISIONS = (-1, -1, -1, 0, 1, 2)  # Revision that a submission is based on; -1 means any.
+ATTEMPTS = (1, 1, 2, 3)  # Number of times that a client submits, as if it had received no answer.
 MAX_RESUBMIT_S = 2
 FIRST_SUBMISSION_S = 0.3
 FIRST_DELETION_S = 1.0
 
 
 def draft_of(name: str) -> bytes:
-    """Return a draft that is told apart by its one name."""
+    """Return a draft whose only route has this name."""
     return msgspec.json.encode({"default": name, "routes": {name: {"servers": {"s": 1}}}})
 
 
 class PublishProcess(DutyProcess):
-    """One process of a simulated cluster, with the real replica of all revisions; its `ReplicaHost`.
+    """One process of a simulated cluster with a replica of all revisions. Implements `ReplicaHost`.
 
     Attributes:
-        publishing: `PublishSimulation`.
-        started_at_us: `int`.
-        replica: the real one, or one with a seeded mistake.
+        publish_simulation: Simulation that the process belongs to.
+        started_at_us: Start time.
+        replica: Replica of the class `PublishSimulation.replica_class`.
     """
 
     def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
         super().__init__(sim, start)
         assert isinstance(sim, PublishSimulation)
-        self.publishing = sim
+        self.publish_simulation = sim
         self.started_at_us = sim.now
         self.replica = sim.replica_class(self.participant, self, MAX_CUSTOMERS)
 
@@ -79,8 +79,8 @@
         return self.replica.work(lease)
 
     def start_replica(self) -> None:
-        """Begin with what the disk of this member has."""
-        stored = self.publishing.stored[self.seat]
+        """Start the replica with the revisions on the disk of this member."""
+        stored = self.publish_simulation.stored[self.seat]
         self.replica.start(
             [(customer, revision_id, draft) for customer, (revision_id, draft) in stored.items()],
             READY_TIMEOUT_US,
@@ -89,19 +89,19 @@
     # ---- `config_distribution.services.ReplicaHost` ----
 
     def grant_of(self, customer: str) -> Grant | None:
-        """Return what a customer may route to."""
+        """Return the servers that a customer may route to."""
         return GRANT
 
     def publishing_limits(self, customer: str) -> PublishingLimits:
-        """Return how much may be published and retained."""
+        """Return the limits of published and retained revisions."""
         return PUBLISHING_LIMITS
 
     def check(self, draft: bytes, grant: Grant, then: Callable[[NamespaceError | None], None]) -> None:
-        """Call `then` with what is wrong with a draft, or None."""
+        """Parse a draft, and call `then` with its error, or None if it is valid."""
         self.read(draft, lambda parsed: then(parsed if isinstance(parsed, NamespaceError) else None))
 
     def read(self, draft: bytes, then: Callable[[Namespace | NamespaceError], None]) -> None:
-        """Parse a draft, which takes its time."""
+        """Parse a draft, and call `then` with the result after a delay."""
         try:
             parsed: Namespace | NamespaceError = parse_draft(draft, None)
         except NamespaceError as exc:
@@ -110,34 +110,37 @@
         self.sim.at(self.sim.now + delay_us, self, lambda: then(parsed))
 
     def keep(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
-        """Store a revision on the disk, if there is one; no draft: it was deleted."""
-        if self.world.has_disks:
-            self.publishing.stored[self.seat][customer] = (at, draft)
+        """Store a revision on the disk, if there is one.
+
+        :param draft: Draft of the revision, or None if the namespace was deleted.
+        """
+        if self.duty_simulation.has_disks:
+            self.publish_simulation.stored[self.seat][customer] = (at, draft)
 
     def unix_ms(self) -> int:
-        """Return the wall-clock time."""
+        """Return the wall-clock time in ms since the Unix epoch."""
         return EPOCH_MS + self.sim.now // MS
 
     def became_ready(self) -> None:
-        """Nobody waits for it here."""
+        """Called when the replica is ready; nothing to do."""
 
     def changed(self, customer: str) -> None:
-        """The customer has another current revision here."""
-        history = self.publishing.publish_history
+        """Called when the customer's current revision has changed in this process."""
+        history = self.publish_simulation.publish_history
         revision_id = self.replica.customers.latest_id(customer)
-        history.see_current(self.number, customer, revision_id)
+        history.record_current(self.number, customer, revision_id)
         found = self.replica.customers.get(customer)
         if found is not None:
-            history.see_draft(customer, revision_id, found.draft)
+            history.record_draft(customer, revision_id, found.draft)
 
 
 class PublishSimulation(DutySimulation):
     """One simulation of a cluster whose members publish revisions.
 
     Attributes:
-        replica_class: the real one, or one with a seeded mistake.
-        stored: by seat and customer, the revision and draft on its disk; no draft where it was deleted.
-        publish_history: `PublishHistory`.
+        replica_class: Class of the replicas; tests replace it by one with a seeded mistake.
+        stored: Revision and draft on the disk by seat and customer. The draft is None if the namespace was deleted.
+        publish_history: Events that the invariants are checked against.
     """
 
     def __init__(
@@ -149,7 +152,11 @@
         submissions: int = 30,
         deletions: int = 2,
     ) -> None:
-        """Prepare a simulation with so many submissions and deletions."""
+        """Prepare a simulation.
+
+        :param submissions: Number of different submissions.
+        :param deletions: Number of deletions of namespaces.
+        """
         scenario = scenario or SCENARIO
         self.replica_class = replica_class
         self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [{} for _ in range(scenario.seats)]
@@ -172,13 +179,13 @@
     # ---- submissions and deletions ----
 
     def _plan_submission(self, submission_id: str) -> None:
-        """A submission, handed in once more, elsewhere or at the same member, where no answer came."""
+        """Draw a submission, and schedule its attempts at random members."""
         random = self.random
         customer = random.choice(CUSTOMERS)
         at_s = random.uniform(FIRST_SUBMISSION_S, self.scenario.seconds)
-        expects = random.choice(EXPECTATIONS)
-        submission = Submission(customer, submission_id, expects, "x", draft_of(submission_id))
-        for repeat in range(random.choice(TIMES_HANDED_IN)):
+        expected_revision = random.choice(EXPECTED_REVISIONS)
+        submission = Submission(customer, submission_id, expected_revision, "x", draft_of(submission_id))
+        for repeat in range(random.choice(ATTEMPTS)):
             self._plan_attempt(submission, at_s + repeat * random.uniform(0, MAX_RESUBMIT_S))
 
     def _plan_attempt(self, submission: Submission, at_s: float) -> None:
@@ -199,7 +206,7 @@
         history.confirmations.append(
             Confirmation(customer, result, submission.submission_id, submission.draft, confirmed_us)
         )
-        history.see_draft(customer, result, submission.draft)
+        history.record_draft(customer, result, submission.draft)
         process.replica.propagation.everywhere(
             customer, result, lambda lacking: self._on_propagated(customer, result, lacking, confirmed_us)
         )
@@ -215,7 +222,7 @@
         self._at_process(self.random.randrange(self.scenario.seats), at_s, delete)
 
     def _at_process(self, seat: int, at_s: float, action: Callable[[PublishProcess], None]) -> None:
-        """Call `action` with whichever process the member has at that time."""
+        """Call `action` with the member's process at that time, if it is alive."""
 
         def call() -> None:
             process = self.processes[seat]
@@ -227,7 +234,10 @@
     def _on_propagated(
         self, customer: str, revision_id: RevisionId, lacking: dict[str, str], confirmed_us: int
     ) -> None:
-        """All members but those that are lacking are said to have the revision."""
+        """Check that all members that are not reported as lacking the revision have it.
+
+        :param lacking: Members that are reported to lack the revision, with the reason.
+        """
         history = self.publish_history
         if not lacking:
             history.propagation_times_us.append(self.now - confirmed_us)
@@ -236,49 +246,51 @@
             is_reported_to_have = process.node.me not in lacking and process.started_at_us < confirmed_us
             if is_reported_to_have and current < revision_id:
                 history.violations.append(
-                    f"n{process.seat} was said to have {revision_id} of {customer}, and has {current}"
+                    f"n{process.seat} was reported to have {revision_id} of {customer} but has {current}"
                 )
 
     def _live_replicas(self) -> list[PublishProcess]:
         return [process for process in self.live_processes() if isinstance(process, PublishProcess)]
 
-    # ---- the end ----
+    # ---- final check ----
 
     def violation(self) -> str | None:
-        """Return what was wrong in the simulation, in words."""
+        """Return a description of a violation, or None."""
         if self.publish_history.violations:
             return self.publish_history.violations[0]
         for customer in CUSTOMERS:
-            found = self.publish_history.confirmed_twice(customer) or self._wrong_in_register(customer)
+            found = self.publish_history.find_duplicate_revision(customer) or self._find_register_violation(
+                customer
+            )
             if found is not None:
                 return f"{customer}: {found}"
         return None
 
-    def _wrong_in_register(self, customer: str) -> str | None:
-        """All faults are over for a while: a majority has what was confirmed, and all members have the same."""
+    def _find_register_violation(self, customer: str) -> str | None:
+        """Check that after the recovery time a majority has all confirmed revisions and all members have the same."""
         duty = duty_of(customer)
         replicas = self.voting_replicas(duty)
         if len(replicas) < MIN_REPLICAS:
             return None
         record = latest_record(duty, replicas)
-        confirmations = self.publish_history.of_customer(customer)
+        confirmations = self.publish_history.confirmations_of(customer)
         if record is None:
             confirmed = [(confirmation.revision_id, confirmation.draft) for confirmation in confirmations]
-            return f"no register, though {confirmed} was told" if confirmed else None
+            return f"no register, although {confirmed} was confirmed" if confirmed else None
         if record.status == LeaseStatus.REMOVED:
-            return self._wrong_after_deletion(customer, record, confirmations)
+            return self._find_deletion_violation(customer, record, confirmations)
         if record.status == LeaseStatus.SUSPENDED:
             return None
         state = replicated_state(duty, record, replicas)
         if record.versions and state is None:
-            return None  # `leadership_simulation` checks that
+            return None  # `leadership_simulation` checks the replication of states.
         history = decode_history(state or b"", customer)
-        found = wrong_in_history(history, record.generation, confirmations)
+        found = find_history_violation(history, record.generation, confirmations)
         if found is None and history.current_number:
             found = self._lagging_replicas(customer, (record.generation, history.current_number))
         return found
 
-    def _wrong_after_deletion(
+    def _find_deletion_violation(
         self, customer: str, record: LeaseRecord, confirmations: list[Confirmation]
     ) -> str | None:
         late = [
@@ -287,7 +299,7 @@
             if confirmation.revision_id[0] > record.generation
         ]
         if late:
-            return f"told {late} after the last birth {record.generation}"
+            return f"confirmed revisions {late} are later than the last generation {record.generation}"
         return self._lagging_replicas(customer, (record.generation, DELETED_NUMBER))
 
     def _lagging_replicas(self, customer: str, revision_id: RevisionId) -> str | None:
@@ -296,4 +308,4 @@
             for process in self._live_replicas()
             if process.replica.customers.latest_id(customer) != revision_id
         }
-        return f"{revision_id} is there, and {lagging} have not come to it" if lagging else None
+        return f"{revision_id} is current but these replicas have another one: {lagging}" if lagging else None
--- a/tests/test_forecast_checking.py
+++ b/tests/test_forecast_checking.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize(
     ("forecaster", "violation"),
-    [(AddingForecaster, "are said to have been asked"), (ZeroForecaster, "said to be whole")],
+    [(AddingForecaster, "requests counted in hour"), (ZeroForecaster, "marked complete with")],
 )
 def test_a_seeded_mistake_is_found(forecaster: type[Forecaster], violation: str) -> None:
     found: Any = next(
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -129,7 +129,7 @@
 
 def test_seeds_find_a_receiver_that_does_not_compare_tokens() -> None:
     found = find_counterexample(range(60), partial(DutySimulation, compares=False))
-    assert found is not None and "took" in found.violation
+    assert found is not None and "the receiver accepted" in found.violation
 
 
 def test_seeds_find_replicas_that_vote_after_losing_their_memory() -> None:
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -92,7 +92,7 @@
             MaintenanceModelLimits(
                 crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)
             ),
-            {"any_process": True},
+            {"process_proves_reboot": True},
         ),
     ],
 )
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -492,7 +492,11 @@
 
 @pytest.mark.parametrize(
     ("kind", "how"),
-    [(Twice, "1 means"), (Forgetful, "was told, and is not|became two|means"), (Early, "told|means")],
+    [
+        (Twice, "revision 1 has two drafts"),
+        (Forgetful, "was confirmed but is missing|became two|has two drafts"),
+        (Early, "was confirmed but is missing|has two drafts"),
+    ],
 )
 def test_the_exploration_finds_each_seeded_mistake_and_its_path(kind: type[Publisher], how: str) -> None:
     found = explore(PublishModel(kind))
@@ -504,9 +508,9 @@
     ("replica", "how"),
     [
         (GoesBack, "went back"),
-        (SaysItEarly, "means|told|no register|published as|was said"),
+        (SaysItEarly, "more than one draft|confirmed|no register|published as|was reported"),
         (ForgetsIds, "published as . and as|one submission became two"),
-        (SaysAll, "was said to have"),
+        (SaysAll, "was reported to have"),
     ],
 )
 def test_some_seed_finds_each_seeded_mistake(replica: type[Replica], how: str) -> None:
