--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -34,7 +34,7 @@
 
 
 def repeated_run(history: History, window_us: int) -> str | None:
-    """Check that no key runs twice within its window, which begins when its first request is received."""
+    """Check that no key runs again within its window, which begins when the request of its earlier run arrives."""
     runs_by_key: dict[KeyDigest, list[Run]] = {}
     for run in history.runs:
         runs_by_key.setdefault(run.key, []).append(run)
@@ -50,7 +50,7 @@
     for answer in history.answers:
         if answer.result is not None and answer.result not in history.results[answer.key]:
             responder = f"process {answer.process}"
-            return f"{responder} answered {answer.key!r} with the result of no run ({answer.kind.value})"
+            return f"{answer.key!r} was answered by {responder} with a result of no run ({answer.kind.value})"
     return None
 
 
--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -13,13 +13,13 @@
 if TYPE_CHECKING:
     from .cluster_simulation import ClusterSimulation
 
-MAX_SHORT_S = 0.6
-MIN_LONG_S = 0.5
-MAX_LONG_S = 4
+MAX_SHORT_FAULT_S = 0.6
+MIN_LONG_FAULT_S = 0.5
+MAX_LONG_FAULT_S = 4
 QUICK_RESTART_US = 20 * MS
-MIN_POWER_FAILURE_S = 0.02
-MAX_POWER_FAILURE_S = 1
-CLOCK_STEP = 5  # Decrease of a process's incarnation after its clock was set back.
+MIN_RESTART_DELAY_S = 0.02
+MAX_RESTART_DELAY_S = 1
+INCARNATION_DECREASE = 5  # Decrease of the incarnation in a restart after the clock was set back.
 
 
 class FaultInjector:
@@ -42,7 +42,7 @@
             seat = random.randrange(scenario.seats)
             at_s = random.uniform(0, scenario.seconds)
             duration_s = random.choice(
-                (random.uniform(0, MAX_SHORT_S), random.uniform(MIN_LONG_S, MAX_LONG_S))
+                (random.uniform(0, MAX_SHORT_FAULT_S), random.uniform(MIN_LONG_FAULT_S, MAX_LONG_FAULT_S))
             )
             self._sim.at(round(at_s * SECOND), None, partial(self.inject, kind, seat, duration_s))
 
@@ -84,14 +84,15 @@
         for process in self._sim.processes:
             if process.alive:
                 self._sim.crash(process)
-                delay_s = self._sim.random.uniform(MIN_POWER_FAILURE_S, min(duration_s, MAX_POWER_FAILURE_S))
+                delay_s = self._sim.random.uniform(MIN_RESTART_DELAY_S, min(duration_s, MAX_RESTART_DELAY_S))
                 self._sim.restart_later(process.seat, self._sim.now + round(delay_s * SECOND))
 
     def _set_clock_back(self, process: Process) -> None:
+        """Restart a process, with a lower incarnation unless the scenario has journals."""
         self._sim.crash(process)
         incarnation: int | None = None
         if not self._sim.scenario.journals:
-            incarnation = max(1, process.node.owner.incarnation - CLOCK_STEP)
+            incarnation = max(1, process.node.owner.incarnation - INCARNATION_DECREASE)
         self._sim.restart_later(process.seat, self._sim.now + QUICK_RESTART_US, incarnation)
 
     def _drain(self, process: Process, end_us: int) -> None:
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -19,7 +19,7 @@
 from ..replication.messages import FAST_BALLOT
 from ..replication.proposer import CarriedPromise
 from ..replication.work_record import Owner
-from . import register_moves as names
+from . import register_moves
 from .register_interleavings import RegisterModel
 from .register_state import KEY, SEATS, RegisterModelLimits, Runner, Step
 
@@ -31,7 +31,7 @@
 MAX_VERSIONS = 9
 PERFORM = "performs its effect"  # First move of P.
 ACQUIRE = "acquires the lease"  # First move of Q.
-FIRST_MOVES = {f"P {names.CLAIM}": f"P {PERFORM}", f"Q {names.CLAIM}": f"Q {ACQUIRE}"}
+FIRST_MOVES = {f"P {register_moves.CLAIM}": f"P {PERFORM}", f"Q {register_moves.CLAIM}": f"Q {ACQUIRE}"}
 
 
 class EffectKind(StrEnum):
@@ -97,17 +97,17 @@
 
         :param options: Other attributes of the model.
         """
-        made = cls.initial(limits, **options)
-        leader = made.runners["P"]
+        model = cls.initial(limits, **options)
+        leader = model.runners["P"]
         owner = Owner("P", leader.incarnation)
         record = LeaseRecord("d", "test", GENERATION, FIRST_TERM, 1, LeaseStatus.HELD, owner)
         value = encode_record(record)
         ballot = (1, leader.incarnation, 0)
-        for acceptor in made.acceptors.values():
+        for acceptor in model.acceptors.values():
             acceptor.permanent = True
             acceptor.registers[KEY] = RegisterState(ballot, FAST_BALLOT, value)
-        made.first_promise = CarriedPromise(ballot, value, dict.fromkeys(SEATS, 1))
-        return made
+        model.first_promise = CarriedPromise(ballot, value, dict.fromkeys(SEATS, 1))
+        return model
 
     def fingerprint(self) -> Hashable:
         """Return a value that is equal for equivalent states."""
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -313,11 +313,13 @@
 def latest_record(name: str, replicas: list[DutyProcess]) -> LeaseRecord | None:
     """Return the record with the highest ballot that these replicas have accepted, or None."""
     key = register_key(name)
-    slots = [process.participant.acceptor.registers.get(key) for process in replicas]
-    accepted = [slot for slot in slots if slot is not None and slot.accepted_ballot is not None]
+    registers = [process.participant.acceptor.registers.get(key) for process in replicas]
+    accepted = [
+        register for register in registers if register is not None and register.accepted_ballot is not None
+    ]
     if not accepted:
         return None
-    record = decode_record(max(accepted, key=lambda slot: slot.accepted_ballot or NO_BALLOT).value)
+    record = decode_record(max(accepted, key=lambda register: register.accepted_ballot or NO_BALLOT).value)
     assert record is not None
     return record
 
--- a/moorusher/model_checking/leadership_worker.py
+++ b/moorusher/model_checking/leadership_worker.py
@@ -12,7 +12,7 @@
 from .cluster_process import Process
 from .leadership_history import AcknowledgedUpdate, DutyHistory, append_number
 
-EFFECT_INTERVAL_MS = (20, 300)  # Minimum and maximum.
+EFFECT_INTERVAL_MS = (20, 300)  # Minimum and maximum time between effects.
 STATE_UPDATE_SHARE = 0.4  # Share of effects that update the state.
 FENCED_SHARE = 0.3  # Share of effects that send a fenced request; the others do a job.
 
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -1,10 +1,10 @@
 """A model of the maintenance of three machines, of which one at a time may be out of service.
 
-The moves are reads, plans, drains, the work itself, returns, changes that arrive late or never, one withdrawal and one
+The moves are reads, grants, drains, the work itself, returns, changes that arrive late or never, one withdrawal and one
 crash. The register applies a change atomically; its protocol is explored in `register_interleavings`. A sender may
-abandon a change, which may still be applied at any later time. A partitioned machine is covered by the interleavings in
-which it reads nothing and its changes don't arrive. The invariant concerns the machines: how many may be worked on at
-the same time.
+abandon a change, which may still be applied at any later time. The interleavings in which a machine reads nothing and
+its changes don't arrive cover a partition. The invariants limit how many machines may be worked on at the same time,
+and exclude work on a machine whose withdrawal was confirmed.
 """
 
 from __future__ import annotations
@@ -42,18 +42,18 @@
 
 
 @lru_cache(CACHED_SCHEDULES)
-def decode_register(known: bytes) -> Schedule:
+def decode_register(value: bytes) -> Schedule:
     """Return the schedule that a value of the register encodes."""
-    return decode_schedule(known or None)
+    return decode_schedule(value or None)
 
 
 @lru_cache(CACHED_SCHEDULES)
-def grantable_slots(known: bytes, budget_class: type[DisruptionBudget]) -> tuple[tuple[str, str], ...]:
+def grantable_slots(value: bytes, budget_class: type[DisruptionBudget]) -> tuple[tuple[str, str], ...]:
     """Return every (request id, seat) that may be granted. Safety must not depend on their order.
 
     All machines are considered up, because an error of the failure detector may delay work but must not be unsafe.
     """
-    schedule = decode_register(known)
+    schedule = decode_register(value)
     views = [SeatView(seat, is_up=True, cores=1, weight=100) for seat in SEATS]
     budget = budget_class(views, schedule, SEATS, POLICY)
     return tuple(
@@ -69,14 +69,14 @@
 
     Attributes:
         seats: Machines with a maintenance request, one request each.
-        is_withdrawn: Whether the first request may be withdrawn at any time.
+        allows_withdrawal: Whether the first request may be withdrawn at any time.
         crashes: Number of crashes of a process or a machine.
         abandoned: Number of changes that their sender abandons.
         planners: Seats that grant slots.
     """
 
     seats: tuple[str, ...] = ("a", "b")
-    is_withdrawn: bool = True
+    allows_withdrawal: bool = True
     crashes: int = 1
     abandoned: int = 1
     planners: tuple[str, ...] = ("a", "c")
@@ -167,7 +167,7 @@
                 names.append(f"abandon {index}: {sent.text}")
         for seat, machine in self.machines.items():
             names += self._machine_moves(seat, machine) if machine.is_alive else [f"{seat} starts"]
-        if self.limits.is_withdrawn and not self.is_withdrawal_sent:
+        if self.limits.allows_withdrawal and not self.is_withdrawal_sent:
             names.append(f"{OPERATOR} withdraws")
         return names
 
@@ -175,7 +175,7 @@
         names: list[str] = []
         if machine.known != self.register:
             names.append(f"{seat} reads")
-        names += self._writes(seat, machine)
+        names += self._write_moves(seat, machine)
         slot = self._known_slot(seat)
         if (
             slot is not None
@@ -194,7 +194,7 @@
             names += [f"{seat} crashes", f"{seat} loses power"]
         return names
 
-    def _writes(self, seat: str, machine: ModelMachine) -> list[str]:
+    def _write_moves(self, seat: str, machine: ModelMachine) -> list[str]:
         is_writing = any((sent.sender, sent.incarnation) == (seat, machine.incarnation) for sent in self.sent)
         if is_writing or machine.known is None:
             return []
@@ -249,8 +249,8 @@
 
     def _send(self, sender: str, change: Change) -> None:
         incarnation = self.machines[sender].incarnation if sender in self.machines else 0
-        terms = {name: value for name, value in vars(change).items() if name not in CHANGE_RESULTS}
-        text = f"{type(change).__name__} of {sender} {terms}"
+        parameters = {name: value for name, value in vars(change).items() if name not in CHANGE_RESULTS}
+        text = f"{type(change).__name__} of {sender} {parameters}"
         self.sent += (SentChange(sender, incarnation, change, text),)
 
     def apply(self, name: str) -> None:
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -123,7 +123,10 @@
         )
 
     def _start_scripts(self, request_id: str, machines: list[int], killed_early: set[int]) -> None:
-        """Check every second that a script waits on each queued machine, as a service restarted at boot would."""
+        """Start a script on each queued machine that has none, and repeat this every second.
+
+        A machine thus has a waiting script again after each boot.
+        """
         for seat in machines:
             if self._is_queued(request_id, f"n{seat}") and not self._has_script(request_id, seat):
                 script = Script(self._environment, seat, request_id, seat in killed_early)
--- a/moorusher/model_checking/publish_history.py
+++ b/moorusher/model_checking/publish_history.py
@@ -105,7 +105,7 @@
     """
     numbers = [entry.number for entry in history.revisions]
     if numbers != list(range(len(numbers), 0, -1)):
-        return f"revision numbers are not consecutive: {numbers}"
+        return f"revision numbers are not consecutive from 1: {numbers}"
     submission_ids = [entry.submission_id for entry in history.revisions]
     if len(set(submission_ids)) != len(submission_ids):
         return f"one submission became two revisions: {submission_ids}"
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -32,7 +32,7 @@
 MAX_REVISIONS = 9
 FIRST = "P"  # Leader of the first term.
 NEXT = "Q"  # Leader of the next term.
-NEXT_LEADS = f"{NEXT} takes over"
+START_NEXT_TERM = f"{NEXT} takes over"
 
 
 class Confirmation(NamedTuple):
@@ -199,7 +199,7 @@
         """Return the names of all moves that are possible now."""
         if self.failure:
             return []
-        names = [] if NEXT in self.leaders else [NEXT_LEADS]
+        names = [] if NEXT in self.leaders else [START_NEXT_TERM]
         for leader in self.leaders.values():
             if not leader.is_superseded:
                 names += self._leader_moves(leader)
@@ -232,7 +232,7 @@
         """Make a move."""
         self.path = (*self.path, name)
         subject, verb, *rest = name.split()
-        if name == NEXT_LEADS:
+        if name == START_NEXT_TERM:
             self.term += 1
             self.leaders[NEXT] = SimulatedLeader(self, NEXT, self.term, self.state)
         elif subject in SUBMISSIONS:
@@ -310,7 +310,7 @@
             return f"one submission became two revisions: {submission_ids}"
         numbers = [entry.number for entry in history.revisions]
         if numbers != list(range(len(numbers), 0, -1)):
-            return f"revision numbers are not consecutive: {numbers}"
+            return f"revision numbers are not consecutive from 1: {numbers}"
         for confirmation in self.confirmations:
             entry = history.find(confirmation.number)
             if entry is None or entry.submission_id != confirmation.submission_id:
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -25,7 +25,7 @@
     WorkRequest,
     WorkState,
 )
-from . import register_moves as names
+from . import register_moves
 from .register_fingerprint import StateFingerprint
 from .register_state import (
     KEY,
@@ -147,24 +147,24 @@
         """Return the names of all moves that are possible now."""
         if self.failure:
             return []
-        moves = names.message_moves(self.in_transit, self.limits, self.duplicates)
+        moves = register_moves.message_moves(self.in_transit, self.limits, self.duplicates)
         for runner in self.runners.values():
-            moves += names.runner_moves(runner, self.limits)
+            moves += register_moves.runner_moves(runner, self.limits)
         if self.crashes < self.limits.crashes:
-            moves.append(f"{RESTARTING} {names.RESTART_WITHOUT_MEMORY}")
+            moves.append(f"{RESTARTING} {register_moves.RESTART_WITHOUT_MEMORY}")
         if self.restarts < self.limits.restarts:
-            moves.append(f"{RESTARTING} {names.RESTART_WITH_MEMORY}")
+            moves.append(f"{RESTARTING} {register_moves.RESTART_WITH_MEMORY}")
         return moves
 
     def apply(self, name: str) -> None:
         """Make a move."""
         subject, _, verb = name.partition(" ")
-        if subject in (names.DELIVER, names.DUPLICATE, names.LOSE_ANSWER):
+        if subject in (register_moves.DELIVER, register_moves.DUPLICATE, register_moves.LOSE_ANSWER):
             position, _, _ = verb.partition(":")
             self._apply_to_message(subject, int(position))
-        elif verb == names.RESTART_WITH_MEMORY:
+        elif verb == register_moves.RESTART_WITH_MEMORY:
             self._restart_with_memory()
-        elif verb == names.RESTART_WITHOUT_MEMORY:
+        elif verb == register_moves.RESTART_WITHOUT_MEMORY:
             self._restart_without_memory()
         else:
             self._apply_to_runner(self.runners[subject], verb)
@@ -177,11 +177,11 @@
 
     def _apply_to_message(self, verb: str, position: int) -> None:
         sent = self.in_transit[position]
-        if verb == names.DUPLICATE:
+        if verb == register_moves.DUPLICATE:
             self.duplicates += 1
         else:
             self.in_transit = self.in_transit[:position] + self.in_transit[position + 1 :]
-        self._deliver(sent.to, sent.sender, sent.message, is_answered=verb != names.LOSE_ANSWER)
+        self._deliver(sent.to, sent.sender, sent.message, is_answered=verb != register_moves.LOSE_ANSWER)
 
     def _restart_with_memory(self) -> None:
         """Restart the acceptor. Its messages that are still in transit are lost."""
@@ -210,7 +210,7 @@
         """
         if isinstance(message, BallotRequest):
             vote = self.acceptors[to].vote(0, message)
-            if self.limits.answers_travel:
+            if self.limits.has_answers_in_transit:
                 self._send(to, [(sender, vote)])
             elif is_answered:
                 self._deliver(sender, to, vote)
@@ -229,19 +229,19 @@
 
     def _apply_to_runner(self, runner: Runner, verb: str) -> None:
         owner = Owner(runner.name, runner.incarnation)
-        if verb == names.START:
+        if verb == register_moves.START:
             self._start(runner, self.first_promise)
-        elif verb == names.TAKE_OVER:
+        elif verb == register_moves.TAKE_OVER:
             runner.step = Step.TAKE_OVER
             former = Owner("P", self.runners["P"].incarnation)
             self._change(runner, TakeOverWork(owner, former, FIRST_ATTEMPT))
-        elif verb == names.CLAIM:
+        elif verb == register_moves.CLAIM:
             runner.step = Step.CLAIM
             self._change(runner, ClaimWork(owner, BODY_DIGEST, REQUEST))
         else:
             runner.retries -= 1
             proposer = runner.proposer
-            requests = proposer.retry() if verb == names.RETRY else proposer.settle_for_majority()
+            requests = proposer.retry() if verb == register_moves.RETRY else proposer.settle_for_majority()
             self._request(runner, requests)
 
     def _start(self, runner: Runner, promise: CarriedPromise | None) -> None:
--- a/moorusher/model_checking/register_moves.py
+++ b/moorusher/model_checking/register_moves.py
@@ -33,7 +33,7 @@
     named = [(position, sent, _name_of(sent)) for position, sent in enumerate(in_transit)]
     requests = [(position, name) for position, sent, name in named if isinstance(sent.message, BallotRequest)]
     moves = [f"{DELIVER} {position}: {name}" for position, _, name in named]
-    if not limits.answers_travel:
+    if not limits.has_answers_in_transit:
         moves += [f"{LOSE_ANSWER} {position}: {name}" for position, name in requests]
     if duplicates < limits.duplicates:
         moves += [f"{DUPLICATE} {position}: {name}" for position, name in requests]
@@ -57,7 +57,7 @@
     proposer = runner.proposer
     if proposer is None:
         return [f"{runner.name} {_first_move(runner, limits)}"] if runner.step is Step.IDLE else []
-    may_retry = runner.retries > 0 and (proposer.blocked or not limits.patient)
+    may_retry = runner.retries > 0 and (proposer.blocked or not limits.retries_on_conflict_only)
     if proposer.result is not None or not may_retry:
         return []
     moves = [f"{runner.name} {RETRY}"]
--- a/moorusher/model_checking/register_state.py
+++ b/moorusher/model_checking/register_state.py
@@ -23,8 +23,8 @@
 
     Attributes:
         retries: Numbers of additional rounds that P and Q may begin.
-        patient: Whether an additional round may begin only after a conflict, not at any time.
-        answers_travel: Whether answers are messages in transit. Otherwise they arrive at once or are lost.
+        retries_on_conflict_only: Whether an additional round may begin only after a conflict, not at any time.
+        has_answers_in_transit: Whether answers are messages in transit. Otherwise they arrive at once or are lost.
         duplicates: Number of messages that are duplicated.
         crashes: Number of restarts of acceptor a without its memory.
         restarts: Number of restarts of acceptor a with its memory.
@@ -34,8 +34,8 @@
     """
 
     retries: tuple[int, int] = (0, 1)
-    patient: bool = False
-    answers_travel: bool = False
+    retries_on_conflict_only: bool = False
+    has_answers_in_transit: bool = False
     duplicates: int = 0
     crashes: int = 0
     restarts: int = 0
@@ -54,7 +54,7 @@
     RELEASE = "release"
     ACQUIRE_LEASE = "acquire the lease"  # Used by `leadership_interleavings`.
     EFFECT = "effect"  # Used by `leadership_interleavings`.
-    DONE = "done"  # After the last change.
+    DONE = "over"  # After the last change.
 
 
 @dataclass(slots=True)
--- a/moorusher/model_checking/simulated_request_engine.py
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -111,7 +111,7 @@
             case BodyDiffers():
                 self.states.pop(key, None)
             case ClaimUncovered():
-                self._give_up(key, AnswerKind.REJECTED if event.proven else AnswerKind.FAILED)
+                self._drop_request(key, AnswerKind.REJECTED if event.proven else AnswerKind.FAILED)
             case StartConfirmed():
                 self.run(key)
             case StartUncovered():
@@ -123,11 +123,11 @@
                 self.results[key] = event.result
                 self._answer(key, event.result, AnswerKind.SHARED)
             case RejectedByAll():
-                self._give_up(key, AnswerKind.REJECTED)
+                self._drop_request(key, AnswerKind.REJECTED)
             case _:
                 pass
 
-    def _give_up(self, key: KeyDigest, kind: AnswerKind) -> None:
+    def _drop_request(self, key: KeyDigest, kind: AnswerKind) -> None:
         self.states.pop(key, None)
         self._answer(key, None, kind)
 
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -1,4 +1,4 @@
-"""The auditor finds each broken rule in a history that breaks it once, and nothing in one that keeps them."""
+"""The auditor reports each violated rule of a history, and reports nothing for histories without a violation."""
 
 from __future__ import annotations
 
@@ -18,18 +18,20 @@
     judge,
 )
 
-SLACK_S, ENDS = 0.1, 10.0
+SLACK_S, END_S = 0.1, 10.0
 
 
-def asked(rid: str, effect: str = "single_shot", at: float = 1.0, token: str = "") -> Asked:
+def make_request(rid: str, effect: str = "single_shot", at: float = 1.0, token: str = "") -> Asked:
     return Asked(at, rid, effect, "n0", b"body", at + 1.0, token, 5.0 if token else 0.0)
 
 
-def whole(rid: str, effect: str = "single_shot", at: float = 1.0, token: str = "") -> list[Seen]:
-    """A request as it should be."""
+def make_served_request(
+    rid: str, effect: str = "single_shot", at: float = 1.0, token: str = ""
+) -> list[Seen]:
+    """Return the history of a request that was run once and answered with its result."""
     call = rid.encode() + b" 1"
     return [
-        asked(rid, effect, at, token),
+        make_request(rid, effect, at, token),
         Ran(at + 0.1, rid, b"body"),
         Called(at + 0.2, rid, call),
         Given(at + 0.3, rid, b"re:" + call, b"re:" + call),
@@ -38,56 +40,69 @@
     ]
 
 
-def found(history: list[Seen]) -> list[tuple[Rule, str]]:
-    return [(finding.rule, finding.rid) for finding in judge(history, SLACK_S, ENDS)]
+def find_violations(history: list[Seen]) -> list[tuple[Rule, str]]:
+    return [(finding.rule, finding.rid) for finding in judge(history, SLACK_S, END_S)]
 
 
 SHARED = Answered(2.5, "b", Verdict.SERVED, b"did a")
 REFUSED = Answered(1.2, "a", Verdict.REFUSED)
 
-KEPT: dict[str, list[Seen]] = {
-    "whole": whole("a"),
-    "refused": [asked("a"), REFUSED],
-    "a repeat shares the result": [
-        *whole("a", "guarded", token="t"),
-        asked("b", "guarded", 2.0, "t"),
+VALID_HISTORIES: dict[str, list[Seen]] = {
+    "served request": make_served_request("a"),
+    "refused request": [make_request("a"), REFUSED],
+    "repeated request shares the result": [
+        *make_served_request("a", "guarded", token="t"),
+        make_request("b", "guarded", 2.0, "t"),
         SHARED,
     ],
-    "a key after its window": [
-        *whole("a", "guarded", token="t"),
-        *whole("b", "guarded", at=6.5, token="t"),
+    "key is reused after its window": [
+        *make_served_request("a", "guarded", token="t"),
+        *make_served_request("b", "guarded", at=6.5, token="t"),
     ],
-    "a call after a proof": [asked("a"), Called(1.1, "a", b"a 1", never_ran=True), *whole("a")[1:]],
-    "a safe call twice": [*whole("a", "free"), Called(1.45, "a", b"a 1")],
-    "the client has gone": [asked("a"), Hung(1.2, "a", by_client=True)],
-    "not due yet": [asked("a", at=9.5)],
+    "call is repeated after one that provably never ran": [
+        make_request("a"),
+        Called(1.1, "a", b"a 1", never_ran=True),
+        *make_served_request("a")[1:],
+    ],
+    "call without side effects is repeated": [
+        *make_served_request("a", "free"),
+        Called(1.45, "a", b"a 1"),
+    ],
+    "client closes the connection": [make_request("a"), Hung(1.2, "a", by_client=True)],
+    "answer is not due yet": [make_request("a", at=9.5)],
 }
 LOST, DUPLICATE = Rule.LOST, Rule.DUPLICATE
-BROKEN: dict[str, tuple[Rule, list[Seen]]] = {
-    "never answered": (LOST, [asked("a")]),
-    "hung up on": (LOST, [asked("a"), Hung(1.2, "a", by_client=False)]),
-    "late": (LOST, [*whole("a")[:-1], Answered(2.2, "a", Verdict.FAILED)]),
-    "served with nothing": (LOST, [asked("a"), Answered(1.2, "a", Verdict.SERVED, b"x")]),
-    "body changed": (LOST, [asked("a"), Ran(1.1, "a", b"other"), Answered(1.2, "a", Verdict.FAILED)]),
-    "reply changed": (LOST, [*whole("a"), Given(1.35, "a", b"re:a 2", b"re:a 1")]),
-    "answered twice": (DUPLICATE, [*whole("a"), Answered(1.6, "a", Verdict.FAILED)]),
-    "run twice": (DUPLICATE, [*whole("a"), Ran(1.45, "a", b"body")]),
-    "refused after a run": (DUPLICATE, [*whole("a")[:-1], REFUSED]),
-    "call again": (DUPLICATE, [*whole("a"), Called(1.25, "a", b"a 1")]),
+INVALID_HISTORIES: dict[str, tuple[Rule, list[Seen]]] = {
+    "never answered": (LOST, [make_request("a")]),
+    "runner closes the connection": (LOST, [make_request("a"), Hung(1.2, "a", by_client=False)]),
+    "answered late": (LOST, [*make_served_request("a")[:-1], Answered(2.2, "a", Verdict.FAILED)]),
+    "served without a run": (LOST, [make_request("a"), Answered(1.2, "a", Verdict.SERVED, b"x")]),
+    "body changed": (
+        LOST,
+        [make_request("a"), Ran(1.1, "a", b"other"), Answered(1.2, "a", Verdict.FAILED)],
+    ),
+    "reply changed": (LOST, [*make_served_request("a"), Given(1.35, "a", b"re:a 2", b"re:a 1")]),
+    "answered twice": (DUPLICATE, [*make_served_request("a"), Answered(1.6, "a", Verdict.FAILED)]),
+    "run twice": (DUPLICATE, [*make_served_request("a"), Ran(1.45, "a", b"body")]),
+    "refused after a run": (DUPLICATE, [*make_served_request("a")[:-1], REFUSED]),
+    "call repeated": (DUPLICATE, [*make_served_request("a"), Called(1.25, "a", b"a 1")]),
 }
 
 
-@pytest.mark.parametrize("name", KEPT)
-def test_nothing_is_found_where_the_rules_are_kept(name: str) -> None:
-    assert found(KEPT[name]) == []
+@pytest.mark.parametrize("name", VALID_HISTORIES)
+def test_no_violation_is_reported_for_valid_histories(name: str) -> None:
+    assert find_violations(VALID_HISTORIES[name]) == []
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_each_broken_rule_is_found(name: str) -> None:
-    rule, history = BROKEN[name]
-    assert found(history) == [(rule, "a")]
+@pytest.mark.parametrize("name", INVALID_HISTORIES)
+def test_each_violated_rule_is_reported(name: str) -> None:
+    rule, history = INVALID_HISTORIES[name]
+    assert find_violations(history) == [(rule, "a")]
 
 
-def test_a_key_that_runs_twice_in_its_window_is_found() -> None:
-    history = [*whole("a", "guarded", token="t"), *whole("b", "guarded", at=3.0, token="t")]
-    assert found(history) == [(DUPLICATE, "b")]
+def test_a_key_that_runs_twice_in_its_window_is_reported() -> None:
+    history = [
+        *make_served_request("a", "guarded", token="t"),
+        *make_served_request("b", "guarded", at=3.0, token="t"),
+    ]
+    assert find_violations(history) == [(DUPLICATE, "b")]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -338,7 +338,10 @@
 def test_no_interleaving_of_a_start_and_a_takeover_runs_a_key_twice() -> None:
     """P holds the key and starts it while Q, which takes P for lost, takes the work over."""
     found = explore(
-        RegisterModel.initial(RegisterModelLimits(starts_held=True, retries=(0, 1), patient=True)), 60_000
+        RegisterModel.initial(
+            RegisterModelLimits(starts_held=True, retries=(0, 1), retries_on_conflict_only=True)
+        ),
+        60_000,
     )
     assert found.complete and found.states > 10_000 and found.violation is None, str(found)
 
@@ -348,7 +351,7 @@
     [
         (RegisterModelLimits(starts_held=True, retries=(0, 0)), {"runs_early": True}),
         (
-            RegisterModelLimits(retries=(0, 1), patient=True),
+            RegisterModelLimits(retries=(0, 1), retries_on_conflict_only=True),
             {"replicas": {"P": ("a", "b", "c"), "Q": ("c", "d", "e")}, "interchangeable": ("a", "b")},
         ),
     ],
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -40,7 +40,9 @@
 @pytest.mark.parametrize("kind", list(EffectKind))
 def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: EffectKind) -> None:
     found = explore(
-        LeadershipModel.with_lease(RegisterModelLimits(retries=(0, 0), patient=True), kind=kind),
+        LeadershipModel.with_lease(
+            RegisterModelLimits(retries=(0, 0), retries_on_conflict_only=True), kind=kind
+        ),
         max_states=5_000,
     )
     assert found.violation is None, str(found)
@@ -86,7 +88,9 @@
 def test_the_interleavings_find_each_deliberate_fault(options: dict[str, Any]) -> None:
     retries = (1, 0) if "token_change" in options else (0, 0)
     found = explore(
-        LeadershipModel.with_lease(RegisterModelLimits(retries=retries, patient=True), **options),
+        LeadershipModel.with_lease(
+            RegisterModelLimits(retries=retries, retries_on_conflict_only=True), **options
+        ),
         max_states=60_000,
         depth_first=True,
     )
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -76,11 +76,11 @@
     [
         (MaintenanceModelLimits(crashes=0), {"clears_early": True}),
         (
-            MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
+            MaintenanceModelLimits(crashes=0, abandoned=0, allows_withdrawal=False),
             {"grant_change": Unlimited, "machine_policy": MaintenancePolicy(max_out=9)},
         ),
         (
-            MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
+            MaintenanceModelLimits(crashes=0, abandoned=0, allows_withdrawal=False),
             {
                 "budget_class": OverdueForgotten,
                 "grant_change": Unlimited,
@@ -90,7 +90,7 @@
         (MaintenanceModelLimits(crashes=0, abandoned=0), {"withdraw_change": WithdrawsClearedSlots}),
         (
             MaintenanceModelLimits(
-                crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)
+                crashes=1, abandoned=0, allows_withdrawal=False, seats=("b", "a"), planners=("c",)
             ),
             {"process_proves_reboot": True},
         ),
