--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -42,7 +42,7 @@
     """One process of a member. Implements `replication.interfaces.NodeHost`.
 
     Attributes:
-        engine_class: Class of the engine; tests replace it by one with a seeded mistake.
+        engine_class: Class of the engine.
         sim: Simulation that the process belongs to.
         seat: Number of the member.
         number: Number of the process, unique in the simulation.
@@ -54,6 +54,7 @@
         journal_writer: Writer of the journal of the node's acceptor.
     """
 
+    # Tests replace this class by one with a seeded mistake.
     engine_class: ClassVar[type[SimulatedRequestEngine]] = SimulatedRequestEngine
 
     def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -69,7 +69,7 @@
     ) -> None:
         """Prepare a simulation.
 
-        :param node_class: Class of the nodes; tests replace it by one with a seeded mistake.
+        :param node_class: Class of the nodes.
         :param process_class: Class of the hosts of the nodes.
         :param amnesia: Whether an acceptor that has lost its memory waits for recovery before it votes. False is a
             seeded mistake.
@@ -88,6 +88,7 @@
             SimulatedJournal(JournalHeader(JOURNAL_VERSION, "f", "s", f"n{seat}"))
             for seat in range(self.scenario.seats)
         ]
+        # Tests replace these classes by ones with a seeded mistake.
         self.node_class = node_class
         self._process_class = process_class
         self._has_amnesia = amnesia
--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -88,7 +88,7 @@
                 self._sim.restart_later(process.seat, self._sim.now + round(delay_s * SECOND))
 
     def _set_clock_back(self, process: Process) -> None:
-        """Restart a process, with a lower incarnation unless the scenario has journals."""
+        # The incarnation is lower than before, unless the scenario has journals.
         self._sim.crash(process)
         incarnation: int | None = None
         if not self._sim.scenario.journals:
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -1,9 +1,8 @@
-"""Demand counting in virtual time: real counters, members and leaders of the forecast, and faults.
+"""Demand counting in virtual time: real counters, members and leaders of the forecast, and faults."""
 
-The invariants are checked at the end of a simulation: the ledger never counts more demand for an hour than there was,
-and if it marks the hour as completely counted, it counts all of it. The time of day advances `SPEED` times as fast as
-the cluster's clock, so that hours pass in a simulation.
-"""
+# The invariants are checked at the end of a simulation: the ledger never counts more demand for an hour than there
+# was, and if it marks the hour as completely counted, it counts all of it. The time of day advances `SPEED` times as
+# fast as the cluster's clock, so that hours pass in a simulation.
 
 from __future__ import annotations
 
@@ -140,8 +139,8 @@
     """One simulation of a cluster that counts demand.
 
     Attributes:
-        member_class: Class of the members; tests replace it by one with a seeded mistake.
-        forecaster_class: Class of the forecasters; tests replace it by one with a seeded mistake.
+        member_class: Class of the members.
+        forecaster_class: Class of the forecasters.
         true_counts: True demand of each hour.
         last_request_us: Time at which requests end.
         hours: Number of hours in all series of the final ledger.
@@ -157,6 +156,7 @@
         forecaster_class: type[Forecaster] = Forecaster,
     ) -> None:
         scenario = scenario or SCENARIO
+        # Tests replace these classes by ones with a seeded mistake.
         self.member_class = member_class
         self.forecaster_class = forecaster_class
         self.true_counts: Counter[HourOfDemand] = Counter()
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -1,8 +1,7 @@
-"""A model of a leader P, which may pause at any time, and the next leader Q, with their effects.
+"""A model of a leader P, which may pause at any time, and the next leader Q, with their effects."""
 
-It has three replicas. Messages may be lost, reordered and duplicated, and one replica may restart with or without its
-memory. Acceptors, proposers and changes are the real ones.
-"""
+# The model has three replicas. Messages may be lost, reordered and duplicated, and one replica may restart with or
+# without its memory. Acceptors, proposers and changes are the real ones.
 
 from __future__ import annotations
 
@@ -72,9 +71,9 @@
     Attributes:
         kind: Kind of effect that both leaders want to perform.
         compares: Whether the receiver compares tokens. False is a seeded mistake.
-        sends_before_intent: Seeded mistake: whether an effect is sent before its intent is chosen.
-        token_change: Class of the change that issues a token; tests replace it by one with a seeded mistake.
-        acquire_change: Class of the change that acquires the lease; tests replace it by one with a seeded mistake.
+        sends_before_intent: Whether an effect is sent before its intent is chosen. True is a seeded mistake.
+        token_change: Class of the change that issues a token.
+        acquire_change: Class of the change that acquires the lease.
         highest: Highest token that the receiver has accepted.
         jobs_done: Number of jobs done by the receiver that can't compare tokens.
         operator_notified: Whether an operator was notified that an outcome is uncertain.
@@ -84,6 +83,7 @@
     kind: EffectKind = EffectKind.FENCED
     compares: bool = True
     sends_before_intent: bool = False
+    # Tests replace these classes by ones with a seeded mistake.
     token_change: type[HolderChange] = IssueToken
     acquire_change: type[AcquireLease] = AcquireLease
     highest: FencingToken | None = None
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -1,10 +1,9 @@
-"""Duties of a cluster in virtual time: real participants, workers that submit every kind of effect, and faults.
+"""Duties of a cluster in virtual time: real participants, workers that submit every kind of effect, and faults."""
 
-The invariants are checked on the whole history of a simulation. Each worker adds unique numbers to the state that it
-received: no acknowledged number may ever be missing. A receiver that compares tokens accepts them in increasing order.
-A receiver that can't compare tokens does no job twice, and no job that was resolved as never done; jobs that may be
-repeated are excepted.
-"""
+# The invariants are checked on the whole history of a simulation. Each worker adds unique numbers to the state that
+# it received: no acknowledged number may ever be missing. A receiver that compares tokens accepts them in increasing
+# order. A receiver that can't compare tokens does no job twice, and no job that was resolved as never done; jobs that
+# may be repeated are excepted.
 
 from __future__ import annotations
 
@@ -122,10 +121,8 @@
         self._exchange(lambda: history.receive_query(intent), callback)
 
     def _exchange(self, arrive: Callable[[], ReceiverResponse], callback: ResponseCallback) -> None:
-        """Send a request, which may arrive very late or never, and pass the response or a timeout to `callback`.
-
-        The request arrives even if its sender is paused or has crashed by then.
-        """
+        """Send a request, which may arrive very late or never, and pass the response or a timeout to `callback`."""
+        # The request arrives even if its sender is paused or has crashed by then.
         random = self.sim.random
         is_answered = False
 
@@ -154,8 +151,8 @@
     Attributes:
         names: Names of all duties.
         histories: History of each duty.
-        participant_class: Class of the participants; tests replace it by one with a seeded mistake.
-        acceptor_class: Class of the duties' acceptors; tests replace it by one with a seeded mistake.
+        participant_class: Class of the participants.
+        acceptor_class: Class of the duties' acceptors.
         policy: Leadership policy.
         has_disks: Whether replicas of duties have disks.
         compares: Whether the receiver compares tokens. False is a seeded mistake.
@@ -184,6 +181,7 @@
         scenario = scenario or SCENARIO
         self.names = [f"duty-{number}" for number in range(duties)]
         self.histories: dict[str, DutyHistory] = {name: DutyHistory() for name in self.names}
+        # Tests replace these classes by ones with a seeded mistake.
         self.participant_class = participant_class
         self.acceptor_class = acceptor_class
         self.policy = policy
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -1,11 +1,10 @@
-"""A model of the maintenance of three machines, of which one at a time may be out of service.
+"""A model of the maintenance of three machines, of which one at a time may be out of service."""
 
-The moves are reads, grants, drains, the work itself, returns, changes that arrive late or never, one withdrawal and one
-crash. The register applies a change atomically; its protocol is explored in `register_interleavings`. A sender may
-abandon a change, which may still be applied at any later time. The interleavings in which a machine reads nothing and
-its changes don't arrive cover a partition. The invariants limit how many machines may be worked on at the same time,
-and exclude work on a machine whose withdrawal was confirmed.
-"""
+# The moves are reads, grants, drains, the work itself, returns, changes that arrive late or never, one withdrawal and
+# one crash. The register applies a change atomically; its protocol is explored in `register_interleavings`. A sender
+# may abandon a change, which may still be applied at any later time. The interleavings in which a machine reads
+# nothing and its changes don't arrive cover a partition. The invariants limit how many machines may be worked on at
+# the same time, and exclude work on a machine whose withdrawal was confirmed.
 
 from __future__ import annotations
 
@@ -49,10 +48,9 @@
 
 @lru_cache(CACHED_SCHEDULES)
 def grantable_slots(value: bytes, budget_class: type[DisruptionBudget]) -> tuple[tuple[str, str], ...]:
-    """Return every (request id, seat) that may be granted. Safety must not depend on their order.
-
-    All machines are considered up, because an error of the failure detector may delay work but must not be unsafe.
-    """
+    """Return every (request id, seat) that may be granted."""
+    # Any of them may be granted first, because safety must not depend on the order of the queue. All machines are
+    # considered up, because an error of the failure detector may delay work but must not be unsafe.
     schedule = decode_register(value)
     views = [SeatView(seat, is_up=True, cores=1, weight=100) for seat in SEATS]
     budget = budget_class(views, schedule, SEATS, POLICY)
@@ -88,13 +86,13 @@
 
     Attributes:
         limits: Bounds of the explored case.
-        grant_change: Class of the change that grants slots; tests replace it by one with a seeded mistake.
-        clear_change: Class of the change that clears a machine; tests replace it by one with a seeded mistake.
-        withdraw_change: Class of the change that withdraws a request; tests replace it by one with a seeded mistake.
-        budget_class: Class of the disruption budget; tests replace it by one with a seeded mistake.
+        grant_change: Class of the change that grants slots.
+        clear_change: Class of the change that clears a machine.
+        withdraw_change: Class of the change that withdraws a request.
+        budget_class: Class of the disruption budget.
         machine_policy: Policy of the machines.
-        clears_early: Seeded mistake: whether the operator is notified before the change that clears is chosen.
-        process_proves_reboot: Seeded mistake: whether a later process counts as a later boot of its machine.
+        clears_early: Whether the operator is notified before the clearance is chosen. True is a seeded mistake.
+        process_proves_reboot: Whether a new process counts as a new boot of its machine. True is a seeded mistake.
         register: Encoded schedule that is chosen.
         machines: Machines by seat.
         sent: Changes in transit.
@@ -106,6 +104,7 @@
     """
 
     limits: MaintenanceModelLimits
+    # Tests replace these classes by ones with a seeded mistake.
     grant_change: type[GrantSlots] = GrantSlots
     clear_change: type[ClearMachine] = ClearMachine
     withdraw_change: type[WithdrawRequest] = WithdrawRequest
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -26,11 +26,7 @@
 
 
 class OperatorEnvironment(ScriptEnvironment, Protocol):
-    """The part of the simulation that operators use.
-
-    Attributes:
-        scenario: Parameters of the simulation.
-    """
+    """The part of the simulation that operators use."""
 
     scenario: Scenario
 
@@ -56,10 +52,7 @@
     # ---- requests ----
 
     def plan_request(self, request_id: str, at_s: float) -> None:
-        """Draw a request and whether it is withdrawn later, and schedule both.
-
-        :param at_s: Time of the request in s.
-        """
+        """Draw a request and whether it is withdrawn later, and schedule both."""
         random = self._environment.random
         seats = self._environment.scenario.seats
         has_own_script = random.random() < OWN_SCRIPT_SHARE
@@ -123,10 +116,8 @@
         )
 
     def _start_scripts(self, request_id: str, machines: list[int], killed_early: set[int]) -> None:
-        """Start a script on each queued machine that has none, and repeat this every second.
-
-        A machine thus has a waiting script again after each boot.
-        """
+        """Start a script on each queued machine that has none, and repeat this every second."""
+        # A machine thus has a waiting script again after each boot.
         for seat in machines:
             if self._is_queued(request_id, f"n{seat}") and not self._has_script(request_id, seat):
                 script = Script(self._environment, seat, request_id, seat in killed_early)
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -45,11 +45,7 @@
 
 
 class MaintainedProcess(Process):
-    """A process with a maintenance coordinator.
-
-    Attributes:
-        coordinator: The real coordinator.
-    """
+    """A process with a maintenance coordinator."""
 
     coordinator: MaintenanceCoordinator
 
@@ -59,7 +55,6 @@
 
     Attributes:
         now: Time in us.
-        random: Source of randomness.
         machines: Machines by seat number.
         stuck: Seat numbers of cleared machines on which no script is left to begin the work.
     """
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -1,8 +1,7 @@
-"""Maintenance of a cluster in virtual time: real coordinators, scripts that wait on their machines, and faults.
+"""Maintenance of a cluster in virtual time: real coordinators, scripts that wait on their machines, and faults."""
 
-The invariants concern the machines: how many of them may be worked on at the same time, and that every request is
-finished in the end.
-"""
+# The invariants concern the machines: how many of them may be worked on at the same time, and that every request is
+# finished in the end.
 
 from __future__ import annotations
 
@@ -71,7 +70,7 @@
         maintenance_simulation: Simulation that the process belongs to.
         boot: Boot of the machine on which the process was started.
         started_at_us: Start time.
-        mode: Current mode of the machine.
+        mode: Mode of the machine.
         mode_since_us: Time of the last change of the mode.
         coordinator: Coordinator of the class `MaintenanceSimulation.coordinator_class`.
     """
@@ -192,8 +191,8 @@
         machines: Machines by seat number.
         clock_skews_us: Deviation of each machine's clock.
         policy: Maintenance policy of all members.
-        coordinator_class: Class of the coordinators; tests replace it by one with a seeded mistake.
-        acceptor_class: Class of the coordinators' acceptors; tests replace it by one with a seeded mistake.
+        coordinator_class: Class of the coordinators.
+        acceptor_class: Class of the coordinators' acceptors.
         load: Load of each member in hundredths of a core.
         operators: Simulated operators.
         stuck: Seat numbers of cleared machines on which no script is left to begin the work.
@@ -217,12 +216,12 @@
         """Prepare a simulation.
 
         :param load: Load of each member in cores.
-        :param requests: Number of maintenance requests.
         """
         self.machines = [SimulatedMachine() for _ in range(scenario.seats)]
         self.clock_skews_us = [0] * scenario.seats
         self.policy = policy
         self.load = round(load * HUNDREDTHS)
+        # Tests replace these classes by ones with a seeded mistake.
         self.coordinator_class = coordinator_class
         self.acceptor_class = acceptor_class
         self.max_cleared = 0
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -1,10 +1,9 @@
-"""A model of a publisher that may be superseded at any time, and of the publisher of the next term.
+"""A model of a publisher that may be superseded at any time, and of the publisher of the next term."""
 
-Two submissions may each be submitted twice, to either publisher. Changes of the register may arrive late, and their
-answers may be lost. The publishers are the real ones. The register applies a change atomically here; its protocol is
-explored in `register_interleavings`. A change that its leader has abandoned may still arrive until that leader reads
-the register again.
-"""
+# Two submissions may each be submitted twice, to either publisher. Changes of the register may arrive late, and their
+# answers may be lost. The publishers are the real ones. The register applies a change atomically here; its protocol
+# is explored in `register_interleavings`. A change that its leader has abandoned may still arrive until that leader
+# reads the register again.
 
 from __future__ import annotations
 
@@ -157,7 +156,7 @@
     Publishers contain callbacks, so a state is copied by repeating all moves that lead to it.
 
     Attributes:
-        publisher_class: Class of the publishers; tests replace it by one with a seeded mistake.
+        publisher_class: Class of the publishers.
         path: Moves that lead to this state.
         term: Term of the register.
         state: Value of the register.
@@ -168,6 +167,7 @@
         leaders: Leaders by label.
     """
 
+    # Tests replace this class by one with a seeded mistake.
     publisher_class: type[Publisher] = Publisher
     path: tuple[str, ...] = ()
     term: int = 1
@@ -258,10 +258,7 @@
         self.record_draft(number, submission_id.encode())
 
     def _read(self, leader: SimulatedLeader) -> None:
-        """Answer a read of the register.
-
-        A majority has promised a later ballot to the read, so changes that the leader has abandoned no longer arrive.
-        """
+        # A majority has promised a later ballot to the read, so changes that the leader has abandoned no longer arrive.
         leader.abandon_late_changes()
         callback = leader.reads.pop(0)
         callback((GENERATION, decode_history(self.state, CUSTOMER)))
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -1,9 +1,8 @@
-"""Customers' revisions in virtual time: real replicas, publishers and leases, submissions at any member, and faults.
+"""Customers' revisions in virtual time: real replicas, publishers and leases, submissions at any member, and faults."""
 
-The invariants are checked on the whole history of a simulation. A revision has only one draft. Confirmed revisions are
-never lost. A submission becomes one revision, however often it is submitted. No process returns to an older revision.
-A member that is reported to have a revision has it. At the end all members have the same revision.
-"""
+# The invariants are checked on the whole history of a simulation. A revision has only one draft. Confirmed revisions
+# are never lost. A submission becomes one revision, however often it is submitted. No process returns to an older
+# revision. A member that is reported to have a revision has it. At the end all members have the same revision.
 
 from __future__ import annotations
 
@@ -138,7 +137,7 @@
     """One simulation of a cluster whose members publish revisions.
 
     Attributes:
-        replica_class: Class of the replicas; tests replace it by one with a seeded mistake.
+        replica_class: Class of the replicas.
         stored: Revision and draft on the disk by seat and customer. The draft is None if the namespace was deleted.
         publish_history: Events that the invariants are checked against.
     """
@@ -158,6 +157,7 @@
         :param deletions: Number of deletions of namespaces.
         """
         scenario = scenario or SCENARIO
+        # Tests replace this class by one with a seeded mistake.
         self.replica_class = replica_class
         self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [{} for _ in range(scenario.seats)]
         self.publish_history = PublishHistory()
--- a/moorusher/model_checking/register_fingerprint.py
+++ b/moorusher/model_checking/register_fingerprint.py
@@ -1,8 +1,7 @@
-"""The fingerprint of a state of the register model, equal for equivalent states.
+"""The fingerprint of a state of the register model, equal for equivalent states."""
 
-Symmetry reduction: interchangeable seats differ in nothing but their names, so they are ranked by their content. Up to
-six states (the orders of three seats) then have one fingerprint.
-"""
+# Symmetry reduction: interchangeable seats differ in nothing but their names, so they are ranked by their content. Up
+# to six states (the orders of three seats) then have one fingerprint.
 
 from __future__ import annotations
 
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -1,9 +1,8 @@
-"""A model of two runners that both want to run the work of one key.
+"""A model of two runners that both want to run the work of one key."""
 
-It has three acceptors. Messages may be lost, duplicated and reordered, and one acceptor may restart with or without its
-memory. Acceptors, proposers and changes are the real ones. `register_state` defines the parts of a state,
-`register_moves` the names of its moves, and `register_fingerprint` the equivalence of states.
-"""
+# The model has three acceptors. Messages may be lost, duplicated and reordered, and one acceptor may restart with or
+# without its memory. Acceptors, proposers and changes are the real ones. `register_state` defines the parts of a
+# state, `register_moves` the names of its moves, and `register_fingerprint` the equivalence of states.
 
 from __future__ import annotations
 
@@ -58,9 +57,9 @@
 
     Attributes:
         limits: Bounds of the explored case.
-        acceptor_class: Class of the acceptors; tests replace it by one with a seeded mistake.
-        proposer_class: Class of the proposers; tests replace it by one with a seeded mistake.
-        runs_early: Seeded mistake: whether a runner runs the work as soon as it asks to start it.
+        acceptor_class: Class of the acceptors.
+        proposer_class: Class of the proposers.
+        runs_early: Whether a runner runs the work as soon as it asks to start it. True is a seeded mistake.
         amnesia: Whether an acceptor that has lost its memory must recover before it votes. False is a seeded mistake.
         interchangeable: Seats that differ only in their names. Empty means all three.
         replicas_by_runner: Replicas that each runner uses, if they are not the same.
@@ -75,6 +74,7 @@
     """
 
     limits: RegisterModelLimits
+    # Tests replace these classes by ones with a seeded mistake.
     acceptor_class: type[Acceptor] = Acceptor
     proposer_class: type[Proposer] = Proposer
     runs_early: bool = False
@@ -312,8 +312,6 @@
 
 
 def _replicas_function(replicas: tuple[str, ...]) -> Callable[[KeyDigest], tuple[str, ...]]:
-    """Return a function that returns the same replicas for every key.
-
-    Each acceptor thus considers itself a replica, whichever runner sends a request.
-    """
+    """Return a function that returns the same replicas for every key."""
+    # Each acceptor thus considers itself a replica, whichever runner sends a request.
     return lambda key: replicas
--- a/moorusher/model_checking/register_state.py
+++ b/moorusher/model_checking/register_state.py
@@ -96,10 +96,8 @@
 
 
 def text_of(message: Any) -> str:
-    """Return a text that identifies a message's content, without seat names and without fields that depend on others.
-
-    The fingerprint compares seat names by rank instead.
-    """
+    """Return a text that identifies a message's content."""
+    # It omits seat names, which the fingerprint replaces by ranks, and fields that depend on other fields.
     if isinstance(message, BallotRequest):
         return f"ask {message.ballot} {message.value!r} {message.serial}"
     if isinstance(message, Vote):
