--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault injection: the schedule of faults, drawn before a simulation runs, and what each fault does."""
+"""Fault injection: draws the schedule of faults before a simulation runs, and carries out each fault."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 if TYPE_CHECKING:
     from .cluster_simulation import ClusterSimulation
 
-MAX_SHORT_S = 0.6
-MIN_LONG_S = 0.5
-MAX_LONG_S = 4
+MAX_SHORT_FAULT_S = 0.6
+MIN_LONG_FAULT_S = 0.5
+MAX_LONG_FAULT_S = 4
 QUICK_RESTART_US = 20 * MS
-MIN_POWER_FAILURE_S = 0.02
-MAX_POWER_FAILURE_S = 1
-CLOCK_STEP = 5  # by how much an incarnation is lower once the clock was set back
+MIN_RESTART_DELAY_S = 0.02
+MAX_RESTART_DELAY_S = 1
+INCARNATION_DECREASE = 5  # Decrease of the incarnation in a restart after the clock was set back.
 
 
 class FaultInjector:
     """Injects the faults of a scenario.
 
     Attributes:
-        log: one line for each fault.
+        log: One line for each injected fault.
     """
 
     def __init__(self, sim: ClusterSimulation) -> None:
@@ -34,7 +34,7 @@
         self._sim = sim
 
     def plan(self) -> None:
-        """Draw all faults: kind, member, begin and duration."""
+        """Draw kind, member, start time and duration of each fault, and schedule it."""
         random = self._sim.random
         scenario = self._sim.scenario
         for _ in range(scenario.faults):
@@ -42,12 +42,15 @@
             seat = random.randrange(scenario.seats)
             at_s = random.uniform(0, scenario.seconds)
             duration_s = random.choice(
-                (random.uniform(0, MAX_SHORT_S), random.uniform(MIN_LONG_S, MAX_LONG_S))
+                (random.uniform(0, MAX_SHORT_FAULT_S), random.uniform(MIN_LONG_FAULT_S, MAX_LONG_FAULT_S))
             )
             self._sim.at(round(at_s * SECOND), None, partial(self.inject, kind, seat, duration_s))
 
     def inject(self, kind: FaultKind, seat: int, duration_s: float) -> None:
-        """Inject a fault at a member; none where it is down already."""
+        """Inject a fault at a member, unless its process is not alive.
+
+        :raises ValueError: If this kind of simulation does not support the fault.
+        """
         process = self._sim.processes[seat]
         if not process.alive:
             return
@@ -74,21 +77,22 @@
             case FaultKind.PARTITION | FaultKind.ONE_WAY_PARTITION:
                 self._cut_links(self._draw_links(kind, seat), end_us)
             case _:
-                raise ValueError(f"no cluster of this kind has the fault {kind}")
+                raise ValueError(f"this simulation does not support the fault {kind}")
 
     def _fail_power(self, duration_s: float) -> None:
-        """All processes crash at once; each is restarted at a time of its own."""
+        """Crash all processes at once, and restart each after a delay drawn for it."""
         for process in self._sim.processes:
             if process.alive:
                 self._sim.crash(process)
-                delay_s = self._sim.random.uniform(MIN_POWER_FAILURE_S, min(duration_s, MAX_POWER_FAILURE_S))
+                delay_s = self._sim.random.uniform(MIN_RESTART_DELAY_S, min(duration_s, MAX_RESTART_DELAY_S))
                 self._sim.restart_later(process.seat, self._sim.now + round(delay_s * SECOND))
 
     def _set_clock_back(self, process: Process) -> None:
+        # The incarnation is lower than before, unless the scenario has journals.
         self._sim.crash(process)
         incarnation: int | None = None
         if not self._sim.scenario.journals:
-            incarnation = max(1, process.node.owner.incarnation - CLOCK_STEP)
+            incarnation = max(1, process.node.owner.incarnation - INCARNATION_DECREASE)
         self._sim.restart_later(process.seat, self._sim.now + QUICK_RESTART_US, incarnation)
 
     def _drain(self, process: Process, end_us: int) -> None:
--- a/moorusher/model_checking/register_moves.py
+++ b/moorusher/model_checking/register_moves.py
@@ -1,4 +1,4 @@
-"""The moves of the register model: which transitions a state has, and what each is called in a counterexample."""
+"""The moves of the register model: the transitions of a state and their names in counterexamples."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ..replication.work_record import WorkRecord
 from .register_state import InTransit, RegisterModelLimits, Runner, Step
 
-# Of a message in transit.
+# Moves of a message in transit.
 DELIVER = "deliver"
-LOSE_ANSWER = "unanswered"  # it is delivered, and its answer is lost
+LOSE_ANSWER = "unanswered"  # Deliver the message, and lose its answer.
 DUPLICATE = "duplicate"
-# Of an acceptor.
-FORGET = "forgets"  # it restarts without its memory
-RESTART = "restarts"
-# Of a runner.
+# Moves of an acceptor.
+RESTART_WITHOUT_MEMORY = "restarts without its memory"
+RESTART_WITH_MEMORY = "restarts with its memory"
+# Moves of a runner.
 CLAIM = "claims"
 START = "starts"
 TAKE_OVER = "takes over"
@@ -26,11 +26,14 @@
 
 
 def message_moves(in_transit: Sequence[InTransit], limits: RegisterModelLimits, duplicates: int) -> list[str]:
-    """Return the moves of all messages; `duplicates`: how many were duplicated so far."""
+    """Return the moves of all messages.
+
+    :param duplicates: Number of messages that were duplicated so far.
+    """
     named = [(position, sent, _name_of(sent)) for position, sent in enumerate(in_transit)]
     requests = [(position, name) for position, sent, name in named if isinstance(sent.message, BallotRequest)]
     moves = [f"{DELIVER} {position}: {name}" for position, _, name in named]
-    if not limits.answers_travel:
+    if not limits.has_answers_in_transit:
         moves += [f"{LOSE_ANSWER} {position}: {name}" for position, name in requests]
     if duplicates < limits.duplicates:
         moves += [f"{DUPLICATE} {position}: {name}" for position, name in requests]
@@ -54,7 +57,7 @@
     proposer = runner.proposer
     if proposer is None:
         return [f"{runner.name} {_first_move(runner, limits)}"] if runner.step is Step.IDLE else []
-    may_retry = runner.retries > 0 and (proposer.blocked or not limits.patient)
+    may_retry = runner.retries > 0 and (proposer.blocked or not limits.retries_on_conflict_only)
     if proposer.result is not None or not may_retry:
         return []
     moves = [f"{runner.name} {RETRY}"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -362,7 +362,10 @@
 def test_no_interleaving_of_a_start_and_a_takeover_runs_a_key_twice() -> None:
     """P holds the key and starts its work while Q, which considers P lost, takes the work over."""
     exploration = explore(
-        RegisterModel.initial(RegisterModelLimits(starts_held=True, retries=(0, 1), patient=True)), 60_000
+        RegisterModel.initial(
+            RegisterModelLimits(starts_held=True, retries=(0, 1), retries_on_conflict_only=True)
+        ),
+        60_000,
     )
     assert exploration.complete and exploration.states > 10_000 and exploration.violation is None, str(
         exploration
@@ -374,7 +377,7 @@
     [
         (RegisterModelLimits(starts_held=True, retries=(0, 0)), {"runs_early": True}),
         (
-            RegisterModelLimits(retries=(0, 1), patient=True),
+            RegisterModelLimits(retries=(0, 1), retries_on_conflict_only=True),
             {"replicas": {"P": ("a", "b", "c"), "Q": ("c", "d", "e")}, "interchangeable": ("a", "b")},
         ),
     ],
--- a/tests/test_forecast_checking.py
+++ b/tests/test_forecast_checking.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize(
     ("forecaster", "violation"),
-    [(AddingForecaster, "are said to have been asked"), (FullCoverageForecaster, "said to be whole")],
+    [(AddingForecaster, "requests counted in hour"), (FullCoverageForecaster, "marked complete with")],
 )
 def test_injected_bug_is_found(forecaster: type[Forecaster], violation: str) -> None:
     found: Any = next(
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -40,7 +40,9 @@
 @pytest.mark.parametrize("kind", list(EffectKind))
 def test_every_interleaving_of_a_stopped_leader_and_the_next_one(kind: EffectKind) -> None:
     found = explore(
-        LeadershipModel.with_lease(RegisterModelLimits(retries=(0, 0), patient=True), kind=kind),
+        LeadershipModel.with_lease(
+            RegisterModelLimits(retries=(0, 0), retries_on_conflict_only=True), kind=kind
+        ),
         max_states=5_000,
     )
     assert found.violation is None, str(found)
@@ -74,7 +76,7 @@
         {"token_change": IgnoresTerm},
         {"acquire_change": SameTerm},
         {"compares": False},
-        {"kind": EffectKind.ONCE, "sends_early": True},
+        {"kind": EffectKind.ONCE, "sends_before_intent": True},
     ],
     ids=[
         "term read before the write",
@@ -86,7 +88,9 @@
 def test_the_interleavings_find_each_deliberate_fault(options: dict[str, Any]) -> None:
     retries = (1, 0) if "token_change" in options else (0, 0)
     found = explore(
-        LeadershipModel.with_lease(RegisterModelLimits(retries=retries, patient=True), **options),
+        LeadershipModel.with_lease(
+            RegisterModelLimits(retries=retries, retries_on_conflict_only=True), **options
+        ),
         max_states=60_000,
         depth_first=True,
     )
@@ -129,7 +133,7 @@
 
 def test_seeds_find_a_receiver_that_does_not_compare_tokens() -> None:
     found = find_counterexample(range(60), partial(DutySimulation, compares=False))
-    assert found is not None and "took" in found.violation
+    assert found is not None and "the receiver accepted" in found.violation
 
 
 def test_seeds_find_replicas_that_vote_after_losing_their_memory() -> None:
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -79,11 +79,11 @@
     [
         (MaintenanceModelLimits(crashes=0), {"clears_early": True}),
         (
-            MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
+            MaintenanceModelLimits(crashes=0, abandoned=0, allows_withdrawal=False),
             {"grant_change": IgnoresRevision, "machine_policy": MaintenancePolicy(max_out=9)},
         ),
         (
-            MaintenanceModelLimits(crashes=0, abandoned=0, is_withdrawn=False),
+            MaintenanceModelLimits(crashes=0, abandoned=0, allows_withdrawal=False),
             {
                 "budget_class": IgnoresClearedMachines,
                 "grant_change": IgnoresRevision,
@@ -93,9 +93,9 @@
         (MaintenanceModelLimits(crashes=0, abandoned=0), {"withdraw_change": WithdrawsClearedSlots}),
         (
             MaintenanceModelLimits(
-                crashes=1, abandoned=0, is_withdrawn=False, seats=("b", "a"), planners=("c",)
+                crashes=1, abandoned=0, allows_withdrawal=False, seats=("b", "a"), planners=("c",)
             ),
-            {"any_process": True},
+            {"process_proves_reboot": True},
         ),
     ],
 )
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -526,9 +526,9 @@
 @pytest.mark.parametrize(
     ("publisher_type", "violation"),
     [
-        (StaleHistoryPublisher, "1 means"),
-        (RepublishingPublisher, "was told, and is not|became two|means"),
-        (EarlyConfirmingPublisher, "told|means"),
+        (StaleHistoryPublisher, "revision 1 has two drafts"),
+        (RepublishingPublisher, "was confirmed but is missing|became two|has two drafts"),
+        (EarlyConfirmingPublisher, "was confirmed but is missing|has two drafts"),
     ],
 )
 def test_the_exploration_finds_each_seeded_mistake_and_its_path(
@@ -543,9 +543,9 @@
     ("replica_type", "violation"),
     [
         (RegressingReplica, "went back"),
-        (EarlyConfirmingReplica, "means|told|no register|published as|was said"),
+        (EarlyConfirmingReplica, "more than one draft|confirmed|no register|published as|was reported"),
         (RepublishingReplica, "published as . and as|one submission became two"),
-        (OverconfidentReplica, "was said to have"),
+        (OverconfidentReplica, "was reported to have"),
     ],
 )
 def test_some_seed_finds_each_seeded_mistake(replica_type: type[Replica], violation: str) -> None:
