--- a/moorusher/__main__.py
+++ b/moorusher/__main__.py
@@ -5,8 +5,8 @@
 import sys
 
 if len(sys.argv) == 1 or sys.argv[1] == "serve":
-    # Installed before the large imports. A SIGHUP before the configuration is read needs no reload, and must not end
-    # the process. SIGTERM ends the process at once, since it has not accepted any request yet.
+    # The handlers are installed before the large imports. A SIGHUP before the configuration is read needs no reload,
+    # and must not end the process. SIGTERM ends the process at once, since no request has been accepted yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
 
--- a/moorusher/config/fleet.py
+++ b/moorusher/config/fleet.py
@@ -17,8 +17,8 @@
 MAX_REPORT_INTERVAL_MS = 3_600_000
 
 
-# Numeric settings of `[duties]` by key. Memory is needed for `most` slots of about 300 bytes, and at worst for `most`
-# states of `state_bytes`.
+# Numeric settings of `[duties]` by key. The registers of `most` duties take about 300 bytes each, and the state of each
+# takes at most `state_bytes` in addition.
 DUTY_SETTINGS = {
     "most": NumericSetting("max_duties", 1, 100_000),
     "state_bytes": NumericSetting("max_state_bytes", 1 << 10, 4 << 20),
@@ -55,7 +55,7 @@
 
     def without_addresses(self) -> FleetConfig:
         """Return the part that can't change while the runner serves: all but the seats' addresses."""
-        # It determines the replicas of each key.
+        # This part determines the replicas of each key.
         return replace(self, seats=tuple(replace(seat, address=("", 0)) for seat in self.seats))
 
 
--- a/moorusher/config/forecast.py
+++ b/moorusher/config/forecast.py
@@ -25,7 +25,7 @@
     "valid_min": NumericSetting("validity_min", 1, 10_080),
     "worthy": NumericSetting("priority_threshold", 0, 1e9),
 }
-MAX_ROUTE_BYTES = 6_000  # Part of the duty's state for eight weeks of one route.
+MAX_ROUTE_BYTES = 6_000  # Size of eight weeks of one route's data in the duty's state.
 MAX_SPECIAL_DAYS = 1_000  # Limit of each calendar.
 
 
--- a/moorusher/config/health.py
+++ b/moorusher/config/health.py
@@ -9,8 +9,8 @@
 from .model import HealthCheckConfig
 from .section import ConfigError, NumericSetting, Section
 
-# Numeric settings of `[standing]` by key. With values outside these bounds, reports to load balancers don't serve their
-# purpose.
+# Numeric settings of `[standing]` by key. With values outside these bounds, load balancers can't use the reports to
+# prevent an overload.
 HEALTH_SETTINGS = {
     "probe_ms": NumericSetting("max_probe_interval_ms", 10, 10_000),
     "reaction_ms": NumericSetting("balancer_reaction_ms", 0, 10_000),
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -18,7 +18,7 @@
     Attributes:
         servers: Downstream servers; empty if the tier is disabled.
         policy: Settings of the load balancing over the servers.
-        warm_start_file: Snapshot of learned state, which survives a restart; None for no snapshot.
+        warm_start_file: File with a snapshot of learned state, read after a restart; None for no snapshot.
     """
 
     servers: tuple[EndpointConfig, ...] = ()
--- a/moorusher/config/loader.py
+++ b/moorusher/config/loader.py
@@ -27,7 +27,7 @@
     """Read and validate both files.
 
     :param operator_file: None for `deploy/fronts.toml` of the distribution.
-    :param running: the parsed platform file in service, whose keys the new file must have; None at the start.
+    :param running: the parsed platform file now in use, whose keys the new file must have; None at the start.
     :raises ConfigUnreadableError: a file is temporarily unreadable.
     :raises ConfigError: the configuration is invalid.
     """
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -39,7 +39,7 @@
     """Section `[uwsgi]`: the second frontend, and a uwsgi peer for downstream calls.
 
     Attributes:
-        below: Address of the peer, which replaces the database.
+        below: Address of the peer, which gets the downstream calls in place of the database.
         body_bytes: Maximum size of a request's body.
         idle_s: Maximum time for a request to arrive.
         load_report: Whether each answer has a load report.
--- a/moorusher/config/namespaces.py
+++ b/moorusher/config/namespaces.py
@@ -15,7 +15,8 @@
 DEFAULT_MEMORY_MB = 64.0  # Memory for all customers' drafts and tables in one runner.
 MAX_MEMORY_MB = 1_048_576.0
 MAX_POOL_LIMIT = 1_000_000
-MAX_QUOTA_SUM = 1.0 + 1e-9  # Limit for each pool, with a tolerance for rounding.
+# Limit of the sum of all customers' shares of a pool, with a tolerance for rounding.
+MAX_QUOTA_SUM = 1.0 + 1e-9
 MB = 1 << 20
 
 
@@ -29,7 +30,7 @@
     "steps": NumericSetting("max_check_steps", 1_000, 100_000_000),
     "table_bytes": NumericSetting("max_table_bytes", 1 << 16, 64 << 20),
 }
-# Numeric settings of the limits on publishing by key.
+# Numeric settings that limit how many revisions are published and retained, by key.
 PUBLISHING_SETTINGS = {
     "keep": NumericSetting("max_revisions", 1, 64),
     "an_hour": NumericSetting("max_per_hour", 1, 100_000),
@@ -53,7 +54,7 @@
         on: Whether customers have namespaces.
         customers: Customers by name.
         grants: Servers and pools that customers may use.
-        max_tombstones: Maximum number of retained deleted namespaces (`most`).
+        max_tombstones: Maximum number of retained records of deleted namespaces (`most`).
         startup_wait_ms: Time that a starting process waits for other runners' revisions (`start_ms`).
     """
 
--- a/moorusher/config/operator_file.py
+++ b/moorusher/config/operator_file.py
@@ -86,7 +86,8 @@
     return AdminConfig(require_loopback(section.address("listen"), "admin.listen"), token)
 
 
-# These functions read nothing if the section is missing, since the dependencies of its feature may not be installed.
+# If a section is missing, these functions return its defaults without importing the modules of the feature, whose
+# dependencies may not be installed.
 
 
 def _read_namespaces(section: Section, tier: TierConfig, fleet: FleetConfig) -> NamespacesConfig:
--- a/moorusher/config/platform_file.py
+++ b/moorusher/config/platform_file.py
@@ -23,7 +23,7 @@
 ) -> Config:
     """Parse and validate the file, and combine it with the operator's file.
 
-    :param running: the parsed file in service, whose keys the new file must have; None at the start.
+    :param running: the parsed file now in use, whose keys the new file must have; None at the start.
     :raises ConfigError: the file is not valid JSON, a key is missing or a value is invalid.
     """
     try:
@@ -68,10 +68,10 @@
 
 
 def missing_key(running: Any, new: Any, path: str = "") -> str | None:
-    """Return the path of the first key that the running file has and the new file lacks, or None.
+    """Return the path of the first key that the file in use has and the new file lacks, or None.
 
     Guards against a truncated or incomplete file, for whose missing keys the runner would use defaults. In a list of
-    objects, each new object must have the keys that all running objects have.
+    objects, each object of the new list must have the keys that all objects of the list in use have.
     """
     if isinstance(running, dict) and isinstance(new, dict):
         return _missing_key_of_object(running, new, path)
--- a/moorusher/config/scheduler_settings.py
+++ b/moorusher/config/scheduler_settings.py
@@ -1,6 +1,6 @@
 """Maps the scheduler's settings from their names in the platform's JSON to the fields of `scheduling/interface.py`.
 
-The platform's file and the simulator's start record hold the same object. No other module uses its names.
+The platform's file and the simulator's start record contain the same object. No other module uses the object's names.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     "tier": api.Downstream.TIER,
 }
 
-# JSON keys of fields of `scheduling/settings.py` with a different name. Error messages use the key, which operators
-# find in the file.
+# JSON keys of the fields of `scheduling/settings.py` whose name differs from the key. Error messages use the key, which
+# operators find in the file.
 KEY_OF_FIELD = {
     "latency_objective_ms": "aimMs",
     "priority_weight": "worth",
@@ -222,6 +222,6 @@
 
 
 def _parse_max_retry_after_ms(limits: _Object) -> float:
-    """Return 0, which disables Retry-After, if the platform does not forward it to clients."""
+    """Return the limit of Retry-After, or 0, which disables it, if the platform does not forward it to clients."""
     max_ms = limits.get("maxRetryAfterMs", 0.0)
     return max_ms if limits.get("retryAfter", True) else 0.0
--- a/moorusher/health/congestion.py
+++ b/moorusher/health/congestion.py
@@ -1,4 +1,4 @@
-"""Forecast of the runs on the cores, and the number of runs that a runner survives.
+"""Forecast of the number of runs on the cores, and the highest number at which a runner does not collapse.
 
 A runner collapses if the mean number of runs per core over a window (3 s) exceeds a limit.
 """
@@ -70,7 +70,7 @@
     ends_per_s: float = 0.0,
     max_level: float = float("inf"),
 ) -> float:
-    """Return the highest window mean from now on, if load balancers react to the current report within `horizon_us`.
+    """Return the highest window mean of runs on the cores, if load balancers react to a report within `horizon_us`.
 
     :param min_level: Lower bound of the current number of runs, if other evidence exceeds the runner's own count.
     :param waiting: Queued requests and runs at calls. Growth is limited to these and the arrivals.
@@ -78,8 +78,9 @@
     """
     # Until the reaction the number of runs follows its trend and never falls, since it is not certain that runs end.
     # After the reaction no new requests arrive: runs end at the measured rate, and queued requests and runs at calls
-    # come onto the cores within one window, so a runner with a full queue continues to fill. The forecast extends one
-    # window beyond the reaction, because the mean continues to rise while older, lower values leave the window.
+    # come onto the cores within one window, so the number of runs continues to rise if the queue is full. The forecast
+    # extends one window beyond the reaction, because the mean continues to rise while older, lower values leave the
+    # window.
     level = max(float(history.value), min_level)
     highest = history.mean(now)
     if not level and not highest:
@@ -100,9 +101,9 @@
 
 
 def survivable_runs(cores: int, runs_per_core: float, speed: float) -> float:
-    """Return the highest window mean of runs on the cores that a runner survives.
+    """Return the highest number of runs on the cores, as a mean over the window, at which a runner does not collapse.
 
-    :param runs_per_core: The limit of a warm runner.
-    :param speed: Fraction of full speed; below 1 the runner survives fewer runs.
+    :param runs_per_core: That number per core for a warm runner.
+    :param speed: Fraction of full speed; the result is lower below 1.
     """
     return cores * (1.0 + (runs_per_core - 1.0) * min(1.0, max(0.0, speed)))
--- a/moorusher/health/formatting.py
+++ b/moorusher/health/formatting.py
@@ -105,7 +105,7 @@
 
 
 def startup_response(kernel_up: bool) -> ProbeResponse:
-    """Return the answer of `/startup`: whether the kernel has been up since the start; never changes back."""
+    """Return the answer of `/startup`: whether the kernel has been up at any time since the start."""
     return ProbeResponse(200) if kernel_up else ProbeResponse(503, retry_after_s=1)
 
 
--- a/moorusher/health/observation.py
+++ b/moorusher/health/observation.py
@@ -47,7 +47,7 @@
     """State of a runner at the time `now`.
 
     Attributes:
-        kernel_up: Whether the kernel has answered since the start, regardless of its connection now.
+        kernel_up: Whether the kernel has answered since the start, even if it is not connected now.
         speed: Fraction of full speed, 0 to 1; 1 when warm.
         speed_known: Whether `speed` is measured; otherwise it is the minimum from the settings.
         on_cores: Runs that compete for the cores, by the runner's own count.
@@ -57,7 +57,7 @@
         unanswered: Requests that have not been answered.
         healthy: Whether the scheduler reports itself as healthy.
         draining: Whether the runner is shutting down.
-        listeners_closed: Whether it is draining and accepts no new connections.
+        listeners_closed: Whether the runner is draining and accepts no new connections.
         shutdown_remaining_us: Time until the process has to exit.
         gauges: Latest measurements of the kernel; None if there are none.
     """
--- a/moorusher/health/policy.py
+++ b/moorusher/health/policy.py
@@ -15,14 +15,16 @@
     Attributes:
         max_probe_interval_ms: Assumed maximum interval of a load balancer's health checks; a longer observed interval
             replaces it.
-        balancer_reaction_ms: Time from a load balancer's reading of a report until its earlier traffic has ended.
-        survivable_runs_per_core: Window mean that a warm runner survives; 0 to use the runner's settings.
+        balancer_reaction_ms: Time from a load balancer's reading of a report until the traffic that it sent before the
+            reading has ended.
+        survivable_runs_per_core: Highest window mean of runs per core at which a warm runner does not collapse; 0 to
+            use the value from the runner's settings.
         overloaded_above: Pressure at or above which a runner is overloaded.
-        no_traffic_above: Pressure at or above which its weight is 0; the margin up to 1 is for unforeseen load.
+        no_traffic_above: Pressure at or above which the weight is 0; the margin up to 1 is for unforeseen load.
         recovered_below: Pressure below which an overloaded runner has recovered.
         min_overloaded_weight: Lowest weight of an overloaded runner with a pressure below `no_traffic_above`.
-        max_queue_wait_fraction: Queue wait with pressure 1, as a fraction of the shortest latency objective.
-        max_rejected_fraction: Fraction of requests rejected in the last window with pressure 1.
+        max_queue_wait_fraction: Queue wait that means pressure 1, as a fraction of the shortest latency objective.
+        max_rejected_fraction: Fraction of requests rejected in the last window that means pressure 1.
         ramp_s: Duration of the recovery ramp from weight 0 to full weight.
         gauges_fresh_ms: Age up to which gauges are fully trusted.
         gauges_expired_ms: Age from which gauges are ignored.
--- a/moorusher/health/probe_intervals.py
+++ b/moorusher/health/probe_intervals.py
@@ -24,7 +24,8 @@
         self.interval_us = 0  # unknown until the second health check
 
     def is_active(self, now: int) -> bool:
-        """Return whether it still sends health checks; an unknown interval counts as MAX_INTERVAL_US."""
+        """Return whether the load balancer still sends health checks."""
+        # An unknown interval counts as MAX_INTERVAL_US.
         interval_us = self.interval_us or MAX_INTERVAL_US
         return now - self.probed_at_us <= MAX_MISSED_INTERVALS * interval_us
 
--- a/moorusher/health/report.py
+++ b/moorusher/health/report.py
@@ -20,7 +20,7 @@
         pressure: At least 1 if the runner would collapse before load balancers can react.
         mean_per_core: Window mean of runs on the cores, per core.
         forecast_per_core: Highest forecast mean until load balancers have reacted, per core.
-        survivable_per_core: Highest mean that the runner survives, per core.
+        survivable_per_core: Highest window mean at which the runner does not collapse, per core.
         horizon_us: Time until load balancers have reacted.
         max_connections: Requests that each load balancer may have open at a time without endangering the runner.
         unknown: Descriptions of measurements that are too old or contradictory, and therefore ignored.
--- a/moorusher/health/states.py
+++ b/moorusher/health/states.py
@@ -48,10 +48,11 @@
     HealthState.WARMING_UP: _TO_UNROUTABLE
     | {
         HealthState.SERVING: "warm-up is complete",
-        HealthState.OVERLOADED: "the overload threshold is reached",
+        HealthState.OVERLOADED: "the pressure has reached the overload threshold",
     },
     # No transition back to WARMING_UP: a restart of the kernel comes with a restart of the runner.
-    HealthState.SERVING: _TO_UNROUTABLE | {HealthState.OVERLOADED: "the overload threshold is reached"},
+    HealthState.SERVING: _TO_UNROUTABLE
+    | {HealthState.OVERLOADED: "the pressure has reached the overload threshold"},
     HealthState.OVERLOADED: _TO_UNROUTABLE
     | {
         HealthState.WARMING_UP: "overload has ended during warm-up",
--- a/moorusher/health/throughput.py
+++ b/moorusher/health/throughput.py
@@ -1,4 +1,4 @@
-"""Throughput of this runner compared with its recent best; determines its weight while all runners are overloaded."""
+"""Throughput of this runner compared with its recent best; limits how far an overload lowers the runner's weight."""
 
 # Overload alone must not reduce a runner's traffic: the other runners are overloaded as well, and would get the load
 # that it sheds. A runner that has become slow should get less traffic. Both cases show the same queue; they differ in
@@ -10,7 +10,7 @@
 
 # The best value decays over this time, so that a permanently slower machine counts as normal.
 BEST_DECAY_US = 300_000_000
-MIN_SAMPLE = 12  # minimum sum of runs that left and busy core seconds for a window to count
+MIN_SAMPLE = 12  # a window is ignored if the runs that left the cores plus the busy core seconds sum to less
 LEARNING_RATE = 0.2  # weight of a better throughput in the best value; one lucky window must not determine it
 IDLE_FRACTION = 0.1  # fraction of busy cores below which the runner counts as idle, and not as slow
 
--- a/moorusher/health/tracker.py
+++ b/moorusher/health/tracker.py
@@ -16,7 +16,7 @@
 from .throughput import Throughput
 from .weight import FULL_WEIGHT, PressureZone, WeightController, step_down
 
-MIN_ARRIVALS = 8  # minimum requests in a window for a fraction of rejections
+MIN_ARRIVALS = 8  # with fewer requests in a window, its rejections cause no pressure
 # Upper bound of pressure from queueing and rejections. It is below the minimum of `no_traffic_above`, so that only a
 # forecast of too many runs on the cores stops all traffic.
 MAX_INDIRECT_PRESSURE = 0.8
@@ -34,7 +34,7 @@
 
     Attributes:
         cores: Number of cores.
-        survivable_runs_per_core: Window mean that a warm runner survives.
+        survivable_runs_per_core: Highest window mean of runs per core at which a warm runner does not collapse.
         window_us: Window of the means.
         shortest_objective_us: Shortest latency objective of all request classes.
         max_running_fraction: Fraction of the survivable runs up to which the scheduler starts runs.
@@ -56,7 +56,7 @@
     Attributes:
         horizon_us: Time until load balancers have reacted.
         forecast: Highest forecast mean of runs on the cores.
-        survivable: Highest mean that the runner survives.
+        survivable: Highest window mean at which the runner does not collapse.
         pressure_parts: Pressure by cause.
         pressure: Maximum of `pressure_parts`.
         unknown: Descriptions of measurements that were ignored.
@@ -126,7 +126,7 @@
         self._rejections.add(now)
 
     def set_maintenance(self, maintenance: Maintenance | None) -> bool:
-        """Set maintenance, or end it with None. Return False if the runner is draining, which overrides it."""
+        """Set maintenance, or end it with None. Return False, without effect, if the runner is draining."""
         if self.state is HealthState.DRAINING:
             return False
         self.maintenance = maintenance
@@ -135,7 +135,7 @@
     # ---- reports ----
 
     def horizon_us(self, now: int) -> int:
-        """Return how long a report must remain valid: until the slowest load balancer has read the next and reacted."""
+        """Return how long a report must be valid: until the slowest load balancer has read the next one and reacted."""
         probe_us = max(round(self.policy.max_probe_interval_ms * 1000), self.probes.longest_us(now))
         return probe_us + round(self.policy.balancer_reaction_ms * 1000)
 
@@ -215,13 +215,14 @@
             return 0.0, (f"gauges: say {gauges.busy:.0%} busy while {observation.on_cores} run",)
         if gauges.runnable is None:
             return 0.0, ()
-        # Reading requests and accepting connections use cores, too, so threads beyond the open runs are not counted.
+        # Reading requests and accepting connections use cores, too, so the threads are counted only up to the number of
+        # runs and queued requests.
         return trust * min(
             gauges.runnable, observation.on_cores + observation.at_calls + observation.queued
         ), ()
 
     def _pressure_parts(self, observation: Observation, core_pressure: float) -> dict[str, float]:
-        """Return the pressure by cause; 1 is too much load by that cause alone. The keys appear in `GET /standing`."""
+        """Return the pressure by cause; all but `crowd` are capped. The keys appear in `GET /standing`."""
         policy = self.policy
         max_wait_us = policy.max_queue_wait_fraction * self.facts.shortest_objective_us
         queue_wait = observation.oldest_queued_us / max(1.0, max_wait_us)
@@ -289,7 +290,7 @@
         )
 
     def _min_weight(self, cap: int, now: int) -> int:
-        """Return the weight below which an overload does not reduce it: the runner's relative throughput."""
+        """Return the weight below which an overload does not lower the weight, from the relative throughput."""
         # If all runners are overloaded, each has to continue to take the share that it can serve.
         throughput_weight = FULL_WEIGHT * self.throughput.relative_to_best(now)
         return step_down(min(cap, max(self.policy.min_overloaded_weight, throughput_weight)))
--- a/moorusher/health/weight.py
+++ b/moorusher/health/weight.py
@@ -109,8 +109,9 @@
 
     def _ramp_up(self, now: int, cap: int, horizon_us: int) -> int:
         """Raise the weight, and return it."""
-        # Normally there are as many steps as there was time for, so that infrequent health checks do not slow the ramp.
-        # After an overload there is one step per health check, since the effect of more steps was not observed.
+        # Normally, one call takes as many steps as fit into the elapsed time, so that infrequent health checks do not
+        # slow the ramp. After an overload, one call takes at most one step, since the effect of each step must be
+        # observed before the next one.
         step_us = max(1, self._step_us << self.relapses, horizon_us if self._was_overloaded else 0)
         while now - self._raised_at_us >= step_us and self.level < cap:
             self.level = min(cap, next((step for step in STEPS if step > self.level), FULL_WEIGHT))
--- a/moorusher/load_balancing/__init__.py
+++ b/moorusher/load_balancing/__init__.py
@@ -10,8 +10,8 @@
 | what share of calls may a new or reinstated endpoint get? | `slow_start` |
 | is an endpoint an outlier, and for how long is it ejected? | `outlier_detection` |
 | may it be ejected now, and when is it reinstated? | `ejection` |
-| is a failed attempt retried, and when? | `retry`, paid from the `retry_budget` |
-| is a second copy of a call sent? | `hedging`, paid from the same budget |
+| is a failed attempt retried, and when? | `retry`, with a token of the `retry_budget` |
+| is a second copy of a call sent? | `hedging`, with a token of the same budget |
 | in which order are queued calls served? | `call_queue` |
 
 `load_balancer` composes them as a state machine that takes events and returns instructions (both in `messages`).
--- a/moorusher/load_balancing/concurrency_limit.py
+++ b/moorusher/load_balancing/concurrency_limit.py
@@ -1,7 +1,7 @@
 """Adaptive limit on calls in flight at one endpoint.
 
-The limit follows the gradient of long-term mean latency to short-term mean latency: it rises while the latency stays
-level and falls when the latency increases. Rejected and hanging calls lower it at once.
+The limit follows the gradient, the ratio of the long-term to the short-term mean latency: it rises while the latency
+stays level and falls when the latency increases. Rejected and hanging calls lower the limit at once.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
             return
         gradient = max(MIN_GRADIENT, min(1.0, LATENCY_TOLERANCE * long_us / short_us))
         if gradient == 1.0 and in_flight < self.value / 2:
-            return  # the limit was not reached, so a level latency is no evidence that it can rise
+            return  # less than half of the limit is in use, so a level latency does not show that it can rise
         headroom = self.value**0.5 if gradient == 1.0 else 0.0
         estimate = self.value * gradient + headroom
         smoothed = self.value + SMOOTHING * (estimate - self.value)
--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -1,7 +1,7 @@
 """Hedging: when a call takes long, a second copy is sent and the first answer is used.
 
-Only a call that may run twice is hedged, at most once, and only at another endpoint. A health check is never hedged. A
-hedged attempt takes a token from the retry budget.
+Only a call that may run twice is hedged, at most once, and only at another endpoint. A health check is never hedged.
+The second copy takes a token from the retry budget.
 """
 
 from __future__ import annotations
--- a/moorusher/load_balancing/load_balancer.py
+++ b/moorusher/load_balancing/load_balancer.py
@@ -86,7 +86,7 @@
         self._attempt_ids = count(1) if attempt_ids is None else attempt_ids
         # Calls that have not ended, by id.
         self._calls: dict[int, OpenCall] = {}
-        # Call of each attempt in flight, by attempt id. Each value is also in `_calls`, and each key in its `attempts`.
+        # Call of each attempt in flight, by attempt id. The call is also in `_calls`, and the id in its `attempts`.
         self._call_of: dict[int, OpenCall] = {}
 
     @property
@@ -173,7 +173,7 @@
     # ---- transitions of a call ----
 
     def _start_attempt(self, now: int, call: OpenCall, avoid: Endpoint | None = None) -> list[Instruction]:
-        """Send an attempt, queue the call, or reject it. The call is in STARTING or BACKING_OFF."""
+        """Send an attempt, queue the call, or reject the call. The call is in STARTING or BACKING_OFF."""
         selection = self.endpoints.select(now, call.tolerates_duplicates, avoid)
         if selection is None and avoid is not None:
             selection = self.endpoints.select(now, call.tolerates_duplicates)
--- a/moorusher/load_balancing/retry.py
+++ b/moorusher/load_balancing/retry.py
@@ -1,8 +1,8 @@
 """Decides whether a failed attempt is retried, and after which backoff.
 
 A retry requires all of: an effect or evidence that permits it (`scheduling.retry_policy`), a remaining attempt, time
-remaining after the backoff, and a token of the retry budget. If a call fails, the request that made it may make it
-again (`scheduling/downstream_calls.py`).
+remaining after the backoff, and a token of the retry budget. If a call fails, its request may make the call again
+(`scheduling/downstream_calls.py`).
 """
 
 from __future__ import annotations
--- a/moorusher/load_balancing/slow_start.py
+++ b/moorusher/load_balancing/slow_start.py
@@ -39,8 +39,8 @@
     def usable_part(self, ramp: float) -> float:
         """Return the fraction of a slot, from its beginning, in which it may be used.
 
-        It decreases with the number of runners, so that the slots that idle runners have open at the same time stay
-        within the statistical noise of the budget.
+        The fraction decreases with the number of runners. Idle runners may have slots open at the same time; if all of
+        them send, the calls then exceed the budget only by its statistical noise.
         """
         return min(1.0, (math.sqrt(self.calls * ramp) + 1) / self.runners)
 
--- a/moorusher/membership/dissemination.py
+++ b/moorusher/membership/dissemination.py
@@ -13,8 +13,8 @@
 from .member import Member
 from .messages import MemberUpdate
 
-UPDATES_PER_MESSAGE = 8  # Limit without the sender's own update.
-RETRANSMIT_FACTOR = 3  # Each update is sent this factor times log2 of the cluster's size.
+UPDATES_PER_MESSAGE = 8  # The sender's own update is sent in addition.
+RETRANSMIT_FACTOR = 3  # Multiplied by log2 of the cluster's size, this is how many times each update is sent.
 
 
 class Dissemination:
@@ -40,8 +40,8 @@
     def updates_for(self, receiver: str) -> list[MemberUpdate]:
         """Return the updates for the next message to `receiver`.
 
-        An update about the receiver comes first, so that it can refute it. Next come updates about members that are not
-        alive, then all others, each group with the least sent first.
+        An update about the receiver comes first, so that the receiver can refute a suspicion. Next come updates about
+        members that are not alive, then all others. In each group, the updates sent least often come first.
         """
         chosen = [receiver] if receiver in self._loss_updates or receiver in self._other_updates else []
         for queue in (self._loss_updates, self._other_updates):
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -1,9 +1,9 @@
 """The failure detector: probes members, suspects those that don't answer, and declares them dead.
 
-It implements SWIM (Das, Gupta and Motivala 2002) with suspicion and with versions to refute it, and Lifeguard's local
-health (Dadgar, Phillips and Currey 2018): a member that is slow itself gives the others more time. The number of
-messages per member does not depend on the size of the cluster. The detector's decisions only affect when a takeover is
-tried; safety does not depend on them.
+It implements SWIM (Das, Gupta and Motivala 2002) with suspicion: a suspected member refutes the suspicion by publishing
+a higher version. It also implements Lifeguard's local health (Dadgar, Phillips and Currey 2018): a member that is slow
+itself gives the others more time. The number of messages per member does not depend on the size of the cluster. The
+detector's decisions only affect when a takeover is tried; safety does not depend on them.
 """
 
 from __future__ import annotations
@@ -19,10 +19,11 @@
 from .messages import MemberStatus, MemberUpdate, Ping, PingAck, PingRequest
 
 PROBE_PERIOD_US = 200 * MS  # One member is probed per period.
-ACK_TIMEOUT_US = 80 * MS  # Timeout of a direct probe, and again of the indirect probes that follow it.
-INDIRECT_PROBES = 3  # Members that are requested to probe a member which does not answer.
-SUSPICION_TIMEOUT_US = 500 * MS  # In a small cluster. A pause of half a second must not count as a death.
-# Shorter if the member's address refuses connections, since no process listens there.
+ACK_TIMEOUT_US = 80 * MS  # Timeout of a direct probe, and then of the indirect probes that follow it.
+INDIRECT_PROBES = 3  # Number of members that are requested to probe a member that does not answer.
+# Suspicion timeout in a small cluster. A process that pauses for half a second must not be declared dead.
+SUSPICION_TIMEOUT_US = 500 * MS
+# Suspicion timeout if the member's address refuses connections. It is shorter, since no process listens there.
 REFUSED_SUSPICION_TIMEOUT_US = 250 * MS
 MAX_HEALTH_PENALTY = 5
 # Time for which a member's own message outweighs suspicions from others.
@@ -136,7 +137,7 @@
         if self._awaited_acks.pop(serial, None) is None:
             return
         if all(self.by_seat[other].last_heard < sent_at for other in self._others):
-            self._penalize()  # No message has arrived from any member, so this process may be the cause.
+            self._penalize()  # No member's message has arrived since the probe, so this process may be the cause.
         self.suspect(seat)
 
     def _ack_timeout(self) -> int:
@@ -161,7 +162,8 @@
             self._schedule_suspicion_timeout(member, now)
 
     def suspicion_timeout(self) -> int:
-        """Return the time (us) until a suspected member is declared dead: twice the base value for a thousand seats."""
+        """Return the time (us) until a suspected member is declared dead."""
+        # It grows with `health` and with the cluster's size: for a thousand seats it is twice the base value.
         size_factor = max(1.0, log2(max(2, len(self.by_seat))) / 5)
         return round(SUSPICION_TIMEOUT_US * size_factor * (1 + self.health / 2))
 
@@ -215,7 +217,7 @@
 
     def _start_incarnation(self, member: Member, incarnation: int) -> None:
         """Record that a new process has the seat."""
-        # Until its own status arrives, the previous process, unless it is dead, counts as its living predecessor.
+        # Until the new process's status arrives, the previous process counts as its predecessor, unless that is dead.
         previous = member.incarnation
         member.incarnation = incarnation
         member.connection_refused = False
@@ -256,7 +258,7 @@
             member.version = -1
         is_fresh = member.is_alive and 0 <= now - member.last_heard < DIRECT_CONTACT_FRESH_US
         if state is not MemberState.ALIVE and is_fresh:
-            return  # A direct message from it is more recent.
+            return  # A direct message from the member is more recent than the suspicion.
         is_newer = update.version > member.version
         is_unknown = member.state is MemberState.UNKNOWN
         takes_precedence = STATE_PRECEDENCE[state] > STATE_PRECEDENCE[member.state]
@@ -278,7 +280,7 @@
         self._host.reply(seat, ack)
 
     def handle_ping_request(self, seat: str, request: PingRequest) -> None:
-        """Probe a third member for another one."""
+        """Probe the requested member on behalf of the requesting one."""
         self._apply_updates(request.updates)
         if request.seat in self.by_seat and request.seat != self.me:
             updates = self._dissemination.updates_for(request.seat)
--- a/moorusher/membership/member.py
+++ b/moorusher/membership/member.py
@@ -14,7 +14,7 @@
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    UNKNOWN = 3  # This member has not heard of it yet.
+    UNKNOWN = 3  # Nothing has been received from or about the member yet.
 
 
 # Of two updates with the same version, the one with the higher precedence applies.
--- a/moorusher/membership/placement.py
+++ b/moorusher/membership/placement.py
@@ -47,7 +47,7 @@
     def digest(self) -> str:
         """Return a digest of the settings that must be the same at all runners.
 
-        It excludes addresses, because runners may reach a machine by different ones.
+        It excludes addresses, because runners may reach a machine by different addresses.
         """
         lines = [str(self.copies)]
         for name, seat in sorted(self.by_name.items()):
--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """The registers of which one seat is a replica. Pure: times are passed in, in us.
+    """The registers of which one seat is a replica. Has no clock: callers pass the current time in us.
 
     Attributes:
         seat: Seat of this acceptor.
@@ -98,7 +98,7 @@
 
     def can_vote_on(self, key: KeyDigest) -> bool:
         """Return whether this acceptor knows all that earlier processes of its seat may have promised for the key."""
-        # It does once each majority that may have included such a process has a member that has sent its state since.
+        # This is so once enough replicas of the key have sent their state that each majority includes one of them.
         return self.recovered or self._covers_slice(self.slice_of(key), self.replicas(key))
 
     def _covers_slice(self, slice_number: int, seats: tuple[str, ...]) -> bool:
@@ -127,7 +127,7 @@
         )
 
     def learn_incarnations(self, incarnations: Incarnations) -> None:
-        """Record incarnations that another member knows. Votes of earlier ones no longer count."""
+        """Record incarnations that another member knows. Votes of a seat's earlier incarnations then don't count."""
         for seat, incarnation in incarnations.items():
             if incarnation > self.incarnations.get(seat, 0):
                 self.incarnations[seat] = incarnation
@@ -186,7 +186,7 @@
         )
 
     def _accept(self, register: RegisterState, request: BallotRequest) -> bool:
-        """Promise or accept if the request's ballot allows it. Return whether it did."""
+        """Give the requested promise or accept the value if the ballot allows it. Return whether it was allowed."""
         if request.ballot == FAST_BALLOT:
             if register.promised != NO_BALLOT:
                 return False
@@ -204,7 +204,8 @@
 
     def _quorum_is_outdated(self, quorum: Incarnations) -> bool:
         """Return whether an acceptor of the quorum has restarted since its promise."""
-        # Its promise is void: a value accepted under it could hide another value that was chosen in the meantime.
+        # The promise of a restarted acceptor is void: a value accepted under it could hide another value that was
+        # chosen in the meantime.
         return any(self.incarnations.get(seat, 0) > incarnation for seat, incarnation in quorum.items())
 
     # ---- expiry ----
@@ -239,11 +240,11 @@
         """
         known = self.incarnations.get(seat, 0)
         if incarnation < known:
-            # The reply has no registers and is marked as `recovering`: when it arrives, the requester may have taken
-            # the incarnation that it names, and must not count it as a complete reply.
+            # The reply has no registers and is marked as `recovering`. When it arrives, the requester may already have
+            # raised its incarnation to `known`, and must not count the reply as this seat's complete state.
             return [SyncReply(known, {}, [], True, recovering=True, space=space)]
         self.learn_incarnations({seat: incarnation})
-        # The receiver takes a register that is missing from the reply as never written, so an acceptor that has not
+        # The receiver considers a register that is missing from the reply never written, so an acceptor that has not
         # recovered sends only slices that it knows completely.
         slices = None if self.recovered else self.known_slices()
         if slices is not None and not slices:
@@ -311,7 +312,7 @@
         if self._unsaved_incarnations:
             records.append(IncarnationsRecord(dict(self.incarnations)))
         if self.recovered and self._unsaved_recovered:
-            # The last record, so that the journal never has it without the recovered registers.
+            # This is the last record, so that the journal never has it without the recovered registers.
             records.append(RecoveredRecord())
             self._unsaved_recovered = False
         self._unsaved_registers.clear()
--- a/moorusher/replication/errors.py
+++ b/moorusher/replication/errors.py
@@ -8,11 +8,11 @@
 
 
 class JournalError(ValueError):
-    """A journal can't be used. Its file is retained; the acceptor starts without its state and has to recover."""
+    """A journal can't be used. The file is retained; the acceptor starts without state and has to recover."""
 
 
 class ForeignJournalError(JournalError):
-    """The file belongs to another cluster, seat or version.
+    """The file's header names another cluster, seat, list of seats or format version.
 
     Check the folder in `[fleet] journal`: each seat needs its own.
     """
--- a/moorusher/replication/host_services.py
+++ b/moorusher/replication/host_services.py
@@ -11,7 +11,7 @@
 
 
 class HostServices:
-    """Delegates to the host, which only wakes the node for the earliest of its timers. Times are in us."""
+    """Delegates to the host, and runs the node's timers when the host wakes the node. Times are in us."""
 
     def __init__(self, host: NodeHost) -> None:
         self.host = host
@@ -29,7 +29,7 @@
         self.host.reply(seat, message)
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """Return a function for a later `reply`."""
+        """Return a function that replies later to the sender of the message being handled."""
         return self.host.replier(seat)
 
     def call_when_durable(self, then: Callable[[], None], space: int) -> None:
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -28,7 +28,7 @@
         """Reply to the sender of the message being handled."""
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """Return a function for a later `reply`."""
+        """Return a function that replies later to the sender of the message being handled."""
 
     def call_when_durable(self, then: Callable[[], None], space: int) -> None:
         """Call `then` once all changes of the space's acceptor so far are on its disk.
@@ -66,7 +66,7 @@
         """Reply to the sender of the message being handled."""
 
     def replier(self, seat: str) -> Callable[[Any], None]:
-        """Return a function for a later `reply`."""
+        """Return a function that replies later to the sender of the message being handled."""
 
     def call_when_durable(self, then: Callable[[], None], space: int) -> None:
         """See `RegisterHost.call_when_durable`."""
@@ -156,7 +156,7 @@
         """Release an attempt of this runner that ended before its run."""
 
     def continue_work(self, tenure: Tenure) -> None:
-        """Continue work whose owner does not answer or is lost."""
+        """End or take over work whose owner does not answer or is lost; see `WatchedWork.continue_work`."""
 
     def offer_work(self, key: KeyDigest, work: WorkRecord) -> None:
         """Offer orphaned or released work to the next seat in the takeover order."""
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -45,7 +45,7 @@
 
 
 class RegisterRecord(_Record, frozen=True, tag="slot"):
-    """An acceptor's state of a register. `ttl_ms` is the time from the reading of the journal until it expires."""
+    """An acceptor's state of a register. `ttl_ms` is the time from the reading of the journal to the key's expiry."""
 
     key: KeyDigest
     promised: Ballot
@@ -61,7 +61,7 @@
 
 
 class ChunkRecord(_Record, frozen=True, tag="piece"):
-    """A part of a duty's state. `mark` names the change of the duty's register that refers to it, or is about to."""
+    """A part of a duty's state. `mark` identifies the change of the duty's register that refers to this state."""
 
     key: KeyDigest
     mark: tuple[int, int, int]
@@ -143,11 +143,13 @@
     while (found := _record_at(data, image.valid_bytes)) is not None:
         record, end = found
         if image.valid_bytes == 0 and record != header:
-            raise ForeignJournalError(f"it belongs to another fleet, seat or version: {record}")
+            raise ForeignJournalError(
+                f"the header names another fleet, seat, list of seats or format version: {record}"
+            )
         image.apply(record)
         image.valid_bytes = end
     if image.valid_bytes == 0:
-        raise DamagedJournalError("its header record is missing or damaged")
+        raise DamagedJournalError("the header record is missing or damaged")
     if _has_record_after(data, image.valid_bytes + 1):
         raise DamagedJournalError(f"damaged at byte {image.valid_bytes}")
     return image
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -135,12 +135,13 @@
     """One part of the reply to a recovering acceptor.
 
     Attributes:
-        incarnation: Incarnation of the request, or, if the sender knows a higher one of the requester's seat, that one;
-            the requester must then exceed it.
+        incarnation: Incarnation from the request. If the sender knows a higher incarnation of the requester's seat,
+            that one; the requester must then exceed it.
         incarnations: All incarnations that the sender knows.
         registers: Registers of this part.
         last: Whether this is the last part.
-        recovering: Whether the sender can't provide its registers, because it is recovering itself.
+        recovering: Whether the reply has no registers, because the sender is recovering itself or has rejected the
+            requester's incarnation.
         space: Number of the register space.
         known_slices: Slices for which the reply is complete; None if it is complete for all slices.
     """
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -173,8 +173,8 @@
 
         :returns: None on success, or the reason if all spaces have recovered or one could not be bootstrapped.
         """
-        # Success with a space left would be misleading: the operator would not repeat the command, and that space would
-        # never vote.
+        # If one space could not be bootstrapped, success would be misleading: the operator would not repeat the
+        # command, and that space would never vote.
         spaces = [space for space in self.spaces.values() if not space.acceptor.recovered]
         reasons = [space.recovery.bootstrap(accept_loss) for space in spaces or self.spaces.values()]
         return next((reason for reason in reasons if reason is not None), None)
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -21,10 +21,10 @@
     WorkState,
 )
 
-# Retries of withdrawals back off this far because no caller waits for them, and because the side of a partition without
-# majorities may have thousands.
+# Longest delay between retries of a withdrawal. No caller waits for a withdrawal, and a runner that a partition has cut
+# off from all majorities may have thousands of them.
 MAX_WITHDRAW_BACKOFF_US = 8_000 * MS
-MAX_WITHDRAWALS = 4_000  # Concurrent withdrawals.
+MAX_WITHDRAWALS = 4_000  # Maximum number of concurrent withdrawals.
 NO_MAJORITY = "no majority of its keepers answers"  # Part of the error that a caller gets.
 
 
@@ -264,7 +264,7 @@
         tenure.finish_step()
 
     def hand_over(self, key: KeyDigest) -> None:
-        """Release held work to the runners that can run it. `HandedOver` follows once a majority has the release."""
+        """Release held work so that another runner runs it. `HandedOver` follows once a majority has the release."""
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is not TenureStage.HELD or tenure.request is None:
             return
--- a/moorusher/replication/proposer.py
+++ b/moorusher/replication/proposer.py
@@ -261,7 +261,10 @@
 
 
 def value_to_adopt(votes: list[Vote]) -> Any:
-    """Return the value that may have been chosen, by a majority's promises, or else any accepted value or None."""
+    """Return the value that may have been chosen, given the promises of a majority.
+
+    If no value can have been chosen, return any accepted value, or None if there is none.
+    """
     ballots = [vote.accepted_ballot for vote in votes if vote.accepted_ballot is not None]
     if not ballots:
         return None
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -10,7 +10,7 @@
 from .messages import Bootstrap, SyncReply, SyncRequest
 
 SYNC_INTERVAL_US = 500 * MS  # Time between requests to seats that have not sent their complete state.
-# The interval doubles up to this value while all requested seats have already sent the slices that they know.
+# Once all requested seats have sent the slices that they know, the interval doubles up to this value.
 MAX_SYNC_INTERVAL_US = 16_000 * MS
 BOOTSTRAP_DELAY_US = 100 * MS  # From a bootstrap command to the first vote; see `_finish_bootstrap`.
 SLICES_PER_SURVEY_TURN = 64
@@ -119,7 +119,7 @@
     def bootstrap(self, accept_loss: bool = False) -> str | None:
         """Bootstrap the acceptors of all seats, on an operator's statement that the cluster is new.
 
-        :param accept_loss: Whether the operator states instead that state which no seat has any more may be dropped.
+        :param accept_loss: Whether the operator accepts instead that all state which no seat has any more is lost.
         :returns: None on success, or the reason for a refusal.
         """
         # Every other seat must have replied that it is recovering: a seat that has recovered has state, and one that
@@ -140,7 +140,7 @@
         return None
 
     def handle_bootstrap(self, seat: str, message: Bootstrap) -> None:
-        """Handle an operator's bootstrap command that `seat` received."""
+        """Handle an operator's bootstrap command, which was given at `seat`."""
         acceptor = self._acceptor
         if message.incarnation != acceptor.incarnation or acceptor.recovered:
             return
@@ -150,8 +150,8 @@
 
     def _finish_bootstrap(self, incarnation: int) -> None:
         """Mark the acceptor as recovered, a delay after the bootstrap command."""
-        # Without the delay, a bootstrapped seat could send its state to seats that the command has not reached. Such a
-        # seat ignores the command from then on. With two of them, neither could recover from the other.
+        # Without the delay, a bootstrapped seat could send its state to seats that the command has not reached yet.
+        # Those seats would then ignore the command, and two of them could not recover from each other.
         if incarnation == self._acceptor.incarnation and not self._acceptor.recovered:
             self._acceptor.recovered = True
             self._host.count("fleet: begun")
--- a/moorusher/replication/register_reader.py
+++ b/moorusher/replication/register_reader.py
@@ -1,4 +1,4 @@
-"""Reads of registers without a ballot. Replicas return their values and promise nothing, so no change is disturbed."""
+"""Reads of registers without a ballot. Replicas promise nothing for a read, so it does not disturb a change."""
 
 from __future__ import annotations
 
@@ -33,8 +33,9 @@
 class RegisterReader:
     """Reads the chosen values of the registers of one space.
 
-    `next_number` returns a number for each attempt, different from those of the space's changes. `serials` is how many
-    serials belong to each number. `read_by_ballot(key, timeout_us, on_result)` reads by a change without a new value.
+    `next_number` returns an unused number for each attempt, from the same sequence as the numbers of the space's
+    changes. `serials` is how many serials belong to each of these numbers. `read_by_ballot(key, timeout_us, on_result)`
+    reads by a change without a new value.
     """
 
     def __init__(
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -21,7 +21,7 @@
 from .register_reader import RegisterReader
 from .work_record import KeyDigest
 
-# If not all replicas have answered a fast write by then, it continues with a majority.
+# Time after which a fast write that not all replicas have answered continues with a majority.
 FAST_ROUND_TIMEOUT_US = 6 * MS
 # Delay before a round without a majority is retried at a higher ballot; doubles with each retry.
 RETRY_BACKOFF_US = 40 * MS
@@ -30,10 +30,10 @@
 MAX_CONFLICT_FACTOR = 10
 FOREVER_US = 1 << 50  # Longer than any process runs.
 SERIALS_PER_CHANGE = 1_000  # The rounds of change N have serials from N * SERIALS_PER_CHANGE.
-MAX_ROUNDS = 900  # Rounds of one change, which is then abandoned.
+MAX_ROUNDS = 900  # A change is abandoned after this many rounds.
 
-# Numbers of the spaces. They are plain ints because a field is left out of a message only if its value is the default
-# itself, which a member of an Enum is not.
+# Numbers of the spaces. They are plain ints because a field is omitted from a message only if its value is the default
+# int itself; a member of an Enum would always be sent.
 WORK_SPACE = 0
 DUTY_SPACE = 1
 CLUSTER_SPACE = 2
@@ -197,8 +197,8 @@
                 self._advance(pending, next_requests)
 
     def _is_hopeless(self, pending: _PendingChange) -> bool:
-        """Return whether no majority can vote and the timeout is too short to wait for one."""
-        # A change with a longer timeout is retried, since recovering acceptors may recover before it.
+        """Return whether no majority can vote or a replica is full, and the timeout is too short to wait."""
+        # A change with a longer timeout is retried, since acceptors may recover before the timeout.
         if pending.give_up_at - self.host.clock() > MAX_RETRY_BACKOFF_US:
             return False
         proposer = pending.proposer
@@ -217,7 +217,7 @@
         return None
 
     def _vote_locally(self, pending: _PendingChange, request: BallotRequest) -> None:
-        """Count this member's own vote. As with a vote for another member, it must be on disk before it counts."""
+        """Count this member's own vote: a rejection at once, a promise or acceptance once it is on disk."""
         vote = self.acceptor.vote(self.host.clock(), request)
 
         def count_vote() -> None:
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -1,4 +1,4 @@
-"""Keyed work that another runner owns: waits for its result, continues it if the owner does not answer or is lost."""
+"""Keyed work that another runner owns: waits for its result; ends it or takes it over if the owner does not answer."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
         )
 
     def continue_work(self, tenure: Tenure, not_in_hand: bool = False) -> None:
-        """Change the register of work whose owner does not answer or does not have it, or read it if that is too early.
+        """End or take over work whose owner does not answer or does not have it; else read the work's register.
 
         :param not_in_hand: Whether the owner has answered that the work is neither queued nor running there.
         """
--- a/moorusher/replication/work_events.py
+++ b/moorusher/replication/work_events.py
@@ -14,7 +14,7 @@
     key: KeyDigest
 
 
-# ---- results of a claim: exactly one of these, or a `ResultKnown`, follows it ----
+# ---- results of a claim: exactly one of these events, or a `ResultKnown`, follows each claim ----
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     proven: bool
 
 
-# ---- results of a start: exactly one of these follows it ----
+# ---- results of a start: exactly one of these events follows each start ----
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartLost(WorkEvent):
-    """Another runner has taken the work over; it must not run here. `ResultKnown` follows."""
+    """Another runner has taken the work over, so this one must not run it. `ResultKnown` follows."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyForgotten(WorkEvent):
-    """The node has deleted its state of the key; no more events about it follow."""
+    """The node has deleted its state of the key; no more events about the key follow."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWork:
-    """Claims a key that is new to the claiming runner. It becomes the owner unless the key has an owner."""
+    """Claims a key that is new to the claiming runner. The runner becomes the owner unless the key has one."""
 
     owner: Owner
     body_digest: int
@@ -229,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndOrphanedWork(_OwnersChange):
-    """Finishes work that may have started at a lost process, the `owner`, without a result."""
+    """Finishes, without a result, work that may have started at `owner`, which is lost or no longer has the work."""
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
         """Return FINISHED without a result if the work was started."""
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -18,8 +18,8 @@
 # Each replica of a key waits this much longer than the previous one before it acts.
 REPLICA_STAGGER_US = 250 * MS
 RECHECK_US = 400 * MS  # Time until orphaned work is checked again; multiplied by the number of checks so far.
-MAX_RECHECK_FACTOR = 5  # Limit of that factor.
-TAKEOVERS_PER_TURN = 8  # Spreads the takeover of a lost runner's work over time.
+MAX_RECHECK_FACTOR = 5  # Limit of the multiplier of `RECHECK_US`.
+TAKEOVERS_PER_TURN = 8  # Limited, to spread the takeover of a lost runner's work over time.
 TAKEOVER_TURN_US = 10 * MS  # Time between two turns.
 # Grace period after a start from a journal. Owners that have not been in contact by its end count as lost.
 RESTART_GRACE_US = 1_000 * MS
@@ -129,7 +129,7 @@
             self._node.at(self._node.clock() + delay, lambda: self._check(key))
 
     def _check(self, key: KeyDigest) -> None:
-        """Finish or offer the work of a key, repeatedly until it has a live owner or is finished."""
+        """Finish or offer the work of a key, repeatedly until the work has a live owner or is finished."""
         register = self._node.acceptor.registers.get(key)
         work: WorkRecord | None = None if register is None else register.value
         if register is None or work is None or not self._is_orphaned(work):
@@ -231,7 +231,8 @@
         work: WorkRecord | None = result.value
         if work is None or work.request is None or offer.key in self._node.tenures:
             return
-        # `applied` does not matter: a later round of the same change may have found the value of an earlier one.
+        # `result.applied` is not checked: if an earlier round of this change has written the value, a later round finds
+        # it and does not apply the change again.
         if work.owner != self._node.owner or work.state is not WorkState.HELD:
             return
         tenure = Tenure(
--- a/moorusher/routing/route_balancers.py
+++ b/moorusher/routing/route_balancers.py
@@ -1,4 +1,4 @@
-"""A load balancer for each route of each customer, and a default one for requests without rules.
+"""A load balancer for each route of each customer, and a default one for requests to which no rules apply.
 
 Each has its own estimates, ejections and retry budget, so that one customer's calls do not affect other customers.
 """
--- a/moorusher/routing/route_limits.py
+++ b/moorusher/routing/route_limits.py
@@ -35,7 +35,7 @@
         return True
 
     def leave(self, key: RouteKey, hop: Hop) -> None:
-        """Stop counting a call on a hop that it had entered."""
+        """Stop counting a call that `try_enter` has counted on this hop."""
         _decrement(self.in_flight, key)
         if hop.pool:
             _decrement(self.in_flight_in_pool, (key.customer, hop.pool))
--- a/moorusher/routing/route_table.py
+++ b/moorusher/routing/route_table.py
@@ -1,8 +1,8 @@
 """Calls along route paths: passes events to the load balancers of all routes, and returns their instructions.
 
-A call tries the hops of its path in order. It proceeds to the next hop if the current one has no granted server or no
-capacity, or if its outcome permits a retry (`scheduling.retry_policy`): after evidence that nothing ran, or after any
-failure if the request may run twice.
+A call tries the hops of its path in order. It proceeds to the next hop if the current one has no granted server or has
+reached a limit, or if the call's outcome there permits a retry (`scheduling.retry_policy`): after evidence that nothing
+ran, or after any failure if the request may run twice.
 """
 
 from __future__ import annotations
@@ -176,7 +176,7 @@
         return may_retry(call.effect, outcome.evidence)
 
     def _enter_next_hop(self, now: int, call: RoutedCall, otherwise: CompleteCall) -> list[Instruction]:
-        """Start the call on the next hop with a granted server and capacity; complete it as `otherwise` without one."""
+        """Start the call on the next usable hop; if there is none, complete the call by returning `otherwise`."""
         while call.next_hop < len(call.path.hops):
             hop = call.path.hops[call.next_hop]
             call.next_hop += 1
--- a/moorusher/server/accepting_port.py
+++ b/moorusher/server/accepting_port.py
@@ -72,7 +72,8 @@
         for _ in range(self.max_accepts_per_turn):
             if not self._closing and self._is_full():
                 if accepted_count:
-                    return  # Called again if more are waiting. Prevents an eviction that no connection needs.
+                    # The reactor calls again if more connections are waiting. If none is, nothing is evicted.
+                    return
                 if not self.factory.reserve_slot():
                     return self._wait_for_connection_slot()
             try:
@@ -183,7 +184,7 @@
         self.stopListening()
 
     def connectionLost(self, reason: Any) -> None:
-        """Accept connections that have arrived since `accept_backlog_and_close`, as Twisted closes a turn later."""
+        """Accept connections that have arrived since `accept_backlog_and_close`: Twisted closes one turn later."""
         if self._closing:
             self.doRead()
         super().connectionLost(reason)
--- a/moorusher/server/connection_budget.py
+++ b/moorusher/server/connection_budget.py
@@ -30,7 +30,8 @@
     @classmethod
     def from_descriptors(cls, descriptors: int, frontends: int) -> ConnectionBudget:
         """Divide the descriptors of a process among the frontends that accept requests and everything else."""
-        # Clients open at most half as many connections as a runner has descriptors, so at least half are theirs.
+        # Clients open at most half as many connections as a runner has descriptors, so at most the other half is
+        # reserved.
         reserved = min(
             MAX_RESERVED_DESCRIPTORS, max(descriptors // 3, MIN_RESERVED_DESCRIPTORS), descriptors // 2
         )
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -98,7 +98,7 @@
         return [*self._service.jsonrpc.connections, *self._service.uwsgi.connections]
 
     def _is_busy(self) -> bool:
-        """Return whether requests are unanswered, clients are accepted, or others wait for this process's work."""
+        """Return whether requests are unanswered, clients are accepted, or other processes wait for this one's work."""
         service = self._service
         core = service.core
         accepts_clients = bool(service.listeners.accepting() & set(CLIENT_LISTENERS))
--- a/moorusher/server/listen_retry.py
+++ b/moorusher/server/listen_retry.py
@@ -26,9 +26,9 @@
         failing_since_us: Time of the first failure since the last success, or None.
     """
 
-    # Two failures are temporary: a process of an older build, which does not share its address, may exit soon, and a
-    # system without free descriptors or memory may soon have some. A process that never gets its socket must exit with
-    # an error rather than remain up but unreachable.
+    # Two kinds of failure are temporary. If a process of an older build, which does not share its address, has the
+    # address, it may exit soon. If the system has no free descriptor or memory, it may soon have some. A process that
+    # never gets its socket must exit with an error rather than remain up but unreachable.
 
     def __init__(self, clock: Clock, alarms: Alarms) -> None:
         self._clock = clock
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -106,7 +106,7 @@
         self._paused.clear()
 
     def close(self, label: str) -> None:
-        """Close a listener if it is open. Its backlog is accepted first, unless another process accepts on it."""
+        """Accept a listener's backlog and close it. A paused listener is only dropped from the open listeners."""
         port = self._ports.pop(label, None)
         if port is not None and label not in self._paused:
             port.accept_backlog_and_close()
--- a/moorusher/server/reactor.py
+++ b/moorusher/server/reactor.py
@@ -16,7 +16,7 @@
 class MonotonicReactor(epollreactor.EPollReactor):
     """An epoll reactor whose timers use the monotonic clock."""
 
-    # Twisted's timers use the system clock, a step of which would delay or advance every timer.
+    # By default, Twisted's timers use the system clock, and a step of that clock would delay or advance every timer.
     seconds = staticmethod(time.monotonic)
 
 
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -56,7 +56,7 @@
 
         Replaces a scheduled retry, since every attempt reads the present content of the files.
 
-        :param load: reads the configuration; `running` is the parsed platform file in service.
+        :param load: reads the configuration; its argument `running` is the platform file now in use, parsed.
         """
         self._cancel_retry()
         service = self._service
@@ -148,7 +148,7 @@
 
 
 def _apply_health_checks(service: Service, new: Config) -> None:
-    """Apply what health checks report, and when. Their listeners keep their addresses until the next start."""
+    """Apply the settings of health reports and checks. The listeners keep their addresses until the next start."""
     probes = new.probes
     service.reporter.set_policy(probes.policy)
     if service.cluster.replication is not None:
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -147,7 +147,8 @@
     def accept(self, handed_over: dict[str, int]) -> None:
         """Accept clients on the sockets that another process has handed over, and on new sockets for the rest."""
         if self.core.drain_state.draining:
-            return  # The address became free too late: a client accepted now would only be rejected.
+            # A retry may succeed only after the drain has begun. A client accepted then would only be rejected.
+            return
         is_first = not self.serving
         try:
             self.listeners.open(handed_over)
--- a/moorusher/server/sockets.py
+++ b/moorusher/server/sockets.py
@@ -18,7 +18,7 @@
     :raises OSError: the address is in use, or the system has no capacity; the text names the address.
     """
     # Twisted's `listenTCP` is not used: it does not set SO_REUSEPORT, and closing its port shuts the socket down in
-    # every process that holds it.
+    # every process that has it open.
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     opened = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
--- a/moorusher/storage/journal_files.py
+++ b/moorusher/storage/journal_files.py
@@ -36,7 +36,7 @@
 
 
 class FileSystem:
-    """Operations of the operating system. Tests replace them, to fail or to end the process at each."""
+    """Operations of the operating system. Tests replace this class, to make an operation fail or end the process."""
 
     def read(self, file: BinaryIO) -> bytes:
         """Return the rest of the file."""
@@ -184,7 +184,7 @@
         except JournalError as exc:
             return _PreviousJournal(None, f"{path.name} is not used, and is kept: {exc}", damaged=True)
         if not image.recovered:
-            return _PreviousJournal(None, "the previous process had forgotten its state as well")
+            return _PreviousJournal(None, "the previous process had not recovered the state either")
         return _PreviousJournal(image, "", data)
 
     def _discard(self, path: Path, keep: bool = False) -> None:
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -1,4 +1,4 @@
-"""Stores customers' current revisions on disk, so that a runner that starts without a majority has its last ones.
+"""Stores customers' current revisions on disk, for a start of the runner while the cluster has no majority.
 
 One SQLite file, written by one thread. A revision that can't be written stays pending: the write is retried each second
 until the file has that revision or a newer one. A damaged file is renamed and the runner starts with an empty store,
@@ -26,7 +26,7 @@
     "create table if not exists had (customer text primary key, born integer, number integer, draft blob)"
 )
 SELECT = "select customer, born, number, draft from had"
-# Keeps the newer revision: the process that this one replaces writes older revisions to the same file.
+# Keeps the newer revision, since the process that this one replaces may write older revisions to the same file.
 UPSERT = (
     "insert into had values (?, ?, ?, ?) on conflict (customer) do update set born = excluded.born, number = "
     "excluded.number, draft = excluded.draft where (excluded.born, excluded.number) > (born, number)"
@@ -58,7 +58,7 @@
 
 
 def connect(path: Path) -> sqlite3.Connection:
-    """Return a connection on which each statement is a transaction, which is on the disk when it returns."""
+    """Return a connection on which each statement is a transaction that is on the disk when the statement returns."""
     return sqlite3.connect(path, check_same_thread=False, isolation_level=None, timeout=BUSY_TIMEOUT_S)
 
 
--- a/moorusher/storage/warm_start.py
+++ b/moorusher/storage/warm_start.py
@@ -48,7 +48,7 @@
 
 
 def load_snapshot(path: Path, unix_s: float | None = None) -> LearnedState | None:
-    """Return the state in a file, aged by the file's modification time.
+    """Return the state in a file, aged by the time since the file was modified.
 
     :param unix_s: the current time, for tests; None for the system clock.
     :returns: None if the file is missing or unusable; an unusable file is logged.
@@ -81,7 +81,7 @@
     def __init__(
         self, core: RequestEngine, pool: ServerPool, path: Path, condition: Callable[[], DonorCondition]
     ) -> None:
-        """`condition` returns the condition under which this runner's latencies are measured."""
+        """Create the store; `condition` returns the condition under which this runner's latencies are measured."""
         self._core = core
         self._pool = pool
         self._path = path
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -159,7 +159,7 @@
         self.runners[i].process.send_signal(signal.SIGCONT)
 
     def isolate(self, i: int, silent: bool = True) -> None:
-        """Drop all traffic between a runner and the others without closing connections; False restores it."""
+        """Drop all traffic between a runner and the others without closing connections; `silent=False` restores it."""
         for (a, b), relay in self.relays.items():
             if i in (a, b):
                 relay.silence(silent)
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -18,7 +18,7 @@
 
 pytestmark = pytest.mark.processes
 
-FROM_S, TO_S = 0.5, 2.5  # Period of the disk faults, after the start file has been created.
+FROM_S, TO_S = 0.5, 2.5  # The disks fail between these times after the start file has been created.
 ROUNDS = 12
 REQUESTS_PER_ROUND = 4
 ROUND_S = 0.25
@@ -79,12 +79,12 @@
 
 
 async def is_settled(cluster: Fleet) -> bool:
-    """Return whether no result is waiting for a majority, which has it some ms after the answer is sent."""
+    """Return whether a majority has each result. This is the case some ms after the answer is sent."""
     return not any([(await runner.counters("fleet/work"))["work"] for runner in cluster.runners])
 
 
 async def restart_all_after_power_loss(cluster: Fleet) -> None:
-    """Kill all runners at once and start them again; they have only their disks, which work again."""
+    """Kill all runners at once and start them again, with only the state on their disks, which no longer fail."""
     for runner in cluster.runners:
         runner.process.kill()
     await cluster.wait_for_exit()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
 """The cluster without sockets: the lifecycle of work, all interleavings of small cases, simulations in virtual time.
 
-Each search also runs on deliberately broken variants and must find their faults; otherwise its passes prove nothing.
+Each search also runs on deliberately broken variants and must find their faults: only then does a pass prove anything.
 """
 
 from __future__ import annotations
@@ -221,7 +221,7 @@
 
 
 def test_restarted_acceptors_vote_again_although_one_seat_is_permanently_lost() -> None:
-    """Without recovery per slice, a lost seat would keep all acceptors that restart after it from ever recovering."""
+    """Guards against acceptors that can never recover because a seat is lost for good: they recover slice by slice."""
     simulation = ClusterSimulation(3, Scenario(seats=5, keys=0, faults=0))
     simulation.run(1_000_000)
     simulation.crash(simulation.processes[4])
@@ -237,7 +237,8 @@
         for process in simulation.processes[:4]
         if process.node.me in simulation.placement.replicas(key)
     )
-    # Two of three replicas may not know everything that the three knew together, so these keys have no votes.
+    # Of the other keys, one replica is lost. The two others may not know everything that the three knew together, so
+    # they do not vote on these keys.
     assert not any(
         process.node.acceptor.can_vote_on(key)
         for key in keys
@@ -534,7 +535,7 @@
 def test_a_process_that_was_paused_declares_no_member_dead_for_the_missed_answers() -> None:
     detector, host = make_detector()
     host.advance(150)
-    host.now += 5_000_000  # As by SIGSTOP: all timers run late.
+    host.now += 5_000_000  # As after a SIGSTOP: all timers run late.
     host.advance(10)
     assert not host.lost and detector.health > 0
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -126,7 +126,7 @@
 def test_level_history_is_bounded_and_ignores_the_time_of_late_events() -> None:
     history = LevelHistory(3 * SECOND_US, START_US)
     history.set(START_US + SECOND_US, 7)
-    history.set(START_US, 3)  # an event of the same turn, reported late
+    history.set(START_US, 3)  # the time of this event is before that of the previous one
     assert history.mean(START_US + 100 * SECOND_US) == pytest.approx(3.0)
     assert len(history._ring) == 61
 
@@ -341,7 +341,7 @@
 
 
 def test_a_short_loss_of_the_kernel_connection_is_tolerated_and_a_long_one_means_failed() -> None:
-    """Trust in a lost connection to the kernel falls over 2 s, and returns only once it has stayed up."""
+    """Trust in a lost connection falls over 2 s. It returns when the restored connection has been up for 0.5 s."""
     link = LinkMonitor()
     link.lost(START_US)
     link.lost(START_US + 1)  # the same loss is reported again
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Journals of acceptors: promises survive a power loss of one member or of the whole cluster."""
+"""Journals of acceptors: no promise is lost by a power loss of one member or of the whole cluster."""
 
 from __future__ import annotations
 
@@ -139,9 +139,10 @@
 
 @dataclass
 class PowerLossAtStep(FileSystem):
-    """Loses power at one step: a write or a rename that no fsync has confirmed is lost or, for a write, torn.
+    """Loses power at step `failing_step`.
 
-    `part` is the share of the write that is on disk; below 0.5, an unconfirmed rename is undone.
+    If this step is a write, only the share `part` of its bytes is on disk. If `part` is below 0.5, the last rename is
+    undone unless an fsync has confirmed it.
     """
 
     failing_step: int
@@ -188,7 +189,7 @@
 def run_acceptor(
     path: Path, files: FileSystem, sent_promises: dict[bytes, int], has_run_before: bool
 ) -> None:
-    """Run an acceptor on this folder. `sent_promises` records the rounds that it has promised in votes, by key."""
+    """Run an acceptor on this folder. `sent_promises` records the latest round that it has promised, by key."""
     folder = JournalFolder(path, HEADER, files)
     try:
         incarnation, image, _ = folder.open(1)
@@ -287,7 +288,7 @@
     newer.close()
     third = JournalFolder(tmp_path, HEADER)
     incarnation, image, reason = third.open(1)
-    assert incarnation > second and image is None and "forgotten" in reason, (
+    assert incarnation > second and image is None and "had not recovered the state" in reason, (
         "the newer process had not recovered, and its votes are missing from the older journal"
     )
     third.close()
@@ -296,7 +297,7 @@
 def test_a_journal_that_is_rewritten_while_it_is_opened_still_belongs_to_its_writer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process locks the old file just as its writer replaces it, and must notice that the lock is worthless."""
+    """A process locks the old file just when the writer replaces it, and must notice that another file is in use."""
     older = JournalFolder(tmp_path, HEADER)
     newer = JournalFolder(tmp_path, HEADER)
     older.open(10)
@@ -431,7 +432,7 @@
     assert (tmp_path / "10.log.damaged").read_bytes() == data
     opened.folder.close()
     reopened = open_folder(tmp_path, HEADER, 1)
-    assert reopened.image is None and "forgotten" in reopened.reason, (
+    assert reopened.image is None and "had not recovered the state" in reopened.reason, (
         "a retained damaged file must not be used"
     )
     reopened.folder.close()
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -96,7 +96,7 @@
     assert limit.value == 2 and limit.allows(1) and not limit.allows(2)
     for _ in range(200):
         limit.record_answer(10, 10, 0)
-    assert limit.value == 2  # the limit was not reached
+    assert limit.value == 2  # the limit does not rise while less than half of it is in use
     lowered = ConcurrencyLimit(2, 100)
     lowered.record_overload()
     assert lowered.value < 16
@@ -332,7 +332,7 @@
     """An operator drains or retires a server during its health check, and then the call is cancelled.
 
     The end of that call must not change the server's state back to AWAITING_HEALTH_CHECK. Otherwise a drained server
-    gets calls again, and a retired one is never removed.
+    would get calls again, and a retired one would never be removed.
     """
     balancer = load_balancer(4, hedging_enabled=False)
     fail_attempts(balancer, "s0", 5)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -133,7 +133,7 @@
     silent = [probed.connect(probed.health, partial)[1] for partial in (b"", b"GET /hea")]
     not_reading_connection, not_reading = probed.connect(probed.health, b"GET /alive HTTP/1.1\r\n\r\n")
     not_reading_connection.pauseProducing()  # the transport signals that its buffer is full
-    agent = probed.connect(probed.agent)[1]  # has received its line and does not close
+    agent = probed.connect(probed.agent)[1]  # the client has its line but does not close the connection
     probed.world.wait(3000)
     assert all(t.disconnecting for t in silent) and not_reading.aborted and agent.aborted
 
@@ -146,7 +146,7 @@
             for i in range(MAX_CONNECTIONS)
         ]
         # An agent check's line may still be in transmission, so its connection is not closed yet. An HTTP connection
-        # without a request is closed at once if there is no other to close.
+        # without a request is closed at once to make room for a new one.
         assert (factory.buildProtocol(None) is None) is (factory is probed.agent)
         probed.world.wait(1000)
         assert factory.buildProtocol(None) is not None
@@ -224,7 +224,7 @@
     probed.world.core.drain_state.stop_at_us = probed.world.core.clock.now
     probed.reporter.state_changed()
     probed.agent_line()
-    # No code cancels a shutdown; the transition table must detect it in case a later change does.
+    # At present, no code cancels a shutdown. If a later change does so, the transition table must detect it.
     probed.world.core.drain_state.stop_at_us = None
     probed.reporter.state_changed()
     assert probed.agent_line() == "ready fail #failed: standing unknown: from draining to serving\n"
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -181,7 +181,7 @@
 
 
 def test_a_retry_under_a_new_class_with_the_same_idempotency_key_does_not_run_again() -> None:
-    """A class is renamed between the first attempt of a request and its retry, which uses the new name."""
+    """After a first request, a class with another name is added. A retry uses the new class and the same key."""
     world = EngineHarness()
     world.submit("a", 1)
     world.turn()
@@ -225,7 +225,7 @@
     for i in range(2, 60):
         connection.dataReceived(request_line(i, "read"))
     assert not transport.disconnecting and not transport.half_closed
-    # A client may know a new class before this runner does.
+    # A client may know a new class before this runner does, so many errors are allowed before the connection is closed.
     for i in range(60, 60 + MAX_ERRORS_BEFORE_LEAVING + MAX_OPEN_REQUESTS):
         connection.dataReceived(request_line(i, "never existed"))
     assert (
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -155,7 +155,7 @@
     limited = path(hop("main", "a1", max_in_flight=2), hop("spare", pool="shared"))
     calls = {n: start_call(table, n, limited) for n in range(1, 6)}
     assert [endpoints_of(calls[n]) for n in range(1, 6)] == [["a1"], ["a1"], ["p1"], ["p1"], []]
-    assert calls[5] == [CompleteCall(5, 0, AttemptOutcome.REJECTED)], "its pool quota is 2 of 4"
+    assert calls[5] == [CompleteCall(5, 0, AttemptOutcome.REJECTED)], "acme's pool quota is 2 of 4"
     assert endpoints_of(start_call(table, 9, path(hop("x", pool="shared"), customer="bolt"))) == ["p1"], (
         "bolt has a separate quota"
     )
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -1,4 +1,4 @@
-"""The server pool over real sockets: it executes the decisions of load balancing and keeps the rules for calls."""
+"""The server pool over real sockets: it executes the decisions of load balancing and follows the rules for calls."""
 
 from __future__ import annotations
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -173,9 +173,7 @@
 
 @pytest.mark.parametrize("others", [1, 3, 9])
 def test_without_a_budget_the_share_of_a_server_in_slow_start_follows_its_ramp(others: int) -> None:
-    """The share must follow the ramp even if no calls are in flight, so that all costs are equal, and if the two
-    random choices can be the same server.
-    """
+    """No calls are in flight, so all costs are equal. The two random choices of the picker may be the same server."""
     established = [EndpointConfig(f"s{i}", ("127.0.0.1", i + 1)) for i in range(others)]
     balancer = LoadBalancer(
         established,
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -259,10 +259,10 @@
 
 @asynchronous_test
 async def test_a_third_runner_takes_over_after_the_second_is_killed_too() -> None:
-    """The second runner is killed while registers and kernels agree: only keys that a lost runner ran have no result.
+    """The second runner is killed when the registers and the kernels agree on which keys have started.
 
-    The objective of the class is longer than the waits of this test: once it has passed, every runner rejects a key
-    that has not run.
+    Only keys that a lost runner has started may end without a result. The latency objective of the class is longer than
+    this test waits, because every runner rejects a key that has not run when its objective has passed.
     """
     async with fleet(6, work=0.6, claim_ms=3_000, aim_ms=8_000) as cluster:
         requests = await send_requests(cluster, 24)
