--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -11,7 +11,7 @@
 from .policy import LoadBalancingPolicy
 from .retry import has_time_remaining
 
-HEDGE_QUANTILE = 0.95  # latency quantile of the endpoint after which a call is hedged
+HEDGE_QUANTILE = 0.95  # a call is hedged after this quantile of its endpoint's latencies
 MIN_TYPICAL_LATENCIES = 2.0  # minimum wait before hedging, as a multiple of the set's typical latency
 
 
--- a/moorusher/load_balancing/outlier_detection.py
+++ b/moorusher/load_balancing/outlier_detection.py
@@ -98,7 +98,7 @@
         )
 
     def begin_ejection(self, now: int, reason: EjectionReason) -> None:
-        """Begin an ejection; it lasts twice as long as the previous one if that ended recently."""
+        """Begin an ejection. Its duration doubles, up to the maximum, if the previous ejection ended recently."""
         if now > self.ejected_until + EJECTION_MEMORY_US:
             self._consecutive_ejections = 0
         self._consecutive_ejections += 1
--- a/moorusher/load_balancing/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -45,7 +45,7 @@
     max_queued_calls: int = 64  # calls that may wait for an endpoint
     # Outlier detection and ejection.
     consecutive_failures: int = 5  # number of consecutive failures that ejects an endpoint
-    max_failure_rate: float = 0.5  # an endpoint with a higher rate among its last calls is ejected
+    max_failure_rate: float = 0.5  # an endpoint is ejected if a higher fraction of its last calls failed
     # An endpoint with a higher ratio of its mean latency to the set's median is ejected.
     outlier_latency_ratio: float = 4.0
     base_ejection_s: float = 5.0  # duration of the first ejection; doubled for each consecutive one
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -150,7 +150,7 @@
         return True
 
     def _start(self, tenure: Tenure) -> None:
-        if tenure.stage is not TenureStage.STARTING:  # It was released while this step was queued.
+        if tenure.stage is not TenureStage.STARTING:  # The work was released while this step was queued.
             return tenure.finish_step()
         self._node.change(
             tenure.key,
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -13,7 +13,7 @@
 from .work_events import BodyDiffers, ClaimGranted, ClaimJoined, RejectedByAll, ResultKnown
 from .work_record import ClaimWork, EndOrphanedWork, ReadOnly, TakeOverWork, WorkRecord, WorkState
 
-OWNER_ANSWER_TIMEOUT_US = 150 * MS  # If the owner has not answered by then, this runner continues the work.
+OWNER_ANSWER_TIMEOUT_US = 150 * MS  # Time for the owner's answer to a query; then `continue_work` is called.
 OWNER_POLL_US = 400 * MS  # Time until an owner that still has the work is queried again.
 
 
@@ -97,7 +97,7 @@
     # ---- queries to the owner ----
 
     def _watch(self, tenure: Tenure) -> None:
-        """Query the owner, and continue the work if it does not answer in time."""
+        """Query the owner, and call `continue_work` if the owner does not answer in time."""
         tenure.watch_serial += 1
         serial = tenure.watch_serial
         owner = tenure.owner
--- a/moorusher/replication/work_events.py
+++ b/moorusher/replication/work_events.py
@@ -85,12 +85,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedByAll(WorkEvent):
-    """Every runner that could run the work has rejected it, so it has not run."""
+    """Every runner that could run the work has rejected the work, so the work has not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOver(WorkEvent):
-    """This runner has handed over work that it held, and should remove it from its queue. `ResultKnown` follows."""
+    """This runner has handed over held work and should remove the work from its queue. `ResultKnown` follows."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -127,7 +127,7 @@
     attempt: int
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return HELD by the new owner, with the next attempt number."""
+        """Return HELD by the new owner if the work was released or is still held by the former owner."""
         if old is None or old.request is None or old.owner == self.new_owner:
             return None
         is_held_by_former = (
--- a/moorusher/routing/grants.py
+++ b/moorusher/routing/grants.py
@@ -31,7 +31,7 @@
 
     Attributes:
         dedicated: Names of each customer's own servers, by customer name.
-        pool_shares: Fraction of a pool's limit, by customer name and pool name.
+        pool_shares: Each customer's fraction of a pool's limit, by customer name and pool name.
         pools: Pools by name.
     """
 
--- a/moorusher/routing/route_balancers.py
+++ b/moorusher/routing/route_balancers.py
@@ -23,9 +23,9 @@
     """The load balancers of the tier's servers.
 
     Attributes:
-        servers: Listed servers by name.
+        servers: Listed servers by name; a removed server is no longer listed, but may still be draining.
         grants: Current grants of servers to customers.
-        default: Load balancer of requests without rules; has the servers that are granted to no customer.
+        default: Load balancer of requests to which no rules apply; has the servers that are granted to no customer.
     """
 
     def __init__(
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -241,7 +241,7 @@
         return self.reporter.is_fit
 
     def _accepts_more_work(self) -> bool:
-        """Return whether to take over orphaned work of another runner; False if this runner is overloaded."""
+        """Return whether to take over orphaned work of another runner: only if this one is fit and not overloaded."""
         from ..health.states import HealthState
 
         return self.reporter.is_fit and self.reporter.report().state is not HealthState.OVERLOADED
--- a/moorusher/server/sockets.py
+++ b/moorusher/server/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets and descriptor limits, below Twisted."""
+"""Listening sockets and descriptor limits, by calls of the operating system without Twisted."""
 
 from __future__ import annotations
 
--- a/moorusher/storage/journal_files.py
+++ b/moorusher/storage/journal_files.py
@@ -188,7 +188,7 @@
         return _PreviousJournal(image, "", data)
 
     def _discard(self, path: Path, keep: bool = False) -> None:
-        """Remove an obsolete file, or rename it if `keep`, unless another process writes it."""
+        """Remove an obsolete file, or rename it if `keep` is set. Skip a file that another process writes."""
         try:
             if not self._is_free(path):
                 return
