--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -1,7 +1,7 @@
 """Hedging: when a call takes long, a second copy is sent and the first answer is used.
 
-Only a call that may run twice is hedged, at most once, and only at another endpoint. A health check is never hedged. A
-hedged attempt takes a token from the retry budget.
+Only a call that may run twice is hedged, at most once, and only at another endpoint. A health check is never hedged.
+The second copy takes a token from the retry budget.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from .policy import LoadBalancingPolicy
 from .retry import has_time_remaining
 
-HEDGE_QUANTILE = 0.95  # latency quantile of the endpoint after which a call is hedged
+HEDGE_QUANTILE = 0.95  # a call is hedged after this quantile of its endpoint's latencies
 MIN_TYPICAL_LATENCIES = 2.0  # minimum wait before hedging, as a multiple of the set's typical latency
 
 
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -1,4 +1,4 @@
-"""Keyed work that another runner owns: waits for its result, continues it if the owner does not answer or is lost."""
+"""Keyed work that another runner owns: waits for its result; ends it or takes it over if the owner does not answer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .work_events import BodyDiffers, ClaimGranted, ClaimJoined, RejectedByAll, ResultKnown
 from .work_record import ClaimWork, EndOrphanedWork, ReadOnly, TakeOverWork, WorkRecord, WorkState
 
-OWNER_ANSWER_TIMEOUT_US = 150 * MS  # If the owner has not answered by then, this runner continues the work.
+OWNER_ANSWER_TIMEOUT_US = 150 * MS  # Time for the owner's answer to a query; then `continue_work` is called.
 OWNER_POLL_US = 400 * MS  # Time until an owner that still has the work is queried again.
 
 
@@ -97,7 +97,7 @@
     # ---- queries to the owner ----
 
     def _watch(self, tenure: Tenure) -> None:
-        """Query the owner, and continue the work if it does not answer in time."""
+        """Query the owner, and call `continue_work` if the owner does not answer in time."""
         tenure.watch_serial += 1
         serial = tenure.watch_serial
         owner = tenure.owner
@@ -129,7 +129,7 @@
         )
 
     def continue_work(self, tenure: Tenure, not_in_hand: bool = False) -> None:
-        """Change the register of work whose owner does not answer or does not have it, or read it if that is too early.
+        """End or take over work whose owner does not answer or does not have it; else read the work's register.
 
         :param not_in_hand: Whether the owner has answered that the work is neither queued nor running there.
         """
--- a/moorusher/routing/route_balancers.py
+++ b/moorusher/routing/route_balancers.py
@@ -1,4 +1,4 @@
-"""A load balancer for each route of each customer, and a default one for requests without rules.
+"""A load balancer for each route of each customer, and a default one for requests to which no rules apply.
 
 Each has its own estimates, ejections and retry budget, so that one customer's calls do not affect other customers.
 """
@@ -23,9 +23,9 @@
     """The load balancers of the tier's servers.
 
     Attributes:
-        servers: Listed servers by name.
+        servers: Listed servers by name; a removed server is no longer listed, but may still be draining.
         grants: Current grants of servers to customers.
-        default: Load balancer of requests without rules; has the servers that are granted to no customer.
+        default: Load balancer of requests to which no rules apply; has the servers that are granted to no customer.
     """
 
     def __init__(
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -147,7 +147,8 @@
     def accept(self, handed_over: dict[str, int]) -> None:
         """Accept clients on the sockets that another process has handed over, and on new sockets for the rest."""
         if self.core.drain_state.draining:
-            return  # The address became free too late: a client accepted now would only be rejected.
+            # A retry may succeed only after the drain has begun. A client accepted then would only be rejected.
+            return
         is_first = not self.serving
         try:
             self.listeners.open(handed_over)
@@ -240,7 +241,7 @@
         return self.reporter.is_fit
 
     def _accepts_more_work(self) -> bool:
-        """Return whether to take over orphaned work of another runner; False if this runner is overloaded."""
+        """Return whether to take over orphaned work of another runner: only if this one is fit and not overloaded."""
         from ..health.states import HealthState
 
         return self.reporter.is_fit and self.reporter.report().state is not HealthState.OVERLOADED
