--- a/moorusher/admin/maintenance_mode.py
+++ b/moorusher/admin/maintenance_mode.py
@@ -13,7 +13,7 @@
 
 
 def read_maintenance(document: dict[str, Any]) -> tuple[str, float | None]:
-    """Return the reason, and the seconds after which maintenance ends by itself, None if it doesn't.
+    """Return the reason, and the seconds after which maintenance ends by itself; None if it has no time limit.
 
     :raises InvalidBodyError: A key is unknown, or its value is out of bounds.
     """
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -177,7 +177,7 @@
     def _wait_for_propagation(self, customer: str, revision_id: RevisionId, callback: ResultCallback) -> None:
         """Call back with the seats that lack the change once they are known.
 
-        A deletion is complete if every seat has it, since one that seems down may be serving on the other side of a
+        A deletion is complete if every seat has it, since a seat that seems down may be serving on the other side of a
         network partition. A revision is complete if all live seats have it.
         """
         change = _change_json(customer, revision_id)
--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -1,4 +1,4 @@
-"""Periodic reports to the announce service that this runner accepts requests, over one connection."""
+"""Periodic reports to the announce service whether this runner accepts requests, over one connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger("moorusher")
 
-# An entry expires after 3 s, so two consecutive reports may be lost.
+# The service drops a runner's entry 3 s after the last report, so two consecutive reports may be lost.
 REPORT_PERIOD_US = 900 * MS
 CONNECT_TIMEOUT_S = 1
 
--- a/moorusher/backends/http_client.py
+++ b/moorusher/backends/http_client.py
@@ -74,7 +74,7 @@
         raise NotImplementedError
 
     def unexpected_data(self) -> None:
-        """Called when data arrives that answers no request. A response before it was complete."""
+        """Called when data arrives that answers no request. Any response before that data was complete."""
         raise NotImplementedError
 
     # ---- framing ----
--- a/moorusher/cli/planned_maintenance_wait.py
+++ b/moorusher/cli/planned_maintenance_wait.py
@@ -49,7 +49,7 @@
     """The outcome of a withdrawal."""
 
     WITHDRAWN = auto()
-    ALREADY_CLEARED = auto()  # The slot has already been granted and can't be revoked.
+    ALREADY_CLEARED = auto()  # The machine may already be worked on, so its slot can't be revoked.
     # The runner can't be reached. It withdraws the request by itself if nobody waits for it.
     UNREACHABLE = auto()
     REJECTED = auto()  # The runner refused, because the request no longer exists.
@@ -114,7 +114,7 @@
 
 
 def _is_already_cleared(error: CommandError) -> bool:
-    """Return whether the error says that the slot has already been granted, so that it can't be revoked."""
+    """Return whether the error says that the machine may already be worked on, so its slot can't be revoked."""
     if not isinstance(error, ApiError):
         return False
     if error.kind:
@@ -173,7 +173,7 @@
         return self._withdraw_at_deadline()
 
     def _withdraw_at_deadline(self) -> dict[str, Any]:
-        """Withdraw the request, and return the answer to the wait: granted if the slot has already been granted."""
+        """Withdraw the request, and return the answer to the wait: granted if the machine may already be worked on."""
         result = self.withdraw()
         outcome = Outcome.OUT_OF_TIME
         if result.status is WithdrawStatus.ALREADY_CLEARED:
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -163,7 +163,7 @@
         return time.time_ns() // 1_000_000
 
     def became_ready(self) -> None:
-        """Called when the replica has caught up, or has stopped waiting for other runners. Requests are served now."""
+        """Start to serve requests. Called when the replica has caught up, or has stopped waiting for other runners."""
         self.ready = True
         log.info("namespaces: ready to serve: customers=%d", len(self.replica.customers))
         if not self.replica.member.live_peers() and len(self.replica.member.seats) > 1:
--- a/moorusher/cluster_transport/draft_parsing.py
+++ b/moorusher/cluster_transport/draft_parsing.py
@@ -18,7 +18,8 @@
 
 log = logging.getLogger("moorusher")
 
-# Python's thread switch interval. At the default of 5 ms, the reactor waits 6 ms for the interpreter lock in each turn.
+# Python's thread switch interval. At the default of 5 ms, the reactor waits 6 ms for the interpreter lock in each turn
+# while a thread of the pool is computing.
 SWITCH_INTERVAL_S = 0.0005
 LARGE_DRAFT_BYTES = 32 << 10
 
--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -81,8 +81,8 @@
 
     def _claim_unanswered(self) -> bool:
         # Returns whether this process has abandoned the other one, so that keys need no claim any more.
-        # Until the new process is permitted to accept, the old one can continue without it. After that it can't, as the
-        # new one may have run keys.
+        # Until the new process is permitted to accept, the old process can abandon it. After that the old process
+        # can't, as the new one may have run keys.
         if self.role.state is State.HANDING_OVER:
             self.handle(Event.TIMEOUT)
         return self.core.key_claims.peer is None
--- a/moorusher/cluster_transport/hot_restart/frames.py
+++ b/moorusher/cluster_transport/hot_restart/frames.py
@@ -1,7 +1,7 @@
 """The messages between two processes of one runner, and their encoding.
 
 A frame is a JSON object, a newline, and the result of a run if the message has one. Processes of other versions read
-the names of kinds and fields, so no other module defines any. Unknown fields are ignored.
+the names of kinds and fields, so no other module may define any of them. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ...hot_restart.shared_budget import ProcessLoad
 
 VERSION = 1
-MAX_FRAME_BYTES = 65_536  # ample: the result of a run is at most 4 KiB
+MAX_FRAME_BYTES = 65_536  # far more than a frame needs: the result of a run is at most 4 KiB
 
 Fields = dict[str, Any]
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """The handshake of a new process. `pid` may be None if the version is another one."""
+    """The handshake of a new process. `pid` may be None if `version` is not VERSION."""
 
     version: int
     name: str
@@ -130,14 +130,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """The sender's share of the runner's limits that is in use."""
+    """The share of the runner's limits that the sender uses."""
 
     load: ProcessLoad
 
 
 @dataclass(slots=True, frozen=True)
 class MaintenanceChanged:
-    """An operator has set or ended maintenance; None if it has ended."""
+    """An operator has set or ended maintenance. `maintenance` is None if it has ended."""
 
     maintenance: Fields | None
 
--- a/moorusher/cluster_transport/hot_restart/handover.py
+++ b/moorusher/cluster_transport/hot_restart/handover.py
@@ -13,7 +13,7 @@
     """The service that runs in this process. Sockets are file descriptors by label."""
 
     def usable_sockets(self, handed_over: dict[str, int]) -> dict[str, int]:
-        """Return those of the sockets that are bound to addresses of this runner."""
+        """Return the sockets among them that are bound to addresses of this runner."""
 
     def accept(self, handed_over: dict[str, int]) -> None:
         """Accept clients on these sockets, and on new ones for the runner's other addresses."""
--- a/moorusher/cluster_transport/hot_restart/instruction_executor.py
+++ b/moorusher/cluster_transport/hot_restart/instruction_executor.py
@@ -18,7 +18,7 @@
 
 
 class InstructionExecutor:
-    """Maps each instruction to a function. Those that need the other process do nothing if it has disconnected."""
+    """Maps each instruction to a function. Instructions about the other process do nothing if it has disconnected."""
 
     def __init__(
         self, core: RequestEngine, process: RunnerProcess, handover: Handover, rendezvous: Rendezvous
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -40,8 +40,8 @@
 
 
 class _ListeningPort(_UnixPort):  # type: ignore[misc]
-    # A Unix port that does not unlink its path when it closes, as Twisted's does: the socket has been renamed, and
-    # another process may have the path by then.
+    # A Unix port that, unlike Twisted's, does not unlink its path when it closes: the socket has been renamed, and
+    # another process may have published its socket at that path by then.
 
     def connectionLost(self, reason: object) -> None:
         tcp.Port.connectionLost(self, reason)  # type: ignore[no-untyped-call]
@@ -132,14 +132,14 @@
             self._owner.handle(Event.DEAD_PEER_FOUND)
         elif error_number == errno.ENOENT:
             self._owner.handle(Event.NO_PEER)
-        else:  # its backlog is full: it hangs, or many processes connect at once
+        else:  # the backlog of the process in service is full: it hangs, or many processes connect at once
             self.discover_later()
 
     # ---- publication ----
 
     def publish(self) -> None:
         """Make this process the one that new processes connect to."""
-        # It listens at a path of its own first, and renames that atomically over the runner's path.
+        # The socket is bound to a path of this process first, which is then renamed atomically to the runner's path.
         own_path = f"{self._path}.{os.getpid()}"
         mask = os.umask(0o177)
         if self._listening is not None:  # this process was replaced, and its successor has died since
--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -87,7 +87,8 @@
     def acquire_key(self, request: Request) -> bool:
         """Claim the key of a request in the cluster.
 
-        :returns: False if no claim is needed: the request has no key, or repeats one that is known here.
+        :returns: False if no claim is needed: the request has no key, or its key already belongs to another request
+            or to the other process of this runner.
         """
         entry = None if request.key is None else self.core.keys.of_attempt(request.number)
         if entry is None or entry.number != request.number or entry.remote:
@@ -196,7 +197,7 @@
     ) -> bool:
         """Queue another runner's work under the rules that applied there when it was read.
 
-        :returns: False if it can't be queued.
+        :returns: False if it can't be queued. True also if its rules must be fetched before it is queued.
         """
         self._core_keys[key] = (request.tenant, request.token)
         arrival = self._arrival(request)
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -196,7 +196,7 @@
     ) -> None:
         """Close an open intent by an operator's decision.
 
-        :param verdict: The operator's finding whether it was performed. It is only logged.
+        :param verdict: Whether the operator found the intent performed; only logged.
         """
         self.core.begin_turn()
         log.warning(
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger("moorusher")
 
-# Begins the reason of maintenance that is set by this module. An operator's reasons lack it.
+# Prefix of the reason of maintenance that this module sets. Reasons of operators don't have it.
 REASON_PREFIX = "outage: "
 WARM_STATES = (HealthState.SERVING, HealthState.OVERLOADED)
 MAX_BOOT_ID_CHARS = 64
@@ -83,7 +83,7 @@
         return self._digest
 
     def _is_drained(self) -> bool:
-        """Return whether no request is open, no run or work of the fleet is left, and clients had time to notice."""
+        """Return whether no request, run or work of the fleet is open, and clients had time to notice the drain."""
         core = self._core
         if core.table.unanswered or len(core.runs) or self._fleet.is_busy:
             return False
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -40,7 +40,7 @@
 
     Attributes:
         selection: The machines.
-        ends_with_caller: Whether it is withdrawn when the caller that waits on this machine has exited.
+        ends_with_caller: Whether the request is withdrawn when the caller that waits on this machine has exited.
     """
 
     id: str
@@ -64,7 +64,7 @@
         seat: Seat of this runner.
         schedule: The schedule.
         is_current: Whether a majority has just confirmed the schedule.
-        age_us: Time since the schedule was read; None if it never was.
+        age_us: Time since the schedule was last read; None if it was never read.
         policy: This runner's settings.
         step: The next step, with the reason why each waiting machine waits.
         starts_in_s: Estimated time until the start, by request id and seat.
--- a/moorusher/cluster_transport/peer_links.py
+++ b/moorusher/cluster_transport/peer_links.py
@@ -75,7 +75,7 @@
         peer.incarnation = hello.incarnation
         outgoing = self._dialers[hello.seat].peer
         if outgoing is not None and 0 < outgoing.incarnation < hello.incarnation:
-            # A later process has the seat by now. Reconnecting sends further messages to that one.
+            # A later process has the seat by now. After the reconnection, messages are sent to that process.
             outgoing.transport.loseConnection()
         self._node.detector.record_contact(hello.seat, hello.incarnation)
         return None
@@ -148,7 +148,7 @@
             self.send(seat, message)
 
     def replier(self, seat: str) -> Callable[[Message], None]:
-        """Return a function that sends to the process whose message is being handled, to be called later."""
+        """Return a function that can be called later, to send to the process whose message is being handled now."""
         peer = self._current_peer
         if peer is not None and peer.seat == seat:
             return peer.send
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -32,7 +32,7 @@
 log = logging.getLogger("moorusher")
 
 MAX_QUEUED_MESSAGES = 512  # per peer, while the connection to it is being made
-# With more unsent bytes, messages to a peer are dropped. A peer that reads so slowly then looks silent to the others.
+# Beyond this number of unsent bytes, messages to a peer are dropped. A peer that reads so slowly then appears silent.
 MAX_UNSENT_BYTES = 4 << 20
 MAX_MESSAGES_PER_FRAME = 256
 HANDSHAKE_TIMEOUT_US = 2_000 * MS
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -29,7 +29,7 @@
 log = logging.getLogger("moorusher")
 
 SELF_CHECK_INTERVAL_US = 100 * MS
-# After so long without the kernel, held work is handed over to other runners.
+# Time without a connection to the kernel after which held work is handed over to other runners.
 KERNEL_LOSS_PATIENCE_US = 300 * MS
 NS_PER_US = 1_000
 
@@ -172,7 +172,7 @@
         return journal
 
     def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
-        """Have an acceptor's promises written to a journal before they are sent. It can't vote while writing fails."""
+        """Write an acceptor's promises to a journal before they are sent. The acceptor can't vote while that fails."""
         writer = JournalWriter(self.reactor, journal.folder, acceptor, self.now, self.count)
         self.journals[space] = writer
         if not journal.is_written:
--- a/moorusher/config_distribution/local_publishers.py
+++ b/moorusher/config_distribution/local_publishers.py
@@ -1,4 +1,4 @@
-"""The publishers of the leases that one member holds."""
+"""The publishers at one member: one for each customer whose lease the member holds."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LocalPublishers:
-    """The publishers of the leases that this member holds (`publisher.PublisherHost`).
+    """The publishers at this member, one for each customer whose lease it holds (`publisher.PublisherHost`).
 
     Attributes:
         publisher_type: Class of the publishers to create.
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -1,4 +1,4 @@
-"""Distribution of publications and deletions to all members, and detection of the members that lack one."""
+"""Distribution of publications and deletions to all members, and detection of the members that lack a change."""
 
 from __future__ import annotations
 
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -48,7 +48,7 @@
         disseminator: Broadcasts revisions.
         anti_entropy: Finds and fetches missing revisions.
         submissions: Forwards submissions to the leaders.
-        publishers: Publishers of the leases held here.
+        publishers: Publishers of the customers whose leases this member holds.
         register: Reads from a majority of the register.
         propagation: Distributes publications and deletions.
     """
--- a/moorusher/forecast_service/errors.py
+++ b/moorusher/forecast_service/errors.py
@@ -9,7 +9,7 @@
 
 
 class ForecastError(OperatorError):
-    """Base of the errors of the forecast: there is none, or an operation was rejected."""
+    """Base of the errors of the forecast: there is no forecast, or an operation was rejected."""
 
 
 class ForecastNotReadyError(ForecastError):
--- a/moorusher/forecast_service/hint_planning.py
+++ b/moorusher/forecast_service/hint_planning.py
@@ -26,9 +26,9 @@
     """Return the hints for the hours from `first_hour` (since 1970, UTC) on.
 
     A route without a forecast adds nothing to the hints of its zone. The zone is skipped only if none of its routes has
-    a forecast. If one such route were enough, each new route would suppress the hints of its zone for its first 48
-    known hours (`MIN_KNOWN_HOURS` in `forecasting/weekly_forecast.py`). A route that has a forecast but was never
-    measured does suppress them; see `make_hints`.
+    a forecast. If one route without a forecast were enough, each new route would suppress the hints of its zone for its
+    first 48 known hours (`MIN_KNOWN_HOURS` in `forecasting/weekly_forecast.py`). A route that has a forecast, but whose
+    processor time was never measured, does suppress them; see `make_hints`.
 
     :param ledger: Ledger with the cost and the priority of each route's requests.
     :param now_ms: Unix time.
--- a/moorusher/forecasting/daily_levels.py
+++ b/moorusher/forecasting/daily_levels.py
@@ -14,7 +14,7 @@
 MAX_DAYS = 42
 # Share of a day's hours that must be known for the day to have a level.
 MIN_DAY_COVERAGE = 0.5
-# Requests that a day must have to have a level; fewer are no reliable estimate.
+# Minimum number of requests in a day for the day to have a level; the level is not reliable with fewer requests.
 MIN_DAY_REQUESTS = 10.0
 # Lower bound of an hour of the profile. Keeps ratios finite.
 MIN_PROFILE = 0.02
--- a/moorusher/forecasting/level_adjustment.py
+++ b/moorusher/forecasting/level_adjustment.py
@@ -19,7 +19,7 @@
     Attributes:
         demand: Hourly demand, (routes, hours); NaN if unknown.
         trend: Logarithm of the weekly growth factor, (routes, 1).
-        log_shift: Logarithm of the factor by which level shifts after each hour were removed from it, (routes, hours).
+        log_shift: Logarithm of the factor that adjusts each hour for the level shifts after it, (routes, hours).
     """
 
     demand: Floats
--- a/moorusher/forecasting/outliers.py
+++ b/moorusher/forecasting/outliers.py
@@ -1,6 +1,6 @@
 """Outlier detection: hours with an outage or a traffic spike, which do not represent the usual demand.
 
-An hour is compared with the same hour of the customer's other weeks, each scaled to the level of its own week. An
+An hour is compared with the same hour of the route's other weeks, after each week is scaled to the same level. An
 anomaly that lasts longer than two days is a level shift and not an outlier.
 """
 
--- a/moorusher/forecasting/preprocessing.py
+++ b/moorusher/forecasting/preprocessing.py
@@ -21,7 +21,7 @@
 
 
 def mask_before_first_request(history: Floats) -> Floats:
-    """Return the history with NaN before the first request of each route, when the route did not exist."""
+    """Return the history with NaN before the first request of each route, since the route did not exist then."""
     has_requests = np.nan_to_num(history) > 0
     hours = history.shape[1]
     first = np.where(has_requests.any(axis=1), has_requests.argmax(axis=1), hours)
--- a/moorusher/forecasting/scaling_hints.py
+++ b/moorusher/forecasting/scaling_hints.py
@@ -15,7 +15,7 @@
 from .policy import ScalingPolicy
 from .time_units import MINUTES_PER_HOUR, MS_PER_MINUTE, SECONDS_PER_HOUR, US_PER_SECOND
 
-# In runners. Avoids an extra runner if rounding errors put a sum just above a whole number.
+# Fraction of a runner that is ignored, so that a rounding error just above a whole number does not add a runner.
 ROUNDING_TOLERANCE = 1e-9
 
 
@@ -88,8 +88,8 @@
 def required_runners(cores: Sequence[float], policy: ScalingPolicy) -> list[int]:
     """Return the number of runners to run by hour, for the cores that are needed by hour.
 
-    It is the maximum over the hours in which a runner that is started now warms up, and over the past hours of
-    `scale_down_delay_h`.
+    For each hour, it is the maximum of the requirements over the time that a runner started in that hour takes to warm
+    up, and over the `scale_down_delay_h` hours before.
     """
     usable_cores = policy.cores_per_runner * policy.target_utilization
     required = [
--- a/moorusher/forecasting/seasonal_profile.py
+++ b/moorusher/forecasting/seasonal_profile.py
@@ -22,7 +22,7 @@
 # Days of the week, where 0 is Monday.
 WORKING_DAYS = slice(0, 5)
 WEEKEND = slice(5, 7)
-# Lower bound of an hour of the profile (mean 1) in the variance of an hour that is known in few weeks.
+# Lower bound of an hour of the profile (mean 1) in the calculation of its variance, if it is known in few weeks.
 MIN_HOUR = 0.2
 # Lower bound of an hour of the common profile (mean 1) when it is used as a divisor.
 MIN_COMMON_HOUR = 0.05
@@ -79,7 +79,7 @@
 
 
 def _common_profile(observed: Floats, variance: Floats) -> Floats:
-    """Return the profile if all working days, and both days of the weekend, differed only in their levels."""
+    """Return a profile in which all working days, and both days of the weekend, differ only in their levels."""
     routes = observed.shape[0]
     days = observed.reshape(routes, DAYS_PER_WEEK, HOURS_PER_DAY)
     day_variance = variance.reshape(routes, DAYS_PER_WEEK, HOURS_PER_DAY)
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -17,7 +17,7 @@
 from ..core.request_engine import RequestEngine
 from ..time_units import MS, SECOND
 
-# A connection that is younger, or idle for less, is evicted only if there is no other candidate.
+# A connection that has been in its queue for less than this time is evicted only if there is no other candidate.
 EVICTION_GRACE_US = 300 * MS
 CLOSE_REQUEST_TIMEOUT_US = 2 * SECOND  # Time for the other side to close after it was asked to.
 CLOSE_TIMEOUT_US = 5 * SECOND  # Time for the other side to read the rest of the output.
@@ -137,7 +137,7 @@
         return self._is_reserved
 
     def evict_one(self) -> bool:
-        """Evict the connection that has had no open request for longest. Return False if there is none."""
+        """Evict a connection without an open request, the oldest of a queue first. Return False if there is none."""
         # Connections that have received a message in part come last: a slow client may be sending its first request.
         now = self.core.clock.now
         grace_start = now - EVICTION_GRACE_US
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -116,7 +116,7 @@
         return self._state(200 if self._is_ready else 503)
 
     def _quiesce(self) -> HttpReply:
-        """Set maintenance without an end, unless the runner is draining and is sent no requests anyway."""
+        """Set maintenance without an end, unless the runner already is out of rotation for an unlimited time."""
         maintenance = self.reporter.tracker.maintenance
         if self.reporter.is_in_rotation or (maintenance is not None and maintenance.expires_us is not None):
             # Replaces a maintenance that expires, since its end would put the runner back into rotation.
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -24,9 +24,9 @@
 FIRST_MESSAGE_TIMEOUT_US = 2_500 * MS
 DEFAULT_IDLE_TIMEOUT_US = 30 * SECOND  # Used if the settings contain no idle timeout.
 LINGER_US = SECOND  # Time for the other side to read why the connection is closed.
-# Per connection and turn, so that many busy connections don't block the event loop.
+# Bytes read per connection and turn, limited so that many busy connections don't block the event loop.
 MAX_READ_BYTES = 16_384
-MAX_UNSENT_BYTES = 256 * 1024  # 32 answers of 4 KiB in base64 take two thirds of it.
+MAX_UNSENT_BYTES = 256 * 1024  # Two thirds are enough for 32 answers of 4 KiB in base64.
 
 
 class JsonRpcProtocol(LineOnlyReceiver):
--- a/moorusher/frontends/unread_input.py
+++ b/moorusher/frontends/unread_input.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 READ_BYTES = 65_536  # Maximum size of one read.
-MAX_READS = 4  # A client that sends continuously must not keep its connection open by that.
+MAX_READS = 4  # Maximum number of reads, so that a client that sends continuously can't prevent the close.
 
 
 def read_unread_input(transport: Any) -> None:
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -18,7 +18,7 @@
     AWAITING_KERNEL = "has its keys, and waits for the kernel"
     REQUESTING_HANDOVER = "is ready, and waits to be let on"
     # Accepts on its own sockets, since the peer did not respond in time. Requests with a key that is unknown here are
-    # rejected, as the peer may have run them. The value says that they wait; it can't change, as it names a counter.
+    # rejected, as the peer may have run them. The value says "wait" instead, and can't change, as it names a counter.
     SERVING_WITHOUT_KEYS = "serves beside one that does not speak; keyed classes wait"
     KEYS_SYNCED_LATE = "has the keys of one that did not speak, and waits for the kernel"
     # Accepts connections and claims each key with the peer, which no longer accepts.
--- a/moorusher/leadership/candidates.py
+++ b/moorusher/leadership/candidates.py
@@ -16,7 +16,7 @@
 from ..membership.placement import rendezvous_score
 from ..replication.work_record import KeyDigest
 
-# Capacity of a member as a multiple of the fair share. Members at capacity are offered further duties late.
+# Capacity of a member as a multiple of the fair share. Members below their capacity are preferred.
 CAPACITY_FACTOR = 1.25
 # The overload threshold is this multiple of the fair share, plus one.
 OVERLOAD_FACTOR = 1.5
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -26,7 +26,8 @@
 from .lease_interface import HeldLease
 from .lease_record import LeaseRecord
 
-# Attempts of a request to a receiver that does not answer, and retries of a state update after concurrent changes.
+# Limit of the attempts of a request whose receiver does not answer, and of the retries of a state update after
+# concurrent changes.
 MAX_ATTEMPTS = 5
 # Delay before a request is sent again to a receiver that does not answer.
 RETRY_US = 200 * MS
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -120,7 +120,7 @@
 
     def _is_unfit(self, holder: Owner) -> bool:
         """Return whether the holder is alive and reports that it is unfit."""
-        # A member that was never heard of has reported nothing, so it does not count as unfit.
+        # A member whose status has not been received does not count as unfit.
         member = self.services.members.by_seat.get(holder.seat)
         if (
             holder == self.services.owner
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -125,7 +125,7 @@
             self._services.send(former.seat, taken)
 
     def on_lease_taken(self, seat: str, message: LeaseTaken) -> None:
-        """Handle the notification that another member has acquired the lease: verify it with the register."""
+        """Handle the notification that another member has acquired a lease held here: verify that with the register."""
         held = self.by_key.get(message.key)
         if held is None:
             return
--- a/moorusher/leadership/holder_changes.py
+++ b/moorusher/leadership/holder_changes.py
@@ -43,7 +43,7 @@
         return None
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
-        """Return the record after this change. Called only if the lease is held."""
+        """Return the record after this change. Called only if `apply` has found the change allowed."""
         return next_revision(record, holder_sequence=self.sequence)
 
 
@@ -54,7 +54,7 @@
 class ClearLostLeaders(HolderChange):
     """Resets the count of lost leaders.
 
-    Made after a leader has held the lease long enough, so that the duty is not the cause of the losses.
+    Made after a leader has held the lease for `probation_ms`, since the duty then is not the cause of the losses.
     """
 
     def changed(self, record: LeaseRecord) -> LeaseRecord:
--- a/moorusher/leadership/intent_resolution.py
+++ b/moorusher/leadership/intent_resolution.py
@@ -104,7 +104,7 @@
             self._resolve(intent, was_never_sent)
 
     def _was_never_sent(self, intent: Intent) -> bool:
-        """Return whether the intent of this term was never sent and never will be."""
+        """Return whether an intent was recorded in this term but was not sent, and will not be."""
         # This happens if the intent is chosen after its caller has received NoMajorityError.
         return intent.term == self._lease.record.term and intent.revision not in self._sent
 
--- a/moorusher/leadership/journal.py
+++ b/moorusher/leadership/journal.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class DutyAcceptor(Acceptor):
-    """An acceptor of duty registers. After a loss of memory it votes on a register only once it has its chunks again.
+    """An acceptor of duty registers. After a loss of memory, it votes only on registers whose chunks it stores again.
 
     Otherwise a state that a majority has acknowledged could be lost unnoticed if one more replica fails.
 
--- a/moorusher/leadership/lease_record.py
+++ b/moorusher/leadership/lease_record.py
@@ -120,7 +120,7 @@
         versions: Versions of the state, the latest first.
         intents: Intents without a known outcome.
         suspension_reason: Reason of the suspension, for operators.
-        resume_generation: Minimum generation after a resume, if a receiver knows a later generation; else 0.
+        resume_generation: Minimum generation after a resume, if a receiver knows a later one than the record; else 0.
     """
 
     name: str
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -36,7 +36,7 @@
 PAUSE_THRESHOLD_US = 300 * MS
 # Interval at which the failure detector's messages get new counts of this member's duties.
 ANNOUNCE_INTERVAL_US = 2_000 * MS
-# Multiple of the setting `steady_ms`.
+# Limit of the backoff of a member that was lost repeatedly, as a multiple of the setting `steady_ms`.
 MAX_STABILITY_BACKOFF = 16
 
 
--- a/moorusher/leadership/policy.py
+++ b/moorusher/leadership/policy.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatDuty:
-    """A heartbeat duty: `[[duties.report]]`.
+    """A duty that sends heartbeats to a receiver, from one entry of `[[duties.report]]`.
 
     Attributes:
         name: Name of the duty.
--- a/moorusher/leadership/state_fetching.py
+++ b/moorusher/leadership/state_fetching.py
@@ -15,7 +15,7 @@
 RETRY_US = 150 * MS
 # Delay of a repair, since the missing chunks may still be in transit.
 REPAIR_DELAY_US = 1_000 * MS
-# Multiple of RETRY_US.
+# Limit of the delay between two requests of a repair, as a multiple of RETRY_US.
 MAX_REPAIR_BACKOFF = 20
 CHUNKS_PER_FETCH = 8
 
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -171,7 +171,7 @@
         self.replica.read(lambda is_current: callback(self.schedule, is_current))
 
     def explain(self) -> NextStep:
-        """Return the next step, with the reason of each machine that waits."""
+        """Return the next step, with the reason why each queued machine waits."""
         return self._planner.explain(self.schedule, self._node.clock(), self._host.unix_s())
 
     def waiting_reason(self, request_id: str, seat: str) -> str:
@@ -185,8 +185,8 @@
         :returns: A function that cancels the wait.
         :raises NotLocalError: If a reboot of another machine ends the slot.
         """
-        # A delayed answer could let the caller work on another machine after its reboot, when it no longer counts as
-        # out of service.
+        # With a delayed answer, the caller could begin to work on the other machine after that machine's reboot, when
+        # it no longer counts as out of service.
         request = self.schedule.request(request_id)
         if seat != self.me and (request is None or request.completion == CompletionProof.REBOOT):
             raise NotLocalError(f"{seat}: this is {self.me}")
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -16,7 +16,7 @@
 from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule
 
-UNHEALTHY_WEIGHT = 50  # percent; a machine with a lower weight goes before healthy ones
+UNHEALTHY_WEIGHT = 50  # percent; a machine with a lower weight counts as unhealthy
 FULL_WEIGHT = 100  # percent
 MAX_NAMED_SEATS = 3  # seats that one reason lists by name
 
@@ -107,7 +107,8 @@
         out = [self.views[seat] for seat in self.out if seat in self.views]
         self.zones = Counter(view.zone for view in out)
         self.groups = Counter(view.group for view in out if view.group)
-        # Zones from which no second machine may go: one is lost, or its request does not allow sharing the zone.
+        # Zones in which no other machine may be taken out of service: a machine there is lost, or its request does not
+        # allow sharing the zone.
         self._exclusive_zones = {self.views[seat].zone for seat in self.lost}
         for slot in self.schedule.slots:
             if slot.seat in self.views and not self._shares_zone(slot.request_id):
@@ -132,7 +133,7 @@
     # ---- the rules ----
 
     def blocking_reason(self, request: MaintenanceRequest, seat: str) -> str | None:
-        """Return why the machine may not go now, as a text for operators; None if it may go."""
+        """Return why the machine may not be taken out of service now, as a text for operators; None if it may."""
         view = self.views.get(seat)
         if view is None:
             return "no such seat in this runner's file"
--- a/moorusher/maintenance/local_machine.py
+++ b/moorusher/maintenance/local_machine.py
@@ -71,7 +71,7 @@
 
 
 def proves_work_over(slot: Slot, machine: MachineState) -> bool:
-    """Return whether the work on the machine must be finished, since this process runs on a later boot."""
+    """Return whether a reboot proves that the work is finished: this process runs on a later boot than the slot's."""
     is_reboot = slot.completion == CompletionProof.REBOOT
     return is_reboot and bool(machine.boot_id) and machine.boot_id != slot.boot_id
 
--- a/moorusher/maintenance/machine_controller.py
+++ b/moorusher/maintenance/machine_controller.py
@@ -86,7 +86,7 @@
         )
 
     def step(self) -> None:
-        """Act on the schedule. Does nothing before it has been read, since the machine may be out of service."""
+        """Act on the schedule. Do nothing before the first read, since the machine may be out of service."""
         if not self._replica.is_known:
             return
         slot = self._replica.schedule.slot(self._node.me)
--- a/moorusher/maintenance/next_step.py
+++ b/moorusher/maintenance/next_step.py
@@ -10,12 +10,13 @@
 from .queue_order import ordered_queue
 from .schedule import MaintenanceRequest, Schedule
 
-STABLE_CAPACITY_SHARE = 0.98  # remaining capacity below this share of its previous value has shrunk
+# The remaining capacity has shrunk if it is below this share of its highest value since the last change.
+STABLE_CAPACITY_SHARE = 0.98
 
 
 @dataclass(slots=True)
 class NextStep:
-    """The slots to grant next, and the reason of each machine that has to wait.
+    """The slots to grant next, and why each of the other machines has to wait.
 
     Attributes:
         grants: (request id, seat) of each slot.
--- a/moorusher/maintenance/operator_changes.py
+++ b/moorusher/maintenance/operator_changes.py
@@ -32,7 +32,7 @@
         self.max_requests = max_requests
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the request, or None if it is there already or rejected."""
+        """Return the schedule with the request, or None if the request is known already or is rejected."""
         known = schedule.request(self.request.id)
         if known is not None:
             if not known.is_same_request(self.request):
@@ -55,7 +55,7 @@
 
     Attributes:
         seats: Seats to withdraw; all if empty.
-        too_late: Seats that the last call found cleared.
+        too_late: Seats that the last call could not withdraw, since they were cleared already.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         return not self.seats or seat in self.seats
 
     def _revocable_seats(self, schedule: Schedule) -> list[str]:
-        """Return the seats that drain. Sets `too_late`, and `error` if there are such seats."""
+        """Return the seats that drain. Set `too_late` to the other seats with a slot, and `error` if there are any."""
         slots = [
             slot
             for slot in schedule.slots
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -77,7 +77,7 @@
         self.settling.settling_time_s = policy.capacity_stable_s
 
     def _rank(self, schedule: Schedule) -> int:
-        """Return the number of live replicas that come before this one."""
+        """Return the number of live replicas without a slot that come before this one."""
         out = {slot.seat for slot in schedule.slots}
         members = self._detector.by_seat
         eligible = [
@@ -113,7 +113,7 @@
         return GrantSlots(schedule.revision, step.grants, self._policy.max_out, unix_s)
 
     def explain(self, schedule: Schedule, now_us: int, unix_s: float) -> NextStep:
-        """Return the next step, with the reason of each machine that waits."""
+        """Return the next step, with the reason why each queued machine waits."""
         views = seat_views(self._placement, self._detector)
         settles_in_s = self._settles_in_s(views, schedule, now_us)
         return plan(schedule, views, self.replicas, self._policy, unix_s, settles_in_s, explain=True)
--- a/moorusher/maintenance/queue_order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -6,7 +6,7 @@
 from .policy import MaintenancePolicy
 from .schedule import MaintenanceRequest, Schedule
 
-# Multiple of the expected duration. A request is urgent if less time than that is left until it is due.
+# A request is urgent if at most this multiple of its expected duration is left until it is due.
 URGENT_DURATIONS = 2.0
 
 SortKey = tuple[bool, float, bool, float, int, float, str]
@@ -15,7 +15,7 @@
 def sort_key(
     request: MaintenanceRequest, seat: str, budget: DisruptionBudget, policy: MaintenancePolicy, now_s: float
 ) -> SortKey:
-    """Return the sort key of a queued machine; the lowest key goes first.
+    """Return the sort key of a queued machine; the machine with the lowest key is first in the queue.
 
     Machines are sorted by: urgency; priority plus age; poor health, since losing an unhealthy machine costs least; due
     time; the number of machines that are out in the zone; time of the request; name.
@@ -42,7 +42,7 @@
 def ordered_queue(
     schedule: Schedule, budget: DisruptionBudget, policy: MaintenancePolicy, now_s: float
 ) -> list[tuple[MaintenanceRequest, str]]:
-    """Return the request and the seat of each queued machine, in the order in which they go.
+    """Return the request and the seat of each queued machine, in the order in which slots should be granted.
 
     :param now_s: Unix time.
     """
--- a/moorusher/maintenance/schedule.py
+++ b/moorusher/maintenance/schedule.py
@@ -28,7 +28,7 @@
     DRAINING = 0  # granted: the machine hands over requests that have not begun, and finishes the others
     CLEARED = 1  # the operator is notified that the machine may be worked on
     RETURNED = 2  # a new process has started; it warms up, or recovers its replicated state
-    SUSPENDED = 3  # an operator must resolve it; the machine counts as out of service
+    SUSPENDED = 3  # an operator must finish the slot; the machine counts as out of service
 
     @property
     def api_name(self) -> str:
@@ -98,7 +98,7 @@
         requested_at_s: Time of the request.
         not_before_s: Earliest start; 0 for none.
         due_at_s: Due time; 0 for none.
-        priority: Higher values go first.
+        priority: Requests with higher values come first in the queue.
         shares_zone: Whether machines of one zone may be out together, within the limits.
         completion: Value of a CompletionProof.
         queued: Seats that wait, in order.
@@ -154,7 +154,7 @@
         duration_s: Expected duration of the work.
         completion: Value of a CompletionProof.
         failed_grants: Number of earlier grants that failed.
-        failed_returns: How often a process ended after the machine had returned.
+        failed_returns: Number of times that the machine's process ended after the machine had returned.
         note: Text for operators.
     """
 
--- a/moorusher/maintenance/slot_changes.py
+++ b/moorusher/maintenance/slot_changes.py
@@ -89,7 +89,7 @@
         self.incarnation = incarnation
 
     def current_slot(self, schedule: Schedule) -> Slot | None:
-        """Return the slot, or None if it is another grant or in another stage."""
+        """Return the machine's slot, or None if it has none, it is of another grant, or `stages` excludes its stage."""
         slot = schedule.slot(self.seat)
         if slot is None or slot.granted_revision != self.granted_revision:
             return None
@@ -154,7 +154,7 @@
 
 
 class ReturnSlot(SlotChange):
-    """Gives up the slot before the machine was cleared. The machine is queued again.
+    """Gives up the slot before the machine was cleared. The machine is queued again, or suspended if it failed twice.
 
     Attributes:
         note: The reason.
@@ -175,7 +175,7 @@
 
 
 class MarkReturned(SlotChange):
-    """Records that the machine has returned from the work, or that another process has replaced the returned one."""
+    """Records that the machine has returned from the work, or that its process has ended again and was restarted."""
 
     stages = (SlotStage.CLEARED, SlotStage.RETURNED)
 
@@ -219,7 +219,7 @@
         self.max_history = max_history
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule without the slot, or None if another process has returned."""
+        """Return the schedule without the slot, or None if the slot has ended or belongs to another process."""
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation != self.incarnation:
             return None
--- a/moorusher/namespaces/revision_history.py
+++ b/moorusher/namespaces/revision_history.py
@@ -1,4 +1,4 @@
-"""A customer's history: the state of its duty, with the current revision and some earlier ones.
+"""A customer's history: the state of the customer's duty, with the current revision and some earlier ones.
 
 Revision numbers increase by one, without gaps. A rollback is a new revision with the draft of an earlier one. A
 submission has an id, so that a retry after a lost answer returns the number of the revision already published.
--- a/moorusher/warm_start/merge.py
+++ b/moorusher/warm_start/merge.py
@@ -27,7 +27,8 @@
     DonorCondition.WARMING_UP: 0.5,
     DonorCondition.PAUSED: 0.25,
 }
-# Largest over smallest latency ratio of an endpoint. Donors that differ by more contradict each other.
+# Limit of the largest latency ratio that donors report for an endpoint, divided by the smallest. Beyond it the donors
+# contradict each other.
 MAX_RATIO_SPREAD = 3.0
 # Factor of a prior's weight if its donors contradict each other: one is wrong, and it is unknown which one.
 CONTRADICTION_FACTOR = 0.5
@@ -46,7 +47,7 @@
 class EndpointEvidence:
     """The weighted measurements of one endpoint from all donors."""
 
-    # Latency over the donor's median latency.
+    # Latency of the endpoint divided by the donor's median latency.
     latency_ratios: list[WeightedValue] = field(default_factory=list)
     success_rates: list[WeightedValue] = field(default_factory=list)
     # 1 if the donor had ejected the endpoint, else 0.
--- a/moorusher/warm_start/verification.py
+++ b/moorusher/warm_start/verification.py
@@ -1,4 +1,4 @@
-"""Verifies priors by own calls. Contradicted priors are dropped, and all priors of a donor that is mostly wrong."""
+"""Verifies priors by this runner's own calls. Drops contradicted priors, and those of donors that are mostly wrong."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 MIN_SAMPLES = 4  # own samples of an endpoint before its prior is verified
 MAX_DEVIATION = 2.5  # factor between the measured and the expected latency ratio, either way
-MAX_WRONG_FRACTION = 0.5  # of a donor's verified priors; with more the donor is rejected
+MAX_WRONG_FRACTION = 0.5  # share of a donor's verified priors; if more are wrong, the donor is rejected
 MIN_VERIFIED = 4  # verified priors of a donor before it can be rejected
 
 
@@ -33,7 +33,7 @@
         return len(self._unverified)
 
     def latency_measured(self, name: str, latency_ratio: float, samples: int) -> None:
-        """Compare an endpoint's prior with its measured latency over the median of all endpoints.
+        """Compare an endpoint's prior with its measured latency, divided by the median of all endpoints.
 
         :param samples: Number of own calls in that latency.
         """
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -158,7 +158,7 @@
 
 
 def test_the_error_for_an_invalid_value_is_unchanged(tmp_path: Path) -> None:
-    """For each key of the operator's file, the error states its name and its bounds."""
+    """Each key of the operator's file is set to a number out of bounds; the error states the key and its bounds."""
     messages = {}
     for key, name, before, after in operator_keys():
         messages[key] = error_message(PLATFORM, f"{before}{name} = -900000000000000\n{after}", tmp_path)
@@ -166,7 +166,9 @@
 
 
 def test_the_default_of_each_key_is_unchanged(tmp_path: Path) -> None:
-    """For each key: the values that its removal deletes from and adds to the configuration, or the error message."""
+    """Each key is removed in turn. Compares the values that this removes from the configuration and adds to it, or the
+    error message.
+    """
     complete = Counter(leaves(load_configuration(PLATFORM, OPERATOR, tmp_path)))
     results: dict[str, Any] = {}
     for key, _, before, after in operator_keys():
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -1,8 +1,8 @@
 """Messages between runners of one fleet, some of which may run an earlier build.
 
-Guards against a tag, an order of fields, an Enum's value or a default that changes with its name: a runner would then
-close its links (`framing lost`) or, worse, mistake one number for another. For all messages of all parts, the form and
-the bytes of samples are compared.
+Guards against a rename in the code that changes a tag, an order of fields, an Enum's value or a default: a runner would
+then close its links (`framing lost`) or, worse, mistake one number for another. For all messages of all parts, the form
+and the bytes of samples are compared.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/test_namespace_rules.py
+++ b/tests/compatibility/test_namespace_rules.py
@@ -1,7 +1,7 @@
 """Decisions of customers' drafts, messages for invalid drafts, and the route that a split assigns to a key.
 
 Guards against a renamed rule or error, because operators' scripts read the messages and kinds of errors. Also guards
-against a key that gets another route of a split after an upgrade: it would run on servers that don't know it.
+against a key that gets another route of a split after an upgrade: its requests would run on servers that don't know it.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/test_outgoing.py
+++ b/tests/compatibility/test_outgoing.py
@@ -1,9 +1,9 @@
 """The first bytes that a runner sends on outgoing connections: to the kernel, the platform's list of runners, and the
 receivers of duties' effects.
 
-Guards against a path, a key or an order that changes with a name in the program: a receiver that compares fencing
-tokens would refuse an effect or apply it twice, and a kernel would not accept the link. The tests compare the bytes on
-the connections and the results that a receiver's answers lead to.
+Guards against a rename in the program that changes a path, a key or the order of fields: a receiver that compares
+fencing tokens would refuse an effect or apply it twice, and a kernel would not accept the link. The tests compare the
+bytes on the connections and the results that a receiver's answers lead to.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/test_stored_records.py
+++ b/tests/compatibility/test_stored_records.py
@@ -77,7 +77,7 @@
 
 
 def rewrite_journal(data: bytes) -> bytes:
-    """Return the journal that an acceptor of duties writes after it has restored this one, at the same time."""
+    """Return the journal that an acceptor of duties writes after it has restored this one; both at time 0."""
     image = journal.read_journal(data, HEADER)
     acceptor = DutyAcceptor("n1", 7, lambda key: ("n1",), store=chunks.ChunkStore(1 << 20))
     acceptor.restore(0, image)
@@ -144,7 +144,9 @@
 
 
 def test_the_bytes_of_each_record_of_a_journal_are_unchanged() -> None:
-    """A record begins with its length and its checksum, 12 bytes."""
+    """Compares the encoded samples of each type of record, which `decode_record` reads without the 12 bytes of its
+    length and checksum.
+    """
 
     def encode(record: Any) -> bytes:
         return encode_journal([record])
--- a/tests/compatibility/test_succession_frames.py
+++ b/tests/compatibility/test_succession_frames.py
@@ -271,7 +271,7 @@
 
 
 def test_a_frame_without_fields_leads_to_the_same_state() -> None:
-    """The state is read from the counters, which operators see."""
+    """Compares the states by the names of their counters, which operators see."""
     counters = {}
     for frame_type in ("SYNCED", "GO", "BUSY", "BYE", "NEVER"):
         process = Process()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -267,7 +267,7 @@
 def test_only_a_later_boot_of_the_machine_proves_that_the_work_is_over(
     proof: CompletionProof, boot_id: str, mode: MachineMode
 ) -> None:
-    """The process of a cleared machine restarts before the work, which does not prove that the work is over."""
+    """The process of a cleared machine restarts before the work has begun. The restart alone proves nothing."""
     schedule = with_cleared_slot(schedule_with(request("a", "n0", completion=proof.value)))
     assert decide(slot(schedule), machine(incarnation=2, boot_id=boot_id), POLICY, 3).mode is mode
 
@@ -307,7 +307,7 @@
 def test_a_machine_stays_in_service_if_the_others_could_not_carry_the_load() -> None:
     schedule = schedule_with(request("a", "n0", "n1"))
     assert blocking_reason(views(), schedule, "n0") == ""
-    assert "cores are needed" in blocking_reason(views(peak_load=3.1), schedule, "n0")  # 18.6 of 90% of 20
+    assert "cores are needed" in blocking_reason(views(peak_load=3.1), schedule, "n0")  # 18.6 > 90% of 20
     assert "cores are needed" in blocking_reason(views(load=3.1), schedule, "n0")
     assert "must" in blocking_reason(
         views(), schedule, "n0", MaintenancePolicy(max_out=9, min_capacity_share=0.9)
@@ -363,9 +363,9 @@
 
     low, high = request("a", "n0"), request("b", "n1", priority=2)
     assert first(low, high) == "n1"
-    assert first(structs.replace(low, due_at_s=200.0), high) == "n0"  # its work takes 60 s
+    assert first(structs.replace(low, due_at_s=200.0), high) == "n0"  # urgent: 60 s of work, due in 100 s
     assert first(structs.replace(low, due_at_s=2000.0), high) == "n1"
-    assert first(low, structs.replace(high, requested_at_s=10_000.0), now=10_900.0) == "n0"  # three hours
+    assert first(low, structs.replace(high, requested_at_s=10_000.0), now=10_900.0) == "n0"  # aged 3 h
     unhealthy = views()
     unhealthy[3] = replace(unhealthy[3], weight=20)
     assert first(request("a", "n0", "n3"), seat_views=unhealthy) == "n3"
