--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -409,7 +409,10 @@
         cluster.fleet.restart(2)
         await cluster.fleet.runners[2].ready()
         assert await cluster.route_of(2) == "a1", "the revision was fetched from another runner"
-        assert "is put aside" in cluster.fleet.runners[2].text() and (folder / "namespaces.damaged").exists()
+        assert (
+            "namespaces: damaged store is renamed" in cluster.fleet.runners[2].text()
+            and (folder / "namespaces.damaged").exists()
+        )
         assert (await cluster.publish(1, to="a2"))["complete"]
 
 
