--- a/tests/by_hand.py
+++ b/tests/by_hand.py
@@ -1,4 +1,4 @@
-"""Real loopback connections on a loop that turns when the test says so: what comes in between is up to the test."""
+"""Real loopback connections on a reactor that the test iterates, so that the test decides what happens in between."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from .test_core import EngineHarness
 
 HOST = "127.0.0.1"
-PATIENCE_S = 5.0
+CONNECT_TIMEOUT_S = 5.0
 
 
 class Loop:
-    """Twisted's loop, never installed and never run: `turn` does one round of it."""
+    """A Twisted reactor that is never installed and never run: `turn` does its iterations."""
 
-    def __init__(self, world: EngineHarness) -> None:
-        self.world = world
+    def __init__(self, harness: EngineHarness) -> None:
+        self.harness = harness
         self.reactor: Any = SelectReactor()
 
-    def turn(self, rounds: int = 3) -> None:
-        for _ in range(rounds):
+    def turn(self, iterations: int = 3) -> None:
+        """Do some iterations of the reactor and of the engine."""
+        for _ in range(iterations):
             self.reactor.runUntilCurrent()
             self.reactor.doIteration(0)
-            self.world.turn()
+            self.harness.turn()
 
     def connect(self, factory: Any) -> Client:
-        """A client whose connection `factory` serves."""
+        """Return a client whose connection is served by a protocol of `factory`."""
         with socket.create_server((HOST, 0)) as listening:
-            client = socket.create_connection(listening.getsockname(), PATIENCE_S)
+            client = socket.create_connection(listening.getsockname(), CONNECT_TIMEOUT_S)
             accepted, _ = listening.accept()
         with accepted:
             serve: Any = tcp.Server
@@ -41,33 +42,36 @@
 
 
 class Client:
-    """The client's end, and the transport of the other side."""
+    """The client side of a connection, with the transport and the protocol of the server side."""
 
     def __init__(self, sock: socket.socket, transport: Any, loop: Loop) -> None:
         self.sock, self.transport, self.loop = sock, transport, loop
         self.protocol = transport.protocol
-        self._got = b""
+        self._received = b""
 
     def send(self, data: bytes) -> None:
-        """It has arrived at the other side when this returns: loopback delivers at once."""
+        """Send data. Loopback delivers at once: the data has arrived when this returns."""
         self.sock.sendall(data)
 
     def read(self) -> bytes:
-        """All that has arrived here; raises ConnectionResetError where the connection was reset."""
+        """Return all data received so far.
+
+        :raises ConnectionResetError: the connection was reset.
+        """
         self.sock.setblocking(False)
         with suppress(BlockingIOError):
             while data := self.sock.recv(65_536):
-                self._got += data
-        return self._got
+                self._received += data
+        return self._received
 
     def messages(self) -> list[dict[str, Any]]:
-        """As lines of JSON, once the loop has turned."""
+        """Iterate the reactor and return the received lines, decoded from JSON."""
         self.loop.turn()
         return [json.loads(line) for line in self.read().splitlines()]
 
     @property
     def ended(self) -> bool:
-        """The other side has closed its half at least."""
+        """Whether the other side has closed at least its half of the connection."""
         try:
             self.read()
             return self.sock.recv(1, socket.MSG_PEEK) == b""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the whole run: tests of `KNOWN-RED.txt` run as xfails, and are printed at the end."""
+"""Runs the tests that are listed in `KNOWN-RED.txt` as xfails, and prints them at the end of the test run."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 
 def known_red_entries() -> list[KnownRed]:
+    """Return the entries of the list, or none if the file does not exist."""
     try:
         return parse(FILE.read_text()) if FILE.exists() else []
     except InvalidKnownRedListError as error:
@@ -21,45 +22,48 @@
 
 
 def pytest_configure() -> None:
-    """Refuse a list that can't be read, before any worker is started."""
+    """Reject an invalid list before any worker is started."""
     known_red_entries()
 
 
 def _collects_everything(config: pytest.Config) -> bool:
-    """Whether no argument leaves tests out: only then a listed test that is not there is an error."""
+    """Return whether the arguments select all tests. Only then is a missing listed test an error."""
     named = any("::" in argument or argument.endswith(".py") for argument in config.args)
     return not (named or config.option.keyword or config.option.markexpr)
 
 
-def _note_missing_tests(config: pytest.Config, collected: Iterable[str]) -> None:
+def _record_missing_tests(config: pytest.Config, collected: Iterable[str]) -> None:
     if _collects_everything(config):
         config.stash[MISSING_TESTS] = missing_tests(known_red_entries(), collected)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    _note_missing_tests(config, [item.nodeid for item in items])
+    """Mark the listed tests as xfails."""
+    _record_missing_tests(config, [item.nodeid for item in items])
     by_test = {entry.test: entry for entry in known_red_entries()}
     for item in items:
         entry = by_test.get(item.nodeid)
         if entry is not None:
-            reason = f"{entry.seen} (issue {entry.issue})"
+            reason = f"{entry.observed} (issue {entry.issue})"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=entry.always_fails))
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_node_collection_finished(node: Any, ids: list[str]) -> None:
-    """With workers, the controlling process collects nothing itself."""
-    _note_missing_tests(node.config, ids)
+    """Check the tests that a worker has collected, because the controlling process collects none itself."""
+    _record_missing_tests(node.config, ids)
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
+    """Fail the test run if a listed test does not exist."""
     if session.config.stash.get(MISSING_TESTS, []):
         session.exitstatus = USAGE_ERROR
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
+    """Print the listed tests, and those that do not exist."""
     missing = terminalreporter.config.stash.get(MISSING_TESTS, [])
     if missing:
         terminalreporter.write_line(f"{FILE.name}: no such test: {', '.join(missing)}")
     for entry in known_red_entries():
-        terminalreporter.write_line(f"known red: {entry.test}: {entry.seen} (issue {entry.issue})")
+        terminalreporter.write_line(f"known red: {entry.test}: {entry.observed} (issue {entry.issue})")
--- a/tests/faults/__init__.py
+++ b/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Days with faults: real runner processes, relays on their links, faults inside them, and an auditor apart."""
+"""Fault injection against real runner processes, with an auditor that checks what clients and backends observed."""
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -1,6 +1,7 @@
-"""A day of some seconds: runners with their kernels and databases behind relays, clients, and one kind of fault.
+"""A simulated day of a few seconds: runners, their kernels and databases behind relays, clients, one kind of fault.
 
-All that is drawn comes from a seed. What clients, kernels and databases see goes into a history for the auditor.
+All random numbers derive from a seed. Clients, kernels and databases record their observations in a history, which the
+auditor checks.
 """
 
 from __future__ import annotations
@@ -24,138 +25,161 @@
 
 INJECT = Path(__file__).resolve().parent / "inject"
 EFFECTS = ("free", "guarded", "single_shot")
-SLACK_S = 0.6  # of the machine under a test, on top of the grace that the settings state
-REFUSED = -32014
+SLACK_S = 0.6  # Allowed delay of the test machine, in addition to the grace period of the settings.
+REFUSED = -32014  # JSON-RPC error code
 DEADLINE_S = 3.0
 WINDOW_S = 3.0
 BUDGETS_S = (0.03, 0.3, 1.0, 3.0)
-KILLED_S = 0.3  # for all connections of a killed process to end
-CROSSING_S = 0.05  # of a request and the end of the connection that it is written to
-STRETCHES_MS = (5, 20, 60, 150)  # of work, with a call between two of them
+KILL_GRACE_S = 0.3  # Time until all connections of a killed process have ended.
+CLOSE_RACE_S = 0.05  # Maximum age of a request that crosses the end of its connection.
+WORK_PIECES_MS = (5, 20, 60, 150)  # Lengths of the work between the calls of a run.
 
 
-class WatchedKernel(Kernel):
-    """Writes down runs, results and replies. The body of a call names its run and which of its calls it is; a reply is
-    right where it repeats that."""
+class RecordingKernel(Kernel):
+    """Records runs, results and replies.
 
-    def __init__(self, history: list[Seen], draw: random.Random, twice: float, **how: Any) -> None:
-        super().__init__(**how)
-        self._history, self._draw, self._twice = history, draw, twice
-        self._count: Counter[str] = Counter()
-        self._wanted: dict[str, bytes] = {}
+    The body of a call contains the id of its request and the number of the call. A correct reply repeats this body.
+    """
+
+    def __init__(
+        self, history: list[Seen], rng: random.Random, repeated_notice_share: float, **options: Any
+    ) -> None:
+        super().__init__(**options)
+        self._history, self._rng, self._repeated_notice_share = history, rng, repeated_notice_share
+        self._call_counts: Counter[str] = Counter()
+        self._expected_bodies: dict[str, bytes] = {}
 
     def message_received(self, link: Any, m: dict[str, Any]) -> None:
+        """Record starts of runs and replies to calls."""
         kind, rid = m["t"], m.get("rid", "")
         body = base64.b64decode(m.get("b64") or "")
         if kind == "SCHED" and not self.has_run(rid) and kind not in self.rejected_kinds:
             self._history.append(Ran(time.monotonic(), rid, body))
         if kind == "IODONE" and self.is_waiting(rid):
-            self._history.append(Given(time.monotonic(), rid, b"re:" + self._wanted[rid], body))
+            self._history.append(Given(time.monotonic(), rid, b"re:" + self._expected_bodies[rid], body))
         super().message_received(link, m)
 
     def notify(self, **notice: Any) -> None:
+        """Record results, and send some notices twice."""
         rid = notice.get("rid", "")
         if notice["t"] == "IOREQ":
-            self._count[rid] += 1
-            self._wanted[rid] = f"{rid} {self._count[rid]}".encode()
-            notice["b64"] = base64.b64encode(self._wanted[rid]).decode()
+            self._call_counts[rid] += 1
+            self._expected_bodies[rid] = f"{rid} {self._call_counts[rid]}".encode()
+            notice["b64"] = base64.b64encode(self._expected_bodies[rid]).decode()
         elif notice["t"] == "REAP" and notice["status"] == "PASS":
             self._history.append(Result(time.monotonic(), rid, base64.b64decode(notice["b64"])))
         super().notify(**notice)
-        if self.link is not None and self._draw.random() < self._twice:
+        if self.link is not None and self._rng.random() < self._repeated_notice_share:
             self.link.send_message(self._notices[-1])
 
 
-class WatchedDatabase(Database):
-    """Answers a call with what it asked for; `turned_away`, `failing` and `spoilt` are shares of calls."""
+class RecordingDatabase(Database):
+    """Records calls and replies with their bodies, except for the shares of calls that `faults` specifies."""
 
-    def __init__(self, history: list[Seen], draw: random.Random, faults: Faults) -> None:
+    def __init__(self, history: list[Seen], rng: random.Random, faults: Faults) -> None:
         super().__init__()
-        self._history, self._draw, self._faults = history, draw, faults
+        self._history, self._rng, self._faults = history, rng, faults
 
     def request_received(self, connection: Any, request_line: bytes, body: bytes) -> None:
-        luck = self._draw.random()
-        never_ran = luck < self._faults.turned_away
+        """Record the call and schedule its reply."""
+        outcome = self._rng.random()
+        never_ran = outcome < self._faults.never_ran_share
         self._history.append(Called(time.monotonic(), body.split()[0].decode(), body, never_ran))
         if never_ran:
             head, content = b"HTTP/1.1 503 X\r\nNever-Started: 1\r\n", b""
-        elif luck < self._faults.turned_away + self._faults.failing:
+        elif outcome < self._faults.never_ran_share + self._faults.error_share:
             head, content = b"HTTP/1.1 500 X\r\n", b""
         else:
             head, content = b"HTTP/1.1 200 X\r\n", b"re:" + body
         reply = head + b"Content-Length: %d\r\n\r\n" % len(content) + content
-        if not never_ran and self._draw.random() < self._faults.spoilt:
-            reply = self._spoil(reply)
-        self.reactor.callLater(0.005 + 0.03 * self._draw.random(), connection.transport.write, reply)
+        if not never_ran and self._rng.random() < self._faults.malformed_reply_share:
+            reply = self._corrupt(reply)
+        self.reactor.callLater(0.005 + 0.03 * self._rng.random(), connection.transport.write, reply)
 
-    def _spoil(self, reply: bytes) -> bytes:
-        """Noise before it or behind it, a second copy, or a head that is none."""
-        noise = bytes(self._draw.randrange(256) for _ in range(20))
-        return self._draw.choice((noise + reply, reply + noise, reply + reply, b"HTTP/1.1 ok\r\n\r\n"))
+    def _corrupt(self, reply: bytes) -> bytes:
+        """Return the reply with noise before or after it, the reply twice, or an invalid HTTP header."""
+        noise = bytes(self._rng.randrange(256) for _ in range(20))
+        return self._rng.choice((noise + reply, reply + noise, reply + reply, b"HTTP/1.1 ok\r\n\r\n"))
 
 
 class Client:
-    """A front end's connection that writes down what it asks and what it is told."""
+    """A front end's connection that records its requests and their answers.
+
+    Attributes:
+        runner: Name of the runner, with the number of its restarts.
+        open_requests: Request ids of the unanswered requests, by JSON-RPC id.
+        leaving: Whether the runner has sent `leaving` or closed the connection.
+        is_compliant: Whether the client sends no request after `leaving`.
+    """
 
     def __init__(self, day: Day, index: int, port: int) -> None:
         self.day, self.index, self.port = day, index, port
-        self.runner = f"n{index}.{day.lives[index]}"
-        self.open: dict[int, str] = {}
-        self._asked: dict[str, float] = {}
-        self._let_in_by = 0.0  # the earliest that it may be accepted, where that was failing as it was made
+        self.runner = f"n{index}.{day.restart_counts[index]}"
+        self.open_requests: dict[int, str] = {}
+        self._sent_at: dict[str, float] = {}
+        # Time by which the runner accepts the connection. Later than the connect if `accept` was failing then.
+        self._accept_deadline = 0.0
         self.leaving = False
-        self.obeys = day.draw.random() < day.faults.obeys
-        self._next = 0
+        self.is_compliant = day.rng.random() < day.faults.compliant_client_share
+        self._last_id = 0
         self._writer: Any = None
         self._task: Any = None
 
     def close(self) -> None:
+        """Abort the connection."""
         if self._task is not None:
             self._task.cancel()
         if self._writer is not None:
             self._writer.transport.abort()
 
-    def walk_away(self) -> None:
-        """Without a word."""
+    def disconnect(self) -> None:
+        """Abort the connection without notice, and record that its open requests need no answer."""
         now = time.monotonic()
-        for rid in self.open.values():
+        for rid in self.open_requests.values():
             self.day.history.append(Hung(now, rid, by_client=True))
-        self.open.clear()
+        self.open_requests.clear()
         self.close()
 
     async def connect(self) -> bool:
+        """Connect, and return whether that succeeded."""
         try:
             reader, self._writer = await asyncio.open_connection(HOST, self.port)
         except OSError:
             return False
-        self._let_in_by = self.day.let_in_by(self.index)
+        self._accept_deadline = self.day.accept_deadline(self.index)
         self._task = asyncio.create_task(self._read(reader))
         return True
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
+        """Whether the client can send a request."""
         return (
-            self._writer is not None and not (self.leaving and self.obeys) and not self._writer.is_closing()
+            self._writer is not None
+            and not (self.leaving and self.is_compliant)
+            and not self._writer.is_closing()
         )
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
         with suppress(OSError):
             async for line in reader:
-                self._heard(json.loads(line))
-        self.leaving, self.obeys = True, True
+                self._message_received(json.loads(line))
+        self.leaving, self.is_compliant = True, True
         self._writer.close()
         now = time.monotonic()
         ran = {s.rid for s in self.day.history if isinstance(s, Ran)}
-        for rid in self.open.values():  # one that crosses the end of a resting connection is sent anew
-            crossed = len(self.open) == 1 and now - self._asked[rid] < CROSSING_S and rid not in ran
-            excused = crossed or now - self.day.killed.get(self.index, -KILLED_S) < KILLED_S
+        for rid in self.open_requests.values():
+            # A front end sends a request again if it crossed the end of an idle connection.
+            raced_close = (
+                len(self.open_requests) == 1 and now - self._sent_at[rid] < CLOSE_RACE_S and rid not in ran
+            )
+            excused = raced_close or now - self.day.killed.get(self.index, -KILL_GRACE_S) < KILL_GRACE_S
             self.day.history.append(Hung(now, rid, by_client=excused))
-        self.open.clear()
+        self.open_requests.clear()
 
-    def _heard(self, m: dict[str, Any]) -> None:
+    def _message_received(self, m: dict[str, Any]) -> None:
         if m.get("method") == "leaving":
             self.leaving = True
-        if (rid := self.open.pop(m.get("id", 0), None)) is None:
+        if (rid := self.open_requests.pop(m.get("id", 0), None)) is None:
             return
         if "result" in m:
             verdict, content = Verdict.SERVED, base64.b64decode(m["result"]["content"])
@@ -165,12 +189,16 @@
                 verdict = Verdict.REFUSED
         self.day.history.append(Answered(time.monotonic(), rid, verdict, content))
 
-    def ask(self, effect: str, body: bytes, token: str, budget_s: float) -> None:
-        self._next += 1
-        now, rid = time.monotonic(), f"{self.day.draw.getrandbits(64):016x}"
+    def send_request(self, effect: str, body: bytes, token: str, budget_s: float) -> None:
+        """Send a request and record it.
+
+        :param token: Idempotency key, or "".
+        """
+        self._last_id += 1
+        now, rid = time.monotonic(), f"{self.day.rng.getrandbits(64):016x}"
         params: dict[str, Any] = {
             "rid": rid,
-            "t0": round((time.time() + self.day.clients_step_s) * 1000),
+            "t0": round((time.time() + self.day.client_clock_offset_s) * 1000),
             "peer": 1,
             "acct": "acme",
             "budget": budget_s * 1000,
@@ -180,17 +208,18 @@
         }
         if token:
             params["token"] = token
-        message = {"jsonrpc": "2.0", "id": self._next, "method": effect, "params": params}
+        message = {"jsonrpc": "2.0", "id": self._last_id, "method": effect, "params": params}
         self._writer.write(json.dumps(message).encode() + b"\n")
-        self.open[self._next] = rid
-        self._asked[rid] = now
-        due = max(now + min(budget_s, DEADLINE_S), self._let_in_by)
+        self.open_requests[self._last_id] = rid
+        self._sent_at[rid] = now
+        due = max(now + min(budget_s, DEADLINE_S), self._accept_deadline)
         self.day.history.append(
             Asked(now, rid, effect, self.runner, body, due, token, WINDOW_S if token else 0.0)
         )
 
 
 def settings() -> dict[str, Any]:
+    """Return settings with one request class for each effect."""
     base: dict[str, Any] = {"aimMs": 2000, "deadlineMs": DEADLINE_S * 1000, "worth": 1}
     classes = [
         base | {"name": e, "effect": e, "windowMs": WINDOW_S * 1000 if e == "guarded" else 0} for e in EFFECTS
@@ -201,220 +230,275 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What happens on a day, beside its load."""
+    """The faults of a day. The default of most faults is that they don't occur.
+
+    Attributes:
+        kernel_link_lifetime_s: Mean time after which each kernel link is reset.
+        kernel_cut_after_bytes: Bytes in both directions after which a kernel link is cut within a message.
+        db_link_lifetime_s: Mean time after which the links to the database and the announce service are reset.
+        db_cut_after_bytes: Bytes in both directions after which a database link is cut within a message.
+        link_delay_s: Delay of all links.
+        injected: Plan of the failing system calls and clock steps, see inject/sitecustomize.py.
+        reloads: Whether valid and invalid configurations are loaded in quick succession.
+        pause_s: Length of the pauses (SIGSTOP) of runners.
+        restarts: Whether runners are ended, by SIGKILL if SIGTERM doesn't end them in time, and started again.
+        replacements: Whether a second process takes over from the first, which then receives SIGTERM.
+        idle_connections: Connections of other clients that send nothing or half a line.
+        max_descriptors: Limit on file descriptors of a runner; 0 sets none.
+        failed_replacement_share: Share of new processes that are killed during the takeover.
+        paused_replacement_share: Share of new processes that are paused for seconds during the takeover.
+        early_sigterm_share: Share of old processes that receive SIGTERM before the new one is healthy.
+        drains: Whether runners are drained by the console and resumed.
+        compliant_client_share: Share of clients that send no request after the runner's `leaving`.
+        never_ran_share: Share of calls with the reply that the call was not executed.
+        error_share: Share of calls with the reply 500.
+        malformed_reply_share: Share of replies of the database that are invalid or contain noise.
+        repeated_notice_share: Share of the kernel's notices that are sent twice.
+        disconnect_share: Share of requests whose client disconnects soon after.
+        idle_start_s: Time without requests at the start of the day.
+    """
 
     name: str
-    kernel_life_s: float = 0.0  # each link to a kernel is reset after about so long
-    kernel_cut_after: int = 0  # bytes, both ways, after which it breaks in the midst of a message
-    db_life_s: float = 0.0
-    db_cut_after: int = 0
-    delay_s: float = 0.0  # on both links
-    inside: tuple[tuple[str, Any, float, float, float], ...] = ()  # see inject/sitecustomize.py
-    reloads: bool = False  # good and bad configurations in a row
-    stopped_s: float = 0.0  # SIGSTOP for so long, now and then
-    restarts: bool = False  # SIGTERM, SIGKILL where it has not ended in time, and a new process
-    replacements: bool = False  # a second process takes over from the first, which then gets SIGTERM
-    crowd: int = 0  # connections of others that say nothing, or half a line
-    sockets: int = 0  # the limit on descriptors, where it is a narrow one
-    failed_replacements: float = 0.0  # the share of new processes that are killed or stopped on the way
-    woken_replacements: float = 0.0  # that of new processes that are stopped for seconds, and go on
-    told_early: float = 0.0  # that of former processes that get SIGTERM before the new one says yes
-    drains: bool = False  # by the console, and back into service
-    obeys: float = 1.0  # the share of clients that send nothing new once they were told so
-    turned_away: float = 0.1
-    failing: float = 0.1
-    spoilt: float = 0.0  # the share of replies of the database that can't be read, or come with noise
-    twice: float = 0.0  # the share of the kernel's notices that come twice
-    walks_away: float = 0.02  # the share of requests whose client drops its connection soon after
-    quiet_s: float = 0.0  # nothing is asked for so long before the day begins
-
-
-async def _watch_lag(day: Day) -> None:
+    kernel_link_lifetime_s: float = 0.0
+    kernel_cut_after_bytes: int = 0
+    db_link_lifetime_s: float = 0.0
+    db_cut_after_bytes: int = 0
+    link_delay_s: float = 0.0
+    injected: tuple[tuple[str, Any, float, float, float], ...] = ()
+    reloads: bool = False
+    pause_s: float = 0.0
+    restarts: bool = False
+    replacements: bool = False
+    idle_connections: int = 0
+    max_descriptors: int = 0
+    failed_replacement_share: float = 0.0
+    paused_replacement_share: float = 0.0
+    early_sigterm_share: float = 0.0
+    drains: bool = False
+    compliant_client_share: float = 1.0
+    never_ran_share: float = 0.1
+    error_share: float = 0.1
+    malformed_reply_share: float = 0.0
+    repeated_notice_share: float = 0.0
+    disconnect_share: float = 0.02
+    idle_start_s: float = 0.0
+
+
+async def _measure_lag(day: Day) -> None:
+    """Record the longest delay of the test's own event loop."""
     while True:
         before = time.monotonic()
         await asyncio.sleep(0.02)
         day.lag_s = max(day.lag_s, time.monotonic() - before - 0.02)
 
 
-Trouble = Callable[[Any], Coroutine[Any, Any, None]]
+FaultTask = Callable[[Any], Coroutine[Any, Any, None]]
 
 
 @dataclass
 class Day:
-    """One day. `play` gives the findings."""
+    """One simulated day with one kind of fault.
+
+    Attributes:
+        seed: Seed of all random numbers.
+        duration_s: Time in which requests are sent.
+        requests_per_s: Rate of requests over all runners.
+        client_clock_offset_s: Offset of the clients' clocks.
+        history: Observations in order of time.
+        nodes: The runners.
+        killed: Time at which a process of a runner was last killed, by the runner's index.
+        takeovers_before: Completed takeovers of each runner when the current one began, by the runner's name.
+        pauses: Start and end of the pauses of the process that served, by the runner's name.
+        restart_counts: Restarts of each runner, by index. A restarted runner has no idempotency keys.
+        lag_s: Longest delay of the test's own event loop, which shows how busy the machine is.
+    """
 
     seed: int
     faults: Faults
-    runners: int = 3
-    length_s: float = 6.0
-    rate: float = 30.0  # requests a second, over all
-    clients_step_s: float = 0.0
+    runner_count: int = 3
+    duration_s: float = 6.0
+    requests_per_s: float = 30.0
+    client_clock_offset_s: float = 0.0
     history: list[Seen] = field(default_factory=list)
-    draw: random.Random = field(init=False)
+    rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        self.draw = random.Random(self.seed)
-        self._parts: list[Any] = []
+        self.rng = random.Random(self.seed)
+        self._resources: list[Any] = []
         self.nodes: list[Runner] = []
-        self.killed: dict[int, float] = {}  # when a process of a runner was, with what it had read
-        self.let_on: Counter[str] = Counter()  # successors of each runner, before the one under way
-        self.still: dict[str, list[tuple[float, float]]] = defaultdict(list)  # when who served was stopped
-        self.lives: Counter[int] = Counter()  # of each runner; a new one knows no keys
+        # Requests that a killed process had read are lost with it: their clients are owed no answer.
+        self.killed: dict[int, float] = {}
+        self.takeovers_before: Counter[str] = Counter()
+        self.pauses: dict[str, list[tuple[float, float]]] = defaultdict(list)
+        self.restart_counts: Counter[int] = Counter()
         self.announce: Announce
         self._clients: dict[int, list[Client]] = defaultdict(list)
-        self._tokens: list[tuple[float, int, str, bytes]] = []
+        self._recent_tokens: list[tuple[float, int, str, bytes]] = []
         self.relays: list[Relay] = []
-        self.lag_s = 0.0  # the longest that this process itself was held up: the machine is busy
+        self.lag_s = 0.0
 
-    def _relay(self, to: int, life_s: float, cut_after: int) -> Relay:
+    def _relay(self, to: int, lifetime_s: float, cut_after_bytes: int) -> Relay:
         relay = Relay(reactor(), to)
-        relay.delay_s, relay.cut_after_bytes = self.faults.delay_s, cut_after
-        relay.bytes_since_cut = self.draw.randrange(cut_after) if cut_after else 0
+        relay.delay_s, relay.cut_after_bytes = self.faults.link_delay_s, cut_after_bytes
+        relay.bytes_since_cut = self.rng.randrange(cut_after_bytes) if cut_after_bytes else 0
         self.relays.append(relay)
-        if life_s:
-            self._cut_now_and_then(relay, life_s)
+        if lifetime_s:
+            self._schedule_cut(relay, lifetime_s)
         return relay
 
-    def _cut_now_and_then(self, relay: Relay, life_s: float) -> None:
+    def _schedule_cut(self, relay: Relay, lifetime_s: float) -> None:
         def cut() -> None:
             relay.cut()
-            self._cut_now_and_then(relay, life_s)
+            self._schedule_cut(relay, lifetime_s)
 
-        call = relay.reactor.callLater(life_s * (0.5 + self.draw.random()), cut)
-        self._parts.append(call)
+        call = relay.reactor.callLater(lifetime_s * (0.5 + self.rng.random()), cut)
+        self._resources.append(call)
 
-    def lets_on(self, node: Runner) -> int:
-        """How often a process of this runner has left its clients to a further one."""
+    def completed_takeovers(self, node: Runner) -> int:
+        """Return how often a process of this runner has handed over to a new process."""
         return node.text().count("hot restart: finishes, and the other one serves")
 
-    def _due_once_woken(self, asked: Asked) -> Asked:
-        """Due when the process that serves goes on, or another one serves in its place."""
-        stops = self.still[asked.runner.split(".")[0]]
-        ends = [end for began, end in stops if began <= asked.due and asked.at <= end]
-        return replace(asked, due=max([asked.due, *ends]))
+    def _extend_due_time(self, request: Asked) -> Asked:
+        """Return the request, due at the end of a pause of its runner at the earliest.
 
-    def let_in_by(self, index: int) -> float:
-        """When a connection that is made now is accepted at the latest, where the system refuses that for a while."""
-        faults = [(since, until) for call, _, since, until, _ in self.faults.inside if call == "accept"]
+        A pause ends when the process that serves continues or another process serves in its place.
+        """
+        pauses = self.pauses[request.runner.split(".")[0]]
+        ends = [end for start, end in pauses if start <= request.due and request.at <= end]
+        return replace(request, due=max([request.due, *ends]))
+
+    def accept_deadline(self, index: int) -> float:
+        """Return the time by which a connection that is opened now is accepted, if `accept` fails now, else 0."""
+        faults = [(since, until) for call, _, since, until, _ in self.faults.injected if call == "accept"]
         began = self.nodes[index].began
         now = time.monotonic()
         ends = [began + until for since, until in faults if began + since - 0.2 <= now < began + until + 0.2]
         return max(ends, default=0.0)
 
     def kernel_port(self) -> int:
-        """Of a kernel of its own for a process, behind a relay."""
-        kernel = WatchedKernel(self.history, self.draw, self.faults.twice, cores=2)
+        """Start a kernel for a new process and return the port of its relay."""
+        kernel = RecordingKernel(self.history, self.rng, self.faults.repeated_notice_share, cores=2)
         kernel.listen()
-        self._parts.append(kernel)
-        return self._relay(kernel.port, self.faults.kernel_life_s, self.faults.kernel_cut_after).port
+        self._resources.append(kernel)
+        return self._relay(
+            kernel.port, self.faults.kernel_link_lifetime_s, self.faults.kernel_cut_after_bytes
+        ).port
 
     def _start(self, index: int) -> None:
         f = self.faults
-        database = WatchedDatabase(self.history, self.draw, f)
+        database = RecordingDatabase(self.history, self.rng, f)
         database.listen()
-        self._parts.append(database)
+        self._resources.append(database)
         environment = {}
-        if f.inside:
+        if f.injected:
             environment = {
                 "PYTHONPATH": str(INJECT),
-                "FAULT_PLAN": json.dumps(f.inside),
+                "FAULT_PLAN": json.dumps(f.injected),
                 "FAULT_SEED": str(self.seed + index),
             }
         self.nodes.append(
             Runner(
                 self.kernel_port(),
-                self._relay(database.port, f.db_life_s, f.db_cut_after).port,
+                self._relay(database.port, f.db_link_lifetime_s, f.db_cut_after_bytes).port,
                 None,
-                self._relay(self.announce.port, f.db_life_s, 0).port,
+                self._relay(self.announce.port, f.db_link_lifetime_s, 0).port,
                 None,
                 settings(),
                 name=f"n{index}",
-                descriptors=f.sockets,
+                descriptors=f.max_descriptors,
                 environment=environment,
             )
         )
 
     async def play(self) -> list[Finding]:
+        """Simulate the day and return the violations."""
         self.announce = Announce()
-        for index in range(self.runners):
+        for index in range(self.runner_count):
             self._start(index)
         try:
             for node in self.nodes:
                 await node.ready()
-            troubles = [asyncio.create_task(t(self)) for t in [_watch_lag, *self._troubles()]]
-            await asyncio.sleep(self.faults.quiet_s)
-            end = time.monotonic() + self.length_s
+            tasks = [asyncio.create_task(t(self)) for t in [_measure_lag, *self._fault_tasks()]]
+            await asyncio.sleep(self.faults.idle_start_s)
+            end = time.monotonic() + self.duration_s
             while time.monotonic() < end:
-                await asyncio.sleep(self.draw.expovariate(self.rate))
-                await self._ask()
-            for task in troubles:
+                await asyncio.sleep(self.rng.expovariate(self.requests_per_s))
+                await self._send_request()
+            for task in tasks:
                 assert not task.done(), task.exception()
                 task.cancel()
             await asyncio.sleep(DEADLINE_S + 2 * SLACK_S)
-            ends = time.monotonic()
+            end = time.monotonic()
         finally:
             self._close()
         grace = SETTINGS["invariants"]["graceToAnswerMs"] / 1000
-        history = [self._due_once_woken(s) if isinstance(s, Asked) else s for s in self.history]
-        return judge(history, grace + SLACK_S + self.faults.stopped_s + 3 * self.lag_s, ends)
-
-    def _troubles(self) -> list[Trouble]:
-        from .troubles import crowding, draining, reloading, replacing, restarting, stopping
+        history = [self._extend_due_time(s) if isinstance(s, Asked) else s for s in self.history]
+        return judge(history, grace + SLACK_S + self.faults.pause_s + 3 * self.lag_s, end)
+
+    def _fault_tasks(self) -> list[FaultTask]:
+        from .troubles import (
+            drain_runners,
+            open_idle_connections,
+            pause_processes,
+            reload_configurations,
+            replace_processes,
+            restart_runners,
+        )
 
-        chosen: list[Trouble] = []
+        chosen: list[FaultTask] = []
         if self.faults.reloads:
-            chosen.append(reloading)
-        if self.faults.stopped_s:
-            chosen.append(stopping)
+            chosen.append(reload_configurations)
+        if self.faults.pause_s:
+            chosen.append(pause_processes)
         if self.faults.restarts:
-            chosen.append(restarting)
-        if self.faults.crowd:
-            chosen.append(crowding)
+            chosen.append(restart_runners)
+        if self.faults.idle_connections:
+            chosen.append(open_idle_connections)
         if self.faults.replacements:
-            chosen.append(replacing)
+            chosen.append(replace_processes)
         if self.faults.drains:
-            chosen.append(draining)
+            chosen.append(drain_runners)
         return chosen
 
-    async def _ask(self) -> None:
-        index = self.draw.randrange(self.runners)
-        effect = EFFECTS[self.draw.randrange(3)]
-        stretches = [self.draw.choice(STRETCHES_MS) for _ in range(self.draw.randint(1, 3))]
-        body = b"work " + b" ".join(b"%d" % ms for ms in stretches)
-        token = f"{self.draw.getrandbits(64):016x}" if effect == "guarded" else ""
-        budget_s = self.draw.choice(BUDGETS_S)
+    async def _send_request(self) -> None:
+        index = self.rng.randrange(self.runner_count)
+        effect = EFFECTS[self.rng.randrange(3)]
+        pieces_ms = [self.rng.choice(WORK_PIECES_MS) for _ in range(self.rng.randint(1, 3))]
+        body = b"work " + b" ".join(b"%d" % ms for ms in pieces_ms)
+        token = f"{self.rng.getrandbits(64):016x}" if effect == "guarded" else ""
+        budget_s = self.rng.choice(BUDGETS_S)
         now = time.monotonic()
-        if token and self.draw.random() < 0.4:
-            since = [t for t in self._tokens if t[0] > now - WINDOW_S]
-            if since:
-                _, index, token, body = self.draw.choice(since)
+        if token and self.rng.random() < 0.4:
+            reusable = [t for t in self._recent_tokens if t[0] > now - WINDOW_S]
+            if reusable:
+                _, index, token, body = self.rng.choice(reusable)
         elif token:
-            self._tokens.append((now, index, token, body))
+            self._recent_tokens.append((now, index, token, body))
         client = await self._client(index)
         if client is None:
             return
-        client.ask(effect, body, token, budget_s)
-        if self.draw.random() < self.faults.walks_away:
-            asyncio.get_running_loop().call_later(0.1 * self.draw.random(), client.walk_away)
+        client.send_request(effect, body, token, budget_s)
+        if self.rng.random() < self.faults.disconnect_share:
+            asyncio.get_running_loop().call_later(0.1 * self.rng.random(), client.disconnect)
 
     async def _client(self, index: int) -> Client | None:
-        pool = [c for c in self._clients[index] if c.usable]
+        pool = [c for c in self._clients[index] if c.is_usable]
         if len(pool) < 3:
             client = Client(self, index, self.nodes[index].port)
-            self._parts.append(client)
+            self._resources.append(client)
             if not await client.connect():
                 return None
             pool.append(client)
-            pool = [c for c in pool if c.usable]  # one may have walked away meanwhile
+            pool = [c for c in pool if c.is_usable]  # A client may have disconnected meanwhile.
         self._clients[index] = pool
-        return self.draw.choice(pool) if pool else None
+        return self.rng.choice(pool) if pool else None
 
     def _close(self) -> None:
-        for part in self._parts:
-            if hasattr(part, "close"):
-                part.close()
-            elif part.active():
-                part.cancel()
+        for resource in self._resources:
+            if hasattr(resource, "close"):
+                resource.close()
+            elif resource.active():
+                resource.cancel()
         self.announce.close()
         for relay in self.relays:
             relay.close()
@@ -422,7 +506,9 @@
             node.close()
 
     def served(self) -> int:
+        """Return the number of served requests."""
         return sum(isinstance(s, Answered) and s.verdict is Verdict.SERVED for s in self.history)
 
     def timeline(self, rid: str) -> str:
+        """Return the observations of a request, one per line."""
         return "\n".join(repr(s) for s in self.history if s.rid == rid)
--- a/tests/faults/inject/sitecustomize.py
+++ b/tests/faults/inject/sitecustomize.py
@@ -1,12 +1,16 @@
-"""Loaded by the interpreter of a runner under test, by PYTHONPATH alone: makes system calls fail as FAULT_PLAN says.
+"""Injects failures of system calls into a runner under test. The interpreter loads it because of PYTHONPATH.
 
-FAULT_PLAN is JSON: a list of [call, errno, from, to, share], in seconds after the start, and of
-["clock", seconds, at, 0, 0] for steps of the Unix clock. Where FAULT_START names a file, times count from when it is
-there. `read` and `write` are of all sockets, `link read` and `link write` of those that the process has connected; with
-errno "SHORT" they pass one byte. `dup` is of sockets, `open` of files by `io.open`; `disk write`, `disk sync` and
-`disk rename` are of files, "SHORT" writes a half, and "KILL" ends the process after that half.
+FAULT_PLAN is a JSON list of [call, errno, start, end, share of calls], with times in seconds after the process's start.
+An entry ["clock", seconds, time, 0, 0] steps the Unix clock. If FAULT_START names a file, times count from the moment
+at which this file exists. The calls are:
 
-FAULT_HANGUP names modules: the process gets SIGHUP as it imports each of them.
+- `socket`, `connect`, `accept`, `epoll`, `dup` (of sockets), `open` (`io.open`).
+- `read` and `write`: all sockets. `link read` and `link write`: connections that the process has opened.
+  With "SHORT" as errno, `read` and `write` transfer one byte.
+- `disk write`, `disk sync`, `disk rename`: files. With "SHORT", half of the data is written; with "KILL", the process
+  is killed after that half.
+
+FAULT_HANGUP is a list of modules, separated by commas: the process receives SIGHUP when it imports each of them.
 """
 
 import errno
@@ -22,79 +26,89 @@
 import time
 
 PLAN = json.loads(os.environ.get("FAULT_PLAN", "[]"))
-BEGAN = time.monotonic()
-START = os.environ.get("FAULT_START")
-HANGUPS = [name for name in os.environ.get("FAULT_HANGUP", "").split(",") if name]
-SYNCED = {}  # bytes of a file that are on the disk, by its inode
-DRAW = random.Random(os.environ.get("FAULT_SEED", "1"))
-
-
-def age():
-    """Seconds since times count, negative before that."""
-    global BEGAN, START
-    if START is not None:
-        if not os.path.exists(START):
+STARTED_AT = time.monotonic()
+START_FILE = os.environ.get("FAULT_START")
+HANGUP_MODULES = [name for name in os.environ.get("FAULT_HANGUP", "").split(",") if name]
+SYNCED_BYTES = {}  # Length of the part of a file that was synced to the disk, by inode.
+RNG = random.Random(os.environ.get("FAULT_SEED", "1"))
+
+
+def elapsed_s():
+    """Return the seconds since the plan's start, or -1 if it has not started."""
+    global STARTED_AT, START_FILE
+    if START_FILE is not None:
+        if not os.path.exists(START_FILE):
             return -1.0
-        BEGAN, START = time.monotonic(), None
-    return time.monotonic() - BEGAN
+        STARTED_AT, START_FILE = time.monotonic(), None
+    return time.monotonic() - STARTED_AT
 
 
-def due(call):
-    """The errno that this call fails with now, or None."""
-    now = age()
-    for what, error, since, until, share in PLAN:
-        if what == call and since <= now < until and DRAW.random() < share:
+def planned_error(call):
+    """Return the name of the errno with which this call fails now, or None."""
+    now = elapsed_s()
+    for planned_call, error, since, until, share in PLAN:
+        if planned_call == call and since <= now < until and RNG.random() < share:
             return error
     return None
 
 
-def fail(name):
+def make_os_error(name):
+    """Return the exception for the name of an errno."""
     return OSError(getattr(errno, name), os.strerror(getattr(errno, name)))
 
 
-def raising(call, inner):
+def raise_planned_error(call, original):
+    """Wrap a method of a socket so that it raises the planned errors or transfers one byte."""
+
     def wrapped(self, *args):
-        error = due(call)
+        error = planned_error(call)
         if error is None or (error == "SHORT" and call not in ("read", "write")):
-            return inner(self, *args)
+            return original(self, *args)
         if error == "SHORT":
-            first = args[0][:1] if call == "write" else 1
-            return inner(self, first, *args[1:])
-        raise fail(error)
+            short = args[0][:1] if call == "write" else 1
+            return original(self, short, *args[1:])
+        raise make_os_error(error)
 
     return wrapped
 
 
-def returning(call, inner):
+def return_planned_error(call, original):
+    """Wrap a method of a socket so that it returns the planned error numbers."""
+
     def wrapped(self, *args):
-        error = due(call)
-        return inner(self, *args) if error is None else getattr(errno, error)
+        error = planned_error(call)
+        return original(self, *args) if error is None else getattr(errno, error)
 
     return wrapped
 
 
-def of_links(call, inner):
-    """Only where this process has made the connection: a client's is broken by the client."""
-    failing = raising(call, inner)
+def for_outgoing_only(call, original):
+    """Wrap a method so that it fails only for connections that this process has opened.
+
+    Failures of a client's connections are the client's part.
+    """
+    failing = raise_planned_error(call, original)
 
     def wrapped(self, *args):
-        return failing(self, *args) if self.outgoing else inner(self, *args)
+        return failing(self, *args) if self.outgoing else original(self, *args)
 
     return wrapped
 
 
 class FailingSocket(socket.socket):
+    """A socket whose calls fail as planned."""
+
     outgoing = False
 
     def __init__(self, *args, **kwargs):
-        made = kwargs.get("fileno") is None and (len(args) < 4 or args[3] is None)
-        if made and (error := due("socket")) is not None:
-            raise fail(error)
+        is_new = kwargs.get("fileno") is None and (len(args) < 4 or args[3] is None)
+        if is_new and (error := planned_error("socket")) is not None:
+            raise make_os_error(error)
         super().__init__(*args, **kwargs)
 
-    accept = raising("accept", socket.socket.accept)
-    recv = raising("read", of_links("link read", socket.socket.recv))
-    send = raising("write", of_links("link write", socket.socket.send))
+    accept = raise_planned_error("accept", socket.socket.accept)
+    recv = raise_planned_error("read", for_outgoing_only("link read", socket.socket.recv))
+    send = raise_planned_error("write", for_outgoing_only("link write", socket.socket.send))
 
     def connect_ex(self, *args):
         self.outgoing = True
@@ -102,23 +116,26 @@
 
 
 class FailingEpoll:
+    """An epoll object whose `poll` fails as planned."""
+
     def __init__(self, *args, **kwargs):
-        self._inner = select_epoll(*args, **kwargs)
+        self._epoll = select_epoll(*args, **kwargs)
 
     def poll(self, *args, **kwargs):
-        error = due("epoll")
+        error = planned_error("epoll")
         if error is not None:
-            raise fail(error)
-        return self._inner.poll(*args, **kwargs)
+            raise make_os_error(error)
+        return self._epoll.poll(*args, **kwargs)
 
     def __getattr__(self, name):
-        return getattr(self._inner, name)
+        return getattr(self._epoll, name)
 
 
 def failing_write(fd, data):
-    error = due("disk write") if stat.S_ISREG(os.fstat(fd).st_mode) else None
+    """Write to a file, or fail, write a half, or kill the process after that half, as planned."""
+    error = planned_error("disk write") if stat.S_ISREG(os.fstat(fd).st_mode) else None
     if error not in (None, "SHORT", "KILL"):
-        raise fail(error)
+        raise make_os_error(error)
     if error is None:
         return os_write(fd, data)
     written = os_write(fd, data[: max(1, len(data) // 2)])
@@ -128,59 +145,74 @@
 
 
 def failing_sync(fd):
-    """What was written since the last success is gone after a failure, as where a system drops what it can't write."""
-    found = os.fstat(fd)
-    error = due("disk sync")
+    """Sync a file, or fail and truncate it to its length at the last successful sync.
+
+    Systems that drop dirty pages after a failed write lose the same data.
+    """
+    file_status = os.fstat(fd)
+    error = planned_error("disk sync")
     if error is None:
         os_sync(fd)
-        SYNCED[found.st_ino] = found.st_size
+        SYNCED_BYTES[file_status.st_ino] = file_status.st_size
         return
-    if stat.S_ISREG(found.st_mode):
-        os.ftruncate(fd, SYNCED.get(found.st_ino, 0))
-    raise fail(error)
+    if stat.S_ISREG(file_status.st_mode):
+        os.ftruncate(fd, SYNCED_BYTES.get(file_status.st_ino, 0))
+    raise make_os_error(error)
 
 
 def failing_open(*args, **kwargs):
-    error = due("open")
+    """Open a file, or fail as planned."""
+    error = planned_error("open")
     if error is not None:
-        raise fail(error)
+        raise make_os_error(error)
     return io_open(*args, **kwargs)
 
 
 def failing_replace(old, new):
-    error = due("disk rename")
+    """Rename a file, or fail as planned."""
+    error = planned_error("disk rename")
     if error is not None:
-        raise fail(error)
+        raise make_os_error(error)
     os_replace(old, new)
 
 
-def stepped(inner, unit):
+def add_clock_steps(original, unit):
+    """Wrap a clock so that it includes the planned steps.
+
+    :param unit: Ticks of the clock per second.
+    """
+
     def wrapped():
-        now = age()
-        return inner() + sum(int(by * unit) for what, by, at, _, _ in PLAN if what == "clock" and now >= at)
+        now = elapsed_s()
+        return original() + sum(
+            int(step_s * unit) for kind, step_s, at, _, _ in PLAN if kind == "clock" and now >= at
+        )
 
     return wrapped
 
 
-failing_connect = returning("connect", socket.socket.connect_ex)
+failing_connect = return_planned_error("connect", socket.socket.connect_ex)
 
 
 def failing_dup(fd):
-    error = due("dup")
+    """Duplicate a socket, or fail as planned."""
+    error = planned_error("dup")
     if error is not None:
-        raise fail(error)
+        raise make_os_error(error)
     return socket_dup(fd)
 
 
-class HangupAt:
+class HangupOnImport:
+    """A finder that sends SIGHUP to the process before the import of a listed module, and finds no module itself."""
+
     def find_spec(self, name, path=None, target=None):
-        if name in HANGUPS:
-            HANGUPS.remove(name)
+        if name in HANGUP_MODULES:
+            HANGUP_MODULES.remove(name)
             os.kill(os.getpid(), signal.SIGHUP)
 
 
-if HANGUPS:
-    sys.meta_path.insert(0, HangupAt())
+if HANGUP_MODULES:
+    sys.meta_path.insert(0, HangupOnImport())
 
 if PLAN:
     select_epoll = select.epoll
@@ -191,4 +223,4 @@
     io_open, io.open = io.open, failing_open
     socket_dup, socket.dup = socket.dup, failing_dup
     os_replace, os.replace = os.replace, failing_replace
-    time.time, time.time_ns = stepped(time.time, 1), stepped(time.time_ns, 10**9)
+    time.time, time.time_ns = add_clock_steps(time.time, 1), add_clock_steps(time.time_ns, 10**9)
--- a/tests/faults/troubles.py
+++ b/tests/faults/troubles.py
@@ -1,4 +1,4 @@
-"""What is done to the runners of a day while it is played."""
+"""Faults that are applied to the runners from outside during a simulated day."""
 
 from __future__ import annotations
 
@@ -19,116 +19,116 @@
     from ..stand_ins import Runner
     from .day import Day
 
-DEADLINE_S, KILL_MORE_S = 3.0, 0.7
-STILL_S = 4.0  # longer than a process waits for another one of its runner
-BAD = ("", '{"name": "n1"', "[]")
+DEADLINE_S, KILL_DELAY_S = 3.0, 0.7
+PAUSE_S = 4.0  # Longer than a process waits for the other process of its runner.
+INVALID_CONFIGURATIONS = ("", '{"name": "n1"', "[]")
 
 
-async def reloading(day: Day) -> None:
-    """Configurations in a row, good and bad ones, also back to back; classes come and go."""
+async def reload_configurations(day: Day) -> None:
+    """Load valid and invalid configurations in quick succession. Some add or remove a request class."""
     while True:
-        await asyncio.sleep(0.2 + 0.4 * day.draw.random())
-        node = day.nodes[day.draw.randrange(day.runners)]
-        for _ in range(day.draw.randint(1, 3)):
+        await asyncio.sleep(0.2 + 0.4 * day.rng.random())
+        node = day.nodes[day.rng.randrange(day.runner_count)]
+        for _ in range(day.rng.randint(1, 3)):
             _configure(day, node)
 
 
 def _configure(day: Day, node: Runner) -> None:
     path = Path(node.dir.name) / "config.json"
-    choice = day.draw.randrange(5)
-    if choice < len(BAD):
-        path.write_text(BAD[choice])
+    choice = day.rng.randrange(5)
+    if choice < len(INVALID_CONFIGURATIONS):
+        path.write_text(INVALID_CONFIGURATIONS[choice])
     else:
-        path.write_text(json.dumps(node.config | {"settings": _with_or_without_another(node, choice == 3)}))
+        path.write_text(json.dumps(node.config | {"settings": _settings_variant(node, choice == 3)}))
     with suppress(ProcessLookupError):
         node.process.send_signal(signal.SIGHUP)
 
 
-def _with_or_without_another(node: Runner, another: bool) -> dict[str, Any]:
+def _settings_variant(node: Runner, with_additional_class: bool) -> dict[str, Any]:
     settings = cast(dict[str, Any], node.config["settings"])
-    if not another:
+    if not with_additional_class:
         return settings
-    first: dict[str, Any] = settings["classes"][0] | {"name": "free-b", "effect": "single_shot"}
+    additional_class: dict[str, Any] = settings["classes"][0] | {"name": "free-b", "effect": "single_shot"}
     extra: dict[str, Any] = settings["extra"]
-    more = {"classCalls": [*extra["classCalls"], True], "worthWithout": [0.5, 0, 0, 0]}
-    return settings | {"classes": [*settings["classes"], first], "extra": extra | more}
+    additional = {"classCalls": [*extra["classCalls"], True], "worthWithout": [0.5, 0, 0, 0]}
+    return settings | {"classes": [*settings["classes"], additional_class], "extra": extra | additional}
 
 
-async def stopping(day: Day) -> None:
-    """A process stands still for a while, and goes on."""
+async def pause_processes(day: Day) -> None:
+    """Pause the process of a runner and continue it."""
     while True:
-        await asyncio.sleep(0.5 + day.draw.random())
-        node = day.nodes[day.draw.randrange(day.runners)]
+        await asyncio.sleep(0.5 + day.rng.random())
+        node = day.nodes[day.rng.randrange(day.runner_count)]
         node.process.send_signal(signal.SIGSTOP)
         try:
-            await asyncio.sleep(day.faults.stopped_s)
+            await asyncio.sleep(day.faults.pause_s)
         finally:
             node.process.send_signal(signal.SIGCONT)
 
 
-async def restarting(day: Day) -> None:
-    """A runner leaves, and starts anew from nothing once it has ended."""
+async def restart_runners(day: Day) -> None:
+    """End a runner and start it again without its former state."""
     while True:
-        await asyncio.sleep(0.3 + 0.5 * day.draw.random())
-        index = day.draw.randrange(day.runners)
+        await asyncio.sleep(0.3 + 0.5 * day.rng.random())
+        index = day.rng.randrange(day.runner_count)
         node = day.nodes[index]
-        await _told_to_end(node.process)
-        day.lives[index] += 1
+        await _terminate(node.process)
+        day.restart_counts[index] += 1
         node.again()
         await node.ready()
 
 
-async def replacing(day: Day) -> None:
-    """A second process takes over from the first while that serves."""
+async def replace_processes(day: Day) -> None:
+    """Start a second process, which takes over from the first while the first one serves."""
     while True:
-        await asyncio.sleep(0.3 + 0.5 * day.draw.random())
-        node = day.nodes[day.draw.randrange(day.runners)]
-        former = node.process
-        day.let_on[str(node.config["name"])] = day.lets_on(node)
+        await asyncio.sleep(0.3 + 0.5 * day.rng.random())
+        node = day.nodes[day.rng.randrange(day.runner_count)]
+        old_process = node.process
+        day.takeovers_before[str(node.config["name"])] = day.completed_takeovers(node)
         node.start(day.kernel_port())
-        choice = day.draw.random()
-        if choice < day.faults.failed_replacements:
-            await _fails(day, node)
+        choice = day.rng.random()
+        if choice < day.faults.failed_replacement_share:
+            await _kill_new_process(day, node)
             continue
-        if choice < day.faults.failed_replacements + day.faults.woken_replacements:
-            await _stands_still(day, node)
-        if day.draw.random() < day.faults.told_early:
-            await asyncio.sleep(1.2 * day.draw.random())
+        if choice < day.faults.failed_replacement_share + day.faults.paused_replacement_share:
+            await _pause_new_process(day, node)
+        if day.rng.random() < day.faults.early_sigterm_share:
+            await asyncio.sleep(1.2 * day.rng.random())
         else:
             await node.says_yes()
-        await _told_to_end(former)
+        await _terminate(old_process)
         await node.says_yes()
 
 
-async def _stands_still(day: Day, node: Runner) -> None:
-    """The new process is stopped at some step, for longer than the former one waits for it, and goes on."""
-    await asyncio.sleep(1.2 * day.draw.random())
+async def _pause_new_process(day: Day, node: Runner) -> None:
+    """Pause the new process at a random step for longer than the old one waits for it, then continue it."""
+    await asyncio.sleep(1.2 * day.rng.random())
     try:
-        async with _stopped(day, node):
-            await asyncio.sleep(STILL_S)
+        async with _paused(day, node):
+            await asyncio.sleep(PAUSE_S)
     finally:
         node.process.send_signal(signal.SIGCONT)
 
 
-async def draining(day: Day) -> None:
-    """An operator drains a runner by its console, and takes it back into service."""
+async def drain_runners(day: Day) -> None:
+    """Drain a runner by its console and resume it."""
     while True:
-        await asyncio.sleep(0.3 + 0.5 * day.draw.random())
-        node = day.nodes[day.draw.randrange(day.runners)]
+        await asyncio.sleep(0.3 + 0.5 * day.rng.random())
+        node = day.nodes[day.rng.randrange(day.runner_count)]
         console = node.console
         await node.asked("quiesce", console)
-        await asyncio.sleep(day.draw.random())
+        await asyncio.sleep(day.rng.random())
         await node.asked("resume", console)
 
 
-async def _fails(day: Day, node: Runner) -> None:
-    """The new process is killed at some step, or stands still for so long that the former one gives it up."""
-    await asyncio.sleep(1.2 * day.draw.random())
-    stands_still = day.draw.random() < 0.5
+async def _kill_new_process(day: Day, node: Runner) -> None:
+    """Kill the new process at a random step. In half of the cases it is paused first, so that the old one gives up."""
+    await asyncio.sleep(1.2 * day.rng.random())
+    pauses_first = day.rng.random() < 0.5
     try:
-        if stands_still:
-            async with _stopped(day, node):
-                await asyncio.sleep(2 * day.draw.random())
+        if pauses_first:
+            async with _paused(day, node):
+                await asyncio.sleep(2 * day.rng.random())
     finally:
         day.killed[day.nodes.index(node)] = time.monotonic()
         node.process.kill()
@@ -137,48 +137,50 @@
 
 
 @asynccontextmanager
-async def _stopped(day: Day, node: Runner) -> AsyncIterator[None]:
-    """Whoever asks a process that stands still, and is the one that serves, hears nothing until that is over. One that
-    has not been let on yet frees nobody of an answer."""
+async def _paused(day: Day, node: Runner) -> AsyncIterator[None]:
+    """Pause the new process during the context, and record the pause if the process serves.
+
+    A process that serves can't answer while it is paused. Until it has taken over, the old process owes the answers.
+    """
     node.process.send_signal(signal.SIGSTOP)
     name, began = str(node.config["name"]), time.monotonic()
     try:
         yield
     finally:
-        if day.lets_on(node) > day.let_on[name]:
-            day.still[name].append((began, time.monotonic()))
+        if day.completed_takeovers(node) > day.takeovers_before[name]:
+            day.pauses[name].append((began, time.monotonic()))
 
 
-async def crowding(day: Day) -> None:
-    """Others open connections without end, and say nothing or half a line on them."""
-    crowd: list[socket.socket] = []
+async def open_idle_connections(day: Day) -> None:
+    """Keep opening connections that send nothing or half a line, and close the surplus ones."""
+    connections: list[socket.socket] = []
     try:
         while True:
-            node = day.nodes[day.draw.randrange(day.runners)]
-            for _ in range(day.faults.crowd // 10):
-                crowd.append(_connect(node.port))
-                if day.draw.random() < 0.5:
+            node = day.nodes[day.rng.randrange(day.runner_count)]
+            for _ in range(day.faults.idle_connections // 10):
+                connections.append(_connect(node.port))
+                if day.rng.random() < 0.5:
                     with suppress(OSError):
-                        crowd[-1].send(b'{"jsonrpc":"2.0","id":1,"met')
-            while len(crowd) > day.faults.crowd:
-                crowd.pop(day.draw.randrange(len(crowd))).close()
+                        connections[-1].send(b'{"jsonrpc":"2.0","id":1,"met')
+            while len(connections) > day.faults.idle_connections:
+                connections.pop(day.rng.randrange(len(connections))).close()
             await asyncio.sleep(0.05)
     finally:
-        for one in crowd:
-            one.close()
+        for connection in connections:
+            connection.close()
 
 
 def _connect(port: int) -> socket.socket:
-    made = socket.socket()
-    made.setblocking(False)
-    made.connect_ex((HOST, port))
-    return made
+    connection = socket.socket()
+    connection.setblocking(False)
+    connection.connect_ex((HOST, port))
+    return connection
 
 
-async def _told_to_end(process: subprocess.Popen[bytes]) -> None:
-    """SIGTERM, and SIGKILL as early as it may come."""
+async def _terminate(process: subprocess.Popen[bytes]) -> None:
+    """Send SIGTERM, and SIGKILL at the earliest time at which a process manager may send it."""
     process.send_signal(signal.SIGTERM)
-    end = time.monotonic() + DEADLINE_S + KILL_MORE_S
+    end = time.monotonic() + DEADLINE_S + KILL_DELAY_S
     while process.poll() is None and time.monotonic() < end:
         await asyncio.sleep(0.02)
     if process.poll() is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders of settings, requests and events that several tests use."""
 
 from __future__ import annotations
 
@@ -33,6 +33,7 @@
 
 
 def settings(**changes: Any) -> Settings:
+    """Return settings with two classes and two tenants, changed by the keyword arguments."""
     base: dict[str, Any] = {
         "cores": 2,
         "memory_kb": 100_000.0,
@@ -46,22 +47,27 @@
 
 
 def opened(**changes: Any) -> Scheduler:
+    """Return a scheduler that is open for requests, with the changed settings."""
     scheduler = Scheduler(settings(**changes))
     scheduler.open(0.0)
     return scheduler
 
 
 def request(rid: int, tenant: int = 0, class_index: int = 0, **more: Any) -> Request:
+    """Return a request of 10 kB, or with other attributes."""
     return Request(rid, class_index, memory_kb=more.pop("memory_kb", 10.0), tenant=tenant, **more)
 
 
 def only(actions: Sequence[Action], kind: type[A]) -> list[A]:
+    """Return the actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
 def started(actions: Sequence[Action]) -> list[int]:
+    """Return the ids of the requests that the actions start."""
     return [a.id for a in only(actions, Start)]
 
 
 def done(*ids: int) -> list[Event]:
+    """Return the events that successful runs of these requests have ended."""
     return [RunEnded(i, ExecutionOutcome.OK) for i in ids]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,11 @@
-"""Tests that fail for a real fault which is not mended yet, as `KNOWN-RED.txt` at the root names them.
+"""Parses `KNOWN-RED.txt` in the root folder: the tests that fail because of a known fault of the program.
 
-One line each, four parts separated by semicolons: the test's id (with semicolons inside of its brackets only), the
-command (and seed) that shows the failure, what was seen, the issue. A test runs as a strict xfail, so one that passes
-fails the run. One that fails now and then says so with its count at the beginning of what was seen ("5 of 11: ..."),
-and runs as an xfail that is not strict. A line that names no test, and a fourth line, fail the run.
+Each line has four parts, separated by semicolons: the id of the test (which may contain semicolons in its brackets),
+the command and seed that reproduce the failure, the observed failure, and the issue.
+
+A listed test runs as a strict xfail: the test run fails if it passes. If the observed failure begins with a count
+("5 of 11: ..."), the test is flaky and its xfail is not strict. The test run also fails if a listed test does not exist
+or if the list has more than three lines.
 """
 
 from __future__ import annotations
@@ -16,34 +18,41 @@
 FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 MAX_ENTRIES = 3
 _PARTS = 4
-_SEPARATOR = re.compile(r";(?![^\[\]]*\])")  # not those in the brackets of a test's id
+_SEPARATOR = re.compile(r";(?![^\[\]]*\])")  # Semicolons outside of the brackets of a test's id.
 _COUNT = re.compile(r"(\d+) of (\d+): ")
 
 
 class InvalidKnownRedListError(ValueError):
-    """The list can't be used; the text says which line is at fault."""
+    """The list is invalid. The message names the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One test that may fail."""
+    """An entry of the list.
+
+    Attributes:
+        test: Id of the test.
+        command: Command that reproduces the failure.
+        observed: Observed failure, after a count if the test is flaky.
+        issue: Number of the issue.
+    """
 
     test: str
     command: str
-    seen: str
+    observed: str
     issue: str
 
     @property
     def always_fails(self) -> bool:
-        """Whether a pass is a failure of the list: no count says that the test fails now and then."""
-        count = _COUNT.match(self.seen)
+        """Whether the test must fail each time: no count says that only some of the runs failed."""
+        count = _COUNT.match(self.observed)
         return count is None or int(count[1]) >= int(count[2])
 
 
 def parse(text: str) -> list[KnownRed]:
     """Parse the lines of the file.
 
-    :raises InvalidKnownRedList: a line lacks a part, or there are too many lines.
+    :raises InvalidKnownRedListError: a line lacks a part, or there are too many lines.
     """
     entries = []
     for line in filter(str.strip, text.splitlines()):
@@ -52,11 +61,11 @@
             raise InvalidKnownRedListError(f"expected TEST; COMMAND; SEEN; ISSUE, got {line!r}")
         entries.append(KnownRed(*parts))
     if len(entries) > MAX_ENTRIES:
-        raise InvalidKnownRedListError(f"{len(entries)} lines, and {MAX_ENTRIES} at most are allowed")
+        raise InvalidKnownRedListError(f"{len(entries)} lines, but at most {MAX_ENTRIES} are allowed")
     return entries
 
 
 def missing_tests(entries: Iterable[KnownRed], collected: Iterable[str]) -> list[str]:
-    """Return the tests of the list that were not collected."""
+    """Return the ids of the listed tests that were not collected."""
     present = set(collected)
     return [entry.test for entry in entries if entry.test not in present]
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,7 @@
-"""What tests drive a runner with. What it speaks with is the laboratory's; all on loopback, all bounded."""
+"""Starts a runner in a test, with clients and backends. All connections are on loopback, and all waits are bounded.
+
+The backends are those of `moorusher.lab.stand_ins`.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 HOST, ROOT, free_port = ports.HOST, runners.ROOT, ports.free_port
 
-WAIT = 20.0  # for what must come at all; no test says how soon
+WAIT = 20.0  # Seconds until a wait fails. It bounds the test run and is no requirement on latency.
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "check", "aimMs": 3000, "deadlineMs": 8000, "effect": "free", "worth": 1},
@@ -61,7 +64,7 @@
 
 
 def reactor() -> Any:
-    """Twisted on the loop of the test: one reactor a loop, never installed as the process's own."""
+    """Return the Twisted reactor on the event loop of the test: one per loop, never installed as the process's own."""
     loop: Any = asyncio.get_running_loop()
     if not hasattr(loop, "twisted"):
         loop.twisted = AsyncioSelectorReactor(loop)
@@ -69,57 +72,75 @@
 
 
 class Kernel(kernel.Kernel):
-    def __init__(self, **how: Any) -> None:
-        super().__init__(reactor(), **how)
+    """The laboratory's kernel on the reactor of the test."""
+
+    def __init__(self, **options: Any) -> None:
+        super().__init__(reactor(), **options)
 
 
 class Database(database.Database):
+    """The laboratory's database on the reactor of the test."""
+
     def __init__(self, *script: int | str) -> None:
         super().__init__(reactor(), *script)
 
 
 class UwsgiPeer(uwsgi_peer.UwsgiPeer):
+    """The laboratory's uwsgi peer on the reactor of the test."""
+
     def __init__(self, *script: int | str) -> None:
         super().__init__(reactor(), *script)
 
 
 class Announce(announce_service.Announce):
+    """The laboratory's announce service on the reactor of the test. It listens from its construction on."""
+
     def __init__(self, cut_at: int = 0) -> None:
         super().__init__(reactor(), cut_at)
         self.listen()
 
 
 class FrontEnd:
-    """One connection over the platform's protocol."""
+    """A client connection with the platform's protocol.
+
+    Attributes:
+        answers: Number of answers to each JSON-RPC id.
+        stray: Notifications, and errors without an id.
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer = reader, writer
         self._waiting: dict[int, asyncio.Future[dict[str, Any]]] = {}
         self.answers: Counter[int] = Counter()
-        self.stray: list[dict[str, Any]] = []  # errors without an id, and notifications
-        self._next = 0
+        self.stray: list[dict[str, Any]] = []
+        self._last_id = 0
         self._task = asyncio.create_task(self._read())
 
     @classmethod
     async def connect(cls, port: int) -> FrontEnd:
+        """Connect to a runner."""
         return cls(*await asyncio.open_connection(HOST, port))
 
     async def _read(self) -> None:
         with suppress(ConnectionError):
             async for line in self._reader:
-                m = json.loads(line)
-                if m.get("id") is None:
-                    self.stray.append(m)
+                message = json.loads(line)
+                if message.get("id") is None:
+                    self.stray.append(message)
                     continue
-                self.answers[m["id"]] += 1
-                if (waiting := self._waiting.pop(m["id"], None)) is not None:
-                    waiting.set_result(m)
-        for waiting in self._waiting.values():
-            if not waiting.done():
-                waiting.set_exception(ConnectionError("closed"))
+                self.answers[message["id"]] += 1
+                if (future := self._waiting.pop(message["id"], None)) is not None:
+                    future.set_result(message)
+        for future in self._waiting.values():
+            if not future.done():
+                future.set_exception(ConnectionError("closed"))
 
     def send(self, method: str, **params: Any) -> asyncio.Future[dict[str, Any]]:
-        self._next += 1
+        """Send a request and return a future of its answer.
+
+        :param params: Parameters that replace the defaults, and `body`, the content before its encoding.
+        """
+        self._last_id += 1
         body = params.pop("body", b"x")
         params = {
             "rid": os.urandom(8).hex(),
@@ -132,28 +153,36 @@
             "content": base64.b64encode(body).decode(),
         } | params
         self.raw(
-            json.dumps({"jsonrpc": "2.0", "id": self._next, "method": method, "params": params}).encode()
+            json.dumps({"jsonrpc": "2.0", "id": self._last_id, "method": method, "params": params}).encode()
         )
-        future = self._waiting[self._next] = asyncio.get_running_loop().create_future()
+        future = self._waiting[self._last_id] = asyncio.get_running_loop().create_future()
         return future
 
     def raw(self, line: bytes) -> None:
+        """Send a line."""
         self.writer.write(line + b"\n")
 
     async def ask(self, method: str, **params: Any) -> dict[str, Any]:
+        """Send a request like `send` and return its answer."""
         return await asyncio.wait_for(self.send(method, **params), WAIT)
 
     def close(self) -> None:
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 def content(answer: dict[str, Any]) -> bytes:
+    """Return the decoded content of an answer."""
     return base64.b64decode(answer["result"]["content"])
 
 
-def uwsgi_request(klass: str, body: bytes = b"x", **more: str) -> bytes:
+def uwsgi_request(class_name: str, body: bytes = b"x", **more: str) -> bytes:
+    """Return an encoded uwsgi request.
+
+    :param more: Further variables, by their keys in `VARS`.
+    """
     variables = {
-        VARS["class"]: klass,
+        VARS["class"]: class_name,
         VARS["tenant"]: "acme",
         VARS["budget"]: "8000",
         VARS["mem"]: "20",
@@ -163,27 +192,45 @@
 
 
 async def exchange(port: int, *parts: bytes) -> bytes:
-    """Send the parts one by one and read until the other side closes."""
+    """Send the parts one by one, read until the other side closes, and return the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     for part in parts:
         writer.write(part)
         await writer.drain()
         await asyncio.sleep(0.01 if len(parts) > 1 else 0)
-    got = await asyncio.wait_for(reader.read(), WAIT)
+    response = await asyncio.wait_for(reader.read(), WAIT)
     writer.close()
-    return got
+    return response
 
 
-def status(got: bytes) -> int:
-    return int(got.split(b" ", 2)[1])
+def status(response: bytes) -> int:
+    """Return the status of an HTTP response."""
+    return int(response.split(b" ", 2)[1])
 
 
-def body_of(got: bytes) -> bytes:
-    return got.split(b"\r\n\r\n", 1)[1]
+def body_of(response: bytes) -> bytes:
+    """Return the body of an HTTP response."""
+    return response.split(b"\r\n\r\n", 1)[1]
 
 
 class Runner:
-    """The program, as the platform starts it."""
+    """A runner that is started as by the platform, with one process, or with several during a hot restart.
+
+    The parameters are the ports of the runner's peers (None if there is none) and:
+
+    :param below_port: Port of the next tier, to which the uwsgi front end forwards.
+    :param listen: Port of the platform's protocol, or None for a free one.
+    :param more: Text that is appended to the settings of the front ends.
+    :param beside: Contents of further files in the folder of the settings, by name.
+    :param descriptors: Limit on file descriptors, or 0 for none.
+
+    Attributes:
+        port: Port of the platform's protocol. The ports `uwsgi`, `agent`, `health`, `admin` and `console` are alike.
+        fronts: Settings file of the front ends.
+        spool: TMPDIR of the processes.
+        processes: All processes in order of their starts.
+        began: Time of the last start on the monotonic clock, in seconds.
+    """
 
     def __init__(
         self,
@@ -233,7 +280,10 @@
         self.start(kernel_port)
 
     def start(self, kernel_port: int) -> None:
-        """The first process, or one beside it: the same addresses, but for the console's and the kernel's."""
+        """Start a process. Each further process has the same addresses, except for a new console port.
+
+        :param kernel_port: Kernel of a further process, or 0 for the last one's.
+        """
         folder = Path(self.dir.name)
         if self.processes:
             self.console = free_port()
@@ -259,18 +309,21 @@
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self._descriptors, self._descriptors))
 
     def again(self) -> None:
-        """Another process after the last one has ended, with the same configuration and addresses."""
-        for left in self.spool.iterdir():  # a machine that starts anew has an empty $TMPDIR
-            left.unlink()
+        """Start a process after the last one has ended, with the same configuration and an empty $TMPDIR."""
+        for path in self.spool.iterdir():  # $TMPDIR is empty after a reboot.
+            path.unlink()
         self.start(0)
 
     @property
     def process(self) -> subprocess.Popen[bytes]:
-        """The one that was started last."""
+        """The process that was started last."""
         return self.processes[-1]
 
     async def asked(self, call: str, port: int = 0) -> int:
-        """The status that the console of a process gives, the last one's if none is named; 0 where none listens."""
+        """Send a call to the console of a process and return the status of the response, 0 if it does not listen.
+
+        :param port: Port of the console, or 0 for that of the last process.
+        """
         method = b"GET" if call == "health" else b"POST"
         with suppress(ConnectionError):
             return status(
@@ -279,35 +332,42 @@
         return 0
 
     async def says_yes(self) -> None:
-        async def yes() -> bool:
+        """Wait until the console of the last process reports that it is healthy."""
+
+        async def is_healthy() -> bool:
             return await self.asked("health") == 200
 
-        await until(yes)
+        await until(is_healthy)
 
     async def ready(self) -> None:
-        await until(self._fit)
+        """Wait until the health check of the runner succeeds."""
+        await until(self._is_ready)
 
-    async def _fit(self) -> bool:
+    async def _is_ready(self) -> bool:
         with suppress(ConnectionError):
             return status(await exchange(self.health, b"GET /health HTTP/1.0\r\n\r\n")) == 200
         return False
 
     async def counters(self, name: str = "counters") -> dict[str, Any]:
-        got: dict[str, Any] = json.loads(
+        """Return a JSON page of the admin port."""
+        response: dict[str, Any] = json.loads(
             body_of(await exchange(self.admin, b"GET /" + name.encode() + b" HTTP/1.0\r\n\r\n"))
         )
-        return got
+        return response
 
     def reload(self, **changes: Any) -> None:
+        """Change the configuration file and send SIGHUP to the last process."""
         self.config |= changes
         (Path(self.dir.name) / "config.json").write_text(json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
 
     def text(self) -> str:
+        """Return the log of all processes."""
         self.log.flush()
         return Path(self.log.name).read_text()
 
     def close(self) -> None:
+        """Kill the processes, and fail if the log contains a traceback."""
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
@@ -318,10 +378,11 @@
         assert "Traceback" not in text, text
 
 
-async def until(true: Callable[[], Awaitable[bool]]) -> None:
+async def until(condition: Callable[[], Awaitable[bool]]) -> None:
+    """Poll until the condition holds, and fail after `WAIT` seconds."""
     end = time.monotonic() + WAIT
-    while not await true():
-        assert time.monotonic() < end, "waited for something that did not come"
+    while not await condition():
+        assert time.monotonic() < end, "the condition was not met in time"
         await asyncio.sleep(0.03)
 
 
@@ -339,6 +400,11 @@
     environment: Mapping[str, str] | None = None,
     **changes: Any,
 ) -> AsyncIterator[Runner]:
+    """Run a runner with its kernel and database during the context.
+
+    :param wait: Whether to wait until the runner is ready.
+    :param changes: Replacements in `SETTINGS`. The other parameters are those of `Runner`.
+    """
     kernel.listen()
     if db is not None:
         db.listen()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,6 +1,6 @@
-"""The pages name modules that are there.
+"""The documentation refers only to files that exist.
 
-On-call engineers follow a page to the code at night. A page that names a module which was moved costs them the search.
+On-call engineers find code by the paths in the documentation. A module that moves leaves wrong paths behind.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-BASES = (ROOT, ROOT / "moorusher", ROOT / "docs", ROOT / "tests")
-# Pages of the past keep the names of their time.
+BASE_FOLDERS = (ROOT, ROOT / "moorusher", ROOT / "docs", ROOT / "tests")
+# Reports of past incidents are left out because they keep the paths of their time.
 PAGES = [
     *sorted(page for page in ROOT.glob("docs/**/*.md") if "incidents" not in page.parts),
     ROOT / "README.md",
     ROOT / "CONTRIBUTING.md",
 ]
-PATH = re.compile(r"`((?:[a-z_]+/)+(?:[a-z_]+\.(?:py|md|toml))?)`")
+PATH_PATTERN = re.compile(r"`((?:[a-z_]+/)+(?:[a-z_]+\.(?:py|md|toml))?)`")
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_every_path_that_a_page_names_is_there(page: Path) -> None:
-    named = set(PATH.findall(page.read_text()))
-    missing = sorted(path for path in named if not any((base / path).exists() for base in BASES))
+def test_pages_name_only_existing_paths(page: Path) -> None:
+    paths = set(PATH_PATTERN.findall(page.read_text()))
+    missing = sorted(path for path in paths if not any((base / path).exists() for base in BASE_FOLDERS))
     assert not missing
