--- a/tests/faults/auditor.py
+++ b/tests/faults/auditor.py
@@ -69,7 +69,7 @@
     """A connection ended while the request was unanswered.
 
     Attributes:
-        by_client: Whether the client closed the connection, or the runner has an excuse: then no answer is due.
+        by_client: Whether the client closed the connection, or another reason excuses the runner. No answer is due then.
     """
 
     at: float
@@ -203,7 +203,7 @@
         if request.token:
             key = request.runner, request.token
             if any(
-                request is not other and request.at < other.at + other.window_s
+                request is not other and request.at < other.at + request.window_s
                 for other in requests_by_key[key]
             ):
                 found.append(Finding(Rule.DUPLICATE, s.rid, "its key was executed twice within the window"))
@@ -214,7 +214,7 @@
 def _check_calls(history: list[Seen]) -> list[Finding]:
     """Check that a run repeats a call with side effects only after a reply that the call was not executed.
 
-    Bodies identify the calls: each call of a run has a body of its own, and a run that is started anew makes new calls.
+    Each call of a run has its own body, so that a repeated body means a repeated call.
     """
     found = []
     effects = {s.rid: s.effect for s in history if isinstance(s, Asked)}
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -31,7 +31,8 @@
 WINDOW_S = 3.0
 BUDGETS_S = (0.03, 0.3, 1.0, 3.0)
 KILL_GRACE_S = 0.3  # Time until all connections of a killed process have ended.
-CLOSE_RACE_S = 0.05  # Maximum age of a request that crosses the end of its connection.
+# Maximum time between the sending of a request and the end of its idle connection, for which no answer is due.
+CLOSE_RACE_S = 0.05
 WORK_PIECES_MS = (5, 20, 60, 150)  # Lengths of the work between the calls of a run.
 
 
@@ -326,7 +327,7 @@
         self.rng = random.Random(self.seed)
         self._resources: list[Any] = []
         self.nodes: list[Runner] = []
-        # Requests that a killed process had read are lost with it: their clients are owed no answer.
+        # Requests that a killed process had read are lost with it, so that no answer to them is due.
         self.killed: dict[int, float] = {}
         self.takeovers_before: Counter[str] = Counter()
         self.pauses: dict[str, list[tuple[float, float]]] = defaultdict(list)
@@ -428,12 +429,12 @@
                 assert not task.done(), task.exception()
                 task.cancel()
             await asyncio.sleep(DEADLINE_S + 2 * SLACK_S)
-            end = time.monotonic()
+            observed_until = time.monotonic()
         finally:
             self._close()
         grace = SETTINGS["invariants"]["graceToAnswerMs"] / 1000
         history = [self._extend_due_time(s) if isinstance(s, Asked) else s for s in self.history]
-        return judge(history, grace + SLACK_S + self.faults.pause_s + 3 * self.lag_s, end)
+        return judge(history, grace + SLACK_S + self.faults.pause_s + 3 * self.lag_s, observed_until)
 
     def _fault_tasks(self) -> list[FaultTask]:
         from .troubles import (
--- a/tests/faults/inject/sitecustomize.py
+++ b/tests/faults/inject/sitecustomize.py
@@ -85,7 +85,7 @@
 def for_outgoing_only(call, original):
     """Wrap a method so that it fails only for connections that this process has opened.
 
-    Failures of a client's connections are the client's part.
+    Connections of clients do not fail here, because the simulated clients break these themselves.
     """
     failing = raise_planned_error(call, original)
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -214,10 +214,9 @@
 
 
 class Runner:
-    """A runner that is started as by the platform, with one process, or with several during a hot restart.
-
-    The parameters are the ports of the runner's peers (None if there is none) and:
+    """A runner, started like the platform starts it, with one process, or with several during a hot restart.
 
+    :param db_port: Port of the database, or None if there is none. The same holds for the announce service.
     :param below_port: Port of the next tier, to which the uwsgi front end forwards.
     :param listen: Port of the platform's protocol, or None for a free one.
     :param more: Text that is appended to the settings of the front ends.
@@ -225,7 +224,8 @@
     :param descriptors: Limit on file descriptors, or 0 for none.
 
     Attributes:
-        port: Port of the platform's protocol. The ports `uwsgi`, `agent`, `health`, `admin` and `console` are alike.
+        port: Port of the platform's protocol.
+        uwsgi, agent, health, admin, console: Ports of the other front ends.
         fronts: Settings file of the front ends.
         spool: TMPDIR of the processes.
         processes: All processes in order of their starts.
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -23,6 +23,6 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_pages_name_only_existing_paths(page: Path) -> None:
-    paths = set(PATH_PATTERN.findall(page.read_text()))
-    missing = sorted(path for path in paths if not any((base / path).exists() for base in BASE_FOLDERS))
+    named_paths = set(PATH_PATTERN.findall(page.read_text()))
+    missing = sorted(path for path in named_paths if not any((base / path).exists() for base in BASE_FOLDERS))
     assert not missing
