--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -21,7 +21,7 @@
     seed, kind = job
     day = Day(seed, kind)
     findings = asyncio.run(asyncio.wait_for(day.play(), 60))
-    counts = Counter(f"{f.rule.value}: {f.why.split(' b')[0]}" for f in findings)
+    counts = Counter(f"{f.rule.value}: {f.reason.split(' b')[0]}" for f in findings)
     return seed, kind.name, day.served(), counts, [f"{f}\n{day.timeline(f.rid)}" for f in findings]
 
 
--- a/tests/faults/auditor.py
+++ b/tests/faults/auditor.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestSent:
     """A client wrote a whole request to a connection that the runner's machine had accepted.
 
     Attributes:
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class AnswerReceived:
     """A client received an answer."""
 
     at: float
@@ -65,20 +65,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hung:
+class ConnectionEnded:
     """A connection ended while the request was unanswered.
 
     Attributes:
-        by_client: Whether the client closed the connection, or another reason excuses the runner. No answer is due then.
+        is_excused: Whether no answer is due, because the client closed the connection or the runner is excused.
     """
 
     at: float
     rid: str
-    by_client: bool
+    is_excused: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class RunStarted:
     """The kernel started a run."""
 
     at: float
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class RunEnded:
     """A run ended with a result."""
 
     at: float
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Called:
+class CallReceived:
     """The database received a call of a run.
 
     Attributes:
@@ -111,21 +111,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class ReplyReceived:
     """The kernel received the reply to a call for which a run waited.
 
     Attributes:
-        wanted: Body of the correct reply.
-        got: Body of the received reply.
+        expected: Body of the correct reply.
+        received: Body of the received reply.
     """
 
     at: float
     rid: str
-    wanted: bytes
-    got: bytes
+    expected: bytes
+    received: bytes
 
 
-Seen = Union[Asked, Answered, Hung, Ran, Result, Called, Given]
+Observation = Union[
+    RequestSent, AnswerReceived, ConnectionEnded, RunStarted, RunEnded, CallReceived, ReplyReceived
+]
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,10 +136,10 @@
 
     rule: Rule
     rid: str
-    why: str
+    reason: str
 
 
-def judge(history: list[Seen], slack_s: float, end: float) -> list[Finding]:
+def audit(history: list[Observation], slack_s: float, end: float) -> list[Finding]:
     """Return the violations in a history.
 
     :param slack_s: Allowed delay of an answer after it is due.
@@ -151,17 +153,17 @@
     ]
 
 
-def _check_answers(history: list[Seen], slack_s: float, end: float) -> list[Finding]:
+def _check_answers(history: list[Observation], slack_s: float, end: float) -> list[Finding]:
     """Check that each request has one answer, in time, with the result of one of its runs."""
     found = []
-    answers: dict[str, list[Answered]] = defaultdict(list)
-    closed_connections = {s.rid: s for s in history if isinstance(s, Hung)}
+    answers: dict[str, list[AnswerReceived]] = defaultdict(list)
+    closed_connections = {s.rid: s for s in history if isinstance(s, ConnectionEnded)}
     results: dict[str, set[bytes]] = defaultdict(set)
-    requests = {s.rid: s for s in history if isinstance(s, Asked)}
+    requests = {s.rid: s for s in history if isinstance(s, RequestSent)}
     for s in history:
-        if isinstance(s, Answered):
+        if isinstance(s, AnswerReceived):
             answers[s.rid].append(s)
-        elif isinstance(s, Result) and s.rid in requests:
+        elif isinstance(s, RunEnded) and s.rid in requests:
             request = requests[s.rid]
             results[(request.token and request.runner + request.token) or s.rid].add(s.content)
     for rid, request in requests.items():
@@ -169,7 +171,7 @@
         if len(received) > 1:
             found.append(Finding(Rule.DUPLICATE, rid, "answered twice"))
         closed = closed_connections.get(rid)
-        if not received and closed is not None and not closed.by_client:
+        if not received and closed is not None and not closed.is_excused:
             found.append(Finding(Rule.LOST, rid, "the runner closed the connection without an answer"))
         if not received and closed is None and request.due + slack_s < end:
             found.append(Finding(Rule.LOST, rid, "never answered"))
@@ -181,15 +183,15 @@
     return found
 
 
-def _check_runs(history: list[Seen]) -> list[Finding]:
+def _check_runs(history: list[Observation]) -> list[Finding]:
     """Check that requests with side effects run once at most, and only if they were not refused."""
     found = []
-    requests = {s.rid: s for s in history if isinstance(s, Asked)}
-    refused = {s.rid for s in history if isinstance(s, Answered) and s.verdict is Verdict.REFUSED}
+    requests = {s.rid: s for s in history if isinstance(s, RequestSent)}
+    refused = {s.rid for s in history if isinstance(s, AnswerReceived) and s.verdict is Verdict.REFUSED}
     runs: dict[str, int] = defaultdict(int)
-    requests_by_key: dict[tuple[str, str], list[Asked]] = defaultdict(list)
+    requests_by_key: dict[tuple[str, str], list[RequestSent]] = defaultdict(list)
     for s in history:
-        if not isinstance(s, Ran):
+        if not isinstance(s, RunStarted):
             continue
         request = requests.get(s.rid)
         if request is None or request.body != s.body:
@@ -211,16 +213,16 @@
     return found
 
 
-def _check_calls(history: list[Seen]) -> list[Finding]:
+def _check_calls(history: list[Observation]) -> list[Finding]:
     """Check that a run repeats a call with side effects only after a reply that the call was not executed.
 
     Each call of a run has its own body, so that a repeated body means a repeated call.
     """
     found = []
-    effects = {s.rid: s.effect for s in history if isinstance(s, Asked)}
+    effects = {s.rid: s.effect for s in history if isinstance(s, RequestSent)}
     possibly_executed: set[bytes] = set()
     for s in history:
-        if isinstance(s, Called) and effects.get(s.rid) != "free":
+        if isinstance(s, CallReceived) and effects.get(s.rid) != "free":
             if s.body in possibly_executed:
                 found.append(
                     Finding(Rule.DUPLICATE, s.rid, "repeated a call without proof that it was not executed")
@@ -230,10 +232,10 @@
     return found
 
 
-def _check_replies(history: list[Seen]) -> list[Finding]:
+def _check_replies(history: list[Observation]) -> list[Finding]:
     """Check that each run receives the reply to its own call."""
     return [
-        Finding(Rule.LOST, s.rid, f"received the wrong reply: {s.got!r} instead of {s.wanted!r}")
+        Finding(Rule.LOST, s.rid, f"received the wrong reply: {s.received!r} instead of {s.expected!r}")
         for s in history
-        if isinstance(s, Given) and s.got != s.wanted
+        if isinstance(s, ReplyReceived) and s.received != s.expected
     ]
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -21,7 +21,19 @@
 from moorusher.lab.relays import Relay
 
 from ..stand_ins import HOST, SETTINGS, Announce, Database, Kernel, Runner, reactor
-from .auditor import Answered, Asked, Called, Finding, Given, Hung, Ran, Result, Seen, Verdict, judge
+from .auditor import (
+    AnswerReceived,
+    CallReceived,
+    ConnectionEnded,
+    Finding,
+    Observation,
+    ReplyReceived,
+    RequestSent,
+    RunEnded,
+    RunStarted,
+    Verdict,
+    audit,
+)
 
 INJECT = Path(__file__).resolve().parent / "inject"
 EFFECTS = ("free", "guarded", "single_shot")
@@ -43,7 +55,7 @@
     """
 
     def __init__(
-        self, history: list[Seen], rng: random.Random, repeated_notice_share: float, **options: Any
+        self, history: list[Observation], rng: random.Random, repeated_notice_share: float, **options: Any
     ) -> None:
         super().__init__(**options)
         self._history, self._rng, self._repeated_notice_share = history, rng, repeated_notice_share
@@ -55,9 +67,11 @@
         kind, rid = m["t"], m.get("rid", "")
         body = base64.b64decode(m.get("b64") or "")
         if kind == "SCHED" and not self.has_run(rid) and kind not in self.rejected_kinds:
-            self._history.append(Ran(time.monotonic(), rid, body))
+            self._history.append(RunStarted(time.monotonic(), rid, body))
         if kind == "IODONE" and self.is_waiting(rid):
-            self._history.append(Given(time.monotonic(), rid, b"re:" + self._expected_bodies[rid], body))
+            self._history.append(
+                ReplyReceived(time.monotonic(), rid, b"re:" + self._expected_bodies[rid], body)
+            )
         super().message_received(link, m)
 
     def notify(self, **notice: Any) -> None:
@@ -68,7 +82,7 @@
             self._expected_bodies[rid] = f"{rid} {self._call_counts[rid]}".encode()
             notice["b64"] = base64.b64encode(self._expected_bodies[rid]).decode()
         elif notice["t"] == "REAP" and notice["status"] == "PASS":
-            self._history.append(Result(time.monotonic(), rid, base64.b64decode(notice["b64"])))
+            self._history.append(RunEnded(time.monotonic(), rid, base64.b64decode(notice["b64"])))
         super().notify(**notice)
         if self.link is not None and self._rng.random() < self._repeated_notice_share:
             self.link.send_message(self._notices[-1])
@@ -77,7 +91,7 @@
 class RecordingDatabase(Database):
     """Records calls and replies with their bodies, except for the shares of calls that `faults` specifies."""
 
-    def __init__(self, history: list[Seen], rng: random.Random, faults: Faults) -> None:
+    def __init__(self, history: list[Observation], rng: random.Random, faults: Faults) -> None:
         super().__init__()
         self._history, self._rng, self._faults = history, rng, faults
 
@@ -85,7 +99,7 @@
         """Record the call and schedule its reply."""
         outcome = self._rng.random()
         never_ran = outcome < self._faults.never_ran_share
-        self._history.append(Called(time.monotonic(), body.split()[0].decode(), body, never_ran))
+        self._history.append(CallReceived(time.monotonic(), body.split()[0].decode(), body, never_ran))
         if never_ran:
             head, content = b"HTTP/1.1 503 X\r\nNever-Started: 1\r\n", b""
         elif outcome < self._faults.never_ran_share + self._faults.error_share:
@@ -137,7 +151,7 @@
         """Abort the connection without notice, and record that its open requests need no answer."""
         now = time.monotonic()
         for rid in self.open_requests.values():
-            self.day.history.append(Hung(now, rid, by_client=True))
+            self.day.history.append(ConnectionEnded(now, rid, is_excused=True))
         self.open_requests.clear()
         self.close()
 
@@ -167,14 +181,14 @@
         self.leaving, self.is_compliant = True, True
         self._writer.close()
         now = time.monotonic()
-        ran = {s.rid for s in self.day.history if isinstance(s, Ran)}
+        ran = {s.rid for s in self.day.history if isinstance(s, RunStarted)}
         for rid in self.open_requests.values():
             # A front end sends a request again if it crossed the end of an idle connection.
             raced_close = (
                 len(self.open_requests) == 1 and now - self._sent_at[rid] < CLOSE_RACE_S and rid not in ran
             )
             excused = raced_close or now - self.day.killed.get(self.index, -KILL_GRACE_S) < KILL_GRACE_S
-            self.day.history.append(Hung(now, rid, by_client=excused))
+            self.day.history.append(ConnectionEnded(now, rid, is_excused=excused))
         self.open_requests.clear()
 
     def _message_received(self, m: dict[str, Any]) -> None:
@@ -188,7 +202,7 @@
             verdict, content = Verdict.FAILED, b""
             if m["error"]["code"] == REFUSED:
                 verdict = Verdict.REFUSED
-        self.day.history.append(Answered(time.monotonic(), rid, verdict, content))
+        self.day.history.append(AnswerReceived(time.monotonic(), rid, verdict, content))
 
     def send_request(self, effect: str, body: bytes, token: str, budget_s: float) -> None:
         """Send a request and record it.
@@ -215,7 +229,7 @@
         self._sent_at[rid] = now
         due = max(now + min(budget_s, DEADLINE_S), self._accept_deadline)
         self.day.history.append(
-            Asked(now, rid, effect, self.runner, body, due, token, WINDOW_S if token else 0.0)
+            RequestSent(now, rid, effect, self.runner, body, due, token, WINDOW_S if token else 0.0)
         )
 
 
@@ -320,7 +334,7 @@
     duration_s: float = 6.0
     requests_per_s: float = 30.0
     client_clock_offset_s: float = 0.0
-    history: list[Seen] = field(default_factory=list)
+    history: list[Observation] = field(default_factory=list)
     rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -357,9 +371,9 @@
 
     def completed_takeovers(self, node: Runner) -> int:
         """Return how often a process of this runner has handed over to a new process."""
-        return node.text().count("hot restart: finishes, and the other one serves")
+        return node.read_log().count("hot restart: finishes, and the other one serves")
 
-    def _extend_due_time(self, request: Asked) -> Asked:
+    def _extend_due_time(self, request: RequestSent) -> RequestSent:
         """Return the request, due at the end of a pause of its runner at the earliest.
 
         A pause ends when the process that serves continues or another process serves in its place.
@@ -433,8 +447,8 @@
         finally:
             self._close()
         grace = SETTINGS["invariants"]["graceToAnswerMs"] / 1000
-        history = [self._extend_due_time(s) if isinstance(s, Asked) else s for s in self.history]
-        return judge(history, grace + SLACK_S + self.faults.pause_s + 3 * self.lag_s, observed_until)
+        history = [self._extend_due_time(s) if isinstance(s, RequestSent) else s for s in self.history]
+        return audit(history, grace + SLACK_S + self.faults.pause_s + 3 * self.lag_s, observed_until)
 
     def _fault_tasks(self) -> list[FaultTask]:
         from .troubles import (
@@ -508,7 +522,7 @@
 
     def served(self) -> int:
         """Return the number of served requests."""
-        return sum(isinstance(s, Answered) and s.verdict is Verdict.SERVED for s in self.history)
+        return sum(isinstance(s, AnswerReceived) and s.verdict is Verdict.SERVED for s in self.history)
 
     def timeline(self, rid: str) -> str:
         """Return the observations of a request, one per line."""
--- a/tests/faults/troubles.py
+++ b/tests/faults/troubles.py
@@ -74,7 +74,7 @@
         node = day.nodes[index]
         await _terminate(node.process)
         day.restart_counts[index] += 1
-        node.again()
+        node.restart()
         await node.ready()
 
 
@@ -95,9 +95,9 @@
         if day.rng.random() < day.faults.early_sigterm_share:
             await asyncio.sleep(1.2 * day.rng.random())
         else:
-            await node.says_yes()
+            await node.wait_until_healthy()
         await _terminate(old_process)
-        await node.says_yes()
+        await node.wait_until_healthy()
 
 
 async def _pause_new_process(day: Day, node: Runner) -> None:
@@ -116,9 +116,9 @@
         await asyncio.sleep(0.3 + 0.5 * day.rng.random())
         node = day.nodes[day.rng.randrange(day.runner_count)]
         console = node.console
-        await node.asked("quiesce", console)
+        await node.call_console("quiesce", console)
         await asyncio.sleep(day.rng.random())
-        await node.asked("resume", console)
+        await node.call_console("resume", console)
 
 
 async def _kill_new_process(day: Day, node: Runner) -> None:
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -148,7 +148,7 @@
         self.kernels[i] = Kernel(**self._kernel_options)
         self.kernels[i].runs.extend(runs)
         self.kernels[i].listen(port)
-        self.runners[i].again()
+        self.runners[i].restart()
 
     def pause(self, i: int) -> None:
         self.paused.add(i)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -308,7 +308,7 @@
         if self._descriptors:
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self._descriptors, self._descriptors))
 
-    def again(self) -> None:
+    def restart(self) -> None:
         """Start a process after the last one has ended, with the same configuration and an empty $TMPDIR."""
         for path in self.spool.iterdir():  # $TMPDIR is empty after a reboot.
             path.unlink()
@@ -319,7 +319,7 @@
         """The process that was started last."""
         return self.processes[-1]
 
-    async def asked(self, call: str, port: int = 0) -> int:
+    async def call_console(self, call: str, port: int = 0) -> int:
         """Send a call to the console of a process and return the status of the response, 0 if it does not listen.
 
         :param port: Port of the console, or 0 for that of the last process.
@@ -331,11 +331,11 @@
             )
         return 0
 
-    async def says_yes(self) -> None:
+    async def wait_until_healthy(self) -> None:
         """Wait until the console of the last process reports that it is healthy."""
 
         async def is_healthy() -> bool:
-            return await self.asked("health") == 200
+            return await self.call_console("health") == 200
 
         await until(is_healthy)
 
@@ -361,7 +361,7 @@
         (Path(self.dir.name) / "config.json").write_text(json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
 
-    def text(self) -> str:
+    def read_log(self) -> str:
         """Return the log of all processes."""
         self.log.flush()
         return Path(self.log.name).read_text()
@@ -372,7 +372,7 @@
             if process.poll() is None:
                 process.kill()
             process.wait()
-        text = self.text()
+        text = self.read_log()
         self.log.close()
         self.dir.cleanup()
         assert "Traceback" not in text, text
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -5,49 +5,49 @@
 import pytest
 
 from .faults.auditor import (
-    Answered,
-    Asked,
-    Called,
-    Given,
-    Hung,
-    Ran,
-    Result,
+    AnswerReceived,
+    CallReceived,
+    ConnectionEnded,
+    Observation,
+    ReplyReceived,
+    RequestSent,
     Rule,
-    Seen,
+    RunEnded,
+    RunStarted,
     Verdict,
-    judge,
+    audit,
 )
 
 SLACK_S, END_S = 0.1, 10.0
 
 
-def make_request(rid: str, effect: str = "single_shot", at: float = 1.0, token: str = "") -> Asked:
-    return Asked(at, rid, effect, "n0", b"body", at + 1.0, token, 5.0 if token else 0.0)
+def make_request(rid: str, effect: str = "single_shot", at: float = 1.0, token: str = "") -> RequestSent:
+    return RequestSent(at, rid, effect, "n0", b"body", at + 1.0, token, 5.0 if token else 0.0)
 
 
 def make_served_request(
     rid: str, effect: str = "single_shot", at: float = 1.0, token: str = ""
-) -> list[Seen]:
+) -> list[Observation]:
     """Return the history of a request that was run once and answered with its result."""
     call = rid.encode() + b" 1"
     return [
         make_request(rid, effect, at, token),
-        Ran(at + 0.1, rid, b"body"),
-        Called(at + 0.2, rid, call),
-        Given(at + 0.3, rid, b"re:" + call, b"re:" + call),
-        Result(at + 0.4, rid, b"did " + rid.encode()),
-        Answered(at + 0.5, rid, Verdict.SERVED, b"did " + rid.encode()),
+        RunStarted(at + 0.1, rid, b"body"),
+        CallReceived(at + 0.2, rid, call),
+        ReplyReceived(at + 0.3, rid, b"re:" + call, b"re:" + call),
+        RunEnded(at + 0.4, rid, b"did " + rid.encode()),
+        AnswerReceived(at + 0.5, rid, Verdict.SERVED, b"did " + rid.encode()),
     ]
 
 
-def find_violations(history: list[Seen]) -> list[tuple[Rule, str]]:
-    return [(finding.rule, finding.rid) for finding in judge(history, SLACK_S, END_S)]
+def find_violations(history: list[Observation]) -> list[tuple[Rule, str]]:
+    return [(finding.rule, finding.rid) for finding in audit(history, SLACK_S, END_S)]
 
 
-SHARED = Answered(2.5, "b", Verdict.SERVED, b"did a")
-REFUSED = Answered(1.2, "a", Verdict.REFUSED)
+SHARED = AnswerReceived(2.5, "b", Verdict.SERVED, b"did a")
+REFUSED = AnswerReceived(1.2, "a", Verdict.REFUSED)
 
-VALID_HISTORIES: dict[str, list[Seen]] = {
+VALID_HISTORIES: dict[str, list[Observation]] = {
     "served request": make_served_request("a"),
     "refused request": [make_request("a"), REFUSED],
     "repeated request shares the result": [
@@ -61,31 +61,31 @@
     ],
     "call is repeated after one that provably never ran": [
         make_request("a"),
-        Called(1.1, "a", b"a 1", never_ran=True),
+        CallReceived(1.1, "a", b"a 1", never_ran=True),
         *make_served_request("a")[1:],
     ],
     "call without side effects is repeated": [
         *make_served_request("a", "free"),
-        Called(1.45, "a", b"a 1"),
+        CallReceived(1.45, "a", b"a 1"),
     ],
-    "client closes the connection": [make_request("a"), Hung(1.2, "a", by_client=True)],
+    "client closes the connection": [make_request("a"), ConnectionEnded(1.2, "a", is_excused=True)],
     "answer is not due yet": [make_request("a", at=9.5)],
 }
 LOST, DUPLICATE = Rule.LOST, Rule.DUPLICATE
-INVALID_HISTORIES: dict[str, tuple[Rule, list[Seen]]] = {
+INVALID_HISTORIES: dict[str, tuple[Rule, list[Observation]]] = {
     "never answered": (LOST, [make_request("a")]),
-    "runner closes the connection": (LOST, [make_request("a"), Hung(1.2, "a", by_client=False)]),
-    "answered late": (LOST, [*make_served_request("a")[:-1], Answered(2.2, "a", Verdict.FAILED)]),
-    "served without a run": (LOST, [make_request("a"), Answered(1.2, "a", Verdict.SERVED, b"x")]),
+    "runner closes the connection": (LOST, [make_request("a"), ConnectionEnded(1.2, "a", is_excused=False)]),
+    "answered late": (LOST, [*make_served_request("a")[:-1], AnswerReceived(2.2, "a", Verdict.FAILED)]),
+    "served without a run": (LOST, [make_request("a"), AnswerReceived(1.2, "a", Verdict.SERVED, b"x")]),
     "body changed": (
         LOST,
-        [make_request("a"), Ran(1.1, "a", b"other"), Answered(1.2, "a", Verdict.FAILED)],
+        [make_request("a"), RunStarted(1.1, "a", b"other"), AnswerReceived(1.2, "a", Verdict.FAILED)],
     ),
-    "reply changed": (LOST, [*make_served_request("a"), Given(1.35, "a", b"re:a 2", b"re:a 1")]),
-    "answered twice": (DUPLICATE, [*make_served_request("a"), Answered(1.6, "a", Verdict.FAILED)]),
-    "run twice": (DUPLICATE, [*make_served_request("a"), Ran(1.45, "a", b"body")]),
+    "reply changed": (LOST, [*make_served_request("a"), ReplyReceived(1.35, "a", b"re:a 2", b"re:a 1")]),
+    "answered twice": (DUPLICATE, [*make_served_request("a"), AnswerReceived(1.6, "a", Verdict.FAILED)]),
+    "run twice": (DUPLICATE, [*make_served_request("a"), RunStarted(1.45, "a", b"body")]),
     "refused after a run": (DUPLICATE, [*make_served_request("a")[:-1], REFUSED]),
-    "call repeated": (DUPLICATE, [*make_served_request("a"), Called(1.25, "a", b"a 1")]),
+    "call repeated": (DUPLICATE, [*make_served_request("a"), CallReceived(1.25, "a", b"a 1")]),
 }
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -57,7 +57,7 @@
         occupying_socket.listen()
         async with running(Kernel(), wait=False, listen=occupying_socket.getsockname()[1]) as runner:
             await wait_until(lambda: runner.process.poll() is not None)
-            assert runner.process.returncode == 1 and "could not start" in runner.text()
+            assert runner.process.returncode == 1 and "could not start" in runner.read_log()
 
 
 @pytest.mark.processes
--- a/tests/test_effect_changes.py
+++ b/tests/test_effect_changes.py
@@ -24,9 +24,9 @@
 
 async def reload(runner: Runner, changes: dict[str, Any]) -> None:
     """Reload the configuration and wait until the runner has logged that it applies the new settings."""
-    before = runner.text().count("configuration read again")
+    before = runner.read_log().count("configuration read again")
     runner.reload(**changes)
-    await wait_until(lambda: runner.text().count("configuration read again") > before)
+    await wait_until(lambda: runner.read_log().count("configuration read again") > before)
 
 
 async def send_request(
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -90,7 +90,7 @@
     await cluster.wait_for_exit()
     for runner in cluster.runners:
         runner.environment = {}
-        runner.again()
+        runner.restart()
     for runner in cluster.runners:
         await runner.ready()
 
@@ -179,7 +179,7 @@
             )
             await asyncio.sleep(0.05)
         cluster.runners[1].environment = {}
-        cluster.runners[1].again()
+        cluster.runners[1].restart()
         await cluster.runners[1].ready()
         cluster.kill(2)
         tokens = [*before, *during]
@@ -188,4 +188,4 @@
             "two of three disks have every result"
         )
         assert_ran_at_most_once(cluster, tokens)
-        await wait_until(lambda: "keys restored" in cluster.runners[1].text())
+        await wait_until(lambda: "keys restored" in cluster.runners[1].read_log())
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -63,7 +63,7 @@
             await asyncio.sleep(1.0)
             assert cpu_time_s(runner.process.pid) - cpu_time_before_s < 0.4 and not answer.done()
             assert "result" in await asyncio.wait_for(answer, 5)
-            assert 1 <= runner.text().count(line) <= 3
+            assert 1 <= runner.read_log().count(line) <= 3
             assert 1 <= (await runner.counters())[counter] < 400 * MAX_ACCEPTS_PER_ITERATION
 
     run()
@@ -83,8 +83,8 @@
             await wait_until(lambda: any(path.is_socket() for path in runner.spool.iterdir()))
             (new_kernel := Kernel()).listen()
             runner.start(new_kernel.port)  # The new process must find the first one.
-            await runner.says_yes()
-            assert "another process of this runner connected" in runner.text()
+            await runner.wait_until_healthy()
+            assert "another process of this runner connected" in runner.read_log()
             new_kernel.close()
 
     run()
--- a/tests/test_hangups.py
+++ b/tests/test_hangups.py
@@ -36,8 +36,8 @@
         assert not new_kernel.opened
         await wait_until(lambda: bool(new_kernel.opened))
         assert "result" in await (await FrontEnd.connect(runner.port)).ask("check")
-        assert new_kernel.runs and 1 <= runner.text().count("configuration temporarily unreadable") <= 3
-        assert "configuration not changed" not in runner.text()
+        assert new_kernel.runs and 1 <= runner.read_log().count("configuration temporarily unreadable") <= 3
+        assert "configuration not changed" not in runner.read_log()
     new_kernel.close()
 
 
@@ -53,9 +53,9 @@
         await asyncio.sleep(0.2)
         runner.reload(kernel=f"{HOST}:{new_kernel.port}")
         await wait_until(lambda: bool(new_kernel.opened))
-        assert runner.text().count("configuration read again") == 1
+        assert runner.read_log().count("configuration read again") == 1
         runner.reload(kernel="nowhere")
-        await wait_until(lambda: "configuration not changed" in runner.text())
+        await wait_until(lambda: "configuration not changed" in runner.read_log())
     new_kernel.close()
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -631,7 +631,7 @@
         for i in (1, 2):
             cluster.runners[i].process.wait()
         for i in (1, 2):
-            cluster.runners[i].again()
+            cluster.runners[i].restart()
             await cluster.runners[i].ready()
             await wait_until_recovered(cluster, i)
         answers = await retry_requests(cluster, 1, tokens)
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -224,7 +224,7 @@
         leaving = duty.fleet.runners[first_leader]
         leaving.process.send_signal(signal.SIGTERM)
         # The release has started, and the report is still unanswered.
-        await wait_until(lambda: "handing over keyed work" in leaving.text())
+        await wait_until(lambda: "handing over keyed work" in leaving.read_log())
         duty.relays[first_leader].resume()
         successor = await duty.next_leader(first_leader)
         _, document = await duty.request(successor)
@@ -240,7 +240,7 @@
         kernel.listen()
         runner = duty.fleet.runners[first_leader]
         runner.start(kernel.port)
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         await duty.wait_for_reports()
         runner.processes[0].send_signal(signal.SIGTERM)
         await wait_until(lambda: runner.processes[0].poll() == 0)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,11 +19,12 @@
         front_end = await FrontEnd.connect(runner.port)
         pending = [front_end.send("submit", token=new_key()) for _ in range(4)]
         runner.reload(stop_ms=1300)
-        await wait_until(lambda: "configuration read again" in runner.text())
+        await wait_until(lambda: "configuration read again" in runner.read_log())
         runner.process.send_signal(signal.SIGTERM)
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert (
-            all("error" in answer for answer in answers) and "draining: exits within 1300 ms" in runner.text()
+            all("error" in answer for answer in answers)
+            and "draining: exits within 1300 ms" in runner.read_log()
         )
         await wait_until(lambda: runner.process.poll() == 0)
 
@@ -33,13 +34,14 @@
     """SIGKILL may follow SIGTERM after the longest deadline of a request, at most 3 s, plus 0.7 s."""
     async with running(Kernel(hang=True)) as runner:
         runner.reload(stop_ms=9_000)
-        await wait_until(lambda: "configuration read again" in runner.text())
+        await wait_until(lambda: "configuration read again" in runner.read_log())
         front_end = await FrontEnd.connect(runner.port)
         pending = [front_end.send("submit", token=new_key()) for _ in range(4)]
         runner.process.send_signal(signal.SIGTERM)
         answers = await asyncio.wait_for(asyncio.gather(*pending), 3.7)
         assert (
-            all("error" in answer for answer in answers) and "draining: exits within 3700 ms" in runner.text()
+            all("error" in answer for answer in answers)
+            and "draining: exits within 3700 ms" in runner.read_log()
         )
         await wait_until(lambda: runner.process.poll() == 0)
 
@@ -59,14 +61,14 @@
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("result" in answer for answer in answers)
         await wait_until(lambda: runner.process.poll() == 0)
-        assert len(kernel.opened) == 2 and "Traceback" not in runner.text()
+        assert len(kernel.opened) == 2 and "Traceback" not in runner.read_log()
 
 
 @asynchronous_test
 async def test_both_frontends_answer_all_open_requests_when_the_stop_time_expires() -> None:
     async with running(Kernel(hang=True)) as runner:
         runner.reload(stop_ms=700)
-        await wait_until(lambda: "configuration read again" in runner.text())
+        await wait_until(lambda: "configuration read again" in runner.read_log())
         front_ends = [await FrontEnd.connect(runner.port) for _ in range(4)]
         pending = [front_end.send("check") for front_end in front_ends for _ in range(8)]
         pending_uwsgi = [
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -310,7 +310,7 @@
         cluster.fleet.restart(2)
         await cluster.fleet.runners[2].ready()
         assert await cluster.route_of(2) == "a1" and await cluster.route_of(2, acct="bolt") == "free"
-        assert "no other runner responded" in cluster.fleet.runners[2].text()
+        assert "no other runner responded" in cluster.fleet.runners[2].read_log()
 
 
 @asynchronous_test
@@ -373,7 +373,7 @@
         kernel.listen()
         runner = cluster.fleet.runners[leader]
         runner.start(kernel.port)
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         runner.processes[0].send_signal(signal.SIGTERM)
         others = [i for i in range(4) if i != leader]
         for number in range(2, 6):
@@ -409,7 +409,9 @@
         cluster.fleet.restart(2)
         await cluster.fleet.runners[2].ready()
         assert await cluster.route_of(2) == "a1", "the revision was fetched from another runner"
-        assert "is put aside" in cluster.fleet.runners[2].text() and (folder / "namespaces.damaged").exists()
+        assert (
+            "is put aside" in cluster.fleet.runners[2].read_log() and (folder / "namespaces.damaged").exists()
+        )
         assert (await cluster.publish(1, to="a2"))["complete"]
 
 
--- a/tests/test_owner_lost.py
+++ b/tests/test_owner_lost.py
@@ -103,7 +103,7 @@
         kernel.listen()
         f.kill(0)
         r.start(kernel.port)
-        await r.says_yes()
+        await r.wait_until_healthy()
         r.processes[0].send_signal(signal.SIGTERM)
 
         def run_by_the_new_process() -> set[str]:
@@ -146,7 +146,7 @@
             await until(settled)  # an answer is sent before the replicas know the result
             f.runners[turn % 3].process.kill()
             await f.wait_for_exit(turn % 3)
-            f.runners[turn % 3].again()
+            f.runners[turn % 3].restart()
             await f.runners[turn % 3].ready()
         got = await retry_requests(f, 1, tokens)
         assert all(is_served(t, a) for t, a in got.items())
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -275,7 +275,7 @@
             + "[standing]\nprobe_ms = 700\n"
         )
         runner.reload()
-        await wait_until(lambda: "configuration read again" in runner.text())
+        await wait_until(lambda: "configuration read again" in runner.read_log())
         inputs = json.loads(body_of(await exchange(runner.admin, b"GET /standing HTTP/1.0\r\n\r\n")))
         assert inputs["crowd"]["horizon_ms"] >= 1200
         assert b"endpoint-load-metrics: TEXT " in await exchange(
@@ -283,4 +283,4 @@
         )
         fronts.write_text(fronts.read_text().replace("probe_ms = 700", "probe_ms = 1"))
         runner.reload()
-        await wait_until(lambda: "configuration not changed: standing.probe_ms" in runner.text())
+        await wait_until(lambda: "configuration not changed: standing.probe_ms" in runner.read_log())
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -37,7 +37,7 @@
     async def replace(self, **kernel_options: float) -> None:
         """Start another process, and wait until it serves."""
         await self.start_process(**kernel_options)
-        await self.runner.says_yes()
+        await self.runner.wait_until_healthy()
 
     def run_bodies(self) -> list[bytes]:
         """Return the bodies of all runs that any kernel was told to begin."""
@@ -51,7 +51,7 @@
     kernel = Kernel(work=work)
     async with running(kernel) as runner:
         replaceable = ReplaceableRunner(runner, [kernel])
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         try:
             yield replaceable
         finally:
@@ -65,13 +65,13 @@
         obstacle = Path(rendezvous_path(str(runner.spool), "n1", (HOST, runner.port)) or "")
         obstacle.mkdir()
         await runner.ready()
-        await wait_until(lambda: "can't publish the rendezvous socket" in runner.text())
+        await wait_until(lambda: "can't publish the rendezvous socket" in runner.read_log())
         obstacle.rmdir()
         await wait_until(obstacle.is_socket)
         (new_kernel := Kernel()).listen()
         runner.start(new_kernel.port)
-        await runner.says_yes()
-        assert "another process of this runner connected" in runner.text()
+        await runner.wait_until_healthy()
+        assert "another process of this runner connected" in runner.read_log()
         new_kernel.close()
 
 
@@ -90,16 +90,18 @@
         runner.environment = {"PYTHONPATH": str(INJECT), "FAULT_PLAN": plan, "FAULT_START": str(start)}
         old = runner.process
         await replaceable.start_process(boot_delay_s=1.5)
-        await wait_until(lambda: "another process of this runner connected" in runner.text())
+        await wait_until(lambda: "another process of this runner connected" in runner.read_log())
         start.touch()
         answers = []
-        while "can't listen yet" not in runner.text() or not runner.text().count("finishes, and the other"):
+        while "can't listen yet" not in runner.read_log() or not runner.read_log().count(
+            "finishes, and the other"
+        ):
             await asyncio.sleep(0.02)
         for _ in range(40):
             front = await FrontEnd.connect(runner.port)
             answers.append((front, front.send("check", body=b"one")))
             await asyncio.sleep(0.02)
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         old.send_signal(signal.SIGTERM)
         for _, answer in answers:
             assert (await asyncio.wait_for(answer, 8)).keys() & {"result", "error"}
@@ -179,18 +181,18 @@
     async with replaceable_runner() as replaceable:
         runner, first = replaceable.runner, replaceable.runner.console
         await replaceable.start_process(boot_delay_s=3600)  # not ready, since it waits for its kernel
-        await wait_until(lambda: "hands its keys over" in runner.text())
-        assert await runner.asked("health") == 503
+        await wait_until(lambda: "hands its keys over" in runner.read_log())
+        assert await runner.call_console("health") == 503
         runner.processes[1].kill()
         front = await FrontEnd.connect(runner.port)
         token = new_key()
         assert "result" in await front.ask("submit", token=token)
         await replaceable.replace()  # ready and accepting
         runner.processes[2].kill()
-        await wait_until(lambda: runner.text().count("is alone (the other one has died)") >= 2)
+        await wait_until(lambda: runner.read_log().count("is alone (the other one has died)") >= 2)
         front = await FrontEnd.connect(runner.port)
         assert "result" in await front.ask("submit", token=token) and len(replaceable.run_bodies()) == 1
-        assert await runner.asked("health", first) == 200
+        assert await runner.call_console("health", first) == 200
 
 
 @asynchronous_test
@@ -212,7 +214,7 @@
                 front.close()
         assert refused["error"]["code"] == -32014 and "result" in await front.ask("check")
         old.send_signal(signal.SIGCONT)  # it sends its keys, and finishes
-        await wait_until(lambda: "serves, and the other one finishes" in runner.text())
+        await wait_until(lambda: "serves, and the other one finishes" in runner.read_log())
         front = await FrontEnd.connect(runner.port)
         assert "result" in await front.ask("submit", token=new_key())
 
@@ -247,17 +249,17 @@
 async def test_maintenance_outlasts_a_replacement_and_either_console_can_end_it() -> None:
     async with replaceable_runner() as replaceable:
         runner, first = replaceable.runner, replaceable.runner.console
-        assert await runner.asked("quiesce") == 200 and await runner.asked("health") == 503
+        assert await runner.call_console("quiesce") == 200 and await runner.call_console("health") == 503
         await replaceable.start_process()
-        await wait_until(lambda: "serves, and the other one finishes" in runner.text())
-        assert await runner.asked("health") == 503
-        assert await runner.asked("resume", first) == 200
-        await runner.says_yes()
-        assert await runner.asked("quiesce") == 200
+        await wait_until(lambda: "serves, and the other one finishes" in runner.read_log())
+        assert await runner.call_console("health") == 503
+        assert await runner.call_console("resume", first) == 200
+        await runner.wait_until_healthy()
+        assert await runner.call_console("quiesce") == 200
 
         # The answer may arrive before the other process has been notified.
         async def maintenance_shared() -> bool:
-            return await runner.asked("health", first) == 503
+            return await runner.call_console("health", first) == 503
 
         await until(maintenance_shared)
 
@@ -268,15 +270,15 @@
         runner = replaceable.runner
         await replaceable.replace()
         await replaceable.start_process()
-        await wait_until(lambda: runner.text().count("another process of this runner connected:") >= 2)
-        assert await runner.asked("health") == 503
+        await wait_until(lambda: runner.read_log().count("another process of this runner connected:") >= 2)
+        assert await runner.call_console("health") == 503
         runner.processes[0].send_signal(signal.SIGTERM)
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         runner.processes[1].send_signal(signal.SIGTERM)
         await wait_until(lambda: runner.processes[1].poll() == 0)
         front = await FrontEnd.connect(runner.port)
         runner.processes[2].send_signal(signal.SIGTERM)
-        await wait_until(lambda: runner.text().count("draining: exits within") == 1)
+        await wait_until(lambda: runner.read_log().count("draining: exits within") == 1)
         assert (await front.ask("heartbeat"))["result"]["fit"] is False
 
 
@@ -285,12 +287,12 @@
     async with replaceable_runner() as replaceable:
         runner, first = replaceable.runner, replaceable.runner.console
         await replaceable.start_process(boot_delay_s=3600)
-        await wait_until(lambda: "has its keys, and waits for the kernel" in runner.text())
+        await wait_until(lambda: "has its keys, and waits for the kernel" in runner.read_log())
         runner.processes[1].send_signal(signal.SIGTERM)
         await wait_until(lambda: runner.processes[1].poll() is not None)
         replaceable.kernels[1].finish_boot()
-        assert runner.processes[1].returncode == 0 and "and the other one serves" not in runner.text()
-        assert await runner.asked("health", first) == 200
+        assert runner.processes[1].returncode == 0 and "and the other one serves" not in runner.read_log()
+        assert await runner.call_console("health", first) == 200
         assert "result" in await (await FrontEnd.connect(runner.port)).ask("submit", token=new_key())
 
 
@@ -299,11 +301,11 @@
     async with replaceable_runner() as replaceable:
         runner, first = replaceable.runner, replaceable.runner.console
         await replaceable.start_process(boot_delay_s=3600)
-        await wait_until(lambda: "has its keys, and waits for the kernel" in runner.text())
+        await wait_until(lambda: "has its keys, and waits for the kernel" in runner.read_log())
         runner.processes[1].send_signal(signal.SIGSTOP)  # it gets the kernel's message and the signal at once
         replaceable.kernels[1].finish_boot()
         runner.processes[1].send_signal(signal.SIGTERM)
         runner.processes[1].send_signal(signal.SIGCONT)
         await wait_until(lambda: runner.processes[1].poll() is not None)
-        assert await runner.asked("health", first) == 200
+        assert await runner.call_console("health", first) == 200
         assert "result" in await (await FrontEnd.connect(runner.port)).ask("submit", token=new_key())
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -165,13 +165,13 @@
             runner.fronts.read_text().replace(f":{servers[0].port}", f":{servers[2].port}")
         )
         runner.reload()
-        await wait_until(lambda: "configuration read again" in runner.text())
+        await wait_until(lambda: "configuration read again" in runner.read_log())
         calls_before_reload = len(servers[0].calls)
         await send_requests(front_end, 20)
         assert len(servers[0].calls) == calls_before_reload and len(servers[1].calls) > before[1]
         runner.fronts.write_text(runner.fronts.read_text().split("[tier]")[0])
         runner.reload()
-        await wait_until(lambda: "tier.server: can't be set or taken away" in runner.text())
+        await wait_until(lambda: "tier.server: can't be set or taken away" in runner.read_log())
     close_all(servers)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -301,7 +301,7 @@
         over_uwsgi = asyncio.create_task(exchange(runner.uwsgi, uwsgi_request("check")))
         await asyncio.sleep(0.2)
         runner.process.send_signal(signal.SIGTERM)
-        await wait_until(lambda: "draining: exits within" in runner.text())
+        await wait_until(lambda: "draining: exits within" in runner.read_log())
         # Clients learn late of the shutdown, so the runner serves for some time longer, also over new connections.
         late_client = await FrontEnd.connect(runner.port)
         assert not client.stray and "result" in await late_client.ask("check")
@@ -315,7 +315,7 @@
         assert status(await over_uwsgi) == 200
         await wait_until(lambda: runner.process.poll() is not None)
         assert runner.process.returncode == 0
-        assert "served 4" in runner.text()
+        assert "served 4" in runner.read_log()
 
 
 @asynchronous_test
@@ -541,7 +541,7 @@
         await wait_until(lambda: bool(new_registry.reports))
         # An invalid file changes nothing, and the log names the invalid key.
         runner.reload(kernel="nowhere")
-        await wait_until(lambda: "kernel: expected HOST:PORT" in runner.text())
+        await wait_until(lambda: "kernel: expected HOST:PORT" in runner.read_log())
         assert "result" in await client.ask("check")
         assert (await runner.counters())["configurations read"] == 1
     old_registry.close()
@@ -581,9 +581,9 @@
             connection.send(b'{"jsonrpc":"2.0","id":1,"met')
         silent = [socket.create_connection((HOST, runner.console)) for _ in range(100)]
         started_at = time.monotonic()
-        assert await runner.asked("health") == 200 and time.monotonic() - started_at < 1
+        assert await runner.call_console("health") == 200 and time.monotonic() - started_at < 1
         kernel.cut()
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         client = await FrontEnd.connect(runner.port)
         assert "result" in await client.ask("check") and database.calls
         assert len(os.listdir(f"/proc/{runner.process.pid}/fd")) <= 100
@@ -596,7 +596,7 @@
 async def test_connections_accepted_without_a_free_descriptor_are_closed_and_counted() -> None:
     """The operating system's limit of file descriptors is below the configured one, and all are in use."""
     async with running(Kernel()) as runner:
-        assert await runner.asked("health") == 200
+        assert await runner.call_console("health") == 200
         descriptor_limit = len(os.listdir(f"/proc/{runner.process.pid}/fd")) + 3
         # The limit is lower than the one in the configuration.
         resource.prlimit(runner.process.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -378,7 +378,7 @@
         for i in (1, 2, 3):  # One after the other, so that never two of them are recovering.
             cluster.runners[i].process.kill()
             cluster.runners[i].process.wait()
-            cluster.runners[i].again()
+            cluster.runners[i].restart()
             await cluster.runners[i].ready()
             await wait_until_recovered(cluster, i)
         assert all(
@@ -398,7 +398,7 @@
             runner.process.kill()
             runner.process.wait()
         for runner in cluster.runners:
-            runner.again()
+            runner.restart()
         for runner in cluster.runners:
             await runner.ready()
         front = await cluster.connect_front_end(1)
@@ -472,7 +472,7 @@
         kernel = Kernel(work=0.02)
         kernel.listen()
         runner.start(kernel.port)
-        await runner.says_yes()
+        await runner.wait_until_healthy()
         key = next(iter(requests))
         assert is_served(key, (await retry_requests(cluster, 2, [key]))[key]), (
             "a retry at another runner must find the work of the old process"
--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -45,7 +45,7 @@
     "test_warm_start",
 )
 WORKERS = "4"
-LOG_ACCESS = ".text()"  # how a test reads the log of its runner
+LOG_ACCESS = ".read_log()"  # how a test reads the log of its runner
 
 
 def _matches_log_lines(item: pytest.Item) -> bool:
