--- a/moorusher/lab/call_statistics.py
+++ b/moorusher/lab/call_statistics.py
@@ -108,11 +108,11 @@
         return ordered[int(share * (len(ordered) - 1))] if ordered else math.inf
 
     def seconds_until_shifted(self, servers: set[str], since_s: float, even_share: float) -> float:
-        """Return the time until some servers get less than half of their even share of the attempts in one second.
+        """Return the time until `servers` together get less than half of their even share of one second's attempts.
 
         :param since_s: time from which the attempts are considered.
-        :param even_share: share of all attempts that the servers would get under even balancing.
-        :returns: seconds from `since_s`; infinite if it never happens.
+        :param even_share: share of all attempts that `servers` would get under even balancing.
+        :returns: seconds from `since_s` to the first such second; infinite if there is none.
         """
         at_s = since_s
         end_s = self.sent[-1].at_s if self.sent else since_s
--- a/moorusher/lab/demand_series.py
+++ b/moorusher/lab/demand_series.py
@@ -1,4 +1,4 @@
-"""Generated weeks of demand for a seed: twelve kinds of typical customers, some of them with incidents."""
+"""Weeks of hourly demand, generated from a seed: twelve kinds of typical customers, some of them with incidents."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 Trend = Callable[[np.random.Generator, Floats, int], Floats]
-"""Changes the mean of each hour. Its last argument is the number of hours of history."""
+"""Function that changes the mean demand of each hour. Its last argument is the number of hours of history."""
 
 
 class DemandKind(NamedTuple):
--- a/moorusher/lab/demo_fleet.py
+++ b/moorusher/lab/demo_fleet.py
@@ -1,6 +1,7 @@
 """`moorusher lab up --runners N`: a fleet of runners, each with its kernel, under a light load with keyed requests.
 
-The terminal accepts `kill NAME`, `stop NAME` and `go NAME`, and shows the outcomes of requests each second.
+The terminal shows the outcomes of requests each second. It accepts `kill NAME`, which kills a runner and closes its
+kernel, `stop NAME`, which suspends the runner's process, and `go NAME`, which resumes the suspended process.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 LOAD_S = 3600.0
 """Time for which arrivals are generated in advance."""
 ARRIVAL_LOAD = 0.6
-"""Share of the fleet's capacity that determines the mean interval between requests."""
+"""Load at which requests are sent, as a share of the fleet's capacity."""
 CLASSES = [
     RequestClass("check", 0.6, SERVICE_TIME_MS, True, 2000, 6000),
     RequestClass("submit", 0.4, SERVICE_TIME_MS, True, 4000, 10000, keyed=True),
@@ -46,7 +47,7 @@
 MAX_ATTEMPTS = 4
 DATABASE_DELAY_S = 0.02
 MAINTENANCE_S = 5.0
-"""Length of a machine's maintenance, including its shutdown."""
+"""Time from SIGTERM to a machine's runner until the machine starts again."""
 _KERNEL_DOWN_S = 0.5
 """Time from the kernel's shutdown until the machine starts again."""
 WARM_UP_US = 2_000_000
@@ -80,7 +81,8 @@
     """A fleet of runners with their stand-ins and a load.
 
     :param count: number of runners.
-    :param load: share of the fleet's capacity for which requests are generated.
+    :param load: share of the fleet's capacity that determines how many requests are generated in advance. They are
+        sent at `ARRIVAL_LOAD`, whatever their generated times.
     """
 
     def __init__(self, reactor: Any, count: int, load: float, log: Log) -> None:
@@ -193,7 +195,7 @@
         self._machine_id_file(name).write_text(f"start {self._machine_starts[name]}")
 
     def _schedule_received(self, name: str, schedule: Any) -> None:
-        """Start a machine's maintenance when its slot begins, as a script on the machine would do."""
+        """Start a machine's maintenance when the schedule permits it, as a script on the machine would do."""
         slots = [slot for slot in schedule.get("turns", []) if slot["seat"] == name]
         if not slots or slots[0]["stage"] != "may go" or name in self._in_maintenance or self._shutting_down:
             return
@@ -269,7 +271,10 @@
         self._log(f"{name}: {command}")
 
     def _log_counts(self) -> None:
-        """Log a line each second: new requests by outcome, the fleet's counters, the last report of the duty."""
+        """Log new requests by outcome, the fleet's counters and the duty's last report; request the runners' status.
+
+        Called each second. The line shows the counters of the previous replies.
+        """
         for name in self._runners:
             if name not in self._stopped:
                 self._request_admin(name, "outage", partial(self._schedule_received, name))
@@ -321,7 +326,7 @@
 
     :param count: number of runners.
     :param seconds: length of the demo; 0 to run until interrupted.
-    :param load: share of the fleet's capacity.
+    :param load: share of the fleet's capacity that determines how many requests are generated in advance.
     :returns: exit code, always 0.
     """
     from ..server import reactor as loop
--- a/moorusher/lab/demo_fleet_files.py
+++ b/moorusher/lab/demo_fleet_files.py
@@ -14,8 +14,8 @@
 def backends_toml(servers: dict[str, int], receiver_port: int) -> str:
     """Return the sections on the tier, namespaces and forecast.
 
-    Each tenant has its own server, a pool with one server is shared by both tenants, and one server receives the
-    requests without rules.
+    Each tenant has its own server, both tenants share a pool with one server, and one server receives the requests to
+    which no rules apply.
 
     :param servers: ports of the backends, by name.
     :param receiver_port: port of the receiver of hints.
--- a/moorusher/lab/demo_runner.py
+++ b/moorusher/lab/demo_runner.py
@@ -29,12 +29,12 @@
 ]
 TENANTS = ["north", "south"]
 LOAD_S = 60.0
-"""Length of one generated load; the next one follows when it ends."""
+"""Duration of one generated load. The next load starts when it ends."""
 DATABASE_DELAY_S = 0.03
 COLD_SPEED = 0.3
 WARM_UP_S = 10
 _RETAINED_LOADS = 2
-"""Two, because the previous load may still have requests in flight."""
+"""Number of loads whose counts are kept. The previous load may still have requests in flight."""
 
 
 class DemoRunner:
@@ -74,7 +74,7 @@
         self.exit_code = 0
 
     def start(self) -> None:
-        """Log the addresses of the runner, and start the load after a second."""
+        """Log the addresses of the runner; after a second, start the load and the log of its outcomes."""
         runner = self._runner
         self._log(
             f"requests  {HOST}:{runner.port} (JSON-RPC, one message per line)\nagent     {HOST}:{runner.agent}\n"
--- a/moorusher/lab/drain_notices.py
+++ b/moorusher/lab/drain_notices.py
@@ -56,13 +56,13 @@
 
 
 class DrainingEngine:
-    """A request engine that will drain, its agent, and a prober of the agent.
+    """A request engine with an agent and a prober that probes this agent.
 
     :param settings: settings parsed by `parse_settings`.
-    :param phase: phase of the prober, 0 to 1.
+    :param phase: delay of the first probe as a share of the probe interval, 0 to 1.
 
     Attributes:
-        noticed: Fires with the number of probe intervals from the drain until the prober read it.
+        noticed: Fires when the prober has read that the engine drains, with the time since `drain` in probe intervals.
     """
 
     def __init__(self, reactor: Any, name: str, settings: Any, phase: float) -> None:
@@ -87,7 +87,7 @@
         self.noticed: Deferred[float] = Deferred()
 
     def drain(self) -> None:
-        """Start to drain, and wait until the prober notices it."""
+        """Start to drain the engine, and fire `noticed` when the prober has read it."""
         self._engine.drain(_GRACE_MS)
         self._drained_at_us = now_us()
         self._poll()
@@ -107,7 +107,7 @@
 async def measure_drain_notices(reactor: Any, seed: int, runner_settings: dict[str, Any]) -> list[float]:
     """Measure how many probe intervals pass until a prober notices a drain.
 
-    :returns: one value for each of many engines that drain at random times.
+    :returns: number of probe intervals for each of `NOTICE_COUNT` engines, which drain at random times.
     """
     rng = random.Random(seed)
     settings = parse_settings(json.dumps(runner_settings).encode(), 1)
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -1,8 +1,9 @@
 """The experiment "duties": exclusive leadership with fencing tokens, compared with leases that rely on clocks.
 
-It measures the order of effects on the same seeds with fencing tokens and with clock leases (a leader acts without
-asking while its last majority is recent, and the receiver accepts every effect), the failover time of real runners
-whose leader is killed repeatedly, and large fleets in virtual time.
+It measures three things. Simulations with the same seeds count effects that are out of order, with fencing tokens and
+with clock leases: there a leader acts without asking a majority while its last confirmation by one is recent, and the
+receiver accepts every effect. Real runners, whose leader is killed repeatedly, show the failover time. Large fleets are
+simulated in virtual time.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 RUNNERS = 4
 REPORT_INTERVAL_MS = 20
 MAX_WAIT_S = 10.0
-"""Longest wait for the next effect after a kill."""
+"""Longest wait for an effect of a later term after the leader was killed."""
 
 
 # ---- real runners ----
 
 
 class RealFleet(RunnerFleet):
-    """Four runners with one report duty, whose leader is killed and restarted."""
+    """Four runners with one report duty; the runner that leads the duty is killed and restarted repeatedly."""
 
     def __init__(self, reactor: Any, receiver: FencedReceiver) -> None:
         self.receiver = receiver
@@ -48,7 +49,10 @@
         super().__init__(reactor, RUNNERS, settings, lambda index: duties)
 
     async def measure_failover(self, kills: int, log: Log) -> list[float]:
-        """Return the seconds from each kill of the leader to the next effect."""
+        """Kill the duty's leader repeatedly; return the seconds from each kill to the first effect of a later term.
+
+        A failover that takes longer than `MAX_WAIT_S` counts as `MAX_WAIT_S`.
+        """
         await self.begin()
         effects = self.receiver.accepted
         while len(effects) < 10:
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -1,4 +1,4 @@
-"""Simulations of the experiment "duties" in virtual time: the order of effects for a seed, and large fleets."""
+"""Simulations of the experiment "duties" in virtual time: the order of effects under faults, and large fleets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..time_units import SECOND
 
 LEASE_US = SECOND
-"""Lease duration of the baseline: as long as the failure detector waits, which is usual for such leases."""
+"""Lease duration of the baseline: the time that the failure detector waits, as is usual for leases by the clock."""
 _REVISIONS_PER_RECORD = 1000
 _MAX_RECOVERY_S = 30
 _OBSERVATION_S = 5
@@ -25,7 +25,10 @@
 
 
 class ClockLeaseExecutor(EffectExecutor):
-    """Executor of a clock lease: acts without asking a majority for `LEASE_US` after the last one."""
+    """Executor of a clock lease.
+
+    It sends effects without asking a majority for `LEASE_US` after it last asked one or acquired the lease.
+    """
 
     confirmed_at_us = 0
     unconfirmed_requests = 0
@@ -65,18 +68,21 @@
     FaultKind.ONE_WAY_PARTITION,
     FaultKind.CRASH,
 )
-"""Each fault is drawn from these. Pauses are twice as likely, since they are what breaks clock leases."""
+"""Kinds from which each fault is drawn. Pauses are listed twice, since clock leases fail because of pauses."""
 
 
 class EffectOrder(NamedTuple):
-    """Numbers of accepted effects: in total, and those accepted after an effect of a later term."""
+    """Number of effects that were accepted right after an effect of a later term, and number of accepted effects."""
 
     out_of_order: int
     total: int
 
 
 def count_out_of_order(seed: int, clock_leases: bool) -> EffectOrder:
-    """Count effects out of order under faults, with clock leases or fencing tokens."""
+    """Count the accepted effects under faults, and those that are out of order.
+
+    :param clock_leases: whether leaders rely on clock leases and the receiver compares no fencing tokens.
+    """
     scenario = Scenario(seats=5, keys=0, faults=10, fault_kinds=_FAULT_KINDS)
     simulation = DutySimulation(
         seed,
@@ -109,17 +115,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LargeFleetResult:
-    """Figures of a large fleet whose duties are distributed, and a fifth of which then fails.
+    """Figures of a large fleet that distributes duties among its members, before and after a fifth of them fails.
 
     Attributes:
-        owned: Duties with a leader.
-        imbalance: Most duties of a member, divided by the mean.
+        owned: Number of duties with a leader.
+        imbalance: Largest number of duties that one member leads, divided by the mean.
         messages_per_member_s: Messages per member and second while the fleet is idle.
-        owned_after_loss: Duties with a leader after the failure.
-        expected_after_loss: Duties that still have a majority of their replicas.
-        recovery_s: Time until all expected duties have a leader again.
+        owned_after_loss: Number of duties with a leader after the failure.
+        expected_after_loss: Number of duties of which a majority of the replicas remains after the failure.
+        recovery_s: Time from the failure until all expected duties have a leader, at most `_MAX_RECOVERY_S`.
         imbalance_after_loss: Imbalance among the remaining members.
-        observed_from_s: Start of the count of messages.
+        observed_from_s: Virtual time at which the count of messages began.
     """
 
     owned: int
@@ -196,7 +202,10 @@
 def _fail_members(
     simulation: DutySimulation, participants: list[Participant], lost_count: int, expected: int
 ) -> list[int]:
-    """Fail the first members, wait for `expected` leases or the timeout, and return the remaining lease counts."""
+    """Fail the first members, wait until the others hold `expected` leases or the timeout passes.
+
+    :returns: number of leases of each remaining member.
+    """
     for process in simulation.processes[:lost_count]:
         process.alive = False
     remaining = participants[lost_count:]
@@ -211,7 +220,7 @@
 
 
 def _duties_with_majority(participants: list[Participant], lost_count: int) -> int:
-    """Count the duties that keep at least two of their three replicas when the first members fail."""
+    """Return the number of duties that keep at least two of their three replicas when the first members fail."""
     keys = {key for participant in participants for key in participant.election.records}
     replicas = participants[0].services.replicas
     return sum(sum(int(seat[1:]) >= lost_count for seat in replicas(key)) >= 2 for key in keys)
--- a/moorusher/lab/fenced_receiver.py
+++ b/moorusher/lab/fenced_receiver.py
@@ -1,6 +1,6 @@
 """A stand-in for the receiver of duties' effects, which checks fencing tokens and stores them before it acts.
 
-A real receiver has to do the same as `TokenStore`: compare the token and store the consequence in one transaction.
+A real receiver has to do the same as `TokenStore`: compare the token and store the result in one transaction.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 class TokenStore:
     """Stores the highest fencing token of each duty and the state of its jobs.
 
-    :param path: file of the database, which outlives a restart.
+    :param path: database file, which keeps tokens and jobs when the receiver restarts.
     """
 
     def __init__(self, path: Path) -> None:
@@ -75,13 +75,13 @@
         return TokenCheck(verdict, highest)
 
     def perform_job(self, duty: str, number: int) -> bool:
-        """Do a job unless it is settled; return whether it is done now."""
+        """Record a job as done, unless it was settled as not done; return whether it is done."""
         with self._transaction():
             self._database.execute("INSERT OR IGNORE INTO jobs VALUES (?, ?, 1)", (duty, number))
             return self._is_done(duty, number)
 
     def settle_job(self, duty: str, number: int) -> bool:
-        """Settle a job: return whether it was done, and prevent it from being done later if it was not."""
+        """Return whether a job was done; if it was not, settle it as not done, so that it is never done later."""
         with self._transaction():
             self._database.execute("INSERT OR IGNORE INTO jobs VALUES (?, ?, 0)", (duty, number))
             return self._is_done(duty, number)
@@ -123,7 +123,7 @@
         checks_tokens: Whether stale tokens are rejected. A real receiver must reject them.
         accepted: Accepted effects, in order.
         rejected: Stale tokens, in order.
-        drops_replies: Whether requests are executed but the connection is aborted instead of a reply.
+        drops_replies: Whether the connection is aborted instead of a reply after a request was executed.
         port: Port that the server listens on.
     """
 
--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -1,8 +1,8 @@
-"""Simulation of health reports in a large fleet in virtual time: many runners and balancers; some runners slow down.
+"""Simulation of health reports in virtual time: a large fleet of runners, some of which slow down, behind balancers.
 
-A simulated runner starts every request at once. It has no scheduler that limits its load, so only its health reports
-keep it below the number of runs at which it collapses. Work is modelled as a fluid: the runs of a machine share its
-cores, and a step completes a fraction of runs. Arrivals are Poisson.
+A simulated runner starts every request immediately. It has no scheduler that limits its load, so only its health
+reports keep it below the number of runs at which it collapses. Work is modelled as a fluid: the runs of a machine share
+its cores, and each step completes a fractional number of runs. Arrivals are Poisson.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 COLLAPSE_WINDOW_S = 3
 """Window of the mean runs per core that decides whether a machine collapses."""
 FINAL_PERIOD_S = 10
-"""Last seconds of the simulation, whose weight changes are also counted separately."""
+"""Length of the last part of the simulation. Weight changes in it are also counted separately."""
 FULL_WEIGHT = 100
 _NEVER_S = -1.0
 _DEGRADATION_RUNS_PER_CORE = 3
@@ -48,7 +48,7 @@
         collapse_runs_per_core: Mean runs per core above which a machine collapses.
         slowed_share: Share of the runners that slow down.
         slow_factor: Relative speed of the slowed runners.
-        probe_interval_s: Interval of half of the balancers; the others probe twice as often.
+        probe_interval_s: Probe interval of half of the balancers; the other balancers probe twice as often.
         max_runs_per_core: Connections per core that a machine accepts; further requests are lost.
     """
 
@@ -68,20 +68,20 @@
 
 
 class FleetResult(msgspec.Struct, frozen=True):
-    """Result of a simulated fleet; the serialized names are those of the experiment's figures.
+    """Result of a simulated fleet. Fields are serialized under the names that the experiment's report uses.
 
     Attributes:
-        collapsed: Runners that collapsed.
-        worst_runs_per_core: Highest mean runs per core of a runner.
+        collapsed: Number of runners that collapsed.
+        worst_runs_per_core: Highest mean runs per core of any runner.
         lost_share: Share of requests lost.
-        changes_slowed: Weight changes per minute of a slowed runner.
-        changes_others: Weight changes per minute of another runner.
-        collapsed_slowed: Slowed runners that collapsed.
-        largest_fallback: Largest drop of the slowed runners' mean weight during recovery.
+        changes_slowed: Mean number of weight changes per minute of the slowed runners.
+        changes_others: Mean number of weight changes per minute of the other runners.
+        collapsed_slowed: Number of slowed runners that collapsed.
+        largest_fallback: Largest drop of the slowed runners' mean weight below its highest value during recovery.
         final_weight: Mean weight of the slowed runners at the end.
-        changes_at_end: Weight changes per minute of a runner in the last 10 s.
-        runs_lines: Runs per core of the slowed and of the other runners.
-        weights: Mean weight of the slowed runners.
+        changes_at_end: Mean number of weight changes per minute of all runners in the last 10 s.
+        runs_lines: Mean runs per core of the slowed and of the other runners over time.
+        weights: Mean weight of the slowed runners over time.
     """
 
     collapsed: int = msgspec.field(name="fell")
@@ -116,7 +116,7 @@
         self._reported = np.full(runners, FULL_WEIGHT)
         self._reported_at_s = np.full(runners, _NEVER_S)
         self._last_read_weight = np.full((scenario.balancers, runners), float(FULL_WEIGHT))
-        """Weight of each runner that each balancer read last."""
+        """Weight that each balancer (row) last read for each runner (column)."""
         probes_slowly = np.arange(scenario.balancers) % 2 == 0
         self._interval_s = np.where(probes_slowly, scenario.probe_interval_s, scenario.probe_interval_s / 2)
         self._next_probe_s = self._rng.random((scenario.balancers, runners)) * self._interval_s[:, None]
@@ -136,7 +136,7 @@
         self._highest_runs_per_core = np.zeros(runners)
         self._runs_lines: dict[str, Points] = {"slowed": [], "others": []}
         self._weights: Points = []
-        # The runners have been in service for a long time.
+        # Starts as if the runners had been in service for a long time.
         for tracker in self._trackers:
             tracker.runs_on_cores(0, round(scenario.load * scenario.cores))
             tracker._weight.level = FULL_WEIGHT
@@ -203,7 +203,10 @@
         self._reported[runner] = weight
 
     def _receive_requests(self, now_us: int) -> None:
-        """Let each balancer route an equal part of the load by its weights."""
+        """Let each balancer route an equal part of the load by the weights that it last read.
+
+        A balancer that reads no positive weight loses its part.
+        """
         weights = self._last_read_weight * self._alive
         total = weights.sum(axis=1, keepdims=True)
         shares = (weights / np.maximum(total, 1e-9)).sum(axis=0)
@@ -289,7 +292,7 @@
     return FleetSimulation(scenario, seed, with_report).run()
 
 
-# Runs in a separate process. It would otherwise block the event loop on which the experiment measures real sockets.
+# The experiment runs this module in a separate process, since the simulation would block the event loop of its sockets.
 if __name__ == "__main__":
     seed = int(sys.argv[1])
     with_report = sys.argv[2] == "report"
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -1,7 +1,7 @@
 """The experiment "forecast": forecasts of generated demand, compared with naive and seasonal references.
 
-Quantiles are compared with the actual demand, and hints with two simple scaling rules. The time and memory for many
-routes are measured.
+It also compares quantiles with the actual demand and hints with two simple scaling rules, and measures the time and
+memory that the forecasts of many routes take.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 _MEASUREMENT_TIMEOUT_S = 600
 
 
-# `forecasting.weekly_forecast` has the forecast that runners make.
+# Runners forecast with `forecasting.weekly_forecast`. This class also holds the actual demand.
 class DrawnWeekForecast(NamedTuple):
     """Forecast and actual demand of the last week of a generated series.
 
     Attributes:
         quantiles: The quantiles 0.5, 0.9 and 0.99, each for 168 hours.
-        last_week: Counted demand in the same hours of the week before.
-        actual: Actual demand.
+        last_week: Naive forecast: the demand of the same hours in the week before.
+        actual: Actual demand of the last week.
     """
 
     quantiles: Floats
@@ -102,8 +102,8 @@
     """Accuracy of forecasts over many series.
 
     Attributes:
-        error_ratios: Error relative to that of the same hour of last week, by kind.
-        smoothing_ratios: Error relative to that of exponential smoothing.
+        error_ratios: Mean error divided by that of the naive forecast, which repeats the last week, by kind.
+        smoothing_ratios: Mean error divided by that of exponential smoothing.
         under_90: Share of hours with demand up to the quantile 0.9, by kind.
         under_99: Share of hours with demand up to the quantile 0.99.
         lost_shares: Share of lost requests, by plan.
@@ -118,7 +118,10 @@
     runner_hours: dict[str, list[float]] = field(default_factory=dict)
 
     def add(self, series: DemandSeries, with_reference: bool) -> None:
-        """Forecast one series and record its accuracy."""
+        """Forecast one series and record the accuracy.
+
+        :param with_reference: whether to compare the forecast with exponential smoothing as well.
+        """
         forecast = backtest_last_week(series)
         quantiles = forecast.quantiles
         actual = forecast.actual
@@ -191,7 +194,7 @@
 
 
 class ForecastCost(NamedTuple):
-    """Cost of forecasts of many routes: seconds of one core, and MiB beyond the memory of their histories."""
+    """Cost of forecasts of many routes: seconds of one core, and peak MiB in addition to the routes' histories."""
 
     seconds: float
     megabytes: float
@@ -214,7 +217,7 @@
 
 
 def is_reproducible(seed: int) -> bool:
-    """Return whether another leader computes the same forecast from the same state, bit for bit."""
+    """Return whether forecasts are equal bit for bit if only the order of the routes differs, as between leaders."""
     routes = draw_routes(seed, 60)
     calendars = {"c0": Calendar("Europe/Copenhagen")}
     hour = FIRST_HOUR + HISTORY_H
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -29,7 +29,7 @@
 COLLAPSE_MULTIPLE = 5.0
 """Runs per core at which a machine collapses."""
 UNGUARDED_COLLAPSE_MULTIPLE = 14.0
-"""The same in the settings of runners whose own guard against the collapse is disabled by this high value."""
+"""Collapse multiple in the settings of runners without their own guard: a value so high that the guard never acts."""
 IDLE_GAUGES = [0.05, 0.0, 0.1, 1.0]
 """Gauges of an idle machine."""
 PROBE_INTERVALS_S = (0.5, 1.0)
@@ -42,7 +42,7 @@
 HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 500.0\nclimb_s = 4.0\ntip_per_core = 5.0"
 DATABASE_DELAY_S = 0.05
 _COLD_BOOT_DELAY_S = 3600.0
-"""Longer than the experiment: a cold kernel boots only on request."""
+"""Longer than the experiment, so that a cold kernel boots only when `start_load` finishes its boot."""
 _SHIFT_STEP_S = 0.1
 _SHIFTED_SHARE = 2 / 9
 """Two thirds of an even share among three runners."""
@@ -179,7 +179,7 @@
                 )
 
     def start_load(self) -> None:
-        """Start the load and boot the cold kernels."""
+        """Start the load, and finish the boot of all kernels; a cold kernel starts to warm up."""
         self.load.start()
         for runner in self.runners:
             runner.kernel.finish_boot()
@@ -214,7 +214,7 @@
             kernel.slow(SLOW_FACTOR)
 
     def close(self) -> None:
-        """Kill all runners and close their stand-ins."""
+        """Stop the probers, close the clients, kill all runners, and close kernels and database."""
         for prober in self.probers:
             prober.stop()
         for client in self._clients.values():
@@ -255,7 +255,12 @@
         return names.count(runner) / max(1, len(names))
 
     def weight_lowered_at(self) -> list[float]:
-        """Return when each balancer first read, after the slowdown, a weight of 50% or less for the first runner."""
+        """Return when each balancer first read a weight of 50% or less for the first runner after the slowdown began.
+
+        A report without a weight counts as 0.
+
+        :returns: seconds from the start of the load; no entry for a balancer that read no such weight.
+        """
         times_s = []
         for balancer in self._balancers:
             for report in balancer.servers[0].agent_reports:
--- a/moorusher/lab/health_report_criteria.py
+++ b/moorusher/lab/health_report_criteria.py
@@ -144,7 +144,10 @@
 
 
 def _judge_shift(result: Result, rounds: list[Round]) -> None:
-    """Judge how soon the traffic follows the report, and whether that is before the machine would have collapsed."""
+    """Judge how soon the traffic follows the report, and whether the balancers read it early enough.
+
+    Early enough is before the first runner reaches the collapse threshold in the arm without reports.
+    """
     shift_s = max(_seconds_until_shifted(each.arms["loose-report"]) for each in rounds)
     longest_s = PROBE_INTERVALS_S[-1] + REACTION_S
     result.add_criterion(
@@ -169,7 +172,10 @@
 
 
 def _lead_of_report(one_round: Round) -> float:
-    """Return the seconds from the last balancer's reading until the machine collapses in the arm without reports."""
+    """Return the time from the last balancer's first low weight until the arm without reports reaches the threshold.
+
+    :returns: seconds; negative if the weight was read too late.
+    """
     without = one_round.arms["loose-none"]
     runs = without.runs_per_core[without.runners[0].name]
     crossing_s = min((at_s for at_s, mean in runs if mean >= COLLAPSE_MULTIPLE), default=NEVER_S)
--- a/moorusher/lab/health_report_experiment.py
+++ b/moorusher/lab/health_report_experiment.py
@@ -141,7 +141,7 @@
 
 
 async def _watch_arms(reactor: Any, arms: dict[str, HealthReportArm], seconds: float) -> None:
-    """Record the runs of all runners during the load, and slow the first runner of each arm at the set time."""
+    """Record the runs of all runners during the load, and slow the first runner of each arm from `SLOW_AT_S` on."""
     clock = arms["none"].load
     while clock.now_s < seconds + _SETTLING_S:
         is_slow = SLOW_AT_S <= clock.now_s < seconds
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -1,4 +1,7 @@
-"""Simulation of a week of a service that is scaled by a plan, with cold starts: lost requests and runner-hours."""
+"""Simulates a week of a service whose number of runners follows a plan; counts lost requests and runner-hours.
+
+Runners start cold: a started runner serves nothing until it is warm.
+"""
 
 from __future__ import annotations
 
@@ -86,9 +89,9 @@
 def compare_plans(
     series: DemandSeries, quantiles: Floats, scaling: ScalingPolicy, core_s: float
 ) -> dict[str, ScalingOutcome]:
-    """Compare hints with two rules: as many runners as the last hour, or the same hour of last week, needed.
+    """Compare the hints with two rules, which plan each hour as the hour before or the same hour of last week needed.
 
-    The headroom of each rule is set so that it uses as many runner-hours as the hints.
+    The headroom of each rule is chosen so that the rule uses as many runner-hours as the hints.
 
     :param quantiles: Forecast quantiles; hints use the second one, 0.9.
     """
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -33,7 +33,7 @@
 """Largest share of the available cores that may be in use."""
 MACHINES_PER_FAILURE = 100
 """One of this many machines fails unexpectedly."""
-FAILURES_WITHIN_S = 2_000  # Failures begin in this first part of the simulation.
+FAILURES_WITHIN_S = 2_000  # All failures begin within this time from the start of the simulation.
 FAILURE_DURATION_S = 600  # How long a failed machine is down.
 STEP_S = 5.0
 MAX_DURATION_S = 50_000
@@ -52,8 +52,8 @@
     Attributes:
         duration_s: Duration in virtual time.
         bound_ratio: Duration divided by the shortest one that the limits allow.
-        min_free_share: Smallest share of free cores.
-        max_machines_down: Most machines down at the same time.
+        min_free_share: Smallest share of the available cores that was not in use.
+        max_machines_down: Largest number of machines with a slot at the same time.
         mean_step_ms: Mean real time of a planning step.
         longest_step_ms: Longest real time of a planning step.
         max_schedule_bytes: Largest size of the encoded schedule.
@@ -84,7 +84,7 @@
     """Maintenance of all machines, while one in a hundred fails unexpectedly.
 
     :param load: Share of all cores in use.
-    :param max_down: Most machines that may be down at the same time.
+    :param max_down: Limit of machines that are down for maintenance at the same time.
     """
 
     def __init__(self, load: float, seed: int, machines: int, max_down: int) -> None:
@@ -182,7 +182,7 @@
 def simulate_large_maintenance(
     load: float, seed: int, machines: int = 1_000, max_down: int = 40
 ) -> LargeMaintenanceResult:
-    """Simulate the maintenance of all machines; apart from real times, the result depends only on the arguments."""
+    """Simulate the maintenance of all machines; only the measured planning times differ between equal calls."""
     return LargeMaintenance(load, seed, machines, max_down).run()
 
 
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -1,7 +1,8 @@
 """The experiment "namespaces": customers' rules.
 
-It compares decisions with a simple reference, and measures look-ups beside other customers, the publishing to all
-runners, and how much service the others lose to a customer that sends three times its share and has ten thousand rules.
+It compares decisions with a simple reference. It measures the time of look-ups among many customers, the time until
+all runners have a published revision, and how much service other customers lose to one that sends three times its share
+and has ten thousand rules.
 """
 
 from __future__ import annotations
@@ -85,7 +86,7 @@
         return decoded
 
     async def play_load(self, seed: int, rates: dict[str, float], seconds: float) -> dict[str, float]:
-        """Send load and return each tenant's share of value served in time.
+        """Send requests of each tenant, and return the share of each tenant's offered value that was served in time.
 
         :param rates: Requests per second, by tenant.
         """
@@ -192,7 +193,7 @@
 
 
 async def _measure_publishing(result: Result, fleet: RoutedFleet, revisions: int, log: Log) -> None:
-    """Measure the time until the last runner has a revision, since its submission and since its publication."""
+    """Measure the time until all runners have a revision, both from its submission and from its publication."""
     since_published_ms = []
     since_submitted_ms = []
     incomplete = 0
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -1,8 +1,9 @@
 """The experiment "outage": maintenance of the machines of eight runners in two zones under load.
 
 The machines are rebooted in the order that the runners coordinate, all at once, one after the other by a script that
-checks only their health, or in a fixed order at fixed intervals. Variants add the unexpected failure of a runner or a
-network partition. The same planning is simulated for a thousand machines.
+checks only their health, or in a fixed order at fixed intervals; baselines reboot none. Variants of the coordinated
+order and of the baseline add the unexpected failure of a runner or a network partition. The planning of the
+coordinated order is also simulated for a thousand machines.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     RebootOrder.COORDINATED_WITH_LOSS: RebootOrder.NONE_WITH_LOSS,
     RebootOrder.COORDINATED_WITH_PARTITION: RebootOrder.NONE_WITH_PARTITION,
 }
-"""Baseline without reboots of each order that has criteria."""
+"""Orders that have criteria, each with the baseline without reboots that it is compared with."""
 PLOTTED = (RebootOrder.COORDINATED, RebootOrder.AT_ONCE, RebootOrder.BY_HEALTH)
 
 Results = dict[RebootOrder, list[OutageResult]]
--- a/moorusher/lab/outage_arm.py
+++ b/moorusher/lab/outage_arm.py
@@ -1,4 +1,4 @@
-"""One arm of the experiment "outage": a fleet under load, all of whose machines are rebooted in some order."""
+"""One arm of the experiment "outage": a fleet under load whose machines are rebooted in some order, or not at all."""
 
 from __future__ import annotations
 
@@ -102,11 +102,11 @@
         counts: Requests by outcome.
         failed: Requests that were lost, failed or reached no runner.
         executed_twice: Keyed requests that were executed more than once.
-        max_machines_down: Most machines down at the same time.
+        max_machines_down: Largest number of machines that were rebooting at the same time.
         reboots: Completed reboots.
-        duration_s: Time until all reboots were complete.
+        duration_s: Time from the end of the lead time until all reboots were complete.
         slot_times_s: How long each runner held its slot.
-        lines: Machines down, and requests in flight per core, over time.
+        lines: Number of rebooting machines, and requests in flight per core, over time.
     """
 
     served_share: float = msgspec.field(name="served")
@@ -122,12 +122,16 @@
 
     @property
     def requests_not_served(self) -> float:
-        """Estimated number of requests not served in time."""
+        """Number of requests not served in time, estimated from the share of the value."""
         return (1 - self.served_share) * self.requests
 
 
 class OutageArm:
-    """One play, in a separate process."""
+    """Plays one arm once, in the process that the experiment starts for it.
+
+    Attributes:
+        order: How the machines are rebooted.
+    """
 
     def __init__(self, reactor: Any, seed: int, order: RebootOrder) -> None:
         self.reactor = reactor
@@ -226,7 +230,7 @@
     # ---- the play ----
 
     async def play(self) -> OutageResult:
-        """Play the arm; its processes run until `close`."""
+        """Play the arm; the fleet's processes run until `close`."""
         await self._fleet.begin()
         seconds = IDLE_PLAY_S if self.order.reboots_nothing else MAX_PLAY_S
         rate = LOAD * RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
@@ -315,6 +319,6 @@
     reactor.run(installSignalHandlers=False)
 
 
-# Each arm runs in its own process, since eight runners and their kernels need an event loop of their own.
+# Each arm runs in its own process, so that the kernels and callers of its eight runners have their own event loop.
 if __name__ == "__main__":
     main(int(sys.argv[1]), RebootOrder(sys.argv[2]), Path(sys.argv[3]))
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -29,7 +29,7 @@
 ]
 TENANTS = ["north", "south"]
 REBOOT_S = 3.0
-"""How long a machine is down during a reboot."""
+"""Time from the exit of a machine's runner until the machine starts again."""
 WARM_UP_S = 2.0
 COLD_SPEED = 0.5
 STOP_TIMEOUT_S = 4.2
@@ -45,7 +45,7 @@
 
     Attributes:
         down: Indexes of machines that are being rebooted.
-        max_down: Most machines down at the same time.
+        max_down: Largest number of machines that were being rebooted at the same time.
         reboots: Number of completed reboots.
     """
 
@@ -157,7 +157,10 @@
     # ---- reboots ----
 
     async def reboot(self, index: int) -> None:
-        """Stop the runner, gracefully if it ends in time, keep its machine down, then start it with a cold kernel."""
+        """Reboot a machine and wait until its runner serves requests; the kernel starts cold.
+
+        The runner is killed if it doesn't shut down within `STOP_TIMEOUT_S`.
+        """
         self.down.add(index)
         self.max_down = max(self.max_down, len(self.down))
         await self._stop_runner(index)
@@ -195,7 +198,7 @@
     # ---- faults ----
 
     async def fail_runner(self) -> None:
-        """Kill the last runner that is up and its kernel, and restart both later."""
+        """Kill the runner with the highest index that is up, close its kernel, and start both again later."""
         index = next(
             index
             for index in reversed(range(RUNNERS))
--- a/moorusher/lab/runner_client.py
+++ b/moorusher/lab/runner_client.py
@@ -17,7 +17,7 @@
 
 MAX_REQUESTS_PER_CONNECTION = 32
 REJECTED_CODE = -32014
-"""Error code of a rejected request, which the runner did not begin."""
+"""Error code of a request that the runner rejected without starting it."""
 _MEMORY_COST = 20.0
 _RANK = 0.5
 _CONNECT_TIMEOUT_S = 1
@@ -116,7 +116,7 @@
             request.on_outcome("unreached")
 
     def send(self, arrival: Arrival, request_id: str, on_outcome: OnOutcome) -> None:
-        """Send one request, on a new connection if the open ones are full."""
+        """Send one request; queue it for a new connection if no open one accepts it."""
         number = next(self._numbers)
         line = self._encode(arrival, request_id, number)
         request = _QueuedRequest(line, number, on_outcome)
--- a/moorusher/lab/runner_fleet.py
+++ b/moorusher/lab/runner_fleet.py
@@ -87,10 +87,11 @@
                 await self.pause(_POLL_S)
 
     async def _bootstrap(self) -> bool:
-        """Request the first runner to form a new fleet.
+        """Request that the first runner forms a new fleet.
 
-        :returns: False if the request has to be repeated: the runner rejects it until it has received messages from
-            all others in all register spaces. A runner that has recovered rejects it too, but needs no repetition.
+        :returns: whether the fleet has been formed. False means that the request has to be repeated: the runner
+            rejects it until it has received messages from all others in all register spaces. A runner that has
+            recovered also rejects the request; the result is True then.
         """
         reply = await self.request_admin(0, "fleet/begin", "POST")
         return reply.succeeded or await self._has_recovered(0)
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -37,7 +37,7 @@
     collapse_multiple: float = DEFAULT_COLLAPSE_MULTIPLE,
     **extra: Any,
 ) -> dict[str, Any]:
-    """Return the platform's settings for a runner of the laboratory.
+    """Return the settings that a laboratory runner reads in place of those of the production platform.
 
     :param extra: entries of the settings' section `extra` that override the laboratory's defaults.
     """
@@ -95,14 +95,14 @@
 
     :param database_port: port of the runner's backend, None for no backend.
     :param health_toml: content of the section on health reports.
-    :param sends_maxconn: whether the agent also reports a number of connections.
+    :param sends_maxconn: whether the agent also reports a limit of connections.
     :param extra_toml: additional sections of the listeners' file.
 
     Attributes:
         port: Port for requests; `agent`, `health` and `admin` are the ports of the other listeners.
         exit_code: Exit code, None while the process runs.
         on_exit: Called with the exit code when the process has exited.
-        keeps_files: Whether the files are kept for a restart.
+        keeps_files: Whether the runner's files are kept when its process exits, for a restart.
     """
 
     def __init__(
@@ -169,7 +169,7 @@
         )
 
     def processEnded(self, reason: Any) -> None:
-        """Store the exit code, log the end of a failed process' log, and remove the files."""
+        """Store the exit code and call `on_exit`; unless files are kept, remove them and show the log of a failure."""
         code = reason.value.exitCode
         self.exit_code = code if code is not None else -1
         self._log.close()
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -1,4 +1,7 @@
-"""Simulation of a pool of servers in virtual time: servers with faults, open-loop arrivals, several routing methods."""
+"""Simulation of calls to a pool of servers in virtual time, with faulty servers and several routing methods.
+
+Arrivals are open-loop: they don't wait for answers.
+"""
 
 from __future__ import annotations
 
@@ -150,7 +153,7 @@
 class PoolSimulation:
     """Simulation of one caller's calls to the servers.
 
-    :param seed: Seed of arrivals and service times; they are the same for every method.
+    :param seed: Seed of arrivals and service times, which don't depend on the method.
     :param prepare: Changes the load balancer before the first call.
     :param events: Actions on the simulation, with their time in seconds.
     :param method_seed: Seed of the random choices of the routing method.
@@ -271,7 +274,7 @@
             self.statistics.record_answer(call.arrived_us, latency_ms, in_time)
 
     def _arm_timer(self) -> None:
-        """Schedule an event for the load balancer's earliest timer, as a link does with its single timer."""
+        """Schedule an event for the load balancer's earliest timer, unless an earlier event is scheduled already."""
         due = self.load_balancer.next_timer()
         if due is not None and (self._timer_at is None or due < self._timer_at):
             self._timer_at = due
--- a/moorusher/lab/stand_ins/kernel.py
+++ b/moorusher/lab/stand_ins/kernel.py
@@ -20,7 +20,7 @@
 from .base import StandInServer, TrackedConnection
 
 _POLL_US = 50_000
-"""Maximum interval between two checks of the cores during runs, because their speed changes over time."""
+"""Maximum interval between two checks for completed runs, needed because the speed of the cores changes over time."""
 _GAUGE_WINDOW_US = 250_000
 """Minimum length of the interval over which processor usage is measured."""
 _ENDLESS_WORK_US = 1e12
@@ -118,7 +118,7 @@
         worst_runs_per_core: Highest mean of runs per core in the window of the machine.
         runs: All runs that were started, in order.
         message_counts: Number of received messages by kind.
-        opened: Last notice that the runner had received, for each link it opened.
+        opened: For each link that the runner opened, the number of the last notice that it had received before.
         call_replies: Reply to the last call of each run, by request.
         skipped_calls: Numbers of the notices whose calls were skipped.
         rejected_kinds: Kinds of messages that are answered with EINVAL.
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -1,4 +1,4 @@
-"""The experiment "takeover": six runners under load, some of which fail, as a fleet and as independent runners."""
+"""The experiment "takeover": six runners under load, one or two of which fail, with and without a fleet."""
 
 from __future__ import annotations
 
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -42,7 +42,7 @@
 BURST_SIZE = 10
 BURST_SERVICE_TIME_MS = 4 * SERVICE_TIME_MS
 FAILING_RUNNERS = (1, 4)
-"""Indexes of the runners of which one or both fail. Both receive a burst before, so that they have queued requests."""
+"""Indexes of the runners of which the first or both fail. Both have queued requests then, since they get a burst."""
 _BURST_LEAD_S = 0.1
 _WATCH_INTERVAL_S = 0.02
 _SETTLING_S = 5.0
@@ -50,14 +50,14 @@
 
 
 class Loss(enum.Enum):
-    """Which failure some of the runners have."""
+    """Failure injected into one or two runners."""
 
     ONE_KILLED = "one"
     TWO_KILLED = "two"
     STOPPED = "stopped"
-    """The process is suspended for a while, then continues."""
+    """One runner's process is suspended for `SUSPENSION_S`, then continues."""
     CUT = "cut"
-    """The links to the other runners deliver nothing."""
+    """The links between one runner and all others deliver nothing."""
 
 
 class TakeoverArm:
@@ -99,7 +99,7 @@
         self._request_by_id: dict[str, CallerRequest] = {}
         self._failed_runners: list[int] = []
         self._open_at_loss: list[CallerRequest] = []
-        # Idempotency keys of the requests that the failed runners had started.
+        # Idempotency keys of the requests that the failed runners had started before they failed.
         self._started_at_failed: set[str] = set()
         self._takeover_at: float | None = None
         self._began_us = 0
@@ -170,7 +170,10 @@
                 self._send(Arrival(self.now, KEYED_CLASS, TENANTS[0], body, token), runner)
 
     def _attempt(self, request: CallerRequest, runner: int) -> None:
-        """Send the request with the same idempotency key as before."""
+        """Send the request to a runner, unless it has an outcome or its deadline has passed.
+
+        All attempts have the same idempotency key.
+        """
         if request.outcome or self.now - request.sent_at > request.deadline_s:
             return
         request.runners.append(runner)
--- a/moorusher/lab/takeover_result.py
+++ b/moorusher/lab/takeover_result.py
@@ -14,8 +14,9 @@
     Attributes:
         token: Idempotency key, or empty.
         sent_at: Time of the first attempt.
-        runners: Indexes of the runners that it was sent to, in order.
-        outcome: Empty until there is one.
+        runners: Indexes of the runners to which the request was sent, in order.
+        outcome: Final outcome, empty until there is one.
+        ended_at: Time of the outcome.
     """
 
     arrival: Arrival
@@ -32,7 +33,7 @@
 
     @property
     def served_in_time(self) -> bool:
-        """Whether it was served within its deadline."""
+        """Whether the request was served within its deadline."""
         return self.outcome == "served" and self.ended_at - self.sent_at <= self.deadline_s
 
 
@@ -41,13 +42,13 @@
     """Result of one play.
 
     Attributes:
-        tokens: Keyed requests.
-        executed_twice: Keys that were executed more than once.
-        open_at_loss: Keyed requests that the failed runners had not answered at the failure.
-        queued_at_loss: Open requests that had not started.
-        queued_served: Share of the queued requests served in time.
-        without_outcome: Open requests that never had an outcome.
-        executions_per_served: Runs per keyed request served in time.
+        tokens: Number of keyed requests.
+        executed_twice: Number of keyed requests that were executed more than once.
+        open_at_loss: Number of keyed requests that the failed runners had not answered when they failed.
+        queued_at_loss: Number of those open requests that the failed runners had not started.
+        queued_served: Share of the queued requests that were served in time.
+        without_outcome: Number of the open requests that never had an outcome.
+        executions_per_served: Runs of keyed requests, divided by the number of keyed requests served in time.
         served: Share of the keyed requests served in time.
         others_served: Share served in time of the requests without a key that were sent to the
             other runners after the failure.
--- a/moorusher/lab/tier.py
+++ b/moorusher/lab/tier.py
@@ -1,6 +1,7 @@
-"""The experiment "tier": load balancing over eight servers, one of which hangs, one slows down, and one fails calls.
+"""The experiment "tier": load balancing over eight servers. One of them hangs, one becomes slow, and one fails calls.
 
-It also measures the cost of selecting a server, and how evenly many runners are spread over subsets of many servers.
+It also measures the time to select a server, and how evenly the load of many runners is spread over many servers when
+each runner uses only a subset of them.
 """
 
 from __future__ import annotations
@@ -94,7 +95,7 @@
 
 
 def _max_runners_per_server() -> int:
-    # Many runners use a subset each of many servers.
+    # Each of `SPREAD_RUNNERS` runners uses its own subset of the servers.
     endpoints = [
         Endpoint(EndpointConfig(f"s{index}", ("127.0.0.1", 1)), LoadBalancingPolicy(), 0)
         for index in range(SPREAD_SERVERS)
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -1,6 +1,7 @@
 """The experiment "warm-start": a new instance that balances load over twelve servers, four of them faulty.
 
-It starts without knowledge, with the state that a running instance has learned, or with slow, stale or false state.
+The new instance starts without knowledge, or with the state that a running instance, the donor, has learned. In some
+arms the donor measured with a slow event loop, or the state is stale or false.
 """
 
 from __future__ import annotations
@@ -36,8 +37,8 @@
 YOUNG_DONOR_S = 5.0
 STALE_AGE_S = 3600
 STEADY_MARGIN = 0.02
-"""How far below the steady level the share of calls answered in time may be."""
-EARLY_S = 5
+"""Largest distance below the steady level at which the share of calls answered in time still counts as steady."""
+EARLY_S = 5  # Length of the early phase, whose calls that were not answered in time are counted.
 PLOTTED_S = 8
 SLOW_FACTOR = 15.0
 _DONOR_SEED_OFFSET = 500
@@ -88,7 +89,9 @@
 
 
 def _falsified(state: LearnedState) -> LearnedState:
-    """Swap good and bad servers: eject half of the healthy ones, admit ejected ones, and invert latencies."""
+    """Make good servers look bad and bad ones good: eject half of the healthy servers, admit all ejected ones, and
+    invert latencies.
+    """
     # The reported condition of the donor is unchanged, so nothing reveals that the state is false.
     endpoints = tuple(
         msgspec.structs.replace(
@@ -178,7 +181,7 @@
 
 
 def _shares_by_bin(statistics: CallStatistics) -> list[float]:
-    """Return the share answered in time of each bin, 1 without calls."""
+    """Return the share of each bin's calls that were answered in time; 1 for a bin without calls."""
     return [
         arrivals.in_time / arrivals.calls if arrivals.calls else 1.0
         for arrivals in _bins_of_arrivals(statistics)
@@ -186,8 +189,8 @@
 
 
 def _seconds_until_steady(statistics: CallStatistics) -> float:
-    """Return the time after which the share answered in time remains near the steady level."""
-    # The steady level is the share in the last third of the arrivals. It is compared with windows of a second.
+    """Return the time after which the share of calls answered in time remains near the steady level."""
+    # The steady level is the share in the last third of the bins. It is compared with the share in windows of a second.
     bins = _bins_of_arrivals(statistics)
     steady_level = share_in_time(bins[len(bins) * 2 // 3 :])
     width = round(1 / BIN_S)
@@ -199,7 +202,7 @@
 
 
 def _early_losses(statistics: CallStatistics) -> int:
-    """Return the number of calls of the first `EARLY_S` that were not answered in time."""
+    """Return the number of calls in the first `EARLY_S` seconds that were not answered in time."""
     return sum(arrivals.calls - arrivals.in_time for arrivals in statistics.bins[: round(EARLY_S / BIN_S)])
 
 
--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -93,7 +93,7 @@
 
 
 def abandoned_work(sim: ClusterSimulation) -> str | None:
-    """Check that work that a majority of its replicas knows was run or is still in progress at the end."""
+    """Check that all work that a majority of its replicas stores has been run or is still in progress at the end."""
     ran = {run.key for run in sim.history.runs}
     for key in sim.history.granted:
         replicas = _replicas_with_open_work(sim, key)
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -54,7 +54,7 @@
         journal_writer: Writer of the journal of the node's acceptor.
     """
 
-    # Tests replace this class by one with a seeded mistake.
+    # Tests replace this class by one with a deliberate mistake.
     engine_class: ClassVar[type[SimulatedRequestEngine]] = SimulatedRequestEngine
 
     def __init__(self, sim: ClusterSimulation, start: ProcessStart) -> None:
@@ -136,7 +136,7 @@
     ) -> bool:
         """Queue work that the node has taken over.
 
-        :returns: Whether this process can run it.
+        :returns: Whether this process accepts the work.
         """
         if not self.can_accept_work():
             return False
--- a/moorusher/model_checking/cluster_simulation.py
+++ b/moorusher/model_checking/cluster_simulation.py
@@ -31,7 +31,7 @@
 from .virtual_time import VirtualTime
 
 WINDOW_MARGIN_US = 500 * MS
-FAULTS_END_S = 5  # From the end of the requests until all partitions and pauses are ended.
+FAULTS_END_S = 5  # Time from the end of the requests until all partitions and pauses are ended.
 RECOVERY_S = 8  # Time without faults before the invariants are checked.
 MAX_QUICK_REPEAT_S = 0.01
 MAX_REPEAT_S = 3
@@ -72,7 +72,7 @@
         :param node_class: Class of the nodes.
         :param process_class: Class of the hosts of the nodes.
         :param amnesia: Whether an acceptor that has lost its memory waits for recovery before it votes. False is a
-            seeded mistake.
+            deliberate mistake.
         """
         super().__init__()
         self.seed = seed
@@ -88,7 +88,7 @@
             SimulatedJournal(JournalHeader(JOURNAL_VERSION, "f", "s", f"n{seat}"))
             for seat in range(self.scenario.seats)
         ]
-        # Tests replace these classes by ones with a seeded mistake.
+        # Tests replace these classes by ones with a deliberate mistake.
         self.node_class = node_class
         self._process_class = process_class
         self._has_amnesia = amnesia
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -1,7 +1,7 @@
 """Demand counting in virtual time: real counters, members and leaders of the forecast, and faults."""
 
-# The invariants are checked at the end of a simulation: the ledger never counts more demand for an hour than there
-# was, and if it marks the hour as completely counted, it counts all of it. The time of day advances `SPEED` times as
+# The invariants are checked at the end of a simulation: for no hour does the ledger count more demand than there was,
+# and for an hour that it marks as completely counted it counts all demand. The time of day advances `SPEED` times as
 # fast as the cluster's clock, so that hours pass in a simulation.
 
 from __future__ import annotations
@@ -131,7 +131,7 @@
     def calculate_correction(
         self, forecast: Any, actual: Mapping[str, list[float]], callback: ForecastCallback
     ) -> None:
-        """Fail: it is never called, as no forecast is calculated in this simulation."""
+        """Raise an error: corrections are never requested, as this simulation calculates no forecasts."""
         raise AssertionError("a correction was requested although no forecast was calculated")
 
 
@@ -156,7 +156,7 @@
         forecaster_class: type[Forecaster] = Forecaster,
     ) -> None:
         scenario = scenario or SCENARIO
-        # Tests replace these classes by ones with a seeded mistake.
+        # Tests replace these classes by ones with a deliberate mistake.
         self.member_class = member_class
         self.forecaster_class = forecaster_class
         self.true_counts: Counter[HourOfDemand] = Counter()
--- a/moorusher/model_checking/leadership_history.py
+++ b/moorusher/model_checking/leadership_history.py
@@ -31,13 +31,14 @@
     """The history of one duty.
 
     Attributes:
-        leaders: Numbers of the processes that led it, by generation and term.
+        leaders: Numbers of the processes that led the duty, by generation and term.
         acknowledged: State updates that were acknowledged to a leader.
         highest: Highest token at the receiver that compares tokens.
         accepted: Tokens accepted by the receiver that compares tokens, in order.
         performed: Number of times that the receiver that can't compare tokens has done each job.
         idempotent: Jobs that may be done more than once.
-        refused_intents: Revisions of intents that a leader queried; the receiver refuses those that arrive later.
+        refused_intents: Revisions of intents that a leader queried. The receiver does no job whose intent arrives
+            after the query.
         jobs_by_intent: Jobs that were done, by the revision of their intent.
         resolved_undone: Jobs that were resolved as never done.
         reported_done: Jobs that were reported to a leader as done.
@@ -61,7 +62,7 @@
     def receive_fenced(self, token: FencingToken, compares: bool) -> ReceiverResponse:
         """Receive a request with a fencing token.
 
-        :param compares: Whether the receiver compares tokens. False is a seeded mistake.
+        :param compares: Whether the receiver compares tokens. False is a deliberate mistake.
         """
         verdict = check_token(self.highest, token) if compares else TokenVerdict.CURRENT
         if verdict is TokenVerdict.STALE:
@@ -80,7 +81,7 @@
         return ReceiverResponse(answered=True, done=True)
 
     def receive_query(self, intent: Intent) -> ReceiverResponse:
-        """Answer a leader's query whether an intent's job was done. If it was not, rule it out for the future."""
+        """Answer a leader's query whether an intent's job was done. If it was not, it is not done later either."""
         self.refused_intents.add(intent.revision)
         return ReceiverResponse(answered=True, done=intent.revision in self.jobs_by_intent)
 
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -37,7 +37,7 @@
     """The kind of effect that both leaders want to perform."""
 
     FENCED = "fenced"  # A request to a receiver that compares fencing tokens.
-    ONCE = "once"  # The same job, at a receiver that can't compare tokens.
+    ONCE = "once"  # A job, the same for both leaders, at a receiver that can't compare tokens.
     STATE = "state"  # An update of the duty's state.
 
 
@@ -46,9 +46,9 @@
     """A message to the receiver. It arrives at any time, or never.
 
     Attributes:
-        serial: Always 0; no answer refers to it.
+        serial: Always 0, since the receiver sends no answer that refers to the message.
         token: Fencing token of the effect.
-        is_job: Whether it goes to the receiver that can't compare tokens.
+        is_job: Whether the message goes to the receiver that can't compare tokens.
     """
 
     serial: int
@@ -70,8 +70,8 @@
 
     Attributes:
         kind: Kind of effect that both leaders want to perform.
-        compares: Whether the receiver compares tokens. False is a seeded mistake.
-        sends_before_intent: Whether an effect is sent before its intent is chosen. True is a seeded mistake.
+        compares: Whether the receiver compares tokens. False is a deliberate mistake.
+        sends_before_intent: Whether an effect is sent before its intent is chosen. True is a deliberate mistake.
         token_change: Class of the change that issues a token.
         acquire_change: Class of the change that acquires the lease.
         highest: Highest token that the receiver has accepted.
@@ -83,7 +83,7 @@
     kind: EffectKind = EffectKind.FENCED
     compares: bool = True
     sends_before_intent: bool = False
-    # Tests replace these classes by ones with a seeded mistake.
+    # Tests replace these classes by ones with a deliberate mistake.
     token_change: type[HolderChange] = IssueToken
     acquire_change: type[AcquireLease] = AcquireLease
     highest: FencingToken | None = None
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -155,7 +155,7 @@
         acceptor_class: Class of the duties' acceptors.
         policy: Leadership policy.
         has_disks: Whether replicas of duties have disks.
-        compares: Whether the receiver compares tokens. False is a seeded mistake.
+        compares: Whether the receiver compares tokens. False is a deliberate mistake.
         wrong_reads: Descriptions of reads that lacked an acknowledged update.
         duty_journals: Content of each seat's disk for duties.
     """
@@ -181,7 +181,7 @@
         scenario = scenario or SCENARIO
         self.names = [f"duty-{number}" for number in range(duties)]
         self.histories: dict[str, DutyHistory] = {name: DutyHistory() for name in self.names}
-        # Tests replace these classes by ones with a seeded mistake.
+        # Tests replace these classes by ones with a deliberate mistake.
         self.participant_class = participant_class
         self.acceptor_class = acceptor_class
         self.policy = policy
--- a/moorusher/model_checking/maintenance_interleavings.py
+++ b/moorusher/model_checking/maintenance_interleavings.py
@@ -4,7 +4,7 @@
 # one crash. The register applies a change atomically; its protocol is explored in `register_interleavings`. A sender
 # may abandon a change, which may still be applied at any later time. The interleavings in which a machine reads
 # nothing and its changes don't arrive cover a partition. The invariants limit how many machines may be worked on at
-# the same time, and exclude work on a machine whose withdrawal was confirmed.
+# the same time, and exclude work on a machine after the withdrawal of its request was confirmed.
 
 from __future__ import annotations
 
@@ -91,8 +91,8 @@
         withdraw_change: Class of the change that withdraws a request.
         budget_class: Class of the disruption budget.
         machine_policy: Policy of the machines.
-        clears_early: Whether the operator is notified before the clearance is chosen. True is a seeded mistake.
-        process_proves_reboot: Whether a new process counts as a new boot of its machine. True is a seeded mistake.
+        clears_early: Whether the operator is notified before the clearance is chosen. True is a deliberate mistake.
+        process_proves_reboot: Whether a new process counts as a boot of its machine. True is a deliberate mistake.
         register: Encoded schedule that is chosen.
         machines: Machines by seat.
         sent: Changes in transit.
@@ -104,7 +104,7 @@
     """
 
     limits: MaintenanceModelLimits
-    # Tests replace these classes by ones with a seeded mistake.
+    # Tests replace these classes by ones with a deliberate mistake.
     grant_change: type[GrantSlots] = GrantSlots
     clear_change: type[ClearMachine] = ClearMachine
     withdraw_change: type[WithdrawRequest] = WithdrawRequest
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -160,7 +160,10 @@
     # ---- repairs ----
 
     def repair_stuck_machines(self) -> None:
-        """Finish slots whose work is not in progress, resume suspended seats, and recover a lost majority."""
+        """Finish slots whose work is not in progress, and resume suspended seats.
+
+        If a majority of the replicas has lost its memory, only recover the majority.
+        """
         live = self._environment.live_processes()
         if not live:
             return
@@ -198,7 +201,10 @@
         return is_complete and recovered < majority(len(replicas))
 
     def _recover_majority(self, live: Sequence[MaintainedProcess]) -> None:
-        """Stop all work, and when no machine is down, bootstrap a replica from the data that is left."""
+        """Withdraw all clearances, end all scripts, and if no machine is down, bootstrap a replica.
+
+        The bootstrap uses the data that remains and accepts the loss of the rest.
+        """
         for seat, machine in enumerate(self._environment.machines):
             machine.is_cleared = False
             self._environment.stuck.discard(seat)
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -27,10 +27,10 @@
     """The true state of a machine, which no process of the cluster sees.
 
     Attributes:
-        boots: Number of its boots, which serves as its boot id.
-        is_cleared: Whether its script may begin the work at any time.
-        is_down: Whether it is shut down for work.
-        is_warming_up: Whether it has returned from work without full capacity.
+        boots: Number of the machine's boots, which serves as its boot id.
+        is_cleared: Whether the script on the machine may begin the work at any time.
+        is_down: Whether the machine is shut down for work.
+        is_warming_up: Whether the machine has returned from work and has not reached full capacity.
     """
 
     boots: int = 1
@@ -40,7 +40,7 @@
 
     @property
     def is_worked_on(self) -> bool:
-        """Whether it may be worked on, or has not yet returned to full service."""
+        """Whether the machine may be worked on, or has not yet returned to full service after the work."""
         return self.is_cleared or self.is_down or self.is_warming_up
 
 
@@ -78,14 +78,14 @@
 
 
 class Script:
-    """Simulates `moorusher outage ask --wait && reboot` on a machine. It repeats its wait after any failure.
+    """Simulates `moorusher outage ask --wait && reboot` on a machine, and repeats the wait if no answer arrives.
 
     Attributes:
         seat: Seat number of the machine.
         request_id: Id of the maintenance request.
-        is_killed_early: Whether it is killed between its two commands.
-        is_over: Whether it has ended.
-        boot: Boot of the machine on which it was started.
+        is_killed_early: Whether the script is killed after the wait and before the reboot.
+        is_over: Whether the script has ended.
+        boot: Boot of the machine on which the script was started.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether it has not ended and the machine has not shut down or rebooted since its start."""
+        """Whether the script has not ended and the machine has not shut down or rebooted since the script's start."""
         return not self.is_over and self._machine.boots == self.boot and not self._machine.is_down
 
     def wait(self) -> None:
@@ -159,7 +159,9 @@
         is_first = not self._machine.is_cleared
         self._environment.clear_machine(self.seat)
         if self.is_killed_early:
-            if is_first:  # The script is killed between its two commands, so the granted work never begins.
+            if (
+                is_first
+            ):  # The script is killed after the wait and before the reboot, so the work never begins.
                 self._environment.stuck.add(self.seat)
         else:
             self._environment.stuck.discard(self.seat)
--- a/moorusher/model_checking/maintenance_simulation.py
+++ b/moorusher/model_checking/maintenance_simulation.py
@@ -114,7 +114,7 @@
         return is_warm
 
     def set_mode(self, mode: MachineMode, reason: str) -> None:
-        """Enter a mode, and drain if it requires that."""
+        """Enter a mode, and accept no new work in the modes DRAINING and CLEARED."""
         if mode is not self.mode:
             self.mode = mode
             self.mode_since_us = self.sim.now
@@ -175,7 +175,7 @@
         simulation.restart_later(seat, simulation.now + round(min(duration_s, MAX_POWER_LOSS_S) * SECOND))
 
     def _lower_limit(self, seat: int, duration_s: float) -> None:
-        """Set a member's limit of machines that are out to 1 until the fault ends, whatever is granted already."""
+        """Set a member's limit of machines that are out to 1 until the fault ends, even if more are out already."""
         process = self._simulation.live_process(seat)
         if process is not None:
             coordinator = process.coordinator
@@ -221,7 +221,7 @@
         self.clock_skews_us = [0] * scenario.seats
         self.policy = policy
         self.load = round(load * HUNDREDTHS)
-        # Tests replace these classes by ones with a seeded mistake.
+        # Tests replace these classes by ones with a deliberate mistake.
         self.coordinator_class = coordinator_class
         self.acceptor_class = acceptor_class
         self.max_cleared = 0
--- a/moorusher/model_checking/publish_history.py
+++ b/moorusher/model_checking/publish_history.py
@@ -49,7 +49,7 @@
 
     Attributes:
         drafts: Drafts that any process or client had for a revision.
-        current: Current revision by number of a process and customer.
+        current: Each customer's current revision at each process, by number of the process and customer.
         confirmations: Confirmed submissions and deletions in order.
         failures: Failed submissions in order.
         propagation_times_us: Times from a confirmation until every member had the revision.
@@ -64,14 +64,14 @@
     violations: list[str] = field(default_factory=list)
 
     def record_draft(self, customer: str, revision_id: RevisionId, draft: bytes) -> None:
-        """Record the draft that a revision has in some place, and check that it has no other one."""
+        """Record a draft that a process or client has for a revision; check that the revision has no other draft."""
         drafts = self.drafts[customer, revision_id]
         drafts.add(draft)
         if len(drafts) > 1:
             self.violations.append(f"{customer} {revision_id} has more than one draft: {sorted(drafts)}")
 
     def record_current(self, process: int, customer: str, revision_id: RevisionId) -> None:
-        """Record the current revision of a process, and check that it is not older than the previous one."""
+        """Record a customer's current revision at a process; check that it is not older than the previous one there."""
         if revision_id < self.current.get((process, customer), (0, 0)):
             self.violations.append(f"process {process} went back to {revision_id} of {customer}")
         self.current[process, customer] = revision_id
--- a/moorusher/model_checking/publish_interleavings.py
+++ b/moorusher/model_checking/publish_interleavings.py
@@ -167,7 +167,7 @@
         leaders: Leaders by label.
     """
 
-    # Tests replace this class by one with a seeded mistake.
+    # Tests replace this class by one with a deliberate mistake.
     publisher_class: type[Publisher] = Publisher
     path: tuple[str, ...] = ()
     term: int = 1
@@ -189,7 +189,7 @@
         return new
 
     def record_draft(self, number: int, draft: bytes) -> None:
-        """Record the draft that a revision has in some place, and check that it has no other one."""
+        """Record a draft that was published, confirmed or stored as a revision; check that it has no other draft."""
         if self.drafts.setdefault(number, draft) != draft:
             self.failure = f"revision {number} has two drafts: {self.drafts[number]!r} and {draft!r}"
 
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -109,7 +109,7 @@
         self.sim.at(self.sim.now + delay_us, self, lambda: then(parsed))
 
     def store_revision(self, customer: str, at: RevisionId, draft: bytes | None) -> None:
-        """Store a revision on the disk, if there is one.
+        """Store a revision on the disk, if the simulation has disks.
 
         :param draft: Draft of the revision, or None if the namespace was deleted.
         """
@@ -157,7 +157,7 @@
         :param deletions: Number of deletions of namespaces.
         """
         scenario = scenario or SCENARIO
-        # Tests replace this class by one with a seeded mistake.
+        # Tests replace this class by one with a deliberate mistake.
         self.replica_class = replica_class
         self.stored: list[dict[str, tuple[RevisionId, bytes | None]]] = [{} for _ in range(scenario.seats)]
         self.publish_history = PublishHistory()
@@ -267,7 +267,10 @@
         return None
 
     def _find_register_violation(self, customer: str) -> str | None:
-        """Check that after the recovery time a majority has all confirmed revisions and all members have the same."""
+        """Check, after the recovery time, the revisions that a majority stores and each member's current revision.
+
+        A majority must store all confirmed revisions, and its latest one must be current at all members.
+        """
         duty = duty_of(customer)
         replicas = self.voting_replicas(duty)
         if len(replicas) < MIN_REPLICAS:
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -59,8 +59,8 @@
         limits: Bounds of the explored case.
         acceptor_class: Class of the acceptors.
         proposer_class: Class of the proposers.
-        runs_early: Whether a runner runs the work as soon as it asks to start it. True is a seeded mistake.
-        amnesia: Whether an acceptor that has lost its memory must recover before it votes. False is a seeded mistake.
+        runs_early: Whether a runner runs the work as soon as it asks to start it. True is a deliberate mistake.
+        amnesia: Whether an acceptor that lost its memory must recover before it votes. False is a deliberate mistake.
         interchangeable: Seats that differ only in their names. Empty means all three.
         replicas_by_runner: Replicas that each runner uses, if they are not the same.
         acceptors: Acceptors by seat.
@@ -74,7 +74,7 @@
     """
 
     limits: RegisterModelLimits
-    # Tests replace these classes by ones with a seeded mistake.
+    # Tests replace these classes by ones with a deliberate mistake.
     acceptor_class: type[Acceptor] = Acceptor
     proposer_class: type[Proposer] = Proposer
     runs_early: bool = False
--- a/moorusher/model_checking/register_state.py
+++ b/moorusher/model_checking/register_state.py
@@ -26,8 +26,8 @@
         retries_on_conflict_only: Whether an additional round may begin only after a conflict, not at any time.
         has_answers_in_transit: Whether answers are messages in transit. Otherwise they arrive at once or are lost.
         duplicates: Number of messages that are duplicated.
-        crashes: Number of restarts of acceptor a without its memory.
-        restarts: Number of restarts of acceptor a with its memory.
+        crashes: Number of restarts of the acceptor at `RESTARTING` without its memory.
+        restarts: Number of restarts of the acceptor at `RESTARTING` with its memory.
         starts_held: Whether P holds the key initially; P then starts the work, and Q takes it over.
         takes_over: Whether a runner takes over work that another runner has claimed or released.
         releases: Whether P releases the work as not run after its start was chosen.
--- a/moorusher/model_checking/simulated_request_engine.py
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -1,4 +1,4 @@
-"""The runner's part in keyed work: a simulated queue and kernel that wait for random times and invent results."""
+"""A simulated queue and kernel, which run keyed work: they take random times and produce unique results."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 MEAN_QUEUE_S = 0.3
 MEAN_RUN_S = 0.2
-REJECTION_DELAY_US = 5 * MS  # From taking work over until it is rejected.
-BODY_DIGEST = 1  # Digest of the body of all requests.
+REJECTION_DELAY_US = 5 * MS  # Time from a takeover until the work is rejected.
+BODY_DIGEST = 1  # Digest of the request body, which is the same for all requests.
 
 
 class KeyState(Enum):
@@ -79,7 +79,7 @@
         self._process.node.claim(key, BODY_DIGEST, request, now + self._sim.longest_window_us)
 
     def accept_takeover(self, key: KeyDigest, request: WorkRequest) -> None:
-        """Queue work of another runner. A share of it is rejected after REJECTION_DELAY_US."""
+        """Queue work of another runner, or reject it after REJECTION_DELAY_US, with the scenario's probability."""
         self.received_at[key] = round(request.arrived_unix_ms * MS)
         if self._sim.random.random() < self._sim.scenario.rejection:
             self._sim.at(self._sim.now + REJECTION_DELAY_US, self._process, lambda: self._reject(key))
@@ -93,7 +93,7 @@
             self._process.node.release_work(key, rejected=True)
 
     def in_hand(self, key: KeyDigest) -> WorkInHand:
-        """Return whether this process holds a key's work, whether it has finished, and its result."""
+        """Return whether this process has a key's work in hand, whether the work has finished, and its result."""
         state = self.states.get(key)
         return WorkInHand(state in IN_HAND, state is KeyState.FINISHED, self.results.get(key))
 
@@ -169,7 +169,7 @@
         self._answer(key, result, AnswerKind.RAN)
 
     def restore_kernel(self) -> None:
-        """End the kernel's outage: schedule the start of queued work, and finish the runs."""
+        """End the kernel's outage: schedule the start of queued work, and finish the runs that it interrupted."""
         self.kernel_is_up = True
         for key, state in list(self.states.items()):
             if state is KeyState.HELD:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Stand-ins, simulations and reports of the laboratory, on whose correctness the experiments depend."""
+"""Tests of the laboratory's stand-ins, simulations and reports. Experiments depend on their correctness."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def completions(cores: Cores, until: int) -> list[tuple[int, str]]:
-    """Return the completion times of runs up to a time in us, in ms, with the runs' names."""
+    """Return the completion time (ms) and name of each run that completes by `until` (us)."""
     now, completed = 0, list[tuple[int, str]]()
     while (due := cores.next_completion(now)) < NEVER and due <= until:
         now = due
@@ -189,7 +189,7 @@
 
 @pytest.mark.processes
 def test_the_cost_of_a_forecast_is_measured_in_a_separate_process() -> None:
-    """The script of that process imported a package that had been renamed, which failed the forecast experiment."""
+    """Regression: the forecast experiment failed, since the script of that process imported a renamed package."""
     cost = measure_cost(1, routes=12)
     assert cost.seconds > 0 and cost.megabytes > 0
 
@@ -230,8 +230,8 @@
 def test_trials_without_a_takeover_count_against_the_criterion(
     takeovers_s: tuple[float, ...], measured: str, holds: bool
 ) -> None:
-    """A fleet that never took over passed: trials without a takeover were excluded from the median, and the criterion
-    was omitted if no trial had one.
+    """Regression: a fleet that never took over passed the criterion. Trials without a takeover were excluded from the
+    median, and the criterion was omitted if no trial had a takeover.
     """
     result = Result()
     judge_fleet(result, "one at 90%", [takeover_result(each) for each in takeovers_s], None)
--- a/tests/test_lab_ports.py
+++ b/tests/test_lab_ports.py
@@ -1,7 +1,7 @@
-"""Ports of the laboratory.
+"""Tests of the allocation of the laboratory's ports.
 
-A restarted server failed with "Address already in use": the system had given its port to an outgoing connection of
-another test, which happens when tests run in parallel.
+Regression: a restarted server failed with "Address already in use". Its port was an ephemeral one, which the system had
+meanwhile given to an outgoing connection of another test that ran in parallel.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def test_two_processes_never_allocate_the_same_port() -> None:
-    """Two processes that begin at the same port are the closest case."""
+    """Uses two process ids for which the search for ports begins at the same port, where a collision is likeliest."""
     own_ports = [free_port() for _ in range(20)]
     script = (
         "import os; os.getpid = lambda: %d\n"
