--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -153,10 +153,10 @@
         return now + max(1, round((self._ends[0][0] - self._work_per_run_us) / rate))
 
     def survivable_runs(self, now: int) -> float:
-        """Return the mean number of runs that the machine can bear."""
+        """Return the mean number of runs above which the machine collapses."""
         machine = self.machine
         return survivable_runs(machine.cores, machine.collapse_runs_per_core, self.warm_up_factor(now))
 
     def has_collapsed(self, now: int) -> bool:
-        """Return whether the mean number of runs in the window exceeds what the machine can bear."""
+        """Return whether the mean number of runs in the window exceeds `survivable_runs`."""
         return self.concurrency.mean(now) > self.survivable_runs(now)
--- a/moorusher/lab/fenced_receiver.py
+++ b/moorusher/lab/fenced_receiver.py
@@ -60,7 +60,7 @@
         self._database.execute("COMMIT")
 
     def check(self, duty: str, token: FencingToken) -> TokenCheck:
-        """Compare a token with the highest known one, and store it if it is current."""
+        """Compare a token with the highest known one, and store the compared token if it is current."""
         with self._transaction():
             row = self._database.execute(
                 "SELECT born, term, number FROM fences WHERE duty = ?", (duty,)
--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -205,7 +205,7 @@
     def _receive_requests(self, now_us: int) -> None:
         """Let each balancer route an equal part of the load by the weights that it last read.
 
-        A balancer that reads no positive weight loses its part.
+        The part of a balancer is lost if all weights that it last read are 0.
         """
         weights = self._last_read_weight * self._alive
         total = weights.sum(axis=1, keepdims=True)
@@ -292,7 +292,7 @@
     return FleetSimulation(scenario, seed, with_report).run()
 
 
-# The experiment runs this module in a separate process, since the simulation would block the event loop of its sockets.
+# The experiment runs this module in a separate process, since the simulation would block the experiment's event loop.
 if __name__ == "__main__":
     seed = int(sys.argv[1])
     with_report = sys.argv[2] == "report"
--- a/moorusher/lab/health_prober.py
+++ b/moorusher/lab/health_prober.py
@@ -13,7 +13,7 @@
 from .ports import HOST
 
 _MAX_READ_BYTES = 4096
-"""Limit on the bytes used of each received chunk of a reply."""
+"""Number of bytes used of each received chunk of a reply; the rest of the chunk is ignored."""
 _TIMEOUT_S = 1.0
 
 OnReply = Callable[[bytes], None]
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -54,7 +54,8 @@
 
     Attributes:
         with_report: Whether balancers read the agent. Otherwise they only check that the process is alive.
-        without_guard: Whether the scheduler's own guard is disabled and the agent also reports `maxconn`.
+        without_guard: Whether the scheduler's own guard against a collapse is disabled; the agent then also reports
+            `maxconn`.
         with_cold_runner: Whether the last runner starts cold.
         runners: Number of runners.
     """
--- a/moorusher/lab/health_report_experiment.py
+++ b/moorusher/lab/health_report_experiment.py
@@ -36,14 +36,14 @@
 from .runners import Runner, runner_settings
 
 LOAD = 0.85
-"""Share of the capacity of three runners."""
+"""Load as a share of the capacity of three runners."""
 CALM_LOAD = 0.6
-"""Share of the capacity of one runner."""
+"""Load of the calm and the flooded arm, as a share of the capacity of one runner."""
 FLEET_LOADS = (0.7, 0.8)
 PLOTTED_FLEET_LOAD = 0.7
 FLEET_MODES = ("report", "none")
 NOTICE_TOLERANCE = 0.1
-"""Share of a probe interval that is allowed for the transfer."""
+"""Time allowed for the transfer of a drain notice, as a share of a probe interval."""
 ARMS = {
     "report": ArmOptions(with_report=True, with_cold_runner=True),
     "none": ArmOptions(with_report=False, with_cold_runner=True),
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -89,7 +89,7 @@
 def compare_plans(
     series: DemandSeries, quantiles: Floats, scaling: ScalingPolicy, core_s: float
 ) -> dict[str, ScalingOutcome]:
-    """Compare the hints with two rules, which plan each hour as the hour before or the same hour of last week needed.
+    """Compare the hints with two rules, which expect the demand of the previous hour or of the same hour last week.
 
     The headroom of each rule is chosen so that the rule uses as many runner-hours as the hints.
 
--- a/moorusher/lab/maintenance_simulation.py
+++ b/moorusher/lab/maintenance_simulation.py
@@ -182,7 +182,7 @@
 def simulate_large_maintenance(
     load: float, seed: int, machines: int = 1_000, max_down: int = 40
 ) -> LargeMaintenanceResult:
-    """Simulate the maintenance of all machines; only the measured planning times differ between equal calls."""
+    """Simulate the maintenance of all machines. The result is deterministic except for the measured planning times."""
     return LargeMaintenance(load, seed, machines, max_down).run()
 
 
--- a/moorusher/lab/namespace_rules.py
+++ b/moorusher/lab/namespace_rules.py
@@ -167,7 +167,7 @@
 
 
 def _measure_look_up_us(customers: CurrentRevisions, name: str, rules: int) -> float:
-    """Return the median time to find, as for a request, a customer by name and then the rule that applies."""
+    """Return the median time of a request's look-up, which finds the customer by name and then the matching rule."""
     requests = [
         RequestAttributes("submit", index % 60, -1, 0.1, f"{index % rules:05x}-abc")
         for index in range(_LOOK_UPS_PER_REPETITION)
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -80,7 +80,7 @@
         )
 
     async def publish(self, index: int, customer: str, draft: bytes) -> dict[str, Any]:
-        """Publish a draft through one runner, wait until all have it, and return the reply."""
+        """Publish a draft through one runner, wait until all runners have it, and return the reply."""
         reply = await self.request_admin(index, f"namespaces/{customer}?wait=1", "PUT", draft)
         decoded: dict[str, Any] = reply.decode()
         return decoded
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -37,7 +37,7 @@
     collapse_multiple: float = DEFAULT_COLLAPSE_MULTIPLE,
     **extra: Any,
 ) -> dict[str, Any]:
-    """Return the settings that a laboratory runner reads in place of those of the production platform.
+    """Return the settings of a laboratory's runner. In production, the platform provides such settings.
 
     :param extra: entries of the settings' section `extra` that override the laboratory's defaults.
     """
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -154,9 +154,9 @@
     """Simulation of one caller's calls to the servers.
 
     :param seed: Seed of arrivals and service times, which don't depend on the method.
-    :param prepare: Changes the load balancer before the first call.
+    :param prepare: Called with the load balancer before the first call, to change its state.
     :param events: Actions on the simulation, with their time in seconds.
-    :param method_seed: Seed of the random choices of the routing method.
+    :param method_seed: Seed of the random choices of the routing method; None means `seed` + 1.
     :param bin_s: Length of the bins of the statistics.
     """
 
--- a/moorusher/lab/stand_ins/base.py
+++ b/moorusher/lab/stand_ins/base.py
@@ -94,7 +94,7 @@
             self.setRawMode()  # type: ignore[no-untyped-call]
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Append a part of the body, and pass on the complete request. Bytes after the body are the next request."""
+        """Append a part of the body, and pass on the complete request. Bytes after it belong to the next request."""
         self._body += data
         if len(self._body) < self._content_length:
             return
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -89,9 +89,7 @@
 
 
 def _falsified(state: LearnedState) -> LearnedState:
-    """Make good servers look bad and bad ones good: eject half of the healthy servers, admit all ejected ones, and
-    invert latencies.
-    """
+    """Return a false state: half of the healthy servers are ejected, ejected ones admitted, and latencies inverted."""
     # The reported condition of the donor is unchanged, so nothing reveals that the state is false.
     endpoints = tuple(
         msgspec.structs.replace(
--- a/moorusher/model_checking/explorer.py
+++ b/moorusher/model_checking/explorer.py
@@ -70,7 +70,7 @@
 
 def fingerprint_of(state: Model) -> bytes:
     """Return a hash of a state's fingerprint."""
-    # A hash has only 16 bytes, so that those of millions of visited states fit into memory.
+    # A hash has only 16 bytes, so that the hashes of millions of visited states fit into memory.
     return xxhash.xxh3_128_digest(repr(state.fingerprint()).encode())
 
 
--- a/moorusher/model_checking/maintenance_operators.py
+++ b/moorusher/model_checking/maintenance_operators.py
@@ -16,7 +16,8 @@
 
 EPOCH_S = 1e9  # Unix time at the start of a simulation.
 WORK_S = 1.0
-OWN_SCRIPT_SHARE = 0.4  # Share of requests that a script on one machine submits; the others may name several.
+# Share of requests that a script submits for its own machine. The other requests may name several machines.
+OWN_SCRIPT_SHARE = 0.4
 KILLED_EARLY_SHARE = 0.08  # Share of scripts that are killed between clearance and work.
 WITHDRAWN_SHARE = 0.2  # Share of requests that are withdrawn.
 MAX_WITHDRAWAL_DELAY_S = 8  # From the request to its withdrawal.
@@ -96,7 +97,7 @@
         self._environment.at(at_us + 1, None, script.wait)
 
     def _submit(self, request: MaintenanceRequest, script: Script | None) -> None:
-        """Send a request repeatedly until a member knows it or its own script has ended."""
+        """Send a request repeatedly until a member knows it, or the script that submits it has ended."""
         if self.is_known(request.id):
             return
         if script is not None and not script.is_alive:
--- a/moorusher/model_checking/maintenance_scripts.py
+++ b/moorusher/model_checking/maintenance_scripts.py
@@ -159,9 +159,8 @@
         is_first = not self._machine.is_cleared
         self._environment.clear_machine(self.seat)
         if self.is_killed_early:
-            if (
-                is_first
-            ):  # The script is killed after the wait and before the reboot, so the work never begins.
+            # The script is killed after the wait and before the reboot, so the work never begins.
+            if is_first:
                 self._environment.stuck.add(self.seat)
         else:
             self._environment.stuck.discard(self.seat)
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -62,7 +62,7 @@
         runs_early: Whether a runner runs the work as soon as it asks to start it. True is a deliberate mistake.
         amnesia: Whether an acceptor that lost its memory must recover before it votes. False is a deliberate mistake.
         interchangeable: Seats that differ only in their names. Empty means all three.
-        replicas_by_runner: Replicas that each runner uses, if they are not the same.
+        replicas_by_runner: Replicas that each runner uses; empty if both use all `SEATS`.
         acceptors: Acceptors by seat.
         runners: Runners by name.
         in_transit: Messages in transit, sorted.
@@ -96,7 +96,7 @@
     ) -> Self:
         """Return the initial state.
 
-        :param replicas: Replicas that each runner uses, if they are not the same.
+        :param replicas: Replicas that each runner uses; None if both use all `SEATS`.
         :param options: Other attributes of the model.
         """
         model = cls(limits, replicas_by_runner=replicas or {}, **options)
