--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSpec:
-    """The cores of a machine and the load that they can bear.
+    """The cores of a machine, and the loads at which they become slower or the machine collapses.
 
     Attributes:
         cores: Number of cores.
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -106,7 +106,7 @@
 
 
 class IdleProcess(DutyProcess):
-    """A process whose duties do nothing."""
+    """A process that leads duties without doing any work for them."""
 
     def work(self, lease: LeaseHolder) -> None:
         """Do nothing."""
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -234,7 +234,7 @@
         return self._balancers[0].servers
 
     def served_value_share(self) -> float:
-        """Return the share of the offered value that was served within its latency objective."""
+        """Return the value of the requests served within their latency objective, as a share of the offered value."""
         return self.load.served_value / max(1e-9, self.load.offered_value)
 
     def served_share_since(self, since_s: float) -> float:
@@ -272,7 +272,7 @@
         return times_s
 
     def traffic_shifted_at(self) -> float | None:
-        """Return when the first runner's traffic dropped after its weight was lowered.
+        """Return when the first runner's share of the traffic dropped after a balancer read its lower weight.
 
         :returns: the start of the first second in which the runner gets less than two thirds of an even share, in
             seconds from the start of the load; None if there is no such second.
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -124,7 +124,7 @@
         )
 
     async def pause(self, seconds: float) -> None:
-        """Wait."""
+        """Wait for some seconds."""
         await deferLater(self.reactor, max(0.0, seconds), lambda: None)
 
     async def request_admin(
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -9,7 +9,7 @@
 from .ports import HOST, free_port
 
 MAX_BUFFERED_BYTES = 8 << 20
-"""Buffer limit of a delayed or stalled direction; bytes beyond it are dropped."""
+"""Number of buffered bytes from which on an end of a connection drops the bytes that it receives."""
 _CONNECT_TIMEOUT_S = 2
 
 
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -204,7 +204,7 @@
         heapq.heappush(self._events, (self.now + delay_us, next(self._event_numbers), action))
 
     def run(self) -> CallStatistics:
-        """Run until there are no more events."""
+        """Run until there are no more events, and return the statistics."""
         self._arrive(0)
         while self._events:
             self.now, _, action = heapq.heappop(self._events)
