--- a/moorusher/admin/leadership.py
+++ b/moorusher/admin/leadership.py
@@ -19,7 +19,7 @@
 from .api import TokenProtectedPage, reply, reply_later
 
 MAX_NUMBER_DIGITS = 18
-SETTLE_VERDICTS = ("done", "undone")
+INTENT_VERDICTS = ("done", "undone")
 
 
 class DutyPages(TokenProtectedPage):
@@ -50,7 +50,7 @@
         if len(path) > 1 and path[-1] == "resume":
             name = "/".join(path[:-1])
             return reply_later(request, lambda answer: self._duties.resume(name, _as_document(answer)))
-        if _is_settle_path(path):
+        if _is_intent_resolution_path(path):
             return self._resolve_intent(request, "/".join(path[:-3]), int(path[-2]), path[-1])
         return reply(
             request, 404, {"error": "expected /duties/NAME/resume or /duties/NAME/settle/NUMBER/done"}
@@ -63,8 +63,8 @@
         )
 
 
-def _is_settle_path(path: list[str]) -> bool:
-    if len(path) <= 3 or path[-3] != "settle" or path[-1] not in SETTLE_VERDICTS:
+def _is_intent_resolution_path(path: list[str]) -> bool:
+    if len(path) <= 3 or path[-3] != "settle" or path[-1] not in INTENT_VERDICTS:
         return False
     return path[-2].isdigit() and len(path[-2]) <= MAX_NUMBER_DIGITS
 
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -94,7 +94,7 @@
 
     def list_all(self) -> dict[str, Any]:
         """Return the revisions that this runner has, for all customers of the settings."""
-        self._core.begin_turn()
+        self._core.start_turn()
         service = self._service
         node = self._replica.member.participant.node
         seats = len(node.placement.names)
@@ -145,7 +145,7 @@
 
     def _is_customer(self, customer: str, callback: ResultCallback) -> bool:
         """Return whether the settings have the customer; if not, pass an error to the callback."""
-        self._core.begin_turn()
+        self._core.start_turn()
         if customer in self._service.config.customers:
             return True
         callback(UnknownCustomerError(f"{customer!r} is no customer in this runner's settings"))
--- a/moorusher/admin/servers.py
+++ b/moorusher/admin/servers.py
@@ -22,7 +22,7 @@
         self._core = core
 
     def _servers(self) -> list[dict[str, object]]:
-        self._core.begin_turn()
+        self._core.start_turn()
         servers: list[dict[str, object]] = self._pool.servers_json()
         return servers
 
@@ -55,7 +55,7 @@
             endpoint = read_endpoint(Section({"name": path[0]} | self.read_body(request), ""))
         except (InvalidBodyError, ConfigError) as error:
             return reply(request, 400, {"error": str(error)})
-        self._core.begin_turn()
+        self._core.start_turn()
         try:
             self._pool.put(endpoint)
         except ValueError as error:
@@ -75,7 +75,7 @@
     def _change(self, request: Any, change: Callable[[str], bool]) -> bytes:
         if not self.is_authorized(request):
             return reply(request, 401, TOKEN_REQUIRED)
-        self._core.begin_turn()
+        self._core.start_turn()
         path = path_segments(request)
         if not change(path[0] if path else ""):
             return reply(request, 404, NO_SUCH_SERVER)
--- a/moorusher/admin/site.py
+++ b/moorusher/admin/site.py
@@ -90,7 +90,7 @@
 def _learned_state(parts: AdminParts) -> object:
     from msgspec import to_builtins  # The page shows the same structure as the warm start file.
 
-    parts.core.begin_turn()
+    parts.core.start_turn()
     return to_builtins(parts.server_pool.learned_state(parts.load_condition()))
 
 
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -79,7 +79,7 @@
 
     def response_received(self, response: HttpResponse) -> None:
         """End the call, and return the connection to the pool if it can be reused."""
-        self._pool.core.begin_turn()
+        self._pool.core.start_turn()
         number = self.number
         self.number = None
         if number is None or not response.keep_alive or self._address != self._pool.address:
--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -64,6 +64,7 @@
 
     @core.setter
     def core(self, core: RequestEngine) -> None:
+        """Set the request engine."""
         self.session.core = core
 
     # ---- called by the owner ----
@@ -105,7 +106,7 @@
     def _reconnect_later(self) -> None:
         if self._is_closing or self._connector is not None:
             return  # The client is closing, or an attempt is already in progress.
-        self.core.begin_turn()
+        self.core.start_turn()
         if self._reconnect_alarm is not None:
             self._reconnect_alarm.cancel()
         at = self.core.clock.now + self._backoff_us
@@ -126,7 +127,7 @@
 
     def connection_made(self, connection: KernelProtocol) -> None:
         """Use a new connection, and close the one that it replaces."""
-        self.core.begin_turn()
+        self.core.start_turn()
         previous = self.connection
         self.connection = connection
         self._connected_at = self.core.clock.now
@@ -179,7 +180,7 @@
         A line that is still unreadable after `MAX_UNREADABLE_RECONNECTS` reconnects is skipped.
         """
         log.error("kernel message unreadable: line=%r", line[:MAX_LOGGED_BYTES])
-        self.core.begin_turn()
+        self.core.start_turn()
         self.core.counters.add("kernel lines unread")
         last_notice = self.session.last_notice
         if self._unreadable_after_notice != last_notice:
@@ -195,7 +196,7 @@
     def data_received(self, connection: KernelProtocol) -> None:
         """Record that the connection is alive."""
         if connection is self.connection:
-            self.core.begin_turn()
+            self.core.start_turn()
             self._silence_detection.data_received(self.core.clock.now)
 
     # ---- silence ----
@@ -223,7 +224,7 @@
             self.core.counters.add("kernel link: " + EndReason.READ_TIMEOUT.value)
             self._reconnect_now()  # The silent connection stays in use until the new one is established.
         elif verdict is SilenceVerdict.PROBE:
-            self.session.ask_gauges()
+            self.session.request_gauges()
         self._silence_alarm = self.core.alarms.at(
             now + self._silence_detection.next_check_after(), self._check_silence
         )
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -135,7 +135,7 @@
             self.state = SessionState.UP
             self.was_up = True
         self.core.kernel_status.link_up()
-        self.core.kernel_up(cold=booted.is_empty, age_ms=booted.age_ms)
+        self.core.kernel_up(caches_empty=booted.is_empty, age_ms=booted.age_ms)
 
     # ---- commands ----
 
@@ -164,14 +164,14 @@
         The reply must not be sent twice, so SYSINFO follows at once to confirm that it was read.
         """
         number = self._send(call_reply_command(rid, body))
-        self.ask_gauges()
+        self.request_gauges()
         return number
 
     def call_skipped(self, rid: str, notice: int) -> int:
         """Continue a run without the call that notice `notice` requested."""
         return self._send(skip_call_command(rid, notice))
 
-    def ask_gauges(self) -> None:
+    def request_gauges(self) -> None:
         """Request the gauges. The answer also confirms the commands written before."""
         if self.state is SessionState.UP and self._connection is not None:
             self._connection.send(gauges_command(f"{CONFIRMATION_MARK}{self._last_written}"))
--- a/moorusher/backends/owner.py
+++ b/moorusher/backends/owner.py
@@ -35,5 +35,5 @@
     def execution(self) -> CallListener:
         """The receiver of the ends of calls."""
 
-    def begin_turn(self) -> None:
+    def start_turn(self) -> None:
         """Update the time. Must be called when input arrives."""
--- a/moorusher/backends/server_pool.py
+++ b/moorusher/backends/server_pool.py
@@ -77,9 +77,9 @@
         """The receiver of the ends of attempts."""
         return self
 
-    def begin_turn(self) -> None:
+    def start_turn(self) -> None:
         """Begin a turn of the request engine."""
-        self._pool.core.begin_turn()
+        self._pool.core.start_turn()
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
         """Report the end of an attempt to the pool."""
@@ -156,7 +156,7 @@
         """Handle the end of an attempt, unless the attempt was cancelled."""
         if self._backend_by_attempt.pop(reply.attempt_id, None) is None:
             return
-        self.core.begin_turn()
+        self.core.start_turn()
         outcome = OUTCOME_OF_END_REASON.get(reply.reason, AttemptOutcome.FAILED)
         ended = AttemptEnded(self.core.clock.now, reply.attempt_id, outcome)
         self._execute(self.routes.handle(ended), reply)
--- a/moorusher/cli/duty.py
+++ b/moorusher/cli/duty.py
@@ -63,7 +63,7 @@
 @click.argument("how", type=click.Choice(["done", "undone"]))
 @with_api
 @json_option
-def settle_intent(api: ApiClient, name: str, number: int, how: str, as_json: bool) -> None:
+def resolve_intent(api: ApiClient, name: str, number: int, how: str, as_json: bool) -> None:
     """Say that you have looked whether an open effect was done. It is closed either way, and HOW is logged."""
     lease = api.request("POST", f"duties/{name}/settle/{number}/{how}")
     print_lines(lease, as_json, _duty_lines(lease))
--- a/moorusher/cli/fleet.py
+++ b/moorusher/cli/fleet.py
@@ -18,10 +18,10 @@
 
 def _member_line(member: dict[str, Any]) -> str:
     fit = "yes" if member["fit"] else "no"
-    last_heard_s = "-" if member["heard_ms"] is None else f"{member['heard_ms'] / 1000:.1f}"
+    last_message_s = "-" if member["heard_ms"] is None else f"{member['heard_ms'] / 1000:.1f}"
     return (
         f"{member['seat']:<16} {member['zone']:<8} {member['state']:<8} {fit:<4} "
-        f"{member['since_ms'] / 1000:>8.1f} {last_heard_s:>8}"
+        f"{member['since_ms'] / 1000:>8.1f} {last_message_s:>8}"
     )
 
 
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -64,7 +64,7 @@
         self.config = config
         self.core = duties.core
         self._pool = DaemonThreadPool(0, 1, name="drafts")
-        self._parser = DraftParser(reactor, self._pool, self.core.begin_turn)
+        self._parser = DraftParser(reactor, self._pool, self.core.start_turn)
         self.replica = Replica(duties.participant, self, config.max_tombstones)
         self.ready = True
         self.store: Store | None = None
--- a/moorusher/cluster_transport/draft_parsing.py
+++ b/moorusher/cluster_transport/draft_parsing.py
@@ -25,6 +25,8 @@
 
 
 class _DaemonThread(Thread):
+    """A thread that doesn't delay the end of the program."""
+
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, daemon=True, **kwargs)
 
@@ -53,11 +55,11 @@
 class DraftParser:
     """Parses drafts in a thread of a pool, and calls back in the reactor's thread."""
 
-    def __init__(self, reactor: Any, pool: ThreadPool, begin_turn: Callable[[], None]) -> None:
-        """:param begin_turn: Called before each callback, to begin a turn of the request engine."""
+    def __init__(self, reactor: Any, pool: ThreadPool, start_turn: Callable[[], None]) -> None:
+        """:param start_turn: Called before each callback, to begin a turn of the request engine."""
         self._reactor = reactor
         self._pool = pool
-        self._begin_turn = begin_turn
+        self._start_turn = start_turn
 
     def parse(
         self, draft: bytes, grant: Grant | None, callback: Callable[[Namespace | NamespaceError], None]
@@ -68,7 +70,7 @@
         """
 
         def parsed(result: Any) -> None:
-            self._begin_turn()
+            self._start_turn()
             callback(result)
 
         parsing = deferToThreadPool(self._reactor, self._pool, _parse, draft, grant)
--- a/moorusher/cluster_transport/effect_receivers.py
+++ b/moorusher/cluster_transport/effect_receivers.py
@@ -135,7 +135,7 @@
         if callback is not None:
             self._timeout.cancel()
             self._receivers.open_exchanges -= 1
-            self._receivers.core.begin_turn()
+            self._receivers.core.start_turn()
             callback(response)
 
 
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -181,7 +181,7 @@
                 return MissingLibraryError(f"this runner owns the forecast, and can't work it out: {error}")
 
         def done(result: WeeklyForecast | MissingLibraryError | ForecastNotReadyError) -> None:
-            self.core.begin_turn()
+            self.core.start_turn()
             callback(result)
 
         def failed(failure: Any) -> None:
@@ -194,12 +194,12 @@
 
     def query(self, customer: str, callback: DocumentCallback) -> None:
         """Request the forecast of one customer from the leader, or of all customers if `customer` is empty."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.member.query(customer, callback)
 
     def import_history(self, histories: list[ImportedHistory], callback: DocumentCallback) -> None:
         """Have the leader import demand that was counted outside of the fleet."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.member.import_history(histories, callback)
 
     def local_document(self) -> dict[str, Any]:
--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -75,7 +75,7 @@
             self._timeout = None
         timeout_ms = TIMEOUTS_MS.get(self.role.state)
         if timeout_ms is not None:
-            self.core.begin_turn()
+            self.core.start_turn()
             due_us = self.core.clock.now + round(timeout_ms * MS)
             self._timeout = self.core.alarms.at(due_us, lambda: self.handle(Event.TIMEOUT))
 
@@ -115,14 +115,14 @@
 
     def connected(self, peer: PeerConnection) -> None:
         """Send the handshake, if this process made the connection. The connecting side always sends first."""
-        self.core.begin_turn()
+        self.core.start_turn()
         if not peer.accepted:
             self._handover.peer = peer
             peer.send(frames.Hello(frames.VERSION, self._name, os.getpid()))
 
     def lost(self, peer: PeerConnection) -> None:
         """Called when a connection is lost without a `Bye`, which means that the other process has died."""
-        self.core.begin_turn()
+        self.core.start_turn()
         if peer is self._handover.peer:
             self._handover.peer = None
             self.handle(Event.PEER_DIED)
--- a/moorusher/cluster_transport/hot_restart/frames.py
+++ b/moorusher/cluster_transport/hot_restart/frames.py
@@ -1,7 +1,6 @@
-"""The messages between two processes of one runner, and their encoding.
+"""The messages between two processes of one runner. A frame is a JSON object, a newline, and a run's result if any.
 
-A frame is a JSON object, a newline, and the result of a run if the message has one. Processes of other versions read
-the names of kinds and fields, so no other module may define any of them. Unknown fields are ignored.
+Processes of other versions read the names of kinds and fields: define them only here. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -193,20 +192,14 @@
 
 
 def split(data: bytes) -> Frame:
-    """Parse a frame without its length prefix.
-
-    :raises ValueError, KeyError, TypeError: The bytes are not a frame.
-    """
+    """Parse a frame without its length prefix. Raise ValueError, KeyError or TypeError if it is malformed."""
     head, _, result = data.partition(b"\n")
     fields = json.loads(head)
     return Frame(fields["t"], fields, result)
 
 
 def decode(frame: Frame) -> Message:
-    """Return the message in a frame.
-
-    :raises ValueError, KeyError, TypeError: The frame is not a valid message.
-    """
+    """Return the message in a frame. Raise ValueError, KeyError or TypeError if it is invalid."""
     return _DECODERS[frame.kind](frame.fields, frame.result)
 
 
--- a/moorusher/cluster_transport/hot_restart/peer_connection.py
+++ b/moorusher/cluster_transport/hot_restart/peer_connection.py
@@ -97,7 +97,7 @@
         if self.closed:
             return
         core = self.owner.core
-        core.begin_turn()
+        core.start_turn()
         try:
             self.owner.received(self, frames.split(string))
         except (ValueError, KeyError, TypeError, RecursionError) as error:
@@ -180,7 +180,7 @@
 
 
 class _KeySender:
-    # Sends the entries of a key table, and pauses while the other side reads too slowly (an IPushProducer).
+    """Sends the entries of a key table, and pauses while the other side reads too slowly (an IPushProducer)."""
 
     def __init__(self, connection: PeerConnection, entries: Iterator[KeyEntry]) -> None:
         self._connection = connection
@@ -188,20 +188,20 @@
         self._paused = False
 
     def pauseProducing(self) -> None:
-        # Called when the transport's buffer is full.
+        """Called when the transport's buffer is full."""
         self._paused = True
 
     def resumeProducing(self) -> None:
-        # Called when the transport's buffer has been written.
+        """Called when the transport's buffer has been written."""
         self._paused = False
         self.send_some()
 
     def stopProducing(self) -> None:
-        # Called when the connection is closed.
+        """Called when the connection is closed."""
         self._entries = None
 
     def send_some(self) -> None:
-        # Sends up to `KEYS_PER_TURN` entries, and schedules the rest for later turns of the event loop.
+        """Send up to `KEYS_PER_TURN` entries, and schedule the rest for later turns of the event loop."""
         connection = self._connection
         for _ in range(KEYS_PER_TURN):
             if self._entries is None or self._paused or connection.closed:
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -40,15 +40,19 @@
 
 
 class _ListeningPort(_UnixPort):  # type: ignore[misc]
-    # A Unix port that, unlike Twisted's, does not unlink its path when it closes: the socket has been renamed, and
-    # another process may have published its socket at that path by then.
+    """A Unix port that does not unlink its path when it closes.
+
+    Its socket has been renamed, and another process may have published its own socket at that path by then.
+    """
 
     def connectionLost(self, reason: object) -> None:
+        """Close the port and leave the path as it is."""
         tcp.Port.connectionLost(self, reason)  # type: ignore[no-untyped-call]
 
     @classmethod
     def adopt(cls, reactor: Any, bound: socket.socket, factory: Factory) -> _ListeningPort:
-        # Listens on a duplicate of a bound socket. The mode is set since Twisted's default lets any user connect.
+        """Listen on a duplicate of a bound socket."""
+        # The mode is set since Twisted's default lets any user connect.
         port: _ListeningPort = cls._fromListeningDescriptor(reactor, bound.fileno(), factory)
         port.mode = SOCKET_MODE
         port.startListening()
@@ -56,7 +60,7 @@
 
 
 class _AcceptingFactory(Factory):
-    # Builds the protocol for new processes that connect to this one.
+    """Builds the protocol for new processes that connect to this one."""
 
     noisy = False
 
@@ -64,11 +68,12 @@
         self._owner = owner
 
     def buildProtocol(self, addr: object) -> PeerConnection:
+        """Return the protocol for an accepted connection."""
         return PeerConnection(self._owner, accepted=True)
 
 
 class _ConnectingFactory(ClientFactory):
-    # Makes one attempt to connect to the process in service.
+    """Makes one attempt to connect to the process in service."""
 
     noisy = False
 
@@ -77,9 +82,11 @@
         self._failed = failed
 
     def buildProtocol(self, addr: object) -> PeerConnection:
+        """Return the protocol for the established connection."""
         return PeerConnection(self._owner, accepted=False)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+        """Report the failed attempt with its error number, if it has one."""
         self._failed(getattr(reason.value, "osError", None))
 
 
@@ -123,11 +130,11 @@
     def discover_later(self) -> None:
         """Call `discover` again after `DISCOVER_RETRY_US`."""
         core = self._owner.core
-        core.begin_turn()
+        core.start_turn()
         core.alarms.at(core.clock.now + DISCOVER_RETRY_US, self.discover)
 
     def _not_connected(self, error_number: int | None) -> None:
-        self._owner.core.begin_turn()
+        self._owner.core.start_turn()
         if error_number == errno.ECONNREFUSED:
             self._owner.handle(Event.DEAD_PEER_FOUND)
         elif error_number == errno.ENOENT:
@@ -171,7 +178,7 @@
     def _retry_publish(self) -> None:
         # Publishes again, unless this process shuts down or another process has published meanwhile.
         if not self._owner.core.drain_state.shutting_down and not self._path_is_socket():
-            self._owner.core.begin_turn()
+            self._owner.core.start_turn()
             self.publish()
 
     def _path_is_socket(self) -> bool:
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -160,7 +160,7 @@
 
     def local_duties(self) -> list[DutySnapshot]:
         """Return the duties that this runner leads or replicates, sorted by name, without contacting others."""
-        self.core.begin_turn()
+        self.core.start_turn()
         records = dict(self.participant.election.records)
         for key, lease in self.participant.leases.by_key.items():
             records[key] = lease.record
@@ -183,12 +183,12 @@
             else:
                 callback(DutyReading(self._snapshot(reading.record), reading.state))
 
-        self.core.begin_turn()
+        self.core.start_turn()
         self.participant.directory.read(name, on_reading)
 
     def resume(self, name: str, callback: SnapshotCallback) -> None:
         """Resume a suspended duty."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.participant.directory.resume(name, self._snapshot_to(callback))
 
     def resolve_intent(
@@ -198,7 +198,7 @@
 
         :param verdict: Whether the operator found the intent performed; only logged.
         """
-        self.core.begin_turn()
+        self.core.start_turn()
         log.warning(
             "duties: an operator resolved an intent: duty=%s intent=%d verdict=%s",
             name,
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -145,7 +145,7 @@
 
         `callback` may get UnknownSeatError, NotLocalError, or an error of `MaintenanceCoordinator.submit`.
         """
-        self.core.begin_turn()
+        self.core.start_turn()
         seats = self._selected_seats(form.selection)
         if not seats:
             return callback(UnknownSeatError("no seat of that zone or group"))
@@ -181,34 +181,34 @@
         self, request_id: str, seats: Sequence[str], requested_by: str, callback: StatusCallback
     ) -> None:
         """Withdraw the named seats of a request, or all of its seats if none is named."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.coordinator.withdraw(request_id, list(seats), requested_by, self._status_to(callback))
 
     def pause(self, reason: str, callback: StatusCallback) -> None:
         """Stop granting slots until `resume`."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.coordinator.pause(reason, self._status_to(callback))
 
     def resume(self, seat: str, callback: StatusCallback) -> None:
         """End the pause, or queue a suspended seat again if one is given."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.coordinator.resume(seat, self._status_to(callback))
 
     def finish(self, seat: str, stated_by: str, callback: StatusCallback) -> None:
         """Record an operator's statement that the maintenance of a machine is complete."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.coordinator.finish(seat, stated_by, self._status_to(callback))
 
     def show(self, callback: StatusCallback) -> None:
         """Read the schedule."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.coordinator.read(lambda schedule, is_current: callback(self.status(schedule, is_current)))
 
     def wait(
         self, request_id: str, seat: str, timeout_s: float, callback: WaitCallback
     ) -> Callable[[], None]:
         """See `MaintenanceCoordinator.wait`. Raises NotLocalError."""
-        self.core.begin_turn()
+        self.core.start_turn()
         timeout_us = round(min(timeout_s, MAX_WAIT_S) * SECOND)
         return self.coordinator.wait(request_id, seat, timeout_us, callback)
 
--- a/moorusher/cluster_transport/peer_links.py
+++ b/moorusher/cluster_transport/peer_links.py
@@ -154,7 +154,7 @@
             return peer.send
         return lambda message: self.send(seat, message)
 
-    def flush_soon(self, peer: PeerConnection) -> None:
+    def schedule_flush(self, peer: PeerConnection) -> None:
         """See `PeerOwner`."""
         if not self._to_flush:
             self.reactor.callLater(0, self.flush)
--- a/moorusher/cluster_transport/peers.py
+++ b/moorusher/cluster_transport/peers.py
@@ -78,7 +78,7 @@
     def receive(self, peer: PeerConnection, message: Message) -> None:
         """Called for each message of an accepted peer."""
 
-    def flush_soon(self, peer: PeerConnection) -> None:
+    def schedule_flush(self, peer: PeerConnection) -> None:
         """Call `peer.flush` at the end of this turn of the event loop."""
 
     def count(self, name: str) -> None:
@@ -112,7 +112,7 @@
         """Send the handshake, or wait for the peer's."""
         self.transport.setTcpNoDelay(True)
         core = self.owner.core
-        core.begin_turn()
+        core.start_turn()
         if self.is_outgoing:
             self.send_now([self.owner.hello()])
             self.owner.connected(self)
@@ -129,7 +129,7 @@
         """Notify the owner."""
         if self._handshake_timer is not None:
             self._handshake_timer.cancel()
-        self.owner.core.begin_turn()
+        self.owner.core.start_turn()
         self.owner.disconnected(self)
 
     # ---- sending ----
@@ -138,7 +138,7 @@
         """Buffer a message until the end of this turn of the event loop. All messages of a turn share a frame."""
         self._outgoing.append(message)
         if len(self._outgoing) == 1:
-            self.owner.flush_soon(self)
+            self.owner.schedule_flush(self)
 
     def flush(self) -> None:
         """Send the buffered messages, or drop them if the peer reads too slowly."""
@@ -172,7 +172,7 @@
 
     def stringReceived(self, string: bytes) -> None:
         """Handle a frame. Messages before the handshake are dropped."""
-        self.owner.core.begin_turn()
+        self.owner.core.start_turn()
         try:
             messages = decode(string)
         except UnreadableFrameError as exc:
@@ -283,7 +283,7 @@
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         """Drop the queued messages. Senders that need an answer retry."""
-        self.owner.core.begin_turn()
+        self.owner.core.start_turn()
         self._connecting = False
         self._queued.clear()
         self._back_off()
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -30,7 +30,7 @@
 
 SELF_CHECK_INTERVAL_US = 100 * MS
 # Time without a connection to the kernel after which held work is handed over to other runners.
-KERNEL_LOSS_PATIENCE_US = 300 * MS
+KERNEL_LOSS_TIMEOUT_US = 300 * MS
 NS_PER_US = 1_000
 
 
@@ -94,7 +94,7 @@
 
     def start(self) -> None:
         """Restore the journal, and start the optional components and the node."""
-        self.core.begin_turn()
+        self.core.start_turn()
         if self._journal_image is not None:
             self.node.restore(self._journal_image)
             self._journal_image = None
@@ -141,7 +141,7 @@
         if core.drain_state.draining or (self.maintenance is not None and self.maintenance.is_out_of_service):
             return True
         lost_at_us = core.kernel_status.link_lost_at
-        is_lost = lost_at_us is not None and core.clock.now - lost_at_us >= KERNEL_LOSS_PATIENCE_US
+        is_lost = lost_at_us is not None and core.clock.now - lost_at_us >= KERNEL_LOSS_TIMEOUT_US
         return is_lost and core.ready
 
     def _hand_over(self) -> None:
@@ -150,7 +150,7 @@
             if self.forecast is not None:
                 self.forecast.report_now()
         self._handed_over = True
-        self.node.hand_over_held()
+        self.node.hand_over_unstarted_work()
         if self.leadership is not None:
             self.leadership.participant.leave()
 
@@ -185,7 +185,7 @@
 
         :returns: None, or the reason why it is not possible.
         """
-        self.core.begin_turn()
+        self.core.start_turn()
         return self.node.bootstrap(accept_loss)
 
     def status(self) -> dict[str, object]:
@@ -230,7 +230,7 @@
 
     def now(self) -> int:
         """Read the clock and return the time in us."""
-        self.core.begin_turn()
+        self.core.start_turn()
         return self.core.clock.now
 
     def wake(self, when: int) -> None:
--- a/moorusher/cluster_transport/replication_status.py
+++ b/moorusher/cluster_transport/replication_status.py
@@ -26,7 +26,7 @@
         "since_ms": (now - member.state_since) / MS,
         "fit": member.accepts_work,
         "inc": member.incarnation,
-        "heard_ms": None if member.last_heard < 0 else (now - member.last_heard) / MS,
+        "heard_ms": None if member.last_message_us < 0 else (now - member.last_message_us) / MS,
     }
 
 
--- a/moorusher/config/health.py
+++ b/moorusher/config/health.py
@@ -15,9 +15,9 @@
     "probe_ms": NumericSetting("max_probe_interval_ms", 10, 10_000),
     "reaction_ms": NumericSetting("balancer_reaction_ms", 0, 10_000),
     "tip_per_core": NumericSetting("survivable_runs_per_core", 0, 1_000),
-    "crowded_at": NumericSetting("overloaded_above", 0.1, 0.79),
-    "full_at": NumericSetting("no_traffic_above", 0.81, 1),
-    "calm_at": NumericSetting("recovered_below", 0.05, 1),
+    "crowded_at": NumericSetting("overloaded_threshold", 0.1, 0.79),
+    "full_at": NumericSetting("no_traffic_threshold", 0.81, 1),
+    "calm_at": NumericSetting("recovery_threshold", 0.05, 1),
     "crowded_weight": NumericSetting("min_overloaded_weight", 1, 100),
     "hold_share": NumericSetting("max_queue_wait_fraction", 0.01, 10),
     "refused_share": NumericSetting("max_rejected_fraction", 0.01, 1),
@@ -25,7 +25,7 @@
     "gauge_fresh_ms": NumericSetting("gauges_fresh_ms", 50, 60_000),
     "gauge_unknown_ms": NumericSetting("gauges_expired_ms", 100, 600_000),
     "link_trust_ms": NumericSetting("link_down_grace_ms", 500, 60_000),
-    "settle_ms": NumericSetting("link_settle_ms", 0, 60_000),
+    "settle_ms": NumericSetting("link_stabilization_ms", 0, 60_000),
 }
 ASCENDING_KEYS = (("calm_at", "crowded_at"), ("gauge_fresh_ms", "gauge_unknown_ms"))
 STATUS_CODE_STATES = ("crowded", "full", "draining", "maintenance")
--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -61,7 +61,7 @@
         request = self._table.by_number.get(action.id)
         if request is None or request.stage is not RequestStage.QUEUED:
             self._turn.events.append(api.RunEnded(action.id, api.ExecutionOutcome.NOT_AWAITED))
-            self._turn.begin()
+            self._turn.start()
         elif request.key is not None and self._state.hooks.coordinator.announce_start(request):
             request.stage = RequestStage.STARTING
         else:
@@ -155,9 +155,9 @@
         state = self._state
         due = state.clock.now + max(0, round(action.delay_ms * MS))
         if due - state.clock.now <= GAUGE_LEAD_US:
-            state.kernel.ask_gauges()
+            state.kernel.request_gauges()
         else:
-            state.alarms.at(due - GAUGE_LEAD_US, state.kernel.ask_gauges)
+            state.alarms.at(due - GAUGE_LEAD_US, state.kernel.request_gauges)
         state.alarms.at(due, lambda: self._timer_due(action.token))
 
     def _timer_due(self, token: int) -> None:
--- a/moorusher/core/call.py
+++ b/moorusher/core/call.py
@@ -66,6 +66,8 @@
 
 @dataclass(slots=True)
 class _OpenCall:
+    """The start time of a call in flight, and the alarm of its timeout."""
+
     since_us: int
     timeout: Alarm
 
--- a/moorusher/core/completion.py
+++ b/moorusher/core/completion.py
@@ -38,7 +38,7 @@
         """End a request after its run or its wait for another attempt's result, and notify the scheduler."""
         took_ms = (self._state.clock.now - request.arrived_us) / MS
         self._turn.events.append(api.RunEnded(request.number, SCHEDULER_OUTCOMES[reason], took_ms))
-        self._turn.begin()
+        self._turn.start()
         self._table.remove(request)
 
     def drop_unstarted(self, number: int) -> None:
@@ -63,7 +63,7 @@
         request = self._table.by_number.get(number)
         if request is None:
             return
-        self._turn.begin()
+        self._turn.start()
         if result is None:
             self.answer(request, Answer(Verdict.FAILED, cause=Cause.NO_SHARED_RESULT))
             self.end(request, EndReason.RUN_FAILED)
--- a/moorusher/core/dispatch.py
+++ b/moorusher/core/dispatch.py
@@ -105,7 +105,7 @@
 
     def coexist(self, coexisting: api.PredecessorLoad) -> None:
         """Report the load of another process of this runner to the scheduler."""
-        self._turn.begin()
+        self._turn.start()
         self.coexisting = coexisting
         self._turn.events.append(coexisting)
 
--- a/moorusher/core/drain_state.py
+++ b/moorusher/core/drain_state.py
@@ -22,8 +22,8 @@
         self.stop_at_us: int | None = None
         self.replaced = False
 
-    def begin(self, stop_ms: float, replaced: bool) -> None:
-        """Begin the shutdown: the process must exit after `stop_ms`."""
+    def start(self, stop_ms: float, replaced: bool) -> None:
+        """Start the shutdown: the process must exit after `stop_ms`."""
         self.stop_at_us = self._clock.now + round(stop_ms * MS)
         self.replaced = replaced
 
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -55,7 +55,7 @@
 
     def run_ended(self, rid: str, reason: EndReason, body: bytes) -> None:
         """Record that a run has ended, with its result. Ignores a second report of the same run."""
-        self._turn.begin()
+        self._turn.start()
         request = self._table.by_rid.get(rid)
         run = None if request is None else self._runs.end(request.number)
         if request is None or run is None:
@@ -92,7 +92,7 @@
 
         :param notice: number of the kernel's notice that requests the call.
         """
-        self._turn.begin()
+        self._turn.start()
         request = self._table.by_rid.get(rid)
         if request is not None and self._runs.call_needed(request.number, notice, body):
             self._calls.drop(request.number)
@@ -103,7 +103,7 @@
 
         :param commands_read: number of commands that the kernel is known to have read.
         """
-        self._turn.begin()
+        self._turn.start()
         resent = self._runs.resend(commands_read, self._is_awaited)
         self._counters.add("kernel commands said again", by=len(resent.runs) + len(resent.replies))
         self._counters.add("kernel replies that may be lost", by=len(resent.uncertain))
@@ -143,7 +143,7 @@
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
         """Record that a request's call has ended, with its reply. Ignores a call that was abandoned before."""
-        self._turn.begin()
+        self._turn.start()
         took_ms = self._calls.end(number, reason)
         if took_ms is None:
             return
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -18,6 +18,8 @@
 
 @dataclass(slots=True, frozen=True)
 class _FormerClass:
+    """The idempotency window of a former request class, and the time until which it is stored."""
+
     expires_us: int
     window_ms: float
 
--- a/moorusher/core/intake.py
+++ b/moorusher/core/intake.py
@@ -47,7 +47,7 @@
 
     def submit(self, arrival: Arrival, reply: Reply, tag: int) -> Request | InvalidArrival:
         """Accept a request from a frontend. Invalid requests are answered by the frontend."""
-        self._turn.begin()
+        self._turn.start()
         state = self._state
         if not state.hooks.routes.ready:
             return self.invalid(InvalidArrival.RULES_UNKNOWN)
@@ -74,7 +74,7 @@
 
         :param ruling: decision by the rules under which the other runner read the request.
         """
-        self._turn.begin()
+        self._turn.start()
         state = self._state
         request = self.registrar.register(arrival, reply, tag, takes_over=True)
         if isinstance(request, Request):
@@ -94,7 +94,7 @@
 
         Called once this runner has the request's key or knows the attempt that it retries.
         """
-        self._turn.begin()
+        self._turn.start()
         self._count_demand(request)
         # Rules are not applied earlier: a rejection promises that no attempt has run, which is unknown until the key is
         # claimed.
@@ -116,7 +116,7 @@
 
         :param never_ran: whether no attempt of the request can have run. It is rejected in this case, else it fails.
         """
-        self._turn.begin()
+        self._turn.start()
         self._count_demand(request)
         log.warning(
             "request rejected before scheduling: request=%s tenant=%s reason=%r",
@@ -141,7 +141,7 @@
         """Record that the caller has cancelled the request or lost its connection."""
         if request.reply is None:
             return
-        self._turn.begin()
+        self._turn.start()
         request.reply = None
         self._state.counters.add("gone", request.tenant)
         self._turn.events.append(api.RequestAbandoned(request.number))
--- a/moorusher/core/kernel_status.py
+++ b/moorusher/core/kernel_status.py
@@ -22,23 +22,23 @@
         self.gauges: tuple[float, ...] = ()
         self.gauges_at = 0
         self.link_lost_at: int | None = 0
-        self._started_cold = False
+        self._started_with_empty_caches = False
         self.started_at_us = 0
 
-    def started(self, cold: bool, age_ms: float) -> None:
-        """Record how long ago the kernel started, and whether its caches were cold then."""
-        self._started_cold = cold
+    def started(self, caches_empty: bool, age_ms: float) -> None:
+        """Record how long ago the kernel started, and whether its caches were empty then."""
+        self._started_with_empty_caches = caches_empty
         self.started_at_us = self._state.clock.now - round(age_ms * MS)
 
     def link_up(self) -> None:
         """Record that the kernel has answered on its connection."""
-        self._state.turn.begin()
+        self._state.turn.start()
         self.link_lost_at = None
         self._state.hooks.observer.link_up(self._state.clock.now)
 
     def link_lost(self) -> None:
         """Record that the connection to the kernel is lost."""
-        self._state.turn.begin()
+        self._state.turn.start()
         if self.link_lost_at is None:
             self.link_lost_at = self._state.clock.now
         self._state.hooks.observer.link_lost(self._state.clock.now)
@@ -56,12 +56,12 @@
     def is_warming_up(self) -> bool:
         """Return whether the kernel started cold less than `Settings.warm_up_ms` ago."""
         age_us = self._state.clock.now - self.started_at_us
-        return self._started_cold and age_us < self._state.settings.warm_up_ms * MS
+        return self._started_with_empty_caches and age_us < self._state.settings.warm_up_ms * MS
 
     def warm_up_speed(self) -> float:
         """Return the minimum speed that the settings state for the kernel's age, as a share of its full speed."""
         settings = self._state.settings
-        if not self._started_cold or settings.warm_up_ms <= 0:
+        if not self._started_with_empty_caches or settings.warm_up_ms <= 0:
             return 1.0
         age_us = self._state.clock.now - self.started_at_us
         warmed_up = min(1.0, age_us / (settings.warm_up_ms * MS))
--- a/moorusher/core/key_claims.py
+++ b/moorusher/core/key_claims.py
@@ -58,6 +58,8 @@
 
 @dataclass(slots=True)
 class _PendingClaim:
+    """A claim that the other process has not answered."""
+
     request: Request
     serial: int
     timeout: Alarm
--- a/moorusher/core/remote_claims.py
+++ b/moorusher/core/remote_claims.py
@@ -66,7 +66,7 @@
         """Start the run, unless it was stopped meanwhile. Called when a majority has acknowledged the start."""
         if not self._is_starting(request):
             return
-        self._turn.begin()
+        self._turn.start()
         if request.reply is None or request.stop_requested:
             self._end_unstarted(request)
         else:
@@ -77,7 +77,7 @@
         # The request is not rejected, since the other runners may consider this runner dead and run the request.
         if not self._is_starting(request):
             return
-        self._turn.begin()
+        self._turn.start()
         log.warning(
             "request failed before its run: request=%s tenant=%s reason=%r", request.rid, request.tenant, why
         )
@@ -104,7 +104,7 @@
         entry = self._keys.of_attempt(request.number)
         if request.number not in self._table.by_number or entry is None:
             return
-        self._turn.begin()
+        self._turn.start()
         self._cede_key(request)
         if request.stage is RequestStage.STARTING:
             self._turn.events.append(api.RunEnded(request.number, api.ExecutionOutcome.NOT_AWAITED))
@@ -139,7 +139,7 @@
 
         :param result: the result; None if the attempt has ended without one.
         """
-        self._turn.begin()
+        self._turn.start()
         entry = self._open_remote_entry(key)
         if entry is not None:
             for waiter in self._keys.finish(entry.number, result):
@@ -147,7 +147,7 @@
 
     def never_ran(self, key: IdempotencyKey) -> None:
         """Reject the requests that wait for another runner's attempt, which has not run and never will."""
-        self._turn.begin()
+        self._turn.start()
         entry = self._open_remote_entry(key)
         if entry is None:
             return
--- a/moorusher/core/request_engine.py
+++ b/moorusher/core/request_engine.py
@@ -46,7 +46,7 @@
         remote_claims: Receives the cluster's decisions about idempotency keys.
         key_claims: Claims idempotency keys with another process of this runner.
         kernel_status: Age, gauges and connection state of the kernel.
-        begin_turn: Must be called on each event before the clock is read or any state is changed.
+        start_turn: Must be called on each event before the clock is read or any state is changed.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self.remote_claims = RemoteClaims(state, self.completion, self.intake, self.execution)
         executor = ActionExecutor(state, self.completion, self.execution, self.kernel_status)
         self.dispatcher = Dispatcher(state, self.completion, executor, self.kernel_status, make_scheduler)
-        self.begin_turn = turn.begin
+        self.start_turn = turn.start
 
     @property
     def settings(self) -> api.Settings:
@@ -105,7 +105,7 @@
 
     def fire_timers(self) -> None:
         """Run the alarms that are due. Called when the event loop's timer expires."""
-        self.begin_turn()
+        self.start_turn()
         self.alarms.run_due()
 
     # ---- frontends ----
@@ -117,7 +117,7 @@
         :returns: the request, or the reason why it is invalid. Invalid requests are answered by the frontend.
         """
         if self.dispatcher.scheduler is None:
-            self.begin_turn()
+            self.start_turn()
             return self.intake.invalid(InvalidArrival.NOT_READY)
         return self.intake.submit(arrival, reply, tag)
 
@@ -127,17 +127,17 @@
 
     # ---- the kernel ----
 
-    def kernel_up(self, cold: bool, age_ms: float) -> None:
+    def kernel_up(self, caches_empty: bool, age_ms: float) -> None:
         """Create the scheduler. Called on the kernel's first message.
 
-        :param cold: whether the kernel's caches were cold when it started.
+        :param caches_empty: whether the kernel's caches were empty when it started.
         :param age_ms: time since the kernel started, which may have been long before or after this process started.
         """
-        self.begin_turn()
+        self.start_turn()
         if self.dispatcher.scheduler is None:
-            self.kernel_status.started(cold, age_ms)
+            self.kernel_status.started(caches_empty, age_ms)
             self.dispatcher.open()
-            self.state.kernel.ask_gauges()
+            self.state.kernel.request_gauges()
             self.hooks.kernel_up()
 
     # ---- shutdown and reconfiguration ----
@@ -149,8 +149,8 @@
         :param replaced: whether another process of this runner continues to serve.
         """
         if not self.drain_state.shutting_down:
-            self.begin_turn()
-            self.drain_state.begin(stop_ms, replaced)
+            self.start_turn()
+            self.drain_state.start(stop_ms, replaced)
             self.state.turn.events.append(api.DrainNotice(stop_ms, replaced))
             self.hooks.observer.state_changed()
 
@@ -161,7 +161,7 @@
     def answer_all(self) -> None:
         """Answer all requests before the process exits."""
         # The scheduler handles the pending events first. Requests that it leaves unanswered are answered without it.
-        self.begin_turn()
+        self.start_turn()
         self.dispatcher.end_turn()
         for request in [r for r in self.table.by_number.values() if r.reply is not None]:
             self.completion.answer(request, self._shutdown_answer(request))
@@ -176,10 +176,10 @@
 
     def reconfigure(self, plan: Plan) -> None:
         """Apply new settings, after the pending events are processed under the current ones."""
-        self.begin_turn()
+        self.start_turn()
         if self.state.turn.events:
             self.dispatcher.end_turn()
-            self.begin_turn()
+            self.start_turn()
         self.state.settings = plan.settings
         self.registrar.settings_changed(plan.settings)
         self.dispatcher.settings_changed(plan.settings, plan.classes, plan.tenants)
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -51,8 +51,10 @@
 
     def contains(self, value: float) -> bool:
         """Return whether the value is in the range."""
-        above = self.minimum < value if self.excludes_minimum else self.minimum <= value
-        return above and (value < self.maximum if self.excludes_maximum else value <= self.maximum)
+        satisfies_minimum = self.minimum < value if self.excludes_minimum else self.minimum <= value
+        return satisfies_minimum and (
+            value < self.maximum if self.excludes_maximum else value <= self.maximum
+        )
 
     def __str__(self) -> str:
         lower = "above" if self.excludes_minimum else "from"
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -39,7 +39,7 @@
     def call_skipped(self, rid: str, notice: int) -> int:
         """Have the run continue without the call requested by this notice."""
 
-    def ask_gauges(self) -> None:
+    def request_gauges(self) -> None:
         """Request the kernel's gauges."""
 
 
--- a/moorusher/core/turn.py
+++ b/moorusher/core/turn.py
@@ -30,8 +30,8 @@
         self.events: list[api.Event] = []
         self.on_end: Callable[[], None] = lambda: None
 
-    def begin(self) -> None:
-        """Begin the turn, unless it has begun. Called on each event; reads the clock and schedules the turn's end."""
+    def start(self) -> None:
+        """Start the turn, unless it has started. Called on each event; reads the clock and schedules the turn's end."""
         if not self._open:
             self._open = True
             self._clock.read()
--- a/moorusher/forecast_service/demand_reporter.py
+++ b/moorusher/forecast_service/demand_reporter.py
@@ -60,9 +60,9 @@
             self._unanswered_reports += 1
             self._send(leader, DemandReport(next(self._serials), buckets))
         elif self._services.now() >= self._next_lookup_us:
-            self._look_up_leader()
+            self._query_leader()
 
-    def _look_up_leader(self) -> None:
+    def _query_leader(self) -> None:
         jitter = 1 + MAX_LOOKUP_JITTER * self._node.random()
         self._next_lookup_us = self._services.now() + round(MIN_LOOKUP_INTERVAL_US * jitter)
         self._lookup.read(self._leader_found)
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -95,5 +95,5 @@
         # Load balancers behind one address must be distinguished, since their check intervals differ.
         name = sent.split(b"\n", 1)[0].strip().decode("ascii", "replace")[:MAX_NAME_LENGTH]
         if name:
-            self.core.begin_turn()
+            self.core.start_turn()
             self.reporter.tracker.probes.probed(self.core.clock.now, f"{host} {name}")
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -77,7 +77,7 @@
 
     def buildProtocol(self, addr: object) -> ConsoleProtocol | None:
         """Return a protocol, or None if no slot is free."""
-        self.core.begin_turn()
+        self.core.start_turn()
         if not self.limiter.admit():
             self.core.counters.add("console connections: " + EndReason.TOO_MANY_CONNECTIONS.value)
             return None
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -114,7 +114,7 @@
     def dataReceived(self, data: bytes) -> None:
         """Parse received data, unless the connection is closing."""
         if self._end_reason is None:
-            self._core.begin_turn()
+            self._core.start_turn()
             super().dataReceived(data)  # type: ignore[no-untyped-call]
 
     def lineLengthExceeded(self, line: bytes) -> None:
--- a/moorusher/frontends/jsonrpc.py
+++ b/moorusher/frontends/jsonrpc.py
@@ -67,7 +67,7 @@
         # Stops reading from a front end that does not read. `send` limits the answers to requests already received.
         self.transport.registerProducer(self, True)
         self._is_producer = True
-        self._core.begin_turn()
+        self._core.start_turn()
         self.last_activity_us = self._core.clock.now
         self._limiter.connection_opened(self)
         self._core.counters.add("connections")
@@ -87,7 +87,7 @@
         """Parse received data, unless reading has stopped."""
         if self.end_reason is not None or self.pending_end_reason is not None:
             return
-        self._core.begin_turn()
+        self._core.start_turn()
         super().dataReceived(data)  # type: ignore[no-untyped-call]
         if not self._buffer:
             self._message_began_us = 0
@@ -98,7 +98,7 @@
         """Handle a message."""
         if self.end_reason is not None or self.pending_end_reason is not None or not line.strip():
             return
-        self._core.begin_turn()
+        self._core.start_turn()
         self.last_activity_us = self._core.clock.now
         self.session.handle(line, self._message_began_us or None)
 
--- a/moorusher/frontends/limited_protocol.py
+++ b/moorusher/frontends/limited_protocol.py
@@ -33,7 +33,7 @@
 
     def buildProtocol(self, addr: object) -> Any:
         """Return a protocol, or None if no slot is free and no connection can be evicted."""
-        self.core.begin_turn()
+        self.core.start_turn()
         if not self.limiter.admit():
             self.core.counters.add(f"{self.counter_prefix}: {EndReason.TOO_MANY_CONNECTIONS.value}")
             return None
@@ -45,10 +45,10 @@
 
     def reserve_slot(self) -> bool:
         """Reserve a slot for the next accepted connection. Return False if all connections have open requests."""
-        self.core.begin_turn()
+        self.core.start_turn()
         return self.limiter.reserve()
 
     def evict_idle(self) -> None:
         """Close one connection without an open request, if there is one, to free a file descriptor."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self.limiter.evict_one()
--- a/moorusher/frontends/probes.py
+++ b/moorusher/frontends/probes.py
@@ -45,7 +45,7 @@
 
     def buildProtocol(self, addr: object) -> Any:
         """Return a protocol, or None if no slot is free for this address."""
-        self.core.begin_turn()
+        self.core.start_turn()
         host = str(getattr(addr, "host", ""))
         if self._connections_of_host[host] >= MAX_CONNECTIONS_OF_HOST or not self.limiter.admit():
             self.core.counters.add("probes: " + EndReason.TOO_MANY_CONNECTIONS.value)
--- a/moorusher/health/congestion.py
+++ b/moorusher/health/congestion.py
@@ -30,21 +30,21 @@
     decline_per_s: float
     max_level: float
 
-    def integral(self, begin_us: float, end_us: float) -> float:
+    def integral(self, start_us: float, end_us: float) -> float:
         """Return the number of runs integrated over time in us, between two times relative to now."""
         total = 0.0
         reaction_us = float(self.reaction_us)
-        if begin_us < reaction_us:
+        if start_us < reaction_us:
             until = min(end_us, reaction_us)
             slope = (self.reaction_level - self.level) / reaction_us
-            total += (until - begin_us) * (self.level + slope * (begin_us + until) / 2)
+            total += (until - start_us) * (self.level + slope * (start_us + until) / 2)
         if end_us > reaction_us:
             total += self._integral_after_reaction(
-                max(begin_us, reaction_us) - reaction_us, end_us - reaction_us
+                max(start_us, reaction_us) - reaction_us, end_us - reaction_us
             )
         return total
 
-    def _integral_after_reaction(self, begin_us: float, end_us: float) -> float:
+    def _integral_after_reaction(self, start_us: float, end_us: float) -> float:
         """Return the integral between two times relative to the reaction; the level is bounded by 0 and max_level."""
         last_level = 0.0 if self.decline_per_s > 0 else max(self.reaction_level, self.max_level)
         line_end_us = end_us
@@ -52,11 +52,11 @@
             line_end_us = (self.reaction_level - last_level) / self.decline_per_s * 1e6
         total = 0.0
         line_until = min(end_us, line_end_us)
-        if line_until > begin_us:
-            mean = self.reaction_level - self.decline_per_s * (begin_us + line_until) / 2e6
-            total += (line_until - begin_us) * mean
+        if line_until > start_us:
+            mean = self.reaction_level - self.decline_per_s * (start_us + line_until) / 2e6
+            total += (line_until - start_us) * mean
         if end_us > line_end_us:
-            total += (end_us - max(begin_us, line_end_us)) * last_level
+            total += (end_us - max(start_us, line_end_us)) * last_level
         return total
 
 
--- a/moorusher/health/formatting.py
+++ b/moorusher/health/formatting.py
@@ -13,7 +13,7 @@
 from .states import HealthState
 
 MAX_REASON_LENGTH = 120  # characters; HAProxy logs the first line
-DEGRADED_BELOW_WEIGHT = 50
+DEGRADED_WEIGHT_THRESHOLD = 50
 MIN_ERROR_STATUS = 300  # lowest HTTP status that load balancers treat as a failed health check
 
 
@@ -93,7 +93,7 @@
             if status >= MIN_ERROR_STATUS:
                 retry_after_s = max(1, math.ceil(report.horizon_us / 1e6))
             return ProbeResponse(status, retry_after_s, degraded=True)
-    return ProbeResponse(200, degraded=report.weight < DEGRADED_BELOW_WEIGHT)
+    return ProbeResponse(200, degraded=report.weight < DEGRADED_WEIGHT_THRESHOLD)
 
 
 def readiness_response(report: HealthReport) -> ProbeResponse:
--- a/moorusher/health/history.py
+++ b/moorusher/health/history.py
@@ -28,7 +28,7 @@
         """Create a history of level 0."""
         self.window_us = window_us
         self._size = max(-(-window_us // BUCKET_US) + 1, SHORT_TREND_BLOCKS * BLOCK_BUCKETS + 1)
-        self._ring = [0] * self._size  # integral of the level over each bucket
+        self._buckets = [0] * self._size  # integral of the level over each bucket
         self._bucket = now // BUCKET_US  # number of the latest bucket
         self._advanced_to_us = now
         self.value = 0
@@ -48,34 +48,34 @@
             return
         if now - self._advanced_to_us > (self._size + 1) * BUCKET_US:
             # Every bucket of the ring has expired, so the current level fills the whole ring.
-            self._ring = [self.value * BUCKET_US] * self._size
+            self._buckets = [self.value * BUCKET_US] * self._size
             self._bucket = now // BUCKET_US
-            self._ring[self._bucket % self._size] = self.value * (now % BUCKET_US)
+            self._buckets[self._bucket % self._size] = self.value * (now % BUCKET_US)
             self._advanced_to_us = now
             return
         while self._advanced_to_us < now:
             end = min(now, (self._bucket + 1) * BUCKET_US)
-            self._ring[self._bucket % self._size] += self.value * (end - self._advanced_to_us)
+            self._buckets[self._bucket % self._size] += self.value * (end - self._advanced_to_us)
             self._advanced_to_us = end
             if end == (self._bucket + 1) * BUCKET_US:
                 self._bucket += 1
-                self._ring[self._bucket % self._size] = 0
+                self._buckets[self._bucket % self._size] = 0
 
     def integral(self, since: int) -> float:
         """Return the integral of the level over time in us, from `since` to the last advance, within the ring."""
         total = 0.0
         bucket = self._bucket
-        first_whole = -(-since // BUCKET_US)  # first bucket that begins at `since` or later
-        if bucket - first_whole + 1 >= self._size:
-            return float(sum(self._ring))
-        for index in range(first_whole, bucket + 1):
-            total += self._ring[index % self._size]
-        if since < first_whole * BUCKET_US:
+        first_full = -(-since // BUCKET_US)  # first bucket that begins at `since` or later
+        if bucket - first_full + 1 >= self._size:
+            return float(sum(self._buckets))
+        for index in range(first_full, bucket + 1):
+            total += self._buckets[index % self._size]
+        if since < first_full * BUCKET_US:
             # Add a part of the previous bucket, assuming a constant level in it.
-            previous = first_whole - 1
-            end = min(self._advanced_to_us, first_whole * BUCKET_US)
+            previous = first_full - 1
+            end = min(self._advanced_to_us, first_full * BUCKET_US)
             if bucket - previous < self._size and end > since:
-                total += self._ring[previous % self._size] * (end - since) / (end - previous * BUCKET_US)
+                total += self._buckets[previous % self._size] * (end - since) / (end - previous * BUCKET_US)
         return total
 
     def mean(self, now: int) -> float:
@@ -106,12 +106,12 @@
 
     def _block_means(self) -> list[float]:
         """Return the mean level of each whole block in the ring, oldest first."""
-        ring = self._ring
+        buckets = self._buckets
         size = self._size
         last = self._bucket
         count = (size - 1) // BLOCK_BUCKETS
         return [
-            sum(ring[(last - BLOCK_BUCKETS * back - i) % size] for i in range(1, BLOCK_BUCKETS + 1))
+            sum(buckets[(last - BLOCK_BUCKETS * back - i) % size] for i in range(1, BLOCK_BUCKETS + 1))
             / (BLOCK_BUCKETS * BUCKET_US)
             for back in range(count - 1, -1, -1)
         ]
@@ -141,24 +141,24 @@
         """Create a count without events."""
         self.window_us = window_us
         self._size = -(-window_us // BUCKET_US)
-        self._ring = [0] * self._size
+        self._buckets = [0] * self._size
         self._bucket = now // BUCKET_US
 
     def _advance(self, now: int) -> None:
         bucket = now // BUCKET_US
         for index in range(max(self._bucket + 1, bucket - self._size + 1), bucket + 1):
-            self._ring[index % self._size] = 0
+            self._buckets[index % self._size] = 0
         self._bucket = max(self._bucket, bucket)
 
     def add(self, now: int, by: int = 1) -> None:
         """Add `by` events."""
         self._advance(now)
-        self._ring[self._bucket % self._size] += by
+        self._buckets[self._bucket % self._size] += by
 
     def count(self, now: int) -> int:
         """Return the number of events in the window that ends now."""
         self._advance(now)
-        return sum(self._ring)
+        return sum(self._buckets)
 
     def per_second(self, now: int) -> float:
         """Return the rate of events in the window that ends now."""
--- a/moorusher/health/policy.py
+++ b/moorusher/health/policy.py
@@ -19,25 +19,25 @@
             reading has ended.
         survivable_runs_per_core: Highest window mean of runs per core at which a warm runner does not collapse; 0 to
             use the value from the runner's settings.
-        overloaded_above: Pressure at or above which a runner is overloaded.
-        no_traffic_above: Pressure at or above which the weight is 0; the margin up to 1 is for unforeseen load.
-        recovered_below: Pressure below which an overloaded runner has recovered.
-        min_overloaded_weight: Lowest weight of an overloaded runner with a pressure below `no_traffic_above`.
+        overloaded_threshold: Pressure at or above which a runner is overloaded.
+        no_traffic_threshold: Pressure at or above which the weight is 0; the margin up to 1 is for unforeseen load.
+        recovery_threshold: Pressure below which an overloaded runner has recovered.
+        min_overloaded_weight: Lowest weight of an overloaded runner with a pressure below `no_traffic_threshold`.
         max_queue_wait_fraction: Queue wait that means pressure 1, as a fraction of the shortest latency objective.
         max_rejected_fraction: Fraction of requests rejected in the last window that means pressure 1.
         ramp_s: Duration of the recovery ramp from weight 0 to full weight.
         gauges_fresh_ms: Age up to which gauges are fully trusted.
         gauges_expired_ms: Age from which gauges are ignored.
         link_down_grace_ms: Time without a connection to the kernel after which the kernel's state is unknown.
-        link_settle_ms: Time that a restored connection must stay up; doubled with each additional loss.
+        link_stabilization_ms: Time that a restored connection must stay up; doubled with each additional loss.
     """
 
     max_probe_interval_ms: float = 2000.0
     balancer_reaction_ms: float = 500.0
     survivable_runs_per_core: float = 0.0
-    overloaded_above: float = 0.7
-    no_traffic_above: float = 0.85
-    recovered_below: float = 0.5
+    overloaded_threshold: float = 0.7
+    no_traffic_threshold: float = 0.85
+    recovery_threshold: float = 0.5
     min_overloaded_weight: int = 10
     max_queue_wait_fraction: float = 0.3
     max_rejected_fraction: float = 0.5
@@ -45,4 +45,4 @@
     gauges_fresh_ms: float = 1000.0
     gauges_expired_ms: float = 5000.0
     link_down_grace_ms: float = 2000.0
-    link_settle_ms: float = 500.0
+    link_stabilization_ms: float = 500.0
--- a/moorusher/health/staleness.py
+++ b/moorusher/health/staleness.py
@@ -70,16 +70,16 @@
             self._losses.popleft()
         return len(self._losses)
 
-    def state(self, now: int, grace_us: int, settle_us: int) -> LinkState:
+    def state(self, now: int, grace_us: int, stabilization_us: int) -> LinkState:
         """Return the current trust in the connection.
 
         :param grace_us: Time without a connection after which the kernel's state is unknown.
-        :param settle_us: Time that a connection must stay up after its first loss.
+        :param stabilization_us: Time that a connection must stay up after its first loss.
         """
         flaps = self.flaps(now)
         if self._down_since_us is not None:
             return self._state_while_down(now - self._down_since_us, flaps, grace_us)
-        return self._state_while_up(now - self._up_since_us, flaps, settle_us)
+        return self._state_while_up(now - self._up_since_us, flaps, stabilization_us)
 
     def _state_while_down(self, down_us: int, flaps: int, grace_us: int) -> LinkState:
         reason = f"kernel link gone for {down_us / 1e6:.1f} s"
@@ -91,9 +91,9 @@
             return _TRUSTED
         return LinkState(freshness(down_us, 0, grace_us), False, reason)
 
-    def _state_while_up(self, up_us: int, flaps: int, settle_us: int) -> LinkState:
-        settling_us = settle_us << max(0, flaps - 1) if flaps else 0
-        if up_us >= settling_us or not flaps:
+    def _state_while_up(self, up_us: int, flaps: int, stabilization_us: int) -> LinkState:
+        required_up_us = stabilization_us << max(0, flaps - 1) if flaps else 0
+        if up_us >= required_up_us or not flaps:
             self._distrusted = False
             return _TRUSTED
         if self._distrusted:
--- a/moorusher/health/tracker.py
+++ b/moorusher/health/tracker.py
@@ -17,8 +17,7 @@
 from .weight import FULL_WEIGHT, PressureZone, WeightController, step_down
 
 MIN_ARRIVALS = 8  # with fewer requests in a window, its rejections cause no pressure
-# Upper bound of pressure from queueing and rejections. It is below the minimum of `no_traffic_above`, so that only a
-# forecast of too many runs on the cores stops all traffic.
+# Bound of pressure from queueing and rejections, below any `no_traffic_threshold`: only forecasts stop all traffic.
 MAX_INDIRECT_PRESSURE = 0.8
 ENDS_WINDOW_US = 1_500_000  # window of the rate at which runs end; short, so that a slowdown shows soon
 SLOW_RATIO = 0.7  # fraction of the best throughput below which the reason mentions slowness
@@ -57,8 +56,7 @@
         horizon_us: Time until load balancers have reacted.
         forecast: Highest forecast mean of runs on the cores.
         survivable: Highest window mean at which the runner does not collapse.
-        pressure_parts: Pressure by cause.
-        pressure: Maximum of `pressure_parts`.
+        pressure_parts, pressure: Pressure by cause, and its maximum.
         unknown: Descriptions of measurements that were ignored.
     """
 
@@ -74,12 +72,9 @@
     """Tracks the health of one runner. Its methods are called for events, and `report` for each health check.
 
     Attributes:
-        facts: Properties of the runner from its settings.
-        policy: Operator settings of the health state.
-        state: Health state as of the last report.
-        since_us: Time of the last change of state.
-        link: Monitor of the connection to the kernel.
-        probes: Health check intervals of load balancers.
+        facts, policy: Properties of the runner from its settings, and operator settings of the health state.
+        state, since_us: Health state as of the last report, and the time of its last change.
+        link, probes: Monitor of the connection to the kernel, and health check intervals of load balancers.
         maintenance: Maintenance set by an operator; None if there is none.
         on_cores: History of the number of runs on the cores.
         throughput: Throughput compared with the recent best.
@@ -149,7 +144,7 @@
         if balancer:
             self.probes.probed(now, balancer)
         grace_us = round(self.policy.link_down_grace_ms * 1000)
-        link = self.link.state(now, grace_us, round(self.policy.link_settle_ms * 1000))
+        link = self.link.state(now, grace_us, round(self.policy.link_stabilization_ms * 1000))
         assessment = self._assess(observation)
         state, reason = self._next_state(observation, link, assessment.pressure)
         changed = self._transition_to(state, now)
@@ -215,8 +210,7 @@
             return 0.0, (f"gauges: say {gauges.busy:.0%} busy while {observation.on_cores} run",)
         if gauges.runnable is None:
             return 0.0, ()
-        # Reading requests and accepting connections use cores, too, so the threads are counted only up to the number of
-        # runs and queued requests.
+        # Accepting connections and reading requests use cores, too, so runs and requests limit the number of threads.
         return trust * min(
             gauges.runnable, observation.on_cores + observation.at_calls + observation.queued
         ), ()
@@ -258,7 +252,7 @@
         if not observation.healthy:
             return HealthState.FAILED, "the decision module says unfit"
         is_overloaded = self.state is HealthState.OVERLOADED
-        threshold = self.policy.recovered_below if is_overloaded else self.policy.overloaded_above
+        threshold = self.policy.recovery_threshold if is_overloaded else self.policy.overloaded_threshold
         if pressure >= threshold:
             return HealthState.OVERLOADED, ""
         return (HealthState.WARMING_UP if observation.speed < 1.0 else HealthState.SERVING), ""
@@ -302,7 +296,7 @@
         answered = max(
             0, observation.on_cores + observation.at_calls + observation.queued - observation.unanswered
         )
-        available = survivable * self.policy.no_traffic_above - answered
+        available = survivable * self.policy.no_traffic_threshold - answered
         return max(1, int(available / max(1, self.probes.active(observation.now))))
 
     def _describe(self, observation: Observation, link: LinkState, assessment: _Assessment) -> str:
@@ -337,11 +331,11 @@
 
 
 def _pressure_zone(policy: HealthPolicy, pressure: float) -> PressureZone:
-    if pressure >= policy.no_traffic_above:
+    if pressure >= policy.no_traffic_threshold:
         return PressureZone.CROSSING
-    if pressure >= policy.overloaded_above:
+    if pressure >= policy.overloaded_threshold:
         return PressureZone.OVERLOADED
-    return PressureZone.DEAD_BAND if pressure >= policy.recovered_below else PressureZone.RELAXED
+    return PressureZone.DEAD_BAND if pressure >= policy.recovery_threshold else PressureZone.RELAXED
 
 
 def _maintenance_reason(maintenance: Maintenance, now: int) -> str:
--- a/moorusher/health/weight.py
+++ b/moorusher/health/weight.py
@@ -79,7 +79,7 @@
         elif self.level == 0 and cap:  # take the first step at once, since measurements need some traffic
             self.level = min(cap, self._first_level(floor))
         elif zone is PressureZone.OVERLOADED and self.level > floor:
-            self._step_down_once(now, floor, horizon_us)
+            self._step_down(now, floor, horizon_us)
         elif zone is PressureZone.RELAXED or self.level < min(floor, cap):
             return self._ramp_up(now, cap, horizon_us)
         self._raised_at_us = now
@@ -101,7 +101,7 @@
             return max(FIRST_STEP, step_down(floor / 2))
         return FIRST_STEP
 
-    def _step_down_once(self, now: int, floor: int, horizon_us: int) -> None:
+    def _step_down(self, now: int, floor: int, horizon_us: int) -> None:
         self._was_overloaded = True
         if now - self._lowered_at_us >= horizon_us:
             self.level = max(floor, max(step for step in STEPS if step < self.level))
--- a/moorusher/health_reporting/reporter.py
+++ b/moorusher/health_reporting/reporter.py
@@ -115,7 +115,7 @@
         :param duration_s: None for maintenance without an end time.
         :returns: False, without any change, if the runner is draining.
         """
-        self.core.begin_turn()
+        self.core.start_turn()
         now = self.core.clock.now
         self._cached = None
         if self.core.drain_state.draining:
@@ -128,7 +128,7 @@
 
     def end_maintenance(self) -> bool:
         """End maintenance. Return False if none was set, or if the runner is draining."""
-        self.core.begin_turn()
+        self.core.start_turn()
         had_maintenance = self.tracker.maintenance is not None
         self._cached = None
         if self.core.drain_state.draining or not self.tracker.set_maintenance(None) or not had_maintenance:
@@ -139,7 +139,7 @@
 
     def copy_maintenance(self, maintenance: Maintenance | None) -> None:
         """Apply the maintenance that an operator has set at another process of this runner; None for no maintenance."""
-        self.core.begin_turn()
+        self.core.start_turn()
         self._cached = None
         self.tracker.set_maintenance(maintenance)
 
@@ -186,7 +186,7 @@
 
         :param source: Load balancer that sent the health check; "" for other callers.
         """
-        self.core.begin_turn()
+        self.core.start_turn()
         now = self.core.clock.now
         if self._cached is not None and now - self._cached_at_us < REPORT_CACHE_US:
             if source:
--- a/moorusher/lab/balancer.py
+++ b/moorusher/lab/balancer.py
@@ -132,6 +132,8 @@
 
 
 class _Candidate(NamedTuple):
+    """A server that may be picked, and its effective weight."""
+
     weight: float
     server: Server
 
--- a/moorusher/lab/drain_notices.py
+++ b/moorusher/lab/drain_notices.py
@@ -51,7 +51,7 @@
         """Do nothing."""
         return 1
 
-    def ask_gauges(self) -> None:
+    def request_gauges(self) -> None:
         """Do nothing."""
 
 
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -78,11 +78,15 @@
 
 
 class _Sent(NamedTuple):
+    """Time of a sent request, and the runner that received it."""
+
     at_s: float
     runner: str
 
 
 class _Balancer(NamedTuple):
+    """State of one load balancer."""
+
     servers: list[Server]
     picker: ServerPicker
     rng: random.Random
--- a/moorusher/lab/runner_client.py
+++ b/moorusher/lab/runner_client.py
@@ -27,6 +27,8 @@
 
 
 class _QueuedRequest(NamedTuple):
+    """A request that waits for its connection."""
+
     line: bytes
     number: int
     on_outcome: OnOutcome
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -94,7 +94,7 @@
         member = self.services.members.by_seat.get(holder.seat)
         return member is None or member.is_lost(holder.incarnation)
 
-    def held_by(self, holder: Owner) -> list[KeyDigest]:
+    def keys_of_holder(self, holder: Owner) -> list[KeyDigest]:
         """Return the registers whose accepted records name this process as the holder."""
         return sorted(self._keys_by_holder.get(holder, ()))
 
@@ -132,7 +132,7 @@
         return not self.is_lost(holder)
 
     def _start_elections(self, holder: Owner) -> None:
-        for key in self.held_by(holder):
+        for key in self.keys_of_holder(holder):
             self._start_election(key)
 
     def _needs_leader(self, record: LeaseRecord) -> bool:
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -14,7 +14,7 @@
 from .lease_interface import LeaderContext
 from .lease_record import LeaseRecord, LeaseStatus, decode_record
 from .lease_transitions import AcquireLease, Change, Read
-from .messages import LeaseOffer, LeaseTaken, OfferDeclined
+from .messages import LeaseAcquired, LeaseOffer, OfferDeclined
 from .policy import LeadershipPolicy
 from .services import MemberServices
 from .state_fetching import StateFetching
@@ -66,8 +66,8 @@
 
     def on_offer(self, seat: str, offer: LeaseOffer) -> None:
         """Handle an offer from a replica: acquire the lease or decline."""
-        held = self.by_key.get(offer.key)
-        if offer.key in self._acquiring or (held is not None and held.record.term > offer.term):
+        lease = self.by_key.get(offer.key)
+        if offer.key in self._acquiring or (lease is not None and lease.record.term > offer.term):
             return
         if not self._election.is_fit() or (not offer.must_accept and self._is_overloaded()):
             self._services.count("duties: declined")
@@ -87,7 +87,7 @@
 
     def adopt_unacknowledged(self) -> None:
         """Adopt leases whose acquisition succeeded without an answer to this process. Called periodically."""
-        for key in self._election.held_by(self._services.owner):
+        for key in self._election.keys_of_holder(self._services.owner):
             if key not in self.by_key and key not in self._acquiring:
                 self._acquiring.add(key)
                 self._acquire(key, Read())
@@ -121,16 +121,16 @@
     def _notify_former_holder(self, key: KeyDigest, change: AcquireLease, record: LeaseRecord) -> None:
         former = change.former_holder
         if former is not None and former.seat != self._services.me:
-            taken = LeaseTaken(key, record.generation, record.term, self._services.owner)
-            self._services.send(former.seat, taken)
+            notification = LeaseAcquired(key, record.generation, record.term, self._services.owner)
+            self._services.send(former.seat, notification)
 
-    def on_lease_taken(self, seat: str, message: LeaseTaken) -> None:
+    def on_lease_acquired(self, seat: str, message: LeaseAcquired) -> None:
         """Handle the notification that another member has acquired a lease held here: verify that with the register."""
-        held = self.by_key.get(message.key)
-        if held is None:
+        lease = self.by_key.get(message.key)
+        if lease is None:
             return
-        if (message.generation, message.term) > (held.record.generation, held.record.term):
-            held.check()
+        if (message.generation, message.term) > (lease.record.generation, lease.record.term):
+            lease.check()
 
     # ---- workers ----
 
@@ -178,13 +178,16 @@
 
     def rebalance(self) -> None:
         """Hand over one lease if this member is overloaded; the rate is limited. Called periodically."""
-        held = len(self.by_key)
-        if held <= overload_threshold(0.0):
+        lease_count = len(self.by_key)
+        if lease_count <= overload_threshold(0.0):
             return
         candidates = self._election.candidates()
         share = self._election.fair_share(candidates)
         now = self._services.now()
-        if held <= overload_threshold(share) or now - self._last_handover_us < self._handover_interval_us():
+        if (
+            lease_count <= overload_threshold(share)
+            or now - self._last_handover_us < self._handover_interval_us()
+        ):
             return
         receivers = {
             member.seat
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -35,7 +35,7 @@
     term: int
 
 
-class LeaseTaken(ComponentPayload, frozen=True, tag="passed"):
+class LeaseAcquired(ComponentPayload, frozen=True, tag="passed"):
     """Notifies the former leader that another member holds the lease.
 
     Only a hint: the register rejects the former leader's next change in any case.
@@ -108,7 +108,7 @@
 Message = (
     LeaseOffer
     | OfferDeclined
-    | LeaseTaken
+    | LeaseAcquired
     | StoreChunk
     | ChunkStored
     | RecordChosen
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -136,7 +136,7 @@
         return {
             messages.LeaseOffer: self.leases.on_offer,
             messages.OfferDeclined: self.election.on_offer_declined,
-            messages.LeaseTaken: self.leases.on_lease_taken,
+            messages.LeaseAcquired: self.leases.on_lease_acquired,
             messages.StoreChunk: self.replication.on_store_chunk,
             messages.ChunkStored: self.replication.on_chunk_stored,
             messages.RecordChosen: self.replication.on_record_chosen,
@@ -154,7 +154,7 @@
         """Fetch chunks that are missing after the restore from a disk."""
         for key, record in self.election.records.items():
             if self.store.missing(key, record):
-                self.fetching.repair(key, at_once=True)
+                self.fetching.repair(key, immediately=True)
 
     def leave(self) -> None:
         """Release all leases."""
@@ -209,7 +209,7 @@
         record = decode_record(register.value)
         self.election.on_record(key, record)
         if record is not None and self.store.missing(key, record):
-            self.fetching.repair(key, at_once=not self.acceptor.is_complete)
+            self.fetching.repair(key, immediately=not self.acceptor.is_complete)
 
     def _replicated_record(self, key: KeyDigest) -> LeaseRecord | None:
         """Return the record of a register, or None if this member does not replicate it."""
--- a/moorusher/leadership/state_fetching.py
+++ b/moorusher/leadership/state_fetching.py
@@ -151,11 +151,11 @@
 
     # ---- repair ----
 
-    def repair(self, key: KeyDigest, at_once: bool) -> None:
-        """Fetch a register's missing chunks with retries; start after REPAIR_DELAY_US unless `at_once`."""
+    def repair(self, key: KeyDigest, immediately: bool) -> None:
+        """Fetch a register's missing chunks with retries; start after REPAIR_DELAY_US unless `immediately`."""
         if key not in self._repair_attempts:
             self._repair_attempts[key] = 0
-            self._services.after(0 if at_once else REPAIR_DELAY_US, lambda: self._repair(key))
+            self._services.after(0 if immediately else REPAIR_DELAY_US, lambda: self._repair(key))
 
     def _repair(self, key: KeyDigest) -> None:
         record = self._replicated_record(key)
--- a/moorusher/load_balancing/ejection.py
+++ b/moorusher/load_balancing/ejection.py
@@ -72,7 +72,7 @@
         endpoint.eject(now, reason)
         self.ejections += 1
 
-    def begin_health_checks(self, now: int, endpoints: Sequence[Endpoint]) -> None:
+    def start_health_checks(self, now: int, endpoints: Sequence[Endpoint]) -> None:
         """Move endpoints whose ejection has expired to AWAITING_HEALTH_CHECK."""
         for endpoint in endpoints:
             if endpoint.state is EndpointState.EJECTED and now >= endpoint.outliers.ejected_until:
--- a/moorusher/load_balancing/endpoint.py
+++ b/moorusher/load_balancing/endpoint.py
@@ -160,7 +160,7 @@
 
     def eject(self, now: int, reason: EjectionReason) -> None:
         """Eject the endpoint until `outliers.ejected_until`."""
-        self.outliers.begin_ejection(now, reason)
+        self.outliers.start_ejection(now, reason)
         self.state = EndpointState.EJECTED
 
     def reinstate(self, now: int) -> None:
--- a/moorusher/load_balancing/endpoint_set.py
+++ b/moorusher/load_balancing/endpoint_set.py
@@ -129,7 +129,7 @@
         """Derive the endpoints in service: the first active ones in the runner's order, up to the subset size."""
         size = self._policy.subset_size or len(self._ordered)
         members = [endpoint for endpoint in self._ordered if endpoint.state is not EndpointState.DRAINING]
-        self.ejection.begin_health_checks(now, members)
+        self.ejection.start_health_checks(now, members)
         self._awaiting_health_check = [endpoint for endpoint in members if endpoint.awaits_health_check]
         active = [endpoint for endpoint in members if endpoint.state is EndpointState.ACTIVE][:size]
         self._in_service = self.ejection.apply_panic_mode(members[:size], active)
--- a/moorusher/load_balancing/load_balancer.py
+++ b/moorusher/load_balancing/load_balancer.py
@@ -241,7 +241,7 @@
         selection = self.endpoints.select(now, call.tolerates_duplicates, avoid=first)
         if selection is None:
             return []
-        if not self._budget.try_take(now):
+        if not self._budget.try_acquire(now):
             self.counts.denied_by_budget += 1
             return []
         call.hedged = True
--- a/moorusher/load_balancing/outlier_detection.py
+++ b/moorusher/load_balancing/outlier_detection.py
@@ -97,7 +97,7 @@
             median_latency_us > 0 and latency.short > self._policy.outlier_latency_ratio * median_latency_us
         )
 
-    def begin_ejection(self, now: int, reason: EjectionReason) -> None:
+    def start_ejection(self, now: int, reason: EjectionReason) -> None:
         """Begin an ejection. Its duration doubles, up to the maximum, if the previous ejection ended recently."""
         if now > self.ejected_until + EJECTION_MEMORY_US:
             self._consecutive_ejections = 0
--- a/moorusher/load_balancing/retry.py
+++ b/moorusher/load_balancing/retry.py
@@ -66,6 +66,6 @@
     wait_us = backoff_us(call.attempts_made, policy.base_backoff_ms, policy.max_backoff_ms, draw())
     if not has_time_remaining(now + wait_us, call.deadline):
         return NoRetry()
-    if not budget.try_take(now):
+    if not budget.try_acquire(now):
         return NoRetry(budget_spent=True)
     return RetryAt(now + wait_us)
--- a/moorusher/load_balancing/retry_budget.py
+++ b/moorusher/load_balancing/retry_budget.py
@@ -28,7 +28,7 @@
         """Add the tokens of one call."""
         self._tokens = min(MAX_SAVED_ATTEMPTS, self._tokens + self._attempts_per_call)
 
-    def try_take(self, now: int) -> bool:
+    def try_acquire(self, now: int) -> bool:
         """Take a token; return False if there is none."""
         earned = self._min_attempts_per_s * (now - self._refilled_at) / 1e6
         self._tokens = min(MAX_SAVED_ATTEMPTS, self._tokens + earned)
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -71,7 +71,7 @@
         self.own.state = MemberState.ALIVE
         self.health = 0
         self._host = host
-        self._others = [seat for seat in seats if seat != me]
+        self._other_seats = [seat for seat in seats if seat != me]
         self._dissemination = Dissemination(me, self.by_seat)
         # Members still to be probed in this round; each is probed once per round.
         self._probe_order: list[str] = []
@@ -100,10 +100,10 @@
         self._host.at(self._next_period, lambda: self._period(self._next_period))
         if late > LATE_PERIOD_US:
             self._compensate_for_pause(late)
-        if not self._others:
+        if not self._other_seats:
             return
         if not self._probe_order:
-            self._probe_order = sorted(self._others, key=lambda _: self._host.random())
+            self._probe_order = sorted(self._other_seats, key=lambda _: self._host.random())
         self.probe(self._probe_order.pop())
 
     def _compensate_for_pause(self, pause: int) -> None:
@@ -126,7 +126,7 @@
     def _probe_indirectly(self, serial: int, seat: str, sent_at: int) -> None:
         if serial not in self._awaited_acks:
             return
-        alive = [other for other in self._others if other != seat and self.by_seat[other].is_alive]
+        alive = [other for other in self._other_seats if other != seat and self.by_seat[other].is_alive]
         helpers = sorted(alive, key=lambda _: self._host.random())[:INDIRECT_PROBES]
         for helper in helpers:
             self._host.send(helper, PingRequest(serial, seat, self._dissemination.updates_for(helper)))
@@ -136,7 +136,7 @@
     def _probe_failed(self, serial: int, seat: str, sent_at: int) -> None:
         if self._awaited_acks.pop(serial, None) is None:
             return
-        if all(self.by_seat[other].last_heard < sent_at for other in self._others):
+        if all(self.by_seat[other].last_message_us < sent_at for other in self._other_seats):
             self._penalize()  # No member's message has arrived since the probe, so this process may be the cause.
         self.suspect(seat)
 
@@ -207,7 +207,7 @@
         """Record that a message of any kind has arrived from that process."""
         member = self.by_seat[seat]
         now = self._host.clock()
-        member.last_heard = now
+        member.last_message_us = now
         if incarnation > member.incarnation:
             self._start_incarnation(member, incarnation)
             self._set_state(member, MemberState.ALIVE, 0, now)
@@ -256,13 +256,13 @@
             self._start_incarnation(member, update.incarnation)
             member.state = MemberState.UNKNOWN
             member.version = -1
-        is_fresh = member.is_alive and 0 <= now - member.last_heard < DIRECT_CONTACT_FRESH_US
+        is_fresh = member.is_alive and 0 <= now - member.last_message_us < DIRECT_CONTACT_FRESH_US
         if state is not MemberState.ALIVE and is_fresh:
             return  # A direct message from the member is more recent than the suspicion.
         is_newer = update.version > member.version
         is_unknown = member.state is MemberState.UNKNOWN
-        takes_precedence = STATE_PRECEDENCE[state] > STATE_PRECEDENCE[member.state]
-        if not is_newer and not (update.version == member.version and (takes_precedence or is_unknown)):
+        has_precedence = STATE_PRECEDENCE[state] > STATE_PRECEDENCE[member.state]
+        if not is_newer and not (update.version == member.version and (has_precedence or is_unknown)):
             return
         if (is_newer and state is MemberState.ALIVE) or is_unknown:
             self._set_status(member, update.status)
--- a/moorusher/membership/member.py
+++ b/moorusher/membership/member.py
@@ -38,7 +38,7 @@
         status: Status that the member publishes.
         state_since: Time (us) of the last change of state.
         connection_refused: Whether the member's address refuses connections.
-        last_heard: Time (us) of its last message to this member; -1 if there was none.
+        last_message_us: Time (us) of its last message to this member; -1 if there was none.
     """
 
     seat: str
@@ -48,7 +48,7 @@
     status: MemberStatus = MemberStatus()  # noqa: RUF009 - it is frozen
     state_since: int = 0
     connection_refused: bool = False
-    last_heard: int = -1
+    last_message_us: int = -1
 
     @property
     def is_alive(self) -> bool:
--- a/moorusher/model_checking/cluster_process.py
+++ b/moorusher/model_checking/cluster_process.py
@@ -157,5 +157,5 @@
         """Publish the status to the other members, and hand queued work over if it can't be run here."""
         self.node.publish_status(cores=CORES)
         if not self.can_accept_work():
-            self.node.hand_over_held()
+            self.node.hand_over_unstarted_work()
         self.sim.at(self.sim.now + CHECK_INTERVAL_US, self, self.check_self)
--- a/moorusher/model_checking/fault_injection.py
+++ b/moorusher/model_checking/fault_injection.py
@@ -103,11 +103,11 @@
         self._sim.at(end_us, process, end)
 
     def _draw_links(self, kind: FaultKind, seat: int) -> set[Link]:
-        others = [other for other in range(self._sim.scenario.seats) if other != seat]
+        other_seats = [other for other in range(self._sim.scenario.seats) if other != seat]
         if kind is FaultKind.ONE_WAY_PARTITION:
-            return {(seat, other) for other in others}
-        others = self._sim.random.sample(others, self._sim.random.randint(1, len(others)))
-        return {link for other in others for link in ((seat, other), (other, seat))}
+            return {(seat, other) for other in other_seats}
+        other_seats = self._sim.random.sample(other_seats, self._sim.random.randint(1, len(other_seats)))
+        return {link for other in other_seats for link in ((seat, other), (other, seat))}
 
     def _cut_links(self, links: set[Link], end_us: int) -> None:
         cut_links = self._sim.network.cut_links
--- a/moorusher/model_checking/register_fingerprint.py
+++ b/moorusher/model_checking/register_fingerprint.py
@@ -56,8 +56,8 @@
                 for seat in runner.proposer._rejections:
                     content_by_seat[seat].append((runner.name, "no"))
         order = sorted(interchangeable, key=lambda seat: repr(content_by_seat[seat]))
-        others = [seat for seat in self._acceptors if seat not in interchangeable]
-        return {seat: rank for rank, seat in enumerate([*order, *others])}
+        other_seats = [seat for seat in self._acceptors if seat not in interchangeable]
+        return {seat: rank for rank, seat in enumerate([*order, *other_seats])}
 
     def _of_incarnations(self, incarnations: Mapping[str, int]) -> Hashable:
         return tuple(sorted((self._ranks.get(seat, seat), number) for seat, number in incarnations.items()))
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -113,7 +113,7 @@
             name: Runner(name, incarnation, retries)
             for (name, incarnation), retries in zip(FIRST_INCARNATIONS.items(), limits.retries, strict=True)
         }
-        if limits.starts_held:
+        if limits.starts_claimed:
             model._claim_for_p()
         return model
 
@@ -241,7 +241,7 @@
         else:
             runner.retries -= 1
             proposer = runner.proposer
-            requests = proposer.retry() if verb == register_moves.RETRY else proposer.settle_for_majority()
+            requests = proposer.retry() if verb == register_moves.RETRY else proposer.accept_majority()
             self._request(runner, requests)
 
     def _start(self, runner: Runner, promise: CarriedPromise | None) -> None:
--- a/moorusher/model_checking/register_moves.py
+++ b/moorusher/model_checking/register_moves.py
@@ -20,7 +20,7 @@
 START = "starts"
 TAKE_OVER = "takes over"
 RETRY = "retries"
-SETTLE_FOR_MAJORITY = "settles for a majority"
+ACCEPT_MAJORITY = "settles for a majority"
 
 MAJORITY = 2
 
@@ -62,11 +62,11 @@
         return []
     moves = [f"{runner.name} {RETRY}"]
     if proposer.in_fast_round and len(proposer._votes) >= MAJORITY:
-        moves.append(f"{runner.name} {SETTLE_FOR_MAJORITY}")
+        moves.append(f"{runner.name} {ACCEPT_MAJORITY}")
     return moves
 
 
 def _first_move(runner: Runner, limits: RegisterModelLimits) -> str:
-    if not limits.starts_held:
+    if not limits.starts_claimed:
         return CLAIM
     return START if runner.name == "P" else TAKE_OVER
--- a/moorusher/model_checking/register_state.py
+++ b/moorusher/model_checking/register_state.py
@@ -28,7 +28,7 @@
         duplicates: Number of messages that are duplicated.
         crashes: Number of restarts of acceptor a without its memory.
         restarts: Number of restarts of acceptor a with its memory.
-        starts_held: Whether P holds the key initially; P then starts the work, and Q takes it over.
+        starts_claimed: Whether P holds the key initially; P then starts the work, and Q takes it over.
         takes_over: Whether a runner takes over work that another runner has claimed or released.
         releases: Whether P releases the work as not run after its start was chosen.
     """
@@ -39,7 +39,7 @@
     duplicates: int = 0
     crashes: int = 0
     restarts: int = 0
-    starts_held: bool = False
+    starts_claimed: bool = False
     takes_over: bool = True
     releases: bool = False
 
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -25,7 +25,7 @@
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    pass
+    """Base class of the journal's records."""
 
 
 class JournalHeader(_Record, frozen=True, tag="whose"):
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -63,7 +63,7 @@
         """Whether this runner holds the work and has not started it."""
         return self.stage is TenureStage.HELD
 
-    def take_promise(self) -> CarriedPromise | None:
+    def consume_promise(self) -> CarriedPromise | None:
         """Return the promise for the next change and clear it, as it is valid for one change only."""
         promise = self.promise
         self.promise = None
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -255,7 +255,7 @@
         self.longest_window_us = max(self.longest_window_us, longest_window_us)
         self.registers.recovery.expires_after_us = self.longest_window_us
 
-    def hand_over_held(self) -> None:
+    def hand_over_unstarted_work(self) -> None:
         """Hand over all held work, because this runner can't run it any more."""
         self.publish_status()
         for key in [tenure.key for tenure in self.tenures.values() if tenure.is_held]:
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -126,7 +126,7 @@
                 tenure.key,
                 WithdrawClaim(self._node.owner),
                 tenure.expires_at,
-                self._time_left(tenure),
+                self._remaining_time(tenure),
                 withdrawn,
                 max_backoff_us=MAX_WITHDRAW_BACKOFF_US,
             )
@@ -158,7 +158,7 @@
             tenure.expires_at,
             self._node.claim_timeout_us,
             lambda result: self._started(tenure, result),
-            tenure.take_promise(),
+            tenure.consume_promise(),
         )
         return None
 
@@ -223,9 +223,9 @@
                 tenure.key,
                 change,
                 tenure.expires_at,
-                self._time_left(tenure),
+                self._remaining_time(tenure),
                 written,
-                tenure.take_promise(),
+                tenure.consume_promise(),
             )
 
         tenure.run_step(write)
@@ -248,9 +248,9 @@
                 key,
                 ReleaseWork(self._node.owner, tenure.attempt or 1, request, rejected),
                 tenure.expires_at,
-                self._time_left(tenure),
+                self._remaining_time(tenure),
                 lambda result: self._released(tenure, result),
-                tenure.take_promise(),
+                tenure.consume_promise(),
             )
 
         tenure.run_step(release)
@@ -280,13 +280,13 @@
             tenure.expires_at,
             self._node.claim_timeout_us,
             lambda result: self._handed_over(tenure, result),
-            tenure.take_promise(),
+            tenure.consume_promise(),
         )
         return None
 
     def _handed_over(self, tenure: Tenure, result: ChangeResult | None) -> None:
         work: WorkRecord | None = None if result is None else result.value
-        if result is not None and work is not None and not self._is_held_here(work):
+        if result is not None and work is not None and not self._is_owned_here(work):
             self._node.host.notify(HandedOver(tenure.key))
             self._node.host.count("fleet: handed over")
             tenure.stage = TenureStage.OWNED_ELSEWHERE
@@ -298,7 +298,7 @@
             self._node.adopt(tenure, result)
         tenure.finish_step()
 
-    def _is_held_here(self, work: WorkRecord) -> bool:
+    def _is_owned_here(self, work: WorkRecord) -> bool:
         return work.owner == self._node.owner and work.state is WorkState.HELD
 
     def _notify_waiting_seats(self, tenure: Tenure) -> None:
@@ -306,6 +306,6 @@
         for seat in sorted(tenure.waiting_seats):
             self._node.host.send(seat, OwnershipReply(tenure.key, tenure.attempt, False))
 
-    def _time_left(self, tenure: Tenure) -> int:
+    def _remaining_time(self, tenure: Tenure) -> int:
         """Return the time (us) until the key expires, and at least 1 ms, so that one attempt is made."""
         return max(MS, tenure.expires_at - self._node.clock())
--- a/moorusher/replication/proposer.py
+++ b/moorusher/replication/proposer.py
@@ -64,7 +64,7 @@
 class Proposer:
     """One change of one register.
 
-    `start`, `retry`, `handle_vote` and `settle_for_majority` return the requests to send to all replicas; `result` is
+    `start`, `retry`, `handle_vote` and `accept_majority` return the requests to send to all replicas; `result` is
     set when the change is complete. The caller decides when to retry, to settle for a majority or to give up; none of
     these decisions affects safety.
 
@@ -135,7 +135,7 @@
         """Restart with a prepare round at a higher ballot, after a conflict or without an answer from a majority."""
         return self._prepare()
 
-    def settle_for_majority(self) -> list[BallotRequest]:
+    def accept_majority(self) -> list[BallotRequest]:
         """Continue a fast write with the promises of a majority, instead of waiting for all replicas.
 
         :returns: The requests of the next round; empty if no majority has accepted the fast write.
--- a/moorusher/replication/register_reader.py
+++ b/moorusher/replication/register_reader.py
@@ -22,6 +22,8 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRead:
+    """A read that a majority has not answered yet."""
+
     key: KeyDigest
     replicas: tuple[str, ...]
     timeout_us: int
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -193,7 +193,7 @@
         elif proposer.blocked:
             self._retry_after_conflict(pending)
         elif proposer.in_fast_round and self._other_replicas_down(proposer):
-            next_requests = proposer.settle_for_majority()
+            next_requests = proposer.accept_majority()
             if next_requests:
                 self._advance(pending, next_requests)
 
@@ -241,7 +241,7 @@
         def end_fast_round() -> None:
             if pending.round != round_number or pending.proposer.result is not None:
                 return
-            next_requests = pending.proposer.settle_for_majority()
+            next_requests = pending.proposer.accept_majority()
             if next_requests:
                 self._advance(pending, next_requests)
 
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -114,11 +114,11 @@
         tenure.watch_serial += 1
         serial = tenure.watch_serial
 
-        def watch_again() -> None:
+        def continue_watching() -> None:
             if self._is_current(tenure, serial):
                 self._watch(tenure)
 
-        self._node.at(self._node.clock() + OWNER_POLL_US, watch_again)
+        self._node.at(self._node.clock() + OWNER_POLL_US, continue_watching)
 
     def _is_current(self, tenure: Tenure, serial: int) -> bool:
         """Return whether the watch with that serial is still the current one."""
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -130,10 +130,10 @@
         """Return HELD by the new owner if the work was released or is still held by the former owner."""
         if old is None or old.request is None or old.owner == self.new_owner:
             return None
-        is_held_by_former = (
+        former_is_owner = (
             old.state is WorkState.HELD and old.owner == self.former_owner and old.attempt == self.attempt
         )
-        if old.state is WorkState.RELEASED or is_held_by_former:
+        if old.state is WorkState.RELEASED or former_is_owner:
             return WorkRecord(
                 WorkState.HELD,
                 self.new_owner,
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -188,9 +188,9 @@
             self._offers.append(offer)
             if not self._turn_is_scheduled:
                 self._turn_is_scheduled = True
-                self._take_turn()
+                self._process_offers()
 
-    def _take_turn(self) -> None:
+    def _process_offers(self) -> None:
         offers = self._offers[:TAKEOVERS_PER_TURN]
         self._offers = self._offers[TAKEOVERS_PER_TURN:]
         for offer in offers:
@@ -203,7 +203,7 @@
                 tenure.state = WorkState.HELD
                 self._node.continue_work(tenure)
         if offers:
-            self._node.at(self._node.clock() + TAKEOVER_TURN_US, self._take_turn)
+            self._node.at(self._node.clock() + TAKEOVER_TURN_US, self._process_offers)
         else:
             self._turn_is_scheduled = False
 
--- a/moorusher/server/reload.py
+++ b/moorusher/server/reload.py
@@ -93,7 +93,7 @@
     deferred = _deferred_fields(old, new)
     backend = new.uwsgi.below or new.db if old.uwsgi.below is None else new.uwsgi.below
     _check_no_restart_needed(service, new, backend)
-    service.core.begin_turn()
+    service.core.start_turn()
     settings_plan = plan(service.core.settings, new.settings)
     fleet = old.fleet if "fleet" in deferred else new.fleet
     service.config = replace(old, **{name: getattr(new, name) for name in LIVE_FIELDS}, fleet=fleet)
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -172,7 +172,7 @@
             self._retry_listening(error, lambda: self._open_console(address))
 
     def _retry_listening(self, error: OSError, attempt: Callable[[], None]) -> None:
-        self.core.begin_turn()
+        self.core.start_turn()
         if not self._listen_retry.failed(error, attempt):
             self.failed = True
             self.reactor.stop()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -52,7 +52,7 @@
     def call_skipped(self, rid: str, notice: int) -> int:
         return self._write("skipped", rid, notice)
 
-    def ask_gauges(self) -> None:
+    def request_gauges(self) -> None:
         pass
 
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -48,7 +48,7 @@
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *args, **kwargs: (
-            self.calls.append((name, args, kwargs)) if name != "begin_turn" else None
+            self.calls.append((name, args, kwargs)) if name != "start_turn" else None
         )
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -177,7 +177,7 @@
     assert proposer.result is None, (
         "if the third replica were lost, a reader could not tell which value was chosen"
     )
-    run_round(acceptors, proposer, proposer.settle_for_majority(), "x", "y")
+    run_round(acceptors, proposer, proposer.accept_majority(), "x", "y")
     assert proposer.result is not None and proposer.result.value.owner == A
 
 
@@ -364,7 +364,7 @@
     """P holds the key and starts its work while Q, which considers P lost, takes the work over."""
     exploration = explore(
         RegisterModel.initial(
-            RegisterModelLimits(starts_held=True, retries=(0, 1), retries_on_conflict_only=True)
+            RegisterModelLimits(starts_claimed=True, retries=(0, 1), retries_on_conflict_only=True)
         ),
         60_000,
     )
@@ -376,7 +376,7 @@
 @pytest.mark.parametrize(
     "limits, options",
     [
-        (RegisterModelLimits(starts_held=True, retries=(0, 0)), {"runs_early": True}),
+        (RegisterModelLimits(starts_claimed=True, retries=(0, 0)), {"runs_early": True}),
         (
             RegisterModelLimits(retries=(0, 1), retries_on_conflict_only=True),
             {"replicas": {"P": ("a", "b", "c"), "Q": ("c", "d", "e")}, "interchangeable": ("a", "b")},
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -128,7 +128,7 @@
     history.set(START_US + SECOND_US, 7)
     history.set(START_US, 3)  # the time of this event is before that of the previous one
     assert history.mean(START_US + 100 * SECOND_US) == pytest.approx(3.0)
-    assert len(history._ring) == 61
+    assert len(history._buckets) == 61
 
 
 @pytest.mark.parametrize(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -272,7 +272,7 @@
     receive_messages(connection, BOOTED)
     world.submit("a", 1)
     world.turn()
-    link.session.ask_gauges()
+    link.session.request_gauges()
     question = json.loads(transport.value().splitlines()[-1])
     assert question["t"] == "SYSINFO"
     if is_acknowledged:
@@ -327,7 +327,7 @@
         self.core = self
         self.clock = SimpleNamespace(now=0)
 
-    def begin_turn(self) -> None:
+    def start_turn(self) -> None:
         self.clock.now = round(self.reactor.seconds() * 1e6)
 
     def connect_failed(self, seat: str, refused: bool) -> None: ...
@@ -344,7 +344,7 @@
     dialer.disconnected()  # and closed by the other side
     assert len(dialled) == 2
     dialer._connecting = False
-    owner.begin_turn()
+    owner.start_turn()
     dialer.disconnected()  # the second time, it waits
     assert len(dialled) == 2
     owner.reactor.advance(1.1)
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -106,11 +106,11 @@
     budget, taken = RetryBudget(0.1, 0.0, 0), 0
     for _ in range(1000):
         budget.call_started()
-        taken += budget.try_take(0)
+        taken += budget.try_acquire(0)
     assert 95 <= taken <= 101
-    assert sum(RetryBudget(0.0, 1.0, 0).try_take(now * S) for now in range(1)) == 1
+    assert sum(RetryBudget(0.0, 1.0, 0).try_acquire(now * S) for now in range(1)) == 1
     constant_rate = RetryBudget(0.0, 1.0, 0)
-    assert sum(constant_rate.try_take(i * S // 10) for i in range(1, 101)) in (10, 11)
+    assert sum(constant_rate.try_acquire(i * S // 10) for i in range(1, 101)) in (10, 11)
     assert [backoff_us(attempts, 10, 250, 0.5) for attempts in (1, 2, 5, 6, 99)] == [
         5000,
         10000,
--- a/tests/test_retries_and_hedging.py
+++ b/tests/test_retries_and_hedging.py
@@ -29,7 +29,7 @@
 
 def decide(now: int, open_call: OpenCall, outcome: AttemptOutcome, tokens: int = 1) -> RetryAt | NoRetry:
     budget = RetryBudget(0.0, 0.0, 0)
-    while tokens < 1 and budget.try_take(0):
+    while tokens < 1 and budget.try_acquire(0):
         pass
     return decide_retry(now, open_call, outcome, POLICY, budget, lambda: 0.5)
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -169,7 +169,7 @@
     # The class is added again, at another position.
     reconfigure_core(world, settings_with_classes(FAST, replace(KEYED, idempotency_window_ms=20_000), SAFE))
     world.now_ns += 15_000 * 1_000_000
-    world.core.begin_turn()
+    world.core.start_turn()
     world.turn()
     world.submit("b", 2)
     world.turn()
