--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -29,7 +29,7 @@
 COLLAPSE_MULTIPLE = 5.0
 """Runs per core at which a machine collapses."""
 UNGUARDED_COLLAPSE_MULTIPLE = 14.0
-"""The same in the settings of runners whose own guard against the collapse is disabled by this high value."""
+"""Collapse multiple in the settings of runners without their own guard: a value so high that the guard never acts."""
 IDLE_GAUGES = [0.05, 0.0, 0.1, 1.0]
 """Gauges of an idle machine."""
 PROBE_INTERVALS_S = (0.5, 1.0)
@@ -42,7 +42,7 @@
 HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 500.0\nclimb_s = 4.0\ntip_per_core = 5.0"
 DATABASE_DELAY_S = 0.05
 _COLD_BOOT_DELAY_S = 3600.0
-"""Longer than the experiment: a cold kernel boots only on request."""
+"""Longer than the experiment, so that a cold kernel boots only when `start_load` finishes its boot."""
 _SHIFT_STEP_S = 0.1
 _SHIFTED_SHARE = 2 / 9
 """Two thirds of an even share among three runners."""
@@ -54,7 +54,8 @@
 
     Attributes:
         with_report: Whether balancers read the agent. Otherwise they only check that the process is alive.
-        without_guard: Whether the scheduler's own guard is disabled and the agent also reports `maxconn`.
+        without_guard: Whether the scheduler's own guard against a collapse is disabled; the agent then also reports
+            `maxconn`.
         with_cold_runner: Whether the last runner starts cold.
         runners: Number of runners.
     """
@@ -183,7 +184,7 @@
                 )
 
     def start_load(self) -> None:
-        """Start the load and boot the cold kernels."""
+        """Start the load, and finish the boot of all kernels; a cold kernel starts to warm up."""
         self.load.start()
         for runner in self.runners:
             runner.kernel.finish_boot()
@@ -218,7 +219,7 @@
             kernel.slow(SLOW_FACTOR)
 
     def close(self) -> None:
-        """Kill all runners and close their stand-ins."""
+        """Stop the probers, close the clients, kill all runners, and close kernels and database."""
         for prober in self.probers:
             prober.stop()
         for client in self._clients.values():
@@ -237,7 +238,7 @@
         return self._balancers[0].servers
 
     def served_value_share(self) -> float:
-        """Return the share of the offered value that was served within its latency objective."""
+        """Return the value of the requests served within their latency objective, as a share of the offered value."""
         return self.load.served_value / max(1e-9, self.load.offered_value)
 
     def served_share_since(self, since_s: float) -> float:
@@ -259,7 +260,12 @@
         return names.count(runner) / max(1, len(names))
 
     def weight_lowered_at(self) -> list[float]:
-        """Return when each balancer first read, after the slowdown, a weight of 50% or less for the first runner."""
+        """Return when each balancer first read a weight of 50% or less for the first runner after the slowdown began.
+
+        A report without a weight counts as 0.
+
+        :returns: seconds from the start of the load; no entry for a balancer that read no such weight.
+        """
         times_s = []
         for balancer in self._balancers:
             for report in balancer.servers[0].agent_reports:
@@ -270,7 +276,7 @@
         return times_s
 
     def traffic_shifted_at(self) -> float | None:
-        """Return when the first runner's traffic dropped after its weight was lowered.
+        """Return when the first runner's share of the traffic dropped after a balancer read its lower weight.
 
         :returns: the start of the first second in which the runner gets less than two thirds of an even share, in
             seconds from the start of the load; None if there is no such second.
