--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -28,7 +28,7 @@
         speed: Work that one core does, in us per us.
         degradation_threshold: Runs per core above which the total throughput drops.
         degradation_per_run: Slowdown for each run per core above the threshold.
-        cold_speed: Share of the full speed right after a cold start.
+        initial_speed: Share of the full speed right after a cold start.
         warm_up_us: Time from a cold start to full speed.
         collapse_runs_per_core: Mean runs per core above which the machine collapses.
         window_us: Window over which the mean is taken.
@@ -38,7 +38,7 @@
     speed: float = 1.0
     degradation_threshold: float = 3.0
     degradation_per_run: float = 0.08
-    cold_speed: float = 1.0
+    initial_speed: float = 1.0
     warm_up_us: int = 0
     collapse_runs_per_core: float = 5.0
     window_us: int = 3_000_000
@@ -82,7 +82,7 @@
         if not self.starts_cold or not machine.warm_up_us:
             return 1.0
         progress = min(1.0, (now - self.started_at) / machine.warm_up_us)
-        return machine.cold_speed + (1 - machine.cold_speed) * progress
+        return machine.initial_speed + (1 - machine.initial_speed) * progress
 
     def _work_rate(self, now: int) -> float:
         """Return the work done for each run in one us."""
--- a/moorusher/lab/demo_fleet.py
+++ b/moorusher/lab/demo_fleet.py
@@ -209,7 +209,7 @@
         if self._shutting_down:
             return
         port = self._kernels[name].port
-        machine = MachineSpec(CORES, cold_speed=0.5, warm_up_us=WARM_UP_US)
+        machine = MachineSpec(CORES, initial_speed=0.5, warm_up_us=WARM_UP_US)
         kernel = Kernel(self.reactor, machine=machine, gauges=GAUGES, state="EMPTY", age_ms=0)
         kernel.listen(port)
         self._kernels[name] = kernel
@@ -258,12 +258,12 @@
 
     # ---- the terminal ----
 
-    def execute(self, words: list[str]) -> None:
+    def execute(self, arguments: list[str]) -> None:
         """Execute a command of the terminal: kill, stop or go, and a runner's name."""
-        if len(words) != 2 or words[0] not in _COMMANDS or words[1] not in self._runners:
+        if len(arguments) != 2 or arguments[0] not in _COMMANDS or arguments[1] not in self._runners:
             self._log(f"unknown command: expected kill, stop or go, and one of {', '.join(self._runners)}")
             return
-        command, name = words
+        command, name = arguments
         self._runners[name].signal(_COMMANDS[command])
         if command == "kill":
             self._stopped.add(name)
--- a/moorusher/lab/demo_runner.py
+++ b/moorusher/lab/demo_runner.py
@@ -31,7 +31,7 @@
 LOAD_S = 60.0
 """Duration of one generated load. The next load starts when it ends."""
 DATABASE_DELAY_S = 0.03
-COLD_SPEED = 0.3
+INITIAL_SPEED = 0.3
 WARM_UP_S = 10
 _RETAINED_LOADS = 2
 """Number of loads whose counts are kept. The previous load may still have requests in flight."""
@@ -54,14 +54,14 @@
         self._database.listen()
         self._kernel = Kernel(
             reactor,
-            machine=MachineSpec(CORES, cold_speed=COLD_SPEED, warm_up_us=WARM_UP_S * 1_000_000),
+            machine=MachineSpec(CORES, initial_speed=INITIAL_SPEED, warm_up_us=WARM_UP_S * 1_000_000),
             gauges=GAUGES,
             state="EMPTY",
             age_ms=0,
         )
         self._kernel.listen()
         settings = runner_settings(CLASSES, TENANTS, CORES)
-        settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
+        settings["invariants"] |= {"coldShare": INITIAL_SPEED, "warmAfterMs": WARM_UP_S * 1000}
         self._runner = Runner(reactor, self._kernel, settings, self._database.port, "probe_ms = 1000.0")
         self._runner.on_exit = self._runner_exited
         self._server = Server("n1")
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -53,7 +53,7 @@
 
         A failover that takes longer than `MAX_WAIT_S` counts as `MAX_WAIT_S`.
         """
-        await self.begin()
+        await self.form_fleet()
         effects = self.receiver.accepted
         while len(effects) < 10:
             await self.pause(0.05)
--- a/moorusher/lab/fenced_receiver.py
+++ b/moorusher/lab/fenced_receiver.py
@@ -80,7 +80,7 @@
             self._database.execute("INSERT OR IGNORE INTO jobs VALUES (?, ?, 1)", (duty, number))
             return self._is_done(duty, number)
 
-    def settle_job(self, duty: str, number: int) -> bool:
+    def resolve_job(self, duty: str, number: int) -> bool:
         """Return whether a job was done; if it was not, settle it as not done, so that it is never done later."""
         with self._transaction():
             self._database.execute("INSERT OR IGNORE INTO jobs VALUES (?, ?, 0)", (duty, number))
@@ -148,7 +148,7 @@
         elif request.path == b"/intent":
             answer = {"done": self.store.perform_job(sent["duty"], sent["number"])}
         else:
-            answer = {"done": self.store.settle_job(sent["duty"], sent["number"])}
+            answer = {"done": self.store.resolve_job(sent["duty"], sent["number"])}
         if self.drops_replies:
             request.transport.abortConnection()
             return server.NOT_DONE_YET
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -34,14 +34,14 @@
 """Gauges of an idle machine."""
 PROBE_INTERVALS_S = (0.5, 1.0)
 """Probe intervals of the two balancers."""
-COLD_SPEED = 0.25
+INITIAL_SPEED = 0.25
 WARM_UP_S = 8.0
 SLOW_AT_S = 11.0
 SLOW_FOR_S = 14.0
 SLOW_FACTOR = 0.25
 HEALTH_TOML = "probe_ms = 500.0\nreaction_ms = 500.0\nclimb_s = 4.0\ntip_per_core = 5.0"
 DATABASE_DELAY_S = 0.05
-_COLD_BOOT_DELAY_S = 3600.0
+_DEFERRED_BOOT_DELAY_S = 3600.0
 """Longer than the experiment, so that a cold kernel boots only when `start_load` finishes its boot."""
 _SHIFT_STEP_S = 0.1
 _SHIFTED_SHARE = 2 / 9
@@ -138,7 +138,7 @@
         machine = MachineSpec(
             CORES,
             collapse_runs_per_core=COLLAPSE_MULTIPLE,
-            cold_speed=COLD_SPEED if is_cold else 1.0,
+            initial_speed=INITIAL_SPEED if is_cold else 1.0,
             warm_up_us=round(WARM_UP_S * 1e6),
         )
         kernel = Kernel(
@@ -147,14 +147,14 @@
             gauges=GAUGES,
             age_ms=0 if is_cold else 60_000,
             state="EMPTY" if is_cold else "LOADED",
-            boot_delay_s=_COLD_BOOT_DELAY_S if is_cold else 0.0,
+            boot_delay_s=_DEFERRED_BOOT_DELAY_S if is_cold else 0.0,
         )
         if options.without_guard:
             kernel.fixed_gauges = IDLE_GAUGES
         kernel.listen()
         multiple = UNGUARDED_COLLAPSE_MULTIPLE if options.without_guard else COLLAPSE_MULTIPLE
         settings = runner_settings(CLASSES, TENANTS, CORES, multiple)
-        settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
+        settings["invariants"] |= {"coldShare": INITIAL_SPEED, "warmAfterMs": WARM_UP_S * 1000}
         runner = Runner(
             self.reactor,
             kernel,
--- a/moorusher/lab/hint_simulation.py
+++ b/moorusher/lab/hint_simulation.py
@@ -45,9 +45,9 @@
 
     def advance(self) -> None:
         """Advance the time by one step."""
-        remaining = [steps_left - 1 for steps_left in self._steps_until_warm]
-        self.warm += sum(steps_left <= 0 for steps_left in remaining)
-        self._steps_until_warm = [steps_left for steps_left in remaining if steps_left > 0]
+        remaining = [steps - 1 for steps in self._steps_until_warm]
+        self.warm += sum(steps <= 0 for steps in remaining)
+        self._steps_until_warm = [steps for steps in remaining if steps > 0]
 
     def scale_to(self, wanted: int) -> None:
         """Start or stop runners; cold runners are stopped first."""
--- a/moorusher/lab/namespace_rules.py
+++ b/moorusher/lab/namespace_rules.py
@@ -19,7 +19,7 @@
 KEYS = [f"{letter}{suffix}" for letter in "abc" for suffix in ("", "x", "y-", "y-1")]
 REQUESTS_PER_DRAFT = 200
 LARGE_RULE_COUNT = 1_000
-_LOOK_UPS_PER_REPETITION = 5_000
+_LOOKUPS_PER_REPETITION = 5_000
 _REPETITIONS = 7
 _REVISION = (1, 1)
 _ATTRIBUTES = ("key", "subject", "caller", "class_name", "rank")
@@ -148,29 +148,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LookUpTimes:
+class LookupTimes:
     """Time of one look-up, in us: with one customer in the table, and with many."""
 
     alone_us: float
-    beside_others_us: float
+    many_customers_us: float
 
 
-def measure_look_ups(others: int, rules_of_others: int) -> LookUpTimes:
-    """Measure look-ups among a thousand rules, for one customer alone and beside others."""
-    customers = CurrentRevisions(others + 1)
+def measure_lookups(other_customers: int, rules_per_customer: int) -> LookupTimes:
+    """Measure look-ups among a thousand rules, for one customer alone and beside other customers."""
+    customers = CurrentRevisions(other_customers + 1)
     customers.install_draft("acme", _REVISION, draft_of_size(LARGE_RULE_COUNT), GRANT)
-    alone_us = _measure_look_up_us(customers, "acme", LARGE_RULE_COUNT)
-    shared = draft_of_size(rules_of_others)
-    for index in range(others):
+    alone_us = _measure_lookup_us(customers, "acme", LARGE_RULE_COUNT)
+    shared = draft_of_size(rules_per_customer)
+    for index in range(other_customers):
         customers.install_draft(f"c{index}", _REVISION, shared, None)
-    return LookUpTimes(alone_us, _measure_look_up_us(customers, "acme", LARGE_RULE_COUNT))
+    return LookupTimes(alone_us, _measure_lookup_us(customers, "acme", LARGE_RULE_COUNT))
 
 
-def _measure_look_up_us(customers: CurrentRevisions, name: str, rules: int) -> float:
+def _measure_lookup_us(customers: CurrentRevisions, name: str, rules: int) -> float:
     """Return the median time of a request's look-up, which finds the customer by name and then the matching rule."""
     requests = [
         RequestAttributes("submit", index % 60, -1, 0.1, f"{index % rules:05x}-abc")
-        for index in range(_LOOK_UPS_PER_REPETITION)
+        for index in range(_LOOKUPS_PER_REPETITION)
     ]
     times_us = []
     for _ in range(_REPETITIONS):
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -20,7 +20,7 @@
 from .cores import MachineSpec
 from .experiment import Experiment, Log, Plot, Points, Result
 from .load_generator import LoadGenerator, Route
-from .namespace_rules import count_wrong_decisions, draft_of_size, measure_look_ups
+from .namespace_rules import count_wrong_decisions, draft_of_size, measure_lookups
 from .ports import HOST
 from .runner_client import RunnerClient
 from .runner_fleet import RunnerFleet
@@ -150,12 +150,12 @@
     result = Result()
     await _measure_decisions(result, seed, 100_000 if quick else 1_000_000, log)
     if quick:
-        await _measure_look_ups(result, 1_000, 10, log)
+        await _measure_lookups(result, 1_000, 10, log)
     else:
-        await _measure_look_ups(result, 5_000, 20, log)
+        await _measure_lookups(result, 5_000, 20, log)
     fleet = RoutedFleet(reactor)
     try:
-        await fleet.begin()
+        await fleet.form_fleet()
         await _measure_publishing(result, fleet, 20 if quick else 100, log)
         await _measure_isolation(result, fleet, seed, range(2 if quick else 10), log)
     finally:
@@ -170,25 +170,25 @@
     result.add_criterion("wrong decisions against the reference", wrong, "none", not counts.wrong)
 
 
-async def _measure_look_ups(result: Result, others: int, rules_of_others: int, log: Log) -> None:
-    times = await deferToThread(measure_look_ups, others, rules_of_others)
+async def _measure_lookups(result: Result, other_customers: int, rules_per_customer: int, log: Log) -> None:
+    times = await deferToThread(measure_lookups, other_customers, rules_per_customer)
     alone_us = times.alone_us
-    beside_others_us = times.beside_others_us
+    many_customers_us = times.many_customers_us
     result.figures["look-ups"] = {
         "alone us": alone_us,
-        "beside others us": beside_others_us,
-        "others": others,
-        "rules of each": rules_of_others,
+        "beside others us": many_customers_us,
+        "others": other_customers,
+        "rules of each": rules_per_customer,
     }
-    log(f"look-up {alone_us:.1f} us alone, {beside_others_us:.1f} us beside {others} others")
+    log(f"look-up {alone_us:.1f} us alone, {many_customers_us:.1f} us beside {other_customers} others")
     result.add_criterion(
-        "look-up among 1,000 rules", f"{beside_others_us:.1f} us", "under 15 us", beside_others_us < 15
+        "look-up among 1,000 rules", f"{many_customers_us:.1f} us", "under 15 us", many_customers_us < 15
     )
     result.add_criterion(
-        f"the same beside {others} other customers of {rules_of_others} rules, over alone",
-        f"{beside_others_us / alone_us:.2f}",
+        f"the same beside {other_customers} other customers of {rules_per_customer} rules, over alone",
+        f"{many_customers_us / alone_us:.2f}",
         "at most 1.3",
-        beside_others_us <= 1.3 * alone_us,
+        many_customers_us <= 1.3 * alone_us,
     )
 
 
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -35,7 +35,7 @@
     RebootOrder.COORDINATED_WITH_PARTITION: RebootOrder.NONE_WITH_PARTITION,
 }
 """Orders that have criteria, each with the baseline without reboots that it is compared with."""
-PLOTTED = (RebootOrder.COORDINATED, RebootOrder.AT_ONCE, RebootOrder.BY_HEALTH)
+PLOTTED = (RebootOrder.COORDINATED, RebootOrder.SIMULTANEOUS, RebootOrder.BY_HEALTH)
 
 Results = dict[RebootOrder, list[OutageResult]]
 """Results of each order, one for each seed."""
--- a/moorusher/lab/outage_arm.py
+++ b/moorusher/lab/outage_arm.py
@@ -58,7 +58,7 @@
     NONE = "nobody"
     COORDINATED = "settled"
     """In the order that the runners coordinate."""
-    AT_ONCE = "at once"
+    SIMULTANEOUS = "at once"
     BY_HEALTH = "health"
     """One after the other, by a script that checks only their health."""
     FIXED = "fixed"
@@ -165,7 +165,7 @@
             await self._reboot_coordinated()
             self._done_at = self.now
             await slots
-        elif self.order is RebootOrder.AT_ONCE:
+        elif self.order is RebootOrder.SIMULTANEOUS:
             await _gather(self._fleet.reboot(index) for index in range(RUNNERS))
         elif self.order is RebootOrder.BY_HEALTH:
             await self._reboot_by_health()
@@ -231,7 +231,7 @@
 
     async def play(self) -> OutageResult:
         """Play the arm; the fleet's processes run until `close`."""
-        await self._fleet.begin()
+        await self._fleet.form_fleet()
         seconds = IDLE_PLAY_S if self.order.reboots_nothing else MAX_PLAY_S
         rate = LOAD * RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
         arrivals = draw_arrivals(self._rng.randrange(1 << 30), CLASSES, TENANTS, rate, seconds)
--- a/moorusher/lab/outage_fleet.py
+++ b/moorusher/lab/outage_fleet.py
@@ -31,7 +31,7 @@
 REBOOT_S = 3.0
 """Time from the exit of a machine's runner until the machine starts again."""
 WARM_UP_S = 2.0
-COLD_SPEED = 0.5
+INITIAL_SPEED = 0.5
 STOP_TIMEOUT_S = 4.2
 """Time after SIGTERM until a runner that is still running is killed."""
 FAILURE_DURATION_S = 6.0  # How long a killed runner is down.
@@ -54,7 +54,7 @@
         self._coordinated = coordinated
         self._temporary = tempfile.TemporaryDirectory(prefix="moorusher-lab-")
         self._folder = Path(self._temporary.name)
-        self.kernels = [self._create_kernel(cold=False) for _ in range(RUNNERS)]
+        self.kernels = [self._create_kernel(caches_empty=False) for _ in range(RUNNERS)]
         self._ports = [free_port() for _ in range(RUNNERS)]
         self._relays = {
             (source, target): Relay(reactor, self._ports[target])
@@ -67,13 +67,13 @@
         self.max_down = 0
         self.reboots = 0
 
-    def _create_kernel(self, cold: bool) -> Kernel:
+    def _create_kernel(self, caches_empty: bool) -> Kernel:
         kernel = Kernel(
             self.reactor,
-            machine=MachineSpec(CORES, cold_speed=COLD_SPEED, warm_up_us=round(WARM_UP_S * 1e6)),
+            machine=MachineSpec(CORES, initial_speed=INITIAL_SPEED, warm_up_us=round(WARM_UP_S * 1e6)),
             gauges=GAUGES,
-            state="EMPTY" if cold else "LOADED",
-            age_ms=0 if cold else 5000,
+            state="EMPTY" if caches_empty else "LOADED",
+            age_ms=0 if caches_empty else 5000,
         )
         kernel.listen()
         return kernel
@@ -82,7 +82,7 @@
         settings = runner_settings(
             CLASSES, TENANTS, CORES, below="off", classCalls=[False, False], worthWithout=[0, 0]
         )
-        settings["invariants"] |= {"coldShare": COLD_SPEED, "warmAfterMs": WARM_UP_S * 1000}
+        settings["invariants"] |= {"coldShare": INITIAL_SPEED, "warmAfterMs": WARM_UP_S * 1000}
         runners = []
         for index in range(RUNNERS):
             self._write_machine_id(index, 1)
@@ -135,7 +135,7 @@
         reply = await request_admin(self.runners[index].admin, path, method, body, timeout_s)
         return reply.decode() if reply.succeeded else {}
 
-    async def begin(self) -> None:
+    async def form_fleet(self) -> None:
         """Wait until every runner is in service, and form the fleet."""
         for index in range(RUNNERS):
             while not await self.is_routable(index):
@@ -187,7 +187,7 @@
     def _start_machine(self, index: int, start: int) -> None:
         """Start a cold kernel on the port of the previous one, and the runner."""
         previous = self.kernels[index]
-        kernel = self._create_kernel(cold=True)
+        kernel = self._create_kernel(caches_empty=True)
         kernel.close()
         kernel.runs.extend(previous.runs)
         kernel.listen(previous.port)
--- a/moorusher/lab/runner_fleet.py
+++ b/moorusher/lab/runner_fleet.py
@@ -75,7 +75,7 @@
         """Send a request to a runner's administration API."""
         return request_admin(self.runners[index].admin, path, method, body)
 
-    async def begin(self) -> None:
+    async def form_fleet(self) -> None:
         """Wait until every runner is connected to its kernel, form the fleet, and wait until every runner is in it."""
         for index in range(len(self.runners)):
             while b'"kernel_up": true' not in (await self.request_admin(index, "status")).body:
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -299,7 +299,7 @@
             return
         work_us = self._call_work[call_id].work * server.service_time_us
         if len(server.busy) < server.slots:
-            self._begin(attempt_id, server, work_us)
+            self._start_attempt(attempt_id, server, work_us)
         else:
             server.queue.append(QueuedAttempt(attempt_id, work_us))
 
@@ -310,7 +310,7 @@
         if call is not None and call.keyed and call_work.executions > 1:
             self.statistics.executed_twice += 1
 
-    def _begin(self, attempt_id: int, server: SimulatedServer, work_us: float) -> None:
+    def _start_attempt(self, attempt_id: int, server: SimulatedServer, work_us: float) -> None:
         server.busy.add(attempt_id)
         self._count_execution(self._attempts[attempt_id].call_id)
         fault = server.fault_at(self.now)
@@ -340,4 +340,4 @@
         while server.queue and len(server.busy) < server.slots:
             queued = server.queue.popleft()
             if queued.attempt_id in self._attempts:
-                self._begin(queued.attempt_id, server, queued.work_us)
+                self._start_attempt(queued.attempt_id, server, queued.work_us)
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -67,13 +67,13 @@
         f"{case}: time to the first takeover", f"{median_s:.2f} s", "under 1 s", median_s < 1.0
     )
     if without_fleet is not None:
-        others_served = _mean([outcome.others_served for outcome in outcomes])
-        others_served_without = _mean([outcome.others_served for outcome in without_fleet])
+        unkeyed_served = _mean([outcome.unkeyed_served for outcome in outcomes])
+        unkeyed_served_without_fleet = _mean([outcome.unkeyed_served for outcome in without_fleet])
         result.add_criterion(
             f"{case}: what survivors serve of the rest",
-            f"{others_served:.3f} with, {others_served_without:.3f} without",
+            f"{unkeyed_served:.3f} with, {unkeyed_served_without_fleet:.3f} without",
             "within 0.01 of it",
-            others_served >= others_served_without - 0.01,
+            unkeyed_served >= unkeyed_served_without_fleet - 0.01,
         )
 
 
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -267,7 +267,7 @@
         del executions[""]
         keyed = [request for request in self._requests if request.token]
         queued = [request for request in self._open_at_loss if request.token not in self._started_at_failed]
-        others = [
+        unkeyed_requests = [
             request
             for request in self._requests
             if request.sent_at > FAILURE_AT_S
@@ -284,7 +284,7 @@
             without_outcome=sum(not request.outcome for request in self._open_at_loss),
             executions_per_served=sum(executions.values()) / max(1, count_served(keyed)),
             served=share_served(keyed),
-            others_served=share_served(others),
+            unkeyed_served=share_served(unkeyed_requests),
             takeover_s=takeover_s,
         )
 
--- a/moorusher/lab/takeover_result.py
+++ b/moorusher/lab/takeover_result.py
@@ -50,7 +50,7 @@
         without_outcome: Number of the open requests that never had an outcome.
         executions_per_served: Runs of keyed requests, divided by the number of keyed requests served in time.
         served: Share of the keyed requests served in time.
-        others_served: Share served in time of the requests without a key that were sent to the
+        unkeyed_served: Share served in time of the requests without a key that were sent to the
             other runners after the failure.
         takeover_s: Time from the failure until another runner started a queued request, or -1.
     """
@@ -63,7 +63,7 @@
     without_outcome: int
     executions_per_served: float
     served: float
-    others_served: float
+    unkeyed_served: float
     takeover_s: float
 
     @property
@@ -82,7 +82,7 @@
             "no ending": self.without_outcome,
             "runs for one served": self.executions_per_served,
             "served": self.served,
-            "rest": self.others_served,
+            "rest": self.unkeyed_served,
             "takeover s": self.takeover_s,
         }
 
--- a/moorusher/lab/tier.py
+++ b/moorusher/lab/tier.py
@@ -142,13 +142,13 @@
     shares = {name: result.figures[name]["in_time"] for name in ARMS}
     mean = {name: sum(values) / len(values) for name, values in shares.items()}
     noise = max(abs(a - b) for a, b in zip(shares["tier"], shares["again"], strict=True))
-    others = max(mean["plain"], mean["round"])
+    best_baseline = max(mean["plain"], mean["round"])
     result.add_criterion(
         "answered in time since the faults",
         f"{mean['tier']:.3f}; {mean['plain']:.3f} by a plain pool, "
         f"{mean['round']:.3f} in turns; noise {noise:.3f}",
         "0.97, and more than both by 0.1 and twice the noise",
-        mean["tier"] >= 0.97 and mean["tier"] - others >= max(0.1, 2 * noise),
+        mean["tier"] >= 0.97 and mean["tier"] - best_baseline >= max(0.1, 2 * noise),
     )
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -58,7 +58,7 @@
     for name in "abcd":
         overloaded.start(0, name, 10 * MS)
     assert completions(overloaded, 10**9)[-1][0] == 80  # four runs of 10 ms at half the speed
-    cold = Cores(MachineSpec(cores=1, cold_speed=0.5, warm_up_us=10**9), 0, starts_cold=True)
+    cold = Cores(MachineSpec(cores=1, initial_speed=0.5, warm_up_us=10**9), 0, starts_cold=True)
     cold.start(0, "a", 10 * MS)
     assert completions(cold, 10**9)[0][0] in (19, 20)
     cold.factor = 0.0
@@ -211,7 +211,7 @@
         without_outcome=0,
         executions_per_served=1.0,
         served=1.0,
-        others_served=1.0,
+        unkeyed_served=1.0,
         takeover_s=takeover_s,
     )
 
