--- a/moorusher/cluster_transport/keyed_work.py
+++ b/moorusher/cluster_transport/keyed_work.py
@@ -239,7 +239,7 @@
         # `ruling` is the decision of the rules, or the error that prevented it.
         self._awaiting_rules.discard(key)
         tenure = self.node.tenures.get(key)
-        if tenure is None or not tenure.is_held:
+        if tenure is None or not tenure.is_queued:
             return  # another runner has acquired it meanwhile
         if isinstance(ruling, Exception):
             self.count("fleet: not taken up without its rules")
--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -100,14 +100,14 @@
         if len(replicas) < MAJORITY or key in ran or _is_in_progress(sim, key):
             continue
         work = [process.node.acceptor.registers[key].value for process in replicas]
-        if all(record.state in (WorkState.HELD, WorkState.RELEASED) for record in work):
+        if all(record.state in (WorkState.QUEUED, WorkState.RELEASED) for record in work):
             return f"{key!r} is known to {len(replicas)} replicas, but no process continues it: {work}"
     return None
 
 
 def _is_in_progress(sim: ClusterSimulation, key: KeyDigest) -> bool:
     return any(
-        process.engine.states.get(key) in (KeyState.HELD, KeyState.STARTING) for process in sim.processes
+        process.engine.states.get(key) in (KeyState.QUEUED, KeyState.STARTING) for process in sim.processes
     )
 
 
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -48,7 +48,7 @@
 SERIALS_PER_CHANGE = 1_000
 NEVER_EXPIRES_US = 1 << 60
 TTL_MS = 10_000
-OPEN_STATES = (WorkState.HELD, WorkState.RELEASED)  # States in which work may be taken over.
+OPEN_STATES = (WorkState.QUEUED, WorkState.RELEASED)  # States in which work may be taken over.
 
 
 @dataclass(slots=True)
@@ -121,7 +121,7 @@
         """Set the state in which P has claimed the key in a fast round."""
         holder = self.runners["P"]
         owner = Owner(holder.name, holder.incarnation)
-        work = WorkRecord(WorkState.HELD, owner, FIRST_ATTEMPT, BODY_DIGEST, REQUEST)
+        work = WorkRecord(WorkState.QUEUED, owner, FIRST_ATTEMPT, BODY_DIGEST, REQUEST)
         promised = (1, holder.incarnation, 0)
         for acceptor in self.acceptors.values():
             acceptor.registers[KEY] = RegisterState(promised, FAST_BALLOT, work, NEVER_EXPIRES_US)
@@ -283,7 +283,7 @@
         is_own = work is not None and work.owner == owner
         if work is None:
             runner.step = Step.DONE
-        elif runner.step in (Step.CLAIM, Step.TAKE_OVER) and is_own and work.state is WorkState.HELD:
+        elif runner.step in (Step.CLAIM, Step.TAKE_OVER) and is_own and work.state is WorkState.QUEUED:
             runner.attempt = work.attempt
             self._start(runner, result.promise)
         elif runner.step is Step.CLAIM and self.limits.takes_over and work.state in OPEN_STATES:
--- a/moorusher/model_checking/simulated_request_engine.py
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -36,14 +36,14 @@
     """The state of a key in one process."""
 
     CLAIMING = "claiming"
-    HELD = "held"
+    QUEUED = "held"
     STARTING = "starting"
     RUNNING = "running"
     FINISHED = "finished"
     ELSEWHERE = "another process has it"
 
 
-IN_HAND = (KeyState.HELD, KeyState.STARTING, KeyState.RUNNING)
+IN_HAND = (KeyState.QUEUED, KeyState.STARTING, KeyState.RUNNING)
 
 
 class SimulatedRequestEngine:
@@ -83,12 +83,12 @@
         self.received_at[key] = round(request.arrived_unix_ms * MS)
         if self._sim.random.random() < self._sim.scenario.rejection:
             self._sim.at(self._sim.now + REJECTION_DELAY_US, self._process, lambda: self._reject(key))
-            self.states[key] = KeyState.HELD
+            self.states[key] = KeyState.QUEUED
         else:
             self._enqueue(key)
 
     def _reject(self, key: KeyDigest) -> None:
-        if self.states.get(key) is KeyState.HELD:
+        if self.states.get(key) is KeyState.QUEUED:
             del self.states[key]
             self._process.node.release_work(key, rejected=True)
 
@@ -137,16 +137,16 @@
     # ---- queue and kernel ----
 
     def _enqueue(self, key: KeyDigest) -> None:
-        self.states[key] = KeyState.HELD
+        self.states[key] = KeyState.QUEUED
         wait_us = round(self._sim.random.expovariate(1 / MEAN_QUEUE_S) * SECOND)
         self._sim.at(self._sim.now + wait_us, self._process, lambda: self.start(key))
 
     def start(self, key: KeyDigest) -> None:
         """Start queued work: ask the node to confirm that it may run."""
-        if self.states.get(key) is KeyState.HELD and self.kernel_is_up:
+        if self.states.get(key) is KeyState.QUEUED and self.kernel_is_up:
             self.states[key] = KeyState.STARTING
             if not self._process.node.start_work(key):
-                self.states[key] = KeyState.HELD
+                self.states[key] = KeyState.QUEUED
 
     def run(self, key: KeyDigest) -> None:
         """Run work whose start the node has confirmed."""
@@ -172,7 +172,7 @@
         """End the kernel's outage: schedule the start of queued work, and finish the runs that it interrupted."""
         self.kernel_is_up = True
         for key, state in list(self.states.items()):
-            if state is KeyState.HELD:
+            if state is KeyState.QUEUED:
                 self._enqueue(key)
             elif state is KeyState.RUNNING:
                 self._finish(key)
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -14,7 +14,7 @@
     """A runner's stage in the lifecycle of a key's work. `GET /fleet/work` returns the values."""
 
     CLAIMING = "claiming"
-    HELD = "held"
+    QUEUED = "held"
     STARTING = "beginning"
     STARTED = "begun"
     FINISHING = "over, and its register not yet"
@@ -49,7 +49,7 @@
     stage: TenureStage
     attempt: int = 0
     owner: Owner | None = None
-    state: WorkState = WorkState.HELD
+    state: WorkState = WorkState.QUEUED
     promise: CarriedPromise | None = None
     watch_serial: int = 0
     waiting_seats: set[str] = field(default_factory=set)
@@ -59,9 +59,9 @@
     result: bytes | None = None
 
     @property
-    def is_held(self) -> bool:
-        """Whether this runner holds the work and has not started it."""
-        return self.stage is TenureStage.HELD
+    def is_queued(self) -> bool:
+        """Whether this runner owns the work and has not started it."""
+        return self.stage is TenureStage.QUEUED
 
     def consume_promise(self) -> CarriedPromise | None:
         """Return the promise for the next change and clear it, as it is valid for one change only."""
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -258,7 +258,7 @@
     def hand_over_unstarted_work(self) -> None:
         """Hand over all held work, because this runner can't run it any more."""
         self.publish_status()
-        for key in [tenure.key for tenure in self.tenures.values() if tenure.is_held]:
+        for key in [tenure.key for tenure in self.tenures.values() if tenure.is_queued]:
             self.hand_over(key)
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -143,7 +143,7 @@
         :returns: Whether this runner holds the key. If not, no event follows.
         """
         tenure = self._node.tenures.get(key)
-        if tenure is None or tenure.stage is not TenureStage.HELD:
+        if tenure is None or tenure.stage is not TenureStage.QUEUED:
             return False
         tenure.stage = TenureStage.STARTING
         tenure.run_step(lambda: self._start(tenure))
@@ -183,7 +183,7 @@
             tenure.stage = TenureStage.STARTED
             self._node.host.notify(StartConfirmed(tenure.key))
         else:
-            tenure.stage = TenureStage.HELD
+            tenure.stage = TenureStage.QUEUED
             self._node.host.notify(StartUncovered(tenure.key, NO_MAJORITY))
 
     def _is_started_here(self, tenure: Tenure, work: WorkRecord | None) -> bool:
@@ -266,13 +266,13 @@
     def hand_over(self, key: KeyDigest) -> None:
         """Release held work so that another runner runs it. `HandedOver` follows once a majority has the release."""
         tenure = self._node.tenures.get(key)
-        if tenure is None or tenure.stage is not TenureStage.HELD or tenure.request is None:
+        if tenure is None or tenure.stage is not TenureStage.QUEUED or tenure.request is None:
             return
         request = tenure.request
         tenure.run_step(lambda: self._hand_over(tenure, request))
 
     def _hand_over(self, tenure: Tenure, request: WorkRequest) -> None:
-        if tenure.stage is not TenureStage.HELD:
+        if tenure.stage is not TenureStage.QUEUED:
             return tenure.finish_step()
         self._node.change(
             tenure.key,
@@ -299,7 +299,7 @@
         tenure.finish_step()
 
     def _is_owned_here(self, work: WorkRecord) -> bool:
-        return work.owner == self._node.owner and work.state is WorkState.HELD
+        return work.owner == self._node.owner and work.state is WorkState.QUEUED
 
     def _notify_waiting_seats(self, tenure: Tenure) -> None:
         """Notify the seats that wait for the result that the work is no longer queued or running here."""
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -33,7 +33,7 @@
             self._wait_for(tenure, None, is_claim)
         elif work.body_digest != tenure.body_digest:
             self._body_differs(tenure, is_claim)
-        elif work.state is WorkState.HELD and work.owner == self._node.owner:
+        elif work.state is WorkState.QUEUED and work.owner == self._node.owner:
             self._hold(tenure, work, result, is_claim)
         elif work.state is WorkState.FINISHED:
             self._result_known(tenure, work.result)
@@ -49,7 +49,7 @@
 
     def _hold(self, tenure: Tenure, work: WorkRecord, result: ChangeResult, is_claim: bool) -> None:
         """Hold the work, which this runner has claimed or taken over."""
-        tenure.stage = TenureStage.HELD
+        tenure.stage = TenureStage.QUEUED
         tenure.attempt = work.attempt
         tenure.promise = result.promise
         tenure.owner = None
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -1,7 +1,7 @@
 """The value of a key's register, a `WorkRecord`, and the changes that a proposer may make to it.
 
-    HELD -> STARTED -> FINISHED (with or without a result)
-      ^  \\-> RELEASED -> HELD by another runner
+    QUEUED -> STARTED -> FINISHED (with or without a result)
+      ^  \\-> RELEASED -> QUEUED by another runner
 
 STARTED is chosen before the run is commanded, so that the other runners know which work may have run if the owner is
 lost. No change leads from STARTED back to a run, except `ReleaseWork` by the owner if it has not commanded the run and
@@ -24,7 +24,7 @@
 class WorkState(Enum):
     """The state of a key's work in its register. The values are on the wire and in journals."""
 
-    HELD = 0  # The work is queued at its owner.
+    QUEUED = 0  # The work is queued at its owner.
     STARTED = 1  # The owner may have commanded the run.
     FINISHED = 2
     RELEASED = 3  # The owner has given the work up and has not run it.
@@ -110,11 +110,11 @@
     request: WorkRequest
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return HELD by the claimer if the register was empty or the same work was released."""
+        """Return QUEUED by the claimer if the register was empty or the same work was released."""
         if old is None:
-            return WorkRecord(WorkState.HELD, self.owner, 1, self.body_digest, self.request)
+            return WorkRecord(WorkState.QUEUED, self.owner, 1, self.body_digest, self.request)
         if old.state is WorkState.RELEASED and (old.body_digest == self.body_digest or old.request is None):
-            return WorkRecord(WorkState.HELD, self.owner, old.attempt + 1, self.body_digest, self.request)
+            return WorkRecord(WorkState.QUEUED, self.owner, old.attempt + 1, self.body_digest, self.request)
         return None
 
 
@@ -127,15 +127,15 @@
     attempt: int
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return HELD by the new owner if the work was released or is still held by the former owner."""
+        """Return QUEUED by the new owner if the work was released or is still queued at the former owner."""
         if old is None or old.request is None or old.owner == self.new_owner:
             return None
         former_is_owner = (
-            old.state is WorkState.HELD and old.owner == self.former_owner and old.attempt == self.attempt
+            old.state is WorkState.QUEUED and old.owner == self.former_owner and old.attempt == self.attempt
         )
         if old.state is WorkState.RELEASED or former_is_owner:
             return WorkRecord(
-                WorkState.HELD,
+                WorkState.QUEUED,
                 self.new_owner,
                 old.attempt + 1,
                 old.body_digest,
@@ -164,7 +164,7 @@
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
         """Return STARTED if the work was held."""
-        if old is not None and self.applies_to(old) and old.state is WorkState.HELD:
+        if old is not None and self.applies_to(old) and old.state is WorkState.QUEUED:
             return WorkRecord(
                 WorkState.STARTED, old.owner, old.attempt, old.body_digest, None, None, old.rejected_by
             )
@@ -203,7 +203,7 @@
         """Return RELEASED if the work was held or started."""
         if old is None or not self.applies_to(old):
             return None
-        if old.state not in (WorkState.HELD, WorkState.STARTED):
+        if old.state not in (WorkState.QUEUED, WorkState.STARTED):
             return None
         rejected_by = (*old.rejected_by, self.owner.seat) if self.rejected and self.request else ()
         return WorkRecord(
@@ -222,7 +222,7 @@
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
         """Return RELEASED if this owner holds the work."""
-        if old is not None and old.owner == self.owner and old.state is WorkState.HELD:
+        if old is not None and old.owner == self.owner and old.state is WorkState.QUEUED:
             return WorkRecord(WorkState.RELEASED, old.owner, old.attempt, old.body_digest)
         return None
 
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -200,7 +200,7 @@
             elif tenure.stage is TenureStage.OWNED_ELSEWHERE and not tenure.busy:
                 tenure.owner = offer.owner
                 tenure.attempt = offer.attempt
-                tenure.state = WorkState.HELD
+                tenure.state = WorkState.QUEUED
                 self._node.continue_work(tenure)
         if offers:
             self._node.at(self._node.clock() + TAKEOVER_TURN_US, self._process_offers)
@@ -233,14 +233,14 @@
             return
         # `result.applied` is not checked: if an earlier round of this change has written the value, a later round finds
         # it and does not apply the change again.
-        if work.owner != self._node.owner or work.state is not WorkState.HELD:
+        if work.owner != self._node.owner or work.state is not WorkState.QUEUED:
             return
         tenure = Tenure(
             offer.key,
             work.body_digest,
             work.request,
             expires_at,
-            TenureStage.HELD,
+            TenureStage.QUEUED,
             work.attempt,
             promise=result.promise,
             taken_over=True,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -80,8 +80,8 @@
 # ---- the lifecycle of work ----
 
 
-def held(owner: Owner = A, attempt: int = 1) -> WorkRecord:
-    return WorkRecord(WorkState.HELD, owner, attempt, 7, REQUEST)
+def queued(owner: Owner = A, attempt: int = 1) -> WorkRecord:
+    return WorkRecord(WorkState.QUEUED, owner, attempt, 7, REQUEST)
 
 
 def started() -> WorkRecord:
@@ -91,26 +91,26 @@
 @pytest.mark.parametrize(
     "change, old, state, owner",
     [
-        (ClaimWork(B, 7, REQUEST), None, WorkState.HELD, B),
-        (ClaimWork(B, 7, REQUEST), held(), None, None),
+        (ClaimWork(B, 7, REQUEST), None, WorkState.QUEUED, B),
+        (ClaimWork(B, 7, REQUEST), queued(), None, None),
         (ClaimWork(B, 7, REQUEST), started(), None, None),
-        (ClaimWork(B, 7, REQUEST), WorkRecord(WorkState.RELEASED, A, 1, 7), WorkState.HELD, B),
+        (ClaimWork(B, 7, REQUEST), WorkRecord(WorkState.RELEASED, A, 1, 7), WorkState.QUEUED, B),
         (ClaimWork(B, 8, REQUEST), WorkRecord(WorkState.RELEASED, A, 1, 7, REQUEST), None, None),
-        (TakeOverWork(B, A, 1), held(), WorkState.HELD, B),
-        (TakeOverWork(B, A, 1), held(attempt=2), None, None),
+        (TakeOverWork(B, A, 1), queued(), WorkState.QUEUED, B),
+        (TakeOverWork(B, A, 1), queued(attempt=2), None, None),
         (TakeOverWork(B, A, 1), started(), None, None),
-        (TakeOverWork(B, A, 1), WorkRecord(WorkState.RELEASED, A, 3, 7, REQUEST), WorkState.HELD, B),
+        (TakeOverWork(B, A, 1), WorkRecord(WorkState.RELEASED, A, 3, 7, REQUEST), WorkState.QUEUED, B),
         (TakeOverWork(B, A, 1), WorkRecord(WorkState.RELEASED, A, 1, 7), None, None),
-        (StartWork(A, 1), held(), WorkState.STARTED, A),
-        (StartWork(A, 1), held(B, 2), None, None),
-        (StartWork(A, 1), held(A, 2), None, None),
+        (StartWork(A, 1), queued(), WorkState.STARTED, A),
+        (StartWork(A, 1), queued(B, 2), None, None),
+        (StartWork(A, 1), queued(A, 2), None, None),
         (StartWork(A, 1), None, None, None),
         (FinishWork(A, 1, b"r"), started(), WorkState.FINISHED, A),
         (FinishWork(A, 1, b"r"), WorkRecord(WorkState.FINISHED, A, 1, 7), WorkState.FINISHED, A),
         (FinishWork(A, 1, None), WorkRecord(WorkState.FINISHED, A, 1, 7), None, None),
-        (FinishWork(A, 1, b"r"), held(B, 2), None, None),
+        (FinishWork(A, 1, b"r"), queued(B, 2), None, None),
         (EndOrphanedWork(A, 1), started(), WorkState.FINISHED, A),
-        (EndOrphanedWork(A, 1), held(), None, None),
+        (EndOrphanedWork(A, 1), queued(), None, None),
         (ReleaseWork(A, 1, None, False), started(), WorkState.RELEASED, A),
         (ReleaseWork(A, 1, None, False), WorkRecord(WorkState.FINISHED, A, 1, 7), None, None),
     ],
@@ -271,7 +271,7 @@
     for seat in ("x", "y"):
         acceptors[seat].vote(0, prepare)
     acceptors["y"].learn_incarnations({"x": 2})
-    write = BallotRequest(2, b"k", prepare.ballot, held(), prepare.next_ballot, {"x": 1, "y": 1}, 1000)
+    write = BallotRequest(2, b"k", prepare.ballot, queued(), prepare.next_ballot, {"x": 1, "y": 1}, 1000)
     assert not acceptors["y"].vote(0, write).accepted
 
 
@@ -410,7 +410,7 @@
     """A deliberate fault: work runs before the replicas have confirmed its start."""
 
     def start(self, key: bytes) -> None:
-        if self.states.get(key) is KeyState.HELD and self.kernel_is_up:
+        if self.states.get(key) is KeyState.QUEUED and self.kernel_is_up:
             self.states[key] = KeyState.STARTING
             self.run(key)
 
@@ -433,7 +433,7 @@
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
         if old is not None and old.state is WorkState.STARTED and old.owner == self.former_owner:
-            return WorkRecord(WorkState.HELD, self.new_owner, old.attempt + 1, old.body_digest, REQUEST)
+            return WorkRecord(WorkState.QUEUED, self.new_owner, old.attempt + 1, old.body_digest, REQUEST)
         return super().__call__(old)
 
 
@@ -594,5 +594,5 @@
 
 
 def test_messages_are_decoded_as_they_were_encoded() -> None:
-    request = BallotRequest(5, b"k", FAST_BALLOT, held(), (1, 2, 3), {"a": 1}, 1000)
+    request = BallotRequest(5, b"k", FAST_BALLOT, queued(), (1, 2, 3), {"a": 1}, 1000)
     assert decode(encode([request, Ping(1, [])])) == [request, Ping(1, [])]
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -55,7 +55,7 @@
 def register_record(number: int, left_ms: int = 5000) -> RegisterRecord:
     """Create the register record of key number `number`."""
     return RegisterRecord(
-        b"k%d" % number, (1, 2, 3), FAST_BALLOT, WorkRecord(WorkState.HELD, OWNER, 1, number, None), left_ms
+        b"k%d" % number, (1, 2, 3), FAST_BALLOT, WorkRecord(WorkState.QUEUED, OWNER, 1, number, None), left_ms
     )
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -50,7 +50,7 @@
 
 
 async def send_requests(cluster: Fleet, count: int, at: int = 0) -> dict[str, PendingAnswer]:
-    """Send keyed requests to one runner. Return those that are running or held there; it may reject the others."""
+    """Send keyed requests to one runner. Return those that are running or queued there; it may reject the others."""
     front = await cluster.connect_front_end(at)
     tokens = [token() for _ in range(count)]
     requests = {key: front.send("submit", token=key, body=key.encode()) for key in tokens}
@@ -65,7 +65,7 @@
 
     await until(all_claimed_and_rejections_received)
     pending = {key: answer for key, answer in requests.items() if not answer.done()}
-    assert len(pending) > len(cluster.started_keys(at) & set(pending)), "no request is held"
+    assert len(pending) > len(cluster.started_keys(at) & set(pending)), "no request is queued"
     return pending
 
 
@@ -115,10 +115,10 @@
         ignore_outcomes(requests)
         started = cluster.started_keys(0)
         cluster.kill(0)
-        held = set(requests) - started
-        await wait_until(lambda: held <= cluster.started_keys(1, 2, 3))
+        queued = set(requests) - started
+        await wait_until(lambda: queued <= cluster.started_keys(1, 2, 3))
         answers = await retry_requests(cluster, 2, requests)
-        assert all(is_served(key, answers[key]) for key in held)
+        assert all(is_served(key, answers[key]) for key in queued)
         assert all("error" in answers[key] and not is_rejected(answers[key]) for key in started), (
             "work that may have run must fail, and must not be reported as rejected"
         )
@@ -130,8 +130,8 @@
     async with fleet(work=0.5) as cluster:
         requests = await send_requests(cluster, 10)
         cluster.pause(0)
-        held = set(requests) - cluster.started_keys(0)
-        await wait_until(lambda: held <= cluster.started_keys(1, 2, 3))
+        queued = set(requests) - cluster.started_keys(0)
+        await wait_until(lambda: queued <= cluster.started_keys(1, 2, 3))
         cluster.resume(0)
         for key, answer in requests.items():
             assert is_served(key, await answer), "the owner's own callers must get the results too"
@@ -216,29 +216,31 @@
 
 
 async def is_taken_over_and_idle(cluster: Fleet, tokens: set[str], *at: int) -> bool:
-    """Return whether each key is held or started at one of these runners, with no step in progress at any of them."""
+    """Return whether each key is queued or started at one of these runners, with no step in progress at any of them."""
     count = 0
     for i in at:
         stages = Counter(
             [entry["stage"] for entry in (await cluster.runners[i].counters("fleet/work"))["work"]]
         )
-        held, started = stages[TenureStage.HELD.value], stages[TenureStage.STARTED.value]
-        in_progress = stages.total() - held - started
-        can_start_more = held and started < SLOTS
+        queued, started = stages[TenureStage.QUEUED.value], stages[TenureStage.STARTED.value]
+        in_progress = stages.total() - queued - started
+        can_start_more = queued and started < SLOTS
         if in_progress or can_start_more or started != len(cluster.started_keys(i)):
             return False
-        count += held + started
+        count += queued + started
     return count == len(tokens)
 
 
 async def has_written_all_ends(cluster: Fleet, requests: dict[str, PendingAnswer], at: int) -> bool:
     """Return whether the registers have the end of every rejected or finished key, and its callers have the answer.
 
-    A runner sends an answer before it writes the end. If it is killed in between, a rejected key still looks held and
+    A runner sends an answer before it writes the end. If it is killed in between, a rejected key still looks queued and
     occupies a slot of the runner that takes it over, or a finished key has a result that its callers have not received.
     """
     work = (await cluster.runners[at].counters("fleet/work"))["work"]
-    unfinished = sum(entry["stage"] in (TenureStage.HELD.value, TenureStage.STARTED.value) for entry in work)
+    unfinished = sum(
+        entry["stage"] in (TenureStage.QUEUED.value, TenureStage.STARTED.value) for entry in work
+    )
     return len(work) == unfinished == sum(not answer.done() for answer in requests.values())
 
 
@@ -272,8 +274,8 @@
         await until(lambda: has_written_all_ends(cluster, requests, 0))
         pending = {key for key, answer in requests.items() if not answer.done()}
         cluster.kill(0)
-        held = pending - cluster.started_keys(0)
-        await until(lambda: is_taken_over_and_idle(cluster, held, 1, 2, 3, 4, 5))
+        queued = pending - cluster.started_keys(0)
+        await until(lambda: is_taken_over_and_idle(cluster, queued, 1, 2, 3, 4, 5))
         second = choose_runner_to_kill(cluster, pending)
         cluster.kill(second)
         living = {1, 2, 3, 4, 5} - {second}
@@ -323,11 +325,11 @@
 async def test_a_runner_that_shuts_down_hands_over_held_work_and_its_own_callers_get_the_results() -> None:
     async with fleet(work=0.5) as cluster:
         requests = await send_requests(cluster, 14)
-        held = set(requests) - cluster.started_keys(0)
+        queued = set(requests) - cluster.started_keys(0)
         cluster.runners[0].process.send_signal(signal.SIGTERM)
         assert all([is_served(key, await answer) for key, answer in requests.items()])
         assert_ran_at_most_once(cluster, requests)
-        assert held <= cluster.started_keys(1, 2, 3)
+        assert queued <= cluster.started_keys(1, 2, 3)
         await wait_until(lambda: cluster.runners[0].process.poll() == 0)
 
 
@@ -335,9 +337,9 @@
 async def test_a_runner_that_has_lost_its_kernel_hands_over_held_work() -> None:
     async with fleet(work=0.5) as cluster:
         requests = await send_requests(cluster, 10)
-        held = set(requests) - cluster.started_keys(0)
+        queued = set(requests) - cluster.started_keys(0)
         cluster.kernels[0].close()
-        assert all([is_served(key, await requests[key]) for key in held])
+        assert all([is_served(key, await requests[key]) for key in queued])
         assert_ran_at_most_once(cluster, requests)
 
 
