--- a/moorusher/admin/maintenance.py
+++ b/moorusher/admin/maintenance.py
@@ -5,7 +5,8 @@
     POST /outage/cancel          withdraws a request, or some of its seats
     POST /outage/hold, /resume   pauses and resumes the granting of slots; /resume also requeues a suspended seat
     POST /outage/done            reports that the work on a machine has ended
-    POST /outage/wait            answers once a seat's slot is granted or its request has ended, or after `for_s`
+    POST /outage/wait            answers once a machine may be worked on, once its request has ended or is suspended,
+                                 or after `for_s`
 
 The body of a POST is a JSON object.
 """
--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -19,7 +19,8 @@
 from ..time_units import MS
 
 ResultCallback = Callable[[dict[str, Any] | DistributionError], None]
-# Reasons of seats that are not live. A revision is complete even if it is missing at such seats.
+# Reasons for lacking a revision that mean that the seat is not live. The propagation of a revision is complete even if
+# such seats lack it.
 ABSENT_REASONS = ("down", "never heard of")
 
 
@@ -177,8 +178,8 @@
     def _wait_for_propagation(self, customer: str, revision_id: RevisionId, callback: ResultCallback) -> None:
         """Call back with the seats that lack the change once they are known.
 
-        A deletion is complete if every seat has it, since a seat that seems down may be serving on the other side of a
-        network partition. A revision is complete if all live seats have it.
+        The propagation of a deletion is complete if every seat has it, since a seat that seems down may be serving on
+        the other side of a network partition. The propagation of a revision is complete if all live seats have it.
         """
         change = _change_json(customer, revision_id)
         started_us = self._core.clock.now
--- a/moorusher/admin/replication.py
+++ b/moorusher/admin/replication.py
@@ -28,8 +28,9 @@
     def render_POST(self, request: Any) -> bytes:
         """Bootstrap the cluster on an operator's statement.
 
-        `begin` states that no work with a key ran before; `begin/lost` that work which no member remembers may be
-        disregarded. Answer 200, 401 without the token, 404, or 409 with the reason for the refusal.
+        With `begin`, the operator states that no work with a key ran before. With `begin/lost`, the operator permits
+        the loss of work that no member remembers. Answer 200, 401 without the token, 404, or 409 with the reason for
+        the refusal.
         """
         path = path_segments(request)
         if path not in BOOTSTRAP_PATHS:
--- a/moorusher/cli/planned_maintenance.py
+++ b/moorusher/cli/planned_maintenance.py
@@ -1,4 +1,7 @@
-"""Commands for planned maintenance of machines: `moorusher outage`. `maintenance_mode` has those for load balancers."""
+"""Commands for planned maintenance of machines: `moorusher outage`.
+
+The commands for maintenance mode, which concerns load balancers, are in `maintenance_mode`.
+"""
 
 from __future__ import annotations
 
--- a/moorusher/cli/planned_maintenance_wait.py
+++ b/moorusher/cli/planned_maintenance_wait.py
@@ -25,8 +25,8 @@
 MAX_POLL_S, MIN_POLL_S = 20.0, 0.1
 RETRY_DELAY_S = 0.5
 SERVICE_UNAVAILABLE = 503  # HTTP status: the runner or a majority of the fleet is temporarily unavailable.
-# Identifies the error in a response without a `kind`. Runners send one; test doubles that rely on the text, as in
-# tests/compatibility, don't.
+# Identifies the error in a response without a `kind`. Runners send a `kind`; test doubles, as in tests/compatibility,
+# may send only the text.
 ALREADY_CLEARED_TEXT = "told to go already"
 UNREACHABLE_WARNING = (
     "the runner is not there to hear that it is withdrawn; where nobody asks again it takes it back by itself"
--- a/moorusher/cluster_transport/cluster_member.py
+++ b/moorusher/cluster_transport/cluster_member.py
@@ -42,10 +42,10 @@
         """Whether this runner still has work or duties of the fleet."""
 
     def can_accept_work(self) -> bool:
-        """Whether this runner may take work and duties of the fleet."""
+        """Return whether this runner may take work and duties of the fleet."""
 
     def open_part_journal(self, part: str) -> OpenedJournal | None:
         """Open the journal of a component; None if the settings have no journal."""
 
     def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
-        """Have this acceptor's promises written to that journal before they are sent."""
+        """Write an acceptor's promises to a journal before they are sent."""
--- a/moorusher/cluster_transport/config_distribution.py
+++ b/moorusher/cluster_transport/config_distribution.py
@@ -34,8 +34,8 @@
 
 def attributes_of(arrival: Arrival) -> RequestAttributes:
     """Return the attributes of a request that rules may match."""
-    # Splits of a request without a key use its subject, or else its id. In the latter case a retry, which has another
-    # id, may take another branch.
+    # A split assigns a request without a key by its subject, or by its id if it has no subject. In the latter case a
+    # retry, which has another id, may take another branch.
     subject = -1 if arrival.subject is None else arrival.subject
     return RequestAttributes(
         arrival.class_name,
@@ -56,7 +56,8 @@
     Attributes:
         replica: The current revisions.
         store: Store of the current revisions on disk; None without a journal folder.
-        ready: False from `start` until the replica has caught up with other runners. No request is served meanwhile.
+        ready: False from `start` until the replica has caught up with other runners, or has stopped waiting for them.
+            No request is served meanwhile.
     """
 
     def __init__(self, duties: DutyLink, config: NamespacesConfig, reactor: Any) -> None:
--- a/moorusher/cluster_transport/forecast.py
+++ b/moorusher/cluster_transport/forecast.py
@@ -68,7 +68,9 @@
 
 
 class ForecastLink:
-    """Host of the forecast's member and forecaster (`MemberHost`, `ForecasterHost`), and the operators' interface.
+    """Runs the forecast in this process, and carries out operators' requests.
+
+    Implements the interfaces that the forecast requires of its process: `MemberHost` and `ForecasterHost`.
 
     Attributes:
         duties: This runner's connection to the duties.
--- a/moorusher/cluster_transport/hot_restart/frames.py
+++ b/moorusher/cluster_transport/hot_restart/frames.py
@@ -42,7 +42,7 @@
     """The answer of the process in service. Its sockets are passed along with the frame.
 
     Attributes:
-        labels: Labels of the sockets, in the order in which these are passed.
+        labels: Labels of the sockets, in the order in which the sockets are passed.
         maintenance: Reason and time limits of the maintenance that an operator has set; None if there is none.
         key_table_bytes: Size of its key table.
         keys_unknown_until_us: Time until which its key table may lack keys that have run.
--- a/moorusher/cluster_transport/hot_restart/handover.py
+++ b/moorusher/cluster_transport/hot_restart/handover.py
@@ -13,10 +13,10 @@
     """The service that runs in this process. Sockets are file descriptors by label."""
 
     def usable_sockets(self, handed_over: dict[str, int]) -> dict[str, int]:
-        """Return the sockets among them that are bound to addresses of this runner."""
+        """Return the received sockets that are bound to addresses of this runner."""
 
     def accept(self, handed_over: dict[str, int]) -> None:
-        """Accept clients on these sockets, and on new ones for the runner's other addresses."""
+        """Accept clients on the received sockets, and on new ones for the runner's other addresses."""
 
     def listening_sockets(self) -> dict[str, int]:
         """Return the sockets that this process listens on."""
--- a/moorusher/cluster_transport/hot_restart/peer_connection.py
+++ b/moorusher/cluster_transport/hot_restart/peer_connection.py
@@ -27,7 +27,7 @@
 
 
 def close_descriptors(descriptors: list[int]) -> None:
-    """Close received sockets that are not used."""
+    """Close received file descriptors that are not needed."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
@@ -56,10 +56,10 @@
 
 @implementer(IFileDescriptorReceiver)
 class PeerConnection(Int32StringReceiver):
-    """One connection. It also represents the other process to the key claims (`key_claims.ClaimPeer`).
+    """A connection to the other process. The request engine claims keys through it (`key_claims.ClaimPeer`).
 
     Attributes:
-        accepted: Whether the other process has connected to this one.
+        accepted: Whether the other process made the connection.
         received_descriptors: Received sockets that no `Welcome` has named yet.
         closed: Whether the connection is closed, so that frames are neither sent nor handled.
     """
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -33,7 +33,7 @@
     """Uses a `Rendezvous`, and receives the events of its connections."""
 
     def handle(self, event: Event) -> None:
-        """Called with `NO_PEER` or `PEER_DEAD` when there is no process to connect to."""
+        """Called with `NO_PEER` or `DEAD_PEER_FOUND` when there is no process to connect to."""
 
 
 _UnixPort: Any = unix.Port  # Twisted's classes carry no types
--- a/moorusher/cluster_transport/leadership.py
+++ b/moorusher/cluster_transport/leadership.py
@@ -102,7 +102,7 @@
     # ---- ParticipantHost ----
 
     def can_accept_work(self) -> bool:
-        """Whether this runner may lead duties."""
+        """Return whether this runner may lead duties."""
         return self.fleet.can_accept_work()
 
     def send_fenced(
@@ -196,7 +196,7 @@
     ) -> None:
         """Close an open intent by an operator's decision.
 
-        :param verdict: Whether the operator found the intent performed; only logged.
+        :param verdict: `done` if the operator found the intent performed, else `undone`; only logged.
         """
         self.core.start_turn()
         log.warning(
--- a/moorusher/health/congestion.py
+++ b/moorusher/health/congestion.py
@@ -103,7 +103,7 @@
 def survivable_runs(cores: int, runs_per_core: float, speed: float) -> float:
     """Return the highest number of runs on the cores, as a mean over the window, at which a runner does not collapse.
 
-    :param runs_per_core: That number per core for a warm runner.
+    :param runs_per_core: The result per core for a warm runner.
     :param speed: Fraction of full speed; the result is lower below 1.
     """
     return cores * (1.0 + (runs_per_core - 1.0) * min(1.0, max(0.0, speed)))
--- a/moorusher/health/tracker.py
+++ b/moorusher/health/tracker.py
@@ -270,7 +270,7 @@
     # ---- weight, connection limit and reason ----
 
     def _next_weight(self, observation: Observation, link: LinkState, assessment: _Assessment) -> int:
-        """Return the weight for the state that was just entered."""
+        """Return the weight for the current state."""
         cap = 0
         if self.state.routable:
             cap = step_down(FULL_WEIGHT * link.trust * min(1.0, observation.speed))
--- a/moorusher/health/weight.py
+++ b/moorusher/health/weight.py
@@ -3,8 +3,8 @@
 # An overloaded runner must not shed its load at once: with few runners, the others would be overloaded by it and shed
 # it in turn, indefinitely. Therefore the weight changes by one step at a time, and the next step waits for the effect
 # of the previous one, which takes one horizon: load balancers send health checks and react, and the queue changes. In
-# the dead band between recovered and overloaded the weight is constant. It settles where the runner gets the load that
-# it can serve (integral control with a dead band).
+# the dead band between recovered and overloaded the weight is constant. So the weight settles at a value at which the
+# runner gets the load that it can serve (integral control with a dead band).
 
 from __future__ import annotations
 
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -18,7 +18,8 @@
     AWAITING_KERNEL = "has its keys, and waits for the kernel"
     REQUESTING_HANDOVER = "is ready, and waits to be let on"
     # Accepts on its own sockets, since the peer did not respond in time. Requests with a key that is unknown here are
-    # rejected, as the peer may have run them. The value says "wait" instead, and can't change, as it names a counter.
+    # rejected, as the peer may have run them. The string below says that they wait, which is wrong, but the string
+    # can't be changed, since it names a counter.
     SERVING_WITHOUT_KEYS = "serves beside one that does not speak; keyed classes wait"
     KEYS_SYNCED_LATE = "has the keys of one that did not speak, and waits for the kernel"
     # Accepts connections and claims each key with the peer, which no longer accepts.
@@ -92,7 +93,7 @@
 
 _NEW_PROCESS: dict[tuple[State, Event], Transition] = {
     (State.DISCOVERING, Event.NO_PEER): (State.SOLE, (Do.LISTEN, Do.PUBLISH_ADDRESS)),
-    # An earlier process of this runner died, and it is unknown which keys it ran.
+    # The previous process of this runner died without handing its keys over, so it is unknown which keys have run.
     (State.DISCOVERING, Event.DEAD_PEER_FOUND): (
         State.SOLE,
         (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.LISTEN, Do.PUBLISH_ADDRESS),
--- a/moorusher/hot_restart/shared_budget.py
+++ b/moorusher/hot_restart/shared_budget.py
@@ -42,5 +42,5 @@
 
 def fits_second_process(limit_mb: float, used_mb: float) -> bool:
     """Return whether the runner's memory is large enough for a second process."""
-    # If it is not, the new process must not start, since both processes would be killed.
+    # Without enough memory the new process must not start, since both processes would be killed.
     return used_mb + MIN_PROCESS_MB <= limit_mb
--- a/moorusher/load_balancing/call_queue.py
+++ b/moorusher/load_balancing/call_queue.py
@@ -46,7 +46,7 @@
         return None
 
     def pop_first(self) -> None:
-        """Remove the call that `first` returned last."""
+        """Remove the call that `first` has just returned."""
         heapq.heappop(self._entries)
         self._length -= 1
 
--- a/moorusher/load_balancing/policy.py
+++ b/moorusher/load_balancing/policy.py
@@ -42,7 +42,7 @@
     # Limits.
     min_concurrency: int = 2  # lower bound of an endpoint's limit on calls in flight
     max_concurrency: int = 256  # upper bound of an endpoint's limit on calls in flight
-    max_queued_calls: int = 64  # calls that may wait for an endpoint
+    max_queued_calls: int = 64  # calls in the queue of one load balancer, for all of its endpoints together
     # Outlier detection and ejection.
     consecutive_failures: int = 5  # number of consecutive failures that ejects an endpoint
     max_failure_rate: float = 0.5  # an endpoint is ejected if a higher fraction of its last calls failed
@@ -60,7 +60,7 @@
     hedging_enabled: bool = True
     # Slow start.
     slow_start_s: float = 10.0  # time until a new or reinstated endpoint gets its full share
-    # Calls per window from all runners together at the end of slow start; 0 for no limit.
+    # Calls per window that all runners together may send to one endpoint at the end of slow start; 0 for no limit.
     slow_start_calls: int = 0
     slow_start_window_ms: float = 1_000.0
     runners: int = 1  # number of runners that call these endpoints
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -183,7 +183,7 @@
 
         :param callback: Called once with the result.
         :returns: A function that cancels the wait.
-        :raises NotLocalError: If a reboot of another machine ends the slot.
+        :raises NotLocalError: If the seat is another machine, and a reboot ends its slot or the request is unknown.
         """
         # With a delayed answer, the caller could begin to work on the other machine after that machine's reboot, when
         # it no longer counts as out of service.
--- a/moorusher/maintenance/disruption_budget.py
+++ b/moorusher/maintenance/disruption_budget.py
@@ -1,7 +1,7 @@
 """Decides whether the fleet can spare a machine now, from the status that its members report."""
 
-# A machine counts as out of service from its grant until its slot is finished, and while it is lost, whether or not its
-# maintenance was requested. The remaining machines must be able to carry the present load and its recent peak.
+# A machine counts as out of service from its grant until its slot is finished. A lost machine, which is not up and has
+# no slot, counts as well. The remaining machines must be able to carry the present load and its recent peak.
 #
 # `MaintenancePolicy.max_out` limits lost machines and slots together here. The schedule has a record of slots only, so
 # `slot_changes.py` checks the number of slots alone against the same limit, as `max_slots`.
--- a/moorusher/maintenance/next_step.py
+++ b/moorusher/maintenance/next_step.py
@@ -10,7 +10,8 @@
 from .queue_order import ordered_queue
 from .schedule import MaintenanceRequest, Schedule
 
-# The remaining capacity has shrunk if it is below this share of its highest value since the last change.
+# The remaining capacity counts as shrunk if it is below this share of its highest value since it last shrank or a
+# machine last left or returned.
 STABLE_CAPACITY_SHARE = 0.98
 
 
--- a/moorusher/maintenance/operator_changes.py
+++ b/moorusher/maintenance/operator_changes.py
@@ -133,7 +133,7 @@
         self._revoked: list[str] = []
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the paused schedule, or None if it is already paused for that reason."""
+        """Return the paused schedule, or None if it is already paused for that reason and no machine drains."""
         draining = [slot for slot in schedule.slots if slot.stage is SlotStage.DRAINING]
         self._revoked = [slot.seat for slot in draining]
         if schedule.pause_reason == self.reason and not draining:
@@ -159,7 +159,7 @@
         self.seat = seat
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the resumed schedule, or None if nothing is paused or suspended."""
+        """Return the resumed schedule, or None if the schedule is not paused, or the given seat is not suspended."""
         if not self.seat:
             return updated(schedule, pause_reason="") if schedule.pause_reason else None
         changed = schedule
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -1,4 +1,4 @@
-"""Decides which member writes the next step: the first live replica at once, the others after a delay for each rank."""
+"""Decides when a replica writes the next step: the first live one at once, the others after delays by their rank."""
 
 # No single replica is required. Two that write at the same time are safe, since the second grant is for an outdated
 # revision of the schedule and is rejected.
@@ -119,7 +119,10 @@
         return plan(schedule, views, self.replicas, self._policy, unix_s, settles_in_s, explain=True)
 
     def seats_to_notify(self, schedule: Schedule, now_us: int) -> list[str]:
-        """Return the machines that have not accepted their grant; none unless this is the first live replica."""
+        """Return the other machines to notify of a grant that they have not accepted.
+
+        :returns: Nothing if this is not the first live replica, or the last notification was recent.
+        """
         if now_us - self._notified_at_us < RENOTIFY_INTERVAL_US or not schedule.slots or self._rank(schedule):
             return []
         self._notified_at_us = now_us
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -31,7 +31,7 @@
     max_utilization: float = 0.95
     # Time for which a load peak counts as recent.
     peak_window_s: float = 600.0
-    # Time for which the remaining capacity must not have shrunk before the next grant.
+    # Time before the next grant in which the remaining capacity must not shrink, and no machine may leave or return.
     capacity_stable_s: float = 3.0
     # Time after which a machine that has not drained is queued again.
     drain_timeout_s: float = 60.0
--- a/moorusher/maintenance/slot_changes.py
+++ b/moorusher/maintenance/slot_changes.py
@@ -11,7 +11,7 @@
 from .schedule import Schedule, Slot, SlotOutcome, SlotStage
 from .transitions import Change, return_to_queue, updated, with_request, with_slot
 
-MAX_FAILED_RETURNS = 2  # the slot is then suspended until an operator finishes it
+MAX_FAILED_RETURNS = 2  # at this number the slot is suspended until an operator finishes it
 
 
 class GrantSlots(Change):
@@ -35,7 +35,7 @@
         self.is_applied = False
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the slots, or None if it has another revision, is paused, or has too many slots."""
+        """Return the schedule with the slots; None if its revision differs, it is paused, or a slot is not allowed."""
         self.is_applied = False
         if schedule.revision != self.revision or schedule.pause_reason:
             return None
@@ -102,7 +102,10 @@
     stages = (SlotStage.DRAINING, SlotStage.CLEARED, SlotStage.RETURNED)
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with this process in the slot, or None if that is recorded or the slot has ended."""
+        """Return the schedule with this process in the slot.
+
+        :returns: None if the process is recorded already, or the slot is suspended or has ended.
+        """
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation == self.incarnation:
             return None
@@ -185,7 +188,7 @@
         self.settings_digest = settings_digest
 
     def apply(self, schedule: Schedule) -> Schedule | None:
-        """Return the schedule with the machine returned or suspended, or None if that is recorded already."""
+        """Return the schedule with the machine returned or suspended, or None if that is recorded or the slot ended."""
         slot = self.current_slot(schedule)
         if slot is None or slot.incarnation == self.incarnation:
             return None
--- a/moorusher/maintenance/transitions.py
+++ b/moorusher/maintenance/transitions.py
@@ -20,7 +20,7 @@
     encode_schedule,
 )
 
-MAX_FAILED_GRANTS = 2  # the machine is then suspended until an operator resumes it
+MAX_FAILED_GRANTS = 2  # at this number the machine is suspended until an operator resumes it
 
 updated = msgspec.structs.replace
 
--- a/moorusher/routing/grants.py
+++ b/moorusher/routing/grants.py
@@ -17,7 +17,7 @@
         name: Name of the pool.
         servers: Names of the servers.
         limit: Maximum calls in flight from this runner, for all customers together. Each customer has a fixed quota of
-            it, and cannot use what other customers leave unused.
+            the limit, and cannot use what other customers leave unused.
     """
 
     name: str
--- a/moorusher/routing/route_balancers.py
+++ b/moorusher/routing/route_balancers.py
@@ -15,7 +15,7 @@
 from .grants import Grants
 from .route import Hop, RouteKey, RoutePath
 
-# Number of routes' balancers; above it, the least recently used balancers without open calls are discarded.
+# When this many routes have a balancer, the least recently used balancers without open calls are discarded.
 MAX_BALANCERS = 2_000
 
 
--- a/moorusher/routing/route_limits.py
+++ b/moorusher/routing/route_limits.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self) -> None:
-        """Create counters without calls."""
+        """Start with no calls in flight."""
         self.in_flight: Counter[RouteKey] = Counter()
         self.in_flight_in_pool: Counter[tuple[str, str]] = Counter()
 
--- a/moorusher/warm_start/learned_state.py
+++ b/moorusher/warm_start/learned_state.py
@@ -98,7 +98,7 @@
     uptime_us: int,
     condition: DonorCondition = DonorCondition.HEALTHY,
 ) -> LearnedState:
-    """Capture the statistics of endpoints, without the active ones that were never called.
+    """Capture the statistics of endpoints, except active ones without any answered or failed call.
 
     :param now: Time of the endpoints' clock, in microseconds.
     """
--- a/moorusher/warm_start/merge.py
+++ b/moorusher/warm_start/merge.py
@@ -27,8 +27,8 @@
     DonorCondition.WARMING_UP: 0.5,
     DonorCondition.PAUSED: 0.25,
 }
-# Limit of the largest latency ratio that donors report for an endpoint, divided by the smallest. Beyond it the donors
-# contradict each other.
+# Donors contradict each other about an endpoint if the largest latency ratio that they report for it is more than this
+# multiple of the smallest.
 MAX_RATIO_SPREAD = 3.0
 # Factor of a prior's weight if its donors contradict each other: one is wrong, and it is unknown which one.
 CONTRADICTION_FACTOR = 0.5
--- a/tests/compatibility/golden.py
+++ b/tests/compatibility/golden.py
@@ -1,7 +1,7 @@
 """Comparison of the program's output with golden files.
 
-`MOORUSHER_WRITE_GOLDEN=1` rewrites the files. CI refuses it, because a changed file means a changed format that running
-processes and stored data already use.
+`MOORUSHER_WRITE_GOLDEN=1` rewrites the files. CI refuses this setting: a change of a golden file is a change of a
+format on which running processes and stored data depend.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -166,8 +166,8 @@
 
 
 def test_the_default_of_each_key_is_unchanged(tmp_path: Path) -> None:
-    """Each key is removed in turn. Compares the values that this removes from the configuration and adds to it, or the
-    error message.
+    """Each key is removed in turn. Compares the values that the configuration loses and gains by that, or the error
+    message.
     """
     complete = Counter(leaves(load_configuration(PLATFORM, OPERATOR, tmp_path)))
     results: dict[str, Any] = {}
--- a/tests/compatibility/test_forecast_documents.py
+++ b/tests/compatibility/test_forecast_documents.py
@@ -108,7 +108,7 @@
 
 
 def test_the_leaders_documents_and_hints_are_unchanged() -> None:
-    """The histories are constant over eight weeks, so that the forecast's numbers are the same on all machines."""
+    """The histories, of eight weeks or of 30 hours, are constant, so that all machines calculate the same numbers."""
     hour = 472_000
     state = encode_state(
         [
