--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -172,6 +172,6 @@
         return self._send(skip_call_command(rid, notice))
 
     def request_gauges(self) -> None:
-        """Request the gauges. The answer also confirms the commands written before."""
+        """Request the gauges if the session is up. The answer also confirms all commands sent before the request."""
         if self.state is SessionState.UP and self._connection is not None:
             self._connection.send(gauges_command(f"{CONFIRMATION_MARK}{self._last_written}"))
--- a/moorusher/config/model.py
+++ b/moorusher/config/model.py
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Resource limits of the process; the kernel's cores and memory are in the settings.
+    """Resource limits of this process. The kernel's cores and memory are in the scheduler settings.
 
     Attributes:
-        sockets: Open descriptors.
+        sockets: Maximum number of open file descriptors.
     """
 
     cores: float = 1.0
--- a/moorusher/config/scheduler_settings.py
+++ b/moorusher/config/scheduler_settings.py
@@ -130,7 +130,7 @@
 
 
 def _parse_root(root: _Object, seed: int) -> api.Settings:
-    """Return the settings; a ValueError of `api.Settings` names its field, not the JSON key."""
+    """Return the settings. The message of a ValueError names the field of `api.Settings`, not the JSON key."""
     extra = root.object("extra")
     invariants = root.object("invariants")
     limits = root.object("limits")
@@ -222,6 +222,6 @@
 
 
 def _parse_max_retry_after_ms(limits: _Object) -> float:
-    """Return the limit of Retry-After, or 0, which disables it, if the platform does not forward it to clients."""
+    """Return the limit of Retry-After; 0 (no Retry-After) if the platform does not forward it to clients."""
     max_ms = limits.get("maxRetryAfterMs", 0.0)
     return max_ms if limits.get("retryAfter", True) else 0.0
--- a/moorusher/config/section.py
+++ b/moorusher/config/section.py
@@ -113,7 +113,7 @@
         return parse_address(text, self.key(name)) if text else None
 
     def reject_unknown_keys(self, known: set[str]) -> None:
-        """Raise an error for keys that are not in `known`: a misspelled setting would silently have its default."""
+        """Raise an error for unknown keys. Otherwise a misspelled setting would silently have its default."""
         unknown = sorted(set(self.data) - known)
         if unknown:
             raise ConfigError(f"{self.key(unknown[0])}: no such key; known are {', '.join(sorted(known))}")
--- a/moorusher/config_distribution/replica.py
+++ b/moorusher/config_distribution/replica.py
@@ -1,7 +1,7 @@
 """One member's replica of all customers' revisions, with its components for publishing and distributing them."""
 
-# The replica connects leadership, whose leases determine the publishers, with the process, which parses and stores
-# drafts and routes requests by them.
+# The leases of the package `leadership` determine which members publish. The process parses and stores drafts, and
+# routes requests by the current revisions. The replica connects the two.
 
 from __future__ import annotations
 
--- a/moorusher/core/call.py
+++ b/moorusher/core/call.py
@@ -42,7 +42,7 @@
 class CallTransport(Protocol):
     """Connection to the downstream service.
 
-    Reports the end of each call that was not abandoned once, through `Execution.call_ended`.
+    Reports the end of each call exactly once through `Execution.call_ended`, unless the call was abandoned.
     """
 
     def call(self, number: int, request: CallRequest) -> None:
--- a/moorusher/core/clock.py
+++ b/moorusher/core/clock.py
@@ -46,8 +46,8 @@
         self.now = self._monotonic_ns() // 1_000
         self._since_last_turn_us = self.now - before
         unix_us = self._unix_ns() // 1_000
-        # A pause of the process between the two reads would look like a step of the Unix clock, so both clocks are
-        # read again after one.
+        # A pause of the process between the two reads would look like a step of the Unix clock. After such a pause,
+        # both clocks are read again.
         for _ in range(MAX_READ_RETRIES):
             after = self._monotonic_ns() // 1_000
             if after - self.now < MAX_READ_GAP_US:
--- a/moorusher/core/engine_state.py
+++ b/moorusher/core/engine_state.py
@@ -59,7 +59,7 @@
         return max(windows, default=0.0)
 
     def distrust_new_keys(self) -> None:
-        """Treat keys that are not in the table as keys that may have run, until the longest window has passed.
+        """Assume that requests with keys missing from the table may have run, until the longest window has passed.
 
         Called when another process of this runner has exited and its keys are unknown here.
         """
--- a/moorusher/core/idempotency_keys.py
+++ b/moorusher/core/idempotency_keys.py
@@ -126,7 +126,7 @@
         return list(self._by_key.values())
 
     def of_attempt(self, number: int) -> KeyEntry | None:
-        """Return the entry whose key this attempt has, or had before a transfer."""
+        """Return the entry whose key this attempt has, or had until the key was transferred to another attempt."""
         return self._by_number.get(number)
 
     # ---- ownership of keys ----
@@ -212,7 +212,10 @@
         return waiters
 
     def release(self, number: int) -> list[int]:
-        """Free the key of an attempt that has ended without a run. Returns the numbers of its waiters."""
+        """Free the key of an attempt that has ended without a run. Returns the numbers of its waiters.
+
+        Does nothing if the attempt was started, or has no key.
+        """
         entry = self._by_number.get(number)
         if entry is None or entry.started:
             return []
--- a/moorusher/core/requests.py
+++ b/moorusher/core/requests.py
@@ -78,7 +78,7 @@
         class_name: Name of the request class.
         body: Input of the run.
         t0_unix_ms: Time of arrival that the sender states, by the sender's clock.
-        arrived_us: Time when its first byte was read, by the engine's clock; None: now.
+        arrived_us: Time when its first byte was read, by the engine's clock; None for the current time.
         budget_ms: Time that the caller waits, from the arrival.
         tenant: Name of the tenant.
         caller: Number of the front end that sent the request.
--- a/moorusher/frontends/agent.py
+++ b/moorusher/frontends/agent.py
@@ -39,7 +39,7 @@
         self._received = b""
 
     def connectionMade(self) -> None:
-        """Write the line."""
+        """Send the line with this runner's state, and close the sending side of the connection."""
         self._factory.limiter.connection_opened(self)
         self._factory.limiter.connection_closing(self)
         self._factory.count_check()
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -95,7 +95,7 @@
             self._schedule()
 
     def close_requested(self, connection: LimitedConnection) -> None:
-        """Record that the other side was asked to close. `CLOSE_REQUEST_TIMEOUT_US` starts now."""
+        """Record that the other side was asked to close, and start the timeout `CLOSE_REQUEST_TIMEOUT_US`."""
         self.connection_busy(connection)
         self._close_requested[connection] = self.core.clock.now
         self._schedule()
--- a/moorusher/leadership/effects.py
+++ b/moorusher/leadership/effects.py
@@ -66,7 +66,7 @@
     Attributes:
         token: Fencing token of the effect.
         answer: Body of the receiver's answer.
-        done: False for an intent that the receiver has not executed and never will.
+        done: Whether the effect was executed. False only for an intent that the receiver will never execute.
     """
 
     token: FencingToken
@@ -86,7 +86,7 @@
         answered: Whether an answer arrived. Without one it is unknown whether the request was executed.
         done: Whether the request was executed.
         body: Body of the answer.
-        highest_token: Later token because of which the receiver rejected the request, if it did.
+        highest_token: Highest token that the receiver knows, if it rejected the request because of that token.
     """
 
     answered: bool
--- a/moorusher/leadership/errors.py
+++ b/moorusher/leadership/errors.py
@@ -74,7 +74,7 @@
 
 
 class RevisionConflictError(LeadershipError):
-    """The value was changed concurrently.
+    """The duty's state was changed concurrently.
 
     Attributes:
         expected: Revision that the caller expected.
--- a/moorusher/leadership/fencing_token.py
+++ b/moorusher/leadership/fencing_token.py
@@ -32,7 +32,7 @@
     CURRENT = "new"
     # The effect was executed before; the first answer is repeated.
     DUPLICATE = "again"
-    # The request is rejected, with the highest known token.
+    # The request is rejected; the rejection contains the highest known token.
     STALE = "behind"
 
 
--- a/moorusher/leadership/lease_transitions.py
+++ b/moorusher/leadership/lease_transitions.py
@@ -88,7 +88,7 @@
         owner: The process that acquires the lease.
         expected: Generation and term that the offer was made for.
         leader_lost: Whether the former leader was lost, which increments the duty's count of lost leaders.
-        max_lost_leaders: Number of consecutive lost leaders at which the duty is suspended instead.
+        max_lost_leaders: Number of consecutive lost leaders at which the duty is suspended and not acquired.
         former_holder: The holder that was superseded; set by `apply`.
     """
 
--- a/moorusher/leadership/participant.py
+++ b/moorusher/leadership/participant.py
@@ -32,7 +32,7 @@
 from .worker import EffectReceivers, Worker
 
 HEARTBEAT_US = 500 * MS
-# A heartbeat timer that fires this late indicates that the process was stopped.
+# A heartbeat timer that fires this late indicates that the process was paused.
 PAUSE_THRESHOLD_US = 300 * MS
 # Interval at which the failure detector's messages get new counts of this member's duties.
 ANNOUNCE_INTERVAL_US = 2_000 * MS
--- a/moorusher/membership/failure_detector.py
+++ b/moorusher/membership/failure_detector.py
@@ -28,7 +28,8 @@
 MAX_HEALTH_PENALTY = 5
 # Time for which a member's own message outweighs suspicions from others.
 DIRECT_CONTACT_FRESH_US = 200 * MS
-LATE_PERIOD_US = 100 * MS  # If a period begins this late, this process was paused or is slow.
+# If a probe period begins later than planned by more than this, this process was paused or is slow.
+LATE_PERIOD_US = 100 * MS
 
 
 class DetectorHost(Protocol):
@@ -217,7 +218,7 @@
 
     def _start_incarnation(self, member: Member, incarnation: int) -> None:
         """Record that a new process has the seat."""
-        # Until the new process's status arrives, the previous process counts as its predecessor, unless that is dead.
+        # Until the new process's status arrives, the previous process counts as its predecessor, unless it is dead.
         previous = member.incarnation
         member.incarnation = incarnation
         member.connection_refused = False
--- a/moorusher/namespaces/atoms.py
+++ b/moorusher/namespaces/atoms.py
@@ -3,9 +3,10 @@
 # In each dimension, all values fall into finitely many atoms. A matcher's set is therefore a short bit mask, and
 # intersections and differences of sets are exact.
 #
-# An atom of strings is either one literal that a rule names, or all strings with a prefix that a rule names or with the
-# empty prefix, without these literals and without the strings with a longer prefix that a rule names. An atom of the
-# second kind is never empty. An atom of numbers is an interval between two adjacent range bounds.
+# An atom of strings is of one of two kinds. The first kind is a single literal that a rule names. The second kind
+# belongs to a prefix that a rule names, or to the empty prefix. It contains all strings that begin with the prefix,
+# except the named literals and the strings that begin with a longer named prefix; it is never empty. An atom of numbers
+# is an interval between two adjacent range bounds.
 
 from __future__ import annotations
 
--- a/moorusher/namespaces/boxes.py
+++ b/moorusher/namespaces/boxes.py
@@ -1,4 +1,7 @@
-"""Boxes: sets of requests, represented by one bit mask per attribute, with a bit for each atom in the set."""
+"""Boxes: sets of requests, represented by one bit mask per attribute.
+
+Each bit stands for one atom: a class of attribute values that the rules don't distinguish (see `atoms`).
+"""
 
 from __future__ import annotations
 
--- a/moorusher/namespaces/revision_history.py
+++ b/moorusher/namespaces/revision_history.py
@@ -176,7 +176,7 @@
 def _retained(
     revisions: tuple[PublishedRevision, ...], limits: PublishingLimits
 ) -> tuple[PublishedRevision, ...]:
-    """Return as many of the newest revisions as the limits permit, and at least the first one."""
+    """Return as many of the newest revisions as the limits permit, and always the newest one."""
     size_bytes = STATE_OVERHEAD_BYTES + len(revisions[0].draft)
     retained = [revisions[0]]
     for revision in revisions[1 : limits.max_revisions]:
--- a/moorusher/namespaces/rules.py
+++ b/moorusher/namespaces/rules.py
@@ -29,7 +29,7 @@
     spread: str = ""
 
 
-# The attributes that matchers use. Earlier ones weigh more when two rules' specificity is compared.
+# The attributes that matchers use. When two rules' specificity is compared, earlier attributes weigh more.
 DIMENSIONS = ("key", "subject", "caller", "class_name", "rank")
 
 
--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """The registers of which one seat is a replica. Has no clock: callers pass the current time in us.
+    """The registers that one seat replicates. Has no clock: callers pass the current time in us.
 
     Attributes:
         seat: Seat of this acceptor.
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -122,11 +122,11 @@
 
     @property
     def claim_timeout_us(self) -> int:
-        """Timeout of a change for which a caller waits."""
+        """Timeout of a register change for which a caller waits."""
 
     @property
     def last_may_be_chosen(self) -> bool:
-        """Whether the last abandoned change may still be chosen."""
+        """Whether the last abandoned register change may still be chosen."""
 
     def change(
         self,
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -20,8 +20,8 @@
 # Messages that are sent to a peer together are split into frames of at most this size.
 MAX_FRAME_BYTES = 1 << 20
 
-# (round, incarnation of the proposer, number of the proposer within its process). No two proposers have the same last
-# two, and so no two use the same ballot.
+# (round, incarnation of the proposer, number of the proposer within its process). No two proposers share both the
+# incarnation and the number, so no two proposers use the same ballot.
 Ballot = tuple[int, int, int]
 # The ballot of a first write without a promise. All proposers share it, so a value is chosen at it only if all replicas
 # accept the value.
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -237,12 +237,12 @@
 
     @property
     def claim_timeout_us(self) -> int:
-        """Timeout of a change for which a caller waits."""
+        """Timeout of a register change for which a caller waits."""
         return round(self.policy.claim_timeout_ms * MS)
 
     @property
     def last_may_be_chosen(self) -> bool:
-        """Whether the last abandoned change may still be chosen."""
+        """Whether the last abandoned register change may still be chosen."""
         return self.registers.last_may_be_chosen
 
     @property
--- a/moorusher/replication/recovery.py
+++ b/moorusher/replication/recovery.py
@@ -119,7 +119,8 @@
     def bootstrap(self, accept_loss: bool = False) -> str | None:
         """Bootstrap the acceptors of all seats, on an operator's statement that the cluster is new.
 
-        :param accept_loss: Whether the operator accepts instead that all state which no seat has any more is lost.
+        :param accept_loss: Whether the operator, for a cluster that is not new, accepts the loss of all state that no
+            seat has any more.
         :returns: None on success, or the reason for a refusal.
         """
         # Every other seat must have replied that it is recovering: a seat that has recovered has state, and one that
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -13,7 +13,8 @@
 from .work_events import BodyDiffers, ClaimGranted, ClaimJoined, RejectedByAll, ResultKnown
 from .work_record import ClaimWork, EndOrphanedWork, ReadOnly, TakeOverWork, WorkRecord, WorkState
 
-OWNER_ANSWER_TIMEOUT_US = 150 * MS  # Time for the owner's answer to a query; then `continue_work` is called.
+# Time for the owner's answer to a query. If there is no answer by then, `continue_work` is called.
+OWNER_ANSWER_TIMEOUT_US = 150 * MS
 OWNER_POLL_US = 400 * MS  # Time until an owner that still has the work is queried again.
 
 
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -41,7 +41,7 @@
         self._turn_is_scheduled = False
         # Owners of the work in the journal, until the grace period after the start has passed.
         self._owners_in_journal: set[Owner] = set()
-        # Owners that were not in contact during that period.
+        # Owners that were not in contact during the grace period.
         self._silent_owners: set[Owner] = set()
 
     # ---- start ----
--- a/moorusher/scheduling/events.py
+++ b/moorusher/scheduling/events.py
@@ -83,7 +83,10 @@
 
 @dataclass(slots=True)
 class CallEnded:
-    """A downstream call has ended. Unless the outcome is OK, its request still waits for a call."""
+    """A downstream call has ended.
+
+    If the outcome is OK, its request resumes. Otherwise the call is retried or skipped, or the request fails.
+    """
 
     id: int
     outcome: ExecutionOutcome
@@ -128,7 +131,7 @@
 
 @dataclass(slots=True)
 class PredecessorLoad:
-    """Resources that are still used by the process that this one replaces.
+    """Resources that the predecessor, the process replaced by this one, still uses.
 
     Attributes:
         on_cores: Number of its runs on the cores.
--- a/moorusher/scheduling/lifecycle.py
+++ b/moorusher/scheduling/lifecycle.py
@@ -42,12 +42,12 @@
         concurrency.acquire_core(job, concurrency.lowest_free_slot(), self._state.now)
 
     def resume_without_call(self, job: Job) -> None:
-        """Resume a job without its downstream call."""
+        """Return a job to the cores without a result of its downstream call."""
         self._state.actions.append(SkipCall(job.id))
         self.resume(job)
 
     def end(self, job: Job, completed: bool) -> None:
-        """End a job whose run, or whose wait for another request's result, has ended.
+        """Remove a job after its run, or its wait for another request's result, has ended.
 
         :param completed: Whether the run ended successfully, so that its cost and duration are
             representative.
--- a/moorusher/scheduling/priority.py
+++ b/moorusher/scheduling/priority.py
@@ -25,7 +25,7 @@
     """Grant each class credit for the slot time that outranking classes leave, at the end of a window.
 
     A request of a class without credit is admitted only if it can start at once. This has an effect only in
-    overload. Without credits, requests of all classes would be rejected alike then.
+    overload, in which requests of all classes would otherwise be rejected alike.
 
     :param classes: All classes of the settings. Their `demand`, `credit_ms`, `arrivals` and `windows` are
         updated.
--- a/tests/scheduling/generated_day.py
+++ b/tests/scheduling/generated_day.py
@@ -25,7 +25,7 @@
 
 
 class GeneratedDay:
-    """One runner from its start to the last answer, or to its stop.
+    """A simulated day: one runner from its start to the last answer, or to its stop.
 
     Attributes:
         action_log: All actions, with their times.
@@ -68,7 +68,7 @@
         self.next_events: list[api.Event] = []
 
     def run(self) -> list[tuple[float, api.Action]]:
-        """Simulate the whole day, and return all actions with their times."""
+        """Simulate the runner until its last answer or its stop, and return all actions with their times."""
         while self.now < DAY_MS:
             self.now += self._pause_ms()
             if self.now > self.stop_at:
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -35,7 +35,10 @@
 
 
 def test_a_request_that_would_end_late_is_not_started() -> None:
-    """Regression: a runner that read requests late ran old attempts, for a fifth of their value, and no new ones."""
+    """Regression: a runner that read requests late ran only old attempts, which were worth a fifth of their value.
+
+    It then had no time to run new requests, which were still worth their full value.
+    """
     late = replace(SAFE, late_value_fraction=0.2)
     scheduler = opened(classes=(late, KEYED))
     assert only(scheduler.step(0.0, [request(1, waited_ms=950.0)]), api.Reject)
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -31,7 +31,7 @@
 def run_flood(
     *, over_quota_weight: float = 0.05, modest_retries: bool = False, seconds: int = 12, greedy_batch: int = 1
 ) -> dict[str, Any]:
-    """Run a tenant that floods the runner together with one that does not, on two cores with runs of 300 ms.
+    """Simulate a greedy tenant that floods the runner and a modest one that does not, on two cores with 300 ms runs.
 
     The greedy tenant sends `greedy_batch` requests every 50 ms, the modest tenant one every 500 ms. Return the
     requests that arrived, were started and were rejected, and the Retry-After times, from second 3 on.
@@ -96,7 +96,7 @@
 
 
 def test_a_rejection_for_a_tenant_over_its_quota_has_no_retry_after() -> None:
-    """Regression: a caller, which sends requests of all tenants, paused all of them after a Retry-After for one."""
+    """Regression: after a Retry-After for one tenant, a caller paused the requests of all its tenants."""
     results = run_flood()
     assert len(results["retry_after"][GREEDY]) > 50
     assert set(results["retry_after"][GREEDY]) == {0.0}
