--- a/moorusher/backends/kernel.py
+++ b/moorusher/backends/kernel.py
@@ -54,9 +54,8 @@
         self._silence_alarm: Alarm | None = None
         self._unreadable_lines = 0  # Consecutive unreadable lines after the same notice.
         self._unreadable_after_notice = 0  # Number of that notice.
-        self._skipped_line = (
-            False  # Whether a line of this connection was skipped. That line may have been BOOTED.
-        )
+        # Whether a line of this connection was skipped. That line may have been BOOTED.
+        self._skipped_line = False
         self._is_closing = False
 
     @property
--- a/moorusher/config/health.py
+++ b/moorusher/config/health.py
@@ -57,7 +57,7 @@
     values = health_policy_json(policy)
     for lower, upper in ASCENDING_KEYS:
         if not values[lower] < values[upper]:
-            raise ConfigError(f"{section.key(lower)}: expected less than {upper}, {values[upper]:g}")
+            raise ConfigError(f"{section.key(lower)}: expected less than {upper} ({values[upper]:g})")
     return policy
 
 
--- a/moorusher/config/load_balancing.py
+++ b/moorusher/config/load_balancing.py
@@ -102,7 +102,7 @@
     if duplicates := sorted({name for name in names if names.count(name) > 1}):
         raise ConfigError(f"{section.key('server')}: the name {duplicates[0]} is used more than once")
     if len(endpoints) > MAX_ENDPOINTS:
-        raise ConfigError(f"{section.key('server')}: more than {MAX_ENDPOINTS}")
+        raise ConfigError(f"{section.key('server')}: expected at most {MAX_ENDPOINTS} servers")
     return endpoints
 
 
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -58,7 +58,7 @@
         callback: LackingCallback,
         timeout_us: int = PROPAGATION_TIMEOUT_US,
     ) -> None:
-        """Broadcast a revision. `callback` receives the seats without this or a later revision, and the reasons.
+        """Broadcast a revision. `callback` receives the seats that have neither it nor a later one, with reasons.
 
         This member first reads the revision from the register if it lacks it.
         """
--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -64,7 +64,7 @@
         on_change: Called with the key and state of a register whose value has changed.
         journaled: Whether changes are written to a journal on disk.
         permanent: Whether keys never expire.
-        journal_failing: Whether the journal can't be written; no vote is sent then.
+        journal_failing: Whether the journal can't be written, so that no vote may be sent.
     """
 
     seat: str
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -69,7 +69,7 @@
 
 
 class RecoveredRecord(_Record, frozen=True, tag="remembers"):
-    """States that the records before it include all promises and accepted values of this seat that still count."""
+    """Marks that the preceding records include all promises and accepted values of this seat that still count."""
 
 
 Record = JournalHeader | RegisterRecord | IncarnationsRecord | ChunkRecord | RecoveredRecord
--- a/moorusher/replication/messages.py
+++ b/moorusher/replication/messages.py
@@ -136,7 +136,7 @@
 
     Attributes:
         incarnation: Incarnation from the request. If the sender knows a higher incarnation of the requester's seat,
-            that one; the requester must then exceed it.
+            that incarnation, which the requester must exceed.
         incarnations: All incarnations that the sender knows.
         registers: Registers of this part.
         last: Whether this is the last part.
--- a/moorusher/replication/register_space.py
+++ b/moorusher/replication/register_space.py
@@ -155,8 +155,8 @@
 
         :param expires_at: Time at which the key expires.
         :param on_result: Called with the result, or with None if the change is abandoned, such as when no majority
-            answers within `timeout_us`. During a call with None, `last_may_be_chosen` tells whether the change may
-            still be chosen.
+            answers within `timeout_us`. While it is called with None, `last_may_be_chosen` tells whether the change
+            may still be chosen.
         """
         number = self._next_number()
         now = self.host.clock()
--- a/moorusher/scheduling/lifecycle.py
+++ b/moorusher/scheduling/lifecycle.py
@@ -47,7 +47,7 @@
         self.resume(job)
 
     def end(self, job: Job, completed: bool) -> None:
-        """Remove a job after its run, or its wait for another request's result, has ended.
+        """Remove a job at the end of its run, or of its wait for another request's result.
 
         :param completed: Whether the run ended successfully, so that its cost and duration are
             representative.
--- a/moorusher/scheduling/retry_policy.py
+++ b/moorusher/scheduling/retry_policy.py
@@ -45,7 +45,7 @@
 
     @property
     def proves_never_ran(self) -> bool:
-        """Whether the evidence proves that nothing was started. If so, requests of any class may be retried."""
+        """Whether it is proven that nothing was started, so that requests of any class may be retried."""
         return self in _PROOFS
 
 
