--- a/moorusher/replication/acceptor.py
+++ b/moorusher/replication/acceptor.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """The registers of which one seat is a replica. Has no clock: callers pass the current time in us.
+    """The registers that one seat replicates. Has no clock: callers pass the current time in us.
 
     Attributes:
         seat: Seat of this acceptor.
@@ -64,7 +64,7 @@
         on_change: Called with the key and state of a register whose value has changed.
         journaled: Whether changes are written to a journal on disk.
         permanent: Whether keys never expire.
-        journal_failing: Whether the journal can't be written; no vote is sent then.
+        journal_failing: Whether the journal can't be written, so that no vote may be sent.
     """
 
     seat: str
