--- a/moorusher/lab/drain_notices.py
+++ b/moorusher/lab/drain_notices.py
@@ -36,19 +36,19 @@
     """A kernel that accepts every message and does nothing."""
 
     def run(self, rid: str, route: str, body: bytes) -> int:
-        """Do nothing."""
+        """Ignore the command, and return a constant."""
         return 1
 
     def stop(self, rid: str) -> int:
-        """Do nothing."""
+        """Ignore the command, and return a constant."""
         return 1
 
     def call_done(self, rid: str, body: bytes) -> int:
-        """Do nothing."""
+        """Ignore the command, and return a constant."""
         return 1
 
     def call_skipped(self, rid: str, notice: int) -> int:
-        """Do nothing."""
+        """Ignore the command, and return a constant."""
         return 1
 
     def request_gauges(self) -> None:
@@ -87,7 +87,7 @@
         self.noticed: Deferred[float] = Deferred()
 
     def drain(self) -> None:
-        """Start to drain the engine, and fire `noticed` when the prober has read it."""
+        """Start to drain the engine, and fire `noticed` when the prober has read a report of the drain."""
         self._engine.drain(_GRACE_MS)
         self._drained_at_us = now_us()
         self._poll()
--- a/moorusher/lab/duties.py
+++ b/moorusher/lab/duties.py
@@ -1,9 +1,9 @@
 """The experiment "duties": exclusive leadership with fencing tokens, compared with leases that rely on clocks.
 
-It measures three things. Simulations with the same seeds count effects that are out of order, with fencing tokens and
-with clock leases: there a leader acts without asking a majority while its last confirmation by one is recent, and the
-receiver accepts every effect. Real runners, whose leader is killed repeatedly, show the failover time. Large fleets are
-simulated in virtual time.
+It measures three things. Simulations with the same seeds count effects that are out of order, once with fencing tokens
+and once with clock leases. With a clock lease, a leader acts without asking a majority for some time after a majority
+has confirmed it, and the receiver accepts every effect. Real runners, whose leader is killed repeatedly, show the
+failover time. Large fleets are simulated in virtual time.
 """
 
 from __future__ import annotations
--- a/moorusher/lab/duty_simulations.py
+++ b/moorusher/lab/duty_simulations.py
@@ -27,7 +27,7 @@
 class ClockLeaseExecutor(EffectExecutor):
     """Executor of a clock lease.
 
-    It sends effects without asking a majority for `LEASE_US` after it last asked one or acquired the lease.
+    After it has acquired the lease or asked a majority, it sends effects for `LEASE_US` without asking again.
     """
 
     confirmed_at_us = 0
--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -203,9 +203,9 @@
         self._reported[runner] = weight
 
     def _receive_requests(self, now_us: int) -> None:
-        """Let each balancer route an equal part of the load by the weights that it last read.
+        """Route the requests of one step by the weights that each balancer read last.
 
-        The part of a balancer is lost if all weights that it last read are 0.
+        Each balancer gets an equal part of the requests. If all weights that it read are 0, its part is lost.
         """
         weights = self._last_read_weight * self._alive
         total = weights.sum(axis=1, keepdims=True)
--- a/moorusher/lab/forecast.py
+++ b/moorusher/lab/forecast.py
@@ -41,7 +41,7 @@
 _MEASUREMENT_TIMEOUT_S = 600
 
 
-# Runners forecast with `forecasting.weekly_forecast`. This class also holds the actual demand.
+# Used only for backtests. Unlike `weekly_forecast.WeeklyForecast`, it also contains the actual demand.
 class DrawnWeekForecast(NamedTuple):
     """Forecast and actual demand of the last week of a generated series.
 
@@ -217,7 +217,10 @@
 
 
 def is_reproducible(seed: int) -> bool:
-    """Return whether forecasts are equal bit for bit if only the order of the routes differs, as between leaders."""
+    """Return whether forecasts are equal bit for bit when only the order of the routes differs.
+
+    Two leaders can have the same routes in different orders.
+    """
     routes = draw_routes(seed, 60)
     calendars = {"c0": Calendar("Europe/Copenhagen")}
     hour = FIRST_HOUR + HISTORY_H
--- a/moorusher/lab/health_report_arm.py
+++ b/moorusher/lab/health_report_arm.py
@@ -94,7 +94,7 @@
 
 
 class HealthReportArm:
-    """One arm. All arms of a round run at the same time.
+    """Runs one arm of the experiment. All arms of a round run at the same time.
 
     Attributes:
         name: Name of the arm.
--- a/moorusher/lab/namespaces.py
+++ b/moorusher/lab/namespaces.py
@@ -208,7 +208,7 @@
     median_ms = statistics.median(since_published_ms)
     result.figures["published to everywhere, ms"] = since_published_ms
     result.figures["submitted to everywhere, ms"] = sorted(since_submitted_ms)
-    log(f"published to everywhere: {median_ms:.0f} ms in the median, {since_published_ms[-1]:.0f} at most")
+    log(f"publication until all have it: median {median_ms:.0f} ms, maximum {since_published_ms[-1]:.0f} ms")
     result.add_criterion(
         "revisions that did not come to all runners", f"{incomplete} of {revisions}", "none", not incomplete
     )
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -49,7 +49,7 @@
     sizes = (10, 50) if quick else (10, 50, 200)
     messages = {size: await deferToThread(messages_per_member, size) for size in sizes}
     result.figures["messages a member a second"] = messages
-    log(f"messages a member a second: {messages}")
+    log(f"messages per member and second: {messages}")
     _add_figures(result, results)
     for order in results:
         if order in BASELINES:
@@ -80,9 +80,9 @@
 
 
 async def _play_arm(seed: int, order: RebootOrder) -> OutageResult | None:
-    """Play one arm in a separate process.
+    """Run one arm in a separate process.
 
-    :returns: None if the process wrote no result.
+    :returns: Result of the arm, or None if the process wrote none.
     """
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "result.json"
--- a/moorusher/lab/outage_arm.py
+++ b/moorusher/lab/outage_arm.py
@@ -39,7 +39,7 @@
 """Interval between two reboots in the fixed order."""
 MAX_PLAY_S = 150.0
 IDLE_PLAY_S = 45.0
-"""Duration of a play in which no machine is rebooted."""
+"""Duration of an arm in which no machine is rebooted."""
 LOSS_AT_S = 20.0
 PARTITION_AT_S = 15.0
 PARTITION_UNTIL_S = 20.0
@@ -94,7 +94,7 @@
 
 
 class OutageResult(msgspec.Struct):
-    """Result of one play, serialized under the names of the experiment's figures.
+    """Result of one arm, serialized under the names of the experiment's figures.
 
     Attributes:
         served_share: Share of the requested value served in time.
@@ -127,7 +127,9 @@
 
 
 class OutageArm:
-    """Plays one arm once, in the process that the experiment starts for it.
+    """Runs one arm of the experiment: a fleet under load with one `RebootOrder`.
+
+    The experiment starts a separate process for each arm.
 
     Attributes:
         order: How the machines are rebooted.
@@ -227,10 +229,10 @@
             self.reactor.callLater(PARTITION_AT_S, fleet.set_partition, True)
             self.reactor.callLater(PARTITION_UNTIL_S, fleet.set_partition, False)
 
-    # ---- the play ----
+    # ---- the run of the arm ----
 
     async def play(self) -> OutageResult:
-        """Play the arm; the fleet's processes run until `close`."""
+        """Run the arm and return its result; the fleet's processes run until `close`."""
         await self._fleet.form_fleet()
         seconds = IDLE_PLAY_S if self.order.reboots_nothing else MAX_PLAY_S
         rate = LOAD * RUNNERS * CORES / (SERVICE_TIME_MS / 1000)
@@ -300,7 +302,7 @@
 
 
 def main(seed: int, order: RebootOrder, path: Path) -> None:
-    """Play one arm in this process and write its result to `path`."""
+    """Run one arm in this process and write its result to `path`."""
     from ..server import reactor as loop
 
     reactor = loop.install()
--- a/moorusher/lab/takeover.py
+++ b/moorusher/lab/takeover.py
@@ -54,8 +54,8 @@
 ) -> None:
     """Add the criteria of one case to the result.
 
-    :param outcomes: Plays with a fleet, at least one.
-    :param without_fleet: Plays of the same seeds without a fleet, if any.
+    :param outcomes: Results with a fleet, one for each seed; at least one.
+    :param without_fleet: Results without a fleet for the same seeds, or None if there are none.
     """
     _judge_keyed_requests(result, case, outcomes)
     executions = _mean([outcome.executions_per_served for outcome in outcomes])
@@ -98,7 +98,7 @@
 
 
 def _median_takeover_s(outcomes: list[TakeoverResult]) -> float:
-    """Return the upper median of the time to the first takeover; a play without a takeover counts as infinite."""
+    """Return the upper median of the times to the first takeover; a result without a takeover counts as infinite."""
     takeovers_s = sorted(outcome.takeover_s if outcome.has_takeover else math.inf for outcome in outcomes)
     return takeovers_s[len(takeovers_s) // 2]
 
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -1,4 +1,4 @@
-"""One play of the experiment "takeover": six runners under load, their callers, and the failure of some runners."""
+"""One arm of the experiment "takeover": six runners under load, their callers, and the failure of some runners."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class TakeoverArm:
-    """One play of an arm.
+    """Runs one arm of the experiment once.
 
     :param load: Load as a share of the fleet's capacity.
     :param in_fleet: Whether the runners form a fleet, which takes over the work of failed runners.
@@ -136,7 +136,7 @@
         return await request_admin(port, path, method, timeout_s=_ADMIN_TIMEOUT_S)
 
     async def play(self) -> TakeoverResult:
-        """Play the arm and end all its processes."""
+        """Run the arm and end all its processes."""
         for index in range(RUNNERS):
             while b'"kernel_up": true' not in (await self._request_admin(index, "status")).body:
                 await self._pause(0.1)
--- a/moorusher/lab/takeover_result.py
+++ b/moorusher/lab/takeover_result.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverResult:
-    """Result of one play.
+    """Result of one arm with one seed.
 
     Attributes:
         tokens: Number of keyed requests.
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -131,7 +131,7 @@
 
 
 def _young_donor_states(seed: int) -> list[LearnedState]:
-    # In a rolling deployment, donors have started recently themselves.
+    # In a rolling deployment, the donors were started recently, too.
     return [_donor_state(seed, YOUNG_DONOR_S)]
 
 
--- a/moorusher/model_checking/cluster_invariants.py
+++ b/moorusher/model_checking/cluster_invariants.py
@@ -63,8 +63,9 @@
 def run_after_rejection(history: History, now_us: int) -> str | None:
     """Check that no key runs after all requests for it were rejected.
 
-    A rejection counts only if its process is alive at the start of the run, and only for the requests that the process
-    received before the rejection.
+    A rejection counts only for requests that its process received before it, because later ones are new attempts. It
+    doesn't count if the process has crashed: a process answers before the replicas store the rejection, and after a
+    crash in between another process may run the key.
     """
     requests: defaultdict[KeyDigest, list[Request]] = defaultdict(list)
     for request in history.requests:
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -72,7 +72,7 @@
         sim.at(sim.now, self, self._receive_request)
 
     def _receive_request(self) -> None:
-        """Receive a request, count it, and schedule the next one."""
+        """Schedule the next request, and count this one if it arrives before `last_request_us`."""
         random = self.sim.random
         interval_us = round(random.expovariate(1 / MEAN_REQUEST_INTERVAL_S) * SECOND)
         self.sim.at(self.sim.now + interval_us, self, self._receive_request)
@@ -123,7 +123,7 @@
         first_hour: int,
         callback: ForecastCallback,
     ) -> None:
-        """Pass `ForecastNotReadyError` to `callback`: the simulation checks only the counts."""
+        """Pass `ForecastNotReadyError` to `callback`, because the simulation checks only the counts."""
         self.sim.at(
             self.sim.now + FORECAST_DELAY_US, self, lambda: callback(ForecastNotReadyError("not here"))
         )
--- a/moorusher/model_checking/leadership_history.py
+++ b/moorusher/model_checking/leadership_history.py
@@ -81,7 +81,7 @@
         return ReceiverResponse(answered=True, done=True)
 
     def receive_query(self, intent: Intent) -> ReceiverResponse:
-        """Answer a leader's query whether an intent's job was done. An intent that arrives later has no effect."""
+        """Answer a leader's query whether an intent's job was done, and refuse the intent if it arrives later."""
         self.refused_intents.add(intent.revision)
         return ReceiverResponse(answered=True, done=intent.revision in self.jobs_by_intent)
 
--- a/moorusher/model_checking/register_interleavings.py
+++ b/moorusher/model_checking/register_interleavings.py
@@ -66,7 +66,7 @@
         acceptors: Acceptors by seat.
         runners: Runners by name.
         in_transit: Messages in transit, sorted.
-        first_promise: Promise that P carries if it holds the key initially.
+        first_promise: If P holds the key initially, the promise with which it begins its next change; None otherwise.
         duplicates: Number of messages duplicated so far.
         crashes: Number of restarts without memory so far.
         restarts: Number of restarts with memory so far.
--- a/moorusher/model_checking/simulated_request_engine.py
+++ b/moorusher/model_checking/simulated_request_engine.py
@@ -79,7 +79,7 @@
         self._process.node.claim(key, BODY_DIGEST, request, now + self._sim.longest_window_us)
 
     def accept_takeover(self, key: KeyDigest, request: WorkRequest) -> None:
-        """Queue work of another runner, or reject it after REJECTION_DELAY_US, with the scenario's probability."""
+        """Queue work of another runner. With the scenario's probability, reject it after `REJECTION_DELAY_US`."""
         self.received_at[key] = round(request.arrived_unix_ms * MS)
         if self._sim.random.random() < self._sim.scenario.rejection:
             self._sim.at(self._sim.now + REJECTION_DELAY_US, self._process, lambda: self._reject(key))
--- a/tests/by_hand.py
+++ b/tests/by_hand.py
@@ -17,7 +17,7 @@
 
 
 class Loop:
-    """A Twisted reactor that is never installed and never run: `turn` does its iterations."""
+    """A Twisted reactor that is never installed and never run. Tests call `turn` to iterate it."""
 
     def __init__(self, harness: EngineHarness) -> None:
         self.harness = harness
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,7 +27,7 @@
 
 
 def _collects_everything(config: pytest.Config) -> bool:
-    """Return whether the arguments select all tests. Only then is a missing listed test an error."""
+    """Return whether the arguments select all tests. If they don't, listed tests need not be collected."""
     named = any("::" in argument or argument.endswith(".py") for argument in config.args)
     return not (named or config.option.keyword or config.option.markexpr)
 
--- a/tests/faults/auditor.py
+++ b/tests/faults/auditor.py
@@ -41,7 +41,8 @@
         runner: Name of the runner, with the number of its restarts.
         due: Time by which the answer is due.
         token: Idempotency key, or "".
-        window_s: Time in which the key must not be executed again.
+        window_s: Requests with the same key that are sent within this time after an executed request must not be
+            executed; 0 without a key.
     """
 
     at: float
@@ -69,7 +70,8 @@
     """A connection ended while the request was unanswered.
 
     Attributes:
-        is_excused: Whether no answer is due, because the client closed the connection or the runner is excused.
+        is_excused: Whether no answer is due, because the client closed the connection, the runner was killed, or the
+            runner closed the idle connection before it read the request.
     """
 
     at: float
@@ -154,7 +156,7 @@
 
 
 def _check_answers(history: list[Observation], slack_s: float, end: float) -> list[Finding]:
-    """Check that each request has one answer, in time, with the result of one of its runs."""
+    """Check that each request has one answer, in time, with the result of a run of the request or of its key."""
     found = []
     answers: dict[str, list[AnswerReceived]] = defaultdict(list)
     closed_connections = {s.rid: s for s in history if isinstance(s, ConnectionEnded)}
@@ -184,7 +186,10 @@
 
 
 def _check_runs(history: list[Observation]) -> list[Finding]:
-    """Check that requests with side effects run once at most, and only if they were not refused."""
+    """Check that runs have the content of their requests, and that side effects are not repeated.
+
+    A request with side effects runs once at most, and only if it was not refused. A key runs once in its window.
+    """
     found = []
     requests = {s.rid: s for s in history if isinstance(s, RequestSent)}
     refused = {s.rid for s in history if isinstance(s, AnswerReceived) and s.verdict is Verdict.REFUSED}
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -1,5 +1,6 @@
-"""A simulated day of a few seconds: runners, their kernels and databases behind relays, clients, one kind of fault.
+"""A simulated day: real runners under load for some seconds, with one kind of fault.
 
+The links from the runners to their kernels and databases pass through relays, which can delay and cut them.
 All random numbers derive from a seed. Clients, kernels and databases record their observations in a history, which the
 auditor checks.
 """
@@ -43,7 +44,7 @@
 WINDOW_S = 3.0
 BUDGETS_S = (0.03, 0.3, 1.0, 3.0)
 KILL_GRACE_S = 0.3  # Time until all connections of a killed process have ended.
-# Maximum time between the sending of a request and the end of its idle connection, for which no answer is due.
+# No answer is due to a request that is sent less than this time before the runner closes its idle connection.
 CLOSE_RACE_S = 0.05
 WORK_PIECES_MS = (5, 20, 60, 150)  # Lengths of the work between the calls of a run.
 
@@ -89,7 +90,7 @@
 
 
 class RecordingDatabase(Database):
-    """Records calls and replies with their bodies, except for the shares of calls that `faults` specifies."""
+    """Records calls, and replies with their bodies except for the shares of calls that `faults` specifies."""
 
     def __init__(self, history: list[Observation], rng: random.Random, faults: Faults) -> None:
         super().__init__()
@@ -124,7 +125,7 @@
         runner: Name of the runner, with the number of its restarts.
         open_requests: Request ids of the unanswered requests, by JSON-RPC id.
         leaving: Whether the runner has sent `leaving` or closed the connection.
-        is_compliant: Whether the client sends no request after `leaving`.
+        is_compliant: Whether the client sends no request after it has received `leaving`.
     """
 
     def __init__(self, day: Day, index: int, port: int) -> None:
@@ -132,7 +133,7 @@
         self.runner = f"n{index}.{day.restart_counts[index]}"
         self.open_requests: dict[int, str] = {}
         self._sent_at: dict[str, float] = {}
-        # Time by which the runner accepts the connection. Later than the connect if `accept` was failing then.
+        # Time by which the runner accepts the connection if `accept` was failing at the connect, else 0.
         self._accept_deadline = 0.0
         self.leaving = False
         self.is_compliant = day.rng.random() < day.faults.compliant_client_share
@@ -156,7 +157,7 @@
         self.close()
 
     async def connect(self) -> bool:
-        """Connect, and return whether that succeeded."""
+        """Connect, and return whether the connection was established."""
         try:
             reader, self._writer = await asyncio.open_connection(HOST, self.port)
         except OSError:
@@ -183,7 +184,7 @@
         now = time.monotonic()
         ran = {s.rid for s in self.day.history if isinstance(s, RunStarted)}
         for rid in self.open_requests.values():
-            # A front end sends a request again if it crossed the end of an idle connection.
+            # A front end sends a request again if the runner closed the idle connection before it read the request.
             raced_close = (
                 len(self.open_requests) == 1 and now - self._sent_at[rid] < CLOSE_RACE_S and rid not in ran
             )
@@ -245,7 +246,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """The faults of a day. The default of most faults is that they don't occur.
+    """The faults of a simulated day. By default most of them don't occur.
 
     Attributes:
         kernel_link_lifetime_s: Mean time after which each kernel link is reset.
@@ -374,9 +375,10 @@
         return node.read_log().count("hot restart: finishes, and the other one serves")
 
     def _extend_due_time(self, request: RequestSent) -> RequestSent:
-        """Return the request, due at the end of a pause of its runner at the earliest.
+        """Return the request with a later due time if its runner was paused between its sending and its due time.
 
-        A pause ends when the process that serves continues or another process serves in its place.
+        The new due time is the end of that pause: the time at which the paused process continues or another process
+        serves in its place.
         """
         pauses = self.pauses[request.runner.split(".")[0]]
         ends = [end for start, end in pauses if start <= request.due and request.at <= end]
--- a/tests/faults/inject/sitecustomize.py
+++ b/tests/faults/inject/sitecustomize.py
@@ -85,7 +85,7 @@
 def for_outgoing_only(call, original):
     """Wrap a method so that it fails only for connections that this process has opened.
 
-    Connections of clients do not fail here, because the simulated clients break these themselves.
+    Connections of clients are excluded, because the simulated clients break their connections themselves.
     """
     failing = raise_planned_error(call, original)
 
@@ -132,7 +132,7 @@
 
 
 def failing_write(fd, data):
-    """Write to a file, or fail, write a half, or kill the process after that half, as planned."""
+    """Write to a file. As planned, fail, write only half of the data, or kill the process after that half."""
     error = planned_error("disk write") if stat.S_ISREG(os.fstat(fd).st_mode) else None
     if error not in (None, "SHORT", "KILL"):
         raise make_os_error(error)
--- a/tests/faults/kinds.py
+++ b/tests/faults/kinds.py
@@ -1,14 +1,18 @@
-"""The kinds of faults that are simulated, one kind per day."""
+"""The kinds of faults that are simulated.
+
+Each simulated day (`day.Day`), which is a test of a few seconds, has one kind of fault.
+"""
 
 from __future__ import annotations
 
 from .day import Faults
 
-LINK_LIFETIME_S = 0.33  # In the logs of the incident each kernel link was reconnected three times a second.
+# Reproduces an incident in which each kernel link was reconnected three times a second.
+LINK_LIFETIME_S = 0.33
 
 
 def failing_call(call: str, error: str, share: float = 1.0) -> tuple[str, str, float, float, float]:
-    """Make a system call fail for 1.5 s in the middle of the day.
+    """Return an entry of `Faults.injected`: a system call fails for 1.5 s in the middle of the day.
 
     :param share: Share of the calls that fail.
     """
--- a/tests/faults/troubles.py
+++ b/tests/faults/troubles.py
@@ -67,7 +67,7 @@
 
 
 async def restart_runners(day: Day) -> None:
-    """End a runner and start it again without its former state."""
+    """End the process of a runner, and start a new one without the idempotency keys of the old one."""
     while True:
         await asyncio.sleep(0.3 + 0.5 * day.rng.random())
         index = day.rng.randrange(day.runner_count)
@@ -140,7 +140,8 @@
 async def _paused(day: Day, node: Runner) -> AsyncIterator[None]:
     """Pause the new process during the context, and record the pause if the process serves.
 
-    A process that serves can't answer while it is paused. Until it has taken over, the old process owes the answers.
+    A process that serves can't answer while it is paused, so its answers are due later. Until the new process has
+    taken over, the old process must answer in time.
     """
     node.process.send_signal(signal.SIGSTOP)
     name, began = str(node.config["name"]), time.monotonic()
@@ -152,7 +153,7 @@
 
 
 async def open_idle_connections(day: Day) -> None:
-    """Keep opening connections that send nothing or half a line, and close the surplus ones."""
+    """Open connections that send nothing or half a line, and close random ones if there are too many."""
     connections: list[socket.socket] = []
     try:
         while True:
@@ -178,7 +179,7 @@
 
 
 async def _terminate(process: subprocess.Popen[bytes]) -> None:
-    """Send SIGTERM, and SIGKILL at the earliest time at which a process manager may send it."""
+    """Send SIGTERM, and SIGKILL if the process is alive after the shortest time that a process manager waits."""
     process.send_signal(signal.SIGTERM)
     end = time.monotonic() + DEADLINE_S + KILL_DELAY_S
     while process.poll() is None and time.monotonic() < end:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -44,7 +44,7 @@
 
     @property
     def always_fails(self) -> bool:
-        """Whether the test must fail each time: no count says that only some of the runs failed."""
+        """Whether the test must fail in each run. False if a count in `observed` says that only some runs failed."""
         count = _COUNT.match(self.observed)
         return count is None or int(count[1]) >= int(count[2])
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -280,9 +280,10 @@
         self.start(kernel_port)
 
     def start(self, kernel_port: int) -> None:
-        """Start a process. Each further process has the same addresses, except for a new console port.
+        """Start a process. All processes have the same addresses, except for their console ports.
 
-        :param kernel_port: Kernel of a further process, or 0 for the last one's.
+        :param kernel_port: Port of the process's kernel, or 0 for the kernel of the last process. Ignored for the
+            first process, whose kernel is that of the runner's configuration.
         """
         folder = Path(self.dir.name)
         if self.processes:
@@ -320,7 +321,7 @@
         return self.processes[-1]
 
     async def call_console(self, call: str, port: int = 0) -> int:
-        """Send a call to the console of a process and return the status of the response, 0 if it does not listen.
+        """Send a call to the console of a process and return the status of the response, or 0 if it can't connect.
 
         :param port: Port of the console, or 0 for that of the last process.
         """
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -12,7 +12,7 @@
 
 
 class RecordingCoordinator:
-    """Has each first attempt wait for its key and for its start; the test calls `RemoteClaims` with the decisions."""
+    """Records requests that wait for their key or their start. The test passes the decisions to `RemoteClaims`."""
 
     def __init__(self) -> None:
         self.acquiring: list[Request] = []
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -38,7 +38,7 @@
 
 
 class RecordingCore:
-    """Stands for the request engine behind a client, and records the calls of its methods."""
+    """Replaces the request engine of a client, and records the calls of the engine's methods."""
 
     def __init__(self, world: EngineHarness) -> None:
         self.calls: list[Any] = []
--- a/tests/test_demand_counting.py
+++ b/tests/test_demand_counting.py
@@ -39,7 +39,12 @@
 def report_of(
     seat: str, incarnation: int, bucket: int, requests: int, from_ms: int = 0, until_ms: int = BUCKET_MS
 ) -> BucketCounts:
-    """Return a report of one bucket. Buckets are numbered from `START_MS`; the span is relative to its start."""
+    """Return a report of one bucket.
+
+    :param bucket: Number of the bucket, counted from `START_MS`.
+    :param from_ms: Start of the reported part of the bucket, relative to the bucket's start.
+    :param until_ms: End of the reported part, relative to the bucket's start.
+    """
     start_ms = START_MS + bucket * BUCKET_MS
     return BucketCounts(
         seat,
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 BASE_FOLDERS = (ROOT, ROOT / "moorusher", ROOT / "docs", ROOT / "tests")
-# Reports of past incidents are left out because they keep the paths of their time.
+# Reports of past incidents are excluded, because they contain the paths that were valid at the time.
 PAGES = [
     *sorted(page for page in ROOT.glob("docs/**/*.md") if "incidents" not in page.parts),
     ROOT / "README.md",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -221,7 +221,10 @@
 
 
 def test_restarted_acceptors_vote_again_although_one_seat_is_permanently_lost() -> None:
-    """Guards against acceptors that can never recover because a seat is lost for good: they recover slice by slice."""
+    """One of five seats is lost for good, and the others restart one after the other.
+
+    Guards against acceptors that wait for the lost seat for ever. They must recover all keys of which it is no replica.
+    """
     simulation = ClusterSimulation(3, Scenario(seats=5, keys=0, faults=0))
     simulation.run(1_000_000)
     simulation.crash(simulation.processes[4])
@@ -237,8 +240,8 @@
         for process in simulation.processes[:4]
         if process.node.me in simulation.placement.replicas(key)
     )
-    # Of the other keys, one replica is lost. The two others may not know everything that the three knew together, so
-    # they do not vote on these keys.
+    # The lost seat is a replica of the other keys. Their two remaining replicas may not know everything that the three
+    # knew together, so they do not vote on these keys.
     assert not any(
         process.node.acceptor.can_vote_on(key)
         for key in keys
--- a/tests/test_forecast_real.py
+++ b/tests/test_forecast_real.py
@@ -206,8 +206,8 @@
 
 @asynchronous_test
 async def test_late_hint_of_a_former_leader_is_rejected() -> None:
-    """The leader's hint is delayed, the leader is stopped, and the next leader's hint arrives first. When the first
-    hint arrives then, it would replace the newer one if it had no fencing token."""
+    """The leader's hint is delayed, the leader is stopped, and the next leader's hint arrives first. Without a fencing
+    token, the delayed hint would replace the newer one."""
     async with forecasting_fleet() as forecasting:
         await forecasting.import_history(0)
         await wait_until(lambda: len(forecasting.receiver.accepted) > 0)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -247,7 +247,7 @@
 @pytest.mark.parametrize(
     "gauge, running, unknown",
     [
-        # The gauges are stuck at idle, so the runner's own count is used.
+        # The gauges remain at their idle values, so the runner's own count is used.
         (KernelGauges(START_US, 0.02, 0.0), 40, "say 2% busy while 40 run"),
         (KernelGauges(START_US - 9 * SECOND_US, 0.9, 30.0), 40, "9.0 s old"),
         (None, 40, "never told"),
@@ -318,7 +318,9 @@
         if i % 10 == 0:
             tracker.probes.probed(now_us, "slow")
     assert tracker.horizon_us(now_us) == 5_100_000
-    for _ in range(60):  # the slow one has stopped; it counts for three more intervals
+    for _ in range(
+        60
+    ):  # The slow load balancer has stopped. It still counts for the time of three of its intervals.
         now_us += SECOND_US // 2
         tracker.probes.probed(now_us, "quick")
     assert tracker.horizon_us(now_us) == 600_000
@@ -404,7 +406,8 @@
         assert current in weight.STEPS and current <= cap and (current == 0) == (zone is CROSSING or not cap)
         steps = weight.STEPS.index(current) - weight.STEPS.index(before)
         if steps > 0 and before:
-            assert (steps - 1) * 0.85 * SECOND_US <= gap  # time at the cap allows no additional steps
+            # A weight that was at its cap for some time must not rise by several steps at once.
+            assert (steps - 1) * 0.85 * SECOND_US <= gap
         elif steps < 0 and current < cap and current:
             assert steps == -1 and now_us - lowered >= 2 * SECOND_US
             lowered = now_us
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -359,7 +359,7 @@
     old, new = pair.worlds
     first = old.submit("k-1", 1, token="k")
     new.submit("k-2", 2, token="k")
-    pair.read(1)  # the successor has precedence: it reads the claim of its peer, and keeps its own
+    pair.read(1)  # The successor has precedence: it reads its peer's claim, and keeps its own claim.
     pair.read(0)
     old.core.caller_disconnected(first)
     pair.settle()
--- a/tests/test_leadership_checking.py
+++ b/tests/test_leadership_checking.py
@@ -49,7 +49,7 @@
 
 
 class IgnoresTerm(IssueToken):
-    """A deliberate fault: the write does not check the term, as if it had only been read before."""
+    """A deliberate fault: the change that issues a token does not check that the holder's term is still current."""
 
     def apply(self, old: LeaseRecord | None) -> LeaseRecord | None:
         return None if old is None or old.holder_sequence >= self.sequence else self.changed(old)
--- a/tests/test_leadership_real.py
+++ b/tests/test_leadership_real.py
@@ -264,7 +264,7 @@
 
         document: dict[str, Any] = {}
 
-        # Single answers can be NoMajority errors instead of the duty's document.
+        # Some answers can be NoMajority errors instead of the duty's document.
         async def is_suspended() -> bool:
             document.update((await duty.request(live))[1])
             return bool(document.get("life") == "aside")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -31,7 +31,7 @@
 
 @asynchronous_test
 async def test_all_requests_are_answered_before_the_earliest_sigkill_despite_a_longer_stop_time() -> None:
-    """SIGKILL may follow SIGTERM after the longest deadline of a request, at most 3 s, plus 0.7 s."""
+    """SIGKILL may follow SIGTERM after the longest deadline of all requests (here at most 3 s) plus 0.7 s."""
     async with running(Kernel(hang=True)) as runner:
         runner.reload(stop_ms=9_000)
         await wait_until(lambda: "configuration read again" in runner.read_log())
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -26,7 +26,7 @@
 
 
 def call_request(number: int, effect: Effect = Effect.IDEMPOTENT) -> CallRequest:
-    """The request for a call with this number."""
+    """Return the request for a call with this number."""
     token = f"t.{number}" if effect is Effect.IDEMPOTENT_WITH_KEY else None
     return CallRequest(f"r{number}", "read", None, effect, token, b"q", 500)
 
@@ -89,7 +89,7 @@
     connection, _ = pool.establish()
     connection.dataReceived(REPLY)
     world.wait(100)
-    # Not on the idle connection, since its loss would not prove that the call never ran.
+    # The call does not use the idle connection, since the loss of that connection would not prove that it never ran.
     pool.call(2, call_request(2, effect))
     assert len(pool.dialled) == 2
     pool.establish()[0].connectionLost()
@@ -114,7 +114,8 @@
     busy, busy_transport = pool.establish()
     pool.set_address(("127.0.0.1", 2))
     assert transport.disconnecting and not busy_transport.disconnecting
-    busy.dataReceived(REPLY)  # the call in flight may finish at the old address, and no new one is sent there
+    # The call in flight may finish at the old address; new calls are not sent there.
+    busy.dataReceived(REPLY)
     assert pool.outcomes[-1] == (2, EndReason.CALL_ANSWERED) and busy_transport.disconnecting
     world.wait(100)
     pool.call(3, call_request(3))
@@ -257,7 +258,7 @@
     sent = [json.loads(message) for message in transport.value().splitlines()]
     assert [message["t"] for message in sent] == ["IODONE", "SYSINFO"]
     transport.clear()
-    connection.connectionLost()  # the kernel may have read the reply; a repeated one could answer a later call
+    connection.connectionLost()  # The kernel may have read the reply. A repeated reply could answer a later call.
     connection, transport = link.establish()
     receive_messages(connection, BOOTED, {"t": "INFO", "mark": "replayed", "v": [0.5]})
     assert b"IODONE" not in transport.value()
@@ -307,13 +308,13 @@
     world.submit("a", 1)  # the old connection is used until the new one is established
     world.turn()
     assert b"SCHED" in first.transport.value() and not first.transport.disconnecting
-    link.set_address(("127.0.0.1", 3))  # while it connects
+    link.set_address(("127.0.0.1", 3))  # The address changes while the client connects.
     second, _ = link.establish()
     assert first.transport.disconnecting and link.dialled[1:] == [("127.0.0.1", 2), ("127.0.0.1", 3)]
     first.connectionLost()
     assert link.connection is second
     second.connectionLost()
-    link.set_address(("127.0.0.1", 4))  # while it waits to reconnect
+    link.set_address(("127.0.0.1", 4))  # The address changes while the client waits to reconnect.
     world.wait(1_000)
     assert link.dialled[3:] == [("127.0.0.1", 4)]
 
@@ -345,7 +346,7 @@
     assert len(dialled) == 2
     dialer._connecting = False
     owner.start_turn()
-    dialer.disconnected()  # the second time, it waits
+    dialer.disconnected()  # After the second loss, the dialer waits before it connects.
     assert len(dialled) == 2
     owner.reactor.advance(1.1)
     assert len(dialled) == 3
@@ -381,7 +382,7 @@
     connection, _ = link.establish()
     receive_messages(connection, BOOTED)
     world.now_ns += 10_000_000_000
-    world.core.fire_timers()  # the event loop runs due timers before it reads
+    world.core.fire_timers()  # The event loop runs due timers before it reads from sockets.
     world.turn()
     receive_messages(connection, {"t": "INFO", "mark": "g", "v": [0.5]})
     world.wait(CONFIRM_AFTER_US / 1000 + 10)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -248,7 +248,8 @@
         decide(slot(schedule), machine(is_drained=True, machines_out=3), POLICY, 0).change, ReturnSlot
     )
     assert isinstance(decide(slot(schedule), machine(draining_us=61 * SECOND), POLICY, 0).change, ReturnSlot)
-    # A process that starts after the draining one has ended returns the slot; one that replaces it keeps the slot.
+    # A process that starts after the draining process has ended returns the slot. A process that takes over from the
+    # draining process in a hot restart keeps the slot.
     assert isinstance(decide(slot(schedule), machine(incarnation=2), POLICY, 0).change, ReturnSlot)
     assert isinstance(
         decide(slot(schedule), machine(incarnation=2, is_first_process=False), POLICY, 0).change, AcceptSlot
@@ -267,7 +268,7 @@
 def test_only_a_later_boot_of_the_machine_proves_that_the_work_is_over(
     proof: CompletionProof, boot_id: str, mode: MachineMode
 ) -> None:
-    """The process of a cleared machine restarts before the work has begun. The restart alone proves nothing."""
+    """The process of a cleared machine restarts before the work has begun, which does not prove that it is over."""
     schedule = with_cleared_slot(schedule_with(request("a", "n0", completion=proof.value)))
     assert decide(slot(schedule), machine(incarnation=2, boot_id=boot_id), POLICY, 3).mode is mode
 
--- a/tests/test_maintenance_checking.py
+++ b/tests/test_maintenance_checking.py
@@ -1,6 +1,6 @@
-"""Model checks of planned maintenance: all interleavings, and seeded simulations in virtual time.
+"""Model checks of planned maintenance: all interleavings, and simulations of random seeds in virtual time.
 
-Each search must also find faults that are seeded on purpose.
+Each search must also find deliberate faults.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class IgnoresRevision(GrantSlots):
-    """Seeded fault: the limit is checked when a grant is sent, and not when it is applied."""
+    """A deliberate fault: the limit is checked when a grant is sent, and not when it is applied."""
 
     def apply(self, schedule: Schedule) -> Schedule | None:
         self.revision = schedule.revision
@@ -58,7 +58,7 @@
 
 
 class IgnoresClearedMachines(DisruptionBudget):
-    """Seeded fault: cleared machines are not counted as out."""
+    """A deliberate fault: cleared machines are not counted as out."""
 
     def __init__(self, views: Any, schedule: Schedule, replicas: Any, policy: MaintenancePolicy) -> None:
         slots = tuple(t for t in schedule.slots if t.stage is not SlotStage.CLEARED)
@@ -66,7 +66,7 @@
 
 
 class WithdrawsClearedSlots(WithdrawRequest):
-    """Seeded fault: a withdrawal succeeds although the operator was notified that the machine may be worked on."""
+    """A deliberate fault: a withdrawal succeeds although its machine has been cleared and may be worked on."""
 
     def apply(self, schedule: Schedule) -> Schedule | None:
         model = super().apply(schedule) or schedule
@@ -122,7 +122,7 @@
 
 
 class IgnoresLaterBoot(Waiters):
-    """Seeded fault: a caller on a later boot of the machine gets the clearance for a caller on an earlier boot."""
+    """A deliberate fault: a caller on a later boot of the machine gets the clearance for an earlier boot."""
 
     def result_for(self, waiter: Any, schedule: Schedule, is_known: bool) -> WaitResult | None:
         slot = schedule.slot(waiter.seat)
--- a/tests/test_maintenance_real.py
+++ b/tests/test_maintenance_real.py
@@ -208,9 +208,7 @@
     """
     async with machines(3, work=30.0) as m:
         front = await m.fleet.connect_front_end(1)
-        run = front.send(
-            "check"
-        )  # the machine drains as long as this runs, which is longer than until the kill
+        run = front.send("check")  # The machine drains until this run ends, which is after the kill.
         assert (await m.api(0, "ask", id="a", seats=["n1"], reason="patch"))[0] == 200
         await m.wait_for_stage(1, "draining")
         first = (await m.show(0))["turns"][0]["number"]
@@ -262,7 +260,7 @@
             await until(partial(m.is_seen_lost, i, 1))
         second = asyncio.ensure_future(m.script(2))
         await asyncio.sleep(3.5)
-        assert not m.cleared_machines  # a suspended machine counts as lost, and so as out
+        assert not m.cleared_machines  # A suspended machine counts as lost, and a lost machine counts as out.
         m.fleet.resume(1)
         assert "result" in await run
         assert await first == 5 and await second == 0 and m.cleared_machines == [2] and m.max_cleared == 1
@@ -304,7 +302,7 @@
         m.fleet.isolate(3)  # each runner is isolated now
         second = asyncio.ensure_future(m.script(2))
         await m.reboot(1)
-        await m.wait_until_serving(1)  # it serves without a connection to the others
+        await m.wait_until_serving(1)  # The machine that was out serves without a connection to the others.
         assert "result" in await (await m.fleet.connect_front_end(1)).ask("check")
         status, answer = await m.api(3, "ask", id="x", reason="patch")
         assert status == 503 and answer["kind"] == "NoMajority"
@@ -457,13 +455,14 @@
 
 @asynchronous_test
 async def test_with_journals_the_schedule_survives_a_restart_of_the_whole_fleet() -> None:
-    """All runners lose power at one time and restart with their journals."""
+    """All runners are killed at the same time and restart with their journals."""
     async with machines(3, journals=True) as m:
         assert (await m.api(0, "hold", why="a freeze"))[0] == 200
         assert (await m.api(0, "ask", id="a", all=True, reason="patch", lasts_s=1))[0] == 200
         process = await m.ask(1, "--id", "b", "--priority", "9")
 
-        # Both are open before the resumption. Otherwise a slot of "a" may be granted first, which nothing ends.
+        # Both requests must be open before the resumption. Otherwise a slot of "a" may be granted first, and no script
+        # would do the work and end that slot.
         async def both_are_open() -> bool:
             return {a["id"] for a in (await m.show(0)).get("asks", ())} == {"a", "b"}
 
--- a/tests/test_namespaces.py
+++ b/tests/test_namespaces.py
@@ -224,7 +224,7 @@
     )
     rule_found = table.find(RequestAttributes("check", key="us-1"))
     assert rule_found is not None and rule_found.name == "rest"
-    with pytest.raises(UnreachableRuleError):  # The team's rule covers all of it.
+    with pytest.raises(UnreachableRuleError):  # The team's rule covers all requests of the other rule.
         RuleTable([team, rule("narrow", key=string_set("eu-x*"))], "d")
 
 
--- a/tests/test_namespaces_real.py
+++ b/tests/test_namespaces_real.py
@@ -401,7 +401,8 @@
     async with routed_cluster(journals=True) as cluster:
         await cluster.publish(0)
         folder = cluster.fleet.journal(2)
-        # If it were killed during that write, SQLite's rollback journal would remain and repair the damage below.
+        # If the runner were killed while it writes the revision, SQLite's rollback journal would remain and repair the
+        # damage below.
         await wait_until(lambda: stored_count(folder / "namespaces.db") == 1)
         cluster.fleet.kill(2)
         await cluster.fleet.wait_for_exit(2)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -224,7 +224,7 @@
     probed.world.core.drain_state.stop_at_us = probed.world.core.clock.now
     probed.reporter.state_changed()
     probed.agent_line()
-    # At present, no code cancels a shutdown. If a later change does so, the transition table must detect it.
+    # No code cancels a shutdown. The transition table must detect it if a change of the program ever does so.
     probed.world.core.drain_state.stop_at_us = None
     probed.reporter.state_changed()
     assert probed.agent_line() == "ready fail #failed: standing unknown: from draining to serving\n"
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -1,5 +1,5 @@
 """Publishing and distribution of customers' revisions without sockets: unit tests, simulations in virtual time, and
-seeded mistakes that the simulations must detect.
+deliberate mistakes that the simulations must detect.
 """
 
 from __future__ import annotations
@@ -161,7 +161,8 @@
 
 @pytest.mark.parametrize("is_applied", [False, True])
 def test_the_register_is_read_after_an_unknown_outcome(is_applied: bool) -> None:
-    """Otherwise the next draft could get the same number as a change that is accepted later."""
+    """The outcome of a change is unknown, and the register may still accept the change later. Without a read of the
+    register, the next draft could get the same number."""
     host = FakeLeaseAndHost((True, True), (False, is_applied))
     publisher, results = Publisher(host, host), list[Any]()  # type: ignore[arg-type]
     publisher.start()
@@ -419,7 +420,7 @@
     assert simulation.play() is None, simulation.faults.log
 
 
-# ---- seeded mistakes that must be found ----
+# ---- deliberate mistakes that must be found ----
 
 
 class RegressingRevisions(CurrentRevisions):
--- a/tests/test_replacing.py
+++ b/tests/test_replacing.py
@@ -1,4 +1,4 @@
-"""Hot replaceable over real sockets: a second process replaces the first, and each of them fails at bad moments."""
+"""Hot restart over real sockets: a second process replaces the first, and each of them fails at bad moments."""
 
 from __future__ import annotations
 
@@ -81,7 +81,8 @@
 ) -> None:
     """The new process can't duplicate the old one's sockets for a moment, as file descriptors have run out.
 
-    The old process no longer accepts on them, so a connection that no process accepts is lost when it exits.
+    The old process no longer accepts connections. Those that the new process has not accepted when the old one exits
+    would be lost.
     """
     async with replaceable_runner() as replaceable:
         runner = replaceable.runner
@@ -213,7 +214,7 @@
             except TimeoutError:
                 front.close()
         assert refused["error"]["code"] == -32014 and "result" in await front.ask("check")
-        old.send_signal(signal.SIGCONT)  # it sends its keys, and finishes
+        old.send_signal(signal.SIGCONT)  # The old process sends its keys, and finishes.
         await wait_until(lambda: "serves, and the other one finishes" in runner.read_log())
         front = await FrontEnd.connect(runner.port)
         assert "result" in await front.ask("submit", token=new_key())
@@ -226,9 +227,8 @@
         (rendezvous,) = Path(runner.spool).iterdir()
         runner.processes[0].kill()
         runner.processes[0].wait()
-        await (
-            replaceable.replace()
-        )  # finds the socket of a dead process, and can't know which keys that one ran
+        # The new process finds the socket of a dead process, and can't know which keys the dead process ran.
+        await replaceable.replace()
         front = await FrontEnd.connect(runner.port)
         assert (await front.ask("submit", token=new_key()))["error"]["code"] == -32014
         assert "result" in await front.ask("check")
@@ -257,7 +257,7 @@
         await runner.wait_until_healthy()
         assert await runner.call_console("quiesce") == 200
 
-        # The answer may arrive before the other process has been notified.
+        # The console may answer before the other process has been notified of the maintenance.
         async def maintenance_shared() -> bool:
             return await runner.call_console("health", first) == 503
 
@@ -302,7 +302,8 @@
         runner, first = replaceable.runner, replaceable.runner.console
         await replaceable.start_process(boot_delay_s=3600)
         await wait_until(lambda: "has its keys, and waits for the kernel" in runner.read_log())
-        runner.processes[1].send_signal(signal.SIGSTOP)  # it gets the kernel's message and the signal at once
+        # The process is stopped, so that it receives the kernel's message and SIGTERM at the same time.
+        runner.processes[1].send_signal(signal.SIGSTOP)
         replaceable.kernels[1].finish_boot()
         runner.processes[1].send_signal(signal.SIGTERM)
         runner.processes[1].send_signal(signal.SIGCONT)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -115,7 +115,7 @@
     reconfigure_scheduler(
         scheduler, 10, settings_with_classes(replace(SAFE, latency_objective_ms=50, deadline_ms=60), KEYED)
     )
-    for now_ms in range(20, 400, 25):  # past the new deadline, within the old one
+    for now_ms in range(20, 400, 25):  # These times are after the new deadline and before the old one.
         assert not only(scheduler.step(now_ms, [api.Timer(0, (1.0,))]), api.Reject)
     assert started(scheduler.step(400, done(1))) == [2]
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -98,7 +98,7 @@
         client = await FrontEnd.connect(runner.port)
         pending = [client.send("submit", token=new_key()) for _ in range(4)]
         await wait_until(lambda: len(kernel.runs) >= 2)
-        kernel.cut()  # Runs end while it is broken, and the kernel replays their notices.
+        kernel.cut()  # Runs end while the connection is broken, and the kernel replays their notices.
         answers = await asyncio.wait_for(asyncio.gather(*pending), WAIT)
         assert all("result" in answer for answer in answers)
         assert len({rid for rid, _, _ in kernel.runs}) == len(kernel.runs) == 4
@@ -253,7 +253,7 @@
 
 @asynchronous_test
 async def test_a_hanging_call_is_cancelled_by_a_close_and_pooled_connections_are_reused() -> None:
-    """The database never replies to a call, whose connection is closed at the deadline."""
+    """The database never replies to one call. Closing the connection of this call at the deadline cancels it."""
     database = Database(200, 200, 200, "hang")
     async with running(Kernel(calls=True), database) as runner:
         client = await FrontEnd.connect(runner.port)
@@ -290,7 +290,7 @@
 
 @asynchronous_test
 async def test_draining_answers_all_requests_in_flight_and_ends_the_process() -> None:
-    """SIGTERM arrives while requests over both protocols are in flight.
+    """SIGTERM arrives while JSON-RPC and uwsgi requests are in flight.
 
     The runner continues to serve for a while, asks its clients to leave, closes its listening sockets, and exits
     after all requests are answered.
@@ -302,7 +302,8 @@
         await asyncio.sleep(0.2)
         runner.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: "draining: exits within" in runner.read_log())
-        # Clients learn late of the shutdown, so the runner serves for some time longer, also over new connections.
+        # Clients may learn of the shutdown late, so the runner still serves requests for a while, also over new
+        # connections.
         late_client = await FrontEnd.connect(runner.port)
         assert not client.stray and "result" in await late_client.ask("check")
         await wait_until(lambda: any(message.get("method") == "leaving" for message in client.stray))
@@ -336,7 +337,7 @@
 
 @asynchronous_test
 async def test_under_overload_requests_are_queued_or_rejected_and_the_concurrency_limit_holds() -> None:
-    """256 requests arrive at once. Those beyond the capacity of the runner are rejected with a backoff."""
+    """256 requests arrive at once. The runner runs or queues some and rejects the others, each with a backoff."""
     async with running(kernel := Kernel(work=0.2)) as runner:
         clients = [await FrontEnd.connect(runner.port) for _ in range(8)]
         answers = await asyncio.gather(
@@ -388,7 +389,8 @@
             await writer.drain()
             writer.close()
         _, writer = await asyncio.open_connection("127.0.0.1", runner.uwsgi)
-        writer.write(raw)  # This client disconnects after the complete request, which is cancelled.
+        # This client disconnects after it has sent the complete request, which is then cancelled.
+        writer.write(raw)
         await wait_until(lambda: len(kernel.runs) == 1)
         writer.close()
 
@@ -492,8 +494,9 @@
 
 @asynchronous_test
 async def test_service_registration_is_renewed_while_serving_and_stops_on_draining() -> None:
-    """The registry closes a connection between reports, and the runner drains while a run hangs."""
-    announce = Announce(cut_at=2)  # It closes the connection once. The reports after that must still arrive.
+    """The registry closes a connection between two reports. Later the runner drains while a run hangs."""
+    # The registry aborts the connection of the second report. Later reports must still arrive.
+    announce = Announce(cut_at=2)
     reports = announce.reports
     async with running(Kernel(hang=True), announce=announce.port) as runner:
         await wait_until(lambda: len(reports) >= 4)
@@ -616,7 +619,7 @@
         client = await FrontEnd.connect(runner.port)
         pending = client.send("submit", token=new_key())
         await wait_until(lambda: len(kernel.runs) == 1)
-        dead_connection = kernel.link  # It stays open, but the kernel sends nothing more on it.
+        dead_connection = kernel.link  # This connection stays open, but the kernel sends nothing more on it.
         kernel.link = None
         assert dead_connection is not None
         dead_connection.send_message = lambda message: None  # type: ignore[method-assign]
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -377,7 +377,7 @@
         assert all(
             is_served(key, answer) for key, answer in (await retry_requests(cluster, 0, tokens)).items()
         )
-        for i in (1, 2, 3):  # One after the other, so that never two of them are recovering.
+        for i in (1, 2, 3):  # One after the other, so that at most one of them is recovering at a time.
             cluster.runners[i].process.kill()
             cluster.runners[i].process.wait()
             cluster.runners[i].restart()
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -248,7 +248,7 @@
     stats_by_name = {s.name: s for s in decode_snapshot(known).endpoints}
     assert set(stats_by_name) == {"s0", "s1", "s2", "s3"} and stats_by_name["s0"].ejected
     async with running(Kernel(calls=True), more=text, beside={"known": known}) as r:
-        # The donor had served for a second or two, so its measurements have little weight but are used.
+        # The donor had served for only one or two seconds. Its measurements have little weight but are used.
         assert (await r.counters())["servers known from before"] >= 3
         f = await FrontEnd.connect(r.port)
         assert "result" in await f.ask("check")
@@ -353,7 +353,7 @@
         f"s{i}": Prior(1.0, 1.0, 1.0, False, ("wrong",) if i < 8 else ("honest", "wrong")) for i in range(10)
     }
     verification = PriorVerification(priors, dropped.append)
-    verification.latency_measured("s0", 5.0, 3)  # too few samples to say
+    verification.latency_measured("s0", 5.0, 3)  # Too few samples for a verdict.
     assert not dropped
     verification.latency_measured("s0", 5.0, 4)
     verification.latency_measured("s1", 1.2, 4)
--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -1,13 +1,13 @@
-"""Play the tests of real processes with two builds of the program at once: an earlier revision and the work tree.
+"""Run the tests of real processes with two builds of the program at once: an earlier revision and the work tree.
 
 Usage, from the root of the repository: python -m tests.two_builds REVISION [ARGUMENTS OF PYTEST]
 
-Each process that a test starts runs the other build than the process before it, in the order of the starts. So builds
-replace each other by a hot restart, are members of one fleet with duties, keyed work, namespaces and maintenance, and
-read each other's journals, revisions, warm-start files and settings. Every test is played twice, once with each build
-first. Tests that match log lines are left out: their wording may differ between builds.
+The processes that a test starts run the two builds in turn. The builds thus replace each other by a hot restart, are
+members of one fleet with duties, keyed work, namespaces and maintenance, and read each other's journals, revisions,
+warm-start files and settings. Every test runs twice, once with each build first. Tests that match log lines are
+skipped, because the wording of log lines may differ between builds.
 
-The exit code is 0 if both plays passed.
+The exit code is 0 if the tests passed in both orders.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 from . import stand_ins
 
 PRESENT = Path(__file__).resolve().parent.parent
-BUILDS_VARIABLE = "MOORUSHER_TEST_BUILDS"  # the folders of both builds, first the one that is started first
+# Environment variable with the folders of both builds. The first process of a test runs the first one.
+BUILDS_VARIABLE = "MOORUSHER_TEST_BUILDS"
 TEST_MODULES = (
     "test_effect_changes",
     "test_forecast_real",
@@ -45,7 +46,7 @@
     "test_warm_start",
 )
 WORKERS = "4"
-LOG_ACCESS = ".read_log()"  # how a test reads the log of its runner
+LOG_ACCESS = ".read_log()"  # Call by which a test reads the log of its runner.
 
 
 def _matches_log_lines(item: pytest.Item) -> bool:
