--- a/moorusher/core/clock.py
+++ b/moorusher/core/clock.py
@@ -101,7 +101,7 @@
         self._armed: int | None = None  # time that the event loop's timer is set to
 
     def at(self, when: int, action: Callable[[], None]) -> Alarm:
-        """Schedule a function to be called at a time of the clock in us."""
+        """Schedule a call of `action` at a time, in us of the clock."""
         alarm = Alarm(action)
         heapq.heappush(self._heap, (when, next(self._order), alarm))
         self._rearm()
@@ -122,6 +122,6 @@
             if alarm.action is not None:
                 try:
                     alarm.action()
-                except Exception:  # an error in one alarm must not prevent the later ones
+                except Exception:  # an error in one alarm must not prevent the alarms after it
                     log.exception("alarm callback failed")
         self._rearm()
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -78,7 +78,7 @@
                 self._former.setdefault(cls.name, longest)
 
     def effective_class(self, cls: api.RequestClass, now: int) -> api.RequestClass:
-        """Return the class that applies to a request with a token."""
+        """Return `cls`, changed to a class with keys until the last key of its former class has expired."""
         former = self._effective.get(cls.name)
         if former is None or now >= self._former[cls.name].expires_us:
             return cls
--- a/moorusher/core/run.py
+++ b/moorusher/core/run.py
@@ -259,7 +259,8 @@
         evidence = _evidence(reply.command_number, commands_read)
         if evidence is Evidence.SUCCEEDED:
             return
-        # A skip command contains its notice number, so a second copy can't be matched with a later call.
+        # A reply without content is a skip command, which contains the number of the call's notice. It may be sent
+        # twice, because the kernel can't take the second copy for the reply to a later call.
         if reply.content is None:
             self._send_reply(run, reply.notice, None)
             return
--- a/moorusher/leadership/chunks.py
+++ b/moorusher/leadership/chunks.py
@@ -1,8 +1,8 @@
 """Splits states into content-addressed chunks, and stores chunks at a replica.
 
-A chunk is stored before the record in the register references it. Its mark is the position of the change that will
-reference it. It is deleted once a chosen record at or after that position does not reference it, since from then on no
-change can reference it. Deletion does not depend on clocks.
+A chunk is stored before the record in the register references it. Its mark is the position (generation, term and
+revision) of the change that will reference it. The chunk is deleted once a chosen record at or after that position does
+not reference it, since from then on no change can reference it. Deletion does not depend on clocks.
 """
 
 from __future__ import annotations
@@ -62,8 +62,8 @@
     Attributes:
         max_bytes: Limit per duty; chunks beyond it are refused.
         chunks: Chunks by register and name.
-        marks: Position of the latest change that will reference a chunk, by register and name.
-        chosen: Position of the latest record that is known to be chosen, by register.
+        marks: Generation, term and revision of the latest change that will reference a chunk, by register and name.
+        chosen: Generation, term and revision of the latest record known to be chosen, by register.
         has_disk: Whether new chunks are listed in `unsaved` until they are written.
         unsaved: Registers and names of chunks to be written.
     """
--- a/moorusher/leadership/election.py
+++ b/moorusher/leadership/election.py
@@ -50,10 +50,10 @@
     stability: StabilityTracker
     unfit_timeout_us: int
     records: dict[KeyDigest, LeaseRecord] = field(default_factory=dict)
-    # Declined offers of the current attempt.
+    # Number of offers declined in the current attempt, by register.
     _declined: dict[KeyDigest, int] = field(default_factory=dict)
     _keys_by_holder: dict[Owner, set[KeyDigest]] = field(default_factory=dict)
-    # Number of attempts of each election in progress.
+    # Number of attempts of each election in progress, by register.
     _attempts: dict[KeyDigest, int] = field(default_factory=dict)
     _pending_offers: deque[KeyDigest] = field(default_factory=deque)
     _is_batch_scheduled: bool = False
--- a/moorusher/leadership/held_leases.py
+++ b/moorusher/leadership/held_leases.py
@@ -95,7 +95,8 @@
     def _acquire(self, key: KeyDigest, change: Change) -> None:
         def on_result(result: ChangeResult | None) -> None:
             if result is None:
-                # Retry: the acquisition may have succeeded, and replicas don't replace a holder that is alive.
+                # The outcome is unknown. If the acquisition has succeeded, replicas regard this member as the holder
+                # and elect no other while it is alive, so the duty would have no worker without a retry.
                 return self._services.after(ACQUIRE_RETRY_US, lambda: self._acquire(key, change))
             self._acquiring.discard(key)
             return self._on_register(key, change, result)
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -209,7 +209,7 @@
     # ---- end of the term ----
 
     def release(self, offered_to: str = "") -> None:
-        """Release the lease after the queued effects, and offer it to `offered_to` first; accept no new effects."""
+        """Accept no new effects, and release the lease after the queued ones. `offered_to` is the first seat offered it."""
         if self.stage is LeaseStage.STARTING:
             self.stage = LeaseStage.ACTIVE
         if self.stage is not LeaseStage.ACTIVE:
--- a/moorusher/leadership/state_replication.py
+++ b/moorusher/leadership/state_replication.py
@@ -73,8 +73,9 @@
         deadline_us: int,
         callback: Callable[[bool], None],
     ) -> None:
-        """Store a state at its replicas before the change at `mark` references it.
+        """Store a state at its replicas before a change of the register references it.
 
+        :param mark: Generation, term and revision of that change.
         :param known: Names of chunks that the replicas should already store.
         :param callback: Receives True once a majority has stored all chunks durably; False after the deadline or if
             too many replicas refuse.
--- a/moorusher/leadership/worker.py
+++ b/moorusher/leadership/worker.py
@@ -29,7 +29,7 @@
     def send_fenced(
         self, receiver: str, duty: str, token: FencingToken, body: bytes, callback: ResponseCallback
     ) -> None:
-        """Send a request with its fencing token. The receiver executes a request that is sent twice only once."""
+        """Send a request with its fencing token. The receiver executes it only once, even if it is sent twice."""
 
     def send_intent(self, receiver: str, duty: str, intent: Intent, callback: ResponseCallback) -> None:
         """Send a recorded intent."""
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -114,7 +114,7 @@
 
     @property
     def owner(self) -> Owner:
-        """This process."""
+        """This process, as registers name it if it owns work."""
 
     @property
     def me(self) -> str:
@@ -150,7 +150,7 @@
         """Delete this runner's state of a key."""
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
-        """Apply the register's value: the work is held here, owned by another runner, or finished."""
+        """Apply the register's value: this runner owns the work, another runner owns it, or it is finished."""
 
     def release_work(self, key: KeyDigest, rejected: bool = False) -> None:
         """Release an attempt of this runner that ended before its run."""
--- a/moorusher/replication/key_tenure.py
+++ b/moorusher/replication/key_tenure.py
@@ -1,4 +1,4 @@
-"""A runner's state of a key whose work it owns or whose result it waits for."""
+"""The state that a runner has of an idempotency key if it owns the key's work or waits for the result."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class Tenure:
-    """A runner's state of one key.
+    """A runner's state of one idempotency key.
 
     Attributes:
         key: Digest of tenant and idempotency key.
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -1,4 +1,7 @@
-"""Keyed work that another runner owns: waits for its result; ends it or takes it over if the owner does not answer."""
+"""Keyed work that another runner owns.
+
+This runner waits for the result, and ends the work or takes it over if the owner does not answer.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class WatchedWork:
-    """The waiting side of the lifecycle of work."""
+    """The part of a work's lifecycle that a runner executes while it waits for another runner's result."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
--- a/moorusher/replication/work_takeover.py
+++ b/moorusher/replication/work_takeover.py
@@ -1,5 +1,6 @@
-"""Orphaned work, whose owner is lost: finds it in the registers of this replica, offers it to runners, takes it over.
+"""Takeover of orphaned work, which is work whose owner is lost.
 
+Each replica looks for orphaned work in its registers and offers it to runners, which take it over.
 Every takeover is a change of the work's register, so several runners may safely try at once. Which runner tries, and
 when, only affects how fast the work continues.
 """
@@ -27,7 +28,7 @@
 
 
 class WorkTakeover:
-    """Checks the work in one replica's registers, and takes over work that is offered to its runner."""
+    """Finds orphaned or released work in this replica's registers, and takes over work offered to this runner."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
--- a/moorusher/scheduling/events.py
+++ b/moorusher/scheduling/events.py
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A running request needs a downstream call and waits for it off the cores."""
+    """A running request needs a downstream call and waits for its end without occupying a core."""
 
     id: int
 
--- a/moorusher/scheduling/fair_queue.py
+++ b/moorusher/scheduling/fair_queue.py
@@ -79,8 +79,9 @@
         tenants: Queues by tenant number. Negative numbers are callers and removed tenants.
         waiting: Number of jobs in all queues.
         virtual_time: v(t) in the paper, in ms. Monotonic.
-        eligibility_lead: Largest lag of the virtual clock observed when no tenant was eligible, in ms. It is
-            added to the clock in the eligibility check, and subtracted from the clock's upper bound.
+        eligibility_lead: Largest lag of the virtual clock behind the smallest start tag, observed when no
+            tenant was eligible, in ms. It is added to the clock in the eligibility check, and subtracted from
+            the clock's upper bound.
         active_weight: Sum of the weights of active tenants.
         service_rate: Core time used per unit of time, a running mean over windows.
         work_ms: Core time of the runs that ended in this window.
@@ -174,7 +175,8 @@
     def pick_ineligible(self) -> TenantQueue | None:
         """Return the tenant with the smallest start tag, for a slot that would otherwise remain free.
 
-        If no tenant is eligible, the virtual clock lags behind. The lag is recorded in `eligibility_lead`.
+        If no tenant is eligible, the virtual clock lags behind the smallest start tag. The largest lag is
+        recorded in `eligibility_lead`.
         """
         best: TenantQueue | None = None
         best_tag = NEVER
--- a/moorusher/scheduling/scheduler.py
+++ b/moorusher/scheduling/scheduler.py
@@ -132,7 +132,7 @@
             return
         if job.state is JobState.CALLING:
             self.calls.in_flight -= 1
-        # A run that failed early says nothing about the cost of runs.
+        # Only a successful run counts in the estimates of costs, because a failed run may have ended early.
         self.lifecycle.end(job, completed=event.outcome is api.ExecutionOutcome.OK)
 
     def _timer_fired(self, event: api.Timer) -> None:
