--- a/moorusher/core/action_executor.py
+++ b/moorusher/core/action_executor.py
@@ -79,8 +79,8 @@
         if request is None:
             return
         if request.stage is not RequestStage.QUEUED:
-            # A rejection promises that the request never ran. This request has started, or waits for the result of
-            # another attempt, which may have run.
+            # A rejection would promise that the request never ran. This request has started, or waits for the result of
+            # another attempt, which may have run. So it fails instead.
             log.error("the scheduler rejected a request that is no longer queued: request=%s", request.rid)
             self._fail(api.Fail(action.id))
             return
--- a/moorusher/core/execution.py
+++ b/moorusher/core/execution.py
@@ -133,7 +133,7 @@
         return " ".join(by_number[number].rid for number in numbers[:MAX_IDS_LOGGED] if number in by_number)
 
     def _stop_at_deadline(self, number: int) -> None:
-        """Schedule the stop of a run at its deadline, if the reply to its call may still be lost then."""
+        """Schedule a check at the deadline, which stops the run if it may then wait for a lost reply to its call."""
         request = self._table.by_number.get(number)
         if request is not None:
             due = max(request.deadline_us, self._state.clock.now)
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -1,8 +1,8 @@
 """Request classes that had idempotency keys under earlier settings.
 
 A key is valid for the whole window of its class, and retries may arrive after new settings have changed the effect of
-the class or replaced the class by another one. Until the last key of the former class has expired, a request with a
-token is therefore treated as a request of a class with keys.
+the class or replaced the class by another one. Until the last key of the former class has expired, a request with an
+idempotency token is therefore treated as a request of a class with keys.
 """
 
 from __future__ import annotations
--- a/moorusher/leadership/candidates.py
+++ b/moorusher/leadership/candidates.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LossHistory:
-    """How often a member was recently declared dead, and when it last was."""
+    """Number of recent losses of a member, and the time of the latest one in us."""
 
     count: int
     last_us: int
--- a/moorusher/leadership/effect_executor.py
+++ b/moorusher/leadership/effect_executor.py
@@ -77,7 +77,7 @@
 
         def changed(outcome: Outcome) -> None:
             if isinstance(outcome, LeaderBusyError) and attempt < MAX_ATTEMPTS:
-                # Retry on top of the current revision.
+                # The revision has changed concurrently, so retry the update based on the current one.
                 return self._update_state(state, attempt + 1)
             if isinstance(outcome, Completed):
                 lease.state = state
--- a/moorusher/leadership/holder_changes.py
+++ b/moorusher/leadership/holder_changes.py
@@ -66,7 +66,7 @@
     """Adds a new version of the state, whose chunks a majority has stored.
 
     Attributes:
-        base_revision: Revision that the record must have, since the chunks are marked for exactly the next revision.
+        base_revision: Revision that the record must have, since the chunks were stored for a change to the next one.
         size: Size in bytes.
         chunks: Digests of the chunks, in order.
         max_versions: Number of versions to retain.
--- a/moorusher/leadership/lease_holder.py
+++ b/moorusher/leadership/lease_holder.py
@@ -209,7 +209,10 @@
     # ---- end of the term ----
 
     def release(self, offered_to: str = "") -> None:
-        """Accept no new effects, and release the lease after the queued ones. `offered_to` is the first seat offered it."""
+        """Accept no new effects, and release the lease once the queued effects have ended.
+
+        :param offered_to: Seat to which the lease is offered first; empty for any candidate.
+        """
         if self.stage is LeaseStage.STARTING:
             self.stage = LeaseStage.ACTIVE
         if self.stage is not LeaseStage.ACTIVE:
--- a/moorusher/leadership/messages.py
+++ b/moorusher/leadership/messages.py
@@ -53,7 +53,7 @@
     Attributes:
         serial: Number of the request, which the answer repeats.
         key: Key of the register.
-        mark: Position of the change that will reference the chunk.
+        mark: Generation, term and revision of the change that will reference the chunk.
         name: Digest of the chunk.
         chunk: Content; empty if the replica should already store it.
     """
--- a/moorusher/replication/interfaces.py
+++ b/moorusher/replication/interfaces.py
@@ -34,7 +34,7 @@
         """Call `then` once all changes of the space's acceptor so far are on its disk.
 
         The call is immediate if there is no journal, and never happens if the disk fails. A vote may not be sent or
-        counted before it.
+        counted before this call.
         """
 
     def at(self, when: int, action: Callable[[], None]) -> None:
--- a/moorusher/replication/journal.py
+++ b/moorusher/replication/journal.py
@@ -61,7 +61,7 @@
 
 
 class ChunkRecord(_Record, frozen=True, tag="piece"):
-    """A part of a duty's state. `mark` identifies the change of the duty's register that refers to this state."""
+    """A chunk of a duty's state. `mark` is the generation, term and revision of the change that references it."""
 
     key: KeyDigest
     mark: tuple[int, int, int]
--- a/moorusher/replication/node.py
+++ b/moorusher/replication/node.py
@@ -256,13 +256,13 @@
         self.registers.recovery.expires_after_us = self.longest_window_us
 
     def hand_over_unstarted_work(self) -> None:
-        """Hand over all held work, because this runner can't run it any more."""
+        """Hand over all work that is queued here, because this runner can't run it any more."""
         self.publish_status()
         for key in [tenure.key for tenure in self.tenures.values() if tenure.is_queued]:
             self.hand_over(key)
 
     def adopt(self, tenure: Tenure, result: ChangeResult) -> None:
-        """Apply the register's value: the work is held here, owned by another runner, or finished."""
+        """Apply the register's value: this runner owns the work, another runner owns it, or it is finished."""
         self.watched_work.adopt(tenure, result)
 
     def offer_work(self, key: KeyDigest, work: WorkRecord) -> None:
--- a/moorusher/replication/owned_work.py
+++ b/moorusher/replication/owned_work.py
@@ -95,7 +95,7 @@
             self._node.forget(tenure)
 
     def _give_up_claim(self, tenure: Tenure) -> None:
-        """Fail a claim that still waits for the withdrawal of an earlier one."""
+        """Fail a claim that still waits for the withdrawal of an earlier claim."""
         is_waiting = tenure.stage is TenureStage.CLAIMING and not tenure.busy
         if self._node.tenures.get(tenure.key) is tenure and is_waiting:
             tenure.stage = TenureStage.FINISHING
@@ -136,11 +136,11 @@
     # ---- start ----
 
     def start(self, key: KeyDigest) -> bool:
-        """Record the start of held work before its run is commanded.
+        """Record the start of queued work before its run is commanded.
 
         `StartConfirmed`, `StartLost` or `StartUncovered` follows, possibly during this call.
 
-        :returns: Whether this runner holds the key. If not, no event follows.
+        :returns: Whether the work is queued at this runner. If not, no event follows.
         """
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is not TenureStage.QUEUED:
@@ -264,7 +264,7 @@
         tenure.finish_step()
 
     def hand_over(self, key: KeyDigest) -> None:
-        """Release held work so that another runner runs it. `HandedOver` follows once a majority has the release."""
+        """Release queued work for another runner. `HandedOver` follows once a majority has accepted the release."""
         tenure = self._node.tenures.get(key)
         if tenure is None or tenure.stage is not TenureStage.QUEUED or tenure.request is None:
             return
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -52,7 +52,7 @@
         self._node.forget(tenure)
 
     def _hold(self, tenure: Tenure, work: WorkRecord, result: ChangeResult, is_claim: bool) -> None:
-        """Hold the work, which this runner has claimed or taken over."""
+        """Record that this runner owns the work, which it has claimed or taken over."""
         tenure.stage = TenureStage.QUEUED
         tenure.attempt = work.attempt
         tenure.promise = result.promise
@@ -161,7 +161,7 @@
     def _next_change(self, tenure: Tenure, not_in_hand: bool) -> ChangeFunction:
         """Return the change for work whose owner does not have it or does not answer."""
         # Started work is finished without a result if its owner is lost or does not have it, and is never run again.
-        # Held or released work is taken over if this runner can run it.
+        # Queued or released work is taken over if this runner can run it.
         owner = tenure.owner
         if tenure.state is WorkState.STARTED:
             if owner is not None and (not_in_hand or self._node.is_lost(owner)):
--- a/moorusher/replication/work_events.py
+++ b/moorusher/replication/work_events.py
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedOver(WorkEvent):
-    """This runner has handed over held work and should remove the work from its queue. `ResultKnown` follows."""
+    """This runner has handed over queued work and should remove the work from its queue. `ResultKnown` follows."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/replication/work_record.py
+++ b/moorusher/replication/work_record.py
@@ -103,14 +103,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWork:
-    """Claims a key that is new to the claiming runner. The runner becomes the owner unless the key has one."""
+    """Claims a key that is new to the claiming runner, which becomes the owner unless the key has an owner."""
 
     owner: Owner
     body_digest: int
     request: WorkRequest
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return QUEUED by the claimer if the register was empty or the same work was released."""
+        """Return QUEUED by the claimer if the register was empty, or if work was released that the claim matches.
+
+        A claim matches released work with the same body, and released work whose request is no longer stored.
+        """
         if old is None:
             return WorkRecord(WorkState.QUEUED, self.owner, 1, self.body_digest, self.request)
         if old.state is WorkState.RELEASED and (old.body_digest == self.body_digest or old.request is None):
@@ -120,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOverWork:
-    """Takes over work that was released, or that `former_owner` holds. Never applies to work that may have started."""
+    """Takes over work that was released or is queued at `former_owner`, but never work that may have started."""
 
     new_owner: Owner
     former_owner: Owner
@@ -163,7 +166,7 @@
     """Records the start before the run is commanded. Drops the request, as the work can't be taken over any more."""
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return STARTED if the work was held."""
+        """Return STARTED if the work was queued."""
         if old is not None and self.applies_to(old) and old.state is WorkState.QUEUED:
             return WorkRecord(
                 WorkState.STARTED, old.owner, old.attempt, old.body_digest, None, None, old.rejected_by
@@ -200,7 +203,7 @@
     rejected: bool
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return RELEASED if the work was held or started."""
+        """Return RELEASED if the work was queued or started."""
         if old is None or not self.applies_to(old):
             return None
         if old.state not in (WorkState.QUEUED, WorkState.STARTED):
@@ -221,7 +224,7 @@
     owner: Owner
 
     def __call__(self, old: WorkRecord | None) -> WorkRecord | None:
-        """Return RELEASED if this owner holds the work."""
+        """Return RELEASED if the work is queued at this owner."""
         if old is not None and old.owner == self.owner and old.state is WorkState.QUEUED:
             return WorkRecord(WorkState.RELEASED, old.owner, old.attempt, old.body_digest)
         return None
--- a/moorusher/scheduling/concurrency.py
+++ b/moorusher/scheduling/concurrency.py
@@ -10,7 +10,8 @@
 # A slot may be added if all slots are in use and requests are queued for this share of a window.
 SATURATED_FRACTION = 0.8
 
-# Share of the number of concurrent runs that the machine can sustain (`survivable_runs_per_core`).
+# Maximum number of concurrent runs, as a share of the number that the machine can sustain
+# (`survivable_runs_per_core`).
 MAX_RUNNING_FRACTION = 0.8
 
 
--- a/moorusher/scheduling/downstream_calls.py
+++ b/moorusher/scheduling/downstream_calls.py
@@ -102,7 +102,7 @@
         self.waiting.append(job)
 
     def send(self) -> None:
-        """Skip or send waiting calls, those that their requests depend on most first."""
+        """Skip or send waiting calls, beginning with those on which their requests depend most."""
         if not self.waiting:
             return
         for job in sorted(self.waiting, key=_value_without_call):
--- a/moorusher/scheduling/priority.py
+++ b/moorusher/scheduling/priority.py
@@ -11,7 +11,7 @@
 OUTRANKING_RATIO = 1.5  # ratio of two priority weights above which one class outranks the other
 DEMAND_LEARNING_RATE = 0.2  # weight of the newest window in the demand of a class
 
-# Minimum share of all slots that the classes of one priority get together, regardless of the demand of
+# Minimum share of all slots for the total of the classes of one priority, regardless of the demand of
 # outranking classes.
 MIN_CLASS_CAPACITY = 0.1
 
