--- a/moorusher/cluster_transport/cluster_member.py
+++ b/moorusher/cluster_transport/cluster_member.py
@@ -48,4 +48,7 @@
         """Open the journal of a component; None if the settings have no journal."""
 
     def attach_journal(self, journal: OpenedJournal, space: int, acceptor: Acceptor) -> None:
-        """Write an acceptor's promises to a journal before they are sent."""
+        """Make an acceptor write its promises to a journal before it sends them.
+
+        :param space: Number of the acceptor's register space.
+        """
--- a/moorusher/cluster_transport/hot_restart/rendezvous.py
+++ b/moorusher/cluster_transport/hot_restart/rendezvous.py
@@ -40,9 +40,10 @@
 
 
 class _ListeningPort(_UnixPort):  # type: ignore[misc]
-    """A Unix port that does not unlink its path when it closes.
+    """A Unix port that does not unlink a path when it closes.
 
-    Its socket has been renamed, and another process may have published its own socket at that path by then.
+    `Rendezvous.publish` has renamed the socket from the path to which it was bound to the runner's path. When the port
+    closes, the runner's path may already lead to the socket of another process.
     """
 
     def connectionLost(self, reason: object) -> None:
@@ -146,7 +147,8 @@
 
     def publish(self) -> None:
         """Make this process the one that new processes connect to."""
-        # The socket is bound to a path of this process first, which is then renamed atomically to the runner's path.
+        # The socket is first bound to a temporary path, which contains the process id. This path is then renamed
+        # atomically to the runner's path.
         own_path = f"{self._path}.{os.getpid()}"
         mask = os.umask(0o177)
         if self._listening is not None:  # this process was replaced, and its successor has died since
--- a/moorusher/cluster_transport/maintenance.py
+++ b/moorusher/cluster_transport/maintenance.py
@@ -66,7 +66,7 @@
         is_current: Whether a majority has just confirmed the schedule.
         age_us: Time since the schedule was last read; None if it was never read.
         policy: This runner's settings.
-        step: The next step, with the reason why each waiting machine waits.
+        step: The slots to grant next, and why each of the other queued machines has to wait.
         starts_in_s: Estimated time until the start, by request id and seat.
         alive_seats: Seats whose members are alive.
         now_s: Unix time.
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -29,7 +29,8 @@
 log = logging.getLogger("moorusher")
 
 SELF_CHECK_INTERVAL_US = 100 * MS
-# Time without a connection to the kernel after which held work is handed over to other runners.
+# Time without a connection to the kernel after which this runner hands over keyed work that it has not started to other
+# runners.
 KERNEL_LOSS_TIMEOUT_US = 300 * MS
 NS_PER_US = 1_000
 
--- a/moorusher/forecasting/backtest.py
+++ b/moorusher/forecasting/backtest.py
@@ -1,4 +1,4 @@
-"""The backtest: forecasts of each model from earlier origins in a route's own history, and their errors.
+"""The backtest: forecasts of each model from earlier times in a route's own history (origins), and their errors.
 
 Histories of other customers have no influence.
 """
--- a/moorusher/forecasting/daily_levels.py
+++ b/moorusher/forecasting/daily_levels.py
@@ -16,7 +16,7 @@
 MIN_DAY_COVERAGE = 0.5
 # Minimum number of requests in a day for the day to have a level; the level is not reliable with fewer requests.
 MIN_DAY_REQUESTS = 10.0
-# Lower bound of an hour of the profile. Keeps ratios finite.
+# Lower bound of each hour's value in the profile (mean about 1). Keeps ratios to the profile finite.
 MIN_PROFILE = 0.02
 
 
--- a/moorusher/forecasting/ensemble.py
+++ b/moorusher/forecasting/ensemble.py
@@ -1,7 +1,8 @@
 """Weekly forecast as a weighted combination of models, with weights from each route's own backtest.
 
-Models are combined because a few origins separate good models from bad ones, but can't identify the best one. If the
-combination doesn't beat the seasonal naive baseline by a margin, only the baseline is used.
+Models are combined because a backtest with few origins (start times of forecasts) separates good models from bad ones,
+but can't identify the best one. If the combination doesn't beat the seasonal naive baseline by a margin, only the
+baseline is used.
 """
 
 from __future__ import annotations
@@ -78,7 +79,8 @@
 def _model_weights(errors: Floats, baseline: int) -> Floats:
     """Return the weights, (models, routes), which add up to 1 for each route.
 
-    Only the baseline has weight for a route without a usable origin.
+    Only the baseline has weight for a route whose backtest has no known errors, for example because its history is
+    short.
     """
     with np.errstate(all="ignore"):
         best = np.nanmin(np.where(np.isfinite(errors), errors, np.nan), axis=0)
--- a/moorusher/forecasting/quantiles.py
+++ b/moorusher/forecasting/quantiles.py
@@ -1,8 +1,9 @@
 """Quantiles of each hour's demand (0.5, 0.9, 0.99), estimated from forecast errors in the route's own backtest.
 
 Errors are pooled by lead time and measured in units of a scale that grows with the forecast: counting noise grows with
-the square root of the demand, and an error of the level in proportion to it. There are few origins, and the errors of
-one day are correlated, so the quantiles are widened according to the number of independent errors.
+the square root of the demand, and an error of the level in proportion to the demand. The backtest has few origins
+(start times of forecasts), and the errors of one day are correlated, so the quantiles are widened according to the
+number of independent errors.
 """
 
 from __future__ import annotations
--- a/moorusher/forecasting/seasonal_profile.py
+++ b/moorusher/forecasting/seasonal_profile.py
@@ -22,9 +22,10 @@
 # Days of the week, where 0 is Monday.
 WORKING_DAYS = slice(0, 5)
 WEEKEND = slice(5, 7)
-# Lower bound of an hour of the profile (mean 1) in the calculation of its variance, if it is known in few weeks.
+# Lower bound of an hour's value in the profile (mean 1). The variance of an hour that is known in too few weeks is
+# assumed to be the square of its value.
 MIN_HOUR = 0.2
-# Lower bound of an hour of the common profile (mean 1) when it is used as a divisor.
+# Lower bound of an hour's value in the common profile (mean 1) where differences are divided by this value.
 MIN_COMMON_HOUR = 0.05
 # Lower bound of a variance in a denominator.
 MIN_VARIANCE = 1e-12
--- a/moorusher/forecasting/training_window.py
+++ b/moorusher/forecasting/training_window.py
@@ -1,4 +1,4 @@
-"""Input of a model: the history up to a forecast origin, and the hours of the week."""
+"""Input of a model: the history up to a forecast's origin (its start time), and the hours of the week."""
 
 from __future__ import annotations
 
--- a/moorusher/health/report.py
+++ b/moorusher/health/report.py
@@ -17,7 +17,7 @@
         reason: Text that explains the state.
         routable: Whether load balancers may send new requests.
         changed: Reason of the state transition since the previous report; "" if the state is the same.
-        pressure: At least 1 if the runner would collapse before load balancers can react.
+        pressure: From 1 on, the runner is expected to collapse before load balancers can react.
         mean_per_core: Window mean of runs on the cores, per core.
         forecast_per_core: Highest forecast mean until load balancers have reacted, per core.
         survivable_per_core: Highest window mean at which the runner does not collapse, per core.
--- a/moorusher/health/throughput.py
+++ b/moorusher/health/throughput.py
@@ -10,13 +10,15 @@
 
 # The best value decays over this time, so that a permanently slower machine counts as normal.
 BEST_DECAY_US = 300_000_000
-MIN_SAMPLE = 12  # a window is ignored if the runs that left the cores plus the busy core seconds sum to less
+# Minimum sum of a window's busy core seconds and its number of runs that left the cores. With less data, no throughput
+# is calculated.
+MIN_SAMPLE = 12
 LEARNING_RATE = 0.2  # weight of a better throughput in the best value; one lucky window must not determine it
 IDLE_FRACTION = 0.1  # fraction of busy cores below which the runner counts as idle, and not as slow
 
 
 class Throughput:
-    """Measures the number of runs that leave the cores per second of busy core time.
+    """Measures the throughput (runs that left the cores per second of busy core time), and compares it with the best.
 
     Attributes:
         ratio: Latest throughput as a fraction of the best, 0 to 1.
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -108,7 +108,8 @@
     (State.SYNCING_KEYS, Event.PEER_DISCONNECTED): (State.DISCOVERING, _RESTART_DISCOVERY),
     (State.SYNCING_KEYS, Event.TIMEOUT): _SERVE_WITHOUT_KEYS,
     (State.AWAITING_KERNEL, Event.KERNEL_UP): (State.REQUESTING_HANDOVER, (Do.SEND_READY,)),
-    # All keys are known: since they were synced the peer has run only keys that it claimed with this process.
+    # This process knows all keys that may have run: it has received all keys of the peer, and since then the peer has
+    # claimed each new key with this process before it ran the request.
     (State.AWAITING_KERNEL, Event.PEER_DIED): (State.SOLE, (Do.TRUST_KEYS, *_REPLACE_DEAD_PEER)),
     (State.AWAITING_KERNEL, Event.PEER_DISCONNECTED): (State.DISCOVERING, _RESTART_DISCOVERY),
     (State.REQUESTING_HANDOVER, Event.ACCEPT_PERMITTED): (
--- a/moorusher/load_balancing/hedging.py
+++ b/moorusher/load_balancing/hedging.py
@@ -11,7 +11,7 @@
 from .policy import LoadBalancingPolicy
 from .retry import has_time_remaining
 
-HEDGE_QUANTILE = 0.95  # a call is hedged after this quantile of its endpoint's latencies
+HEDGE_QUANTILE = 0.95  # quantile of its endpoint's latencies that a call waits at least before it is hedged
 MIN_TYPICAL_LATENCIES = 2.0  # minimum wait before hedging, as a multiple of the set's typical latency
 
 
@@ -29,7 +29,8 @@
 def hedge_at(now: int, call: OpenCall, endpoint: Endpoint, typical_latency_us: float) -> int | None:
     """Return when to hedge an attempt sent now (us); None if no latency is known or the deadline is too near."""
     percentile_us = endpoint.latency.quantile(HEDGE_QUANTILE) or 0.0
-    # An endpoint with few answers, or one that hangs from the start, has no percentile: the set's latency is used.
+    # The typical latency of all endpoints gives a minimum wait. It alone determines the wait if the endpoint has no
+    # percentile, because it has given few answers or has hung from the start.
     wait_us = max(percentile_us, MIN_TYPICAL_LATENCIES * typical_latency_us)
     if not wait_us or not has_time_remaining(now + wait_us, call.deadline):
         return None
--- a/moorusher/load_balancing/prior.py
+++ b/moorusher/load_balancing/prior.py
@@ -6,20 +6,21 @@
 from typing import Protocol
 
 MAX_OWN_SAMPLES = 8  # number of own samples from which a prior has no influence
-# Minimum weight of a prior with `ejected` set that makes its endpoint pass a health check first.
+# If a prior has `ejected` set and at least this weight, its endpoint must pass a health check before it gets calls,
+# unless too many endpoints are unavailable.
 MIN_WEIGHT_TO_EJECT = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Prior:
-    """Estimate of one endpoint, merged from several runners.
+    """Estimate of one endpoint, merged from the measurements of several other runners (donors).
 
     Attributes:
         latency_ratio: Its latency divided by the median of all endpoints.
         success_rate: Fraction of its calls that were answered.
         weight: Confidence in the prior, from 0 to 1.
         ejected: Whether most donors had ejected it.
-        donors: Names of the runners whose estimates were merged.
+        donors: Names of the donors.
     """
 
     latency_ratio: float
--- a/moorusher/maintenance/coordinator.py
+++ b/moorusher/maintenance/coordinator.py
@@ -21,10 +21,10 @@
 FIRST_READ_INTERVAL_US = 500 * MS  # before the first successful read
 ACTIVE_READ_INTERVAL_US = 1_000 * MS  # for a member with a slot or a waiting caller
 REPLICA_READ_INTERVAL_US = 3_000 * MS  # for a replica while requests are open
-QUEUED_READ_INTERVAL_US = 5_000 * MS  # for a queued machine; it is also notified of its grant
+QUEUED_READ_INTERVAL_US = 5_000 * MS  # for a member whose machine is queued; it is also notified of its grant
 IDLE_READ_INTERVAL_US = 30_000 * MS  # for any other member
-# Minimum read interval of queued and idle members, per seat of the fleet. It bounds the rate at which the replicas are
-# read, whatever the size of the fleet.
+# A queued or idle member waits at least this long between two reads, multiplied by the number of seats of the fleet.
+# This bounds the rate at which all members together read from the replicas, whatever the size of the fleet.
 MIN_READ_INTERVAL_PER_SEAT_US = 100 * MS
 MAX_WAITERS = 256
 # Wait for a majority before an operator's change is answered with NoMajorityError.
@@ -171,7 +171,7 @@
         self.replica.read(lambda is_current: callback(self.schedule, is_current))
 
     def explain(self) -> NextStep:
-        """Return the next step, with the reason why each queued machine waits."""
+        """Return the slots that should be granted next, and why each of the other queued machines has to wait."""
         return self._planner.explain(self.schedule, self._node.clock(), self._host.unix_s())
 
     def waiting_reason(self, request_id: str, seat: str) -> str:
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -18,10 +18,10 @@
     """
 
     enabled: bool = False
-    # Maximum number of machines that are out of service at a time: in all, per zone, per group. `max_out` limits two
-    # counts. The member that plans a grant counts slots and the machines that it sees as lost (`disruption_budget.py`).
-    # The schedule and the machine itself count slots alone (`max_slots` in `slot_changes.py`), since the schedule has
-    # no record of lost machines without a slot.
+    # Maximum number of machines that are out of service at a time: in all, per zone, per group. The member that plans
+    # a grant counts the machines with a slot and those that are lost without a slot (`disruption_budget.py`). When the
+    # schedule is changed, and when a machine checks its own slot, only machines with a slot are counted against
+    # `max_out` (`max_slots` in `slot_changes.py`), since the schedule has no record of the lost ones.
     max_out: int = 1
     max_out_per_zone: int = 1
     max_out_per_group: int = 1
--- a/moorusher/maintenance/queue_order.py
+++ b/moorusher/maintenance/queue_order.py
@@ -26,7 +26,8 @@
     urgent_s = URGENT_DURATIONS * request.duration_s
     is_urgent = bool(request.due_at_s) and now_s >= request.due_at_s - urgent_s
     age = max(0.0, now_s - request.requested_at_s) / policy.aging_step_s
-    # Rounded down: otherwise no two requests would have equal weights, and the rest of the key would have no effect.
+    # The sum is rounded down. Otherwise hardly any two requests would have equal weights, and the rest of the key would
+    # have no effect.
     weight = float(int(request.priority + age))
     return (
         not is_urgent,
--- a/moorusher/maintenance/schedule.py
+++ b/moorusher/maintenance/schedule.py
@@ -47,9 +47,11 @@
 class CompletionProof(IntEnum):
     """What proves that the work on a machine is finished. The values are stored."""
 
-    # A process on a later boot: the caller waited on the machine itself, and a reboot ends that caller.
+    # A process of the runner on a later boot of the machine. The caller that waited to begin the work ran on the
+    # machine itself, so the reboot has ended it, and it can't begin the work any more.
     REBOOT = 0
-    # Only an operator's statement: the caller waits on another machine, and may begin the work after a reboot.
+    # An operator's statement. A reboot proves nothing here: the caller that waits to begin the work runs on another
+    # machine, so it survives the reboot and may begin the work after it.
     OPERATOR = 1
 
     @property
