--- a/moorusher/cluster_transport/hot_restart/coordinator.py
+++ b/moorusher/cluster_transport/hot_restart/coordinator.py
@@ -80,9 +80,9 @@
             self._timeout = self.core.alarms.at(due_us, lambda: self.handle(Event.TIMEOUT))
 
     def _claim_unanswered(self) -> bool:
-        # Returns whether this process has abandoned the other one, so that keys need no claim any more.
-        # Until the new process is permitted to accept, the old process can abandon it. After that the old process
-        # can't, as the new one may have run keys.
+        # Returns whether this process has abandoned the other one, so that it needs no claims of keys any more.
+        # The old process can abandon the new one only until the new one is permitted to accept. After that, the new
+        # process may have run requests with keys that the old process doesn't know.
         if self.role.state is State.HANDING_OVER:
             self.handle(Event.TIMEOUT)
         return self.core.key_claims.peer is None
--- a/moorusher/cluster_transport/machine_host.py
+++ b/moorusher/cluster_transport/machine_host.py
@@ -76,7 +76,7 @@
         )
 
     def _settings_digest(self) -> str:
-        # Cached until the settings are replaced, since each tick reads it.
+        # The digest is cached until the settings are replaced, since each tick reads it.
         if self._digested_settings is not self._core.settings:
             self._digested_settings = self._core.settings
             self._digest = xxhash.xxh64_hexdigest(repr(self._digested_settings).encode())
--- a/moorusher/cluster_transport/replication.py
+++ b/moorusher/cluster_transport/replication.py
@@ -87,7 +87,7 @@
         self.links = PeerLinks(reactor, core, config, self._seats_digest, self.node)
         self._wake_at_us: int | None = None  # time of the next call of the node's `run_due`
         self.predecessor = 0
-        self._handed_over = False  # whether held work is being handed over to other runners
+        self._handed_over = False  # whether unstarted keyed work is being handed over
         core.hooks.coordinator = self
         core.keys.observers.append(self)
 
@@ -124,7 +124,8 @@
         return window_end(0, self.core.state.longest_key_window_ms())
 
     def _check_self(self) -> None:
-        # Runs periodically: publishes this runner's status, and hands over held work while it can't serve.
+        # Runs periodically: publishes this runner's status. While the runner can't serve, hands over keyed work that it
+        # has not started.
         core = self.core
         is_replacing = core.key_claims.is_successor and core.key_claims.peer is not None
         if self.maintenance is not None:
--- a/moorusher/hot_restart/process_role.py
+++ b/moorusher/hot_restart/process_role.py
@@ -93,7 +93,8 @@
 
 _NEW_PROCESS: dict[tuple[State, Event], Transition] = {
     (State.DISCOVERING, Event.NO_PEER): (State.SOLE, (Do.LISTEN, Do.PUBLISH_ADDRESS)),
-    # The previous process of this runner died without handing its keys over, so it is unknown which keys have run.
+    # The previous process of this runner died without handing its keys over, so this process does not know which
+    # requests with a key have run.
     (State.DISCOVERING, Event.DEAD_PEER_FOUND): (
         State.SOLE,
         (Do.DISTRUST_KEYS_FOR_A_WINDOW, Do.LISTEN, Do.PUBLISH_ADDRESS),
--- a/moorusher/load_balancing/concurrency_limit.py
+++ b/moorusher/load_balancing/concurrency_limit.py
@@ -37,7 +37,7 @@
             return
         gradient = max(MIN_GRADIENT, min(1.0, LATENCY_TOLERANCE * long_us / short_us))
         if gradient == 1.0 and in_flight < self.value / 2:
-            return  # less than half of the limit is in use, so a level latency does not show that it can rise
+            return  # with less than half of the limit in use, a constant latency does not justify a higher one
         headroom = self.value**0.5 if gradient == 1.0 else 0.0
         estimate = self.value * gradient + headroom
         smoothed = self.value + SMOOTHING * (estimate - self.value)
--- a/moorusher/maintenance/planner.py
+++ b/moorusher/maintenance/planner.py
@@ -1,7 +1,7 @@
 """Decides when a replica writes the next step: the first live one at once, the others after delays by their rank."""
 
-# No single replica is required. Two that write at the same time are safe, since the second grant is for an outdated
-# revision of the schedule and is rejected.
+# No single replica is required. If two replicas grant slots at the same time, the second grant is rejected, since the
+# revision of the schedule on which it was planned is outdated by then.
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from .schedule import Schedule, SlotStage
 from .slot_changes import GrantSlots
 
-REPLICA_RANK_DELAY_US = 1_500 * MS  # time without a change of the schedule after which the next replica tries
+# Time without a change of the schedule after which the replica with the next rank plans the grants.
+REPLICA_RANK_DELAY_US = 1_500 * MS
 RENOTIFY_INTERVAL_US = 1_000 * MS  # between notifications of a grant that the machine has not accepted
 HUNDREDTHS_PER_CORE = 100  # members report loads in hundredths of a core
 
--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -40,7 +40,7 @@
     # Multiple of the expected duration after which a machine is reported as overdue.
     overdue_factor: float = 1.5
     # Time after which a returned machine that has warmed up is accepted although it has not recovered its replicated
-    # state, and one that is still cold is reported.
+    # state. A machine that has not warmed up by then is reported.
     return_timeout_s: float = 120.0
     # Waiting time that counts as much as one step of priority.
     aging_step_s: float = 3_600.0
--- a/moorusher/maintenance/waiters.py
+++ b/moorusher/maintenance/waiters.py
@@ -15,7 +15,7 @@
 
     GRANTED = "granted"  # the machine may be worked on
     QUEUED = "waits"
-    SUSPENDED = "held back"  # the machine gets no slot until an operator resumes its request
+    SUSPENDED = "held back"  # the machine gets no slot until an operator resumes it
     WITHDRAWN = "withdrawn"
     FINISHED = "over"
 
--- a/moorusher/warm_start/merge.py
+++ b/moorusher/warm_start/merge.py
@@ -14,7 +14,8 @@
 from .learned_state import DonorCondition, EndpointStats, LearnedState
 
 LATENCY_HALF_LIFE_S = 60.0
-FAULT_HALF_LIFE_S = 20.0  # shorter, since faults of an endpoint pass sooner than its speed changes
+# Shorter than the half-life of latencies, since faults of an endpoint pass sooner than its speed changes.
+FAULT_HALF_LIFE_S = 20.0
 MAX_AGE_S = 600.0  # older measurements are ignored
 FULL_WEIGHT_SAMPLES = 30  # samples of an endpoint from which its measurements have full weight
 SAMPLES_PER_EJECTION = 5  # samples that an ejection counts as, since an ejected endpoint has few calls
--- a/moorusher/warm_start/verification.py
+++ b/moorusher/warm_start/verification.py
@@ -8,7 +8,7 @@
 from ..load_balancing.prior import Prior
 
 MIN_SAMPLES = 4  # own samples of an endpoint before its prior is verified
-MAX_DEVIATION = 2.5  # factor between the measured and the expected latency ratio, either way
+MAX_DEVIATION = 2.5  # maximum factor by which measured and expected latency ratio may differ, either way
 MAX_WRONG_FRACTION = 0.5  # share of a donor's verified priors; if more are wrong, the donor is rejected
 MIN_VERIFIED = 4  # verified priors of a donor before it can be rejected
 
