--- a/moorusher/maintenance/policy.py
+++ b/moorusher/maintenance/policy.py
@@ -18,10 +18,10 @@
     """
 
     enabled: bool = False
-    # Maximum number of machines that are out of service at a time: in all, per zone, per group. `max_out` limits two
-    # counts. The member that plans a grant counts slots and the machines that it sees as lost (`disruption_budget.py`).
-    # The schedule and the machine itself count slots alone (`max_slots` in `slot_changes.py`), since the schedule has
-    # no record of lost machines without a slot.
+    # Maximum number of machines that are out of service at a time: in all, per zone, per group. The member that plans
+    # a grant counts the machines with a slot and those that are lost without a slot (`disruption_budget.py`). When the
+    # schedule is changed, and when a machine checks its own slot, only machines with a slot are counted against
+    # `max_out` (`max_slots` in `slot_changes.py`), since the schedule has no record of the lost ones.
     max_out: int = 1
     max_out_per_zone: int = 1
     max_out_per_group: int = 1
@@ -40,7 +40,7 @@
     # Multiple of the expected duration after which a machine is reported as overdue.
     overdue_factor: float = 1.5
     # Time after which a returned machine that has warmed up is accepted although it has not recovered its replicated
-    # state, and one that is still cold is reported.
+    # state. A machine that has not warmed up by then is reported.
     return_timeout_s: float = 120.0
     # Waiting time that counts as much as one step of priority.
     aging_step_s: float = 3_600.0
