--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -70,7 +70,9 @@
 
 
 class Announcer(ClientFactory):
-    """Sends reports, and reconnects if the connection is lost or the service does not answer.
+    """Reports to the announce service whether the runner accepts requests.
+
+    Reconnects if the connection is lost or the service does not answer.
 
     Attributes:
         core: The request engine; set by the owner.
--- a/moorusher/backends/database.py
+++ b/moorusher/backends/database.py
@@ -29,7 +29,7 @@
 
 
 def end_reason_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
-    """Return how a call ended. Unless the response proves that the call never ran, it may have run."""
+    """Return how a call ended. Assume that the call ran, unless the response proves that it never did."""
     never_started = headers.get(NEVER_STARTED_HEADER) == b"1"
     if status == 200:
         return EndReason.CALL_ANSWERED
--- a/moorusher/backends/kernel_messages.py
+++ b/moorusher/backends/kernel_messages.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """The answer to SYSINFO: the kernel's gauges, and the mark of that command."""
+    """The answer to a SYSINFO command: the kernel's gauges, and the mark that the command contained."""
 
     mark: str
     values: tuple[float, ...]
@@ -184,7 +184,7 @@
 
 
 def gauges_command(mark: str) -> Command:
-    """Return the command that requests the gauges. The answer carries `mark`."""
+    """Return the command that requests the gauges. The kernel returns `mark` in its answer."""
     return {"t": "SYSINFO", "mark": mark}
 
 
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -32,6 +32,7 @@
 
 log = logging.getLogger("moorusher")
 
+# A mark is a text in a SYSINFO command that the kernel returns in its answer.
 REPLAY_END_MARK = "replayed"  # Mark of the SYSINFO command whose answer ends a replay.
 CONFIRMATION_MARK = "g"  # Prefix of all other marks, followed by the number of commands written before.
 
--- a/moorusher/backends/owner.py
+++ b/moorusher/backends/owner.py
@@ -10,7 +10,7 @@
 
 
 class CallListener(Protocol):
-    """Receives the ends of calls."""
+    """Is notified when a call ends."""
 
     def call_ended(self, number: int, reason: EndReason, body: bytes) -> None:
         """Called when call `number` has ended; `body` is the reply, empty if there is none."""
@@ -33,7 +33,7 @@
 
     @property
     def execution(self) -> CallListener:
-        """The receiver of the ends of calls."""
+        """The listener that the backend notifies when a call ends."""
 
     def start_turn(self) -> None:
         """Update the time. Must be called when input arrives."""
--- a/moorusher/backends/silence_detection.py
+++ b/moorusher/backends/silence_detection.py
@@ -16,7 +16,7 @@
 
 
 class SilenceVerdict(Enum):
-    """What to do about a connection."""
+    """Result of a check of a connection: whether to keep, probe or replace it."""
 
     ALIVE = "alive"
     PROBE = "probe"  # Ask the peer for an answer.
--- a/moorusher/backends/uwsgi.py
+++ b/moorusher/backends/uwsgi.py
@@ -35,7 +35,7 @@
 
 
 def end_reason_of(status: int, headers: dict[bytes, bytes]) -> EndReason:
-    """Return how a call ended. Unless the response proves that the call never ran, it may have run."""
+    """Return how a call ended. Assume that the call ran, unless the response proves that it never did."""
     if status == 200:
         return EndReason.CALL_ANSWERED
     if headers.get(NEVER_RAN_HEADER) == b"1":
--- a/moorusher/config_distribution/dissemination.py
+++ b/moorusher/config_distribution/dissemination.py
@@ -1,9 +1,9 @@
 """Tree broadcast: a revision is sent down a tree of all seats, and the seats that lack it are reported back up."""
 
-# The origin covers the range of all seats. It splits its range between up to `FAN_OUT` heads, each of which covers
-# its part in the same way, so the number of messages per member is small for any number of seats. A head that does
-# not acknowledge is skipped, and the rest of its range is split between other heads. `anti_entropy` distributes
-# revisions that a broadcast did not deliver.
+# The member that starts a broadcast covers the range of all seats. It splits the range into up to `FAN_OUT` parts. The
+# first seat of each part, its head, covers its part in the same way, so the number of messages per member is small for
+# any number of seats. A head that does not acknowledge is skipped, and the rest of its part is split between other
+# heads. `anti_entropy` distributes revisions that a broadcast did not deliver.
 
 from __future__ import annotations
 
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -194,8 +194,9 @@
                 self._finish_first(revision_id)
                 return
             if isinstance(outcome, (NoMajorityError, LeaderBusyError)):
-                # The change may still be accepted. If the old history were used for the next draft, both could get the
-                # same number. So the register is read first, which also prevents later acceptance of the change.
+                # The register may still accept this change. If the next draft were added to the old history, the two
+                # revisions could get the same number. So the next draft is processed only after the register has been
+                # read again. That read also prevents the register from accepting this change later.
                 self._history = None
             self._finish_first(outcome)
 
--- a/moorusher/frontends/connection_limits.py
+++ b/moorusher/frontends/connection_limits.py
@@ -137,7 +137,10 @@
         return self._is_reserved
 
     def evict_one(self) -> bool:
-        """Evict a connection without an open request, the oldest of a queue first. Return False if there is none."""
+        """Evict a connection without an open request. Return False if no connection can be evicted.
+
+        Of each queue (close requested, silent, idle, closing), the connection that entered it first is tried first.
+        """
         # Connections that have received a message in part come last: a slow client may be sending its first request.
         now = self.core.clock.now
         grace_start = now - EVICTION_GRACE_US
@@ -149,7 +152,7 @@
         )
 
     def _evict(self, since: int, mid_message: bool) -> bool:
-        """Evict a connection that has been in its queue since `since` or longer.
+        """Evict a connection that entered its queue (close requested, silent or idle) at `since` or earlier.
 
         :param mid_message: Whether connections that have received a message in part may be evicted.
         """
@@ -168,7 +171,7 @@
         return False
 
     def _abort_closing(self, since: int) -> bool:
-        """Abort a connection that has been closing since `since` or longer: it had time to read its last answer."""
+        """Abort a connection that began to close at `since` or earlier: its peer had time to read the last answer."""
         connection = next(iter(self._closing), None)
         if connection is None or self._closing[connection] > since:
             return False
--- a/moorusher/frontends/http.py
+++ b/moorusher/frontends/http.py
@@ -14,7 +14,7 @@
 from ..time_units import SECOND
 from .unread_input import read_unread_input
 
-MAX_HEAD_BYTES = 4096  # Size of all lines of a call before its body.
+MAX_HEAD_BYTES = 4096  # Maximum size of an HTTP request's request line and headers.
 MAX_LENGTH_DIGITS = 12  # Maximum number of digits of Content-Length.
 LINGER_US = 2 * SECOND  # Time for an answer to be read, and for the other side to close.
 REASONS = {
@@ -122,7 +122,7 @@
         self._reject(431, "the head is too long", EndReason.LINE_TOO_LONG)
 
     def lineReceived(self, line: bytes) -> None:
-        """Parse a line of a call's head."""
+        """Parse the request line or a header line of an HTTP request."""
         if self._end_reason is not None:
             return
         line = line.removesuffix(b"\r")
@@ -138,7 +138,7 @@
             self._end_head(self._request)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Discard body data, and handle the call once the body is complete."""
+        """Discard body data, and handle the HTTP request once its body is complete."""
         count = min(len(data), self._remaining_body_bytes)
         self._remaining_body_bytes -= count
         if not self._remaining_body_bytes and self._end_reason is None:
@@ -149,7 +149,7 @@
 
     @property
     def reading(self) -> bool:
-        """Whether a call has been received in part, and the rest may still arrive."""
+        """Whether an HTTP request has been received in part, and the rest may still arrive."""
         return self._request is not None
 
     def request_close(self) -> None:
@@ -157,7 +157,7 @@
         self.try_close(EndReason.IDLE_TIMEOUT)
 
     def try_close(self, end_reason: EndReason) -> bool:
-        """Close. If unread input contains a call, answer it, stay open and return False."""
+        """Close, and return True. If unread input contains an HTTP request, answer it, stay open and return False."""
         answered_before = self._calls_answered
         if self._end_reason is None and end_reason is not EndReason.CLOSED_LOCALLY:
             read_unread_input(self.transport)
--- a/moorusher/lab/experiment.py
+++ b/moorusher/lab/experiment.py
@@ -70,7 +70,7 @@
     plots: list[Plot] = field(default_factory=list)
 
     def add_criterion(self, name: str, measured: str, bound: str, holds: bool) -> None:
-        """Add a figure, its bound, and whether the bound is met."""
+        """Add a criterion: a measured value, the bound for it, and whether the value meets the bound."""
         self.criteria.append(Criterion(name, measured, bound, bool(holds)))
 
     @property
--- a/moorusher/lab/runners.py
+++ b/moorusher/lab/runners.py
@@ -91,12 +91,12 @@
 
 
 class Runner(ProcessProtocol):
-    """A runner process that can be restarted with the same addresses.
+    """A runner process. After it has exited, it can be started again with the same addresses.
 
     :param database_port: port of the runner's backend, None for no backend.
-    :param health_toml: content of the section on health reports.
-    :param sends_maxconn: whether the agent also reports a limit of connections.
-    :param extra_toml: additional sections of the listeners' file.
+    :param health_toml: settings of the section on health reports.
+    :param sends_maxconn: whether the answers to agent checks also contain a connection limit.
+    :param extra_toml: additional sections of the file that configures the listeners.
 
     Attributes:
         port: Port for requests; `agent`, `health` and `admin` are the ports of the other listeners.
--- a/moorusher/lab/takeover_arm.py
+++ b/moorusher/lab/takeover_arm.py
@@ -42,7 +42,7 @@
 BURST_SIZE = 10
 BURST_SERVICE_TIME_MS = 4 * SERVICE_TIME_MS
 FAILING_RUNNERS = (1, 4)
-"""Indexes of the runners of which the first or both fail. A burst shortly before leaves both with queued requests."""
+"""Indexes of the runners that fail: the first one, or both. A burst shortly before leaves both with queued requests."""
 _BURST_LEAD_S = 0.1
 _WATCH_INTERVAL_S = 0.02
 _SETTLING_S = 5.0
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -33,7 +33,7 @@
 LOAD = CallLoad(rate=360.0, seconds=12.0)
 BIN_S = 0.25
 DONOR_S = 20.0
-"""How long a donor has served before its state is captured."""
+"""How long a donor, the instance whose learned state is given to a new one, has served before the state is captured."""
 YOUNG_DONOR_S = 5.0
 STALE_AGE_S = 3600
 STEADY_MARGIN = 0.02
--- a/moorusher/model_checking/leadership_interleavings.py
+++ b/moorusher/model_checking/leadership_interleavings.py
@@ -37,7 +37,7 @@
     """The kind of effect that both leaders want to perform."""
 
     FENCED = "fenced"  # A request to a receiver that compares fencing tokens.
-    ONCE = "once"  # A job, the same for both leaders, at a receiver that can't compare tokens.
+    ONCE = "once"  # A job that both leaders want to send, at most once in all, to a receiver that can't compare tokens.
     STATE = "state"  # An update of the duty's state.
 
 
--- a/moorusher/model_checking/publish_simulation.py
+++ b/moorusher/model_checking/publish_simulation.py
@@ -45,8 +45,10 @@
 READY_TIMEOUT_US = 2_000 * MS
 PARSE_MS = (0.2, 40)  # Minimum and maximum time to parse a draft.
 EPOCH_MS = 1_700_000_000_000  # Unix time at the start of a simulation.
-EXPECTED_REVISIONS = (-1, -1, -1, 0, 1, 2)  # Revision that a submission is based on; -1 means any.
-ATTEMPTS = (1, 1, 2, 3)  # Number of times that a client submits, as if it had received no answer.
+# Number of the current revision that a submission expects: 0 for none, -1 for any.
+EXPECTED_REVISIONS = (-1, -1, -1, 0, 1, 2)
+# Number of times that a client sends the same submission. Repetitions model a client that has received no answer.
+ATTEMPTS = (1, 1, 2, 3)
 MAX_RESUBMIT_S = 2
 FIRST_SUBMISSION_S = 0.3
 FIRST_DELETION_S = 1.0
--- a/moorusher/namespaces/atoms.py
+++ b/moorusher/namespaces/atoms.py
@@ -17,7 +17,7 @@
 
 
 def _example_characters() -> Iterator[str]:
-    """Yield letters, then digits, then the other characters."""
+    """Yield the lowercase ASCII letters, then the digits, then all characters from U+00A1 on."""
     for code in (*range(0x61, 0x7B), *range(0x30, 0x3A), *range(0xA1, 0x110000)):
         yield chr(code)
 
--- a/moorusher/namespaces/draft_values.py
+++ b/moorusher/namespaces/draft_values.py
@@ -22,7 +22,7 @@
 
 
 def read_mapping(raw: Any, path: str) -> dict[str, Any]:
-    """Return the value if it is an object, whose keys are names; an empty one for None."""
+    """Return the value if it is an object, or an empty object if it is None. Its keys are not checked."""
     if raw is None:
         return {}
     if not isinstance(raw, dict):
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -45,9 +45,12 @@
         )
 
     def _adopt_handed_over(self, descriptor: int, factory: Any) -> AcceptingPort:
-        """Accept connections on a descriptor that another process has handed over; on a failure it stays open."""
-        # It stays open for another attempt: the process that handed it over no longer accepts on it, so closing it
-        # would reset the connections in its backlog.
+        """Accept connections on a descriptor that another process has handed over.
+
+        :raises OSError: the listener can't be opened; the descriptor stays open.
+        """
+        # The descriptor stays open for another attempt: the process that handed it over no longer accepts on it, so
+        # closing it would reset the connections in its backlog.
         opened = socket.socket(fileno=descriptor)
         try:
             port = self._accept_on(opened, factory)
@@ -58,10 +61,12 @@
         return port
 
     def open(self, handed_over: dict[str, int]) -> None:
-        """Open each planned listener that is not open, on the descriptor handed over for its label or a new socket.
+        """Open each planned listener that is not open yet.
+
+        A listener uses the descriptor that was handed over for its label. If there is none, it binds a new socket.
 
-        :param handed_over: descriptors by label; those that are used are removed.
-        :raises OSError: an address is in use, or the system has no capacity; listeners opened before stay open.
+        :param handed_over: descriptors by label; each descriptor that a listener uses is removed.
+        :raises OSError: an address is in use, or the system has no capacity; listeners that are open stay open.
         """
         for label, (address, factory) in self.planned.items():
             if label in self._ports:
--- a/tests/compatibility/whole_runner.py
+++ b/tests/compatibility/whole_runner.py
@@ -135,7 +135,7 @@
         self.service.core.kernel_status.link_lost()
 
     def report_gauges(self, *values: float) -> None:
-        """Receive the kernel's gauges, in the order of the settings."""
+        """Deliver values of the kernel's gauges to the runner, in the order in which the settings list the gauges."""
         self.service.core.kernel_status.gauges_received(values)
 
     def submit(self, rid: str, klass: str, token: str | None = None) -> None:
--- a/tests/faults/day.py
+++ b/tests/faults/day.py
@@ -133,7 +133,8 @@
         self.runner = f"n{index}.{day.restart_counts[index]}"
         self.open_requests: dict[int, str] = {}
         self._sent_at: dict[str, float] = {}
-        # Time by which the runner accepts the connection if `accept` was failing at the connect, else 0.
+        # Monotonic time by which the runner accepts this connection, if an injected fault made `accept` fail when the
+        # client connected. Otherwise 0.
         self._accept_deadline = 0.0
         self.leaving = False
         self.is_compliant = day.rng.random() < day.faults.compliant_client_share
@@ -371,7 +372,7 @@
         self._resources.append(call)
 
     def completed_takeovers(self, node: Runner) -> int:
-        """Return how often a process of this runner has handed over to a new process."""
+        """Return how many hot restarts of this runner have completed, according to its log."""
         return node.read_log().count("hot restart: finishes, and the other one serves")
 
     def _extend_due_time(self, request: RequestSent) -> RequestSent:
@@ -385,7 +386,10 @@
         return replace(request, due=max([request.due, *ends]))
 
     def accept_deadline(self, index: int) -> float:
-        """Return the time by which a connection that is opened now is accepted, if `accept` fails now, else 0."""
+        """Return the monotonic time by which a connection that is opened now is accepted.
+
+        :returns: 0 if no injected fault makes `accept` fail now.
+        """
         faults = [(since, until) for call, _, since, until, _ in self.faults.injected if call == "accept"]
         began = self.nodes[index].began
         now = time.monotonic()
