--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -89,7 +89,7 @@
         self._address = address
         self._name = name
         self._connection: AnnounceProtocol | None = None
-        self._connector: Any = None  # of the connection attempt in progress
+        self._connector: Any = None  # Connector of the connection attempt in progress.
         self._is_stopped = False
 
     # ---- called by the owner ----
--- a/moorusher/backends/http_client.py
+++ b/moorusher/backends/http_client.py
@@ -74,7 +74,7 @@
         raise NotImplementedError
 
     def unexpected_data(self) -> None:
-        """Called when data arrives that answers no request. Any response before that data was complete."""
+        """Called when data arrives that answers no request, after all awaited responses have been received."""
         raise NotImplementedError
 
     # ---- framing ----
--- a/moorusher/config_distribution/anti_entropy.py
+++ b/moorusher/config_distribution/anti_entropy.py
@@ -2,7 +2,7 @@
 
 # Once per period, each member compares with one random peer. Customers are divided into `BUCKETS` buckets with one
 # digest each, so the number of messages per member does not grow with the number of seats or customers. A process
-# that starts compares with one peer after another until it knows their revisions, and becomes ready.
+# that starts compares with one peer after another. It becomes ready once it knows the revisions of its peers.
 
 from __future__ import annotations
 
--- a/moorusher/config_distribution/errors.py
+++ b/moorusher/config_distribution/errors.py
@@ -10,8 +10,8 @@
 DistributionError = NamespaceError | LeadershipError
 
 _ERROR_TYPES: tuple[type[DistributionError], ...] = (*NAMESPACE_ERRORS, *LEASE_ERRORS)
-# Messages contain the kinds. If both packages have an error of the same kind (`Conflict`, `OverBudget`), the receiver
-# decodes it as that of `leadership`.
+# Messages identify errors by their kinds. If `namespaces` and `leadership` both define a kind (`Conflict`,
+# `OverBudget`), the receiver decodes it as the error of `leadership`.
 ERRORS_BY_KIND = {error_type.kind: error_type for error_type in _ERROR_TYPES}
 
 
--- a/moorusher/config_distribution/propagation.py
+++ b/moorusher/config_distribution/propagation.py
@@ -58,16 +58,16 @@
         callback: LackingCallback,
         timeout_us: int = PROPAGATION_TIMEOUT_US,
     ) -> None:
-        """Broadcast a revision. `callback` receives the seats that have neither it nor a later one, with reasons.
+        """Broadcast a revision, after reading it from the register if this member lacks it.
 
-        This member first reads the revision from the register if it lacks it.
+        :param callback: receives the seats that have neither this nor a later revision, each with the reason.
         """
         deadline_us = self._member.now() + timeout_us
         customers = self._revisions.customers
         deleted = revision_id[1] == DELETED_NUMBER
 
         def on_obtained(reason: str) -> None:
-            if reason:  # This member lacks the revision itself, so it has not asked any other seat.
+            if reason:  # This member could not obtain the revision, so it has not asked any other seat.
                 seats = self._member.known_seats()[:MAX_LACKING]
                 callback({seat: reason if seat == self._member.me else "not asked" for seat in seats})
                 return
--- a/moorusher/frontends/console.py
+++ b/moorusher/frontends/console.py
@@ -1,8 +1,8 @@
 """The console, a second address for operators: HTTP/1.1 with one call per connection. Framing only."""
 
 # The console has its own connection slots, from the descriptors that are never available to clients. A caller that has
-# sent no complete call half a second after it was accepted gets status 408, so that neither it nor other callers wait
-# long.
+# sent no complete call half a second after it was accepted gets status 408 and is disconnected. Thus slow callers free
+# their slots soon.
 
 from __future__ import annotations
 
--- a/moorusher/lab/cores.py
+++ b/moorusher/lab/cores.py
@@ -16,7 +16,7 @@
 NEVER = 1 << 60
 """A time that is never reached, in us."""
 _ROUNDING_US = 1e-6
-"""Remaining work up to which a run counts as completed."""
+"""A run counts as completed if its remaining work is at most this."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/moorusher/lab/server_pool_simulation.py
+++ b/moorusher/lab/server_pool_simulation.py
@@ -103,7 +103,7 @@
 
     LOAD_BALANCER = "tier"
     RANDOM = "plain"
-    """To a random server, as behind a proxy without knowledge of the servers' state."""
+    """Calls go to a random server, as with a proxy that does not know the servers' state."""
     ROUND_ROBIN = "round"
 
 
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -37,7 +37,7 @@
 YOUNG_DONOR_S = 5.0
 STALE_AGE_S = 3600
 STEADY_MARGIN = 0.02
-"""Largest distance below the steady level at which the share of calls answered in time still counts as steady."""
+"""The share of calls answered in time counts as steady if it is at most this much below the steady level."""
 EARLY_S = 5  # Length of the early phase, whose calls that were not answered in time are counted.
 PLOTTED_S = 8
 SLOW_FACTOR = 15.0
--- a/moorusher/namespaces/draft_rules.py
+++ b/moorusher/namespaces/draft_rules.py
@@ -110,7 +110,8 @@
 
 
 def _parse_route(raw: Any, path: str, routes: Mapping[str, Route]) -> RouteTo:
-    # If the value is an object, it is first checked like that of `split`, because an error inside it is more specific.
+    # An object is invalid here. It is first checked like the value of `split`, because an error found inside it is more
+    # specific than the message that `to` expects a name.
     weights = {raw: 1} if isinstance(raw, str) else read_mapping(raw, f"{path}.to")
     _check_weights(weights, "to", path, routes)
     if not isinstance(raw, str):
--- a/moorusher/namespaces/draft_values.py
+++ b/moorusher/namespaces/draft_values.py
@@ -31,7 +31,7 @@
 
 
 def read_name(raw: Any, path: str) -> str:
-    """Return the value if it is a string, which names a route, server or pool."""
+    """Return the value, the name of a route, server or pool, if it is a string."""
     if not isinstance(raw, str):
         raise MalformedInputError(f"{path}: expected a name, got {raw!r}")
     return raw
--- a/moorusher/server/graceful_shutdown.py
+++ b/moorusher/server/graceful_shutdown.py
@@ -42,7 +42,7 @@
         self._active_at_us = 0
 
     def drain(self) -> None:
-        """Start to drain and exit when no other process continues to serve. No effect during a shutdown."""
+        """Start a shutdown without a successor process: drain, then exit. Has no effect during a shutdown."""
         service = self._service
         core = service.core
         if core.drain_state.shutting_down:
--- a/moorusher/server/listeners.py
+++ b/moorusher/server/listeners.py
@@ -111,7 +111,10 @@
         self._paused.clear()
 
     def close(self, label: str) -> None:
-        """Accept a listener's backlog and close it. A paused listener is only dropped from the open listeners."""
+        """Accept the connections in a listener's backlog, then close the listener.
+
+        A paused listener is not closed, only removed from the open listeners.
+        """
         port = self._ports.pop(label, None)
         if port is not None and label not in self._paused:
             port.accept_backlog_and_close()
--- a/moorusher/server/main.py
+++ b/moorusher/server/main.py
@@ -61,7 +61,8 @@
     :returns: the exit code.
     """
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
-    # No request has been read yet, so until the service installs its handler, SIGTERM ends the process at once.
+    # SIGTERM ends the process at once until the service installs its own handler. No request is lost, since none has
+    # been read by then.
     signal.signal(signal.SIGTERM, lambda *_: os._exit(OK))
     # A SIGHUP during the start is remembered, and the configuration is reloaded once the service has started.
     early_hangups: list[int] = []
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -185,7 +185,9 @@
         self.listeners.pause(shared)
         self.jsonrpc.start_draining()
         if isinstance(self.backend, DatabasePool):
-            self.backend.set_max_idle(0)  # Leaves the budget of idle connections to the other process.
+            self.backend.set_max_idle(
+                0
+            )  # The other process may now use the whole budget of idle connections.
 
     def resume(self) -> None:
         """Serve again after the process that was to replace this one has exited."""
@@ -297,7 +299,7 @@
             self.hot_restart.terminate()
 
     def drain(self) -> None:
-        """Drain, as no other process of this runner continues to serve."""
+        """Drain and exit, since no other process of this runner continues to serve."""
         self.shutdown.drain()
 
     def finish(self) -> None:
--- a/moorusher/storage/revisions.py
+++ b/moorusher/storage/revisions.py
@@ -49,7 +49,7 @@
 
 
 def is_damage(error: Exception) -> bool:
-    """Return whether the content of the file is invalid, so that each attempt would fail the same way."""
+    """Return whether the error means that the file's content is invalid, so that a retry would fail too."""
     if not isinstance(error, sqlite3.DatabaseError):
         return False
     # The code is missing if Python's module raised the error and not SQLite itself.
