--- a/moorusher/admin/namespace_operations.py
+++ b/moorusher/admin/namespace_operations.py
@@ -19,7 +19,7 @@
 from ..time_units import MS
 
 ResultCallback = Callable[[dict[str, Any] | DistributionError], None]
-# Reasons for lacking a revision that mean that the seat is not live. The propagation of a revision is complete even if
+# A seat that lacks a revision for one of these reasons is not live. The propagation of a revision is complete even if
 # such seats lack it.
 ABSENT_REASONS = ("down", "never heard of")
 
--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -128,9 +128,9 @@
     def _on_booted(self, booted: Booted) -> None:
         self._booted_callback(booted)
         if self.was_up and self._connection is not None:
-            # The kernel answers this command after the replay. Only the replay shows which unconfirmed commands the
-            # kernel has read. If such a command were sent again before, the kernel would get it twice, and could take
-            # a duplicate reply for the reply to a later call.
+            # The kernel answers this command after the replay. Only the replayed notices show which commands have to be
+            # sent again. A command that is sent again before could reach the kernel twice, and a duplicate reply could
+            # be taken for the reply to a later call.
             self.state = SessionState.REPLAYING
             self._connection.send(gauges_command(REPLAY_END_MARK))
         else:
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -1,8 +1,8 @@
 """Publication of submissions as revisions, one at a time, by the holder of the lease `namespace/<customer>`."""
 
-# A revision is published once a majority of the register has accepted it in this leader's term; nobody is notified
-# earlier. If the outcome of an attempt is unknown, the register is read before the next attempt, so that no number is
-# ever used for two drafts.
+# A revision is published once a majority of the register's replicas has accepted it in this leader's term. Neither
+# clients nor other members are notified earlier. If the outcome of an attempt is unknown, the register is read before
+# the next attempt, so that no number is ever used for two drafts.
 
 from __future__ import annotations
 
--- a/moorusher/config_distribution/revision_fetching.py
+++ b/moorusher/config_distribution/revision_fetching.py
@@ -1,6 +1,6 @@
 """Fetching of revisions at one member: a draft is received or requested, parsed and made current.
 
-A customer's revision is replaced as a whole, and only by a later one.
+A customer's current revision is replaced as a whole, and only by a later revision.
 """
 
 from __future__ import annotations
--- a/moorusher/lab/fleet_simulation.py
+++ b/moorusher/lab/fleet_simulation.py
@@ -26,7 +26,7 @@
 COLLAPSE_WINDOW_S = 3
 """Window of the mean runs per core that decides whether a machine collapses."""
 FINAL_PERIOD_S = 10
-"""Length of the last part of the simulation. Weight changes in it are also counted separately."""
+"""Length of the last part of the simulation. Weight changes in that part are also counted separately."""
 FULL_WEIGHT = 100
 _NEVER_S = -1.0
 _DEGRADATION_RUNS_PER_CORE = 3
--- a/moorusher/lab/outage.py
+++ b/moorusher/lab/outage.py
@@ -34,7 +34,7 @@
     RebootOrder.COORDINATED_WITH_LOSS: RebootOrder.NONE_WITH_LOSS,
     RebootOrder.COORDINATED_WITH_PARTITION: RebootOrder.NONE_WITH_PARTITION,
 }
-"""Orders that have criteria, each with the baseline without reboots that it is compared with."""
+"""Reboot orders that have criteria. Each is compared with the given baseline, which has no reboots."""
 PLOTTED = (RebootOrder.COORDINATED, RebootOrder.SIMULTANEOUS, RebootOrder.BY_HEALTH)
 
 Results = dict[RebootOrder, list[OutageResult]]
--- a/moorusher/lab/relays.py
+++ b/moorusher/lab/relays.py
@@ -85,7 +85,7 @@
         self.accepted = accepted
 
     def buildProtocol(self, addr: object) -> _RelayEnd:
-        """Return the outgoing end and pair it with the accepted one."""
+        """Return the protocol of the outgoing connection, and pair it with that of the accepted connection."""
         outgoing = _RelayEnd(self.accepted.relay, forward=False)
         outgoing.other = self.accepted
         self.accepted.other = outgoing
--- a/moorusher/model_checking/forecast_simulation.py
+++ b/moorusher/model_checking/forecast_simulation.py
@@ -1,7 +1,7 @@
 """Demand counting in virtual time: real counters, members and leaders of the forecast, and faults."""
 
-# The invariants are checked at the end of a simulation: for no hour does the ledger count more demand than there was,
-# and for an hour that it marks as completely counted it counts all demand. The time of day advances `SPEED` times as
+# The invariants are checked at the end of a simulation: the ledger never counts more demand for an hour than there was,
+# and it counts all demand of each hour that it marks as completely counted. The time of day advances `SPEED` times as
 # fast as the cluster's clock, so that hours pass in a simulation.
 
 from __future__ import annotations
--- a/moorusher/model_checking/leadership_simulation.py
+++ b/moorusher/model_checking/leadership_simulation.py
@@ -2,8 +2,8 @@
 
 # The invariants are checked on the whole history of a simulation. Each worker adds unique numbers to the state that
 # it received: no acknowledged number may ever be missing. A receiver that compares tokens accepts them in increasing
-# order. A receiver that can't compare tokens does no job twice, and no job that was resolved as never done; jobs that
-# may be repeated are excepted.
+# order. A receiver that can't compare tokens does no job twice, and no job that was resolved as never done. Jobs that
+# may be repeated are exempt from these two rules.
 
 from __future__ import annotations
 
--- a/moorusher/namespaces/current_revisions.py
+++ b/moorusher/namespaces/current_revisions.py
@@ -3,8 +3,8 @@
 # Namespaces are isolated: a decision depends on one customer's revision only, or on the platform's default if the
 # customer has none.
 #
-# A runner replaces a revision as a whole, and only by a later one. A request keeps the `Revision` under which it was
-# read until its final answer; later publications, rollbacks and deletions do not affect it.
+# A runner replaces a revision as a whole, and only by a later revision. A request keeps the `Revision` that was current
+# when the request was read until its final answer; later publications, rollbacks and deletions do not affect it.
 
 from __future__ import annotations
 
--- a/moorusher/server/server.py
+++ b/moorusher/server/server.py
@@ -185,9 +185,8 @@
         self.listeners.pause(shared)
         self.jsonrpc.start_draining()
         if isinstance(self.backend, DatabasePool):
-            self.backend.set_max_idle(
-                0
-            )  # The other process may now use the whole budget of idle connections.
+            # The other process may now use the whole budget of idle connections.
+            self.backend.set_max_idle(0)
 
     def resume(self) -> None:
         """Serve again after the process that was to replace this one has exited."""
