--- a/moorusher/backends/kernel_session.py
+++ b/moorusher/backends/kernel_session.py
@@ -32,6 +32,7 @@
 
 log = logging.getLogger("moorusher")
 
+# A mark is a text in a SYSINFO command that the kernel returns in its answer.
 REPLAY_END_MARK = "replayed"  # Mark of the SYSINFO command whose answer ends a replay.
 CONFIRMATION_MARK = "g"  # Prefix of all other marks, followed by the number of commands written before.
 
@@ -127,8 +128,9 @@
     def _on_booted(self, booted: Booted) -> None:
         self._booted_callback(booted)
         if self.was_up and self._connection is not None:
-            # The answer arrives after the replay. Only then it is known which commands to send again. A command sent
-            # earlier would be sent twice, and a duplicate reply could be taken for the reply to a later call.
+            # The kernel answers this command after the replay. Only the replayed notices show which commands have to be
+            # sent again. A command that is sent again before could reach the kernel twice, and a duplicate reply could
+            # be taken for the reply to a later call.
             self.state = SessionState.REPLAYING
             self._connection.send(gauges_command(REPLAY_END_MARK))
         else:
--- a/moorusher/lab/warm_start.py
+++ b/moorusher/lab/warm_start.py
@@ -33,11 +33,11 @@
 LOAD = CallLoad(rate=360.0, seconds=12.0)
 BIN_S = 0.25
 DONOR_S = 20.0
-"""How long a donor has served before its state is captured."""
+"""How long a donor, the instance whose learned state is given to a new one, has served before the state is captured."""
 YOUNG_DONOR_S = 5.0
 STALE_AGE_S = 3600
 STEADY_MARGIN = 0.02
-"""Largest distance below the steady level at which the share of calls answered in time still counts as steady."""
+"""The share of calls answered in time counts as steady if it is at most this much below the steady level."""
 EARLY_S = 5  # Length of the early phase, whose calls that were not answered in time are counted.
 PLOTTED_S = 8
 SLOW_FACTOR = 15.0
--- a/moorusher/namespaces/draft_values.py
+++ b/moorusher/namespaces/draft_values.py
@@ -22,7 +22,7 @@
 
 
 def read_mapping(raw: Any, path: str) -> dict[str, Any]:
-    """Return the value if it is an object, whose keys are names; an empty one for None."""
+    """Return the value if it is an object, or an empty object if it is None. Its keys are not checked."""
     if raw is None:
         return {}
     if not isinstance(raw, dict):
@@ -31,7 +31,7 @@
 
 
 def read_name(raw: Any, path: str) -> str:
-    """Return the value if it is a string, which names a route, server or pool."""
+    """Return the value, the name of a route, server or pool, if it is a string."""
     if not isinstance(raw, str):
         raise MalformedInputError(f"{path}: expected a name, got {raw!r}")
     return raw
