--- a/moorusher/backends/announce.py
+++ b/moorusher/backends/announce.py
@@ -70,7 +70,9 @@
 
 
 class Announcer(ClientFactory):
-    """Sends reports, and reconnects if the connection is lost or the service does not answer.
+    """Reports to the announce service whether the runner accepts requests.
+
+    Reconnects if the connection is lost or the service does not answer.
 
     Attributes:
         core: The request engine; set by the owner.
@@ -87,7 +89,7 @@
         self._address = address
         self._name = name
         self._connection: AnnounceProtocol | None = None
-        self._connector: Any = None  # of the connection attempt in progress
+        self._connector: Any = None  # Connector of the connection attempt in progress.
         self._is_stopped = False
 
     # ---- called by the owner ----
--- a/moorusher/config_distribution/publisher.py
+++ b/moorusher/config_distribution/publisher.py
@@ -1,8 +1,8 @@
 """Publication of submissions as revisions, one at a time, by the holder of the lease `namespace/<customer>`."""
 
-# A revision is published once a majority of the register has accepted it in this leader's term; nobody is notified
-# earlier. If the outcome of an attempt is unknown, the register is read before the next attempt, so that no number is
-# ever used for two drafts.
+# A revision is published once a majority of the register's replicas has accepted it in this leader's term. Neither
+# clients nor other members are notified earlier. If the outcome of an attempt is unknown, the register is read before
+# the next attempt, so that no number is ever used for two drafts.
 
 from __future__ import annotations
 
@@ -194,8 +194,9 @@
                 self._finish_first(revision_id)
                 return
             if isinstance(outcome, (NoMajorityError, LeaderBusyError)):
-                # The change may still be accepted. If the old history were used for the next draft, both could get the
-                # same number. So the register is read first, which also prevents later acceptance of the change.
+                # The register may still accept this change. If the next draft were added to the old history, the two
+                # revisions could get the same number. So the next draft is processed only after the register has been
+                # read again. That read also prevents the register from accepting this change later.
                 self._history = None
             self._finish_first(outcome)
 
--- a/moorusher/core/former_key_classes.py
+++ b/moorusher/core/former_key_classes.py
@@ -1,8 +1,8 @@
 """Request classes that had idempotency keys under earlier settings.
 
 A key is valid for the whole window of its class, and retries may arrive after new settings have changed the effect of
-the class or replaced the class by another one. Until the last key of the former class has expired, a request with a
-token is therefore treated as a request of a class with keys.
+the class or replaced the class by another one. Until the last key of the former class has expired, a request with an
+idempotency token is therefore treated as a request of a class with keys.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
                 self._former.setdefault(cls.name, longest)
 
     def effective_class(self, cls: api.RequestClass, now: int) -> api.RequestClass:
-        """Return the class that applies to a request with a token."""
+        """Return `cls`, changed to a class with keys until the last key of its former class has expired."""
         former = self._effective.get(cls.name)
         if former is None or now >= self._former[cls.name].expires_us:
             return cls
--- a/moorusher/replication/watched_work.py
+++ b/moorusher/replication/watched_work.py
@@ -1,4 +1,7 @@
-"""Keyed work that another runner owns: waits for its result; ends it or takes it over if the owner does not answer."""
+"""Keyed work that another runner owns.
+
+This runner waits for the result, and ends the work or takes it over if the owner does not answer.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class WatchedWork:
-    """The waiting side of the lifecycle of work."""
+    """The part of a work's lifecycle that a runner executes while it waits for another runner's result."""
 
     def __init__(self, node: WorkNode) -> None:
         self._node = node
@@ -49,7 +52,7 @@
         self._node.forget(tenure)
 
     def _hold(self, tenure: Tenure, work: WorkRecord, result: ChangeResult, is_claim: bool) -> None:
-        """Hold the work, which this runner has claimed or taken over."""
+        """Record that this runner owns the work, which it has claimed or taken over."""
         tenure.stage = TenureStage.QUEUED
         tenure.attempt = work.attempt
         tenure.promise = result.promise
@@ -158,7 +161,7 @@
     def _next_change(self, tenure: Tenure, not_in_hand: bool) -> ChangeFunction:
         """Return the change for work whose owner does not have it or does not answer."""
         # Started work is finished without a result if its owner is lost or does not have it, and is never run again.
-        # Held or released work is taken over if this runner can run it.
+        # Queued or released work is taken over if this runner can run it.
         owner = tenure.owner
         if tenure.state is WorkState.STARTED:
             if owner is not None and (not_in_hand or self._node.is_lost(owner)):
